--- a/Makefile
+++ b/Makefile
@@ -3,17 +3,24 @@
 GO ?= go
 BIN := bin
 
+# The language server, whose "rename -w FILE:LINE:COLUMN NAME" follows every use.
+GOPLS := golang.org/x/tools/gopls@v0.23.0
+
 # The seeds that "make soak" plays; 50 or more after each larger change.
 SOAK_FIRST ?= 1
 SOAK_SEEDS ?= 50
 
-.PHONY: all build quickstart test lint spec proofs soak bench fuzz clean
+.PHONY: all build tools quickstart test lint spec proofs soak bench fuzz clean
 
 all: build
 
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
+# Installs the tools for changing the code into bin.
+tools:
+	GOBIN=$(CURDIR)/$(BIN) $(GO) install $(GOPLS)
+
 # Builds, starts the stand-ins and three instances, runs a program and shows
 # what happened. KEEP=1 leaves everything up until interrupted.
 quickstart: build
