--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -66,7 +66,7 @@
 // NewPool makes an empty pool.
 func NewPool(scope tally.Scope) *Pool {
 	return &Pool{
-		dialer: netopt.Dialer(dialTimeout, unackedTimeout),
+		dialer: netopt.NewDialer(dialTimeout, unackedTimeout),
 		opened: newCauseCounters(scope),
 		places: make(map[string]*place),
 	}
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -38,8 +38,8 @@
 // good runs.
 type Health struct {
 	State HealthState
-	// Until is the end of an ejection.
-	Until time.Time
+	// EjectedUntil is the end of an ejection.
+	EjectedUntil time.Time
 	// Slowness is the moving ratio of the target's time to the expected.
 	Slowness float64
 
@@ -52,13 +52,13 @@
 
 // Advance ends an ejection whose time is over.
 func (h *Health) Advance(now time.Time) {
-	if h.State == Ejected && !now.Before(h.Until) {
+	if h.State == Ejected && !now.Before(h.EjectedUntil) {
 		h.State, h.good, h.failures, h.slow = Probation, 0, 0, 0
 	}
 }
 
-// Slots gives how many calls the target may run of its usual number.
-func (h *Health) Slots(slots int) int {
+// EffectiveSlots gives how many calls the target may run of its usual number.
+func (h *Health) EffectiveSlots(slots int) int {
 	switch h.State {
 	case Ejected:
 		return 0
@@ -68,8 +68,8 @@
 	return slots
 }
 
-// Fail counts a failure and tells whether the target is ejected by it.
-func (h *Health) Fail(rules structs.Rules, now time.Time, mayEject bool) bool {
+// RecordFailure counts a failure and tells whether the target is ejected by it.
+func (h *Health) RecordFailure(rules structs.Rules, now time.Time, mayEject bool) bool {
 	h.failures++
 	limit := maxFailures
 	if h.State == Probation {
@@ -81,9 +81,9 @@
 	return h.eject(rules, now, mayEject)
 }
 
-// Succeed counts a run that took ratio times the expected time and tells
+// RecordSuccess counts a run that took ratio times the expected time and tells
 // whether the target is ejected by it.
-func (h *Health) Succeed(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
+func (h *Health) RecordSuccess(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
 	h.failures = 0
 	h.Slowness += slowGain * (ratio - h.Slowness)
 	if ratio > slowFactor {
@@ -107,7 +107,7 @@
 		return false
 	}
 	h.timeout = min(maxEjection, max(minEjection, 2*h.timeout))
-	h.State, h.Until = Ejected, now.Add(h.timeout)
+	h.State, h.EjectedUntil = Ejected, now.Add(h.timeout)
 	h.failures, h.slow = 0, 0
 	return true
 }
--- a/internal/policy/straggler.go
+++ b/internal/policy/straggler.go
@@ -24,42 +24,42 @@
 	againFill = 0.8
 )
 
-// Stragglers follows the times of one kind of request.
-type Stragglers struct {
-	// Rare is the time that few answers pass.
-	Rare time.Duration
-	seen int
+// Hedger follows the times of one kind of request.
+type Hedger struct {
+	// TailLatency is the time that few answers pass.
+	TailLatency time.Duration
+	seen        int
 	// saved is the number of second sends that are allowed now.
 	saved float64
 }
 
 // Add takes the time of an answer in.
-func (s *Stragglers) Add(took time.Duration) {
+func (s *Hedger) Add(took time.Duration) {
 	s.seen++
 	s.saved = min(s.saved+againShare, againMost)
-	if s.Rare == 0 {
-		s.Rare = took
+	if s.TailLatency == 0 {
+		s.TailLatency = took
 		return
 	}
-	step := float64(s.Rare) * rareStep
-	if took > s.Rare {
-		s.Rare += time.Duration(step * (1 - rarely))
+	step := float64(s.TailLatency) * rareStep
+	if took > s.TailLatency {
+		s.TailLatency += time.Duration(step * (1 - rarely))
 		return
 	}
-	s.Rare -= time.Duration(step * rarely)
+	s.TailLatency -= time.Duration(step * rarely)
 }
 
-// Patience is how long a first send may take where a second one is allowed, in a
+// HedgeDelay is how long a first send may take where a second one is allowed, in a
 // service of a fill; false if there is to be none for now.
-func (s *Stragglers) Patience(fill float64) (time.Duration, bool) {
+func (s *Hedger) HedgeDelay(fill float64) (time.Duration, bool) {
 	if s.seen < rareKnown || s.saved < 1 || fill >= againFill {
 		return 0, false
 	}
-	return time.Duration(rareMargin * float64(s.Rare)), true
+	return time.Duration(rareMargin * float64(s.TailLatency)), true
 }
 
-// Again counts a second send, after a first one that passed Rare.
-func (s *Stragglers) Again() {
+// RecordHedge counts a second send, after a first one that passed Rare.
+func (s *Hedger) RecordHedge() {
 	s.saved--
-	s.Add(s.Rare + 1)
+	s.Add(s.TailLatency + 1)
 }
