--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -22,25 +22,25 @@
 
 // NewDialer makes a dialer with a timeout for the set-up of a connection. Its
 // connections end once bytes were sent and not acknowledged for the time unacked.
-func NewDialer(timeout, unacked time.Duration) *net.Dialer {
+func NewDialer(timeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return boundUnacked(raw, unacked) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, userTimeout) },
 	}
 }
 
-// boundUnacked sets the time after which the kernel gives a connection up whose
+// setUserTimeout sets the time after which the kernel gives a connection up whose
 // bytes are not acknowledged.
-func boundUnacked(raw syscall.RawConn, unacked time.Duration) error {
-	var failure error
+func setUserTimeout(raw syscall.RawConn, userTimeout time.Duration) error {
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockoptErr
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -34,10 +34,10 @@
 	// minRetryAfter is the least time after which a refused call may be
 	// tried again.
 	minRetryAfter = 250 * time.Millisecond
-	// firstCallShare is the share of its time that the first call of a
+	// firstCallFraction is the share of its time that the first call of a
 	// program may be expected to wait. An overload is shed where no work is
 	// lost: at programs that have not begun.
-	firstCallShare = 0.25
+	firstCallFraction = 0.25
 )
 
 // Admit decides whether a call may wait. The queue bounds always hold; the
@@ -51,10 +51,10 @@
 	}
 	allowed := load.Remaining - min(load.CallTime, load.Remaining/2)
 	if load.FirstCall {
-		allowed = min(allowed, time.Duration(firstCallShare*float64(load.Remaining)))
+		allowed = min(allowed, time.Duration(firstCallFraction*float64(load.Remaining)))
 	}
-	if late := load.Wait - allowed; late > 0 {
-		return refuse(late)
+	if excess := load.Wait - allowed; excess > 0 {
+		return refuse(excess)
 	}
 	return Verdict{Admit: true}
 }
@@ -70,18 +70,18 @@
 // the lateness.
 type Lateness struct {
 	average time.Duration
-	// emptied is when the class last had no waiting call.
-	emptied time.Duration
+	// lastEmpty is when the class last had no waiting call.
+	lastEmpty time.Duration
 }
 
 const (
 	// latenessGain is the weight of a new grant in the average.
 	latenessGain = 0.05
-	// saturatedAfter is how long calls of a class must have waited without
-	// a break for the lateness to tell their wait, and saturatedShare the
+	// minSaturatedTime is how long calls of a class must have waited without
+	// a break for the lateness to tell their wait, and minSaturatedFraction the
 	// same as a share of that wait.
-	saturatedAfter = 3 * time.Second
-	saturatedShare = 0.5
+	minSaturatedTime     = 3 * time.Second
+	minSaturatedFraction = 0.5
 )
 
 // ObserveGrant counts a grant at a time, of a call with a key; last tells that no
@@ -89,7 +89,7 @@
 func (l *Lateness) ObserveGrant(now, key time.Duration, last bool) {
 	l.average += time.Duration(latenessGain * float64(now-key-l.average))
 	if last {
-		l.emptied = now
+		l.lastEmpty = now
 	}
 }
 
@@ -97,7 +97,7 @@
 // position in the queue alone.
 func (l *Lateness) ExpectedWait(now, key, position time.Duration) time.Duration {
 	wait := key - now + l.average
-	if now-l.emptied < max(saturatedAfter, time.Duration(saturatedShare*float64(wait))) {
+	if now-l.lastEmpty < max(minSaturatedTime, time.Duration(minSaturatedFraction*float64(wait))) {
 		return position
 	}
 	return max(position, wait)
--- a/internal/policy/appendwindow.go
+++ b/internal/policy/appendwindow.go
@@ -8,29 +8,29 @@
 import "time"
 
 const (
-	// appendWindowMost bounds the appends in flight.
-	appendWindowMost = 4
-	// appendWindowSlack is by how much answers may vary without a queue.
-	appendWindowSlack = 1.25
+	// maxAppendWindow bounds the appends in flight.
+	maxAppendWindow = 4
+	// latencyTolerance is by how much answers may vary without a queue.
+	latencyTolerance = 1.25
 )
 
 // AppendWindow is the number of appends to one partition that may be in flight.
 // It grows while the answers of a slow store do not get longer. The zero value
 // lets one.
-type AppendWindow struct{ more int }
+type AppendWindow struct{ extra int }
 
 // Size is the number of appends that may be in flight.
-func (w *AppendWindow) Size() int { return 1 + w.more }
+func (w *AppendWindow) Size() int { return 1 + w.extra }
 
 // Observe notes an answer and the shortest one since the store is
 // slow.
-func (w *AppendWindow) Observe(a AppendResult, shortest time.Duration) {
+func (w *AppendWindow) Observe(result AppendResult, shortest time.Duration) {
 	switch {
-	case !a.Slow:
-		w.more = 0
-	case float64(a.Took) <= appendWindowSlack*float64(shortest):
-		w.more = min(w.more+1, appendWindowMost-1)
+	case !result.Slow:
+		w.extra = 0
+	case float64(result.Took) <= latencyTolerance*float64(shortest):
+		w.extra = min(w.extra+1, maxAppendWindow-1)
 	default:
-		w.more = max(w.more-1, 0)
+		w.extra = max(w.extra-1, 0)
 	}
 }
--- a/internal/policy/bytes_test.go
+++ b/internal/policy/bytes_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestBytesGoToProgramsUnderWay fills a bound with requests of both kinds and
+// TestRequestMemoryFavorsProgramsInProgress fills a bound with requests of both kinds and
 // sizes until each is refused.
-func TestBytesGoToProgramsUnderWay(t *testing.T) {
+func TestRequestMemoryFavorsProgramsInProgress(t *testing.T) {
 	const most = 1000
 	fill := func(held, size int64, underWay bool) int64 {
 		for (RequestMemory{Held: held, Max: most}).Fits(size, underWay) {
@@ -13,7 +13,7 @@
 		return held
 	}
 	large, small := fill(0, 100, false), fill(0, 10, false)
-	if large >= small || small > beginShare*most {
+	if large >= small || small > newProgramFraction*most {
 		t.Errorf("large ones fill %d, small ones %d", large, small)
 	}
 	if all := fill(small, 10, true); all != most {
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestStalledCallersAreCutSoonerWhileBytesAreShort compares both states.
-func TestStalledCallersAreCutSoonerWhileBytesAreShort(t *testing.T) {
+// TestStallTimeoutIsShorterUnderMemoryPressure compares both states.
+func TestStallTimeoutIsShorterUnderMemoryPressure(t *testing.T) {
 	if tight, ample := (RequestMemory{Held: 800, Max: 1000}).StallTimeout(), (RequestMemory{Held: 100, Max: 1000}).StallTimeout(); tight >= ample {
 		t.Errorf("%s while bytes are short, %s otherwise", tight, ample)
 	}
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -43,8 +43,8 @@
 	// Slowness is the moving ratio of the target's time to the expected.
 	Slowness float64
 
-	failures, slow, good int
-	timeout              time.Duration
+	consecutiveFailures, consecutiveSlow, successes int
+	ejectionTime                                    time.Duration
 }
 
 // NewHealth returns a healthy state.
@@ -53,7 +53,7 @@
 // Advance ends an ejection whose time is over.
 func (h *Health) Advance(now time.Time) {
 	if h.State == Ejected && !now.Before(h.EjectedUntil) {
-		h.State, h.good, h.failures, h.slow = Probation, 0, 0, 0
+		h.State, h.successes, h.consecutiveFailures, h.consecutiveSlow = Probation, 0, 0, 0
 	}
 }
 
@@ -70,12 +70,12 @@
 
 // RecordFailure counts a failure and tells whether the target is ejected by it.
 func (h *Health) RecordFailure(rules structs.Rules, now time.Time, mayEject bool) bool {
-	h.failures++
+	h.consecutiveFailures++
 	limit := maxFailures
 	if h.State == Probation {
 		limit = 1
 	}
-	if h.failures < limit {
+	if h.consecutiveFailures < limit {
 		return false
 	}
 	return h.eject(rules, now, mayEject)
@@ -84,20 +84,20 @@
 // RecordSuccess counts a run that took ratio times the expected time and tells
 // whether the target is ejected by it.
 func (h *Health) RecordSuccess(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
-	h.failures = 0
+	h.consecutiveFailures = 0
 	h.Slowness += slowGain * (ratio - h.Slowness)
 	if ratio > slowFactor {
-		h.slow++
-		h.good = 0
-		if h.slow >= slowRuns || h.State == Probation {
+		h.consecutiveSlow++
+		h.successes = 0
+		if h.consecutiveSlow >= slowRuns || h.State == Probation {
 			return h.eject(rules, now, mayEject)
 		}
 		return false
 	}
-	h.slow = 0
-	h.good++
-	if h.State == Probation && h.good >= probationRuns {
-		h.State, h.timeout = Healthy, 0
+	h.consecutiveSlow = 0
+	h.successes++
+	if h.State == Probation && h.successes >= probationRuns {
+		h.State, h.ejectionTime = Healthy, 0
 	}
 	return false
 }
@@ -106,8 +106,8 @@
 	if !rules.Ejection || !mayEject || h.State == Ejected {
 		return false
 	}
-	h.timeout = min(maxEjection, max(minEjection, 2*h.timeout))
-	h.State, h.EjectedUntil = Ejected, now.Add(h.timeout)
-	h.failures, h.slow = 0, 0
+	h.ejectionTime = min(maxEjection, max(minEjection, 2*h.ejectionTime))
+	h.State, h.EjectedUntil = Ejected, now.Add(h.ejectionTime)
+	h.consecutiveFailures, h.consecutiveSlow = 0, 0
 	return true
 }
--- a/internal/policy/estimate.go
+++ b/internal/policy/estimate.go
@@ -12,33 +12,33 @@
 const (
 	// speedGain is the weight of a new sample in a Speed.
 	speedGain = 0.15
-	// speedLife is the age in which a Speed loses most of its weight, so that a
+	// speedDecayTime is the age in which a Speed loses most of its weight, so that a
 	// target that was put aside is tried again.
-	speedLife = 10 * time.Second
-	// noiseWeight is how many times the error of a mean its distance from the
+	speedDecayTime = 10 * time.Second
+	// noiseFactor is how many times the error of a mean its distance from the
 	// usual must be for half of it to count.
-	noiseWeight = 1.5
+	noiseFactor = 1.5
 	// minSlowness and maxSlowness bound an estimate.
 	minSlowness = 0.25
 	maxSlowness = 8
-	// heardSpeed is the weight of another instance's mean that is newer.
-	heardSpeed = 0.5
-	// paceLife is the age in which a target's report of its present pace fades:
+	// remoteSpeedGain is the weight of another instance's mean that is newer.
+	remoteSpeedGain = 0.5
+	// paceDecayTime is the age in which a target's report of its present pace fades:
 	// it changes many times a second.
-	paceLife = 250 * time.Millisecond
-	// standingStep is the least part by which a report moves a target's Standing.
-	standingStep = 0.04
-	// trendGain is the weight of a report in a target's usual load, and trendLife
+	paceDecayTime = 250 * time.Millisecond
+	// minPaceStep is the least part by which a report moves a target's Standing.
+	minPaceStep = 0.04
+	// utilizationGain is the weight of a report in a target's usual load, and utilizationDecayTime
 	// the time in which that fades.
-	trendGain = 0.2
-	trendLife = 2 * time.Second
-	// silentPart of the pool's mean is expected at a target of which nothing was
-	// heard for some silentLife: instances pass on what busy ones report.
-	silentPart = 0.5
-	silentLife = 5 * time.Second
-	// minLoadLife bounds how fast a report of requests fades: within the usual
+	utilizationGain      = 0.2
+	utilizationDecayTime = 2 * time.Second
+	// unreportedFraction of the pool's mean is expected at a target of which nothing was
+	// heard for some unreportedDecayTime: instances pass on what busy ones report.
+	unreportedFraction  = 0.5
+	unreportedDecayTime = 5 * time.Second
+	// minReportDecayTime bounds how fast a report of requests fades: within the usual
 	// time of a request those that it counted have ended.
-	minLoadLife = 50 * time.Millisecond
+	minReportDecayTime = 50 * time.Millisecond
 )
 
 // SpeedEstimate is the time that a target takes for a unit of work, learned from
@@ -59,9 +59,9 @@
 		s.Mean, s.Variance, s.UpdatedAt = sample, sample*sample, now
 		return
 	}
-	off := sample - s.Mean
-	s.Mean += speedGain * off
-	s.Variance += speedGain * (off*off - s.Variance)
+	diff := sample - s.Mean
+	s.Mean += speedGain * diff
+	s.Variance += speedGain * (diff*diff - s.Variance)
 	s.UpdatedAt = now
 }
 
@@ -75,40 +75,40 @@
 		s.Mean, s.UpdatedAt = mean, at
 		return
 	}
-	s.Mean += heardSpeed * (mean - s.Mean)
+	s.Mean += remoteSpeedGain * (mean - s.Mean)
 	s.UpdatedAt = at
 }
 
 // Slowness is the target's time over the usual one; standing is what its own reports
 // say, which counts where nothing was learned. A distance from that within the
 // mean's own error counts little.
-func (s *SpeedEstimate) Slowness(usual, standing float64, now time.Time) float64 {
-	if s.UpdatedAt.IsZero() || usual <= 0 {
-		return standing
+func (s *SpeedEstimate) Slowness(typical, reported float64, now time.Time) float64 {
+	if s.UpdatedAt.IsZero() || typical <= 0 {
+		return reported
 	}
-	slowness := standing + s.trend(usual, standing)*fade(now.Sub(s.UpdatedAt), speedLife)
+	slowness := reported + s.deviation(typical, reported)*decayWeight(now.Sub(s.UpdatedAt), speedDecayTime)
 	return min(max(slowness, minSlowness), maxSlowness)
 }
 
-// trend is how far the mean is from the target's standing, in parts of the usual,
+// deviation is how far the mean is from the target's standing, in parts of the usual,
 // without what may be noise.
-func (s *SpeedEstimate) trend(usual, standing float64) float64 {
-	off := s.Mean/usual - standing
-	noise := noiseWeight * s.errorOfMean() / (usual * usual)
-	return off * off * off / (off*off + noise + math.SmallestNonzeroFloat64)
+func (s *SpeedEstimate) deviation(typical, reported float64) float64 {
+	diff := s.Mean/typical - reported
+	noise := noiseFactor * s.meanVariance() / (typical * typical)
+	return diff * diff * diff / (diff*diff + noise + math.SmallestNonzeroFloat64)
 }
 
 // AdvertisedMean is the mean that others are told: without what may be noise, which they
 // cannot know. It is 0 if nothing was learned.
-func (s *SpeedEstimate) AdvertisedMean(usual, standing float64) float64 {
-	if s.UpdatedAt.IsZero() || usual <= 0 {
+func (s *SpeedEstimate) AdvertisedMean(typical, reported float64) float64 {
+	if s.UpdatedAt.IsZero() || typical <= 0 {
 		return 0
 	}
-	return usual * (standing + s.trend(usual, standing))
+	return typical * (reported + s.deviation(typical, reported))
 }
 
-// errorOfMean is the variance of the moving mean.
-func (s *SpeedEstimate) errorOfMean() float64 { return s.Variance * speedGain / (2 - speedGain) }
+// meanVariance is the variance of the moving mean.
+func (s *SpeedEstimate) meanVariance() float64 { return s.Variance * speedGain / (2 - speedGain) }
 
 // PaceMedian is the median of the paces that a target reports, 1 as usual: machines that
 // turn slow for parts of a second do not move it.
@@ -124,14 +124,14 @@
 		s.Value = pace
 	}
 	s.reports++
-	step := s.Value * max(1/float64(s.reports+1), standingStep)
+	step := s.Value * max(1/float64(s.reports+1), minPaceStep)
 	s.Value += min(max(pace-s.Value, -step), step)
 }
 
 // CurrentSlowness is the slowness of a target that turned slow for now, by a new report of
 // its pace: slowness where that says nothing worse. Both are over the usual.
 func CurrentSlowness(slowness, pace float64, age time.Duration) float64 {
-	return slowness + max(pace-slowness, 0)*fade(age, paceLife)
+	return slowness + max(pace-slowness, 0)*decayWeight(age, paceDecayTime)
 }
 
 // LoadReport is what is known of the requests at a target.
@@ -151,29 +151,29 @@
 
 // SmoothUtilization takes a report of requests, in parts of the slots, into the moving
 // mean of a target's reports.
-func SmoothUtilization(usual, reported float64, first bool) float64 {
+func SmoothUtilization(average, reported float64, first bool) float64 {
 	if first {
 		return reported
 	}
-	return usual + trendGain*(reported-usual)
+	return average + utilizationGain*(reported-average)
 }
 
 // ExpectedUtilization is the expected number of requests at a target, in parts of its slots.
 // A report fades within the usual time of a request towards what the target
 // usually reports, that towards the pool's mean, and with long silence below it.
-func ExpectedUtilization(r LoadReport, pool float64, request time.Duration) float64 {
+func ExpectedUtilization(r LoadReport, poolMean float64, requestTime time.Duration) float64 {
 	slots := float64(max(r.Slots, 1))
 	own := float64(r.OwnInFlight) / slots
 	if !r.HasReport {
-		return max(silentPart*pool, own)
+		return max(unreportedFraction*poolMean, own)
 	}
-	pool *= silentPart + (1-silentPart)*fade(r.Age, silentLife)
+	poolMean *= unreportedFraction + (1-unreportedFraction)*decayWeight(r.Age, unreportedDecayTime)
 	reported := max(float64(r.Busy+r.OwnDelta)/slots, 0)
-	usual := pool + (r.TypicalUtilization-pool)*fade(r.Age, trendLife)
-	return max(usual+(reported-usual)*fade(r.Age, max(request, minLoadLife)), own)
+	typical := poolMean + (r.TypicalUtilization-poolMean)*decayWeight(r.Age, utilizationDecayTime)
+	return max(typical+(reported-typical)*decayWeight(r.Age, max(requestTime, minReportDecayTime)), own)
 }
 
-// fade is the weight of what is of an age.
-func fade(age, life time.Duration) float64 {
-	return math.Exp(-float64(max(age, 0)) / float64(life))
+// decayWeight is the weight of what is of an age.
+func decayWeight(age, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(max(age, 0)) / float64(timeConstant))
 }
--- a/internal/policy/estimate_test.go
+++ b/internal/policy/estimate_test.go
@@ -8,9 +8,9 @@
 
 var estimateStart = time.Unix(100, 0)
 
-// speedOf is a Speed after n samples a tenth of a second apart, with the time of
+// speedAfter is a Speed after n samples a tenth of a second apart, with the time of
 // the last one.
-func speedOf(n int, sample func() float64) (SpeedEstimate, time.Time) {
+func speedAfter(n int, sample func() float64) (SpeedEstimate, time.Time) {
 	var s SpeedEstimate
 	now := estimateStart
 	for range n {
@@ -22,11 +22,11 @@
 
 // Answers of uneven work say little of one target: an estimate of equal targets
 // stays near 1, while that of a target several times slower comes out.
-func TestSpeedTellsNoiseFromTrend(t *testing.T) {
+func TestSpeedEstimateSeparatesNoiseFromDeviation(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	far := 0
 	for range 200 {
-		s, now := speedOf(20, random.ExpFloat64)
+		s, now := speedAfter(20, random.ExpFloat64)
 		if slowness := s.Slowness(1, 1, now); slowness > 1.4 || slowness < 0.6 {
 			far++
 		}
@@ -34,11 +34,11 @@
 	if far > 20 {
 		t.Errorf("%d of 200 equal targets look uneven", far)
 	}
-	s, now := speedOf(20, func() float64 { return 4 * random.ExpFloat64() })
+	s, now := speedAfter(20, func() float64 { return 4 * random.ExpFloat64() })
 	if slowness := s.Slowness(1, 1, now); slowness < 2 {
 		t.Errorf("a target that takes four times as long looks %.2f times as slow", slowness)
 	}
-	s, now = speedOf(6, func() float64 { return 0.6 })
+	s, now = speedAfter(6, func() float64 { return 0.6 })
 	if slowness := s.Slowness(1, 1, now); slowness > 0.75 {
 		t.Errorf("a fast target looks %.2f times as slow", slowness)
 	}
@@ -46,10 +46,10 @@
 
 // A target that turned slow and is not asked any more is tried again: what was
 // learned of it ages to the usual.
-func TestSpeedAgesToTheUsual(t *testing.T) {
-	s, now := speedOf(10, func() float64 { return 5 })
+func TestSpeedEstimateDecaysToTypical(t *testing.T) {
+	s, now := speedAfter(10, func() float64 { return 5 })
 	before := s.Slowness(1, 1, now)
-	after := s.Slowness(1, 1, now.Add(3*speedLife))
+	after := s.Slowness(1, 1, now.Add(3*speedDecayTime))
 	if before < 4 || after > 1.3 {
 		t.Errorf("slowness %.2f when new, %.2f when old", before, after)
 	}
@@ -61,13 +61,13 @@
 
 // Others are told what is left of a mean without its noise: nearly the usual of a
 // target of which two uneven answers were seen, the mean of a target that is slow.
-func TestSpeedIsToldWithoutItsNoise(t *testing.T) {
+func TestAdvertisedMeanExcludesNoise(t *testing.T) {
 	uneven := []float64{0.4, 2.6}
-	few, _ := speedOf(2, func() float64 { next := uneven[0]; uneven = uneven[1:]; return next })
+	few, _ := speedAfter(2, func() float64 { next := uneven[0]; uneven = uneven[1:]; return next })
 	if told := few.AdvertisedMean(1, 1); told < 0.8 || told > 1.2 {
 		t.Errorf("told %.2f of a mean of %.2f", told, few.Mean)
 	}
-	slow, _ := speedOf(10, func() float64 { return 4 })
+	slow, _ := speedAfter(10, func() float64 { return 4 })
 	if told := slow.AdvertisedMean(1, 1); told < 3 {
 		t.Errorf("told %.2f of a mean of %.2f", told, slow.Mean)
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestSpeedHearsWhatIsNewer(t *testing.T) {
+func TestMergeRemoteTakesNewerMeans(t *testing.T) {
 	var s SpeedEstimate
 	s.MergeRemote(4, estimateStart)
 	if s.Mean != 4 {
@@ -95,11 +95,11 @@
 
 // A target's word on its present pace fades, and its standing pace is what it says
 // most of the time, even if the first word was not.
-func TestPaceFades(t *testing.T) {
+func TestPaceReportsDecay(t *testing.T) {
 	if CurrentSlowness(0.7, 2.5, 0) != 2.5 || CurrentSlowness(4, 1, 0) != 4 {
 		t.Error("a new pace that is worse does not count fully")
 	}
-	if late := CurrentSlowness(1, 2.5, 4*paceLife); late > 1.05 {
+	if late := CurrentSlowness(1, 2.5, 4*paceDecayTime); late > 1.05 {
 		t.Errorf("an old pace still counts %.2f", late)
 	}
 	var s PaceMedian
@@ -117,7 +117,7 @@
 
 // A report fades within the time of a request towards what the target usually
 // reports, that towards the pool's mean; never below the own requests.
-func TestFillFadesTowardsThePool(t *testing.T) {
+func TestExpectedUtilizationDecaysToPoolMean(t *testing.T) {
 	const request = 100 * time.Millisecond
 	report := LoadReport{Busy: 8, Slots: 4, TypicalUtilization: 1, HasReport: true}
 	at := func(age time.Duration) float64 {
@@ -130,7 +130,7 @@
 	if middle := at(5 * request); middle < 0.8 || middle > 1 {
 		t.Errorf("got %.2f", middle)
 	}
-	if old := at(2 * silentLife); old < 0.25 || old > 0.4 {
+	if old := at(2 * unreportedDecayTime); old < 0.25 || old > 0.4 {
 		t.Errorf("an old report gives %.2f", old)
 	}
 	if never := ExpectedUtilization(LoadReport{Slots: 4}, 0.5, request); never != 0.25 {
--- a/internal/policy/expected.go
+++ b/internal/policy/expected.go
@@ -10,45 +10,45 @@
 	// for a program that begins or moves there with its sub-agents.
 	MaxReadyUtilization = 0.6
 	// MaxStayUtilization is how busy a target may be for a program to stay there while
-	// others have room, crowdedFill where none has.
-	MaxStayUtilization = 1.6
-	crowdedFill        = 3
-	// alike is how much later than at the best target a request may be expected
+	// others have room, maxOverloadStayUtilization where none has.
+	MaxStayUtilization         = 1.6
+	maxOverloadStayUtilization = 3
+	// tieMargin is how much later than at the best target a request may be expected
 	// to end, in parts of its usual time, for a choice to be open.
-	alike = 0.1
-	// alikeBegin is the same for a program that begins or moves: many instances
+	tieMargin = 0.1
+	// tieMarginBatched is the same for a program that begins or moves: many instances
 	// choose at once, and what they know of the load is old by then.
-	alikeBegin = 0.3
-	// moveGain is how much sooner a program's turn must be expected to end
+	tieMarginBatched = 0.3
+	// minMoveGain is how much sooner a program's turn must be expected to end
 	// elsewhere for the program to move.
-	moveGain = 0.5
-	// moveGainOpen is the same where this instance has no connection to the engine
+	minMoveGain = 0.5
+	// minMoveGainUnconnected is the same where this instance has no connection to the engine
 	// that has the prompt: the program's turns came through another one so far.
-	moveGainOpen = 0.1
-	// moveTimesCrowded is how many times as long the turn must be expected to take
+	minMoveGainUnconnected = 0.1
+	// overloadMoveFactor is how many times as long the turn must be expected to take
 	// where it is for the program to move while no target has room.
-	moveTimesCrowded = 3
-	// shareCost is added for a target that usually has twice what others have, so
+	overloadMoveFactor = 3
+	// relativeLoadCost is added for a target that usually has twice what others have, so
 	// that connections that are kept do not crowd some.
-	shareCost = 0.4
-	// warmGain is what a target saves that may have kept what an object needs: half
+	relativeLoadCost = 0.4
+	// warmSaving is what a target saves that may have kept what an object needs: half
 	// of the work at most, and only if the object came there lately.
-	warmGain = 0.25
-	// openCost, farCost and coldStart are what a connection to be opened, another
+	warmSaving = 0.25
+	// connectionCost, remoteCost and coldStartCost are what a connection to be opened, another
 	// data centre and a target just started add, in parts of the usual time.
-	openCost  = 0.3
-	farCost   = 0.25
-	coldStart = 0.5
-	// spareSlope is what a request at a target adds to those to come while it has
+	connectionCost = 0.3
+	remoteCost     = 0.25
+	coldStartCost  = 0.5
+	// batchedLoadSlope is what a request at a target adds to those to come while it has
 	// room, for work that is done in batches.
-	spareSlope = 0.3
-	// batchBeyond is what a request adds once there is no room: its own wait and
+	batchedLoadSlope = 0.3
+	// batchedOverloadSlope is what a request adds once there is no room: its own wait and
 	// that of the one behind it.
-	batchBeyond = 2
-	// plainSlope is the same for work that is done one by one in each slot, and
-	// plainBeyond what is added once there is no room.
-	plainSlope  = 0.6
-	plainBeyond = 1.2
+	batchedOverloadSlope = 2
+	// plainLoadSlope is the same for work that is done one by one in each slot, and
+	// plainOverloadSlope what is added once there is no room.
+	plainLoadSlope     = 0.6
+	plainOverloadSlope = 1.2
 )
 
 // TargetOption is a target that a request could be sent to.
@@ -89,9 +89,9 @@
 // a choice to be open.
 func (r RequestProfile) margin() float64 {
 	if r.Batched {
-		return alikeBegin
+		return tieMarginBatched
 	}
-	return alike
+	return tieMargin
 }
 
 // TargetChoice is a decision with what speaks for it.
@@ -111,73 +111,73 @@
 // that are alike, one to which a connection is kept. A program stays with its
 // prompt unless another target with room ends the turn clearly sooner.
 func ChooseTarget(options []TargetOption, request RequestProfile) TargetChoice {
-	ends := make([]float64, len(options))
-	first, last := -1, -1
+	completions := make([]float64, len(options))
+	best, current := -1, -1
 	for i, o := range options {
 		if o.Excluded {
 			continue
 		}
-		ends[i] = ExpectedCompletion(o, request)
-		if first < 0 || ends[i] < ends[first] {
-			first = i
+		completions[i] = ExpectedCompletion(o, request)
+		if best < 0 || completions[i] < completions[best] {
+			best = i
 		}
 		if o.HasPrompt {
-			last = i
+			current = i
 		}
 	}
-	if first < 0 {
+	if best < 0 {
 		return TargetChoice{Index: -1, RunnerUp: -1}
 	}
-	choice := TargetChoice{Index: first}
+	choice := TargetChoice{Index: best}
 	switch {
-	case last >= 0 && stays(options, ends, last, first):
-		choice.Index, choice.Stayed = last, true
+	case current >= 0 && shouldStay(options, completions, current, best):
+		choice.Index, choice.Stayed = current, true
 	default:
-		choice.Index = pickAlike(options, ends, first, request.margin())
-		choice.Moved = last >= 0 && choice.Index != last
+		choice.Index = pickTied(options, completions, best, request.margin())
+		choice.Moved = current >= 0 && choice.Index != current
 	}
-	choice.Completion = ends[choice.Index]
-	choice.RunnerUp = runnerUp(options, ends, choice.Index)
+	choice.Completion = completions[choice.Index]
+	choice.RunnerUp = runnerUp(options, completions, choice.Index)
 	if choice.RunnerUp >= 0 {
-		choice.RunnerUpCompletion = ends[choice.RunnerUp]
+		choice.RunnerUpCompletion = completions[choice.RunnerUp]
 	}
 	return choice
 }
 
-// stays tells whether a program stays at the target that has its prompt. Where
+// shouldStay tells whether a program stays at the target that has its prompt. Where
 // none has room it moves for much only: programs that move push each other's
 // prompts out, and then all wait longer.
-func stays(options []TargetOption, ends []float64, last, first int) bool {
-	at, sooner := options[last], ends[last]-ends[first]
+func shouldStay(options []TargetOption, completions []float64, holder, best int) bool {
+	current, gain := options[holder], completions[holder]-completions[best]
 	switch {
-	case at.Utilization >= crowdedFill:
+	case current.Utilization >= maxOverloadStayUtilization:
 		return false
-	case options[first].Utilization >= MaxReadyUtilization:
-		return ends[last] < moveTimesCrowded*ends[first]
-	case at.Utilization >= MaxStayUtilization:
+	case options[best].Utilization >= MaxReadyUtilization:
+		return completions[holder] < overloadMoveFactor*completions[best]
+	case current.Utilization >= MaxStayUtilization:
 		return false
-	case at.NeedsConnection:
-		return sooner < moveGainOpen
+	case current.NeedsConnection:
+		return gain < minMoveGainUnconnected
 	}
-	return sooner < moveGain
+	return gain < minMoveGain
 }
 
-// pickAlike chooses among the options that are expected to end about when the
+// pickTied chooses among the options that are expected to end about when the
 // first does.
-func pickAlike(options []TargetOption, ends []float64, first int, margin float64) int {
-	best := first
+func pickTied(options []TargetOption, completions []float64, earliest int, margin float64) int {
+	best := earliest
 	for i, o := range options {
-		if !o.Excluded && ends[i] <= ends[first]+margin && o.preferred(options[best]) {
+		if !o.Excluded && completions[i] <= completions[earliest]+margin && o.preferredTo(options[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// preferred tells whether an option goes before another one that is alike: one in
+// preferredTo tells whether an option goes before another one that is alike: one in
 // this data centre first, since each request to another one costs bytes, then one
 // with a connection.
-func (o TargetOption) preferred(other TargetOption) bool {
+func (o TargetOption) preferredTo(other TargetOption) bool {
 	switch {
 	case o.Remote != other.Remote:
 		return other.Remote
@@ -187,13 +187,13 @@
 	return o.Rank > other.Rank
 }
 
-func runnerUp(options []TargetOption, ends []float64, chosen int) int {
+func runnerUp(options []TargetOption, completions []float64, chosen int) int {
 	next := -1
 	for i, o := range options {
 		if o.Excluded || i == chosen {
 			continue
 		}
-		if next < 0 || ends[i] < ends[next] {
+		if next < 0 || completions[i] < completions[next] {
 			next = i
 		}
 	}
@@ -203,35 +203,35 @@
 // ExpectedCompletion is when a target is expected to end a request, in parts of its
 // usual time.
 func ExpectedCompletion(o TargetOption, request RequestProfile) float64 {
-	work := 1 + waiting(o.Utilization, request.Batched)
+	work := 1 + queueingCost(o.Utilization, request.Batched)
 	if !o.HasPrompt {
 		work += request.PromptCost
 	}
 	if o.Warm {
-		work -= warmGain
+		work -= warmSaving
 	}
-	end := o.Slowness * work
+	completion := o.Slowness * work
 	if !request.Batched {
-		end += shareCost * min(o.RelativeLoad-1, 1)
+		completion += relativeLoadCost * min(o.RelativeLoad-1, 1)
 	}
 	if o.NeedsConnection {
-		end += openCost
+		completion += connectionCost
 	}
 	if o.Remote {
-		end += farCost
+		completion += remoteCost
 	}
 	if o.Cold {
-		end += coldStart
+		completion += coldStartCost
 	}
-	return end
+	return completion
 }
 
-// waiting is what requests at a target add. What is known of them is uncertain,
+// queueingCost is what requests at a target add. What is known of them is uncertain,
 // so it begins before the slots are full.
-func waiting(fill float64, batched bool) float64 {
-	beyond := max(fill-MaxReadyUtilization, 0)
+func queueingCost(utilization float64, batched bool) float64 {
+	excess := max(utilization-MaxReadyUtilization, 0)
 	if batched {
-		return spareSlope*fill + batchBeyond*beyond
+		return batchedLoadSlope*utilization + batchedOverloadSlope*excess
 	}
-	return plainSlope*fill + plainBeyond*beyond
+	return plainLoadSlope*utilization + plainOverloadSlope*excess
 }
--- a/internal/policy/expected_test.go
+++ b/internal/policy/expected_test.go
@@ -11,7 +11,7 @@
 	return options
 }
 
-func TestByEnd(t *testing.T) {
+func TestChooseTarget(t *testing.T) {
 	turn := RequestProfile{PromptCost: 0.2, Batched: true}
 	plain := RequestProfile{}
 	stay := func(options []TargetOption) []TargetOption { options[0].HasPrompt = true; return options }
@@ -50,7 +50,7 @@
 
 // The target that is chosen for an object by all instances is preferred while its
 // load is usual, but no connection is opened for that alone.
-func TestByEndPrefersAWarmTarget(t *testing.T) {
+func TestChooseTargetPrefersWarm(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.3, 1})
 	options[1].Warm = true
 	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 1 {
@@ -64,7 +64,7 @@
 
 // Among targets that end a request about alike a kept connection decides, then
 // the rank; a target that must not be chosen is none of them.
-func TestByEndPrefersAKeptConnection(t *testing.T) {
+func TestChooseTargetPrefersOpenConnection(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.25, 1}, [2]float64{0, 1})
 	options[0].NeedsConnection, options[3].Excluded = true, true
 	options[1].Rank, options[2].Rank = 2, 1
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -21,9 +21,9 @@
 	// stretchFactor is the delay that the hybrid rule allows a call at an
 	// Aging of 1, as a multiple of its program's latency so far.
 	stretchFactor = 4
-	// slackShare bounds the delay that the hybrid rule allows a call, as a
+	// slackFactor bounds the delay that the hybrid rule allows a call, as a
 	// multiple of its program's slack.
-	slackShare = 2
+	slackFactor = 2
 )
 
 // Key ranks a call within its class; the lowest goes first. All keys are
@@ -65,7 +65,7 @@
 func hybridKey(rules structs.Rules, call Call) time.Duration {
 	allowed := stretchFactor * float64(call.Elapsed)
 	if call.HasDeadline && call.Slack > 0 {
-		allowed = min(allowed, slackShare*float64(call.Slack))
+		allowed = min(allowed, slackFactor*float64(call.Slack))
 	}
 	if rules.Aging <= 0 {
 		return time.Duration(allowed)
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -40,7 +40,7 @@
 	Slowness float64
 }
 
-func (o Option) takes() bool { return o.Open && !o.Excluded }
+func (o Option) accepts() bool { return o.Open && !o.Excluded }
 
 // Choice is the decision of a placement rule.
 type Choice struct {
@@ -70,7 +70,7 @@
 func placeRoundRobin(options []Option, last int) Choice {
 	for i := range options {
 		index := (last + 1 + i) % len(options)
-		if options[index].takes() {
+		if options[index].accepts() {
 			return Choice{Index: index}
 		}
 	}
@@ -80,7 +80,7 @@
 func placeLeastLoaded(options []Option) Choice {
 	best := noChoice
 	for i, option := range options {
-		if option.takes() && (best.Index < 0 || option.Running < options[best.Index].Running) {
+		if option.accepts() && (best.Index < 0 || option.Running < options[best.Index].Running) {
 			best.Index = i
 		}
 	}
@@ -90,7 +90,7 @@
 func placeAffinity(options []Option) Choice {
 	best := placeLeastLoaded(options)
 	for i, option := range options {
-		if option.takes() && option.Cached > options[best.Index].Cached {
+		if option.accepts() && option.Cached > options[best.Index].Cached {
 			best.Index = i
 		}
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestPausesLearnWhoReturns(t *testing.T) {
+func TestPausesEstimateReturnProbability(t *testing.T) {
 	pauses := NewPauses()
 	if pauses.ReturnProbability(time.Hour) != 1 {
 		t.Fatal("nothing is known yet, so nothing is to be released")
@@ -217,12 +217,12 @@
 			allowed++
 		}
 	}
-	if limit := retryBurst + 1000*retryShare; float64(allowed) > limit || allowed < 200 {
+	if limit := retryBurst + 1000*retryRatio; float64(allowed) > limit || allowed < 200 {
 		t.Fatalf("%d of 1000 retries allowed, want about %v", allowed, limit)
 	}
 }
 
-func TestLatenessTellsTheWaitOfASaturatedClass(t *testing.T) {
+func TestLatenessPredictsWaitOfSaturatedClass(t *testing.T) {
 	const position = 100 * time.Millisecond
 	var l Lateness
 	l.ObserveGrant(0, 0, true)
--- a/internal/policy/retention.go
+++ b/internal/policy/retention.go
@@ -15,19 +15,19 @@
 
 const (
 	// pauseBuckets counts the buckets of a pause histogram. Their upper
-	// bounds grow by a factor of 1.5 and 1.33 in turn from firstPause on;
+	// bounds grow by a factor of 1.5 and 1.33 in turn from firstPauseBound on;
 	// the last one has no bound.
-	pauseBuckets = 40
-	firstPause   = 20 * time.Millisecond
+	pauseBuckets    = 40
+	firstPauseBound = 20 * time.Millisecond
 	// pauseGain is the weight of a new pause in the histogram.
 	pauseGain = 0.002
 	// minPauses is the number of pauses that make an estimate.
 	minPauses = 20
-	// presumeFactor times the length that few pauses exceed is the length
+	// abandonFactor times the length that few pauses exceed is the length
 	// after which a program is presumed lost.
-	presumeFactor   = 3
-	presumeQuantile = 0.99
-	minPresume      = time.Second
+	abandonFactor     = 3
+	abandonQuantile   = 0.99
+	minAbandonTimeout = time.Second
 )
 
 // Pauses estimates the length of the tool pauses of one team and the chance
@@ -36,9 +36,9 @@
 type Pauses struct {
 	// returned holds the decayed counts of ended pauses by length, and lost
 	// the decayed count of those that did not end.
-	returned [pauseBuckets]float64
-	lost     float64
-	seen     int
+	returned  [pauseBuckets]float64
+	abandoned float64
+	samples   int
 }
 
 var pauseBounds = makePauseBounds()
@@ -46,7 +46,7 @@
 func makePauseBounds() [pauseBuckets]time.Duration {
 	var bounds [pauseBuckets]time.Duration
 	for i := range bounds {
-		bounds[i] = firstPause << (i / 2)
+		bounds[i] = firstPauseBound << (i / 2)
 		if i%2 == 1 {
 			bounds[i] += bounds[i] / 2
 		}
@@ -68,9 +68,9 @@
 
 // ObserveReturn counts a pause that ended by a further call; presumed tells that it
 // was counted as lost before.
-func (p *Pauses) ObserveReturn(pause time.Duration, presumed bool) {
-	if presumed {
-		p.lost = max(0, p.lost-pauseGain)
+func (p *Pauses) ObserveReturn(pause time.Duration, presumedAbandoned bool) {
+	if presumedAbandoned {
+		p.abandoned = max(0, p.abandoned-pauseGain)
 	}
 	p.decay()
 	p.returned[pauseBucket(pause)] += pauseGain
@@ -80,29 +80,29 @@
 // call.
 func (p *Pauses) ObserveAbandoned() {
 	p.decay()
-	p.lost += pauseGain
+	p.abandoned += pauseGain
 }
 
 func (p *Pauses) decay() {
-	p.seen++
+	p.samples++
 	for i := range p.returned {
 		p.returned[i] *= 1 - pauseGain
 	}
-	p.lost *= 1 - pauseGain
+	p.abandoned *= 1 - pauseGain
 }
 
 // AbandonTimeout gives the length of a pause after which the program is presumed
 // lost.
 func (p *Pauses) AbandonTimeout() time.Duration {
-	if p.seen < minPauses {
+	if p.samples < minPauses {
 		return pauseBounds[pauseBuckets-1]
 	}
-	total := p.returnedBeyond(0)
+	total := p.returnedFrom(0)
 	sum := 0.0
 	for i, count := range p.returned {
 		sum += count
-		if sum >= presumeQuantile*total {
-			return max(minPresume, presumeFactor*pauseBounds[i])
+		if sum >= abandonQuantile*total {
+			return max(minAbandonTimeout, abandonFactor*pauseBounds[i])
 		}
 	}
 	return pauseBounds[pauseBuckets-1]
@@ -111,18 +111,18 @@
 // ReturnProbability is the chance that a program that has paused that long comes
 // back; 1 as long as too little is known.
 func (p *Pauses) ReturnProbability(paused time.Duration) float64 {
-	if p.seen < minPauses {
+	if p.samples < minPauses {
 		return 1
 	}
-	returns := p.returnedBeyond(pauseBucket(paused))
+	returns := p.returnedFrom(pauseBucket(paused))
 	if returns == 0 {
 		return 0
 	}
-	return returns / (returns + p.lost)
+	return returns / (returns + p.abandoned)
 }
 
-// returnedBeyond sums the counts from a bucket on.
-func (p *Pauses) returnedBeyond(bucket int) float64 {
+// returnedFrom sums the counts from a bucket on.
+func (p *Pauses) returnedFrom(bucket int) float64 {
 	sum := 0.0
 	for _, count := range p.returned[bucket:] {
 		sum += count
@@ -130,26 +130,26 @@
 	return sum
 }
 
-// minReturnChance is the least chance of return for which the rule by worth
-// holds a prefix in a cache with room, and minReturnChanceFull in one that is
+// minReturnProbability is the least chance of return for which the rule by worth
+// holds a prefix in a cache with room, and minReturnProbabilityNearlyFull in one that is
 // nearly full, where each prefix displaces another.
 const (
-	minReturnChance     = 0.15
-	minReturnChanceFull = 0.4
-	nearlyFull          = 0.85
+	minReturnProbability           = 0.15
+	minReturnProbabilityNearlyFull = 0.4
+	nearlyFullThreshold            = 0.85
 )
 
 // Retain tells whether to hold a paused program's prefix, given the chance of
 // its return and the share of the target's cache in use.
-func Retain(rules structs.Rules, chance, fill float64) bool {
+func Retain(rules structs.Rules, returnProbability, utilization float64) bool {
 	switch rules.Retention {
 	case RetainNone:
 		return false
 	case RetainWorth:
-		if fill >= nearlyFull {
-			return chance >= minReturnChanceFull
+		if utilization >= nearlyFullThreshold {
+			return returnProbability >= minReturnProbabilityNearlyFull
 		}
-		return chance >= minReturnChance
+		return returnProbability >= minReturnProbability
 	default:
 		return true
 	}
--- a/internal/policy/room.go
+++ b/internal/policy/room.go
@@ -53,16 +53,16 @@
 }
 
 const (
-	// fewTargets is the number up to which a service's load says little of the
+	// uninformativeTargets is the number up to which a service's load says little of the
 	// next request's wait: one long request fills much of it.
-	fewTargets = 2
-	// knownShare is the share of the targets that must have reported.
-	knownShare = 0.2
+	uninformativeTargets = 2
+	// minReportingFraction is the share of the targets that must have reported.
+	minReportingFraction = 0.2
 )
 
 // HasEnoughData tells whether enough is known to refuse anything.
 func (p PoolLoad) HasEnoughData() bool {
-	return p.SpeedsLearned && p.Targets > fewTargets && p.ReportingTargets > fewTargets && float64(p.ReportingTargets) >= knownShare*float64(p.Targets)
+	return p.SpeedsLearned && p.Targets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.Targets)
 }
 
 // Full tells that all slots are taken, as far as is known.
@@ -113,129 +113,129 @@
 // start+width on.
 type ramp struct{ start, width float64 }
 
-func (r ramp) chance(fill, shift float64) float64 {
-	start := max(r.start-shift, lowestStart)
-	return min(max((fill-start)/r.width, 0), mostRefused)
+func (r ramp) probability(utilization, shift float64) float64 {
+	start := max(r.start-shift, minRampStart)
+	return min(max((utilization-start)/r.width, 0), maxRefusalProbability)
 }
 
 // Programs are in time if they take up to about one and a half of their time on
 // idle engines: a quarter of the slots may wait, and the share that is let in has to
 // settle before a second round does.
 var (
-	firstRamp = ramp{start: 1.25, width: 0.5}
+	firstTurnRamp = ramp{start: 1.25, width: 0.5}
 	// Late work still earns a part: it goes only where refusing first turns did
 	// not suffice.
-	lateRamp = ramp{start: 1.6, width: 0.6}
+	overdueRamp = ramp{start: 1.6, width: 0.6}
 )
 
 const (
-	// lowestStart keeps refusals from a pool of which half is free.
-	lowestStart = 0.6
-	// mostRefused lets some through, whose answers tell how full targets are.
-	mostRefused = 0.97
+	// minRampStart keeps refusals from a pool of which half is free.
+	minRampStart = 0.6
+	// maxRefusalProbability lets some through, whose answers tell how full targets are.
+	maxRefusalProbability = 0.97
 	// rankShift is how much earlier each rank is refused than the one before it.
 	rankShift = 0.05
 	// sizeShift is how much earlier programs are refused that need twice as much as
 	// others: their room carries several small ones.
 	sizeShift = 0.05
-	// mostShift bounds both, around the mean.
-	mostShift = 0.3
+	// maxShift bounds both, around the mean.
+	maxShift = 0.3
 	// FairUsageThreshold is the part of its limit up to which an organisation is served as
 	// others are: limits leave room above the usual. One at its limit is refused
-	// useFactor times as often.
+	// limitRefusalFactor times as often.
 	FairUsageThreshold = 0.75
-	useFactor          = 3
-	// leastServed is how often a rank or an organisation is served at least,
+	limitRefusalFactor = 3
+	// minRelativeAdmission is how often a rank or an organisation is served at least,
 	// against the most urgent.
-	leastServed = 0.3
+	minRelativeAdmission = 0.3
 )
 
 // AdmitRequest decides whether a request may use the pools that it needs.
-func AdmitRequest(ask AdmissionRequest, pools ...PoolLoad) AdmissionVerdict {
+func AdmitRequest(request AdmissionRequest, pools ...PoolLoad) AdmissionVerdict {
 	for _, p := range pools {
-		if p.Full() && ask.TimeLeft > 0 && ask.TimeLeft < ask.TypicalTime/2 {
-			return AdmissionVerdict{Cause: CauseNotInTime, Pool: p, RefusalProbability: 1, RetryAfter: RetryAfter(ask, p, 0)}
+		if p.Full() && request.TimeLeft > 0 && request.TimeLeft < request.TypicalTime/2 {
+			return AdmissionVerdict{Cause: CauseNotInTime, Pool: p, RefusalProbability: 1, RetryAfter: RetryAfter(request, p, 0)}
 		}
 	}
 	verdict := AdmissionVerdict{Admit: true}
 	for _, p := range pools {
-		if chance := refusalChance(ask, p); chance > verdict.RefusalProbability {
-			verdict.Pool, verdict.RefusalProbability = p, chance
+		if probability := refusalProbability(request, p); probability > verdict.RefusalProbability {
+			verdict.Pool, verdict.RefusalProbability = p, probability
 		}
 	}
-	if ask.Random >= verdict.RefusalProbability {
+	if request.Random >= verdict.RefusalProbability {
 		return verdict
 	}
 	verdict.Admit, verdict.Cause = false, CausePoolFull
-	verdict.RetryAfter = RetryAfter(ask, verdict.Pool, verdict.RefusalProbability-ask.Random)
+	verdict.RetryAfter = RetryAfter(request, verdict.Pool, verdict.RefusalProbability-request.Random)
 	return verdict
 }
 
-// refusalChance is the share of such requests that a pool refuses.
-func refusalChance(ask AdmissionRequest, pool PoolLoad) float64 {
+// refusalProbability is the share of such requests that a pool refuses.
+func refusalProbability(request AdmissionRequest, pool PoolLoad) float64 {
 	if !pool.HasEnoughData() {
 		return 0
 	}
 	var r ramp
-	switch ask.Class {
+	switch request.Class {
 	case ClassFirstTurn:
-		r = firstRamp
+		r = firstTurnRamp
 	case ClassOverdue:
-		r = lateRamp
+		r = overdueRamp
 	default:
 		return 0
 	}
-	best := r.chance(pool.Utilization, -mostShift)
-	chance := r.chance(pool.Utilization, earlier(ask)) * oftener(ask.LimitUsage)
-	return min(chance, 1-leastServed*(1-best))
+	minimum := r.probability(pool.Utilization, -maxShift)
+	probability := r.probability(pool.Utilization, rampShift(request)) * usageFactor(request.LimitUsage)
+	return min(probability, 1-minRelativeAdmission*(1-minimum))
 }
 
-// earlier is how much earlier a request is refused than the mean one.
-func earlier(ask AdmissionRequest) float64 {
-	return min(max(rankShift*ask.Rank+sizeEarlier(ask), -mostShift), mostShift)
+// rampShift is how much earlier a request is refused than the mean one.
+func rampShift(request AdmissionRequest) float64 {
+	return min(max(rankShift*request.Rank+sizeRampShift(request), -maxShift), maxShift)
 }
 
-// sizeEarlier is how much earlier a program is refused for what it needs. Size does
+// sizeRampShift is how much earlier a program is refused for what it needs. Size does
 // not put it behind less urgent ones, nor before more urgent ones.
-func sizeEarlier(ask AdmissionRequest) float64 {
-	if ask.Class != ClassFirstTurn || ask.RelativeSize <= 0 {
+func sizeRampShift(request AdmissionRequest) float64 {
+	if request.Class != ClassFirstTurn || request.RelativeSize <= 0 {
 		return 0
 	}
-	shift := sizeShift * math.Log2(ask.RelativeSize)
-	if shift*ask.Rank < 0 {
+	shift := sizeShift * math.Log2(request.RelativeSize)
+	if shift*request.Rank < 0 {
 		return 0
 	}
 	return shift
 }
 
-// oftener is how much more often an organisation is refused than others.
-func oftener(use float64) float64 {
-	return 1 + (useFactor-1)*min(max((use-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
+// usageFactor is how much more often an organisation is refused than others.
+func usageFactor(usage float64) float64 {
+	return 1 + (limitRefusalFactor-1)*min(max((usage-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
 
 const (
-	// leastComeBack is about the time in which a busy target frees a slot.
-	leastComeBack = 150 * time.Millisecond
-	// drainTime is about the time in which the programs under way fall by a whole
+	// minRetryDelay is about the time in which a busy target frees a slot.
+	minRetryDelay = 150 * time.Millisecond
+	// rampDrainTime is about the time in which the programs under way fall by a whole
 	// ramp when none begins.
-	drainTime = time.Second
-	// waitShare is the longest part of their time left that callers wait before
+	rampDrainTime = time.Second
+	// maxRetryFraction is the longest part of their time left that callers wait before
 	// they come back.
-	waitShare = 1.0 / 3
-	// jitterShare is how much earlier or later than that callers come back.
-	jitterShare = 0.25
+	maxRetryFraction = 1.0 / 3
+	// retryJitterFraction is how much earlier or later than that callers come back.
+	retryJitterFraction = 0.25
 )
 
 // RetryAfter is when there should be room for a caller: in excess parts of the
 // ramp, and the longer the more requests wait at the pool.
-func RetryAfter(ask AdmissionRequest, pool PoolLoad, excess float64) time.Duration {
-	after := float64(leastComeBack) + excess*float64(drainTime)
+func RetryAfter(request AdmissionRequest, pool PoolLoad, excess float64) time.Duration {
+	delay := float64(minRetryDelay) + excess*float64(rampDrainTime)
 	if pool.Full() {
-		after += (min(pool.Utilization, 2) - 1) * float64(leastComeBack)
+		delay += (min(pool.Utilization, 2) - 1) * float64(minRetryDelay)
 	}
-	if ask.TimeLeft > 0 {
-		after = min(after, waitShare*float64(ask.TimeLeft))
+	if request.TimeLeft > 0 {
+		delay = min(delay, maxRetryFraction*float64(request.TimeLeft))
 	}
-	after *= 1 - jitterShare + 2*jitterShare*ask.Jitter
-	return time.Duration(after).Round(time.Millisecond)
+	delay *= 1 - retryJitterFraction + 2*retryJitterFraction*request.Jitter
+	return time.Duration(delay).Round(time.Millisecond)
 }
--- a/internal/policy/room_test.go
+++ b/internal/policy/room_test.go
@@ -10,8 +10,8 @@
 	return PoolLoad{Service: "s", Utilization: fill, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
 }
 
-// served is the share of evenly drawn programs that are let in.
-func served(ask AdmissionRequest, pools ...PoolLoad) float64 {
+// admittedFraction is the share of evenly drawn programs that are let in.
+func admittedFraction(ask AdmissionRequest, pools ...PoolLoad) float64 {
 	const n = 1000
 	admitted := 0
 	for i := range n {
@@ -23,7 +23,7 @@
 	return float64(admitted) / n
 }
 
-func TestRoomIsRefusedByClass(t *testing.T) {
+func TestAdmissionByClass(t *testing.T) {
 	first, late := AdmissionRequest{Class: ClassFirstTurn}, AdmissionRequest{Class: ClassOverdue}
 	for _, test := range []struct {
 		name        string
@@ -45,41 +45,41 @@
 		{"few reports", first, PoolLoad{Utilization: 9, ReportingTargets: 5, Targets: 44}, 1, 1},
 		{"nothing known", first, PoolLoad{}, 1, 1},
 	} {
-		if got := served(test.ask, test.pool); got < test.least || got > test.most {
+		if got := admittedFraction(test.ask, test.pool); got < test.least || got > test.most {
 			t.Errorf("%s: served %.3f, want %.2f to %.2f", test.name, got, test.least, test.most)
 		}
 	}
-	if got := served(first, pool(0.5), pool(2)); got > 0.1 {
+	if got := admittedFraction(first, pool(0.5), pool(2)); got > 0.1 {
 		t.Errorf("a program whose calls find no room is served %.2f", got)
 	}
 }
 
-func TestRoomOfRanksAndOrganisations(t *testing.T) {
+func TestAdmissionByRankAndOrganisation(t *testing.T) {
 	for fill := 0.5; fill < 4; fill += 0.05 {
-		top := served(AdmissionRequest{Class: ClassFirstTurn, Rank: -9}, pool(fill))
+		top := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: -9}, pool(fill))
 		before := top
 		for rank := -4.0; rank < 6; rank++ {
-			got := served(AdmissionRequest{Class: ClassFirstTurn, Rank: rank}, pool(fill))
+			got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: rank}, pool(fill))
 			if got > before || got < top/4 {
 				t.Fatalf("fill %.2f: rank %g is served %.2f, the one before it %.2f, the first %.2f", fill, rank, got, before, top)
 			}
 			before = got
 		}
-		mean := served(AdmissionRequest{Class: ClassFirstTurn}, pool(fill))
-		if got := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(fill)); got != mean {
+		mean := admittedFraction(AdmissionRequest{Class: ClassFirstTurn}, pool(fill))
+		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(fill)); got != mean {
 			t.Fatalf("fill %.2f: at a usual use %.2f are served, %.2f of those unknown", fill, got, mean)
 		}
-		over := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(fill))
+		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(fill))
 		if over > mean || over < mean/4 {
 			t.Fatalf("fill %.2f: served at the limit %.2f, else %.2f", fill, over, mean)
 		}
 	}
-	if over, usual := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > usual-0.3 {
+	if over, usual := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > usual-0.3 {
 		t.Errorf("at the limit %.2f are served, at a usual use %.2f", over, usual)
 	}
 }
 
-func TestRoomInTime(t *testing.T) {
+func TestAdmissionByTimeLeft(t *testing.T) {
 	ask := AdmissionRequest{Class: ClassInProgress, TimeLeft: 100 * time.Millisecond, TypicalTime: time.Second}
 	if v := AdmitRequest(ask, pool(1.2)); v.Admit || v.Cause != CauseNotInTime || v.RetryAfter <= 0 {
 		t.Errorf("a request that cannot be served in time: %+v", v)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	near := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.3, Jitter: 0.5}, pool(1.5))
 	far := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.1, Jitter: 0.5}, pool(2))
 	if near.Admit || far.Admit || near.RetryAfter >= far.RetryAfter {
@@ -109,9 +109,9 @@
 	}
 }
 
-func TestRoomBySize(t *testing.T) {
+func TestAdmissionBySize(t *testing.T) {
 	ask := func(size, rank float64) float64 {
-		return served(AdmissionRequest{Class: ClassFirstTurn, RelativeSize: size, Rank: rank}, pool(1.4))
+		return admittedFraction(AdmissionRequest{Class: ClassFirstTurn, RelativeSize: size, Rank: rank}, pool(1.4))
 	}
 	if big, mean, small := ask(4, 0), ask(1, 0), ask(0.4, 0); big >= mean || mean >= small {
 		t.Errorf("served: big %.2f, mean %.2f, small %.2f", big, mean, small)
--- a/internal/policy/storepath.go
+++ b/internal/policy/storepath.go
@@ -13,77 +13,77 @@
 )
 
 const (
-	// storeAnswers is how many of the newest answers are remembered.
-	storeAnswers = 32
-	// storeMemory is how long an answer tells of the store's state.
-	storeMemory = 2 * time.Second
-	// storeSlowAbove is the time of an append from which on it mostly waits in
+	// maxAppendSamples is how many of the newest answers are remembered.
+	maxAppendSamples = 32
+	// appendSampleTTL is how long an answer tells of the store's state.
+	appendSampleTTL = 2 * time.Second
+	// minSlowAppend is the time of an append from which on it mostly waits in
 	// the partition's queue; going through another instance takes less. It is
 	// longer, as a multiple of the usual time, where the store is far away.
-	storeSlowAbove = 30 * time.Millisecond
-	storeSlowTimes = 3
-	// storeUsualMost bounds the usual time, so that an instance that starts
+	minSlowAppend    = 30 * time.Millisecond
+	slowAppendFactor = 3
+	// maxTypicalAppend bounds the usual time, so that an instance that starts
 	// beside a slow store does not take that for usual.
-	storeUsualMost = 60 * time.Millisecond
-	// storeUsualInertia is how many long answers it takes until about that much
+	maxTypicalAppend = 60 * time.Millisecond
+	// typicalAppendInertia is how many long answers it takes until about that much
 	// longer ones are usual.
-	storeUsualInertia = 200
-	// storePatienceLeast and storePatienceMost bound the timeout of an append: far
+	typicalAppendInertia = 200
+	// minAppendTimeout and maxAppendTimeout bound the timeout of an append: far
 	// above the time of a healthy store, and no longer than an overloaded one keeps
 	// an append before it refuses it.
-	storePatienceLeast = time.Second
-	storePatienceMost  = 2500 * time.Millisecond
-	// storePatienceTimes is how many times the longest answer seen lately an
+	minAppendTimeout = time.Second
+	maxAppendTimeout = 2500 * time.Millisecond
+	// appendTimeoutFactor is how many times the longest answer seen lately an
 	// append may take.
-	storePatienceTimes = 4
-	// storeHedgeLeast is the time after which another instance is asked while
+	appendTimeoutFactor = 4
+	// minAppendHedgeDelay is the time after which another instance is asked while
 	// the store is not known to be slow.
-	storeHedgeLeast = 60 * time.Millisecond
-	// storeFastAgain is how many answers in time end a slow store.
-	storeFastAgain = 3
-	// storeTellPause is the time between two messages to all that the store is
+	minAppendHedgeDelay = 60 * time.Millisecond
+	// fastAppendsToRecover is how many answers in time end a slow store.
+	fastAppendsToRecover = 3
+	// slowNoticeInterval is the time between two messages to all that the store is
 	// slow.
-	storeTellPause = time.Second
-	// storeTellers is how many instances tell: none is connected with all.
-	storeTellers = 4
-	// storeOutage is how long after a success a failure is taken for the partition's
+	slowNoticeInterval = time.Second
+	// maxSlowNotices is how many instances tell: none is connected with all.
+	maxSlowNotices = 4
+	// minOutageTime is how long after a success a failure is taken for the partition's
 	// own: a part of the partitions may be away.
-	storeOutage = 300 * time.Millisecond
-	// storeSettle is how long turns are gathered after the store's return, when
+	minOutageTime = 300 * time.Millisecond
+	// recoveryBatchTime is how long turns are gathered after the store's return, when
 	// all that waited comes at once.
-	storeSettle = 500 * time.Millisecond
+	recoveryBatchTime = 500 * time.Millisecond
 )
 
-// storeAnswer is an append that the store answered, made by any instance.
-type storeAnswer struct {
-	took time.Duration
-	at   time.Time
+// appendSample is an append that the store answered, made by any instance.
+type appendSample struct {
+	latency time.Duration
+	at      time.Time
 }
 
 // StoreMonitor is what an instance knows of its access to the store and of the
 // store's speed. The zero value knows nothing and takes all for well.
 type StoreMonitor struct {
-	answers []storeAnswer
-	// slowAt is when the store last was seen to be slow, fast how many answers
+	samples []appendSample
+	// lastSlow is when the store last was seen to be slow, fast how many answers
 	// since were not.
-	slowAt time.Time
-	fast   int
-	// shortest is the shortest answer of a slow store since it is slow.
-	shortest time.Duration
-	// suspected is when an append was last seen to hang, here or elsewhere.
-	suspected time.Time
+	lastSlow      time.Time
+	fastSinceSlow int
+	// shortestSlow is the shortest answer of a slow store since it is slow.
+	shortestSlow time.Duration
+	// lastSuspected is when an append was last seen to hang, here or elsewhere.
+	lastSuspected time.Time
 	// failing tells that this instance's appends fail; succeeded is when one last
 	// succeeded, returned when one did after an outage.
-	failing   bool
-	succeeded time.Time
-	returned  time.Time
-	// usual is the time of this instance's appends when the store is well.
-	usual time.Duration
-	// told is when this instance last told others that the store is slow, heard
-	// how often it was told so since heardFrom.
-	told      time.Time
-	heard     int
-	heardFrom time.Time
+	failing     bool
+	lastSuccess time.Time
+	recoveredAt time.Time
+	// typical is the time of this instance's appends when the store is well.
+	typical time.Duration
+	// lastNotice is when this instance last told others that the store is slow, heard
+	// how often it was told so since noticeWindowStart.
+	lastNotice        time.Time
+	noticesReceived   int
+	noticeWindowStart time.Time
 }
 
 // StoreState is the state of the access to the store.
@@ -107,74 +107,74 @@
 
 // ObserveOwn notes an append of this instance that the store took.
 func (s *StoreMonitor) ObserveOwn(took time.Duration, now time.Time) AppendResult {
-	s.learnUsual(min(took, storeUsualMost))
-	a := AppendResult{Took: took, Slow: took > s.slowAbove()}
-	s.Observe(a, now)
-	return a
+	s.updateTypical(min(took, maxTypicalAppend))
+	result := AppendResult{Took: took, Slow: took > s.slowThreshold()}
+	s.Observe(result, now)
+	return result
 }
 
-// learnUsual follows the short answers at once and the long ones slowly.
-func (s *StoreMonitor) learnUsual(took time.Duration) {
-	if s.usual == 0 || took < s.usual {
-		s.usual = took
+// updateTypical follows the short answers at once and the long ones slowly.
+func (s *StoreMonitor) updateTypical(took time.Duration) {
+	if s.typical == 0 || took < s.typical {
+		s.typical = took
 		return
 	}
-	s.usual += (took - s.usual) / storeUsualInertia
+	s.typical += (took - s.typical) / typicalAppendInertia
 }
 
-// slowAbove is the time from which on an append of this instance is slow.
-func (s *StoreMonitor) slowAbove() time.Duration {
-	return max(storeSlowAbove, storeSlowTimes*s.usual)
+// slowThreshold is the time from which on an append of this instance is slow.
+func (s *StoreMonitor) slowThreshold() time.Duration {
+	return max(minSlowAppend, slowAppendFactor*s.typical)
 }
 
 // Observe notes an append that the store took from another instance.
-func (s *StoreMonitor) Observe(a AppendResult, now time.Time) {
-	if len(s.answers) == storeAnswers {
-		s.answers = s.answers[1:]
+func (s *StoreMonitor) Observe(result AppendResult, now time.Time) {
+	if len(s.samples) == maxAppendSamples {
+		s.samples = s.samples[1:]
 	}
-	s.answers = append(s.answers, storeAnswer{a.Took, now})
-	if !a.Slow {
-		s.fast++
+	s.samples = append(s.samples, appendSample{result.Took, now})
+	if !result.Slow {
+		s.fastSinceSlow++
 		return
 	}
-	if s.shortest == 0 || s.fast >= storeFastAgain || now.Sub(s.slowAt) > storeMemory {
-		s.shortest = a.Took
+	if s.shortestSlow == 0 || s.fastSinceSlow >= fastAppendsToRecover || now.Sub(s.lastSlow) > appendSampleTTL {
+		s.shortestSlow = result.Took
 	}
-	s.shortest = min(s.shortest, a.Took)
-	s.slowAt, s.fast = now, 0
+	s.shortestSlow = min(s.shortestSlow, result.Took)
+	s.lastSlow, s.fastSinceSlow = now, 0
 }
 
 // ShortestSlow is the shortest answer of a slow store since it is slow.
-func (s *StoreMonitor) ShortestSlow() time.Duration { return s.shortest }
+func (s *StoreMonitor) ShortestSlow() time.Duration { return s.shortestSlow }
 
 // ObserveNotice notes that another instance found the store slow, by an answer that took
 // some time, or by an append that hangs if that is 0.
 func (s *StoreMonitor) ObserveNotice(took time.Duration, now time.Time) {
-	if now.Sub(s.heardFrom) >= storeTellPause {
-		s.heardFrom, s.heard = now, 0
+	if now.Sub(s.noticeWindowStart) >= slowNoticeInterval {
+		s.noticeWindowStart, s.noticesReceived = now, 0
 	}
-	s.heard++
+	s.noticesReceived++
 	if took > 0 {
 		s.Observe(AppendResult{Took: took, Slow: true}, now)
 		return
 	}
-	s.suspected, s.fast = now, 0
+	s.lastSuspected, s.fastSinceSlow = now, 0
 }
 
 // ShouldNotifySlow tells whether others should be told that the store is slow: not if this
 // instance or enough others did so lately.
 func (s *StoreMonitor) ShouldNotifySlow(now time.Time) bool {
-	if !s.Slow(now) || s.allKnow(now) {
+	if !s.Slow(now) || s.recentlyNotified(now) {
 		return false
 	}
-	s.told = now
+	s.lastNotice = now
 	return true
 }
 
-// allKnow tells whether all instances were told lately that the store is slow,
+// recentlyNotified tells whether all instances were told lately that the store is slow,
 // as far as this one knows.
-func (s *StoreMonitor) allKnow(now time.Time) bool {
-	return now.Sub(s.told) < storeTellPause || s.heard >= storeTellers && now.Sub(s.heardFrom) < storeTellPause
+func (s *StoreMonitor) recentlyNotified(now time.Time) bool {
+	return now.Sub(s.lastNotice) < slowNoticeInterval || s.noticesReceived >= maxSlowNotices && now.Sub(s.noticeWindowStart) < slowNoticeInterval
 }
 
 // ObserveTimeout notes that an append of this instance had no answer in time. Where the
@@ -187,16 +187,16 @@
 
 // ObserveOutcome notes whether an append of this instance succeeded. It tells whether
 // appends succeed again after an outage.
-func (s *StoreMonitor) ObserveOutcome(ok bool, now time.Time) (back bool) {
-	back = ok && s.failing
-	if back {
-		s.returned = now
+func (s *StoreMonitor) ObserveOutcome(ok bool, now time.Time) (recovered bool) {
+	recovered = ok && s.failing
+	if recovered {
+		s.recoveredAt = now
 	}
 	if ok {
-		s.succeeded = now
+		s.lastSuccess = now
 	}
 	s.failing = !ok
-	return back
+	return recovered
 }
 
 // ObserveRefusal notes that the store refused an append of this instance or cut it off. A
@@ -205,23 +205,23 @@
 
 // InOutage tells whether a failure now is more than that of single partitions: no
 // append of this instance succeeded lately.
-func (s *StoreMonitor) InOutage(now time.Time) bool { return now.Sub(s.succeeded) >= storeOutage }
+func (s *StoreMonitor) InOutage(now time.Time) bool { return now.Sub(s.lastSuccess) >= minOutageTime }
 
 // ShouldNotifyHang tells whether others should be told that an append hangs: the
 // store may be slow, which all would find out one after the other.
 func (s *StoreMonitor) ShouldNotifyHang(now time.Time) bool {
-	if s.failing || s.allKnow(now) {
+	if s.failing || s.recentlyNotified(now) {
 		return false
 	}
-	s.told, s.suspected, s.fast = now, now, 0
+	s.lastNotice, s.lastSuspected, s.fastSinceSlow = now, now, 0
 	return true
 }
 
 // PathDegraded tells whether the way of an append is bad that has no answer after
 // a time, while another instance's was answered.
 // It is not if the store itself is slow.
-func (s *StoreMonitor) PathDegraded(other AppendResult, without time.Duration) bool {
-	return !other.Slow && without > s.slowAbove()
+func (s *StoreMonitor) PathDegraded(other AppendResult, elapsed time.Duration) bool {
+	return !other.Slow && elapsed > s.slowThreshold()
 }
 
 // Failing tells that this instance's appends fail.
@@ -230,43 +230,43 @@
 // Slow tells whether the store is slow: it was, lately, and has not been fast
 // often enough since.
 func (s *StoreMonitor) Slow(now time.Time) bool {
-	return s.fast < storeFastAgain && !s.slowAt.IsZero() && now.Sub(s.slowAt) < storeMemory
+	return s.fastSinceSlow < fastAppendsToRecover && !s.lastSlow.IsZero() && now.Sub(s.lastSlow) < appendSampleTTL
 }
 
-// suspects tells whether the store may be slow or silent: an append hung, and
+// suspected tells whether the store may be slow or silent: an append hung, and
 // there were few answers in time since.
-func (s *StoreMonitor) suspects(now time.Time) bool {
-	return s.fast < storeFastAgain && !s.suspected.IsZero() && now.Sub(s.suspected) < storeMemory
+func (s *StoreMonitor) suspected(now time.Time) bool {
+	return s.fastSinceSlow < fastAppendsToRecover && !s.lastSuspected.IsZero() && now.Sub(s.lastSuspected) < appendSampleTTL
 }
 
 // TypicalLatency is the median of the answers that still tell, 0 if there is none.
 func (s *StoreMonitor) TypicalLatency(now time.Time) time.Duration {
-	times := s.recent(now)
-	if len(times) == 0 {
+	latencies := s.recentLatencies(now)
+	if len(latencies) == 0 {
 		return 0
 	}
-	return times[len(times)/2]
+	return latencies[len(latencies)/2]
 }
 
-// recent lists the times of the answers that still tell, in order.
-func (s *StoreMonitor) recent(now time.Time) []time.Duration {
-	var times []time.Duration
-	for _, a := range s.answers {
-		if now.Sub(a.at) < storeMemory {
-			times = append(times, a.took)
+// recentLatencies lists the times of the answers that still tell, in order.
+func (s *StoreMonitor) recentLatencies(now time.Time) []time.Duration {
+	var latencies []time.Duration
+	for _, a := range s.samples {
+		if now.Sub(a.at) < appendSampleTTL {
+			latencies = append(latencies, a.latency)
 		}
 	}
-	slices.Sort(times)
-	return times
+	slices.Sort(latencies)
+	return latencies
 }
 
-// longest is the longest answer that still tells, 0 if there is none.
-func (s *StoreMonitor) longest(now time.Time) time.Duration {
-	times := s.recent(now)
-	if len(times) == 0 {
+// longestLatency is the longest answer that still tells, 0 if there is none.
+func (s *StoreMonitor) longestLatency(now time.Time) time.Duration {
+	latencies := s.recentLatencies(now)
+	if len(latencies) == 0 {
 		return 0
 	}
-	return times[len(times)-1]
+	return latencies[len(latencies)-1]
 }
 
 // PendingAppend is an append of this instance without an answer yet.
@@ -279,11 +279,11 @@
 // partition's gatherer: where this instance's appends fail or hang, or the store
 // is slow or has just come back.
 func (s *StoreMonitor) ShouldBatch(partition int, pending []PendingAppend, now time.Time) bool {
-	if s.failing || s.Slow(now) || s.suspects(now) || now.Sub(s.returned) < storeSettle {
+	if s.failing || s.Slow(now) || s.suspected(now) || now.Sub(s.recoveredAt) < recoveryBatchTime {
 		return true
 	}
 	for _, p := range pending {
-		if s.AppendHangs(p.Started, now) || p.Partition == partition && now.Sub(p.Started) > s.slowAbove() {
+		if s.AppendHangs(p.Started, now) || p.Partition == partition && now.Sub(p.Started) > s.slowThreshold() {
 			return true
 		}
 	}
@@ -292,21 +292,21 @@
 
 // AppendHangs tells whether an append takes long and nothing was answered since it
 // began.
-func (s *StoreMonitor) AppendHangs(begun, now time.Time) bool {
-	return now.Sub(begun) > s.slowAbove() && !s.RespondedSince(begun)
+func (s *StoreMonitor) AppendHangs(started, now time.Time) bool {
+	return now.Sub(started) > s.slowThreshold() && !s.RespondedSince(started)
 }
 
 // RespondedSince tells whether the store answered an append of anyone, as far as
 // this instance knows.
 func (s *StoreMonitor) RespondedSince(t time.Time) bool {
-	return len(s.answers) > 0 && s.answers[len(s.answers)-1].at.After(t)
+	return len(s.samples) > 0 && s.samples[len(s.samples)-1].at.After(t)
 }
 
 // AppendTimeout is how long an append may take. It grows with the store's answers;
 // without any the store is silent and trying again is the only way to learn of
 // its return.
 func (s *StoreMonitor) AppendTimeout(now time.Time) time.Duration {
-	return min(max(storePatienceTimes*s.longest(now), storePatienceLeast), storePatienceMost)
+	return min(max(appendTimeoutFactor*s.longestLatency(now), minAppendTimeout), maxAppendTimeout)
 }
 
 // HedgeDelay is how long a try may take until another instance is asked. Where
@@ -316,10 +316,10 @@
 	switch {
 	case s.Slow(now):
 		return s.AppendTimeout(now)
-	case s.suspects(now):
+	case s.suspected(now):
 		return s.AppendTimeout(now) / 2
 	}
-	return max(storeHedgeLeast, 2*s.slowAbove())
+	return max(minAppendHedgeDelay, 2*s.slowThreshold())
 }
 
 // State is the state as a whole.
@@ -339,5 +339,5 @@
 	if s.Slow(now) {
 		return 2 * s.AppendTimeout(now)
 	}
-	return s.AppendTimeout(now) + storeHedgeLeast
+	return s.AppendTimeout(now) + minAppendHedgeDelay
 }
--- a/internal/policy/storepath_test.go
+++ b/internal/policy/storepath_test.go
@@ -8,8 +8,8 @@
 // at is a time of these tests.
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// pathWith is a path with answers of a length, every 10 ms.
-func pathWith(took time.Duration, answers int) *StoreMonitor {
+// monitorWith is a path with answers of a length, every 10 ms.
+func monitorWith(took time.Duration, answers int) *StoreMonitor {
 	s := new(StoreMonitor)
 	for i := range answers {
 		s.ObserveOwn(took, at(time.Duration(i)*10*time.Millisecond))
@@ -18,9 +18,9 @@
 }
 
 // Slow for all: turns are gathered, appends get time, nobody else is asked soon.
-func TestSlowStoreIsGivenTime(t *testing.T) {
+func TestSlowStoreExtendsTimeouts(t *testing.T) {
 	now := at(100 * time.Millisecond)
-	s := pathWith(300*time.Millisecond, 8)
+	s := monitorWith(300*time.Millisecond, 8)
 	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreSlow {
 		t.Error("turns are not gathered")
 	}
@@ -42,14 +42,14 @@
 }
 
 // Silent for all, or for this instance: others are asked and tries are short.
-func TestSilenceIsNotSlowness(t *testing.T) {
+func TestUnresponsiveStoreIsNotSlow(t *testing.T) {
 	now := at(200 * time.Millisecond)
-	s := pathWith(5*time.Millisecond, 8)
+	s := monitorWith(5*time.Millisecond, 8)
 	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
 	if !s.ShouldBatch(1, hung, now) {
 		t.Error("turns follow one that hangs")
 	}
-	if s.AppendTimeout(now) != storePatienceLeast || s.HedgeDelay(now) != storeHedgeLeast {
+	if s.AppendTimeout(now) != minAppendTimeout || s.HedgeDelay(now) != minAppendHedgeDelay {
 		t.Errorf("patience %s, hedge %s", s.AppendTimeout(now), s.HedgeDelay(now))
 	}
 	if !s.PathDegraded(AppendResult{Took: 5 * time.Millisecond}, 100*time.Millisecond) {
@@ -58,8 +58,8 @@
 }
 
 // One partition away: the turns of others go on.
-func TestPartitionThatHangsStopsNoOther(t *testing.T) {
-	s := pathWith(5*time.Millisecond, 8)
+func TestHangingPartitionDoesNotAffectOthers(t *testing.T) {
+	s := monitorWith(5*time.Millisecond, 8)
 	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
 	s.ObserveOwn(5*time.Millisecond, at(120*time.Millisecond))
 	now := at(200 * time.Millisecond)
@@ -71,8 +71,8 @@
 // A part of the partitions refuses appends while the others take them: neither is
 // this instance's way closed, nor is each success the store's return, which would
 // have all instances told again and again.
-func TestRefusingPartitionsAreNoOutage(t *testing.T) {
-	s := pathWith(5*time.Millisecond, 8)
+func TestRefusingPartitionsAreNotAnOutage(t *testing.T) {
+	s := monitorWith(5*time.Millisecond, 8)
 	for i := range 40 {
 		now := at(100*time.Millisecond + time.Duration(i)*50*time.Millisecond)
 		if i%4 == 3 {
@@ -90,50 +90,50 @@
 }
 
 // Refused, then taken again; and what was seen long ago tells nothing.
-func TestRefusedAppendsGoThroughOthers(t *testing.T) {
+func TestRefusedAppendsAreBatched(t *testing.T) {
 	now := at(100 * time.Millisecond)
-	s := pathWith(5*time.Millisecond, 8)
+	s := monitorWith(5*time.Millisecond, 8)
 	s.ObserveRefusal(now)
 	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreFailing {
 		t.Error("turns go where they are refused")
 	}
-	now = now.Add(storeOutage)
+	now = now.Add(minOutageTime)
 	if !s.ObserveOutcome(true, now) || !s.ShouldBatch(1, nil, now) {
 		t.Error("turns are not gathered right after the store's return")
 	}
-	now = now.Add(storeSettle)
+	now = now.Add(recoveryBatchTime)
 	if s.ShouldBatch(1, nil, now) {
 		t.Error("turns go through others though they need not")
 	}
-	slow := pathWith(300*time.Millisecond, 8)
-	later := now.Add(storeMemory + time.Second)
-	if slow.ShouldBatch(1, nil, later) || slow.AppendTimeout(later) != storePatienceLeast {
+	slow := monitorWith(300*time.Millisecond, 8)
+	later := now.Add(appendSampleTTL + time.Second)
+	if slow.ShouldBatch(1, nil, later) || slow.AppendTimeout(later) != minAppendTimeout {
 		t.Error("old answers decide")
 	}
 }
 
 // Few instances tell all others that the store is slow, not each of them.
-func TestFewTellThatTheStoreIsSlow(t *testing.T) {
+func TestSlowNoticesAreLimited(t *testing.T) {
 	now := at(100 * time.Millisecond)
-	s, other := pathWith(300*time.Millisecond, 1), pathWith(5*time.Millisecond, 8)
+	s, other := monitorWith(300*time.Millisecond, 1), monitorWith(5*time.Millisecond, 8)
 	if other.ShouldNotifySlow(now) || !s.ShouldNotifySlow(now) || s.ShouldNotifySlow(now) {
 		t.Error("told wrongly")
 	}
-	for range storeTellers {
+	for range maxSlowNotices {
 		other.ObserveNotice(300*time.Millisecond, now)
 	}
 	if !other.ShouldBatch(1, nil, now) || other.ShouldNotifySlow(now) {
 		t.Error("what was told has no effect, or is told once more")
 	}
-	if !other.ShouldNotifySlow(now.Add(storeTellPause)) {
+	if !other.ShouldNotifySlow(now.Add(slowNoticeInterval)) {
 		t.Error("that the store stays slow is not told")
 	}
 }
 
 // Far from the store longer appends are usual; ten times that is slow there as
 // well.
-func TestFarStoreIsNotSlow(t *testing.T) {
-	s := pathWith(50*time.Millisecond, 8)
+func TestDistantStoreIsNotSlow(t *testing.T) {
+	s := monitorWith(50*time.Millisecond, 8)
 	now := at(200 * time.Millisecond)
 	if s.ObserveOwn(60*time.Millisecond, now).Slow || s.ShouldBatch(1, nil, now) || s.HedgeDelay(now) < 100*time.Millisecond {
 		t.Error("a store that is far away is taken for slow")
--- a/internal/policy/straggler_test.go
+++ b/internal/policy/straggler_test.go
@@ -8,7 +8,7 @@
 
 // Second sends come after a time that few answers pass, stay within their part of
 // the requests while half of the answers straggle, and stop in an overload.
-func TestSecondSendsStayWithinTheirPart(t *testing.T) {
+func TestHedgesStayWithinBudget(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	var s Hedger
 	usual := func() time.Duration { return time.Duration(20+random.Intn(60)) * time.Millisecond }
@@ -47,7 +47,7 @@
 	for range 1000 {
 		s.Add(usual())
 	}
-	if _, ok := s.HedgeDelay(againFill); ok {
+	if _, ok := s.HedgeDelay(maxHedgeUtilization); ok {
 		t.Error("a second send was allowed in an overload")
 	}
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -35,10 +35,10 @@
 }
 
 // Order lists the ids of candidates, the first one first. It sorts them in place.
-func Order[ID ~string](all []Candidate[ID]) []ID {
-	slices.SortFunc(all, compare[ID])
-	ids := make([]ID, len(all))
-	for i, c := range all {
+func Order[ID ~string](candidates []Candidate[ID]) []ID {
+	slices.SortFunc(candidates, compare[ID])
+	ids := make([]ID, len(candidates))
+	for i, c := range candidates {
 		ids[i] = c.ID
 	}
 	return ids
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -24,7 +24,7 @@
 }
 
 // A name that goes moves only the keys that it was first for.
-func TestFewKeysMove(t *testing.T) {
+func TestRemovedNameMovesOnlyItsKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for i := range 200 {
 		key := fmt.Sprint("key", i)
