--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -1,4 +1,4 @@
-// Package delay waits.
+// Package delay provides a context-aware sleep.
 package delay
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration or the end of the context, whichever comes first.
-// It tells whether the whole duration has passed.
+// Sleep waits until the duration has passed or the context is done. It reports
+// whether the whole duration has passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -1,6 +1,6 @@
-// Package netopt makes dialers whose connections end soon after their other end
-// has gone silent, as it does behind a cut link, without power, or where
-// something on the way has dropped the connection and tells nobody.
+// Package netopt provides dialers whose connections are closed soon after the
+// peer has become unresponsive, for example after a network partition or power
+// loss.
 package netopt
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	// probeIdle and probeInterval are when a connection that waits for an
-	// answer is probed, whole seconds being the finest that the kernel takes:
-	// a silent one ends two seconds after the last byte.
+	// Idle connections are probed at the finest resolution that the kernel
+	// supports, so that one to an unresponsive peer fails two seconds after the
+	// last byte.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 1
 )
 
-// NewDialer makes a dialer with a timeout for the set-up of a connection. Its
-// connections end once bytes were sent and not acknowledged for the time unacked.
+// NewDialer returns a dialer with a timeout for establishing a connection. Its
+// connections fail if sent bytes are not acknowledged within userTimeout.
 func NewDialer(timeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -32,8 +32,8 @@
 	}
 }
 
-// setUserTimeout sets the time after which the kernel gives a connection up whose
-// bytes are not acknowledged.
+// setUserTimeout sets TCP_USER_TIMEOUT, the time after which the kernel closes a
+// connection with unacknowledged bytes.
 func setUserTimeout(raw syscall.RawConn, userTimeout time.Duration) error {
 	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that takes nothing any more looks like one behind a cut link: the
-// write ends although nobody closes the connection.
+// A write to a peer that does not read fails even though the connection stays
+// open.
 func TestWriteToASilentPeerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,42 +6,43 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Load is a pool's state as the admission rule sees it.
+// Load is the state of a pool that the admission rule looks at.
 type Load struct {
-	// Waiting counts the pool's waiting calls and Limit bounds them.
+	// Waiting is the number of calls queued for the pool, Limit its maximum.
 	Waiting, Limit int
-	// TeamWaiting counts the team's waiting calls and TeamLimit bounds them.
+	// TeamWaiting is the number of the team's queued calls, TeamLimit its
+	// maximum.
 	TeamWaiting, TeamLimit int
-	// Wait is the expected wait of the call.
+	// Wait is the expected queueing time of the call.
 	Wait time.Duration
-	// CallTime is the usual time of one run.
+	// CallTime is the average time of one run.
 	CallTime time.Duration
-	// Remaining is the time to the call's deadline, 0 if it has none.
+	// Remaining is the time until the call's deadline, 0 if it has none.
 	Remaining time.Duration
-	// FirstCall tells that the call is the first of its program.
+	// FirstCall reports whether the call is the first of its program.
 	FirstCall bool
 }
 
 // Verdict is the decision of the admission rule.
 type Verdict struct {
 	Admit bool
-	// Reason and RetryAfter are for the refusal.
+	// Reason and RetryAfter are set if the call is refused.
 	Reason     structs.Reason
 	RetryAfter time.Duration
 }
 
 const (
-	// minRetryAfter is the least time after which a refused call may be
-	// tried again.
+	// minRetryAfter is the minimum delay before a refused call may be retried.
 	minRetryAfter = 250 * time.Millisecond
-	// firstCallFraction is the share of its time that the first call of a
-	// program may be expected to wait. An overload is shed where no work is
-	// lost: at programs that have not begun.
+	// firstCallFraction is the fraction of its remaining time that the first
+	// call of a program may be expected to wait. It is stricter than for later
+	// calls, since refusing a program that has not begun wastes no work.
 	firstCallFraction = 0.25
 )
 
-// Admit decides whether a call may wait. The queue bounds always hold; the
-// check of the expected wait against the deadline is the admission rule.
+// Admit decides whether a call may be queued. The queue limits always apply; the
+// check of the expected wait against the deadline applies if the admission rule
+// is enabled.
 func Admit(rules structs.Rules, load Load) Verdict {
 	if load.Waiting >= load.Limit || load.TeamWaiting >= load.TeamLimit {
 		return refuse(load.Wait)
@@ -63,11 +64,10 @@
 	return Verdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, after)}
 }
 
-// Lateness follows by how much the calls of a class are granted after their
-// keys, which are due times under the orders with aging. While calls of the
-// class wait without a break, they are granted in the order of their due times
-// whoever comes later, so the wait of any call is the time to its due time and
-// the lateness.
+// Lateness tracks how long after their keys the calls of a class are granted.
+// With aging, keys are due times, and as long as the queue of the class is never
+// empty, calls are granted in the order of their due times. The expected wait of
+// a call is then the time until it is due plus the lateness.
 type Lateness struct {
 	average time.Duration
 	// lastEmpty is when the class last had no waiting call.
@@ -77,15 +77,15 @@
 const (
 	// latenessGain is the weight of a new grant in the average.
 	latenessGain = 0.05
-	// minSaturatedTime is how long calls of a class must have waited without
-	// a break for the lateness to tell their wait, and minSaturatedFraction the
-	// same as a share of that wait.
+	// minSaturatedTime is how long the queue of a class must have been nonempty
+	// before the lateness predicts waits; minSaturatedFraction is the same as a
+	// fraction of the predicted wait.
 	minSaturatedTime     = 3 * time.Second
 	minSaturatedFraction = 0.5
 )
 
-// ObserveGrant counts a grant at a time, of a call with a key; last tells that no
-// call of the class waits any more.
+// ObserveGrant records that a call with the given key was granted. last reports
+// whether the queue of the class is empty now.
 func (l *Lateness) ObserveGrant(now, key time.Duration, last bool) {
 	l.average += time.Duration(latenessGain * float64(now-key-l.average))
 	if last {
@@ -93,8 +93,9 @@
 	}
 }
 
-// ExpectedWait is the expected wait of a call with a key, given the wait by its
-// position in the queue alone.
+// ExpectedWait returns the expected wait of a call with the given key. position
+// is the wait estimated from its position in the queue, used unless the class is
+// saturated.
 func (l *Lateness) ExpectedWait(now, key, position time.Duration) time.Duration {
 	wait := key - now + l.average
 	if now-l.lastEmpty < max(minSaturatedTime, time.Duration(minSaturatedFraction*float64(wait))) {
--- a/internal/policy/appendwindow.go
+++ b/internal/policy/appendwindow.go
@@ -1,29 +1,29 @@
 package policy
 
-// Load pattern: a slow store's partition may take long for each append, or its
-// answers may only be long on their way. In the first case a second append in
-// flight makes both wait; in the second one, waiting for the answer before the
-// next append makes turns wait in vain.
+// Appends to a slow partition can take long because they queue there, or because
+// the network path is long. In the first case concurrent appends slow each other
+// down; in the second they only improve throughput.
 
 import "time"
 
 const (
-	// maxAppendWindow bounds the appends in flight.
+	// maxAppendWindow is the maximum number of appends in flight per partition.
 	maxAppendWindow = 4
-	// latencyTolerance is by how much answers may vary without a queue.
+	// latencyTolerance is the factor by which latencies may exceed the minimum
+	// before that is taken for queueing.
 	latencyTolerance = 1.25
 )
 
-// AppendWindow is the number of appends to one partition that may be in flight.
-// It grows while the answers of a slow store do not get longer. The zero value
-// lets one.
+// AppendWindow limits the number of appends in flight to one partition. It grows
+// as long as the latencies of a slow store do not increase. The zero value
+// allows one append.
 type AppendWindow struct{ extra int }
 
-// Size is the number of appends that may be in flight.
+// Size returns the number of appends that may be in flight.
 func (w *AppendWindow) Size() int { return 1 + w.extra }
 
-// Observe notes an answer and the shortest one since the store is
-// slow.
+// Observe adjusts the window to the result of an append. shortest is the minimum
+// latency since the store became slow.
 func (w *AppendWindow) Observe(result AppendResult, shortest time.Duration) {
 	switch {
 	case !result.Slow:
--- a/internal/policy/appendwindow_test.go
+++ b/internal/policy/appendwindow_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// largestWindow has answers that take a base time and, for each append in flight, a
-// time in the queue. It returns the largest window of the last ten.
+// largestWindow simulates appends that take a base time and a queueing time for
+// each append in flight. It returns the largest of the last ten windows.
 func largestWindow(base, queue time.Duration) int {
 	var w AppendWindow
 	largest := 0
--- a/internal/policy/call.go
+++ b/internal/policy/call.go
@@ -11,12 +11,13 @@
 	Run      structs.RunID
 	Team     structs.Team
 	Priority int
-	// Arrived is the time of arrival since the dispatcher's own epoch.
+	// Arrived is the arrival time, relative to the dispatcher's epoch.
 	Arrived time.Duration
 	// Served is the program's attained service.
 	Served time.Duration
-	// Elapsed is the program's age at arrival less the time that its calls
-	// waited in the queue: about its latency so far on an idle system.
+	// Elapsed is the program's age at arrival, excluding the time that its calls
+	// spent in the queue. It approximates the program's latency on an idle
+	// system.
 	Elapsed time.Duration
 	// Slack is the time from arrival to the program's deadline, valid if
 	// HasDeadline.
--- a/internal/policy/room.go
+++ b/internal/policy/capacity.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// The load: callers begin more programs than the targets can finish. Engines run
-// a fixed number of requests at once and let the others wait, so each program
-// beyond makes all of them late, and in the end none is in time. A refusal costs
-// least where no work is lost yet: at the first turn of a program.
+// If callers begin more programs than the targets can finish, each additional
+// program delays all others until none meets its deadline. Requests are refused
+// where the least work is lost: at the first turn of a program.
 
-// AdmissionClass is what is lost if a request is refused.
+// AdmissionClass classifies a request by the work that is lost if it is refused.
 type AdmissionClass uint8
 
-// Classes of requests.
+// Admission classes.
 const (
-	// ClassOutside requests belong to no program.
+	// ClassOutside is a request that belongs to no program.
 	ClassOutside AdmissionClass = iota
 	// ClassFirstTurn is the first turn of a program.
 	ClassFirstTurn
 	// ClassInProgress is a turn or call of a program that has begun.
 	ClassInProgress
-	// ClassOverdue is a turn or call of a program whose time is over.
+	// ClassOverdue is a turn or call of a program that is past its deadline.
 	ClassOverdue
 )
 
@@ -38,58 +37,64 @@
 	}
 }
 
-// PoolLoad is what is known of a service's targets.
+// PoolLoad is the known load of a service's targets.
 type PoolLoad struct {
 	Service string
-	// Utilization is how many requests run and wait, in parts of the slots, at the Known
-	// ones of All targets; the reports are of the mean age Age.
+	// Utilization is the number of running and queued requests as a fraction of
+	// the slots, over those of the Targets that have reported. ReportAge is the
+	// average age of the reports.
 	Utilization      float64
 	ReportingTargets int
 	Targets          int
 	ReportAge        time.Duration
-	// SpeedsLearned tells that the targets' speeds are learned. Otherwise those that are
-	// busy cannot be told from those that are slow.
+	// SpeedsLearned reports whether the targets' speeds are known. Without them
+	// busy targets cannot be distinguished from slow ones.
 	SpeedsLearned bool
 }
 
 const (
-	// uninformativeTargets is the number up to which a service's load says little of the
-	// next request's wait: one long request fills much of it.
+	// uninformativeTargets is the number of targets up to which the load of a
+	// service does not predict the wait of the next request.
 	uninformativeTargets = 2
-	// minReportingFraction is the share of the targets that must have reported.
+	// minReportingFraction is the fraction of the targets that must have
+	// reported.
 	minReportingFraction = 0.2
 )
 
-// HasEnoughData tells whether enough is known to refuse anything.
+// HasEnoughData reports whether enough is known about the pool to refuse
+// requests.
 func (p PoolLoad) HasEnoughData() bool {
 	return p.SpeedsLearned && p.Targets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.Targets)
 }
 
-// Full tells that all slots are taken, as far as is known.
+// Full reports whether all slots are known to be in use.
 func (p PoolLoad) Full() bool { return p.HasEnoughData() && p.Utilization >= 1 }
 
-// AdmissionRequest is a request that asks for room.
+// AdmissionRequest describes a request that is to be admitted.
 type AdmissionRequest struct {
 	Class AdmissionClass
-	// Rank is how much less urgent it is than such requests are in the mean.
+	// Rank is the request's priority rank relative to the average; higher ranks
+	// are less urgent.
 	Rank float64
-	// RelativeSize is what a program of its route needs, in parts of what programs need in
-	// the mean; 0 if unknown.
+	// RelativeSize is what a program of this route needs as a fraction of the
+	// average program; 0 if unknown.
 	RelativeSize float64
-	// LimitUsage is what its organisation uses, in parts of its limit; 0 if unknown.
+	// LimitUsage is the organisation's usage as a fraction of its limit; 0 if
+	// unknown.
 	LimitUsage float64
-	// Random is from 0 to 1 and the same for each try of a program, so that tries do
-	// not add up and programs under one load are not let in by turns.
+	// Random is a number in [0, 1) that stays the same over all attempts of a
+	// program, so that retrying does not increase its chance of admission.
 	Random float64
-	// Jitter is from 0 to 1 and spreads the times to come back.
+	// Jitter is a number from 0 to 1 that spreads the retries of refused
+	// callers.
 	Jitter float64
-	// TimeLeft is how long its caller waits, Usual how long such requests take
-	// now; 0 if unknown.
+	// TimeLeft is how long the caller still waits, TypicalTime how long such
+	// requests take at present; 0 if unknown.
 	TimeLeft    time.Duration
 	TypicalTime time.Duration
 }
 
-// RefusalCause is why there is no room.
+// RefusalCause is the reason why a request was refused.
 type RefusalCause string
 
 // Causes of a refusal.
@@ -98,19 +103,19 @@
 	CauseNotInTime RefusalCause = "not_in_time"
 )
 
-// AdmissionVerdict is the decision on a AdmissionRequest.
+// AdmissionVerdict is the decision on an AdmissionRequest.
 type AdmissionVerdict struct {
 	Admit bool
 	Cause RefusalCause
-	// Pool is the one that has no room, Chance the share of such requests that it
-	// refuses.
+	// Pool is the pool with the highest RefusalProbability, the fraction of such
+	// requests that it refuses.
 	Pool               PoolLoad
 	RefusalProbability float64
 	RetryAfter         time.Duration
 }
 
-// ramp refuses none up to a fill of start and most of the requests from a fill of
-// start+width on.
+// ramp is a refusal probability that rises linearly from 0 at a utilization of
+// start towards 1 at start+width, up to maxRefusalProbability.
 type ramp struct{ start, width float64 }
 
 func (r ramp) probability(utilization, shift float64) float64 {
@@ -118,39 +123,39 @@
 	return min(max((utilization-start)/r.width, 0), maxRefusalProbability)
 }
 
-// Programs are in time if they take up to about one and a half of their time on
-// idle engines: a quarter of the slots may wait, and the share that is let in has to
-// settle before a second round does.
+// The ramps begin above a utilization of 1, since a program still meets its
+// deadline if a part of the requests is queued.
 var (
 	firstTurnRamp = ramp{start: 1.25, width: 0.5}
-	// Late work still earns a part: it goes only where refusing first turns did
-	// not suffice.
+	// Overdue programs are refused only where refusing first turns is not
+	// enough.
 	overdueRamp = ramp{start: 1.6, width: 0.6}
 )
 
 const (
-	// minRampStart keeps refusals from a pool of which half is free.
+	// minRampStart is the utilization below which nothing is refused.
 	minRampStart = 0.6
-	// maxRefusalProbability lets some through, whose answers tell how full targets are.
+	// maxRefusalProbability admits a few requests at any load, since their
+	// responses show how busy the targets are.
 	maxRefusalProbability = 0.97
-	// rankShift is how much earlier each rank is refused than the one before it.
+	// rankShift is how much earlier the ramp starts for each rank.
 	rankShift = 0.05
-	// sizeShift is how much earlier programs are refused that need twice as much as
-	// others: their room carries several small ones.
+	// sizeShift is how much earlier the ramp starts for each doubling of a
+	// program's size.
 	sizeShift = 0.05
-	// maxShift bounds both, around the mean.
+	// maxShift bounds the sum of both shifts in either direction.
 	maxShift = 0.3
-	// FairUsageThreshold is the part of its limit up to which an organisation is served as
-	// others are: limits leave room above the usual. One at its limit is refused
-	// limitRefusalFactor times as often.
+	// FairUsageThreshold is the fraction of its limit up to which an
+	// organisation is treated like all others. At the limit its requests are
+	// refused limitRefusalFactor times as often.
 	FairUsageThreshold = 0.75
 	limitRefusalFactor = 3
-	// minRelativeAdmission is how often a rank or an organisation is served at least,
-	// against the most urgent.
+	// minRelativeAdmission is the minimum admission probability of any request
+	// relative to that of the most urgent ones.
 	minRelativeAdmission = 0.3
 )
 
-// AdmitRequest decides whether a request may use the pools that it needs.
+// AdmitRequest decides whether a request may use all the pools that it needs.
 func AdmitRequest(request AdmissionRequest, pools ...PoolLoad) AdmissionVerdict {
 	for _, p := range pools {
 		if p.Full() && request.TimeLeft > 0 && request.TimeLeft < request.TypicalTime/2 {
@@ -171,7 +176,8 @@
 	return verdict
 }
 
-// refusalProbability is the share of such requests that a pool refuses.
+// refusalProbability returns the probability with which a pool refuses such
+// requests.
 func refusalProbability(request AdmissionRequest, pool PoolLoad) float64 {
 	if !pool.HasEnoughData() {
 		return 0
@@ -190,13 +196,14 @@
 	return min(probability, 1-minRelativeAdmission*(1-minimum))
 }
 
-// rampShift is how much earlier a request is refused than the mean one.
+// rampShift returns how much earlier the ramp starts for a request than for the
+// average one.
 func rampShift(request AdmissionRequest) float64 {
 	return min(max(rankShift*request.Rank+sizeRampShift(request), -maxShift), maxShift)
 }
 
-// sizeRampShift is how much earlier a program is refused for what it needs. Size does
-// not put it behind less urgent ones, nor before more urgent ones.
+// sizeRampShift returns the part of the shift that is due to the program's size.
+// Size never reverses the order of ranks.
 func sizeRampShift(request AdmissionRequest) float64 {
 	if request.Class != ClassFirstTurn || request.RelativeSize <= 0 {
 		return 0
@@ -208,7 +215,8 @@
 	return shift
 }
 
-// usageFactor is how much more often an organisation is refused than others.
+// usageFactor returns by how much an organisation's usage multiplies the refusal
+// probability.
 func usageFactor(usage float64) float64 {
 	return 1 + (limitRefusalFactor-1)*min(max((usage-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
@@ -216,18 +224,19 @@
 const (
 	// minRetryDelay is about the time in which a busy target frees a slot.
 	minRetryDelay = 150 * time.Millisecond
-	// rampDrainTime is about the time in which the programs under way fall by a whole
-	// ramp when none begins.
+	// rampDrainTime is about the time in which the load falls by the width of a
+	// ramp if no program begins.
 	rampDrainTime = time.Second
-	// maxRetryFraction is the longest part of their time left that callers wait before
-	// they come back.
+	// maxRetryFraction is the maximum retry delay as a fraction of the caller's
+	// remaining time.
 	maxRetryFraction = 1.0 / 3
-	// retryJitterFraction is how much earlier or later than that callers come back.
+	// retryJitterFraction is the maximum deviation of the retry delay in either
+	// direction.
 	retryJitterFraction = 0.25
 )
 
-// RetryAfter is when there should be room for a caller: in excess parts of the
-// ramp, and the longer the more requests wait at the pool.
+// RetryAfter returns the delay after which capacity is expected to be available.
+// excess is how far the request was from admission, as a fraction of the ramp.
 func RetryAfter(request AdmissionRequest, pool PoolLoad, excess float64) time.Duration {
 	delay := float64(minRetryDelay) + excess*float64(rampDrainTime)
 	if pool.Full() {
--- a/internal/policy/room_test.go
+++ b/internal/policy/capacity_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// pool is one of many targets that all reported.
+// pool returns the load of many targets, most of which have reported.
 func pool(fill float64) PoolLoad {
 	return PoolLoad{Service: "s", Utilization: fill, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
 }
 
-// admittedFraction is the share of evenly drawn programs that are let in.
+// admittedFraction returns the fraction of programs that are admitted, with
+// Random evenly distributed.
 func admittedFraction(ask AdmissionRequest, pools ...PoolLoad) float64 {
 	const n = 1000
 	admitted := 0
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// maxFailures is the number of failures in a row that ejects a target.
+	// maxFailures is the number of consecutive failures that ejects a target.
 	maxFailures = 3
-	// slowFactor is the ratio of a target's time to the pool's for the same
-	// work that ejects it.
+	// slowFactor is the ratio of a target's time to the pool's for the same work
+	// above which a run is slow.
 	slowFactor = 4
-	// slowRuns is the number of runs in a row that must be slow.
+	// slowRuns is the number of consecutive slow runs that ejects a target.
 	slowRuns = 3
 	// slowGain is the weight of a new sample in Slowness.
 	slowGain = 0.3
-	// minEjection and maxEjection bound the time out; it doubles.
+	// minEjection and maxEjection bound the ejection time, which doubles each
+	// time.
 	minEjection = 2 * time.Second
 	maxEjection = time.Minute
-	// probationRuns is the number of good runs that end a probation.
+	// probationRuns is the number of successful runs that ends a probation.
 	probationRuns = 3
 )
 
-// HealthState tells whether a target takes calls.
+// HealthState indicates whether a target accepts calls.
 type HealthState string
 
 // States of a target's health.
@@ -33,31 +34,31 @@
 	Probation HealthState = "probation"
 )
 
-// Health follows one target: it is ejected after failures or slow runs, comes
-// back on probation with one call at a time, and is healthy again after some
-// good runs.
+// Health tracks one target. It is ejected after failures or slow runs, returns
+// on probation with one call at a time, and is healthy again after some
+// successful runs.
 type Health struct {
 	State HealthState
-	// EjectedUntil is the end of an ejection.
+	// EjectedUntil is the end of the ejection.
 	EjectedUntil time.Time
-	// Slowness is the moving ratio of the target's time to the expected.
+	// Slowness is the moving average of the ratio of actual to expected time.
 	Slowness float64
 
 	consecutiveFailures, consecutiveSlow, successes int
 	ejectionTime                                    time.Duration
 }
 
-// NewHealth returns a healthy state.
+// NewHealth returns the state of a healthy target.
 func NewHealth() Health { return Health{State: Healthy, Slowness: 1} }
 
-// Advance ends an ejection whose time is over.
+// Advance moves a target to probation once its ejection has expired.
 func (h *Health) Advance(now time.Time) {
 	if h.State == Ejected && !now.Before(h.EjectedUntil) {
 		h.State, h.successes, h.consecutiveFailures, h.consecutiveSlow = Probation, 0, 0, 0
 	}
 }
 
-// EffectiveSlots gives how many calls the target may run of its usual number.
+// EffectiveSlots returns how many of its slots the target may use.
 func (h *Health) EffectiveSlots(slots int) int {
 	switch h.State {
 	case Ejected:
@@ -68,7 +69,7 @@
 	return slots
 }
 
-// RecordFailure counts a failure and tells whether the target is ejected by it.
+// RecordFailure records a failed run and reports whether it ejects the target.
 func (h *Health) RecordFailure(rules structs.Rules, now time.Time, mayEject bool) bool {
 	h.consecutiveFailures++
 	limit := maxFailures
@@ -81,8 +82,8 @@
 	return h.eject(rules, now, mayEject)
 }
 
-// RecordSuccess counts a run that took ratio times the expected time and tells
-// whether the target is ejected by it.
+// RecordSuccess records a run that took ratio times the expected time and
+// reports whether it ejects the target.
 func (h *Health) RecordSuccess(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
 	h.consecutiveFailures = 0
 	h.Slowness += slowGain * (ratio - h.Slowness)
--- a/internal/policy/estimates.go
+++ b/internal/policy/estimates.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Estimates are moving averages of a pool's work, learned from finished runs.
+// Estimates holds moving averages of a pool's work, learned from finished runs.
 type Estimates struct {
 	// PrefillPerToken is the time to process one prompt token.
 	PrefillPerToken time.Duration
-	// TokenTime is the time between tokens of an answer.
+	// TokenTime is the time between tokens of a response.
 	TokenTime time.Duration
 	// CallTime is the time of one run.
 	CallTime time.Duration
-	// Tokens is the length of an answer.
+	// Tokens is the length of a response.
 	Tokens float64
 }
 
-// Initial estimates, used until runs have been seen.
+// Initial estimates, used until runs have finished.
 const (
 	initialPrefillPerToken = 15 * time.Microsecond
 	initialTokenTime       = 3 * time.Millisecond
@@ -22,11 +22,12 @@
 	initialTokens          = 150
 	// estimateGain is the weight of a new sample.
 	estimateGain = 0.02
-	// minPrefillSample is the least uncached prompt that tells a rate.
+	// minPrefillSample is the minimum number of uncached prompt tokens for a
+	// sample of the prefill rate.
 	minPrefillSample = 1024
 )
 
-// NewEstimates gives the initial estimates.
+// NewEstimates returns the initial estimates.
 func NewEstimates() Estimates {
 	return Estimates{
 		PrefillPerToken: initialPrefillPerToken, TokenTime: initialTokenTime,
@@ -34,17 +35,17 @@
 	}
 }
 
-// RunSample is what one finished run tells.
+// RunSample holds the measurements of one finished run.
 type RunSample struct {
 	Uncached   int64
 	Completion int64
 	FirstToken time.Duration
 	Took       time.Duration
-	// Queued is the prefill that was ahead of the run at its target.
+	// Queued is the prefill time queued ahead of the run at its target.
 	Queued time.Duration
 }
 
-// Add takes a finished run into the averages.
+// Add updates the averages with a finished run.
 func (e *Estimates) Add(s RunSample) {
 	e.CallTime = blend(e.CallTime, s.Took)
 	e.Tokens += estimateGain * (float64(s.Completion) - e.Tokens)
@@ -56,7 +57,7 @@
 	}
 }
 
-// ExpectedTime is the time that a run of that size usually takes.
+// ExpectedTime returns the expected time of a run of the given size.
 func (e *Estimates) ExpectedTime(uncached, completion int64) time.Duration {
 	return time.Duration(uncached)*e.PrefillPerToken + time.Duration(completion+1)*e.TokenTime
 }
--- a/internal/policy/fairshare.go
+++ b/internal/policy/fairshare.go
@@ -6,13 +6,13 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// FairShareBurst is the engine time by weight that a team may run ahead of the
-// least served backlogged team before its calls go behind the others'.
+// FairShareBurst is the weighted engine time by which a team may exceed the
+// least served backlogged team before its calls yield to others.
 const FairShareBurst = 2 * time.Second
 
-// Shares accounts the service of teams by weight, as start-time fair queueing
-// does: a team that comes back from idle starts at the least of the
-// backlogged, so it has no claim on the past.
+// Shares accounts engine time per team by weight, as in start-time fair
+// queueing: a team that was idle restarts at the floor of the backlogged teams,
+// so it cannot claim past capacity.
 type Shares struct {
 	usage map[structs.Team]time.Duration
 }
@@ -30,15 +30,15 @@
 	s.usage[team] += time.Duration(float64(took) / weight)
 }
 
-// Join starts a team that was not backlogged at no less than floor.
+// Join raises the usage of a team that becomes backlogged to at least floor.
 func (s *Shares) Join(team structs.Team, floor time.Duration) {
 	s.usage[team] = max(s.usage[team], floor)
 }
 
-// Usage gives a team's charged time by weight.
+// Usage returns a team's weighted engine time.
 func (s *Shares) Usage(team structs.Team) time.Duration { return s.usage[team] }
 
-// Floor gives the least usage among backlogged teams, 0 if there is none.
+// Floor returns the minimum usage among backlogged teams, 0 if there are none.
 func (s *Shares) Floor(backlogged []structs.Team) time.Duration {
 	floor := time.Duration(0)
 	for i, team := range backlogged {
@@ -49,7 +49,8 @@
 	return floor
 }
 
-// ExceedsBurst tells whether a team is so far ahead of floor that others go first.
+// ExceedsBurst reports whether a team is so far ahead of floor that other teams
+// go first.
 func (s *Shares) ExceedsBurst(rules structs.Rules, team structs.Team, floor time.Duration) bool {
 	return rules.FairShare && s.usage[team]-floor > FairShareBurst
 }
--- a/internal/policy/straggler_test.go
+++ b/internal/policy/hedge_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Second sends come after a time that few answers pass, stay within their part of
-// the requests while half of the answers straggle, and stop in an overload.
+// Few normal responses reach the hedge delay, hedges stay within their budget
+// while half of the responses are late, and they stop under overload.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	var s Hedger
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -15,20 +15,19 @@
 )
 
 const (
-	// noDeadlineSlack ranks calls of programs without a deadline under the
-	// slack rule.
+	// noDeadlineSlack is the slack of programs without a deadline.
 	noDeadlineSlack = time.Hour
-	// stretchFactor is the delay that the hybrid rule allows a call at an
-	// Aging of 1, as a multiple of its program's latency so far.
+	// stretchFactor is the delay that the hybrid rule allows a call at an Aging
+	// of 1, as a multiple of its program's latency so far.
 	stretchFactor = 4
 	// slackFactor bounds the delay that the hybrid rule allows a call, as a
 	// multiple of its program's slack.
 	slackFactor = 2
 )
 
-// Key ranks a call within its class; the lowest goes first. All keys are
-// constant in time, so a queue need not be sorted again: a rank that falls
-// linearly with the wait is the same order as one that grows with the arrival.
+// Key ranks a call within its class; the lowest key goes first. Keys do not
+// change over time, so a queue never needs to be re-sorted: subtracting the
+// waiting time from a rank gives the same order as adding the arrival time.
 func Key(rules structs.Rules, call Call) time.Duration {
 	switch rules.Order {
 	case OrderLAS:
@@ -42,8 +41,8 @@
 	}
 }
 
-// lasKey is least attained service with linear aging: a wait of Aging times
-// the service difference makes up for it.
+// lasKey implements least attained service with linear aging: waiting for Aging
+// times the difference in service compensates for it.
 func lasKey(rules structs.Rules, call Call) time.Duration {
 	if rules.Aging <= 0 {
 		return call.Served
@@ -59,9 +58,9 @@
 }
 
 // hybridKey is a due time: arrival plus an allowed delay in proportion to the
-// program's latency so far. A short program goes before a long one, and a call
-// is overtaken only for a bounded time, in proportion to what its program takes
-// anyhow. A close deadline brings it forward.
+// program's latency so far. Short programs go before long ones, while the time
+// for which a call can be overtaken is bounded. A close deadline reduces the
+// allowed delay.
 func hybridKey(rules structs.Rules, call Call) time.Duration {
 	allowed := stretchFactor * float64(call.Elapsed)
 	if call.HasDeadline && call.Slack > 0 {
--- a/internal/policy/heldturn_test.go
+++ b/internal/policy/outage_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Turns of callers that wait four seconds are held over an outage of some
-// seconds, and not begun in one that goes on.
+// Turns are started during short outages but not during long ones.
 func TestAllowTurnDuringOutage(t *testing.T) {
 	const left = 4 * time.Second
 	for lasted, want := range map[time.Duration]bool{0: true, 7 * time.Second: true, 9 * time.Second: false} {
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -14,16 +14,16 @@
 	PlaceCost        = "cost"
 )
 
-// Option is one target that a call could be placed at.
+// Option is a target at which a call could be placed.
 type Option struct {
-	// Excluded tells that the target may not get the call, and Avoided that
-	// it should only if there is no other.
+	// Excluded means that the target must not get the call, Avoided that it
+	// should get it only if there is no other.
 	Excluded, Avoided bool
-	// Open tells that the target takes a call now; else Delay is the
+	// Open reports whether the target accepts a call now; otherwise Delay is the
 	// expected time until it does.
 	Open  bool
 	Delay time.Duration
-	// Running counts the calls at the target.
+	// Running is the number of calls at the target.
 	Running int
 	// Backlog is the expected time until the prefill queued at the target
 	// is done.
@@ -31,12 +31,11 @@
 	// Prefill is the time to process the part of the prompt that is not
 	// cached there.
 	Prefill time.Duration
-	// Cached is the part of the prompt cached there, in tokens.
+	// Cached is the number of prompt tokens cached there.
 	Cached int64
 	// Eviction is the expected time to recompute what the placement evicts.
 	Eviction time.Duration
-	// Slowness is the target's time for the same work over that of the
-	// pool; 1 is usual.
+	// Slowness is the target's time for the same work relative to the pool's.
 	Slowness float64
 }
 
@@ -44,16 +43,17 @@
 
 // Choice is the decision of a placement rule.
 type Choice struct {
-	// Index is the option chosen, -1 if none can take the call.
+	// Index is the chosen option, -1 if none can take the call.
 	Index int
-	// Wait tells that waiting for the option is better than any open one.
+	// Wait means that the call should wait for the option rather than take an
+	// open one.
 	Wait bool
 }
 
 var noChoice = Choice{Index: -1}
 
-// Place chooses the target of a call. last is the index of the option that
-// the last placement of the pool took, for round robin.
+// Place chooses the target of a call. last is the index of the option that the
+// pool's previous placement took, for round robin.
 func Place(rules structs.Rules, options []Option, last int) Choice {
 	switch rules.Placement {
 	case PlaceRoundRobin:
@@ -97,8 +97,8 @@
 	return best
 }
 
-// placeCost takes the option of least cost. If that one is not open, the call
-// waits for it, as in delay scheduling: its delay is part of its cost.
+// placeCost takes the option with the lowest cost. If it is not open, the call
+// waits for it, as in delay scheduling, since the delay is part of the cost.
 func placeCost(rules structs.Rules, options []Option) Choice {
 	best := noChoice
 	var least time.Duration
@@ -114,9 +114,9 @@
 	return best
 }
 
-// Cost is the expected time that a placement costs: the call's own delay and
-// prefill, the delay that its prefill causes the calls that run there, and the
-// recomputation of what it evicts.
+// Cost returns the expected time that a placement costs: the call's own delay
+// and prefill, the delay that its prefill causes to the calls running there, and
+// the recomputation of what it evicts.
 func Cost(rules structs.Rules, option Option) time.Duration {
 	prefill := time.Duration(float64(option.Prefill) * max(1, option.Slowness))
 	cost := option.Delay + option.Backlog + prefill
@@ -127,6 +127,6 @@
 	return cost
 }
 
-// stepCostPerSequence is what one more running call costs another over the
-// run, by a longer step.
+// stepCostPerSequence is the time by which each running call lengthens another
+// one's run, since decoding steps get longer.
 const stepCostPerSequence = 2 * time.Millisecond
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// With aging, no call is overtaken by those that arrive after a bounded time.
+// With aging, a call can be overtaken by later ones only for a bounded time.
 func TestAgingBoundsTheWait(t *testing.T) {
 	for _, order := range []string{OrderFCFS, OrderLAS, OrderSlack, OrderHybrid} {
 		rules := structs.Rules{Order: order, Aging: 1}
--- /dev/null
+++ b/internal/policy/requestmemory.go
@@ -0,0 +1,54 @@
+package policy
+
+import "time"
+
+// Callers that send large requests or read their responses slowly can make the
+// memory held for them grow until the process is killed.
+
+const (
+	// newProgramFraction is the fraction of the limit up to which requests that
+	// may begin a program are accepted; the rest is reserved for programs in
+	// progress.
+	newProgramFraction = 0.7
+	// pressureThreshold is the fraction of the limit above which stalled callers
+	// are disconnected sooner.
+	pressureThreshold = 0.7
+	// stallTimeout is how long a caller may read nothing. It leaves time for a
+	// few TCP retransmissions.
+	stallTimeout = 10 * time.Second
+	// stallTimeoutUnderPressure is the same under memory pressure.
+	stallTimeoutUnderPressure = 2 * time.Second
+)
+
+// RequestMemory is the memory that an instance holds for requests, in bytes.
+type RequestMemory struct {
+	Held int64
+	// Max is the limit, 0 for none.
+	Max int64
+}
+
+// Fits reports whether size more bytes may be held. Programs in progress may use
+// the whole limit. Other requests may take half of what is left of their
+// fraction, so that the largest are refused first. While nothing is held they
+// may take all of it, so that no size below it is refused forever.
+func (b RequestMemory) Fits(size int64, inProgress bool) bool {
+	if b.Max <= 0 {
+		return true
+	}
+	if inProgress {
+		return size <= b.Max-b.Held
+	}
+	budget := int64(newProgramFraction * float64(b.Max))
+	if b.Held == 0 {
+		return size <= budget
+	}
+	return size <= (budget-b.Held)/2
+}
+
+// StallTimeout returns how long a caller may read nothing of its response.
+func (b RequestMemory) StallTimeout() time.Duration {
+	if b.Max > 0 && float64(b.Held) > pressureThreshold*float64(b.Max) {
+		return stallTimeoutUnderPressure
+	}
+	return stallTimeout
+}
--- a/internal/policy/bytes_test.go
+++ b/internal/policy/requestmemory_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRequestMemoryFavorsProgramsInProgress fills a bound with requests of both kinds and
-// sizes until each is refused.
+// TestRequestMemoryFavorsProgramsInProgress adds requests of both kinds and
+// several sizes until they are refused.
 func TestRequestMemoryFavorsProgramsInProgress(t *testing.T) {
 	const most = 1000
 	fill := func(held, size int64, underWay bool) int64 {
@@ -27,7 +27,6 @@
 	}
 }
 
-// TestStallTimeoutIsShorterUnderMemoryPressure compares both states.
 func TestStallTimeoutIsShorterUnderMemoryPressure(t *testing.T) {
 	if tight, ample := (RequestMemory{Held: 800, Max: 1000}).StallTimeout(), (RequestMemory{Held: 100, Max: 1000}).StallTimeout(); tight >= ample {
 		t.Errorf("%s while bytes are short, %s otherwise", tight, ample)
--- a/internal/policy/retention.go
+++ b/internal/policy/retention.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// pauseBuckets counts the buckets of a pause histogram. Their upper
-	// bounds grow by a factor of 1.5 and 1.33 in turn from firstPauseBound on;
-	// the last one has no bound.
+	// pauseBuckets is the number of buckets of a pause histogram. Their upper
+	// bounds grow alternately by factors of 1.5 and 1.33, starting at
+	// firstPauseBound; the last bucket is unbounded.
 	pauseBuckets    = 40
 	firstPauseBound = 20 * time.Millisecond
 	// pauseGain is the weight of a new pause in the histogram.
 	pauseGain = 0.002
-	// minPauses is the number of pauses that make an estimate.
+	// minPauses is the number of samples required for an estimate.
 	minPauses = 20
-	// abandonFactor times the length that few pauses exceed is the length
-	// after which a program is presumed lost.
+	// abandonFactor is multiplied with the abandonQuantile of the pauses to get
+	// the length after which a program is presumed abandoned.
 	abandonFactor     = 3
 	abandonQuantile   = 0.99
 	minAbandonTimeout = time.Second
 )
 
-// Pauses estimates the length of the tool pauses of one team and the chance
-// that a pause never ends. A program that has paused for long is presumed lost
-// until it returns, so that the estimate need not wait for idle timeouts.
+// Pauses estimates the lengths of one team's tool pauses and the probability
+// that a pause never ends. After a long pause a program is presumed abandoned
+// until it returns, so that the estimate does not depend on idle timeouts.
 type Pauses struct {
-	// returned holds the decayed counts of ended pauses by length, and lost
-	// the decayed count of those that did not end.
+	// returned holds the decayed counts of ended pauses by length, abandoned the
+	// decayed count of those that did not end.
 	returned  [pauseBuckets]float64
 	abandoned float64
 	samples   int
@@ -66,8 +66,8 @@
 	return pauseBuckets - 1
 }
 
-// ObserveReturn counts a pause that ended by a further call; presumed tells that it
-// was counted as lost before.
+// ObserveReturn records a pause that ended with another call. presumedAbandoned
+// reports whether it was counted as abandoned before.
 func (p *Pauses) ObserveReturn(pause time.Duration, presumedAbandoned bool) {
 	if presumedAbandoned {
 		p.abandoned = max(0, p.abandoned-pauseGain)
@@ -76,8 +76,8 @@
 	p.returned[pauseBucket(pause)] += pauseGain
 }
 
-// ObserveAbandoned counts a pause that ended, or seems to have ended, without a further
-// call.
+// ObserveAbandoned records a pause that ended, or is presumed to have ended,
+// without another call.
 func (p *Pauses) ObserveAbandoned() {
 	p.decay()
 	p.abandoned += pauseGain
@@ -91,8 +91,8 @@
 	p.abandoned *= 1 - pauseGain
 }
 
-// AbandonTimeout gives the length of a pause after which the program is presumed
-// lost.
+// AbandonTimeout returns the length of a pause after which the program is
+// presumed abandoned.
 func (p *Pauses) AbandonTimeout() time.Duration {
 	if p.samples < minPauses {
 		return pauseBounds[pauseBuckets-1]
@@ -108,8 +108,8 @@
 	return pauseBounds[pauseBuckets-1]
 }
 
-// ReturnProbability is the chance that a program that has paused that long comes
-// back; 1 as long as too little is known.
+// ReturnProbability returns the probability that a program returns after it has
+// paused for the given time, 1 if there are too few samples.
 func (p *Pauses) ReturnProbability(paused time.Duration) float64 {
 	if p.samples < minPauses {
 		return 1
@@ -121,7 +121,7 @@
 	return returns / (returns + p.abandoned)
 }
 
-// returnedFrom sums the counts from a bucket on.
+// returnedFrom returns the sum of the counts from a bucket on.
 func (p *Pauses) returnedFrom(bucket int) float64 {
 	sum := 0.0
 	for _, count := range p.returned[bucket:] {
@@ -130,17 +130,17 @@
 	return sum
 }
 
-// minReturnProbability is the least chance of return for which the rule by worth
-// holds a prefix in a cache with room, and minReturnProbabilityNearlyFull in one that is
-// nearly full, where each prefix displaces another.
+// minReturnProbability is the minimum probability of return for which
+// RetainWorth holds a prefix, minReturnProbabilityNearlyFull the same in a cache
+// that is nearly full, where each prefix displaces another.
 const (
 	minReturnProbability           = 0.15
 	minReturnProbabilityNearlyFull = 0.4
 	nearlyFullThreshold            = 0.85
 )
 
-// Retain tells whether to hold a paused program's prefix, given the chance of
-// its return and the share of the target's cache in use.
+// Retain decides whether to hold a paused program's prefix, given the
+// probability of its return and the utilization of the target's cache.
 func Retain(rules structs.Rules, returnProbability, utilization float64) bool {
 	switch rules.Retention {
 	case RetainNone:
--- a/internal/policy/retrybudget.go
+++ b/internal/policy/retrybudget.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Bounds of the retry budget.
+// Limits of the retry budget.
 const (
-	// retryRatio is the share of fresh requests that may be retries.
+	// retryRatio is the number of retries allowed per fresh request.
 	retryRatio = 0.2
-	// retryBurst is the number of retries that may come at once.
+	// retryBurst is the maximum number of retries that can accumulate.
 	retryBurst = 20
-	// RetryBudgetRetryAfter is when a retry that was refused may come again.
+	// RetryBudgetRetryAfter is the delay after which a refused retry may be sent
+	// again.
 	RetryBudgetRetryAfter = time.Second
 )
 
-// RetryBudget limits further attempts to a share of the fresh requests, so
-// that retries do not multiply an overload.
+// RetryBudget limits retries to a fraction of the fresh requests, so that they
+// do not amplify an overload.
 type RetryBudget struct{ ratio, burst, credit float64 }
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() RetryBudget { return NewRetryBudgetWith(retryRatio, retryBurst) }
 
-// NewRetryBudgetWith returns a full budget of another share and burst.
+// NewRetryBudgetWith returns a full budget with the given ratio and burst.
 func NewRetryBudgetWith(ratio, burst float64) RetryBudget {
 	return RetryBudget{ratio: ratio, burst: burst, credit: burst}
 }
 
-// Allow takes a request into account and tells whether it may go on. Attempt
-// 0 is a fresh request.
+// Allow accounts for a request and reports whether it may proceed. Attempt 0 is
+// a fresh request.
 func (b *RetryBudget) Allow(attempt int) bool {
 	if attempt == 0 {
 		b.credit = min(b.burst, b.credit+b.ratio)
--- a/internal/policy/storepath_test.go
+++ b/internal/policy/storemonitor_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// at is a time of these tests.
+// at returns a time relative to the start of a test.
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
-// monitorWith is a path with answers of a length, every 10 ms.
+// monitorWith returns a monitor that has observed appends of the given latency,
+// one every 10 ms.
 func monitorWith(took time.Duration, answers int) *StoreMonitor {
 	s := new(StoreMonitor)
 	for i := range answers {
@@ -17,7 +18,8 @@
 	return s
 }
 
-// Slow for all: turns are gathered, appends get time, nobody else is asked soon.
+// While the store is slow for all, turns are batched and timeouts and hedge
+// delays are long.
 func TestSlowStoreExtendsTimeouts(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s := monitorWith(300*time.Millisecond, 8)
@@ -41,7 +43,7 @@
 	}
 }
 
-// Silent for all, or for this instance: others are asked and tries are short.
+// While the store is unresponsive, timeouts and hedge delays are short.
 func TestUnresponsiveStoreIsNotSlow(t *testing.T) {
 	now := at(200 * time.Millisecond)
 	s := monitorWith(5*time.Millisecond, 8)
@@ -57,7 +59,7 @@
 	}
 }
 
-// One partition away: the turns of others go on.
+// A hanging partition does not affect turns for other partitions.
 func TestHangingPartitionDoesNotAffectOthers(t *testing.T) {
 	s := monitorWith(5*time.Millisecond, 8)
 	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
@@ -68,9 +70,9 @@
 	}
 }
 
-// A part of the partitions refuses appends while the others take them: neither is
-// this instance's way closed, nor is each success the store's return, which would
-// have all instances told again and again.
+// While some partitions refuse appends and others accept them, the instance is
+// not failing, and a success is not a recovery, of which all instances would be
+// notified.
 func TestRefusingPartitionsAreNotAnOutage(t *testing.T) {
 	s := monitorWith(5*time.Millisecond, 8)
 	for i := range 40 {
@@ -89,7 +91,8 @@
 	}
 }
 
-// Refused, then taken again; and what was seen long ago tells nothing.
+// Turns are batched from a refusal until shortly after the recovery, and old
+// samples have no effect.
 func TestRefusedAppendsAreBatched(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s := monitorWith(5*time.Millisecond, 8)
@@ -112,7 +115,7 @@
 	}
 }
 
-// Few instances tell all others that the store is slow, not each of them.
+// A few notices suffice to notify all instances that the store is slow.
 func TestSlowNoticesAreLimited(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s, other := monitorWith(300*time.Millisecond, 1), monitorWith(5*time.Millisecond, 8)
@@ -130,8 +133,7 @@
 	}
 }
 
-// Far from the store longer appends are usual; ten times that is slow there as
-// well.
+// The threshold for slow appends adapts to a distant store.
 func TestDistantStoreIsNotSlow(t *testing.T) {
 	s := monitorWith(50*time.Millisecond, 8)
 	now := at(200 * time.Millisecond)
--- a/internal/policy/expected_test.go
+++ b/internal/policy/targetchoice_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// optionsOf gives targets with connections, of a fill and slowness each.
+// optionsOf returns connected targets with the given utilization and slowness.
 func optionsOf(pairs ...[2]float64) []TargetOption {
 	var options []TargetOption
 	for _, pair := range pairs {
@@ -48,8 +48,7 @@
 	}
 }
 
-// The target that is chosen for an object by all instances is preferred while its
-// load is usual, but no connection is opened for that alone.
+// A warm target is preferred, but no connection is opened for it.
 func TestChooseTargetPrefersWarm(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.3, 1})
 	options[1].Warm = true
@@ -62,8 +61,8 @@
 	}
 }
 
-// Among targets that end a request about alike a kept connection decides, then
-// the rank; a target that must not be chosen is none of them.
+// Among equivalent targets an open connection decides, then the rank, and
+// excluded targets are not considered.
 func TestChooseTargetPrefersOpenConnection(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.25, 1}, [2]float64{0, 1})
 	options[0].NeedsConnection, options[3].Excluded = true, true
--- a/internal/policy/estimate_test.go
+++ b/internal/policy/targetestimate_test.go
@@ -8,8 +8,8 @@
 
 var estimateStart = time.Unix(100, 0)
 
-// speedAfter is a Speed after n samples a tenth of a second apart, with the time of
-// the last one.
+// speedAfter returns a SpeedEstimate after n samples at intervals of 100 ms, and
+// the time of the last one.
 func speedAfter(n int, sample func() float64) (SpeedEstimate, time.Time) {
 	var s SpeedEstimate
 	now := estimateStart
@@ -20,8 +20,8 @@
 	return s, now
 }
 
-// Answers of uneven work say little of one target: an estimate of equal targets
-// stays near 1, while that of a target several times slower comes out.
+// Estimates of equal targets stay near 1 in spite of noise, while a target that
+// is several times slower is detected.
 func TestSpeedEstimateSeparatesNoiseFromDeviation(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	far := 0
@@ -44,8 +44,8 @@
 	}
 }
 
-// A target that turned slow and is not asked any more is tried again: what was
-// learned of it ages to the usual.
+// A slow target that is no longer used is tried again, since its estimate decays
+// to the typical one.
 func TestSpeedEstimateDecaysToTypical(t *testing.T) {
 	s, now := speedAfter(10, func() float64 { return 5 })
 	before := s.Slowness(1, 1, now)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Others are told what is left of a mean without its noise: nearly the usual of a
-// target of which two uneven answers were seen, the mean of a target that is slow.
+// The advertised mean is close to typical after two noisy samples, and close to
+// the actual mean for a target that is slow.
 func TestAdvertisedMeanExcludesNoise(t *testing.T) {
 	uneven := []float64{0.4, 2.6}
 	few, _ := speedAfter(2, func() float64 { next := uneven[0]; uneven = uneven[1:]; return next })
@@ -93,8 +93,8 @@
 	}
 }
 
-// A target's word on its present pace fades, and its standing pace is what it says
-// most of the time, even if the first word was not.
+// A report of the current pace decays quickly, and the median follows the
+// prevailing pace even if the first report differs.
 func TestPaceReportsDecay(t *testing.T) {
 	if CurrentSlowness(0.7, 2.5, 0) != 2.5 || CurrentSlowness(4, 1, 0) != 4 {
 		t.Error("a new pace that is worse does not count fully")
@@ -115,8 +115,8 @@
 	}
 }
 
-// A report fades within the time of a request towards what the target usually
-// reports, that towards the pool's mean; never below the own requests.
+// A report decays towards the target's typical utilization, that towards the
+// pool's mean, and the result is never below the instance's own requests.
 func TestExpectedUtilizationDecaysToPoolMean(t *testing.T) {
 	const request = 100 * time.Millisecond
 	report := LoadReport{Busy: 8, Slots: 4, TypicalUtilization: 1, HasReport: true}
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous orders names for keys by rendezvous hashing: all who know
-// the same names agree on their order without asking each other, and a name that
-// comes or goes moves only what it is first for.
+// Package rendezvous implements rendezvous hashing: all instances that know the
+// same names order them alike for a key without coordination, and adding or
+// removing a name only affects the keys for which it is first.
 package rendezvous
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is what a name has for a key; the highest comes first.
+// Score returns the score of a name for a key; the highest score comes first.
 func Score(key, name string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -26,15 +26,15 @@
 	Score uint64
 }
 
-// Before tells whether a candidate comes before another one; ids decide between
-// equal scores.
+// Before reports whether a candidate precedes another one. Equal scores are
+// ordered by ID.
 func (c Candidate[ID]) Before(other Candidate[ID]) bool { return compare(c, other) < 0 }
 
 func compare[ID ~string](a, b Candidate[ID]) int {
 	return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.ID, b.ID))
 }
 
-// Order lists the ids of candidates, the first one first. It sorts them in place.
+// Order sorts the candidates in place and returns their IDs.
 func Order[ID ~string](candidates []Candidate[ID]) []ID {
 	slices.SortFunc(candidates, compare[ID])
 	ids := make([]ID, len(candidates))
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A name that goes moves only the keys that it was first for.
+// Removing a name moves only the keys for which it was first.
 func TestRemovedNameMovesOnlyItsKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for i := range 200 {
