--- a/internal/delay/delay_test.go
+++ b/internal/delay/delay_test.go
@@ -12,11 +12,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if !Sleep(ctx, time.Millisecond) {
-			t.Error("the duration did not pass")
+			t.Error("returned before the duration passed")
 		}
 		begun := time.Now()
 		if Sleep(ctx, time.Hour) || time.Since(begun) >= time.Second {
-			t.Errorf("it went on for %s behind the context's end", time.Since(begun))
+			t.Errorf("returned after %s, want it to return when the context is done", time.Since(begun))
 		}
 	})
 }
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -24,7 +24,7 @@
 	buffer := make([]byte, 1<<20)
 	for {
 		if _, err := conn.Write(buffer); err != nil {
-			return // without the bound the write would never end
+			return // without the timeout the write would block forever
 		}
 	}
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -60,8 +60,8 @@
 	return Verdict{Admit: true}
 }
 
-func refuse(after time.Duration) Verdict {
-	return Verdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, after)}
+func refuse(delay time.Duration) Verdict {
+	return Verdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
 }
 
 // Lateness tracks how long after their keys the calls of a class are granted.
@@ -94,8 +94,8 @@
 }
 
 // ExpectedWait returns the expected wait of a call with the given key. position
-// is the wait estimated from its position in the queue, used unless the class is
-// saturated.
+// is the wait estimated from its position in the queue; while the class is not
+// saturated, it is returned as is.
 func (l *Lateness) ExpectedWait(now, key, position time.Duration) time.Duration {
 	wait := key - now + l.average
 	if now-l.lastEmpty < max(minSaturatedTime, time.Duration(minSaturatedFraction*float64(wait))) {
--- a/internal/policy/appendwindow_test.go
+++ b/internal/policy/appendwindow_test.go
@@ -22,12 +22,12 @@
 
 func TestAppendWindowTracksQueueing(t *testing.T) {
 	if got := largestWindow(400*time.Millisecond, 10*time.Millisecond); got != maxAppendWindow {
-		t.Errorf("answers long on their way: %d in flight", got)
+		t.Errorf("long network path: window of %d", got)
 	}
 	if got := largestWindow(0, 120*time.Millisecond); got > 2 {
-		t.Errorf("a slow partition: %d in flight", got)
+		t.Errorf("slow partition: window of %d", got)
 	}
 	if got := largestWindow(4*time.Millisecond, time.Millisecond); got != 1 {
-		t.Errorf("a store that is well: %d in flight", got)
+		t.Errorf("healthy store: window of %d", got)
 	}
 }
--- a/internal/policy/capacity.go
+++ b/internal/policy/capacity.go
@@ -41,7 +41,7 @@
 type PoolLoad struct {
 	Service string
 	// Utilization is the number of running and queued requests as a fraction of
-	// the slots, over those of the Targets that have reported. ReportAge is the
+	// the slots, over the ReportingTargets of all Targets. ReportAge is the
 	// average age of the reports.
 	Utilization      float64
 	ReportingTargets int
@@ -82,7 +82,7 @@
 	// LimitUsage is the organisation's usage as a fraction of its limit; 0 if
 	// unknown.
 	LimitUsage float64
-	// Random is a number in [0, 1) that stays the same over all attempts of a
+	// Random is a number from 0 to 1 that stays the same over all attempts of a
 	// program, so that retrying does not increase its chance of admission.
 	Random float64
 	// Jitter is a number from 0 to 1 that spreads the retries of refused
--- a/internal/policy/capacity_test.go
+++ b/internal/policy/capacity_test.go
@@ -6,18 +6,18 @@
 )
 
 // pool returns the load of many targets, most of which have reported.
-func pool(fill float64) PoolLoad {
-	return PoolLoad{Service: "s", Utilization: fill, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
+func pool(utilization float64) PoolLoad {
+	return PoolLoad{Service: "s", Utilization: utilization, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
 }
 
 // admittedFraction returns the fraction of programs that are admitted, with
 // Random evenly distributed.
-func admittedFraction(ask AdmissionRequest, pools ...PoolLoad) float64 {
+func admittedFraction(request AdmissionRequest, pools ...PoolLoad) float64 {
 	const n = 1000
 	admitted := 0
 	for i := range n {
-		ask.Random = (float64(i) + 0.5) / n
-		if AdmitRequest(ask, pools...).Admit {
+		request.Random = (float64(i) + 0.5) / n
+		if AdmitRequest(request, pools...).Admit {
 			admitted++
 		}
 	}
@@ -27,70 +27,70 @@
 func TestAdmissionByClass(t *testing.T) {
 	first, late := AdmissionRequest{Class: ClassFirstTurn}, AdmissionRequest{Class: ClassOverdue}
 	for _, test := range []struct {
-		name        string
-		ask         AdmissionRequest
-		pool        PoolLoad
-		least, most float64
+		name            string
+		request         AdmissionRequest
+		pool            PoolLoad
+		lowest, highest float64
 	}{
-		{"half of the slots are free", AdmissionRequest{Class: ClassFirstTurn, Rank: 9, LimitUsage: 1}, pool(0.5), 1, 1},
-		{"few wait", first, pool(1.2), 1, 1},
-		{"some wait", first, pool(1.4), 0.6, 0.9},
-		{"half as many wait as run", first, pool(1.6), 0.2, 0.5},
-		{"as many wait as run", first, pool(2), 0.01, 0.1},
-		{"far too many", first, pool(100), 0.01, 0.1},
-		{"late work beside first turns", late, pool(1.55), 1, 1},
-		{"late work where that did not suffice", late, pool(2), 0.2, 0.5},
-		{"under way", AdmissionRequest{Class: ClassInProgress}, pool(4), 1, 1},
+		{"half of the slots free", AdmissionRequest{Class: ClassFirstTurn, Rank: 9, LimitUsage: 1}, pool(0.5), 1, 1},
+		{"few queued", first, pool(1.2), 1, 1},
+		{"some queued", first, pool(1.4), 0.6, 0.9},
+		{"half as many queued as running", first, pool(1.6), 0.2, 0.5},
+		{"as many queued as running", first, pool(2), 0.01, 0.1},
+		{"extreme overload", first, pool(100), 0.01, 0.1},
+		{"overdue at moderate overload", late, pool(1.55), 1, 1},
+		{"overdue at high overload", late, pool(2), 0.2, 0.5},
+		{"in progress", AdmissionRequest{Class: ClassInProgress}, pool(4), 1, 1},
 		{"outside programs", AdmissionRequest{}, pool(4), 1, 1},
 		{"few targets", first, PoolLoad{Utilization: 9, ReportingTargets: 1, Targets: 1}, 1, 1},
 		{"few reports", first, PoolLoad{Utilization: 9, ReportingTargets: 5, Targets: 44}, 1, 1},
-		{"nothing known", first, PoolLoad{}, 1, 1},
+		{"no reports", first, PoolLoad{}, 1, 1},
 	} {
-		if got := admittedFraction(test.ask, test.pool); got < test.least || got > test.most {
-			t.Errorf("%s: served %.3f, want %.2f to %.2f", test.name, got, test.least, test.most)
+		if got := admittedFraction(test.request, test.pool); got < test.lowest || got > test.highest {
+			t.Errorf("%s: admitted %.3f, want %.2f to %.2f", test.name, got, test.lowest, test.highest)
 		}
 	}
 	if got := admittedFraction(first, pool(0.5), pool(2)); got > 0.1 {
-		t.Errorf("a program whose calls find no room is served %.2f", got)
+		t.Errorf("admitted %.2f of the programs whose calls go to a full pool", got)
 	}
 }
 
 func TestAdmissionByRankAndOrganisation(t *testing.T) {
-	for fill := 0.5; fill < 4; fill += 0.05 {
-		top := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: -9}, pool(fill))
-		before := top
+	for utilization := 0.5; utilization < 4; utilization += 0.05 {
+		top := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: -9}, pool(utilization))
+		previous := top
 		for rank := -4.0; rank < 6; rank++ {
-			got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: rank}, pool(fill))
-			if got > before || got < top/4 {
-				t.Fatalf("fill %.2f: rank %g is served %.2f, the one before it %.2f, the first %.2f", fill, rank, got, before, top)
+			got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, Rank: rank}, pool(utilization))
+			if got > previous || got < top/4 {
+				t.Fatalf("utilization %.2f: rank %g admitted %.2f, previous rank %.2f, most urgent %.2f", utilization, rank, got, previous, top)
 			}
-			before = got
+			previous = got
 		}
-		mean := admittedFraction(AdmissionRequest{Class: ClassFirstTurn}, pool(fill))
-		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(fill)); got != mean {
-			t.Fatalf("fill %.2f: at a usual use %.2f are served, %.2f of those unknown", fill, got, mean)
+		mean := admittedFraction(AdmissionRequest{Class: ClassFirstTurn}, pool(utilization))
+		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(utilization)); got != mean {
+			t.Fatalf("utilization %.2f: admitted %.2f at typical usage, %.2f at unknown usage", utilization, got, mean)
 		}
-		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(fill))
+		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(utilization))
 		if over > mean || over < mean/4 {
-			t.Fatalf("fill %.2f: served at the limit %.2f, else %.2f", fill, over, mean)
+			t.Fatalf("utilization %.2f: admitted %.2f at the limit, %.2f otherwise", utilization, over, mean)
 		}
 	}
-	if over, usual := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > usual-0.3 {
-		t.Errorf("at the limit %.2f are served, at a usual use %.2f", over, usual)
+	if over, typical := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > typical-0.3 {
+		t.Errorf("admitted %.2f at the limit, %.2f at typical usage", over, typical)
 	}
 }
 
 func TestAdmissionByTimeLeft(t *testing.T) {
-	ask := AdmissionRequest{Class: ClassInProgress, TimeLeft: 100 * time.Millisecond, TypicalTime: time.Second}
-	if v := AdmitRequest(ask, pool(1.2)); v.Admit || v.Cause != CauseNotInTime || v.RetryAfter <= 0 {
-		t.Errorf("a request that cannot be served in time: %+v", v)
+	request := AdmissionRequest{Class: ClassInProgress, TimeLeft: 100 * time.Millisecond, TypicalTime: time.Second}
+	if v := AdmitRequest(request, pool(1.2)); v.Admit || v.Cause != CauseNotInTime || v.RetryAfter <= 0 {
+		t.Errorf("request that cannot complete in time: %+v", v)
 	}
-	if v := AdmitRequest(ask, pool(0.9)); !v.Admit {
+	if v := AdmitRequest(request, pool(0.9)); !v.Admit {
 		t.Errorf("with free slots: %+v", v)
 	}
-	ask.TimeLeft = 0
-	if v := AdmitRequest(ask, pool(1.2)); !v.Admit {
-		t.Errorf("its time is not known: %+v", v)
+	request.TimeLeft = 0
+	if v := AdmitRequest(request, pool(1.2)); !v.Admit {
+		t.Errorf("with unknown time left: %+v", v)
 	}
 }
 
@@ -98,29 +98,29 @@
 	near := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.3, Jitter: 0.5}, pool(1.5))
 	far := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.1, Jitter: 0.5}, pool(2))
 	if near.Admit || far.Admit || near.RetryAfter >= far.RetryAfter {
-		t.Errorf("a program that is nearly let in comes back in %s, another in %s", near.RetryAfter, far.RetryAfter)
+		t.Errorf("program close to admission retries after %s, another after %s", near.RetryAfter, far.RetryAfter)
 	}
 	early := RetryAfter(AdmissionRequest{Jitter: 0}, pool(2), 0.5)
 	late := RetryAfter(AdmissionRequest{Jitter: 1}, pool(2), 0.5)
 	if late < early*3/2 {
-		t.Errorf("callers come back between %s and %s", early, late)
+		t.Errorf("callers retry after %s to %s", early, late)
 	}
 	if got := RetryAfter(AdmissionRequest{TimeLeft: 600 * time.Millisecond, Jitter: 0.5}, pool(2), 1); got > 200*time.Millisecond {
-		t.Errorf("comes back in %s of 600 ms", got)
+		t.Errorf("retries after %s of 600 ms", got)
 	}
 }
 
 func TestAdmissionBySize(t *testing.T) {
-	ask := func(size, rank float64) float64 {
+	admitted := func(size, rank float64) float64 {
 		return admittedFraction(AdmissionRequest{Class: ClassFirstTurn, RelativeSize: size, Rank: rank}, pool(1.4))
 	}
-	if big, mean, small := ask(4, 0), ask(1, 0), ask(0.4, 0); big >= mean || mean >= small {
-		t.Errorf("served: big %.2f, mean %.2f, small %.2f", big, mean, small)
+	if large, mean, small := admitted(4, 0), admitted(1, 0), admitted(0.4, 0); large >= mean || mean >= small {
+		t.Errorf("admitted: large %.2f, average %.2f, small %.2f", large, mean, small)
 	}
-	if unknown, mean := ask(0, 0), ask(1, 0); unknown != mean {
-		t.Errorf("served of unknown size %.2f, of the mean one %.2f", unknown, mean)
+	if unknown, mean := admitted(0, 0), admitted(1, 0); unknown != mean {
+		t.Errorf("admitted: unknown size %.2f, average %.2f", unknown, mean)
 	}
-	if big, small := ask(4, -1), ask(0.4, 1); big <= small {
-		t.Errorf("urgent and big %.2f, less urgent and small %.2f", big, small)
+	if large, small := admitted(4, -1), admitted(0.4, 1); large <= small {
+		t.Errorf("admitted: urgent and large %.2f, less urgent and small %.2f", large, small)
 	}
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,7 +1,7 @@
-// Package policy holds the decision rules of a dispatcher, one rule a file.
+// Package policy implements the scheduling decisions, one rule per file.
 //
-// Each rule is a function (or a small state machine) over a snapshot of plain
-// values and gives a choice. Rules hold no reference to the dispatcher, do no
-// I/O and read no clock. structs.Rules selects them, so that each can be
-// swapped or switched off alone.
+// Each rule is a function or a small state machine that maps a snapshot of plain
+// values to a decision. Rules hold no reference to the dispatcher, do no I/O and
+// read no clock. structs.Rules selects the rules of the dispatcher, so that each
+// can be replaced or disabled on its own.
 package policy
--- a/internal/policy/hedge_test.go
+++ b/internal/policy/hedge_test.go
@@ -11,43 +11,43 @@
 func TestHedgesStayWithinBudget(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	var s Hedger
-	usual := func() time.Duration { return time.Duration(20+random.Intn(60)) * time.Millisecond }
+	normalLatency := func() time.Duration { return time.Duration(20+random.Intn(60)) * time.Millisecond }
 	if _, ok := s.HedgeDelay(0); ok {
-		t.Error("a second send was allowed before anything was seen")
+		t.Error("hedged without samples")
 	}
-	late, known := 0, 0
+	late, enabled := 0, 0
 	for range 4000 {
-		took := usual()
-		if patience, ok := s.HedgeDelay(0.3); ok {
-			known++
-			if took > patience {
+		took := normalLatency()
+		if delay, ok := s.HedgeDelay(0.3); ok {
+			enabled++
+			if took > delay {
 				late++
 			}
 		}
 		s.Add(took)
 	}
-	if known == 0 || late*50 > known {
-		t.Errorf("%d of %d usual answers passed the patience", late, known)
+	if enabled == 0 || late*50 > enabled {
+		t.Errorf("%d of %d normal responses exceeded the hedge delay", late, enabled)
 	}
 	if s.TailLatency > 160*time.Millisecond {
-		t.Errorf("%s is waited for answers of at most 80 ms", s.TailLatency)
+		t.Errorf("tail latency %s of responses that take at most 80 ms", s.TailLatency)
 	}
-	again := 0
+	hedges := 0
 	for range 1000 {
 		if _, ok := s.HedgeDelay(0.3); ok && random.Intn(2) == 0 {
 			s.RecordHedge()
-			again++
+			hedges++
 			continue
 		}
-		s.Add(usual())
+		s.Add(normalLatency())
 	}
-	if again == 0 || again > 25 {
-		t.Errorf("%d second sends for 1,000 requests", again)
+	if hedges == 0 || hedges > 25 {
+		t.Errorf("%d hedges for 1,000 requests", hedges)
 	}
 	for range 1000 {
-		s.Add(usual())
+		s.Add(normalLatency())
 	}
 	if _, ok := s.HedgeDelay(maxHedgeUtilization); ok {
-		t.Error("a second send was allowed in an overload")
+		t.Error("hedged under overload")
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -38,7 +38,7 @@
 				t.Fatalf("admitted %v, want %v", verdict.Admit, test.admit)
 			}
 			if !verdict.Admit && (verdict.RetryAfter <= 0 || verdict.Reason != structs.ReasonOverloaded) {
-				t.Fatalf("refusal %+v lacks a reason or a time", verdict)
+				t.Fatalf("refusal %+v lacks a reason or a retry delay", verdict)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 		long := Call{Served: 10 * time.Minute, Elapsed: time.Hour}
 		late := Call{Arrived: noDeadlineSlack + stretchFactor*time.Hour + time.Second, Slack: 0, HasDeadline: true}
 		if Key(rules, long) > Key(rules, late) {
-			t.Errorf("%s: a call is overtaken without bound", order)
+			t.Errorf("%s: a call can be overtaken without bound", order)
 		}
 	}
 }
@@ -90,14 +90,14 @@
 	shares.Add("b", 10*time.Second, 10)
 	floor := shares.Floor([]structs.Team{"a", "b"})
 	if !shares.ExceedsBurst(rules, "a", floor) || shares.ExceedsBurst(rules, "b", floor) {
-		t.Fatalf("usage a %v, b %v: only a is ahead of its share", shares.Usage("a"), shares.Usage("b"))
+		t.Fatalf("usage a %v, b %v: want only a to exceed the burst", shares.Usage("a"), shares.Usage("b"))
 	}
 	if shares.ExceedsBurst(structs.Rules{}, "a", floor) {
-		t.Fatal("the rule is off")
+		t.Fatal("limited although the rule is disabled")
 	}
 	shares.Join("c", floor)
 	if shares.Usage("c") != floor {
-		t.Fatalf("a team that comes back starts at %v, want %v", shares.Usage("c"), floor)
+		t.Fatalf("a returning team starts at %v, want %v", shares.Usage("c"), floor)
 	}
 }
 
@@ -154,7 +154,7 @@
 func TestPausesEstimateReturnProbability(t *testing.T) {
 	pauses := NewPauses()
 	if pauses.ReturnProbability(time.Hour) != 1 {
-		t.Fatal("nothing is known yet, so nothing is to be released")
+		t.Fatal("want a return probability of 1 without samples")
 	}
 	for i := range 1000 {
 		pauses.ObserveReturn(time.Duration(300+i%200)*time.Millisecond, false)
@@ -164,14 +164,14 @@
 	}
 	early, late := pauses.ReturnProbability(100*time.Millisecond), pauses.ReturnProbability(5*time.Second)
 	if early < 0.85 || late > 0.05 {
-		t.Fatalf("chance of return %v early and %v late", early, late)
+		t.Fatalf("return probability %v early and %v late", early, late)
 	}
 	if limit := pauses.AbandonTimeout(); limit < time.Second || limit > 3*time.Second {
-		t.Fatalf("presumed lost after %v", limit)
+		t.Fatalf("presumed abandoned after %v", limit)
 	}
 	rules := structs.DefaultRules()
 	if !Retain(rules, early, 0.99) || Retain(rules, late, 0.1) {
-		t.Fatal("want early pauses held and late ones let go")
+		t.Fatal("want prefixes retained in early pauses and released in late ones")
 	}
 }
 
@@ -204,7 +204,7 @@
 		h.RecordFailure(rules, now, false)
 	}
 	if h.State != Healthy {
-		t.Fatal("ejected although no more targets may be")
+		t.Fatal("ejected although ejection was not allowed")
 	}
 }
 
@@ -234,7 +234,7 @@
 		t.Errorf("wait %v of a call due in 4 s, want about 5 s", wait)
 	}
 	if wait := l.ExpectedWait(now, now+time.Hour, position); wait != position {
-		t.Errorf("a backlog of 20 s told of a wait of %v", wait)
+		t.Errorf("wait %v predicted from a backlog of 20 s, want that by position", wait)
 	}
 	l.ObserveGrant(now, now, true)
 	if wait := l.ExpectedWait(now+time.Second, now+4*time.Second, position); wait != position {
--- a/internal/policy/requestmemory_test.go
+++ b/internal/policy/requestmemory_test.go
@@ -5,30 +5,30 @@
 // TestRequestMemoryFavorsProgramsInProgress adds requests of both kinds and
 // several sizes until they are refused.
 func TestRequestMemoryFavorsProgramsInProgress(t *testing.T) {
-	const most = 1000
-	fill := func(held, size int64, underWay bool) int64 {
-		for (RequestMemory{Held: held, Max: most}).Fits(size, underWay) {
+	const limit = 1000
+	addUntilRefused := func(held, size int64, inProgress bool) int64 {
+		for (RequestMemory{Held: held, Max: limit}).Fits(size, inProgress) {
 			held += size
 		}
 		return held
 	}
-	large, small := fill(0, 100, false), fill(0, 10, false)
-	if large >= small || small > newProgramFraction*most {
-		t.Errorf("large ones fill %d, small ones %d", large, small)
+	large, small := addUntilRefused(0, 100, false), addUntilRefused(0, 10, false)
+	if large >= small || small > newProgramFraction*limit {
+		t.Errorf("large requests hold %d bytes, small ones %d", large, small)
 	}
-	if all := fill(small, 10, true); all != most {
-		t.Errorf("programs under way fill %d of %d", all, most)
+	if all := addUntilRefused(small, 10, true); all != limit {
+		t.Errorf("programs in progress hold %d of %d bytes", all, limit)
 	}
-	if !(RequestMemory{Max: most}).Fits(700, false) || (RequestMemory{Max: most}).Fits(701, false) {
-		t.Error("alone a request gets the whole share and no more")
+	if !(RequestMemory{Max: limit}).Fits(700, false) || (RequestMemory{Max: limit}).Fits(701, false) {
+		t.Error("want a single request admitted exactly up to the fraction for new programs")
 	}
 	if !(RequestMemory{Held: 1 << 40}).Fits(1<<40, false) {
-		t.Error("refused without a bound")
+		t.Error("refused without a limit")
 	}
 }
 
 func TestStallTimeoutIsShorterUnderMemoryPressure(t *testing.T) {
 	if tight, ample := (RequestMemory{Held: 800, Max: 1000}).StallTimeout(), (RequestMemory{Held: 100, Max: 1000}).StallTimeout(); tight >= ample {
-		t.Errorf("%s while bytes are short, %s otherwise", tight, ample)
+		t.Errorf("timeout %s under memory pressure, %s otherwise", tight, ample)
 	}
 }
--- a/internal/policy/storemonitor_test.go
+++ b/internal/policy/storemonitor_test.go
@@ -10,10 +10,10 @@
 
 // monitorWith returns a monitor that has observed appends of the given latency,
 // one every 10 ms.
-func monitorWith(took time.Duration, answers int) *StoreMonitor {
+func monitorWith(latency time.Duration, appends int) *StoreMonitor {
 	s := new(StoreMonitor)
-	for i := range answers {
-		s.ObserveOwn(took, at(time.Duration(i)*10*time.Millisecond))
+	for i := range appends {
+		s.ObserveOwn(latency, at(time.Duration(i)*10*time.Millisecond))
 	}
 	return s
 }
@@ -24,22 +24,22 @@
 	now := at(100 * time.Millisecond)
 	s := monitorWith(300*time.Millisecond, 8)
 	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreSlow {
-		t.Error("turns are not gathered")
+		t.Error("turns are not batched while the store is slow")
 	}
 	if got := s.AppendTimeout(now); got != 1200*time.Millisecond {
-		t.Errorf("patience %s", got)
+		t.Errorf("append timeout %s", got)
 	}
 	if got := s.HedgeDelay(now); got < time.Second {
-		t.Errorf("another instance is asked after %s", got)
+		t.Errorf("hedged after %s", got)
 	}
 	if s.PathDegraded(AppendResult{Took: 300 * time.Millisecond, Slow: true}, time.Second) {
-		t.Error("the way is blamed for a slow store")
+		t.Error("path reported as degraded while the store is slow")
 	}
 	for range 20 {
 		s.ObserveOwn(5*time.Millisecond, now)
 	}
 	if s.ShouldBatch(1, nil, now) || s.State(now) != StoreHealthy {
-		t.Error("turns are gathered when the store is well again")
+		t.Error("turns are batched after the store has recovered")
 	}
 }
 
@@ -49,13 +49,13 @@
 	s := monitorWith(5*time.Millisecond, 8)
 	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
 	if !s.ShouldBatch(1, hung, now) {
-		t.Error("turns follow one that hangs")
+		t.Error("turns are not batched while an append hangs")
 	}
 	if s.AppendTimeout(now) != minAppendTimeout || s.HedgeDelay(now) != minAppendHedgeDelay {
-		t.Errorf("patience %s, hedge %s", s.AppendTimeout(now), s.HedgeDelay(now))
+		t.Errorf("append timeout %s, hedge delay %s", s.AppendTimeout(now), s.HedgeDelay(now))
 	}
 	if !s.PathDegraded(AppendResult{Took: 5 * time.Millisecond}, 100*time.Millisecond) {
-		t.Error("the way is not blamed though others are answered")
+		t.Error("path not reported as degraded although other instances receive replies")
 	}
 }
 
@@ -66,7 +66,7 @@
 	s.ObserveOwn(5*time.Millisecond, at(120*time.Millisecond))
 	now := at(200 * time.Millisecond)
 	if s.ShouldBatch(1, hung, now) || !s.ShouldBatch(2, hung, now) {
-		t.Errorf("gathers 1: %v, 2: %v", s.ShouldBatch(1, hung, now), s.ShouldBatch(2, hung, now))
+		t.Errorf("batches partition 1: %v, 2: %v", s.ShouldBatch(1, hung, now), s.ShouldBatch(2, hung, now))
 	}
 }
 
@@ -80,14 +80,14 @@
 		if i%4 == 3 {
 			s.ObserveRefusal(now)
 		} else if s.ObserveOutcome(true, now) {
-			t.Fatal("a success beside refusals is told as the store's return")
+			t.Fatal("a success among refusals is reported as recovery")
 		}
 		if s.State(now) != StoreHealthy || s.ShouldBatch(1, nil, now) {
-			t.Fatalf("after append %d the way is taken for %s", i, s.State(now))
+			t.Fatalf("after append %d the state is %s", i, s.State(now))
 		}
 	}
 	if last := at(2100 * time.Millisecond); s.InOutage(last) || !s.InOutage(last.Add(time.Second)) {
-		t.Error("single failures and an outage are not told apart")
+		t.Error("single failures and an outage are not distinguished")
 	}
 }
 
@@ -98,20 +98,20 @@
 	s := monitorWith(5*time.Millisecond, 8)
 	s.ObserveRefusal(now)
 	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreFailing {
-		t.Error("turns go where they are refused")
+		t.Error("turns are not batched after a refusal")
 	}
 	now = now.Add(minOutageTime)
 	if !s.ObserveOutcome(true, now) || !s.ShouldBatch(1, nil, now) {
-		t.Error("turns are not gathered right after the store's return")
+		t.Error("turns are not batched right after the recovery")
 	}
 	now = now.Add(recoveryBatchTime)
 	if s.ShouldBatch(1, nil, now) {
-		t.Error("turns go through others though they need not")
+		t.Error("turns are batched long after the recovery")
 	}
 	slow := monitorWith(300*time.Millisecond, 8)
-	later := now.Add(appendSampleTTL + time.Second)
-	if slow.ShouldBatch(1, nil, later) || slow.AppendTimeout(later) != minAppendTimeout {
-		t.Error("old answers decide")
+	expired := now.Add(appendSampleTTL + time.Second)
+	if slow.ShouldBatch(1, nil, expired) || slow.AppendTimeout(expired) != minAppendTimeout {
+		t.Error("expired samples have an effect")
 	}
 }
 
@@ -120,16 +120,16 @@
 	now := at(100 * time.Millisecond)
 	s, other := monitorWith(300*time.Millisecond, 1), monitorWith(5*time.Millisecond, 8)
 	if other.ShouldNotifySlow(now) || !s.ShouldNotifySlow(now) || s.ShouldNotifySlow(now) {
-		t.Error("told wrongly")
+		t.Error("want a single notice, from the instance that observed the slow append")
 	}
 	for range maxSlowNotices {
 		other.ObserveNotice(300*time.Millisecond, now)
 	}
 	if !other.ShouldBatch(1, nil, now) || other.ShouldNotifySlow(now) {
-		t.Error("what was told has no effect, or is told once more")
+		t.Error("received notices have no effect, or another one is sent")
 	}
 	if !other.ShouldNotifySlow(now.Add(slowNoticeInterval)) {
-		t.Error("that the store stays slow is not told")
+		t.Error("no further notice while the store stays slow")
 	}
 }
 
@@ -138,9 +138,9 @@
 	s := monitorWith(50*time.Millisecond, 8)
 	now := at(200 * time.Millisecond)
 	if s.ObserveOwn(60*time.Millisecond, now).Slow || s.ShouldBatch(1, nil, now) || s.HedgeDelay(now) < 100*time.Millisecond {
-		t.Error("a store that is far away is taken for slow")
+		t.Error("a distant store is considered slow")
 	}
 	if !s.ObserveOwn(500*time.Millisecond, now).Slow || !s.ShouldBatch(1, nil, now) {
-		t.Error("a slow store that is far away is not noticed")
+		t.Error("a slow distant store is not detected")
 	}
 }
--- a/internal/policy/targetchoice.go
+++ b/internal/policy/targetchoice.go
@@ -229,8 +229,9 @@
 	return completion
 }
 
-// queueingCost returns the time that the requests at a target add. It rises
-// faster before all slots are in use, since load reports are inexact.
+// queueingCost returns the time that the requests at a target add. Since load
+// reports are inexact, the slope increases from MaxReadyUtilization on rather
+// than when all slots are in use.
 func queueingCost(utilization float64, batched bool) float64 {
 	excess := max(utilization-MaxReadyUtilization, 0)
 	if batched {
--- a/internal/policy/targetchoice_test.go
+++ b/internal/policy/targetchoice_test.go
@@ -15,29 +15,29 @@
 	turn := RequestProfile{PromptCost: 0.2, Batched: true}
 	plain := RequestProfile{}
 	stay := func(options []TargetOption) []TargetOption { options[0].HasPrompt = true; return options }
-	opens := func(options []TargetOption, i int) []TargetOption { options[i].NeedsConnection = true; return options }
+	unconnected := func(options []TargetOption, i int) []TargetOption { options[i].NeedsConnection = true; return options }
 	tests := []struct {
 		name    string
 		options []TargetOption
 		request RequestProfile
 		index   int
 	}{
-		{"the least busy of equals", optionsOf([2]float64{0.6, 1}, [2]float64{0.2, 1}), plain, 1},
-		{"one of five slow for half a second", optionsOf([2]float64{0, 2.5}, [2]float64{0.7, 1}, [2]float64{0.9, 1}), plain, 1},
-		{"a slow one when the others are full", optionsOf([2]float64{0, 2.5}, [2]float64{3, 1}), plain, 0},
-		{"a program begins at a fast engine with room", optionsOf([2]float64{0.1, 1.3}, [2]float64{0.5, 0.5}), turn, 1},
-		{"a full fast engine is left to others", optionsOf([2]float64{0.1, 1.3}, [2]float64{2.5, 0.5}), turn, 0},
-		{"a program stays while moving gains little", stay(optionsOf([2]float64{0.4, 1}, [2]float64{0.1, 0.9})), turn, 0},
-		{"a program leaves an engine that turned slow", stay(optionsOf([2]float64{0.4, 4}, [2]float64{0.3, 1})), turn, 1},
-		{"a short prompt is read again rather than a connection opened", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.1, Batched: true}, 1},
-		{"a long one is not", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.5, Batched: true}, 0},
-		{"a long prompt keeps it", stay(optionsOf([2]float64{0.4, 1.6}, [2]float64{0.3, 1})), RequestProfile{PromptCost: 2, Batched: true}, 0},
-		{"in an overload programs do not move", stay(optionsOf([2]float64{1.5, 1.2}, [2]float64{0.9, 0.8})), turn, 0},
-		{"a slow engine is left in an overload too", stay(optionsOf([2]float64{1.5, 4}, [2]float64{0.9, 0.8})), turn, 1},
-		{"a full engine is left for one with room", stay(optionsOf([2]float64{1.7, 1}, [2]float64{0.4, 1})), turn, 1},
-		{"a full engine is not left for one without", stay(optionsOf([2]float64{1.7, 1}, [2]float64{0.9, 1})), turn, 0},
-		{"a crowded engine is left", stay(optionsOf([2]float64{3.2, 1}, [2]float64{1.9, 1})), turn, 1},
-		{"none", nil, turn, -1},
+		{"least busy of equal targets", optionsOf([2]float64{0.6, 1}, [2]float64{0.2, 1}), plain, 1},
+		{"idle target that is slow", optionsOf([2]float64{0, 2.5}, [2]float64{0.7, 1}, [2]float64{0.9, 1}), plain, 1},
+		{"slow target when the others are full", optionsOf([2]float64{0, 2.5}, [2]float64{3, 1}), plain, 0},
+		{"program begins at a fast engine with capacity", optionsOf([2]float64{0.1, 1.3}, [2]float64{0.5, 0.5}), turn, 1},
+		{"fast engine without capacity is avoided", optionsOf([2]float64{0.1, 1.3}, [2]float64{2.5, 0.5}), turn, 0},
+		{"program stays if moving gains little", stay(optionsOf([2]float64{0.4, 1}, [2]float64{0.1, 0.9})), turn, 0},
+		{"program leaves an engine that became slow", stay(optionsOf([2]float64{0.4, 4}, [2]float64{0.3, 1})), turn, 1},
+		{"short prompt is recomputed rather than a connection opened", unconnected(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.1, Batched: true}, 1},
+		{"long prompt is worth opening a connection", unconnected(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.5, Batched: true}, 0},
+		{"long prompt keeps a program at a slower engine", stay(optionsOf([2]float64{0.4, 1.6}, [2]float64{0.3, 1})), RequestProfile{PromptCost: 2, Batched: true}, 0},
+		{"programs do not move under overload", stay(optionsOf([2]float64{1.5, 1.2}, [2]float64{0.9, 0.8})), turn, 0},
+		{"program leaves a slow engine under overload", stay(optionsOf([2]float64{1.5, 4}, [2]float64{0.9, 0.8})), turn, 1},
+		{"program leaves a full engine for one with capacity", stay(optionsOf([2]float64{1.7, 1}, [2]float64{0.4, 1})), turn, 1},
+		{"program stays at a full engine if no other has capacity", stay(optionsOf([2]float64{1.7, 1}, [2]float64{0.9, 1})), turn, 0},
+		{"program leaves an overcrowded engine", stay(optionsOf([2]float64{3.2, 1}, [2]float64{1.9, 1})), turn, 1},
+		{"no targets", nil, turn, -1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	}
 	options[1].Remote = true
 	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 2 {
-		t.Errorf("got %+v in place of one nearby", choice)
+		t.Errorf("got %+v rather than a target in this data centre", choice)
 	}
 	options[1].Excluded, options[2].Excluded = true, true
 	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 0 || choice.RunnerUp != -1 {
--- a/internal/policy/targetestimate.go
+++ b/internal/policy/targetestimate.go
@@ -15,8 +15,8 @@
 	// speedDecayTime is the time constant with which a SpeedEstimate decays, so
 	// that a target that was avoided is tried again.
 	speedDecayTime = 10 * time.Second
-	// noiseFactor scales the variance of the mean that a deviation has to exceed
-	// to count by more than half.
+	// noiseFactor is the ratio of the squared deviation to the variance of the
+	// mean at which half of the deviation counts.
 	noiseFactor = 1.5
 	// minSlowness and maxSlowness bound an estimate.
 	minSlowness = 0.25
--- a/internal/policy/targetestimate_test.go
+++ b/internal/policy/targetestimate_test.go
@@ -24,23 +24,23 @@
 // is several times slower is detected.
 func TestSpeedEstimateSeparatesNoiseFromDeviation(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	far := 0
+	outliers := 0
 	for range 200 {
 		s, now := speedAfter(20, random.ExpFloat64)
 		if slowness := s.Slowness(1, 1, now); slowness > 1.4 || slowness < 0.6 {
-			far++
+			outliers++
 		}
 	}
-	if far > 20 {
-		t.Errorf("%d of 200 equal targets look uneven", far)
+	if outliers > 20 {
+		t.Errorf("%d of 200 equal targets are estimated as unequal", outliers)
 	}
 	s, now := speedAfter(20, func() float64 { return 4 * random.ExpFloat64() })
 	if slowness := s.Slowness(1, 1, now); slowness < 2 {
-		t.Errorf("a target that takes four times as long looks %.2f times as slow", slowness)
+		t.Errorf("target that takes four times as long has slowness %.2f", slowness)
 	}
 	s, now = speedAfter(6, func() float64 { return 0.6 })
 	if slowness := s.Slowness(1, 1, now); slowness > 0.75 {
-		t.Errorf("a fast target looks %.2f times as slow", slowness)
+		t.Errorf("fast target has slowness %.2f", slowness)
 	}
 }
 
@@ -55,24 +55,24 @@
 	}
 	var none SpeedEstimate
 	if none.Slowness(1, 1, now) != 1 || s.Slowness(0, 1, now) != 1 {
-		t.Error("an unknown target is not like the usual")
+		t.Error("unknown target does not have slowness 1")
 	}
 }
 
 // The advertised mean is close to typical after two noisy samples, and close to
 // the actual mean for a target that is slow.
 func TestAdvertisedMeanExcludesNoise(t *testing.T) {
-	uneven := []float64{0.4, 2.6}
-	few, _ := speedAfter(2, func() float64 { next := uneven[0]; uneven = uneven[1:]; return next })
-	if told := few.AdvertisedMean(1, 1); told < 0.8 || told > 1.2 {
-		t.Errorf("told %.2f of a mean of %.2f", told, few.Mean)
+	samples := []float64{0.4, 2.6}
+	few, _ := speedAfter(2, func() float64 { next := samples[0]; samples = samples[1:]; return next })
+	if mean := few.AdvertisedMean(1, 1); mean < 0.8 || mean > 1.2 {
+		t.Errorf("advertised %.2f for a mean of %.2f", mean, few.Mean)
 	}
 	slow, _ := speedAfter(10, func() float64 { return 4 })
-	if told := slow.AdvertisedMean(1, 1); told < 3 {
-		t.Errorf("told %.2f of a mean of %.2f", told, slow.Mean)
+	if mean := slow.AdvertisedMean(1, 1); mean < 3 {
+		t.Errorf("advertised %.2f for a mean of %.2f", mean, slow.Mean)
 	}
 	if none := new(SpeedEstimate).AdvertisedMean(1, 1); none != 0 {
-		t.Errorf("told %.2f of nothing", none)
+		t.Errorf("advertised %.2f without samples", none)
 	}
 }
 
@@ -80,16 +80,16 @@
 	var s SpeedEstimate
 	s.MergeRemote(4, estimateStart)
 	if s.Mean != 4 {
-		t.Errorf("the first word gives %.1f", s.Mean)
+		t.Errorf("mean %.1f after the first remote mean", s.Mean)
 	}
 	s.Add(4, estimateStart.Add(time.Second))
 	s.MergeRemote(1, estimateStart.Add(time.Second))
 	if s.Mean != 4 {
-		t.Error("a word as old as the own sample was taken")
+		t.Error("remote mean as old as the last sample was merged")
 	}
 	s.MergeRemote(1, estimateStart.Add(2*time.Second))
 	if s.Mean >= 4 || s.Mean <= 1 {
-		t.Errorf("a newer word gives %.1f", s.Mean)
+		t.Errorf("mean %.1f after a newer remote mean", s.Mean)
 	}
 }
 
@@ -97,21 +97,21 @@
 // prevailing pace even if the first report differs.
 func TestPaceReportsDecay(t *testing.T) {
 	if CurrentSlowness(0.7, 2.5, 0) != 2.5 || CurrentSlowness(4, 1, 0) != 4 {
-		t.Error("a new pace that is worse does not count fully")
+		t.Error("a new report of a worse pace does not count fully")
 	}
 	if late := CurrentSlowness(1, 2.5, 4*paceDecayTime); late > 1.05 {
-		t.Errorf("an old pace still counts %.2f", late)
+		t.Errorf("slowness %.2f from an old pace report", late)
 	}
 	var s PaceMedian
 	for i := range 60 {
-		word := 70
+		percent := 70
 		if i%7 == 0 {
-			word = 175
+			percent = 175
 		}
-		s.Add(word)
+		s.Add(percent)
 	}
 	if s.Value < 0.65 || s.Value > 0.8 {
-		t.Errorf("got %.2f", s.Value)
+		t.Errorf("median pace %.2f", s.Value)
 	}
 }
 
@@ -131,18 +131,18 @@
 		t.Errorf("got %.2f", middle)
 	}
 	if old := at(2 * unreportedDecayTime); old < 0.25 || old > 0.4 {
-		t.Errorf("an old report gives %.2f", old)
+		t.Errorf("utilization %.2f from an old report", old)
 	}
 	if never := ExpectedUtilization(LoadReport{Slots: 4}, 0.5, request); never != 0.25 {
-		t.Errorf("no report gives %.2f", never)
+		t.Errorf("utilization %.2f without a report", never)
 	}
 	if got := ExpectedUtilization(LoadReport{OwnInFlight: 4, Slots: 4}, 0.5, request); got != 1 {
-		t.Errorf("own requests give %.2f", got)
+		t.Errorf("utilization %.2f with own requests only", got)
 	}
 	if got := ExpectedUtilization(LoadReport{Busy: 4, OwnDelta: 2, Slots: 4, HasReport: true}, 0, request); got != 1.5 {
-		t.Errorf("own requests since the report give %.2f", got)
+		t.Errorf("utilization %.2f with own requests since the report", got)
 	}
 	if first, later := SmoothUtilization(0, 3, true), SmoothUtilization(1, 2, false); first != 3 || later <= 1 || later >= 2 {
-		t.Errorf("usual loads %.2f and %.2f", first, later)
+		t.Errorf("typical utilization %.2f and %.2f", first, later)
 	}
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -19,7 +19,7 @@
 	want := Order(candidates("key", names))
 	slices.Reverse(names)
 	if got := Order(candidates("key", names)); !slices.Equal(got, want) {
-		t.Errorf("got %v, before %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
