--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -1,6 +1,6 @@
-// Package netopt makes dialers whose connections end soon after their other end
-// has gone silent, as it does behind a cut link, without power, or where
-// something on the way has dropped the connection and tells nobody.
+// Package netopt provides dialers whose connections are closed soon after the
+// peer has become unresponsive, for example after a network partition or power
+// loss.
 package netopt
 
 import (
@@ -12,35 +12,35 @@
 )
 
 const (
-	// probeIdle and probeInterval are when a connection that waits for an
-	// answer is probed, whole seconds being the finest that the kernel takes:
-	// a silent one ends two seconds after the last byte.
+	// Idle connections are probed at the finest resolution that the kernel
+	// supports, so that one to an unresponsive peer fails two seconds after the
+	// last byte.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 1
 )
 
-// NewDialer makes a dialer with a timeout for the set-up of a connection. Its
-// connections end once bytes were sent and not acknowledged for the time unacked.
-func NewDialer(timeout, unacked time.Duration) *net.Dialer {
+// NewDialer returns a dialer with a timeout for establishing a connection. Its
+// connections fail if sent bytes are not acknowledged within userTimeout.
+func NewDialer(timeout, userTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 		},
-		Control: func(_, _ string, raw syscall.RawConn) error { return boundUnacked(raw, unacked) },
+		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, userTimeout) },
 	}
 }
 
-// boundUnacked sets the time after which the kernel gives a connection up whose
-// bytes are not acknowledged.
-func boundUnacked(raw syscall.RawConn, unacked time.Duration) error {
-	var failure error
+// setUserTimeout sets TCP_USER_TIMEOUT, the time after which the kernel closes a
+// connection with unacknowledged bytes.
+func setUserTimeout(raw syscall.RawConn, userTimeout time.Duration) error {
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockoptErr
 }
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A peer that takes nothing any more looks like one behind a cut link: the
-// write ends although nobody closes the connection.
+// A write to a peer that does not read fails even though the connection stays
+// open.
 func TestWriteToASilentPeerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 	buffer := make([]byte, 1<<20)
 	for {
 		if _, err := conn.Write(buffer); err != nil {
-			return // without the bound the write would never end
+			return // without the timeout the write would block forever
 		}
 	}
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -38,7 +38,7 @@
 				t.Fatalf("admitted %v, want %v", verdict.Admit, test.admit)
 			}
 			if !verdict.Admit && (verdict.RetryAfter <= 0 || verdict.Reason != structs.ReasonOverloaded) {
-				t.Fatalf("refusal %+v lacks a reason or a time", verdict)
+				t.Fatalf("refusal %+v lacks a reason or a retry delay", verdict)
 			}
 		})
 	}
@@ -71,14 +71,14 @@
 	}
 }
 
-// With aging, no call is overtaken by those that arrive after a bounded time.
+// With aging, a call can be overtaken by later ones only for a bounded time.
 func TestAgingBoundsTheWait(t *testing.T) {
 	for _, order := range []string{OrderFCFS, OrderLAS, OrderSlack, OrderHybrid} {
 		rules := structs.Rules{Order: order, Aging: 1}
 		long := Call{Served: 10 * time.Minute, Elapsed: time.Hour}
 		late := Call{Arrived: noDeadlineSlack + stretchFactor*time.Hour + time.Second, Slack: 0, HasDeadline: true}
 		if Key(rules, long) > Key(rules, late) {
-			t.Errorf("%s: a call is overtaken without bound", order)
+			t.Errorf("%s: a call can be overtaken without bound", order)
 		}
 	}
 }
@@ -90,14 +90,14 @@
 	shares.Add("b", 10*time.Second, 10)
 	floor := shares.Floor([]structs.Team{"a", "b"})
 	if !shares.ExceedsBurst(rules, "a", floor) || shares.ExceedsBurst(rules, "b", floor) {
-		t.Fatalf("usage a %v, b %v: only a is ahead of its share", shares.Usage("a"), shares.Usage("b"))
+		t.Fatalf("usage a %v, b %v: want only a to exceed the burst", shares.Usage("a"), shares.Usage("b"))
 	}
 	if shares.ExceedsBurst(structs.Rules{}, "a", floor) {
-		t.Fatal("the rule is off")
+		t.Fatal("limited although the rule is disabled")
 	}
 	shares.Join("c", floor)
 	if shares.Usage("c") != floor {
-		t.Fatalf("a team that comes back starts at %v, want %v", shares.Usage("c"), floor)
+		t.Fatalf("a returning team starts at %v, want %v", shares.Usage("c"), floor)
 	}
 }
 
@@ -151,10 +151,10 @@
 	}
 }
 
-func TestPausesLearnWhoReturns(t *testing.T) {
+func TestPausesEstimateReturnProbability(t *testing.T) {
 	pauses := NewPauses()
 	if pauses.ReturnProbability(time.Hour) != 1 {
-		t.Fatal("nothing is known yet, so nothing is to be released")
+		t.Fatal("want a return probability of 1 without samples")
 	}
 	for i := range 1000 {
 		pauses.ObserveReturn(time.Duration(300+i%200)*time.Millisecond, false)
@@ -164,14 +164,14 @@
 	}
 	early, late := pauses.ReturnProbability(100*time.Millisecond), pauses.ReturnProbability(5*time.Second)
 	if early < 0.85 || late > 0.05 {
-		t.Fatalf("chance of return %v early and %v late", early, late)
+		t.Fatalf("return probability %v early and %v late", early, late)
 	}
 	if limit := pauses.AbandonTimeout(); limit < time.Second || limit > 3*time.Second {
-		t.Fatalf("presumed lost after %v", limit)
+		t.Fatalf("presumed abandoned after %v", limit)
 	}
 	rules := structs.DefaultRules()
 	if !Retain(rules, early, 0.99) || Retain(rules, late, 0.1) {
-		t.Fatal("want early pauses held and late ones let go")
+		t.Fatal("want prefixes retained in early pauses and released in late ones")
 	}
 }
 
@@ -184,16 +184,16 @@
 	if h.State != Ejected || h.EffectiveSlots(8) != 0 {
 		t.Fatalf("state %v after slow runs", h.State)
 	}
-	now = h.Until
+	now = h.EjectedUntil
 	h.Advance(now)
 	if h.State != Probation || h.EffectiveSlots(8) != 1 {
 		t.Fatalf("state %v after the ejection", h.State)
 	}
 	h.RecordFailure(rules, now, true)
-	if h.State != Ejected || h.Until.Sub(now) <= minEjection {
-		t.Fatalf("a failure on probation: %v for %v, want a longer ejection", h.State, h.Until.Sub(now))
+	if h.State != Ejected || h.EjectedUntil.Sub(now) <= minEjection {
+		t.Fatalf("a failure on probation: %v for %v, want a longer ejection", h.State, h.EjectedUntil.Sub(now))
 	}
-	h.Advance(h.Until)
+	h.Advance(h.EjectedUntil)
 	for range probationRuns {
 		h.RecordSuccess(rules, now, 1, true)
 	}
@@ -204,7 +204,7 @@
 		h.RecordFailure(rules, now, false)
 	}
 	if h.State != Healthy {
-		t.Fatal("ejected although no more targets may be")
+		t.Fatal("ejected although ejection was not allowed")
 	}
 }
 
@@ -217,12 +217,12 @@
 			allowed++
 		}
 	}
-	if limit := retryBurst + 1000*retryShare; float64(allowed) > limit || allowed < 200 {
+	if limit := retryBurst + 1000*retryRatio; float64(allowed) > limit || allowed < 200 {
 		t.Fatalf("%d of 1000 retries allowed, want about %v", allowed, limit)
 	}
 }
 
-func TestLatenessTellsTheWaitOfASaturatedClass(t *testing.T) {
+func TestLatenessPredictsWaitOfSaturatedClass(t *testing.T) {
 	const position = 100 * time.Millisecond
 	var l Lateness
 	l.ObserveGrant(0, 0, true)
@@ -234,7 +234,7 @@
 		t.Errorf("wait %v of a call due in 4 s, want about 5 s", wait)
 	}
 	if wait := l.ExpectedWait(now, now+time.Hour, position); wait != position {
-		t.Errorf("a backlog of 20 s told of a wait of %v", wait)
+		t.Errorf("wait %v predicted from a backlog of 20 s, want that by position", wait)
 	}
 	l.ObserveGrant(now, now, true)
 	if wait := l.ExpectedWait(now+time.Second, now+4*time.Second, position); wait != position {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -19,12 +19,12 @@
 	want := Order(candidates("key", names))
 	slices.Reverse(names)
 	if got := Order(candidates("key", names)); !slices.Equal(got, want) {
-		t.Errorf("got %v, before %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// A name that goes moves only the keys that it was first for.
-func TestFewKeysMove(t *testing.T) {
+// Removing a name moves only the keys for which it was first.
+func TestRemovedNameMovesOnlyItsKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for i := range 200 {
 		key := fmt.Sprint("key", i)
