--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -24,7 +24,7 @@
 
 // Keep makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
-func (k *Keeper) Keep(ctx context.Context, program string, turn serve.EndedTurn) error {
+func (k *Keeper) Keep(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := k.partitionOf(program)
 	w := &writing{keeper: k, home: home, turn: structs.KeptTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -128,12 +128,12 @@
 	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
-	return serve.New(serve.Parts{
+	return serve.New(serve.Config{
 		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: keeper, Allowances: allowances,
-		Conversations: conversations, Notices: keeper, Health: health, Currency: currency,
-		Memory: memlimit.New(int64(float64(machine.MemoryBytes)*requestsShare), scope),
-		Keys:   keyPolicy(machine),
-		Scope:  scope, Log: log,
+		Conversations: conversations, Notices: keeper, Health: health, Freshness: currency,
+		Memory:    memlimit.New(int64(float64(machine.MemoryBytes)*requestsShare), scope),
+		KeyPolicy: keyPolicy(machine),
+		Scope:     scope, Log: log,
 	})
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	e.server.SetTable(route.NewTable(settings))
-	e.keepsTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.KeepsTurns }))
+	e.keepsTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.StoresTurns }))
 	e.allowances.SetActive(settings.Organisations.Limited())
 	e.log.Info("settings in force", "settings_version", settings.Version, "offset", r.Offset,
 		"routes", len(settings.Routes), "organisations", settings.Organisations.Len())
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -29,15 +29,15 @@
 	// ErrNotSent tells that no byte of the request can have reached the
 	// target: the connection could not be opened.
 	ErrNotSent = errors.New("no connection to the target")
-	// ErrBroken tells that the connection broke, or carried something that is
+	// ErrConnBroken tells that the connection broke, or carried something that is
 	// no answer, after the request may have been sent.
-	ErrBroken = errors.New("the connection to the target broke")
-	// ErrUnanswered tells, beside ErrBroken, that the connection ended before
+	ErrConnBroken = errors.New("the connection to the target broke")
+	// ErrNoResponse tells, beside ErrConnBroken, that the connection ended before
 	// the head of an answer was there.
-	ErrUnanswered = errors.New("the connection ended without an answer")
-	// ErrReused tells, beside ErrBroken, that the connection had carried a
+	ErrNoResponse = errors.New("the connection ended without an answer")
+	// ErrReusedConn tells, beside ErrConnBroken, that the connection had carried a
 	// request before: the target may have dropped it while it was idle.
-	ErrReused = errors.New("the connection was used before")
+	ErrReusedConn = errors.New("the connection was used before")
 )
 
 // Request is a request to a target.
@@ -91,7 +91,7 @@
 
 // Do sends a request and reads the head of the answer. When the context ends,
 // the connection is closed, which ends the work at the target. Errors are
-// ErrNotSent or ErrBroken, or that of the context.
+// ErrNotSent or ErrConnBroken, or that of the context.
 //
 // The function accept looks at the head of each answer; an answer that it does
 // not accept belongs to an earlier request and is skipped.
@@ -106,7 +106,7 @@
 		stop()
 		p.drop(c)
 		if ctx.Err() != nil {
-			return nil, errors.Mark(errors.Mark(err, context.Cause(ctx)), ErrBroken)
+			return nil, errors.Mark(errors.Mark(err, context.Cause(ctx)), ErrConnBroken)
 		}
 		return nil, p.broken(c, err)
 	}
@@ -123,13 +123,13 @@
 // broken marks the error of a connection that broke. If it had been idle, the
 // others to its target may have been dropped as well and are given up.
 func (p *Pool) broken(c *conn, err error) error {
-	err = errors.Mark(err, ErrBroken)
+	err = errors.Mark(err, ErrConnBroken)
 	if ended(err) {
-		err = errors.Mark(err, ErrUnanswered)
+		err = errors.Mark(err, ErrNoResponse)
 	}
 	if c.reused {
-		p.Forget(c.address)
-		err = errors.Mark(err, ErrReused)
+		p.CloseIdle(c.address)
+		err = errors.Mark(err, ErrReusedConn)
 	}
 	return err
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -174,7 +174,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		_, err := exchangeOnce(ctx, p, s.address, nil)
 		cancel()
-		if !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotSent) {
+		if !errors.Is(err, ErrConnBroken) || errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if _, requests := s.counts(); requests != 1 {
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// Room decides who is let in while there is too little room.
-type Room interface {
+// Admission decides who is let in while there is too little room.
+type Admission interface {
 	// Admit decides on a request.
 	Admit(request overload.Request, now time.Time) policy.RoomVerdict
 	// Again and AgainAfterFailure tell whether a request may go to one more target,
@@ -31,12 +31,12 @@
 // mayBegin tells whether a turn may be a program's first: of a route that keeps
 // turns one that continues none.
 func (x *transfer) mayBegin() bool {
-	return x.isTurn() && x.call.LastEvent == "" && (!x.route.KeepsTurns || x.call.PreviousTurn == "")
+	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
 // begins tells whether a turn with room in its budget is its program's first.
 func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.KeepsTurns || lease.First())
+	return x.mayBegin() && (x.route.StoresTurns || lease.First())
 }
 
 // hasRoom asks for room before anything is asked of others. First turns ask
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -129,10 +129,10 @@
 	back int
 }
 
-func (n *nearLimit) Admit(context.Context, Entry) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                       {}
-func (n *nearLimit) Use() float64                                 { return n.use }
-func (n *nearLimit) GiveBack()                                    { n.back++ }
+func (n *nearLimit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
+func (n *nearLimit) Again()                                                  {}
+func (n *nearLimit) Use() float64                                            { return n.use }
+func (n *nearLimit) GiveBack()                                               { n.back++ }
 
 func TestAnOrganisationsUseCountsAndItsPermitIsGivenBack(t *testing.T) {
 	w, _ := withLimit(t)
