--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -22,22 +22,22 @@
 	causeClosed cause = "closed"
 )
 
-// forgetAfter is how long it is remembered why the last connection to an
+// closeCauseRetention is how long it is remembered why the last connection to an
 // address went.
-const forgetAfter = time.Minute
+const closeCauseRetention = time.Minute
 
-// place is what is known of one address.
-type place struct {
+// addressState is what is known of one address.
+type addressState struct {
 	idle []*conn
 	// inUse counts the connections that carry a request.
 	inUse int
-	// lost is why the last idle connection went, at lostAt.
-	lost   cause
-	lostAt time.Time
+	// closeCause is why the last idle connection went, at closedAt.
+	closeCause cause
+	closedAt   time.Time
 }
 
 // take takes the connection used last, nil if there is none.
-func (p *place) take() *conn {
+func (p *addressState) take() *conn {
 	if len(p.idle) == 0 {
 		return nil
 	}
@@ -49,12 +49,12 @@
 }
 
 // expire closes the connections that were idle for too long.
-func (p *place) expire(now time.Time) {
+func (p *addressState) expire(now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if now.After(c.expires) {
 			_ = c.Close() // an idle connection has nothing to lose
-			p.lose(causeExpired, now)
+			p.recordClose(causeExpired, now)
 			continue
 		}
 		kept = append(kept, c)
@@ -63,30 +63,30 @@
 }
 
 // closeIdle closes all idle connections.
-func (p *place) closeIdle() {
+func (p *addressState) closeIdle() {
 	for _, c := range p.idle {
 		_ = c.Close() // an idle connection has nothing to lose
 	}
 	p.idle = nil
 }
 
-// lose notes why an idle connection went.
-func (p *place) lose(why cause, now time.Time) { p.lost, p.lostAt = why, now }
+// recordClose notes why an idle connection went.
+func (p *addressState) recordClose(why cause, now time.Time) { p.closeCause, p.closedAt = why, now }
 
-// opens is why a connection has to be opened.
-func (p *place) opens(now time.Time) cause {
+// openCause is why a connection has to be opened.
+func (p *addressState) openCause(now time.Time) cause {
 	switch {
 	case p.inUse > 0:
 		return causeBusy
-	case p.lost != "" && now.Sub(p.lostAt) < forgetAfter:
-		return p.lost
+	case p.closeCause != "" && now.Sub(p.closedAt) < closeCauseRetention:
+		return p.closeCause
 	}
 	return causeFirst
 }
 
-// unused tells whether nothing of the address needs to be remembered.
-func (p *place) unused(now time.Time) bool {
-	return len(p.idle) == 0 && p.inUse == 0 && now.Sub(p.lostAt) >= forgetAfter
+// forgettable tells whether nothing of the address needs to be remembered.
+func (p *addressState) forgettable(now time.Time) bool {
+	return len(p.idle) == 0 && p.inUse == 0 && now.Sub(p.closedAt) >= closeCauseRetention
 }
 
 // causeCounters count the connections opened by cause.
--- a/internal/exchange/causes_test.go
+++ b/internal/exchange/causes_test.go
@@ -9,7 +9,7 @@
 
 // Each connection opened is counted by why none that was kept could be used.
 func TestOpenedConnectionsAreCountedByCause(t *testing.T) {
-	s := newScripted(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okAnswer })
 	scope := tally.NewTestScope("", nil)
 	p := NewPool(scope)
 	t.Cleanup(p.close)
@@ -37,11 +37,11 @@
 			t.Errorf("%d opened as %s, want %d", got, why, want)
 		}
 	}
-	if at := p.places[s.address]; at.inUse != 0 {
+	if at := p.addresses[s.address]; at.inUse != 0 {
 		t.Errorf("%d connections in use", at.inUse)
 	}
-	p.sweep(time.Now().Add(2 * forgetAfter))
-	if len(p.places) != 0 {
+	p.sweep(time.Now().Add(2 * closeCauseRetention))
+	if len(p.addresses) != 0 {
 		t.Error("an address without connections is remembered")
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -14,15 +14,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// concurrentBody is the size of a body, in bytes, above which it is written
+// concurrentBodyBytes is the size of a body, in bytes, above which it is written
 // while the answer is read: a target may answer before it has read a long one.
-const concurrentBody = 16 << 10
+const concurrentBodyBytes = 16 << 10
 
 // maxInformational bounds the 1xx answers before the final one.
 const maxInformational = 5
 
-// aLongTimeAgo is a deadline that ends reads and writes at once.
-var aLongTimeAgo = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends reads and writes at once.
+var expiredDeadline = time.Unix(1, 0)
 
 // Errors of a send, by how far it got.
 var (
@@ -66,8 +66,8 @@
 	written *bodyWrite
 	stop    func() bool
 	once    sync.Once
-	// whole is set when the body was read to its end.
-	whole bool
+	// complete is set when the body was read to its end.
+	complete bool
 }
 
 // bodyWrite is a body that is written while the answer is read.
@@ -76,8 +76,8 @@
 	err  error
 }
 
-// finished tells whether the whole body was written.
-func (b *bodyWrite) finished() bool {
+// complete tells whether the whole body was written.
+func (b *bodyWrite) complete() bool {
 	if b == nil {
 		return true
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "connect"), ErrNotSent)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(aLongTimeAgo) })
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(expiredDeadline) })
 	resp, err := p.exchange(c, req, accept)
 	if err != nil {
 		stop()
@@ -117,14 +117,14 @@
 // drop closes a connection with what is left on it.
 func (p *Pool) drop(c *conn) {
 	_ = c.Close() // it is given up
-	p.ended(c.address)
+	p.release(c.address)
 }
 
 // broken marks the error of a connection that broke. If it had been idle, the
 // others to its target may have been dropped as well and are given up.
 func (p *Pool) broken(c *conn, err error) error {
 	err = errors.Mark(err, ErrConnBroken)
-	if ended(err) {
+	if isConnEnd(err) {
 		err = errors.Mark(err, ErrNoResponse)
 	}
 	if c.reused {
@@ -134,8 +134,8 @@
 	return err
 }
 
-// ended tells whether an error is the end of a connection.
-func ended(err error) bool {
+// isConnEnd tells whether an error is the end of a connection.
+func isConnEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -143,7 +143,7 @@
 func (p *Pool) exchange(c *conn, req Request, accept func(int, http.Header) bool) (*Response, error) {
 	head := encodeHead(req)
 	var written *bodyWrite
-	if len(req.Body) <= concurrentBody {
+	if len(req.Body) <= concurrentBodyBytes {
 		if _, err := c.Write(append(head, req.Body...)); err != nil {
 			return nil, errors.Wrap(err, "send")
 		}
@@ -158,7 +158,7 @@
 		Status: raw.StatusCode, Header: raw.Header, Length: raw.ContentLength,
 		pool: p, conn: c, raw: raw, written: written,
 	}
-	resp.Body = &wholeReader{resp: resp}
+	resp.Body = &completionReader{resp: resp}
 	if skipped {
 		raw.Close = true
 	}
@@ -230,13 +230,13 @@
 	return b.Bytes()
 }
 
-// wholeReader notes when the body was read to its end.
-type wholeReader struct{ resp *Response }
+// completionReader notes when the body was read to its end.
+type completionReader struct{ resp *Response }
 
-func (w *wholeReader) Read(p []byte) (int, error) {
+func (w *completionReader) Read(p []byte) (int, error) {
 	n, err := w.resp.raw.Body.Read(p)
 	if err == io.EOF {
-		w.resp.whole = true
+		w.resp.complete = true
 	}
 	return n, err
 }
@@ -250,7 +250,7 @@
 
 func (r *Response) release(keepAlive time.Duration) {
 	cancelled := !r.stop()
-	reusable := r.whole && !r.raw.Close && !cancelled && r.written.finished() && r.conn.reader.Buffered() == 0
+	reusable := r.complete && !r.raw.Close && !cancelled && r.written.complete() && r.conn.reader.Buffered() == 0
 	if !reusable {
 		r.pool.drop(r.conn)
 		return
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,9 +17,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// scripted is a target that answers each request on a connection with the next
+// scriptedTarget is a target that answers each request on a connection with the next
 // text of a script, and counts connections.
-type scripted struct {
+type scriptedTarget struct {
 	address string
 	mu      sync.Mutex
 	conns   int
@@ -27,15 +27,15 @@
 	requests []string
 }
 
-// newScripted starts a target. The function answer gets the number of the
+// newScriptedTarget starts a target. The function answer gets the number of the
 // request over all connections, from 1; an empty text ends the connection.
-func newScripted(t *testing.T, answer func(n int) string) *scripted {
+func newScriptedTarget(t *testing.T, answer func(n int) string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{address: l.Addr().String()}
+	s := &scriptedTarget{address: l.Addr().String()}
 	var work sync.WaitGroup
 	t.Cleanup(func() {
 		_ = l.Close() // ends Accept
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (s *scripted) serve(c net.Conn, answer func(int) string) {
+func (s *scriptedTarget) serve(c net.Conn, answer func(int) string) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (s *scripted) counts() (conns, requests int) {
+func (s *scriptedTarget) counts() (conns, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns, len(s.requests)
@@ -109,7 +109,7 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	s := newScripted(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okAnswer })
 	p := newPool(t)
 	for range 5 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -122,7 +122,7 @@
 }
 
 func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	s := newScripted(t, func(int) string { return okAnswer + "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 5\r\n\r\nextra" })
+	s := newScriptedTarget(t, func(int) string { return okAnswer + "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 5\r\n\r\nextra" })
 	p := newPool(t)
 	for range 3 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -136,7 +136,7 @@
 
 func TestAnswerToAnEarlierRequestIsSkipped(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nId: earlier\r\nContent-Length: 4\r\n\r\nlate"
-	s := newScripted(t, func(int) string { return late + okAnswer })
+	s := newScriptedTarget(t, func(int) string { return late + okAnswer })
 	p := newPool(t)
 	for range 2 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestHowFarASendGot(t *testing.T) {
+func TestSendErrors(t *testing.T) {
 	p := newPool(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,7 +165,7 @@
 		"half a head":   "HTTP/1.1 200 OK\r\nId: mi",
 		"other answers": strings.Repeat("HTTP/1.1 200 OK\r\nId: x\r\nContent-Length: 0\r\n\r\n", maxInformational),
 	} {
-		s := newScripted(t, func(n int) string {
+		s := newScriptedTarget(t, func(n int) string {
 			if n > 1 {
 				return ""
 			}
@@ -189,7 +189,7 @@
 		"chunked": "HTTP/1.1 200 OK\r\nId: mine\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 	} {
 		sent := false
-		s := newScripted(t, func(int) string {
+		s := newScriptedTarget(t, func(int) string {
 			if sent {
 				return ""
 			}
@@ -206,7 +206,7 @@
 }
 
 func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
-	s := newScripted(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okAnswer })
 	p := newPool(t)
 	long := bytes.Repeat([]byte("x"), 8<<20)
 	if got, err := exchangeOnce(t.Context(), p, s.address, long); got != "ok" || err != nil {
@@ -218,7 +218,7 @@
 }
 
 func TestExpiredConnectionsAreNotUsed(t *testing.T) {
-	s := newScripted(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okAnswer })
 	p := newPool(t)
 	resp, err := p.Do(t.Context(), Request{Address: s.address, Method: "GET", URI: "/", Host: "h"}, acceptMine)
 	if err != nil {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -27,16 +27,16 @@
 	// retransmissions. A dropped connection is noticed then and not at the
 	// route's timeout.
 	unackedTimeout = 700 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the target does not say.
-	defaultIdle = 4 * time.Second
+	// defaultIdleTimeout is how long a connection is kept if the target does not say.
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is kept of the time that the target states, in whole seconds,
-	// so that a request does not cross the target's close; idleShare of the time
+	// so that a request does not cross the target's close; minIdleFraction of the time
 	// is used at least.
-	idleMargin = time.Second
-	idleShare  = 0.75
-	// readBuffer is the size of a connection's read buffer, in bytes: an
+	idleMargin      = time.Second
+	minIdleFraction = 0.75
+	// readBufferBytes is the size of a connection's read buffer, in bytes: an
 	// answer's head with a small body.
-	readBuffer = 2 << 10
+	readBufferBytes = 2 << 10
 	// sweepInterval is the time between two searches for expired connections.
 	sweepInterval = time.Second
 )
@@ -47,9 +47,9 @@
 
 	opened causeCounters
 
-	mu     sync.Mutex
-	places map[string]*place
-	closed bool
+	mu        sync.Mutex
+	addresses map[string]*addressState
+	closed    bool
 }
 
 // conn is a connection to a target.
@@ -66,9 +66,9 @@
 // NewPool makes an empty pool.
 func NewPool(scope tally.Scope) *Pool {
 	return &Pool{
-		dialer: netopt.Dialer(dialTimeout, unackedTimeout),
-		opened: newCauseCounters(scope),
-		places: make(map[string]*place),
+		dialer:    netopt.Dialer(dialTimeout, unackedTimeout),
+		opened:    newCauseCounters(scope),
+		addresses: make(map[string]*addressState),
 	}
 }
 
@@ -91,7 +91,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, at := range p.places {
+	for _, at := range p.addresses {
 		at.closeIdle()
 	}
 }
@@ -99,10 +99,10 @@
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, at := range p.places {
+	for address, at := range p.addresses {
 		at.expire(now)
-		if at.unused(now) {
-			delete(p.places, address)
+		if at.forgettable(now) {
+			delete(p.addresses, address)
 		}
 	}
 }
@@ -114,26 +114,26 @@
 		if c == nil {
 			break
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.idle() {
 			c.reused = true
 			return c, nil
 		}
-		p.giveUp(c, now)
+		p.discard(c, now)
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		p.ended(address)
+		p.release(address)
 		return nil, err
 	}
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// at finds what is known of an address. The mutex is held.
-func (p *Pool) at(address string) *place {
-	at := p.places[address]
+// stateOf finds what is known of an address. The mutex is held.
+func (p *Pool) stateOf(address string) *addressState {
+	at := p.addresses[address]
 	if at == nil {
-		at = new(place)
-		p.places[address] = at
+		at = new(addressState)
+		p.addresses[address] = at
 	}
 	return at
 }
@@ -143,41 +143,41 @@
 func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(address)
+	at := p.stateOf(address)
 	c := at.take()
 	if c == nil {
-		p.opened[at.opens(now)].Inc(1)
+		p.opened[at.openCause(now)].Inc(1)
 	}
 	at.inUse++
 	return c
 }
 
-// giveUp closes an idle connection that was taken and can't be used.
-func (p *Pool) giveUp(c *conn, now time.Time) {
+// discard closes an idle connection that was taken and can't be used.
+func (p *Pool) discard(c *conn, now time.Time) {
 	_ = c.Close() // it is given up either way
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(c.address)
+	at := p.stateOf(c.address)
 	at.inUse--
 	why := causeClosed
 	if !now.Before(c.expires) {
 		why = causeExpired
 	}
-	at.lose(why, now)
+	at.recordClose(why, now)
 }
 
-// ended counts a connection that carries no request any more.
-func (p *Pool) ended(address string) {
+// release counts a connection that carries no request any more.
+func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.at(address).inUse--
+	p.stateOf(address).inUse--
 }
 
 // HasIdle tells whether an idle connection to an address can be used.
 func (p *Pool) HasIdle(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.places[address]
+	at := p.addresses[address]
 	if at == nil || len(at.idle) == 0 {
 		return false
 	}
@@ -188,22 +188,22 @@
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := p.places[address]; at != nil {
+	if at := p.addresses[address]; at != nil {
 		at.closeIdle()
-		at.lose(causeClosed, time.Now())
+		at.recordClose(causeClosed, time.Now())
 	}
 }
 
 // put keeps a connection whose answer was read to its end.
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
-	idle := defaultIdle
+	idle := defaultIdleTimeout
 	if keepAlive > 0 {
-		idle = max(time.Duration(float64(keepAlive)*idleShare), keepAlive-idleMargin)
+		idle = max(time.Duration(float64(keepAlive)*minIdleFraction), keepAlive-idleMargin)
 	}
 	c.expires = now.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(c.address)
+	at := p.stateOf(c.address)
 	at.inUse--
 	if p.closed {
 		_ = c.Close() // nothing is under way on it
@@ -212,9 +212,9 @@
 	at.idle = append(at.idle, c)
 }
 
-// quiet tells whether nothing has arrived on an idle connection: bytes that
+// idle tells whether nothing has arrived on an idle connection: bytes that
 // nobody asked for, or its end, make it unusable.
-func (c *conn) quiet() bool {
+func (c *conn) idle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -226,11 +226,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var probe [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = peekErr == syscall.EAGAIN
+		idle = peekErr == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -131,7 +131,7 @@
 // Match finds the route of a request: the longest prefix of the path among the
 // routes of the host. The host may carry a port.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	byPrefix, ok := t.byHost[hostName(host)]
+	byPrefix, ok := t.byHost[normalizeHost(host)]
 	if !ok {
 		return nil, false
 	}
@@ -143,8 +143,8 @@
 	return nil, false
 }
 
-// hostName is a host in lower case without its port.
-func hostName(host string) string {
+// normalizeHost is a host in lower case without its port.
+func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			host = name
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestOnlyOnceAndFixedStreamsMayNotRepeat(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	cases := map[*Route]bool{
 		{Kind: Repeatable}: true, {Kind: Once}: false, {Kind: Stream}: false, {Kind: Stream, Resumable: true}: true,
 	}
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -28,28 +28,28 @@
 // isTurn tells whether the request is a turn of a program.
 func (x *transfer) isTurn() bool { return x.call.Turn != nil && x.route.Kind == route.Stream }
 
-// mayBegin tells whether a turn may be a program's first: of a route that keeps
+// mayStartProgram tells whether a turn may be a program's first: of a route that keeps
 // turns one that continues none.
-func (x *transfer) mayBegin() bool {
+func (x *transfer) mayStartProgram() bool {
 	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
-// begins tells whether a turn with room in its budget is its program's first.
-func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.StoresTurns || lease.First())
+// startsProgram tells whether a turn with room in its budget is its program's first.
+func (x *transfer) startsProgram(lease Lease) bool {
+	return x.mayStartProgram() && (x.route.StoresTurns || lease.First())
 }
 
-// hasRoom asks for room before anything is asked of others. First turns ask
+// checkAdmission asks for room before anything is asked of others. First turns ask
 // later: the owner of their budget tells the load of the services, which an
 // instance that refuses all of them would not hear of.
-func (x *transfer) hasRoom() bool {
-	return x.mayBegin() || x.admitClass(x.roomClass(false))
+func (x *transfer) checkAdmission() bool {
+	return x.mayStartProgram() || x.admitClass(x.admissionClass(false))
 }
 
-// hasRoomForTurn asks for room for a turn that may have been its program's first,
+// checkTurnAdmission asks for room for a turn that may have been its program's first,
 // once that is known; its organisation lets it in.
-func (x *transfer) hasRoomForTurn(begins bool) bool {
-	if !x.mayBegin() || x.admitClass(x.roomClass(begins)) {
+func (x *transfer) checkTurnAdmission(first bool) bool {
+	if !x.mayStartProgram() || x.admitClass(x.admissionClass(first)) {
 		return true
 	}
 	if x.permit != nil {
@@ -58,8 +58,8 @@
 	return false
 }
 
-// roomClass is what is lost if the request is refused.
-func (x *transfer) roomClass(first bool) policy.RoomClass {
+// admissionClass is what is lost if the request is refused.
+func (x *transfer) admissionClass(first bool) policy.RoomClass {
 	switch {
 	case x.call.Program == "":
 		return policy.RoomOutside
@@ -75,41 +75,41 @@
 
 // admitClass returns false if the request has been refused.
 func (x *transfer) admitClass(class policy.RoomClass) bool {
-	asked := overload.Request{
-		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.urgency(),
-		Call: x.call.Program != "" && !x.isTurn(), Use: x.use(), TimeLeft: time.Until(x.deadline),
+	request := overload.Request{
+		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.combinedPriority(),
+		Call: x.call.Program != "" && !x.isTurn(), Use: x.utilization(), TimeLeft: time.Until(x.deadline),
 	}
-	verdict := x.server.room.Admit(asked, time.Now())
+	verdict := x.server.admission.Admit(request, time.Now())
 	if verdict.Admit {
 		return true
 	}
-	x.detail = overload.Describe(asked, verdict)
-	x.refuse(http.StatusServiceUnavailable, reasonNoRoom, verdict.RetryAfter)
+	x.detail = overload.Describe(request, verdict)
+	x.refuse(http.StatusServiceUnavailable, reasonNoCapacity, verdict.RetryAfter)
 	return false
 }
 
-// routeRanks is the number of ranks of routes within one of organisations.
-const routeRanks = 3
+// routePriorities is the number of ranks of routes within one of organisations.
+const routePriorities = 3
 
-// urgency is the organisation's rank and, within it, the route's; 0 is the most
+// combinedPriority is the organisation's rank and, within it, the route's; 0 is the most
 // urgent.
-func (x *transfer) urgency() int {
-	within := min(x.route.Priority, routeRanks-1)
+func (x *transfer) combinedPriority() int {
+	within := min(x.route.Priority, routePriorities-1)
 	if x.org == nil || x.org.Priority == nil {
 		return within
 	}
-	return *x.org.Priority*routeRanks + within
+	return *x.org.Priority*routePriorities + within
 }
 
-// use is what the request's organisation uses, 0 if that is not known.
-func (x *transfer) use() float64 {
+// utilization is what the request's organisation uses, 0 if that is not known.
+func (x *transfer) utilization() float64 {
 	if x.permit == nil {
 		return 0
 	}
 	return x.permit.Use()
 }
 
-// comeBack is when the caller should come back after no target took the request.
-func (x *transfer) comeBack() time.Duration {
-	return x.server.room.ComeBack(x.service, time.Until(x.deadline), time.Now())
+// targetRetryAfter is when the caller should come back after no target took the request.
+func (x *transfer) targetRetryAfter() time.Duration {
+	return x.server.admission.ComeBack(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -17,46 +17,46 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// fullRoom refuses a class of requests and allows no second send.
-type fullRoom struct {
+// fakeAdmission refuses a class of requests and allows no second send.
+type fakeAdmission struct {
 	refused policy.RoomClass
 
-	mu    sync.Mutex
-	asked []overload.Request
+	mu       sync.Mutex
+	requests []overload.Request
 }
 
-func (f *fullRoom) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
+func (f *fakeAdmission) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked = append(f.asked, r)
+	f.requests = append(f.requests, r)
 	return policy.RoomVerdict{
 		Admit: r.Class != f.refused, Cause: policy.RoomPoolFull, RetryAfter: 300 * time.Millisecond,
 		Pool: policy.PoolLoad{Service: r.Service, Fill: 1.7},
 	}
 }
 
-func (f *fullRoom) Again(string, int, time.Time) bool        { return false }
-func (f *fullRoom) AgainAfterFailure(string, time.Time) bool { return false }
-func (f *fullRoom) Dump(time.Time) []overload.Dump           { return nil }
-func (f *fullRoom) Served(string, time.Duration)             {}
+func (f *fakeAdmission) Again(string, int, time.Time) bool        { return false }
+func (f *fakeAdmission) AgainAfterFailure(string, time.Time) bool { return false }
+func (f *fakeAdmission) Dump(time.Time) []overload.Dump           { return nil }
+func (f *fakeAdmission) Served(string, time.Duration)             {}
 
-func (f *fullRoom) ComeBack(string, time.Duration, time.Time) time.Duration {
+func (f *fakeAdmission) ComeBack(string, time.Duration, time.Time) time.Duration {
 	return 70 * time.Millisecond
 }
 
 // turn makes a turn of a program.
-func (w *world) turn(path, id string, header ...string) *http.Request {
+func (w *harness) turn(path, id string, header ...string) *http.Request {
 	return w.request("POST", path, "b", append([]string{
 		"Banyanglade-Request-Id", id, "Banyanglade-Program-Id", "p", "Banyanglade-Token-Budget", "1000",
 		"Banyanglade-Token-Usage", "10,20",
 	}, header...)...)
 }
 
-func TestAFirstTurnWithoutRoomIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t)
-	engine := w.target("e", "engine", serveEvents(1, never))
-	room := &fullRoom{refused: policy.RoomFirst}
-	w.server.room = room
+func TestFirstTurnWithoutCapacityIsRefused(t *testing.T) {
+	w := newHarness(t)
+	engine := w.target("e", "engine", serveEvents(1, neverCut))
+	room := &fakeAdmission{refused: policy.RoomFirst}
+	w.server.admission = room
 	got := w.do(w.turn("/kept/x", "t1"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.3" || !strings.Contains(got.body, "no_room") {
 		t.Errorf("got %+v", got)
@@ -75,14 +75,14 @@
 	if got := w.do(w.turn("/turns/x", "t3")); got.status != 503 {
 		t.Errorf("the first turn on a route that does not keep turns: %+v", got)
 	}
-	if asked, settled := len(w.budgets.asked), len(w.budgets.settled); asked != settled {
+	if asked, settled := len(w.budgets.requests), len(w.budgets.settled); asked != settled {
 		t.Errorf("%d leases, %d settled", asked, settled)
 	}
 }
 
-func TestClassesOfRequests(t *testing.T) {
-	w := newWorld(t)
-	w.target("e", "engine", serveEvents(1, never))
+func TestAdmissionClasses(t *testing.T) {
+	w := newHarness(t)
+	w.target("e", "engine", serveEvents(1, neverCut))
 	w.target("a", "app", serveText("ok"))
 	w.budgets.target = "e"
 	for _, test := range []struct {
@@ -100,20 +100,20 @@
 			"Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, true},
 		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomOutside, false},
 	} {
-		room := &fullRoom{refused: test.class}
-		w.server.room = room
+		room := &fakeAdmission{refused: test.class}
+		w.server.admission = room
 		got := w.do(test.request)
-		if got.status != 503 || len(room.asked) != 1 || room.asked[0].Class != test.class || room.asked[0].Call != test.call {
-			t.Errorf("%s: got %d, asked %+v", test.name, got.status, room.asked)
+		if got.status != 503 || len(room.requests) != 1 || room.requests[0].Class != test.class || room.requests[0].Call != test.call {
+			t.Errorf("%s: got %d, asked %+v", test.name, got.status, room.requests)
 		}
 	}
 }
 
-func TestFullTargetsAreNotAskedBeyondTheBudgetOfRetries(t *testing.T) {
-	w := newWorld(t)
+func TestRetryBudgetBoundsSendsToFullTargets(t *testing.T) {
+	w := newHarness(t)
 	full := w.target("full", "app", refuseFull)
 	also := w.target("also", "app", refuseFull)
-	w.server.room = &fullRoom{refused: policy.RoomLate}
+	w.server.admission = &fakeAdmission{refused: policy.RoomLate}
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.07" {
 		t.Errorf("got %+v", got)
@@ -123,42 +123,42 @@
 	}
 }
 
-// nearLimit lets requests in and tells of a use.
-type nearLimit struct {
-	use  float64
-	back int
+// utilizationPermit lets requests in and tells of a use.
+type utilizationPermit struct {
+	use      float64
+	returned int
 }
 
-func (n *nearLimit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                                  {}
-func (n *nearLimit) Use() float64                                            { return n.use }
-func (n *nearLimit) GiveBack()                                               { n.back++ }
+func (n *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
+func (n *utilizationPermit) Again()                                                  {}
+func (n *utilizationPermit) Use() float64                                            { return n.use }
+func (n *utilizationPermit) GiveBack()                                               { n.returned++ }
 
-func TestAnOrganisationsUseCountsAndItsPermitIsGivenBack(t *testing.T) {
+func TestOrganisationOverFairUseIsRefusedAndReturnsItsPermit(t *testing.T) {
 	w, _ := withLimit(t)
-	w.target("e", "engine", serveEvents(1, never))
+	w.target("e", "engine", serveEvents(1, neverCut))
 	for use, want := range map[float64]int{0: 0, 0.6: 0, 0.9: 1} {
-		limit := &nearLimit{use: use}
+		limit := &utilizationPermit{use: use}
 		w.server.allowances = limit
-		w.server.room = &fairRoom{}
+		w.server.admission = &fairUseAdmission{}
 		got := w.do(w.turn("/kept/x", fmt.Sprint("t", want, use), "Banyanglade-Credential", keyA))
-		if limit.back != want || (got.status == 503) != (want == 1) {
-			t.Errorf("use %g: got %d, given back %d", use, got.status, limit.back)
+		if limit.returned != want || (got.status == 503) != (want == 1) {
+			t.Errorf("use %g: got %d, given back %d", use, got.status, limit.returned)
 		}
 	}
 }
 
-// fairRoom refuses organisations that use more than is fair.
-type fairRoom struct{ fullRoom }
+// fairUseAdmission refuses organisations that use more than is fair.
+type fairUseAdmission struct{ fakeAdmission }
 
-func (*fairRoom) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
+func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
 	return policy.RoomVerdict{Admit: r.Use <= policy.FairUse, RetryAfter: time.Second}
 }
 
-func TestAnOrganisationsRankGoesBeforeItsRoutes(t *testing.T) {
+func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
 	urgent, later := 0, 1
 	x := func(organisation *int, priority int) int {
-		return (&transfer{org: &org.Organisation{Priority: organisation}, route: &route.Route{Priority: priority}}).urgency()
+		return (&transfer{org: &org.Organisation{Priority: organisation}, route: &route.Route{Priority: priority}}).combinedPriority()
 	}
 	if x(&urgent, 9) >= x(&later, 0) || x(&later, 0) >= x(&later, 1) || x(nil, 0) >= x(nil, 1) {
 		t.Errorf("ranks %d %d %d", x(&urgent, 9), x(&later, 0), x(&later, 1))
@@ -167,8 +167,8 @@
 
 // A send that this instance gave up for taking long goes on elsewhere, whatever is
 // left of the budget of retries: its target might have answered.
-func TestASendGivenUpHereGoesOnElsewhere(t *testing.T) {
-	w := newWorld(t)
+func TestTimedOutSendIsRetriedWithoutRetryBudget(t *testing.T) {
+	w := newHarness(t)
 	var first atomic.Bool
 	slowThenQuick := func(_ int, rw http.ResponseWriter, r *http.Request) {
 		if first.CompareAndSwap(false, true) {
@@ -180,7 +180,7 @@
 	}
 	w.target("a", "app", slowThenQuick)
 	w.target("b", "app", slowThenQuick)
-	w.server.room = &fullRoom{refused: policy.RoomLate}
+	w.server.admission = &fakeAdmission{refused: policy.RoomLate}
 	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/serve/lengths.go
+++ b/internal/serve/callerconn.go
@@ -12,11 +12,11 @@
 
 // net/http drops the length of a request that also comes in chunks, and reads
 // what follows as a second request. Such a request may hide another one from
-// whoever reads it differently, so it has to be refused; a watchedConn notes it
+// whoever reads it differently, so it has to be refused; a callerConn notes it
 // while the head is read.
 
-// watchedConn is a caller's connection whose request heads are looked at.
-type watchedConn struct {
+// callerConn is a caller's connection whose request heads are looked at.
+type callerConn struct {
 	net.Conn
 	// conflict tells that a head held both a length and chunks.
 	conflict atomic.Bool
@@ -24,7 +24,7 @@
 }
 
 // Read reads from the caller.
-func (c *watchedConn) Read(p []byte) (int, error) {
+func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 1 && headConflicts(p[:n]) {
 		c.conflict.Store(true)
@@ -64,20 +64,20 @@
 
 // WrapListener makes a listener for callers whose connections are looked at.
 // ConnContext must be set in the http.Server that uses it.
-func (s *Server) WrapListener(l net.Listener) net.Listener { return watchListener{l, s.memory} }
+func (s *Server) WrapListener(l net.Listener) net.Listener { return callerListener{l, s.memory} }
 
-type watchListener struct {
+type callerListener struct {
 	net.Listener
 	memory *memlimit.Bound
 }
 
 // Accept waits for a caller.
-func (l watchListener) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{Conn: c, memory: l.memory}, nil
+	return &callerConn{Conn: c, memory: l.memory}, nil
 }
 
 // ConnContext makes a caller's connection known to the Server.
@@ -90,6 +90,6 @@
 	if len(r.TransferEncoding) == 0 {
 		return false
 	}
-	c, ok := r.Context().Value(connKey{}).(*watchedConn)
+	c, ok := r.Context().Value(connKey{}).(*callerConn)
 	return ok && c.conflict.Load()
 }
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -14,20 +14,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// conversations is a Conversations whose answers a test sets.
-type conversations struct {
+// fakeConversations is a Conversations whose answers a test sets.
+type fakeConversations struct {
 	mu sync.Mutex
 	// before is the text before each turn.
 	before map[string]string
 	err    error
 	full   bool
 	// hold, if it is set, is what a turn waits for before it is durable.
-	hold    chan struct{}
-	keepErr error
-	kept    []CompletedTurn
+	hold     chan struct{}
+	storeErr error
+	stored   []CompletedTurn
 }
 
-func (c *conversations) Before(_ context.Context, _, turn string) ([]byte, error) {
+func (c *fakeConversations) Before(_ context.Context, _, turn string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -40,7 +40,7 @@
 	return []byte(text), nil
 }
 
-func (c *conversations) Keep(ctx context.Context, _ string, turn CompletedTurn) error {
+func (c *fakeConversations) Keep(ctx context.Context, _ string, turn CompletedTurn) error {
 	if c.hold != nil {
 		select {
 		case <-c.hold:
@@ -50,15 +50,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keepErr != nil {
-		return c.keepErr
+	if c.storeErr != nil {
+		return c.storeErr
 	}
 	turn.Output = slices.Clone(turn.Output)
-	c.kept = append(c.kept, turn)
+	c.stored = append(c.stored, turn)
 	return nil
 }
 
-func (c *conversations) Accepts(time.Duration) bool { return !c.full }
+func (c *fakeConversations) Accepts(time.Duration) bool { return !c.full }
 
 // serveSomeEvents answers with events of several forms.
 func serveSomeEvents(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -71,7 +71,7 @@
 }
 
 func TestTargetGetsTheWholeConversation(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.conversations.before = map[string]string{"id0": "in0\nout0\n"}
 	tg := w.target("t1", "engine", serveSomeEvents)
 	got := w.do(w.request("POST", "/kept/", "new input", "Banyanglade-Previous-Turn", "id0"))
@@ -84,7 +84,7 @@
 	if r := tg.run(0); r.Header.Get("Banyanglade-Previous-Turn") != "id0" || r.ContentLength != int64(len(tg.body[0])) {
 		t.Errorf("target got %v, length %d", r.Header, r.ContentLength)
 	}
-	kept := w.conversations.kept
+	kept := w.conversations.stored
 	if len(kept) != 1 || kept[0].ID != "id1" || kept[0].Previous != "id0" || string(kept[0].Input) != "new input" {
 		t.Fatalf("kept %+v", kept)
 	}
@@ -93,18 +93,18 @@
 	}
 }
 
-func TestOtherRoutesKeepNothing(t *testing.T) {
-	w := newWorld(t)
+func TestOtherRoutesStoreNothing(t *testing.T) {
+	w := newHarness(t)
 	tg := w.target("t1", "engine", serveSomeEvents)
 	w.do(w.request("POST", "/turns/", "input", "Banyanglade-Previous-Turn", "nosuch"))
-	if len(w.conversations.kept) != 0 || tg.body[0] != "input" {
-		t.Errorf("kept %v, target got %q", w.conversations.kept, tg.body)
+	if len(w.conversations.stored) != 0 || tg.body[0] != "input" {
+		t.Errorf("kept %v, target got %q", w.conversations.stored, tg.body)
 	}
 }
 
 // Events go out as they come; only the end waits for the store.
 func TestEndOfATurnWaitsUntilItIsDurable(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.conversations.hold = make(chan struct{})
 	w.target("t1", "engine", serveSomeEvents)
 	resp, err := http.DefaultTransport.RoundTrip(w.request("POST", "/kept/", "input"))
@@ -123,8 +123,8 @@
 }
 
 func TestTurnThatIsNotDurableDoesNotLookWhole(t *testing.T) {
-	w := newWorld(t)
-	w.conversations.keepErr = errors.New("the store is away")
+	w := newHarness(t)
+	w.conversations.storeErr = errors.New("the store is away")
 	w.target("t1", "engine", serveSomeEvents)
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err == nil {
 		t.Errorf("the answer looks whole: %+v", got)
@@ -132,8 +132,8 @@
 }
 
 // A run that goes on at another target is one turn.
-func TestResumedTurnIsKeptWhole(t *testing.T) {
-	w := newWorld(t)
+func TestResumedTurnIsStoredWhole(t *testing.T) {
+	w := newHarness(t)
 	w.target("t1", "engine", serveEvents(4, func(n int) int {
 		if n == 1 {
 			return 2
@@ -143,25 +143,25 @@
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err != nil {
 		t.Fatalf("got %+v", got)
 	}
-	if kept := w.conversations.kept; len(kept) != 1 || string(kept[0].Output) != "x\nx\nx\nx\n" {
+	if kept := w.conversations.stored; len(kept) != 1 || string(kept[0].Output) != "x\nx\nx\nx\n" {
 		t.Errorf("kept %+v", kept)
 	}
 }
 
-func TestAnswersThatAreNoTurnAreNotKept(t *testing.T) {
-	w := newWorld(t)
+func TestFailedTurnIsNotStored(t *testing.T) {
+	w := newHarness(t)
 	w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.kept) > 0 {
-		t.Errorf("got %+v, kept %v", got, w.conversations.kept)
+	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.stored) > 0 {
+		t.Errorf("got %+v, kept %v", got, w.conversations.stored)
 	}
 }
 
 // What cannot be served is refused at once and runs nowhere.
 func TestTurnsThatCannotBeServedDoNotRun(t *testing.T) {
-	long := strings.Repeat("x", maxTurnID+1)
+	long := strings.Repeat("x", maxTurnIDBytes+1)
 	for name, c := range map[string]struct {
 		err      error
 		full     bool
@@ -178,7 +178,7 @@
 		"its own turn":   {header: []string{"Banyanglade-Previous-Turn", "id1"}, status: 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newHarness(t)
 			w.conversations.err, w.conversations.full = c.err, c.full
 			tg := w.target("t1", "engine", serveSomeEvents)
 			got := w.do(w.request("POST", "/kept/", "input", c.header...))
@@ -196,8 +196,8 @@
 }
 
 // The limit on bodies is for what callers send.
-func TestLongConversationIsNotACallersBody(t *testing.T) {
-	w := newWorld(t)
+func TestBodyLimitExcludesStoredConversation(t *testing.T) {
+	w := newHarness(t)
 	before := strings.Repeat("x", 300<<10)
 	w.conversations.before = map[string]string{"id0": before}
 	tg := w.target("t1", "engine", serveSomeEvents)
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -18,9 +18,9 @@
 
 const eventStream = "text/event-stream"
 
-// maxBuffered is the size of the longest plain answer, in bytes, that is held
+// maxBufferedBytes is the size of the longest plain answer, in bytes, that is held
 // until it is whole; a longer one is passed on as it arrives.
-const maxBuffered = 1 << 20
+const maxBufferedBytes = 1 << 20
 
 // deliver passes a target's answer on and tells whether another send may
 // follow.
@@ -29,7 +29,7 @@
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !answer.Signed {
 		x.detail = "a success without a target's signature"
-		return x.brokeOff(target)
+		return x.handleBrokenResponse(target)
 	}
 	if x.route.Kind == route.Stream && success && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream) {
 		return x.deliverStream(target, resp)
@@ -37,35 +37,35 @@
 	if x.headSent {
 		// A stream that was to go on got a plain answer instead.
 		x.detail = "status " + strconv.Itoa(resp.Status) + " to a resumed stream"
-		return x.brokeOff(target)
+		return x.handleBrokenResponse(target)
 	}
 	return x.deliverWhole(target, resp)
 }
 
-// brokeOff handles an answer that cannot be passed on whole.
-func (x *transfer) brokeOff(target *targets.Target) bool {
+// handleBrokenResponse handles an answer that cannot be passed on whole.
+func (x *transfer) handleBrokenResponse(target *targets.Target) bool {
 	if x.ctx.Err() != nil {
-		x.giveUpInTime()
+		x.giveUpOnContext()
 		return false
 	}
-	x.failedAt = target.Incarnation()
+	x.failedTarget = target.Incarnation()
 	x.server.targets.Failed(target, time.Now())
-	return x.mayRepeat()
+	return x.retryOrGiveUp()
 }
 
-// failsTurn tells whether an answer is an engine's failure of a turn, which
+// isTurnFailure tells whether an answer is an engine's failure of a turn, which
 // others seldom give: an engine that fails one is likely to fail more, while its
 // health checks are good. A 504 tells of the time left alone.
-func (x *transfer) failsTurn(resp *exchange.Response) bool {
+func (x *transfer) isTurnFailure(resp *exchange.Response) bool {
 	return x.route.Kind == route.Stream && resp.Status >= http.StatusInternalServerError &&
 		resp.Status != http.StatusGatewayTimeout
 }
 
-// noteFailedTurn keeps turns away from an engine that failed one, here and, for
+// recordTurnFailure keeps turns away from an engine that failed one, here and, for
 // a second, at other instances.
-func (x *transfer) noteFailedTurn(target *targets.Target) {
+func (x *transfer) recordTurnFailure(target *targets.Target) {
 	now := time.Now()
-	x.failedAt = target.Incarnation()
+	x.failedTarget = target.Incarnation()
 	x.server.targets.Failed(target, now)
 	if x.server.targets.Broke(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
@@ -76,27 +76,27 @@
 // deliverWhole passes a plain answer on once it is whole, so that a broken one
 // can be repeated or reported as such.
 func (x *transfer) deliverWhole(target *targets.Target, resp *exchange.Response) bool {
-	body, longer, err := x.readAnswer(resp)
+	body, longer, err := x.readResponse(resp)
 	// What is passed on as it comes takes as long as the caller reads.
-	x.stopPatience()
+	x.stopSendTimer()
 	if err != nil {
 		x.detail = err.Error()
-		x.passOverSilent(target, err)
-		x.gaveUpStraggler(target, err, x.sentAt)
-		return x.brokeOff(target)
+		x.excludeIfTimedOut(target, err)
+		x.recordHedge(target, err, x.sentAt)
+		return x.handleBrokenResponse(target)
 	}
 	x.reason = reasonServed
 	if resp.Status >= http.StatusInternalServerError {
 		x.reason = reasonTargetFailed
 	}
-	if x.failsTurn(resp) {
-		x.noteFailedTurn(target)
+	if x.isTurnFailure(resp) {
+		x.recordTurnFailure(target)
 	} else {
-		x.noteAnswer(target, resp.Status)
+		x.recordResponse(target, resp.Status)
 	}
 	x.copyHead(resp, longer, len(body))
 	if _, err := x.writer.Write(body); err != nil {
-		x.callerGone(err)
+		x.callerLeft(err)
 		return false
 	}
 	if longer {
@@ -105,25 +105,25 @@
 	return false
 }
 
-// readAnswer reads a plain answer as far as it is held: up to maxBuffered, or
+// readResponse reads a plain answer as far as it is held: up to maxBufferedBytes, or
 // less while memory is short. The answer is longer if it was not read to its end.
-func (x *transfer) readAnswer(resp *exchange.Response) (body []byte, longer bool, err error) {
+func (x *transfer) readResponse(resp *exchange.Response) (body []byte, longer bool, err error) {
 	// An answer that is not held is passed on as it comes, so that it leaves to
 	// requests of programs under way what they cannot do without.
 	x.held.SetUnderWay(false)
 	expected := resp.Length
-	if expected > maxBuffered {
+	if expected > maxBufferedBytes {
 		expected = 0
 	}
 	var short *memlimit.ShortError
 	buffer, err := memlimit.NewBuffer(&x.held, expected)
 	if err == nil {
-		err = buffer.Fill(io.LimitReader(resp.Body, maxBuffered))
+		err = buffer.Fill(io.LimitReader(resp.Body, maxBufferedBytes))
 	}
 	if errors.As(err, &short) {
 		return buffer.Bytes(), true, nil
 	}
-	return buffer.Bytes(), len(buffer.Bytes()) == maxBuffered, err
+	return buffer.Bytes(), len(buffer.Bytes()) == maxBufferedBytes, err
 }
 
 // copyRest passes on what is left of a long plain answer.
@@ -172,7 +172,7 @@
 	timing := x.newStreamTiming(target)
 	for {
 		event, err := events.next()
-		if err == nil && !x.follows(event) {
+		if err == nil && !x.isNextEvent(event) {
 			err = errors.Newf("event %s behind event %s", event.id, x.lastEvent)
 		}
 		switch {
@@ -184,7 +184,7 @@
 			if x.flush() != nil {
 				return false
 			}
-			return x.brokeOff(target)
+			return x.handleBrokenResponse(target)
 		}
 		if !x.headSent {
 			x.copyHead(resp, true, 0)
@@ -192,9 +192,9 @@
 		x.delivered++
 		x.lastEvent = event.id
 		timing.event(time.Now(), events.buffered())
-		x.noteEvent(event)
+		x.recordEvent(event)
 		if _, err := x.writer.Write(event.bytes); err != nil {
-			x.callerGone(err)
+			x.callerLeft(err)
 			return false
 		}
 		if !events.buffered() && x.flush() != nil {
@@ -210,13 +210,13 @@
 	}
 	err := http.NewResponseController(x.writer).Flush()
 	if err != nil {
-		x.callerGone(err)
+		x.callerLeft(err)
 	}
 	return err
 }
 
-// callerGone ends a request whose caller takes no more of the answer.
-func (x *transfer) callerGone(err error) {
+// callerLeft ends a request whose caller takes no more of the answer.
+func (x *transfer) callerLeft(err error) {
 	x.detail, x.reason, x.cut = err.Error(), reasonCallerLeft, true
 	var stalled *stalledError
 	if errors.As(err, &stalled) {
@@ -227,19 +227,19 @@
 // endStream ends a stream that the target completed.
 func (x *transfer) endStream(target *targets.Target, resp *exchange.Response) bool {
 	x.server.targets.Succeeded(target, time.Now())
-	x.failedAt = ""
+	x.failedTarget = ""
 	if !x.headSent {
 		x.copyHead(resp, true, 0)
 	}
-	if x.keepTurn() {
+	if x.storeTurn() {
 		x.reason = reasonServed
 	}
 	return false
 }
 
-// follows tells whether an event is the next one after the last that went out.
+// isNextEvent tells whether an event is the next one after the last that went out.
 // Streams whose events carry no numbers are taken as they come.
-func (x *transfer) follows(event event) bool {
+func (x *transfer) isNextEvent(event event) bool {
 	if event.id == "" || x.lastEvent == "" {
 		return true
 	}
@@ -251,5 +251,5 @@
 	return err == nil && number == last+1
 }
 
-// errTorn tells that a stream ended inside an event.
-var errTorn = errors.New("the stream ended inside an event")
+// errTruncatedEvent tells that a stream ended inside an event.
+var errTruncatedEvent = errors.New("the stream ended inside an event")
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		if err == io.EOF && len(e.buffer) > 0 {
-			return event{}, errTorn
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
--- a/internal/serve/world_test.go
+++ b/internal/serve/harness_test.go
@@ -30,59 +30,59 @@
 	engineTokens = 10
 )
 
-// budgets is a Budgets whose answer a test sets.
-type budgets struct {
-	mu      sync.Mutex
-	err     error
-	asked   []Turn
-	settled []int
+// fakeBudgets is a Budgets whose answer a test sets.
+type fakeBudgets struct {
+	mu       sync.Mutex
+	err      error
+	requests []Turn
+	settled  []int
 	// target is what leases name as the target of the program's last turn, ends
 	// what they were told.
 	target string
 	ends   []TurnResult
 }
 
-func (b *budgets) Reserve(_ context.Context, turn Turn) (Lease, error) {
+func (b *fakeBudgets) Reserve(_ context.Context, turn Turn) (Lease, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked = append(b.asked, turn)
+	b.requests = append(b.requests, turn)
 	if b.err != nil {
 		return nil, b.err
 	}
-	return budgetLease{b}, nil
+	return fakeLease{b}, nil
 }
 
-type budgetLease struct{ b *budgets }
+type fakeLease struct{ b *fakeBudgets }
 
-func (l budgetLease) Target() string { return l.b.target }
+func (l fakeLease) Target() string { return l.b.target }
 
-func (l budgetLease) First() bool { return l.b.target == "" }
+func (l fakeLease) First() bool { return l.b.target == "" }
 
-func (l budgetLease) Settle(end TurnResult) {
+func (l fakeLease) Settle(end TurnResult) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	l.b.settled = append(l.b.settled, end.UsedTokens)
 	l.b.ends = append(l.b.ends, end)
 }
 
-// world is an instance with its targets.
-type world struct {
+// harness is an instance with its targets.
+type harness struct {
 	t       *testing.T
 	server  *Server
 	front   *httptest.Server
 	targets *targets.Registry
-	budgets *budgets
+	budgets *fakeBudgets
 	// conversations are used by the route "kept" alone.
-	conversations *conversations
-	health        health
-	currency      currency
+	conversations *fakeConversations
+	health        fakeHealth
+	currency      fakeFreshness
 	log           *logBuffer
 	// notices counts what was told to other instances.
 	notices atomic.Int64
 }
 
 // TargetBroke implements Notices.
-func (w *world) TargetBroke() { w.notices.Add(1) }
+func (w *harness) TargetBroke() { w.notices.Add(1) }
 
 // logBuffer keeps the log.
 type logBuffer struct {
@@ -102,10 +102,10 @@
 	return l.b.String()
 }
 
-// health is a Health that a test sets.
-type health struct{ away atomic.Bool }
+// fakeHealth is a Health that a test sets.
+type fakeHealth struct{ unavailable atomic.Bool }
 
-func (h *health) OK() bool { return !h.away.Load() }
+func (h *fakeHealth) OK() bool { return !h.unavailable.Load() }
 
 // testRoutes has a route of each kind.
 func testRoutes() route.Settings {
@@ -137,11 +137,11 @@
 	}
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	pool := exchange.NewPool(tally.NoopScope)
-	w := &world{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(budgets), log: new(logBuffer),
-		conversations: new(conversations)}
+	w := &harness{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(fakeBudgets), log: new(logBuffer),
+		conversations: new(fakeConversations)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { pool.Run(ctx) })
@@ -175,7 +175,7 @@
 	body []string
 }
 
-func (w *world) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
+func (w *harness) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
 	w.t.Helper()
 	tg := &target{id: id}
 	tg.server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -250,10 +250,10 @@
 	}
 }
 
-func never(int) int { return 0 }
+func neverCut(int) int { return 0 }
 
 // request makes a caller's request.
-func (w *world) request(method, path, body string, header ...string) *http.Request {
+func (w *harness) request(method, path, body string, header ...string) *http.Request {
 	w.t.Helper()
 	r, err := http.NewRequestWithContext(w.t.Context(), method, w.front.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -276,7 +276,7 @@
 	err error
 }
 
-func (w *world) do(r *http.Request) result {
+func (w *harness) do(r *http.Request) result {
 	w.t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
@@ -288,7 +288,7 @@
 }
 
 // raw sends bytes on a connection of its own and returns the answers.
-func (w *world) raw(text string) []*http.Response {
+func (w *harness) raw(text string) []*http.Response {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
--- a/internal/serve/straggler_test.go
+++ b/internal/serve/hedge_test.go
@@ -10,10 +10,10 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// learned is a world whose two targets for plain requests answered many, the first
+// newHedgeHarness is a world whose two targets for plain requests answered many, the first
 // one that is asked now does not.
-func learned(t *testing.T, path string) (*world, *atomic.Int64) {
-	w := newWorld(t)
+func newHedgeHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
+	w := newHarness(t)
 	var asked atomic.Int64
 	handle := func(n int, rw http.ResponseWriter, r *http.Request) {
 		if asked.Add(1) == 1 {
@@ -37,7 +37,7 @@
 // A request that may run again goes to another target after the time that answers
 // rarely pass, long before its time is up.
 func TestStragglerIsSentAgain(t *testing.T) {
-	w, asked := learned(t, "safe")
+	w, asked := newHedgeHarness(t, "safe")
 	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
@@ -47,8 +47,8 @@
 }
 
 // A request that must run once is not, whatever its target does.
-func TestStragglerThatMustRunOnceIsNotSentAgain(t *testing.T) {
-	w, asked := learned(t, "short")
+func TestOnceRequestIsNotHedged(t *testing.T) {
+	w, asked := newHedgeHarness(t, "short")
 	if got := w.do(w.request("POST", "/short/", "b")); got.status == 200 {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/serve/memory.go
+++ b/internal/serve/memory.go
@@ -11,24 +11,24 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// requestBytes is held for each request besides its body, in bytes: its heads,
+// requestOverheadBytes is held for each request besides its body, in bytes: its heads,
 // the buffers of two connections and the stacks of their goroutines.
-const requestBytes = 32 << 10
+const requestOverheadBytes = 32 << 10
 
 // retryMemory is when a caller should come back that was refused for lack of
 // memory: about the time of a turn.
 const retryMemory = 500 * time.Millisecond
 
-// ofProgramUnderWay tells whether a request is known not to begin a program:
+// continuesProgram tells whether a request is known not to begin a program:
 // calls of tools, later turns of a kept conversation and resumed streams.
-func (x *transfer) ofProgramUnderWay() bool {
+func (x *transfer) continuesProgram() bool {
 	return x.call.LastEvent != "" || x.call.PreviousTurn != "" || (x.call.Program != "" && !x.isTurn())
 }
 
 // readBody reads the request's body into memory that is held for it. It returns
 // false if the request has been answered.
 func (x *transfer) readBody() bool {
-	if x.ofProgramUnderWay() {
+	if x.continuesProgram() {
 		x.held.SetUnderWay(true)
 	}
 	limit := x.table.Limits.MaxBodyBytes
@@ -40,19 +40,19 @@
 		}
 		source = io.LimitReader(source, limit+1)
 	}
-	x.boundBodyTime(x.deadline)
-	err := x.held.Hold(requestBytes)
+	x.setBodyDeadline(x.deadline)
+	err := x.held.Hold(requestOverheadBytes)
 	if err != nil {
-		return x.refuseUnread(err)
+		return x.refuseUnreadable(err)
 	}
 	body, err := memlimit.NewBuffer(&x.held, x.request.ContentLength)
 	if err != nil {
-		return x.refuseUnread(err)
+		return x.refuseUnreadable(err)
 	}
 	if err := body.Fill(source); err != nil {
-		return x.refuseUnread(err)
+		return x.refuseUnreadable(err)
 	}
-	x.boundBodyTime(time.Time{})
+	x.setBodyDeadline(time.Time{})
 	if limit > 0 && int64(len(body.Bytes())) > limit {
 		x.refuse(http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return false
@@ -61,10 +61,10 @@
 	return true
 }
 
-// boundBodyTime sets until when the body may arrive: memory is held for it, and
+// setBodyDeadline sets until when the body may arrive: memory is held for it, and
 // what is left of a refused one is read until then. The zero time stands for no
 // bound.
-func (x *transfer) boundBodyTime(until time.Time) {
+func (x *transfer) setBodyDeadline(until time.Time) {
 	if x.request.ContentLength == 0 {
 		return
 	}
@@ -74,9 +74,9 @@
 	}
 }
 
-// refuseUnread refuses a request whose body, or the conversation before it, could
+// refuseUnreadable refuses a request whose body, or the conversation before it, could
 // not be read or held. It returns false.
-func (x *transfer) refuseUnread(err error) bool {
+func (x *transfer) refuseUnreadable(err error) bool {
 	x.detail = err.Error()
 	var short *memlimit.ShortError
 	if errors.As(err, &short) {
@@ -86,7 +86,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		// What is left of the body is not waited for.
 		x.writer.Header().Set("Connection", "close")
-		x.refuse(http.StatusServiceUnavailable, reasonNotSent, x.comeBack())
+		x.refuse(http.StatusServiceUnavailable, reasonNotSent, x.targetRetryAfter())
 		return false
 	}
 	x.refuse(http.StatusBadRequest, reasonMalformed, 0)
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -16,11 +16,11 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// TestWithoutMemoryARequestIsRefusedUnread fills an instance's memory with
+// TestRequestIsRefusedUnreadWithoutMemory fills an instance's memory with
 // requests that their target keeps waiting.
-func TestWithoutMemoryARequestIsRefusedUnread(t *testing.T) {
-	w := newWorld(t)
-	w.server.memory = memlimit.New(10*requestBytes, tally.NoopScope)
+func TestRequestIsRefusedUnreadWithoutMemory(t *testing.T) {
+	w := newHarness(t)
+	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 20)
 	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -29,7 +29,7 @@
 		sign(rw)
 		_, _ = io.WriteString(rw, "ok")
 	})
-	body := strings.Repeat("x", requestBytes)
+	body := strings.Repeat("x", requestOverheadBytes)
 	served := make(chan result, 20)
 	held := 0
 	for held < 2 {
@@ -37,7 +37,7 @@
 		<-arrived
 		held++
 	}
-	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestBytes)))
+	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestOverheadBytes)))
 	if over.status != http.StatusServiceUnavailable || over.header.Get("Retry-After") == "" {
 		t.Errorf("status %d for a request that does not fit", over.status)
 	}
@@ -61,12 +61,12 @@
 	}
 }
 
-// TestSlowReadersGetAnswersLongerThanMemory has many callers that read little by
+// TestSlowReadersGetResponsesLongerThanMemory has many callers that read little by
 // little, of an instance whose memory holds a part of one answer.
-func TestSlowReadersGetAnswersLongerThanMemory(t *testing.T) {
+func TestSlowReadersGetResponsesLongerThanMemory(t *testing.T) {
 	const callers, length = 6, 128 << 10
-	w := newWorld(t)
-	w.server.memory = memlimit.New(callers*2*requestBytes, tally.NoopScope)
+	w := newHarness(t)
+	w.server.memory = memlimit.New(callers*2*requestOverheadBytes, tally.NoopScope)
 	answer := strings.Repeat("0123456789abcdef", length/16)
 	w.target("t1", "app", serveText(answer))
 	got := make(chan error, callers)
@@ -81,7 +81,7 @@
 }
 
 // readSlowly is a caller that takes a kilobyte at a time from a small window.
-func readSlowly(w *world, program, want string) error {
+func readSlowly(w *harness, program, want string) error {
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		return err
@@ -105,19 +105,19 @@
 	return err
 }
 
-// window is a connection that takes some bytes a second.
-type window struct {
+// slowConn is a connection that takes some bytes a second.
+type slowConn struct {
 	net.Conn
 	perSecond int
 	deadline  time.Time
 }
 
-func (c *window) SetWriteDeadline(t time.Time) error {
+func (c *slowConn) SetWriteDeadline(t time.Time) error {
 	c.deadline = t
 	return nil
 }
 
-func (c *window) Write(p []byte) (int, error) {
+func (c *slowConn) Write(p []byte) (int, error) {
 	wait := time.Until(c.deadline)
 	n := min(len(p), int(float64(c.perSecond)*wait.Seconds()))
 	if n == len(p) {
@@ -136,8 +136,8 @@
 	return err
 }
 
-// TestACallerThatReadsNothingIsCut compares it to one that reads slowly.
-func TestACallerThatReadsNothingIsCut(t *testing.T) {
+// TestStalledReaderIsDisconnected compares it to one that reads slowly.
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tight := memlimit.New(1000, tally.NoopScope)
 		account := tight.Open()
@@ -154,7 +154,7 @@
 		}
 		for _, c := range cases {
 			begun := time.Now()
-			conn := &watchedConn{Conn: &window{perSecond: c.perSecond}, memory: c.memory}
+			conn := &callerConn{Conn: &slowConn{perSecond: c.perSecond}, memory: c.memory}
 			n, err := conn.Write(data)
 			switch {
 			case c.cutAfter == 0 && (err != nil || n != len(data)):
@@ -166,10 +166,10 @@
 	})
 }
 
-// TestABodyThatDoesNotArriveFreesItsMemory begins a body and does not go on.
-func TestABodyThatDoesNotArriveFreesItsMemory(t *testing.T) {
-	w := newWorld(t)
-	w.server.memory = memlimit.New(10*requestBytes, tally.NoopScope)
+// TestStalledBodyFreesMemory begins a body and does not go on.
+func TestStalledBodyFreesMemory(t *testing.T) {
+	w := newHarness(t)
+	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -11,34 +11,34 @@
 
 // Reasons.
 const (
-	reasonServed       reason = "served"
-	reasonTargetFailed reason = "target_answered_failure"
-	reasonMalformed    reason = "malformed"
-	reasonTooLarge     reason = "body_too_large"
-	reasonNoSettings   reason = "no_settings_yet"
-	reasonNoRoute      reason = "no_route"
-	reasonOldSettings  reason = "settings_not_current"
-	reasonUnknownKey   reason = "unknown_key"
-	reasonStaleKeys    reason = "keys_not_current"
-	reasonOverLimit    reason = "over_organisation_limit"
-	reasonNoAllowance  reason = "organisation_limit_not_known"
-	reasonNoMemory     reason = "memory_short"
-	reasonNoTarget     reason = "no_target"
-	reasonTargetsFull  reason = "targets_refused"
-	reasonNoRoom       reason = "no_room"
-	reasonBudgetSpent  reason = "budget_spent"
-	reasonBudgetOwner  reason = "budget_owner_unreachable"
-	reasonBudgetRecord reason = "budget_record_not_written"
-	reasonBudgetHeld   reason = "budget_held_by_turns_under_way"
-	reasonNoTurn       reason = "no_such_turn"
-	reasonUncertain    reason = "conversation_not_read"
-	reasonNotKept      reason = "turn_not_kept"
-	reasonTimedOut     reason = "timed_out"
-	reasonNotSent      reason = "timed_out_before_send"
-	reasonBroken       reason = "target_broke_off"
-	reasonCut          reason = "stream_cut"
-	reasonCallerLeft   reason = "caller_left"
-	reasonStalled      reason = "caller_reads_nothing"
+	reasonServed              reason = "served"
+	reasonTargetFailed        reason = "target_answered_failure"
+	reasonMalformed           reason = "malformed"
+	reasonTooLarge            reason = "body_too_large"
+	reasonNoSettings          reason = "no_settings_yet"
+	reasonNoRoute             reason = "no_route"
+	reasonStaleSettings       reason = "settings_not_current"
+	reasonUnknownKey          reason = "unknown_key"
+	reasonStaleKeys           reason = "keys_not_current"
+	reasonOverLimit           reason = "over_organisation_limit"
+	reasonNoAllowance         reason = "organisation_limit_not_known"
+	reasonNoMemory            reason = "memory_short"
+	reasonNoTarget            reason = "no_target"
+	reasonTargetsFull         reason = "targets_refused"
+	reasonNoCapacity          reason = "no_room"
+	reasonBudgetSpent         reason = "budget_spent"
+	reasonBudgetOwner         reason = "budget_owner_unreachable"
+	reasonBudgetRecord        reason = "budget_record_not_written"
+	reasonBudgetHeld          reason = "budget_held_by_turns_under_way"
+	reasonTurnNotFound        reason = "no_such_turn"
+	reasonConversationNotRead reason = "conversation_not_read"
+	reasonTurnNotStored       reason = "turn_not_kept"
+	reasonTimedOut            reason = "timed_out"
+	reasonNotSent             reason = "timed_out_before_send"
+	reasonTargetBroke         reason = "target_broke_off"
+	reasonCut                 reason = "stream_cut"
+	reasonCallerLeft          reason = "caller_left"
+	reasonStalled             reason = "caller_reads_nothing"
 )
 
 var secondsBuckets = tally.DurationBuckets{
@@ -52,8 +52,8 @@
 	scope   tally.Scope
 	sends   tally.Counter
 	resumed tally.Counter
-	// hurried counts second sends after a time that answers rarely pass.
-	hurried  tally.Counter
+	// hedges counts second sends after a time that answers rarely pass.
+	hedges   tally.Counter
 	byReason map[reason]reasonMetrics
 }
 
@@ -67,15 +67,15 @@
 		scope:    scope,
 		sends:    scope.Counter("sends"),
 		resumed:  scope.Counter("streams_resumed"),
-		hurried:  scope.Counter("stragglers_sent_again"),
+		hedges:   scope.Counter("stragglers_sent_again"),
 		byReason: make(map[reason]reasonMetrics),
 	}
 	for _, r := range []reason{
-		reasonServed, reasonTargetFailed, reasonMalformed, reasonTooLarge, reasonNoSettings, reasonNoRoute, reasonOldSettings,
+		reasonServed, reasonTargetFailed, reasonMalformed, reasonTooLarge, reasonNoSettings, reasonNoRoute, reasonStaleSettings,
 		reasonUnknownKey, reasonStaleKeys, reasonOverLimit, reasonNoAllowance,
-		reasonNoMemory, reasonNoTarget, reasonTargetsFull, reasonNoRoom, reasonBudgetSpent, reasonBudgetOwner, reasonBudgetRecord,
-		reasonBudgetHeld, reasonNoTurn, reasonUncertain, reasonNotKept, reasonTimedOut,
-		reasonNotSent, reasonBroken, reasonCut, reasonCallerLeft, reasonStalled,
+		reasonNoMemory, reasonNoTarget, reasonTargetsFull, reasonNoCapacity, reasonBudgetSpent, reasonBudgetOwner, reasonBudgetRecord,
+		reasonBudgetHeld, reasonTurnNotFound, reasonConversationNotRead, reasonTurnNotStored, reasonTimedOut,
+		reasonNotSent, reasonTargetBroke, reasonCut, reasonCallerLeft, reasonStalled,
 	} {
 		tagged := scope.Tagged(map[string]string{"reason": string(r)})
 		m.byReason[r] = reasonMetrics{
--- a/internal/serve/organisation.go
+++ b/internal/serve/organisation.go
@@ -28,8 +28,8 @@
 	if organisations == nil {
 		return true
 	}
-	age := x.server.currency.SettingsAge()
-	policy := x.server.keys
+	age := x.server.freshness.SettingsAge()
+	policy := x.server.keyPolicy
 	found, known := organisations.ByKey(x.call.Key)
 	switch {
 	case x.route.Anonymous && !known:
@@ -62,23 +62,23 @@
 // scoped makes a name that the caller chose its organisation's own.
 func (x *transfer) scoped(name string) string { return org.Scope(x.orgName(), name) }
 
-// rank is how urgent the request is, 0 the most: as its organisation's priority
+// priority is how urgent the request is, 0 the most: as its organisation's priority
 // says, or its route's.
-func (x *transfer) rank() int {
+func (x *transfer) priority() int {
 	if x.org != nil && x.org.Priority != nil {
 		return *x.org.Priority
 	}
 	return x.route.Priority
 }
 
-// admit lets the request in within its organisation's limit; first tells that it
+// admitOrganisation lets the request in within its organisation's limit; first tells that it
 // begins a program. It returns false if the request has been refused.
-func (x *transfer) admit(first bool) bool {
+func (x *transfer) admitOrganisation(first bool) bool {
 	if x.org == nil || !x.org.Limit.Limited() {
 		return true
 	}
 	permit, err := x.server.allowances.Admit(x.ctx, AllowanceRequest{
-		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Priority: x.rank(),
+		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Priority: x.priority(),
 		Program: x.call.Program,
 	})
 	var over *OverLimitError
@@ -87,7 +87,7 @@
 		x.permit = permit
 		return true
 	case x.ctx.Err() != nil:
-		x.giveUpInTime()
+		x.giveUpOnContext()
 	case errors.As(err, &over):
 		x.detail = err.Error()
 		if first {
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -16,10 +16,10 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// currency is a Currency that a test sets.
-type currency struct{ age time.Duration }
+// fakeFreshness is a Currency that a test sets.
+type fakeFreshness struct{ age time.Duration }
 
-func (c *currency) SettingsAge() time.Duration { return c.age }
+func (c *fakeFreshness) SettingsAge() time.Duration { return c.age }
 
 const (
 	keyA = "key-of-a"
@@ -27,9 +27,9 @@
 )
 
 // withOrganisations makes a world of two organisations and an anonymous route.
-func withOrganisations(t *testing.T) *world {
+func withOrganisations(t *testing.T) *harness {
 	t.Helper()
-	w := newWorld(t)
+	w := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{
 		{Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}},
 		{Name: "b", Keys: []org.Digest{org.DigestOf(keyB)}},
@@ -49,7 +49,7 @@
 
 // rawStatus sends the bytes of one request on a connection that stays open and
 // returns the status of the answer.
-func (w *world) rawStatus(text string) int {
+func (w *harness) rawStatus(text string) int {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 func TestWithoutOrganisationsNoKeyIsNeededOrPassedOn(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	app := w.target("t1", "app", serveText("ok"))
 	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Tenant", "a"))
 	if got.status != http.StatusOK {
@@ -179,7 +179,7 @@
 			w := withOrganisations(t)
 			w.target("t1", "app", serveText("ok"))
 			w.currency.age = c.age
-			w.server.keys = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
+			w.server.keyPolicy = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
 			r := w.request("GET", "/safe/x", "")
 			if c.key != "" {
 				r.Header.Set("Banyanglade-Credential", c.key)
@@ -197,7 +197,7 @@
 
 func TestProgramsOfTwoOrganisationsDoNotMeet(t *testing.T) {
 	w := withOrganisations(t)
-	w.target("e1", "engine", serveEvents(1, never))
+	w.target("e1", "engine", serveEvents(1, neverCut))
 	turn := func(id, key, previous string) result {
 		r := w.request("POST", "/kept/x", "in "+id, "Banyanglade-Credential", key, "Banyanglade-Program-Id", "p1",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10")
@@ -214,12 +214,12 @@
 		}
 	}
 	w.budgets.mu.Lock()
-	asked := w.budgets.asked
+	asked := w.budgets.requests
 	w.budgets.mu.Unlock()
 	if len(asked) != 2 || asked[0].Program == asked[1].Program {
 		t.Errorf("budgets of two organisations are one: %+v", asked)
 	}
-	kept := w.conversations.kept
+	kept := w.conversations.stored
 	if len(kept) != 2 || kept[0].ID == kept[1].ID {
 		t.Errorf("turns of two organisations are one: %+v", kept)
 	}
@@ -246,15 +246,15 @@
 	}
 }
 
-// allowances is an Allowances whose verdict a test sets.
-type allowances struct {
-	err     error
-	entries []AllowanceRequest
-	again   int
-	back    int
+// fakeAllowances is an Allowances whose verdict a test sets.
+type fakeAllowances struct {
+	err      error
+	entries  []AllowanceRequest
+	again    int
+	returned int
 }
 
-func (a *allowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
+func (a *fakeAllowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
 	a.entries = append(a.entries, entry)
 	if a.err != nil {
 		return nil, a.err
@@ -262,16 +262,16 @@
 	return countedPermit{a}, nil
 }
 
-type countedPermit struct{ a *allowances }
+type countedPermit struct{ a *fakeAllowances }
 
 func (p countedPermit) Again()       { p.a.again++ }
 func (p countedPermit) Use() float64 { return 0 }
-func (p countedPermit) GiveBack()    { p.a.back++ }
+func (p countedPermit) GiveBack()    { p.a.returned++ }
 
 // withLimit makes a world with one organisation that has a limit.
-func withLimit(t *testing.T) (*world, *allowances) {
+func withLimit(t *testing.T) (*harness, *fakeAllowances) {
 	t.Helper()
-	w := newWorld(t)
+	w := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{{
 		Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}, Limit: org.Limit{PerSecond: 10, Burst: 5},
 	}})
@@ -281,7 +281,7 @@
 	settings := testRoutes()
 	settings.Organisations = set
 	w.server.SetTable(route.NewTable(settings))
-	a := new(allowances)
+	a := new(fakeAllowances)
 	w.server.allowances = a
 	return w, a
 }
@@ -294,7 +294,7 @@
 	for verdict, want := range cases {
 		w, a := withLimit(t)
 		app := w.target("t1", "app", serveText("ok"))
-		engine := w.target("e1", "engine", serveEvents(1, never))
+		engine := w.target("e1", "engine", serveEvents(1, neverCut))
 		a.err = verdict
 		plain := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 		turn := w.do(w.request("POST", "/turns/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Program-Id", "p",
@@ -350,9 +350,9 @@
 	}
 }
 
-// TestAnOrganisationsPriorityGoesBeforeItsRoutes ranks a request of a route of
+// TestAllowanceRequestHasOrganisationPriority ranks a request of a route of
 // another priority.
-func TestAnOrganisationsPriorityGoesBeforeItsRoutes(t *testing.T) {
+func TestAllowanceRequestHasOrganisationPriority(t *testing.T) {
 	w, a := withLimit(t)
 	w.target("t1", "app", serveText("ok"))
 	found, _ := w.server.Table().Organisations.ByKey(org.DigestOf(keyA))
--- a/internal/serve/refuse.go
+++ b/internal/serve/refuse.go
@@ -19,29 +19,29 @@
 	retryOutage = 1300 * time.Millisecond
 )
 
-// giveUp ends a request that no target answers.
+// discard ends a request that no target answers.
 func (x *transfer) giveUp(why reason) {
 	switch {
 	case x.headSent:
 		x.reason, x.cut = reasonCut, true
-	case x.hasRun():
-		x.refuse(http.StatusBadGateway, reasonBroken, 0)
+	case x.possiblyRan():
+		x.refuse(http.StatusBadGateway, reasonTargetBroke, 0)
 	default:
-		x.refuse(http.StatusServiceUnavailable, why, x.comeBack())
+		x.refuse(http.StatusServiceUnavailable, why, x.targetRetryAfter())
 	}
 }
 
-// giveUpInTime ends a request whose caller left or whose time is up.
-func (x *transfer) giveUpInTime() {
+// giveUpOnContext ends a request whose caller left or whose time is up.
+func (x *transfer) giveUpOnContext() {
 	switch {
 	case x.request.Context().Err() != nil:
 		x.reason, x.cut = reasonCallerLeft, x.headSent
 	case x.headSent:
 		x.reason, x.cut = reasonTimedOut, true
-	case x.hasRun():
+	case x.possiblyRan():
 		x.refuse(http.StatusGatewayTimeout, reasonTimedOut, 0)
 	default:
-		x.refuse(http.StatusServiceUnavailable, reasonNotSent, x.comeBack())
+		x.refuse(http.StatusServiceUnavailable, reasonNotSent, x.targetRetryAfter())
 	}
 }
 
@@ -49,10 +49,10 @@
 // may be old the route may have been added since: a caller that is told that there is
 // none gives up.
 func (x *transfer) refuseUnknownRoute() {
-	age := x.server.currency.SettingsAge()
-	if age > x.server.keys.ConfigDelay {
+	age := x.server.freshness.SettingsAge()
+	if age > x.server.keyPolicy.ConfigDelay {
 		x.detail = "settings are " + age.String() + " old"
-		x.refuse(http.StatusServiceUnavailable, reasonOldSettings, x.server.retryAfter(retrySettings))
+		x.refuse(http.StatusServiceUnavailable, reasonStaleSettings, x.server.retryAfter(retrySettings))
 		return
 	}
 	x.refuse(http.StatusNotFound, reasonNoRoute, 0)
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -30,7 +30,7 @@
 // attempt makes one send and tells whether another may follow.
 func (x *transfer) attempt() bool {
 	if x.ctx.Err() != nil {
-		x.giveUpInTime()
+		x.giveUpOnContext()
 		return false
 	}
 	target := x.pick()
@@ -49,14 +49,14 @@
 		if same := x.pickSame(); same != nil {
 			return same
 		}
-		x.forgetEnded()
+		x.dropEnded()
 		if len(x.ran) >= x.route.MaxTargets {
 			return nil
 		}
 	}
 	want := targets.Want{
-		Service: x.service, Key: x.placementKey(), Last: x.lastOfProgram, Remembered: x.settle != nil,
-		Exclude: x.tried, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
+		Service: x.service, Key: x.placementKey(), Last: x.programTarget, Remembered: x.settle != nil,
+		Exclude: x.excluded, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
 		return x.server.targets.Pick(want, time.Now())
@@ -97,14 +97,14 @@
 // pickSame is the target that ran the request last, unless it was given up.
 func (x *transfer) pickSame() *targets.Target {
 	last := x.ran[len(x.ran)-1]
-	if slices.Contains(x.tried, last) {
+	if slices.Contains(x.excluded, last) {
 		return nil
 	}
 	return x.server.targets.PickSame(last)
 }
 
-// forgetEnded drops the targets that have left from those that run the request.
-func (x *transfer) forgetEnded() {
+// dropEnded drops the targets that have left from those that run the request.
+func (x *transfer) dropEnded() {
 	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.Runs(incarnation) })
 }
 
@@ -144,60 +144,60 @@
 		x.server.targets.Report(target, *answer.Load, time.Now())
 	}
 	if answer.NotRun {
-		return x.refusedBy(target, resp)
+		return x.handleRefusal(target, resp)
 	}
 	return x.deliver(target, resp, answer)
 }
 
-// slowFactor times a route's latency goal is how long a target may take for a
+// sendTimeoutFactor times a route's latency goal is how long a target may take for a
 // request that another one may run as well. Answers that took longer were lost
 // or came from a target in trouble.
-const slowFactor = 2
+const sendTimeoutFactor = 2
 
-// slowShare of the time left is the most that is spent on a first target.
-const slowShare = 0.6
+// maxFirstSendFraction of the time left is the most that is spent on a first target.
+const maxFirstSendFraction = 0.6
 
 // sendContext bounds one send: a repeatable request goes on to another target
 // while there is time for it.
 func (x *transfer) sendContext() (context.Context, context.CancelFunc) {
-	patience := slowFactor * x.route.LatencyGoal
-	another := x.route.Kind == route.Repeatable && len(x.ran)+1 < x.route.MaxTargets
-	if rare, ok := x.rarePatience(); another && ok {
-		patience, x.hurried = rare, true
-	}
-	x.stopPatience = func() bool { return true }
-	if !another || patience <= 0 || patience > time.Duration(slowShare*float64(time.Until(x.deadline))) {
-		x.hurried = false
+	timeout := sendTimeoutFactor * x.route.LatencyGoal
+	mayResend := x.route.Kind == route.Repeatable && len(x.ran)+1 < x.route.MaxTargets
+	if hedgeTimeout, ok := x.hedgeTimeout(); mayResend && ok {
+		timeout, x.hedged = hedgeTimeout, true
+	}
+	x.stopSendTimer = func() bool { return true }
+	if !mayResend || timeout <= 0 || timeout > time.Duration(maxFirstSendFraction*float64(time.Until(x.deadline))) {
+		x.hedged = false
 		return x.ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(x.ctx)
-	timer := time.AfterFunc(patience, func() { cancel(context.DeadlineExceeded) })
-	x.stopPatience = timer.Stop
+	timer := time.AfterFunc(timeout, func() { cancel(context.DeadlineExceeded) })
+	x.stopSendTimer = timer.Stop
 	return ctx, func() {
 		timer.Stop()
 		cancel(nil)
 	}
 }
 
-// rarePatience is the time that answers of the route rarely pass, false if the
+// hedgeTimeout is the time that answers of the route rarely pass, false if the
 // request is not to be sent a second time for that.
-func (x *transfer) rarePatience() (time.Duration, bool) {
-	x.hurried = false
+func (x *transfer) hedgeTimeout() (time.Duration, bool) {
+	x.hedged = false
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
 	return x.server.targets.Patience(x.service, x.route.Name, time.Now())
 }
 
-// gaveUpStraggler tells whether a send was given up for a second one, and counts
+// recordHedge tells whether a send was given up for a second one, and counts
 // it. Its target is slow at most, not failing.
-func (x *transfer) gaveUpStraggler(target *targets.Target, err error, sentAt time.Time) bool {
-	if !x.hurried || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
+func (x *transfer) recordHedge(target *targets.Target, err error, sentAt time.Time) bool {
+	if !x.hedged || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
 	now := time.Now()
 	x.server.targets.SentAgain(target, x.route.Name, now.Sub(sentAt), now)
-	x.server.metrics.hurried.Inc(1)
+	x.server.metrics.hedges.Inc(1)
 	return true
 }
 
@@ -208,34 +208,34 @@
 		if !errors.Is(err, exchange.ErrNotSent) {
 			x.markRan(target)
 		}
-		x.giveUpInTime()
+		x.giveUpOnContext()
 		return false
 	}
-	if !x.gaveUpStraggler(target, err, sentAt) {
-		x.noteFailure(target, err, sentAt)
+	if !x.recordHedge(target, err, sentAt) {
+		x.recordFailure(target, err, sentAt)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
-		x.unreachable(target)
+		x.excludeUnreachable(target)
 		return true
 	}
 	x.markRan(target)
-	x.passOverUnanswered(target, err)
-	return x.mayRepeat()
+	x.excludeUnresponsive(target, err)
+	return x.retryOrGiveUp()
 }
 
-// downWithin is how soon a target that is down breaks a connection: a round
+// defaultConnBreakThreshold is how soon a target that is down breaks a connection: a round
 // trip of a few milliseconds. One that ran the request takes longer.
-const downWithin = 20 * time.Millisecond
+const defaultConnBreakThreshold = 20 * time.Millisecond
 
-// noteFailure draws the conclusions from a send without an answer. A kept
+// recordFailure draws the conclusions from a send without an answer. A kept
 // connection that ended says nothing of its target.
-func (x *transfer) noteFailure(target *targets.Target, err error, sentAt time.Time) {
+func (x *transfer) recordFailure(target *targets.Target, err error, sentAt time.Time) {
 	if errors.Is(err, exchange.ErrReusedConn) && errors.Is(err, exchange.ErrNoResponse) {
 		return
 	}
 	now := time.Now()
 	x.server.targets.Failed(target, now)
-	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.downWithin
+	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connBreakThreshold
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
@@ -245,38 +245,38 @@
 	}
 }
 
-// passOverSilent keeps the request from a target that did not answer in time.
-func (x *transfer) passOverSilent(target *targets.Target, err error) {
+// excludeIfTimedOut keeps the request from a target that did not answer in time.
+func (x *transfer) excludeIfTimedOut(target *targets.Target, err error) {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
-		x.tried = append(x.tried, target.Incarnation())
+		x.excluded = append(x.excluded, target.Incarnation())
 	}
 }
 
-// passOverUnanswered keeps the request from a target that gave no answer, if
+// excludeUnresponsive keeps the request from a target that gave no answer, if
 // another one may run it or if it gave none before: a target that is down
 // breaks each connection at once. After a kept connection that ended the same
 // target is asked again, on a new one.
-func (x *transfer) passOverUnanswered(target *targets.Target, err error) {
-	x.passOverSilent(target, err)
+func (x *transfer) excludeUnresponsive(target *targets.Target, err error) {
+	x.excludeIfTimedOut(target, err)
 	if errors.Is(err, exchange.ErrReusedConn) {
 		return
 	}
-	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.broken, target.Incarnation()) {
-		x.tried = append(x.tried, target.Incarnation())
+	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.brokenTargets, target.Incarnation()) {
+		x.excluded = append(x.excluded, target.Incarnation())
 	}
-	x.broken = append(x.broken, target.Incarnation())
+	x.brokenTargets = append(x.brokenTargets, target.Incarnation())
 }
 
-// unreachable notes a target that cannot be connected to. It has ended or is
+// excludeUnreachable notes a target that cannot be connected to. It has ended or is
 // cut off, so it no longer counts among those that run the request.
-func (x *transfer) unreachable(target *targets.Target) {
-	x.tried = append(x.tried, target.Incarnation())
+func (x *transfer) excludeUnreachable(target *targets.Target) {
+	x.excluded = append(x.excluded, target.Incarnation())
 	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return incarnation == target.Incarnation() })
 }
 
-// hasRun tells whether a target may have begun to run the request, be it one
+// possiblyRan tells whether a target may have begun to run the request, be it one
 // that has ended since.
-func (x *transfer) hasRun() bool { return x.mayHaveRun || x.delivered > 0 }
+func (x *transfer) possiblyRan() bool { return x.mayHaveRun || x.delivered > 0 }
 
 // markRan notes that a target may have begun to run the request.
 func (x *transfer) markRan(target *targets.Target) {
@@ -286,39 +286,39 @@
 	}
 }
 
-// mayRepeat tells whether the request may be sent once more after it may have
+// retryOrGiveUp tells whether the request may be sent once more after it may have
 // run; if not, it ends it.
-func (x *transfer) mayRepeat() bool {
-	if x.route.Retryable() && x.sends < maxSends && x.mayTryAgain() {
+func (x *transfer) retryOrGiveUp() bool {
+	if x.route.Retryable() && x.sends < maxSends && x.retryBudgetAllows() {
 		return true
 	}
-	x.giveUp(reasonBroken)
+	x.giveUp(reasonTargetBroke)
 	return false
 }
 
-// mayTryAgain tells whether the service's budget of retries allows one more send. A
+// retryBudgetAllows tells whether the service's budget of retries allows one more send. A
 // send that this instance gave up itself, or a stream that its caller has a part
 // of, goes on in any case.
-func (x *transfer) mayTryAgain() bool {
-	return x.sendCtx.Err() != nil || x.headSent || x.server.room.AgainAfterFailure(x.service, time.Now())
+func (x *transfer) retryBudgetAllows() bool {
+	return x.sendCtx.Err() != nil || x.headSent || x.server.admission.AgainAfterFailure(x.service, time.Now())
 }
 
 // maxSends bounds the sends of one request of any outcome.
 const maxSends = 6
 
-// refusedBy handles a target that did not run the request.
-func (x *transfer) refusedBy(target *targets.Target, resp *exchange.Response) bool {
+// handleRefusal handles a target that did not run the request.
+func (x *transfer) handleRefusal(target *targets.Target, resp *exchange.Response) bool {
 	// The body of a refusal is read so that the connection can be kept.
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		x.detail = err.Error()
 	}
-	x.tried = append(x.tried, target.Incarnation())
+	x.excluded = append(x.excluded, target.Incarnation())
 	x.refusals++
 	if resp.Status == http.StatusMisdirectedRequest {
 		// Another target has the address by now.
 		x.server.targets.Failed(target, time.Now())
 	}
-	if x.refusals < maxRefusals && x.server.room.Again(x.service, x.refusals, time.Now()) {
+	if x.refusals < maxRefusals && x.server.admission.Again(x.service, x.refusals, time.Now()) {
 		return true
 	}
 	x.giveUp(reasonTargetsFull)
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -12,8 +12,8 @@
 
 // To which targets a request is sent, and how often.
 
-func TestRefusalIsTakenToAnotherTarget(t *testing.T) {
-	w := newWorld(t)
+func TestRefusedRequestIsSentToAnotherTarget(t *testing.T) {
+	w := newHarness(t)
 	w.target("full", "app", refuseFull)
 	w.target("free", "app", serveText("ok"))
 	for range 10 {
@@ -24,7 +24,7 @@
 }
 
 func TestAllTargetsFull(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("full", "app", refuseFull)
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
@@ -33,7 +33,7 @@
 }
 
 func TestRequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	a := w.target("a", "app", cutConnection)
 	b := w.target("b", "app", cutConnection)
 	got := w.do(w.request("POST", "/once/", "b"))
@@ -46,7 +46,7 @@
 }
 
 func TestRequestOnAStaleConnectionIsNotSentAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			serveText("ok")(n, rw, r)
@@ -60,8 +60,8 @@
 	}
 }
 
-func TestUnreachableTargetIsPassedOver(t *testing.T) {
-	w := newWorld(t)
+func TestUnreachableTargetIsSkipped(t *testing.T) {
+	w := newHarness(t)
 	gone := w.target("gone", "app", serveText("never"))
 	gone.server.Close()
 	w.target("here", "app", serveText("ok"))
@@ -73,7 +73,7 @@
 }
 
 func TestRepeatableRequestIsSentToAsManyTargetsAsAllowed(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	var all []*target
 	for i := range 4 {
 		all = append(all, w.target(fmt.Sprint("t", i), "app", cutConnection))
@@ -93,8 +93,8 @@
 }
 
 // A target that is down breaks each connection at once, and looks idle.
-func TestRepeatableRequestGoesOnFromATargetThatBreaksConnections(t *testing.T) {
-	w := newWorld(t)
+func TestRepeatableRequestIsRetriedAfterBrokenConnection(t *testing.T) {
+	w := newHarness(t)
 	var other atomic.Bool
 	// As in the test of a silent target, the broken one is asked first.
 	down := w.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -114,8 +114,8 @@
 // Others hear of a target that breaks new connections, but not of one that
 // dropped a kept connection, which is asked again on a new one.
 func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
-	w := newWorld(t)
-	w.server.downWithin = time.Minute // however slow the machine is
+	w := newHarness(t)
+	w.server.connBreakThreshold = time.Minute // however slow the machine is
 	w.target("down", "app", cutConnection)
 	w.do(w.request("POST", "/once/", "b"))
 	if n := w.notices.Load(); n != 1 {
@@ -125,7 +125,7 @@
 		if n == 2 {
 			cutConnection(n, rw, r)
 		}
-		serveEvents(2, never)(n, rw, r)
+		serveEvents(2, neverCut)(n, rw, r)
 	})
 	for range 2 {
 		if got := w.do(w.request("POST", "/turns/", "b")); got.status != 200 {
@@ -138,8 +138,8 @@
 }
 
 // A request that only one target may run is not sent there over and over.
-func TestBrokenTargetIsAskedTwiceAtMost(t *testing.T) {
-	w := newWorld(t)
+func TestBrokenTargetGetsAtMostTwoSends(t *testing.T) {
+	w := newHarness(t)
 	down := w.target("down", "engine", cutConnection)
 	got := w.do(w.request("POST", "/turns/", "b"))
 	if got.status != 502 {
@@ -150,8 +150,8 @@
 	}
 }
 
-func TestCutAnswerOfARepeatableRequestIsRepeated(t *testing.T) {
-	w := newWorld(t)
+func TestTruncatedResponseOfRepeatableRequestIsRetried(t *testing.T) {
+	w := newHarness(t)
 	w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
 		if n == 1 {
@@ -166,8 +166,8 @@
 	}
 }
 
-func TestRepeatableRequestGoesOnFromASilentTarget(t *testing.T) {
-	w := newWorld(t)
+func TestRepeatableRequestIsRetriedAfterTimeout(t *testing.T) {
+	w := newHarness(t)
 	ended := make(chan struct{})
 	// The other target is registered by the silent one's run, so that the silent
 	// one is always asked first, however slow the machine is.
@@ -183,7 +183,7 @@
 }
 
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	leaving := w.target("leaving", "app", serveText("ok"))
 	w.target("stays", "app", serveText("ok"))
 	w.targets.Put(targets.Entry{
@@ -198,7 +198,7 @@
 }
 
 func TestAnotherTargetAtTheAddress(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("old", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 	})
@@ -213,13 +213,13 @@
 // An engine may fail a share of its turns while its health checks are good: the
 // program's next turn goes elsewhere, and other instances hear of it.
 func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.budgets.target = "t1"
 	grey := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	sound := w.target("t2", "engine", serveEvents(2, never))
+	sound := w.target("t2", "engine", serveEvents(2, neverCut))
 	turn := func() result {
 		return w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
@@ -240,7 +240,7 @@
 
 // A plain target's failure is an answer like others.
 func TestPlainTargetThatFailsIsNotAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
@@ -254,10 +254,10 @@
 }
 
 func TestTurnGoesToTheTargetOfTheLastOne(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.budgets.target = "t2"
-	other := w.target("t1", "engine", serveEvents(2, never))
-	last := w.target("t2", "engine", serveEvents(2, never))
+	other := w.target("t1", "engine", serveEvents(2, neverCut))
+	last := w.target("t2", "engine", serveEvents(2, neverCut))
 	for i := range 8 {
 		got := w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", fmt.Sprint("p", i),
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
@@ -276,7 +276,7 @@
 // A request that ran at a target which has ended since is not said not to have
 // run when no other target is left.
 func TestRequestThatRanAtATargetThatEndedIsNotSaidNotToHaveRun(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		w.targets.Remove("ends")
 		cutConnection(n, rw, r)
@@ -290,7 +290,7 @@
 // outcome: a request that may run once only is not sent to the later start, and
 // what it did says nothing of the later start.
 func TestLaterStartOfATargetDoesNotGetTheRequestAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		entry, _ := w.targets.Entry("again")
 		entry.Start++
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("t1", "app", serveText("hello"))
 	got := w.do(w.request("POST", "/once/x%2Fy?a=b&a", "body", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone",
 		"Banyanglade-Hold", "forged", "Banyanglade-Deadline-Ms", "1500"))
@@ -35,8 +35,8 @@
 	}
 }
 
-func TestWithoutSettingsRequestsAreRefusedForNow(t *testing.T) {
-	w := newWorld(t)
+func TestRequestsWithoutSettingsAreRefused(t *testing.T) {
+	w := newHarness(t)
 	w.server.table.Store(nil)
 	got := w.do(w.request("GET", "/safe/", ""))
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
@@ -44,11 +44,11 @@
 	}
 }
 
-func TestCallersComeBackLaterWhileTheStoreIsAway(t *testing.T) {
-	w := newWorld(t)
+func TestRetryAfterIsLongerWhileStoreIsUnavailable(t *testing.T) {
+	w := newHarness(t)
 	w.server.table.Store(nil)
 	soon := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
-	w.health.away.Store(true)
+	w.health.unavailable.Store(true)
 	later := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
 	if soon != "0.2" || later != "1.3" {
 		t.Errorf("come back after %s s, and %s s while the store is away", soon, later)
@@ -58,7 +58,7 @@
 // A refused request is explained from its id alone; a served one has no line at
 // the usual level.
 func TestLogNamesRefusedRequests(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("a", "app", serveText("ok"))
 	w.do(w.request("GET", "/safe/", "", "Banyanglade-Request-Id", "served1"))
 	w.do(w.request("GET", "/other/", "", "Banyanglade-Request-Id", "noroute1"))
@@ -78,14 +78,14 @@
 }
 
 func TestUnknownRoute(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	if got := w.do(w.request("GET", "/other/", "")); got.status != 404 {
 		t.Errorf("got %d", got.status)
 	}
 }
 
 func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("a", "app", func(n int, rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Banyanglade-Request-Id", "another")
 		sign(rw)
@@ -98,7 +98,7 @@
 }
 
 func TestSuccessWithoutSignatureIsNotPassedOn(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("a", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("?")) })
 	if got := w.do(w.request("POST", "/once/", "b")); got.status != 502 {
 		t.Errorf("got %+v", got)
@@ -106,7 +106,7 @@
 }
 
 func TestRouteTimeout(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	w.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 }
 
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	started, ended := make(chan struct{}), make(chan struct{})
 	w.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
 		close(started)
@@ -142,7 +142,7 @@
 }
 
 func TestStreamGoesOnAtTheSameTargetFromTheLastWholeEvent(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2, 2: 4}[n] }))
 	got := w.do(w.request("POST", "/turns/", "b"))
 	if got.err != nil || got.body != events(1, 6) {
@@ -154,12 +154,12 @@
 }
 
 func TestStreamGoesOnAtAnotherTargetIfItsOwnHasEnded(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	var first *target
 	handle := func(id string) func(int, http.ResponseWriter, *http.Request) {
 		return func(n int, rw http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("Last-Event-Id") != "" {
-				serveEvents(5, never)(n, rw, r)
+				serveEvents(5, neverCut)(n, rw, r)
 				return
 			}
 			w.targets.Remove(id)
@@ -174,8 +174,8 @@
 	}
 }
 
-func TestStreamThatMayNotGoOnEndsIncomplete(t *testing.T) {
-	w := newWorld(t)
+func TestNonResumableStreamEndsIncomplete(t *testing.T) {
+	w := newHarness(t)
 	tg := w.target("e1", "engine", serveEvents(5, func(int) int { return 2 }))
 	got := w.do(w.request("POST", "/fixed/", "b"))
 	if got.err == nil || got.body != events(1, 2) || tg.count() != 1 {
@@ -184,7 +184,7 @@
 }
 
 func TestEventOutOfOrderIsNotPassedOn(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("e1", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
 		rw.Header().Set("Content-Type", "text/event-stream")
@@ -195,8 +195,8 @@
 	}
 }
 
-func TestTurnSettlesWhatItsCallerReceived(t *testing.T) {
-	w := newWorld(t)
+func TestTurnSettlesDeliveredTokens(t *testing.T) {
+	w := newHarness(t)
 	w.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2}[n] }))
 	got := w.do(w.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
 		"Banyanglade-Token-Budget", "900", "Banyanglade-Token-Usage", "100,285"))
@@ -204,8 +204,8 @@
 		t.Fatal(got.err)
 	}
 	w.front.Close() // the handler has returned
-	if len(w.budgets.asked) != 1 || w.budgets.asked[0].MaxTokens != 290 || w.budgets.asked[0].Budget != 900 {
-		t.Errorf("asked for %+v", w.budgets.asked)
+	if len(w.budgets.requests) != 1 || w.budgets.requests[0].MaxTokens != 290 || w.budgets.requests[0].Budget != 900 {
+		t.Errorf("asked for %+v", w.budgets.requests)
 	}
 	if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 60 {
 		t.Errorf("settled %v, want 60 tokens", w.budgets.settled)
@@ -214,8 +214,8 @@
 
 func TestTurnWithoutRoomDoesNotRun(t *testing.T) {
 	for err, status := range map[error]int{ErrBudgetSpent: 402, ErrNoOwner: 503} {
-		w := newWorld(t)
-		tg := w.target("e1", "engine", serveEvents(6, never))
+		w := newHarness(t)
+		tg := w.target("e1", "engine", serveEvents(6, neverCut))
 		w.budgets.err = err
 		got := w.do(w.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "900", "Banyanglade-Token-Usage", "100,290"))
@@ -229,7 +229,7 @@
 }
 
 func TestBadInputRunsNothing(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("a", "app", serveText("ok"))
 	smuggled := "POST /once/smuggled HTTP/1.1\r\nHost: a.example\r\nBanyanglade-Request-Id: s\r\nContent-Length: 0\r\n\r\n"
 	head := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nBanyanglade-Request-Id: 1\r\n"
@@ -260,7 +260,7 @@
 }
 
 func TestDrainingAnswersCloseTheConnection(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("a", "app", serveText("ok"))
 	w.server.Drain()
 	resp, err := http.DefaultTransport.RoundTrip(w.request("GET", "/safe/", ""))
@@ -285,8 +285,8 @@
 // While the settings may be old a route that they lack may be new: the caller is told
 // to come back, and that the request has not run.
 func TestUnknownRouteIsNoVerdictWhileTheSettingsMayBeOld(t *testing.T) {
-	w := newWorld(t)
-	w.server.keys.ConfigDelay = 5 * time.Second
+	w := newHarness(t)
+	w.server.keyPolicy.ConfigDelay = 5 * time.Second
 	for age, want := range map[time.Duration]int{time.Second: http.StatusNotFound, 6 * time.Second: http.StatusServiceUnavailable} {
 		w.currency.age = age
 		resp, err := http.Get(w.front.URL + "/nowhere/x")
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -166,22 +166,22 @@
 
 // Server answers callers. It implements http.Handler.
 type Server struct {
-	codec      call.Codec
-	targets    *targets.Registry
-	pool       *exchange.Pool
-	budgets    Budgets
-	allowances Allowances
-	kept       Conversations
-	notices    Notices
-	health     Health
-	currency   Freshness
-	memory     *memlimit.Bound
-	keys       KeyPolicy
-	room       Admission
-	log        *slog.Logger
-	metrics    metrics
-	// downWithin is how soon a target that is down breaks a connection.
-	downWithin time.Duration
+	codec         call.Codec
+	targets       *targets.Registry
+	pool          *exchange.Pool
+	budgets       Budgets
+	allowances    Allowances
+	conversations Conversations
+	notices       Notices
+	health        Health
+	freshness     Freshness
+	memory        *memlimit.Bound
+	keyPolicy     KeyPolicy
+	admission     Admission
+	log           *slog.Logger
+	metrics       metrics
+	// connBreakThreshold is how soon a target that is down breaks a connection.
+	connBreakThreshold time.Duration
 
 	table    atomic.Pointer[route.Table]
 	draining atomic.Bool
@@ -194,10 +194,10 @@
 		p.Admission = overload.New(p.Targets, p.Scope)
 	}
 	return &Server{
-		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, kept: p.Conversations,
-		notices: p.Notices, health: p.Health, currency: p.Freshness, memory: p.Memory, keys: p.KeyPolicy, room: p.Admission,
+		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
+		notices: p.Notices, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
 		log: p.Log, metrics: newMetrics(p.Scope),
-		downWithin: downWithin,
+		connBreakThreshold: defaultConnBreakThreshold,
 	}
 }
 
@@ -208,7 +208,7 @@
 func (s *Server) Table() *route.Table { return s.table.Load() }
 
 // Admission tells who is let in.
-func (s *Server) Admission() Admission { return s.room }
+func (s *Server) Admission() Admission { return s.admission }
 
 // Drain makes each answer close its connection from now on.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -247,7 +247,7 @@
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
 	if x.reason == reasonServed {
-		s.room.Served(x.service, elapsed)
+		s.admission.Served(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
 	if x.cut {
--- a/internal/serve/stalled.go
+++ b/internal/serve/stalled.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// stallStep is the time between two looks at a caller that reads nothing.
-const stallStep = time.Second
+// stallCheckInterval is the time between two looks at a caller that reads nothing.
+const stallCheckInterval = time.Second
 
 // stalledError tells that a caller read nothing of its answer for a time.
 type stalledError struct {
@@ -24,10 +24,10 @@
 
 // Write sends to the caller. A caller that reads slowly has all the time that it
 // takes; one that reads nothing is cut.
-func (c *watchedConn) Write(p []byte) (int, error) {
+func (c *callerConn) Write(p []byte) (int, error) {
 	written, stalled := 0, time.Duration(0)
 	for {
-		if err := c.Conn.SetWriteDeadline(time.Now().Add(stallStep)); err != nil {
+		if err := c.Conn.SetWriteDeadline(time.Now().Add(stallCheckInterval)); err != nil {
 			return written, err
 		}
 		n, err := c.Conn.Write(p[written:])
@@ -35,7 +35,7 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
 		}
-		stalled += stallStep
+		stalled += stallCheckInterval
 		if n > 0 {
 			stalled = 0
 		}
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -9,9 +9,9 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// noteAnswer draws the conclusions from a whole plain answer. Failures take
+// recordResponse draws the conclusions from a whole plain answer. Failures take
 // another time than work, and an engine's speed is that between events.
-func (x *transfer) noteAnswer(target *targets.Target, status int) {
+func (x *transfer) recordResponse(target *targets.Target, status int) {
 	now := time.Now()
 	x.server.targets.Succeeded(target, now)
 	if x.route.Kind != route.Stream && status < http.StatusBadRequest {
@@ -28,7 +28,7 @@
 	// since counts the events after it.
 	first, last time.Time
 	events      int
-	since       int
+	sinceLast   int
 }
 
 func (x *transfer) newStreamTiming(target *targets.Target) *streamTiming {
@@ -42,12 +42,12 @@
 		s.first, s.last = now, now
 		return
 	}
-	s.since++
+	s.sinceLast++
 	if more {
 		return
 	}
-	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.since), now)
-	s.last, s.since = now, 0
+	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.sinceLast), now)
+	s.last, s.sinceLast = now, 0
 }
 
 // end takes the whole stream in.
@@ -59,7 +59,7 @@
 	sample := policy.Sample{
 		Completion: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Took: time.Since(s.sentAt),
 	}
-	if s.target.Incarnation() != x.lastOfProgram {
+	if s.target.Incarnation() != x.programTarget {
 		sample.Uncached = int64(x.promptTokens())
 	}
 	x.server.targets.TurnEnded(s.target, sample)
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -80,42 +80,42 @@
 	// held is what this instance's memory holds for the request.
 	held memlimit.Account
 	// turn is set if the conversation is kept here.
-	turn *keptTurn
+	turn *storedTurn
 	// ctx ends when the caller leaves or the time is up, at deadline.
 	ctx      context.Context
 	deadline time.Time
 
-	// lastOfProgram is the target that ran the program's last turn, empty if
+	// programTarget is the target that ran the program's last turn, empty if
 	// unknown.
-	lastOfProgram string
+	programTarget string
 	// permit is set once the request was let in within its organisation's limit.
 	permit Permit
 	// settle gives back room in the program's budget, nil if none is held.
 	settle func()
 
-	// tried lists the starts of targets that are not asked again.
-	tried []string
+	// excluded lists the starts of targets that are not asked again.
+	excluded []string
 	// ran lists the starts of targets that may run the request now; mayHaveRun
 	// stays set when one of them has ended.
 	ran        []string
 	mayHaveRun bool
-	// failedAt is the target that failed the turn last, empty if none did or
+	// failedTarget is the target that failed the turn last, empty if none did or
 	// another one brought it to its end.
-	failedAt string
-	// broken lists targets that broke a connection without an answer.
-	broken     []string
-	lastTarget string
+	failedTarget string
+	// brokenTargets lists targets that broke a connection without an answer.
+	brokenTargets []string
+	lastTarget    string
 	// sentAt is the time of the last send.
 	sentAt   time.Time
 	sends    int
 	refusals int
 
-	// hurried tells that the last send was to end early for a second one.
-	hurried bool
+	// hedged tells that the last send was to end early for a second one.
+	hedged bool
 	// sendCtx is the context of the last send.
 	sendCtx context.Context
-	// stopPatience ends what bounds the last send besides the request's time.
-	stopPatience func() bool
+	// stopSendTimer ends what bounds the last send besides the request's time.
+	stopSendTimer func() bool
 
 	// headSent tells that the head of the answer went out.
 	headSent bool
@@ -142,11 +142,11 @@
 	ctx, cancel := context.WithDeadline(x.request.Context(), x.deadline)
 	defer cancel()
 	x.ctx = ctx
-	if !x.readBody() || !x.hasRoom() || !x.recallConversation() {
+	if !x.readBody() || !x.checkAdmission() || !x.prependConversation() {
 		return
 	}
 	if !x.isTurn() {
-		if x.admit(false) {
+		if x.admitOrganisation(false) {
 			x.forward()
 		}
 		return
@@ -183,13 +183,13 @@
 		return false
 	}
 	x.lastEvent = x.call.LastEvent
-	x.service = found.ServiceFor(xxhash.Sum64String(x.placementKey() + x.call.ID[:min(len(x.call.ID), x.idWeight())]))
+	x.service = found.ServiceFor(xxhash.Sum64String(x.placementKey() + x.call.ID[:min(len(x.call.ID), x.splitIDLen())]))
 	return true
 }
 
-// idWeight is how much of the request's id decides on the service of a split:
+// splitIDLen is how much of the request's id decides on the service of a split:
 // nothing where a program's turns should stay together.
-func (x *transfer) idWeight() int {
+func (x *transfer) splitIDLen() int {
 	if x.placementKey() != "" {
 		return 0
 	}
@@ -219,9 +219,9 @@
 // forwardTurn takes room in the program's budget around the turn.
 func (x *transfer) forwardTurn() {
 	perEvent := x.tokensPerEvent()
-	most := (x.call.Turn.MaxTokens + perEvent - 1) / perEvent * perEvent
+	maxTokens := (x.call.Turn.MaxTokens + perEvent - 1) / perEvent * perEvent
 	lease, err := x.server.budgets.Reserve(x.ctx, Turn{
-		Program: x.scoped(x.call.Program), Budget: x.call.Turn.Budget, MaxTokens: most, Retention: x.route.Retention,
+		Program: x.scoped(x.call.Program), Budget: x.call.Turn.Budget, MaxTokens: maxTokens, Retention: x.route.Retention,
 	})
 	switch {
 	case errors.Is(err, ErrBudgetSpent):
@@ -239,11 +239,11 @@
 		x.detail = err.Error()
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetOwner, x.server.retryAfter(retryBudget))
 	default:
-		x.lastOfProgram = lease.Target()
+		x.programTarget = lease.Target()
 		x.settle = func() { lease.Settle(x.turnEnd(perEvent)) }
 		defer x.settleOnce()
-		begins := x.begins(lease)
-		if x.admit(begins) && x.hasRoomForTurn(begins) {
+		first := x.startsProgram(lease)
+		if x.admitOrganisation(first) && x.checkTurnAdmission(first) {
 			x.forward()
 		}
 	}
@@ -253,8 +253,8 @@
 func (x *transfer) turnEnd(perEvent int) TurnResult {
 	end := TurnResult{UsedTokens: x.delivered * perEvent}
 	switch {
-	case x.failedAt != "":
-		end.Target, end.Failed = x.failedAt, true
+	case x.failedTarget != "":
+		end.Target, end.Failed = x.failedTarget, true
 	case len(x.ran) > 0 && x.delivered > 0:
 		end.Target = x.ran[len(x.ran)-1]
 	}
