--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -9,45 +9,47 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// Admission decides who is let in while there is too little room.
+// Admission decides which requests are admitted while targets lack capacity.
 type Admission interface {
-	// Admit decides on a request.
+	// Admit decides whether a request is admitted.
 	Admit(request overload.Request, now time.Time) policy.RoomVerdict
-	// Again and AgainAfterFailure tell whether a request may go to one more target,
-	// after a number of targets were full or after one failed.
+	// Again and AgainAfterFailure report whether the retry budget allows sending a
+	// request to one more target, after a number of targets refused it or after one
+	// failed.
 	Again(service string, refusals int, now time.Time) bool
 	AgainAfterFailure(service string, now time.Time) bool
-	// ComeBack is when a caller should come back whose request no target took.
+	// ComeBack returns the RetryAfter delay for a request that no target accepted.
 	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
-	// Served notes how long a request took.
+	// Served records how long a request took.
 	Served(service string, took time.Duration)
-	// Dump lists what is known of the services' room.
+	// Dump lists the state of the services.
 	Dump(now time.Time) []overload.Dump
 }
 
-// isTurn tells whether the request is a turn of a program.
+// isTurn reports whether the request is a turn of a program.
 func (x *transfer) isTurn() bool { return x.call.Turn != nil && x.route.Kind == route.Stream }
 
-// mayStartProgram tells whether a turn may be a program's first: of a route that keeps
-// turns one that continues none.
+// mayStartProgram reports whether the turn may be its program's first. On a route that
+// stores turns that is one without a previous turn.
 func (x *transfer) mayStartProgram() bool {
 	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
-// startsProgram tells whether a turn with room in its budget is its program's first.
+// startsProgram reports whether the turn that holds the lease is its program's first.
 func (x *transfer) startsProgram(lease Lease) bool {
 	return x.mayStartProgram() && (x.route.StoresTurns || lease.First())
 }
 
-// checkAdmission asks for room before anything is asked of others. First turns ask
-// later: the owner of their budget tells the load of the services, which an
-// instance that refuses all of them would not hear of.
+// checkAdmission checks admission before other instances are involved. First turns are
+// checked later, by checkTurnAdmission: replies of their budget's owner carry the load
+// of the services, which an instance that refused all first turns here would not
+// receive.
 func (x *transfer) checkAdmission() bool {
 	return x.mayStartProgram() || x.admitClass(x.admissionClass(false))
 }
 
-// checkTurnAdmission asks for room for a turn that may have been its program's first,
-// once that is known; its organisation lets it in.
+// checkTurnAdmission checks admission of a turn that may be its program's first, once
+// the budget's lease has shown whether it is. A refused turn returns its permit.
 func (x *transfer) checkTurnAdmission(first bool) bool {
 	if !x.mayStartProgram() || x.admitClass(x.admissionClass(first)) {
 		return true
@@ -58,7 +60,7 @@
 	return false
 }
 
-// admissionClass is what is lost if the request is refused.
+// admissionClass classifies the request by what is wasted if it is refused.
 func (x *transfer) admissionClass(first bool) policy.RoomClass {
 	switch {
 	case x.call.Program == "":
@@ -88,11 +90,11 @@
 	return false
 }
 
-// routePriorities is the number of ranks of routes within one of organisations.
+// routePriorities is the number of route priorities within one organisation priority.
 const routePriorities = 3
 
-// combinedPriority is the organisation's rank and, within it, the route's; 0 is the most
-// urgent.
+// combinedPriority orders requests by the organisation's priority, then by the route's;
+// 0 is the most urgent.
 func (x *transfer) combinedPriority() int {
 	within := min(x.route.Priority, routePriorities-1)
 	if x.org == nil || x.org.Priority == nil {
@@ -101,7 +103,7 @@
 	return *x.org.Priority*routePriorities + within
 }
 
-// utilization is what the request's organisation uses, 0 if that is not known.
+// utilization returns the utilization of the organisation's limit, 0 if unknown.
 func (x *transfer) utilization() float64 {
 	if x.permit == nil {
 		return 0
@@ -109,7 +111,7 @@
 	return x.permit.Use()
 }
 
-// targetRetryAfter is when the caller should come back after no target took the request.
+// targetRetryAfter returns the RetryAfter delay after no target accepted the request.
 func (x *transfer) targetRetryAfter() time.Duration {
 	return x.server.admission.ComeBack(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/callerconn.go
+++ b/internal/serve/callerconn.go
@@ -10,20 +10,21 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// net/http drops the length of a request that also comes in chunks, and reads
-// what follows as a second request. Such a request may hide another one from
-// whoever reads it differently, so it has to be refused; a callerConn notes it
-// while the head is read.
+// net/http drops the Content-Length of a request that is also chunked, so other servers
+// on the path may delimit it differently (request smuggling). Such requests are
+// refused: callerConn detects the conflict while the header is read.
 
-// callerConn is a caller's connection whose request heads are looked at.
+// callerConn is a caller's connection. It inspects request headers and disconnects
+// callers that stop reading.
 type callerConn struct {
 	net.Conn
-	// conflict tells that a head held both a length and chunks.
+	// conflict indicates that a request header contained both Content-Length and
+	// Transfer-Encoding.
 	conflict atomic.Bool
 	memory   *memlimit.Bound
 }
 
-// Read reads from the caller.
+// Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 1 && headConflicts(p[:n]) {
@@ -32,8 +33,8 @@
 	return n, err
 }
 
-// headConflicts tells whether the lines up to the first blank one name both a
-// length and an encoding.
+// headConflicts reports whether a request header, up to the first blank line, contains
+// both Content-Length and Transfer-Encoding.
 func headConflicts(data []byte) bool {
 	length, encoding := false, false
 	for len(data) > 0 {
@@ -62,8 +63,8 @@
 
 type connKey struct{}
 
-// WrapListener makes a listener for callers whose connections are looked at.
-// ConnContext must be set in the http.Server that uses it.
+// WrapListener returns a listener whose connections detect conflicting lengths and
+// callers that stop reading. The http.Server that uses it must set ConnContext.
 func (s *Server) WrapListener(l net.Listener) net.Listener { return callerListener{l, s.memory} }
 
 type callerListener struct {
@@ -71,7 +72,7 @@
 	memory *memlimit.Bound
 }
 
-// Accept waits for a caller.
+// Accept implements net.Listener.
 func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -80,12 +81,13 @@
 	return &callerConn{Conn: c, memory: l.memory}, nil
 }
 
-// ConnContext makes a caller's connection known to the Server.
+// ConnContext stores the caller's connection in the context of its requests.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// lengthsConflict tells whether a request came with both a length and chunks.
+// lengthsConflict reports whether a request has both Content-Length and
+// Transfer-Encoding.
 func lengthsConflict(r *http.Request) bool {
 	if len(r.TransferEncoding) == 0 {
 		return false
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -10,18 +10,18 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// maxTurnIDBytes is the length of the longest request id of a kept turn, in bytes:
-// the store's keys are no longer.
+// maxTurnIDBytes bounds the request id of a stored turn: the store's keys are no
+// longer.
 const maxTurnIDBytes = 255
 
-// storedTurn is a turn whose conversation is kept here.
+// storedTurn is a turn that is added to a stored conversation.
 type storedTurn struct {
 	input  []byte
 	output bytes.Buffer
 }
 
-// prependConversation puts the conversation before a kept turn in front of its
-// input. It returns false if the request has been answered.
+// prependConversation puts the stored conversation in front of a turn's input. It
+// returns false if the request has been refused.
 func (x *transfer) prependConversation() bool {
 	if !x.route.StoresTurns || x.route.Kind != route.Stream {
 		return true
@@ -61,7 +61,7 @@
 	return true
 }
 
-// recordEvent adds an event that went out to the conversation.
+// recordEvent adds an event sent to the caller to the conversation.
 func (x *transfer) recordEvent(e event) {
 	if x.turn == nil {
 		return
@@ -71,8 +71,8 @@
 	x.turn.output.WriteByte('\n')
 }
 
-// storeTurn makes a turn durable before its answer ends. It returns false if
-// that did not succeed: the answer must then not look complete.
+// storeTurn makes a turn durable before its response ends. If it returns false, the
+// response must not look complete.
 func (x *transfer) storeTurn() bool {
 	if x.turn == nil {
 		return true
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -18,12 +18,11 @@
 
 const eventStream = "text/event-stream"
 
-// maxBufferedBytes is the size of the longest plain answer, in bytes, that is held
-// until it is whole; a longer one is passed on as it arrives.
+// maxBufferedBytes bounds a plain response that is buffered until it is complete; a
+// longer one is passed on as it arrives.
 const maxBufferedBytes = 1 << 20
 
-// deliver passes a target's answer on and tells whether another send may
-// follow.
+// deliver passes a target's response on and reports whether another send may follow.
 func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, answer call.Answer) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
@@ -35,14 +34,15 @@
 		return x.deliverStream(target, resp)
 	}
 	if x.headSent {
-		// A stream that was to go on got a plain answer instead.
+		// A plain response cannot continue a stream.
 		x.detail = "status " + strconv.Itoa(resp.Status) + " to a resumed stream"
 		return x.handleBrokenResponse(target)
 	}
 	return x.deliverWhole(target, resp)
 }
 
-// handleBrokenResponse handles an answer that cannot be passed on whole.
+// handleBrokenResponse handles a response that cannot be passed on completely. It
+// reports whether another send may follow.
 func (x *transfer) handleBrokenResponse(target *targets.Target) bool {
 	if x.ctx.Err() != nil {
 		x.giveUpOnContext()
@@ -53,16 +53,16 @@
 	return x.retryOrGiveUp()
 }
 
-// isTurnFailure tells whether an answer is an engine's failure of a turn, which
-// others seldom give: an engine that fails one is likely to fail more, while its
-// health checks are good. A 504 tells of the time left alone.
+// isTurnFailure reports whether a response is an engine's failure of a turn. An engine
+// that fails one turn is likely to fail more while its health checks pass. A 504 only
+// reflects the time left.
 func (x *transfer) isTurnFailure(resp *exchange.Response) bool {
 	return x.route.Kind == route.Stream && resp.Status >= http.StatusInternalServerError &&
 		resp.Status != http.StatusGatewayTimeout
 }
 
-// recordTurnFailure keeps turns away from an engine that failed one, here and, for
-// a second, at other instances.
+// recordTurnFailure makes this instance and the others avoid an engine that failed a
+// turn.
 func (x *transfer) recordTurnFailure(target *targets.Target) {
 	now := time.Now()
 	x.failedTarget = target.Incarnation()
@@ -73,11 +73,11 @@
 	}
 }
 
-// deliverWhole passes a plain answer on once it is whole, so that a broken one
-// can be repeated or reported as such.
+// deliverWhole passes a plain response on once it is complete, so that a broken one can
+// be retried or reported.
 func (x *transfer) deliverWhole(target *targets.Target, resp *exchange.Response) bool {
 	body, longer, err := x.readResponse(resp)
-	// What is passed on as it comes takes as long as the caller reads.
+	// The rest of a longer response takes as long as the caller reads.
 	x.stopSendTimer()
 	if err != nil {
 		x.detail = err.Error()
@@ -105,11 +105,11 @@
 	return false
 }
 
-// readResponse reads a plain answer as far as it is held: up to maxBufferedBytes, or
-// less while memory is short. The answer is longer if it was not read to its end.
+// readResponse buffers up to maxBufferedBytes of a plain response, less while memory is
+// short. longer reports whether there is more of it.
 func (x *transfer) readResponse(resp *exchange.Response) (body []byte, longer bool, err error) {
-	// An answer that is not held is passed on as it comes, so that it leaves to
-	// requests of programs under way what they cannot do without.
+	// Buffering is optional, so it must not use the memory reserved for requests that
+	// continue a program.
 	x.held.SetUnderWay(false)
 	expected := resp.Length
 	if expected > maxBufferedBytes {
@@ -126,14 +126,14 @@
 	return buffer.Bytes(), len(buffer.Bytes()) == maxBufferedBytes, err
 }
 
-// copyRest passes on what is left of a long plain answer.
+// copyRest passes on the rest of a long plain response.
 func (x *transfer) copyRest(resp *exchange.Response) {
 	if _, err := io.Copy(x.writer, resp.Body); err != nil {
 		x.detail, x.reason, x.cut = err.Error(), reasonCut, true
 	}
 }
 
-// copyHead passes the head of an answer on.
+// copyHead passes on the status and header of a response.
 func (x *transfer) copyHead(resp *exchange.Response, unknownLength bool, length int) {
 	header := x.writer.Header()
 	closing := header.Get("Connection")
@@ -156,7 +156,7 @@
 	x.writer.WriteHeader(resp.Status)
 }
 
-// perConnection tells whether a header of an answer concerns one connection.
+// perConnection reports whether a response header applies to one connection only.
 func perConnection(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -166,7 +166,8 @@
 	return false
 }
 
-// deliverStream passes whole events on as they arrive.
+// deliverStream passes on complete events as they arrive. It reports whether another
+// send may follow.
 func (x *transfer) deliverStream(target *targets.Target, resp *exchange.Response) bool {
 	events := newEventReader(resp.Body)
 	timing := x.newStreamTiming(target)
@@ -203,7 +204,7 @@
 	}
 }
 
-// flush sends the caller what was written. An error ends the request.
+// flush sends buffered data to the caller. An error ends the request.
 func (x *transfer) flush() error {
 	if !x.headSent {
 		return nil
@@ -215,7 +216,7 @@
 	return err
 }
 
-// callerLeft ends a request whose caller takes no more of the answer.
+// callerLeft ends a request whose caller reads no more of the response.
 func (x *transfer) callerLeft(err error) {
 	x.detail, x.reason, x.cut = err.Error(), reasonCallerLeft, true
 	var stalled *stalledError
@@ -237,8 +238,8 @@
 	return false
 }
 
-// isNextEvent tells whether an event is the next one after the last that went out.
-// Streams whose events carry no numbers are taken as they come.
+// isNextEvent reports whether an event follows the last one sent to the caller. Streams
+// without numeric event ids are not checked.
 func (x *transfer) isNextEvent(event event) bool {
 	if event.id == "" || x.lastEvent == "" {
 		return true
@@ -251,5 +252,4 @@
 	return err == nil && number == last+1
 }
 
-// errTruncatedEvent tells that a stream ended inside an event.
 var errTruncatedEvent = errors.New("the stream ended inside an event")
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -9,16 +9,16 @@
 // eventBuffer is the size of a stream's read buffer, in bytes: a few events.
 const eventBuffer = 2 << 10
 
-// event is one whole event of a stream.
+// event is one complete server-sent event.
 type event struct {
-	// bytes is the event with the blank line at its end. It is valid until
-	// the next event is read.
+	// bytes is the event including its terminating blank line. It is valid until the
+	// next event is read.
 	bytes []byte
-	// id is empty if the event carries none.
+	// id is empty if the event has none.
 	id string
 }
 
-// data joins the lines of data with a line feed between two.
+// data joins the data lines with line feeds.
 func (e event) data() []byte {
 	var data []byte
 	first := true
@@ -36,7 +36,7 @@
 	return data
 }
 
-// eventReader cuts a stream into whole events.
+// eventReader splits a stream into complete events.
 type eventReader struct {
 	reader *bufio.Reader
 	buffer []byte
@@ -46,7 +46,7 @@
 	return &eventReader{reader: bufio.NewReaderSize(body, eventBuffer)}
 }
 
-// buffered tells whether more of the stream has arrived already.
+// buffered reports whether another complete event is buffered.
 func (e *eventReader) buffered() bool {
 	if e.reader.Buffered() == 0 {
 		return false
@@ -55,7 +55,7 @@
 	return err == nil && bytes.Contains(ahead, []byte("\n\n"))
 }
 
-// next reads an event. It returns io.EOF at the end of a whole stream.
+// next reads an event. It returns io.EOF at the end of a complete stream.
 func (e *eventReader) next() (event, error) {
 	e.buffer = e.buffer[:0]
 	id := ""
--- a/internal/serve/memory.go
+++ b/internal/serve/memory.go
@@ -11,22 +11,22 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// requestOverheadBytes is held for each request besides its body, in bytes: its heads,
-// the buffers of two connections and the stacks of their goroutines.
+// requestOverheadBytes is the memory held for each request besides its body: headers,
+// the buffers of two connections and goroutine stacks.
 const requestOverheadBytes = 32 << 10
 
-// retryMemory is when a caller should come back that was refused for lack of
-// memory: about the time of a turn.
+// retryMemory is the RetryAfter delay of a request refused for lack of memory, about
+// the time of a turn.
 const retryMemory = 500 * time.Millisecond
 
-// continuesProgram tells whether a request is known not to begin a program:
-// calls of tools, later turns of a kept conversation and resumed streams.
+// continuesProgram reports whether a request is known not to begin a program: a tool
+// call, a later turn of a stored conversation or a resumed stream.
 func (x *transfer) continuesProgram() bool {
 	return x.call.LastEvent != "" || x.call.PreviousTurn != "" || (x.call.Program != "" && !x.isTurn())
 }
 
-// readBody reads the request's body into memory that is held for it. It returns
-// false if the request has been answered.
+// readBody reads the request's body into memory accounted to it. It returns false if
+// the request has been refused.
 func (x *transfer) readBody() bool {
 	if x.continuesProgram() {
 		x.held.SetUnderWay(true)
@@ -61,8 +61,8 @@
 	return true
 }
 
-// setBodyDeadline sets until when the body may arrive: memory is held for it, and
-// what is left of a refused one is read until then. The zero time stands for no
+// setBodyDeadline bounds the arrival of the body, for which memory is held. It also
+// bounds how long net/http drains the body of a refused request. The zero time means no
 // bound.
 func (x *transfer) setBodyDeadline(until time.Time) {
 	if x.request.ContentLength == 0 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// refuseUnreadable refuses a request whose body, or the conversation before it, could
-// not be read or held. It returns false.
+// refuseUnreadable refuses a request whose body or stored conversation could not be
+// read or held in memory. It returns false.
 func (x *transfer) refuseUnreadable(err error) bool {
 	x.detail = err.Error()
 	var short *memlimit.ShortError
@@ -84,7 +84,7 @@
 		return false
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// What is left of the body is not waited for.
+		// The rest of the body is not drained.
 		x.writer.Header().Set("Connection", "close")
 		x.refuse(http.StatusServiceUnavailable, reasonNotSent, x.targetRetryAfter())
 		return false
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -6,10 +6,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// reason is why a request ended as it did.
+// reason is the outcome of a request, used in logs, metrics and refusals.
 type reason string
 
-// Reasons.
 const (
 	reasonServed              reason = "served"
 	reasonTargetFailed        reason = "target_answered_failure"
@@ -47,12 +46,11 @@
 	2 * time.Second, 4 * time.Second, 10 * time.Second,
 }
 
-// metrics of the requests of callers.
 type metrics struct {
 	scope   tally.Scope
 	sends   tally.Counter
 	resumed tally.Counter
-	// hedges counts second sends after a time that answers rarely pass.
+	// hedges counts sends cancelled in favour of a hedge.
 	hedges   tally.Counter
 	byReason map[reason]reasonMetrics
 }
--- a/internal/serve/organisation.go
+++ b/internal/serve/organisation.go
@@ -9,20 +9,20 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// KeyPolicy says how long keys are trusted by an instance that hears neither
-// from the store nor from another instance that does.
+// KeyPolicy defines how keys are treated while neither the store nor another instance
+// confirms that the settings are current.
 type KeyPolicy struct {
-	// ConfigDelay is how long new settings may take to be in force. An unknown
-	// key may be a new one once the settings are older than that.
+	// ConfigDelay is the time within which new settings take effect. Once the settings
+	// are older, an unknown key may be a new one.
 	ConfigDelay time.Duration
-	// Strict refuses all keys once the settings are older than RevokeDelay;
-	// otherwise the keys known last go on being served.
+	// Strict refuses all keys once the settings are older than RevokeDelay; otherwise
+	// the last known keys remain valid.
 	Strict      bool
 	RevokeDelay time.Duration
 }
 
-// authorise finds the organisation that holds the request's key. It returns
-// false if the request has been refused.
+// authorise finds the organisation that holds the request's key. It returns false if
+// the request has been refused.
 func (x *transfer) authorise() bool {
 	organisations := x.table.Organisations
 	if organisations == nil {
@@ -42,7 +42,7 @@
 		x.org = found
 		return true
 	case x.call.Key != org.Digest{} && age > policy.ConfigDelay:
-		// The key may have been added since: a caller that is told so gives up.
+		// The key may have been added since: the refusal must be a retryable one.
 		x.detail = "unknown key, settings are " + age.String() + " old"
 		x.refuse(http.StatusServiceUnavailable, reasonStaleKeys, x.server.retryAfter(retrySettings))
 		return false
@@ -51,7 +51,7 @@
 	return false
 }
 
-// orgName is the organisation's name, empty if there is none.
+// orgName returns the organisation's name, empty if there is none.
 func (x *transfer) orgName() string {
 	if x.org == nil {
 		return ""
@@ -59,11 +59,11 @@
 	return x.org.Name
 }
 
-// scoped makes a name that the caller chose its organisation's own.
+// scoped qualifies a name chosen by the caller with its organisation.
 func (x *transfer) scoped(name string) string { return org.Scope(x.orgName(), name) }
 
-// priority is how urgent the request is, 0 the most: as its organisation's priority
-// says, or its route's.
+// priority returns the organisation's priority if it has one, else the route's; 0 is
+// the most urgent.
 func (x *transfer) priority() int {
 	if x.org != nil && x.org.Priority != nil {
 		return *x.org.Priority
@@ -71,8 +71,8 @@
 	return x.route.Priority
 }
 
-// admitOrganisation lets the request in within its organisation's limit; first tells that it
-// begins a program. It returns false if the request has been refused.
+// admitOrganisation admits the request within its organisation's limit; first indicates
+// that it begins a program. It returns false if the request has been refused.
 func (x *transfer) admitOrganisation(first bool) bool {
 	if x.org == nil || !x.org.Limit.Limited() {
 		return true
--- a/internal/serve/refuse.go
+++ b/internal/serve/refuse.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// Times after which a refused caller should come back.
+// RetryAfter delays of refused requests.
 const (
-	// retrySettings is about the time in which a starting instance reads the
-	// settings.
+	// retrySettings is about the time in which a starting instance reads the settings.
 	retrySettings = 200 * time.Millisecond
-	// retryBudget is about the time of a change of a budget's owner.
+	// retryBudget is about the time in which a budget's owner is replaced.
 	retryBudget = 200 * time.Millisecond
-	// retryOutage is given instead of the shorter times while the store is
-	// away: its outages last seconds, and callers have few tries.
+	// retryOutage replaces the shorter delays while the store is unavailable. Outages
+	// last seconds, so that callers would use up their attempts.
 	retryOutage = 1300 * time.Millisecond
 )
 
-// discard ends a request that no target answers.
+// giveUp ends a request that no target answered.
 func (x *transfer) giveUp(why reason) {
 	switch {
 	case x.headSent:
@@ -45,9 +44,8 @@
 	}
 }
 
-// refuseUnknownRoute ends a request for which the settings have no route. While they
-// may be old the route may have been added since: a caller that is told that there is
-// none gives up.
+// refuseUnknownRoute refuses a request that matches no route. The refusal is retryable
+// while the settings may be outdated, since the route may have been added.
 func (x *transfer) refuseUnknownRoute() {
 	age := x.server.freshness.SettingsAge()
 	if age > x.server.keyPolicy.ConfigDelay {
@@ -58,7 +56,7 @@
 	x.refuse(http.StatusNotFound, reasonNoRoute, 0)
 }
 
-// refuse answers a request itself.
+// refuse sends a response of this instance's own.
 func (x *transfer) refuse(status int, why reason, retryAfter time.Duration) {
 	x.status, x.reason = status, why
 	header := x.writer.Header()
@@ -67,7 +65,7 @@
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 	if why == reasonMalformed {
-		// What follows on the connection cannot be trusted to be a request.
+		// The rest of the connection cannot be parsed as requests reliably.
 		header.Set("Connection", "close")
 	}
 	x.writer.WriteHeader(status)
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -17,17 +17,17 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// maxRefusals bounds the targets that are asked one after the other while each
-// refuses: each costs a round trip.
+// maxRefusals bounds the targets tried while each refuses, since each adds a round
+// trip.
 const maxRefusals = 4
 
-// forward sends the request to targets until one has answered it.
+// forward sends the request to targets until one has responded or the request fails.
 func (x *transfer) forward() {
 	for x.attempt() {
 	}
 }
 
-// attempt makes one send and tells whether another may follow.
+// attempt makes one send and reports whether another may follow.
 func (x *transfer) attempt() bool {
 	if x.ctx.Err() != nil {
 		x.giveUpOnContext()
@@ -42,8 +42,8 @@
 	return x.send(target)
 }
 
-// pick chooses a target. A request that may have run at as many targets as its
-// route allows can only be sent to one of those again.
+// pick chooses a target. A request that may have run at as many targets as its route
+// allows can only be sent to one of those.
 func (x *transfer) pick() *targets.Target {
 	if len(x.ran) > 0 {
 		if same := x.pickSame(); same != nil {
@@ -68,7 +68,6 @@
 	return target
 }
 
-// logChoice tells why a target was chosen.
 func (x *transfer) logChoice(target *targets.Target, why targets.Why) {
 	if target == nil || !why.Known {
 		return
@@ -79,11 +78,10 @@
 		"stayed", why.Stayed, "moved", why.Moved, "next", why.Next, "next_end", why.NextEnd)
 }
 
-// bytesPerToken is the usual length of a token of a conversation kept here, of
-// which nothing else tells the length.
+// bytesPerToken estimates the tokens of a stored conversation from its length.
 const bytesPerToken = 4
 
-// promptTokens is the length of the prompt that an engine reads.
+// promptTokens returns the length of the prompt that an engine reads.
 func (x *transfer) promptTokens() int {
 	if x.call.Turn == nil {
 		return 0
@@ -94,7 +92,7 @@
 	return x.call.Turn.PromptTokens
 }
 
-// pickSame is the target that ran the request last, unless it was given up.
+// pickSame returns the target that ran the request last, unless it is excluded.
 func (x *transfer) pickSame() *targets.Target {
 	last := x.ran[len(x.ran)-1]
 	if slices.Contains(x.excluded, last) {
@@ -103,13 +101,13 @@
 	return x.server.targets.PickSame(last)
 }
 
-// dropEnded drops the targets that have left from those that run the request.
+// dropEnded removes the targets that have ended from those that run the request.
 func (x *transfer) dropEnded() {
 	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.Runs(incarnation) })
 }
 
-// send sends the request to a target and handles what comes back. It tells
-// whether another send may follow.
+// send sends the request to a target and handles the response. It reports whether
+// another send may follow.
 func (x *transfer) send(target *targets.Target) bool {
 	if x.mayHaveRun && x.permit != nil {
 		x.permit.Again()
@@ -149,16 +147,16 @@
 	return x.deliver(target, resp, answer)
 }
 
-// sendTimeoutFactor times a route's latency goal is how long a target may take for a
-// request that another one may run as well. Answers that took longer were lost
-// or came from a target in trouble.
+// sendTimeoutFactor is the multiple of the route's latency goal after which a request
+// is sent to another target, if it may run at one more.
 const sendTimeoutFactor = 2
 
-// maxFirstSendFraction of the time left is the most that is spent on a first target.
+// maxFirstSendFraction bounds the timeout of a first send, as a fraction of the time
+// left. A send without time for a second one has no timeout of its own.
 const maxFirstSendFraction = 0.6
 
-// sendContext bounds one send: a repeatable request goes on to another target
-// while there is time for it.
+// sendContext bounds one send: a repeatable request goes on to another target while
+// there is time for it.
 func (x *transfer) sendContext() (context.Context, context.CancelFunc) {
 	timeout := sendTimeoutFactor * x.route.LatencyGoal
 	mayResend := x.route.Kind == route.Repeatable && len(x.ran)+1 < x.route.MaxTargets
@@ -179,8 +177,8 @@
 	}
 }
 
-// hedgeTimeout is the time that answers of the route rarely pass, false if the
-// request is not to be sent a second time for that.
+// hedgeTimeout returns a time that the route's responses rarely exceed, false if the
+// request must not be hedged.
 func (x *transfer) hedgeTimeout() (time.Duration, bool) {
 	x.hedged = false
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
@@ -189,8 +187,8 @@
 	return x.server.targets.Patience(x.service, x.route.Name, time.Now())
 }
 
-// recordHedge tells whether a send was given up for a second one, and counts
-// it. Its target is slow at most, not failing.
+// recordHedge reports whether a send was cancelled in favour of a hedge, and counts it.
+// Its target counts as slow, not as failing.
 func (x *transfer) recordHedge(target *targets.Target, err error, sentAt time.Time) bool {
 	if !x.hedged || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
 		return false
@@ -201,7 +199,8 @@
 	return true
 }
 
-// sendFailed decides what follows a send without an answer.
+// sendFailed handles a send without a response. It reports whether another send may
+// follow.
 func (x *transfer) sendFailed(target *targets.Target, err error, sentAt time.Time) bool {
 	x.detail = err.Error()
 	if x.ctx.Err() != nil {
@@ -223,12 +222,12 @@
 	return x.retryOrGiveUp()
 }
 
-// defaultConnBreakThreshold is how soon a target that is down breaks a connection: a round
-// trip of a few milliseconds. One that ran the request takes longer.
+// defaultConnBreakThreshold distinguishes a target that is down, which breaks a
+// connection within a round trip, from one that ran the request first.
 const defaultConnBreakThreshold = 20 * time.Millisecond
 
-// recordFailure draws the conclusions from a send without an answer. A kept
-// connection that ended says nothing of its target.
+// recordFailure updates the target's health after a send without a response. A reused
+// connection that ended is ignored: the target may have closed it while idle.
 func (x *transfer) recordFailure(target *targets.Target, err error, sentAt time.Time) {
 	if errors.Is(err, exchange.ErrReusedConn) && errors.Is(err, exchange.ErrNoResponse) {
 		return
@@ -245,17 +244,16 @@
 	}
 }
 
-// excludeIfTimedOut keeps the request from a target that did not answer in time.
+// excludeIfTimedOut excludes a target that did not respond in time.
 func (x *transfer) excludeIfTimedOut(target *targets.Target, err error) {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) {
 		x.excluded = append(x.excluded, target.Incarnation())
 	}
 }
 
-// excludeUnresponsive keeps the request from a target that gave no answer, if
-// another one may run it or if it gave none before: a target that is down
-// breaks each connection at once. After a kept connection that ended the same
-// target is asked again, on a new one.
+// excludeUnresponsive excludes a target that broke a connection without a response, if
+// the request may run at another one or if the target did so before. After the end of a
+// reused connection the same target is tried on a new one.
 func (x *transfer) excludeUnresponsive(target *targets.Target, err error) {
 	x.excludeIfTimedOut(target, err)
 	if errors.Is(err, exchange.ErrReusedConn) {
@@ -267,18 +265,18 @@
 	x.brokenTargets = append(x.brokenTargets, target.Incarnation())
 }
 
-// excludeUnreachable notes a target that cannot be connected to. It has ended or is
-// cut off, so it no longer counts among those that run the request.
+// excludeUnreachable excludes a target that cannot be connected to. It has ended or is
+// partitioned, so it no longer counts among those that run the request.
 func (x *transfer) excludeUnreachable(target *targets.Target) {
 	x.excluded = append(x.excluded, target.Incarnation())
 	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return incarnation == target.Incarnation() })
 }
 
-// possiblyRan tells whether a target may have begun to run the request, be it one
-// that has ended since.
+// possiblyRan reports whether any target, even one that has ended since, may have begun
+// to run the request.
 func (x *transfer) possiblyRan() bool { return x.mayHaveRun || x.delivered > 0 }
 
-// markRan notes that a target may have begun to run the request.
+// markRan records that a target may have begun to run the request.
 func (x *transfer) markRan(target *targets.Target) {
 	x.mayHaveRun = true
 	if !slices.Contains(x.ran, target.Incarnation()) {
@@ -286,8 +284,8 @@
 	}
 }
 
-// retryOrGiveUp tells whether the request may be sent once more after it may have
-// run; if not, it ends it.
+// retryOrGiveUp reports whether the request, which may have run, may be sent again. If
+// not, it ends the request.
 func (x *transfer) retryOrGiveUp() bool {
 	if x.route.Retryable() && x.sends < maxSends && x.retryBudgetAllows() {
 		return true
@@ -296,26 +294,26 @@
 	return false
 }
 
-// retryBudgetAllows tells whether the service's budget of retries allows one more send. A
-// send that this instance gave up itself, or a stream that its caller has a part
-// of, goes on in any case.
+// retryBudgetAllows reports whether the service's retry budget allows one more send.
+// Sends that this instance cancelled and streams that are partly delivered are exempt.
 func (x *transfer) retryBudgetAllows() bool {
 	return x.sendCtx.Err() != nil || x.headSent || x.server.admission.AgainAfterFailure(x.service, time.Now())
 }
 
-// maxSends bounds the sends of one request of any outcome.
+// maxSends bounds the sends of one request.
 const maxSends = 6
 
-// handleRefusal handles a target that did not run the request.
+// handleRefusal handles a target that refused to run the request. It reports whether
+// another send may follow.
 func (x *transfer) handleRefusal(target *targets.Target, resp *exchange.Response) bool {
-	// The body of a refusal is read so that the connection can be kept.
+	// The body is drained so that the connection can be reused.
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		x.detail = err.Error()
 	}
 	x.excluded = append(x.excluded, target.Incarnation())
 	x.refusals++
 	if resp.Status == http.StatusMisdirectedRequest {
-		// Another target has the address by now.
+		// Another target uses the address now.
 		x.server.targets.Failed(target, time.Now())
 	}
 	if x.refusals < maxRefusals && x.server.admission.Again(x.service, x.refusals, time.Now()) {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -1,6 +1,7 @@
-// Package serve answers callers: it finds the route of a request, takes room in
-// its program's budget, sends it to a target and passes the answer on. The
-// instance that reads a request runs it; no other instance is on its way.
+// Package serve handles callers' requests: it finds the route of a request, reserves
+// tokens in its program's budget, forwards it to a target and passes the response on.
+// The instance that reads a request forwards it to the target itself; no other instance
+// is on the path.
 package serve
 
 import (
@@ -22,149 +23,151 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// Turn is a turn that asks for room in its program's budget.
+// Turn is a request to reserve tokens in a program's budget for one turn.
 type Turn struct {
 	Program string
-	// Budget is the program's whole budget, Most the most that this turn
-	// generates; both in tokens.
+	// Budget is the program's whole budget, MaxTokens the upper bound of what this turn
+	// generates, both in tokens.
 	Budget    int
 	MaxTokens int
-	// Retention is how long the program may still come back after its last
-	// turn.
+	// Retention is how long the program's state is retained after its last turn.
 	Retention time.Duration
 }
 
-// Lease is room in a program's budget.
+// Lease is a reservation in a program's budget.
 type Lease interface {
-	// Target ran the program's last turn and may have its prompt; empty if that
-	// is not known.
+	// Target returns the target that ran the program's last turn and may hold its
+	// prompt in its cache, empty if unknown.
 	Target() string
-	// First tells that no turn of the program has run yet, as far as is known.
+	// First reports whether no turn of the program is known to have run yet.
 	First() bool
-	// Settle gives back what was not used and tells how the turn ended. It does
-	// not block.
+	// Settle returns the unused tokens and reports how the turn ended. It does not
+	// block.
 	Settle(end TurnResult)
 }
 
-// TurnResult is how a turn ended.
+// TurnResult describes how a turn ended.
 type TurnResult struct {
-	// UsedTokens is what the caller received, in tokens.
+	// UsedTokens is the number of tokens that the caller received.
 	UsedTokens int
-	// Target ran the turn, empty if none did.
+	// Target is the target that ran the turn, empty if none did.
 	Target string
-	// Failed tells that the target did not bring the turn to its end, so that
-	// the program's next one should go elsewhere.
+	// Failed indicates that the target did not complete the turn, so that the program's
+	// next one should go to another target.
 	Failed bool
 }
 
-// Budgets hands out room in programs' budgets.
+// Budgets reserves tokens in programs' budgets.
 type Budgets interface {
-	// Reserve waits for room until the context ends. It returns ErrBudgetSpent or
-	// ErrNoOwner if there is none; then the turn must not run.
+	// Reserve waits until the tokens can be reserved or the context ends. The turn must
+	// not run if it returns an error: ErrBudgetSpent, ErrBudgetHeld,
+	// ErrStoreUnavailable, ErrNoOwner or that of the context.
 	Reserve(ctx context.Context, turn Turn) (Lease, error)
 }
 
-// AllowanceRequest is a request of an organisation that asks to be let in.
+// AllowanceRequest asks for the admission of a request within its organisation's limit.
 type AllowanceRequest struct {
 	Organisation string
 	Limit        org.Limit
-	// Version is that of the settings which hold the limit.
+	// Version is the version of the settings that Limit is from.
 	Version int64
-	// First tells that it begins a program, Rank how urgent it is then; 0 is the
-	// most urgent.
+	// First indicates that the request begins a program. Priority is used among such
+	// requests; 0 is the most urgent.
 	First    bool
 	Priority int
 	// Program is empty for a request outside programs.
 	Program string
 }
 
-// Permit is a request that was let in.
+// Permit represents a request that was admitted within its organisation's limit.
 type Permit interface {
-	// Again tells that it runs once more.
+	// Again counts the request once more, since it is sent to another target.
 	Again()
-	// Use is what its organisation uses against its limit: 1 is at the limit, 0 is
+	// Use returns the utilization of the organisation's limit: 1 is at the limit, 0 is
 	// unknown.
 	Use() float64
-	// GiveBack tells that it does not run. It has to be called before the request
-	// is sent, once at most, and does not block.
+	// GiveBack returns the permit of a request that is not sent. It may be called once,
+	// before the request is sent, and does not block.
 	GiveBack()
 }
 
-// Allowances keep organisations within their limits.
+// Allowances enforces the limits of organisations.
 type Allowances interface {
-	// Admit lets a request in, waiting for word from others if needed. It returns
-	// an *OverLimitError or ErrLimitUnknown if the request must not run.
+	// Admit admits a request, waiting for replies of other instances if needed. It
+	// returns an *OverLimitError or ErrLimitUnknown if the request must not run.
 	Admit(ctx context.Context, entry AllowanceRequest) (Permit, error)
 }
 
 // CompletedTurn is a turn that a target has completed.
 type CompletedTurn struct {
-	// ID is that of the request, Previous that of the turn before it.
+	// ID is the id of the turn's request, Previous that of the preceding turn.
 	ID       string
 	Previous string
-	// Input is the body that the caller sent, Output the data of the events,
-	// each with a line feed.
+	// Input is the body that the caller sent, Output the data of the events, each
+	// followed by a line feed.
 	Input  []byte
 	Output []byte
-	// Retention is how long the turn may be named after its end.
+	// Retention is how long after its end the turn can be continued.
 	Retention time.Duration
 }
 
-// Conversations keeps the conversations of routes whose turns carry their new
-// input only.
+// Conversations stores the conversations of routes whose turns carry their new input
+// only.
 type Conversations interface {
-	// Before returns what a conversation holds up to and with a turn, ErrTurnNotFound
-	// if there is no such turn, or ErrTurnUncertain if that is not known.
+	// Before returns the conversation up to and including a turn. It returns
+	// ErrTurnNotFound if there is no such turn and ErrTurnUncertain if its existence
+	// could not be determined.
 	Before(ctx context.Context, program, turn string) ([]byte, error)
-	// Keep makes a turn durable. It returns once it is, or with the error of
-	// the context.
+	// Keep makes a turn durable. It returns once the turn is durable, or with the error
+	// of the context.
 	Keep(ctx context.Context, program string, turn CompletedTurn) error
-	// Accepts tells whether a turn that begins now can be kept before its caller
-	// leaves, which it does after a time.
+	// Accepts reports whether a turn that begins now is expected to be stored within
+	// the time left.
 	Accepts(left time.Duration) bool
 }
 
-// Notices tells other instances what this one learns of targets.
+// Notices notifies other instances of failing targets.
 type Notices interface {
-	// TargetBroke tells that a target broke a new connection at once. It does
-	// not block.
+	// TargetBroke reports that a target broke a new connection or failed a turn. It
+	// does not block.
 	TargetBroke()
 }
 
-// Health tells whether the platform's store answers this instance.
+// Health reports whether the platform's store is available to this instance.
 type Health interface{ OK() bool }
 
-// Freshness tells how old this instance's copy of the settings may be.
+// Freshness reports the age of this instance's copy of the settings.
 type Freshness interface {
-	// SettingsAge is the time since the store or another instance has last
-	// confirmed that the copy was the newest.
+	// SettingsAge is the time since the store or another instance last confirmed that
+	// the copy was the newest.
 	SettingsAge() time.Duration
 }
 
-// Config are what a Server works with.
+// Config holds the dependencies of a Server.
 type Config struct {
 	Codec   call.Codec
 	Targets *targets.Registry
 	Pool    *exchange.Pool
 	Budgets Budgets
-	// Allowances is needed where organisations have limits.
+	// Allowances is required if organisations have limits.
 	Allowances Allowances
-	// Conversations is needed for routes that keep them.
+	// Conversations is required if routes store turns.
 	Conversations Conversations
 	Notices       Notices
 	Health        Health
 	Freshness     Freshness
-	// Memory bounds what is held for requests; nil for no bound.
+	// Memory bounds the memory held for requests; nil means no bound.
 	Memory *memlimit.Bound
-	// KeyPolicy says what to do with keys while the settings are old.
+	// KeyPolicy defines how keys are treated while the settings are old.
 	KeyPolicy KeyPolicy
-	// Admission decides who is let in; nil for a guard of the targets' loads.
+	// Admission decides which requests are admitted under load; nil selects
+	// overload.New.
 	Admission Admission
 	Scope     tally.Scope
 	Log       *slog.Logger
 }
 
-// Server answers callers. It implements http.Handler.
+// Server handles callers' requests. It implements http.Handler.
 type Server struct {
 	codec         call.Codec
 	targets       *targets.Registry
@@ -180,7 +183,8 @@
 	admission     Admission
 	log           *slog.Logger
 	metrics       metrics
-	// connBreakThreshold is how soon a target that is down breaks a connection.
+	// connBreakThreshold is the time within which a broken connection indicates that
+	// its target is down. It is a field for tests.
 	connBreakThreshold time.Duration
 
 	table    atomic.Pointer[route.Table]
@@ -188,7 +192,8 @@
 	inFlight atomic.Int64
 }
 
-// New makes a Server without settings: until SetTable it refuses all requests.
+// New returns a Server without settings: it refuses all requests until SetTable is
+// called.
 func New(p Config) *Server {
 	if p.Admission == nil {
 		p.Admission = overload.New(p.Targets, p.Scope)
@@ -201,25 +206,25 @@
 	}
 }
 
-// SetTable puts a version of the settings in force.
+// SetTable puts a version of the settings into effect.
 func (s *Server) SetTable(table *route.Table) { s.table.Store(table) }
 
-// Table is the version in force, nil if none is known.
+// Table returns the settings in effect, nil if there are none yet.
 func (s *Server) Table() *route.Table { return s.table.Load() }
 
-// Admission tells who is let in.
+// Admission returns the admission control in use.
 func (s *Server) Admission() Admission { return s.admission }
 
-// Drain makes each answer close its connection from now on.
+// Drain makes each response from now on close its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// InFlight counts the requests that are being answered.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// ServeHTTP answers one request.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -232,8 +237,8 @@
 	s.finish(x)
 }
 
-// retryAfter is when a caller should come back whose request waits for the
-// store: soon if it answers, else about when its outage may be over.
+// retryAfter returns the Retry-After delay of a request that needs the store: the short
+// delay if the store is available, else about the length of an outage.
 func (s *Server) retryAfter(soon time.Duration) time.Duration {
 	if s.health.OK() {
 		return soon
@@ -241,8 +246,8 @@
 	return retryOutage
 }
 
-// finish logs and counts a request, and cuts the connection if the answer
-// could not be completed.
+// finish logs and counts a request, and aborts the connection if the response is
+// incomplete.
 func (s *Server) finish(x *transfer) {
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
@@ -251,12 +256,13 @@
 	}
 	s.logOutcome(x, elapsed)
 	if x.cut {
-		// The answer must not look complete.
+		// The response must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// logOutcome writes one line for a request that was not served as usual.
+// logOutcome logs one line for a request: at level info if it was not served, else at
+// debug.
 func (s *Server) logOutcome(x *transfer, elapsed time.Duration) {
 	level := slog.LevelInfo
 	if x.reason == reasonServed {
@@ -283,7 +289,7 @@
 	)
 }
 
-// rawPath is the path of a request as the caller sent it.
+// rawPath returns the path of a request URI, without the query and not decoded.
 func rawPath(uri string) string {
 	if i := strings.IndexByte(uri, '?'); i >= 0 {
 		return uri[:i]
--- a/internal/serve/stalled.go
+++ b/internal/serve/stalled.go
@@ -8,13 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// stallCheckInterval is the time between two looks at a caller that reads nothing.
+// stallCheckInterval is the interval at which a blocked write checks whether the caller
+// reads.
 const stallCheckInterval = time.Second
 
-// stalledError tells that a caller read nothing of its answer for a time.
+// stalledError indicates that a caller stopped reading its response.
 type stalledError struct {
 	stalled time.Duration
-	// unsent is the part of a write that it did not take, in bytes.
+	// unsent is the number of bytes of the write that the caller did not read.
 	unsent int
 }
 
@@ -22,8 +23,8 @@
 	return fmt.Sprintf("the caller read nothing for %s, with %d bytes unsent", e.stalled, e.unsent)
 }
 
-// Write sends to the caller. A caller that reads slowly has all the time that it
-// takes; one that reads nothing is cut.
+// Write implements net.Conn. A write may take any time while the caller reads, and
+// fails once the caller has read nothing for the stall timeout.
 func (c *callerConn) Write(p []byte) (int, error) {
 	written, stalled := 0, time.Duration(0)
 	for {
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -9,8 +9,9 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// recordResponse draws the conclusions from a whole plain answer. Failures take
-// another time than work, and an engine's speed is that between events.
+// recordResponse updates a target's statistics after a complete plain response.
+// Failures are excluded from latency, and engines are measured by the pauses between
+// events.
 func (x *transfer) recordResponse(target *targets.Target, status int) {
 	now := time.Now()
 	x.server.targets.Succeeded(target, now)
@@ -19,13 +20,13 @@
 	}
 }
 
-// streamTiming follows the times of one stream's events.
+// streamTiming measures the times of one stream's events.
 type streamTiming struct {
 	transfer *transfer
 	target   *targets.Target
 	sentAt   time.Time
-	// first is the time of the first event, last that of the last one noted;
-	// since counts the events after it.
+	// first is the time of the first event, last that of the last recorded one;
+	// sinceLast counts the events after it.
 	first, last time.Time
 	events      int
 	sinceLast   int
@@ -35,7 +36,7 @@
 	return &streamTiming{transfer: x, target: target, sentAt: x.sentAt}
 }
 
-// event takes an event in. Those that arrive together count as one pause.
+// event records an event. Events that arrive together count as one pause.
 func (s *streamTiming) event(now time.Time, more bool) {
 	s.events++
 	if s.events == 1 {
@@ -50,7 +51,7 @@
 	s.last, s.sinceLast = now, 0
 }
 
-// end takes the whole stream in.
+// end records a complete stream.
 func (s *streamTiming) end() {
 	x := s.transfer
 	if s.events == 0 {
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -16,30 +16,31 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Errors of Budgets.
+// Errors returned by Budgets.
 var (
-	// ErrBudgetSpent tells that the program's budget has no room for the turn.
+	// ErrBudgetSpent indicates that the program's budget has no tokens left for the
+	// turn.
 	ErrBudgetSpent = errors.New("the program's budget is spent")
-	// ErrBudgetHeld tells that other turns of the program hold what is left of its
+	// ErrBudgetHeld indicates that other turns of the program held the rest of its
 	// budget for longer than a turn waits.
 	ErrBudgetHeld = errors.New("turns under way hold what is left of the program's budget")
-	// ErrStoreUnavailable tells that the program needs a record that the store does
-	// not take for now.
+	// ErrStoreUnavailable indicates that the budget needs a record that the store
+	// currently does not accept.
 	ErrStoreUnavailable = errors.New("the program's budget needs a record that the store does not take")
-	// ErrNoOwner tells that nobody who hands out room can be reached.
+	// ErrNoOwner indicates that no owner of the budget can be reached.
 	ErrNoOwner = errors.New("no owner of the program's budget can be reached")
 )
 
-// ErrLimitUnknown tells that nobody answers who could tell whether the
-// organisation's limit has room.
+// ErrLimitUnknown indicates that no coordinator of the organisation's limit replied.
 var ErrLimitUnknown = errors.New("nobody tells whether the organisation's limit has room")
 
-// OverLimitError tells that a request is over its organisation's limit.
+// OverLimitError indicates that a request exceeds its organisation's limit.
 type OverLimitError struct {
-	// RetryAfter is when there should be room.
+	// RetryAfter is the time until capacity is expected.
 	RetryAfter time.Duration
 	Limit      org.Limit
-	// Coordinator refused it; it had Left requests to deal out, with Votes.
+	// Coordinator is the instance that refused the request. It had Remaining requests
+	// left to allocate, with Votes.
 	Coordinator structs.InstanceID
 	Remaining   float64
 	Votes       int
@@ -51,19 +52,18 @@
 		e.Limit.PerSecond, e.Limit.Burst, e.Coordinator, e.Remaining, e.Votes, e.RetryAfter)
 }
 
-// Errors of Conversations.
+// Errors returned by Conversations.
 var (
-	// ErrTurnNotFound tells that no turn has the id named.
+	// ErrTurnNotFound indicates that no turn has the given id.
 	ErrTurnNotFound = errors.New("there is no such turn")
-	// ErrTurnUncertain tells that a turn was not found, though it may exist.
+	// ErrTurnUncertain indicates that a turn was not found but may exist.
 	ErrTurnUncertain = errors.New("whether there is such a turn is not known")
 )
 
-// defaultTokensPerEvent is taken where the settings do not say how many tokens
-// an event holds.
+// defaultTokensPerEvent is used if the settings do not define the tokens of an event.
 const defaultTokensPerEvent = 1
 
-// transfer is one request on its way through this instance.
+// transfer holds the state of one request.
 type transfer struct {
 	server  *Server
 	writer  http.ResponseWriter
@@ -74,35 +74,36 @@
 	route   *route.Route
 	service string
 	call    call.Request
-	// org holds the request's key, nil if it has none.
+	// org is the organisation that holds the request's key, nil if there is none.
 	org  *org.Organisation
 	body []byte
-	// held is what this instance's memory holds for the request.
+	// held accounts for the memory held for the request.
 	held memlimit.Account
-	// turn is set if the conversation is kept here.
+	// turn is set if the route stores turns.
 	turn *storedTurn
-	// ctx ends when the caller leaves or the time is up, at deadline.
+	// ctx ends when the caller leaves or at deadline.
 	ctx      context.Context
 	deadline time.Time
 
-	// programTarget is the target that ran the program's last turn, empty if
-	// unknown.
+	// programTarget is the target that ran the program's last turn, empty if unknown.
 	programTarget string
-	// permit is set once the request was let in within its organisation's limit.
+	// permit is set once the request was admitted within its organisation's limit.
 	permit Permit
-	// settle gives back room in the program's budget, nil if none is held.
+	// settle returns the unused tokens of the program's budget, nil if none are
+	// reserved.
 	settle func()
 
-	// excluded lists the starts of targets that are not asked again.
+	// excluded lists the incarnations of targets that must not get the request again.
 	excluded []string
-	// ran lists the starts of targets that may run the request now; mayHaveRun
-	// stays set when one of them has ended.
+	// ran lists the incarnations of targets that may be running the request. mayHaveRun
+	// stays set after one of them has ended.
 	ran        []string
 	mayHaveRun bool
-	// failedTarget is the target that failed the turn last, empty if none did or
-	// another one brought it to its end.
+	// failedTarget is the last target that failed the turn. It is empty if none did or
+	// another target completed the turn.
 	failedTarget string
-	// brokenTargets lists targets that broke a connection without an answer.
+	// brokenTargets lists the incarnations of targets that broke a connection without a
+	// response.
 	brokenTargets []string
 	lastTarget    string
 	// sentAt is the time of the last send.
@@ -110,23 +111,23 @@
 	sends    int
 	refusals int
 
-	// hedged tells that the last send was to end early for a second one.
+	// hedged indicates that the last send is cancelled early in favour of a hedge.
 	hedged bool
 	// sendCtx is the context of the last send.
 	sendCtx context.Context
-	// stopSendTimer ends what bounds the last send besides the request's time.
+	// stopSendTimer stops the timer that bounds the last send besides deadline.
 	stopSendTimer func() bool
 
-	// headSent tells that the head of the answer went out.
+	// headSent indicates that the status and header were sent to the caller.
 	headSent bool
-	// lastEvent is the id of the last event that went out.
+	// lastEvent is the id of the last event sent to the caller.
 	lastEvent string
 	delivered int
 
 	status int
 	reason reason
 	detail string
-	// cut tells that the connection must be cut since the answer is not whole.
+	// cut indicates that the response is incomplete and the connection must be aborted.
 	cut bool
 }
 
@@ -154,7 +155,8 @@
 	x.forwardTurn()
 }
 
-// accept checks the request and finds its route.
+// accept validates the request and finds its route. It returns false if the request has
+// been refused.
 func (x *transfer) accept() bool {
 	if lengthsConflict(x.request) {
 		x.refuse(http.StatusBadRequest, reasonMalformed, 0)
@@ -187,8 +189,8 @@
 	return true
 }
 
-// splitIDLen is how much of the request's id decides on the service of a split:
-// nothing where a program's turns should stay together.
+// splitIDLen returns how many bytes of the request's id select the service of a split:
+// none if the placement key alone does, which keeps a program's turns together.
 func (x *transfer) splitIDLen() int {
 	if x.placementKey() != "" {
 		return 0
@@ -196,7 +198,7 @@
 	return len(x.call.ID)
 }
 
-// placementKey is what a target may have kept for this request.
+// placementKey identifies cached state that a target may hold for this request.
 func (x *transfer) placementKey() string {
 	switch {
 	case x.route.Kind == route.Stream && x.route.Affinity && x.call.Program != "":
@@ -207,7 +209,7 @@
 	return ""
 }
 
-// uri is the path with the query as the caller sent it.
+// uri returns the path and query as the caller sent them.
 func (x *transfer) uri() string {
 	uri := x.request.RequestURI
 	if len(uri) > 0 && uri[0] == '/' {
@@ -216,7 +218,8 @@
 	return x.request.URL.RequestURI()
 }
 
-// forwardTurn takes room in the program's budget around the turn.
+// forwardTurn reserves tokens in the program's budget for the duration of the turn and
+// forwards it.
 func (x *transfer) forwardTurn() {
 	perEvent := x.tokensPerEvent()
 	maxTokens := (x.call.Turn.MaxTokens + perEvent - 1) / perEvent * perEvent
@@ -249,7 +252,7 @@
 	}
 }
 
-// turnEnd is how the turn ended, as far as its target is concerned.
+// turnEnd returns the result of the turn for its budget.
 func (x *transfer) turnEnd(perEvent int) TurnResult {
 	end := TurnResult{UsedTokens: x.delivered * perEvent}
 	switch {
@@ -261,7 +264,7 @@
 	return end
 }
 
-// settleOnce gives back the room that the turn did not use.
+// settleOnce returns the unused tokens to the program's budget.
 func (x *transfer) settleOnce() {
 	if x.settle != nil {
 		x.settle()
