--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -6,37 +6,37 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// cause is why a connection had to be opened.
+// cause is the reason for opening a connection, used as a metric label.
 type cause string
 
-// Causes.
 const (
-	// causeFirst: none was kept lately.
+	// causeFirst: there was no idle connection recently.
 	causeFirst cause = "first"
-	// causeBusy: each one to the target carries a request.
+	// causeBusy: all connections to the target are in use.
 	causeBusy cause = "busy"
-	// causeExpired: the last one was idle for too long.
+	// causeExpired: the last idle connection expired.
 	causeExpired cause = "expired"
-	// causeClosed: the target closed the last one, or it showed something
-	// unexpected.
+	// causeClosed: the target closed the last idle connection, or it had received
+	// unexpected data.
 	causeClosed cause = "closed"
 )
 
-// closeCauseRetention is how long it is remembered why the last connection to an
-// address went.
+// closeCauseRetention is how long the close cause of an address's last idle connection
+// is retained.
 const closeCauseRetention = time.Minute
 
-// addressState is what is known of one address.
+// addressState holds the idle connections of one address and counts the others.
 type addressState struct {
 	idle []*conn
-	// inUse counts the connections that carry a request.
+	// inUse is the number of connections that carry a request or are being opened.
 	inUse int
-	// closeCause is why the last idle connection went, at closedAt.
+	// closeCause is the reason for closing the last idle connection, at closedAt.
 	closeCause cause
 	closedAt   time.Time
 }
 
-// take takes the connection used last, nil if there is none.
+// take removes and returns the most recently used idle connection, nil if there is
+// none.
 func (p *addressState) take() *conn {
 	if len(p.idle) == 0 {
 		return nil
@@ -48,12 +48,12 @@
 	return c
 }
 
-// expire closes the connections that were idle for too long.
+// expire closes the idle connections that have expired.
 func (p *addressState) expire(now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
 		if now.After(c.expires) {
-			_ = c.Close() // an idle connection has nothing to lose
+			_ = c.Close() // idle, so nothing is lost
 			p.recordClose(causeExpired, now)
 			continue
 		}
@@ -65,15 +65,15 @@
 // closeIdle closes all idle connections.
 func (p *addressState) closeIdle() {
 	for _, c := range p.idle {
-		_ = c.Close() // an idle connection has nothing to lose
+		_ = c.Close() // idle, so nothing is lost
 	}
 	p.idle = nil
 }
 
-// recordClose notes why an idle connection went.
+// recordClose records the reason for closing an idle connection.
 func (p *addressState) recordClose(why cause, now time.Time) { p.closeCause, p.closedAt = why, now }
 
-// openCause is why a connection has to be opened.
+// openCause returns the reason for opening a connection now.
 func (p *addressState) openCause(now time.Time) cause {
 	switch {
 	case p.inUse > 0:
@@ -84,12 +84,12 @@
 	return causeFirst
 }
 
-// forgettable tells whether nothing of the address needs to be remembered.
+// forgettable reports whether the state of the address can be removed.
 func (p *addressState) forgettable(now time.Time) bool {
 	return len(p.idle) == 0 && p.inUse == 0 && now.Sub(p.closedAt) >= closeCauseRetention
 }
 
-// causeCounters count the connections opened by cause.
+// causeCounters count the opened connections by cause.
 type causeCounters map[cause]tally.Counter
 
 func newCauseCounters(scope tally.Scope) causeCounters {
--- a/internal/exchange/causes_test.go
+++ b/internal/exchange/causes_test.go
@@ -7,7 +7,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Each connection opened is counted by why none that was kept could be used.
+// Each opened connection is counted under the reason why no idle one was usable.
 func TestOpenedConnectionsAreCountedByCause(t *testing.T) {
 	s := newScriptedTarget(t, func(int) string { return okAnswer })
 	scope := tally.NewTestScope("", nil)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -14,50 +14,52 @@
 	"github.com/cockroachdb/errors"
 )
 
-// concurrentBodyBytes is the size of a body, in bytes, above which it is written
-// while the answer is read: a target may answer before it has read a long one.
+// concurrentBodyBytes is the body size above which the body is written concurrently
+// with reading the response, because a target may respond before it has read a long
+// body.
 const concurrentBodyBytes = 16 << 10
 
-// maxInformational bounds the 1xx answers before the final one.
+// maxInformational bounds the responses read for one request, 1xx ones and ones to
+// other requests included.
 const maxInformational = 5
 
 // expiredDeadline is a deadline that ends reads and writes at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Errors of a send, by how far it got.
+// Errors returned by Pool.Do. They indicate how far a send got.
 var (
-	// ErrNotSent tells that no byte of the request can have reached the
-	// target: the connection could not be opened.
+	// ErrNotSent indicates that the connection could not be opened, so no part of the
+	// request reached the target.
 	ErrNotSent = errors.New("no connection to the target")
-	// ErrConnBroken tells that the connection broke, or carried something that is
-	// no answer, after the request may have been sent.
+	// ErrConnBroken indicates that the connection broke, or received something other
+	// than a response, after the request may have been sent.
 	ErrConnBroken = errors.New("the connection to the target broke")
-	// ErrNoResponse tells, beside ErrConnBroken, that the connection ended before
-	// the head of an answer was there.
-	ErrNoResponse = errors.New("the connection ended without an answer")
-	// ErrReusedConn tells, beside ErrConnBroken, that the connection had carried a
-	// request before: the target may have dropped it while it was idle.
-	ErrReusedConn = errors.New("the connection was used before")
+	// ErrNoResponse is set in addition to ErrConnBroken if the connection ended before
+	// a complete response header.
+	ErrNoResponse = errors.New("the connection ended without a response")
+	// ErrReusedConn is set in addition to ErrConnBroken if the connection had carried a
+	// request before: the target may have closed it while idle.
+	ErrReusedConn = errors.New("the connection was reused")
 )
 
 // Request is a request to a target.
 type Request struct {
 	Address string
 	Method  string
-	// URI is the path with the query, as the caller sent it.
+	// URI is the path and query as the caller sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Response is a target's answer. Close must be called.
+// Response is a target's response. Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF if the answer is whole.
+	// Body returns io.EOF only if the response is complete.
 	Body io.Reader
-	// Length is the length of the body, -1 if it is not known ahead.
+	// Length is the length of the body, -1 if unknown.
 	Length int64
 
 	pool    *Pool
@@ -66,17 +68,17 @@
 	written *bodyWrite
 	stop    func() bool
 	once    sync.Once
-	// complete is set when the body was read to its end.
+	// complete is set once the body was read to its end.
 	complete bool
 }
 
-// bodyWrite is a body that is written while the answer is read.
+// bodyWrite is a body that is written concurrently with reading the response.
 type bodyWrite struct {
 	done chan struct{}
 	err  error
 }
 
-// complete tells whether the whole body was written.
+// complete reports whether the whole body was written.
 func (b *bodyWrite) complete() bool {
 	if b == nil {
 		return true
@@ -89,12 +91,12 @@
 	}
 }
 
-// Do sends a request and reads the head of the answer. When the context ends,
-// the connection is closed, which ends the work at the target. Errors are
-// ErrNotSent or ErrConnBroken, or that of the context.
+// Do sends a request and reads the response header. When the context ends, the
+// connection is closed, which cancels the work at the target. Errors are marked with
+// ErrNotSent or ErrConnBroken, and with the context's cause if it has ended.
 //
-// The function accept looks at the head of each answer; an answer that it does
-// not accept belongs to an earlier request and is skipped.
+// The function accept inspects the header of each response. A response that it rejects
+// belongs to an earlier request and is skipped.
 func (p *Pool) Do(ctx context.Context, req Request, accept func(status int, header http.Header) bool) (*Response, error) {
 	c, err := p.get(ctx, req.Address, time.Now())
 	if err != nil {
@@ -114,14 +116,14 @@
 	return resp, nil
 }
 
-// drop closes a connection with what is left on it.
+// drop closes a connection in use.
 func (p *Pool) drop(c *conn) {
-	_ = c.Close() // it is given up
+	_ = c.Close() // the result does not matter
 	p.release(c.address)
 }
 
-// broken marks the error of a connection that broke. If it had been idle, the
-// others to its target may have been dropped as well and are given up.
+// broken marks the error of a broken connection. If the connection was reused, the
+// address's idle connections may be broken as well and are closed.
 func (p *Pool) broken(c *conn, err error) error {
 	err = errors.Mark(err, ErrConnBroken)
 	if isConnEnd(err) {
@@ -134,7 +136,7 @@
 	return err
 }
 
-// isConnEnd tells whether an error is the end of a connection.
+// isConnEnd reports whether an error means that the peer closed the connection.
 func isConnEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
@@ -178,8 +180,8 @@
 	return written
 }
 
-// readHead reads heads until one is final and accepted, and tells whether any
-// whole answer was skipped before.
+// readHead reads response headers until one is final and accepted. It reports whether
+// it skipped any response before.
 func readHead(reader *bufio.Reader, method string, accept func(int, http.Header) bool) (*http.Response, bool, error) {
 	skipped := false
 	for range maxInformational {
@@ -195,13 +197,13 @@
 		}
 		skipped = true
 		if _, err := io.Copy(io.Discard, raw.Body); err != nil {
-			return nil, skipped, errors.Wrap(err, "skip another request's answer")
+			return nil, skipped, errors.Wrap(err, "skip the response to another request")
 		}
 		if raw.Close {
 			break
 		}
 	}
-	return nil, skipped, errors.New("the answer belongs to another request")
+	return nil, skipped, errors.New("the response belongs to another request")
 }
 
 func encodeHead(req Request) []byte {
@@ -230,7 +232,7 @@
 	return b.Bytes()
 }
 
-// completionReader notes when the body was read to its end.
+// completionReader records that the body was read to its end.
 type completionReader struct{ resp *Response }
 
 func (w *completionReader) Read(p []byte) (int, error) {
@@ -241,9 +243,9 @@
 	return n, err
 }
 
-// Close gives the connection back if the answer was read to its end and the
-// target keeps it; otherwise it closes the connection, which ends the work at
-// the target.
+// Close returns the connection to the pool if the response was read to its end and the
+// connection can be kept alive. Otherwise it closes the connection, which cancels the
+// work at the target.
 func (r *Response) Close(keepAlive time.Duration) {
 	r.once.Do(func() { r.release(keepAlive) })
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,18 +17,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// scriptedTarget is a target that answers each request on a connection with the next
-// text of a script, and counts connections.
+// scriptedTarget is a target that sends scripted responses and counts its connections.
 type scriptedTarget struct {
 	address string
 	mu      sync.Mutex
 	conns   int
-	// requests are the URIs that it read, in order.
+	// requests lists the URIs received, in order.
 	requests []string
 }
 
-// newScriptedTarget starts a target. The function answer gets the number of the
-// request over all connections, from 1; an empty text ends the connection.
+// newScriptedTarget starts a target. The function answer gets the number of the request
+// over all connections, from 1, and returns the bytes to send; an empty text closes the
+// connection.
 func newScriptedTarget(t *testing.T, answer func(n int) string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 
 func acceptMine(_ int, h http.Header) bool { return h.Get("Id") == "mine" }
 
-// exchangeOnce sends a request and returns the body of its answer.
+// exchangeOnce sends a request and returns the body of the response.
 func exchangeOnce(ctx context.Context, p *Pool, address string, body []byte) (string, error) {
 	resp, err := p.Do(ctx, Request{Address: address, Method: "POST", URI: "/x", Host: "h", Header: http.Header{}, Body: body}, acceptMine)
 	if err != nil {
@@ -155,7 +155,7 @@
 		t.Fatal(err)
 	}
 	address := closed.Addr().String()
-	_ = closed.Close() // nothing listens there any more
+	_ = closed.Close() // nothing listens on the address any more
 	if _, err := exchangeOnce(t.Context(), p, address, nil); !errors.Is(err, ErrNotSent) {
 		t.Errorf("without a listener: %v", err)
 	}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -1,7 +1,6 @@
-// Package exchange sends single HTTP/1.1 requests to targets and reads their
-// answers. It never sends a request again by itself: the caller learns how far
-// a send got and decides. Connections are kept and reused; one that shows
-// anything unexpected is closed.
+// Package exchange sends single HTTP/1.1 requests to targets and reads the responses.
+// It never retries: its errors tell the caller how far a send got. Connections are
+// reused unless they received unexpected data.
 package exchange
 
 import (
@@ -18,26 +17,21 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection. Targets are a few
-	// milliseconds away, and a lost opening packet is sent again after a
-	// second only, so a longer wait does not pay.
+	// dialTimeout bounds the opening of a connection. It is below the TCP
+	// retransmission timeout of a lost SYN.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout is how long a target may leave a request without any
-	// acknowledgement, which comes from its kernel within milliseconds: some
-	// retransmissions. A dropped connection is noticed then and not at the
-	// route's timeout.
+	// unackedTimeout bounds the time that sent data may stay unacknowledged, so that a
+	// dropped connection is detected before the route's timeout.
 	unackedTimeout = 700 * time.Millisecond
-	// defaultIdleTimeout is how long a connection is kept if the target does not say.
+	// defaultIdleTimeout is used if the target does not state a keep-alive time.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is kept of the time that the target states, in whole seconds,
-	// so that a request does not cross the target's close; minIdleFraction of the time
-	// is used at least.
+	// idleMargin is subtracted from the target's keep-alive time, so that a request
+	// does not cross the target's close. At least minIdleFraction of that time is used.
 	idleMargin      = time.Second
 	minIdleFraction = 0.75
-	// readBufferBytes is the size of a connection's read buffer, in bytes: an
-	// answer's head with a small body.
+	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 2 << 10
-	// sweepInterval is the time between two searches for expired connections.
+	// sweepInterval is the interval at which expired connections are closed.
 	sweepInterval = time.Second
 )
 
@@ -57,13 +51,13 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// reused tells that it carried a request before.
+	// reused indicates that the connection carried a request before.
 	reused bool
-	// expires is when it must not be used any more.
+	// expires is the time after which the connection must not be reused.
 	expires time.Time
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(scope tally.Scope) *Pool {
 	return &Pool{
 		dialer:    netopt.Dialer(dialTimeout, unackedTimeout),
@@ -72,7 +66,8 @@
 	}
 }
 
-// Run closes expired connections until the context ends, then all.
+// Run closes expired connections until the context ends, then closes all idle
+// connections.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -107,7 +102,7 @@
 	}
 }
 
-// get takes an idle connection that is still in order, or opens one.
+// get returns an idle connection that is still usable, or opens one.
 func (p *Pool) get(ctx context.Context, address string, now time.Time) (*conn, error) {
 	for {
 		c := p.takeIdle(address, now)
@@ -128,7 +123,7 @@
 	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// stateOf finds what is known of an address. The mutex is held.
+// stateOf returns the state of an address, creating it if needed. The caller holds mu.
 func (p *Pool) stateOf(address string) *addressState {
 	at := p.addresses[address]
 	if at == nil {
@@ -138,8 +133,8 @@
 	return at
 }
 
-// takeIdle takes the connection used last, since it is least likely to expire.
-// Without one it notes that one is opened.
+// takeIdle takes the most recently used idle connection, since it is the least likely
+// to expire. If there is none, it returns nil and counts a connection to be opened.
 func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,9 +147,9 @@
 	return c
 }
 
-// discard closes an idle connection that was taken and can't be used.
+// discard closes an idle connection that was taken but is not usable.
 func (p *Pool) discard(c *conn, now time.Time) {
-	_ = c.Close() // it is given up either way
+	_ = c.Close() // the result does not matter
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := p.stateOf(c.address)
@@ -166,14 +161,15 @@
 	at.recordClose(why, now)
 }
 
-// release counts a connection that carries no request any more.
+// release records that a connection no longer carries a request.
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateOf(address).inUse--
 }
 
-// HasIdle tells whether an idle connection to an address can be used.
+// HasIdle reports whether there is an idle connection to an address that has not
+// expired.
 func (p *Pool) HasIdle(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,7 +190,7 @@
 	}
 }
 
-// put keeps a connection whose answer was read to its end.
+// put returns a connection to the pool after its response was read to the end.
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
 	idle := defaultIdleTimeout
 	if keepAlive > 0 {
@@ -206,14 +202,14 @@
 	at := p.stateOf(c.address)
 	at.inUse--
 	if p.closed {
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request in progress on it
 		return
 	}
 	at.idle = append(at.idle, c)
 }
 
-// idle tells whether nothing has arrived on an idle connection: bytes that
-// nobody asked for, or its end, make it unusable.
+// idle reports whether nothing was received on an idle connection. Unsolicited data or
+// the peer's close make it unusable.
 func (c *conn) idle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the operator's routes and services as the instance uses
-// them, and finds the route of a request. It does no I/O.
+// Package route holds the operator's routes and services and matches requests to
+// routes. It does no I/O.
 package route
 
 import (
@@ -10,27 +10,26 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// Kind tells how often a request of a route may run and how it is answered.
+// Kind defines how often a request of a route may run and the form of its response.
 type Kind uint8
 
-// Kinds of routes.
 const (
 	// Repeatable requests are idempotent.
 	Repeatable Kind = iota
-	// Once marks requests that run at most once for each attempt of a caller.
+	// Once requests run at most once for each attempt of a caller.
 	Once
-	// Stream marks requests that are answered by a series of events.
+	// Stream requests are answered with server-sent events.
 	Stream
 )
 
-// Split is a share of a route's requests that goes to one service.
+// Split assigns a fraction of a route's requests to a service.
 type Split struct {
 	Service string
 	// Weight is relative to the other splits of the route.
 	Weight int
 }
 
-// Route is one rule of the operator.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name string
 	// Host is in lower case, without a port.
@@ -38,38 +37,39 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout bounds the time from the arrival of a request to its whole answer.
+	// Timeout bounds the time from the arrival of a request to the end of its response.
 	Timeout time.Duration
-	// LatencyGoal is the time within which an answer is worth most.
+	// LatencyGoal is the target latency of a response.
 	LatencyGoal time.Duration
-	// GapGoal is the longest pause between two events that is still on time.
+	// GapGoal is the target bound on the pause between two events.
 	GapGoal time.Duration
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority is the route's priority; 0 is the most urgent.
 	Priority int
 	// Splits has at least one entry.
 	Splits []Split
 	// MaxTargets bounds the targets that run one attempt of a caller; at least 1.
 	MaxTargets int
-	// Resumable streams may go on at another target behind their last event.
+	// Resumable indicates that a stream can continue at another target after its last
+	// event.
 	Resumable bool
-	// Affinity tells that a target is faster for a key it handled before.
+	// Affinity indicates that a target is faster for a key it has handled before.
 	Affinity bool
-	// Retention is how long a program's state is kept after its last call;
-	// above 0 the route carries the turns of programs.
+	// Retention is how long a program's state is retained after its last call. The
+	// route carries turns of programs if it is above 0.
 	Retention time.Duration
-	// StoresTurns tells that a turn carries its new input only and that the
-	// conversation before it is kept here.
+	// StoresTurns indicates that a turn carries its new input only and that the
+	// instances store the conversation before it.
 	StoresTurns bool
-	// Anonymous requests are let in without a key, or with any.
+	// Anonymous indicates that requests without a known key are admitted.
 	Anonymous bool
 }
 
-// Retryable tells whether a request that may have run may be sent again.
+// Retryable reports whether a request that may have run can be sent again.
 func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Service is a group of targets that do the same work.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name string
 	// MaxConnections bounds the connections of all callers to one target.
@@ -80,15 +80,15 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that one engine runs at once.
+	// Slots is the number of requests that one engine runs concurrently.
 	Slots int
 	// CacheTokens is the size of one engine's prompt cache.
 	CacheTokens int
-	// TokensPerEvent is the number of generated tokens that a stream event holds.
+	// TokensPerEvent is the number of generated tokens in a stream event.
 	TokensPerEvent int
 }
 
-// Limits bound what a caller may send. Zero values mean no limit.
+// Limits bounds what a caller may send. Zero values mean no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -97,20 +97,20 @@
 	IdleTimeout time.Duration
 }
 
-// Settings is one version of what the operator set.
+// Settings is one version of the operator's settings.
 type Settings struct {
 	Version  int64
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	// Organisations is nil if the operator lists none: then requests need no key.
+	// Organisations is nil if the operator lists none; requests then need no key.
 	Organisations *org.Set
 }
 
-// Table is a version of the settings, indexed for lookups. It does not change.
+// Table is a version of the settings, indexed for lookups. It is immutable.
 type Table struct {
 	Settings
-	// byHost finds a route by host, then by prefix.
+	// byHost indexes routes by host, then by prefix.
 	byHost map[string]map[string]*Route
 }
 
@@ -128,8 +128,8 @@
 	return t
 }
 
-// Match finds the route of a request: the longest prefix of the path among the
-// routes of the host. The host may carry a port.
+// Match finds the route of the host with the longest prefix of the path. The host may
+// include a port.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	byPrefix, ok := t.byHost[normalizeHost(host)]
 	if !ok {
@@ -143,7 +143,7 @@
 	return nil, false
 }
 
-// normalizeHost is a host in lower case without its port.
+// normalizeHost returns a host in lower case without its port.
 func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
@@ -153,8 +153,8 @@
 	return strings.ToLower(host)
 }
 
-// ServiceFor chooses a service by weight. Equal hashes choose the same service
-// as long as the splits stay.
+// ServiceFor selects a service by weight. Equal hashes select the same service as long
+// as the splits are unchanged.
 func (r *Route) ServiceFor(hash uint64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -17,7 +17,7 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// fakeAdmission refuses a class of requests and allows no second send.
+// fakeAdmission refuses one class of requests and allows no retries.
 type fakeAdmission struct {
 	refused policy.RoomClass
 
@@ -44,7 +44,7 @@
 	return 70 * time.Millisecond
 }
 
-// turn makes a turn of a program.
+// turn returns the request of a program's turn.
 func (w *harness) turn(path, id string, header ...string) *http.Request {
 	return w.request("POST", path, "b", append([]string{
 		"Banyanglade-Request-Id", id, "Banyanglade-Program-Id", "p", "Banyanglade-Token-Budget", "1000",
@@ -123,7 +123,7 @@
 	}
 }
 
-// utilizationPermit lets requests in and tells of a use.
+// utilizationPermit admits all requests and returns a fixed utilization.
 type utilizationPermit struct {
 	use      float64
 	returned int
@@ -148,7 +148,7 @@
 	}
 }
 
-// fairUseAdmission refuses organisations that use more than is fair.
+// fairUseAdmission refuses organisations above policy.FairUse.
 type fairUseAdmission struct{ fakeAdmission }
 
 func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
@@ -165,8 +165,7 @@
 	}
 }
 
-// A send that this instance gave up for taking long goes on elsewhere, whatever is
-// left of the budget of retries: its target might have answered.
+// A send that this instance cancelled for its timeout is exempt from the retry budget.
 func TestTimedOutSendIsRetriedWithoutRetryBudget(t *testing.T) {
 	w := newHarness(t)
 	var first atomic.Bool
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -28,7 +28,7 @@
 	}
 	previous := x.call.PreviousTurn
 	if x.call.ID == "" || len(x.call.ID) > maxTurnIDBytes || len(previous) > maxTurnIDBytes || previous == x.call.ID {
-		x.detail = "the ids of a kept turn and of the turn before it"
+		x.detail = "invalid id of a stored turn or of its previous turn: expected different ids of at most 255 bytes, the turn's not empty"
 		x.refuse(http.StatusBadRequest, reasonMalformed, 0)
 		return false
 	}
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -14,14 +14,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fakeConversations is a Conversations whose answers a test sets.
+// fakeConversations is a Conversations with configurable results.
 type fakeConversations struct {
 	mu sync.Mutex
-	// before is the text before each turn.
+	// before maps a turn to the conversation up to it.
 	before map[string]string
 	err    error
 	full   bool
-	// hold, if it is set, is what a turn waits for before it is durable.
+	// hold, if set, delays Keep until it is closed.
 	hold     chan struct{}
 	storeErr error
 	stored   []CompletedTurn
@@ -60,7 +60,7 @@
 
 func (c *fakeConversations) Accepts(time.Duration) bool { return !c.full }
 
-// serveSomeEvents answers with events of several forms.
+// serveSomeEvents responds with events in several formats.
 func serveSomeEvents(_ int, rw http.ResponseWriter, _ *http.Request) {
 	sign(rw)
 	rw.Header().Set("Content-Type", "text/event-stream")
@@ -102,7 +102,8 @@
 	}
 }
 
-// Events go out as they come; only the end waits for the store.
+// Events are passed on as they arrive; only the end of the response waits for the
+// store.
 func TestEndOfATurnWaitsUntilItIsDurable(t *testing.T) {
 	w := newHarness(t)
 	w.conversations.hold = make(chan struct{})
@@ -131,7 +132,7 @@
 	}
 }
 
-// A run that goes on at another target is one turn.
+// A stream that is resumed after a broken connection is stored as one turn.
 func TestResumedTurnIsStoredWhole(t *testing.T) {
 	w := newHarness(t)
 	w.target("t1", "engine", serveEvents(4, func(n int) int {
@@ -159,7 +160,7 @@
 	}
 }
 
-// What cannot be served is refused at once and runs nowhere.
+// Turns that cannot be served are refused at once and reach no target.
 func TestTurnsThatCannotBeServedDoNotRun(t *testing.T) {
 	long := strings.Repeat("x", maxTurnIDBytes+1)
 	for name, c := range map[string]struct {
@@ -195,7 +196,7 @@
 	}
 }
 
-// The limit on bodies is for what callers send.
+// The body limit applies to what callers send, not to the stored conversation.
 func TestBodyLimitExcludesStoredConversation(t *testing.T) {
 	w := newHarness(t)
 	before := strings.Repeat("x", 300<<10)
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -27,7 +27,7 @@
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !answer.Signed {
-		x.detail = "a success without a target's signature"
+		x.detail = "a successful response without the target's signature"
 		return x.handleBrokenResponse(target)
 	}
 	if x.route.Kind == route.Stream && success && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream) {
@@ -174,7 +174,7 @@
 	for {
 		event, err := events.next()
 		if err == nil && !x.isNextEvent(event) {
-			err = errors.Newf("event %s behind event %s", event.id, x.lastEvent)
+			err = errors.Newf("event %s follows event %s out of order", event.id, x.lastEvent)
 		}
 		switch {
 		case err == io.EOF:
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -30,14 +30,13 @@
 	engineTokens = 10
 )
 
-// fakeBudgets is a Budgets whose answer a test sets.
+// fakeBudgets is a Budgets with configurable results.
 type fakeBudgets struct {
 	mu       sync.Mutex
 	err      error
 	requests []Turn
 	settled  []int
-	// target is what leases name as the target of the program's last turn, ends
-	// what they were told.
+	// target is what Lease.Target returns; ends records the results passed to Settle.
 	target string
 	ends   []TurnResult
 }
@@ -65,26 +64,26 @@
 	l.b.ends = append(l.b.ends, end)
 }
 
-// harness is an instance with its targets.
+// harness is a Server with its targets.
 type harness struct {
 	t       *testing.T
 	server  *Server
 	front   *httptest.Server
 	targets *targets.Registry
 	budgets *fakeBudgets
-	// conversations are used by the route "kept" alone.
+	// conversations is only used by the route "kept".
 	conversations *fakeConversations
 	health        fakeHealth
 	currency      fakeFreshness
 	log           *logBuffer
-	// notices counts what was told to other instances.
+	// notices counts the calls of TargetBroke.
 	notices atomic.Int64
 }
 
 // TargetBroke implements Notices.
 func (w *harness) TargetBroke() { w.notices.Add(1) }
 
-// logBuffer keeps the log.
+// logBuffer collects the log.
 type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -102,7 +101,7 @@
 	return l.b.String()
 }
 
-// fakeHealth is a Health that a test sets.
+// fakeHealth is a Health with a configurable state.
 type fakeHealth struct{ unavailable atomic.Bool }
 
 func (h *fakeHealth) OK() bool { return !h.unavailable.Load() }
@@ -164,8 +163,8 @@
 	return w
 }
 
-// target is a target whose behaviour a test sets. Its handler gets the number
-// of the request, from 1.
+// target is a target with a configurable handler, which gets the number of the request,
+// from 1.
 type target struct {
 	id     string
 	server *httptest.Server
@@ -214,7 +213,7 @@
 
 func sign(rw http.ResponseWriter) { rw.Header().Set("Banyanglade-Server-Signature", "s") }
 
-// serveText answers a plain request.
+// serveText responds to a plain request.
 func serveText(text string) func(int, http.ResponseWriter, *http.Request) {
 	return func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
@@ -222,17 +221,17 @@
 	}
 }
 
-// refuseFull refuses a request as a full target does.
+// refuseFull refuses a request like a full target.
 func refuseFull(_ int, rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Banyanglade-Not-Executed", "1")
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// cutConnection ends the connection without an answer.
+// cutConnection closes the connection without a response.
 func cutConnection(_ int, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
-// serveEvents answers with the events from the one after Last-Event-Id to last.
-// It cuts the connection inside an event after the one given, 0 for never.
+// serveEvents responds with the events after Last-Event-Id up to last. It closes the
+// connection inside the event after the one that cutAfter returns, 0 for never.
 func serveEvents(last int, cutAfter func(n int) int) func(int, http.ResponseWriter, *http.Request) {
 	return func(n int, rw http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -252,7 +251,7 @@
 
 func neverCut(int) int { return 0 }
 
-// request makes a caller's request.
+// request returns a caller's request.
 func (w *harness) request(method, path, body string, header ...string) *http.Request {
 	w.t.Helper()
 	r, err := http.NewRequestWithContext(w.t.Context(), method, w.front.URL+path, strings.NewReader(body))
@@ -267,12 +266,12 @@
 	return r
 }
 
-// result is an answer as a caller sees it.
+// result is a response as a caller sees it.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// err is set if the answer was not whole.
+	// err is set if the response is incomplete.
 	err error
 }
 
@@ -287,7 +286,7 @@
 	return result{resp.StatusCode, resp.Header, string(body), err}
 }
 
-// raw sends bytes on a connection of its own and returns the answers.
+// raw sends bytes on a separate connection and returns all responses.
 func (w *harness) raw(text string) []*http.Response {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
--- a/internal/serve/hedge_test.go
+++ b/internal/serve/hedge_test.go
@@ -10,8 +10,8 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// newHedgeHarness is a world whose two targets for plain requests answered many, the first
-// one that is asked now does not.
+// newHedgeHarness returns a harness with two targets and a learned latency. The first
+// request sent to a target gets no response.
 func newHedgeHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
 	w := newHarness(t)
 	var asked atomic.Int64
@@ -34,8 +34,8 @@
 	return w, &asked
 }
 
-// A request that may run again goes to another target after the time that answers
-// rarely pass, long before its time is up.
+// A repeatable request is sent to another target after a time that responses rarely
+// exceed, long before its timeout.
 func TestStragglerIsSentAgain(t *testing.T) {
 	w, asked := newHedgeHarness(t, "safe")
 	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A request that must run once is not, whatever its target does.
+// A request that may run once only is not hedged.
 func TestOnceRequestIsNotHedged(t *testing.T) {
 	w, asked := newHedgeHarness(t, "short")
 	if got := w.do(w.request("POST", "/short/", "b")); got.status == 200 {
--- a/internal/serve/memory.go
+++ b/internal/serve/memory.go
@@ -70,7 +70,7 @@
 	}
 	err := http.NewResponseController(x.writer).SetReadDeadline(until)
 	if err != nil {
-		x.server.log.Warn("no bound for a body's time", "error", err.Error())
+		x.server.log.Warn("failed to set the read deadline of a body", "error", err.Error())
 	}
 }
 
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -16,8 +16,8 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// TestRequestIsRefusedUnreadWithoutMemory fills an instance's memory with
-// requests that their target keeps waiting.
+// TestRequestIsRefusedUnreadWithoutMemory fills an instance's memory with requests in
+// progress.
 func TestRequestIsRefusedUnreadWithoutMemory(t *testing.T) {
 	w := newHarness(t)
 	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestSlowReadersGetResponsesLongerThanMemory has many callers that read little by
-// little, of an instance whose memory holds a part of one answer.
+// TestSlowReadersGetResponsesLongerThanMemory has several slow readers of responses
+// that are longer than the instance's free memory.
 func TestSlowReadersGetResponsesLongerThanMemory(t *testing.T) {
 	const callers, length = 6, 128 << 10
 	w := newHarness(t)
@@ -80,7 +80,7 @@
 	}
 }
 
-// readSlowly is a caller that takes a kilobyte at a time from a small window.
+// readSlowly reads a response in small steps from a small receive window.
 func readSlowly(w *harness, program, want string) error {
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
@@ -105,7 +105,7 @@
 	return err
 }
 
-// slowConn is a connection that takes some bytes a second.
+// slowConn is a connection that accepts a limited number of bytes per second.
 type slowConn struct {
 	net.Conn
 	perSecond int
@@ -127,7 +127,7 @@
 	return n, osDeadlineError()
 }
 
-// osDeadlineError is what a connection returns whose write deadline has passed.
+// osDeadlineError returns the error of a write after its deadline.
 func osDeadlineError() error {
 	c, other := net.Pipe()
 	defer func() { _, _ = c.Close(), other.Close() }()
@@ -136,7 +136,8 @@
 	return err
 }
 
-// TestStalledReaderIsDisconnected compares it to one that reads slowly.
+// TestStalledReaderIsDisconnected checks that a reader without progress is disconnected
+// and a slow one is not.
 func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tight := memlimit.New(1000, tally.NoopScope)
@@ -166,7 +167,7 @@
 	})
 }
 
-// TestStalledBodyFreesMemory begins a body and does not go on.
+// TestStalledBodyFreesMemory sends the beginning of a body only.
 func TestStalledBodyFreesMemory(t *testing.T) {
 	w := newHarness(t)
 	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -16,7 +16,7 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// fakeFreshness is a Currency that a test sets.
+// fakeFreshness is a Freshness with a configurable age.
 type fakeFreshness struct{ age time.Duration }
 
 func (c *fakeFreshness) SettingsAge() time.Duration { return c.age }
@@ -26,7 +26,7 @@
 	keyB = "key-of-b"
 )
 
-// withOrganisations makes a world of two organisations and an anonymous route.
+// withOrganisations returns a harness with two organisations and an anonymous route.
 func withOrganisations(t *testing.T) *harness {
 	t.Helper()
 	w := newHarness(t)
@@ -47,8 +47,8 @@
 	return w
 }
 
-// rawStatus sends the bytes of one request on a connection that stays open and
-// returns the status of the answer.
+// rawStatus sends the bytes of one request on a connection that stays open and returns
+// the status of the response.
 func (w *harness) rawStatus(text string) int {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
@@ -234,7 +234,8 @@
 	}
 }
 
-// TestKeysStayOutOfAnswers: what the instance says itself never shows a key.
+// TestKeysStayOutOfAnswers checks that the instance's own responses and its log contain
+// no key.
 func TestKeysStayOutOfAnswers(t *testing.T) {
 	w := withOrganisations(t)
 	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
@@ -246,7 +247,7 @@
 	}
 }
 
-// fakeAllowances is an Allowances whose verdict a test sets.
+// fakeAllowances is an Allowances with a configurable result.
 type fakeAllowances struct {
 	err      error
 	entries  []AllowanceRequest
@@ -268,7 +269,7 @@
 func (p countedPermit) Use() float64 { return 0 }
 func (p countedPermit) GiveBack()    { p.a.returned++ }
 
-// withLimit makes a world with one organisation that has a limit.
+// withLimit returns a harness with one organisation that has a limit.
 func withLimit(t *testing.T) (*harness, *fakeAllowances) {
 	t.Helper()
 	w := newHarness(t)
@@ -350,8 +351,7 @@
 	}
 }
 
-// TestAllowanceRequestHasOrganisationPriority ranks a request of a route of
-// another priority.
+// TestAllowanceRequestHasOrganisationPriority uses a route of another priority.
 func TestAllowanceRequestHasOrganisationPriority(t *testing.T) {
 	w, a := withLimit(t)
 	w.target("t1", "app", serveText("ok"))
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// To which targets a request is sent, and how often.
+// These tests check which targets get a request, and how often.
 
 func TestRefusedRequestIsSentToAnotherTarget(t *testing.T) {
 	w := newHarness(t)
@@ -92,11 +92,12 @@
 	}
 }
 
-// A target that is down breaks each connection at once, and looks idle.
+// A target that is down breaks each connection at once and therefore looks idle.
 func TestRepeatableRequestIsRetriedAfterBrokenConnection(t *testing.T) {
 	w := newHarness(t)
 	var other atomic.Bool
-	// As in the test of a silent target, the broken one is asked first.
+	// The working target is registered by the broken one's handler, so that the broken
+	// one always gets the request first.
 	down := w.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if other.CompareAndSwap(false, true) {
 			w.target("answers", "app", serveText("ok"))
@@ -111,11 +112,11 @@
 	}
 }
 
-// Others hear of a target that breaks new connections, but not of one that
-// dropped a kept connection, which is asked again on a new one.
+// Other instances are notified of a target that breaks new connections, but not of one
+// that closed a reused connection, after which the target is tried on a new one.
 func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
 	w := newHarness(t)
-	w.server.connBreakThreshold = time.Minute // however slow the machine is
+	w.server.connBreakThreshold = time.Minute // independent of the machine's speed
 	w.target("down", "app", cutConnection)
 	w.do(w.request("POST", "/once/", "b"))
 	if n := w.notices.Load(); n != 1 {
@@ -137,7 +138,7 @@
 	}
 }
 
-// A request that only one target may run is not sent there over and over.
+// A request that may run at one target only is not sent to it repeatedly.
 func TestBrokenTargetGetsAtMostTwoSends(t *testing.T) {
 	w := newHarness(t)
 	down := w.target("down", "engine", cutConnection)
@@ -169,8 +170,8 @@
 func TestRepeatableRequestIsRetriedAfterTimeout(t *testing.T) {
 	w := newHarness(t)
 	ended := make(chan struct{})
-	// The other target is registered by the silent one's run, so that the silent
-	// one is always asked first, however slow the machine is.
+	// The working target is registered by the unresponsive one's handler, so that the
+	// unresponsive one always gets the request first.
 	w.target("silent", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
 		w.target("answers", "app", serveText("ok"))
 		<-r.Context().Done()
@@ -179,7 +180,7 @@
 	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Fatalf("got %+v", got)
 	}
-	<-ended // the work at the silent target was ended
+	<-ended // the work at the unresponsive target was cancelled
 }
 
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
@@ -210,8 +211,8 @@
 	}
 }
 
-// An engine may fail a share of its turns while its health checks are good: the
-// program's next turn goes elsewhere, and other instances hear of it.
+// An engine may fail some turns while its health checks pass: the program's next turn
+// goes to another engine, and other instances are notified.
 func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
 	w := newHarness(t)
 	w.budgets.target = "t1"
@@ -238,7 +239,7 @@
 	}
 }
 
-// A plain target's failure is an answer like others.
+// A plain target's failure is passed on without avoiding the target.
 func TestPlainTargetThatFailsIsNotAvoided(t *testing.T) {
 	w := newHarness(t)
 	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -273,8 +274,8 @@
 	}
 }
 
-// A request that ran at a target which has ended since is not said not to have
-// run when no other target is left.
+// A request that ran at a target which has ended since must not be refused as if it had
+// not run, when no other target is left.
 func TestRequestThatRanAtATargetThatEndedIsNotSaidNotToHaveRun(t *testing.T) {
 	w := newHarness(t)
 	w.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -286,9 +287,9 @@
 	}
 }
 
-// A target that starts again under its id while it runs a request has an unknown
-// outcome: a request that may run once only is not sent to the later start, and
-// what it did says nothing of the later start.
+// If a target restarts under its id while it runs a request, the outcome is unknown: a
+// request that may run once only is not sent to the new incarnation, whose health is
+// not affected.
 func TestLaterStartOfATargetDoesNotGetTheRequestAgain(t *testing.T) {
 	w := newHarness(t)
 	tg := w.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A refused request is explained from its id alone; a served one has no line at
-// the usual level.
+// A refused request can be explained from its id alone; a served one is not logged
+// above debug level.
 func TestLogNamesRefusedRequests(t *testing.T) {
 	w := newHarness(t)
 	w.target("a", "app", serveText("ok"))
@@ -64,7 +64,7 @@
 	w.do(w.request("GET", "/other/", "", "Banyanglade-Request-Id", "noroute1"))
 	w.server.table.Store(nil)
 	w.do(w.request("GET", "/safe/", "", "Banyanglade-Request-Id", "nosettings1"))
-	w.front.Close() // the handlers have returned
+	w.front.Close() // waits for the handlers
 	log := w.log.String()
 	for id, reason := range map[string]reason{"noroute1": reasonNoRoute, "nosettings1": reasonNoSettings} {
 		story, err := explain.Read(id, strings.NewReader(log))
@@ -203,7 +203,7 @@
 	if got.err != nil {
 		t.Fatal(got.err)
 	}
-	w.front.Close() // the handler has returned
+	w.front.Close() // waits for the handler
 	if len(w.budgets.requests) != 1 || w.budgets.requests[0].MaxTokens != 290 || w.budgets.requests[0].Budget != 900 {
 		t.Errorf("asked for %+v", w.budgets.requests)
 	}
@@ -236,7 +236,7 @@
 	// RFC 9112, 6.1: 501 for a transfer coding that is not understood.
 	const unknownEncoding = "unknown encoding"
 	cases := map[string]string{
-		"length and chunks":     head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+		"length and encoding":   head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
 		"odd casing":            head + "cOnTeNt-LeNgTh: 5\r\ntRaNsFeR-eNcOdInG: chunked\r\n\r\n0\r\n\r\n" + smuggled,
 		"two lengths":           head + "Content-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
 		"malformed length":      head + "Content-Length: +5\r\n\r\nabcde",
@@ -273,7 +273,7 @@
 	}
 }
 
-// events is the text of a series of events.
+// events returns the text of a series of events.
 func events(first, last int) string {
 	var b strings.Builder
 	for i := first; i <= last; i++ {
@@ -282,8 +282,8 @@
 	return b.String()
 }
 
-// While the settings may be old a route that they lack may be new: the caller is told
-// to come back, and that the request has not run.
+// While the settings may be outdated, an unknown route may be a new one: the refusal is
+// retryable.
 func TestUnknownRouteIsNoVerdictWhileTheSettingsMayBeOld(t *testing.T) {
 	w := newHarness(t)
 	w.server.keyPolicy.ConfigDelay = 5 * time.Second
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -23,16 +23,16 @@
 	ErrBudgetSpent = errors.New("the program's budget is spent")
 	// ErrBudgetHeld indicates that other turns of the program held the rest of its
 	// budget for longer than a turn waits.
-	ErrBudgetHeld = errors.New("turns under way hold what is left of the program's budget")
+	ErrBudgetHeld = errors.New("turns under way hold the rest of the program's budget")
 	// ErrStoreUnavailable indicates that the budget needs a record that the store
 	// currently does not accept.
-	ErrStoreUnavailable = errors.New("the program's budget needs a record that the store does not take")
+	ErrStoreUnavailable = errors.New("the store does not accept a record that the program's budget needs")
 	// ErrNoOwner indicates that no owner of the budget can be reached.
 	ErrNoOwner = errors.New("no owner of the program's budget can be reached")
 )
 
 // ErrLimitUnknown indicates that no coordinator of the organisation's limit replied.
-var ErrLimitUnknown = errors.New("nobody tells whether the organisation's limit has room")
+var ErrLimitUnknown = errors.New("no coordinator of the organisation's limit replied")
 
 // OverLimitError indicates that a request exceeds its organisation's limit.
 type OverLimitError struct {
@@ -47,17 +47,17 @@
 }
 
 func (e *OverLimitError) Error() string {
-	return fmt.Sprintf("the organisation is over its limit of %g requests a second and %g on top: "+
-		"%s had %.1f left with %d votes, room is expected in %s",
+	return fmt.Sprintf("the organisation exceeds its limit of %g requests a second with a burst of %g: "+
+		"coordinator %s had %.1f requests left with %d votes, capacity is expected in %s",
 		e.Limit.PerSecond, e.Limit.Burst, e.Coordinator, e.Remaining, e.Votes, e.RetryAfter)
 }
 
 // Errors returned by Conversations.
 var (
 	// ErrTurnNotFound indicates that no turn has the given id.
-	ErrTurnNotFound = errors.New("there is no such turn")
+	ErrTurnNotFound = errors.New("the turn does not exist")
 	// ErrTurnUncertain indicates that a turn was not found but may exist.
-	ErrTurnUncertain = errors.New("whether there is such a turn is not known")
+	ErrTurnUncertain = errors.New("the turn was not found, but may exist")
 )
 
 // defaultTokensPerEvent is used if the settings do not define the tokens of an event.
@@ -160,7 +160,7 @@
 func (x *transfer) accept() bool {
 	if lengthsConflict(x.request) {
 		x.refuse(http.StatusBadRequest, reasonMalformed, 0)
-		x.detail = "both a length and chunks"
+		x.detail = "both Content-Length and Transfer-Encoding"
 		return false
 	}
 	var err error
