--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -35,58 +35,58 @@
 	closedAt   time.Time
 }
 
-// take removes and returns the most recently used idle connection, nil if there is
+// takeLast removes and returns the most recently used idle connection, nil if there is
 // none.
-func (p *addressState) take() *conn {
-	if len(p.idle) == 0 {
+func (s *addressState) takeLast() *conn {
+	if len(s.idle) == 0 {
 		return nil
 	}
-	last := len(p.idle) - 1
-	c := p.idle[last]
-	p.idle[last] = nil
-	p.idle = p.idle[:last]
+	last := len(s.idle) - 1
+	c := s.idle[last]
+	s.idle[last] = nil
+	s.idle = s.idle[:last]
 	return c
 }
 
 // expire closes the idle connections that have expired.
-func (p *addressState) expire(now time.Time) {
-	kept := p.idle[:0]
-	for _, c := range p.idle {
+func (s *addressState) expire(now time.Time) {
+	remaining := s.idle[:0]
+	for _, c := range s.idle {
 		if now.After(c.expires) {
 			_ = c.Close() // idle, so nothing is lost
-			p.recordClose(causeExpired, now)
+			s.recordClose(causeExpired, now)
 			continue
 		}
-		kept = append(kept, c)
+		remaining = append(remaining, c)
 	}
-	p.idle = kept
+	s.idle = remaining
 }
 
 // closeIdle closes all idle connections.
-func (p *addressState) closeIdle() {
-	for _, c := range p.idle {
+func (s *addressState) closeIdle() {
+	for _, c := range s.idle {
 		_ = c.Close() // idle, so nothing is lost
 	}
-	p.idle = nil
+	s.idle = nil
 }
 
 // recordClose records the reason for closing an idle connection.
-func (p *addressState) recordClose(why cause, now time.Time) { p.closeCause, p.closedAt = why, now }
+func (s *addressState) recordClose(why cause, now time.Time) { s.closeCause, s.closedAt = why, now }
 
 // openCause returns the reason for opening a connection now.
-func (p *addressState) openCause(now time.Time) cause {
+func (s *addressState) openCause(now time.Time) cause {
 	switch {
-	case p.inUse > 0:
+	case s.inUse > 0:
 		return causeBusy
-	case p.closeCause != "" && now.Sub(p.closedAt) < closeCauseRetention:
-		return p.closeCause
+	case s.closeCause != "" && now.Sub(s.closedAt) < closeCauseRetention:
+		return s.closeCause
 	}
 	return causeFirst
 }
 
 // forgettable reports whether the state of the address can be removed.
-func (p *addressState) forgettable(now time.Time) bool {
-	return len(p.idle) == 0 && p.inUse == 0 && now.Sub(p.closedAt) >= closeCauseRetention
+func (s *addressState) forgettable(now time.Time) bool {
+	return len(s.idle) == 0 && s.inUse == 0 && now.Sub(s.closedAt) >= closeCauseRetention
 }
 
 // causeCounters count the opened connections by cause.
--- a/internal/exchange/causes_test.go
+++ b/internal/exchange/causes_test.go
@@ -9,7 +9,7 @@
 
 // Each opened connection is counted under the reason why no idle one was usable.
 func TestOpenedConnectionsAreCountedByCause(t *testing.T) {
-	s := newScriptedTarget(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okResponse })
 	scope := tally.NewTestScope("", nil)
 	p := NewPool(scope)
 	t.Cleanup(p.close)
@@ -34,7 +34,7 @@
 	p.drop(get(time.Now()))
 	for why, want := range map[cause]int64{causeFirst: 1, causeBusy: 1, causeExpired: 1, causeClosed: 1} {
 		if got := opened(why); got != want {
-			t.Errorf("%d opened as %s, want %d", got, why, want)
+			t.Errorf("%d opened with cause %s, want %d", got, why, want)
 		}
 	}
 	if at := p.addresses[s.address]; at.inUse != 0 {
@@ -42,6 +42,6 @@
 	}
 	p.sweep(time.Now().Add(2 * closeCauseRetention))
 	if len(p.addresses) != 0 {
-		t.Error("an address without connections is remembered")
+		t.Error("the state of an address without connections is retained")
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -36,7 +36,7 @@
 	ErrConnBroken = errors.New("the connection to the target broke")
 	// ErrNoResponse is set in addition to ErrConnBroken if the connection ended before
 	// a complete response header.
-	ErrNoResponse = errors.New("the connection ended without a response")
+	ErrNoResponse = errors.New("the connection ended without an answer")
 	// ErrReusedConn is set in addition to ErrConnBroken if the connection had carried a
 	// request before: the target may have closed it while idle.
 	ErrReusedConn = errors.New("the connection was reused")
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -26,10 +26,10 @@
 	requests []string
 }
 
-// newScriptedTarget starts a target. The function answer gets the number of the request
+// newScriptedTarget starts a target. The function respond gets the number of the request
 // over all connections, from 1, and returns the bytes to send; an empty text closes the
 // connection.
-func newScriptedTarget(t *testing.T, answer func(n int) string) *scriptedTarget {
+func newScriptedTarget(t *testing.T, respond func(n int) string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,13 +50,13 @@
 			s.mu.Lock()
 			s.conns++
 			s.mu.Unlock()
-			work.Go(func() { s.serve(c, answer) })
+			work.Go(func() { s.serve(c, respond) })
 		}
 	})
 	return s
 }
 
-func (s *scriptedTarget) serve(c net.Conn, answer func(int) string) {
+func (s *scriptedTarget) serve(c net.Conn, respond func(int) string) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -68,7 +68,7 @@
 		s.requests = append(s.requests, r.RequestURI)
 		n := len(s.requests)
 		s.mu.Unlock()
-		text := answer(n)
+		text := respond(n)
 		if text == "" {
 			return
 		}
@@ -87,7 +87,7 @@
 	return s.conns, len(s.requests)
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 2\r\n\r\nok"
 
 func acceptMine(_ int, h http.Header) bool { return h.Get("Id") == "mine" }
 
@@ -109,7 +109,7 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	s := newScriptedTarget(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okResponse })
 	p := newPool(t)
 	for range 5 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -122,7 +122,7 @@
 }
 
 func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
-	s := newScriptedTarget(t, func(int) string { return okAnswer + "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 5\r\n\r\nextra" })
+	s := newScriptedTarget(t, func(int) string { return okResponse + "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 5\r\n\r\nextra" })
 	p := newPool(t)
 	for range 3 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -136,7 +136,7 @@
 
 func TestAnswerToAnEarlierRequestIsSkipped(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nId: earlier\r\nContent-Length: 4\r\n\r\nlate"
-	s := newScriptedTarget(t, func(int) string { return late + okAnswer })
+	s := newScriptedTarget(t, func(int) string { return late + okResponse })
 	p := newPool(t)
 	for range 2 {
 		if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
@@ -144,7 +144,7 @@
 		}
 	}
 	if conns, _ := s.counts(); conns != 2 {
-		t.Errorf("%d connections: one that carried another's answer was reused", conns)
+		t.Errorf("%d connections: one that carried the response to another request was reused", conns)
 	}
 }
 
@@ -159,17 +159,17 @@
 	if _, err := exchangeOnce(t.Context(), p, address, nil); !errors.Is(err, ErrNotSent) {
 		t.Errorf("without a listener: %v", err)
 	}
-	for name, answer := range map[string]string{
-		"no answer":     "",
-		"no HTTP":       "garbage\r\n\r\n",
-		"half a head":   "HTTP/1.1 200 OK\r\nId: mi",
-		"other answers": strings.Repeat("HTTP/1.1 200 OK\r\nId: x\r\nContent-Length: 0\r\n\r\n", maxInformational),
+	for name, response := range map[string]string{
+		"no answer":       "",
+		"no HTTP":         "garbage\r\n\r\n",
+		"half a head":     "HTTP/1.1 200 OK\r\nId: mi",
+		"other responses": strings.Repeat("HTTP/1.1 200 OK\r\nId: x\r\nContent-Length: 0\r\n\r\n", maxInformational),
 	} {
 		s := newScriptedTarget(t, func(n int) string {
 			if n > 1 {
 				return ""
 			}
-			return answer
+			return response
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		_, err := exchangeOnce(ctx, p, s.address, nil)
@@ -184,7 +184,7 @@
 }
 
 func TestCutBodiesAreNotWhole(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 10\r\n\r\nok",
 		"chunked": "HTTP/1.1 200 OK\r\nId: mine\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 	} {
@@ -194,31 +194,31 @@
 				return ""
 			}
 			sent = true
-			return answer
+			return response
 		})
 		p := newPool(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		if _, err := exchangeOnce(ctx, p, s.address, nil); err == nil {
-			t.Errorf("%s: a cut body passed for whole", name)
+			t.Errorf("%s: a truncated body was accepted as complete", name)
 		}
 		cancel()
 	}
 }
 
 func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
-	s := newScriptedTarget(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okResponse })
 	p := newPool(t)
 	long := bytes.Repeat([]byte("x"), 8<<20)
 	if got, err := exchangeOnce(t.Context(), p, s.address, long); got != "ok" || err != nil {
 		t.Fatalf("got %q, %v", got, err)
 	}
 	if got, err := exchangeOnce(t.Context(), p, s.address, nil); got != "ok" || err != nil {
-		t.Fatalf("the next request: got %q, %v", got, err)
+		t.Fatalf("next request: got %q, %v", got, err)
 	}
 }
 
 func TestExpiredConnectionsAreNotUsed(t *testing.T) {
-	s := newScriptedTarget(t, func(int) string { return okAnswer })
+	s := newScriptedTarget(t, func(int) string { return okResponse })
 	p := newPool(t)
 	resp, err := p.Do(t.Context(), Request{Address: s.address, Method: "GET", URI: "/", Host: "h"}, acceptMine)
 	if err != nil {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -86,17 +86,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, at := range p.addresses {
-		at.closeIdle()
+	for _, state := range p.addresses {
+		state.closeIdle()
 	}
 }
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, at := range p.addresses {
-		at.expire(now)
-		if at.forgettable(now) {
+	for address, state := range p.addresses {
+		state.expire(now)
+		if state.forgettable(now) {
 			delete(p.addresses, address)
 		}
 	}
@@ -125,12 +125,12 @@
 
 // stateOf returns the state of an address, creating it if needed. The caller holds mu.
 func (p *Pool) stateOf(address string) *addressState {
-	at := p.addresses[address]
-	if at == nil {
-		at = new(addressState)
-		p.addresses[address] = at
+	state := p.addresses[address]
+	if state == nil {
+		state = new(addressState)
+		p.addresses[address] = state
 	}
-	return at
+	return state
 }
 
 // takeIdle takes the most recently used idle connection, since it is the least likely
@@ -138,12 +138,12 @@
 func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.stateOf(address)
-	c := at.take()
+	state := p.stateOf(address)
+	c := state.takeLast()
 	if c == nil {
-		p.opened[at.openCause(now)].Inc(1)
+		p.opened[state.openCause(now)].Inc(1)
 	}
-	at.inUse++
+	state.inUse++
 	return c
 }
 
@@ -152,13 +152,13 @@
 	_ = c.Close() // the result does not matter
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.stateOf(c.address)
-	at.inUse--
+	state := p.stateOf(c.address)
+	state.inUse--
 	why := causeClosed
 	if !now.Before(c.expires) {
 		why = causeExpired
 	}
-	at.recordClose(why, now)
+	state.recordClose(why, now)
 }
 
 // release records that a connection no longer carries a request.
@@ -173,20 +173,20 @@
 func (p *Pool) HasIdle(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.addresses[address]
-	if at == nil || len(at.idle) == 0 {
+	state := p.addresses[address]
+	if state == nil || len(state.idle) == 0 {
 		return false
 	}
-	return now.Before(at.idle[len(at.idle)-1].expires)
+	return now.Before(state.idle[len(state.idle)-1].expires)
 }
 
 // CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := p.addresses[address]; at != nil {
-		at.closeIdle()
-		at.recordClose(causeClosed, time.Now())
+	if state := p.addresses[address]; state != nil {
+		state.closeIdle()
+		state.recordClose(causeClosed, time.Now())
 	}
 }
 
@@ -199,13 +199,13 @@
 	c.expires = now.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.stateOf(c.address)
-	at.inUse--
+	state := p.stateOf(c.address)
+	state.inUse--
 	if p.closed {
 		_ = c.Close() // no request in progress on it
 		return
 	}
-	at.idle = append(at.idle, c)
+	state.idle = append(state.idle, c)
 }
 
 // idle reports whether nothing was received on an idle connection. Unsolicited data or
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -48,7 +48,7 @@
 	}
 	for r, want := range cases {
 		if r.Retryable() != want {
-			t.Errorf("%+v: %v", *r, r.Retryable())
+			t.Errorf("%+v: got %v", *r, r.Retryable())
 		}
 	}
 }
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -55,28 +55,28 @@
 func TestFirstTurnWithoutCapacityIsRefused(t *testing.T) {
 	w := newHarness(t)
 	engine := w.target("e", "engine", serveEvents(1, neverCut))
-	room := &fakeAdmission{refused: policy.RoomFirst}
-	w.server.admission = room
+	admission := &fakeAdmission{refused: policy.RoomFirst}
+	w.server.admission = admission
 	got := w.do(w.turn("/kept/x", "t1"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.3" || !strings.Contains(got.body, "no_room") {
 		t.Errorf("got %+v", got)
 	}
 	if len(engine.runs) != 0 || len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
-		t.Errorf("%d runs, used of the budget: %v", len(engine.runs), w.budgets.settled)
+		t.Errorf("%d runs, settled tokens %v", len(engine.runs), w.budgets.settled)
 	}
 	if log := w.log.String(); !strings.Contains(log, "pool_full") || !strings.Contains(log, "fill of 1.70") {
 		t.Errorf("log %q", log)
 	}
 	w.budgets.target = "e"
 	if got := w.do(w.turn("/turns/x", "t2")); got.status != 200 {
-		t.Errorf("a turn of a program under way: %+v", got)
+		t.Errorf("later turn: got %+v", got)
 	}
 	w.budgets.target = ""
 	if got := w.do(w.turn("/turns/x", "t3")); got.status != 503 {
-		t.Errorf("the first turn on a route that does not keep turns: %+v", got)
+		t.Errorf("first turn on a route that does not store turns: got %+v", got)
 	}
-	if asked, settled := len(w.budgets.requests), len(w.budgets.settled); asked != settled {
-		t.Errorf("%d leases, %d settled", asked, settled)
+	if reserved, settled := len(w.budgets.requests), len(w.budgets.settled); reserved != settled {
+		t.Errorf("%d leases, %d settled", reserved, settled)
 	}
 }
 
@@ -100,11 +100,11 @@
 			"Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, true},
 		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomOutside, false},
 	} {
-		room := &fakeAdmission{refused: test.class}
-		w.server.admission = room
+		admission := &fakeAdmission{refused: test.class}
+		w.server.admission = admission
 		got := w.do(test.request)
-		if got.status != 503 || len(room.requests) != 1 || room.requests[0].Class != test.class || room.requests[0].Call != test.call {
-			t.Errorf("%s: got %d, asked %+v", test.name, got.status, room.requests)
+		if got.status != 503 || len(admission.requests) != 1 || admission.requests[0].Class != test.class || admission.requests[0].Call != test.call {
+			t.Errorf("%s: got %d, admission requests %+v", test.name, got.status, admission.requests)
 		}
 	}
 }
@@ -125,25 +125,25 @@
 
 // utilizationPermit admits all requests and returns a fixed utilization.
 type utilizationPermit struct {
-	use      float64
-	returned int
+	utilization float64
+	returned    int
 }
 
 func (n *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
 func (n *utilizationPermit) Again()                                                  {}
-func (n *utilizationPermit) Use() float64                                            { return n.use }
+func (n *utilizationPermit) Use() float64                                            { return n.utilization }
 func (n *utilizationPermit) GiveBack()                                               { n.returned++ }
 
 func TestOrganisationOverFairUseIsRefusedAndReturnsItsPermit(t *testing.T) {
 	w, _ := withLimit(t)
 	w.target("e", "engine", serveEvents(1, neverCut))
 	for use, want := range map[float64]int{0: 0, 0.6: 0, 0.9: 1} {
-		limit := &utilizationPermit{use: use}
+		limit := &utilizationPermit{utilization: use}
 		w.server.allowances = limit
 		w.server.admission = &fairUseAdmission{}
 		got := w.do(w.turn("/kept/x", fmt.Sprint("t", want, use), "Banyanglade-Credential", keyA))
 		if limit.returned != want || (got.status == 503) != (want == 1) {
-			t.Errorf("use %g: got %d, given back %d", use, got.status, limit.returned)
+			t.Errorf("utilization %g: got %d, %d permits returned", use, got.status, limit.returned)
 		}
 	}
 }
@@ -157,11 +157,11 @@
 
 func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
 	urgent, later := 0, 1
-	x := func(organisation *int, priority int) int {
+	priority := func(organisation *int, priority int) int {
 		return (&transfer{org: &org.Organisation{Priority: organisation}, route: &route.Route{Priority: priority}}).combinedPriority()
 	}
-	if x(&urgent, 9) >= x(&later, 0) || x(&later, 0) >= x(&later, 1) || x(nil, 0) >= x(nil, 1) {
-		t.Errorf("ranks %d %d %d", x(&urgent, 9), x(&later, 0), x(&later, 1))
+	if priority(&urgent, 9) >= priority(&later, 0) || priority(&later, 0) >= priority(&later, 1) || priority(nil, 0) >= priority(nil, 1) {
+		t.Errorf("priorities %d %d %d", priority(&urgent, 9), priority(&later, 0), priority(&later, 1))
 	}
 }
 
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -89,7 +89,7 @@
 		return true
 	}
 	x.detail = err.Error()
-	x.reason, x.cut = reasonTurnNotStored, true
+	x.reason, x.abort = reasonTurnNotStored, true
 	if x.request.Context().Err() != nil {
 		x.reason = reasonCallerLeft
 	}
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -84,12 +84,12 @@
 	if r := tg.run(0); r.Header.Get("Banyanglade-Previous-Turn") != "id0" || r.ContentLength != int64(len(tg.body[0])) {
 		t.Errorf("target got %v, length %d", r.Header, r.ContentLength)
 	}
-	kept := w.conversations.stored
-	if len(kept) != 1 || kept[0].ID != "id1" || kept[0].Previous != "id0" || string(kept[0].Input) != "new input" {
-		t.Fatalf("kept %+v", kept)
+	stored := w.conversations.stored
+	if len(stored) != 1 || stored[0].ID != "id1" || stored[0].Previous != "id0" || string(stored[0].Input) != "new input" {
+		t.Fatalf("stored %+v", stored)
 	}
-	if want := "one\ntwo\na\n b\n\n"; string(kept[0].Output) != want {
-		t.Errorf("kept output %q, want %q", kept[0].Output, want)
+	if want := "one\ntwo\na\n b\n\n"; string(stored[0].Output) != want {
+		t.Errorf("stored output %q, want %q", stored[0].Output, want)
 	}
 }
 
@@ -98,7 +98,7 @@
 	tg := w.target("t1", "engine", serveSomeEvents)
 	w.do(w.request("POST", "/turns/", "input", "Banyanglade-Previous-Turn", "nosuch"))
 	if len(w.conversations.stored) != 0 || tg.body[0] != "input" {
-		t.Errorf("kept %v, target got %q", w.conversations.stored, tg.body)
+		t.Errorf("stored %v, target got %q", w.conversations.stored, tg.body)
 	}
 }
 
@@ -115,20 +115,20 @@
 	defer resp.Body.Close()
 	events := make([]byte, len("id: 1\ndata: one\n\nbanyanglade-weight-versions: 3\nid: 2\ndata:two\n\nid: 3\r\ndata: a\r\ndata:  b\r\n\r\nid: 4\ndata:\n\n"))
 	if _, err := io.ReadFull(resp.Body, events); err != nil {
-		t.Fatalf("events before the turn is durable: %v", err)
+		t.Fatalf("reading events before the turn is durable: %v", err)
 	}
 	close(w.conversations.hold)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
-		t.Errorf("behind the events: %q, %v", rest, err)
+		t.Errorf("after the events: %q, %v", rest, err)
 	}
 }
 
 func TestTurnThatIsNotDurableDoesNotLookWhole(t *testing.T) {
 	w := newHarness(t)
-	w.conversations.storeErr = errors.New("the store is away")
+	w.conversations.storeErr = errors.New("the store is unavailable")
 	w.target("t1", "engine", serveSomeEvents)
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err == nil {
-		t.Errorf("the answer looks whole: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 }
 
@@ -144,8 +144,8 @@
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err != nil {
 		t.Fatalf("got %+v", got)
 	}
-	if kept := w.conversations.stored; len(kept) != 1 || string(kept[0].Output) != "x\nx\nx\nx\n" {
-		t.Errorf("kept %+v", kept)
+	if stored := w.conversations.stored; len(stored) != 1 || string(stored[0].Output) != "x\nx\nx\nx\n" {
+		t.Errorf("stored %+v", stored)
 	}
 }
 
@@ -156,7 +156,7 @@
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
 	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.stored) > 0 {
-		t.Errorf("got %+v, kept %v", got, w.conversations.stored)
+		t.Errorf("got %+v, stored %v", got, w.conversations.stored)
 	}
 }
 
@@ -164,15 +164,15 @@
 func TestTurnsThatCannotBeServedDoNotRun(t *testing.T) {
 	long := strings.Repeat("x", maxTurnIDBytes+1)
 	for name, c := range map[string]struct {
-		err      error
-		full     bool
-		header   []string
-		status   int
-		comeBack bool
+		err    error
+		full   bool
+		header []string
+		status int
+		retry  bool
 	}{
 		"unknown turn":   {header: []string{"Banyanglade-Previous-Turn", "nosuch"}, status: 404},
-		"uncertain turn": {err: ErrTurnUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, comeBack: true},
-		"full store":     {full: true, status: 503, comeBack: true},
+		"uncertain turn": {err: ErrTurnUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, retry: true},
+		"full store":     {full: true, status: 503, retry: true},
 		"no id":          {header: []string{"Banyanglade-Request-Id", ""}, status: 400},
 		"long id":        {header: []string{"Banyanglade-Request-Id", long}, status: 400},
 		"long turn":      {header: []string{"Banyanglade-Previous-Turn", long}, status: 400},
@@ -183,14 +183,14 @@
 			w.conversations.err, w.conversations.full = c.err, c.full
 			tg := w.target("t1", "engine", serveSomeEvents)
 			got := w.do(w.request("POST", "/kept/", "input", c.header...))
-			if got.status != c.status || (got.header.Get("Retry-After") != "") != c.comeBack {
+			if got.status != c.status || (got.header.Get("Retry-After") != "") != c.retry {
 				t.Errorf("got %+v", got)
 			}
 			if tg.count() != 0 {
 				t.Error("the turn ran")
 			}
 			if !strings.Contains(w.log.String(), "request ended") {
-				t.Error("no line tells why")
+				t.Error("no log line about the refusal")
 			}
 		})
 	}
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -23,10 +23,10 @@
 const maxBufferedBytes = 1 << 20
 
 // deliver passes a target's response on and reports whether another send may follow.
-func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, answer call.Answer) bool {
+func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Answer) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
-	if success && !answer.Signed {
+	if success && !meta.Signed {
 		x.detail = "a successful response without the target's signature"
 		return x.handleBrokenResponse(target)
 	}
@@ -129,21 +129,21 @@
 // copyRest passes on the rest of a long plain response.
 func (x *transfer) copyRest(resp *exchange.Response) {
 	if _, err := io.Copy(x.writer, resp.Body); err != nil {
-		x.detail, x.reason, x.cut = err.Error(), reasonCut, true
+		x.detail, x.reason, x.abort = err.Error(), reasonCut, true
 	}
 }
 
 // copyHead passes on the status and header of a response.
 func (x *transfer) copyHead(resp *exchange.Response, unknownLength bool, length int) {
 	header := x.writer.Header()
-	closing := header.Get("Connection")
+	connection := header.Get("Connection")
 	for name, values := range resp.Header {
 		if !perConnection(name) {
 			header[name] = values
 		}
 	}
-	if closing != "" {
-		header.Set("Connection", closing)
+	if connection != "" {
+		header.Set("Connection", connection)
 	}
 	switch {
 	case x.request.Method == http.MethodHead && resp.Length >= 0:
@@ -218,7 +218,7 @@
 
 // callerLeft ends a request whose caller reads no more of the response.
 func (x *transfer) callerLeft(err error) {
-	x.detail, x.reason, x.cut = err.Error(), reasonCallerLeft, true
+	x.detail, x.reason, x.abort = err.Error(), reasonCallerLeft, true
 	var stalled *stalledError
 	if errors.As(err, &stalled) {
 		x.reason = reasonStalled
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -300,14 +300,14 @@
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		w.t.Fatal(err)
 	}
-	var answers []*http.Response
+	var responses []*http.Response
 	reader := bufio.NewReader(c)
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			return answers
+			return responses
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		answers = append(answers, resp)
+		responses = append(responses, resp)
 	}
 }
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -31,33 +31,33 @@
 	})
 	body := strings.Repeat("x", requestOverheadBytes)
 	served := make(chan result, 20)
-	held := 0
-	for held < 2 {
+	admitted := 0
+	for admitted < 2 {
 		go func() { served <- w.do(w.request("POST", "/safe/x", body)) }()
 		<-arrived
-		held++
+		admitted++
 	}
 	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestOverheadBytes)))
 	if over.status != http.StatusServiceUnavailable || over.header.Get("Retry-After") == "" {
 		t.Errorf("status %d for a request that does not fit", over.status)
 	}
 	if !strings.Contains(w.log.String(), string(reasonNoMemory)) {
-		t.Error("the log does not tell why")
+		t.Error("the log has no reason for the refusal")
 	}
 	go func() { served <- w.do(w.request("POST", "/safe/x", body, "Banyanglade-Program-Id", "p")) }()
 	<-arrived
 	close(release)
-	for range held + 1 {
+	for range admitted + 1 {
 		if got := <-served; got.status != http.StatusOK {
-			t.Errorf("status %d for a request that was let in", got.status)
+			t.Errorf("status %d for an admitted request", got.status)
 		}
 	}
-	if len(tg.body) != held+1 {
+	if len(tg.body) != admitted+1 {
 		t.Errorf("%d requests ran", len(tg.body))
 	}
 	w.front.Close()
 	if left := w.server.memory.Bytes().Held; left != 0 {
-		t.Errorf("%d bytes are held after all", left)
+		t.Errorf("%d bytes held after all requests", left)
 	}
 }
 
@@ -67,11 +67,11 @@
 	const callers, length = 6, 128 << 10
 	w := newHarness(t)
 	w.server.memory = memlimit.New(callers*2*requestOverheadBytes, tally.NoopScope)
-	answer := strings.Repeat("0123456789abcdef", length/16)
-	w.target("t1", "app", serveText(answer))
+	response := strings.Repeat("0123456789abcdef", length/16)
+	w.target("t1", "app", serveText(response))
 	got := make(chan error, callers)
 	for i := range callers {
-		go func() { got <- readSlowly(w, fmt.Sprint("p", i), answer) }()
+		go func() { got <- readSlowly(w, fmt.Sprint("p", i), response) }()
 	}
 	for range callers {
 		if err := <-got; err != nil {
@@ -159,9 +159,9 @@
 			n, err := conn.Write(data)
 			switch {
 			case c.cutAfter == 0 && (err != nil || n != len(data)):
-				t.Errorf("a slow reader got %d bytes: %v", n, err)
+				t.Errorf("slow reader: got %d bytes, %v", n, err)
 			case c.cutAfter > 0 && (err == nil || time.Since(begun) != c.cutAfter):
-				t.Errorf("cut after %s with %v, expected %s", time.Since(begun), err, c.cutAfter)
+				t.Errorf("disconnected after %s with %v, want %s", time.Since(begun), err, c.cutAfter)
 			}
 		}
 	})
@@ -189,6 +189,6 @@
 	}
 	w.front.Close()
 	if left := w.server.memory.Bytes().Held; left != 0 {
-		t.Errorf("%d bytes are held after all", left)
+		t.Errorf("%d bytes held after all requests", left)
 	}
 }
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -95,10 +95,10 @@
 		t.Errorf("known key: got %d", got.status)
 	}
 	if got := w.do(w.request("GET", "/none/x", "")); got.status != http.StatusNotFound {
-		t.Errorf("no route goes before no key: got %d", got.status)
+		t.Errorf("neither route nor key: got %d, want no route", got.status)
 	}
 	if strings.Contains(w.log.String(), keyA) {
-		t.Error("the log shows a key")
+		t.Error("the log contains a key")
 	}
 }
 
@@ -171,7 +171,7 @@
 		{"old, known", false, time.Hour, keyA, http.StatusOK},
 		{"old, unknown", false, time.Hour, "other", http.StatusServiceUnavailable},
 		{"old, none", false, time.Hour, "", http.StatusUnauthorized},
-		{"older than new settings may be", true, 4 * time.Second, keyA, http.StatusOK},
+		{"older than ConfigDelay", true, 4 * time.Second, keyA, http.StatusOK},
 		{"strict and too old", true, 6 * time.Second, keyA, http.StatusServiceUnavailable},
 	}
 	for _, c := range cases {
@@ -189,7 +189,7 @@
 				t.Errorf("got %d, want %d", got.status, c.want)
 			}
 			if got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") == "" {
-				t.Error("the caller is not told when to come back")
+				t.Error("refusal without Retry-After")
 			}
 		})
 	}
@@ -214,14 +214,14 @@
 		}
 	}
 	w.budgets.mu.Lock()
-	asked := w.budgets.requests
+	reserved := w.budgets.requests
 	w.budgets.mu.Unlock()
-	if len(asked) != 2 || asked[0].Program == asked[1].Program {
-		t.Errorf("budgets of two organisations are one: %+v", asked)
+	if len(reserved) != 2 || reserved[0].Program == reserved[1].Program {
+		t.Errorf("two organisations share a budget: %+v", reserved)
 	}
-	kept := w.conversations.stored
-	if len(kept) != 2 || kept[0].ID == kept[1].ID {
-		t.Errorf("turns of two organisations are one: %+v", kept)
+	stored := w.conversations.stored
+	if len(stored) != 2 || stored[0].ID == stored[1].ID {
+		t.Errorf("two organisations share a turn: %+v", stored)
 	}
 	if got := turn("r2", keyA, "r1"); got.status != http.StatusOK {
 		t.Errorf("own turn: got %+v", got)
@@ -243,20 +243,20 @@
 	_, _ = io.WriteString(&shown, got.body)
 	_ = got.header.Write(&shown)
 	if strings.Contains(shown.String()+w.log.String(), keyA) {
-		t.Error("an answer or the log shows a key")
+		t.Error("a response or the log contains a key")
 	}
 }
 
 // fakeAllowances is an Allowances with a configurable result.
 type fakeAllowances struct {
 	err      error
-	entries  []AllowanceRequest
+	requests []AllowanceRequest
 	again    int
 	returned int
 }
 
 func (a *fakeAllowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
-	a.entries = append(a.entries, entry)
+	a.requests = append(a.requests, entry)
 	if a.err != nil {
 		return nil, a.err
 	}
@@ -292,27 +292,27 @@
 		&OverLimitError{RetryAfter: 250 * time.Millisecond}: http.StatusTooManyRequests,
 		ErrLimitUnknown: http.StatusServiceUnavailable,
 	}
-	for verdict, want := range cases {
+	for admitErr, want := range cases {
 		w, a := withLimit(t)
 		app := w.target("t1", "app", serveText("ok"))
 		engine := w.target("e1", "engine", serveEvents(1, neverCut))
-		a.err = verdict
+		a.err = admitErr
 		plain := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 		turn := w.do(w.request("POST", "/turns/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10"))
 		for _, got := range []result{plain, turn} {
 			if got.status != want || got.header.Get("Retry-After") == "" {
-				t.Errorf("%v: got %d, back after %q", verdict, got.status, got.header.Get("Retry-After"))
+				t.Errorf("%v: got %d, Retry-After %q", admitErr, got.status, got.header.Get("Retry-After"))
 			}
 		}
 		if app.count()+engine.count() != 0 {
-			t.Errorf("%v: a request ran", verdict)
+			t.Errorf("%v: a request ran", admitErr)
 		}
 		if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
-			t.Errorf("%v: room in the budget was not given back: %v", verdict, w.budgets.settled)
+			t.Errorf("%v: unused tokens were not returned: settled %v", admitErr, w.budgets.settled)
 		}
-		if len(a.entries) != 2 || a.entries[0].First || !a.entries[1].First || a.entries[0].Limit.PerSecond != 10 {
-			t.Errorf("%v: asked for %+v", verdict, a.entries)
+		if len(a.requests) != 2 || a.requests[0].First || !a.requests[1].First || a.requests[0].Limit.PerSecond != 10 {
+			t.Errorf("%v: allowance requests %+v", admitErr, a.requests)
 		}
 	}
 }
@@ -332,7 +332,7 @@
 		t.Fatalf("got %d", got.status)
 	}
 	if a.again != 1 {
-		t.Errorf("%d counted again", a.again)
+		t.Errorf("%d repeated sends counted, want 1", a.again)
 	}
 }
 
@@ -359,8 +359,8 @@
 	for _, priority := range []int{0, 1} {
 		found.Priority = &priority
 		w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
-		if got := a.entries[len(a.entries)-1].Priority; got != priority {
-			t.Errorf("rank %d, the organisation's priority is %d", got, priority)
+		if got := a.requests[len(a.requests)-1].Priority; got != priority {
+			t.Errorf("priority %d, want the organisation's %d", got, priority)
 		}
 	}
 }
--- a/internal/serve/refuse.go
+++ b/internal/serve/refuse.go
@@ -22,7 +22,7 @@
 func (x *transfer) giveUp(why reason) {
 	switch {
 	case x.headSent:
-		x.reason, x.cut = reasonCut, true
+		x.reason, x.abort = reasonCut, true
 	case x.possiblyRan():
 		x.refuse(http.StatusBadGateway, reasonTargetBroke, 0)
 	default:
@@ -34,9 +34,9 @@
 func (x *transfer) giveUpOnContext() {
 	switch {
 	case x.request.Context().Err() != nil:
-		x.reason, x.cut = reasonCallerLeft, x.headSent
+		x.reason, x.abort = reasonCallerLeft, x.headSent
 	case x.headSent:
-		x.reason, x.cut = reasonTimedOut, true
+		x.reason, x.abort = reasonTimedOut, true
 	case x.possiblyRan():
 		x.refuse(http.StatusGatewayTimeout, reasonTimedOut, 0)
 	default:
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -38,7 +38,7 @@
 	b := w.target("b", "app", cutConnection)
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 502 {
-		t.Errorf("got %+v, want a status that promises nothing", got)
+		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
 	if n := a.count() + b.count(); n != 1 {
 		t.Errorf("sent %d times", n)
@@ -62,9 +62,9 @@
 
 func TestUnreachableTargetIsSkipped(t *testing.T) {
 	w := newHarness(t)
-	gone := w.target("gone", "app", serveText("never"))
-	gone.server.Close()
-	w.target("here", "app", serveText("ok"))
+	unreachable := w.target("unreachable", "app", serveText("never"))
+	unreachable.server.Close()
+	w.target("reachable", "app", serveText("ok"))
 	for range 5 {
 		if got := w.do(w.request("POST", "/once/", "b")); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -100,7 +100,7 @@
 	// one always gets the request first.
 	down := w.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if other.CompareAndSwap(false, true) {
-			w.target("answers", "app", serveText("ok"))
+			w.target("working", "app", serveText("ok"))
 		}
 		cutConnection(n, rw, r)
 	})
@@ -134,7 +134,7 @@
 		}
 	}
 	if n := w.notices.Load(); n != 1 {
-		t.Errorf("%d notices after a kept connection ended", n)
+		t.Errorf("%d notices after a reused connection ended", n)
 	}
 }
 
@@ -172,8 +172,8 @@
 	ended := make(chan struct{})
 	// The working target is registered by the unresponsive one's handler, so that the
 	// unresponsive one always gets the request first.
-	w.target("silent", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
-		w.target("answers", "app", serveText("ok"))
+	w.target("unresponsive", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
+		w.target("working", "app", serveText("ok"))
 		<-r.Context().Done()
 		close(ended)
 	})
@@ -194,7 +194,7 @@
 		w.do(w.request("GET", "/safe/", ""))
 	}
 	if leaving.count() != 0 {
-		t.Errorf("%d requests went to a target that leaves", leaving.count())
+		t.Errorf("%d requests went to a draining target", leaving.count())
 	}
 }
 
@@ -216,26 +216,26 @@
 func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
 	w := newHarness(t)
 	w.budgets.target = "t1"
-	grey := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	failing := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	sound := w.target("t2", "engine", serveEvents(2, neverCut))
+	healthy := w.target("t2", "engine", serveEvents(2, neverCut))
 	turn := func() result {
 		return w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
 	}
 	if got := turn(); got.status != 500 {
-		t.Fatalf("the engine's own failure was not passed on: %+v", got)
+		t.Fatalf("got %+v, want the engine's failure", got)
 	}
 	if got := turn(); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	if grey.count() != 1 || sound.count() != 1 || w.notices.Load() != 1 {
-		t.Errorf("the engine got %d turns, the other %d; %d notices", grey.count(), sound.count(), w.notices.Load())
+	if failing.count() != 1 || healthy.count() != 1 || w.notices.Load() != 1 {
+		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), w.notices.Load())
 	}
 	if ends := w.budgets.ends; !ends[0].Failed || ends[0].Target != "t1" || ends[1].Failed || ends[1].Target != "t2" {
-		t.Errorf("the owner was told %+v", ends)
+		t.Errorf("the owner received %+v", ends)
 	}
 }
 
@@ -269,8 +269,8 @@
 	if other.count() != 0 || last.count() != 8 {
 		t.Errorf("%d turns ran elsewhere", other.count())
 	}
-	if told := w.budgets.ends; len(told) != 8 || told[0].Target != "t2" || told[0].Failed {
-		t.Errorf("the owner was told %v", told)
+	if ends := w.budgets.ends; len(ends) != 8 || ends[0].Target != "t2" || ends[0].Failed {
+		t.Errorf("the owner received %v", ends)
 	}
 }
 
@@ -283,7 +283,7 @@
 		cutConnection(n, rw, r)
 	})
 	if got := w.do(w.request("GET", "/safe/", "")); got.status != 502 {
-		t.Errorf("got %+v, want a status that promises nothing", got)
+		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
 }
 
@@ -304,7 +304,7 @@
 	}
 	for _, s := range w.targets.Snapshot() {
 		if s.Avoided {
-			t.Error("the later start is avoided for what the former did")
+			t.Error("the new incarnation is avoided because of the former one")
 		}
 	}
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("target got header %v", r.Header)
 	}
 	if r.Header.Get("Banyanglade-Expect-Instance") != "t1" {
-		t.Errorf("the send names target %q", r.Header.Get("Banyanglade-Expect-Instance"))
+		t.Errorf("the send expects target %q", r.Header.Get("Banyanglade-Expect-Instance"))
 	}
 	if left, _ := strconv.Atoi(r.Header.Get("Banyanglade-Deadline-Ms")); left < 1 || left > 1500 {
 		t.Errorf("time left passed on: %d ms of 1500", left)
@@ -47,11 +47,11 @@
 func TestRetryAfterIsLongerWhileStoreIsUnavailable(t *testing.T) {
 	w := newHarness(t)
 	w.server.table.Store(nil)
-	soon := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
+	available := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
 	w.health.unavailable.Store(true)
-	later := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
-	if soon != "0.2" || later != "1.3" {
-		t.Errorf("come back after %s s, and %s s while the store is away", soon, later)
+	unavailable := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
+	if available != "0.2" || unavailable != "1.3" {
+		t.Errorf("Retry-After %s, %s while the store is unavailable", available, unavailable)
 	}
 }
 
@@ -67,9 +67,9 @@
 	w.front.Close() // waits for the handlers
 	log := w.log.String()
 	for id, reason := range map[string]reason{"noroute1": reasonNoRoute, "nosettings1": reasonNoSettings} {
-		story, err := explain.Read(id, strings.NewReader(log))
-		if err != nil || !strings.Contains(log, id) || strings.Contains(story.Cause(), "No line") {
-			t.Errorf("%s (%s): %s, %v", id, reason, story.Cause(), err)
+		explanation, err := explain.Read(id, strings.NewReader(log))
+		if err != nil || !strings.Contains(log, id) || strings.Contains(explanation.Cause(), "No line") {
+			t.Errorf("%s (%s): %s, %v", id, reason, explanation.Cause(), err)
 		}
 	}
 	if strings.Contains(log, "served1") {
@@ -205,7 +205,7 @@
 	}
 	w.front.Close() // waits for the handler
 	if len(w.budgets.requests) != 1 || w.budgets.requests[0].MaxTokens != 290 || w.budgets.requests[0].Budget != 900 {
-		t.Errorf("asked for %+v", w.budgets.requests)
+		t.Errorf("reserved %+v", w.budgets.requests)
 	}
 	if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 60 {
 		t.Errorf("settled %v, want 60 tokens", w.budgets.settled)
@@ -223,7 +223,7 @@
 			t.Errorf("%v: got %+v after %d runs", err, got, tg.count())
 		}
 		if status == 503 && got.header.Get("Retry-After") == "" {
-			t.Error("a refusal without a time to come back")
+			t.Error("refusal without Retry-After")
 		}
 	}
 }
@@ -249,9 +249,9 @@
 		"no host":               "GET /safe/ HTTP/1.1\r\nBanyanglade-Request-Id: 1\r\n\r\n",
 	}
 	for name, text := range cases {
-		answers := w.raw(text)
-		if len(answers) != 1 || answers[0].StatusCode < 400 || answers[0].StatusCode >= 500 && name != unknownEncoding {
-			t.Errorf("%s: %d answers, %+v", name, len(answers), answers)
+		responses := w.raw(text)
+		if len(responses) != 1 || responses[0].StatusCode < 400 || responses[0].StatusCode >= 500 && name != unknownEncoding {
+			t.Errorf("%s: %d responses, %+v", name, len(responses), responses)
 		}
 	}
 	if tg.count() != 0 {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -81,7 +81,7 @@
 
 // Permit represents a request that was admitted within its organisation's limit.
 type Permit interface {
-	// Again counts the request once more, since it is sent to another target.
+	// Again counts the request once more: it is sent again after it may have run.
 	Again()
 	// Use returns the utilization of the organisation's limit: 1 is at the limit, 0 is
 	// unknown.
@@ -95,7 +95,7 @@
 type Allowances interface {
 	// Admit admits a request, waiting for replies of other instances if needed. It
 	// returns an *OverLimitError or ErrLimitUnknown if the request must not run.
-	Admit(ctx context.Context, entry AllowanceRequest) (Permit, error)
+	Admit(ctx context.Context, request AllowanceRequest) (Permit, error)
 }
 
 // CompletedTurn is a turn that a target has completed.
@@ -239,9 +239,9 @@
 
 // retryAfter returns the Retry-After delay of a request that needs the store: the short
 // delay if the store is available, else about the length of an outage.
-func (s *Server) retryAfter(soon time.Duration) time.Duration {
+func (s *Server) retryAfter(short time.Duration) time.Duration {
 	if s.health.OK() {
-		return soon
+		return short
 	}
 	return retryOutage
 }
@@ -255,7 +255,7 @@
 		s.admission.Served(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
-	if x.cut {
+	if x.abort {
 		// The response must not look complete.
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -37,14 +37,14 @@
 }
 
 // event records an event. Events that arrive together count as one pause.
-func (s *streamTiming) event(now time.Time, more bool) {
+func (s *streamTiming) event(now time.Time, buffered bool) {
 	s.events++
 	if s.events == 1 {
 		s.first, s.last = now, now
 		return
 	}
 	s.sinceLast++
-	if more {
+	if buffered {
 		return
 	}
 	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.sinceLast), now)
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -127,8 +127,8 @@
 	status int
 	reason reason
 	detail string
-	// cut indicates that the response is incomplete and the connection must be aborted.
-	cut bool
+	// abort indicates that the response is incomplete and the connection must be aborted.
+	abort bool
 }
 
 func (x *transfer) run() {
