--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -1,6 +1,6 @@
 // Package exchange sends single HTTP/1.1 requests to targets and reads the responses.
-// It never retries: its errors tell the caller how far a send got. Connections are
-// reused unless they received unexpected data.
+// It never retries: its errors indicate how far a send got. Connections are reused
+// unless they received unexpected data.
 package exchange
 
 import (
@@ -168,9 +168,9 @@
 	p.stateOf(address).inUse--
 }
 
-// HasIdle reports whether there is an idle connection to an address that has not
+// Kept reports whether there is an idle connection to an address that has not
 // expired.
-func (p *Pool) HasIdle(address string, now time.Time) bool {
+func (p *Pool) Kept(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := p.addresses[address]
@@ -180,8 +180,8 @@
 	return now.Before(state.idle[len(state.idle)-1].expires)
 }
 
-// CloseIdle closes the idle connections to an address.
-func (p *Pool) CloseIdle(address string) {
+// Forget closes the idle connections to an address.
+func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state := p.addresses[address]; state != nil {
