--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -164,7 +164,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	return now.Sub(begun) >= k.path.Patience(now) && !k.path.AnsweredSince(begun)
+	return now.Sub(begun) >= k.path.AppendTimeout(now) && !k.path.RespondedSince(begun)
 }
 
 // aimAt prepares the turn to be written to a partition.
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -60,7 +60,7 @@
 // NewPool returns an empty pool.
 func NewPool(scope tally.Scope) *Pool {
 	return &Pool{
-		dialer:    netopt.Dialer(dialTimeout, unackedTimeout),
+		dialer:    netopt.NewDialer(dialTimeout, unackedTimeout),
 		opened:    newCauseCounters(scope),
 		addresses: make(map[string]*addressState),
 	}
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -12,13 +12,13 @@
 // Admission decides which requests are admitted while targets lack capacity.
 type Admission interface {
 	// Admit decides whether a request is admitted.
-	Admit(request overload.Request, now time.Time) policy.RoomVerdict
+	Admit(request overload.Request, now time.Time) policy.AdmissionVerdict
 	// Again and AgainAfterFailure report whether the retry budget allows sending a
 	// request to one more target, after a number of targets refused it or after one
 	// failed.
 	Again(service string, refusals int, now time.Time) bool
 	AgainAfterFailure(service string, now time.Time) bool
-	// ComeBack returns the RetryAfter delay for a request that no target accepted.
+	// RetryAfter returns the RetryAfter delay for a request that no target accepted.
 	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
 	// Served records how long a request took.
 	Served(service string, took time.Duration)
@@ -61,22 +61,22 @@
 }
 
 // admissionClass classifies the request by what is wasted if it is refused.
-func (x *transfer) admissionClass(first bool) policy.RoomClass {
+func (x *transfer) admissionClass(first bool) policy.AdmissionClass {
 	switch {
 	case x.call.Program == "":
-		return policy.RoomOutside
+		return policy.ClassOutside
 	case first:
-		return policy.RoomFirst
+		return policy.ClassFirstTurn
 	case x.call.LastEvent != "":
-		return policy.RoomUnderWay // an earlier attempt may have run
+		return policy.ClassInProgress // an earlier attempt may have run
 	case x.call.ProgramOver:
-		return policy.RoomLate
+		return policy.ClassOverdue
 	}
-	return policy.RoomUnderWay
+	return policy.ClassInProgress
 }
 
 // admitClass returns false if the request has been refused.
-func (x *transfer) admitClass(class policy.RoomClass) bool {
+func (x *transfer) admitClass(class policy.AdmissionClass) bool {
 	request := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.combinedPriority(),
 		Call: x.call.Program != "" && !x.isTurn(), Use: x.utilization(), TimeLeft: time.Until(x.deadline),
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -19,19 +19,19 @@
 
 // fakeAdmission refuses one class of requests and allows no retries.
 type fakeAdmission struct {
-	refused policy.RoomClass
+	refused policy.AdmissionClass
 
 	mu       sync.Mutex
 	requests []overload.Request
 }
 
-func (f *fakeAdmission) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
+func (f *fakeAdmission) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requests = append(f.requests, r)
-	return policy.RoomVerdict{
-		Admit: r.Class != f.refused, Cause: policy.RoomPoolFull, RetryAfter: 300 * time.Millisecond,
-		Pool: policy.PoolLoad{Service: r.Service, Fill: 1.7},
+	return policy.AdmissionVerdict{
+		Admit: r.Class != f.refused, Cause: policy.CausePoolFull, RetryAfter: 300 * time.Millisecond,
+		Pool: policy.PoolLoad{Service: r.Service, Utilization: 1.7},
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestFirstTurnWithoutCapacityIsRefused(t *testing.T) {
 	w := newHarness(t)
 	engine := w.target("e", "engine", serveEvents(1, neverCut))
-	admission := &fakeAdmission{refused: policy.RoomFirst}
+	admission := &fakeAdmission{refused: policy.ClassFirstTurn}
 	w.server.admission = admission
 	got := w.do(w.turn("/kept/x", "t1"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.3" || !strings.Contains(got.body, "no_room") {
@@ -88,17 +88,17 @@
 	for _, test := range []struct {
 		name    string
 		request *http.Request
-		class   policy.RoomClass
+		class   policy.AdmissionClass
 		call    bool
 	}{
-		{"first turn", w.turn("/kept/x", "k1"), policy.RoomFirst, false},
-		{"first turn that is resumed", w.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.RoomUnderWay, false},
-		{"time left", w.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.RoomUnderWay, false},
-		{"time over", w.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, false},
-		{"call", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.RoomUnderWay, true},
+		{"first turn", w.turn("/kept/x", "k1"), policy.ClassFirstTurn, false},
+		{"first turn that is resumed", w.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.ClassInProgress, false},
+		{"time left", w.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.ClassInProgress, false},
+		{"time over", w.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, false},
+		{"call", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.ClassInProgress, true},
 		{"call, time over", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p",
-			"Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, true},
-		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomOutside, false},
+			"Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, true},
+		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOutside, false},
 	} {
 		admission := &fakeAdmission{refused: test.class}
 		w.server.admission = admission
@@ -113,7 +113,7 @@
 	w := newHarness(t)
 	full := w.target("full", "app", refuseFull)
 	also := w.target("also", "app", refuseFull)
-	w.server.admission = &fakeAdmission{refused: policy.RoomLate}
+	w.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.07" {
 		t.Errorf("got %+v", got)
@@ -148,11 +148,11 @@
 	}
 }
 
-// fairUseAdmission refuses organisations above policy.FairUse.
+// fairUseAdmission refuses organisations above policy.FairUsageThreshold.
 type fairUseAdmission struct{ fakeAdmission }
 
-func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
-	return policy.RoomVerdict{Admit: r.Use <= policy.FairUse, RetryAfter: time.Second}
+func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
+	return policy.AdmissionVerdict{Admit: r.Use <= policy.FairUsageThreshold, RetryAfter: time.Second}
 }
 
 func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
@@ -179,7 +179,7 @@
 	}
 	w.target("a", "app", slowThenQuick)
 	w.target("b", "app", slowThenQuick)
-	w.server.admission = &fakeAdmission{refused: policy.RoomLate}
+	w.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
 	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
