--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -6,90 +6,90 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// cause is why a connection had to be opened.
+// cause is the reason for opening a connection, used as a metric label.
 type cause string
 
-// Causes.
 const (
-	// causeFirst: none was kept lately.
+	// causeFirst: there was no idle connection recently.
 	causeFirst cause = "first"
-	// causeBusy: each one to the target carries a request.
+	// causeBusy: all connections to the target are in use.
 	causeBusy cause = "busy"
-	// causeExpired: the last one was idle for too long.
+	// causeExpired: the last idle connection expired.
 	causeExpired cause = "expired"
-	// causeClosed: the target closed the last one, or it showed something
-	// unexpected.
+	// causeClosed: the target closed the last idle connection, or it had received
+	// unexpected data.
 	causeClosed cause = "closed"
 )
 
-// forgetAfter is how long it is remembered why the last connection to an
-// address went.
-const forgetAfter = time.Minute
+// closeCauseRetention is how long the close cause of an address's last idle connection
+// is retained.
+const closeCauseRetention = time.Minute
 
-// place is what is known of one address.
-type place struct {
+// addressState holds the idle connections of one address and counts the others.
+type addressState struct {
 	idle []*conn
-	// inUse counts the connections that carry a request.
+	// inUse is the number of connections that carry a request or are being opened.
 	inUse int
-	// lost is why the last idle connection went, at lostAt.
-	lost   cause
-	lostAt time.Time
+	// closeCause is the reason for closing the last idle connection, at closedAt.
+	closeCause cause
+	closedAt   time.Time
 }
 
-// take takes the connection used last, nil if there is none.
-func (p *place) take() *conn {
-	if len(p.idle) == 0 {
+// takeLast removes and returns the most recently used idle connection, nil if there is
+// none.
+func (s *addressState) takeLast() *conn {
+	if len(s.idle) == 0 {
 		return nil
 	}
-	last := len(p.idle) - 1
-	c := p.idle[last]
-	p.idle[last] = nil
-	p.idle = p.idle[:last]
+	last := len(s.idle) - 1
+	c := s.idle[last]
+	s.idle[last] = nil
+	s.idle = s.idle[:last]
 	return c
 }
 
-// expire closes the connections that were idle for too long.
-func (p *place) expire(now time.Time) {
-	kept := p.idle[:0]
-	for _, c := range p.idle {
+// expire closes the idle connections that have expired.
+func (s *addressState) expire(now time.Time) {
+	remaining := s.idle[:0]
+	for _, c := range s.idle {
 		if now.After(c.expires) {
-			_ = c.Close() // an idle connection has nothing to lose
-			p.lose(causeExpired, now)
+			_ = c.Close() // idle, so nothing is lost
+			s.recordClose(causeExpired, now)
 			continue
 		}
-		kept = append(kept, c)
+		remaining = append(remaining, c)
 	}
-	p.idle = kept
+	s.idle = remaining
 }
 
 // closeIdle closes all idle connections.
-func (p *place) closeIdle() {
-	for _, c := range p.idle {
-		_ = c.Close() // an idle connection has nothing to lose
+func (s *addressState) closeIdle() {
+	for _, c := range s.idle {
+		_ = c.Close() // idle, so nothing is lost
 	}
-	p.idle = nil
+	s.idle = nil
 }
 
-// lose notes why an idle connection went.
-func (p *place) lose(why cause, now time.Time) { p.lost, p.lostAt = why, now }
+// recordClose records the reason for closing an idle connection.
+func (s *addressState) recordClose(why cause, now time.Time) { s.closeCause, s.closedAt = why, now }
 
-// opens is why a connection has to be opened.
-func (p *place) opens(now time.Time) cause {
+// openCause returns the reason for opening a connection now.
+func (s *addressState) openCause(now time.Time) cause {
 	switch {
-	case p.inUse > 0:
+	case s.inUse > 0:
 		return causeBusy
-	case p.lost != "" && now.Sub(p.lostAt) < forgetAfter:
-		return p.lost
+	case s.closeCause != "" && now.Sub(s.closedAt) < closeCauseRetention:
+		return s.closeCause
 	}
 	return causeFirst
 }
 
-// unused tells whether nothing of the address needs to be remembered.
-func (p *place) unused(now time.Time) bool {
-	return len(p.idle) == 0 && p.inUse == 0 && now.Sub(p.lostAt) >= forgetAfter
+// forgettable reports whether the state of the address can be removed.
+func (s *addressState) forgettable(now time.Time) bool {
+	return len(s.idle) == 0 && s.inUse == 0 && now.Sub(s.closedAt) >= closeCauseRetention
 }
 
-// causeCounters count the connections opened by cause.
+// causeCounters count the opened connections by cause.
 type causeCounters map[cause]tally.Counter
 
 func newCauseCounters(scope tally.Scope) causeCounters {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -1,7 +1,6 @@
-// Package exchange sends single HTTP/1.1 requests to targets and reads their
-// answers. It never sends a request again by itself: the caller learns how far
-// a send got and decides. Connections are kept and reused; one that shows
-// anything unexpected is closed.
+// Package exchange sends single HTTP/1.1 requests to targets and reads the responses.
+// It never retries: its errors indicate how far a send got. Connections are reused
+// unless they received unexpected data.
 package exchange
 
 import (
@@ -18,26 +17,21 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection. Targets are a few
-	// milliseconds away, and a lost opening packet is sent again after a
-	// second only, so a longer wait does not pay.
+	// dialTimeout bounds the opening of a connection. It is below the TCP
+	// retransmission timeout of a lost SYN.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout is how long a target may leave a request without any
-	// acknowledgement, which comes from its kernel within milliseconds: some
-	// retransmissions. A dropped connection is noticed then and not at the
-	// route's timeout.
+	// unackedTimeout bounds the time that sent data may stay unacknowledged, so that a
+	// dropped connection is detected before the route's timeout.
 	unackedTimeout = 700 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the target does not say.
-	defaultIdle = 4 * time.Second
-	// idleMargin is kept of the time that the target states, in whole seconds,
-	// so that a request does not cross the target's close; idleShare of the time
-	// is used at least.
-	idleMargin = time.Second
-	idleShare  = 0.75
-	// readBuffer is the size of a connection's read buffer, in bytes: an
-	// answer's head with a small body.
-	readBuffer = 2 << 10
-	// sweepInterval is the time between two searches for expired connections.
+	// defaultIdleTimeout is used if the target does not state a keep-alive time.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the target's keep-alive time, so that a request
+	// does not cross the target's close. At least minIdleFraction of that time is used.
+	idleMargin      = time.Second
+	minIdleFraction = 0.75
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 2 << 10
+	// sweepInterval is the interval at which expired connections are closed.
 	sweepInterval = time.Second
 )
 
@@ -47,9 +41,9 @@
 
 	opened causeCounters
 
-	mu     sync.Mutex
-	places map[string]*place
-	closed bool
+	mu        sync.Mutex
+	addresses map[string]*addressState
+	closed    bool
 }
 
 // conn is a connection to a target.
@@ -57,22 +51,23 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// reused tells that it carried a request before.
+	// reused indicates that the connection carried a request before.
 	reused bool
-	// expires is when it must not be used any more.
+	// expires is the time after which the connection must not be reused.
 	expires time.Time
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(scope tally.Scope) *Pool {
 	return &Pool{
-		dialer: netopt.NewDialer(dialTimeout, unackedTimeout),
-		opened: newCauseCounters(scope),
-		places: make(map[string]*place),
+		dialer:    netopt.NewDialer(dialTimeout, unackedTimeout),
+		opened:    newCauseCounters(scope),
+		addresses: make(map[string]*addressState),
 	}
 }
 
-// Run closes expired connections until the context ends, then all.
+// Run closes expired connections until the context ends, then closes all idle
+// connections.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -91,130 +86,131 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, at := range p.places {
-		at.closeIdle()
+	for _, state := range p.addresses {
+		state.closeIdle()
 	}
 }
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, at := range p.places {
-		at.expire(now)
-		if at.unused(now) {
-			delete(p.places, address)
+	for address, state := range p.addresses {
+		state.expire(now)
+		if state.forgettable(now) {
+			delete(p.addresses, address)
 		}
 	}
 }
 
-// get takes an idle connection that is still in order, or opens one.
+// get returns an idle connection that is still usable, or opens one.
 func (p *Pool) get(ctx context.Context, address string, now time.Time) (*conn, error) {
 	for {
 		c := p.takeIdle(address, now)
 		if c == nil {
 			break
 		}
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.idle() {
 			c.reused = true
 			return c, nil
 		}
-		p.giveUp(c, now)
+		p.discard(c, now)
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		p.ended(address)
+		p.release(address)
 		return nil, err
 	}
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// at finds what is known of an address. The mutex is held.
-func (p *Pool) at(address string) *place {
-	at := p.places[address]
-	if at == nil {
-		at = new(place)
-		p.places[address] = at
+// stateOf returns the state of an address, creating it if needed. The caller holds mu.
+func (p *Pool) stateOf(address string) *addressState {
+	state := p.addresses[address]
+	if state == nil {
+		state = new(addressState)
+		p.addresses[address] = state
 	}
-	return at
+	return state
 }
 
-// takeIdle takes the connection used last, since it is least likely to expire.
-// Without one it notes that one is opened.
+// takeIdle takes the most recently used idle connection, since it is the least likely
+// to expire. If there is none, it returns nil and counts a connection to be opened.
 func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(address)
-	c := at.take()
+	state := p.stateOf(address)
+	c := state.takeLast()
 	if c == nil {
-		p.opened[at.opens(now)].Inc(1)
+		p.opened[state.openCause(now)].Inc(1)
 	}
-	at.inUse++
+	state.inUse++
 	return c
 }
 
-// giveUp closes an idle connection that was taken and can't be used.
-func (p *Pool) giveUp(c *conn, now time.Time) {
-	_ = c.Close() // it is given up either way
+// discard closes an idle connection that was taken but is not usable.
+func (p *Pool) discard(c *conn, now time.Time) {
+	_ = c.Close() // the result does not matter
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(c.address)
-	at.inUse--
+	state := p.stateOf(c.address)
+	state.inUse--
 	why := causeClosed
 	if !now.Before(c.expires) {
 		why = causeExpired
 	}
-	at.lose(why, now)
+	state.recordClose(why, now)
 }
 
-// ended counts a connection that carries no request any more.
-func (p *Pool) ended(address string) {
+// release records that a connection no longer carries a request.
+func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.at(address).inUse--
+	p.stateOf(address).inUse--
 }
 
-// Kept tells whether an idle connection to an address can be used.
+// Kept reports whether there is an idle connection to an address that has not
+// expired.
 func (p *Pool) Kept(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.places[address]
-	if at == nil || len(at.idle) == 0 {
+	state := p.addresses[address]
+	if state == nil || len(state.idle) == 0 {
 		return false
 	}
-	return now.Before(at.idle[len(at.idle)-1].expires)
+	return now.Before(state.idle[len(state.idle)-1].expires)
 }
 
 // Forget closes the idle connections to an address.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := p.places[address]; at != nil {
-		at.closeIdle()
-		at.lose(causeClosed, time.Now())
+	if state := p.addresses[address]; state != nil {
+		state.closeIdle()
+		state.recordClose(causeClosed, time.Now())
 	}
 }
 
-// put keeps a connection whose answer was read to its end.
+// put returns a connection to the pool after its response was read to the end.
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
-	idle := defaultIdle
+	idle := defaultIdleTimeout
 	if keepAlive > 0 {
-		idle = max(time.Duration(float64(keepAlive)*idleShare), keepAlive-idleMargin)
+		idle = max(time.Duration(float64(keepAlive)*minIdleFraction), keepAlive-idleMargin)
 	}
 	c.expires = now.Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.at(c.address)
-	at.inUse--
+	state := p.stateOf(c.address)
+	state.inUse--
 	if p.closed {
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request in progress on it
 		return
 	}
-	at.idle = append(at.idle, c)
+	state.idle = append(state.idle, c)
 }
 
-// quiet tells whether nothing has arrived on an idle connection: bytes that
-// nobody asked for, or its end, make it unusable.
-func (c *conn) quiet() bool {
+// idle reports whether nothing was received on an idle connection. Unsolicited data or
+// the peer's close make it unusable.
+func (c *conn) idle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -226,11 +222,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var probe [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = peekErr == syscall.EAGAIN
+		idle = peekErr == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -42,13 +42,13 @@
 	}
 }
 
-func TestOnlyOnceAndFixedStreamsMayNotRepeat(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	cases := map[*Route]bool{
 		{Kind: Repeatable}: true, {Kind: Once}: false, {Kind: Stream}: false, {Kind: Stream, Resumable: true}: true,
 	}
 	for r, want := range cases {
 		if r.Retryable() != want {
-			t.Errorf("%+v: %v", *r, r.Retryable())
+			t.Errorf("%+v: got %v", *r, r.Retryable())
 		}
 	}
 }
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -9,47 +9,49 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// Room decides who is let in while there is too little room.
-type Room interface {
-	// Admit decides on a request.
+// Admission decides which requests are admitted while targets lack capacity.
+type Admission interface {
+	// Admit decides whether a request is admitted.
 	Admit(request overload.Request, now time.Time) policy.AdmissionVerdict
-	// Again and AgainAfterFailure tell whether a request may go to one more target,
-	// after a number of targets were full or after one failed.
+	// Again and AgainAfterFailure report whether the retry budget allows sending a
+	// request to one more target, after a number of targets refused it or after one
+	// failed.
 	Again(service string, refusals int, now time.Time) bool
 	AgainAfterFailure(service string, now time.Time) bool
-	// RetryAfter is when a caller should come back whose request no target took.
+	// RetryAfter returns the RetryAfter delay for a request that no target accepted.
 	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
-	// Served notes how long a request took.
+	// Served records how long a request took.
 	Served(service string, took time.Duration)
-	// Dump lists what is known of the services' room.
+	// Dump lists the state of the services.
 	Dump(now time.Time) []overload.Dump
 }
 
-// isTurn tells whether the request is a turn of a program.
+// isTurn reports whether the request is a turn of a program.
 func (x *transfer) isTurn() bool { return x.call.Turn != nil && x.route.Kind == route.Stream }
 
-// mayBegin tells whether a turn may be a program's first: of a route that keeps
-// turns one that continues none.
-func (x *transfer) mayBegin() bool {
+// mayStartProgram reports whether the turn may be its program's first. On a route that
+// stores turns that is one without a previous turn.
+func (x *transfer) mayStartProgram() bool {
 	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
-// begins tells whether a turn with room in its budget is its program's first.
-func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.StoresTurns || lease.First())
+// startsProgram reports whether the turn that holds the lease is its program's first.
+func (x *transfer) startsProgram(lease Lease) bool {
+	return x.mayStartProgram() && (x.route.StoresTurns || lease.First())
 }
 
-// hasRoom asks for room before anything is asked of others. First turns ask
-// later: the owner of their budget tells the load of the services, which an
-// instance that refuses all of them would not hear of.
-func (x *transfer) hasRoom() bool {
-	return x.mayBegin() || x.admitClass(x.roomClass(false))
+// checkAdmission checks admission before other instances are involved. First turns are
+// checked later, by checkTurnAdmission: replies of their budget's owner carry the load
+// of the services, which an instance that refused all first turns here would not
+// receive.
+func (x *transfer) checkAdmission() bool {
+	return x.mayStartProgram() || x.admitClass(x.admissionClass(false))
 }
 
-// hasRoomForTurn asks for room for a turn that may have been its program's first,
-// once that is known; its organisation lets it in.
-func (x *transfer) hasRoomForTurn(begins bool) bool {
-	if !x.mayBegin() || x.admitClass(x.roomClass(begins)) {
+// checkTurnAdmission checks admission of a turn that may be its program's first, once
+// the budget's lease has shown whether it is. A refused turn returns its permit.
+func (x *transfer) checkTurnAdmission(first bool) bool {
+	if !x.mayStartProgram() || x.admitClass(x.admissionClass(first)) {
 		return true
 	}
 	if x.permit != nil {
@@ -58,8 +60,8 @@
 	return false
 }
 
-// roomClass is what is lost if the request is refused.
-func (x *transfer) roomClass(first bool) policy.AdmissionClass {
+// admissionClass classifies the request by what is wasted if it is refused.
+func (x *transfer) admissionClass(first bool) policy.AdmissionClass {
 	switch {
 	case x.call.Program == "":
 		return policy.ClassOutside
@@ -75,41 +77,41 @@
 
 // admitClass returns false if the request has been refused.
 func (x *transfer) admitClass(class policy.AdmissionClass) bool {
-	asked := overload.Request{
-		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.urgency(),
-		Call: x.call.Program != "" && !x.isTurn(), Use: x.use(), TimeLeft: time.Until(x.deadline),
+	request := overload.Request{
+		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.combinedPriority(),
+		Call: x.call.Program != "" && !x.isTurn(), Use: x.utilization(), TimeLeft: time.Until(x.deadline),
 	}
-	verdict := x.server.room.Admit(asked, time.Now())
+	verdict := x.server.admission.Admit(request, time.Now())
 	if verdict.Admit {
 		return true
 	}
-	x.detail = overload.Describe(asked, verdict)
-	x.refuse(http.StatusServiceUnavailable, reasonNoRoom, verdict.RetryAfter)
+	x.detail = overload.Describe(request, verdict)
+	x.refuse(http.StatusServiceUnavailable, reasonNoCapacity, verdict.RetryAfter)
 	return false
 }
 
-// routeRanks is the number of ranks of routes within one of organisations.
-const routeRanks = 3
+// routePriorities is the number of route priorities within one organisation priority.
+const routePriorities = 3
 
-// urgency is the organisation's rank and, within it, the route's; 0 is the most
-// urgent.
-func (x *transfer) urgency() int {
-	within := min(x.route.Priority, routeRanks-1)
+// combinedPriority orders requests by the organisation's priority, then by the route's;
+// 0 is the most urgent.
+func (x *transfer) combinedPriority() int {
+	within := min(x.route.Priority, routePriorities-1)
 	if x.org == nil || x.org.Priority == nil {
 		return within
 	}
-	return *x.org.Priority*routeRanks + within
+	return *x.org.Priority*routePriorities + within
 }
 
-// use is what the request's organisation uses, 0 if that is not known.
-func (x *transfer) use() float64 {
+// utilization returns the utilization of the organisation's limit, 0 if unknown.
+func (x *transfer) utilization() float64 {
 	if x.permit == nil {
 		return 0
 	}
 	return x.permit.Use()
 }
 
-// comeBack is when the caller should come back after no target took the request.
-func (x *transfer) comeBack() time.Duration {
-	return x.server.room.ComeBack(x.service, time.Until(x.deadline), time.Now())
+// targetRetryAfter returns the RetryAfter delay after no target accepted the request.
+func (x *transfer) targetRetryAfter() time.Duration {
+	return x.server.admission.ComeBack(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -14,20 +14,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// conversations is a Conversations whose answers a test sets.
-type conversations struct {
+// fakeConversations is a Conversations with configurable results.
+type fakeConversations struct {
 	mu sync.Mutex
-	// before is the text before each turn.
+	// before maps a turn to the conversation up to it.
 	before map[string]string
 	err    error
 	full   bool
-	// hold, if it is set, is what a turn waits for before it is durable.
-	hold    chan struct{}
-	keepErr error
-	kept    []CompletedTurn
+	// hold, if set, delays Keep until it is closed.
+	hold     chan struct{}
+	storeErr error
+	stored   []CompletedTurn
 }
 
-func (c *conversations) Before(_ context.Context, _, turn string) ([]byte, error) {
+func (c *fakeConversations) Before(_ context.Context, _, turn string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -40,7 +40,7 @@
 	return []byte(text), nil
 }
 
-func (c *conversations) Keep(ctx context.Context, _ string, turn CompletedTurn) error {
+func (c *fakeConversations) Keep(ctx context.Context, _ string, turn CompletedTurn) error {
 	if c.hold != nil {
 		select {
 		case <-c.hold:
@@ -50,17 +50,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keepErr != nil {
-		return c.keepErr
+	if c.storeErr != nil {
+		return c.storeErr
 	}
 	turn.Output = slices.Clone(turn.Output)
-	c.kept = append(c.kept, turn)
+	c.stored = append(c.stored, turn)
 	return nil
 }
 
-func (c *conversations) Accepts(time.Duration) bool { return !c.full }
+func (c *fakeConversations) Accepts(time.Duration) bool { return !c.full }
 
-// serveSomeEvents answers with events of several forms.
+// serveSomeEvents responds with events in several formats.
 func serveSomeEvents(_ int, rw http.ResponseWriter, _ *http.Request) {
 	sign(rw)
 	rw.Header().Set("Content-Type", "text/event-stream")
@@ -71,7 +71,7 @@
 }
 
 func TestTargetGetsTheWholeConversation(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.conversations.before = map[string]string{"id0": "in0\nout0\n"}
 	tg := w.target("t1", "engine", serveSomeEvents)
 	got := w.do(w.request("POST", "/kept/", "new input", "Banyanglade-Previous-Turn", "id0"))
@@ -84,27 +84,28 @@
 	if r := tg.run(0); r.Header.Get("Banyanglade-Previous-Turn") != "id0" || r.ContentLength != int64(len(tg.body[0])) {
 		t.Errorf("target got %v, length %d", r.Header, r.ContentLength)
 	}
-	kept := w.conversations.kept
-	if len(kept) != 1 || kept[0].ID != "id1" || kept[0].Previous != "id0" || string(kept[0].Input) != "new input" {
-		t.Fatalf("kept %+v", kept)
+	stored := w.conversations.stored
+	if len(stored) != 1 || stored[0].ID != "id1" || stored[0].Previous != "id0" || string(stored[0].Input) != "new input" {
+		t.Fatalf("stored %+v", stored)
 	}
-	if want := "one\ntwo\na\n b\n\n"; string(kept[0].Output) != want {
-		t.Errorf("kept output %q, want %q", kept[0].Output, want)
+	if want := "one\ntwo\na\n b\n\n"; string(stored[0].Output) != want {
+		t.Errorf("stored output %q, want %q", stored[0].Output, want)
 	}
 }
 
-func TestOtherRoutesKeepNothing(t *testing.T) {
-	w := newWorld(t)
+func TestOtherRoutesStoreNothing(t *testing.T) {
+	w := newHarness(t)
 	tg := w.target("t1", "engine", serveSomeEvents)
 	w.do(w.request("POST", "/turns/", "input", "Banyanglade-Previous-Turn", "nosuch"))
-	if len(w.conversations.kept) != 0 || tg.body[0] != "input" {
-		t.Errorf("kept %v, target got %q", w.conversations.kept, tg.body)
+	if len(w.conversations.stored) != 0 || tg.body[0] != "input" {
+		t.Errorf("stored %v, target got %q", w.conversations.stored, tg.body)
 	}
 }
 
-// Events go out as they come; only the end waits for the store.
+// Events are passed on as they arrive; only the end of the response waits for the
+// store.
 func TestEndOfATurnWaitsUntilItIsDurable(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.conversations.hold = make(chan struct{})
 	w.target("t1", "engine", serveSomeEvents)
 	resp, err := http.DefaultTransport.RoundTrip(w.request("POST", "/kept/", "input"))
@@ -114,26 +115,26 @@
 	defer resp.Body.Close()
 	events := make([]byte, len("id: 1\ndata: one\n\nbanyanglade-weight-versions: 3\nid: 2\ndata:two\n\nid: 3\r\ndata: a\r\ndata:  b\r\n\r\nid: 4\ndata:\n\n"))
 	if _, err := io.ReadFull(resp.Body, events); err != nil {
-		t.Fatalf("events before the turn is durable: %v", err)
+		t.Fatalf("reading events before the turn is durable: %v", err)
 	}
 	close(w.conversations.hold)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
-		t.Errorf("behind the events: %q, %v", rest, err)
+		t.Errorf("after the events: %q, %v", rest, err)
 	}
 }
 
 func TestTurnThatIsNotDurableDoesNotLookWhole(t *testing.T) {
-	w := newWorld(t)
-	w.conversations.keepErr = errors.New("the store is away")
+	w := newHarness(t)
+	w.conversations.storeErr = errors.New("the store is unavailable")
 	w.target("t1", "engine", serveSomeEvents)
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err == nil {
-		t.Errorf("the answer looks whole: %+v", got)
+		t.Errorf("the response looks complete: %+v", got)
 	}
 }
 
-// A run that goes on at another target is one turn.
-func TestResumedTurnIsKeptWhole(t *testing.T) {
-	w := newWorld(t)
+// A stream that is resumed after a broken connection is stored as one turn.
+func TestResumedTurnIsStoredWhole(t *testing.T) {
+	w := newHarness(t)
 	w.target("t1", "engine", serveEvents(4, func(n int) int {
 		if n == 1 {
 			return 2
@@ -143,61 +144,61 @@
 	if got := w.do(w.request("POST", "/kept/", "input")); got.err != nil {
 		t.Fatalf("got %+v", got)
 	}
-	if kept := w.conversations.kept; len(kept) != 1 || string(kept[0].Output) != "x\nx\nx\nx\n" {
-		t.Errorf("kept %+v", kept)
+	if stored := w.conversations.stored; len(stored) != 1 || string(stored[0].Output) != "x\nx\nx\nx\n" {
+		t.Errorf("stored %+v", stored)
 	}
 }
 
-func TestAnswersThatAreNoTurnAreNotKept(t *testing.T) {
-	w := newWorld(t)
+func TestFailedTurnIsNotStored(t *testing.T) {
+	w := newHarness(t)
 	w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.kept) > 0 {
-		t.Errorf("got %+v, kept %v", got, w.conversations.kept)
+	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.stored) > 0 {
+		t.Errorf("got %+v, stored %v", got, w.conversations.stored)
 	}
 }
 
-// What cannot be served is refused at once and runs nowhere.
+// Turns that cannot be served are refused at once and reach no target.
 func TestTurnsThatCannotBeServedDoNotRun(t *testing.T) {
-	long := strings.Repeat("x", maxTurnID+1)
+	long := strings.Repeat("x", maxTurnIDBytes+1)
 	for name, c := range map[string]struct {
-		err      error
-		full     bool
-		header   []string
-		status   int
-		comeBack bool
+		err    error
+		full   bool
+		header []string
+		status int
+		retry  bool
 	}{
 		"unknown turn":   {header: []string{"Banyanglade-Previous-Turn", "nosuch"}, status: 404},
-		"uncertain turn": {err: ErrTurnUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, comeBack: true},
-		"full store":     {full: true, status: 503, comeBack: true},
+		"uncertain turn": {err: ErrTurnUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, retry: true},
+		"full store":     {full: true, status: 503, retry: true},
 		"no id":          {header: []string{"Banyanglade-Request-Id", ""}, status: 400},
 		"long id":        {header: []string{"Banyanglade-Request-Id", long}, status: 400},
 		"long turn":      {header: []string{"Banyanglade-Previous-Turn", long}, status: 400},
 		"its own turn":   {header: []string{"Banyanglade-Previous-Turn", "id1"}, status: 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newHarness(t)
 			w.conversations.err, w.conversations.full = c.err, c.full
 			tg := w.target("t1", "engine", serveSomeEvents)
 			got := w.do(w.request("POST", "/kept/", "input", c.header...))
-			if got.status != c.status || (got.header.Get("Retry-After") != "") != c.comeBack {
+			if got.status != c.status || (got.header.Get("Retry-After") != "") != c.retry {
 				t.Errorf("got %+v", got)
 			}
 			if tg.count() != 0 {
 				t.Error("the turn ran")
 			}
 			if !strings.Contains(w.log.String(), "request ended") {
-				t.Error("no line tells why")
+				t.Error("no log line about the refusal")
 			}
 		})
 	}
 }
 
-// The limit on bodies is for what callers send.
-func TestLongConversationIsNotACallersBody(t *testing.T) {
-	w := newWorld(t)
+// The body limit applies to what callers send, not to the stored conversation.
+func TestBodyLimitExcludesStoredConversation(t *testing.T) {
+	w := newHarness(t)
 	before := strings.Repeat("x", 300<<10)
 	w.conversations.before = map[string]string{"id0": before}
 	tg := w.target("t1", "engine", serveSomeEvents)
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -18,54 +18,54 @@
 
 const eventStream = "text/event-stream"
 
-// maxBuffered is the size of the longest plain answer, in bytes, that is held
-// until it is whole; a longer one is passed on as it arrives.
-const maxBuffered = 1 << 20
+// maxBufferedBytes bounds a plain response that is buffered until it is complete; a
+// longer one is passed on as it arrives.
+const maxBufferedBytes = 1 << 20
 
-// deliver passes a target's answer on and tells whether another send may
-// follow.
-func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, answer call.Answer) bool {
+// deliver passes a target's response on and reports whether another send may follow.
+func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Answer) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
-	if success && !answer.Signed {
-		x.detail = "a success without a target's signature"
-		return x.brokeOff(target)
+	if success && !meta.Signed {
+		x.detail = "a successful response without the target's signature"
+		return x.handleBrokenResponse(target)
 	}
 	if x.route.Kind == route.Stream && success && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream) {
 		return x.deliverStream(target, resp)
 	}
 	if x.headSent {
-		// A stream that was to go on got a plain answer instead.
+		// A plain response cannot continue a stream.
 		x.detail = "status " + strconv.Itoa(resp.Status) + " to a resumed stream"
-		return x.brokeOff(target)
+		return x.handleBrokenResponse(target)
 	}
 	return x.deliverWhole(target, resp)
 }
 
-// brokeOff handles an answer that cannot be passed on whole.
-func (x *transfer) brokeOff(target *targets.Target) bool {
+// handleBrokenResponse handles a response that cannot be passed on completely. It
+// reports whether another send may follow.
+func (x *transfer) handleBrokenResponse(target *targets.Target) bool {
 	if x.ctx.Err() != nil {
-		x.giveUpInTime()
+		x.giveUpOnContext()
 		return false
 	}
-	x.failedAt = target.Incarnation()
+	x.failedTarget = target.Incarnation()
 	x.server.targets.Failed(target, time.Now())
-	return x.mayRepeat()
+	return x.retryOrGiveUp()
 }
 
-// failsTurn tells whether an answer is an engine's failure of a turn, which
-// others seldom give: an engine that fails one is likely to fail more, while its
-// health checks are good. A 504 tells of the time left alone.
-func (x *transfer) failsTurn(resp *exchange.Response) bool {
+// isTurnFailure reports whether a response is an engine's failure of a turn. An engine
+// that fails one turn is likely to fail more while its health checks pass. A 504 only
+// reflects the time left.
+func (x *transfer) isTurnFailure(resp *exchange.Response) bool {
 	return x.route.Kind == route.Stream && resp.Status >= http.StatusInternalServerError &&
 		resp.Status != http.StatusGatewayTimeout
 }
 
-// noteFailedTurn keeps turns away from an engine that failed one, here and, for
-// a second, at other instances.
-func (x *transfer) noteFailedTurn(target *targets.Target) {
+// recordTurnFailure makes this instance and the others avoid an engine that failed a
+// turn.
+func (x *transfer) recordTurnFailure(target *targets.Target) {
 	now := time.Now()
-	x.failedAt = target.Incarnation()
+	x.failedTarget = target.Incarnation()
 	x.server.targets.Failed(target, now)
 	if x.server.targets.Broke(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
@@ -73,30 +73,30 @@
 	}
 }
 
-// deliverWhole passes a plain answer on once it is whole, so that a broken one
-// can be repeated or reported as such.
+// deliverWhole passes a plain response on once it is complete, so that a broken one can
+// be retried or reported.
 func (x *transfer) deliverWhole(target *targets.Target, resp *exchange.Response) bool {
-	body, longer, err := x.readAnswer(resp)
-	// What is passed on as it comes takes as long as the caller reads.
-	x.stopPatience()
+	body, longer, err := x.readResponse(resp)
+	// The rest of a longer response takes as long as the caller reads.
+	x.stopSendTimer()
 	if err != nil {
 		x.detail = err.Error()
-		x.passOverSilent(target, err)
-		x.gaveUpStraggler(target, err, x.sentAt)
-		return x.brokeOff(target)
+		x.excludeIfTimedOut(target, err)
+		x.recordHedge(target, err, x.sentAt)
+		return x.handleBrokenResponse(target)
 	}
 	x.reason = reasonServed
 	if resp.Status >= http.StatusInternalServerError {
 		x.reason = reasonTargetFailed
 	}
-	if x.failsTurn(resp) {
-		x.noteFailedTurn(target)
+	if x.isTurnFailure(resp) {
+		x.recordTurnFailure(target)
 	} else {
-		x.noteAnswer(target, resp.Status)
+		x.recordResponse(target, resp.Status)
 	}
 	x.copyHead(resp, longer, len(body))
 	if _, err := x.writer.Write(body); err != nil {
-		x.callerGone(err)
+		x.callerLeft(err)
 		return false
 	}
 	if longer {
@@ -105,45 +105,45 @@
 	return false
 }
 
-// readAnswer reads a plain answer as far as it is held: up to maxBuffered, or
-// less while memory is short. The answer is longer if it was not read to its end.
-func (x *transfer) readAnswer(resp *exchange.Response) (body []byte, longer bool, err error) {
-	// An answer that is not held is passed on as it comes, so that it leaves to
-	// requests of programs under way what they cannot do without.
+// readResponse buffers up to maxBufferedBytes of a plain response, less while memory is
+// short. longer reports whether there is more of it.
+func (x *transfer) readResponse(resp *exchange.Response) (body []byte, longer bool, err error) {
+	// Buffering is optional, so it must not use the memory reserved for requests that
+	// continue a program.
 	x.held.SetUnderWay(false)
 	expected := resp.Length
-	if expected > maxBuffered {
+	if expected > maxBufferedBytes {
 		expected = 0
 	}
 	var short *memlimit.ShortError
 	buffer, err := memlimit.NewBuffer(&x.held, expected)
 	if err == nil {
-		err = buffer.Fill(io.LimitReader(resp.Body, maxBuffered))
+		err = buffer.Fill(io.LimitReader(resp.Body, maxBufferedBytes))
 	}
 	if errors.As(err, &short) {
 		return buffer.Bytes(), true, nil
 	}
-	return buffer.Bytes(), len(buffer.Bytes()) == maxBuffered, err
+	return buffer.Bytes(), len(buffer.Bytes()) == maxBufferedBytes, err
 }
 
-// copyRest passes on what is left of a long plain answer.
+// copyRest passes on the rest of a long plain response.
 func (x *transfer) copyRest(resp *exchange.Response) {
 	if _, err := io.Copy(x.writer, resp.Body); err != nil {
-		x.detail, x.reason, x.cut = err.Error(), reasonCut, true
+		x.detail, x.reason, x.abort = err.Error(), reasonCut, true
 	}
 }
 
-// copyHead passes the head of an answer on.
+// copyHead passes on the status and header of a response.
 func (x *transfer) copyHead(resp *exchange.Response, unknownLength bool, length int) {
 	header := x.writer.Header()
-	closing := header.Get("Connection")
+	connection := header.Get("Connection")
 	for name, values := range resp.Header {
 		if !perConnection(name) {
 			header[name] = values
 		}
 	}
-	if closing != "" {
-		header.Set("Connection", closing)
+	if connection != "" {
+		header.Set("Connection", connection)
 	}
 	switch {
 	case x.request.Method == http.MethodHead && resp.Length >= 0:
@@ -156,7 +156,7 @@
 	x.writer.WriteHeader(resp.Status)
 }
 
-// perConnection tells whether a header of an answer concerns one connection.
+// perConnection reports whether a response header applies to one connection only.
 func perConnection(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Trailer", "Transfer-Encoding", "Upgrade",
@@ -166,14 +166,15 @@
 	return false
 }
 
-// deliverStream passes whole events on as they arrive.
+// deliverStream passes on complete events as they arrive. It reports whether another
+// send may follow.
 func (x *transfer) deliverStream(target *targets.Target, resp *exchange.Response) bool {
 	events := newEventReader(resp.Body)
 	timing := x.newStreamTiming(target)
 	for {
 		event, err := events.next()
-		if err == nil && !x.follows(event) {
-			err = errors.Newf("event %s behind event %s", event.id, x.lastEvent)
+		if err == nil && !x.isNextEvent(event) {
+			err = errors.Newf("event %s follows event %s out of order", event.id, x.lastEvent)
 		}
 		switch {
 		case err == io.EOF:
@@ -184,7 +185,7 @@
 			if x.flush() != nil {
 				return false
 			}
-			return x.brokeOff(target)
+			return x.handleBrokenResponse(target)
 		}
 		if !x.headSent {
 			x.copyHead(resp, true, 0)
@@ -192,9 +193,9 @@
 		x.delivered++
 		x.lastEvent = event.id
 		timing.event(time.Now(), events.buffered())
-		x.noteEvent(event)
+		x.recordEvent(event)
 		if _, err := x.writer.Write(event.bytes); err != nil {
-			x.callerGone(err)
+			x.callerLeft(err)
 			return false
 		}
 		if !events.buffered() && x.flush() != nil {
@@ -203,21 +204,21 @@
 	}
 }
 
-// flush sends the caller what was written. An error ends the request.
+// flush sends buffered data to the caller. An error ends the request.
 func (x *transfer) flush() error {
 	if !x.headSent {
 		return nil
 	}
 	err := http.NewResponseController(x.writer).Flush()
 	if err != nil {
-		x.callerGone(err)
+		x.callerLeft(err)
 	}
 	return err
 }
 
-// callerGone ends a request whose caller takes no more of the answer.
-func (x *transfer) callerGone(err error) {
-	x.detail, x.reason, x.cut = err.Error(), reasonCallerLeft, true
+// callerLeft ends a request whose caller reads no more of the response.
+func (x *transfer) callerLeft(err error) {
+	x.detail, x.reason, x.abort = err.Error(), reasonCallerLeft, true
 	var stalled *stalledError
 	if errors.As(err, &stalled) {
 		x.reason = reasonStalled
@@ -227,19 +228,19 @@
 // endStream ends a stream that the target completed.
 func (x *transfer) endStream(target *targets.Target, resp *exchange.Response) bool {
 	x.server.targets.Succeeded(target, time.Now())
-	x.failedAt = ""
+	x.failedTarget = ""
 	if !x.headSent {
 		x.copyHead(resp, true, 0)
 	}
-	if x.keepTurn() {
+	if x.storeTurn() {
 		x.reason = reasonServed
 	}
 	return false
 }
 
-// follows tells whether an event is the next one after the last that went out.
-// Streams whose events carry no numbers are taken as they come.
-func (x *transfer) follows(event event) bool {
+// isNextEvent reports whether an event follows the last one sent to the caller. Streams
+// without numeric event ids are not checked.
+func (x *transfer) isNextEvent(event event) bool {
 	if event.id == "" || x.lastEvent == "" {
 		return true
 	}
@@ -251,5 +252,4 @@
 	return err == nil && number == last+1
 }
 
-// errTorn tells that a stream ended inside an event.
-var errTorn = errors.New("the stream ended inside an event")
+var errTruncatedEvent = errors.New("the stream ended inside an event")
--- a/internal/serve/world_test.go
+++ b/internal/serve/harness_test.go
@@ -30,61 +30,60 @@
 	engineTokens = 10
 )
 
-// budgets is a Budgets whose answer a test sets.
-type budgets struct {
-	mu      sync.Mutex
-	err     error
-	asked   []Turn
-	settled []int
-	// target is what leases name as the target of the program's last turn, ends
-	// what they were told.
+// fakeBudgets is a Budgets with configurable results.
+type fakeBudgets struct {
+	mu       sync.Mutex
+	err      error
+	requests []Turn
+	settled  []int
+	// target is what Lease.Target returns; ends records the results passed to Settle.
 	target string
 	ends   []TurnResult
 }
 
-func (b *budgets) Reserve(_ context.Context, turn Turn) (Lease, error) {
+func (b *fakeBudgets) Reserve(_ context.Context, turn Turn) (Lease, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked = append(b.asked, turn)
+	b.requests = append(b.requests, turn)
 	if b.err != nil {
 		return nil, b.err
 	}
-	return budgetLease{b}, nil
+	return fakeLease{b}, nil
 }
 
-type budgetLease struct{ b *budgets }
+type fakeLease struct{ b *fakeBudgets }
 
-func (l budgetLease) Target() string { return l.b.target }
+func (l fakeLease) Target() string { return l.b.target }
 
-func (l budgetLease) First() bool { return l.b.target == "" }
+func (l fakeLease) First() bool { return l.b.target == "" }
 
-func (l budgetLease) Settle(end TurnResult) {
+func (l fakeLease) Settle(end TurnResult) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	l.b.settled = append(l.b.settled, end.UsedTokens)
 	l.b.ends = append(l.b.ends, end)
 }
 
-// world is an instance with its targets.
-type world struct {
+// harness is a Server with its targets.
+type harness struct {
 	t       *testing.T
 	server  *Server
 	front   *httptest.Server
 	targets *targets.Registry
-	budgets *budgets
-	// conversations are used by the route "kept" alone.
-	conversations *conversations
-	health        health
-	currency      currency
+	budgets *fakeBudgets
+	// conversations is only used by the route "kept".
+	conversations *fakeConversations
+	health        fakeHealth
+	currency      fakeFreshness
 	log           *logBuffer
-	// notices counts what was told to other instances.
+	// notices counts the calls of TargetBroke.
 	notices atomic.Int64
 }
 
 // TargetBroke implements Notices.
-func (w *world) TargetBroke() { w.notices.Add(1) }
+func (w *harness) TargetBroke() { w.notices.Add(1) }
 
-// logBuffer keeps the log.
+// logBuffer collects the log.
 type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -102,10 +101,10 @@
 	return l.b.String()
 }
 
-// health is a Health that a test sets.
-type health struct{ away atomic.Bool }
+// fakeHealth is a Health with a configurable state.
+type fakeHealth struct{ unavailable atomic.Bool }
 
-func (h *health) OK() bool { return !h.away.Load() }
+func (h *fakeHealth) OK() bool { return !h.unavailable.Load() }
 
 // testRoutes has a route of each kind.
 func testRoutes() route.Settings {
@@ -137,11 +136,11 @@
 	}
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	pool := exchange.NewPool(tally.NoopScope)
-	w := &world{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(budgets), log: new(logBuffer),
-		conversations: new(conversations)}
+	w := &harness{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(fakeBudgets), log: new(logBuffer),
+		conversations: new(fakeConversations)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { pool.Run(ctx) })
@@ -164,8 +163,8 @@
 	return w
 }
 
-// target is a target whose behaviour a test sets. Its handler gets the number
-// of the request, from 1.
+// target is a target with a configurable handler, which gets the number of the request,
+// from 1.
 type target struct {
 	id     string
 	server *httptest.Server
@@ -175,7 +174,7 @@
 	body []string
 }
 
-func (w *world) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
+func (w *harness) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
 	w.t.Helper()
 	tg := &target{id: id}
 	tg.server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -214,7 +213,7 @@
 
 func sign(rw http.ResponseWriter) { rw.Header().Set("Banyanglade-Server-Signature", "s") }
 
-// serveText answers a plain request.
+// serveText responds to a plain request.
 func serveText(text string) func(int, http.ResponseWriter, *http.Request) {
 	return func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
@@ -222,17 +221,17 @@
 	}
 }
 
-// refuseFull refuses a request as a full target does.
+// refuseFull refuses a request like a full target.
 func refuseFull(_ int, rw http.ResponseWriter, _ *http.Request) {
 	rw.Header().Set("Banyanglade-Not-Executed", "1")
 	rw.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// cutConnection ends the connection without an answer.
+// cutConnection closes the connection without a response.
 func cutConnection(_ int, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }
 
-// serveEvents answers with the events from the one after Last-Event-Id to last.
-// It cuts the connection inside an event after the one given, 0 for never.
+// serveEvents responds with the events after Last-Event-Id up to last. It closes the
+// connection inside the event after the one that cutAfter returns, 0 for never.
 func serveEvents(last int, cutAfter func(n int) int) func(int, http.ResponseWriter, *http.Request) {
 	return func(n int, rw http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -250,10 +249,10 @@
 	}
 }
 
-func never(int) int { return 0 }
+func neverCut(int) int { return 0 }
 
-// request makes a caller's request.
-func (w *world) request(method, path, body string, header ...string) *http.Request {
+// request returns a caller's request.
+func (w *harness) request(method, path, body string, header ...string) *http.Request {
 	w.t.Helper()
 	r, err := http.NewRequestWithContext(w.t.Context(), method, w.front.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -267,16 +266,16 @@
 	return r
 }
 
-// result is an answer as a caller sees it.
+// result is a response as a caller sees it.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// err is set if the answer was not whole.
+	// err is set if the response is incomplete.
 	err error
 }
 
-func (w *world) do(r *http.Request) result {
+func (w *harness) do(r *http.Request) result {
 	w.t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
@@ -287,8 +286,8 @@
 	return result{resp.StatusCode, resp.Header, string(body), err}
 }
 
-// raw sends bytes on a connection of its own and returns the answers.
-func (w *world) raw(text string) []*http.Response {
+// raw sends bytes on a separate connection and returns all responses.
+func (w *harness) raw(text string) []*http.Response {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
@@ -301,14 +300,14 @@
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		w.t.Fatal(err)
 	}
-	var answers []*http.Response
+	var responses []*http.Response
 	reader := bufio.NewReader(c)
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			return answers
+			return responses
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
-		answers = append(answers, resp)
+		responses = append(responses, resp)
 	}
 }
--- /dev/null
+++ b/internal/serve/hedge_test.go
@@ -0,0 +1,58 @@
+package serve
+
+import (
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/banyanglade/banyanglade/internal/call"
+	"github.com/banyanglade/banyanglade/internal/targets"
+)
+
+// newHedgeHarness returns a harness with two targets and a learned latency. The first
+// request sent to a target gets no response.
+func newHedgeHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
+	w := newHarness(t)
+	var sends atomic.Int64
+	handle := func(n int, rw http.ResponseWriter, r *http.Request) {
+		if sends.Add(1) == 1 {
+			<-r.Context().Done()
+			return
+		}
+		serveText("ok")(n, rw, r)
+	}
+	for _, id := range []string{"a", "b"} {
+		w.target(id, "app", handle)
+	}
+	target := w.targets.Pick(targets.Want{Service: "app"}, time.Now())
+	w.targets.Report(target, call.Load{Slots: 4, Pace: 100}, time.Now())
+	for range 200 {
+		w.targets.Answered(target, path, time.Millisecond, time.Now())
+	}
+	w.targets.End(target)
+	return w, &sends
+}
+
+// A repeatable request is sent to another target after a time that responses rarely
+// exceed, long before its timeout.
+func TestStragglerIsSentAgain(t *testing.T) {
+	w, sends := newHedgeHarness(t, "safe")
+	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
+		t.Errorf("got %+v", got)
+	}
+	if n := sends.Load(); n != 2 {
+		t.Errorf("%d sends", n)
+	}
+}
+
+// A request that may run once only is not hedged.
+func TestOnceRequestIsNotHedged(t *testing.T) {
+	w, sends := newHedgeHarness(t, "short")
+	if got := w.do(w.request("POST", "/short/", "b")); got.status == 200 {
+		t.Errorf("got %+v", got)
+	}
+	if n := sends.Load(); n != 1 {
+		t.Errorf("%d sends", n)
+	}
+}
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -16,11 +16,11 @@
 	"github.com/banyanglade/banyanglade/internal/memlimit"
 )
 
-// TestWithoutMemoryARequestIsRefusedUnread fills an instance's memory with
-// requests that their target keeps waiting.
-func TestWithoutMemoryARequestIsRefusedUnread(t *testing.T) {
-	w := newWorld(t)
-	w.server.memory = memlimit.New(10*requestBytes, tally.NoopScope)
+// TestRequestIsRefusedUnreadWithoutMemory fills an instance's memory with requests in
+// progress.
+func TestRequestIsRefusedUnreadWithoutMemory(t *testing.T) {
+	w := newHarness(t)
+	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 20)
 	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -29,49 +29,49 @@
 		sign(rw)
 		_, _ = io.WriteString(rw, "ok")
 	})
-	body := strings.Repeat("x", requestBytes)
+	body := strings.Repeat("x", requestOverheadBytes)
 	served := make(chan result, 20)
-	held := 0
-	for held < 2 {
+	admitted := 0
+	for admitted < 2 {
 		go func() { served <- w.do(w.request("POST", "/safe/x", body)) }()
 		<-arrived
-		held++
+		admitted++
 	}
-	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestBytes)))
+	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestOverheadBytes)))
 	if over.status != http.StatusServiceUnavailable || over.header.Get("Retry-After") == "" {
 		t.Errorf("status %d for a request that does not fit", over.status)
 	}
 	if !strings.Contains(w.log.String(), string(reasonNoMemory)) {
-		t.Error("the log does not tell why")
+		t.Error("the log has no reason for the refusal")
 	}
 	go func() { served <- w.do(w.request("POST", "/safe/x", body, "Banyanglade-Program-Id", "p")) }()
 	<-arrived
 	close(release)
-	for range held + 1 {
+	for range admitted + 1 {
 		if got := <-served; got.status != http.StatusOK {
-			t.Errorf("status %d for a request that was let in", got.status)
+			t.Errorf("status %d for an admitted request", got.status)
 		}
 	}
-	if len(tg.body) != held+1 {
+	if len(tg.body) != admitted+1 {
 		t.Errorf("%d requests ran", len(tg.body))
 	}
 	w.front.Close()
 	if left := w.server.memory.Bytes().Held; left != 0 {
-		t.Errorf("%d bytes are held after all", left)
+		t.Errorf("%d bytes held after all requests", left)
 	}
 }
 
-// TestSlowReadersGetAnswersLongerThanMemory has many callers that read little by
-// little, of an instance whose memory holds a part of one answer.
-func TestSlowReadersGetAnswersLongerThanMemory(t *testing.T) {
+// TestSlowReadersGetResponsesLongerThanMemory has several slow readers of responses
+// that are longer than the instance's free memory.
+func TestSlowReadersGetResponsesLongerThanMemory(t *testing.T) {
 	const callers, length = 6, 128 << 10
-	w := newWorld(t)
-	w.server.memory = memlimit.New(callers*2*requestBytes, tally.NoopScope)
-	answer := strings.Repeat("0123456789abcdef", length/16)
-	w.target("t1", "app", serveText(answer))
+	w := newHarness(t)
+	w.server.memory = memlimit.New(callers*2*requestOverheadBytes, tally.NoopScope)
+	response := strings.Repeat("0123456789abcdef", length/16)
+	w.target("t1", "app", serveText(response))
 	got := make(chan error, callers)
 	for i := range callers {
-		go func() { got <- readSlowly(w, fmt.Sprint("p", i), answer) }()
+		go func() { got <- readSlowly(w, fmt.Sprint("p", i), response) }()
 	}
 	for range callers {
 		if err := <-got; err != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// readSlowly is a caller that takes a kilobyte at a time from a small window.
-func readSlowly(w *world, program, want string) error {
+// readSlowly reads a response in small steps from a small receive window.
+func readSlowly(w *harness, program, want string) error {
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		return err
@@ -105,19 +105,19 @@
 	return err
 }
 
-// window is a connection that takes some bytes a second.
-type window struct {
+// slowConn is a connection that accepts a limited number of bytes per second.
+type slowConn struct {
 	net.Conn
 	perSecond int
 	deadline  time.Time
 }
 
-func (c *window) SetWriteDeadline(t time.Time) error {
+func (c *slowConn) SetWriteDeadline(t time.Time) error {
 	c.deadline = t
 	return nil
 }
 
-func (c *window) Write(p []byte) (int, error) {
+func (c *slowConn) Write(p []byte) (int, error) {
 	wait := time.Until(c.deadline)
 	n := min(len(p), int(float64(c.perSecond)*wait.Seconds()))
 	if n == len(p) {
@@ -127,7 +127,7 @@
 	return n, osDeadlineError()
 }
 
-// osDeadlineError is what a connection returns whose write deadline has passed.
+// osDeadlineError returns the error of a write after its deadline.
 func osDeadlineError() error {
 	c, other := net.Pipe()
 	defer func() { _, _ = c.Close(), other.Close() }()
@@ -136,8 +136,9 @@
 	return err
 }
 
-// TestACallerThatReadsNothingIsCut compares it to one that reads slowly.
-func TestACallerThatReadsNothingIsCut(t *testing.T) {
+// TestStalledReaderIsDisconnected checks that a reader without progress is disconnected
+// and a slow one is not.
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tight := memlimit.New(1000, tally.NoopScope)
 		account := tight.Open()
@@ -154,22 +155,22 @@
 		}
 		for _, c := range cases {
 			begun := time.Now()
-			conn := &watchedConn{Conn: &window{perSecond: c.perSecond}, memory: c.memory}
+			conn := &callerConn{Conn: &slowConn{perSecond: c.perSecond}, memory: c.memory}
 			n, err := conn.Write(data)
 			switch {
 			case c.cutAfter == 0 && (err != nil || n != len(data)):
-				t.Errorf("a slow reader got %d bytes: %v", n, err)
+				t.Errorf("slow reader: got %d bytes, %v", n, err)
 			case c.cutAfter > 0 && (err == nil || time.Since(begun) != c.cutAfter):
-				t.Errorf("cut after %s with %v, expected %s", time.Since(begun), err, c.cutAfter)
+				t.Errorf("disconnected after %s with %v, want %s", time.Since(begun), err, c.cutAfter)
 			}
 		}
 	})
 }
 
-// TestABodyThatDoesNotArriveFreesItsMemory begins a body and does not go on.
-func TestABodyThatDoesNotArriveFreesItsMemory(t *testing.T) {
-	w := newWorld(t)
-	w.server.memory = memlimit.New(10*requestBytes, tally.NoopScope)
+// TestStalledBodyFreesMemory sends the beginning of a body only.
+func TestStalledBodyFreesMemory(t *testing.T) {
+	w := newHarness(t)
+	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -188,6 +189,6 @@
 	}
 	w.front.Close()
 	if left := w.server.memory.Bytes().Held; left != 0 {
-		t.Errorf("%d bytes are held after all", left)
+		t.Errorf("%d bytes held after all requests", left)
 	}
 }
--- a/internal/serve/organisation.go
+++ b/internal/serve/organisation.go
@@ -9,27 +9,27 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// KeyPolicy says how long keys are trusted by an instance that hears neither
-// from the store nor from another instance that does.
+// KeyPolicy defines how keys are treated while neither the store nor another instance
+// confirms that the settings are current.
 type KeyPolicy struct {
-	// ConfigDelay is how long new settings may take to be in force. An unknown
-	// key may be a new one once the settings are older than that.
+	// ConfigDelay is the time within which new settings take effect. Once the settings
+	// are older, an unknown key may be a new one.
 	ConfigDelay time.Duration
-	// Strict refuses all keys once the settings are older than RevokeDelay;
-	// otherwise the keys known last go on being served.
+	// Strict refuses all keys once the settings are older than RevokeDelay; otherwise
+	// the last known keys remain valid.
 	Strict      bool
 	RevokeDelay time.Duration
 }
 
-// authorise finds the organisation that holds the request's key. It returns
-// false if the request has been refused.
+// authorise finds the organisation that holds the request's key. It returns false if
+// the request has been refused.
 func (x *transfer) authorise() bool {
 	organisations := x.table.Organisations
 	if organisations == nil {
 		return true
 	}
-	age := x.server.currency.SettingsAge()
-	policy := x.server.keys
+	age := x.server.freshness.SettingsAge()
+	policy := x.server.keyPolicy
 	found, known := organisations.ByKey(x.call.Key)
 	switch {
 	case x.route.Anonymous && !known:
@@ -42,7 +42,7 @@
 		x.org = found
 		return true
 	case x.call.Key != org.Digest{} && age > policy.ConfigDelay:
-		// The key may have been added since: a caller that is told so gives up.
+		// The key may have been added since: the refusal must be a retryable one.
 		x.detail = "unknown key, settings are " + age.String() + " old"
 		x.refuse(http.StatusServiceUnavailable, reasonStaleKeys, x.server.retryAfter(retrySettings))
 		return false
@@ -51,7 +51,7 @@
 	return false
 }
 
-// orgName is the organisation's name, empty if there is none.
+// orgName returns the organisation's name, empty if there is none.
 func (x *transfer) orgName() string {
 	if x.org == nil {
 		return ""
@@ -59,26 +59,26 @@
 	return x.org.Name
 }
 
-// scoped makes a name that the caller chose its organisation's own.
+// scoped qualifies a name chosen by the caller with its organisation.
 func (x *transfer) scoped(name string) string { return org.Scope(x.orgName(), name) }
 
-// rank is how urgent the request is, 0 the most: as its organisation's priority
-// says, or its route's.
-func (x *transfer) rank() int {
+// priority returns the organisation's priority if it has one, else the route's; 0 is
+// the most urgent.
+func (x *transfer) priority() int {
 	if x.org != nil && x.org.Priority != nil {
 		return *x.org.Priority
 	}
 	return x.route.Priority
 }
 
-// admit lets the request in within its organisation's limit; first tells that it
-// begins a program. It returns false if the request has been refused.
-func (x *transfer) admit(first bool) bool {
+// admitOrganisation admits the request within its organisation's limit; first indicates
+// that it begins a program. It returns false if the request has been refused.
+func (x *transfer) admitOrganisation(first bool) bool {
 	if x.org == nil || !x.org.Limit.Limited() {
 		return true
 	}
 	permit, err := x.server.allowances.Admit(x.ctx, AllowanceRequest{
-		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Priority: x.rank(),
+		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Priority: x.priority(),
 		Program: x.call.Program,
 	})
 	var over *OverLimitError
@@ -87,7 +87,7 @@
 		x.permit = permit
 		return true
 	case x.ctx.Err() != nil:
-		x.giveUpInTime()
+		x.giveUpOnContext()
 	case errors.As(err, &over):
 		x.detail = err.Error()
 		if first {
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -16,20 +16,20 @@
 	"github.com/banyanglade/banyanglade/internal/route"
 )
 
-// currency is a Currency that a test sets.
-type currency struct{ age time.Duration }
+// fakeFreshness is a Freshness with a configurable age.
+type fakeFreshness struct{ age time.Duration }
 
-func (c *currency) SettingsAge() time.Duration { return c.age }
+func (c *fakeFreshness) SettingsAge() time.Duration { return c.age }
 
 const (
 	keyA = "key-of-a"
 	keyB = "key-of-b"
 )
 
-// withOrganisations makes a world of two organisations and an anonymous route.
-func withOrganisations(t *testing.T) *world {
+// withOrganisations returns a harness with two organisations and an anonymous route.
+func withOrganisations(t *testing.T) *harness {
 	t.Helper()
-	w := newWorld(t)
+	w := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{
 		{Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}},
 		{Name: "b", Keys: []org.Digest{org.DigestOf(keyB)}},
@@ -47,9 +47,9 @@
 	return w
 }
 
-// rawStatus sends the bytes of one request on a connection that stays open and
-// returns the status of the answer.
-func (w *world) rawStatus(text string) int {
+// rawStatus sends the bytes of one request on a connection that stays open and returns
+// the status of the response.
+func (w *harness) rawStatus(text string) int {
 	w.t.Helper()
 	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
 	if err != nil {
@@ -95,10 +95,10 @@
 		t.Errorf("known key: got %d", got.status)
 	}
 	if got := w.do(w.request("GET", "/none/x", "")); got.status != http.StatusNotFound {
-		t.Errorf("no route goes before no key: got %d", got.status)
+		t.Errorf("neither route nor key: got %d, want no route", got.status)
 	}
 	if strings.Contains(w.log.String(), keyA) {
-		t.Error("the log shows a key")
+		t.Error("the log contains a key")
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 func TestWithoutOrganisationsNoKeyIsNeededOrPassedOn(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	app := w.target("t1", "app", serveText("ok"))
 	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Tenant", "a"))
 	if got.status != http.StatusOK {
@@ -171,7 +171,7 @@
 		{"old, known", false, time.Hour, keyA, http.StatusOK},
 		{"old, unknown", false, time.Hour, "other", http.StatusServiceUnavailable},
 		{"old, none", false, time.Hour, "", http.StatusUnauthorized},
-		{"older than new settings may be", true, 4 * time.Second, keyA, http.StatusOK},
+		{"older than ConfigDelay", true, 4 * time.Second, keyA, http.StatusOK},
 		{"strict and too old", true, 6 * time.Second, keyA, http.StatusServiceUnavailable},
 	}
 	for _, c := range cases {
@@ -179,7 +179,7 @@
 			w := withOrganisations(t)
 			w.target("t1", "app", serveText("ok"))
 			w.currency.age = c.age
-			w.server.keys = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
+			w.server.keyPolicy = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
 			r := w.request("GET", "/safe/x", "")
 			if c.key != "" {
 				r.Header.Set("Banyanglade-Credential", c.key)
@@ -189,7 +189,7 @@
 				t.Errorf("got %d, want %d", got.status, c.want)
 			}
 			if got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") == "" {
-				t.Error("the caller is not told when to come back")
+				t.Error("refusal without Retry-After")
 			}
 		})
 	}
@@ -197,7 +197,7 @@
 
 func TestProgramsOfTwoOrganisationsDoNotMeet(t *testing.T) {
 	w := withOrganisations(t)
-	w.target("e1", "engine", serveEvents(1, never))
+	w.target("e1", "engine", serveEvents(1, neverCut))
 	turn := func(id, key, previous string) result {
 		r := w.request("POST", "/kept/x", "in "+id, "Banyanglade-Credential", key, "Banyanglade-Program-Id", "p1",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10")
@@ -214,14 +214,14 @@
 		}
 	}
 	w.budgets.mu.Lock()
-	asked := w.budgets.asked
+	reserved := w.budgets.requests
 	w.budgets.mu.Unlock()
-	if len(asked) != 2 || asked[0].Program == asked[1].Program {
-		t.Errorf("budgets of two organisations are one: %+v", asked)
+	if len(reserved) != 2 || reserved[0].Program == reserved[1].Program {
+		t.Errorf("two organisations share a budget: %+v", reserved)
 	}
-	kept := w.conversations.kept
-	if len(kept) != 2 || kept[0].ID == kept[1].ID {
-		t.Errorf("turns of two organisations are one: %+v", kept)
+	stored := w.conversations.stored
+	if len(stored) != 2 || stored[0].ID == stored[1].ID {
+		t.Errorf("two organisations share a turn: %+v", stored)
 	}
 	if got := turn("r2", keyA, "r1"); got.status != http.StatusOK {
 		t.Errorf("own turn: got %+v", got)
@@ -234,7 +234,8 @@
 	}
 }
 
-// TestKeysStayOutOfAnswers: what the instance says itself never shows a key.
+// TestKeysStayOutOfAnswers checks that the instance's own responses and its log contain
+// no key.
 func TestKeysStayOutOfAnswers(t *testing.T) {
 	w := withOrganisations(t)
 	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
@@ -242,36 +243,36 @@
 	_, _ = io.WriteString(&shown, got.body)
 	_ = got.header.Write(&shown)
 	if strings.Contains(shown.String()+w.log.String(), keyA) {
-		t.Error("an answer or the log shows a key")
+		t.Error("a response or the log contains a key")
 	}
 }
 
-// allowances is an Allowances whose verdict a test sets.
-type allowances struct {
-	err     error
-	entries []AllowanceRequest
-	again   int
-	back    int
+// fakeAllowances is an Allowances with a configurable result.
+type fakeAllowances struct {
+	err      error
+	requests []AllowanceRequest
+	again    int
+	returned int
 }
 
-func (a *allowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
-	a.entries = append(a.entries, entry)
+func (a *fakeAllowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
+	a.requests = append(a.requests, entry)
 	if a.err != nil {
 		return nil, a.err
 	}
 	return countedPermit{a}, nil
 }
 
-type countedPermit struct{ a *allowances }
+type countedPermit struct{ a *fakeAllowances }
 
 func (p countedPermit) Again()       { p.a.again++ }
 func (p countedPermit) Use() float64 { return 0 }
-func (p countedPermit) GiveBack()    { p.a.back++ }
+func (p countedPermit) GiveBack()    { p.a.returned++ }
 
-// withLimit makes a world with one organisation that has a limit.
-func withLimit(t *testing.T) (*world, *allowances) {
+// withLimit returns a harness with one organisation that has a limit.
+func withLimit(t *testing.T) (*harness, *fakeAllowances) {
 	t.Helper()
-	w := newWorld(t)
+	w := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{{
 		Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}, Limit: org.Limit{PerSecond: 10, Burst: 5},
 	}})
@@ -281,7 +282,7 @@
 	settings := testRoutes()
 	settings.Organisations = set
 	w.server.SetTable(route.NewTable(settings))
-	a := new(allowances)
+	a := new(fakeAllowances)
 	w.server.allowances = a
 	return w, a
 }
@@ -291,27 +292,27 @@
 		&OverLimitError{RetryAfter: 250 * time.Millisecond}: http.StatusTooManyRequests,
 		ErrLimitUnknown: http.StatusServiceUnavailable,
 	}
-	for verdict, want := range cases {
+	for admitErr, want := range cases {
 		w, a := withLimit(t)
 		app := w.target("t1", "app", serveText("ok"))
-		engine := w.target("e1", "engine", serveEvents(1, never))
-		a.err = verdict
+		engine := w.target("e1", "engine", serveEvents(1, neverCut))
+		a.err = admitErr
 		plain := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 		turn := w.do(w.request("POST", "/turns/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10"))
 		for _, got := range []result{plain, turn} {
 			if got.status != want || got.header.Get("Retry-After") == "" {
-				t.Errorf("%v: got %d, back after %q", verdict, got.status, got.header.Get("Retry-After"))
+				t.Errorf("%v: got %d, Retry-After %q", admitErr, got.status, got.header.Get("Retry-After"))
 			}
 		}
 		if app.count()+engine.count() != 0 {
-			t.Errorf("%v: a request ran", verdict)
+			t.Errorf("%v: a request ran", admitErr)
 		}
 		if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
-			t.Errorf("%v: room in the budget was not given back: %v", verdict, w.budgets.settled)
+			t.Errorf("%v: unused tokens were not returned: settled %v", admitErr, w.budgets.settled)
 		}
-		if len(a.entries) != 2 || a.entries[0].First || !a.entries[1].First || a.entries[0].Limit.PerSecond != 10 {
-			t.Errorf("%v: asked for %+v", verdict, a.entries)
+		if len(a.requests) != 2 || a.requests[0].First || !a.requests[1].First || a.requests[0].Limit.PerSecond != 10 {
+			t.Errorf("%v: allowance requests %+v", admitErr, a.requests)
 		}
 	}
 }
@@ -331,7 +332,7 @@
 		t.Fatalf("got %d", got.status)
 	}
 	if a.again != 1 {
-		t.Errorf("%d counted again", a.again)
+		t.Errorf("%d repeated sends counted, want 1", a.again)
 	}
 }
 
@@ -350,17 +351,16 @@
 	}
 }
 
-// TestAnOrganisationsPriorityGoesBeforeItsRoutes ranks a request of a route of
-// another priority.
-func TestAnOrganisationsPriorityGoesBeforeItsRoutes(t *testing.T) {
+// TestAllowanceRequestHasOrganisationPriority uses a route of another priority.
+func TestAllowanceRequestHasOrganisationPriority(t *testing.T) {
 	w, a := withLimit(t)
 	w.target("t1", "app", serveText("ok"))
 	found, _ := w.server.Table().Organisations.ByKey(org.DigestOf(keyA))
 	for _, priority := range []int{0, 1} {
 		found.Priority = &priority
 		w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
-		if got := a.entries[len(a.entries)-1].Priority; got != priority {
-			t.Errorf("rank %d, the organisation's priority is %d", got, priority)
+		if got := a.requests[len(a.requests)-1].Priority; got != priority {
+			t.Errorf("priority %d, want the organisation's %d", got, priority)
 		}
 	}
 }
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -10,10 +10,10 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// To which targets a request is sent, and how often.
+// These tests check which targets get a request, and how often.
 
-func TestRefusalIsTakenToAnotherTarget(t *testing.T) {
-	w := newWorld(t)
+func TestRefusedRequestIsSentToAnotherTarget(t *testing.T) {
+	w := newHarness(t)
 	w.target("full", "app", refuseFull)
 	w.target("free", "app", serveText("ok"))
 	for range 10 {
@@ -24,7 +24,7 @@
 }
 
 func TestAllTargetsFull(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("full", "app", refuseFull)
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
@@ -33,12 +33,12 @@
 }
 
 func TestRequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	a := w.target("a", "app", cutConnection)
 	b := w.target("b", "app", cutConnection)
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 502 {
-		t.Errorf("got %+v, want a status that promises nothing", got)
+		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
 	if n := a.count() + b.count(); n != 1 {
 		t.Errorf("sent %d times", n)
@@ -46,7 +46,7 @@
 }
 
 func TestRequestOnAStaleConnectionIsNotSentAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			serveText("ok")(n, rw, r)
@@ -60,11 +60,11 @@
 	}
 }
 
-func TestUnreachableTargetIsPassedOver(t *testing.T) {
-	w := newWorld(t)
-	gone := w.target("gone", "app", serveText("never"))
-	gone.server.Close()
-	w.target("here", "app", serveText("ok"))
+func TestUnreachableTargetIsSkipped(t *testing.T) {
+	w := newHarness(t)
+	unreachable := w.target("unreachable", "app", serveText("never"))
+	unreachable.server.Close()
+	w.target("reachable", "app", serveText("ok"))
 	for range 5 {
 		if got := w.do(w.request("POST", "/once/", "b")); got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -73,7 +73,7 @@
 }
 
 func TestRepeatableRequestIsSentToAsManyTargetsAsAllowed(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	var all []*target
 	for i := range 4 {
 		all = append(all, w.target(fmt.Sprint("t", i), "app", cutConnection))
@@ -92,14 +92,15 @@
 	}
 }
 
-// A target that is down breaks each connection at once, and looks idle.
-func TestRepeatableRequestGoesOnFromATargetThatBreaksConnections(t *testing.T) {
-	w := newWorld(t)
+// A target that is down breaks each connection at once and therefore looks idle.
+func TestRepeatableRequestIsRetriedAfterBrokenConnection(t *testing.T) {
+	w := newHarness(t)
 	var other atomic.Bool
-	// As in the test of a silent target, the broken one is asked first.
+	// The working target is registered by the broken one's handler, so that the broken
+	// one always gets the request first.
 	down := w.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if other.CompareAndSwap(false, true) {
-			w.target("answers", "app", serveText("ok"))
+			w.target("working", "app", serveText("ok"))
 		}
 		cutConnection(n, rw, r)
 	})
@@ -111,11 +112,11 @@
 	}
 }
 
-// Others hear of a target that breaks new connections, but not of one that
-// dropped a kept connection, which is asked again on a new one.
+// Other instances are notified of a target that breaks new connections, but not of one
+// that closed a reused connection, after which the target is tried on a new one.
 func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
-	w := newWorld(t)
-	w.server.downWithin = time.Minute // however slow the machine is
+	w := newHarness(t)
+	w.server.connBreakThreshold = time.Minute // independent of the machine's speed
 	w.target("down", "app", cutConnection)
 	w.do(w.request("POST", "/once/", "b"))
 	if n := w.notices.Load(); n != 1 {
@@ -125,7 +126,7 @@
 		if n == 2 {
 			cutConnection(n, rw, r)
 		}
-		serveEvents(2, never)(n, rw, r)
+		serveEvents(2, neverCut)(n, rw, r)
 	})
 	for range 2 {
 		if got := w.do(w.request("POST", "/turns/", "b")); got.status != 200 {
@@ -133,13 +134,13 @@
 		}
 	}
 	if n := w.notices.Load(); n != 1 {
-		t.Errorf("%d notices after a kept connection ended", n)
+		t.Errorf("%d notices after a reused connection ended", n)
 	}
 }
 
-// A request that only one target may run is not sent there over and over.
-func TestBrokenTargetIsAskedTwiceAtMost(t *testing.T) {
-	w := newWorld(t)
+// A request that may run at one target only is not sent to it repeatedly.
+func TestBrokenTargetGetsAtMostTwoSends(t *testing.T) {
+	w := newHarness(t)
 	down := w.target("down", "engine", cutConnection)
 	got := w.do(w.request("POST", "/turns/", "b"))
 	if got.status != 502 {
@@ -150,8 +151,8 @@
 	}
 }
 
-func TestCutAnswerOfARepeatableRequestIsRepeated(t *testing.T) {
-	w := newWorld(t)
+func TestTruncatedResponseOfRepeatableRequestIsRetried(t *testing.T) {
+	w := newHarness(t)
 	w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
 		if n == 1 {
@@ -166,24 +167,24 @@
 	}
 }
 
-func TestRepeatableRequestGoesOnFromASilentTarget(t *testing.T) {
-	w := newWorld(t)
+func TestRepeatableRequestIsRetriedAfterTimeout(t *testing.T) {
+	w := newHarness(t)
 	ended := make(chan struct{})
-	// The other target is registered by the silent one's run, so that the silent
-	// one is always asked first, however slow the machine is.
-	w.target("silent", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
-		w.target("answers", "app", serveText("ok"))
+	// The working target is registered by the unresponsive one's handler, so that the
+	// unresponsive one always gets the request first.
+	w.target("unresponsive", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
+		w.target("working", "app", serveText("ok"))
 		<-r.Context().Done()
 		close(ended)
 	})
 	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Fatalf("got %+v", got)
 	}
-	<-ended // the work at the silent target was ended
+	<-ended // the work at the unresponsive target was cancelled
 }
 
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	leaving := w.target("leaving", "app", serveText("ok"))
 	w.target("stays", "app", serveText("ok"))
 	w.targets.Put(targets.Entry{
@@ -193,12 +194,12 @@
 		w.do(w.request("GET", "/safe/", ""))
 	}
 	if leaving.count() != 0 {
-		t.Errorf("%d requests went to a target that leaves", leaving.count())
+		t.Errorf("%d requests went to a draining target", leaving.count())
 	}
 }
 
 func TestAnotherTargetAtTheAddress(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("old", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 	})
@@ -210,37 +211,37 @@
 	}
 }
 
-// An engine may fail a share of its turns while its health checks are good: the
-// program's next turn goes elsewhere, and other instances hear of it.
+// An engine may fail some turns while its health checks pass: the program's next turn
+// goes to another engine, and other instances are notified.
 func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.budgets.target = "t1"
-	grey := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	failing := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	sound := w.target("t2", "engine", serveEvents(2, never))
+	healthy := w.target("t2", "engine", serveEvents(2, neverCut))
 	turn := func() result {
 		return w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
 	}
 	if got := turn(); got.status != 500 {
-		t.Fatalf("the engine's own failure was not passed on: %+v", got)
+		t.Fatalf("got %+v, want the engine's failure", got)
 	}
 	if got := turn(); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	if grey.count() != 1 || sound.count() != 1 || w.notices.Load() != 1 {
-		t.Errorf("the engine got %d turns, the other %d; %d notices", grey.count(), sound.count(), w.notices.Load())
+	if failing.count() != 1 || healthy.count() != 1 || w.notices.Load() != 1 {
+		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), w.notices.Load())
 	}
 	if ends := w.budgets.ends; !ends[0].Failed || ends[0].Target != "t1" || ends[1].Failed || ends[1].Target != "t2" {
-		t.Errorf("the owner was told %+v", ends)
+		t.Errorf("the owner received %+v", ends)
 	}
 }
 
-// A plain target's failure is an answer like others.
+// A plain target's failure is passed on without avoiding the target.
 func TestPlainTargetThatFailsIsNotAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
@@ -254,10 +255,10 @@
 }
 
 func TestTurnGoesToTheTargetOfTheLastOne(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.budgets.target = "t2"
-	other := w.target("t1", "engine", serveEvents(2, never))
-	last := w.target("t2", "engine", serveEvents(2, never))
+	other := w.target("t1", "engine", serveEvents(2, neverCut))
+	last := w.target("t2", "engine", serveEvents(2, neverCut))
 	for i := range 8 {
 		got := w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", fmt.Sprint("p", i),
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
@@ -268,29 +269,29 @@
 	if other.count() != 0 || last.count() != 8 {
 		t.Errorf("%d turns ran elsewhere", other.count())
 	}
-	if told := w.budgets.ends; len(told) != 8 || told[0].Target != "t2" || told[0].Failed {
-		t.Errorf("the owner was told %v", told)
+	if ends := w.budgets.ends; len(ends) != 8 || ends[0].Target != "t2" || ends[0].Failed {
+		t.Errorf("the owner received %v", ends)
 	}
 }
 
-// A request that ran at a target which has ended since is not said not to have
-// run when no other target is left.
+// A request that ran at a target which has ended since must not be refused as if it had
+// not run, when no other target is left.
 func TestRequestThatRanAtATargetThatEndedIsNotSaidNotToHaveRun(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		w.targets.Remove("ends")
 		cutConnection(n, rw, r)
 	})
 	if got := w.do(w.request("GET", "/safe/", "")); got.status != 502 {
-		t.Errorf("got %+v, want a status that promises nothing", got)
+		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
 }
 
-// A target that starts again under its id while it runs a request has an unknown
-// outcome: a request that may run once only is not sent to the later start, and
-// what it did says nothing of the later start.
+// If a target restarts under its id while it runs a request, the outcome is unknown: a
+// request that may run once only is not sent to the new incarnation, whose health is
+// not affected.
 func TestLaterStartOfATargetDoesNotGetTheRequestAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	tg := w.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		entry, _ := w.targets.Entry("again")
 		entry.Start++
@@ -303,7 +304,7 @@
 	}
 	for _, s := range w.targets.Snapshot() {
 		if s.Avoided {
-			t.Error("the later start is avoided for what the former did")
+			t.Error("the new incarnation is avoided because of the former one")
 		}
 	}
 }
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -9,9 +9,10 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// noteAnswer draws the conclusions from a whole plain answer. Failures take
-// another time than work, and an engine's speed is that between events.
-func (x *transfer) noteAnswer(target *targets.Target, status int) {
+// recordResponse updates a target's statistics after a complete plain response.
+// Failures are excluded from latency, and engines are measured by the pauses between
+// events.
+func (x *transfer) recordResponse(target *targets.Target, status int) {
 	now := time.Now()
 	x.server.targets.Succeeded(target, now)
 	if x.route.Kind != route.Stream && status < http.StatusBadRequest {
@@ -19,38 +20,38 @@
 	}
 }
 
-// streamTiming follows the times of one stream's events.
+// streamTiming measures the times of one stream's events.
 type streamTiming struct {
 	transfer *transfer
 	target   *targets.Target
 	sentAt   time.Time
-	// first is the time of the first event, last that of the last one noted;
-	// since counts the events after it.
+	// first is the time of the first event, last that of the last recorded one;
+	// sinceLast counts the events after it.
 	first, last time.Time
 	events      int
-	since       int
+	sinceLast   int
 }
 
 func (x *transfer) newStreamTiming(target *targets.Target) *streamTiming {
 	return &streamTiming{transfer: x, target: target, sentAt: x.sentAt}
 }
 
-// event takes an event in. Those that arrive together count as one pause.
-func (s *streamTiming) event(now time.Time, more bool) {
+// event records an event. Events that arrive together count as one pause.
+func (s *streamTiming) event(now time.Time, buffered bool) {
 	s.events++
 	if s.events == 1 {
 		s.first, s.last = now, now
 		return
 	}
-	s.since++
-	if more {
+	s.sinceLast++
+	if buffered {
 		return
 	}
-	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.since), now)
-	s.last, s.since = now, 0
+	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.sinceLast), now)
+	s.last, s.sinceLast = now, 0
 }
 
-// end takes the whole stream in.
+// end records a complete stream.
 func (s *streamTiming) end() {
 	x := s.transfer
 	if s.events == 0 {
@@ -59,7 +60,7 @@
 	sample := policy.RunSample{
 		Completion: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Took: time.Since(s.sentAt),
 	}
-	if s.target.Incarnation() != x.lastOfProgram {
+	if s.target.Incarnation() != x.programTarget {
 		sample.Uncached = int64(x.promptTokens())
 	}
 	x.server.targets.TurnEnded(s.target, sample)
