--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -130,7 +130,7 @@
 		err = errors.Mark(err, ErrNoResponse)
 	}
 	if c.reused {
-		p.Forget(c.address)
+		p.CloseIdle(c.address)
 		err = errors.Mark(err, ErrReusedConn)
 	}
 	return err
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -168,9 +168,9 @@
 	p.stateOf(address).inUse--
 }
 
-// Kept reports whether there is an idle connection to an address that has not
+// HasIdle reports whether there is an idle connection to an address that has not
 // expired.
-func (p *Pool) Kept(address string, now time.Time) bool {
+func (p *Pool) HasIdle(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	state := p.addresses[address]
@@ -180,8 +180,8 @@
 	return now.Before(state.idle[len(state.idle)-1].expires)
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state := p.addresses[address]; state != nil {
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -64,7 +64,7 @@
 // noConnections has no connection kept.
 type noConnections struct{}
 
-func (noConnections) Kept(string, time.Time) bool { return false }
+func (noConnections) HasIdle(string, time.Time) bool { return false }
 
 func newKnown() *known {
 	k := &known{registry: targets.NewRegistry("dc", noConnections{})}
--- a/internal/targets/ends.go
+++ b/internal/targets/ends.go
@@ -17,7 +17,7 @@
 	warm := want.warm(all)
 	r.options = r.options[:0]
 	for _, t := range all {
-		kept := r.connections.Kept(t.Address, now)
+		kept := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == want.Last
 		slowness := t.present(usual, now)
 		if last {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -100,8 +100,8 @@
 
 // Connections are this instance's kept connections to targets.
 type Connections interface {
-	// Kept tells whether an idle connection to an address can be used.
-	Kept(address string, now time.Time) bool
+	// HasIdle tells whether an idle connection to an address can be used.
+	HasIdle(address string, now time.Time) bool
 }
 
 // Registry is the table of targets. It is safe for concurrent use.
