--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -18,7 +18,7 @@
 		if k.Directory.First(key) != k.self {
 			continue
 		}
-		voters := k.Directory.Listed(key, maxVoters)
+		voters := k.Directory.TopN(key, maxVoters)
 		s.advance(now)
 		s.voters = len(voters)
 		for _, voter := range voters {
--- a/internal/allowance/world_test.go
+++ b/internal/allowance/world_test.go
@@ -95,9 +95,9 @@
 func (n *node) receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerDown:
-		n.Directory.SetSilent(e.Peer, true)
+		n.Directory.SetUnresponsive(e.Peer, true)
 	case structs.PeerUp:
-		n.Directory.SetSilent(e.Peer, false)
+		n.Directory.SetUnresponsive(e.Peer, false)
 	case structs.PeerMessage:
 		if _, ok := e.Msg.(*structs.Leaving); ok {
 			n.Directory.SetLeaving(e.From)
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -112,7 +112,7 @@
 	if now.owner != nil {
 		// When all instances start together, owners are known from their claims before
 		// the list names them; otherwise each would claim in turn.
-		k.directory.Learn(now.owner.Owner, now.owner.Address)
+		k.directory.Discover(now.owner.Owner, now.owner.Address)
 		k.confirm(now.owner.Owner)
 		if k.adopt(p, now.owner) {
 			return true, nil
@@ -160,7 +160,7 @@
 // is claimed: an instance that was paused finds all connections broken when it
 // wakes, and must not take the others' partitions, whose accounts would be lost.
 func (k *Keeper) confirm(owner structs.InstanceID) {
-	if !k.directory.Doubted(owner) {
+	if !k.directory.Suspected(owner) {
 		return
 	}
 	heard := make(chan struct{}, 1)
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -44,7 +44,7 @@
 		if p.own == nil {
 			continue
 		}
-		for _, id := range k.directory.Listed(p.key(), standbys) {
+		for _, id := range k.directory.TopN(p.key(), standbys) {
 			if id != k.self.ID && !slices.Contains(successors, id) {
 				successors = append(successors, id)
 			}
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -11,7 +11,7 @@
 
 // peerUp notes that an instance answers, and tells it what this one owns.
 func (k *Keeper) peerUp(id structs.InstanceID) {
-	k.directory.SetSilent(id, false)
+	k.directory.SetUnresponsive(id, false)
 	k.mu.Lock()
 	k.confirmed(id)
 	k.rewatch(id)
@@ -37,7 +37,7 @@
 // most, its partitions get another owner, and what was asked of it is asked
 // again elsewhere.
 func (k *Keeper) peerDown(id structs.InstanceID) {
-	k.directory.SetSilent(id, true)
+	k.directory.SetUnresponsive(id, true)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.confirmed(id)
@@ -117,7 +117,7 @@
 		if p.owner == "" || p.owner == k.self.ID || slices.Contains(watched, p.owner) {
 			continue
 		}
-		if k.directory.Doubted(p.owner) || k.directory.RankOf(p.key(), k.self.ID) < standbys {
+		if k.directory.Suspected(p.owner) || k.directory.Rank(p.key(), k.self.ID) < standbys {
 			watched = append(watched, p.owner)
 		}
 	}
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -181,7 +181,7 @@
 	if k.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unable, p.owner) {
 		return p.owner
 	}
-	return k.directory.FirstBut(p.key(), func(id structs.InstanceID) bool {
+	return k.directory.FirstExcept(p.key(), func(id structs.InstanceID) bool {
 		return id == s.suspect || slices.Contains(s.unable, id)
 	})
 }
--- a/internal/conversation/world_test.go
+++ b/internal/conversation/world_test.go
@@ -91,9 +91,9 @@
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
-			sim.Directory.SetSilent(e.Peer, true)
+			sim.Directory.SetUnresponsive(e.Peer, true)
 		case structs.PeerUp:
-			sim.Directory.SetSilent(e.Peer, false)
+			sim.Directory.SetUnresponsive(e.Peer, false)
 		}
 		n.keeper.Receive(event)
 	}
