--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -33,9 +33,9 @@
 
 	mu sync.Mutex
 	// byMachine holds the newest start on each machine.
-	byMachine map[string]structs.Peer
-	silent    map[structs.InstanceID]bool
-	leaving   map[structs.InstanceID]bool
+	byMachine    map[string]structs.Peer
+	unresponsive map[structs.InstanceID]bool
+	leaving      map[structs.InstanceID]bool
 	// version counts the changes.
 	version uint64
 }
@@ -43,10 +43,10 @@
 // New makes a directory that holds this instance only.
 func New(self structs.Peer) *Directory {
 	return &Directory{
-		self:      self,
-		byMachine: map[string]structs.Peer{MachineOf(self.ID): self},
-		silent:    make(map[structs.InstanceID]bool),
-		leaving:   make(map[structs.InstanceID]bool),
+		self:         self,
+		byMachine:    map[string]structs.Peer{MachineOf(self.ID): self},
+		unresponsive: make(map[structs.InstanceID]bool),
+		leaving:      make(map[structs.InstanceID]bool),
 	}
 }
 
@@ -91,9 +91,9 @@
 	}
 	d.forget(old.ID)
 	// An earlier start on the machine was in the same data centre.
-	learned := old
-	learned.ID, learned.Address = id, address
-	d.byMachine[machine] = learned
+	discovered := old
+	discovered.ID, discovered.Address = id, address
+	d.byMachine[machine] = discovered
 }
 
 // startedAfter tells whether a start on a machine came after another one there.
@@ -115,7 +115,7 @@
 }
 
 func (d *Directory) forget(id structs.InstanceID) {
-	delete(d.silent, id)
+	delete(d.unresponsive, id)
 	delete(d.leaving, id)
 }
 
@@ -137,18 +137,18 @@
 }
 
 // SetUnresponsive notes whether an instance answers.
-func (d *Directory) SetUnresponsive(id structs.InstanceID, silent bool) {
+func (d *Directory) SetUnresponsive(id structs.InstanceID, unresponsive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.silent[id] == silent {
+	if d.unresponsive[id] == unresponsive {
 		return
 	}
 	d.version++
-	if silent {
-		d.silent[id] = true
+	if unresponsive {
+		d.unresponsive[id] = true
 		return
 	}
-	delete(d.silent, id)
+	delete(d.unresponsive, id)
 }
 
 // SetLeaving notes that an instance shuts down.
@@ -167,7 +167,7 @@
 }
 
 func (d *Directory) usable(id structs.InstanceID) bool {
-	return d.byMachine[MachineOf(id)].ID == id && !d.silent[id]
+	return d.byMachine[MachineOf(id)].ID == id && !d.unresponsive[id]
 }
 
 // Suspected tells whether an instance is listed but did not answer when it was
@@ -175,7 +175,7 @@
 func (d *Directory) Suspected(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.byMachine[MachineOf(id)].ID == id && d.silent[id]
+	return d.byMachine[MachineOf(id)].ID == id && d.unresponsive[id]
 }
 
 // Others lists the other instances that answer.
@@ -231,14 +231,14 @@
 
 // TopN lists the first instances by rendezvous hashing of a key, whether they
 // answer or not.
-func (d *Directory) TopN(key string, most int) []structs.InstanceID {
+func (d *Directory) TopN(key string, limit int) []structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := make([]candidate, 0, len(d.byMachine))
 	for machine, p := range d.byMachine {
 		all = append(all, candidate{ID: p.ID, Score: rendezvous.Score(key, machine)})
 	}
-	return rendezvous.Order(all)[:min(most, len(all))]
+	return rendezvous.Order(all)[:min(limit, len(all))]
 }
 
 // candidate is an instance with the score of its machine for a key.
--- a/internal/feed/copy.go
+++ b/internal/feed/copy.go
@@ -33,19 +33,19 @@
 const (
 	// MaxCopyBytes bounds a copy before compression.
 	MaxCopyBytes = 16 << 20
-	// wholeCopyLife is how long a whole copy is given out before it is made anew:
+	// wholeCopyTTL is how long a whole copy is given out before it is made anew:
 	// what changed meanwhile is asked for next. It bounds the work of an instance
 	// that many ask at once.
-	wholeCopyLife = 2 * time.Second
+	wholeCopyTTL = 2 * time.Second
 )
 
-// packs keeps what was packed last, as those who ask mostly know the same.
-type packs struct {
-	changed int64
-	byFrom  map[int64][]byte
+// copyCache keeps what was packed last, as those who ask mostly know the same.
+type copyCache struct {
+	lastChanged int64
+	byFrom      map[int64][]byte
 	// whole is the last copy from the beginning, made at a time.
-	whole   Copy
-	wholeAt time.Time
+	whole       Copy
+	wholeMadeAt time.Time
 }
 
 // Copy gives what is known from an offset on, or all of it, marked by Unread in From.
@@ -56,20 +56,20 @@
 		// What was dropped between is not known here.
 		return t.wholeCopy(now)
 	}
-	c := Copy{Whole: t.known, From: from, Next: t.next, AgeMs: t.ageMs(now)}
-	if t.changed < from {
+	c := Copy{Whole: t.loaded, From: from, Next: t.nextOffset, AgeMs: t.ageMs(now)}
+	if t.lastChanged < from {
 		return c, nil
 	}
-	if t.packs.byFrom == nil || t.packs.changed != t.changed {
-		t.packs.byFrom, t.packs.changed = make(map[int64][]byte), t.changed
+	if t.cache.byFrom == nil || t.cache.lastChanged != t.lastChanged {
+		t.cache.byFrom, t.cache.lastChanged = make(map[int64][]byte), t.lastChanged
 	}
-	packed, ok := t.packs.byFrom[from]
+	packed, ok := t.cache.byFrom[from]
 	if !ok {
 		var err error
-		if packed, err = pack(t.since(from)); err != nil {
+		if packed, err = pack(t.recordsSince(from)); err != nil {
 			return Copy{}, err
 		}
-		t.packs.byFrom[from] = packed
+		t.cache.byFrom[from] = packed
 	}
 	c.Packed = packed
 	return c, nil
@@ -77,35 +77,35 @@
 
 // wholeCopy gives all that is known, or was known lately. The mutex is held.
 func (t *Topic) wholeCopy(now time.Time) (Copy, error) {
-	whole, made := t.packs.whole, t.packs.wholeAt
-	if whole.Whole && now.Sub(made) < wholeCopyLife {
+	whole, made := t.cache.whole, t.cache.wholeMadeAt
+	if whole.Whole && now.Sub(made) < wholeCopyTTL {
 		if whole.AgeMs >= 0 {
 			whole.AgeMs += now.Sub(made).Milliseconds()
 		}
 		return whole, nil
 	}
-	packed, err := pack(t.since(FromStart))
+	packed, err := pack(t.recordsSince(FromStart))
 	if err != nil {
 		return Copy{}, err
 	}
-	t.packs.whole = Copy{Whole: t.known, From: FromStart, Next: t.next, Packed: packed, AgeMs: t.ageMs(now)}
-	t.packs.wholeAt = now
-	return t.packs.whole, nil
+	t.cache.whole = Copy{Whole: t.loaded, From: FromStart, Next: t.nextOffset, Packed: packed, AgeMs: t.ageMs(now)}
+	t.cache.wholeMadeAt = now
+	return t.cache.whole, nil
 }
 
 func (t *Topic) ageMs(now time.Time) int64 {
-	if t.confirmed.IsZero() {
+	if t.confirmedAt.IsZero() {
 		return UnknownAge
 	}
 	return t.age(now).Milliseconds()
 }
 
-// since lists the records whose content began at or behind an offset, dropped keys
+// recordsSince lists the records whose content began at or behind an offset, dropped keys
 // among them; for Unread all that are there. The mutex is held.
-func (t *Topic) since(from int64) []platform.Record {
+func (t *Topic) recordsSince(from int64) []platform.Record {
 	var records []platform.Record
 	for _, r := range t.newest {
-		if r.since >= from && (from >= 0 || len(r.Value) > 0) {
+		if r.firstOffset >= from && (from >= 0 || len(r.Value) > 0) {
 			records = append(records, r.Record)
 		}
 	}
@@ -114,31 +114,31 @@
 
 // MergeCopy merges a copy that was asked for at a time, from at most Next on. It returns
 // how many records changed something.
-func (t *Topic) MergeCopy(c Copy, asked time.Time) (int, error) {
+func (t *Topic) MergeCopy(c Copy, requestedAt time.Time) (int, error) {
 	records, err := unpack(c.Packed)
 	if err != nil {
 		return 0, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := 0
+	merged := 0
 	switch {
 	case c.Whole && c.From < 0:
-		taken = t.replace(platform.Newest{Records: records, End: c.Next})
-	case c.Whole && t.known && c.From <= t.next:
-		taken = t.merge(records)
-		t.next = max(t.next, c.Next)
+		merged = t.replace(platform.Newest{Records: records, End: c.Next})
+	case c.Whole && t.loaded && c.From <= t.nextOffset:
+		merged = t.merge(records)
+		t.nextOffset = max(t.nextOffset, c.Next)
 	default:
-		taken = t.merge(records)
+		merged = t.merge(records)
 	}
-	if taken > 0 {
-		t.move()
+	if merged > 0 {
+		t.notify()
 	}
 	// A copy that ends before what is known says nothing of what came behind it.
-	if c.Whole && c.AgeMs >= 0 && c.Next >= t.next {
-		t.confirm(asked.Add(-time.Duration(c.AgeMs) * time.Millisecond))
+	if c.Whole && c.AgeMs >= 0 && c.Next >= t.nextOffset {
+		t.confirm(requestedAt.Add(-time.Duration(c.AgeMs) * time.Millisecond))
 	}
-	return taken, nil
+	return merged, nil
 }
 
 // packedRecord is a record in a copy.
@@ -148,9 +148,9 @@
 	Offset int64
 }
 
-var packing = newPacking()
+var recordCodec = newRecordCodec()
 
-func newPacking() *codec.CborHandle {
+func newRecordCodec() *codec.CborHandle {
 	h := new(codec.CborHandle)
 	h.StructToArray = true
 	h.MaxInitLen = 1024 // elements allocated ahead on the word of a length field
@@ -168,7 +168,7 @@
 	}
 	var packed bytes.Buffer
 	compressor := gzip.NewWriter(&packed)
-	if err := codec.NewEncoder(compressor, packing).Encode(rows); err != nil {
+	if err := codec.NewEncoder(compressor, recordCodec).Encode(rows); err != nil {
 		return nil, errors.Wrap(err, "encode records")
 	}
 	if err := compressor.Close(); err != nil {
@@ -194,7 +194,7 @@
 		return nil, errors.Newf("a copy of more than %d bytes", MaxCopyBytes)
 	}
 	var rows []packedRecord
-	if err := codec.NewDecoderBytes(data, packing).Decode(&rows); err != nil {
+	if err := codec.NewDecoderBytes(data, recordCodec).Decode(&rows); err != nil {
 		return nil, errors.Wrap(err, "decode records")
 	}
 	records := make([]platform.Record, len(rows))
@@ -207,14 +207,14 @@
 // Encode encodes a copy.
 func (c Copy) Encode() ([]byte, error) {
 	var value []byte
-	err := codec.NewEncoderBytes(&value, packing).Encode(c)
+	err := codec.NewEncoderBytes(&value, recordCodec).Encode(c)
 	return value, errors.Wrap(err, "encode a copy")
 }
 
 // DecodeCopy decodes a copy and checks its records.
 func DecodeCopy(value []byte) (Copy, error) {
 	var c Copy
-	if err := codec.NewDecoderBytes(value, packing).Decode(&c); err != nil {
+	if err := codec.NewDecoderBytes(value, recordCodec).Decode(&c); err != nil {
 		return Copy{}, errors.Wrap(err, "decode a copy")
 	}
 	if len(c.Packed) == 0 {
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// callMargin is what a read may take beyond the wait asked for before its
+	// readTimeoutMargin is what a read may take beyond the wait asked for before its
 	// connection counts as cut: the store answers within milliseconds, and
 	// within some hundred when it is slow.
-	callMargin = 900 * time.Millisecond
-	// probeMargin is the same for a read after a failure, which does not wait
+	readTimeoutMargin = 900 * time.Millisecond
+	// probeTimeout is the same for a read after a failure, which does not wait
 	// at the store, so that the store's return is noticed soon.
-	probeMargin = 600 * time.Millisecond
-	// retryFirst and retryMost bound the time between two tries of all failing
+	probeTimeout = 600 * time.Millisecond
+	// minRetryInterval and maxRetryInterval bound the time between two tries of all failing
 	// topics together; it doubles with each failure of a topic. A refused read
 	// costs a call, so topics that fail together take turns, and the first success
 	// wakes all.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	minRetryInterval = 50 * time.Millisecond
+	maxRetryInterval = 400 * time.Millisecond
 )
 
 // Store is what a Follower reads from.
@@ -52,85 +52,85 @@
 
 	// pages is what a read of the whole topic has given so far, after the last key
 	// in it.
-	pages []platform.Record
-	after string
-	end   int64
-	begun time.Time
+	pages     []platform.Record
+	lastKey   string
+	endOffset int64
+	startedAt time.Time
 }
 
 // FromStart is the offset from which a topic is read whose content is not known.
 const FromStart = int64(-1)
 
-// mostCatchUps bounds how often in a row another instance's copy is taken that ends
+// maxCatchUps bounds how often in a row another instance's copy is taken that ends
 // before what the store still holds.
-const mostCatchUps = 2
+const maxCatchUps = 2
 
 // Run follows the topic until the context ends, from where its content ends.
 func (f *Follower) Run(ctx context.Context) {
-	from := f.begin()
+	from := f.startOffset()
 	failures := 0
 	catchUps := 0
 	for ctx.Err() == nil {
-		if from == FromStart && catchUps < mostCatchUps && f.CatchUp != nil {
+		if from == FromStart && catchUps < maxCatchUps && f.CatchUp != nil {
 			catchUps++
 			if f.CatchUp(ctx) {
-				from = f.begin()
+				from = f.startOffset()
 			}
 		}
-		returned := f.Health.Recovered()
-		next, err := f.stepUnless(ctx, returned, from, failures > 0)
+		recovered := f.Health.Recovered()
+		next, err := f.stepUntilRecovery(ctx, recovered, from, failures > 0)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errWoken) {
+		if errors.Is(err, errRecovered) {
 			continue
 		}
 		if errors.Is(err, platform.ErrTrimmed) {
 			from = FromStart
 			continue
 		}
-		f.Health.note(f.Topic.Name, err, time.Now(), f.Log)
+		f.Health.recordResult(f.Topic.Name, err, time.Now(), f.Log)
 		if err != nil {
-			sleep(ctx, f.retryPause(failures), returned)
+			sleep(ctx, f.retryDelay(failures), recovered)
 			failures++
 			continue
 		}
 		from, failures, catchUps = next, 0, 0
-		_, pause := f.times()
+		_, pause := f.readTiming()
 		sleep(ctx, pause, nil)
 	}
 }
 
-// times are how long a read waits and the time between two of them.
-func (f *Follower) times() (wait, pause time.Duration) {
+// readTiming are how long a read waits and the time between two of them.
+func (f *Follower) readTiming() (wait, pause time.Duration) {
 	if f.Limit == nil {
 		return f.Wait, f.Pause
 	}
 	return f.Limit(f.Wait, f.Pause)
 }
 
-func (f *Follower) begin() int64 {
+func (f *Follower) startOffset() int64 {
 	if !f.Topic.Loaded() {
 		return FromStart
 	}
 	return f.Topic.NextOffset()
 }
 
-// retryPause is the time until the next try after some failures. Topics that fail
+// retryDelay is the time until the next try after some failures. Topics that fail
 // together try in turn; the pauses are drawn at random, so that instances do not try
 // together.
-func (f *Follower) retryPause(failures int) time.Duration {
-	pause := min(retryFirst<<min(failures, 8), retryMost)
-	return f.Health.reserve(time.Now(), pause-pause/4+rand.N(pause/2))
+func (f *Follower) retryDelay(failures int) time.Duration {
+	pause := min(minRetryInterval<<min(failures, 8), maxRetryInterval)
+	return f.Health.reserveRetry(time.Now(), pause-pause/4+rand.N(pause/2))
 }
 
-// errWoken tells that a read was given up since the store is back for another
+// errRecovered tells that a read was given up since the store is back for another
 // topic: the connection that it waits on may be cut.
-var errWoken = errors.New("the store is back for another topic")
+var errRecovered = errors.New("the store is back for another topic")
 
-// stepUnless is step until the store is back for another topic.
-func (f *Follower) stepUnless(
-	ctx context.Context, returned <-chan struct{}, from int64, probe bool,
+// stepUntilRecovery is step until the store is back for another topic.
+func (f *Follower) stepUntilRecovery(
+	ctx context.Context, recovered <-chan struct{}, from int64, probe bool,
 ) (int64, error) {
 	if from < 0 && !probe {
 		// A first read is long, and would begin anew.
@@ -140,14 +140,14 @@
 	defer cancel(nil)
 	go func() {
 		select {
-		case <-returned:
-			cancel(errWoken)
+		case <-recovered:
+			cancel(errRecovered)
 		case <-ctx.Done():
 		}
 	}()
 	next, err := f.step(ctx, from, probe)
-	if err != nil && errors.Is(context.Cause(ctx), errWoken) {
-		return from, errWoken
+	if err != nil && errors.Is(context.Cause(ctx), errRecovered) {
+		return from, errRecovered
 	}
 	return next, err
 }
@@ -156,13 +156,13 @@
 // wait for a record.
 func (f *Follower) step(ctx context.Context, from int64, probe bool) (int64, error) {
 	if from < 0 {
-		return f.readWhole(ctx)
+		return f.readAll(ctx)
 	}
 	started := time.Now()
-	wait, _ := f.times()
-	timeout := wait + callMargin
+	wait, _ := f.readTiming()
+	timeout := wait + readTimeoutMargin
 	if probe {
-		wait, timeout = 0, probeMargin
+		wait, timeout = 0, probeTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -179,40 +179,40 @@
 	return next, nil
 }
 
-// readWhole reads the whole topic page by page. After a failure it goes on behind the
+// readAll reads the whole topic page by page. After a failure it goes on behind the
 // pages that it has: a store that is slow or refuses much would else never be read.
-func (f *Follower) readWhole(ctx context.Context) (int64, error) {
+func (f *Follower) readAll(ctx context.Context) (int64, error) {
 	for {
 		started := time.Now()
 		page, more, err := f.readPage(ctx)
 		if err != nil {
 			return FromStart, err
 		}
-		if f.after == "" {
+		if f.lastKey == "" {
 			// Reading on from the end of the first page misses no change made while
 			// later pages were read.
-			f.end, f.begun = page.End, started
+			f.endOffset, f.startedAt = page.End, started
 		}
 		f.pages = append(f.pages, page.Records...)
 		if more {
-			f.after = page.Records[len(page.Records)-1].Key
+			f.lastKey = page.Records[len(page.Records)-1].Key
 			continue
 		}
-		f.Topic.Replace(platform.Newest{Records: f.pages, End: f.end})
-		f.Topic.Confirm(f.begun)
-		f.pages, f.after = nil, ""
-		return f.end, nil
+		f.Topic.Replace(platform.Newest{Records: f.pages, End: f.endOffset})
+		f.Topic.Confirm(f.startedAt)
+		f.pages, f.lastKey = nil, ""
+		return f.endOffset, nil
 	}
 }
 
 func (f *Follower) readPage(ctx context.Context) (platform.Newest, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, callMargin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutMargin)
 	defer cancel()
-	return f.Store.NewestPage(ctx, f.Topic.Name, 0, f.after)
+	return f.Store.NewestPage(ctx, f.Topic.Name, 0, f.lastKey)
 }
 
 // sleep waits, at most until woken is closed.
-func sleep(ctx context.Context, wait time.Duration, woken <-chan struct{}) {
+func sleep(ctx context.Context, wait time.Duration, wake <-chan struct{}) {
 	if wait <= 0 {
 		return
 	}
@@ -221,6 +221,6 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-woken:
+	case <-wake:
 	}
 }
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -110,12 +110,12 @@
 		before := store.made()
 		const away = 12 * time.Second
 		time.Sleep(away)
-		if calls := store.made() - before; calls > int(away/retryMost)*3/2 {
+		if calls := store.made() - before; calls > int(away/maxRetryInterval)*3/2 {
 			t.Errorf("%d tries in %s", calls, away)
 		}
 		store.put(platform.Record{Key: "k", Value: []byte("v"), Offset: 4})
 		store.set(false, false)
-		time.Sleep(retryMost * 5 / 4)
+		time.Sleep(maxRetryInterval * 5 / 4)
 		for _, topic := range topics {
 			if records := lockedSince(topic, 4); len(records) != 1 {
 				t.Errorf("topic %s has %d new records", topic.Name, len(records))
@@ -142,7 +142,7 @@
 		}
 		slow.set(false, false)
 		other.set(false, false)
-		time.Sleep(retryMost * 2)
+		time.Sleep(maxRetryInterval * 2)
 		if records := lockedSince(topic, 4); len(records) != 1 {
 			t.Errorf("%d records", len(records))
 		}
@@ -165,7 +165,7 @@
 func lockedSince(t *Topic, offset int64) []platform.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.since(offset)
+	return t.recordsSince(offset)
 }
 
 // pagedStore has a topic of some pages and refuses every other call.
--- a/internal/feed/topic.go
+++ b/internal/feed/topic.go
@@ -12,11 +12,11 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// held is the newest known record of a key.
-type held struct {
+// entry is the newest known record of a key.
+type entry struct {
 	platform.Record
-	// since is the offset of the first record in a row with this content.
-	since int64
+	// firstOffset is the offset of the first record in a row with this content.
+	firstOffset int64
 }
 
 // Topic is the newest known record of each key of a topic. It is safe for
@@ -25,40 +25,40 @@
 	Name string
 	// apply is told each change in order, under the mutex.
 	apply func(platform.Record)
-	// same tells whether two values of a key mean the same; nil if only equal ones do.
-	same func(a, b []byte) bool
+	// equivalent tells whether two values of a key mean the same; nil if only equal ones do.
+	equivalent func(a, b []byte) bool
 
 	mu     sync.Mutex
-	newest map[string]held
-	known  bool
-	// next is the offset to read on from: what all records before it say is in newest.
-	next int64
+	newest map[string]entry
+	loaded bool
+	// nextOffset is the offset to read on from: what all records before it say is in newest.
+	nextOffset int64
 	// floor is the offset from which on all dropped keys are in newest: a first read
 	// of the whole topic does not tell what was dropped before.
 	floor int64
-	// changed is the highest offset at which a content began.
-	changed int64
-	// confirmed is when the copy was last known to be the newest.
-	confirmed time.Time
-	// moved is closed and replaced when the content changes or is confirmed.
-	moved chan struct{}
-	packs packs
+	// lastChanged is the highest offset at which a content began.
+	lastChanged int64
+	// confirmedAt is when the copy was last known to be the newest.
+	confirmedAt time.Time
+	// updated is closed and replaced when the content changes or is confirmed.
+	updated chan struct{}
+	cache   copyCache
 }
 
 // NewTopic makes an empty copy. The function apply is told each record that
 // becomes the newest of its key; an empty value means that the key is dropped.
 func NewTopic(name string, apply func(platform.Record)) *Topic {
 	return &Topic{
-		Name: name, apply: apply, newest: make(map[string]held), changed: -1, moved: make(chan struct{}),
+		Name: name, apply: apply, newest: make(map[string]entry), lastChanged: -1, updated: make(chan struct{}),
 	}
 }
 
 // NewHeartbeatTopic is NewTopic for a topic whose writers repeat their records: one
 // that means the same as the one before is neither applied nor passed on, so that
 // heartbeats cost the readers of copies nothing.
-func NewHeartbeatTopic(name string, same func(a, b []byte) bool, apply func(platform.Record)) *Topic {
+func NewHeartbeatTopic(name string, equivalent func(a, b []byte) bool, apply func(platform.Record)) *Topic {
 	t := NewTopic(name, apply)
-	t.same = same
+	t.equivalent = equivalent
 	return t
 }
 
@@ -67,50 +67,50 @@
 func (t *Topic) Merge(records []platform.Record) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := t.merge(records)
-	if taken > 0 {
-		t.move()
+	merged := t.merge(records)
+	if merged > 0 {
+		t.notify()
 	}
-	return taken
+	return merged
 }
 
 func (t *Topic) merge(records []platform.Record) int {
-	taken := 0
+	merged := 0
 	for _, r := range records {
 		old, ok := t.newest[r.Key]
 		if ok && old.Offset >= r.Offset {
 			continue
 		}
-		if ok && t.repeats(old.Value, r.Value) {
+		if ok && t.isHeartbeat(old.Value, r.Value) {
 			old.Offset = r.Offset
 			t.newest[r.Key] = old
 			continue
 		}
 		// A value may share the memory of the whole reply that it came in.
 		r.Value = bytes.Clone(r.Value)
-		t.newest[r.Key] = held{Record: r, since: r.Offset}
-		t.changed = max(t.changed, r.Offset)
-		taken++
+		t.newest[r.Key] = entry{Record: r, firstOffset: r.Offset}
+		t.lastChanged = max(t.lastChanged, r.Offset)
+		merged++
 		t.apply(r)
 	}
-	return taken
+	return merged
 }
 
-func (t *Topic) repeats(old, value []byte) bool {
-	return t.same != nil && len(old) > 0 && len(value) > 0 && t.same(old, value)
+func (t *Topic) isHeartbeat(old, value []byte) bool {
+	return t.equivalent != nil && len(old) > 0 && len(value) > 0 && t.equivalent(old, value)
 }
 
-// move wakes those who wait for a change. The mutex is held.
-func (t *Topic) move() {
-	close(t.moved)
-	t.moved = make(chan struct{})
+// notify wakes those who wait for a change. The mutex is held.
+func (t *Topic) notify() {
+	close(t.updated)
+	t.updated = make(chan struct{})
 }
 
 // Updated is closed when the content next changes or is confirmed.
 func (t *Topic) Updated() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.moved
+	return t.updated
 }
 
 // Replace takes the whole content of the topic as read from the store: keys
@@ -119,7 +119,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.replace(list)
-	t.move()
+	t.notify()
 }
 
 func (t *Topic) replace(list platform.Newest) int {
@@ -127,24 +127,24 @@
 	for _, r := range list.Records {
 		present[r.Key] = true
 	}
-	taken := 0
+	merged := 0
 	for key, old := range t.newest {
 		if present[key] || old.Offset >= list.End || len(old.Value) == 0 {
 			continue
 		}
 		// Who has read up to the end of the list has to be told of the drop.
 		dropped := platform.Record{Key: key, Offset: list.End - 1}
-		t.newest[key] = held{Record: dropped, since: dropped.Offset}
-		t.changed = max(t.changed, dropped.Offset)
-		taken++
+		t.newest[key] = entry{Record: dropped, firstOffset: dropped.Offset}
+		t.lastChanged = max(t.lastChanged, dropped.Offset)
+		merged++
 		t.apply(dropped)
 	}
-	taken += t.merge(list.Records)
-	if !t.known {
-		t.known, t.floor = true, list.End
+	merged += t.merge(list.Records)
+	if !t.loaded {
+		t.loaded, t.floor = true, list.End
 	}
-	t.next = max(t.next, list.End)
-	return taken
+	t.nextOffset = max(t.nextOffset, list.End)
+	return merged
 }
 
 // advance takes the records of a read that began at or before Next, and the offset
@@ -152,10 +152,10 @@
 func (t *Topic) advance(records []platform.Record, next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := t.merge(records)
-	t.next = max(t.next, next)
-	if taken > 0 {
-		t.move()
+	merged := t.merge(records)
+	t.nextOffset = max(t.nextOffset, next)
+	if merged > 0 {
+		t.notify()
 	}
 }
 
@@ -164,21 +164,21 @@
 func (t *Topic) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.known
+	return t.loaded
 }
 
 // NextOffset is the offset to read on from.
 func (t *Topic) NextOffset() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.next
+	return t.nextOffset
 }
 
 // LastChanged is the highest offset at which a content began, -1 while nothing is known.
 func (t *Topic) LastChanged() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.changed
+	return t.lastChanged
 }
 
 // Confirm tells that the copy held all records that the store had at a time.
@@ -189,14 +189,14 @@
 }
 
 func (t *Topic) confirm(at time.Time) {
-	if at.After(t.confirmed) {
-		t.confirmed = at
-		t.move()
+	if at.After(t.confirmedAt) {
+		t.confirmedAt = at
+		t.notify()
 	}
 }
 
-// neverConfirmed is the age of a copy that was never confirmed.
-const neverConfirmed = 24 * time.Hour
+// maxAge is the age of a copy that was never confirmed.
+const maxAge = 24 * time.Hour
 
 // Age is the time since the copy was last known to be the newest.
 func (t *Topic) Age(now time.Time) time.Duration {
@@ -206,8 +206,8 @@
 }
 
 func (t *Topic) age(now time.Time) time.Duration {
-	if t.confirmed.IsZero() {
-		return neverConfirmed
+	if t.confirmedAt.IsZero() {
+		return maxAge
 	}
-	return min(now.Sub(t.confirmed), neverConfirmed)
+	return min(now.Sub(t.confirmedAt), maxAge)
 }
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -50,7 +50,7 @@
 func TestSinceGivesDroppedKeysToo(t *testing.T) {
 	topic := NewTopic("t", func(platform.Record) {})
 	topic.Merge([]platform.Record{record("a", "1", 1), record("b", "2", 2), record("a", "", 3)})
-	records := topic.since(3)
+	records := topic.recordsSince(3)
 	if len(records) != 1 || records[0].Key != "a" || len(records[0].Value) != 0 || topic.LastChanged() != 3 {
 		t.Errorf("got %+v, %d", records, topic.LastChanged())
 	}
@@ -212,11 +212,11 @@
 		t.Fatal(err)
 	}
 	giver.Merge([]platform.Record{record("b", "1", 3)})
-	second, err := giver.Copy(FromStart, now.Add(wholeCopyLife/2))
+	second, err := giver.Copy(FromStart, now.Add(wholeCopyTTL/2))
 	if err != nil || &first.Packed[0] != &second.Packed[0] {
 		t.Errorf("made anew: %v", err)
 	}
-	third, err := giver.Copy(FromStart, now.Add(2*wholeCopyLife))
+	third, err := giver.Copy(FromStart, now.Add(2*wholeCopyTTL))
 	if err != nil || &first.Packed[0] == &third.Packed[0] {
 		t.Errorf("not made anew: %v", err)
 	}
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -43,49 +43,49 @@
 // of a topic that is read with pauses wait as long as such a pause for more: answers
 // then follow time and not the number of changes.
 func (n *Node) HandleQuery(ctx context.Context, q Query) (Reply, error) {
-	begun := time.Now()
+	started := time.Now()
 	if q.RelayAddress != "" {
-		n.hint.Store(&q.RelayAddress)
+		n.relayHint.Store(&q.RelayAddress)
 	}
 	if q.Wait > 0 {
-		n.followedAt.Store(&begun)
+		n.lastQueriedAt.Store(&started)
 	}
 	timer := time.NewTimer(max(q.Wait, 0))
 	defer timer.Stop()
 	urgent := n.Topics[0].Topic
-	for over := q.Wait <= 0; ; {
-		moved := n.moved()
+	for expired := q.Wait <= 0; ; {
+		updated := n.updateChannels()
 		now := time.Now()
-		confirmed := urgent.Age(now) < now.Sub(begun)
-		news, after := n.hasNews(q)
-		held := now.Sub(begun)
-		if over || confirmed || (news && held >= after) {
-			return n.answer(q, begun)
+		confirmed := urgent.Age(now) < now.Sub(started)
+		updates, delay := n.hasUpdates(q)
+		held := now.Sub(started)
+		if expired || confirmed || (updates && held >= delay) {
+			return n.buildReply(q, started)
 		}
-		var gathered <-chan time.Time
-		if news {
-			gathered = time.After(after - held)
+		var batched <-chan time.Time
+		if updates {
+			batched = time.After(delay - held)
 		}
 		select {
 		case <-ctx.Done():
 			return Reply{}, errors.Wrap(ctx.Err(), "wait for news")
 		case <-timer.C:
-			over = true
-		case <-gathered:
-		case <-moved[0]:
-		case <-moved[1]:
-		case <-moved[2]:
-		case <-moved[3]:
+			expired = true
+		case <-batched:
+		case <-updated[0]:
+		case <-updated[1]:
+		case <-updated[2]:
+		case <-updated[3]:
 		}
 	}
 }
 
-// movedTopics is how many topics a question may wait for.
-const movedTopics = 4
+// maxWatchedTopics is how many topics a question may wait for.
+const maxWatchedTopics = 4
 
-// moved are closed when topics next move; nil where there are fewer topics.
-func (n *Node) moved() [movedTopics]<-chan struct{} {
-	var channels [movedTopics]<-chan struct{}
+// updateChannels are closed when topics next move; nil where there are fewer topics.
+func (n *Node) updateChannels() [maxWatchedTopics]<-chan struct{} {
+	var channels [maxWatchedTopics]<-chan struct{}
 	channels[0] = n.slots.Updated()
 	for i, f := range n.Topics {
 		channels[i+1] = f.Topic.Updated()
@@ -93,42 +93,42 @@
 	return channels
 }
 
-// each calls a function for each topic.
-func (n *Node) each(visit func(*feed.Topic)) {
+// forEachTopic calls a function for each topic.
+func (n *Node) forEachTopic(visit func(*feed.Topic)) {
 	visit(n.slots)
 	for _, f := range n.Topics {
 		visit(f.Topic)
 	}
 }
 
-// hasNews tells whether a question can be answered with records that its sender lacks,
+// hasUpdates tells whether a question can be answered with records that its sender lacks,
 // and how long they may wait for more.
-func (n *Node) hasNews(q Query) (news bool, after time.Duration) {
-	after = q.Wait
-	look := func(f FollowedTopic) {
-		from, asked := q.Offsets[f.Topic.Name]
+func (n *Node) hasUpdates(q Query) (updates bool, delay time.Duration) {
+	delay = q.Wait
+	check := func(f FollowedTopic) {
+		from, queried := q.Offsets[f.Topic.Name]
 		switch {
-		case !asked:
+		case !queried:
 		case from < 0 && f.Topic.Loaded():
-			news, after = true, 0
+			updates, delay = true, 0
 		case from >= 0 && f.Topic.LastChanged() >= from:
-			news, after = true, min(after, f.Pause)
+			updates, delay = true, min(delay, f.Pause)
 		}
 	}
-	look(FollowedTopic{Topic: n.slots})
+	check(FollowedTopic{Topic: n.slots})
 	for _, f := range n.Topics {
-		look(f)
+		check(f)
 	}
-	return news, after
+	return updates, delay
 }
 
-func (n *Node) answer(q Query, begun time.Time) (Reply, error) {
+func (n *Node) buildReply(q Query, started time.Time) (Reply, error) {
 	now := time.Now()
-	answer := Reply{Relay: n.reading.Load(), HeldMs: now.Sub(begun).Milliseconds(), Topics: make(map[string]TopicReply)}
+	reply := Reply{Relay: n.reading.Load(), HeldMs: now.Sub(started).Milliseconds(), Topics: make(map[string]TopicReply)}
 	var failure error
-	n.each(func(t *feed.Topic) {
-		from, asked := q.Offsets[t.Name]
-		if !asked {
+	n.forEachTopic(func(t *feed.Topic) {
+		from, queried := q.Offsets[t.Name]
+		if !queried {
 			return
 		}
 		c, err := t.Copy(from, now)
@@ -136,8 +136,8 @@
 			failure = err
 			return
 		}
-		_, answers := n.Health.RecoveredAt(t.Name)
-		answer.Topics[t.Name] = TopicReply{Copy: c, Failing: !answers}
+		_, ok := n.Health.RecoveredAt(t.Name)
+		reply.Topics[t.Name] = TopicReply{Copy: c, Failing: !ok}
 	})
-	return answer, failure
+	return reply, failure
 }
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -19,7 +19,7 @@
 
 // Dump tells how this instance keeps its topics.
 func (n *Node) Dump(now time.Time) Dump {
-	d := Dump{Relay: n.reading.Load(), Ages: make(map[string]float64), Slots: n.entries()}
+	d := Dump{Relay: n.reading.Load(), Ages: make(map[string]float64), Slots: n.slotHolders()}
 	if source := n.source.Load(); source != nil {
 		d.Source = *source
 	}
@@ -29,7 +29,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for address, f := range n.failures {
-		if !f.since.IsZero() {
+		if !f.unresponsiveSince.IsZero() {
 			d.Silent = append(d.Silent, address)
 		}
 	}
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	// avoidTime is how long a relay is not asked after it did not answer.
-	avoidTime = 2 * time.Second
+	// avoidDuration is how long a relay is not asked after it did not answer.
+	avoidDuration = 2 * time.Second
 	// takeoverAfter is how long a relay does not answer before its slot is taken.
 	takeoverAfter = 3 * time.Second
-	// claimSpan is the time over which the claims of instances of a whole core are
+	// claimJitter is the time over which the claims of instances of a whole core are
 	// spread; smaller machines wait longer.
-	claimSpan = 100 * time.Millisecond
-	// claimSpansMore is by how many times the claims of each further slot of a data
+	claimJitter = 100 * time.Millisecond
+	// claimDelaysPerSlot is by how many times the claims of each further slot of a data
 	// centre are spread longer.
-	claimSpansMore = 2
-	// takeoverSpans is how many times longer the claims of a silent relay's slot are
+	claimDelaysPerSlot = 2
+	// takeoverDelayFactor is how many times longer the claims of a silent relay's slot are
 	// spread: others still answer meanwhile.
-	takeoverSpans = 10
-	// leastPower bounds the waits of small machines.
-	leastPower = 0.1
-	// noSourcePause is the time between two questions while no relay is known.
-	noSourcePause = 100 * time.Millisecond
-	// mostClaimDoublings bounds the waits of instances that write to the slots at once.
-	mostClaimDoublings = 4
+	takeoverDelayFactor = 10
+	// minCPUShare bounds the waits of small machines.
+	minCPUShare = 0.1
+	// noSourceInterval is the time between two questions while no relay is known.
+	noSourceInterval = 100 * time.Millisecond
+	// maxClaimDoublings bounds the waits of instances that write to the slots at once.
+	maxClaimDoublings = 4
 	// claimTimeout bounds a call to the store for a slot.
 	claimTimeout = 900 * time.Millisecond
 	// claimBackoff is the time until the next try after one that failed.
 	claimBackoff = time.Second
-	// learnFirst and learnMost bound the time between two tries to read the slots.
-	learnFirst = 50 * time.Millisecond
-	learnMost  = 800 * time.Millisecond
-	// seedAlone and othersAlone are when a seed, which others ask, and another
+	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two tries to read the slots.
+	minDiscoveryBackoff = 50 * time.Millisecond
+	maxDiscoveryBackoff = 800 * time.Millisecond
+	// seedFallbackDelay and fallbackDelay are when a seed, which others ask, and another
 	// instance read the topics without knowing the slots.
-	seedAlone   = time.Second
-	othersAlone = 4 * time.Second
-	aloneSpan   = 2 * time.Second
-	// aloneInterval is the time between two tries to read another topic meanwhile.
-	aloneInterval = time.Second
+	seedFallbackDelay = time.Second
+	fallbackDelay     = 4 * time.Second
+	fallbackJitter    = 2 * time.Second
+	// fallbackInterval is the time between two tries to read another topic meanwhile.
+	fallbackInterval = time.Second
 )
 
-// drawClaimPause draws how long this instance waits before it takes a slot.
-func (n *Node) drawClaimPause() time.Duration {
-	return time.Duration(rand.Float64() * float64(claimSpan) / n.power())
+// randomClaimDelay draws how long this instance waits before it takes a slot.
+func (n *Node) randomClaimDelay() time.Duration {
+	return time.Duration(rand.Float64() * float64(claimJitter) / n.cpuShare())
 }
 
-func (n *Node) power() float64 {
+func (n *Node) cpuShare() float64 {
 	if n.CPUShare <= 0 {
 		return 1
 	}
-	return min(max(n.CPUShare, leastPower), 1)
+	return min(max(n.CPUShare, minCPUShare), 1)
 }
 
-// setReadAlone draws when the topics are read without knowing the slots.
-func (n *Node) setReadAlone() {
-	wait := othersAlone + time.Duration(rand.Float64()*float64(aloneSpan)/n.power())
+// scheduleFallback draws when the topics are read without knowing the slots.
+func (n *Node) scheduleFallback() {
+	wait := fallbackDelay + time.Duration(rand.Float64()*float64(fallbackJitter)/n.cpuShare())
 	if n.isSeed() {
-		wait = seedAlone
+		wait = seedFallbackDelay
 	}
-	n.readAlone = time.Now().Add(wait)
+	n.fallbackAt = time.Now().Add(wait)
 }
 
 // isSeed tells whether others know this instance from their start on, or nobody is.
@@ -76,13 +76,13 @@
 	return len(n.Seeds) == 0 || slices.Contains(n.Seeds, n.Self.Address)
 }
 
-// slotsAlone tells whether the store has served other topics for a while and not the
+// onlySlotsUnavailable tells whether the store has served other topics for a while and not the
 // slots.
-func (n *Node) slotsAlone(ctx context.Context) bool {
-	if n.slots.Loaded() || time.Now().Before(n.readAlone) {
+func (n *Node) onlySlotsUnavailable(ctx context.Context) bool {
+	if n.slots.Loaded() || time.Now().Before(n.fallbackAt) {
 		return false
 	}
-	n.readAlone = time.Now().Add(aloneInterval)
+	n.fallbackAt = time.Now().Add(fallbackInterval)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	if _, _, err := n.Store.NewestPage(ctx, n.Topics[0].Topic.Name, 0, ""); err != nil {
@@ -93,26 +93,26 @@
 	return err != nil
 }
 
-// learnSlots reads the slots once, from the store or from a seed.
-func (n *Node) learnSlots(ctx context.Context) {
-	returned := n.Health.Recovered()
+// discoverSlots reads the slots once, from the store or from a seed.
+func (n *Node) discoverSlots(ctx context.Context) {
+	recovered := n.Health.Recovered()
 	_, err := n.readSlots(ctx)
 	n.Health.SetFailing(SlotsTopic, err != nil, time.Now())
 	if err == nil {
 		return
 	}
 	n.Log.Debug("slots not read", "error", err.Error())
-	n.askAnyone(ctx, n.times.poll)
+	n.queryAny(ctx, n.timing.pollWait)
 	if n.slots.Loaded() {
 		return
 	}
-	wait := min(learnFirst<<min(n.learning, 8), learnMost)
-	n.learning++
+	wait := min(minDiscoveryBackoff<<min(n.slotReadFailures, 8), maxDiscoveryBackoff)
+	n.slotReadFailures++
 	timer := time.NewTimer(wait/2 + rand.N(wait))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-returned:
+	case <-recovered:
 	case <-timer.C:
 	}
 }
@@ -134,73 +134,73 @@
 	return list.End, nil
 }
 
-// follow asks a relay once.
-func (n *Node) follow(ctx context.Context) {
+// pollRelay asks a relay once.
+func (n *Node) pollRelay(ctx context.Context) {
 	source, ok := n.nextSource(time.Now())
 	if !ok {
-		n.askAnyone(ctx, 0)
-		delay.Sleep(ctx, noSourcePause)
+		n.queryAny(ctx, 0)
+		delay.Sleep(ctx, noSourceInterval)
 		return
 	}
-	n.followFrom(ctx, source)
-	delay.Sleep(ctx, pollPause)
+	n.pollSource(ctx, source)
+	delay.Sleep(ctx, pollInterval)
 }
 
-// claimWhileFollowing takes a slot whenever it is time to, beside the questions to
+// runClaims takes a slot whenever it is time to, beside the questions to
 // relays: the store may take long to answer, or not answer at all, and what is new must
 // not wait for that. It ends with the context or once this instance holds a slot.
-func (n *Node) claimWhileFollowing(ctx context.Context) {
+func (n *Node) runClaims(ctx context.Context) {
 	for ctx.Err() == nil && !n.holdsSlot() {
 		now := time.Now()
-		due := n.claimDue(now)
+		due := n.nextClaimTime(now)
 		switch {
 		case due.IsZero():
-			delay.Sleep(ctx, roleInterval)
+			delay.Sleep(ctx, slotCheckInterval)
 		case now.Before(due):
-			delay.Sleep(ctx, min(due.Sub(now), roleInterval))
+			delay.Sleep(ctx, min(due.Sub(now), slotCheckInterval))
 		default:
 			n.claim(ctx)
 		}
 	}
 }
 
-// followWhile follows relays until this instance holds a slot.
-func (n *Node) followWhile(ctx context.Context) {
+// followRelays follows relays until this instance holds a slot.
+func (n *Node) followRelays(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var work sync.WaitGroup
 	work.Go(func() {
-		n.claimWhileFollowing(ctx)
+		n.runClaims(ctx)
 		cancel()
 	})
 	for ctx.Err() == nil {
-		n.follow(ctx)
+		n.pollRelay(ctx)
 	}
 	work.Wait()
 }
 
-// followFrom asks one relay.
-func (n *Node) followFrom(ctx context.Context, source Holder) {
+// pollSource asks one relay.
+func (n *Node) pollSource(ctx context.Context, source Holder) {
 	n.source.Store(&source.Address)
-	err := n.askAll(ctx, source.Address, n.times.poll)
+	err := n.queryAll(ctx, source.Address, n.timing.pollWait)
 	if ctx.Err() != nil {
 		return
 	}
-	stale := n.staleTopics(time.Now())
+	stale := n.hasStaleTopics(time.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	switch {
 	case err != nil:
 		since := now
-		if before, ok := n.failures[source.Address]; ok && !before.since.IsZero() {
-			since = before.since
+		if before, ok := n.failures[source.Address]; ok && !before.unresponsiveSince.IsZero() {
+			since = before.unresponsiveSince
 		} else {
 			n.Log.Info("relay does not answer", "address", source.Address, "error", err.Error())
 		}
-		n.failures[source.Address] = failure{since: since, until: now.Add(avoidTime)}
+		n.failures[source.Address] = failure{unresponsiveSince: since, avoidUntil: now.Add(avoidDuration)}
 	case stale:
-		n.failures[source.Address] = failure{until: now.Add(n.times.poll)}
+		n.failures[source.Address] = failure{avoidUntil: now.Add(n.timing.pollWait)}
 	default:
 		delete(n.failures, source.Address)
 	}
@@ -214,50 +214,50 @@
 	var stale Holder
 	for _, e := range n.table.sources(n.Self) {
 		f := n.failures[e.Address]
-		if now.After(f.until) {
+		if now.After(f.avoidUntil) {
 			return e, true
 		}
-		if f.since.IsZero() && (stale.Address == "" || f.until.Before(n.failures[stale.Address].until)) {
+		if f.unresponsiveSince.IsZero() && (stale.Address == "" || f.avoidUntil.Before(n.failures[stale.Address].avoidUntil)) {
 			stale = e
 		}
 	}
 	return stale, stale.Address != ""
 }
 
-// claimDue is when this instance should take a slot; zero if there is none to take.
-func (n *Node) claimDue(now time.Time) time.Time {
+// nextClaimTime is when this instance should take a slot; zero if there is none to take.
+func (n *Node) nextClaimTime(now time.Time) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var due time.Time
-	if _, free := n.table.free(n.Self); free {
-		if n.vacant.IsZero() {
-			n.vacant = now
+	if _, free := n.table.freeSlot(n.Self); free {
+		if n.vacantSince.IsZero() {
+			n.vacantSince = now
 		}
 		// The first relay of a data centre is urgent, the last one is not.
-		held := len(n.table.earlier(n.Self.DataCentre, SlotsPerDataCentre))
-		due = n.vacant.Add(n.claimPause * time.Duration(1+claimSpansMore*held))
+		held := len(n.table.holdersBefore(n.Self.DataCentre, SlotsPerDataCentre))
+		due = n.vacantSince.Add(n.claimDelay * time.Duration(1+claimDelaysPerSlot*held))
 	} else {
-		n.vacant = time.Time{}
-		if _, since, ok := n.silentSlot(); ok {
-			due = since.Add(takeoverAfter + takeoverSpans*n.claimPause)
+		n.vacantSince = time.Time{}
+		if _, since, ok := n.unresponsiveSlot(); ok {
+			due = since.Add(takeoverAfter + takeoverDelayFactor*n.claimDelay)
 		}
 	}
-	if !due.IsZero() && due.Before(n.claimAfter) {
-		due = n.claimAfter
+	if !due.IsZero() && due.Before(n.nextClaimAt) {
+		due = n.nextClaimAt
 	}
 	return due
 }
 
-// silentSlot is the slot of the data centre whose holder has not answered for the
+// unresponsiveSlot is the slot of the data centre whose holder has not answered for the
 // longest time, and since when. The mutex is held.
-func (n *Node) silentSlot() (string, time.Time, bool) {
+func (n *Node) unresponsiveSlot() (string, time.Time, bool) {
 	var longest string
 	var since time.Time
 	for number := range SlotsPerDataCentre {
-		key := slot(n.Self.DataCentre, number)
+		key := slotKey(n.Self.DataCentre, number)
 		f := n.failures[n.table[key].Address]
-		if !f.since.IsZero() && (longest == "" || f.since.Before(since)) {
-			longest, since = key, f.since
+		if !f.unresponsiveSince.IsZero() && (longest == "" || f.unresponsiveSince.Before(since)) {
+			longest, since = key, f.unresponsiveSince
 		}
 	}
 	return longest, since, longest != ""
@@ -271,23 +271,23 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.claimPause = n.drawClaimPause()
+	n.claimDelay = n.randomClaimDelay()
 	switch {
 	case err == nil:
-		n.claimsLost = 0
+		n.claimConflicts = 0
 	case errors.Is(err, platform.ErrCondition):
 		// Another instance wrote first, probably for another data centre.
-		n.claimsLost++
-		n.claimAfter = time.Now().Add(n.claimPause << min(n.claimsLost, mostClaimDoublings))
+		n.claimConflicts++
+		n.nextClaimAt = time.Now().Add(n.claimDelay << min(n.claimConflicts, maxClaimDoublings))
 	default:
-		n.claimAfter = time.Now().Add(claimBackoff + n.claimPause)
+		n.nextClaimAt = time.Now().Add(claimBackoff + n.claimDelay)
 		n.Log.Info("slot not taken", "error", err.Error())
 	}
 }
 
 // claimAt takes a slot if nobody has written since the slots were read up to an end.
 func (n *Node) claimAt(ctx context.Context, end int64) error {
-	key, ok := n.claimable()
+	key, ok := n.claimableSlot()
 	if !ok {
 		return nil
 	}
@@ -307,16 +307,16 @@
 	return nil
 }
 
-// claimable is the slot that this instance may take.
-func (n *Node) claimable() (string, bool) {
+// claimableSlot is the slot that this instance may take.
+func (n *Node) claimableSlot() (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, holds := n.table.held(n.Self); holds {
+	if _, holds := n.table.slotOf(n.Self); holds {
 		return "", false
 	}
-	if key, free := n.table.free(n.Self); free {
+	if key, free := n.table.freeSlot(n.Self); free {
 		return key, true
 	}
-	key, since, ok := n.silentSlot()
+	key, since, ok := n.unresponsiveSlot()
 	return key, ok && time.Since(since) > takeoverAfter
 }
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -69,48 +69,48 @@
 	Config
 	// slots is the topic of the slots.
 	slots *feed.Topic
-	// readAlone is when the topics may be read without knowing the slots, learning
+	// fallbackAt is when the topics may be read without knowing the slots, learning
 	// counts the tries to learn them; both belong to Run.
-	readAlone time.Time
-	learning  int
-	// copiesAfter is when copies may be read without knowing the slots.
-	copiesAfter time.Time
+	fallbackAt       time.Time
+	slotReadFailures int
+	// copiesAllowedAt is when copies may be read without knowing the slots.
+	copiesAllowedAt time.Time
 	// reading tells that this instance reads the topics from the store.
 	reading atomic.Bool
 	source  atomic.Pointer[string]
-	times   times
-	// hint is the address of a relay that greeted this instance as a seed.
-	hint atomic.Pointer[string]
-	// followedAt is when another instance last asked this one for news.
-	followedAt atomic.Pointer[time.Time]
+	timing  timing
+	// relayHint is the address of a relay that greeted this instance as a seed.
+	relayHint atomic.Pointer[string]
+	// lastQueriedAt is when another instance last asked this one for news.
+	lastQueriedAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
-	table table
+	table slotTable
 	// failures are relays that did not answer, by address.
 	failures map[string]failure
-	// vacant is since when a slot of the data centre is known to be free.
-	vacant time.Time
-	// claimPause is how long this instance waits before it takes a slot.
-	claimPause time.Duration
-	// claimAfter is when a slot may be claimed again after a try that failed.
-	claimAfter time.Time
-	// claimsLost counts claims in a row before which another instance wrote.
-	claimsLost int
+	// vacantSince is since when a slot of the data centre is known to be free.
+	vacantSince time.Time
+	// claimDelay is how long this instance waits before it takes a slot.
+	claimDelay time.Duration
+	// nextClaimAt is when a slot may be claimed again after a try that failed.
+	nextClaimAt time.Time
+	// claimConflicts counts claims in a row before which another instance wrote.
+	claimConflicts int
 }
 
 // failure is a relay that does not answer.
 type failure struct {
-	since, until time.Time
+	unresponsiveSince, avoidUntil time.Time
 }
 
 // New makes a Node. Run has to be called once.
-func New(parts Config) *Node {
-	n := &Node{Config: parts, table: make(table), failures: make(map[string]failure), times: timesWithin(parts.MaxStaleness)}
+func New(cfg Config) *Node {
+	n := &Node{Config: cfg, table: make(slotTable), failures: make(map[string]failure), timing: newTiming(cfg.MaxStaleness)}
 	n.slots = feed.NewTopic(SlotsTopic, n.applySlot)
-	n.claimPause = n.drawClaimPause()
-	n.copiesAfter = time.Now()
+	n.claimDelay = n.randomClaimDelay()
+	n.copiesAllowedAt = time.Now()
 	if !n.isSeed() {
-		n.copiesAfter = n.copiesAfter.Add(seedAlone + time.Duration(rand.Float64()*float64(aloneSpan)/n.power()))
+		n.copiesAllowedAt = n.copiesAllowedAt.Add(seedFallbackDelay + time.Duration(rand.Float64()*float64(fallbackJitter)/n.cpuShare()))
 	}
 	return n
 }
@@ -122,7 +122,7 @@
 		delete(n.table, r.Key)
 		return
 	}
-	e, err := decodeEntry(r)
+	e, err := decodeHolder(r)
 	if err != nil {
 		n.Log.Error("slot ignored", "slot", r.Key, "offset", r.Offset, "error", err.Error())
 		delete(n.table, r.Key)
@@ -139,43 +139,43 @@
 // elsewhere: as a relay, or while the store does not give the slots. Then the seeds
 // begin, which the others ask, and those follow one by one.
 func (n *Node) MayReadCopies() bool {
-	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAfter))
+	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAllowedAt))
 }
 
 const (
-	// pollPause is the least time between two questions: changes that come in
+	// pollInterval is the least time between two questions: changes that come in
 	// series are asked for together.
-	pollPause = 150 * time.Millisecond
-	// askPause is the time between two questions while no relay answers.
-	askPause = 400 * time.Millisecond
-	// roleInterval is how often it is looked whether the slot is still held.
-	roleInterval = 200 * time.Millisecond
-	// directInterval is how often it is looked whether this instance has to notice by
+	pollInterval = 150 * time.Millisecond
+	// queryRetryInterval is the time between two questions while no relay answers.
+	queryRetryInterval = 400 * time.Millisecond
+	// slotCheckInterval is how often it is looked whether the slot is still held.
+	slotCheckInterval = 200 * time.Millisecond
+	// watchInterval is how often it is looked whether this instance has to notice by
 	// itself whether the store answers.
-	directInterval = time.Second
-	// slotsWait is how long a relay's read of the slots waits; directWait is that of
+	watchInterval = time.Second
+	// slotsReadWait is how long a relay's read of the slots waits; watchReadWait is that of
 	// an instance that has to notice a cut link to the store.
-	slotsWait  = 12 * time.Second
-	directWait = 3 * time.Second
+	slotsReadWait = 12 * time.Second
+	watchReadWait = 3 * time.Second
 )
 
 // Run keeps the topics up to date until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	n.setReadAlone()
+	n.scheduleFallback()
 	var work sync.WaitGroup
 	work.Go(func() { n.watchStore(ctx) })
 	for ctx.Err() == nil {
 		switch {
 		case n.holdsSlot():
-			n.read(ctx, func() bool { return !n.holdsSlot() })
+			n.readFromStore(ctx, func() bool { return !n.holdsSlot() })
 		case !n.slots.Loaded():
-			n.learnSlots(ctx)
-			if n.slotsAlone(ctx) {
+			n.discoverSlots(ctx)
+			if n.onlySlotsUnavailable(ctx) {
 				n.Log.Warn("topics are read without knowing the relays")
-				n.read(ctx, n.slots.Loaded)
+				n.readFromStore(ctx, n.slots.Loaded)
 			}
 		default:
-			n.followWhile(ctx)
+			n.followRelays(ctx)
 		}
 	}
 	work.Wait()
@@ -184,26 +184,26 @@
 func (n *Node) holdsSlot() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, ok := n.table.held(n.Self)
+	_, ok := n.table.slotOf(n.Self)
 	return ok
 }
 
-// read reads the topics from the store until an event.
-func (n *Node) read(ctx context.Context, ended func() bool) {
+// readFromStore reads the topics from the store until an event.
+func (n *Node) readFromStore(ctx context.Context, ended func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var work sync.WaitGroup
 	for _, f := range n.Topics {
 		work.Go(func() { n.followStore(ctx, f) })
 	}
-	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: slotsWait}) })
-	work.Go(func() { n.askWhileFailing(ctx) })
-	work.Go(func() { n.greetSeeds(ctx) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: slotsReadWait}) })
+	work.Go(func() { n.queryWhileFailing(ctx) })
+	work.Go(func() { n.announceToSeeds(ctx) })
 	n.reading.Store(true)
 	n.source.Store(nil)
 	n.Log.Info("topics are read from the store")
 	for ctx.Err() == nil && !ended() {
-		delay.Sleep(ctx, roleInterval)
+		delay.Sleep(ctx, slotCheckInterval)
 	}
 	n.reading.Store(false)
 	cancel()
@@ -215,7 +215,7 @@
 		Store: n.Store, Topic: f.Topic, Wait: f.Wait, Pause: f.Pause, Health: n.Health, Log: n.Log,
 	}
 	if f.Bounded {
-		follower.Limit = n.limit
+		follower.Limit = n.limitRead
 	}
 	if f.Large {
 		follower.CatchUp = func(ctx context.Context) bool { return n.catchUp(ctx, f) }
@@ -230,16 +230,16 @@
 		if n.WritesToStore() && !n.reading.Load() && n.slots.Loaded() {
 			n.watchWhile(ctx, func() bool { return n.WritesToStore() && !n.reading.Load() })
 		}
-		delay.Sleep(ctx, directInterval)
+		delay.Sleep(ctx, watchInterval)
 	}
 }
 
 func (n *Node) watchWhile(ctx context.Context, holds func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: directWait}) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: watchReadWait}) })
 	for ctx.Err() == nil && holds() {
-		delay.Sleep(ctx, directInterval)
+		delay.Sleep(ctx, watchInterval)
 	}
 	cancel()
 	work.Wait()
@@ -249,26 +249,26 @@
 // known is urgent; one whose history was dropped is taken once the other relay has
 // read it again, after its pause.
 const (
-	catchUpFirst = 700 * time.Millisecond
-	catchUpAgain = 300 * time.Millisecond
+	firstCatchUpTimeout = 700 * time.Millisecond
+	catchUpMargin       = 300 * time.Millisecond
 )
 
 // catchUp takes a topic from a relay with an earlier slot. It tells whether there
 // was more to take than is known.
 func (n *Node) catchUp(ctx context.Context, f FollowedTopic) bool {
 	n.mu.Lock()
-	number, _ := n.table.held(n.Self)
-	earlier := n.table.earlier(n.Self.DataCentre, number)
+	number, _ := n.table.slotOf(n.Self)
+	earlier := n.table.holdersBefore(n.Self.DataCentre, number)
 	n.mu.Unlock()
-	before, wait := f.Topic.NextOffset(), catchUpFirst
+	before, wait := f.Topic.NextOffset(), firstCatchUpTimeout
 	if f.Topic.Loaded() {
-		wait = f.Pause + catchUpAgain
+		wait = f.Pause + catchUpMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for _, e := range earlier {
 		for ctx.Err() == nil {
-			if err := n.ask(ctx, e.Address, wait, f.Topic); err != nil {
+			if err := n.query(ctx, e.Address, wait, f.Topic); err != nil {
 				n.Log.Debug("relay gave no copy", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
 				break
 			}
@@ -280,45 +280,45 @@
 	return false
 }
 
-// greetInterval is the time between two greetings of the seeds.
-const greetInterval = 2 * time.Second
+// announceInterval is the time between two greetings of the seeds.
+const announceInterval = 2 * time.Second
 
-// greetSeeds tells the seeds of this relay: they are all that an instance knows which
+// announceToSeeds tells the seeds of this relay: they are all that an instance knows which
 // the store refuses, and the store may refuse them too.
-func (n *Node) greetSeeds(ctx context.Context) {
+func (n *Node) announceToSeeds(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, seed := range n.otherSeeds() {
-			if err := n.ask(ctx, seed, 0); err != nil && !errors.Is(err, errNoRelay) {
+			if err := n.query(ctx, seed, 0); err != nil && !errors.Is(err, errNotRelay) {
 				n.Log.Debug("seed does not answer", "address", seed, "error", err.Error())
 			}
 		}
-		delay.Sleep(ctx, greetInterval)
+		delay.Sleep(ctx, announceInterval)
 	}
 }
 
-// askWhileFailing asks others for news while the store refuses this instance.
-func (n *Node) askWhileFailing(ctx context.Context) {
-	for delay.Sleep(ctx, askPause) {
+// queryWhileFailing asks others for news while the store refuses this instance.
+func (n *Node) queryWhileFailing(ctx context.Context) {
+	for delay.Sleep(ctx, queryRetryInterval) {
 		if !n.Health.OK() {
-			n.askAnyone(ctx, 0)
+			n.queryAny(ctx, 0)
 		}
 	}
 }
 
-// askAnyone asks another relay, or any instance if none is known, which may wait for
+// queryAny asks another relay, or any instance if none is known, which may wait for
 // news.
-func (n *Node) askAnyone(ctx context.Context, wait time.Duration) {
-	address := n.anyone()
+func (n *Node) queryAny(ctx context.Context, wait time.Duration) {
+	address := n.anyAddress()
 	if address == "" {
 		return
 	}
-	if err := n.askAll(ctx, address, wait); err != nil {
+	if err := n.queryAll(ctx, address, wait); err != nil {
 		n.Log.Debug("instance gave no topics", "address", address, "error", err.Error())
 	}
 }
 
-// anyone is the address of another relay or, for as often as not, of any instance.
-func (n *Node) anyone() string {
+// anyAddress is the address of another relay or, for as often as not, of any instance.
+func (n *Node) anyAddress() string {
 	n.mu.Lock()
 	sources := n.table.sources(n.Self)
 	n.mu.Unlock()
@@ -331,7 +331,7 @@
 	}
 	if len(addresses) == 0 {
 		addresses = n.otherSeeds()
-		if hint := n.hint.Load(); hint != nil {
+		if hint := n.relayHint.Load(); hint != nil {
 			addresses = []string{*hint}
 		}
 	}
@@ -351,76 +351,76 @@
 	return seeds
 }
 
-// errNoRelay tells that an instance that was asked as a relay is none.
-var errNoRelay = errors.New("the instance does not read the topics from the store")
+// errNotRelay tells that an instance that was asked as a relay is none.
+var errNotRelay = errors.New("the instance does not read the topics from the store")
 
-// askAll asks an instance for what is new in all topics.
-func (n *Node) askAll(ctx context.Context, address string, wait time.Duration) error {
+// queryAll asks an instance for what is new in all topics.
+func (n *Node) queryAll(ctx context.Context, address string, wait time.Duration) error {
 	topics := []*feed.Topic{n.slots}
 	for _, f := range n.Topics {
 		topics = append(topics, f.Topic)
 	}
-	return n.ask(ctx, address, wait, topics...)
+	return n.query(ctx, address, wait, topics...)
 }
 
-// wholeSilence is how long an answer with a whole topic may be silent.
-const wholeSilence = 900 * time.Millisecond
+// wholeTopicTimeout is how long an answer with a whole topic may be silent.
+const wholeTopicTimeout = 900 * time.Millisecond
 
-// ask asks an instance for what is new in topics. It returns errNoRelay, with the
+// query asks an instance for what is new in topics. It returns errNotRelay, with the
 // answer taken, if the instance is no relay.
-func (n *Node) ask(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
-	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.times.silence}
+func (n *Node) query(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
+	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.timing.replyTimeout}
 	for _, t := range topics {
 		if t.Loaded() {
 			q.Offsets[t.Name] = t.NextOffset()
 			continue
 		}
 		// A whole topic takes a relay a while that many ask at once.
-		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeSilence
+		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeTopicTimeout
 	}
 	if n.reading.Load() {
 		q.RelayAddress = n.Self.Address
 	}
-	asked := time.Now()
-	answer, err := n.Peers.Query(ctx, address, q)
+	sent := time.Now()
+	reply, err := n.Peers.Query(ctx, address, q)
 	if err != nil {
 		return err
 	}
-	answered := asked.Add(time.Duration(answer.HeldMs) * time.Millisecond)
+	receivedAt := sent.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	for _, t := range topics {
-		given, ok := answer.Topics[t.Name]
+		update, ok := reply.Topics[t.Name]
 		if !ok {
 			continue
 		}
-		taken, err := t.MergeCopy(given.Copy, answered)
+		merged, err := t.MergeCopy(update.Copy, receivedAt)
 		if err != nil {
 			return errors.Wrapf(err, "topic %s of %s", t.Name, address)
 		}
-		if taken > 0 {
-			n.Log.Info("records taken from a copy", "topic", t.Name, "records", taken, "next", t.NextOffset(), "source", address)
+		if merged > 0 {
+			n.Log.Info("records taken from a copy", "topic", t.Name, "records", merged, "next", t.NextOffset(), "source", address)
 		}
-		n.hear(t, given)
+		n.updateHealth(t, update)
 	}
-	if !answer.Relay {
-		return errNoRelay
+	if !reply.Relay {
+		return errNotRelay
 	}
 	return nil
 }
 
-// hear takes the word of a relay on the store, where this instance does not know by
+// updateHealth takes the word of a relay on the store, where this instance does not know by
 // itself. One that has not read a topic yet knows nothing of it; one whose copy is
 // fresh all the same is refused alone, and has it from others: that is no outage, in
 // which registrations lapse.
-func (n *Node) hear(t *feed.Topic, given TopicReply) {
-	if !given.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
+func (n *Node) updateHealth(t *feed.Topic, update TopicReply) {
+	if !update.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
 		return
 	}
-	fresh := given.AgeMs >= 0 && given.AgeMs <= n.times.stale.Milliseconds()
-	n.Health.SetFailing(t.Name, given.Failing && !fresh, time.Now())
+	fresh := update.AgeMs >= 0 && update.AgeMs <= n.timing.maxAge.Milliseconds()
+	n.Health.SetFailing(t.Name, update.Failing && !fresh, time.Now())
 }
 
-// entries is a copy of who holds the slots.
-func (n *Node) entries() table {
+// slotHolders is a copy of who holds the slots.
+func (n *Node) slotHolders() slotTable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.table)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -122,7 +122,7 @@
 		if took := f.until(2 * time.Second); took > 2*time.Second {
 			t.Errorf("known to all after %s", took)
 		}
-		time.Sleep(takeoverAfter + takeoverSpans*claimSpan*10 + time.Second)
+		time.Sleep(takeoverAfter + takeoverDelayFactor*claimJitter*10 + time.Second)
 		if got := len(f.relays()); got != 2*SlotsPerDataCentre {
 			t.Errorf("%d relays after others took over", got)
 		}
@@ -220,7 +220,7 @@
 		Topics: []FollowedTopic{{Topic: topic, Bounded: true}}, Log: slog.New(slog.DiscardHandler),
 	})
 	given := func(failing bool, age time.Duration) {
-		n.hear(topic, TopicReply{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
+		n.updateHealth(topic, TopicReply{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
 	}
 	given(true, testBound/4)
 	given(false, testBound/4)
@@ -243,7 +243,7 @@
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
 	good := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
 	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(good)})
-	if key, _ := n.table.free(self); key != "dc/1" {
+	if key, _ := n.table.freeSlot(self); key != "dc/1" {
 		t.Errorf("free slot %q beside one that is held", key)
 	}
 	for _, value := range []string{
@@ -251,7 +251,7 @@
 		strings.Replace(good, `"o"`, `""`, 1), strings.Replace(good, "10.0.0.2:80", "somewhere", 1),
 	} {
 		n.applySlot(platform.Record{Key: "dc/0", Value: []byte(value)})
-		if key, _ := n.table.free(self); key != "dc/0" {
+		if key, _ := n.table.freeSlot(self); key != "dc/0" {
 			t.Errorf("after %s: free slot %q", value, key)
 		}
 	}
@@ -261,7 +261,7 @@
 	f.Add("dc/0", []byte(`{"machine":"m","address":"10.0.0.1:80","data_centre":"dc"}`))
 	f.Add("/", []byte(`{"machine":"m","address":"[::1]:1"}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		e, err := decodeEntry(platform.Record{Key: key, Value: value})
+		e, err := decodeHolder(platform.Record{Key: key, Value: value})
 		if err == nil && (e.Machine == "" || !strings.HasPrefix(key, e.DataCentre)) {
 			t.Fatalf("got %+v for %q", e, key)
 		}
@@ -271,10 +271,10 @@
 // Instances spread evenly over the relays of their data centre, and ask those of
 // others only behind them.
 func TestInstancesSpreadOverTheirRelays(t *testing.T) {
-	slots := make(table)
+	slots := make(slotTable)
 	for _, dc := range []string{"a", "b"} {
 		for i := range SlotsPerDataCentre {
-			slots[slot(dc, i)] = Holder{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
+			slots[slotKey(dc, i)] = Holder{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
 		}
 	}
 	first := make(map[string]int)
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -28,14 +28,14 @@
 	DataCentre string `json:"data_centre"`
 }
 
-// slot names a slot: the data centre and a number from 0.
-func slot(dataCentre string, number int) string {
+// slotKey names a slot: the data centre and a number from 0.
+func slotKey(dataCentre string, number int) string {
 	return dataCentre + "/" + strconv.Itoa(number)
 }
 
-// decodeEntry reads the record of a slot. One that is of another data centre or has
+// decodeHolder reads the record of a slot. One that is of another data centre or has
 // no address was not written by an instance.
-func decodeEntry(r platform.Record) (Holder, error) {
+func decodeHolder(r platform.Record) (Holder, error) {
 	var e Holder
 	if err := json.Unmarshal(r.Value, &e); err != nil {
 		return Holder{}, errors.Wrap(err, "decode the holder of a slot")
@@ -49,25 +49,25 @@
 	return e, nil
 }
 
-// table is who holds the slots.
-type table map[string]Holder
+// slotTable is who holds the slots.
+type slotTable map[string]Holder
 
-// held is the number of the slot that an instance holds in its data centre, false
+// slotOf is the number of the slot that an instance holds in its data centre, false
 // if it holds none.
-func (t table) held(self Holder) (int, bool) {
+func (t slotTable) slotOf(self Holder) (int, bool) {
 	for number := range SlotsPerDataCentre {
-		if t[slot(self.DataCentre, number)] == self {
+		if t[slotKey(self.DataCentre, number)] == self {
 			return number, true
 		}
 	}
 	return 0, false
 }
 
-// free is the first slot of a data centre that nobody holds, or that names the
+// freeSlot is the first slot of a data centre that nobody holds, or that names the
 // machine with an address that it no longer has.
-func (t table) free(self Holder) (string, bool) {
+func (t slotTable) freeSlot(self Holder) (string, bool) {
 	for number := range SlotsPerDataCentre {
-		key := slot(self.DataCentre, number)
+		key := slotKey(self.DataCentre, number)
 		if holder, ok := t[key]; !ok || holder.Machine == self.Machine {
 			return key, true
 		}
@@ -77,7 +77,7 @@
 
 // sources lists the other relays in the order in which an instance asks them: those
 // of its data centre first, in an order that spreads the instances evenly.
-func (t table) sources(self Holder) []Holder {
+func (t slotTable) sources(self Holder) []Holder {
 	type candidate struct {
 		Holder
 		score uint64
@@ -111,11 +111,11 @@
 	return 1
 }
 
-// earlier lists the holders of the slots of a data centre before a number.
-func (t table) earlier(dataCentre string, number int) []Holder {
+// holdersBefore lists the holders of the slots of a data centre before a number.
+func (t slotTable) holdersBefore(dataCentre string, number int) []Holder {
 	var entries []Holder
 	for i := range number {
-		if e, ok := t[slot(dataCentre, i)]; ok {
+		if e, ok := t[slotKey(dataCentre, i)]; ok {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -94,7 +94,7 @@
 	return s.calls
 }
 
-// readWhole counts how often a topic was read from its beginning.
+// readAll counts how often a topic was read from its beginning.
 func (s *limitedStore) readWhole(topic string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
