--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRankingMovesOnlyWhatAnInstanceHeld(t *testing.T) {
+func TestRankingMovesOnlyKeysOfTheRemovedInstance(t *testing.T) {
 	d := New(peerAt("a", "1"))
 	for _, m := range []string{"b", "c", "d"} {
 		d.Put(peerAt(m, "1"))
@@ -41,23 +41,23 @@
 	for _, key := range keys {
 		before[key] = d.Ranked(key)[0]
 	}
-	gone := peerAt("b", "1").ID
-	d.SetUnresponsive(gone, true)
+	removed := peerAt("b", "1").ID
+	d.SetUnresponsive(removed, true)
 	for _, key := range keys {
-		if first := d.Ranked(key)[0]; before[key] != gone && first != before[key] {
+		if first := d.Ranked(key)[0]; before[key] != removed && first != before[key] {
 			t.Errorf("%s moved from %s to %s", key, before[key], first)
 		}
 	}
-	d.SetUnresponsive(gone, false)
-	d.SetLeaving(gone)
+	d.SetUnresponsive(removed, false)
+	d.SetLeaving(removed)
 	for _, key := range keys {
-		if d.Ranked(key)[0] == gone {
+		if d.Ranked(key)[0] == removed {
 			t.Errorf("%s is given to an instance that leaves", key)
 		}
 	}
 }
 
-func TestOwnRecordIsNotTakenFromTheStore(t *testing.T) {
+func TestOwnRecordIsIgnored(t *testing.T) {
 	d := New(peerAt("self", "2"))
 	d.Put(peerAt("self", "1"))
 	d.Remove("self")
--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -22,15 +22,15 @@
 	copyInterval = 4 * time.Second
 	// copyTimeout bounds a call for a copy.
 	copyTimeout = 700 * time.Millisecond
-	// copyRate bounds the bytes a second that the copies of one topic take in a
+	// maxCopyRate bounds the bytes a second that the copies of one topic take in a
 	// partition: larger ones are written less often.
-	copyRate = 8 << 10
-	// copyRetry is the time between two tries to read a copy.
-	copyRetry = 100 * time.Millisecond
+	maxCopyRate = 8 << 10
+	// copyRetryInterval is the time between two tries to read a copy.
+	copyRetryInterval = 100 * time.Millisecond
 )
 
-// sourceTopics are the topics that are copied.
-func (e *edge) sourceTopics() []*feed.Topic { return []*feed.Topic{e.settings, e.targets} }
+// copiedTopics are the topics that are copied.
+func (e *edge) copiedTopics() []*feed.Topic { return []*feed.Topic{e.settings, e.targets} }
 
 // copyKey names the copy of a topic in a partition.
 type copyKey struct {
@@ -57,7 +57,7 @@
 			if e.directory.First("copies/"+strconv.Itoa(partition)) != e.directory.Self().ID {
 				continue
 			}
-			for _, topic := range e.sourceTopics() {
+			for _, topic := range e.copiedTopics() {
 				e.writeCopy(ctx, topic, partition, written)
 			}
 		}
@@ -73,7 +73,7 @@
 
 // due tells whether the next copy may be written.
 func (w writtenCopy) due(now time.Time) bool {
-	return now.Sub(w.at) >= time.Duration(float64(w.bytes)/copyRate*float64(time.Second))
+	return now.Sub(w.at) >= time.Duration(float64(w.bytes)/maxCopyRate*float64(time.Second))
 }
 
 // writeCopy writes a topic's copy if the topic has changed since the last one.
@@ -104,37 +104,37 @@
 
 // encodeCopy makes the value of a copy's record.
 func (e *edge) encodeCopy(topic *feed.Topic, now time.Time) ([]byte, error) {
-	given, err := topic.Copy(feed.FromStart, now)
+	topicCopy, err := topic.Copy(feed.FromStart, now)
 	if err != nil {
 		return nil, err
 	}
-	given.AgeMs = feed.UnknownAge // it ages in the store
-	return given.Encode()
+	topicCopy.AgeMs = feed.UnknownAge // it ages in the store
+	return topicCopy.Encode()
 }
 
-// copiesRead is how many partitions' copies are read before they are used: one
+// copiesBeforeMerge is how many partitions' copies are read before they are used: one
 // may be a few seconds older than the others.
-const copiesRead = 2
+const copiesBeforeMerge = 2
 
 // readCopies reads copies until the settings and the targets are known, from
 // wherever that is.
 func (e *edge) readCopies(ctx context.Context) {
-	found := make([]map[string]feed.Copy, 0, copiesRead)
+	found := make([]map[string]feed.Copy, 0, copiesBeforeMerge)
 	for ctx.Err() == nil && !(e.server.Table() != nil && e.targets.Loaded()) {
 		if !e.health.OK() && e.relay.MayReadCopies() {
 			if copies := e.readCopy(ctx, rand.IntN(e.machine.Store.Partitions)); len(copies) > 0 {
 				found = append(found, copies)
 			}
 		}
-		if len(found) == copiesRead {
+		if len(found) == copiesBeforeMerge {
 			for _, copies := range found {
-				e.takeCopies(copies)
+				e.mergeCopies(copies)
 			}
 			found = found[:0]
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(copyRetry):
+		case <-time.After(copyRetryInterval):
 		}
 	}
 }
@@ -160,18 +160,18 @@
 	return copies
 }
 
-// takeCopies merges copies of topics that the store held.
-func (e *edge) takeCopies(copies map[string]feed.Copy) {
-	for _, topic := range e.sourceTopics() {
-		given, ok := copies[topic.Name]
+// mergeCopies merges copies of topics that the store held.
+func (e *edge) mergeCopies(copies map[string]feed.Copy) {
+	for _, topic := range e.copiedTopics() {
+		topicCopy, ok := copies[topic.Name]
 		if !ok {
 			continue
 		}
-		taken, err := topic.MergeCopy(given, time.Now())
+		merged, err := topic.MergeCopy(topicCopy, time.Now())
 		if err != nil {
 			e.log.Error("copy ignored", "topic", topic.Name, "error", err.Error())
 			continue
 		}
-		e.log.Info("records taken from a copy", "topic", topic.Name, "records", taken, "source", topicCopies)
+		e.log.Info("records taken from a copy", "topic", topic.Name, "records", merged, "source", topicCopies)
 	}
 }
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -26,7 +26,7 @@
 func (e *edge) dump() state {
 	s := state{
 		Instance: e.machine.Name, Ready: e.ready(), InFlight: e.server.InFlight(),
-		Targets: e.incoming.registry.Snapshot(), Conversations: e.conversations.Dump(),
+		Targets: e.targetFeed.registry.Snapshot(), Conversations: e.conversations.Dump(),
 		Allowances: e.allowances.Dump(), Room: e.server.Room().Dump(time.Now()),
 		Topics: e.relay.Dump(time.Now()),
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -60,16 +60,16 @@
 	handler := slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: options.LogLevel})
 	log := slog.New(handler).With("instance", machine.Name)
 	if machine.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(machine.MemoryBytes) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(machine.MemoryBytes) * heapLimitFraction))
 	}
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var e *edge
 	app := fx.New(
-		fx.Supply(machine, log, options, lifetime{background}, new(receiver)),
+		fx.Supply(machine, log, options, backgroundContext{background}, new(eventRouter)),
 		fx.Provide(
 			newMetrics, newStore, feed.NewHealth, newRegistry, exchange.NewPool, newConnections, newDirectory,
-			newTransport, newKeeper, newConversations, newListing, newAllowances, newCurrency, newServer,
+			newTransport, newBudgets, newConversations, newInstanceList, newAllowances, newSettingsFreshness, newServer,
 			newTargetFeed, newEdge,
 		),
 		fx.Populate(&e),
@@ -104,34 +104,34 @@
 
 func newConnections(pool *exchange.Pool) connections { return pool }
 
-// settingsCurrency tells how old the settings are. The topic comes after the server.
-type settingsCurrency struct{ topic *feed.Topic }
+// settingsFreshness tells how old the settings are. The topic comes after the server.
+type settingsFreshness struct{ topic *feed.Topic }
 
-func newCurrency() *settingsCurrency { return new(settingsCurrency) }
+func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
 
 // SettingsAge implements serve.Currency.
-func (c *settingsCurrency) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
+func (c *settingsFreshness) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
 
-// listing tells whether all instances are known. The topic comes after those who
+// instanceList tells whether all instances are known. The topic comes after those who
 // ask.
-type listing struct{ topic atomic.Pointer[feed.Topic] }
+type instanceList struct{ topic atomic.Pointer[feed.Topic] }
 
-func newListing() *listing { return new(listing) }
+func newInstanceList() *instanceList { return new(instanceList) }
 
-func (l *listing) known() bool {
+func (l *instanceList) loaded() bool {
 	topic := l.topic.Load()
 	return topic != nil && topic.Loaded()
 }
 
 func newServer(
-	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
+	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Keeper,
+	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Keeper, conversations *conversation.Keeper,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Parts{
-		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: keeper, Allowances: allowances,
-		Conversations: conversations, Notices: keeper, Health: health, Currency: currency,
-		Memory: memlimit.New(int64(float64(machine.MemoryBytes)*requestsShare), scope),
+		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: budgets, Allowances: allowances,
+		Conversations: conversations, Notices: budgets, Health: health, Currency: freshness,
+		Memory: memlimit.New(int64(float64(machine.MemoryBytes)*requestMemoryFraction), scope),
 		Keys:   keyPolicy(machine),
 		Scope:  scope, Log: log,
 	})
@@ -143,17 +143,17 @@
 	// peerListen is where it listens for other instances.
 	peerListen string
 
-	log      *slog.Logger
-	reporter *httpapi.Metrics
-	store    *platform.Store
-	health   *feed.Health
-	pool     *exchange.Pool
-	server   *serve.Server
-	incoming *targetFeed
+	log        *slog.Logger
+	reporter   *httpapi.Metrics
+	store      *platform.Store
+	health     *feed.Health
+	pool       *exchange.Pool
+	server     *serve.Server
+	targetFeed *targetFeed
 
 	directory *directory.Directory
 	transport *peer.Transport
-	keeper    *budget.Keeper
+	budgets   *budget.Keeper
 	// conversations keeps those of routes whose turns carry their input only.
 	conversations *conversation.Keeper
 	allowances    *allowance.Keeper
@@ -163,8 +163,8 @@
 	instances *feed.Topic
 	// relay keeps the topics up to date.
 	relay *relay.Node
-	// keepsTurns tells that turns of conversations are written to the store here.
-	keepsTurns atomic.Bool
+	// storesTurns tells that turns of conversations are written to the store here.
+	storesTurns atomic.Bool
 	// reregister tells that this instance's record has to be written again.
 	reregister chan struct{}
 
@@ -173,19 +173,19 @@
 
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
-	health *feed.Health, pool *exchange.Pool, server *serve.Server, incoming *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Keeper,
-	currency *settingsCurrency, instances *listing, allowances *allowance.Keeper,
+	health *feed.Health, pool *exchange.Pool, server *serve.Server, targetFeed *targetFeed,
+	dir *directory.Directory, transport *peer.Transport, budgets *budget.Keeper, conversations *conversation.Keeper,
+	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Keeper,
 ) *edge {
 	e := &edge{
 		machine: machine, log: log, reporter: reporter, store: store, health: health,
-		pool: pool, server: server, incoming: incoming,
-		directory: dir, transport: transport, keeper: keeper,
+		pool: pool, server: server, targetFeed: targetFeed,
+		directory: dir, transport: transport, budgets: budgets,
 		conversations: conversations, allowances: allowances, reregister: make(chan struct{}, 1),
 	}
 	e.settings = feed.NewTopic(platform.TopicOperator, e.applySettings)
-	currency.topic = e.settings
-	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, incoming.apply)
+	freshness.topic = e.settings
+	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, targetFeed.apply)
 	e.instances = feed.NewTopic(topicInstances, applyInstance(dir, e.reregister, log))
 	instances.topic.Store(e.instances)
 	e.relay = e.newRelay()
@@ -199,18 +199,18 @@
 		Self:     relay.Holder{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
 		CPUShare: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
 		Topics: []relay.FollowedTopic{
-			{Topic: e.settings, Wait: waitWithin(m.ConfigDelay), Bounded: true},
-			{Topic: e.targets, Wait: waitWithin(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
+			{Topic: e.settings, Wait: readWait(m.ConfigDelay), Bounded: true},
+			{Topic: e.targets, Wait: readWait(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
 			{Topic: e.instances, Wait: instancesWait, Pause: instancesPause},
 		},
-		MaxStaleness:  leastBound(m.ConfigDelay, m.DrainDelay),
-		WritesToStore: func() bool { return e.keepsTurns.Load() || e.keeper.Owns() },
+		MaxStaleness:  minBound(m.ConfigDelay, m.DrainDelay),
+		WritesToStore: func() bool { return e.storesTurns.Load() || e.budgets.Owns() },
 		PeerAddresses: e.otherAddresses, Health: e.health, Log: e.log,
 	})
 }
 
-// leastBound is the shorter of two bounds of which 0 stands for none.
-func leastBound(a, b time.Duration) time.Duration {
+// minBound is the shorter of two bounds of which 0 stands for none.
+func minBound(a, b time.Duration) time.Duration {
 	if a <= 0 || b <= 0 {
 		return max(a, b)
 	}
@@ -237,7 +237,7 @@
 		return
 	}
 	e.server.SetTable(route.NewTable(settings))
-	e.keepsTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.KeepsTurns }))
+	e.storesTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.KeepsTurns }))
 	e.allowances.SetActive(settings.Organisations.Limited())
 	e.log.Info("settings in force", "settings_version", settings.Version, "offset", r.Offset,
 		"routes", len(settings.Routes), "organisations", settings.Organisations.Len())
@@ -271,7 +271,7 @@
 	e.spawn(func() { e.register(ctx) })
 	e.spawn(func() { e.writeCopies(ctx) })
 	e.spawn(func() { e.readCopies(ctx) })
-	e.spawn(func() { e.keeper.Run(ctx) })
+	e.spawn(func() { e.budgets.Run(ctx) })
 	e.spawn(func() { e.conversations.Run(ctx) })
 	e.spawn(func() { e.allowances.Run(ctx) })
 	e.spawn(func() { e.sweep(ctx) })
@@ -282,14 +282,14 @@
 
 // sweep removes targets whose time to register again has passed.
 func (e *edge) sweep(ctx context.Context) {
-	ticker := time.NewTicker(returnTime / 8)
+	ticker := time.NewTicker(reregisterGrace / 8)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			e.incoming.sweep(now)
+			e.targetFeed.sweep(now)
 		}
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -120,7 +120,7 @@
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(10 * time.Millisecond) {
+	for started := time.Now(); time.Since(started) < testTimeout; time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -222,7 +222,7 @@
 	eventually(t, "ready without the store", second.ready)
 }
 
-func TestInstanceWithoutSettingsIsNotReadyAndSaysWhenToComeBack(t *testing.T) {
+func TestInstanceWithoutSettingsIsNotReady(t *testing.T) {
 	d := newDeployment(t)
 	d.store.Set(metastore.Fault{Reset: true})
 	i := d.start("a")
@@ -252,7 +252,7 @@
 
 // Copies are read also while the store does not give the slots of the relays: a start of
 // all in an outage of part of the store would else wait for its end.
-func TestInstanceReadsCopiesWhileTheSlotsOfRelaysAreAwayToo(t *testing.T) {
+func TestInstanceReadsCopiesWhileTheRelaySlotsAreUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
 	eventually(t, "ready", first.ready)
--- a/internal/edge/instances.go
+++ b/internal/edge/instances.go
@@ -118,14 +118,14 @@
 // Waits between two tries to register. They double up to a time that keeps the load
 // of all instances far below what the store gives; its return ends them.
 const (
-	registerRetryFirst = 50 * time.Millisecond
-	registerRetryMost  = 4 * time.Second
+	minRegisterRetry = 50 * time.Millisecond
+	maxRegisterRetry = 4 * time.Second
 )
 
 // writeRecord appends a record until it is acknowledged. Taking effect twice
 // does no harm.
 func (e *edge) writeRecord(ctx context.Context, record platform.Record) {
-	wait := registerRetryFirst
+	wait := minRegisterRetry
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, registerTimeout)
 		_, err := e.store.Append(call, platform.Append{Topic: topicInstances, Records: []platform.Record{record}})
@@ -134,15 +134,15 @@
 			return
 		}
 		e.log.Debug("instance not registered yet", "error", err.Error())
-		returned := e.health.Recovered()
+		recovered := e.health.Recovered()
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
 		case <-ctx.Done():
-		case <-returned:
-			delay.Sleep(ctx, rand.N(registerRetryFirst))
+		case <-recovered:
+			delay.Sleep(ctx, rand.N(minRegisterRetry))
 		case <-timer.C:
 		}
 		timer.Stop()
-		wait = min(2*wait, registerRetryMost)
+		wait = min(2*wait, maxRegisterRetry)
 	}
 }
--- a/internal/edge/instances_test.go
+++ b/internal/edge/instances_test.go
@@ -18,13 +18,13 @@
 	put := func(value string) {
 		apply(platform.Record{Key: "m", Value: []byte(value), Offset: 1})
 	}
-	good := `{"id":"m~1","address":"10.0.0.1:80","data_centre":"dc","region":"r"}`
-	put(good)
+	valid := `{"id":"m~1","address":"10.0.0.1:80","data_centre":"dc","region":"r"}`
+	put(valid)
 	for _, value := range []string{
-		"\xff", "null", "[]", "{}", `{"id":5}`, good[:20],
-		strings.Replace(good, "m~1", "other~1", 1),
-		strings.Replace(good, "m~1", "", 1),
-		strings.Replace(good, "10.0.0.1:80", "somewhere", 1),
+		"\xff", "null", "[]", "{}", `{"id":5}`, valid[:20],
+		strings.Replace(valid, "m~1", "other~1", 1),
+		strings.Replace(valid, "m~1", "", 1),
+		strings.Replace(valid, "10.0.0.1:80", "somewhere", 1),
 	} {
 		put(value)
 		others := dir.Others()
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -28,7 +28,7 @@
 		callers: &http.Server{
 			Handler:           e.server,
 			ReadHeaderTimeout: headerTimeout,
-			IdleTimeout:       callerIdle,
+			IdleTimeout:       callerIdleTimeout,
 			MaxHeaderBytes:    maxHeaderBytes,
 			ConnContext:       serve.ConnContext,
 			BaseContext:       base,
@@ -82,7 +82,7 @@
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.GET(peer.Route, gin.WrapH(e.transport.Handler()))
-	engine.GET(topicsPath, e.giveTopics)
+	engine.GET(topicsPath, e.handleTopics)
 	engine.GET("/metrics", gin.WrapH(e.reporter))
 	engine.GET("/debug/state", func(c *gin.Context) { c.JSON(http.StatusOK, e.dump()) })
 	return engine
@@ -92,14 +92,14 @@
 // serves on while the platform notices, and ends when nothing is in flight or
 // the grace period is nearly over.
 func (e *edge) drain(s *servers) {
-	begun := time.Now()
+	started := time.Now()
 	e.log.Info("stopping", "in_flight", e.server.InFlight())
 	e.server.Drain()
 	notice := time.NewTimer(min(drainNotice, e.machine.GracePeriod/2))
 	e.allowances.Leave()
-	e.keeper.Leave(context.Background())
+	e.budgets.Leave(context.Background())
 	<-notice.C
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.machine.GracePeriod-drainMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), started.Add(e.machine.GracePeriod-drainMargin))
 	defer cancel()
 	if err := s.callers.Shutdown(ctx); err != nil {
 		e.log.Warn("grace period ended with requests in flight", "in_flight", e.server.InFlight(), "error", err.Error())
--- a/internal/edge/take_bench_test.go
+++ b/internal/edge/merge_bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// BenchmarkTakeTargets takes the copy of a list of 10,000 targets, as each instance
+// BenchmarkMergeTargets takes the copy of a list of 10,000 targets, as each instance
 // that starts does.
-func BenchmarkTakeTargets(b *testing.B) {
+func BenchmarkMergeTargets(b *testing.B) {
 	const n = 10_000
 	records := make([]platform.Record, 0, n)
 	for i := range n {
@@ -26,18 +26,18 @@
 					`"ColdRemainingMs":0,"Sequence":%d}`, i%2, i%5, i/250, i%250, i%5, i),
 		})
 	}
-	giver := feed.NewTopic("t", func(platform.Record) {})
-	giver.Replace(platform.Newest{Records: records, End: n})
-	given, err := giver.Copy(feed.FromStart, time.Now())
+	source := feed.NewTopic("t", func(platform.Record) {})
+	source.Replace(platform.Newest{Records: records, End: n})
+	topicCopy, err := source.Copy(feed.FromStart, time.Now())
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.ReportMetric(float64(len(given.Packed)), "copy-bytes")
+	b.ReportMetric(float64(len(topicCopy.Packed)), "copy-bytes")
 	for b.Loop() {
 		registry := targets.NewRegistry("dc1", exchange.NewPool(tally.NoopScope))
-		f := newTargetFeed(registry, new(forgotten), feed.NewHealth(), tally.NoopScope, slog.New(slog.DiscardHandler))
+		f := newTargetFeed(registry, new(closedConnections), feed.NewHealth(), tally.NoopScope, slog.New(slog.DiscardHandler))
 		topic := feed.NewHeartbeatTopic("t", platform.RepeatsTarget, f.apply)
-		if _, err := topic.MergeCopy(given, time.Now()); err != nil {
+		if _, err := topic.MergeCopy(topicCopy, time.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -36,18 +36,18 @@
 // Times of the readers of the store. Each read is priced and counts against
 // the store's limit.
 const (
-	// longestWait is the most that a read for changes waits at the store. A cut
+	// maxReadWait is the most that a read for changes waits at the store. A cut
 	// link is noticed within it, so it bounds how old settings get.
-	longestWait = 3 * time.Second
-	// targetsShare of the time for which a target that leaves goes on serving is
+	maxReadWait = 3 * time.Second
+	// targetsPauseFraction of the time for which a target that leaves goes on serving is
 	// the time between two reads of the targets' records: while targets come and
 	// go each read finds some, and three more reads still come in time.
-	targetsShare = 0.25
-	// targetsPauseMost bounds it where targets serve on for long, so that new
+	targetsPauseFraction = 0.25
+	// maxTargetsPause bounds it where targets serve on for long, so that new
 	// targets are found soon.
-	targetsPauseMost = time.Second
-	// targetsPauseLeast bounds the rate of the reads where they leave at once.
-	targetsPauseLeast = 100 * time.Millisecond
+	maxTargetsPause = time.Second
+	// minTargetsPause bounds the rate of the reads where they leave at once.
+	minTargetsPause = 100 * time.Millisecond
 	// instancesWait is how long a read for changes of the list of instances
 	// waits: they are rare, and a link that was cut meanwhile is noticed by the
 	// readers of the other topics.
@@ -57,50 +57,50 @@
 	instancesPause = 300 * time.Millisecond
 )
 
-// waitWithin is how long a read for changes waits that an instance has to know
+// readWait is how long a read for changes waits that an instance has to know
 // within a bound: no longer than that.
-func waitWithin(bound time.Duration) time.Duration {
+func readWait(bound time.Duration) time.Duration {
 	if bound <= 0 {
-		return longestWait
+		return maxReadWait
 	}
-	return min(bound, longestWait)
+	return min(bound, maxReadWait)
 }
 
-// readMargin is what a read of the settings may take beyond its wait before
+// readTimeoutMargin is what a read of the settings may take beyond its wait before
 // they count as older than they may be.
-const readMargin = 500 * time.Millisecond
+const readTimeoutMargin = 500 * time.Millisecond
 
 // keyPolicy says how long keys are trusted.
 func keyPolicy(machine platform.Machine) serve.KeyPolicy {
 	return serve.KeyPolicy{
-		ConfigDelay: waitWithin(machine.ConfigDelay) + readMargin,
+		ConfigDelay: readWait(machine.ConfigDelay) + readTimeoutMargin,
 		Strict:      machine.StrictRevocation, RevokeDelay: machine.RevokeDelay,
 	}
 }
 
 // targetsPause is the time between two reads of the targets' records.
 func targetsPause(drainDelay time.Duration) time.Duration {
-	pause := time.Duration(targetsShare * float64(drainDelay))
-	return min(max(pause, targetsPauseLeast), targetsPauseMost)
+	pause := time.Duration(targetsPauseFraction * float64(drainDelay))
+	return min(max(pause, minTargetsPause), maxTargetsPause)
 }
 
 // Liveness between instances.
 const (
-	// peerLiveness is how long a watched instance may stay silent. A healthy
+	// peerTimeout is how long a watched instance may stay silent. A healthy
 	// one answers within milliseconds; a falsely suspected one costs its
 	// programs what a loss of accounts charges.
-	peerLiveness = 600 * time.Millisecond
-	// peerDial bounds a dial. A healthy instance takes a few milliseconds, one
+	peerTimeout = 600 * time.Millisecond
+	// peerDialTimeout bounds a dial. A healthy instance takes a few milliseconds, one
 	// that used up its share of the processor pauses for up to 100 ms. After a
 	// loss of power the list holds instances that are gone, and turns wait for
 	// the dial to each that should own their partition.
-	peerDial = 250 * time.Millisecond
-	// peerHeartbeat is the time between two heartbeats to an owner.
-	peerHeartbeat = 200 * time.Millisecond
-	// peerHandshakes bounds the connections of other instances that are not yet
+	peerDialTimeout = 250 * time.Millisecond
+	// peerHeartbeatInterval is the time between two heartbeats to an owner.
+	peerHeartbeatInterval = 200 * time.Millisecond
+	// maxPeerHandshakes bounds the connections of other instances that are not yet
 	// authenticated, some 20 KB each. When hundreds of instances start together
 	// each needs a connection to most owners within a second.
-	peerHandshakes = 256
+	maxPeerHandshakes = 256
 )
 
 const (
@@ -109,18 +109,18 @@
 	drainNotice = 2200 * time.Millisecond
 	// drainMargin is kept of the grace period for the end of the process.
 	drainMargin = 700 * time.Millisecond
-	// memoryShare of the machine's memory is the soft limit of the heap.
-	memoryShare = 0.7
-	// requestsShare of the machine's memory may be held for requests; the rest of
+	// heapLimitFraction of the machine's memory is the soft limit of the heap.
+	heapLimitFraction = 0.7
+	// requestMemoryFraction of the machine's memory may be held for requests; the rest of
 	// the heap is for connections, records and what is not collected yet.
-	requestsShare = 0.25
+	requestMemoryFraction = 0.25
 	// headerTimeout bounds how long a caller takes for a request's head; the
 	// operator's limits are a few seconds.
 	headerTimeout = 10 * time.Second
-	// callerIdle bounds how long a caller's connection stays without a
+	// callerIdleTimeout bounds how long a caller's connection stays without a
 	// request; it is longer than any limit that operators set, so that callers
 	// close first.
-	callerIdle = 2 * time.Minute
+	callerIdleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds a request's head.
 	maxHeaderBytes = 64 << 10
 )
--- a/internal/edge/options_test.go
+++ b/internal/edge/options_test.go
@@ -10,14 +10,14 @@
 func TestTargetsAreReadInTime(t *testing.T) {
 	for _, delay := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
 		pause := targetsPause(delay)
-		if 2*pause+callBudget > delay || pause > targetsPauseMost {
+		if 2*pause+callBudget > delay || pause > maxTargetsPause {
 			t.Errorf("a pause of %s for a delay of %s", pause, delay)
 		}
-		if wait := waitWithin(delay); wait > delay || wait > longestWait {
+		if wait := readWait(delay); wait > delay || wait > maxReadWait {
 			t.Errorf("a wait of %s for a bound of %s", wait, delay)
 		}
 	}
-	if targetsPause(0) != targetsPauseLeast || waitWithin(0) != longestWait {
+	if targetsPause(0) != minTargetsPause || readWait(0) != maxReadWait {
 		t.Error("times without a bound")
 	}
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -17,21 +17,21 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// lifetime is the context of what works in the background of an instance.
-type lifetime struct{ context.Context }
+// backgroundContext is the context of what works in the background of an instance.
+type backgroundContext struct{ context.Context }
 
-// receiver passes the transport's events on to the keepers, which are made
+// eventRouter passes the transport's events on to the keepers, which are made
 // after the transport.
-type receiver struct {
-	keeper        *budget.Keeper
+type eventRouter struct {
+	budgets       *budget.Keeper
 	conversations *conversation.Keeper
 	allowances    *allowance.Keeper
 }
 
-// post takes one event. Events before the keepers are there are lost, like
+// dispatch takes one event. Events before the keepers are there are lost, like
 // messages to an instance that is not up yet.
-func (r *receiver) post(event structs.Event) bool {
-	if r.keeper == nil || r.conversations == nil || r.allowances == nil {
+func (r *eventRouter) dispatch(event structs.Event) bool {
+	if r.budgets == nil || r.conversations == nil || r.allowances == nil {
 		return true
 	}
 	message, isMessage := event.(structs.PeerMessage)
@@ -42,39 +42,39 @@
 		r.allowances.Receive(event)
 	default:
 		r.conversations.Receive(event)
-		r.keeper.Receive(event)
+		r.budgets.Receive(event)
 		r.allowances.Receive(event)
 	}
 	return true
 }
 
 func newTransport(
-	life lifetime, dir *directory.Directory, options Options, r *receiver, scope tally.Scope, log *slog.Logger,
+	life backgroundContext, dir *directory.Directory, options Options, r *eventRouter, scope tally.Scope, log *slog.Logger,
 ) (*peer.Transport, error) {
 	self := dir.Self()
 	cfg := peer.Config{
 		Self: self, Incarnation: string(self.ID), Key: []byte(options.PeerKey),
-		PeerTimeout: peerLiveness, DialTimeout: peerDial, HeartbeatInterval: peerHeartbeat,
-		MaxHandshakes: peerHandshakes,
+		PeerTimeout: peerTimeout, DialTimeout: peerDialTimeout, HeartbeatInterval: peerHeartbeatInterval,
+		MaxHandshakes: maxPeerHandshakes,
 	}
-	return peer.New(life, cfg, r.post, dir.Resolve, scope, log)
+	return peer.New(life, cfg, r.dispatch, dir.Resolve, scope, log)
 }
 
-func newKeeper(
-	life lifetime, machine platform.Machine, dir *directory.Directory, store *platform.Store,
-	transport *peer.Transport, registry *targets.Registry, health *feed.Health, instances *listing, r *receiver,
+func newBudgets(
+	life backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
+	transport *peer.Transport, registry *targets.Registry, health *feed.Health, instances *instanceList, r *eventRouter,
 	scope tally.Scope, log *slog.Logger,
 ) *budget.Keeper {
-	r.keeper = budget.New(life, budget.Parts{
+	r.budgets = budget.New(life, budget.Parts{
 		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, Breaks: registry, Loads: registry,
-		Health: health, Listed: instances.known, Scope: scope, Log: log,
+		Health: health, Listed: instances.loaded, Scope: scope, Log: log,
 	})
-	return r.keeper
+	return r.budgets
 }
 
 func newConversations(
-	life lifetime, machine platform.Machine, dir *directory.Directory, store *platform.Store,
-	transport *peer.Transport, health *feed.Health, r *receiver, scope tally.Scope, log *slog.Logger,
+	life backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
+	transport *peer.Transport, health *feed.Health, r *eventRouter, scope tally.Scope, log *slog.Logger,
 ) *conversation.Keeper {
 	r.conversations = conversation.New(life, conversation.Parts{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
@@ -84,14 +84,14 @@
 }
 
 func newAllowances(
-	machine platform.Machine, dir *directory.Directory, transport *peer.Transport, instances *listing, r *receiver,
+	machine platform.Machine, dir *directory.Directory, transport *peer.Transport, instances *instanceList, r *eventRouter,
 	scope tally.Scope, log *slog.Logger,
 ) *allowance.Keeper {
 	quota := machine.Quota
 	r.allowances = allowance.New(allowance.Parts{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
 		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Over, Slack: quota.Slack},
-		Peers:     transport, Listed: instances.known, Scope: scope, Log: log,
+		Peers:     transport, Listed: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.allowances
 }
--- a/internal/edge/targetfeed.go
+++ b/internal/edge/targetfeed.go
@@ -12,9 +12,9 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// returnTime is how long after an outage of the store the registrations that
+// reregisterGrace is how long after an outage of the store the registrations that
 // lapsed meanwhile may take to come back; a target without one is then gone.
-const returnTime = 2 * time.Second
+const reregisterGrace = 2 * time.Second
 
 // connections are the kept connections to targets.
 type connections interface {
@@ -36,25 +36,25 @@
 	// lapsed are targets without a registration that are still kept.
 	lapsed map[string]bool
 	// starts are the latest known starts of targets that tell theirs.
-	starts map[string]start
+	starts map[string]targetStart
 }
 
-// start is the latest known start of a target, in Unix milliseconds.
-type start struct {
-	at   int64
-	seen time.Time
+// targetStart is the latest known start of a target, in Unix milliseconds.
+type targetStart struct {
+	unixMilli int64
+	seenAt    time.Time
 }
 
-// startMemory is how long the start of a target that is gone is remembered: an
+// startRetention is how long the start of a target that is gone is remembered: an
 // entry that an earlier start wrote takes effect within seconds.
-const startMemory = time.Minute
+const startRetention = time.Minute
 
 func newTargetFeed(
 	registry *targets.Registry, connections connections, health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *targetFeed {
 	return &targetFeed{
 		registry: registry, connections: connections, health: health, refusals: newRefusals(scope, log), log: log,
-		lapsed: make(map[string]bool), starts: make(map[string]start),
+		lapsed: make(map[string]bool), starts: make(map[string]targetStart),
 	}
 }
 
@@ -63,8 +63,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(r.Value) == 0 {
-		f.refusals.forget(r.Key)
-		f.drop(r.Key)
+		f.refusals.remove(r.Key)
+		f.handleDrop(r.Key)
 		return
 	}
 	entry, err := platform.DecodeTarget(r.Key, r.Value)
@@ -77,24 +77,24 @@
 
 // put takes an entry that a target can have written.
 func (f *targetFeed) put(entry targets.Entry, offset int64) {
-	known := f.starts[entry.ID].at
+	known := f.starts[entry.ID].unixMilli
 	if entry.Start == 0 && known != 0 {
 		// A target that told its start tells it always.
 		f.refuse(platform.Record{Key: entry.ID, Offset: offset}, platform.CauseMissing)
 		return
 	}
 	if entry.Start < known {
-		f.refusals.note(entry.ID, offset, causeEarlierStart)
+		f.refusals.record(entry.ID, offset, causeEarlierStart)
 		return
 	}
-	f.refusals.forget(entry.ID)
+	f.refusals.remove(entry.ID)
 	delete(f.lapsed, entry.ID)
 	if entry.Start != 0 {
-		f.starts[entry.ID] = start{at: entry.Start, seen: time.Now()}
+		f.starts[entry.ID] = targetStart{unixMilli: entry.Start, seenAt: time.Now()}
 	}
-	former, replaces := f.registry.Entry(entry.ID)
-	if replaces && (former.Start != entry.Start || former.Address != entry.Address) {
-		f.connections.Forget(former.Address)
+	previous, replaces := f.registry.Entry(entry.ID)
+	if replaces && (previous.Start != entry.Start || previous.Address != entry.Address) {
+		f.connections.Forget(previous.Address)
 	}
 	if f.registry.Put(entry) {
 		f.log.Debug("target changed", "target", entry.ID, "service", entry.Service, "address", entry.Address,
@@ -105,17 +105,17 @@
 // refuse drops the target that an entry no longer names: the newest entry is
 // all that an instance which starts now would read.
 func (f *targetFeed) refuse(r platform.Record, cause platform.EntryCause) {
-	f.refusals.note(r.Key, r.Offset, cause)
+	f.refusals.record(r.Key, r.Offset, cause)
 	f.remove(r.Key)
 }
 
-// drop removes a target, or keeps it for a while around an outage.
-func (f *targetFeed) drop(id string) {
+// handleDrop removes a target, or keeps it for a while around an outage.
+func (f *targetFeed) handleDrop(id string) {
 	if !f.registry.Has(id) {
 		return
 	}
-	back, ok := f.health.RecoveredAt(platform.TopicTargets)
-	if !ok || time.Since(back) < returnTime {
+	recoveredAt, ok := f.health.RecoveredAt(platform.TopicTargets)
+	if !ok || time.Since(recoveredAt) < reregisterGrace {
 		f.lapsed[id] = true
 		return
 	}
@@ -125,7 +125,7 @@
 func (f *targetFeed) remove(id string) {
 	delete(f.lapsed, id)
 	if s, ok := f.starts[id]; ok {
-		s.seen = time.Now()
+		s.seenAt = time.Now()
 		f.starts[id] = s
 	}
 	if f.registry.Remove(id) {
@@ -137,15 +137,15 @@
 func (f *targetFeed) sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	back, ok := f.health.RecoveredAt(platform.TopicTargets)
-	if !ok || now.Sub(back) < returnTime {
+	recoveredAt, ok := f.health.RecoveredAt(platform.TopicTargets)
+	if !ok || now.Sub(recoveredAt) < reregisterGrace {
 		return
 	}
 	for id := range f.lapsed {
 		f.remove(id)
 	}
 	for id, s := range f.starts {
-		if now.Sub(s.seen) > startMemory && !f.registry.Has(id) {
+		if now.Sub(s.seenAt) > startRetention && !f.registry.Has(id) {
 			delete(f.starts, id)
 		}
 	}
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -20,28 +20,28 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is away")
 
 // topicStore is a store whose topics fail one by one and hold nothing new.
-type topicStore struct{ targetsAway, instancesAway atomic.Bool }
+type topicStore struct{ targetsUnavailable, instancesUnavailable atomic.Bool }
 
-func (s *topicStore) away(topic string) bool {
+func (s *topicStore) unavailable(topic string) bool {
 	if topic == platform.TopicTargets {
-		return s.targetsAway.Load()
+		return s.targetsUnavailable.Load()
 	}
-	return s.instancesAway.Load()
+	return s.instancesUnavailable.Load()
 }
 
 func (s *topicStore) NewestPage(_ context.Context, topic string, _ int, _ string) (platform.Newest, bool, error) {
-	if s.away(topic) {
-		return platform.Newest{}, false, errAway
+	if s.unavailable(topic) {
+		return platform.Newest{}, false, errUnavailable
 	}
 	return platform.Newest{}, false, nil
 }
 
 func (s *topicStore) Read(ctx context.Context, topic string, _ int, from int64, wait time.Duration) ([]platform.Record, int64, error) {
-	if s.away(topic) {
-		return nil, from, errAway
+	if s.unavailable(topic) {
+		return nil, from, errUnavailable
 	}
 	select {
 	case <-ctx.Done():
@@ -50,43 +50,43 @@
 	return nil, from, nil
 }
 
-// feedWorld is a target feed with followers of two topics, in virtual time.
-type feedWorld struct {
+// feedHarness is a target feed with followers of two topics, in virtual time.
+type feedHarness struct {
 	store    topicStore
 	feed     *targetFeed
 	registry *targets.Registry
 	scope    tally.TestScope
 	// connections are the addresses whose kept connections were closed.
-	connections forgotten
+	connections closedConnections
 }
 
-// forgotten notes the addresses whose kept connections are closed.
-type forgotten []string
+// closedConnections notes the addresses whose kept connections are closed.
+type closedConnections []string
 
-func (f *forgotten) Forget(address string) { *f = append(*f, address) }
+func (f *closedConnections) Forget(address string) { *f = append(*f, address) }
 
-// entryOf is the entry of a target that started at a time, in Unix
+// targetEntry is the entry of a target that started at a time, in Unix
 // milliseconds; 0 for one that does not tell.
-func entryOf(start int64, state string) []byte {
-	born := ""
+func targetEntry(start int64, state string) []byte {
+	startField := ""
 	if start != 0 {
-		born = fmt.Sprintf(`,"born":%d`, start)
+		startField = fmt.Sprintf(`,"born":%d`, start)
 	}
 	return fmt.Appendf(nil, `{"Service":"s","Address":"10.0.0.1:80","Zone":"dc","Version":"v1","Slots":4,"State":%q,`+
-		`"ColdRemainingMs":0,"Sequence":1%s}`, state, born)
+		`"ColdRemainingMs":0,"Sequence":1%s}`, state, startField)
 }
 
 // put applies an entry of the target.
-func (w *feedWorld) put(offset int64, value []byte) {
+func (w *feedHarness) put(offset int64, value []byte) {
 	w.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
 }
 
 // pick takes the target, nil if there is none to use.
-func (w *feedWorld) pick() *targets.Target {
+func (w *feedHarness) pick() *targets.Target {
 	return w.registry.Pick(targets.Want{Service: "s"}, time.Now())
 }
 
-func (w *feedWorld) refused(cause string) int64 {
+func (w *feedHarness) refused(cause string) int64 {
 	counter, ok := w.scope.Snapshot().Counters()["targets.entries_refused+cause="+cause]
 	if !ok {
 		return 0
@@ -94,11 +94,11 @@
 	return counter.Value()
 }
 
-func inFeedWorld(t *testing.T, body func(w *feedWorld)) {
+func withFeedHarness(t *testing.T, body func(w *feedHarness)) {
 	synctest.Test(t, func(t *testing.T) {
 		log := slog.New(slog.DiscardHandler)
 		health := feed.NewHealth()
-		w := &feedWorld{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
+		w := &feedHarness{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
 		w.feed = newTargetFeed(w.registry, &w.connections, health, w.scope, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		var work sync.WaitGroup
@@ -108,7 +108,7 @@
 			}
 			work.Go(func() { f.Run(ctx) })
 		}
-		w.feed.apply(platform.Record{Key: "t", Value: []byte(entryOf(0, "ready"))})
+		w.feed.apply(platform.Record{Key: "t", Value: []byte(targetEntry(0, "ready"))})
 		body(w)
 		cancel()
 		work.Wait()
@@ -116,17 +116,17 @@
 }
 
 // drop ends a target's registration.
-func (w *feedWorld) drop() { w.feed.apply(platform.Record{Key: "t", Offset: 1}) }
+func (w *feedHarness) drop() { w.feed.apply(platform.Record{Key: "t", Offset: 1}) }
 
 // has tells whether the target is there after a time.
-func (w *feedWorld) hasAfter(d time.Duration) bool {
+func (w *feedHarness) hasAfter(d time.Duration) bool {
 	time.Sleep(d)
 	w.feed.sweep(time.Now())
 	return w.registry.Has("t")
 }
 
-func TestDroppedTargetIsGoneAtOnce(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
+func TestDroppedTargetIsRemovedAtOnce(t *testing.T) {
+	withFeedHarness(t, func(w *feedHarness) {
 		time.Sleep(10 * time.Second)
 		w.drop()
 		if w.hasAfter(0) {
@@ -137,31 +137,31 @@
 
 // A registration that goes around an outage may only have lapsed; the target has
 // the time to register again, counted from the return of the targets' own topic.
-func TestLapsedTargetHasTimeToComeBack(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.store.targetsAway.Store(true)
-		w.store.instancesAway.Store(true)
+func TestLapsedTargetHasTimeToRegisterAgain(t *testing.T) {
+	withFeedHarness(t, func(w *feedHarness) {
+		w.store.targetsUnavailable.Store(true)
+		w.store.instancesUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
 		w.drop()
-		w.store.targetsAway.Store(false)
-		if !w.hasAfter(returnTime / 2) {
+		w.store.targetsUnavailable.Store(false)
+		if !w.hasAfter(reregisterGrace / 2) {
 			t.Error("the target was removed before it could register again")
 		}
 		// The list of instances is still away.
-		if w.hasAfter(returnTime) {
+		if w.hasAfter(reregisterGrace) {
 			t.Error("the target stays beyond its time")
 		}
 	})
 }
 
 func TestTargetThatRegistersAgainStays(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.store.targetsAway.Store(true)
+	withFeedHarness(t, func(w *feedHarness) {
+		w.store.targetsUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
 		w.drop()
-		w.store.targetsAway.Store(false)
-		w.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(entryOf(0, "ready"))})
-		if !w.hasAfter(2 * returnTime) {
+		w.store.targetsUnavailable.Store(false)
+		w.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(targetEntry(0, "ready"))})
+		if !w.hasAfter(2 * reregisterGrace) {
 			t.Error("a target that registered again was removed")
 		}
 	})
@@ -170,14 +170,14 @@
 // An entry that no target can have written names none to use; the others stay,
 // and the next good entry of the target puts it in force again.
 func TestEntryOfAnotherWriterNamesNoTarget(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.feed.apply(platform.Record{Key: "other", Value: entryOf(0, "ready")})
+	withFeedHarness(t, func(w *feedHarness) {
+		w.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
 		w.put(1, []byte(`{"Service":"s"}`))
 		if w.registry.Has("t") || !w.registry.Has("other") {
 			t.Error("the entry's target is used, or another one is not")
 		}
 		w.put(2, []byte("\xff"))
-		w.put(3, entryOf(0, "warming"))
+		w.put(3, targetEntry(0, "warming"))
 		if w.registry.Has("t") {
 			t.Error("a target with an unknown state is used")
 		}
@@ -186,7 +186,7 @@
 				t.Errorf("%d entries refused for %s", w.refused(cause), cause)
 			}
 		}
-		w.put(4, entryOf(0, "ready"))
+		w.put(4, targetEntry(0, "ready"))
 		if !w.registry.Has("t") {
 			t.Error("the target is not used again")
 		}
@@ -196,16 +196,16 @@
 // A target that starts again under its id is another one: what was known of the
 // former is gone, and its kept connections are closed.
 func TestLaterStartReplacesTheTarget(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.put(1, entryOf(1000, "ready"))
-		former := w.pick()
-		w.registry.Failed(former, time.Now())
-		w.put(2, entryOf(2000, "ready"))
+	withFeedHarness(t, func(w *feedHarness) {
+		w.put(1, targetEntry(1000, "ready"))
+		first := w.pick()
+		w.registry.Failed(first, time.Now())
+		w.put(2, targetEntry(2000, "ready"))
 		next := w.pick()
-		if next == former || next.Incarnation() == former.Incarnation() || next.ID != former.ID {
+		if next == first || next.Incarnation() == first.Incarnation() || next.ID != first.ID {
 			t.Error("the later start is taken for the former")
 		}
-		if w.registry.Runs(former.Incarnation()) || w.registry.PickSame(former.Incarnation()) != nil {
+		if w.registry.Runs(first.Incarnation()) || w.registry.PickSame(first.Incarnation()) != nil {
 			t.Error("the former start still counts as running")
 		}
 		if got := []string(w.connections); !slices.Contains(got, "10.0.0.1:80") {
@@ -217,23 +217,23 @@
 // What an earlier start wrote changes nothing when it takes effect late, also
 // after the later one's entry has gone.
 func TestEntryOfAnEarlierStartChangesNothing(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
+	withFeedHarness(t, func(w *feedHarness) {
 		time.Sleep(10 * time.Second) // long after any outage
-		w.put(1, entryOf(2000, "ready"))
+		w.put(1, targetEntry(2000, "ready"))
 		present := w.pick()
-		w.put(2, entryOf(1000, "draining"))
+		w.put(2, targetEntry(1000, "draining"))
 		if w.pick() != present {
 			t.Error("an entry of an earlier start changed the target")
 		}
 		w.put(3, nil)
-		w.put(4, entryOf(1000, "ready"))
+		w.put(4, targetEntry(1000, "ready"))
 		if w.registry.Has("t") {
 			t.Error("an earlier start is used after a later one")
 		}
 		if w.refused("earlier_start") != 2 {
 			t.Errorf("%d entries refused", w.refused("earlier_start"))
 		}
-		w.put(5, entryOf(3000, "ready"))
+		w.put(5, targetEntry(3000, "ready"))
 		if !w.registry.Has("t") {
 			t.Error("a later start is not used")
 		}
@@ -241,10 +241,10 @@
 }
 
 // A target that tells its start tells it in each entry.
-func TestEntryWithoutTheKnownStartIsAnotherWriters(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.put(1, entryOf(2000, "ready"))
-		w.put(2, entryOf(0, "ready"))
+func TestEntryWithoutTheKnownStartIsRefused(t *testing.T) {
+	withFeedHarness(t, func(w *feedHarness) {
+		w.put(1, targetEntry(2000, "ready"))
+		w.put(2, targetEntry(0, "ready"))
 		if w.registry.Has("t") {
 			t.Error("the entry is taken for the target's")
 		}
@@ -253,12 +253,12 @@
 
 // The log and the memory stay bounded however many entries are refused.
 func TestRefusalsAreBounded(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		for i := range 2 * maxRefusalsKept {
+	withFeedHarness(t, func(w *feedHarness) {
+		for i := range 2 * maxTrackedRefusals {
 			w.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
 		}
-		if len(w.feed.refusals.kept) > maxRefusalsKept || w.refused("encoding") != 2*maxRefusalsKept {
-			t.Errorf("%d kept, %d counted", len(w.feed.refusals.kept), w.refused("encoding"))
+		if len(w.feed.refusals.causes) > maxTrackedRefusals || w.refused("encoding") != 2*maxTrackedRefusals {
+			t.Errorf("%d kept, %d counted", len(w.feed.refusals.causes), w.refused("encoding"))
 		}
 	})
 }
--- a/internal/edge/exchange.go
+++ b/internal/edge/topics.go
@@ -28,39 +28,39 @@
 	waitField = "wait_ms"
 	// relayField names the address of a relay that asks.
 	relayField = "relay"
-	// topicsDial bounds the set-up of a connection to another instance, topicsSilence
+	// topicsDialTimeout bounds the set-up of a connection to another instance, topicsReadTimeout
 	// the time between two bytes of an answer.
-	topicsDial    = 300 * time.Millisecond
-	topicsSilence = 900 * time.Millisecond
-	// longestAnswerWait bounds the wait that others may ask for.
-	longestAnswerWait = 30 * time.Second
-	// maxAnswerBytes bounds an answer.
-	maxAnswerBytes = 32 << 20
+	topicsDialTimeout = 300 * time.Millisecond
+	topicsReadTimeout = 900 * time.Millisecond
+	// maxQueryWait bounds the wait that others may ask for.
+	maxQueryWait = 30 * time.Second
+	// maxReplyBytes bounds an answer.
+	maxReplyBytes = 32 << 20
 )
 
-var answerCodec = newAnswerCodec()
+var replyCodec = newReplyCodec()
 
-func newAnswerCodec() *codec.CborHandle {
+func newReplyCodec() *codec.CborHandle {
 	h := new(codec.CborHandle)
 	h.MaxInitLen = 1024 // elements allocated ahead on the word of a length field
 	return h
 }
 
-// giveTopics answers another instance's question.
-func (e *edge) giveTopics(c *gin.Context) {
-	question, err := decodeQuestion(c.Request.URL.Query())
+// handleTopics answers another instance's question.
+func (e *edge) handleTopics(c *gin.Context) {
+	query, err := decodeQuery(c.Request.URL.Query())
 	if err != nil {
 		c.String(http.StatusBadRequest, "%s", err.Error())
 		return
 	}
-	answer, err := e.relay.HandleQuery(c.Request.Context(), question)
+	reply, err := e.relay.HandleQuery(c.Request.Context(), query)
 	if err != nil {
 		e.log.Debug("question for topics not answered", "error", err.Error())
 		c.Status(http.StatusServiceUnavailable)
 		return
 	}
 	var body []byte
-	if err := codec.NewEncoderBytes(&body, answerCodec).Encode(answer); err != nil {
+	if err := codec.NewEncoderBytes(&body, replyCodec).Encode(reply); err != nil {
 		e.log.Error("answer to a question for topics not encoded", "error", err.Error())
 		c.Status(http.StatusInternalServerError)
 		return
@@ -68,7 +68,7 @@
 	c.Data(http.StatusOK, "application/cbor", body)
 }
 
-func encodeQuestion(q relay.Query) url.Values {
+func encodeQuery(q relay.Query) url.Values {
 	query := url.Values{waitField: {strconv.FormatInt(q.Wait.Milliseconds(), 10)}}
 	if q.RelayAddress != "" {
 		query.Set(relayField, q.RelayAddress)
@@ -79,7 +79,7 @@
 	return query
 }
 
-func decodeQuestion(query url.Values) (relay.Query, error) {
+func decodeQuery(query url.Values) (relay.Query, error) {
 	q := relay.Query{Offsets: make(map[string]int64, len(query))}
 	for field := range query {
 		if field == relayField {
@@ -94,7 +94,7 @@
 			return relay.Query{}, errors.Newf("%s: %q: expected a whole number", field, query.Get(field))
 		}
 		if field == waitField {
-			q.Wait = min(time.Duration(max(value, 0))*time.Millisecond, longestAnswerWait)
+			q.Wait = min(time.Duration(max(value, 0))*time.Millisecond, maxQueryWait)
 			continue
 		}
 		q.Offsets[field] = value
@@ -107,7 +107,7 @@
 
 func newTopicsClient() *topicsClient {
 	return &topicsClient{client: &http.Client{Transport: &http.Transport{
-		DialContext:        netopt.Dialer(topicsDial, topicsSilence).DialContext,
+		DialContext:        netopt.Dialer(topicsDialTimeout, topicsReadTimeout).DialContext,
 		IdleConnTimeout:    10 * time.Second,
 		DisableCompression: true,
 	}}}
@@ -118,9 +118,9 @@
 func (t *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(q.Wait+q.ReplyTimeout, cancel)
-	defer silence.Stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+topicsPath+"?"+encodeQuestion(q).Encode(), nil)
+	timeout := time.AfterFunc(q.Wait+q.ReplyTimeout, cancel)
+	defer timeout.Stop()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+topicsPath+"?"+encodeQuery(q).Encode(), nil)
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "make the question")
 	}
@@ -132,25 +132,25 @@
 	if resp.StatusCode != http.StatusOK {
 		return relay.Reply{}, errors.Newf("status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(&heardReader{http.MaxBytesReader(nil, resp.Body, maxAnswerBytes), silence})
+	body, err := io.ReadAll(&timeoutReader{http.MaxBytesReader(nil, resp.Body, maxReplyBytes), timeout})
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "read the answer")
 	}
-	var answer relay.Reply
-	if err := codec.NewDecoderBytes(body, answerCodec).Decode(&answer); err != nil {
+	var reply relay.Reply
+	if err := codec.NewDecoderBytes(body, replyCodec).Decode(&reply); err != nil {
 		return relay.Reply{}, errors.Wrap(err, "decode")
 	}
-	return answer, nil
+	return reply, nil
 }
 
-// heardReader puts off the end of a call with each byte that comes.
-type heardReader struct {
+// timeoutReader puts off the end of a call with each byte that comes.
+type timeoutReader struct {
 	io.Reader
-	silence *time.Timer
+	timeout *time.Timer
 }
 
 // Read implements io.Reader.
-func (r *heardReader) Read(p []byte) (int, error) {
-	r.silence.Reset(topicsSilence)
+func (r *timeoutReader) Read(p []byte) (int, error) {
+	r.timeout.Reset(topicsReadTimeout)
 	return r.Reader.Read(p)
 }
--- a/internal/edge/exchange_test.go
+++ b/internal/edge/topics_test.go
@@ -10,26 +10,26 @@
 	"github.com/banyanglade/banyanglade/internal/relay"
 )
 
-func TestQuestionForTopicsComesBack(t *testing.T) {
-	asked := relay.Query{Offsets: map[string]int64{"keyed.a": 7, "keyed.b": feed.FromStart}, Wait: 2 * time.Second, RelayAddress: "10.0.0.1:80"}
-	got, err := decodeQuestion(encodeQuestion(asked))
-	if err != nil || !reflect.DeepEqual(got, asked) {
+func TestTopicsQueryRoundTrip(t *testing.T) {
+	query := relay.Query{Offsets: map[string]int64{"keyed.a": 7, "keyed.b": feed.FromStart}, Wait: 2 * time.Second, RelayAddress: "10.0.0.1:80"}
+	got, err := decodeQuery(encodeQuery(query))
+	if err != nil || !reflect.DeepEqual(got, query) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 }
 
-func TestMalformedQuestionForTopicsIsRefused(t *testing.T) {
+func TestMalformedTopicsQueryIsRefused(t *testing.T) {
 	for _, query := range []string{"keyed.a=x", "keyed.a=", "keyed.a=-2", "wait_ms=soon", "wait_ms=-9", "relay=somewhere"} {
 		values, err := url.ParseQuery(query)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := decodeQuestion(values); err == nil {
+		if got, err := decodeQuery(values); err == nil {
 			t.Errorf("%s: taken as %+v", query, got)
 		}
 	}
-	got, err := decodeQuestion(url.Values{waitField: {"99999999"}})
-	if err != nil || got.Wait != longestAnswerWait {
+	got, err := decodeQuery(url.Values{waitField: {"99999999"}})
+	if err != nil || got.Wait != maxQueryWait {
 		t.Errorf("a wait of a day: %+v, %v", got, err)
 	}
 }
@@ -38,17 +38,17 @@
 // follow the number of targets.
 func TestBytesOfCopiesDoNotGrowWithTheTopic(t *testing.T) {
 	const span = 10 * time.Minute
-	for _, size := range []int{copyRate, 100 * copyRate, 200 * copyRate} {
+	for _, size := range []int{maxCopyRate, 100 * maxCopyRate, 200 * maxCopyRate} {
 		var last writtenCopy
-		written, begun := 0, time.Unix(1000, 0)
-		for at := begun; at.Sub(begun) < span; at = at.Add(copyInterval) {
+		written, started := 0, time.Unix(1000, 0)
+		for at := started; at.Sub(started) < span; at = at.Add(copyInterval) {
 			if last.due(at) {
 				last = writtenCopy{at: at, bytes: size}
 				written += size
 			}
 		}
-		if most := size + int(span.Seconds())*copyRate; written > most {
-			t.Errorf("%d bytes of copies of %d bytes, at most %d", written, size, most)
+		if limit := size + int(span.Seconds())*maxCopyRate; written > limit {
+			t.Errorf("%d bytes of copies of %d bytes, at most %d", written, size, limit)
 		}
 	}
 }
--- a/internal/feed/copy_test.go
+++ b/internal/feed/copy_test.go
@@ -32,11 +32,11 @@
 // encoded is a whole copy of a topic.
 func encoded(t testing.TB, topic *Topic) []byte {
 	t.Helper()
-	given, err := topic.Copy(FromStart, time.Now())
+	topicCopy, err := topic.Copy(FromStart, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	value, err := given.Encode()
+	value, err := topicCopy.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,9 +50,9 @@
 	if len(settings) <= recordLimit {
 		t.Fatalf("the settings take %d bytes only", len(settings))
 	}
-	giver := NewTopic("t", func(platform.Record) {})
-	giver.Replace(platform.Newest{Records: []platform.Record{{Key: platform.KeySettings, Value: settings, Offset: 5}}, End: 6})
-	value := encoded(t, giver)
+	source := NewTopic("t", func(platform.Record) {})
+	source.Replace(platform.Newest{Records: []platform.Record{{Key: platform.KeySettings, Value: settings, Offset: 5}}, End: 6})
+	value := encoded(t, source)
 	if len(value) > recordLimit {
 		t.Fatalf("%d bytes", len(value))
 	}
@@ -69,9 +69,9 @@
 // What another writer puts in place of a copy is refused, whatever it says of its
 // size.
 func TestCopyOfAnotherWriterIsRefused(t *testing.T) {
-	giver := NewTopic("t", func(platform.Record) {})
-	giver.Merge([]platform.Record{{Key: "k", Value: make([]byte, MaxCopyBytes), Offset: 1}})
-	whole := encoded(t, giver)
+	source := NewTopic("t", func(platform.Record) {})
+	source.Merge([]platform.Record{{Key: "k", Value: make([]byte, MaxCopyBytes), Offset: 1}})
+	whole := encoded(t, source)
 	for _, value := range [][]byte{nil, []byte("{}"), []byte("\xff"), whole[:len(whole)/2], whole} {
 		if got, err := DecodeCopy(value); err == nil {
 			t.Errorf("%d bytes were taken for a copy %+v", len(value), got)
@@ -80,9 +80,9 @@
 }
 
 func FuzzDecodeCopy(f *testing.F) {
-	giver := NewTopic("t", func(platform.Record) {})
-	giver.Merge([]platform.Record{record("k", "v", 3)})
-	f.Add(encoded(f, giver))
+	source := NewTopic("t", func(platform.Record) {})
+	source.Merge([]platform.Record{record("k", "v", 3)})
+	f.Add(encoded(f, source))
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if _, err := DecodeCopy(value); err != nil {
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -33,7 +33,7 @@
 	s.newest.End = r.Offset + 1
 }
 
-func (s *fakeStore) made() int {
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -100,18 +100,18 @@
 
 // While the store refuses an instance its topics share the tries, and all are
 // read soon after its return.
-func TestTopicsThatFailTogetherShareTheTries(t *testing.T) {
+func TestTopicsThatFailTogetherShareRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{}, NewHealth()
 		topics := follow(t, health, store, 3*time.Second, "a", "b", "c")
 		synctest.Wait()
 		store.set(true, false)
 		time.Sleep(4 * time.Second)
-		before := store.made()
-		const away = 12 * time.Second
-		time.Sleep(away)
-		if calls := store.made() - before; calls > int(away/maxRetryInterval)*3/2 {
-			t.Errorf("%d tries in %s", calls, away)
+		before := store.callCount()
+		const outage = 12 * time.Second
+		time.Sleep(outage)
+		if calls := store.callCount() - before; calls > int(outage/maxRetryInterval)*3/2 {
+			t.Errorf("%d tries in %s", calls, outage)
 		}
 		store.put(platform.Record{Key: "k", Value: []byte("v"), Offset: 4})
 		store.set(false, false)
@@ -126,7 +126,7 @@
 
 // A read that waits on a connection that was cut is given up once another topic
 // finds the store back.
-func TestReturnOfTheStoreWakesAReadThatHangs(t *testing.T) {
+func TestRecoveryOfTheStoreCancelsAHangingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, other, health := &fakeStore{}, &fakeStore{}, NewHealth()
 		topic := follow(t, health, slow, time.Minute, "slow")[0]
@@ -150,7 +150,7 @@
 }
 
 // A read that fails by itself is no wake-up.
-func TestFailedReadIsNoted(t *testing.T) {
+func TestFailedReadIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{refuse: true}, NewHealth()
 		follow(t, health, store, time.Second, "a")
@@ -171,7 +171,7 @@
 // pagedStore has a topic of some pages and refuses every other call.
 type pagedStore struct {
 	fakeStore
-	asked []string
+	requestedAfter []string
 }
 
 func (s *pagedStore) NewestPage(_ context.Context, _ string, _ int, after string) (platform.Newest, bool, error) {
@@ -181,22 +181,22 @@
 	if s.calls%2 == 0 {
 		return platform.Newest{}, false, platform.ErrBusy
 	}
-	s.asked = append(s.asked, after)
+	s.requestedAfter = append(s.requestedAfter, after)
 	next := map[string]string{"": "a", "a": "b", "b": "c"}[after]
 	return platform.Newest{Records: []platform.Record{record(next, "v", 1)}, End: 2}, next != "c", nil
 }
 
 // A read of the whole topic goes on from the page that it has: a store that refuses
 // much would else never be read to the end.
-func TestReadOfTheWholeTopicGoesOnBehindAFailure(t *testing.T) {
+func TestReadOfTheWholeTopicResumesAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := new(pagedStore)
 		topic := follow(t, NewHealth(), store, time.Second, "t")[0]
 		time.Sleep(2 * time.Second)
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		if !topic.Loaded() || len(store.asked) != 3 {
-			t.Errorf("pages asked behind %q", store.asked)
+		if !topic.Loaded() || len(store.requestedAfter) != 3 {
+			t.Errorf("pages asked behind %q", store.requestedAfter)
 		}
 	})
 }
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -17,7 +17,7 @@
 
 // Whatever the order in which records come, from the store and from others, the
 // newest stands and nothing older is applied behind it.
-func TestNothingKnownGetsOlder(t *testing.T) {
+func TestOlderRecordsAreNotApplied(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("offsets grow", prop.ForAll(func(offsets []int64) bool {
 		last, grows, highest := int64(-1), true, int64(-1)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestSinceGivesDroppedKeysToo(t *testing.T) {
+func TestRecordsSinceIncludesDroppedKeys(t *testing.T) {
 	topic := NewTopic("t", func(platform.Record) {})
 	topic.Merge([]platform.Record{record("a", "1", 1), record("b", "2", 2), record("a", "", 3)})
 	records := topic.recordsSince(3)
@@ -69,19 +69,19 @@
 	}
 }
 
-// sameKind takes values for the same that begin alike.
-func sameKind(a, b []byte) bool { return a[0] == b[0] }
+// sameFirstByte takes values for the same that begin alike.
+func sameFirstByte(a, b []byte) bool { return a[0] == b[0] }
 
 // A record that repeats the one before it is neither applied nor passed on, and one
 // that comes behind it counts as newer than both.
-func TestHeartbeatsAreNotPassedOn(t *testing.T) {
+func TestHeartbeatsAreNotPropagated(t *testing.T) {
 	applied := 0
-	topic := NewHeartbeatTopic("t", sameKind, func(platform.Record) { applied++ })
+	topic := NewHeartbeatTopic("t", sameFirstByte, func(platform.Record) { applied++ })
 	topic.Merge([]platform.Record{record("k", "a1", 1), record("k", "a2", 5), record("k", "a3", 9)})
 	if applied != 1 || topic.LastChanged() != 1 {
 		t.Errorf("applied %d times, changed at %d", applied, topic.LastChanged())
 	}
-	if taken := topic.Merge([]platform.Record{record("k", "b1", 7)}); taken != 0 {
+	if merged := topic.Merge([]platform.Record{record("k", "b1", 7)}); merged != 0 {
 		t.Error("an older record was taken")
 	}
 	topic.Merge([]platform.Record{record("k", "b1", 11)})
@@ -92,28 +92,28 @@
 
 // Who has read a copy up to its end learns of keys that the giver finds dropped later.
 func TestDropsFoundInTheWholeListArePassedOn(t *testing.T) {
-	giver, receiver := NewTopic("t", func(platform.Record) {}), NewTopic("t", func(platform.Record) {})
-	giver.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1), record("b", "1", 2)}, End: 3})
-	pass(t, giver, receiver)
-	giver.Replace(platform.Newest{Records: []platform.Record{record("b", "1", 2)}, End: 8})
-	pass(t, giver, receiver)
+	source, receiver := NewTopic("t", func(platform.Record) {}), NewTopic("t", func(platform.Record) {})
+	source.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1), record("b", "1", 2)}, End: 3})
+	propagate(t, source, receiver)
+	source.Replace(platform.Newest{Records: []platform.Record{record("b", "1", 2)}, End: 8})
+	propagate(t, source, receiver)
 	if r := receiver.newest["a"]; len(r.Value) != 0 || receiver.NextOffset() != 8 {
 		t.Errorf("the receiver holds %+v, next %d", r, receiver.NextOffset())
 	}
 }
 
-// pass gives a receiver what it lacks.
-func pass(t *testing.T, giver, receiver *Topic) {
+// propagate gives a receiver what it lacks.
+func propagate(t *testing.T, source, receiver *Topic) {
 	t.Helper()
 	from := FromStart
 	if receiver.Loaded() {
 		from = receiver.NextOffset()
 	}
-	given, err := giver.Copy(from, time.Now())
+	topicCopy, err := source.Copy(from, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := receiver.MergeCopy(given, time.Now()); err != nil {
+	if _, err := receiver.MergeCopy(topicCopy, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -126,7 +126,7 @@
 		var history []platform.Record
 		topics := make([]*Topic, 4)
 		for i := range topics {
-			topics[i] = NewHeartbeatTopic("t", sameKind, func(platform.Record) {})
+			topics[i] = NewHeartbeatTopic("t", sameFirstByte, func(platform.Record) {})
 		}
 		for _, step := range steps {
 			switch who := int(step>>2) % 2; step % 4 {
@@ -138,7 +138,7 @@
 			case 2:
 				readSome(topics[who], history, int(step>>4))
 			case 3:
-				pass(t, topics[who], topics[2+int(step>>3)%2])
+				propagate(t, topics[who], topics[2+int(step>>3)%2])
 			}
 		}
 		for i, topic := range topics {
@@ -146,8 +146,8 @@
 				readSome(topic, history, len(history))
 			} else {
 				// The first one may be a whole copy of before.
-				pass(t, topics[0], topic)
-				pass(t, topics[0], topic)
+				propagate(t, topics[0], topic)
+				propagate(t, topics[0], topic)
 			}
 		}
 		for _, topic := range topics {
@@ -161,13 +161,13 @@
 }
 
 // readSome reads a history on from where a topic ends.
-func readSome(topic *Topic, history []platform.Record, most int) {
+func readSome(topic *Topic, history []platform.Record, limit int) {
 	if !topic.Loaded() {
 		topic.Replace(newestOf(history))
 		return
 	}
 	from := topic.NextOffset()
-	to := min(from+int64(most), int64(len(history)))
+	to := min(from+int64(limit), int64(len(history)))
 	topic.advance(history[from:to], to)
 }
 
@@ -195,7 +195,7 @@
 		}
 	}
 	for _, r := range list.Records {
-		if got := topic.newest[r.Key]; len(got.Value) == 0 || !sameKind(got.Value, r.Value) {
+		if got := topic.newest[r.Key]; len(got.Value) == 0 || !sameFirstByte(got.Value, r.Value) {
 			return false
 		}
 	}
@@ -203,20 +203,20 @@
 }
 
 // A topic that is given to many at once is encoded once in a while, not once for each.
-func TestWholeCopiesAreMadeOnceForMany(t *testing.T) {
-	giver := NewTopic("t", func(platform.Record) {})
-	giver.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1)}, End: 2})
+func TestWholeCopiesAreCached(t *testing.T) {
+	source := NewTopic("t", func(platform.Record) {})
+	source.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1)}, End: 2})
 	now := time.Now()
-	first, err := giver.Copy(FromStart, now)
+	first, err := source.Copy(FromStart, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	giver.Merge([]platform.Record{record("b", "1", 3)})
-	second, err := giver.Copy(FromStart, now.Add(wholeCopyTTL/2))
+	source.Merge([]platform.Record{record("b", "1", 3)})
+	second, err := source.Copy(FromStart, now.Add(wholeCopyTTL/2))
 	if err != nil || &first.Packed[0] != &second.Packed[0] {
 		t.Errorf("made anew: %v", err)
 	}
-	third, err := giver.Copy(FromStart, now.Add(2*wholeCopyTTL))
+	third, err := source.Copy(FromStart, now.Add(2*wholeCopyTTL))
 	if err != nil || &first.Packed[0] == &third.Packed[0] {
 		t.Errorf("not made anew: %v", err)
 	}
--- a/internal/relay/world_test.go
+++ b/internal/relay/cluster_test.go
@@ -21,22 +21,22 @@
 
 // storeLimits are what a store gives to all instances together.
 const (
-	storeAnswerTime = 4 * time.Millisecond
-	storeReads      = 16000 // a second
-	storeWrites     = 4000  // a second
-	storePage       = 20    // records
-	testWait        = 3 * time.Second
-	testBound       = 2 * time.Second
+	storeLatency   = 4 * time.Millisecond
+	maxStoreReads  = 16000 // a second
+	maxStoreWrites = 4000  // a second
+	storePageSize  = 20    // records
+	testWait       = 3 * time.Second
+	testBound      = 2 * time.Second
 )
 
 // storeFault is how the store behaves.
 type storeFault struct {
-	// away is how long it refuses all calls from the start on.
-	away time.Duration
-	// slow is by how much its answers take longer.
-	slow time.Duration
-	// refused is the share of the instances that it refuses.
-	refused float64
+	// outage is how long it refuses all calls from the start on.
+	outage time.Duration
+	// extraLatency is by how much its answers take longer.
+	extraLatency time.Duration
+	// refusedFraction is the share of the instances that it refuses.
+	refusedFraction float64
 }
 
 // limitedStore is a store that refuses calls beyond its limits.
@@ -45,7 +45,7 @@
 	started time.Time
 
 	mu      sync.Mutex
-	moved   chan struct{}
+	updated chan struct{}
 	records map[string][]platform.Record
 	trimmed map[string]int64
 	second  int64
@@ -58,7 +58,7 @@
 
 func newLimitedStore(fault storeFault) *limitedStore {
 	return &limitedStore{
-		fault: fault, started: time.Now(), moved: make(chan struct{}), records: make(map[string][]platform.Record),
+		fault: fault, started: time.Now(), updated: make(chan struct{}), records: make(map[string][]platform.Record),
 		trimmed: make(map[string]int64), wholeReads: make(map[string]int),
 	}
 }
@@ -76,8 +76,8 @@
 		r.Offset = int64(len(s.records[topic]))
 		s.records[topic] = append(s.records[topic], r)
 	}
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 	return first
 }
 
@@ -88,14 +88,14 @@
 	s.trimmed[topic] = int64(len(s.records[topic]))
 }
 
-func (s *limitedStore) counted() int {
+func (s *limitedStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
 // readAll counts how often a topic was read from its beginning.
-func (s *limitedStore) readWhole(topic string) int {
+func (s *limitedStore) wholeReadCount(topic string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.wholeReads[topic]
@@ -103,49 +103,49 @@
 
 // call counts a call and tells whether it is refused.
 func (s *limitedStore) call(write bool) error {
-	delay.Sleep(context.Background(), storeAnswerTime+s.fault.slow)
+	delay.Sleep(context.Background(), storeLatency+s.fault.extraLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if second := int64(time.Since(s.started) / time.Second); second != s.second {
 		s.second, s.reads, s.writes = second, 0, 0
 	}
-	count, most := &s.reads, storeReads
+	count, limit := &s.reads, maxStoreReads
 	if write {
-		count, most = &s.writes, storeWrites
+		count, limit = &s.writes, maxStoreWrites
 	}
 	*count++
-	if *count > most || time.Since(s.started) < s.fault.away {
+	if *count > limit || time.Since(s.started) < s.fault.outage {
 		return platform.ErrBusy
 	}
 	return nil
 }
 
-// reachedStore is the store as one instance reaches it.
-type reachedStore struct {
+// instanceStore is the store as one instance reaches it.
+type instanceStore struct {
 	*limitedStore
 	refused bool
-	// silent has calls hang.
-	silent *atomic.Bool
+	// hanging has calls hang.
+	hanging *atomic.Bool
 }
 
 // hang waits until the call is given up if the store is silent for the instance.
-func (s reachedStore) hang(ctx context.Context) error {
-	if !s.silent.Load() {
+func (s instanceStore) hang(ctx context.Context) error {
+	if !s.hanging.Load() {
 		return nil
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (s reachedStore) call(write bool) error {
+func (s instanceStore) call(write bool) error {
 	if err := s.limitedStore.call(write); err != nil || !s.refused {
 		return err
 	}
 	return platform.ErrBusy
 }
 
-func (s reachedStore) NewestPage(ctx context.Context, topic string, _ int, after string) (platform.Newest, bool, error) {
+func (s instanceStore) NewestPage(ctx context.Context, topic string, _ int, after string) (platform.Newest, bool, error) {
 	if err := s.hang(ctx); err != nil {
 		return platform.Newest{}, false, err
 	}
@@ -169,13 +169,13 @@
 	}
 	slices.Sort(keys)
 	page := platform.Newest{End: int64(len(s.records[topic]))}
-	for _, key := range keys[:min(len(keys), storePage)] {
+	for _, key := range keys[:min(len(keys), storePageSize)] {
 		page.Records = append(page.Records, newest[key])
 	}
-	return page, len(keys) > storePage, nil
+	return page, len(keys) > storePageSize, nil
 }
 
-func (s reachedStore) Read(
+func (s instanceStore) Read(
 	ctx context.Context, topic string, _ int, from int64, wait time.Duration,
 ) ([]platform.Record, int64, error) {
 	if err := s.call(false); err != nil {
@@ -183,32 +183,32 @@
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := false; ; {
+	for expired := false; ; {
 		s.mu.Lock()
-		moved, records := s.moved, s.records[topic]
+		updated, records := s.updated, s.records[topic]
 		trimmed := from < s.trimmed[topic]
 		s.mu.Unlock()
 		switch {
 		case trimmed:
 			return nil, from, platform.ErrTrimmed
-		case s.silent.Load():
+		case s.hanging.Load():
 			return nil, from, s.hang(ctx)
 		case int64(len(records)) > from:
 			return slices.Clone(records[from:]), int64(len(records)), nil
-		case over:
+		case expired:
 			return nil, from, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, from, ctx.Err()
 		case <-timer.C:
-			over = true
-		case <-moved:
+			expired = true
+		case <-updated:
 		}
 	}
 }
 
-func (s reachedStore) Append(_ context.Context, a platform.Append) (int64, error) {
+func (s instanceStore) Append(_ context.Context, a platform.Append) (int64, error) {
 	if err := s.call(true); err != nil {
 		return 0, err
 	}
@@ -220,8 +220,8 @@
 	return s.append(a.Topic, a.Records), nil
 }
 
-// fleet is instances of one deployment, with a store, without a network.
-type fleet struct {
+// cluster is instances of one deployment, with a store, without a network.
+type cluster struct {
 	t     *testing.T
 	store *limitedStore
 	// dataCentres is the number of data centres.
@@ -236,12 +236,12 @@
 
 type testNode struct {
 	*Node
-	fleet  *fleet
-	stop   context.CancelFunc
-	done   chan struct{}
-	topics []*feed.Topic
-	// frozen has questions to it hang, storeSilent its calls to the store.
-	frozen, storeSilent atomic.Bool
+	cluster *cluster
+	stop    context.CancelFunc
+	done    chan struct{}
+	topics  []*feed.Topic
+	// frozen has questions to it hang, storeHangs its calls to the store.
+	frozen, storeHangs atomic.Bool
 }
 
 const (
@@ -253,7 +253,7 @@
 var errUnreachable = errors.New("nobody listens")
 
 // Query implements Peers.
-func (f *fleet) Query(ctx context.Context, address string, q Query) (Reply, error) {
+func (f *cluster) Query(ctx context.Context, address string, q Query) (Reply, error) {
 	f.mu.Lock()
 	n := f.nodes[address]
 	f.mu.Unlock()
@@ -276,9 +276,9 @@
 	return n.HandleQuery(ctx, q)
 }
 
-func inFleet(t *testing.T, dataCentres int, fault storeFault, body func(f *fleet)) {
+func withCluster(t *testing.T, dataCentres int, fault storeFault, body func(f *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{
+		f := &cluster{
 			t: t, store: newLimitedStore(fault), dataCentres: dataCentres, nodes: make(map[string]*testNode),
 			seeds: []string{address(0), address(1), address(2)},
 		}
@@ -296,18 +296,18 @@
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255) }
 
 // start starts an instance; every fifth machine is a large one.
-func (f *fleet) start(i int) *testNode {
-	return f.startRefused(i, rand.Float64() < f.store.fault.refused)
+func (f *cluster) start(i int) *testNode {
+	return f.startRefused(i, rand.Float64() < f.store.fault.refusedFraction)
 }
 
 // startRefused is start of an instance that the store may refuse.
-func (f *fleet) startRefused(i int, refused bool) *testNode {
+func (f *cluster) startRefused(i int, refused bool) *testNode {
 	power := 0.2
 	if i%5 == 0 {
 		power = 0.8
 	}
 	ctx, cancel := context.WithCancel(f.t.Context())
-	n := &testNode{fleet: f, stop: cancel, done: make(chan struct{})}
+	n := &testNode{cluster: f, stop: cancel, done: make(chan struct{})}
 	var followed []FollowedTopic
 	for _, name := range []string{settingsTopic, targetsTopic, instancesTopic} {
 		topic := feed.NewTopic(name, func(platform.Record) {})
@@ -320,7 +320,7 @@
 	n.Node = New(Config{
 		Self:     Holder{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%f.dataCentres)},
 		CPUShare: power, Seeds: f.seeds, Topics: followed, Peers: f,
-		Store:         reachedStore{f.store, refused, &n.storeSilent},
+		Store:         instanceStore{f.store, refused, &n.storeHangs},
 		MaxStaleness:  testBound,
 		WritesToStore: func() bool { return false }, PeerAddresses: func() []string { return nil },
 		Health: feed.NewHealth(), Log: slog.New(slog.DiscardHandler),
@@ -338,7 +338,7 @@
 }
 
 // kill ends an instance; it answers no more.
-func (f *fleet) kill(i int) {
+func (f *cluster) kill(i int) {
 	f.mu.Lock()
 	n := f.nodes[address(i)]
 	delete(f.nodes, address(i))
@@ -347,11 +347,11 @@
 	<-n.done
 }
 
-// lacking counts the instances but one that do not know all that the store holds.
-func (f *fleet) lacking(but *testNode) int {
-	lacking := 0
+// behind counts the instances but one that do not know all that the store holds.
+func (f *cluster) behind(except *testNode) int {
+	behind := 0
 	for _, n := range f.nodes {
-		if n == but {
+		if n == except {
 			continue
 		}
 		for _, topic := range n.topics {
@@ -359,32 +359,34 @@
 			end := int64(len(f.store.records[topic.Name]))
 			f.store.mu.Unlock()
 			if !topic.Loaded() || topic.NextOffset() < end {
-				lacking++
+				behind++
 				break
 			}
 		}
 	}
-	return lacking
+	return behind
 }
 
-// until waits until all instances know all and returns how long it took.
-func (f *fleet) until(most time.Duration) time.Duration { return f.untilBut(nil, most) }
+// waitUntilSynced waits until all instances know all and returns how long it took.
+func (f *cluster) waitUntilSynced(limit time.Duration) time.Duration {
+	return f.waitUntilSyncedExcept(nil, limit)
+}
 
-// untilBut is until without one instance.
-func (f *fleet) untilBut(but *testNode, most time.Duration) time.Duration {
-	begun := time.Now()
-	for f.lacking(but) > 0 {
-		if time.Since(begun) > most {
-			f.t.Errorf("%d of %d instances do not know all after %s", f.lacking(but), len(f.nodes), most)
-			return most
+// waitUntilSyncedExcept is until without one instance.
+func (f *cluster) waitUntilSyncedExcept(except *testNode, limit time.Duration) time.Duration {
+	started := time.Now()
+	for f.behind(except) > 0 {
+		if time.Since(started) > limit {
+			f.t.Errorf("%d of %d instances do not know all after %s", f.behind(except), len(f.nodes), limit)
+			return limit
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(started)
 }
 
 // relays lists the machines that read the topics from the store.
-func (f *fleet) relays() []int {
+func (f *cluster) relays() []int {
 	var relays []int
 	for i := range f.started {
 		if n, ok := f.nodes[address(i)]; ok && n.ReadsStore() {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// fleetDataCentres is the number of data centres of a large deployment.
-	fleetDataCentres = 5
-	// startBound is the time in which all know all after a start of all.
-	startBound = 10 * time.Second
-	// startCalls is the number of calls to the store that a start of all may take, an
+	// clusterDataCentres is the number of data centres of a large deployment.
+	clusterDataCentres = 5
+	// startTimeout is the time in which all know all after a start of all.
+	startTimeout = 10 * time.Second
+	// maxStartCalls is the number of calls to the store that a start of all may take, an
 	// instance.
-	startCalls = 16
-	// manyTargets fill some pages of the store.
-	manyTargets = 3 * storePage
+	maxStartCalls = 16
+	// targetCount fill some pages of the store.
+	targetCount = 3 * storePageSize
 )
 
 // All know all within ten seconds of a start of all, with a bounded number of calls
@@ -29,28 +29,28 @@
 func TestStartOfAllStaysWithinWhatTheStoreGives(t *testing.T) {
 	faults := map[string]storeFault{
 		"sound":         {},
-		"away for 5 s":  {away: 5 * time.Second},
-		"60 times slow": {slow: 59 * storeAnswerTime},
-		"refuses third": {refused: 1.0 / 3},
+		"away for 5 s":  {outage: 5 * time.Second},
+		"60 times slow": {extraLatency: 59 * storeLatency},
+		"refuses third": {refusedFraction: 1.0 / 3},
 	}
 	for name, fault := range faults {
 		for _, instances := range []int{1000, 2000} {
 			t.Run(fmt.Sprint(name, "/", instances), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, fleetDataCentres, fault, func(f *fleet) {
-					for i := range manyTargets {
+				withCluster(t, clusterDataCentres, fault, func(f *cluster) {
+					for i := range targetCount {
 						f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
 					}
 					for i := range instances {
 						f.start(i)
 					}
-					took := f.until(startBound)
-					calls := float64(f.store.counted()) / float64(instances)
+					took := f.waitUntilSynced(startTimeout)
+					calls := float64(f.store.callCount()) / float64(instances)
 					t.Logf("%s, %.1f calls an instance, %d relays", took, calls, len(f.relays()))
-					if calls > startCalls {
+					if calls > maxStartCalls {
 						t.Errorf("%.1f calls an instance", calls)
 					}
-					if relays := len(f.relays()); relays > fleetDataCentres*SlotsPerDataCentre {
+					if relays := len(f.relays()); relays > clusterDataCentres*SlotsPerDataCentre {
 						t.Errorf("%d relays", relays)
 					}
 				})
@@ -61,11 +61,11 @@
 
 // Instances that the store refuses learn of the relays although it refuses all seeds.
 func TestRefusedInstancesFindTheRelaysThroughRefusedSeeds(t *testing.T) {
-	inFleet(t, 2, storeFault{}, func(f *fleet) {
+	withCluster(t, 2, storeFault{}, func(f *cluster) {
 		for i := range 60 {
 			f.startRefused(i, i < len(f.seeds) || i%3 == 0)
 		}
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 	})
 }
 
@@ -73,15 +73,15 @@
 func TestReadsOfTheStoreDoNotFollowTheInstances(t *testing.T) {
 	rates := make(map[int]int)
 	for _, instances := range []int{300, 1000} {
-		inFleet(t, fleetDataCentres, storeFault{}, func(f *fleet) {
+		withCluster(t, clusterDataCentres, storeFault{}, func(f *cluster) {
 			for i := range instances {
 				f.start(i)
 			}
-			f.until(startBound)
+			f.waitUntilSynced(startTimeout)
 			time.Sleep(2 * time.Second)
-			before := f.store.counted()
+			before := f.store.callCount()
 			time.Sleep(10 * time.Second)
-			rates[instances] = f.store.counted() - before
+			rates[instances] = f.store.callCount() - before
 		})
 	}
 	if float64(rates[1000]) > 1.2*float64(rates[300]) {
@@ -90,12 +90,12 @@
 }
 
 // Where a data centre has no more instances than slots each reads for itself.
-func TestSmallDeploymentsHaveRelaysOnly(t *testing.T) {
-	inFleet(t, 3, storeFault{}, func(f *fleet) {
+func TestAllInstancesOfASmallDeploymentAreRelays(t *testing.T) {
+	withCluster(t, 3, storeFault{}, func(f *cluster) {
 		for i := range 12 {
 			f.start(i)
 		}
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 		time.Sleep(5 * time.Second)
 		if got := len(f.relays()); got != 12 {
 			t.Errorf("%d relays", got)
@@ -105,21 +105,21 @@
 
 // A change reaches all soon, also while relays are lost, and their slots are taken.
 func TestChangesReachAllWhileRelaysAreLost(t *testing.T) {
-	inFleet(t, 2, storeFault{}, func(f *fleet) {
+	withCluster(t, 2, storeFault{}, func(f *cluster) {
 		for i := range 60 {
 			f.start(i)
 		}
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
-		lost := f.relays()
-		if len(lost) != 2*SlotsPerDataCentre {
-			t.Fatalf("relays %v", lost)
+		killed := f.relays()
+		if len(killed) != 2*SlotsPerDataCentre {
+			t.Fatalf("relays %v", killed)
 		}
-		for _, i := range lost[:len(lost)-1] {
+		for _, i := range killed[:len(killed)-1] {
 			f.kill(i)
 		}
 		f.store.put(settingsTopic, "settings", "v2")
-		if took := f.until(2 * time.Second); took > 2*time.Second {
+		if took := f.waitUntilSynced(2 * time.Second); took > 2*time.Second {
 			t.Errorf("known to all after %s", took)
 		}
 		time.Sleep(takeoverAfter + takeoverDelayFactor*claimJitter*10 + time.Second)
@@ -132,35 +132,35 @@
 // Instances know of a change within the bound although their relay, or the store for
 // their relay, has fallen silent right before it.
 func TestChangesAreKnownWithinTheBoundWhileARelayIsSilent(t *testing.T) {
-	for name, silence := range map[string]func(n *testNode){
+	for name, induceFault := range map[string]func(n *testNode){
 		"relay frozen":          func(n *testNode) { n.frozen.Store(true) },
-		"store silent to relay": func(n *testNode) { n.storeSilent.Store(true) },
+		"store silent to relay": func(n *testNode) { n.storeHangs.Store(true) },
 		"relay frozen, store silent to all": func(n *testNode) {
 			n.frozen.Store(true)
-			for _, other := range n.fleet.nodes {
-				other.storeSilent.Store(!other.ReadsStore())
+			for _, other := range n.cluster.nodes {
+				other.storeHangs.Store(!other.ReadsStore())
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 1, storeFault{}, func(f *fleet) {
+			withCluster(t, 1, storeFault{}, func(f *cluster) {
 				f.store.put(targetsTopic, "t", "x")
 				for i := range 40 {
 					f.start(i)
 				}
-				f.until(startBound)
+				f.waitUntilSynced(startTimeout)
 				time.Sleep(3 * time.Second)
 				for round := range 5 {
-					silent := f.nodes[address(f.relays()[round%SlotsPerDataCentre])]
-					silence(silent)
+					faulty := f.nodes[address(f.relays()[round%SlotsPerDataCentre])]
+					induceFault(faulty)
 					time.Sleep(time.Duration(round) * 900 * time.Millisecond)
 					f.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
-					if took := f.untilBut(silent, testBound); took >= testBound {
+					if took := f.waitUntilSyncedExcept(faulty, testBound); took >= testBound {
 						t.Errorf("round %d: known after %s", round, took)
 					}
-					silent.frozen.Store(false)
+					faulty.frozen.Store(false)
 					for _, n := range f.nodes {
-						n.storeSilent.Store(false)
+						n.storeHangs.Store(false)
 					}
 					time.Sleep(10 * time.Second)
 				}
@@ -170,14 +170,14 @@
 }
 
 // Where the store drops its history not every relay reads the whole list again.
-func TestDroppedHistoryIsReadOnceADataCentre(t *testing.T) {
-	inFleet(t, fleetDataCentres, storeFault{}, func(f *fleet) {
+func TestTrimmedHistoryIsReadOncePerDataCentre(t *testing.T) {
+	withCluster(t, clusterDataCentres, storeFault{}, func(f *cluster) {
 		for i := range 100 {
 			f.start(i)
 		}
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 		time.Sleep(2 * time.Second)
-		before := f.store.readWhole(targetsTopic)
+		before := f.store.wholeReadCount(targetsTopic)
 		for range 4 {
 			for i := range 10 {
 				f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
@@ -185,25 +185,25 @@
 			f.store.trim(targetsTopic)
 			time.Sleep(3 * time.Second)
 		}
-		f.until(startBound)
-		if reads := f.store.readWhole(targetsTopic) - before; reads > 4*2*fleetDataCentres {
-			t.Errorf("%d whole reads after 4 trims by %d relays", reads, fleetDataCentres*SlotsPerDataCentre)
+		f.waitUntilSynced(startTimeout)
+		if reads := f.store.wholeReadCount(targetsTopic) - before; reads > 4*2*clusterDataCentres {
+			t.Errorf("%d whole reads after 4 trims by %d relays", reads, clusterDataCentres*SlotsPerDataCentre)
 		}
 	})
 }
 
 // A process that starts again on the machine of a slot's holder goes on in the slot.
-func TestRestartedRelayGoesOn(t *testing.T) {
-	inFleet(t, 1, storeFault{}, func(f *fleet) {
+func TestRestartedRelayKeepsItsSlot(t *testing.T) {
+	withCluster(t, 1, storeFault{}, func(f *cluster) {
 		for i := range 20 {
 			f.start(i)
 		}
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
 		relays := f.relays()
 		f.kill(relays[0])
 		f.start(relays[0])
-		f.until(startBound)
+		f.waitUntilSynced(startTimeout)
 		if got := f.relays(); fmt.Sprint(got) != fmt.Sprint(relays) {
 			t.Errorf("relays %v, before %v", got, relays)
 		}
@@ -212,28 +212,28 @@
 
 // That the store refuses a relay alone is no outage for those who ask it: a target whose
 // registration goes then is gone, and not kept for its return.
-func TestRefusalOfARelayIsNoOutageForItsFollowers(t *testing.T) {
+func TestRefusedRelayIsNoOutageForItsFollowers(t *testing.T) {
 	topic := feed.NewTopic(targetsTopic, func(platform.Record) {})
 	health := feed.NewHealth()
 	n := New(Config{
 		Health: health, MaxStaleness: testBound, WritesToStore: func() bool { return false },
 		Topics: []FollowedTopic{{Topic: topic, Bounded: true}}, Log: slog.New(slog.DiscardHandler),
 	})
-	given := func(failing bool, age time.Duration) {
+	observe := func(failing bool, age time.Duration) {
 		n.updateHealth(topic, TopicReply{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
 	}
-	given(true, testBound/4)
-	given(false, testBound/4)
-	if back, ok := health.RecoveredAt(targetsTopic); !ok || !back.IsZero() {
-		t.Errorf("an outage ended at %s", back)
+	observe(true, testBound/4)
+	observe(false, testBound/4)
+	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || !recoveredAt.IsZero() {
+		t.Errorf("an outage ended at %s", recoveredAt)
 	}
-	given(true, testBound)
+	observe(true, testBound)
 	if _, ok := health.RecoveredAt(targetsTopic); ok {
 		t.Error("no outage although nobody knows anything new")
 	}
-	given(false, testBound/4)
-	if back, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(back) > time.Minute {
-		t.Errorf("the outage ended at %s", back)
+	observe(false, testBound/4)
+	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(recoveredAt) > time.Minute {
+		t.Errorf("the outage ended at %s", recoveredAt)
 	}
 }
 
@@ -241,14 +241,14 @@
 func TestSlotOfAnotherWriterNamesNobody(t *testing.T) {
 	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
-	good := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
-	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(good)})
+	valid := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
+	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(valid)})
 	if key, _ := n.table.freeSlot(self); key != "dc/1" {
 		t.Errorf("free slot %q beside one that is held", key)
 	}
 	for _, value := range []string{
-		"\xff", "null", "[]", "{}", good[:20], strings.Replace(good, "dc", "other", 1),
-		strings.Replace(good, `"o"`, `""`, 1), strings.Replace(good, "10.0.0.2:80", "somewhere", 1),
+		"\xff", "null", "[]", "{}", valid[:20], strings.Replace(valid, "dc", "other", 1),
+		strings.Replace(valid, `"o"`, `""`, 1), strings.Replace(valid, "10.0.0.2:80", "somewhere", 1),
 	} {
 		n.applySlot(platform.Record{Key: "dc/0", Value: []byte(value)})
 		if key, _ := n.table.freeSlot(self); key != "dc/0" {
@@ -270,7 +270,7 @@
 
 // Instances spread evenly over the relays of their data centre, and ask those of
 // others only behind them.
-func TestInstancesSpreadOverTheirRelays(t *testing.T) {
+func TestInstancesSpreadEvenlyOverRelays(t *testing.T) {
 	slots := make(slotTable)
 	for _, dc := range []string{"a", "b"} {
 		for i := range SlotsPerDataCentre {
