--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -19,7 +19,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// storeLimits are what a store gives to all instances together.
+// Limits of the simulated store, shared by all instances.
 const (
 	storeLatency   = 4 * time.Millisecond
 	maxStoreReads  = 16000 // a second
@@ -29,17 +29,17 @@
 	testBound      = 2 * time.Second
 )
 
-// storeFault is how the store behaves.
+// storeFault configures how the store fails.
 type storeFault struct {
-	// outage is how long it refuses all calls from the start on.
+	// outage is how long the store refuses all calls from its start.
 	outage time.Duration
-	// extraLatency is by how much its answers take longer.
+	// extraLatency is added to the latency of each call.
 	extraLatency time.Duration
-	// refusedFraction is the share of the instances that it refuses.
+	// refusedFraction is the fraction of instances that the store refuses.
 	refusedFraction float64
 }
 
-// limitedStore is a store that refuses calls beyond its limits.
+// limitedStore is an in-memory store that refuses calls beyond its rate limits.
 type limitedStore struct {
 	fault   storeFault
 	started time.Time
@@ -52,7 +52,7 @@
 	reads   int
 	writes  int
 	calls   int
-	// wholeReads counts the first pages of topics that were read.
+	// wholeReads counts, per topic, the reads of the first page.
 	wholeReads map[string]int
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// put writes a record as something else than an instance does.
+// put appends a record without a call to the store.
 func (s *limitedStore) put(topic, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +94,14 @@
 	return s.calls
 }
 
-// readAll counts how often a topic was read from its beginning.
+// wholeReadCount returns how often a topic was read from its start.
 func (s *limitedStore) wholeReadCount(topic string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.wholeReads[topic]
 }
 
-// call counts a call and tells whether it is refused.
+// call counts a call and returns an error if it is refused.
 func (s *limitedStore) call(write bool) error {
 	delay.Sleep(context.Background(), storeLatency+s.fault.extraLatency)
 	s.mu.Lock()
@@ -121,15 +121,15 @@
 	return nil
 }
 
-// instanceStore is the store as one instance reaches it.
+// instanceStore is the store as seen by one instance.
 type instanceStore struct {
 	*limitedStore
 	refused bool
-	// hanging has calls hang.
+	// hanging makes calls block until they are cancelled.
 	hanging *atomic.Bool
 }
 
-// hang waits until the call is given up if the store is silent for the instance.
+// hang blocks until the context ends if calls of this instance hang.
 func (s instanceStore) hang(ctx context.Context) error {
 	if !s.hanging.Load() {
 		return nil
@@ -220,17 +220,16 @@
 	return s.append(a.Topic, a.Records), nil
 }
 
-// cluster is instances of one deployment, with a store, without a network.
+// cluster simulates the instances of a deployment and their store without a network.
 type cluster struct {
-	t     *testing.T
-	store *limitedStore
-	// dataCentres is the number of data centres.
+	t           *testing.T
+	store       *limitedStore
 	dataCentres int
 	seeds       []string
 
 	mu    sync.Mutex
 	nodes map[string]*testNode
-	// started is one more than the number of the last machine that started.
+	// started is one more than the highest machine number started.
 	started int
 }
 
@@ -240,7 +239,7 @@
 	stop    context.CancelFunc
 	done    chan struct{}
 	topics  []*feed.Topic
-	// frozen has questions to it hang, storeHangs its calls to the store.
+	// frozen makes queries to the node hang, storeHangs its calls to the store.
 	frozen, storeHangs atomic.Bool
 }
 
@@ -250,7 +249,7 @@
 	instancesTopic = "keyed.instances"
 )
 
-var errUnreachable = errors.New("nobody listens")
+var errUnreachable = errors.New("instance is unreachable")
 
 // Query implements Peers.
 func (f *cluster) Query(ctx context.Context, address string, q Query) (Reply, error) {
@@ -300,7 +299,7 @@
 	return f.startRefused(i, rand.Float64() < f.store.fault.refusedFraction)
 }
 
-// startRefused is start of an instance that the store may refuse.
+// startRefused starts an instance that the store may refuse.
 func (f *cluster) startRefused(i int, refused bool) *testNode {
 	power := 0.2
 	if i%5 == 0 {
@@ -337,7 +336,7 @@
 	return n
 }
 
-// kill ends an instance; it answers no more.
+// kill stops an instance and makes it unreachable.
 func (f *cluster) kill(i int) {
 	f.mu.Lock()
 	n := f.nodes[address(i)]
@@ -347,7 +346,7 @@
 	<-n.done
 }
 
-// behind counts the instances but one that do not know all that the store holds.
+// behind counts the instances, without the excluded one, that lack records of the store.
 func (f *cluster) behind(except *testNode) int {
 	behind := 0
 	for _, n := range f.nodes {
@@ -367,17 +366,17 @@
 	return behind
 }
 
-// waitUntilSynced waits until all instances know all and returns how long it took.
+// waitUntilSynced waits until all instances hold all records and returns the time taken.
 func (f *cluster) waitUntilSynced(limit time.Duration) time.Duration {
 	return f.waitUntilSyncedExcept(nil, limit)
 }
 
-// waitUntilSyncedExcept is until without one instance.
+// waitUntilSyncedExcept is waitUntilSynced without one instance.
 func (f *cluster) waitUntilSyncedExcept(except *testNode, limit time.Duration) time.Duration {
 	started := time.Now()
 	for f.behind(except) > 0 {
 		if time.Since(started) > limit {
-			f.t.Errorf("%d of %d instances do not know all after %s", f.behind(except), len(f.nodes), limit)
+			f.t.Errorf("%d of %d instances lack records after %s", f.behind(except), len(f.nodes), limit)
 			return limit
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// Dump is what an instance tells of how it keeps its topics.
+// Dump is the state of an instance's topics for debugging.
 type Dump struct {
-	// Relay tells that it reads them from the store; Source is the relay that it
-	// asks otherwise.
+	// Relay reports whether the instance reads the topics from the store; Source is the
+	// address of the relay that it polls otherwise.
 	Relay  bool   `json:"relay"`
 	Source string `json:"source,omitempty"`
-	// Ages are how long ago each topic was last known to be the newest, in seconds.
+	// Ages maps each topic to the time since its copy was last known to be current, in
+	// seconds.
 	Ages map[string]float64 `json:"ages"`
-	// Slots are the relays that it knows, Silent those that did not answer it.
+	// Slots are the known slot holders, Silent the addresses of unresponsive relays.
 	Slots  map[string]Holder `json:"slots"`
 	Silent []string          `json:"silent,omitempty"`
 }
 
-// Dump tells how this instance keeps its topics.
+// Dump returns the state of this instance's topics.
 func (n *Node) Dump(now time.Time) Dump {
 	d := Dump{Relay: n.reading.Load(), Ages: make(map[string]float64), Slots: n.slotHolders()}
 	if source := n.source.Load(); source != nil {
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -15,42 +15,46 @@
 )
 
 const (
-	// avoidDuration is how long a relay is not asked after it did not answer.
+	// avoidDuration is how long a relay is not polled after a failed query.
 	avoidDuration = 2 * time.Second
-	// takeoverAfter is how long a relay does not answer before its slot is taken.
+	// takeoverAfter is how long a relay has to be unresponsive before its slot is taken.
 	takeoverAfter = 3 * time.Second
-	// claimJitter is the time over which the claims of instances of a whole core are
-	// spread; smaller machines wait longer.
+	// claimJitter is the range of the random delay before a claim on a machine with a
+	// whole core; smaller machines wait longer.
 	claimJitter = 100 * time.Millisecond
-	// claimDelaysPerSlot is by how many times the claims of each further slot of a data
-	// centre are spread longer.
+	// claimDelaysPerSlot is the number of claim delays added for each slot of the data
+	// centre that is already held.
 	claimDelaysPerSlot = 2
-	// takeoverDelayFactor is how many times longer the claims of a silent relay's slot are
-	// spread: others still answer meanwhile.
+	// takeoverDelayFactor multiplies the claim delay for the slot of an unresponsive
+	// relay, since other relays still serve the data centre.
 	takeoverDelayFactor = 10
-	// minCPUShare bounds the waits of small machines.
+	// minCPUShare bounds the delays of small machines.
 	minCPUShare = 0.1
-	// noSourceInterval is the time between two questions while no relay is known.
+	// noSourceInterval is the time between two queries while no relay is known.
 	noSourceInterval = 100 * time.Millisecond
-	// maxClaimDoublings bounds the waits of instances that write to the slots at once.
+	// maxClaimDoublings bounds the backoff after conflicting claims.
 	maxClaimDoublings = 4
 	// claimTimeout bounds a call to the store for a slot.
 	claimTimeout = 900 * time.Millisecond
-	// claimBackoff is the time until the next try after one that failed.
+	// claimBackoff is the minimum delay after a claim that failed for another reason than
+	// a conflict.
 	claimBackoff = time.Second
-	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two tries to read the slots.
+	// minDiscoveryBackoff and maxDiscoveryBackoff bound the time between two attempts to
+	// read the slots.
 	minDiscoveryBackoff = 50 * time.Millisecond
 	maxDiscoveryBackoff = 800 * time.Millisecond
-	// seedFallbackDelay and fallbackDelay are when a seed, which others ask, and another
-	// instance read the topics without knowing the slots.
+	// seedFallbackDelay is the time after which a seed reads the topics without knowing
+	// the slots. Other instances, which query the seeds, wait for fallbackDelay plus a
+	// random part of fallbackJitter.
 	seedFallbackDelay = time.Second
 	fallbackDelay     = 4 * time.Second
 	fallbackJitter    = 2 * time.Second
-	// fallbackInterval is the time between two tries to read another topic meanwhile.
+	// fallbackInterval is the time between two checks whether only the slots are
+	// unavailable.
 	fallbackInterval = time.Second
 )
 
-// randomClaimDelay draws how long this instance waits before it takes a slot.
+// randomClaimDelay picks how long this instance waits before it claims a slot.
 func (n *Node) randomClaimDelay() time.Duration {
 	return time.Duration(rand.Float64() * float64(claimJitter) / n.cpuShare())
 }
@@ -62,7 +66,8 @@
 	return min(max(n.CPUShare, minCPUShare), 1)
 }
 
-// scheduleFallback draws when the topics are read without knowing the slots.
+// scheduleFallback picks the time from which the topics may be read without knowing the
+// slots.
 func (n *Node) scheduleFallback() {
 	wait := fallbackDelay + time.Duration(rand.Float64()*float64(fallbackJitter)/n.cpuShare())
 	if n.isSeed() {
@@ -71,13 +76,13 @@
 	n.fallbackAt = time.Now().Add(wait)
 }
 
-// isSeed tells whether others know this instance from their start on, or nobody is.
+// isSeed reports whether this instance is one of the seeds, or no seeds are configured.
 func (n *Node) isSeed() bool {
 	return len(n.Seeds) == 0 || slices.Contains(n.Seeds, n.Self.Address)
 }
 
-// onlySlotsUnavailable tells whether the store has served other topics for a while and not the
-// slots.
+// onlySlotsUnavailable reports whether the store serves another topic but not the slots,
+// once the fallback time has passed.
 func (n *Node) onlySlotsUnavailable(ctx context.Context) bool {
 	if n.slots.Loaded() || time.Now().Before(n.fallbackAt) {
 		return false
@@ -88,12 +93,13 @@
 	if _, _, err := n.Store.NewestPage(ctx, n.Topics[0].Topic.Name, 0, ""); err != nil {
 		return false
 	}
-	// The store may have come back between the two reads.
+	// The store may have recovered between the two reads.
 	_, err := n.readSlots(ctx)
 	return err != nil
 }
 
-// discoverSlots reads the slots once, from the store or from a seed.
+// discoverSlots tries once to read the slots, from the store or else from another
+// instance, and backs off after a failure.
 func (n *Node) discoverSlots(ctx context.Context) {
 	recovered := n.Health.Recovered()
 	_, err := n.readSlots(ctx)
@@ -101,7 +107,7 @@
 	if err == nil {
 		return
 	}
-	n.Log.Debug("slots not read", "error", err.Error())
+	n.Log.Debug("failed to read the slots", "error", err.Error())
 	n.queryAny(ctx, n.timing.pollWait)
 	if n.slots.Loaded() {
 		return
@@ -117,7 +123,7 @@
 	}
 }
 
-// readSlots reads the slots from the store and returns where their topic ends.
+// readSlots reads the slots from the store and returns the end offset of their topic.
 func (n *Node) readSlots(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -134,7 +140,7 @@
 	return list.End, nil
 }
 
-// pollRelay asks a relay once.
+// pollRelay sends one query to a relay, or to any instance if no relay is known.
 func (n *Node) pollRelay(ctx context.Context) {
 	source, ok := n.nextSource(time.Now())
 	if !ok {
@@ -146,9 +152,9 @@
 	delay.Sleep(ctx, pollInterval)
 }
 
-// runClaims takes a slot whenever it is time to, beside the questions to
-// relays: the store may take long to answer, or not answer at all, and what is new must
-// not wait for that. It ends with the context or once this instance holds a slot.
+// runClaims claims a slot whenever a claim is due. It runs beside the polling of relays,
+// so that a slow or unresponsive store does not delay updates. It returns when the
+// context ends or this instance holds a slot.
 func (n *Node) runClaims(ctx context.Context) {
 	for ctx.Err() == nil && !n.holdsSlot() {
 		now := time.Now()
@@ -164,7 +170,7 @@
 	}
 }
 
-// followRelays follows relays until this instance holds a slot.
+// followRelays polls relays until this instance holds a slot.
 func (n *Node) followRelays(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -179,7 +185,8 @@
 	work.Wait()
 }
 
-// pollSource asks one relay.
+// pollSource polls one relay and records whether it is unresponsive or its copies are
+// stale.
 func (n *Node) pollSource(ctx context.Context, source Holder) {
 	n.source.Store(&source.Address)
 	err := n.queryAll(ctx, source.Address, n.timing.pollWait)
@@ -206,8 +213,8 @@
 	}
 }
 
-// nextSource is the relay to ask: the first one that is in order, or the one that was
-// stale the longest time ago. It returns false if none may be asked now.
+// nextSource returns the relay to poll: the first one that is not avoided, else the one
+// that has been stale the longest. It returns false if there is none.
 func (n *Node) nextSource(now time.Time) (Holder, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -224,7 +231,8 @@
 	return stale, stale.Address != ""
 }
 
-// nextClaimTime is when this instance should take a slot; zero if there is none to take.
+// nextClaimTime returns when this instance should claim a slot, zero if none can be
+// claimed.
 func (n *Node) nextClaimTime(now time.Time) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -248,8 +256,8 @@
 	return due
 }
 
-// unresponsiveSlot is the slot of the data centre whose holder has not answered for the
-// longest time, and since when. The mutex is held.
+// unresponsiveSlot returns the slot of this data centre whose holder has been
+// unresponsive the longest, and since when. n.mu is held.
 func (n *Node) unresponsiveSlot() (string, time.Time, bool) {
 	var longest string
 	var since time.Time
@@ -263,7 +271,7 @@
 	return longest, since, longest != ""
 }
 
-// claim reads the slots again and takes one, if there still is one to take.
+// claim reads the slots again and takes one if one can still be claimed.
 func (n *Node) claim(ctx context.Context) {
 	end, err := n.readSlots(ctx)
 	if err == nil {
@@ -276,16 +284,16 @@
 	case err == nil:
 		n.claimConflicts = 0
 	case errors.Is(err, platform.ErrCondition):
-		// Another instance wrote first, probably for another data centre.
+		// Another instance wrote first, often one of another data centre.
 		n.claimConflicts++
 		n.nextClaimAt = time.Now().Add(n.claimDelay << min(n.claimConflicts, maxClaimDoublings))
 	default:
 		n.nextClaimAt = time.Now().Add(claimBackoff + n.claimDelay)
-		n.Log.Info("slot not taken", "error", err.Error())
+		n.Log.Info("failed to take a slot", "error", err.Error())
 	}
 }
 
-// claimAt takes a slot if nobody has written since the slots were read up to an end.
+// claimAt takes a slot on the condition that the slots' topic still ends at an offset.
 func (n *Node) claimAt(ctx context.Context, end int64) error {
 	key, ok := n.claimableSlot()
 	if !ok {
@@ -293,7 +301,7 @@
 	}
 	value, err := json.Marshal(n.Self)
 	if err != nil {
-		return errors.Wrap(err, "encode the holder of a slot")
+		return errors.Wrap(err, "encode the holder of the slot")
 	}
 	call, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -307,7 +315,7 @@
 	return nil
 }
 
-// claimableSlot is the slot that this instance may take.
+// claimableSlot returns the slot that this instance may take now.
 func (n *Node) claimableSlot() (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -16,47 +16,48 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Store is what an instance reads the topics from.
+// Store is the part of the platform's store that a Node uses.
 type Store interface {
 	feed.Store
 	Append(ctx context.Context, a platform.Append) (int64, error)
 }
 
-// Peers ask other instances.
+// Peers sends queries to other instances.
 type Peers interface {
 	Query(ctx context.Context, address string, q Query) (Reply, error)
 }
 
-// FollowedTopic is a topic that relays read and pass on.
+// FollowedTopic is a topic that relays read from the store and pass on.
 type FollowedTopic struct {
 	Topic *feed.Topic
-	// Wait is how long a read waits at the store for a record, Pause the time
-	// between two reads.
+	// Wait is how long a read waits at the store for a record, Pause the time between two
+	// reads.
 	Wait  time.Duration
 	Pause time.Duration
-	// Bounded topics have to be known everywhere within Parts.Bound of a change.
+	// Bounded topics have to reach all instances within Config.MaxStaleness of a change.
 	Bounded bool
-	// Large topics are read from the store by the first relay of a data centre; the
-	// others take its copy and read on from there.
+	// Large topics are read from the store by the first relay of a data centre only; the
+	// others start from its copy.
 	Large bool
 }
 
-// Config are what a Node works with.
+// Config holds the dependencies and settings of a Node.
 type Config struct {
 	Self Holder
-	// CPUShare is what the machine can do, 1 for a whole core.
+	// CPUShare is the machine's share of a core, 1 for a whole core or more.
 	CPUShare float64
 	// Seeds are addresses of other instances, which may be stale.
 	Seeds []string
 	Store Store
 	Peers Peers
-	// Topics are passed on; a reader is told at once when the first of them was
-	// confirmed.
+	// Topics are the topics to keep up to date. Queries return as soon as the first of
+	// them is confirmed to be current.
 	Topics []FollowedTopic
-	// MaxStaleness is the time within which all have to know what changed; 0 for none.
+	// MaxStaleness is the time within which a change has to reach all instances; 0 for no
+	// bound.
 	MaxStaleness time.Duration
-	// WritesToStore tells that this instance writes to the store and has to notice by itself
-	// whether the store answers.
+	// WritesToStore reports whether this instance writes to the store. It then watches
+	// the store itself, even if it is no relay.
 	WritesToStore func() bool
 	// PeerAddresses lists the addresses of other instances.
 	PeerAddresses func() []string
@@ -64,46 +65,51 @@
 	Log           *slog.Logger
 }
 
-// Node keeps the topics of an instance up to date, as a relay or from relays.
+// Node keeps the topics of an instance up to date, from the store if it is a relay and
+// from relays otherwise.
 type Node struct {
 	Config
-	// slots is the topic of the slots.
+	// slots is the topic of the relay slots.
 	slots *feed.Topic
-	// fallbackAt is when the topics may be read without knowing the slots, learning
-	// counts the tries to learn them; both belong to Run.
+	// fallbackAt is the time from which the topics may be read without knowing the slots,
+	// slotReadFailures counts failed attempts to read the slots. Both are used by Run
+	// only.
 	fallbackAt       time.Time
 	slotReadFailures int
-	// copiesAllowedAt is when copies may be read without knowing the slots.
+	// copiesAllowedAt is the time from which copies in the store may be read without
+	// knowing the slots.
 	copiesAllowedAt time.Time
-	// reading tells that this instance reads the topics from the store.
+	// reading indicates that this instance reads the topics from the store.
 	reading atomic.Bool
 	source  atomic.Pointer[string]
 	timing  timing
-	// relayHint is the address of a relay that greeted this instance as a seed.
+	// relayHint is the address of the relay that last announced itself to this instance.
 	relayHint atomic.Pointer[string]
-	// lastQueriedAt is when another instance last asked this one for news.
+	// lastQueriedAt is when another instance last polled this one for updates.
 	lastQueriedAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
 	table slotTable
-	// failures are relays that did not answer, by address.
+	// failures holds the relays that were unresponsive or stale, by address.
 	failures map[string]failure
-	// vacantSince is since when a slot of the data centre is known to be free.
+	// vacantSince is when a slot of this data centre was first seen free.
 	vacantSince time.Time
-	// claimDelay is how long this instance waits before it takes a slot.
+	// claimDelay is how long this instance waits before it claims a slot.
 	claimDelay time.Duration
-	// nextClaimAt is when a slot may be claimed again after a try that failed.
+	// nextClaimAt is the earliest time of the next claim after a failed one.
 	nextClaimAt time.Time
-	// claimConflicts counts claims in a row before which another instance wrote.
+	// claimConflicts counts consecutive claims that failed because another instance wrote
+	// first.
 	claimConflicts int
 }
 
-// failure is a relay that does not answer.
+// failure describes a relay that is avoided. unresponsiveSince is zero if the relay
+// responds but its copies are stale.
 type failure struct {
 	unresponsiveSince, avoidUntil time.Time
 }
 
-// New makes a Node. Run has to be called once.
+// New returns a Node. Run has to be called once.
 func New(cfg Config) *Node {
 	n := &Node{Config: cfg, table: make(slotTable), failures: make(map[string]failure), timing: newTiming(cfg.MaxStaleness)}
 	n.slots = feed.NewTopic(SlotsTopic, n.applySlot)
@@ -124,7 +130,7 @@
 	}
 	e, err := decodeHolder(r)
 	if err != nil {
-		n.Log.Error("slot ignored", "slot", r.Key, "offset", r.Offset, "error", err.Error())
+		n.Log.Error("ignored malformed slot record", "slot", r.Key, "offset", r.Offset, "error", err.Error())
 		delete(n.table, r.Key)
 		return
 	}
@@ -132,29 +138,30 @@
 	n.Log.Info("relay listed", "slot", r.Key, "machine", e.Machine, "address", e.Address)
 }
 
-// ReadsStore tells whether this instance reads the topics from the store.
+// ReadsStore reports whether this instance reads the topics from the store.
 func (n *Node) ReadsStore() bool { return n.reading.Load() }
 
-// MayReadCopies tells whether this instance may read what the store keeps of the topics
-// elsewhere: as a relay, or while the store does not give the slots. Then the seeds
-// begin, which the others ask, and those follow one by one.
+// MayReadCopies reports whether this instance may read the copies that the store keeps of
+// the topics: as a relay, or while the slots cannot be read. In the latter case seeds
+// start at once and other instances, which query the seeds, after a random delay.
 func (n *Node) MayReadCopies() bool {
 	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAllowedAt))
 }
 
 const (
-	// pollInterval is the least time between two questions: changes that come in
-	// series are asked for together.
+	// pollInterval is the minimum time between two polls, so that changes in quick
+	// succession are fetched together.
 	pollInterval = 150 * time.Millisecond
-	// queryRetryInterval is the time between two questions while no relay answers.
+	// queryRetryInterval is the time between two queries of a relay whose reads of the
+	// store fail.
 	queryRetryInterval = 400 * time.Millisecond
-	// slotCheckInterval is how often it is looked whether the slot is still held.
+	// slotCheckInterval is how often an instance checks whether it holds a slot.
 	slotCheckInterval = 200 * time.Millisecond
-	// watchInterval is how often it is looked whether this instance has to notice by
-	// itself whether the store answers.
+	// watchInterval is how often an instance checks whether it has to watch the store
+	// itself.
 	watchInterval = time.Second
-	// slotsReadWait is how long a relay's read of the slots waits; watchReadWait is that of
-	// an instance that has to notice a cut link to the store.
+	// slotsReadWait is how long a relay's read of the slots waits. watchReadWait is that
+	// of an instance that watches the store and has to detect a cut connection.
 	slotsReadWait = 12 * time.Second
 	watchReadWait = 3 * time.Second
 )
@@ -171,7 +178,7 @@
 		case !n.slots.Loaded():
 			n.discoverSlots(ctx)
 			if n.onlySlotsUnavailable(ctx) {
-				n.Log.Warn("topics are read without knowing the relays")
+				n.Log.Warn("slots are unavailable, reading the topics from the store")
 				n.readFromStore(ctx, n.slots.Loaded)
 			}
 		default:
@@ -188,7 +195,7 @@
 	return ok
 }
 
-// readFromStore reads the topics from the store until an event.
+// readFromStore reads the topics from the store until ended returns true.
 func (n *Node) readFromStore(ctx context.Context, ended func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -201,7 +208,7 @@
 	work.Go(func() { n.announceToSeeds(ctx) })
 	n.reading.Store(true)
 	n.source.Store(nil)
-	n.Log.Info("topics are read from the store")
+	n.Log.Info("reading the topics from the store")
 	for ctx.Err() == nil && !ended() {
 		delay.Sleep(ctx, slotCheckInterval)
 	}
@@ -223,8 +230,8 @@
 	follower.Run(ctx)
 }
 
-// watchStore follows the slots at the store while this instance has to notice by
-// itself whether the store answers.
+// watchStore follows the slots at the store while this instance writes to the store
+// without being a relay, in order to detect outages.
 func (n *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.WritesToStore() && !n.reading.Load() && n.slots.Loaded() {
@@ -245,16 +252,16 @@
 	work.Wait()
 }
 
-// Bounds of the wait for another relay's copy of a large topic. One that is not
-// known is urgent; one whose history was dropped is taken once the other relay has
-// read it again, after its pause.
+// Timeouts of the copy of a large topic from another relay. A topic that is not loaded is
+// urgent. One whose history was trimmed is available once the other relay has read it
+// again, after its pause.
 const (
 	firstCatchUpTimeout = 700 * time.Millisecond
 	catchUpMargin       = 300 * time.Millisecond
 )
 
-// catchUp takes a topic from a relay with an earlier slot. It tells whether there
-// was more to take than is known.
+// catchUp takes a topic from the relays with earlier slots. It reports whether they had
+// newer records.
 func (n *Node) catchUp(ctx context.Context, f FollowedTopic) bool {
 	n.mu.Lock()
 	number, _ := n.table.slotOf(n.Self)
@@ -269,7 +276,7 @@
 	for _, e := range earlier {
 		for ctx.Err() == nil {
 			if err := n.query(ctx, e.Address, wait, f.Topic); err != nil {
-				n.Log.Debug("relay gave no copy", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
+				n.Log.Debug("failed to copy a topic from a relay", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
 				break
 			}
 			if f.Topic.Loaded() && f.Topic.NextOffset() > before {
@@ -280,23 +287,24 @@
 	return false
 }
 
-// announceInterval is the time between two greetings of the seeds.
+// announceInterval is the time between two announcements to the seeds.
 const announceInterval = 2 * time.Second
 
-// announceToSeeds tells the seeds of this relay: they are all that an instance knows which
-// the store refuses, and the store may refuse them too.
+// announceToSeeds sends this relay's address to the seeds. An instance that the store
+// refuses knows only the seeds, and the store may refuse those too.
 func (n *Node) announceToSeeds(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, seed := range n.otherSeeds() {
 			if err := n.query(ctx, seed, 0); err != nil && !errors.Is(err, errNotRelay) {
-				n.Log.Debug("seed does not answer", "address", seed, "error", err.Error())
+				n.Log.Debug("failed to announce this relay to a seed", "address", seed, "error", err.Error())
 			}
 		}
 		delay.Sleep(ctx, announceInterval)
 	}
 }
 
-// queryWhileFailing asks others for news while the store refuses this instance.
+// queryWhileFailing queries other instances while this instance's reads of the store
+// fail.
 func (n *Node) queryWhileFailing(ctx context.Context) {
 	for delay.Sleep(ctx, queryRetryInterval) {
 		if !n.Health.OK() {
@@ -305,19 +313,19 @@
 	}
 }
 
-// queryAny asks another relay, or any instance if none is known, which may wait for
-// news.
+// queryAny queries a random relay or other instance, which may wait for updates.
 func (n *Node) queryAny(ctx context.Context, wait time.Duration) {
 	address := n.anyAddress()
 	if address == "" {
 		return
 	}
 	if err := n.queryAll(ctx, address, wait); err != nil {
-		n.Log.Debug("instance gave no topics", "address", address, "error", err.Error())
+		n.Log.Debug("failed to query an instance for topics", "address", address, "error", err.Error())
 	}
 }
 
-// anyAddress is the address of another relay or, for as often as not, of any instance.
+// anyAddress picks the address of another relay or, half of the time or if no relay is
+// known, of any instance.
 func (n *Node) anyAddress() string {
 	n.mu.Lock()
 	sources := n.table.sources(n.Self)
@@ -351,10 +359,10 @@
 	return seeds
 }
 
-// errNotRelay tells that an instance that was asked as a relay is none.
-var errNotRelay = errors.New("the instance does not read the topics from the store")
+// errNotRelay indicates that the queried instance is not a relay.
+var errNotRelay = errors.New("the instance is not a relay")
 
-// queryAll asks an instance for what is new in all topics.
+// queryAll queries an instance for updates of all topics.
 func (n *Node) queryAll(ctx context.Context, address string, wait time.Duration) error {
 	topics := []*feed.Topic{n.slots}
 	for _, f := range n.Topics {
@@ -363,11 +371,11 @@
 	return n.query(ctx, address, wait, topics...)
 }
 
-// wholeTopicTimeout is how long an answer with a whole topic may be silent.
+// wholeTopicTimeout is the reply timeout of queries for whole topics.
 const wholeTopicTimeout = 900 * time.Millisecond
 
-// query asks an instance for what is new in topics. It returns errNotRelay, with the
-// answer taken, if the instance is no relay.
+// query fetches updates of topics from an instance. If that instance is not a relay, it
+// merges the reply and returns errNotRelay.
 func (n *Node) query(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
 	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.timing.replyTimeout}
 	for _, t := range topics {
@@ -375,7 +383,7 @@
 			q.Offsets[t.Name] = t.NextOffset()
 			continue
 		}
-		// A whole topic takes a relay a while that many ask at once.
+		// A relay takes longer to send a whole topic when many instances start at once.
 		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeTopicTimeout
 	}
 	if n.reading.Load() {
@@ -394,7 +402,7 @@
 		}
 		merged, err := t.MergeCopy(update.Copy, receivedAt)
 		if err != nil {
-			return errors.Wrapf(err, "topic %s of %s", t.Name, address)
+			return errors.Wrapf(err, "merge topic %s from %s", t.Name, address)
 		}
 		if merged > 0 {
 			n.Log.Info("records taken from a copy", "topic", t.Name, "records", merged, "next", t.NextOffset(), "source", address)
@@ -407,10 +415,10 @@
 	return nil
 }
 
-// updateHealth takes the word of a relay on the store, where this instance does not know by
-// itself. One that has not read a topic yet knows nothing of it; one whose copy is
-// fresh all the same is refused alone, and has it from others: that is no outage, in
-// which registrations lapse.
+// updateHealth records a relay's report on the store where this instance does not read
+// the store itself. A relay that has not loaded a topic knows nothing about it. A relay
+// whose reads fail but whose copy is fresh, from other relays, is refused alone: that is
+// no outage, in which registrations lapse.
 func (n *Node) updateHealth(t *feed.Topic, update TopicReply) {
 	if !update.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
 		return
@@ -419,7 +427,7 @@
 	n.Health.SetFailing(t.Name, update.Failing && !fresh, time.Now())
 }
 
-// slotHolders is a copy of who holds the slots.
+// slotHolders returns a copy of the slot table.
 func (n *Node) slotHolders() slotTable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,24 +14,24 @@
 const (
 	// clusterDataCentres is the number of data centres of a large deployment.
 	clusterDataCentres = 5
-	// startTimeout is the time in which all know all after a start of all.
+	// startTimeout bounds the time until all instances hold all records after a
+	// simultaneous start.
 	startTimeout = 10 * time.Second
-	// maxStartCalls is the number of calls to the store that a start of all may take, an
-	// instance.
+	// maxStartCalls bounds the calls to the store per instance during a simultaneous
+	// start.
 	maxStartCalls = 16
-	// targetCount fill some pages of the store.
+	// targetCount is a number of targets that spans several pages of the store.
 	targetCount = 3 * storePageSize
 )
 
-// All know all within ten seconds of a start of all, with a bounded number of calls
-// an instance, whatever the number of instances: a start that asks more than the
-// store gives fails, asks again and never ends.
+// A simultaneous start has to complete within a bounded time and a bounded number of
+// calls per instance, or instances that exceed the store's limits retry forever.
 func TestStartOfAllStaysWithinWhatTheStoreGives(t *testing.T) {
 	faults := map[string]storeFault{
-		"sound":         {},
-		"away for 5 s":  {outage: 5 * time.Second},
-		"60 times slow": {extraLatency: 59 * storeLatency},
-		"refuses third": {refusedFraction: 1.0 / 3},
+		"sound":               {},
+		"unavailable for 5 s": {outage: 5 * time.Second},
+		"60 times slower":     {extraLatency: 59 * storeLatency},
+		"refuses a third":     {refusedFraction: 1.0 / 3},
 	}
 	for name, fault := range faults {
 		for _, instances := range []int{1000, 2000} {
@@ -46,9 +46,9 @@
 					}
 					took := f.waitUntilSynced(startTimeout)
 					calls := float64(f.store.callCount()) / float64(instances)
-					t.Logf("%s, %.1f calls an instance, %d relays", took, calls, len(f.relays()))
+					t.Logf("%s, %.1f calls per instance, %d relays", took, calls, len(f.relays()))
 					if calls > maxStartCalls {
-						t.Errorf("%.1f calls an instance", calls)
+						t.Errorf("%.1f calls per instance", calls)
 					}
 					if relays := len(f.relays()); relays > clusterDataCentres*SlotsPerDataCentre {
 						t.Errorf("%d relays", relays)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Instances that the store refuses learn of the relays although it refuses all seeds.
+// Instances that the store refuses find the relays even if the store refuses all seeds.
 func TestRefusedInstancesFindTheRelaysThroughRefusedSeeds(t *testing.T) {
 	withCluster(t, 2, storeFault{}, func(f *cluster) {
 		for i := range 60 {
@@ -69,7 +69,7 @@
 	})
 }
 
-// What idle instances ask of the store does not grow with their number.
+// The read load of idle instances on the store does not grow with their number.
 func TestReadsOfTheStoreDoNotFollowTheInstances(t *testing.T) {
 	rates := make(map[int]int)
 	for _, instances := range []int{300, 1000} {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Where a data centre has no more instances than slots each reads for itself.
+// Where a data centre has no more instances than slots, each is a relay.
 func TestAllInstancesOfASmallDeploymentAreRelays(t *testing.T) {
 	withCluster(t, 3, storeFault{}, func(f *cluster) {
 		for i := range 12 {
@@ -103,7 +103,8 @@
 	})
 }
 
-// A change reaches all soon, also while relays are lost, and their slots are taken.
+// Changes still spread quickly when relays are killed, and other instances take their
+// slots.
 func TestChangesReachAllWhileRelaysAreLost(t *testing.T) {
 	withCluster(t, 2, storeFault{}, func(f *cluster) {
 		for i := range 60 {
@@ -120,22 +121,22 @@
 		}
 		f.store.put(settingsTopic, "settings", "v2")
 		if took := f.waitUntilSynced(2 * time.Second); took > 2*time.Second {
-			t.Errorf("known to all after %s", took)
+			t.Errorf("change took %s to reach all instances", took)
 		}
 		time.Sleep(takeoverAfter + takeoverDelayFactor*claimJitter*10 + time.Second)
 		if got := len(f.relays()); got != 2*SlotsPerDataCentre {
-			t.Errorf("%d relays after others took over", got)
+			t.Errorf("%d relays after the takeover", got)
 		}
 	})
 }
 
-// Instances know of a change within the bound although their relay, or the store for
-// their relay, has fallen silent right before it.
+// A change reaches the followers of a relay within the bound although the relay hangs, or
+// the relay's calls to the store hang, from right before the change.
 func TestChangesAreKnownWithinTheBoundWhileARelayIsSilent(t *testing.T) {
 	for name, induceFault := range map[string]func(n *testNode){
-		"relay frozen":          func(n *testNode) { n.frozen.Store(true) },
-		"store silent to relay": func(n *testNode) { n.storeHangs.Store(true) },
-		"relay frozen, store silent to all": func(n *testNode) {
+		"relay hangs":           func(n *testNode) { n.frozen.Store(true) },
+		"store hangs for relay": func(n *testNode) { n.storeHangs.Store(true) },
+		"relay hangs, store hangs for the others": func(n *testNode) {
 			n.frozen.Store(true)
 			for _, other := range n.cluster.nodes {
 				other.storeHangs.Store(!other.ReadsStore())
@@ -156,7 +157,7 @@
 					time.Sleep(time.Duration(round) * 900 * time.Millisecond)
 					f.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
 					if took := f.waitUntilSyncedExcept(faulty, testBound); took >= testBound {
-						t.Errorf("round %d: known after %s", round, took)
+						t.Errorf("round %d: change took %s", round, took)
 					}
 					faulty.frozen.Store(false)
 					for _, n := range f.nodes {
@@ -169,7 +170,7 @@
 	}
 }
 
-// Where the store drops its history not every relay reads the whole list again.
+// After the store trims its history, not every relay reads the whole topic again.
 func TestTrimmedHistoryIsReadOncePerDataCentre(t *testing.T) {
 	withCluster(t, clusterDataCentres, storeFault{}, func(f *cluster) {
 		for i := range 100 {
@@ -192,7 +193,7 @@
 	})
 }
 
-// A process that starts again on the machine of a slot's holder goes on in the slot.
+// A process that restarts on the machine of a slot's holder keeps the slot.
 func TestRestartedRelayKeepsItsSlot(t *testing.T) {
 	withCluster(t, 1, storeFault{}, func(f *cluster) {
 		for i := range 20 {
@@ -210,8 +211,8 @@
 	})
 }
 
-// That the store refuses a relay alone is no outage for those who ask it: a target whose
-// registration goes then is gone, and not kept for its return.
+// A relay that the store refuses alone is no outage for its followers: a target whose
+// registration ends meanwhile is removed rather than retained.
 func TestRefusedRelayIsNoOutageForItsFollowers(t *testing.T) {
 	topic := feed.NewTopic(targetsTopic, func(platform.Record) {})
 	health := feed.NewHealth()
@@ -225,26 +226,27 @@
 	observe(true, testBound/4)
 	observe(false, testBound/4)
 	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || !recoveredAt.IsZero() {
-		t.Errorf("an outage ended at %s", recoveredAt)
+		t.Errorf("unexpected end of an outage at %s", recoveredAt)
 	}
 	observe(true, testBound)
 	if _, ok := health.RecoveredAt(targetsTopic); ok {
-		t.Error("no outage although nobody knows anything new")
+		t.Error("no outage although all copies are stale")
 	}
 	observe(false, testBound/4)
 	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(recoveredAt) > time.Minute {
-		t.Errorf("the outage ended at %s", recoveredAt)
+		t.Errorf("end of the outage is %s", recoveredAt)
 	}
 }
 
-// What no instance can have written names no holder, and leaves the slot free.
+// A slot record that no instance can have written names no holder and leaves the slot
+// free.
 func TestSlotOfAnotherWriterNamesNobody(t *testing.T) {
 	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
 	valid := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
 	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(valid)})
 	if key, _ := n.table.freeSlot(self); key != "dc/1" {
-		t.Errorf("free slot %q beside one that is held", key)
+		t.Errorf("free slot %q although dc/0 is held", key)
 	}
 	for _, value := range []string{
 		"\xff", "null", "[]", "{}", valid[:20], strings.Replace(valid, "dc", "other", 1),
@@ -268,8 +270,8 @@
 	})
 }
 
-// Instances spread evenly over the relays of their data centre, and ask those of
-// others only behind them.
+// Instances spread evenly over the relays of their data centre and use those of other
+// data centres last.
 func TestInstancesSpreadEvenlyOverRelays(t *testing.T) {
 	slots := make(slotTable)
 	for _, dc := range []string{"a", "b"} {
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -9,39 +9,39 @@
 	"github.com/banyanglade/banyanglade/internal/feed"
 )
 
-// Query asks an instance for what is new in some topics.
+// Query asks an instance for updates of some topics.
 type Query struct {
-	// Offsets is the offset for each topic that the copy has to begin at, feed.Unread for
-	// all of a topic that is not known.
+	// Offsets maps each topic to the offset from which its copy has to start,
+	// feed.FromStart for the whole topic.
 	Offsets map[string]int64
-	// Wait is how long the answer may wait for news.
+	// Wait is how long the instance may hold the query until there are updates.
 	Wait time.Duration
 	// RelayAddress is the address of the sender if it reads the topics from the store.
 	RelayAddress string
-	// ReplyTimeout is how long the answer may take beyond that before the instance counts
-	// as silent; it is not sent.
+	// ReplyTimeout is the time beyond Wait after which the instance counts as
+	// unresponsive. It is not sent.
 	ReplyTimeout time.Duration
 }
 
-// Reply is what an instance knows.
+// Reply holds an instance's updates for a query.
 type Reply struct {
-	// Relay tells that the instance reads the topics from the store.
+	// Relay indicates that the instance reads the topics from the store.
 	Relay bool
-	// HeldMs is how long the question waited at the instance, in milliseconds.
+	// HeldMs is how long the instance held the query, in milliseconds.
 	HeldMs int64
 	Topics map[string]TopicReply
 }
 
-// TopicReply is what an instance knows of a topic.
+// TopicReply holds the update of one topic.
 type TopicReply struct {
 	feed.Copy
-	// Failing tells that the instance's reads of the topic fail.
+	// Failing indicates that the instance's reads of the topic fail.
 	Failing bool
 }
 
-// HandleQuery answers another instance once there is news for it or its wait is over. News
-// of a topic that is read with pauses wait as long as such a pause for more: answers
-// then follow time and not the number of changes.
+// HandleQuery replies once there are updates, the first topic is confirmed to be current
+// or the query's wait is over. Updates of a topic that is read with pauses are held for
+// one such pause, so that the rate of replies does not grow with the rate of changes.
 func (n *Node) HandleQuery(ctx context.Context, q Query) (Reply, error) {
 	started := time.Now()
 	if q.RelayAddress != "" {
@@ -68,7 +68,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Reply{}, errors.Wrap(ctx.Err(), "wait for news")
+			return Reply{}, errors.Wrap(ctx.Err(), "wait for updates")
 		case <-timer.C:
 			expired = true
 		case <-batched:
@@ -80,10 +80,12 @@
 	}
 }
 
-// maxWatchedTopics is how many topics a question may wait for.
+// maxWatchedTopics is the number of topics, the slots among them, that a query can wait
+// for.
 const maxWatchedTopics = 4
 
-// updateChannels are closed when topics next move; nil where there are fewer topics.
+// updateChannels returns the channels that are closed on the next update of each topic,
+// nil beyond the last one.
 func (n *Node) updateChannels() [maxWatchedTopics]<-chan struct{} {
 	var channels [maxWatchedTopics]<-chan struct{}
 	channels[0] = n.slots.Updated()
@@ -93,7 +95,6 @@
 	return channels
 }
 
-// forEachTopic calls a function for each topic.
 func (n *Node) forEachTopic(visit func(*feed.Topic)) {
 	visit(n.slots)
 	for _, f := range n.Topics {
@@ -101,8 +102,8 @@
 	}
 }
 
-// hasUpdates tells whether a question can be answered with records that its sender lacks,
-// and how long they may wait for more.
+// hasUpdates reports whether there are records that the sender of a query lacks, and how
+// long they may be held to batch further ones.
 func (n *Node) hasUpdates(q Query) (updates bool, delay time.Duration) {
 	delay = q.Wait
 	check := func(f FollowedTopic) {
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -14,34 +14,34 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// SlotsTopic holds a record for each slot.
+// SlotsTopic holds one record per slot.
 const SlotsTopic = platform.KeyedPrefix + "relays"
 
-// SlotsPerDataCentre is the number of relays of a data centre: with one lost and
-// one cut off from the store two share its instances.
+// SlotsPerDataCentre is the number of relays of a data centre. With one crashed and one
+// cut off from the store, two are left to serve its instances.
 const SlotsPerDataCentre = 4
 
-// Holder is the holder of a slot.
+// Holder is an instance that holds a slot.
 type Holder struct {
 	Machine    string `json:"machine"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 }
 
-// slotKey names a slot: the data centre and a number from 0.
+// slotKey returns the key of a slot: the data centre and a number from 0.
 func slotKey(dataCentre string, number int) string {
 	return dataCentre + "/" + strconv.Itoa(number)
 }
 
-// decodeHolder reads the record of a slot. One that is of another data centre or has
-// no address was not written by an instance.
+// decodeHolder decodes the record of a slot. It rejects records that no instance can have
+// written: those of another data centre, without a machine or without a valid address.
 func decodeHolder(r platform.Record) (Holder, error) {
 	var e Holder
 	if err := json.Unmarshal(r.Value, &e); err != nil {
-		return Holder{}, errors.Wrap(err, "decode the holder of a slot")
+		return Holder{}, errors.Wrap(err, "decode the holder of the slot")
 	}
 	if !strings.HasPrefix(r.Key, e.DataCentre+"/") || e.Machine == "" {
-		return Holder{}, errors.Newf("slot %q names machine %q of data centre %q", r.Key, e.Machine, e.DataCentre)
+		return Holder{}, errors.Newf("slot %q names machine %q of data centre %q; expected a machine of the slot's data centre", r.Key, e.Machine, e.DataCentre)
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
 		return Holder{}, errors.Wrap(err, "address")
@@ -49,10 +49,10 @@
 	return e, nil
 }
 
-// slotTable is who holds the slots.
+// slotTable maps the keys of slots to their holders.
 type slotTable map[string]Holder
 
-// slotOf is the number of the slot that an instance holds in its data centre, false
+// slotOf returns the number of the slot that an instance holds in its data centre, false
 // if it holds none.
 func (t slotTable) slotOf(self Holder) (int, bool) {
 	for number := range SlotsPerDataCentre {
@@ -63,8 +63,8 @@
 	return 0, false
 }
 
-// freeSlot is the first slot of a data centre that nobody holds, or that names the
-// machine with an address that it no longer has.
+// freeSlot returns the first slot of a data centre that has no holder or is held by an
+// earlier address of the same machine.
 func (t slotTable) freeSlot(self Holder) (string, bool) {
 	for number := range SlotsPerDataCentre {
 		key := slotKey(self.DataCentre, number)
@@ -75,8 +75,8 @@
 	return "", false
 }
 
-// sources lists the other relays in the order in which an instance asks them: those
-// of its data centre first, in an order that spreads the instances evenly.
+// sources lists the other relays in the order in which an instance polls them: those of
+// its data centre first, ordered by rendezvous hashing to spread the load.
 func (t slotTable) sources(self Holder) []Holder {
 	type candidate struct {
 		Holder
@@ -111,7 +111,7 @@
 	return 1
 }
 
-// holdersBefore lists the holders of the slots of a data centre before a number.
+// holdersBefore lists the holders of the slots of a data centre below a number.
 func (t slotTable) holdersBefore(dataCentre string, number int) []Holder {
 	var entries []Holder
 	for i := range number {
--- a/internal/relay/timing.go
+++ b/internal/relay/timing.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// timing are how long the steps take in which a change reaches an instance through a
-// relay. A change has to be known within a bound also if the relay falls silent, or
-// the store falls silent for the relay, right before it: the relay's read, the time
-// until the relay is given up and the question to the next one lie within the bound.
+// timing holds the timeouts on the path of a change from the store to an instance. A
+// change has to arrive within the staleness bound even if the relay, or the relay's
+// connection to the store, hangs right before it: the relay's read, the timeout of the
+// poll and the query to the next relay together fit into the bound.
 type timing struct {
-	// pollWait is how long a question waits at a relay for news, silence how long the
-	// answer may take beyond that.
+	// pollWait is how long a relay may hold a poll, replyTimeout how long the reply may
+	// take beyond that.
 	pollWait, replyTimeout time.Duration
-	// maxReadWait and pause bound a relay's reads at the store and the times between them
-	// while others ask it.
+	// maxReadWait and maxReadPause bound a relay's reads of the store and the pauses
+	// between them while other instances poll it.
 	maxReadWait, maxReadPause time.Duration
-	// maxAge is how old a relay's topics may be; it is more than they are while its
-	// reads are in order.
+	// maxAge is the age from which a relay's copies count as stale. It exceeds their age
+	// while the relay's reads succeed.
 	maxAge time.Duration
 }
 
-// Parts of the bound.
+// The timeouts as fractions of the staleness bound.
 const (
 	pollWaitFraction     = 1.0 / 4
 	replyTimeoutFraction = 1.0 / 5
 	readWaitFraction     = 1.0 / 4
 	readPauseFraction    = 1.0 / 8
 	maxAgeFraction       = 0.45
-	// maxStalenessCap stands for none.
+	// maxStalenessCap is used in place of longer bounds or none.
 	maxStalenessCap = 5 * time.Second
-	// followerTimeout is how long an instance counts as followed after a question.
+	// followerTimeout is how long after a query an instance counts as polled by others.
 	followerTimeout = 5 * time.Second
 )
 
@@ -42,8 +42,8 @@
 	}
 }
 
-// limitRead bounds a read of the store and the pause behind it while others ask this
-// instance.
+// limitRead bounds a read of the store and the pause after it while other instances poll
+// this one.
 func (n *Node) limitRead(wait, pause time.Duration) (time.Duration, time.Duration) {
 	if at := n.lastQueriedAt.Load(); at == nil || time.Since(*at) > followerTimeout {
 		return wait, pause
@@ -51,8 +51,8 @@
 	return min(wait, n.timing.maxReadWait), min(pause, n.timing.maxReadPause)
 }
 
-// hasStaleTopics tells whether a relay's copies of the bounded topics that this instance
-// knows are older than they are at a relay whose reads are in order.
+// hasStaleTopics reports whether the copies of the bounded topics are older than those of
+// a relay whose reads succeed.
 func (n *Node) hasStaleTopics(now time.Time) bool {
 	for _, f := range n.Topics {
 		if f.Bounded && f.Topic.Loaded() && f.Topic.Age(now) > n.timing.maxAge {
