--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory keeps the list of instances and which of them answer. It
-// decides what is fast, never what is safe: the store's epochs do that.
+// Package directory keeps the list of instances and whether they respond. It is used for
+// routing only: correctness is ensured by the epochs in the store.
 package directory
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// separator stands between a machine's name and the number of a start in the
-// id of an instance.
+// separator separates the machine's name from the start number in the id of an instance.
 const separator = "~"
 
-// InstanceID makes the id of one start of the process on a machine.
+// InstanceID returns the id of one incarnation of the process on a machine. The start
+// number is a time and distinguishes the incarnations.
 func InstanceID(machine, start string) structs.InstanceID {
 	return structs.InstanceID(machine + separator + start)
 }
 
-// MachineOf is the machine that an instance runs on.
+// MachineOf returns the machine on which an instance runs.
 func MachineOf(id structs.InstanceID) string {
 	machine, _, _ := strings.Cut(string(id), separator)
 	return machine
@@ -32,7 +32,7 @@
 	self structs.Peer
 
 	mu sync.Mutex
-	// byMachine holds the newest start on each machine.
+	// byMachine holds the latest incarnation on each machine.
 	byMachine    map[string]structs.Peer
 	unresponsive map[structs.InstanceID]bool
 	leaving      map[structs.InstanceID]bool
@@ -40,7 +40,7 @@
 	version uint64
 }
 
-// New makes a directory that holds this instance only.
+// New returns a directory that lists this instance only.
 func New(self structs.Peer) *Directory {
 	return &Directory{
 		self:         self,
@@ -50,17 +50,17 @@
 	}
 }
 
-// Version changes whenever what the directory says may have changed.
+// Version changes whenever the results of other methods may have changed.
 func (d *Directory) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// Self is this instance.
+// Self returns this instance.
 func (d *Directory) Self() structs.Peer { return d.self }
 
-// Put adds an instance, or replaces an earlier start on its machine.
+// Put adds an instance, or replaces another incarnation on its machine.
 func (d *Directory) Put(p structs.Peer) {
 	machine := MachineOf(p.ID)
 	if machine == MachineOf(d.self.ID) {
@@ -75,8 +75,8 @@
 	d.byMachine[machine] = p
 }
 
-// Discover adds an instance that something else than the list names, unless a later
-// start on its machine is listed.
+// Discover adds an instance learned from another source than the list, unless the same or
+// a later incarnation on its machine is listed.
 func (d *Directory) Discover(id structs.InstanceID, address string) {
 	machine := MachineOf(id)
 	if machine == MachineOf(d.self.ID) || address == "" {
@@ -90,19 +90,19 @@
 		return
 	}
 	d.forget(old.ID)
-	// An earlier start on the machine was in the same data centre.
+	// The earlier incarnation on the machine was in the same data centre.
 	discovered := old
 	discovered.ID, discovered.Address = id, address
 	d.byMachine[machine] = discovered
 }
 
-// startedAfter tells whether a start on a machine came after another one there.
-// The numbers of starts are times in one base, so a longer one is later.
+// startedAfter reports whether an incarnation on a machine started after another one
+// there. Start numbers are times in the same base, so a longer one is later.
 func startedAfter(a, b structs.InstanceID) bool {
 	return len(a) > len(b) || (len(a) == len(b) && a > b)
 }
 
-// Remove drops the instance on a machine.
+// Remove removes the instance on a machine.
 func (d *Directory) Remove(machine string) {
 	if machine == MachineOf(d.self.ID) {
 		return
@@ -119,7 +119,7 @@
 	delete(d.leaving, id)
 }
 
-// Resolve finds an instance.
+// Resolve returns the instance with an id, false if it is not listed.
 func (d *Directory) Resolve(id structs.InstanceID) (structs.Peer, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -127,8 +127,8 @@
 	return p, ok && p.ID == id
 }
 
-// Ended tells whether an instance is known to have ended: another start on its
-// machine is listed.
+// Ended reports whether an instance is known to have ended, since another incarnation on
+// its machine is listed.
 func (d *Directory) Ended(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,7 +136,7 @@
 	return ok && p.ID != id
 }
 
-// SetUnresponsive notes whether an instance answers.
+// SetUnresponsive records whether an instance is unresponsive.
 func (d *Directory) SetUnresponsive(id structs.InstanceID, unresponsive bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +151,7 @@
 	delete(d.unresponsive, id)
 }
 
-// SetLeaving notes that an instance shuts down.
+// SetLeaving records that an instance is shutting down.
 func (d *Directory) SetLeaving(id structs.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,7 +159,7 @@
 	d.leaving[id] = true
 }
 
-// Usable tells whether an instance is listed and answers, as far as is known.
+// Usable reports whether an instance is listed and not known to be unresponsive.
 func (d *Directory) Usable(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,15 +170,14 @@
 	return d.byMachine[MachineOf(id)].ID == id && !d.unresponsive[id]
 }
 
-// Suspected tells whether an instance is listed but did not answer when it was
-// last asked.
+// Suspected reports whether an instance is listed but was unresponsive last.
 func (d *Directory) Suspected(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byMachine[MachineOf(id)].ID == id && d.unresponsive[id]
 }
 
-// Others lists the other instances that answer.
+// Others lists the other usable instances.
 func (d *Directory) Others() []structs.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -192,8 +191,9 @@
 	return others
 }
 
-// Ranked lists the instances that answer and do not leave, by rendezvous
-// hashing of a key, so that a change of one instance moves only what it held.
+// Ranked lists the usable instances that are not shutting down, ordered by rendezvous
+// hashing of a key. When an instance joins or leaves, only the keys for which it ranks
+// first move.
 func (d *Directory) Ranked(key string) []structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -207,12 +207,13 @@
 	return rendezvous.Order(all)
 }
 
-// First is the first of Ranked, empty if there is none.
+// First returns the first instance of Ranked, empty if there is none.
 func (d *Directory) First(key string) structs.InstanceID {
 	return d.FirstExcept(key, func(structs.InstanceID) bool { return false })
 }
 
-// FirstExcept is the first of Ranked that is not excluded, empty if there is none.
+// FirstExcept returns the first instance of Ranked that is not excluded, empty if there
+// is none.
 func (d *Directory) FirstExcept(key string, excluded func(structs.InstanceID) bool) structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -229,8 +230,7 @@
 	return first.ID
 }
 
-// TopN lists the first instances by rendezvous hashing of a key, whether they
-// answer or not.
+// TopN lists the first instances by rendezvous hashing of a key, usable or not.
 func (d *Directory) TopN(key string, limit int) []structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -241,10 +241,10 @@
 	return rendezvous.Order(all)[:min(limit, len(all))]
 }
 
-// candidate is an instance with the score of its machine for a key.
+// candidate is an instance with the rendezvous score of its machine.
 type candidate = rendezvous.Candidate[structs.InstanceID]
 
-// Rank is the place that an instance has among those of Ranked, from 0.
+// Rank returns the position of an instance among those of Ranked, from 0.
 func (d *Directory) Rank(key string, id structs.InstanceID) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -15,15 +15,15 @@
 	old, next := peerAt("m", "1"), peerAt("m", "2")
 	d.Put(old)
 	if d.Ended(old.ID) || !d.Usable(old.ID) {
-		t.Error("the first start counts as ended")
+		t.Error("the first incarnation counts as ended")
 	}
 	d.SetUnresponsive(old.ID, true)
 	d.Put(next)
 	if !d.Ended(old.ID) || d.Usable(old.ID) || !d.Usable(next.ID) {
-		t.Error("the second start did not replace the first")
+		t.Error("the second incarnation did not replace the first")
 	}
 	if _, ok := d.Resolve(old.ID); ok {
-		t.Error("an ended instance was found")
+		t.Error("an ended instance was resolved")
 	}
 	d.Remove("m")
 	if d.Usable(next.ID) || len(d.Others()) != 0 {
@@ -52,7 +52,7 @@
 	d.SetLeaving(removed)
 	for _, key := range keys {
 		if d.Ranked(key)[0] == removed {
-			t.Errorf("%s is given to an instance that leaves", key)
+			t.Errorf("%s ranks an instance first that is shutting down", key)
 		}
 	}
 }
@@ -62,6 +62,6 @@
 	d.Put(peerAt("self", "1"))
 	d.Remove("self")
 	if !d.Usable(peerAt("self", "2").ID) {
-		t.Error("this instance lost itself")
+		t.Error("this instance is not listed")
 	}
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -49,7 +49,7 @@
 }
 
 func newTransport(
-	life backgroundContext, dir *directory.Directory, options Options, r *eventRouter, scope tally.Scope, log *slog.Logger,
+	background backgroundContext, dir *directory.Directory, options Options, r *eventRouter, scope tally.Scope, log *slog.Logger,
 ) (*peer.Transport, error) {
 	self := dir.Self()
 	cfg := peer.Config{
@@ -57,15 +57,15 @@
 		PeerTimeout: peerTimeout, DialTimeout: peerDialTimeout, HeartbeatInterval: peerHeartbeatInterval,
 		MaxHandshakes: maxPeerHandshakes,
 	}
-	return peer.New(life, cfg, r.dispatch, dir.Resolve, scope, log)
+	return peer.New(background, cfg, r.dispatch, dir.Resolve, scope, log)
 }
 
 func newBudgets(
-	life backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
+	background backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, registry *targets.Registry, health *feed.Health, instances *instanceList, r *eventRouter,
 	scope tally.Scope, log *slog.Logger,
 ) *budget.Keeper {
-	r.budgets = budget.New(life, budget.Parts{
+	r.budgets = budget.New(background, budget.Parts{
 		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, Breaks: registry, Loads: registry,
 		Health: health, Listed: instances.loaded, Scope: scope, Log: log,
 	})
@@ -73,10 +73,10 @@
 }
 
 func newConversations(
-	life backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
+	background backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, health *feed.Health, r *eventRouter, scope tally.Scope, log *slog.Logger,
 ) *conversation.Keeper {
-	r.conversations = conversation.New(life, conversation.Parts{
+	r.conversations = conversation.New(background, conversation.Parts{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
 		Store: store, Peers: transport, Health: health, Scope: scope, Log: log,
 	})
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -77,59 +77,59 @@
 }
 
 // put applies an entry of the target.
-func (w *feedHarness) put(offset int64, value []byte) {
-	w.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
+func (h *feedHarness) put(offset int64, value []byte) {
+	h.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
 }
 
 // pick takes the target, nil if there is none to use.
-func (w *feedHarness) pick() *targets.Target {
-	return w.registry.Pick(targets.Want{Service: "s"}, time.Now())
+func (h *feedHarness) pick() *targets.Target {
+	return h.registry.Pick(targets.Want{Service: "s"}, time.Now())
 }
 
-func (w *feedHarness) refused(cause string) int64 {
-	counter, ok := w.scope.Snapshot().Counters()["targets.entries_refused+cause="+cause]
+func (h *feedHarness) refused(cause string) int64 {
+	counter, ok := h.scope.Snapshot().Counters()["targets.entries_refused+cause="+cause]
 	if !ok {
 		return 0
 	}
 	return counter.Value()
 }
 
-func withFeedHarness(t *testing.T, body func(w *feedHarness)) {
+func withFeedHarness(t *testing.T, body func(h *feedHarness)) {
 	synctest.Test(t, func(t *testing.T) {
 		log := slog.New(slog.DiscardHandler)
 		health := feed.NewHealth()
-		w := &feedHarness{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
-		w.feed = newTargetFeed(w.registry, &w.connections, health, w.scope, log)
+		h := &feedHarness{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
+		h.feed = newTargetFeed(h.registry, &h.connections, health, h.scope, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		for _, name := range []string{platform.TopicTargets, topicInstances} {
 			f := feed.Follower{
-				Store: &w.store, Topic: feed.NewTopic(name, func(platform.Record) {}), Wait: time.Second, Health: health, Log: log,
+				Store: &h.store, Topic: feed.NewTopic(name, func(platform.Record) {}), Wait: time.Second, Health: health, Log: log,
 			}
 			work.Go(func() { f.Run(ctx) })
 		}
-		w.feed.apply(platform.Record{Key: "t", Value: []byte(targetEntry(0, "ready"))})
-		body(w)
+		h.feed.apply(platform.Record{Key: "t", Value: []byte(targetEntry(0, "ready"))})
+		body(h)
 		cancel()
 		work.Wait()
 	})
 }
 
 // drop ends a target's registration.
-func (w *feedHarness) drop() { w.feed.apply(platform.Record{Key: "t", Offset: 1}) }
+func (h *feedHarness) drop() { h.feed.apply(platform.Record{Key: "t", Offset: 1}) }
 
 // has tells whether the target is there after a time.
-func (w *feedHarness) hasAfter(d time.Duration) bool {
+func (h *feedHarness) hasAfter(d time.Duration) bool {
 	time.Sleep(d)
-	w.feed.sweep(time.Now())
-	return w.registry.Has("t")
+	h.feed.sweep(time.Now())
+	return h.registry.Has("t")
 }
 
 func TestDroppedTargetIsRemovedAtOnce(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
+	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second)
-		w.drop()
-		if w.hasAfter(0) {
+		h.drop()
+		if h.hasAfter(0) {
 			t.Error("a target without a registration is still there")
 		}
 	})
@@ -138,30 +138,30 @@
 // A registration that goes around an outage may only have lapsed; the target has
 // the time to register again, counted from the return of the targets' own topic.
 func TestLapsedTargetHasTimeToRegisterAgain(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
-		w.store.targetsUnavailable.Store(true)
-		w.store.instancesUnavailable.Store(true)
+	withFeedHarness(t, func(h *feedHarness) {
+		h.store.targetsUnavailable.Store(true)
+		h.store.instancesUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
-		w.drop()
-		w.store.targetsUnavailable.Store(false)
-		if !w.hasAfter(reregisterGrace / 2) {
+		h.drop()
+		h.store.targetsUnavailable.Store(false)
+		if !h.hasAfter(reregisterGrace / 2) {
 			t.Error("the target was removed before it could register again")
 		}
 		// The list of instances is still away.
-		if w.hasAfter(reregisterGrace) {
+		if h.hasAfter(reregisterGrace) {
 			t.Error("the target stays beyond its time")
 		}
 	})
 }
 
 func TestTargetThatRegistersAgainStays(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
-		w.store.targetsUnavailable.Store(true)
+	withFeedHarness(t, func(h *feedHarness) {
+		h.store.targetsUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
-		w.drop()
-		w.store.targetsUnavailable.Store(false)
-		w.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(targetEntry(0, "ready"))})
-		if !w.hasAfter(2 * reregisterGrace) {
+		h.drop()
+		h.store.targetsUnavailable.Store(false)
+		h.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(targetEntry(0, "ready"))})
+		if !h.hasAfter(2 * reregisterGrace) {
 			t.Error("a target that registered again was removed")
 		}
 	})
@@ -170,24 +170,24 @@
 // An entry that no target can have written names none to use; the others stay,
 // and the next good entry of the target puts it in force again.
 func TestEntryOfAnotherWriterNamesNoTarget(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
-		w.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
-		w.put(1, []byte(`{"Service":"s"}`))
-		if w.registry.Has("t") || !w.registry.Has("other") {
+	withFeedHarness(t, func(h *feedHarness) {
+		h.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
+		h.put(1, []byte(`{"Service":"s"}`))
+		if h.registry.Has("t") || !h.registry.Has("other") {
 			t.Error("the entry's target is used, or another one is not")
 		}
-		w.put(2, []byte("\xff"))
-		w.put(3, targetEntry(0, "warming"))
-		if w.registry.Has("t") {
+		h.put(2, []byte("\xff"))
+		h.put(3, targetEntry(0, "warming"))
+		if h.registry.Has("t") {
 			t.Error("a target with an unknown state is used")
 		}
 		for _, cause := range []string{"missing_field", "encoding", "unknown_state"} {
-			if w.refused(cause) != 1 {
-				t.Errorf("%d entries refused for %s", w.refused(cause), cause)
+			if h.refused(cause) != 1 {
+				t.Errorf("%d entries refused for %s", h.refused(cause), cause)
 			}
 		}
-		w.put(4, targetEntry(0, "ready"))
-		if !w.registry.Has("t") {
+		h.put(4, targetEntry(0, "ready"))
+		if !h.registry.Has("t") {
 			t.Error("the target is not used again")
 		}
 	})
@@ -196,19 +196,19 @@
 // A target that starts again under its id is another one: what was known of the
 // former is gone, and its kept connections are closed.
 func TestLaterStartReplacesTheTarget(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
-		w.put(1, targetEntry(1000, "ready"))
-		first := w.pick()
-		w.registry.Failed(first, time.Now())
-		w.put(2, targetEntry(2000, "ready"))
-		next := w.pick()
+	withFeedHarness(t, func(h *feedHarness) {
+		h.put(1, targetEntry(1000, "ready"))
+		first := h.pick()
+		h.registry.Failed(first, time.Now())
+		h.put(2, targetEntry(2000, "ready"))
+		next := h.pick()
 		if next == first || next.Incarnation() == first.Incarnation() || next.ID != first.ID {
 			t.Error("the later start is taken for the former")
 		}
-		if w.registry.Runs(first.Incarnation()) || w.registry.PickSame(first.Incarnation()) != nil {
+		if h.registry.Runs(first.Incarnation()) || h.registry.PickSame(first.Incarnation()) != nil {
 			t.Error("the former start still counts as running")
 		}
-		if got := []string(w.connections); !slices.Contains(got, "10.0.0.1:80") {
+		if got := []string(h.connections); !slices.Contains(got, "10.0.0.1:80") {
 			t.Errorf("connections closed: %v", got)
 		}
 	})
@@ -217,24 +217,24 @@
 // What an earlier start wrote changes nothing when it takes effect late, also
 // after the later one's entry has gone.
 func TestEntryOfAnEarlierStartChangesNothing(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
+	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second) // long after any outage
-		w.put(1, targetEntry(2000, "ready"))
-		present := w.pick()
-		w.put(2, targetEntry(1000, "draining"))
-		if w.pick() != present {
+		h.put(1, targetEntry(2000, "ready"))
+		present := h.pick()
+		h.put(2, targetEntry(1000, "draining"))
+		if h.pick() != present {
 			t.Error("an entry of an earlier start changed the target")
 		}
-		w.put(3, nil)
-		w.put(4, targetEntry(1000, "ready"))
-		if w.registry.Has("t") {
+		h.put(3, nil)
+		h.put(4, targetEntry(1000, "ready"))
+		if h.registry.Has("t") {
 			t.Error("an earlier start is used after a later one")
 		}
-		if w.refused("earlier_start") != 2 {
-			t.Errorf("%d entries refused", w.refused("earlier_start"))
+		if h.refused("earlier_start") != 2 {
+			t.Errorf("%d entries refused", h.refused("earlier_start"))
 		}
-		w.put(5, targetEntry(3000, "ready"))
-		if !w.registry.Has("t") {
+		h.put(5, targetEntry(3000, "ready"))
+		if !h.registry.Has("t") {
 			t.Error("a later start is not used")
 		}
 	})
@@ -242,10 +242,10 @@
 
 // A target that tells its start tells it in each entry.
 func TestEntryWithoutTheKnownStartIsRefused(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
-		w.put(1, targetEntry(2000, "ready"))
-		w.put(2, targetEntry(0, "ready"))
-		if w.registry.Has("t") {
+	withFeedHarness(t, func(h *feedHarness) {
+		h.put(1, targetEntry(2000, "ready"))
+		h.put(2, targetEntry(0, "ready"))
+		if h.registry.Has("t") {
 			t.Error("the entry is taken for the target's")
 		}
 	})
@@ -253,12 +253,12 @@
 
 // The log and the memory stay bounded however many entries are refused.
 func TestRefusalsAreBounded(t *testing.T) {
-	withFeedHarness(t, func(w *feedHarness) {
+	withFeedHarness(t, func(h *feedHarness) {
 		for i := range 2 * maxTrackedRefusals {
-			w.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
+			h.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
 		}
-		if len(w.feed.refusals.causes) > maxTrackedRefusals || w.refused("encoding") != 2*maxTrackedRefusals {
-			t.Errorf("%d kept, %d counted", len(w.feed.refusals.causes), w.refused("encoding"))
+		if len(h.feed.refusals.causes) > maxTrackedRefusals || h.refused("encoding") != 2*maxTrackedRefusals {
+			t.Errorf("%d kept, %d counted", len(h.feed.refusals.causes), h.refused("encoding"))
 		}
 	})
 }
--- a/internal/feed/copy.go
+++ b/internal/feed/copy.go
@@ -12,48 +12,52 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Copy is what an instance gives of its copy of a topic.
+// Copy is a topic's records from an offset on, as passed between instances and kept in
+// the store.
 type Copy struct {
-	// Whole tells that the giver knows the whole topic.
+	// Whole indicates that the sender has loaded the whole topic.
 	Whole bool
-	// From is the offset that the receiver asked from, Unread for all, Next the one to
-	// ask from the next time: what the records between them say is in the copy.
+	// From is the offset that the receiver asked for, FromStart for the whole topic, Next
+	// the offset to ask for next time. The copy contains the effect of all records
+	// between them.
 	From int64
 	Next int64
-	// Packed are the records.
+	// Packed holds the encoded and compressed records.
 	Packed []byte
-	// AgeMs is how long ago the giver knew that its copy was the newest, in
-	// milliseconds; UnknownAge if that is not known.
+	// AgeMs is how long ago the sender's copy was last known to be current, in
+	// milliseconds, or UnknownAge.
 	AgeMs int64
 }
 
-// UnknownAge stands in AgeMs for an age that is not known.
+// UnknownAge is the value of AgeMs for an unknown age.
 const UnknownAge = -1
 
 const (
 	// MaxCopyBytes bounds a copy before compression.
 	MaxCopyBytes = 16 << 20
-	// wholeCopyTTL is how long a whole copy is given out before it is made anew:
-	// what changed meanwhile is asked for next. It bounds the work of an instance
-	// that many ask at once.
+	// wholeCopyTTL is how long an encoded copy of the whole topic is reused. Receivers
+	// fetch later changes with their next query. It bounds the encoding work when many
+	// instances start at once.
 	wholeCopyTTL = 2 * time.Second
 )
 
-// copyCache keeps what was packed last, as those who ask mostly know the same.
+// copyCache caches encoded copies, since most receivers ask for the same offset.
 type copyCache struct {
 	lastChanged int64
 	byFrom      map[int64][]byte
-	// whole is the last copy from the beginning, made at a time.
+	// whole is the last copy of the whole topic, encoded at wholeMadeAt.
 	whole       Copy
 	wholeMadeAt time.Time
 }
 
-// Copy gives what is known from an offset on, or all of it, marked by Unread in From.
+// Copy returns the records from an offset on. It returns the whole topic, with FromStart
+// in From, if the offset is FromStart or lies before the first one for which dropped keys
+// are known.
 func (t *Topic) Copy(from int64, now time.Time) (Copy, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if from < t.floor {
-		// What was dropped between is not known here.
+		// Keys dropped between from and floor are not known here.
 		return t.wholeCopy(now)
 	}
 	c := Copy{Whole: t.loaded, From: from, Next: t.nextOffset, AgeMs: t.ageMs(now)}
@@ -75,7 +79,8 @@
 	return c, nil
 }
 
-// wholeCopy gives all that is known, or was known lately. The mutex is held.
+// wholeCopy returns a copy of the whole topic that is at most wholeCopyTTL old. t.mu is
+// held.
 func (t *Topic) wholeCopy(now time.Time) (Copy, error) {
 	whole, made := t.cache.whole, t.cache.wholeMadeAt
 	if whole.Whole && now.Sub(made) < wholeCopyTTL {
@@ -100,8 +105,8 @@
 	return t.age(now).Milliseconds()
 }
 
-// recordsSince lists the records whose content began at or behind an offset, dropped keys
-// among them; for Unread all that are there. The mutex is held.
+// recordsSince lists the records whose content began at or after an offset, including
+// dropped keys; for FromStart it lists all keys that are present. t.mu is held.
 func (t *Topic) recordsSince(from int64) []platform.Record {
 	var records []platform.Record
 	for _, r := range t.newest {
@@ -112,8 +117,8 @@
 	return records
 }
 
-// MergeCopy merges a copy that was asked for at a time, from at most Next on. It returns
-// how many records changed something.
+// MergeCopy merges a copy that was requested at the given time, from NextOffset or an
+// earlier offset on. It returns the number of records that changed the content.
 func (t *Topic) MergeCopy(c Copy, requestedAt time.Time) (int, error) {
 	records, err := unpack(c.Packed)
 	if err != nil {
@@ -134,14 +139,14 @@
 	if merged > 0 {
 		t.notify()
 	}
-	// A copy that ends before what is known says nothing of what came behind it.
+	// A copy that ends before nextOffset says nothing about the records behind its end.
 	if c.Whole && c.AgeMs >= 0 && c.Next >= t.nextOffset {
 		t.confirm(requestedAt.Add(-time.Duration(c.AgeMs) * time.Millisecond))
 	}
 	return merged, nil
 }
 
-// packedRecord is a record in a copy.
+// packedRecord is the encoded form of a record in a copy.
 type packedRecord struct {
 	Key    string
 	Value  []byte
@@ -153,11 +158,11 @@
 func newRecordCodec() *codec.CborHandle {
 	h := new(codec.CborHandle)
 	h.StructToArray = true
-	h.MaxInitLen = 1024 // elements allocated ahead on the word of a length field
+	h.MaxInitLen = 1024 // bounds what a forged length field allocates
 	return h
 }
 
-// pack encodes and compresses records, which mostly differ little from each other.
+// pack encodes and compresses records.
 func pack(records []platform.Record) ([]byte, error) {
 	if len(records) == 0 {
 		return nil, nil
@@ -177,7 +182,7 @@
 	return packed.Bytes(), nil
 }
 
-// unpack decodes what pack made.
+// unpack decodes the output of pack.
 func unpack(packed []byte) ([]platform.Record, error) {
 	if len(packed) == 0 {
 		return nil, nil
@@ -191,7 +196,7 @@
 		return nil, errors.Wrap(err, "decompress records")
 	}
 	if len(data) > MaxCopyBytes {
-		return nil, errors.Newf("a copy of more than %d bytes", MaxCopyBytes)
+		return nil, errors.Newf("copy exceeds %d bytes", MaxCopyBytes)
 	}
 	var rows []packedRecord
 	if err := codec.NewDecoderBytes(data, recordCodec).Decode(&rows); err != nil {
@@ -204,21 +209,21 @@
 	return records, nil
 }
 
-// Encode encodes a copy.
+// Encode returns the encoded copy.
 func (c Copy) Encode() ([]byte, error) {
 	var value []byte
 	err := codec.NewEncoderBytes(&value, recordCodec).Encode(c)
-	return value, errors.Wrap(err, "encode a copy")
+	return value, errors.Wrap(err, "encode copy")
 }
 
-// DecodeCopy decodes a copy and checks its records.
+// DecodeCopy decodes a copy and validates its records.
 func DecodeCopy(value []byte) (Copy, error) {
 	var c Copy
 	if err := codec.NewDecoderBytes(value, recordCodec).Decode(&c); err != nil {
-		return Copy{}, errors.Wrap(err, "decode a copy")
+		return Copy{}, errors.Wrap(err, "decode copy")
 	}
 	if len(c.Packed) == 0 {
-		return Copy{}, errors.New("a copy without records")
+		return Copy{}, errors.New("copy contains no records")
 	}
 	if _, err := unpack(c.Packed); err != nil {
 		return Copy{}, err
--- a/internal/feed/copy_test.go
+++ b/internal/feed/copy_test.go
@@ -10,10 +10,10 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// recordLimit is the size of the largest record of the users' store, in bytes.
+// recordLimit is the maximum size of a record of the platform's store, in bytes.
 const recordLimit = 256 << 10
 
-// largeSettings are settings of some thousand routes, as operators write them.
+// largeSettings returns encoded settings with thousands of routes.
 func largeSettings() []byte {
 	var routes []map[string]any
 	for i := range 3000 {
@@ -29,7 +29,7 @@
 	return value
 }
 
-// encoded is a whole copy of a topic.
+// encoded returns the encoded copy of a whole topic.
 func encoded(t testing.TB, topic *Topic) []byte {
 	t.Helper()
 	topicCopy, err := topic.Copy(FromStart, time.Now())
@@ -43,12 +43,12 @@
 	return value
 }
 
-// A copy of settings of some thousand routes fits into a record of the store and
-// comes back as it was.
+// A copy of settings with thousands of routes fits into one record of the store and
+// decodes to the same settings.
 func TestCopyOfLargeSettingsFitsIntoARecord(t *testing.T) {
 	settings := largeSettings()
 	if len(settings) <= recordLimit {
-		t.Fatalf("the settings take %d bytes only", len(settings))
+		t.Fatalf("the settings take %d bytes; expected more than fit into a record", len(settings))
 	}
 	source := NewTopic("t", func(platform.Record) {})
 	source.Replace(platform.Newest{Records: []platform.Record{{Key: platform.KeySettings, Value: settings, Offset: 5}}, End: 6})
@@ -66,15 +66,14 @@
 	}
 }
 
-// What another writer puts in place of a copy is refused, whatever it says of its
-// size.
+// Malformed, truncated and oversized copies are rejected.
 func TestCopyOfAnotherWriterIsRefused(t *testing.T) {
 	source := NewTopic("t", func(platform.Record) {})
 	source.Merge([]platform.Record{{Key: "k", Value: make([]byte, MaxCopyBytes), Offset: 1}})
 	whole := encoded(t, source)
 	for _, value := range [][]byte{nil, []byte("{}"), []byte("\xff"), whole[:len(whole)/2], whole} {
 		if got, err := DecodeCopy(value); err == nil {
-			t.Errorf("%d bytes were taken for a copy %+v", len(value), got)
+			t.Errorf("%d bytes were decoded as copy %+v", len(value), got)
 		}
 	}
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// readTimeoutMargin is what a read may take beyond the wait asked for before its
-	// connection counts as cut: the store answers within milliseconds, and
-	// within some hundred when it is slow.
+	// readTimeoutMargin is how long a read may take beyond its wait before its connection
+	// counts as cut. It has to exceed the response time of a slow store.
 	readTimeoutMargin = 900 * time.Millisecond
-	// probeTimeout is the same for a read after a failure, which does not wait
-	// at the store, so that the store's return is noticed soon.
+	// probeTimeout is the timeout of a read after a failure. Such a read does not wait
+	// for records, so that a recovery of the store is noticed soon.
 	probeTimeout = 600 * time.Millisecond
-	// minRetryInterval and maxRetryInterval bound the time between two tries of all failing
-	// topics together; it doubles with each failure of a topic. A refused read
-	// costs a call, so topics that fail together take turns, and the first success
-	// wakes all.
+	// minRetryInterval and maxRetryInterval bound the time between two retries of all
+	// failing topics together; it doubles with each failure of a topic. Refused reads
+	// count against the store's limits, so failing topics retry in turn, and the first
+	// success wakes all of them.
 	minRetryInterval = 50 * time.Millisecond
 	maxRetryInterval = 400 * time.Millisecond
 )
 
-// Store is what a Follower reads from.
+// Store is the part of the platform's store that a Follower reads.
 type Store interface {
 	NewestPage(ctx context.Context, topic string, partition int, after string) (platform.Newest, bool, error)
 	Read(ctx context.Context, topic string, partition int, from int64, wait time.Duration) ([]platform.Record, int64, error)
@@ -39,33 +38,34 @@
 	Topic *Topic
 	// Wait is how long a read waits at the store for a record.
 	Wait time.Duration
-	// Pause is the time between two reads, so that topics with many records
-	// are read in batches.
+	// Pause is the time between two reads, so that topics with many records are read in
+	// batches.
 	Pause time.Duration
-	// Limit bounds both for now; nil for no bound.
+	// Limit returns the currently allowed wait and pause; nil for no limit.
 	Limit func(wait, pause time.Duration) (time.Duration, time.Duration)
-	// CatchUp tries to have another instance's copy taken before the whole topic is
-	// read from the store; nil for none.
+	// CatchUp merges another instance's copy before the whole topic is read from the
+	// store. It reports whether that brought newer records; nil if there is no other
+	// instance.
 	CatchUp func(ctx context.Context) bool
 	Health  *Health
 	Log     *slog.Logger
 
-	// pages is what a read of the whole topic has given so far, after the last key
-	// in it.
+	// State of a read of the whole topic: the pages read so far, the last key in them,
+	// the end offset of the first page and the time at which its read started.
 	pages     []platform.Record
 	lastKey   string
 	endOffset int64
 	startedAt time.Time
 }
 
-// FromStart is the offset from which a topic is read whose content is not known.
+// FromStart is the offset that stands for the whole topic.
 const FromStart = int64(-1)
 
-// maxCatchUps bounds how often in a row another instance's copy is taken that ends
-// before what the store still holds.
+// maxCatchUps bounds consecutive catch-ups with copies that end before the history that
+// the store still holds.
 const maxCatchUps = 2
 
-// Run follows the topic until the context ends, from where its content ends.
+// Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	from := f.startOffset()
 	failures := 0
@@ -101,7 +101,7 @@
 	}
 }
 
-// readTiming are how long a read waits and the time between two of them.
+// readTiming returns how long the next read waits and the pause after it.
 func (f *Follower) readTiming() (wait, pause time.Duration) {
 	if f.Limit == nil {
 		return f.Wait, f.Pause
@@ -116,24 +116,23 @@
 	return f.Topic.NextOffset()
 }
 
-// retryDelay is the time until the next try after some failures. Topics that fail
-// together try in turn; the pauses are drawn at random, so that instances do not try
-// together.
+// retryDelay returns the time until the next retry. Failing topics retry in turn, with
+// jitter so that instances do not retry in step.
 func (f *Follower) retryDelay(failures int) time.Duration {
 	pause := min(minRetryInterval<<min(failures, 8), maxRetryInterval)
 	return f.Health.reserveRetry(time.Now(), pause-pause/4+rand.N(pause/2))
 }
 
-// errRecovered tells that a read was given up since the store is back for another
-// topic: the connection that it waits on may be cut.
-var errRecovered = errors.New("the store is back for another topic")
+// errRecovered indicates that a read was cancelled because the store recovered for
+// another topic: the connection on which the read waits may be cut.
+var errRecovered = errors.New("the store recovered for another topic")
 
-// stepUntilRecovery is step until the store is back for another topic.
+// stepUntilRecovery is step, cancelled when the store recovers for another topic.
 func (f *Follower) stepUntilRecovery(
 	ctx context.Context, recovered <-chan struct{}, from int64, probe bool,
 ) (int64, error) {
 	if from < 0 && !probe {
-		// A first read is long, and would begin anew.
+		// A read of the whole topic takes long and would have to start over.
 		return f.step(ctx, from, probe)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -152,8 +151,8 @@
 	return next, err
 }
 
-// step reads the whole topic, or what came after an offset; a probe does not
-// wait for a record.
+// step reads the whole topic, or the records from an offset on; a probe does not wait for
+// records.
 func (f *Follower) step(ctx context.Context, from int64, probe bool) (int64, error) {
 	if from < 0 {
 		return f.readAll(ctx)
@@ -172,15 +171,15 @@
 	}
 	f.Topic.advance(records, next)
 	if len(records) == 0 {
-		// The store has waited that long and had nothing new.
+		// The store has waited that long without a new record.
 		started = started.Add(wait)
 	}
 	f.Topic.Confirm(started)
 	return next, nil
 }
 
-// readAll reads the whole topic page by page. After a failure it goes on behind the
-// pages that it has: a store that is slow or refuses much would else never be read.
+// readAll reads the whole topic page by page. After a failure it resumes behind the pages
+// already read, or the read might never complete at a slow or overloaded store.
 func (f *Follower) readAll(ctx context.Context) (int64, error) {
 	for {
 		started := time.Now()
@@ -189,8 +188,8 @@
 			return FromStart, err
 		}
 		if f.lastKey == "" {
-			// Reading on from the end of the first page misses no change made while
-			// later pages were read.
+			// Later reads start from the end offset of the first page, so that changes
+			// made while the other pages were read are not missed.
 			f.endOffset, f.startedAt = page.End, started
 		}
 		f.pages = append(f.pages, page.Records...)
@@ -211,7 +210,7 @@
 	return f.Store.NewestPage(ctx, f.Topic.Name, 0, f.lastKey)
 }
 
-// sleep waits, at most until woken is closed.
+// sleep waits until the time is over, wake is closed or the context ends.
 func sleep(ctx context.Context, wait time.Duration, wake <-chan struct{}) {
 	if wait <= 0 {
 		return
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// fakeStore answers reads, refuses them, or leaves them hanging.
+// fakeStore is a store whose reads succeed, are refused or hang.
 type fakeStore struct {
 	mu     sync.Mutex
 	refuse bool
@@ -98,8 +98,8 @@
 	return topics
 }
 
-// While the store refuses an instance its topics share the tries, and all are
-// read soon after its return.
+// While the store refuses an instance, its topics share one retry budget, and all are
+// read soon after the store recovers.
 func TestTopicsThatFailTogetherShareRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{}, NewHealth()
@@ -111,7 +111,7 @@
 		const outage = 12 * time.Second
 		time.Sleep(outage)
 		if calls := store.callCount() - before; calls > int(outage/maxRetryInterval)*3/2 {
-			t.Errorf("%d tries in %s", calls, outage)
+			t.Errorf("%d retries in %s", calls, outage)
 		}
 		store.put(platform.Record{Key: "k", Value: []byte("v"), Offset: 4})
 		store.set(false, false)
@@ -124,8 +124,8 @@
 	})
 }
 
-// A read that waits on a connection that was cut is given up once another topic
-// finds the store back.
+// A read that hangs on a cut connection is cancelled once the store recovers for another
+// topic.
 func TestRecoveryOfTheStoreCancelsAHangingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, other, health := &fakeStore{}, &fakeStore{}, NewHealth()
@@ -138,7 +138,7 @@
 		other.set(true, false)
 		time.Sleep(3 * time.Second)
 		if health.OK() {
-			t.Fatal("the other topic does not fail")
+			t.Fatal("the other topic is not failing")
 		}
 		slow.set(false, false)
 		other.set(false, false)
@@ -149,26 +149,25 @@
 	})
 }
 
-// A read that fails by itself is no wake-up.
 func TestFailedReadIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{refuse: true}, NewHealth()
 		follow(t, health, store, time.Second, "a")
 		time.Sleep(time.Second)
 		if health.OK() {
-			t.Error("no topic fails")
+			t.Error("no topic is failing")
 		}
 	})
 }
 
-// lockedSince lists what a topic has that began at or behind an offset.
+// lockedSince is recordsSince with the mutex taken.
 func lockedSince(t *Topic, offset int64) []platform.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.recordsSince(offset)
 }
 
-// pagedStore has a topic of some pages and refuses every other call.
+// pagedStore serves a topic of several pages and refuses every other call.
 type pagedStore struct {
 	fakeStore
 	requestedAfter []string
@@ -186,8 +185,8 @@
 	return platform.Newest{Records: []platform.Record{record(next, "v", 1)}, End: 2}, next != "c", nil
 }
 
-// A read of the whole topic goes on from the page that it has: a store that refuses
-// much would else never be read to the end.
+// A read of the whole topic resumes at the page that failed, or it might never complete
+// at an overloaded store.
 func TestReadOfTheWholeTopicResumesAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := new(pagedStore)
@@ -196,7 +195,7 @@
 		store.mu.Lock()
 		defer store.mu.Unlock()
 		if !topic.Loaded() || len(store.requestedAfter) != 3 {
-			t.Errorf("pages asked behind %q", store.requestedAfter)
+			t.Errorf("pages requested after %q", store.requestedAfter)
 		}
 	})
 }
--- a/internal/feed/health.go
+++ b/internal/feed/health.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Health is whether the store answers this instance. It is safe for concurrent
+// Health tracks whether the store responds to this instance. It is safe for concurrent
 // use.
 type Health struct {
 	mu sync.Mutex
-	// failing holds when each topic's reads began to fail.
+	// failing maps each failing topic to the time of its first failed read.
 	failing map[string]time.Time
-	// recoveredAt is when each topic was last read again after a failure.
+	// recoveredAt maps each topic to the time of its last successful read after a
+	// failure.
 	recoveredAt map[string]time.Time
-	// lastReserved is when the last try that was reserved is made.
+	// lastReserved is the time of the retry that was reserved last.
 	lastReserved time.Time
-	// recovered is closed and replaced when a topic is read again after a failure.
+	// recovered is closed and replaced when a topic recovers after an outage.
 	recovered chan struct{}
 }
 
-// NewHealth makes a Health that finds the store in order.
+// NewHealth returns a Health without failing topics.
 func NewHealth() *Health {
 	return &Health{failing: make(map[string]time.Time), recoveredAt: make(map[string]time.Time), recovered: make(chan struct{})}
 }
 
-// recordResult takes the outcome of a read and logs when the store is lost and when it
-// is back.
+// recordResult records the result of a read and logs the start and the end of a failure.
 func (h *Health) recordResult(topic string, err error, now time.Time, log *slog.Logger) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -47,27 +47,27 @@
 	}
 }
 
-// OK tells whether no read fails.
+// OK reports whether no topic is failing.
 func (h *Health) OK() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.failing) == 0
 }
 
-// minOutage is how long a topic's reads fail at least for their return to wake
-// others: single refusals among answers are no outage.
+// minOutage is how long reads of a topic have to fail for its recovery to wake other
+// topics. Occasional refusals are no outage.
 const minOutage = 300 * time.Millisecond
 
-// Recovered is closed when a topic is next read again after an outage: what else
-// failed, or hangs on a connection that is cut, is worth another try then.
+// Recovered returns a channel that is closed when a topic next recovers from an outage.
+// Calls that failed, or that hang on a cut connection, are worth a retry then.
 func (h *Health) Recovered() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.recovered
 }
 
-// reserveRetry keeps the next try to read for a topic that fails, a pause behind the try
-// that was reserved last, and returns how long that is from now.
+// reserveRetry reserves the next retry of a failing topic, a pause after the retry that
+// was reserved last, and returns the time until then.
 func (h *Health) reserveRetry(now time.Time, pause time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,8 +78,8 @@
 	return h.lastReserved.Sub(now)
 }
 
-// RecoveredAt is when a topic was last read again after a failure, and false if
-// its reads fail now.
+// RecoveredAt returns when a topic last recovered from a failure, and false if its reads
+// fail now.
 func (h *Health) RecoveredAt(topic string) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,8 +87,7 @@
 	return h.recoveredAt[topic], !failing
 }
 
-// SetFailing takes what another instance says of the store: that nobody whom it asks could
-// read a topic lately, or that somebody can.
+// SetFailing records another instance's report that reads of a topic fail or succeed.
 func (h *Health) SetFailing(topic string, failing bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/feed/topic.go
+++ b/internal/feed/topic.go
@@ -1,7 +1,6 @@
-// Package feed keeps copies of keyed topics of the platform's store: the newest
-// record of each key, ordered by offset. Records come from the store or from other
-// instances; the offset decides which is newer, so that nothing known ever gets
-// older.
+// Package feed keeps copies of keyed topics of the platform's store: the newest record of
+// each key. Records come from the store or from other instances, in any order. A record
+// is applied only if its offset is higher than that of the known record of its key.
 package feed
 
 import (
@@ -15,55 +14,59 @@
 // entry is the newest known record of a key.
 type entry struct {
 	platform.Record
-	// firstOffset is the offset of the first record in a row with this content.
+	// firstOffset is the offset of the first of the latest consecutive records with
+	// equivalent content.
 	firstOffset int64
 }
 
-// Topic is the newest known record of each key of a topic. It is safe for
-// concurrent use.
+// Topic holds the newest known record of each key of a topic. It is safe for concurrent
+// use.
 type Topic struct {
 	Name string
-	// apply is told each change in order, under the mutex.
+	// apply is called with each change in order, while mu is held.
 	apply func(platform.Record)
-	// equivalent tells whether two values of a key mean the same; nil if only equal ones do.
+	// equivalent reports whether two values of a key have the same meaning; nil to apply
+	// all newer records.
 	equivalent func(a, b []byte) bool
 
 	mu     sync.Mutex
 	newest map[string]entry
 	loaded bool
-	// nextOffset is the offset to read on from: what all records before it say is in newest.
+	// nextOffset is the offset to read from next; newest contains the effect of all
+	// records before it.
 	nextOffset int64
-	// floor is the offset from which on all dropped keys are in newest: a first read
-	// of the whole topic does not tell what was dropped before.
+	// floor is the offset from which on all dropped keys are in newest. A read of the
+	// whole topic does not return keys that were dropped before.
 	floor int64
-	// lastChanged is the highest offset at which a content began.
+	// lastChanged is the highest firstOffset.
 	lastChanged int64
-	// confirmedAt is when the copy was last known to be the newest.
+	// confirmedAt is when the copy was last known to be current.
 	confirmedAt time.Time
 	// updated is closed and replaced when the content changes or is confirmed.
 	updated chan struct{}
 	cache   copyCache
 }
 
-// NewTopic makes an empty copy. The function apply is told each record that
-// becomes the newest of its key; an empty value means that the key is dropped.
+// NewTopic returns an empty copy of a topic. The function apply is called with each
+// record that becomes the newest of its key; an empty value means that the key is
+// dropped.
 func NewTopic(name string, apply func(platform.Record)) *Topic {
 	return &Topic{
 		Name: name, apply: apply, newest: make(map[string]entry), lastChanged: -1, updated: make(chan struct{}),
 	}
 }
 
-// NewHeartbeatTopic is NewTopic for a topic whose writers repeat their records: one
-// that means the same as the one before is neither applied nor passed on, so that
-// heartbeats cost the readers of copies nothing.
+// NewHeartbeatTopic is NewTopic for a topic whose writers repeat their records. A record
+// that is equivalent to the previous one of its key is neither applied nor passed on to
+// other instances.
 func NewHeartbeatTopic(name string, equivalent func(a, b []byte) bool, apply func(platform.Record)) *Topic {
 	t := NewTopic(name, apply)
 	t.equivalent = equivalent
 	return t
 }
 
-// Merge takes records that are newer than those known. It returns how many
-// changed something.
+// Merge applies the records that are newer than the known ones. It returns the number of
+// records that changed the content.
 func (t *Topic) Merge(records []platform.Record) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +89,7 @@
 			t.newest[r.Key] = old
 			continue
 		}
-		// A value may share the memory of the whole reply that it came in.
+		// The value may share memory with the whole response.
 		r.Value = bytes.Clone(r.Value)
 		t.newest[r.Key] = entry{Record: r, firstOffset: r.Offset}
 		t.lastChanged = max(t.lastChanged, r.Offset)
@@ -100,21 +103,21 @@
 	return t.equivalent != nil && len(old) > 0 && len(value) > 0 && t.equivalent(old, value)
 }
 
-// notify wakes those who wait for a change. The mutex is held.
+// notify wakes those who wait for an update. t.mu is held.
 func (t *Topic) notify() {
 	close(t.updated)
 	t.updated = make(chan struct{})
 }
 
-// Updated is closed when the content next changes or is confirmed.
+// Updated returns a channel that is closed when the content next changes or is confirmed.
 func (t *Topic) Updated() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.updated
 }
 
-// Replace takes the whole content of the topic as read from the store: keys
-// that are missing and not newer than the list were dropped.
+// Replace replaces the content with the whole topic as read from the store: keys that are
+// missing in the list and not newer than it are dropped.
 func (t *Topic) Replace(list platform.Newest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +135,8 @@
 		if present[key] || old.Offset >= list.End || len(old.Value) == 0 {
 			continue
 		}
-		// Who has read up to the end of the list has to be told of the drop.
+		// Receivers that have read up to the end of the list still have to receive the
+		// drop.
 		dropped := platform.Record{Key: key, Offset: list.End - 1}
 		t.newest[key] = entry{Record: dropped, firstOffset: dropped.Offset}
 		t.lastChanged = max(t.lastChanged, dropped.Offset)
@@ -147,8 +151,8 @@
 	return merged
 }
 
-// advance takes the records of a read that began at or before Next, and the offset
-// to read on from.
+// advance merges the records of a read that began at or before NextOffset, and moves
+// NextOffset on.
 func (t *Topic) advance(records []platform.Record, next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +163,7 @@
 	}
 }
 
-// Loaded tells whether the whole content was read at least once, or taken from
+// Loaded reports whether the whole topic was read at least once, from the store or from
 // another instance.
 func (t *Topic) Loaded() bool {
 	t.mu.Lock()
@@ -167,21 +171,23 @@
 	return t.loaded
 }
 
-// NextOffset is the offset to read on from.
+// NextOffset is the offset to read from next.
 func (t *Topic) NextOffset() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.nextOffset
 }
 
-// LastChanged is the highest offset at which a content began, -1 while nothing is known.
+// LastChanged returns the highest offset at which the content of a key changed, -1 while
+// nothing is known.
 func (t *Topic) LastChanged() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastChanged
 }
 
-// Confirm tells that the copy held all records that the store had at a time.
+// Confirm records that the copy contained all records that the store held at the given
+// time.
 func (t *Topic) Confirm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,10 +201,10 @@
 	}
 }
 
-// maxAge is the age of a copy that was never confirmed.
+// maxAge is the age of a copy that was never confirmed, and the upper bound of all ages.
 const maxAge = 24 * time.Hour
 
-// Age is the time since the copy was last known to be the newest.
+// Age returns the time since the copy was last known to be current.
 func (t *Topic) Age(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -15,8 +15,8 @@
 	return platform.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// Whatever the order in which records come, from the store and from others, the
-// newest stands and nothing older is applied behind it.
+// In whatever order records arrive, the newest one stands and no older one is applied
+// after it.
 func TestOlderRecordsAreNotApplied(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("offsets grow", prop.ForAll(func(offsets []int64) bool {
@@ -43,7 +43,7 @@
 		t.Errorf("got %v", applied)
 	}
 	if !topic.Loaded() {
-		t.Error("the topic was read whole")
+		t.Error("the topic is not loaded after a read of the whole topic")
 	}
 }
 
@@ -60,7 +60,7 @@
 	topic := NewTopic("t", func(platform.Record) {})
 	now := time.Now()
 	if topic.Age(now) < time.Hour {
-		t.Errorf("a copy that was never confirmed is %s old", topic.Age(now))
+		t.Errorf("the age of a copy that was never confirmed is %s", topic.Age(now))
 	}
 	topic.Confirm(now.Add(-2 * time.Second))
 	topic.Confirm(now.Add(-5 * time.Second))
@@ -69,28 +69,29 @@
 	}
 }
 
-// sameFirstByte takes values for the same that begin alike.
+// sameFirstByte treats values with the same first byte as equivalent.
 func sameFirstByte(a, b []byte) bool { return a[0] == b[0] }
 
-// A record that repeats the one before it is neither applied nor passed on, and one
-// that comes behind it counts as newer than both.
+// A record that is equivalent to the previous one is neither applied nor passed on, but
+// its offset still decides which records count as newer.
 func TestHeartbeatsAreNotPropagated(t *testing.T) {
 	applied := 0
 	topic := NewHeartbeatTopic("t", sameFirstByte, func(platform.Record) { applied++ })
 	topic.Merge([]platform.Record{record("k", "a1", 1), record("k", "a2", 5), record("k", "a3", 9)})
 	if applied != 1 || topic.LastChanged() != 1 {
-		t.Errorf("applied %d times, changed at %d", applied, topic.LastChanged())
+		t.Errorf("applied %d times, last changed at %d", applied, topic.LastChanged())
 	}
 	if merged := topic.Merge([]platform.Record{record("k", "b1", 7)}); merged != 0 {
-		t.Error("an older record was taken")
+		t.Error("an older record was applied")
 	}
 	topic.Merge([]platform.Record{record("k", "b1", 11)})
 	if applied != 2 || topic.LastChanged() != 11 {
-		t.Errorf("applied %d times, changed at %d", applied, topic.LastChanged())
+		t.Errorf("applied %d times, last changed at %d", applied, topic.LastChanged())
 	}
 }
 
-// Who has read a copy up to its end learns of keys that the giver finds dropped later.
+// Receivers that have read a copy up to its end are notified of keys that the sender
+// finds dropped later.
 func TestDropsFoundInTheWholeListArePassedOn(t *testing.T) {
 	source, receiver := NewTopic("t", func(platform.Record) {}), NewTopic("t", func(platform.Record) {})
 	source.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1), record("b", "1", 2)}, End: 3})
@@ -102,7 +103,7 @@
 	}
 }
 
-// propagate gives a receiver what it lacks.
+// propagate sends the records that a receiver lacks.
 func propagate(t *testing.T, source, receiver *Topic) {
 	t.Helper()
 	from := FromStart
@@ -118,8 +119,8 @@
 	}
 }
 
-// Whatever is read where and in which order it is passed on, all hold the same in the
-// end, though each giver has read to another offset.
+// In whatever order topics are read and passed on, all copies end with the content of the
+// store, although each sender has read up to a different offset.
 func TestReceiversEndWithWhatTheStoreHolds(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same content", prop.ForAll(func(steps []uint8) bool {
@@ -145,7 +146,7 @@
 			if i < 2 {
 				readSome(topic, history, len(history))
 			} else {
-				// The first one may be a whole copy of before.
+				// The first copy may be a cached one.
 				propagate(t, topics[0], topic)
 				propagate(t, topics[0], topic)
 			}
@@ -160,7 +161,7 @@
 	properties.TestingRun(t)
 }
 
-// readSome reads a history on from where a topic ends.
+// readSome reads up to limit records from where the topic ends.
 func readSome(topic *Topic, history []platform.Record, limit int) {
 	if !topic.Loaded() {
 		topic.Replace(newestOf(history))
@@ -185,7 +186,7 @@
 	return list
 }
 
-// holds tells whether a topic holds the newest kind of each key.
+// holds reports whether a topic holds a value equivalent to the newest one of each key.
 func holds(topic *Topic, history []platform.Record) bool {
 	list := newestOf(history)
 	present := 0
@@ -202,7 +203,7 @@
 	return present == len(list.Records)
 }
 
-// A topic that is given to many at once is encoded once in a while, not once for each.
+// The copy of a whole topic is encoded once within wholeCopyTTL, not once per receiver.
 func TestWholeCopiesAreCached(t *testing.T) {
 	source := NewTopic("t", func(platform.Record) {})
 	source.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1)}, End: 2})
@@ -214,10 +215,10 @@
 	source.Merge([]platform.Record{record("b", "1", 3)})
 	second, err := source.Copy(FromStart, now.Add(wholeCopyTTL/2))
 	if err != nil || &first.Packed[0] != &second.Packed[0] {
-		t.Errorf("made anew: %v", err)
+		t.Errorf("encoded again within the TTL: %v", err)
 	}
 	third, err := source.Copy(FromStart, now.Add(2*wholeCopyTTL))
 	if err != nil || &first.Packed[0] == &third.Packed[0] {
-		t.Errorf("not made anew: %v", err)
+		t.Errorf("not encoded again after the TTL: %v", err)
 	}
 }
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -252,10 +252,10 @@
 var errUnreachable = errors.New("instance is unreachable")
 
 // Query implements Peers.
-func (f *cluster) Query(ctx context.Context, address string, q Query) (Reply, error) {
-	f.mu.Lock()
-	n := f.nodes[address]
-	f.mu.Unlock()
+func (c *cluster) Query(ctx context.Context, address string, q Query) (Reply, error) {
+	c.mu.Lock()
+	n := c.nodes[address]
+	c.mu.Unlock()
 	if !delay.Sleep(ctx, time.Millisecond) || n == nil {
 		return Reply{}, errUnreachable
 	}
@@ -275,18 +275,18 @@
 	return n.HandleQuery(ctx, q)
 }
 
-func withCluster(t *testing.T, dataCentres int, fault storeFault, body func(f *cluster)) {
+func withCluster(t *testing.T, dataCentres int, fault storeFault, body func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &cluster{
+		c := &cluster{
 			t: t, store: newLimitedStore(fault), dataCentres: dataCentres, nodes: make(map[string]*testNode),
 			seeds: []string{address(0), address(1), address(2)},
 		}
-		f.store.put(settingsTopic, "settings", "v1")
-		body(f)
-		for _, n := range f.nodes {
+		c.store.put(settingsTopic, "settings", "v1")
+		body(c)
+		for _, n := range c.nodes {
 			n.stop()
 		}
-		for _, n := range f.nodes {
+		for _, n := range c.nodes {
 			<-n.done
 		}
 	})
@@ -295,18 +295,18 @@
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255) }
 
 // start starts an instance; every fifth machine is a large one.
-func (f *cluster) start(i int) *testNode {
-	return f.startRefused(i, rand.Float64() < f.store.fault.refusedFraction)
+func (c *cluster) start(i int) *testNode {
+	return c.startRefused(i, rand.Float64() < c.store.fault.refusedFraction)
 }
 
 // startRefused starts an instance that the store may refuse.
-func (f *cluster) startRefused(i int, refused bool) *testNode {
+func (c *cluster) startRefused(i int, refused bool) *testNode {
 	power := 0.2
 	if i%5 == 0 {
 		power = 0.8
 	}
-	ctx, cancel := context.WithCancel(f.t.Context())
-	n := &testNode{cluster: f, stop: cancel, done: make(chan struct{})}
+	ctx, cancel := context.WithCancel(c.t.Context())
+	n := &testNode{cluster: c, stop: cancel, done: make(chan struct{})}
 	var followed []FollowedTopic
 	for _, name := range []string{settingsTopic, targetsTopic, instancesTopic} {
 		topic := feed.NewTopic(name, func(platform.Record) {})
@@ -317,17 +317,17 @@
 	}
 	followed[1].Pause, followed[2].Pause = time.Second, 300*time.Millisecond
 	n.Node = New(Config{
-		Self:     Holder{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%f.dataCentres)},
-		CPUShare: power, Seeds: f.seeds, Topics: followed, Peers: f,
-		Store:         instanceStore{f.store, refused, &n.storeHangs},
+		Self:     Holder{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%c.dataCentres)},
+		CPUShare: power, Seeds: c.seeds, Topics: followed, Peers: c,
+		Store:         instanceStore{c.store, refused, &n.storeHangs},
 		MaxStaleness:  testBound,
 		WritesToStore: func() bool { return false }, PeerAddresses: func() []string { return nil },
 		Health: feed.NewHealth(), Log: slog.New(slog.DiscardHandler),
 	})
-	f.mu.Lock()
-	f.nodes[address(i)] = n
-	f.started = max(f.started, i+1)
-	f.mu.Unlock()
+	c.mu.Lock()
+	c.nodes[address(i)] = n
+	c.started = max(c.started, i+1)
+	c.mu.Unlock()
 	go func() {
 		defer close(n.done)
 		delay.Sleep(ctx, rand.N(300*time.Millisecond))
@@ -337,26 +337,26 @@
 }
 
 // kill stops an instance and makes it unreachable.
-func (f *cluster) kill(i int) {
-	f.mu.Lock()
-	n := f.nodes[address(i)]
-	delete(f.nodes, address(i))
-	f.mu.Unlock()
+func (c *cluster) kill(i int) {
+	c.mu.Lock()
+	n := c.nodes[address(i)]
+	delete(c.nodes, address(i))
+	c.mu.Unlock()
 	n.stop()
 	<-n.done
 }
 
 // behind counts the instances, without the excluded one, that lack records of the store.
-func (f *cluster) behind(except *testNode) int {
+func (c *cluster) behind(except *testNode) int {
 	behind := 0
-	for _, n := range f.nodes {
+	for _, n := range c.nodes {
 		if n == except {
 			continue
 		}
 		for _, topic := range n.topics {
-			f.store.mu.Lock()
-			end := int64(len(f.store.records[topic.Name]))
-			f.store.mu.Unlock()
+			c.store.mu.Lock()
+			end := int64(len(c.store.records[topic.Name]))
+			c.store.mu.Unlock()
 			if !topic.Loaded() || topic.NextOffset() < end {
 				behind++
 				break
@@ -367,16 +367,16 @@
 }
 
 // waitUntilSynced waits until all instances hold all records and returns the time taken.
-func (f *cluster) waitUntilSynced(limit time.Duration) time.Duration {
-	return f.waitUntilSyncedExcept(nil, limit)
+func (c *cluster) waitUntilSynced(limit time.Duration) time.Duration {
+	return c.waitUntilSyncedExcept(nil, limit)
 }
 
 // waitUntilSyncedExcept is waitUntilSynced without one instance.
-func (f *cluster) waitUntilSyncedExcept(except *testNode, limit time.Duration) time.Duration {
+func (c *cluster) waitUntilSyncedExcept(except *testNode, limit time.Duration) time.Duration {
 	started := time.Now()
-	for f.behind(except) > 0 {
+	for c.behind(except) > 0 {
 		if time.Since(started) > limit {
-			f.t.Errorf("%d of %d instances lack records after %s", f.behind(except), len(f.nodes), limit)
+			c.t.Errorf("%d of %d instances lack records after %s", c.behind(except), len(c.nodes), limit)
 			return limit
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -385,10 +385,10 @@
 }
 
 // relays lists the machines that read the topics from the store.
-func (f *cluster) relays() []int {
+func (c *cluster) relays() []int {
 	var relays []int
-	for i := range f.started {
-		if n, ok := f.nodes[address(i)]; ok && n.ReadsStore() {
+	for i := range c.started {
+		if n, ok := c.nodes[address(i)]; ok && n.ReadsStore() {
 			relays = append(relays, i)
 		}
 	}
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -219,13 +219,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var stale Holder
-	for _, e := range n.table.sources(n.Self) {
-		f := n.failures[e.Address]
+	for _, holder := range n.table.sources(n.Self) {
+		f := n.failures[holder.Address]
 		if now.After(f.avoidUntil) {
-			return e, true
+			return holder, true
 		}
 		if f.unresponsiveSince.IsZero() && (stale.Address == "" || f.avoidUntil.Before(n.failures[stale.Address].avoidUntil)) {
-			stale = e
+			stale = holder
 		}
 	}
 	return stale, stale.Address != ""
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -128,14 +128,14 @@
 		delete(n.table, r.Key)
 		return
 	}
-	e, err := decodeHolder(r)
+	holder, err := decodeHolder(r)
 	if err != nil {
 		n.Log.Error("ignored malformed slot record", "slot", r.Key, "offset", r.Offset, "error", err.Error())
 		delete(n.table, r.Key)
 		return
 	}
-	n.table[r.Key] = e
-	n.Log.Info("relay listed", "slot", r.Key, "machine", e.Machine, "address", e.Address)
+	n.table[r.Key] = holder
+	n.Log.Info("relay listed", "slot", r.Key, "machine", holder.Machine, "address", holder.Address)
 }
 
 // ReadsStore reports whether this instance reads the topics from the store.
@@ -273,10 +273,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	for _, e := range earlier {
+	for _, holder := range earlier {
 		for ctx.Err() == nil {
-			if err := n.query(ctx, e.Address, wait, f.Topic); err != nil {
-				n.Log.Debug("failed to copy a topic from a relay", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
+			if err := n.query(ctx, holder.Address, wait, f.Topic); err != nil {
+				n.Log.Debug("failed to copy a topic from a relay", "address", holder.Address, "topic", f.Topic.Name, "error", err.Error())
 				break
 			}
 			if f.Topic.Loaded() && f.Topic.NextOffset() > before {
@@ -331,8 +331,8 @@
 	sources := n.table.sources(n.Self)
 	n.mu.Unlock()
 	var addresses []string
-	for _, e := range sources {
-		addresses = append(addresses, e.Address)
+	for _, holder := range sources {
+		addresses = append(addresses, holder.Address)
 	}
 	if len(addresses) == 0 || rand.IntN(2) == 0 {
 		addresses = append(addresses[:0], n.PeerAddresses()...)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -37,20 +37,20 @@
 		for _, instances := range []int{1000, 2000} {
 			t.Run(fmt.Sprint(name, "/", instances), func(t *testing.T) {
 				t.Parallel()
-				withCluster(t, clusterDataCentres, fault, func(f *cluster) {
+				withCluster(t, clusterDataCentres, fault, func(c *cluster) {
 					for i := range targetCount {
-						f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
+						c.store.put(targetsTopic, fmt.Sprint("t", i), "x")
 					}
 					for i := range instances {
-						f.start(i)
+						c.start(i)
 					}
-					took := f.waitUntilSynced(startTimeout)
-					calls := float64(f.store.callCount()) / float64(instances)
-					t.Logf("%s, %.1f calls per instance, %d relays", took, calls, len(f.relays()))
+					took := c.waitUntilSynced(startTimeout)
+					calls := float64(c.store.callCount()) / float64(instances)
+					t.Logf("%s, %.1f calls per instance, %d relays", took, calls, len(c.relays()))
 					if calls > maxStartCalls {
 						t.Errorf("%.1f calls per instance", calls)
 					}
-					if relays := len(f.relays()); relays > clusterDataCentres*SlotsPerDataCentre {
+					if relays := len(c.relays()); relays > clusterDataCentres*SlotsPerDataCentre {
 						t.Errorf("%d relays", relays)
 					}
 				})
@@ -61,11 +61,11 @@
 
 // Instances that the store refuses find the relays even if the store refuses all seeds.
 func TestRefusedInstancesFindTheRelaysThroughRefusedSeeds(t *testing.T) {
-	withCluster(t, 2, storeFault{}, func(f *cluster) {
+	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
-			f.startRefused(i, i < len(f.seeds) || i%3 == 0)
+			c.startRefused(i, i < len(c.seeds) || i%3 == 0)
 		}
-		f.waitUntilSynced(startTimeout)
+		c.waitUntilSynced(startTimeout)
 	})
 }
 
@@ -73,15 +73,15 @@
 func TestReadsOfTheStoreDoNotFollowTheInstances(t *testing.T) {
 	rates := make(map[int]int)
 	for _, instances := range []int{300, 1000} {
-		withCluster(t, clusterDataCentres, storeFault{}, func(f *cluster) {
+		withCluster(t, clusterDataCentres, storeFault{}, func(c *cluster) {
 			for i := range instances {
-				f.start(i)
+				c.start(i)
 			}
-			f.waitUntilSynced(startTimeout)
+			c.waitUntilSynced(startTimeout)
 			time.Sleep(2 * time.Second)
-			before := f.store.callCount()
+			before := c.store.callCount()
 			time.Sleep(10 * time.Second)
-			rates[instances] = f.store.callCount() - before
+			rates[instances] = c.store.callCount() - before
 		})
 	}
 	if float64(rates[1000]) > 1.2*float64(rates[300]) {
@@ -91,13 +91,13 @@
 
 // Where a data centre has no more instances than slots, each is a relay.
 func TestAllInstancesOfASmallDeploymentAreRelays(t *testing.T) {
-	withCluster(t, 3, storeFault{}, func(f *cluster) {
+	withCluster(t, 3, storeFault{}, func(c *cluster) {
 		for i := range 12 {
-			f.start(i)
+			c.start(i)
 		}
-		f.waitUntilSynced(startTimeout)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(5 * time.Second)
-		if got := len(f.relays()); got != 12 {
+		if got := len(c.relays()); got != 12 {
 			t.Errorf("%d relays", got)
 		}
 	})
@@ -106,25 +106,25 @@
 // Changes still spread quickly when relays are killed, and other instances take their
 // slots.
 func TestChangesReachAllWhileRelaysAreLost(t *testing.T) {
-	withCluster(t, 2, storeFault{}, func(f *cluster) {
+	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
-			f.start(i)
+			c.start(i)
 		}
-		f.waitUntilSynced(startTimeout)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
-		killed := f.relays()
+		killed := c.relays()
 		if len(killed) != 2*SlotsPerDataCentre {
 			t.Fatalf("relays %v", killed)
 		}
 		for _, i := range killed[:len(killed)-1] {
-			f.kill(i)
+			c.kill(i)
 		}
-		f.store.put(settingsTopic, "settings", "v2")
-		if took := f.waitUntilSynced(2 * time.Second); took > 2*time.Second {
+		c.store.put(settingsTopic, "settings", "v2")
+		if took := c.waitUntilSynced(2 * time.Second); took > 2*time.Second {
 			t.Errorf("change took %s to reach all instances", took)
 		}
 		time.Sleep(takeoverAfter + takeoverDelayFactor*claimJitter*10 + time.Second)
-		if got := len(f.relays()); got != 2*SlotsPerDataCentre {
+		if got := len(c.relays()); got != 2*SlotsPerDataCentre {
 			t.Errorf("%d relays after the takeover", got)
 		}
 	})
@@ -144,23 +144,23 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withCluster(t, 1, storeFault{}, func(f *cluster) {
-				f.store.put(targetsTopic, "t", "x")
+			withCluster(t, 1, storeFault{}, func(c *cluster) {
+				c.store.put(targetsTopic, "t", "x")
 				for i := range 40 {
-					f.start(i)
+					c.start(i)
 				}
-				f.waitUntilSynced(startTimeout)
+				c.waitUntilSynced(startTimeout)
 				time.Sleep(3 * time.Second)
 				for round := range 5 {
-					faulty := f.nodes[address(f.relays()[round%SlotsPerDataCentre])]
+					faulty := c.nodes[address(c.relays()[round%SlotsPerDataCentre])]
 					induceFault(faulty)
 					time.Sleep(time.Duration(round) * 900 * time.Millisecond)
-					f.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
-					if took := f.waitUntilSyncedExcept(faulty, testBound); took >= testBound {
+					c.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
+					if took := c.waitUntilSyncedExcept(faulty, testBound); took >= testBound {
 						t.Errorf("round %d: change took %s", round, took)
 					}
 					faulty.frozen.Store(false)
-					for _, n := range f.nodes {
+					for _, n := range c.nodes {
 						n.storeHangs.Store(false)
 					}
 					time.Sleep(10 * time.Second)
@@ -172,22 +172,22 @@
 
 // After the store trims its history, not every relay reads the whole topic again.
 func TestTrimmedHistoryIsReadOncePerDataCentre(t *testing.T) {
-	withCluster(t, clusterDataCentres, storeFault{}, func(f *cluster) {
+	withCluster(t, clusterDataCentres, storeFault{}, func(c *cluster) {
 		for i := range 100 {
-			f.start(i)
+			c.start(i)
 		}
-		f.waitUntilSynced(startTimeout)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(2 * time.Second)
-		before := f.store.wholeReadCount(targetsTopic)
+		before := c.store.wholeReadCount(targetsTopic)
 		for range 4 {
 			for i := range 10 {
-				f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
+				c.store.put(targetsTopic, fmt.Sprint("t", i), "x")
 			}
-			f.store.trim(targetsTopic)
+			c.store.trim(targetsTopic)
 			time.Sleep(3 * time.Second)
 		}
-		f.waitUntilSynced(startTimeout)
-		if reads := f.store.wholeReadCount(targetsTopic) - before; reads > 4*2*clusterDataCentres {
+		c.waitUntilSynced(startTimeout)
+		if reads := c.store.wholeReadCount(targetsTopic) - before; reads > 4*2*clusterDataCentres {
 			t.Errorf("%d whole reads after 4 trims by %d relays", reads, clusterDataCentres*SlotsPerDataCentre)
 		}
 	})
@@ -195,17 +195,17 @@
 
 // A process that restarts on the machine of a slot's holder keeps the slot.
 func TestRestartedRelayKeepsItsSlot(t *testing.T) {
-	withCluster(t, 1, storeFault{}, func(f *cluster) {
+	withCluster(t, 1, storeFault{}, func(c *cluster) {
 		for i := range 20 {
-			f.start(i)
+			c.start(i)
 		}
-		f.waitUntilSynced(startTimeout)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
-		relays := f.relays()
-		f.kill(relays[0])
-		f.start(relays[0])
-		f.waitUntilSynced(startTimeout)
-		if got := f.relays(); fmt.Sprint(got) != fmt.Sprint(relays) {
+		relays := c.relays()
+		c.kill(relays[0])
+		c.start(relays[0])
+		c.waitUntilSynced(startTimeout)
+		if got := c.relays(); fmt.Sprint(got) != fmt.Sprint(relays) {
 			t.Errorf("relays %v, before %v", got, relays)
 		}
 	})
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -36,17 +36,17 @@
 // decodeHolder decodes the record of a slot. It rejects records that no instance can have
 // written: those of another data centre, without a machine or without a valid address.
 func decodeHolder(r platform.Record) (Holder, error) {
-	var e Holder
-	if err := json.Unmarshal(r.Value, &e); err != nil {
+	var holder Holder
+	if err := json.Unmarshal(r.Value, &holder); err != nil {
 		return Holder{}, errors.Wrap(err, "decode the holder of the slot")
 	}
-	if !strings.HasPrefix(r.Key, e.DataCentre+"/") || e.Machine == "" {
-		return Holder{}, errors.Newf("slot %q names machine %q of data centre %q; expected a machine of the slot's data centre", r.Key, e.Machine, e.DataCentre)
+	if !strings.HasPrefix(r.Key, holder.DataCentre+"/") || holder.Machine == "" {
+		return Holder{}, errors.Newf("slot %q names machine %q of data centre %q; expected a machine of the slot's data centre", r.Key, holder.Machine, holder.DataCentre)
 	}
-	if _, err := netip.ParseAddrPort(e.Address); err != nil {
+	if _, err := netip.ParseAddrPort(holder.Address); err != nil {
 		return Holder{}, errors.Wrap(err, "address")
 	}
-	return e, nil
+	return holder, nil
 }
 
 // slotTable maps the keys of slots to their holders.
@@ -83,9 +83,9 @@
 		score uint64
 	}
 	var all []candidate
-	for _, e := range t {
-		if e.Machine != self.Machine {
-			all = append(all, candidate{e, rendezvous.Score(self.Machine, e.Machine)})
+	for _, holder := range t {
+		if holder.Machine != self.Machine {
+			all = append(all, candidate{holder, rendezvous.Score(self.Machine, holder.Machine)})
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int {
@@ -115,8 +115,8 @@
 func (t slotTable) holdersBefore(dataCentre string, number int) []Holder {
 	var entries []Holder
 	for i := range number {
-		if e, ok := t[slotKey(dataCentre, i)]; ok {
-			entries = append(entries, e)
+		if holder, ok := t[slotKey(dataCentre, i)]; ok {
+			entries = append(entries, holder)
 		}
 	}
 	return entries
