--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -10,35 +10,35 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// The operator's settings and the targets' registrations lie in one partition
-// each. While the store does not serve those, an instance that starts reads a
-// copy from another partition.
+// The operator's settings and the targets' registrations each lie in a single partition.
+// While the store does not serve that partition, a starting instance reads a copy from
+// another one.
 
 const (
 	// topicCopies holds the same copies in each of its partitions.
 	topicCopies = platform.KeyedPrefix + "copies"
-	// copyInterval is the least time between two writes of a copy by one
-	// instance; registrations change in series.
+	// copyInterval is the minimum time between two writes of a copy by one instance, so
+	// that changes in quick succession are written once.
 	copyInterval = 4 * time.Second
-	// copyTimeout bounds a call for a copy.
+	// copyTimeout bounds a call to the store for a copy.
 	copyTimeout = 700 * time.Millisecond
-	// maxCopyRate bounds the bytes a second that the copies of one topic take in a
-	// partition: larger ones are written less often.
+	// maxCopyRate bounds the bytes per second that the copies of one topic take in a
+	// partition: larger copies are written less often.
 	maxCopyRate = 8 << 10
-	// copyRetryInterval is the time between two tries to read a copy.
+	// copyRetryInterval is the time between two attempts to read a copy.
 	copyRetryInterval = 100 * time.Millisecond
 )
 
-// copiedTopics are the topics that are copied.
+// copiedTopics lists the topics that are copied.
 func (e *edge) copiedTopics() []*feed.Topic { return []*feed.Topic{e.settings, e.targets} }
 
-// copyKey names the copy of a topic in a partition.
+// copyKey identifies the copy of a topic in a partition.
 type copyKey struct {
 	partition int
 	topic     string
 }
 
-// writeCopies keeps the copies up to date. Each partition's are written by the
+// writeCopies keeps the copies up to date. The copies in a partition are written by the
 // instance that ranks first for it.
 func (e *edge) writeCopies(ctx context.Context) {
 	written := make(map[copyKey]writtenCopy)
@@ -64,19 +64,19 @@
 	}
 }
 
-// writtenCopy is the copy of a topic that this instance wrote last to a partition.
+// writtenCopy describes the copy of a topic that this instance last wrote to a partition.
 type writtenCopy struct {
 	changed int64
 	at      time.Time
 	bytes   int
 }
 
-// due tells whether the next copy may be written.
+// due reports whether the next copy may be written without exceeding maxCopyRate.
 func (w writtenCopy) due(now time.Time) bool {
 	return now.Sub(w.at) >= time.Duration(float64(w.bytes)/maxCopyRate*float64(time.Second))
 }
 
-// writeCopy writes a topic's copy if the topic has changed since the last one.
+// writeCopy writes a copy of a topic if the topic has changed since the last one.
 func (e *edge) writeCopy(ctx context.Context, topic *feed.Topic, partition int, written map[copyKey]writtenCopy) {
 	key := copyKey{partition, topic.Name}
 	changed, now := topic.LastChanged(), time.Now()
@@ -102,7 +102,7 @@
 	written[key] = writtenCopy{changed: changed, at: now, bytes: len(value)}
 }
 
-// encodeCopy makes the value of a copy's record.
+// encodeCopy encodes the value of a copy's record.
 func (e *edge) encodeCopy(topic *feed.Topic, now time.Time) ([]byte, error) {
 	topicCopy, err := topic.Copy(feed.FromStart, now)
 	if err != nil {
@@ -112,12 +112,11 @@
 	return topicCopy.Encode()
 }
 
-// copiesBeforeMerge is how many partitions' copies are read before they are used: one
-// may be a few seconds older than the others.
+// copiesBeforeMerge is the number of partitions whose copies are read before any is
+// merged, since one partition's copy may be older than the others.
 const copiesBeforeMerge = 2
 
-// readCopies reads copies until the settings and the targets are known, from
-// wherever that is.
+// readCopies reads copies until the settings and the targets are known, from any source.
 func (e *edge) readCopies(ctx context.Context) {
 	found := make([]map[string]feed.Copy, 0, copiesBeforeMerge)
 	for ctx.Err() == nil && !(e.server.Table() != nil && e.targets.Loaded()) {
@@ -139,7 +138,7 @@
 	}
 }
 
-// readCopy reads what one partition holds.
+// readCopy reads the copies in one partition.
 func (e *edge) readCopy(ctx context.Context, partition int) map[string]feed.Copy {
 	call, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
@@ -160,7 +159,7 @@
 	return copies
 }
 
-// mergeCopies merges copies of topics that the store held.
+// mergeCopies merges copies read from the store into their topics.
 func (e *edge) mergeCopies(copies map[string]feed.Copy) {
 	for _, topic := range e.copiedTopics() {
 		topicCopy, ok := copies[topic.Name]
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// state is what an instance tells of itself on request.
+// state is the instance's state as served for debugging.
 type state struct {
 	Instance        string             `json:"instance"`
 	Ready           bool               `json:"ready"`
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge runs an instance on the users' platform: it joins the adapter
-// in platform/ with the parts that answer callers, keep budgets and follow the
-// store. The parts are put together by fx.
+// Package edge runs an instance on the platform: it connects the adapter in platform/
+// with the components that serve callers, account for budgets and follow the store. The
+// components are wired by fx.
 package edge
 
 import (
@@ -39,11 +39,12 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// metricsInterval is how often tally reports; the platform reads every 5 s.
+// metricsInterval is the reporting interval of tally. It is shorter than the platform's
+// interval of reading metrics.
 const metricsInterval = 2 * time.Second
 
-// Run runs an instance on the machine that the platform's settings file
-// describes, until the context ends and the instance has drained.
+// Run runs an instance on the machine described by the platform's settings file, until
+// the context ends and the instance has drained.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	machine, err := platform.ReadMachine()
 	if err != nil {
@@ -104,7 +105,8 @@
 
 func newConnections(pool *exchange.Pool) connections { return pool }
 
-// settingsFreshness tells how old the settings are. The topic comes after the server.
+// settingsFreshness reports the age of the settings. Its topic is set after the server is
+// built.
 type settingsFreshness struct{ topic *feed.Topic }
 
 func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
@@ -112,8 +114,8 @@
 // SettingsAge implements serve.Currency.
 func (c *settingsFreshness) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
 
-// instanceList tells whether all instances are known. The topic comes after those who
-// ask.
+// instanceList reports whether the list of instances is loaded. Its topic is set after
+// the components that use it are built.
 type instanceList struct{ topic atomic.Pointer[feed.Topic] }
 
 func newInstanceList() *instanceList { return new(instanceList) }
@@ -140,7 +142,7 @@
 // edge is a running instance.
 type edge struct {
 	machine platform.Machine
-	// peerListen is where it listens for other instances.
+	// peerListen is the address on which to listen for other instances.
 	peerListen string
 
 	log        *slog.Logger
@@ -154,7 +156,8 @@
 	directory *directory.Directory
 	transport *peer.Transport
 	budgets   *budget.Keeper
-	// conversations keeps those of routes whose turns carry their input only.
+	// conversations holds the conversations of routes whose turns carry only their own
+	// input.
 	conversations *conversation.Keeper
 	allowances    *allowance.Keeper
 
@@ -163,9 +166,10 @@
 	instances *feed.Topic
 	// relay keeps the topics up to date.
 	relay *relay.Node
-	// storesTurns tells that turns of conversations are written to the store here.
+	// storesTurns indicates that this instance writes turns of conversations to the
+	// store.
 	storesTurns atomic.Bool
-	// reregister tells that this instance's record has to be written again.
+	// reregister signals that this instance's record has to be written again.
 	reregister chan struct{}
 
 	work sync.WaitGroup
@@ -192,7 +196,7 @@
 	return e
 }
 
-// newRelay makes what keeps the topics up to date.
+// newRelay returns the relay node, which keeps the topics up to date.
 func (e *edge) newRelay() *relay.Node {
 	m := e.machine
 	return relay.New(relay.Config{
@@ -209,7 +213,7 @@
 	})
 }
 
-// minBound is the shorter of two bounds of which 0 stands for none.
+// minBound returns the shorter of two bounds, where 0 stands for no bound.
 func minBound(a, b time.Duration) time.Duration {
 	if a <= 0 || b <= 0 {
 		return max(a, b)
@@ -225,8 +229,8 @@
 	return addresses
 }
 
-// applySettings puts a version of the operator's settings in force. Offsets
-// order the versions, so an older one never comes after a newer.
+// applySettings puts a new version of the operator's settings in force. Versions are
+// applied in the order of their offsets.
 func (e *edge) applySettings(r platform.Record) {
 	if r.Key != platform.KeySettings || len(r.Value) == 0 {
 		return
@@ -280,7 +284,7 @@
 
 func (e *edge) spawn(work func()) { e.work.Go(work) }
 
-// sweep removes targets whose time to register again has passed.
+// sweep periodically removes targets that have not registered again in time.
 func (e *edge) sweep(ctx context.Context) {
 	ticker := time.NewTicker(reregisterGrace / 8)
 	defer ticker.Stop()
@@ -294,8 +298,8 @@
 	}
 }
 
-// reload checks the settings file again on SIGHUP. What it holds takes effect
-// at the next start; an error is reported at once.
+// reload validates the settings file on SIGHUP and logs errors. Changes take effect at
+// the next start.
 func (e *edge) reload(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -314,8 +318,8 @@
 	}
 }
 
-// ready tells whether callers can be served: settings and targets are known
-// and the instance does not drain.
+// ready reports whether callers can be served: settings and targets are known and the
+// instance is not draining.
 func (e *edge) ready() bool {
 	return e.server.Table() != nil && e.targets.Loaded() && !e.server.Draining()
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -23,20 +23,20 @@
 const (
 	testHost    = "a.example"
 	testTimeout = 20 * time.Second
-	// eventTokens is the number of tokens of an event, eventsPerTurn what a
-	// turn generates, in events.
+	// eventTokens is the number of tokens per event, eventsPerTurn the number of events
+	// per turn.
 	eventTokens   = 10
 	eventsPerTurn = 5
 )
 
-// deployment is some instances with a store and targets.
+// deployment is a set of instances with a store and targets.
 type deployment struct {
 	t     *testing.T
 	store *metastore.Service
 	seeds []string
 }
 
-// instance is one life of an instance.
+// instance is one incarnation of an instance.
 type instance struct {
 	machine platform.Machine
 	stop    context.CancelFunc
@@ -137,7 +137,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// turn runs a turn of a program and returns the status and the tokens received.
+// turn runs a turn of a program and returns the status and the number of tokens received.
 func (i *instance) turn(t *testing.T, path, program string, budget int) (int, int) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+i.machine.CallerAddress+path, strings.NewReader("prompt"))
@@ -190,7 +190,7 @@
 	instances[2].stop()
 	<-instances[1].done
 	<-instances[2].done
-	// All are gone; a new one knows from the store.
+	// All instances have stopped; a new one reads the spent budget from the store.
 	last := d.start("d")
 	eventually(t, "ready", last.ready)
 	eventually(t, "an answer on the spent budget", func() bool { return spend(last) == 402 })
@@ -250,8 +250,8 @@
 	eventually(t, "ready from copies", second.ready)
 }
 
-// Copies are read also while the store does not give the slots of the relays: a start of
-// all in an outage of part of the store would else wait for its end.
+// Copies are read also while the relay slots are unavailable, or instances that start
+// together during a partial outage of the store would wait for its end.
 func TestInstanceReadsCopiesWhileTheRelaySlotsAreUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
--- a/internal/edge/instances.go
+++ b/internal/edge/instances.go
@@ -17,10 +17,10 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// topicInstances holds a record for each machine: the newest instance there.
+// topicInstances holds one record per machine: the latest incarnation on it.
 const topicInstances = platform.KeyedPrefix + "instances"
 
-// instanceRecord is an instance in the store.
+// instanceRecord is the record of an instance in the store.
 type instanceRecord struct {
 	ID         structs.InstanceID `json:"id"`
 	Address    string             `json:"address"`
@@ -28,11 +28,11 @@
 	Region     string             `json:"region"`
 }
 
-// startNumberBase writes the number of a start in few letters.
+// startNumberBase is the base in which start numbers are formatted.
 const startNumberBase = 36
 
-// newDirectory makes the directory with this instance. Its id is new with each
-// start, so that nothing meant for an earlier one reaches it.
+// newDirectory returns a directory with this instance. Its id is new with each start, so
+// that messages to an earlier incarnation do not reach it.
 func newDirectory(machine platform.Machine) *directory.Directory {
 	start := strconv.FormatInt(time.Now().UnixNano(), startNumberBase)
 	return directory.New(structs.Peer{
@@ -43,7 +43,7 @@
 	})
 }
 
-// applyInstance takes one record of the topic into the directory.
+// applyInstance returns a function that applies records of the topic to the directory.
 func applyInstance(dir *directory.Directory, reregister chan<- struct{}, log *slog.Logger) func(platform.Record) {
 	return func(r platform.Record) {
 		if len(r.Value) == 0 {
@@ -58,7 +58,7 @@
 		self := dir.Self()
 		if r.Key == directory.MachineOf(self.ID) {
 			if record.ID != self.ID {
-				// An earlier start's record took effect late.
+				// A record of an earlier incarnation took effect late.
 				select {
 				case reregister <- struct{}{}:
 				default:
@@ -74,8 +74,8 @@
 	}
 }
 
-// decodeInstance reads the record of an instance. One that names another machine
-// or no address was not written by that instance.
+// decodeInstance decodes the record of an instance. It rejects records that the instance
+// cannot have written: those of another machine or without a valid address.
 func decodeInstance(r platform.Record) (instanceRecord, error) {
 	var record instanceRecord
 	if err := json.Unmarshal(r.Value, &record); err != nil {
@@ -93,8 +93,8 @@
 // registerTimeout bounds one append of this instance's record.
 const registerTimeout = 700 * time.Millisecond
 
-// register writes this instance's record, and again whenever another start's
-// record stands in its place.
+// register writes this instance's record, and again whenever the record of another
+// incarnation replaces it.
 func (e *edge) register(ctx context.Context) {
 	self := e.directory.Self()
 	value, err := json.Marshal(instanceRecord{
@@ -115,15 +115,15 @@
 	}
 }
 
-// Waits between two tries to register. They double up to a time that keeps the load
-// of all instances far below what the store gives; its return ends them.
+// Bounds of the backoff between two attempts to register. The upper one limits the load
+// on the store when all instances retry; a recovery of the store ends the backoff.
 const (
 	minRegisterRetry = 50 * time.Millisecond
 	maxRegisterRetry = 4 * time.Second
 )
 
-// writeRecord appends a record until it is acknowledged. Taking effect twice
-// does no harm.
+// writeRecord appends a record until the append is acknowledged. Duplicate appends do no
+// harm.
 func (e *edge) writeRecord(ctx context.Context, record platform.Record) {
 	wait := minRegisterRetry
 	for ctx.Err() == nil {
--- a/internal/edge/instances_test.go
+++ b/internal/edge/instances_test.go
@@ -10,8 +10,8 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// A record that no instance of the machine can have written lists nobody, and
-// leaves the instance that is listed.
+// A record that no instance of the machine can have written is ignored, and the listed
+// instance stays.
 func TestRecordOfAnotherWriterListsNoInstance(t *testing.T) {
 	dir := directory.New(structs.Peer{ID: directory.InstanceID("self", "1")})
 	apply := applyInstance(dir, make(chan struct{}, 1), slog.New(slog.DiscardHandler))
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// servers are the listeners of an instance.
+// servers are the HTTP servers of an instance.
 type servers struct {
 	callers *http.Server
 	ready   *http.Server
@@ -66,7 +66,7 @@
 	}
 }
 
-// readyHandler answers the platform's readiness checks.
+// readyHandler serves the platform's readiness checks.
 func (e *edge) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -77,7 +77,7 @@
 	return mux
 }
 
-// adminHandler serves other instances and those who look into this one.
+// adminHandler serves other instances, metrics and debugging.
 func (e *edge) adminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
@@ -88,8 +88,8 @@
 	return engine
 }
 
-// drain stops an instance without cutting a request: it is not ready at once,
-// serves on while the platform notices, and ends when nothing is in flight or
+// drain shuts the instance down without cutting requests: it reports not ready at once,
+// keeps serving until the platform has noticed, and ends when no request is in flight or
 // the grace period is nearly over.
 func (e *edge) drain(s *servers) {
 	started := time.Now()
--- a/internal/edge/merge_bench_test.go
+++ b/internal/edge/merge_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// BenchmarkMergeTargets takes the copy of a list of 10,000 targets, as each instance
-// that starts does.
+// BenchmarkMergeTargets merges a copy with 10,000 targets, as each starting instance
+// does.
 func BenchmarkMergeTargets(b *testing.B) {
 	const n = 10_000
 	records := make([]platform.Record, 0, n)
--- a/internal/edge/options_test.go
+++ b/internal/edge/options_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A target that leaves must get no request once its time to serve on is over: a
-// pause, the next one's read and two tries that fail fit in it.
+// A draining target must not receive requests after its drain delay: two pauses and the
+// reads between them have to fit into the delay.
 func TestTargetsAreReadInTime(t *testing.T) {
 	for _, delay := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second, time.Minute} {
 		pause := targetsPause(delay)
@@ -22,5 +22,5 @@
 	}
 }
 
-// callBudget is what two calls of a store that answers may take.
+// callBudget is the time allowed for two successful calls to the store.
 const callBudget = 200 * time.Millisecond
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -17,19 +17,19 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// backgroundContext is the context of what works in the background of an instance.
+// backgroundContext is the context of an instance's background work.
 type backgroundContext struct{ context.Context }
 
-// eventRouter passes the transport's events on to the keepers, which are made
-// after the transport.
+// eventRouter passes events of the transport on to their receivers, which are built after
+// the transport.
 type eventRouter struct {
 	budgets       *budget.Keeper
 	conversations *conversation.Keeper
 	allowances    *allowance.Keeper
 }
 
-// dispatch takes one event. Events before the keepers are there are lost, like
-// messages to an instance that is not up yet.
+// dispatch routes one event. Events that arrive before the receivers are set are dropped,
+// like messages to an instance that has not started.
 func (r *eventRouter) dispatch(event structs.Event) bool {
 	if r.budgets == nil || r.conversations == nil || r.allowances == nil {
 		return true
--- a/internal/edge/refusals.go
+++ b/internal/edge/refusals.go
@@ -9,16 +9,16 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// causeEarlierStart is that of an entry which an earlier start of a target
-// wrote; it changes nothing.
+// causeEarlierStart is the cause for an entry written by an earlier incarnation of a
+// target. Such an entry changes nothing.
 const causeEarlierStart platform.EntryCause = "earlier_start"
 
-// maxTrackedRefusals bounds the refused entries that are remembered, so that a
-// writer of many keys takes no memory; entries beyond it are counted only.
+// maxTrackedRefusals bounds the memory for refused entries if a writer uses many keys.
+// Further refusals are counted but not logged.
 const maxTrackedRefusals = 256
 
-// refusals counts entries that name no target to use, and logs each once for as
-// long as it is refused for the same cause. It is not safe for concurrent use.
+// refusals counts refused entries of targets, and logs each once until its cause changes
+// or it is no longer refused. It is not safe for concurrent use.
 type refusals struct {
 	scope  tally.Scope
 	log    *slog.Logger
@@ -29,7 +29,7 @@
 	return &refusals{scope: scope.SubScope("targets"), log: log, causes: make(map[string]platform.EntryCause)}
 }
 
-// record takes an entry that is refused.
+// record counts a refused entry.
 func (r *refusals) record(id string, offset int64, cause platform.EntryCause) {
 	r.scope.Tagged(map[string]string{"cause": string(cause)}).Counter("entries_refused").Inc(1)
 	last, known := r.causes[id]
@@ -40,10 +40,10 @@
 	r.log.Warn("target's entry refused", "target", id, "cause", cause, "offset", offset)
 }
 
-// remove ends the refusal of an entry.
+// remove stops tracking an entry that is no longer refused.
 func (r *refusals) remove(id string) { delete(r.causes, id) }
 
-// causeOf is why an entry could not be decoded.
+// causeOf returns why an entry could not be decoded.
 func causeOf(err error) platform.EntryCause {
 	var refused *platform.EntryError
 	if errors.As(err, &refused) {
--- a/internal/edge/targetfeed.go
+++ b/internal/edge/targetfeed.go
@@ -12,19 +12,19 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// reregisterGrace is how long after an outage of the store the registrations that
-// lapsed meanwhile may take to come back; a target without one is then gone.
+// reregisterGrace is the time after an outage of the store within which targets whose
+// registrations lapsed meanwhile may register again, before they are removed.
 const reregisterGrace = 2 * time.Second
 
-// connections are the kept connections to targets.
+// connections are the idle connections to targets.
 type connections interface {
-	// Forget closes those to an address that carry no request.
+	// Forget closes the connections to an address that carry no request.
 	Forget(address string)
 }
 
-// targetFeed brings the registrations of targets into the registry. A
-// registration that goes around an outage of the store may only have lapsed:
-// its target is kept until the time to come back has passed.
+// targetFeed applies the registrations of targets to the registry. A registration that
+// ends around an outage of the store may only have lapsed, so its target is retained for
+// reregisterGrace after the outage.
 type targetFeed struct {
 	registry    *targets.Registry
 	connections connections
@@ -33,20 +33,20 @@
 	log         *slog.Logger
 
 	mu sync.Mutex
-	// lapsed are targets without a registration that are still kept.
+	// lapsed holds the targets without a registration that are still retained.
 	lapsed map[string]bool
-	// starts are the latest known starts of targets that tell theirs.
+	// starts holds the latest known starts of targets that report them.
 	starts map[string]targetStart
 }
 
-// targetStart is the latest known start of a target, in Unix milliseconds.
+// targetStart is the latest known start of a target.
 type targetStart struct {
 	unixMilli int64
 	seenAt    time.Time
 }
 
-// startRetention is how long the start of a target that is gone is remembered: an
-// entry that an earlier start wrote takes effect within seconds.
+// startRetention is how long the start of a removed target is remembered, in order to
+// refuse entries of earlier incarnations that take effect late.
 const startRetention = time.Minute
 
 func newTargetFeed(
@@ -58,7 +58,7 @@
 	}
 }
 
-// apply takes one record of the topic.
+// apply applies one record of the topic.
 func (f *targetFeed) apply(r platform.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,11 +75,11 @@
 	f.put(entry, r.Offset)
 }
 
-// put takes an entry that a target can have written.
+// put applies a well-formed entry of a target.
 func (f *targetFeed) put(entry targets.Entry, offset int64) {
 	known := f.starts[entry.ID].unixMilli
 	if entry.Start == 0 && known != 0 {
-		// A target that told its start tells it always.
+		// A target that has reported its start reports it in each entry.
 		f.refuse(platform.Record{Key: entry.ID, Offset: offset}, platform.CauseMissing)
 		return
 	}
@@ -102,14 +102,14 @@
 	}
 }
 
-// refuse drops the target that an entry no longer names: the newest entry is
-// all that an instance which starts now would read.
+// refuse removes the target of a malformed entry, as an instance that starts now would
+// read only the newest entry.
 func (f *targetFeed) refuse(r platform.Record, cause platform.EntryCause) {
 	f.refusals.record(r.Key, r.Offset, cause)
 	f.remove(r.Key)
 }
 
-// handleDrop removes a target, or keeps it for a while around an outage.
+// handleDrop removes a target, or retains it if its registration ended around an outage.
 func (f *targetFeed) handleDrop(id string) {
 	if !f.registry.Has(id) {
 		return
@@ -133,7 +133,8 @@
 	}
 }
 
-// sweep removes the lapsed targets that had their time to come back.
+// sweep removes the lapsed targets whose grace period is over, and starts that are no
+// longer needed.
 func (f *targetFeed) sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -22,7 +22,8 @@
 
 var errUnavailable = errors.New("the store is away")
 
-// topicStore is a store whose topics fail one by one and hold nothing new.
+// topicStore is a store whose topics can be made unavailable one by one. It returns no
+// records.
 type topicStore struct{ targetsUnavailable, instancesUnavailable atomic.Bool }
 
 func (s *topicStore) unavailable(topic string) bool {
@@ -50,23 +51,23 @@
 	return nil, from, nil
 }
 
-// feedHarness is a target feed with followers of two topics, in virtual time.
+// feedHarness runs a target feed with followers of two topics, in virtual time.
 type feedHarness struct {
 	store    topicStore
 	feed     *targetFeed
 	registry *targets.Registry
 	scope    tally.TestScope
-	// connections are the addresses whose kept connections were closed.
+	// connections lists the addresses whose idle connections were closed.
 	connections closedConnections
 }
 
-// closedConnections notes the addresses whose kept connections are closed.
+// closedConnections records the addresses whose idle connections are closed.
 type closedConnections []string
 
 func (f *closedConnections) Forget(address string) { *f = append(*f, address) }
 
-// targetEntry is the entry of a target that started at a time, in Unix
-// milliseconds; 0 for one that does not tell.
+// targetEntry returns the entry of a target with a start in Unix milliseconds; 0 for a
+// target that does not report its start.
 func targetEntry(start int64, state string) []byte {
 	startField := ""
 	if start != 0 {
@@ -81,7 +82,7 @@
 	h.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
 }
 
-// pick takes the target, nil if there is none to use.
+// pick picks the target, nil if it is not usable.
 func (h *feedHarness) pick() *targets.Target {
 	return h.registry.Pick(targets.Want{Service: "s"}, time.Now())
 }
@@ -115,10 +116,10 @@
 	})
 }
 
-// drop ends a target's registration.
+// drop ends the target's registration.
 func (h *feedHarness) drop() { h.feed.apply(platform.Record{Key: "t", Offset: 1}) }
 
-// has tells whether the target is there after a time.
+// hasAfter reports whether the target is registered after a delay.
 func (h *feedHarness) hasAfter(d time.Duration) bool {
 	time.Sleep(d)
 	h.feed.sweep(time.Now())
@@ -135,8 +136,8 @@
 	})
 }
 
-// A registration that goes around an outage may only have lapsed; the target has
-// the time to register again, counted from the return of the targets' own topic.
+// A registration that ends around an outage may only have lapsed. The target has time to
+// register again, counted from the recovery of the targets' own topic.
 func TestLapsedTargetHasTimeToRegisterAgain(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.store.targetsUnavailable.Store(true)
@@ -147,7 +148,7 @@
 		if !h.hasAfter(reregisterGrace / 2) {
 			t.Error("the target was removed before it could register again")
 		}
-		// The list of instances is still away.
+		// The list of instances is still unavailable.
 		if h.hasAfter(reregisterGrace) {
 			t.Error("the target stays beyond its time")
 		}
@@ -167,8 +168,8 @@
 	})
 }
 
-// An entry that no target can have written names none to use; the others stay,
-// and the next good entry of the target puts it in force again.
+// A malformed entry makes its target unusable and affects no other target. The next
+// well-formed entry makes the target usable again.
 func TestEntryOfAnotherWriterNamesNoTarget(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
@@ -193,8 +194,8 @@
 	})
 }
 
-// A target that starts again under its id is another one: what was known of the
-// former is gone, and its kept connections are closed.
+// A target that restarts under the same id is a new target: the state of the earlier
+// incarnation is dropped, and its idle connections are closed.
 func TestLaterStartReplacesTheTarget(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.put(1, targetEntry(1000, "ready"))
@@ -214,8 +215,8 @@
 	})
 }
 
-// What an earlier start wrote changes nothing when it takes effect late, also
-// after the later one's entry has gone.
+// An entry of an earlier incarnation changes nothing when it takes effect late, even
+// after the entry of the later incarnation was dropped.
 func TestEntryOfAnEarlierStartChangesNothing(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second) // long after any outage
@@ -240,7 +241,7 @@
 	})
 }
 
-// A target that tells its start tells it in each entry.
+// A target that has reported its start reports it in each entry.
 func TestEntryWithoutTheKnownStartIsRefused(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.put(1, targetEntry(2000, "ready"))
@@ -251,7 +252,7 @@
 	})
 }
 
-// The log and the memory stay bounded however many entries are refused.
+// Log lines and memory stay bounded however many entries are refused.
 func TestRefusalsAreBounded(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		for i := range 2 * maxTrackedRefusals {
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -18,23 +18,23 @@
 	"github.com/banyanglade/banyanglade/internal/relay"
 )
 
-// How instances ask each other for the newest records of the topics.
+// Queries between instances for the newest records of the topics.
 
 const (
-	// topicsPath is where an instance gives its copies of the topics.
+	// topicsPath is the path under which an instance serves its copies of the topics.
 	topicsPath = "/topics"
-	// waitField names how long an answer may wait for news, in milliseconds; the
-	// other fields of a question are topics and offsets.
+	// waitField is the field for how long a reply may wait for updates, in milliseconds.
+	// The fields without a constant are topics, with their offsets as values.
 	waitField = "wait_ms"
-	// relayField names the address of a relay that asks.
+	// relayField is the field for the address of the sender if it is a relay.
 	relayField = "relay"
-	// topicsDialTimeout bounds the set-up of a connection to another instance, topicsReadTimeout
-	// the time between two bytes of an answer.
+	// topicsDialTimeout bounds the dial to another instance, topicsReadTimeout the time
+	// between two reads of a reply.
 	topicsDialTimeout = 300 * time.Millisecond
 	topicsReadTimeout = 900 * time.Millisecond
-	// maxQueryWait bounds the wait that others may ask for.
+	// maxQueryWait bounds the wait that other instances may ask for.
 	maxQueryWait = 30 * time.Second
-	// maxReplyBytes bounds an answer.
+	// maxReplyBytes bounds the size of a reply.
 	maxReplyBytes = 32 << 20
 )
 
@@ -46,7 +46,7 @@
 	return h
 }
 
-// handleTopics answers another instance's question.
+// handleTopics serves a query of another instance.
 func (e *edge) handleTopics(c *gin.Context) {
 	query, err := decodeQuery(c.Request.URL.Query())
 	if err != nil {
@@ -102,7 +102,7 @@
 	return q, nil
 }
 
-// topicsClient asks other instances. It implements relay.Peers.
+// topicsClient sends queries to other instances. It implements relay.Peers.
 type topicsClient struct{ client *http.Client }
 
 func newTopicsClient() *topicsClient {
@@ -113,8 +113,8 @@
 	}}}
 }
 
-// Query implements relay.Peers. An answer may take long as long as bytes come: many
-// ask a relay at once when all start.
+// Query implements relay.Peers. The timeout is extended with each read, since a relay
+// that serves many starting instances may send its reply slowly.
 func (t *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -143,13 +143,12 @@
 	return reply, nil
 }
 
-// timeoutReader puts off the end of a call with each byte that comes.
+// timeoutReader extends the timeout of a call with each read.
 type timeoutReader struct {
 	io.Reader
 	timeout *time.Timer
 }
 
-// Read implements io.Reader.
 func (r *timeoutReader) Read(p []byte) (int, error) {
 	r.timeout.Reset(topicsReadTimeout)
 	return r.Reader.Read(p)
--- a/internal/edge/topics_test.go
+++ b/internal/edge/topics_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Copies of a larger topic are written less often, so that their bytes a second do not
-// follow the number of targets.
+// Copies of a larger topic are written less often, so that the bytes per second do not
+// grow with the number of targets.
 func TestBytesOfCopiesDoNotGrowWithTheTopic(t *testing.T) {
 	const span = 10 * time.Minute
 	for _, size := range []int{maxCopyRate, 100 * maxCopyRate, 200 * maxCopyRate} {
