--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	topicCopy.AgeMs = feed.UnknownAge // it ages in the store
+	topicCopy.AgeMs = feed.UnknownAge // the copy ages in the store
 	return topicCopy.Encode()
 }
 
@@ -144,14 +144,14 @@
 	defer cancel()
 	list, err := e.store.Newest(call, topicCopies, partition)
 	if err != nil {
-		e.log.Debug("copies not read", "partition", partition, "error", err.Error())
+		e.log.Debug("failed to read copies", "partition", partition, "error", err.Error())
 		return nil
 	}
 	copies := make(map[string]feed.Copy)
 	for _, r := range list.Records {
 		found, err := feed.DecodeCopy(r.Value)
 		if err != nil {
-			e.log.Error("copy ignored", "topic", r.Key, "partition", partition, "error", err.Error())
+			e.log.Error("ignored malformed copy", "topic", r.Key, "partition", partition, "error", err.Error())
 			continue
 		}
 		copies[r.Key] = found
@@ -168,7 +168,7 @@
 		}
 		merged, err := topic.MergeCopy(topicCopy, time.Now())
 		if err != nil {
-			e.log.Error("copy ignored", "topic", topic.Name, "error", err.Error())
+			e.log.Error("ignored malformed copy", "topic", topic.Name, "error", err.Error())
 			continue
 		}
 		e.log.Info("records taken from a copy", "topic", topic.Name, "records", merged, "source", topicCopies)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -258,7 +258,7 @@
 	select {
 	case <-ctx.Done():
 	case err := <-servers.failed:
-		e.log.Error("a listener failed", "error", err.Error())
+		e.log.Error("listener failed", "error", err.Error())
 		return err
 	}
 	e.drain(servers)
@@ -313,7 +313,7 @@
 				e.log.Error("settings file is malformed", "error", err.Error())
 				continue
 			}
-			e.log.Info("settings file read again")
+			e.log.Info("settings file is valid; changes take effect at the next start")
 		}
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -125,7 +125,7 @@
 			return
 		}
 	}
-	t.Fatalf("waited %s in vain: %s", testTimeout, what)
+	t.Fatalf("timed out after %s: %s", testTimeout, what)
 }
 
 func (i *instance) ready() bool {
@@ -193,9 +193,9 @@
 	// All instances have stopped; a new one reads the spent budget from the store.
 	last := d.start("d")
 	eventually(t, "ready", last.ready)
-	eventually(t, "an answer on the spent budget", func() bool { return spend(last) == 402 })
+	eventually(t, "the spent budget is refused", func() bool { return spend(last) == 402 })
 	if total > budget+100 {
-		t.Errorf("%d tokens of %d and a turn's most", total, budget)
+		t.Errorf("%d tokens of %d and a turn's maximum", total, budget)
 	}
 }
 
@@ -204,7 +204,7 @@
 	i := d.start("a")
 	eventually(t, "ready", i.ready)
 	if status, _ := i.turn(t, "/other/x", "p", 500); status != 404 {
-		t.Errorf("status %d before the route is there", status)
+		t.Errorf("status %d before the route exists", status)
 	}
 	d.putSettings(2, "/other/")
 	eventually(t, "the new route", func() bool {
@@ -226,7 +226,7 @@
 	d := newDeployment(t)
 	d.store.Set(metastore.Fault{Reset: true})
 	i := d.start("a")
-	eventually(t, "an answer", func() bool {
+	eventually(t, "refused without settings", func() bool {
 		status, _ := i.turn(t, "/turns/x", "p", 500)
 		return status == 503
 	})
--- a/internal/edge/instances.go
+++ b/internal/edge/instances.go
@@ -52,7 +52,7 @@
 		}
 		record, err := decodeInstance(r)
 		if err != nil {
-			log.Error("instance ignored", "machine", r.Key, "offset", r.Offset, "error", err.Error())
+			log.Error("ignored malformed instance record", "machine", r.Key, "offset", r.Offset, "error", err.Error())
 			return
 		}
 		self := dir.Self()
@@ -79,7 +79,7 @@
 func decodeInstance(r platform.Record) (instanceRecord, error) {
 	var record instanceRecord
 	if err := json.Unmarshal(r.Value, &record); err != nil {
-		return instanceRecord{}, errors.Wrap(err, "decode the record of an instance")
+		return instanceRecord{}, errors.Wrap(err, "decode the instance record")
 	}
 	if directory.MachineOf(record.ID) != r.Key {
 		return instanceRecord{}, errors.Newf("the record of machine %q names instance %q", r.Key, record.ID)
@@ -101,7 +101,7 @@
 		ID: self.ID, Address: self.Address, DataCentre: string(self.DataCentre), Region: string(self.Region),
 	})
 	if err != nil {
-		e.log.Error("instance not registered", "error", err.Error())
+		e.log.Error("failed to register this instance", "error", err.Error())
 		return
 	}
 	record := platform.Record{Key: directory.MachineOf(self.ID), Value: value}
@@ -133,7 +133,7 @@
 		if err == nil {
 			return
 		}
-		e.log.Debug("instance not registered yet", "error", err.Error())
+		e.log.Debug("failed to register this instance, retrying", "error", err.Error())
 		recovered := e.health.Recovered()
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -106,7 +106,7 @@
 	}
 	for _, server := range []*http.Server{s.ready, s.admin} {
 		if err := server.Close(); err != nil {
-			e.log.Warn("listener not closed", "error", err.Error())
+			e.log.Warn("failed to close a listener", "error", err.Error())
 		}
 	}
 }
--- a/internal/edge/options_test.go
+++ b/internal/edge/options_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	if targetsPause(0) != minTargetsPause || readWait(0) != maxReadWait {
-		t.Error("times without a bound")
+		t.Error("wrong pause or wait without a bound")
 	}
 }
 
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -20,7 +20,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-var errUnavailable = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
 // topicStore is a store whose topics can be made unavailable one by one. It returns no
 // records.
@@ -131,7 +131,7 @@
 		time.Sleep(10 * time.Second)
 		h.drop()
 		if h.hasAfter(0) {
-			t.Error("a target without a registration is still there")
+			t.Error("a target without a registration was not removed")
 		}
 	})
 }
@@ -150,7 +150,7 @@
 		}
 		// The list of instances is still unavailable.
 		if h.hasAfter(reregisterGrace) {
-			t.Error("the target stays beyond its time")
+			t.Error("the target was not removed after the grace period")
 		}
 	})
 }
@@ -175,12 +175,12 @@
 		h.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
 		h.put(1, []byte(`{"Service":"s"}`))
 		if h.registry.Has("t") || !h.registry.Has("other") {
-			t.Error("the entry's target is used, or another one is not")
+			t.Error("the entry's target is registered, or another one is not")
 		}
 		h.put(2, []byte("\xff"))
 		h.put(3, targetEntry(0, "warming"))
 		if h.registry.Has("t") {
-			t.Error("a target with an unknown state is used")
+			t.Error("a target with an unknown state is registered")
 		}
 		for _, cause := range []string{"missing_field", "encoding", "unknown_state"} {
 			if h.refused(cause) != 1 {
@@ -189,7 +189,7 @@
 		}
 		h.put(4, targetEntry(0, "ready"))
 		if !h.registry.Has("t") {
-			t.Error("the target is not used again")
+			t.Error("the target is not registered again")
 		}
 	})
 }
@@ -204,10 +204,10 @@
 		h.put(2, targetEntry(2000, "ready"))
 		next := h.pick()
 		if next == first || next.Incarnation() == first.Incarnation() || next.ID != first.ID {
-			t.Error("the later start is taken for the former")
+			t.Error("the later incarnation is treated as the earlier one")
 		}
 		if h.registry.Runs(first.Incarnation()) || h.registry.PickSame(first.Incarnation()) != nil {
-			t.Error("the former start still counts as running")
+			t.Error("the earlier incarnation still counts as running")
 		}
 		if got := []string(h.connections); !slices.Contains(got, "10.0.0.1:80") {
 			t.Errorf("connections closed: %v", got)
@@ -224,19 +224,19 @@
 		present := h.pick()
 		h.put(2, targetEntry(1000, "draining"))
 		if h.pick() != present {
-			t.Error("an entry of an earlier start changed the target")
+			t.Error("an entry of an earlier incarnation changed the target")
 		}
 		h.put(3, nil)
 		h.put(4, targetEntry(1000, "ready"))
 		if h.registry.Has("t") {
-			t.Error("an earlier start is used after a later one")
+			t.Error("an earlier incarnation is registered after a later one")
 		}
 		if h.refused("earlier_start") != 2 {
 			t.Errorf("%d entries refused", h.refused("earlier_start"))
 		}
 		h.put(5, targetEntry(3000, "ready"))
 		if !h.registry.Has("t") {
-			t.Error("a later start is not used")
+			t.Error("a later incarnation is not registered")
 		}
 	})
 }
@@ -247,7 +247,7 @@
 		h.put(1, targetEntry(2000, "ready"))
 		h.put(2, targetEntry(0, "ready"))
 		if h.registry.Has("t") {
-			t.Error("the entry is taken for the target's")
+			t.Error("an entry without the start is accepted")
 		}
 	})
 }
@@ -259,7 +259,7 @@
 			h.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
 		}
 		if len(h.feed.refusals.causes) > maxTrackedRefusals || h.refused("encoding") != 2*maxTrackedRefusals {
-			t.Errorf("%d kept, %d counted", len(h.feed.refusals.causes), h.refused("encoding"))
+			t.Errorf("%d tracked, %d counted", len(h.feed.refusals.causes), h.refused("encoding"))
 		}
 	})
 }
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -24,9 +24,9 @@
 	// topicsPath is the path under which an instance serves its copies of the topics.
 	topicsPath = "/topics"
 	// waitField is the field for how long a reply may wait for updates, in milliseconds.
-	// The fields without a constant are topics, with their offsets as values.
+	// All fields but this one and relayField are topics, with offsets as values.
 	waitField = "wait_ms"
-	// relayField is the field for the address of the sender if it is a relay.
+	// relayField is the field for the address of the sender, if that is a relay.
 	relayField = "relay"
 	// topicsDialTimeout bounds the dial to another instance, topicsReadTimeout the time
 	// between two reads of a reply.
@@ -42,7 +42,7 @@
 
 func newReplyCodec() *codec.CborHandle {
 	h := new(codec.CborHandle)
-	h.MaxInitLen = 1024 // elements allocated ahead on the word of a length field
+	h.MaxInitLen = 1024 // bounds what a forged length field allocates
 	return h
 }
 
@@ -55,13 +55,13 @@
 	}
 	reply, err := e.relay.HandleQuery(c.Request.Context(), query)
 	if err != nil {
-		e.log.Debug("question for topics not answered", "error", err.Error())
+		e.log.Debug("failed to reply to a query for topics", "error", err.Error())
 		c.Status(http.StatusServiceUnavailable)
 		return
 	}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, replyCodec).Encode(reply); err != nil {
-		e.log.Error("answer to a question for topics not encoded", "error", err.Error())
+		e.log.Error("answer to a query for topics not encoded", "error", err.Error())
 		c.Status(http.StatusInternalServerError)
 		return
 	}
@@ -122,7 +122,7 @@
 	defer timeout.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+topicsPath+"?"+encodeQuery(q).Encode(), nil)
 	if err != nil {
-		return relay.Reply{}, errors.Wrap(err, "make the question")
+		return relay.Reply{}, errors.Wrap(err, "create the query")
 	}
 	resp, err := t.client.Do(req)
 	if err != nil {
--- a/internal/edge/topics_test.go
+++ b/internal/edge/topics_test.go
@@ -25,12 +25,12 @@
 			t.Fatal(err)
 		}
 		if got, err := decodeQuery(values); err == nil {
-			t.Errorf("%s: taken as %+v", query, got)
+			t.Errorf("%s: decoded as %+v", query, got)
 		}
 	}
 	got, err := decodeQuery(url.Values{waitField: {"99999999"}})
 	if err != nil || got.Wait != maxQueryWait {
-		t.Errorf("a wait of a day: %+v, %v", got, err)
+		t.Errorf("a wait beyond the maximum: %+v, %v", got, err)
 	}
 }
 
