--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -69,8 +69,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	if old, ok := d.byMachine[machine]; ok && old.ID != p.ID {
-		d.forget(old.ID)
+	if previous, ok := d.byMachine[machine]; ok && previous.ID != p.ID {
+		d.forget(previous.ID)
 	}
 	d.byMachine[machine] = p
 }
@@ -85,13 +85,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	old, ok := d.byMachine[machine]
-	if ok && !startedAfter(id, old.ID) {
+	previous, ok := d.byMachine[machine]
+	if ok && !startedAfter(id, previous.ID) {
 		return
 	}
-	d.forget(old.ID)
+	d.forget(previous.ID)
 	// The earlier incarnation on the machine was in the same data centre.
-	discovered := old
+	discovered := previous
 	discovered.ID, discovered.Address = id, address
 	d.byMachine[machine] = discovered
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -118,10 +118,10 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for started := time.Now(); time.Since(started) < testTimeout; time.Sleep(10 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
--- a/internal/feed/topic.go
+++ b/internal/feed/topic.go
@@ -80,13 +80,13 @@
 func (t *Topic) merge(records []platform.Record) int {
 	merged := 0
 	for _, r := range records {
-		old, ok := t.newest[r.Key]
-		if ok && old.Offset >= r.Offset {
+		previous, ok := t.newest[r.Key]
+		if ok && previous.Offset >= r.Offset {
 			continue
 		}
-		if ok && t.isHeartbeat(old.Value, r.Value) {
-			old.Offset = r.Offset
-			t.newest[r.Key] = old
+		if ok && t.isHeartbeat(previous.Value, r.Value) {
+			previous.Offset = r.Offset
+			t.newest[r.Key] = previous
 			continue
 		}
 		// The value may share memory with the whole response.
@@ -99,8 +99,8 @@
 	return merged
 }
 
-func (t *Topic) isHeartbeat(old, value []byte) bool {
-	return t.equivalent != nil && len(old) > 0 && len(value) > 0 && t.equivalent(old, value)
+func (t *Topic) isHeartbeat(previous, value []byte) bool {
+	return t.equivalent != nil && len(previous) > 0 && len(value) > 0 && t.equivalent(previous, value)
 }
 
 // notify wakes those who wait for an update. t.mu is held.
@@ -131,8 +131,8 @@
 		present[r.Key] = true
 	}
 	merged := 0
-	for key, old := range t.newest {
-		if present[key] || old.Offset >= list.End || len(old.Value) == 0 {
+	for key, previous := range t.newest {
+		if present[key] || previous.Offset >= list.End || len(previous.Value) == 0 {
 			continue
 		}
 		// Receivers that have read up to the end of the list still have to receive the
