--- a/internal/allowance/keeper.go
+++ b/internal/allowance/keeper.go
@@ -154,15 +154,15 @@
 }
 
 // Admit lets a request in or tells why not: with a *serve.OverLimitError,
-// serve.ErrNoAllowance if nobody who could tell answers, or the error of the
+// serve.ErrLimitUnknown if nobody who could tell answers, or the error of the
 // context.
-func (k *Keeper) Admit(ctx context.Context, entry serve.Entry) (serve.Permit, error) {
+func (k *Keeper) Admit(ctx context.Context, entry serve.AllowanceRequest) (serve.Permit, error) {
 	if !entry.Limit.Limited() {
 		return noPermit{}, nil
 	}
 	now := time.Now()
 	w := &waiter{
-		first: entry.First, rank: min(max(entry.Rank, 0), structs.AllowanceRanks-1),
+		first: entry.First, rank: min(max(entry.Priority, 0), structs.AllowanceRanks-1),
 		program: programHash(entry.Program), until: now.Add(holdMost), verdict: make(chan verdict, 1),
 	}
 	k.mu.Lock()
@@ -192,7 +192,7 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
-		err = serve.ErrNoAllowance
+		err = serve.ErrLimitUnknown
 	}
 	k.mu.Lock()
 	left := l.leave(w)
@@ -214,14 +214,14 @@
 	limit := l.limit
 	k.mu.Unlock()
 	return nil, &serve.OverLimitError{
-		RetryAfter: got.reply.RetryAfter, Limit: limit, Left: got.reply.Left, Votes: got.reply.Votes,
+		RetryAfter: got.reply.RetryAfter, Limit: limit, Remaining: got.reply.Left, Votes: got.reply.Votes,
 		Coordinator: got.coordinator,
 	}
 }
 
 // lineOf is what waits of an organisation, under its newest limit. The mutex is
 // held.
-func (k *Keeper) lineOf(entry serve.Entry) *line {
+func (k *Keeper) lineOf(entry serve.AllowanceRequest) *line {
 	l := k.lines[entry.Organisation]
 	if l == nil {
 		l = &line{organisation: entry.Organisation}
--- a/internal/allowance/world_test.go
+++ b/internal/allowance/world_test.go
@@ -111,11 +111,11 @@
 
 // request asks an instance to let one request in.
 func (w *world) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return w.enter(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
+	return w.enter(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
 // enter asks an instance to let a request in.
-func (w *world) enter(n *node, entry serve.Entry) bool {
+func (w *world) enter(n *node, entry serve.AllowanceRequest) bool {
 	name := entry.Organisation
 	permit, err := n.keeper.Admit(context.Background(), entry)
 	w.mu.Lock()
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -64,23 +64,23 @@
 func (h heldRoom) First() bool { return h.first }
 
 // Settle gives back what was not used and tells how the turn ended.
-func (h heldRoom) Settle(end serve.TurnEnd) {
+func (h heldRoom) Settle(end serve.TurnResult) {
 	h.keeper.receiveSettle(&structs.RoomSettle{
-		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.Used,
+		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
 		Target: end.Target, Failed: end.Failed,
 	})
 }
 
-// Reserve waits for room for a turn. It returns serve.ErrSpent if the budget
-// has none, serve.ErrNoRoom if turns under way hold what is left,
-// serve.ErrStoreAway if a record is needed that the store does not take,
+// Reserve waits for room for a turn. It returns serve.ErrBudgetSpent if the budget
+// has none, serve.ErrBudgetHeld if turns under way hold what is left,
+// serve.ErrStoreUnavailable if a record is needed that the store does not take,
 // serve.ErrNoOwner if no owner is found, or the error of the context.
 func (k *Keeper) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, roomPatience)
 	defer cancel()
 	lease, err := k.reserve(wait, turn)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
-		return nil, serve.ErrNoRoom
+		return nil, serve.ErrBudgetHeld
 	}
 	return lease, err
 }
@@ -89,7 +89,7 @@
 func (k *Keeper) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := k.partitionOf(turn.Program)
 	request := structs.RoomRequest{
-		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.Most, Retention: turn.Retention,
+		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.MaxTokens, Retention: turn.Retention,
 	}
 	search := search{keeper: k, partition: p}
 	started := time.Now()
@@ -102,12 +102,12 @@
 		case structs.RoomGranted:
 			return heldRoom{k, request, got.target, got.first}, nil
 		case structs.RoomSpent:
-			return nil, serve.ErrSpent
+			return nil, serve.ErrBudgetSpent
 		case structs.RoomNoRecord:
-			return nil, serve.ErrStoreAway
+			return nil, serve.ErrStoreUnavailable
 		}
 		if len(search.unable) >= maxUnable {
-			return nil, serve.ErrStoreAway
+			return nil, serve.ErrStoreUnavailable
 		}
 		if time.Since(started) > ownerPatience || k.isolated() {
 			return nil, serve.ErrNoOwner
@@ -247,7 +247,7 @@
 		select {
 		case got := <-answers:
 			if got.outcome == structs.RoomGranted {
-				heldRoom{keeper: k, request: *request}.Settle(serve.TurnEnd{})
+				heldRoom{keeper: k, request: *request}.Settle(serve.TurnResult{})
 			}
 		case <-k.ctx.Done():
 		}
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -112,7 +112,7 @@
 func (w *world) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	lease, err := n.keeper.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
+	lease, err := n.keeper.Reserve(ctx, serve.Turn{Program: program, Budget: budget, MaxTokens: most, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	w.mu.Lock()
 	w.delivered[program] += used
 	w.mu.Unlock()
-	lease.Settle(serve.TurnEnd{Used: used})
+	lease.Settle(serve.TurnResult{UsedTokens: used})
 	return nil
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -130,12 +130,12 @@
 	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Keeper, conversations *conversation.Keeper,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
-	return serve.New(serve.Parts{
+	return serve.New(serve.Config{
 		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: budgets, Allowances: allowances,
-		Conversations: conversations, Notices: budgets, Health: health, Currency: freshness,
-		Memory: memlimit.New(int64(float64(machine.MemoryBytes)*requestMemoryFraction), scope),
-		Keys:   keyPolicy(machine),
-		Scope:  scope, Log: log,
+		Conversations: conversations, Notices: budgets, Health: health, Freshness: freshness,
+		Memory:    memlimit.New(int64(float64(machine.MemoryBytes)*requestMemoryFraction), scope),
+		KeyPolicy: keyPolicy(machine),
+		Scope:     scope, Log: log,
 	})
 }
 
@@ -241,7 +241,7 @@
 		return
 	}
 	e.server.SetTable(route.NewTable(settings))
-	e.storesTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.KeepsTurns }))
+	e.storesTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.StoresTurns }))
 	e.allowances.SetActive(settings.Organisations.Limited())
 	e.log.Info("settings in force", "settings_version", settings.Version, "offset", r.Offset,
 		"routes", len(settings.Routes), "organisations", settings.Organisations.Len())
--- a/internal/edge/targetfeed.go
+++ b/internal/edge/targetfeed.go
@@ -18,8 +18,8 @@
 
 // connections are the idle connections to targets.
 type connections interface {
-	// Forget closes the connections to an address that carry no request.
-	Forget(address string)
+	// CloseIdle closes the connections to an address that carry no request.
+	CloseIdle(address string)
 }
 
 // targetFeed applies the registrations of targets to the registry. A registration that
@@ -94,7 +94,7 @@
 	}
 	previous, replaces := f.registry.Entry(entry.ID)
 	if replaces && (previous.Start != entry.Start || previous.Address != entry.Address) {
-		f.connections.Forget(previous.Address)
+		f.connections.CloseIdle(previous.Address)
 	}
 	if f.registry.Put(entry) {
 		f.log.Debug("target changed", "target", entry.ID, "service", entry.Service, "address", entry.Address,
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -107,7 +107,7 @@
 
 func newTopicsClient() *topicsClient {
 	return &topicsClient{client: &http.Client{Transport: &http.Transport{
-		DialContext:        netopt.Dialer(topicsDialTimeout, topicsReadTimeout).DialContext,
+		DialContext:        netopt.NewDialer(topicsDialTimeout, topicsReadTimeout).DialContext,
 		IdleConnTimeout:    10 * time.Second,
 		DisableCompression: true,
 	}}}
