--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -15,15 +15,15 @@
 	old, next := peerAt("m", "1"), peerAt("m", "2")
 	d.Put(old)
 	if d.Ended(old.ID) || !d.Usable(old.ID) {
-		t.Error("the first start counts as ended")
+		t.Error("the first incarnation counts as ended")
 	}
 	d.SetUnresponsive(old.ID, true)
 	d.Put(next)
 	if !d.Ended(old.ID) || d.Usable(old.ID) || !d.Usable(next.ID) {
-		t.Error("the second start did not replace the first")
+		t.Error("the second incarnation did not replace the first")
 	}
 	if _, ok := d.Resolve(old.ID); ok {
-		t.Error("an ended instance was found")
+		t.Error("an ended instance was resolved")
 	}
 	d.Remove("m")
 	if d.Usable(next.ID) || len(d.Others()) != 0 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRankingMovesOnlyWhatAnInstanceHeld(t *testing.T) {
+func TestRankingMovesOnlyKeysOfTheRemovedInstance(t *testing.T) {
 	d := New(peerAt("a", "1"))
 	for _, m := range []string{"b", "c", "d"} {
 		d.Put(peerAt(m, "1"))
@@ -41,27 +41,27 @@
 	for _, key := range keys {
 		before[key] = d.Ranked(key)[0]
 	}
-	gone := peerAt("b", "1").ID
-	d.SetUnresponsive(gone, true)
+	removed := peerAt("b", "1").ID
+	d.SetUnresponsive(removed, true)
 	for _, key := range keys {
-		if first := d.Ranked(key)[0]; before[key] != gone && first != before[key] {
+		if first := d.Ranked(key)[0]; before[key] != removed && first != before[key] {
 			t.Errorf("%s moved from %s to %s", key, before[key], first)
 		}
 	}
-	d.SetUnresponsive(gone, false)
-	d.SetLeaving(gone)
+	d.SetUnresponsive(removed, false)
+	d.SetLeaving(removed)
 	for _, key := range keys {
-		if d.Ranked(key)[0] == gone {
-			t.Errorf("%s is given to an instance that leaves", key)
+		if d.Ranked(key)[0] == removed {
+			t.Errorf("%s ranks an instance first that is shutting down", key)
 		}
 	}
 }
 
-func TestOwnRecordIsNotTakenFromTheStore(t *testing.T) {
+func TestOwnRecordIsIgnored(t *testing.T) {
 	d := New(peerAt("self", "2"))
 	d.Put(peerAt("self", "1"))
 	d.Remove("self")
 	if !d.Usable(peerAt("self", "2").ID) {
-		t.Error("this instance lost itself")
+		t.Error("this instance is not listed")
 	}
 }
--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -10,35 +10,35 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// The operator's settings and the targets' registrations lie in one partition
-// each. While the store does not serve those, an instance that starts reads a
-// copy from another partition.
+// The operator's settings and the targets' registrations each lie in a single partition.
+// While the store does not serve that partition, a starting instance reads a copy from
+// another one.
 
 const (
 	// topicCopies holds the same copies in each of its partitions.
 	topicCopies = platform.KeyedPrefix + "copies"
-	// copyInterval is the least time between two writes of a copy by one
-	// instance; registrations change in series.
+	// copyInterval is the minimum time between two writes of a copy by one instance, so
+	// that changes in quick succession are written once.
 	copyInterval = 4 * time.Second
-	// copyTimeout bounds a call for a copy.
+	// copyTimeout bounds a call to the store for a copy.
 	copyTimeout = 700 * time.Millisecond
-	// copyRate bounds the bytes a second that the copies of one topic take in a
-	// partition: larger ones are written less often.
-	copyRate = 8 << 10
-	// copyRetry is the time between two tries to read a copy.
-	copyRetry = 100 * time.Millisecond
+	// maxCopyRate bounds the bytes per second that the copies of one topic take in a
+	// partition: larger copies are written less often.
+	maxCopyRate = 8 << 10
+	// copyRetryInterval is the time between two attempts to read a copy.
+	copyRetryInterval = 100 * time.Millisecond
 )
 
-// sourceTopics are the topics that are copied.
-func (e *edge) sourceTopics() []*feed.Topic { return []*feed.Topic{e.settings, e.targets} }
+// copiedTopics lists the topics that are copied.
+func (e *edge) copiedTopics() []*feed.Topic { return []*feed.Topic{e.settings, e.targets} }
 
-// copyKey names the copy of a topic in a partition.
+// copyKey identifies the copy of a topic in a partition.
 type copyKey struct {
 	partition int
 	topic     string
 }
 
-// writeCopies keeps the copies up to date. Each partition's are written by the
+// writeCopies keeps the copies up to date. The copies in a partition are written by the
 // instance that ranks first for it.
 func (e *edge) writeCopies(ctx context.Context) {
 	written := make(map[copyKey]writtenCopy)
@@ -57,26 +57,26 @@
 			if e.directory.First("copies/"+strconv.Itoa(partition)) != e.directory.Self().ID {
 				continue
 			}
-			for _, topic := range e.sourceTopics() {
+			for _, topic := range e.copiedTopics() {
 				e.writeCopy(ctx, topic, partition, written)
 			}
 		}
 	}
 }
 
-// writtenCopy is the copy of a topic that this instance wrote last to a partition.
+// writtenCopy describes the copy of a topic that this instance last wrote to a partition.
 type writtenCopy struct {
 	changed int64
 	at      time.Time
 	bytes   int
 }
 
-// due tells whether the next copy may be written.
+// due reports whether the next copy may be written without exceeding maxCopyRate.
 func (w writtenCopy) due(now time.Time) bool {
-	return now.Sub(w.at) >= time.Duration(float64(w.bytes)/copyRate*float64(time.Second))
+	return now.Sub(w.at) >= time.Duration(float64(w.bytes)/maxCopyRate*float64(time.Second))
 }
 
-// writeCopy writes a topic's copy if the topic has changed since the last one.
+// writeCopy writes a copy of a topic if the topic has changed since the last one.
 func (e *edge) writeCopy(ctx context.Context, topic *feed.Topic, partition int, written map[copyKey]writtenCopy) {
 	key := copyKey{partition, topic.Name}
 	changed, now := topic.LastChanged(), time.Now()
@@ -102,57 +102,56 @@
 	written[key] = writtenCopy{changed: changed, at: now, bytes: len(value)}
 }
 
-// encodeCopy makes the value of a copy's record.
+// encodeCopy encodes the value of a copy's record.
 func (e *edge) encodeCopy(topic *feed.Topic, now time.Time) ([]byte, error) {
-	given, err := topic.Copy(feed.FromStart, now)
+	topicCopy, err := topic.Copy(feed.FromStart, now)
 	if err != nil {
 		return nil, err
 	}
-	given.AgeMs = feed.UnknownAge // it ages in the store
-	return given.Encode()
+	topicCopy.AgeMs = feed.UnknownAge // the copy ages in the store
+	return topicCopy.Encode()
 }
 
-// copiesRead is how many partitions' copies are read before they are used: one
-// may be a few seconds older than the others.
-const copiesRead = 2
+// copiesBeforeMerge is the number of partitions whose copies are read before any is
+// merged, since one partition's copy may be older than the others.
+const copiesBeforeMerge = 2
 
-// readCopies reads copies until the settings and the targets are known, from
-// wherever that is.
+// readCopies reads copies until the settings and the targets are known, from any source.
 func (e *edge) readCopies(ctx context.Context) {
-	found := make([]map[string]feed.Copy, 0, copiesRead)
+	found := make([]map[string]feed.Copy, 0, copiesBeforeMerge)
 	for ctx.Err() == nil && !(e.server.Table() != nil && e.targets.Loaded()) {
 		if !e.health.OK() && e.relay.MayReadCopies() {
 			if copies := e.readCopy(ctx, rand.IntN(e.machine.Store.Partitions)); len(copies) > 0 {
 				found = append(found, copies)
 			}
 		}
-		if len(found) == copiesRead {
+		if len(found) == copiesBeforeMerge {
 			for _, copies := range found {
-				e.takeCopies(copies)
+				e.mergeCopies(copies)
 			}
 			found = found[:0]
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(copyRetry):
+		case <-time.After(copyRetryInterval):
 		}
 	}
 }
 
-// readCopy reads what one partition holds.
+// readCopy reads the copies in one partition.
 func (e *edge) readCopy(ctx context.Context, partition int) map[string]feed.Copy {
 	call, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	list, err := e.store.Newest(call, topicCopies, partition)
 	if err != nil {
-		e.log.Debug("copies not read", "partition", partition, "error", err.Error())
+		e.log.Debug("failed to read copies", "partition", partition, "error", err.Error())
 		return nil
 	}
 	copies := make(map[string]feed.Copy)
 	for _, r := range list.Records {
 		found, err := feed.DecodeCopy(r.Value)
 		if err != nil {
-			e.log.Error("copy ignored", "topic", r.Key, "partition", partition, "error", err.Error())
+			e.log.Error("ignored malformed copy", "topic", r.Key, "partition", partition, "error", err.Error())
 			continue
 		}
 		copies[r.Key] = found
@@ -160,18 +159,18 @@
 	return copies
 }
 
-// takeCopies merges copies of topics that the store held.
-func (e *edge) takeCopies(copies map[string]feed.Copy) {
-	for _, topic := range e.sourceTopics() {
-		given, ok := copies[topic.Name]
+// mergeCopies merges copies read from the store into their topics.
+func (e *edge) mergeCopies(copies map[string]feed.Copy) {
+	for _, topic := range e.copiedTopics() {
+		topicCopy, ok := copies[topic.Name]
 		if !ok {
 			continue
 		}
-		taken, err := topic.MergeCopy(given, time.Now())
+		merged, err := topic.MergeCopy(topicCopy, time.Now())
 		if err != nil {
-			e.log.Error("copy ignored", "topic", topic.Name, "error", err.Error())
+			e.log.Error("ignored malformed copy", "topic", topic.Name, "error", err.Error())
 			continue
 		}
-		e.log.Info("records taken from a copy", "topic", topic.Name, "records", taken, "source", topicCopies)
+		e.log.Info("records taken from a copy", "topic", topic.Name, "records", merged, "source", topicCopies)
 	}
 }
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// state is what an instance tells of itself on request.
+// state is the instance's state as served for debugging.
 type state struct {
 	Instance        string             `json:"instance"`
 	Ready           bool               `json:"ready"`
@@ -26,7 +26,7 @@
 func (e *edge) dump() state {
 	s := state{
 		Instance: e.machine.Name, Ready: e.ready(), InFlight: e.server.InFlight(),
-		Targets: e.incoming.registry.Snapshot(), Conversations: e.conversations.Dump(),
+		Targets: e.targetFeed.registry.Snapshot(), Conversations: e.conversations.Dump(),
 		Allowances: e.allowances.Dump(), Room: e.server.Admission().Dump(time.Now()),
 		Topics: e.relay.Dump(time.Now()),
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge runs an instance on the users' platform: it joins the adapter
-// in platform/ with the parts that answer callers, keep budgets and follow the
-// store. The parts are put together by fx.
+// Package edge runs an instance on the platform: it connects the adapter in platform/
+// with the components that serve callers, account for budgets and follow the store. The
+// components are wired by fx.
 package edge
 
 import (
@@ -39,11 +39,12 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// metricsInterval is how often tally reports; the platform reads every 5 s.
+// metricsInterval is the reporting interval of tally. It is shorter than the platform's
+// interval of reading metrics.
 const metricsInterval = 2 * time.Second
 
-// Run runs an instance on the machine that the platform's settings file
-// describes, until the context ends and the instance has drained.
+// Run runs an instance on the machine described by the platform's settings file, until
+// the context ends and the instance has drained.
 func Run(ctx context.Context, options Options, out io.Writer) error {
 	machine, err := platform.ReadMachine()
 	if err != nil {
@@ -60,16 +61,16 @@
 	handler := slog.NewJSONHandler(queue, &slog.HandlerOptions{Level: options.LogLevel})
 	log := slog.New(handler).With("instance", machine.Name)
 	if machine.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(machine.MemoryBytes) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(machine.MemoryBytes) * heapLimitFraction))
 	}
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var e *edge
 	app := fx.New(
-		fx.Supply(machine, log, options, lifetime{background}, new(receiver)),
+		fx.Supply(machine, log, options, backgroundContext{background}, new(eventRouter)),
 		fx.Provide(
 			newMetrics, newStore, feed.NewHealth, newRegistry, exchange.NewPool, newConnections, newDirectory,
-			newTransport, newKeeper, newConversations, newListing, newAllowances, newCurrency, newServer,
+			newTransport, newBudgets, newConversations, newInstanceList, newAllowances, newSettingsFreshness, newServer,
 			newTargetFeed, newEdge,
 		),
 		fx.Populate(&e),
@@ -104,34 +105,35 @@
 
 func newConnections(pool *exchange.Pool) connections { return pool }
 
-// settingsCurrency tells how old the settings are. The topic comes after the server.
-type settingsCurrency struct{ topic *feed.Topic }
+// settingsFreshness reports the age of the settings. Its topic is set after the server is
+// built.
+type settingsFreshness struct{ topic *feed.Topic }
 
-func newCurrency() *settingsCurrency { return new(settingsCurrency) }
+func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
 
 // SettingsAge implements serve.Currency.
-func (c *settingsCurrency) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
+func (c *settingsFreshness) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
 
-// listing tells whether all instances are known. The topic comes after those who
-// ask.
-type listing struct{ topic atomic.Pointer[feed.Topic] }
+// instanceList reports whether the list of instances is loaded. Its topic is set after
+// the components that use it are built.
+type instanceList struct{ topic atomic.Pointer[feed.Topic] }
 
-func newListing() *listing { return new(listing) }
+func newInstanceList() *instanceList { return new(instanceList) }
 
-func (l *listing) known() bool {
+func (l *instanceList) loaded() bool {
 	topic := l.topic.Load()
 	return topic != nil && topic.Loaded()
 }
 
 func newServer(
-	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
+	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Keeper,
+	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Keeper, conversations *conversation.Keeper,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Config{
-		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: keeper, Allowances: allowances,
-		Conversations: conversations, Notices: keeper, Health: health, Freshness: currency,
-		Memory:    memlimit.New(int64(float64(machine.MemoryBytes)*requestsShare), scope),
+		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: budgets, Allowances: allowances,
+		Conversations: conversations, Notices: budgets, Health: health, Freshness: freshness,
+		Memory:    memlimit.New(int64(float64(machine.MemoryBytes)*requestMemoryFraction), scope),
 		KeyPolicy: keyPolicy(machine),
 		Scope:     scope, Log: log,
 	})
@@ -140,21 +142,22 @@
 // edge is a running instance.
 type edge struct {
 	machine platform.Machine
-	// peerListen is where it listens for other instances.
+	// peerListen is the address on which to listen for other instances.
 	peerListen string
 
-	log      *slog.Logger
-	reporter *httpapi.Metrics
-	store    *platform.Store
-	health   *feed.Health
-	pool     *exchange.Pool
-	server   *serve.Server
-	incoming *targetFeed
+	log        *slog.Logger
+	reporter   *httpapi.Metrics
+	store      *platform.Store
+	health     *feed.Health
+	pool       *exchange.Pool
+	server     *serve.Server
+	targetFeed *targetFeed
 
 	directory *directory.Directory
 	transport *peer.Transport
-	keeper    *budget.Keeper
-	// conversations keeps those of routes whose turns carry their input only.
+	budgets   *budget.Keeper
+	// conversations holds the conversations of routes whose turns carry only their own
+	// input.
 	conversations *conversation.Keeper
 	allowances    *allowance.Keeper
 
@@ -163,9 +166,10 @@
 	instances *feed.Topic
 	// relay keeps the topics up to date.
 	relay *relay.Node
-	// keepsTurns tells that turns of conversations are written to the store here.
-	keepsTurns atomic.Bool
-	// reregister tells that this instance's record has to be written again.
+	// storesTurns indicates that this instance writes turns of conversations to the
+	// store.
+	storesTurns atomic.Bool
+	// reregister signals that this instance's record has to be written again.
 	reregister chan struct{}
 
 	work sync.WaitGroup
@@ -173,44 +177,44 @@
 
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
-	health *feed.Health, pool *exchange.Pool, server *serve.Server, incoming *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Keeper,
-	currency *settingsCurrency, instances *listing, allowances *allowance.Keeper,
+	health *feed.Health, pool *exchange.Pool, server *serve.Server, targetFeed *targetFeed,
+	dir *directory.Directory, transport *peer.Transport, budgets *budget.Keeper, conversations *conversation.Keeper,
+	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Keeper,
 ) *edge {
 	e := &edge{
 		machine: machine, log: log, reporter: reporter, store: store, health: health,
-		pool: pool, server: server, incoming: incoming,
-		directory: dir, transport: transport, keeper: keeper,
+		pool: pool, server: server, targetFeed: targetFeed,
+		directory: dir, transport: transport, budgets: budgets,
 		conversations: conversations, allowances: allowances, reregister: make(chan struct{}, 1),
 	}
 	e.settings = feed.NewTopic(platform.TopicOperator, e.applySettings)
-	currency.topic = e.settings
-	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, incoming.apply)
+	freshness.topic = e.settings
+	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, targetFeed.apply)
 	e.instances = feed.NewTopic(topicInstances, applyInstance(dir, e.reregister, log))
 	instances.topic.Store(e.instances)
 	e.relay = e.newRelay()
 	return e
 }
 
-// newRelay makes what keeps the topics up to date.
+// newRelay returns the relay node, which keeps the topics up to date.
 func (e *edge) newRelay() *relay.Node {
 	m := e.machine
 	return relay.New(relay.Config{
 		Self:     relay.Holder{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
 		CPUShare: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
 		Topics: []relay.FollowedTopic{
-			{Topic: e.settings, Wait: waitWithin(m.ConfigDelay), Bounded: true},
-			{Topic: e.targets, Wait: waitWithin(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
+			{Topic: e.settings, Wait: readWait(m.ConfigDelay), Bounded: true},
+			{Topic: e.targets, Wait: readWait(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
 			{Topic: e.instances, Wait: instancesWait, Pause: instancesPause},
 		},
-		MaxStaleness:  leastBound(m.ConfigDelay, m.DrainDelay),
-		WritesToStore: func() bool { return e.keepsTurns.Load() || e.keeper.Owns() },
+		MaxStaleness:  minBound(m.ConfigDelay, m.DrainDelay),
+		WritesToStore: func() bool { return e.storesTurns.Load() || e.budgets.Owns() },
 		PeerAddresses: e.otherAddresses, Health: e.health, Log: e.log,
 	})
 }
 
-// leastBound is the shorter of two bounds of which 0 stands for none.
-func leastBound(a, b time.Duration) time.Duration {
+// minBound returns the shorter of two bounds, where 0 stands for no bound.
+func minBound(a, b time.Duration) time.Duration {
 	if a <= 0 || b <= 0 {
 		return max(a, b)
 	}
@@ -225,8 +229,8 @@
 	return addresses
 }
 
-// applySettings puts a version of the operator's settings in force. Offsets
-// order the versions, so an older one never comes after a newer.
+// applySettings puts a new version of the operator's settings in force. Versions are
+// applied in the order of their offsets.
 func (e *edge) applySettings(r platform.Record) {
 	if r.Key != platform.KeySettings || len(r.Value) == 0 {
 		return
@@ -237,7 +241,7 @@
 		return
 	}
 	e.server.SetTable(route.NewTable(settings))
-	e.keepsTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.StoresTurns }))
+	e.storesTurns.Store(slices.ContainsFunc(settings.Routes, func(r *route.Route) bool { return r.StoresTurns }))
 	e.allowances.SetActive(settings.Organisations.Limited())
 	e.log.Info("settings in force", "settings_version", settings.Version, "offset", r.Offset,
 		"routes", len(settings.Routes), "organisations", settings.Organisations.Len())
@@ -254,7 +258,7 @@
 	select {
 	case <-ctx.Done():
 	case err := <-servers.failed:
-		e.log.Error("a listener failed", "error", err.Error())
+		e.log.Error("listener failed", "error", err.Error())
 		return err
 	}
 	e.drain(servers)
@@ -271,7 +275,7 @@
 	e.spawn(func() { e.register(ctx) })
 	e.spawn(func() { e.writeCopies(ctx) })
 	e.spawn(func() { e.readCopies(ctx) })
-	e.spawn(func() { e.keeper.Run(ctx) })
+	e.spawn(func() { e.budgets.Run(ctx) })
 	e.spawn(func() { e.conversations.Run(ctx) })
 	e.spawn(func() { e.allowances.Run(ctx) })
 	e.spawn(func() { e.sweep(ctx) })
@@ -280,22 +284,22 @@
 
 func (e *edge) spawn(work func()) { e.work.Go(work) }
 
-// sweep removes targets whose time to register again has passed.
+// sweep periodically removes targets that have not registered again in time.
 func (e *edge) sweep(ctx context.Context) {
-	ticker := time.NewTicker(returnTime / 8)
+	ticker := time.NewTicker(reregisterGrace / 8)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			e.incoming.sweep(now)
+			e.targetFeed.sweep(now)
 		}
 	}
 }
 
-// reload checks the settings file again on SIGHUP. What it holds takes effect
-// at the next start; an error is reported at once.
+// reload validates the settings file on SIGHUP and logs errors. Changes take effect at
+// the next start.
 func (e *edge) reload(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -309,13 +313,13 @@
 				e.log.Error("settings file is malformed", "error", err.Error())
 				continue
 			}
-			e.log.Info("settings file read again")
+			e.log.Info("settings file is valid; changes take effect at the next start")
 		}
 	}
 }
 
-// ready tells whether callers can be served: settings and targets are known
-// and the instance does not drain.
+// ready reports whether callers can be served: settings and targets are known and the
+// instance is not draining.
 func (e *edge) ready() bool {
 	return e.server.Table() != nil && e.targets.Loaded() && !e.server.Draining()
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -23,20 +23,20 @@
 const (
 	testHost    = "a.example"
 	testTimeout = 20 * time.Second
-	// eventTokens is the number of tokens of an event, eventsPerTurn what a
-	// turn generates, in events.
+	// eventTokens is the number of tokens per event, eventsPerTurn the number of events
+	// per turn.
 	eventTokens   = 10
 	eventsPerTurn = 5
 )
 
-// deployment is some instances with a store and targets.
+// deployment is a set of instances with a store and targets.
 type deployment struct {
 	t     *testing.T
 	store *metastore.Service
 	seeds []string
 }
 
-// instance is one life of an instance.
+// instance is one incarnation of an instance.
 type instance struct {
 	machine platform.Machine
 	stop    context.CancelFunc
@@ -118,14 +118,14 @@
 }
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(10 * time.Millisecond) {
-		if holds() {
+	for started := time.Now(); time.Since(started) < testTimeout; time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("waited %s in vain: %s", testTimeout, what)
+	t.Fatalf("timed out after %s: %s", testTimeout, what)
 }
 
 func (i *instance) ready() bool {
@@ -137,7 +137,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// turn runs a turn of a program and returns the status and the tokens received.
+// turn runs a turn of a program and returns the status and the number of tokens received.
 func (i *instance) turn(t *testing.T, path, program string, budget int) (int, int) {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+i.machine.CallerAddress+path, strings.NewReader("prompt"))
@@ -190,12 +190,12 @@
 	instances[2].stop()
 	<-instances[1].done
 	<-instances[2].done
-	// All are gone; a new one knows from the store.
+	// All instances have stopped; a new one reads the spent budget from the store.
 	last := d.start("d")
 	eventually(t, "ready", last.ready)
-	eventually(t, "an answer on the spent budget", func() bool { return spend(last) == 402 })
+	eventually(t, "the spent budget is refused", func() bool { return spend(last) == 402 })
 	if total > budget+100 {
-		t.Errorf("%d tokens of %d and a turn's most", total, budget)
+		t.Errorf("%d tokens of %d and a turn's maximum", total, budget)
 	}
 }
 
@@ -204,7 +204,7 @@
 	i := d.start("a")
 	eventually(t, "ready", i.ready)
 	if status, _ := i.turn(t, "/other/x", "p", 500); status != 404 {
-		t.Errorf("status %d before the route is there", status)
+		t.Errorf("status %d before the route exists", status)
 	}
 	d.putSettings(2, "/other/")
 	eventually(t, "the new route", func() bool {
@@ -222,11 +222,11 @@
 	eventually(t, "ready without the store", second.ready)
 }
 
-func TestInstanceWithoutSettingsIsNotReadyAndSaysWhenToComeBack(t *testing.T) {
+func TestInstanceWithoutSettingsIsNotReady(t *testing.T) {
 	d := newDeployment(t)
 	d.store.Set(metastore.Fault{Reset: true})
 	i := d.start("a")
-	eventually(t, "an answer", func() bool {
+	eventually(t, "refused without settings", func() bool {
 		status, _ := i.turn(t, "/turns/x", "p", 500)
 		return status == 503
 	})
@@ -250,9 +250,9 @@
 	eventually(t, "ready from copies", second.ready)
 }
 
-// Copies are read also while the store does not give the slots of the relays: a start of
-// all in an outage of part of the store would else wait for its end.
-func TestInstanceReadsCopiesWhileTheSlotsOfRelaysAreAwayToo(t *testing.T) {
+// Copies are read also while the relay slots are unavailable, or instances that start
+// together during a partial outage of the store would wait for its end.
+func TestInstanceReadsCopiesWhileTheRelaySlotsAreUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
 	eventually(t, "ready", first.ready)
--- a/internal/edge/instances.go
+++ b/internal/edge/instances.go
@@ -17,10 +17,10 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// topicInstances holds a record for each machine: the newest instance there.
+// topicInstances holds one record per machine: the latest incarnation on it.
 const topicInstances = platform.KeyedPrefix + "instances"
 
-// instanceRecord is an instance in the store.
+// instanceRecord is the record of an instance in the store.
 type instanceRecord struct {
 	ID         structs.InstanceID `json:"id"`
 	Address    string             `json:"address"`
@@ -28,11 +28,11 @@
 	Region     string             `json:"region"`
 }
 
-// startNumberBase writes the number of a start in few letters.
+// startNumberBase is the base in which start numbers are formatted.
 const startNumberBase = 36
 
-// newDirectory makes the directory with this instance. Its id is new with each
-// start, so that nothing meant for an earlier one reaches it.
+// newDirectory returns a directory with this instance. Its id is new with each start, so
+// that messages to an earlier incarnation do not reach it.
 func newDirectory(machine platform.Machine) *directory.Directory {
 	start := strconv.FormatInt(time.Now().UnixNano(), startNumberBase)
 	return directory.New(structs.Peer{
@@ -43,7 +43,7 @@
 	})
 }
 
-// applyInstance takes one record of the topic into the directory.
+// applyInstance returns a function that applies records of the topic to the directory.
 func applyInstance(dir *directory.Directory, reregister chan<- struct{}, log *slog.Logger) func(platform.Record) {
 	return func(r platform.Record) {
 		if len(r.Value) == 0 {
@@ -52,13 +52,13 @@
 		}
 		record, err := decodeInstance(r)
 		if err != nil {
-			log.Error("instance ignored", "machine", r.Key, "offset", r.Offset, "error", err.Error())
+			log.Error("ignored malformed instance record", "machine", r.Key, "offset", r.Offset, "error", err.Error())
 			return
 		}
 		self := dir.Self()
 		if r.Key == directory.MachineOf(self.ID) {
 			if record.ID != self.ID {
-				// An earlier start's record took effect late.
+				// A record of an earlier incarnation took effect late.
 				select {
 				case reregister <- struct{}{}:
 				default:
@@ -74,12 +74,12 @@
 	}
 }
 
-// decodeInstance reads the record of an instance. One that names another machine
-// or no address was not written by that instance.
+// decodeInstance decodes the record of an instance. It rejects records that the instance
+// cannot have written: those of another machine or without a valid address.
 func decodeInstance(r platform.Record) (instanceRecord, error) {
 	var record instanceRecord
 	if err := json.Unmarshal(r.Value, &record); err != nil {
-		return instanceRecord{}, errors.Wrap(err, "decode the record of an instance")
+		return instanceRecord{}, errors.Wrap(err, "decode the instance record")
 	}
 	if directory.MachineOf(record.ID) != r.Key {
 		return instanceRecord{}, errors.Newf("the record of machine %q names instance %q", r.Key, record.ID)
@@ -93,15 +93,15 @@
 // registerTimeout bounds one append of this instance's record.
 const registerTimeout = 700 * time.Millisecond
 
-// register writes this instance's record, and again whenever another start's
-// record stands in its place.
+// register writes this instance's record, and again whenever the record of another
+// incarnation replaces it.
 func (e *edge) register(ctx context.Context) {
 	self := e.directory.Self()
 	value, err := json.Marshal(instanceRecord{
 		ID: self.ID, Address: self.Address, DataCentre: string(self.DataCentre), Region: string(self.Region),
 	})
 	if err != nil {
-		e.log.Error("instance not registered", "error", err.Error())
+		e.log.Error("failed to register this instance", "error", err.Error())
 		return
 	}
 	record := platform.Record{Key: directory.MachineOf(self.ID), Value: value}
@@ -115,17 +115,17 @@
 	}
 }
 
-// Waits between two tries to register. They double up to a time that keeps the load
-// of all instances far below what the store gives; its return ends them.
+// Bounds of the backoff between two attempts to register. The upper one limits the load
+// on the store when all instances retry; a recovery of the store ends the backoff.
 const (
-	registerRetryFirst = 50 * time.Millisecond
-	registerRetryMost  = 4 * time.Second
+	minRegisterRetry = 50 * time.Millisecond
+	maxRegisterRetry = 4 * time.Second
 )
 
-// writeRecord appends a record until it is acknowledged. Taking effect twice
-// does no harm.
+// writeRecord appends a record until the append is acknowledged. Duplicate appends do no
+// harm.
 func (e *edge) writeRecord(ctx context.Context, record platform.Record) {
-	wait := registerRetryFirst
+	wait := minRegisterRetry
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, registerTimeout)
 		_, err := e.store.Append(call, platform.Append{Topic: topicInstances, Records: []platform.Record{record}})
@@ -133,16 +133,16 @@
 		if err == nil {
 			return
 		}
-		e.log.Debug("instance not registered yet", "error", err.Error())
-		returned := e.health.Recovered()
+		e.log.Debug("failed to register this instance, retrying", "error", err.Error())
+		recovered := e.health.Recovered()
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
 		case <-ctx.Done():
-		case <-returned:
-			delay.Sleep(ctx, rand.N(registerRetryFirst))
+		case <-recovered:
+			delay.Sleep(ctx, rand.N(minRegisterRetry))
 		case <-timer.C:
 		}
 		timer.Stop()
-		wait = min(2*wait, registerRetryMost)
+		wait = min(2*wait, maxRegisterRetry)
 	}
 }
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// servers are the listeners of an instance.
+// servers are the HTTP servers of an instance.
 type servers struct {
 	callers *http.Server
 	ready   *http.Server
@@ -28,7 +28,7 @@
 		callers: &http.Server{
 			Handler:           e.server,
 			ReadHeaderTimeout: headerTimeout,
-			IdleTimeout:       callerIdle,
+			IdleTimeout:       callerIdleTimeout,
 			MaxHeaderBytes:    maxHeaderBytes,
 			ConnContext:       serve.ConnContext,
 			BaseContext:       base,
@@ -66,7 +66,7 @@
 	}
 }
 
-// readyHandler answers the platform's readiness checks.
+// readyHandler serves the platform's readiness checks.
 func (e *edge) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -77,36 +77,36 @@
 	return mux
 }
 
-// adminHandler serves other instances and those who look into this one.
+// adminHandler serves other instances, metrics and debugging.
 func (e *edge) adminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.GET(peer.Route, gin.WrapH(e.transport.Handler()))
-	engine.GET(topicsPath, e.giveTopics)
+	engine.GET(topicsPath, e.handleTopics)
 	engine.GET("/metrics", gin.WrapH(e.reporter))
 	engine.GET("/debug/state", func(c *gin.Context) { c.JSON(http.StatusOK, e.dump()) })
 	return engine
 }
 
-// drain stops an instance without cutting a request: it is not ready at once,
-// serves on while the platform notices, and ends when nothing is in flight or
+// drain shuts the instance down without cutting requests: it reports not ready at once,
+// keeps serving until the platform has noticed, and ends when no request is in flight or
 // the grace period is nearly over.
 func (e *edge) drain(s *servers) {
-	begun := time.Now()
+	started := time.Now()
 	e.log.Info("stopping", "in_flight", e.server.InFlight())
 	e.server.Drain()
 	notice := time.NewTimer(min(drainNotice, e.machine.GracePeriod/2))
 	e.allowances.Leave()
-	e.keeper.Leave(context.Background())
+	e.budgets.Leave(context.Background())
 	<-notice.C
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.machine.GracePeriod-drainMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), started.Add(e.machine.GracePeriod-drainMargin))
 	defer cancel()
 	if err := s.callers.Shutdown(ctx); err != nil {
 		e.log.Warn("grace period ended with requests in flight", "in_flight", e.server.InFlight(), "error", err.Error())
 	}
 	for _, server := range []*http.Server{s.ready, s.admin} {
 		if err := server.Close(); err != nil {
-			e.log.Warn("listener not closed", "error", err.Error())
+			e.log.Warn("failed to close a listener", "error", err.Error())
 		}
 	}
 }
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -20,28 +20,29 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-// topicStore is a store whose topics fail one by one and hold nothing new.
-type topicStore struct{ targetsAway, instancesAway atomic.Bool }
+// topicStore is a store whose topics can be made unavailable one by one. It returns no
+// records.
+type topicStore struct{ targetsUnavailable, instancesUnavailable atomic.Bool }
 
-func (s *topicStore) away(topic string) bool {
+func (s *topicStore) unavailable(topic string) bool {
 	if topic == platform.TopicTargets {
-		return s.targetsAway.Load()
+		return s.targetsUnavailable.Load()
 	}
-	return s.instancesAway.Load()
+	return s.instancesUnavailable.Load()
 }
 
 func (s *topicStore) NewestPage(_ context.Context, topic string, _ int, _ string) (platform.Newest, bool, error) {
-	if s.away(topic) {
-		return platform.Newest{}, false, errAway
+	if s.unavailable(topic) {
+		return platform.Newest{}, false, errUnavailable
 	}
 	return platform.Newest{}, false, nil
 }
 
 func (s *topicStore) Read(ctx context.Context, topic string, _ int, from int64, wait time.Duration) ([]platform.Record, int64, error) {
-	if s.away(topic) {
-		return nil, from, errAway
+	if s.unavailable(topic) {
+		return nil, from, errUnavailable
 	}
 	select {
 	case <-ctx.Done():
@@ -50,215 +51,215 @@
 	return nil, from, nil
 }
 
-// feedWorld is a target feed with followers of two topics, in virtual time.
-type feedWorld struct {
+// feedHarness runs a target feed with followers of two topics, in virtual time.
+type feedHarness struct {
 	store    topicStore
 	feed     *targetFeed
 	registry *targets.Registry
 	scope    tally.TestScope
-	// connections are the addresses whose kept connections were closed.
-	connections forgotten
+	// connections lists the addresses whose idle connections were closed.
+	connections closedConnections
 }
 
-// forgotten notes the addresses whose kept connections are closed.
-type forgotten []string
+// closedConnections records the addresses whose idle connections are closed.
+type closedConnections []string
 
-func (f *forgotten) CloseIdle(address string) { *f = append(*f, address) }
+func (f *closedConnections) CloseIdle(address string) { *f = append(*f, address) }
 
-// entryOf is the entry of a target that started at a time, in Unix
-// milliseconds; 0 for one that does not tell.
-func entryOf(start int64, state string) []byte {
-	born := ""
+// targetEntry returns the entry of a target with a start in Unix milliseconds; 0 for a
+// target that does not report its start.
+func targetEntry(start int64, state string) []byte {
+	startField := ""
 	if start != 0 {
-		born = fmt.Sprintf(`,"born":%d`, start)
+		startField = fmt.Sprintf(`,"born":%d`, start)
 	}
 	return fmt.Appendf(nil, `{"Service":"s","Address":"10.0.0.1:80","Zone":"dc","Version":"v1","Slots":4,"State":%q,`+
-		`"ColdRemainingMs":0,"Sequence":1%s}`, state, born)
+		`"ColdRemainingMs":0,"Sequence":1%s}`, state, startField)
 }
 
 // put applies an entry of the target.
-func (w *feedWorld) put(offset int64, value []byte) {
-	w.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
+func (h *feedHarness) put(offset int64, value []byte) {
+	h.feed.apply(platform.Record{Key: "t", Offset: offset, Value: value})
 }
 
-// pick takes the target, nil if there is none to use.
-func (w *feedWorld) pick() *targets.Target {
-	return w.registry.Pick(targets.Want{Service: "s"}, time.Now())
+// pick picks the target, nil if it is not usable.
+func (h *feedHarness) pick() *targets.Target {
+	return h.registry.Pick(targets.Want{Service: "s"}, time.Now())
 }
 
-func (w *feedWorld) refused(cause string) int64 {
-	counter, ok := w.scope.Snapshot().Counters()["targets.entries_refused+cause="+cause]
+func (h *feedHarness) refused(cause string) int64 {
+	counter, ok := h.scope.Snapshot().Counters()["targets.entries_refused+cause="+cause]
 	if !ok {
 		return 0
 	}
 	return counter.Value()
 }
 
-func inFeedWorld(t *testing.T, body func(w *feedWorld)) {
+func withFeedHarness(t *testing.T, body func(h *feedHarness)) {
 	synctest.Test(t, func(t *testing.T) {
 		log := slog.New(slog.DiscardHandler)
 		health := feed.NewHealth()
-		w := &feedWorld{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
-		w.feed = newTargetFeed(w.registry, &w.connections, health, w.scope, log)
+		h := &feedHarness{registry: targets.NewRegistry("dc", exchange.NewPool(tally.NoopScope)), scope: tally.NewTestScope("", nil)}
+		h.feed = newTargetFeed(h.registry, &h.connections, health, h.scope, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		for _, name := range []string{platform.TopicTargets, topicInstances} {
 			f := feed.Follower{
-				Store: &w.store, Topic: feed.NewTopic(name, func(platform.Record) {}), Wait: time.Second, Health: health, Log: log,
+				Store: &h.store, Topic: feed.NewTopic(name, func(platform.Record) {}), Wait: time.Second, Health: health, Log: log,
 			}
 			work.Go(func() { f.Run(ctx) })
 		}
-		w.feed.apply(platform.Record{Key: "t", Value: []byte(entryOf(0, "ready"))})
-		body(w)
+		h.feed.apply(platform.Record{Key: "t", Value: []byte(targetEntry(0, "ready"))})
+		body(h)
 		cancel()
 		work.Wait()
 	})
 }
 
-// drop ends a target's registration.
-func (w *feedWorld) drop() { w.feed.apply(platform.Record{Key: "t", Offset: 1}) }
+// drop ends the target's registration.
+func (h *feedHarness) drop() { h.feed.apply(platform.Record{Key: "t", Offset: 1}) }
 
-// has tells whether the target is there after a time.
-func (w *feedWorld) hasAfter(d time.Duration) bool {
+// hasAfter reports whether the target is registered after a delay.
+func (h *feedHarness) hasAfter(d time.Duration) bool {
 	time.Sleep(d)
-	w.feed.sweep(time.Now())
-	return w.registry.Has("t")
+	h.feed.sweep(time.Now())
+	return h.registry.Has("t")
 }
 
-func TestDroppedTargetIsGoneAtOnce(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
+func TestDroppedTargetIsRemovedAtOnce(t *testing.T) {
+	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second)
-		w.drop()
-		if w.hasAfter(0) {
-			t.Error("a target without a registration is still there")
+		h.drop()
+		if h.hasAfter(0) {
+			t.Error("a target without a registration was not removed")
 		}
 	})
 }
 
-// A registration that goes around an outage may only have lapsed; the target has
-// the time to register again, counted from the return of the targets' own topic.
-func TestLapsedTargetHasTimeToComeBack(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.store.targetsAway.Store(true)
-		w.store.instancesAway.Store(true)
+// A registration that ends around an outage may only have lapsed. The target has time to
+// register again, counted from the recovery of the targets' own topic.
+func TestLapsedTargetHasTimeToRegisterAgain(t *testing.T) {
+	withFeedHarness(t, func(h *feedHarness) {
+		h.store.targetsUnavailable.Store(true)
+		h.store.instancesUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
-		w.drop()
-		w.store.targetsAway.Store(false)
-		if !w.hasAfter(returnTime / 2) {
+		h.drop()
+		h.store.targetsUnavailable.Store(false)
+		if !h.hasAfter(reregisterGrace / 2) {
 			t.Error("the target was removed before it could register again")
 		}
-		// The list of instances is still away.
-		if w.hasAfter(returnTime) {
-			t.Error("the target stays beyond its time")
+		// The list of instances is still unavailable.
+		if h.hasAfter(reregisterGrace) {
+			t.Error("the target was not removed after the grace period")
 		}
 	})
 }
 
 func TestTargetThatRegistersAgainStays(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.store.targetsAway.Store(true)
+	withFeedHarness(t, func(h *feedHarness) {
+		h.store.targetsUnavailable.Store(true)
 		time.Sleep(5 * time.Second)
-		w.drop()
-		w.store.targetsAway.Store(false)
-		w.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(entryOf(0, "ready"))})
-		if !w.hasAfter(2 * returnTime) {
+		h.drop()
+		h.store.targetsUnavailable.Store(false)
+		h.feed.apply(platform.Record{Key: "t", Offset: 2, Value: []byte(targetEntry(0, "ready"))})
+		if !h.hasAfter(2 * reregisterGrace) {
 			t.Error("a target that registered again was removed")
 		}
 	})
 }
 
-// An entry that no target can have written names none to use; the others stay,
-// and the next good entry of the target puts it in force again.
+// A malformed entry makes its target unusable and affects no other target. The next
+// well-formed entry makes the target usable again.
 func TestEntryOfAnotherWriterNamesNoTarget(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.feed.apply(platform.Record{Key: "other", Value: entryOf(0, "ready")})
-		w.put(1, []byte(`{"Service":"s"}`))
-		if w.registry.Has("t") || !w.registry.Has("other") {
-			t.Error("the entry's target is used, or another one is not")
+	withFeedHarness(t, func(h *feedHarness) {
+		h.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
+		h.put(1, []byte(`{"Service":"s"}`))
+		if h.registry.Has("t") || !h.registry.Has("other") {
+			t.Error("the entry's target is registered, or another one is not")
 		}
-		w.put(2, []byte("\xff"))
-		w.put(3, entryOf(0, "warming"))
-		if w.registry.Has("t") {
-			t.Error("a target with an unknown state is used")
+		h.put(2, []byte("\xff"))
+		h.put(3, targetEntry(0, "warming"))
+		if h.registry.Has("t") {
+			t.Error("a target with an unknown state is registered")
 		}
 		for _, cause := range []string{"missing_field", "encoding", "unknown_state"} {
-			if w.refused(cause) != 1 {
-				t.Errorf("%d entries refused for %s", w.refused(cause), cause)
+			if h.refused(cause) != 1 {
+				t.Errorf("%d entries refused for %s", h.refused(cause), cause)
 			}
 		}
-		w.put(4, entryOf(0, "ready"))
-		if !w.registry.Has("t") {
-			t.Error("the target is not used again")
+		h.put(4, targetEntry(0, "ready"))
+		if !h.registry.Has("t") {
+			t.Error("the target is not registered again")
 		}
 	})
 }
 
-// A target that starts again under its id is another one: what was known of the
-// former is gone, and its kept connections are closed.
+// A target that restarts under the same id is a new target: the state of the earlier
+// incarnation is dropped, and its idle connections are closed.
 func TestLaterStartReplacesTheTarget(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.put(1, entryOf(1000, "ready"))
-		former := w.pick()
-		w.registry.Failed(former, time.Now())
-		w.put(2, entryOf(2000, "ready"))
-		next := w.pick()
-		if next == former || next.Incarnation() == former.Incarnation() || next.ID != former.ID {
-			t.Error("the later start is taken for the former")
+	withFeedHarness(t, func(h *feedHarness) {
+		h.put(1, targetEntry(1000, "ready"))
+		first := h.pick()
+		h.registry.Failed(first, time.Now())
+		h.put(2, targetEntry(2000, "ready"))
+		next := h.pick()
+		if next == first || next.Incarnation() == first.Incarnation() || next.ID != first.ID {
+			t.Error("the later incarnation is treated as the earlier one")
 		}
-		if w.registry.Runs(former.Incarnation()) || w.registry.PickSame(former.Incarnation()) != nil {
-			t.Error("the former start still counts as running")
+		if h.registry.Runs(first.Incarnation()) || h.registry.PickSame(first.Incarnation()) != nil {
+			t.Error("the earlier incarnation still counts as running")
 		}
-		if got := []string(w.connections); !slices.Contains(got, "10.0.0.1:80") {
+		if got := []string(h.connections); !slices.Contains(got, "10.0.0.1:80") {
 			t.Errorf("connections closed: %v", got)
 		}
 	})
 }
 
-// What an earlier start wrote changes nothing when it takes effect late, also
-// after the later one's entry has gone.
+// An entry of an earlier incarnation changes nothing when it takes effect late, even
+// after the entry of the later incarnation was dropped.
 func TestEntryOfAnEarlierStartChangesNothing(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
+	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second) // long after any outage
-		w.put(1, entryOf(2000, "ready"))
-		present := w.pick()
-		w.put(2, entryOf(1000, "draining"))
-		if w.pick() != present {
-			t.Error("an entry of an earlier start changed the target")
+		h.put(1, targetEntry(2000, "ready"))
+		present := h.pick()
+		h.put(2, targetEntry(1000, "draining"))
+		if h.pick() != present {
+			t.Error("an entry of an earlier incarnation changed the target")
 		}
-		w.put(3, nil)
-		w.put(4, entryOf(1000, "ready"))
-		if w.registry.Has("t") {
-			t.Error("an earlier start is used after a later one")
+		h.put(3, nil)
+		h.put(4, targetEntry(1000, "ready"))
+		if h.registry.Has("t") {
+			t.Error("an earlier incarnation is registered after a later one")
 		}
-		if w.refused("earlier_start") != 2 {
-			t.Errorf("%d entries refused", w.refused("earlier_start"))
+		if h.refused("earlier_start") != 2 {
+			t.Errorf("%d entries refused", h.refused("earlier_start"))
 		}
-		w.put(5, entryOf(3000, "ready"))
-		if !w.registry.Has("t") {
-			t.Error("a later start is not used")
+		h.put(5, targetEntry(3000, "ready"))
+		if !h.registry.Has("t") {
+			t.Error("a later incarnation is not registered")
 		}
 	})
 }
 
-// A target that tells its start tells it in each entry.
-func TestEntryWithoutTheKnownStartIsAnotherWriters(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		w.put(1, entryOf(2000, "ready"))
-		w.put(2, entryOf(0, "ready"))
-		if w.registry.Has("t") {
-			t.Error("the entry is taken for the target's")
+// A target that has reported its start reports it in each entry.
+func TestEntryWithoutTheKnownStartIsRefused(t *testing.T) {
+	withFeedHarness(t, func(h *feedHarness) {
+		h.put(1, targetEntry(2000, "ready"))
+		h.put(2, targetEntry(0, "ready"))
+		if h.registry.Has("t") {
+			t.Error("an entry without the start is accepted")
 		}
 	})
 }
 
-// The log and the memory stay bounded however many entries are refused.
+// Log lines and memory stay bounded however many entries are refused.
 func TestRefusalsAreBounded(t *testing.T) {
-	inFeedWorld(t, func(w *feedWorld) {
-		for i := range 2 * maxRefusalsKept {
-			w.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
+	withFeedHarness(t, func(h *feedHarness) {
+		for i := range 2 * maxTrackedRefusals {
+			h.feed.apply(platform.Record{Key: fmt.Sprint("foreign", i), Value: []byte("x")})
 		}
-		if len(w.feed.refusals.kept) > maxRefusalsKept || w.refused("encoding") != 2*maxRefusalsKept {
-			t.Errorf("%d kept, %d counted", len(w.feed.refusals.kept), w.refused("encoding"))
+		if len(h.feed.refusals.causes) > maxTrackedRefusals || h.refused("encoding") != 2*maxTrackedRefusals {
+			t.Errorf("%d tracked, %d counted", len(h.feed.refusals.causes), h.refused("encoding"))
 		}
 	})
 }
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// callMargin is what a read may take beyond the wait asked for before its
-	// connection counts as cut: the store answers within milliseconds, and
-	// within some hundred when it is slow.
-	callMargin = 900 * time.Millisecond
-	// probeMargin is the same for a read after a failure, which does not wait
-	// at the store, so that the store's return is noticed soon.
-	probeMargin = 600 * time.Millisecond
-	// retryFirst and retryMost bound the time between two tries of all failing
-	// topics together; it doubles with each failure of a topic. A refused read
-	// costs a call, so topics that fail together take turns, and the first success
-	// wakes all.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	// readTimeoutMargin is how long a read may take beyond its wait before its connection
+	// counts as cut. It has to exceed the response time of a slow store.
+	readTimeoutMargin = 900 * time.Millisecond
+	// probeTimeout is the timeout of a read after a failure. Such a read does not wait
+	// for records, so that a recovery of the store is noticed soon.
+	probeTimeout = 600 * time.Millisecond
+	// minRetryInterval and maxRetryInterval bound the time between two retries of all
+	// failing topics together; it doubles with each failure of a topic. Refused reads
+	// count against the store's limits, so failing topics retry in turn, and the first
+	// success wakes all of them.
+	minRetryInterval = 50 * time.Millisecond
+	maxRetryInterval = 400 * time.Millisecond
 )
 
-// Store is what a Follower reads from.
+// Store is the part of the platform's store that a Follower reads.
 type Store interface {
 	NewestPage(ctx context.Context, topic string, partition int, after string) (platform.Newest, bool, error)
 	Read(ctx context.Context, topic string, partition int, from int64, wait time.Duration) ([]platform.Record, int64, error)
@@ -39,130 +38,130 @@
 	Topic *Topic
 	// Wait is how long a read waits at the store for a record.
 	Wait time.Duration
-	// Pause is the time between two reads, so that topics with many records
-	// are read in batches.
+	// Pause is the time between two reads, so that topics with many records are read in
+	// batches.
 	Pause time.Duration
-	// Limit bounds both for now; nil for no bound.
+	// Limit returns the currently allowed wait and pause; nil for no limit.
 	Limit func(wait, pause time.Duration) (time.Duration, time.Duration)
-	// CatchUp tries to have another instance's copy taken before the whole topic is
-	// read from the store; nil for none.
+	// CatchUp merges another instance's copy before the whole topic is read from the
+	// store. It reports whether that brought newer records; nil if there is no other
+	// instance.
 	CatchUp func(ctx context.Context) bool
 	Health  *Health
 	Log     *slog.Logger
 
-	// pages is what a read of the whole topic has given so far, after the last key
-	// in it.
-	pages []platform.Record
-	after string
-	end   int64
-	begun time.Time
+	// State of a read of the whole topic: the pages read so far, the last key in them,
+	// the end offset of the first page and the time at which its read started.
+	pages     []platform.Record
+	lastKey   string
+	endOffset int64
+	startedAt time.Time
 }
 
-// FromStart is the offset from which a topic is read whose content is not known.
+// FromStart is the offset that stands for the whole topic.
 const FromStart = int64(-1)
 
-// mostCatchUps bounds how often in a row another instance's copy is taken that ends
-// before what the store still holds.
-const mostCatchUps = 2
+// maxCatchUps bounds consecutive catch-ups with copies that end before the history that
+// the store still holds.
+const maxCatchUps = 2
 
-// Run follows the topic until the context ends, from where its content ends.
+// Run follows the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	from := f.begin()
+	from := f.startOffset()
 	failures := 0
 	catchUps := 0
 	for ctx.Err() == nil {
-		if from == FromStart && catchUps < mostCatchUps && f.CatchUp != nil {
+		if from == FromStart && catchUps < maxCatchUps && f.CatchUp != nil {
 			catchUps++
 			if f.CatchUp(ctx) {
-				from = f.begin()
+				from = f.startOffset()
 			}
 		}
-		returned := f.Health.Recovered()
-		next, err := f.stepUnless(ctx, returned, from, failures > 0)
+		recovered := f.Health.Recovered()
+		next, err := f.stepUntilRecovery(ctx, recovered, from, failures > 0)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errWoken) {
+		if errors.Is(err, errRecovered) {
 			continue
 		}
 		if errors.Is(err, platform.ErrTrimmed) {
 			from = FromStart
 			continue
 		}
-		f.Health.note(f.Topic.Name, err, time.Now(), f.Log)
+		f.Health.recordResult(f.Topic.Name, err, time.Now(), f.Log)
 		if err != nil {
-			sleep(ctx, f.retryPause(failures), returned)
+			sleep(ctx, f.retryDelay(failures), recovered)
 			failures++
 			continue
 		}
 		from, failures, catchUps = next, 0, 0
-		_, pause := f.times()
+		_, pause := f.readTiming()
 		sleep(ctx, pause, nil)
 	}
 }
 
-// times are how long a read waits and the time between two of them.
-func (f *Follower) times() (wait, pause time.Duration) {
+// readTiming returns how long the next read waits and the pause after it.
+func (f *Follower) readTiming() (wait, pause time.Duration) {
 	if f.Limit == nil {
 		return f.Wait, f.Pause
 	}
 	return f.Limit(f.Wait, f.Pause)
 }
 
-func (f *Follower) begin() int64 {
+func (f *Follower) startOffset() int64 {
 	if !f.Topic.Loaded() {
 		return FromStart
 	}
 	return f.Topic.NextOffset()
 }
 
-// retryPause is the time until the next try after some failures. Topics that fail
-// together try in turn; the pauses are drawn at random, so that instances do not try
-// together.
-func (f *Follower) retryPause(failures int) time.Duration {
-	pause := min(retryFirst<<min(failures, 8), retryMost)
-	return f.Health.reserve(time.Now(), pause-pause/4+rand.N(pause/2))
+// retryDelay returns the time until the next retry. Failing topics retry in turn, with
+// jitter so that instances do not retry in step.
+func (f *Follower) retryDelay(failures int) time.Duration {
+	pause := min(minRetryInterval<<min(failures, 8), maxRetryInterval)
+	return f.Health.reserveRetry(time.Now(), pause-pause/4+rand.N(pause/2))
 }
 
-// errWoken tells that a read was given up since the store is back for another
-// topic: the connection that it waits on may be cut.
-var errWoken = errors.New("the store is back for another topic")
+// errRecovered indicates that a read was cancelled because the store recovered for
+// another topic: the connection on which the read waits may be cut.
+var errRecovered = errors.New("the store recovered for another topic")
 
-// stepUnless is step until the store is back for another topic.
-func (f *Follower) stepUnless(
-	ctx context.Context, returned <-chan struct{}, from int64, probe bool,
+// stepUntilRecovery is step, cancelled when the store recovers for another topic.
+func (f *Follower) stepUntilRecovery(
+	ctx context.Context, recovered <-chan struct{}, from int64, probe bool,
 ) (int64, error) {
 	if from < 0 && !probe {
-		// A first read is long, and would begin anew.
+		// A read of the whole topic takes long and would have to start over.
 		return f.step(ctx, from, probe)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
 		select {
-		case <-returned:
-			cancel(errWoken)
+		case <-recovered:
+			cancel(errRecovered)
 		case <-ctx.Done():
 		}
 	}()
 	next, err := f.step(ctx, from, probe)
-	if err != nil && errors.Is(context.Cause(ctx), errWoken) {
-		return from, errWoken
+	if err != nil && errors.Is(context.Cause(ctx), errRecovered) {
+		return from, errRecovered
 	}
 	return next, err
 }
 
-// step reads the whole topic, or what came after an offset; a probe does not
-// wait for a record.
+// step reads the whole topic, or the records from an offset on; a probe does not wait for
+// records.
 func (f *Follower) step(ctx context.Context, from int64, probe bool) (int64, error) {
 	if from < 0 {
-		return f.readWhole(ctx)
+		return f.readAll(ctx)
 	}
 	started := time.Now()
-	wait, _ := f.times()
-	timeout := wait + callMargin
+	wait, _ := f.readTiming()
+	timeout := wait + readTimeoutMargin
 	if probe {
-		wait, timeout = 0, probeMargin
+		wait, timeout = 0, probeTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -172,47 +171,47 @@
 	}
 	f.Topic.advance(records, next)
 	if len(records) == 0 {
-		// The store has waited that long and had nothing new.
+		// The store has waited that long without a new record.
 		started = started.Add(wait)
 	}
 	f.Topic.Confirm(started)
 	return next, nil
 }
 
-// readWhole reads the whole topic page by page. After a failure it goes on behind the
-// pages that it has: a store that is slow or refuses much would else never be read.
-func (f *Follower) readWhole(ctx context.Context) (int64, error) {
+// readAll reads the whole topic page by page. After a failure it resumes behind the pages
+// already read, or the read might never complete at a slow or overloaded store.
+func (f *Follower) readAll(ctx context.Context) (int64, error) {
 	for {
 		started := time.Now()
 		page, more, err := f.readPage(ctx)
 		if err != nil {
 			return FromStart, err
 		}
-		if f.after == "" {
-			// Reading on from the end of the first page misses no change made while
-			// later pages were read.
-			f.end, f.begun = page.End, started
+		if f.lastKey == "" {
+			// Later reads start from the end offset of the first page, so that changes
+			// made while the other pages were read are not missed.
+			f.endOffset, f.startedAt = page.End, started
 		}
 		f.pages = append(f.pages, page.Records...)
 		if more {
-			f.after = page.Records[len(page.Records)-1].Key
+			f.lastKey = page.Records[len(page.Records)-1].Key
 			continue
 		}
-		f.Topic.Replace(platform.Newest{Records: f.pages, End: f.end})
-		f.Topic.Confirm(f.begun)
-		f.pages, f.after = nil, ""
-		return f.end, nil
+		f.Topic.Replace(platform.Newest{Records: f.pages, End: f.endOffset})
+		f.Topic.Confirm(f.startedAt)
+		f.pages, f.lastKey = nil, ""
+		return f.endOffset, nil
 	}
 }
 
 func (f *Follower) readPage(ctx context.Context) (platform.Newest, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, callMargin)
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutMargin)
 	defer cancel()
-	return f.Store.NewestPage(ctx, f.Topic.Name, 0, f.after)
+	return f.Store.NewestPage(ctx, f.Topic.Name, 0, f.lastKey)
 }
 
-// sleep waits, at most until woken is closed.
-func sleep(ctx context.Context, wait time.Duration, woken <-chan struct{}) {
+// sleep waits until the time is over, wake is closed or the context ends.
+func sleep(ctx context.Context, wait time.Duration, wake <-chan struct{}) {
 	if wait <= 0 {
 		return
 	}
@@ -221,6 +220,6 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-woken:
+	case <-wake:
 	}
 }
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// fakeStore answers reads, refuses them, or leaves them hanging.
+// fakeStore is a store whose reads succeed, are refused or hang.
 type fakeStore struct {
 	mu     sync.Mutex
 	refuse bool
@@ -33,7 +33,7 @@
 	s.newest.End = r.Offset + 1
 }
 
-func (s *fakeStore) made() int {
+func (s *fakeStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -98,24 +98,24 @@
 	return topics
 }
 
-// While the store refuses an instance its topics share the tries, and all are
-// read soon after its return.
-func TestTopicsThatFailTogetherShareTheTries(t *testing.T) {
+// While the store refuses an instance, its topics share one retry budget, and all are
+// read soon after the store recovers.
+func TestTopicsThatFailTogetherShareRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{}, NewHealth()
 		topics := follow(t, health, store, 3*time.Second, "a", "b", "c")
 		synctest.Wait()
 		store.set(true, false)
 		time.Sleep(4 * time.Second)
-		before := store.made()
-		const away = 12 * time.Second
-		time.Sleep(away)
-		if calls := store.made() - before; calls > int(away/retryMost)*3/2 {
-			t.Errorf("%d tries in %s", calls, away)
+		before := store.callCount()
+		const outage = 12 * time.Second
+		time.Sleep(outage)
+		if calls := store.callCount() - before; calls > int(outage/maxRetryInterval)*3/2 {
+			t.Errorf("%d retries in %s", calls, outage)
 		}
 		store.put(platform.Record{Key: "k", Value: []byte("v"), Offset: 4})
 		store.set(false, false)
-		time.Sleep(retryMost * 5 / 4)
+		time.Sleep(maxRetryInterval * 5 / 4)
 		for _, topic := range topics {
 			if records := lockedSince(topic, 4); len(records) != 1 {
 				t.Errorf("topic %s has %d new records", topic.Name, len(records))
@@ -124,9 +124,9 @@
 	})
 }
 
-// A read that waits on a connection that was cut is given up once another topic
-// finds the store back.
-func TestReturnOfTheStoreWakesAReadThatHangs(t *testing.T) {
+// A read that hangs on a cut connection is cancelled once the store recovers for another
+// topic.
+func TestRecoveryOfTheStoreCancelsAHangingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, other, health := &fakeStore{}, &fakeStore{}, NewHealth()
 		topic := follow(t, health, slow, time.Minute, "slow")[0]
@@ -138,40 +138,39 @@
 		other.set(true, false)
 		time.Sleep(3 * time.Second)
 		if health.OK() {
-			t.Fatal("the other topic does not fail")
+			t.Fatal("the other topic is not failing")
 		}
 		slow.set(false, false)
 		other.set(false, false)
-		time.Sleep(retryMost * 2)
+		time.Sleep(maxRetryInterval * 2)
 		if records := lockedSince(topic, 4); len(records) != 1 {
 			t.Errorf("%d records", len(records))
 		}
 	})
 }
 
-// A read that fails by itself is no wake-up.
-func TestFailedReadIsNoted(t *testing.T) {
+func TestFailedReadIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, health := &fakeStore{refuse: true}, NewHealth()
 		follow(t, health, store, time.Second, "a")
 		time.Sleep(time.Second)
 		if health.OK() {
-			t.Error("no topic fails")
+			t.Error("no topic is failing")
 		}
 	})
 }
 
-// lockedSince lists what a topic has that began at or behind an offset.
+// lockedSince is recordsSince with the mutex taken.
 func lockedSince(t *Topic, offset int64) []platform.Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.since(offset)
+	return t.recordsSince(offset)
 }
 
-// pagedStore has a topic of some pages and refuses every other call.
+// pagedStore serves a topic of several pages and refuses every other call.
 type pagedStore struct {
 	fakeStore
-	asked []string
+	requestedAfter []string
 }
 
 func (s *pagedStore) NewestPage(_ context.Context, _ string, _ int, after string) (platform.Newest, bool, error) {
@@ -181,22 +180,22 @@
 	if s.calls%2 == 0 {
 		return platform.Newest{}, false, platform.ErrBusy
 	}
-	s.asked = append(s.asked, after)
+	s.requestedAfter = append(s.requestedAfter, after)
 	next := map[string]string{"": "a", "a": "b", "b": "c"}[after]
 	return platform.Newest{Records: []platform.Record{record(next, "v", 1)}, End: 2}, next != "c", nil
 }
 
-// A read of the whole topic goes on from the page that it has: a store that refuses
-// much would else never be read to the end.
-func TestReadOfTheWholeTopicGoesOnBehindAFailure(t *testing.T) {
+// A read of the whole topic resumes at the page that failed, or it might never complete
+// at an overloaded store.
+func TestReadOfTheWholeTopicResumesAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := new(pagedStore)
 		topic := follow(t, NewHealth(), store, time.Second, "t")[0]
 		time.Sleep(2 * time.Second)
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		if !topic.Loaded() || len(store.asked) != 3 {
-			t.Errorf("pages asked behind %q", store.asked)
+		if !topic.Loaded() || len(store.requestedAfter) != 3 {
+			t.Errorf("pages requested after %q", store.requestedAfter)
 		}
 	})
 }
--- a/internal/feed/topic.go
+++ b/internal/feed/topic.go
@@ -1,7 +1,6 @@
-// Package feed keeps copies of keyed topics of the platform's store: the newest
-// record of each key, ordered by offset. Records come from the store or from other
-// instances; the offset decides which is newer, so that nothing known ever gets
-// older.
+// Package feed keeps copies of keyed topics of the platform's store: the newest record of
+// each key. Records come from the store or from other instances, in any order. A record
+// is applied only if its offset is higher than that of the known record of its key.
 package feed
 
 import (
@@ -12,114 +11,118 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// held is the newest known record of a key.
-type held struct {
+// entry is the newest known record of a key.
+type entry struct {
 	platform.Record
-	// since is the offset of the first record in a row with this content.
-	since int64
+	// firstOffset is the offset of the first of the latest consecutive records with
+	// equivalent content.
+	firstOffset int64
 }
 
-// Topic is the newest known record of each key of a topic. It is safe for
-// concurrent use.
+// Topic holds the newest known record of each key of a topic. It is safe for concurrent
+// use.
 type Topic struct {
 	Name string
-	// apply is told each change in order, under the mutex.
+	// apply is called with each change in order, while mu is held.
 	apply func(platform.Record)
-	// same tells whether two values of a key mean the same; nil if only equal ones do.
-	same func(a, b []byte) bool
+	// equivalent reports whether two values of a key have the same meaning; nil to apply
+	// all newer records.
+	equivalent func(a, b []byte) bool
 
 	mu     sync.Mutex
-	newest map[string]held
-	known  bool
-	// next is the offset to read on from: what all records before it say is in newest.
-	next int64
-	// floor is the offset from which on all dropped keys are in newest: a first read
-	// of the whole topic does not tell what was dropped before.
+	newest map[string]entry
+	loaded bool
+	// nextOffset is the offset to read from next; newest contains the effect of all
+	// records before it.
+	nextOffset int64
+	// floor is the offset from which on all dropped keys are in newest. A read of the
+	// whole topic does not return keys that were dropped before.
 	floor int64
-	// changed is the highest offset at which a content began.
-	changed int64
-	// confirmed is when the copy was last known to be the newest.
-	confirmed time.Time
-	// moved is closed and replaced when the content changes or is confirmed.
-	moved chan struct{}
-	packs packs
-}
-
-// NewTopic makes an empty copy. The function apply is told each record that
-// becomes the newest of its key; an empty value means that the key is dropped.
+	// lastChanged is the highest firstOffset.
+	lastChanged int64
+	// confirmedAt is when the copy was last known to be current.
+	confirmedAt time.Time
+	// updated is closed and replaced when the content changes or is confirmed.
+	updated chan struct{}
+	cache   copyCache
+}
+
+// NewTopic returns an empty copy of a topic. The function apply is called with each
+// record that becomes the newest of its key; an empty value means that the key is
+// dropped.
 func NewTopic(name string, apply func(platform.Record)) *Topic {
 	return &Topic{
-		Name: name, apply: apply, newest: make(map[string]held), changed: -1, moved: make(chan struct{}),
+		Name: name, apply: apply, newest: make(map[string]entry), lastChanged: -1, updated: make(chan struct{}),
 	}
 }
 
-// NewHeartbeatTopic is NewTopic for a topic whose writers repeat their records: one
-// that means the same as the one before is neither applied nor passed on, so that
-// heartbeats cost the readers of copies nothing.
-func NewHeartbeatTopic(name string, same func(a, b []byte) bool, apply func(platform.Record)) *Topic {
+// NewHeartbeatTopic is NewTopic for a topic whose writers repeat their records. A record
+// that is equivalent to the previous one of its key is neither applied nor passed on to
+// other instances.
+func NewHeartbeatTopic(name string, equivalent func(a, b []byte) bool, apply func(platform.Record)) *Topic {
 	t := NewTopic(name, apply)
-	t.same = same
+	t.equivalent = equivalent
 	return t
 }
 
-// Merge takes records that are newer than those known. It returns how many
-// changed something.
+// Merge applies the records that are newer than the known ones. It returns the number of
+// records that changed the content.
 func (t *Topic) Merge(records []platform.Record) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := t.merge(records)
-	if taken > 0 {
-		t.move()
+	merged := t.merge(records)
+	if merged > 0 {
+		t.notify()
 	}
-	return taken
+	return merged
 }
 
 func (t *Topic) merge(records []platform.Record) int {
-	taken := 0
+	merged := 0
 	for _, r := range records {
-		old, ok := t.newest[r.Key]
-		if ok && old.Offset >= r.Offset {
+		previous, ok := t.newest[r.Key]
+		if ok && previous.Offset >= r.Offset {
 			continue
 		}
-		if ok && t.repeats(old.Value, r.Value) {
-			old.Offset = r.Offset
-			t.newest[r.Key] = old
+		if ok && t.isHeartbeat(previous.Value, r.Value) {
+			previous.Offset = r.Offset
+			t.newest[r.Key] = previous
 			continue
 		}
-		// A value may share the memory of the whole reply that it came in.
+		// The value may share memory with the whole response.
 		r.Value = bytes.Clone(r.Value)
-		t.newest[r.Key] = held{Record: r, since: r.Offset}
-		t.changed = max(t.changed, r.Offset)
-		taken++
+		t.newest[r.Key] = entry{Record: r, firstOffset: r.Offset}
+		t.lastChanged = max(t.lastChanged, r.Offset)
+		merged++
 		t.apply(r)
 	}
-	return taken
+	return merged
 }
 
-func (t *Topic) repeats(old, value []byte) bool {
-	return t.same != nil && len(old) > 0 && len(value) > 0 && t.same(old, value)
+func (t *Topic) isHeartbeat(previous, value []byte) bool {
+	return t.equivalent != nil && len(previous) > 0 && len(value) > 0 && t.equivalent(previous, value)
 }
 
-// move wakes those who wait for a change. The mutex is held.
-func (t *Topic) move() {
-	close(t.moved)
-	t.moved = make(chan struct{})
+// notify wakes those who wait for an update. t.mu is held.
+func (t *Topic) notify() {
+	close(t.updated)
+	t.updated = make(chan struct{})
 }
 
-// Updated is closed when the content next changes or is confirmed.
+// Updated returns a channel that is closed when the content next changes or is confirmed.
 func (t *Topic) Updated() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.moved
+	return t.updated
 }
 
-// Replace takes the whole content of the topic as read from the store: keys
-// that are missing and not newer than the list were dropped.
+// Replace replaces the content with the whole topic as read from the store: keys that are
+// missing in the list and not newer than it are dropped.
 func (t *Topic) Replace(list platform.Newest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.replace(list)
-	t.move()
+	t.notify()
 }
 
 func (t *Topic) replace(list platform.Newest) int {
@@ -127,61 +130,64 @@
 	for _, r := range list.Records {
 		present[r.Key] = true
 	}
-	taken := 0
-	for key, old := range t.newest {
-		if present[key] || old.Offset >= list.End || len(old.Value) == 0 {
+	merged := 0
+	for key, previous := range t.newest {
+		if present[key] || previous.Offset >= list.End || len(previous.Value) == 0 {
 			continue
 		}
-		// Who has read up to the end of the list has to be told of the drop.
+		// Receivers that have read up to the end of the list still have to receive the
+		// drop.
 		dropped := platform.Record{Key: key, Offset: list.End - 1}
-		t.newest[key] = held{Record: dropped, since: dropped.Offset}
-		t.changed = max(t.changed, dropped.Offset)
-		taken++
+		t.newest[key] = entry{Record: dropped, firstOffset: dropped.Offset}
+		t.lastChanged = max(t.lastChanged, dropped.Offset)
+		merged++
 		t.apply(dropped)
 	}
-	taken += t.merge(list.Records)
-	if !t.known {
-		t.known, t.floor = true, list.End
+	merged += t.merge(list.Records)
+	if !t.loaded {
+		t.loaded, t.floor = true, list.End
 	}
-	t.next = max(t.next, list.End)
-	return taken
+	t.nextOffset = max(t.nextOffset, list.End)
+	return merged
 }
 
-// advance takes the records of a read that began at or before Next, and the offset
-// to read on from.
+// advance merges the records of a read that began at or before NextOffset, and moves
+// NextOffset on.
 func (t *Topic) advance(records []platform.Record, next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := t.merge(records)
-	t.next = max(t.next, next)
-	if taken > 0 {
-		t.move()
+	merged := t.merge(records)
+	t.nextOffset = max(t.nextOffset, next)
+	if merged > 0 {
+		t.notify()
 	}
 }
 
-// Loaded tells whether the whole content was read at least once, or taken from
+// Loaded reports whether the whole topic was read at least once, from the store or from
 // another instance.
 func (t *Topic) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.known
+	return t.loaded
 }
 
-// NextOffset is the offset to read on from.
+// NextOffset is the offset to read from next.
 func (t *Topic) NextOffset() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.next
+	return t.nextOffset
 }
 
-// LastChanged is the highest offset at which a content began, -1 while nothing is known.
+// LastChanged returns the highest offset at which the content of a key changed, -1 while
+// nothing is known.
 func (t *Topic) LastChanged() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.changed
+	return t.lastChanged
 }
 
-// Confirm tells that the copy held all records that the store had at a time.
+// Confirm records that the copy contained all records that the store held at the given
+// time.
 func (t *Topic) Confirm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,16 +195,16 @@
 }
 
 func (t *Topic) confirm(at time.Time) {
-	if at.After(t.confirmed) {
-		t.confirmed = at
-		t.move()
+	if at.After(t.confirmedAt) {
+		t.confirmedAt = at
+		t.notify()
 	}
 }
 
-// neverConfirmed is the age of a copy that was never confirmed.
-const neverConfirmed = 24 * time.Hour
+// maxAge is the age of a copy that was never confirmed, and the upper bound of all ages.
+const maxAge = 24 * time.Hour
 
-// Age is the time since the copy was last known to be the newest.
+// Age returns the time since the copy was last known to be current.
 func (t *Topic) Age(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,8 +212,8 @@
 }
 
 func (t *Topic) age(now time.Time) time.Duration {
-	if t.confirmed.IsZero() {
-		return neverConfirmed
+	if t.confirmedAt.IsZero() {
+		return maxAge
 	}
-	return min(now.Sub(t.confirmed), neverConfirmed)
+	return min(now.Sub(t.confirmedAt), maxAge)
 }
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -16,47 +16,48 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Store is what an instance reads the topics from.
+// Store is the part of the platform's store that a Node uses.
 type Store interface {
 	feed.Store
 	Append(ctx context.Context, a platform.Append) (int64, error)
 }
 
-// Peers ask other instances.
+// Peers sends queries to other instances.
 type Peers interface {
-	Ask(ctx context.Context, address string, q Query) (Reply, error)
+	Query(ctx context.Context, address string, q Query) (Reply, error)
 }
 
-// FollowedTopic is a topic that relays read and pass on.
+// FollowedTopic is a topic that relays read from the store and pass on.
 type FollowedTopic struct {
 	Topic *feed.Topic
-	// Wait is how long a read waits at the store for a record, Pause the time
-	// between two reads.
+	// Wait is how long a read waits at the store for a record, Pause the time between two
+	// reads.
 	Wait  time.Duration
 	Pause time.Duration
-	// Bounded topics have to be known everywhere within Parts.Bound of a change.
+	// Bounded topics have to reach all instances within Config.MaxStaleness of a change.
 	Bounded bool
-	// Large topics are read from the store by the first relay of a data centre; the
-	// others take its copy and read on from there.
+	// Large topics are read from the store by the first relay of a data centre only; the
+	// others start from its copy.
 	Large bool
 }
 
-// Config are what a Node works with.
+// Config holds the dependencies and settings of a Node.
 type Config struct {
 	Self Holder
-	// CPUShare is what the machine can do, 1 for a whole core.
+	// CPUShare is the machine's share of a core, 1 for a whole core or more.
 	CPUShare float64
 	// Seeds are addresses of other instances, which may be stale.
 	Seeds []string
 	Store Store
 	Peers Peers
-	// Topics are passed on; a reader is told at once when the first of them was
-	// confirmed.
+	// Topics are the topics to keep up to date. Queries return as soon as the first of
+	// them is confirmed to be current.
 	Topics []FollowedTopic
-	// MaxStaleness is the time within which all have to know what changed; 0 for none.
+	// MaxStaleness is the time within which a change has to reach all instances; 0 for no
+	// bound.
 	MaxStaleness time.Duration
-	// WritesToStore tells that this instance writes to the store and has to notice by itself
-	// whether the store answers.
+	// WritesToStore reports whether this instance writes to the store. It then watches
+	// the store itself, even if it is no relay.
 	WritesToStore func() bool
 	// PeerAddresses lists the addresses of other instances.
 	PeerAddresses func() []string
@@ -64,53 +65,58 @@
 	Log           *slog.Logger
 }
 
-// Node keeps the topics of an instance up to date, as a relay or from relays.
+// Node keeps the topics of an instance up to date, from the store if it is a relay and
+// from relays otherwise.
 type Node struct {
 	Config
-	// slots is the topic of the slots.
+	// slots is the topic of the relay slots.
 	slots *feed.Topic
-	// readAlone is when the topics may be read without knowing the slots, learning
-	// counts the tries to learn them; both belong to Run.
-	readAlone time.Time
-	learning  int
-	// copiesAfter is when copies may be read without knowing the slots.
-	copiesAfter time.Time
-	// reading tells that this instance reads the topics from the store.
+	// fallbackAt is the time from which the topics may be read without knowing the slots,
+	// slotReadFailures counts failed attempts to read the slots. Both are used by Run
+	// only.
+	fallbackAt       time.Time
+	slotReadFailures int
+	// copiesAllowedAt is the time from which copies in the store may be read without
+	// knowing the slots.
+	copiesAllowedAt time.Time
+	// reading indicates that this instance reads the topics from the store.
 	reading atomic.Bool
 	source  atomic.Pointer[string]
-	times   times
-	// hint is the address of a relay that greeted this instance as a seed.
-	hint atomic.Pointer[string]
-	// followedAt is when another instance last asked this one for news.
-	followedAt atomic.Pointer[time.Time]
+	timing  timing
+	// relayHint is the address of the relay that last announced itself to this instance.
+	relayHint atomic.Pointer[string]
+	// lastQueriedAt is when another instance last polled this one for updates.
+	lastQueriedAt atomic.Pointer[time.Time]
 
 	mu    sync.Mutex
-	table table
-	// failures are relays that did not answer, by address.
+	table slotTable
+	// failures holds the relays that were unresponsive or stale, by address.
 	failures map[string]failure
-	// vacant is since when a slot of the data centre is known to be free.
-	vacant time.Time
-	// claimPause is how long this instance waits before it takes a slot.
-	claimPause time.Duration
-	// claimAfter is when a slot may be claimed again after a try that failed.
-	claimAfter time.Time
-	// claimsLost counts claims in a row before which another instance wrote.
-	claimsLost int
+	// vacantSince is when a slot of this data centre was first seen free.
+	vacantSince time.Time
+	// claimDelay is how long this instance waits before it claims a slot.
+	claimDelay time.Duration
+	// nextClaimAt is the earliest time of the next claim after a failed one.
+	nextClaimAt time.Time
+	// claimConflicts counts consecutive claims that failed because another instance wrote
+	// first.
+	claimConflicts int
 }
 
-// failure is a relay that does not answer.
+// failure describes a relay that is avoided. unresponsiveSince is zero if the relay
+// responds but its copies are stale.
 type failure struct {
-	since, until time.Time
+	unresponsiveSince, avoidUntil time.Time
 }
 
-// New makes a Node. Run has to be called once.
-func New(parts Config) *Node {
-	n := &Node{Config: parts, table: make(table), failures: make(map[string]failure), times: timesWithin(parts.MaxStaleness)}
+// New returns a Node. Run has to be called once.
+func New(cfg Config) *Node {
+	n := &Node{Config: cfg, table: make(slotTable), failures: make(map[string]failure), timing: newTiming(cfg.MaxStaleness)}
 	n.slots = feed.NewTopic(SlotsTopic, n.applySlot)
-	n.claimPause = n.drawClaimPause()
-	n.copiesAfter = time.Now()
+	n.claimDelay = n.randomClaimDelay()
+	n.copiesAllowedAt = time.Now()
 	if !n.isSeed() {
-		n.copiesAfter = n.copiesAfter.Add(seedAlone + time.Duration(rand.Float64()*float64(aloneSpan)/n.power()))
+		n.copiesAllowedAt = n.copiesAllowedAt.Add(seedFallbackDelay + time.Duration(rand.Float64()*float64(fallbackJitter)/n.cpuShare()))
 	}
 	return n
 }
@@ -122,60 +128,61 @@
 		delete(n.table, r.Key)
 		return
 	}
-	e, err := decodeEntry(r)
+	holder, err := decodeHolder(r)
 	if err != nil {
-		n.Log.Error("slot ignored", "slot", r.Key, "offset", r.Offset, "error", err.Error())
+		n.Log.Error("ignored malformed slot record", "slot", r.Key, "offset", r.Offset, "error", err.Error())
 		delete(n.table, r.Key)
 		return
 	}
-	n.table[r.Key] = e
-	n.Log.Info("relay listed", "slot", r.Key, "machine", e.Machine, "address", e.Address)
+	n.table[r.Key] = holder
+	n.Log.Info("relay listed", "slot", r.Key, "machine", holder.Machine, "address", holder.Address)
 }
 
-// Reading tells whether this instance reads the topics from the store.
-func (n *Node) Reading() bool { return n.reading.Load() }
+// ReadsStore reports whether this instance reads the topics from the store.
+func (n *Node) ReadsStore() bool { return n.reading.Load() }
 
-// MayReadCopies tells whether this instance may read what the store keeps of the topics
-// elsewhere: as a relay, or while the store does not give the slots. Then the seeds
-// begin, which the others ask, and those follow one by one.
+// MayReadCopies reports whether this instance may read the copies that the store keeps of
+// the topics: as a relay, or while the slots cannot be read. In the latter case seeds
+// start at once and other instances, which query the seeds, after a random delay.
 func (n *Node) MayReadCopies() bool {
-	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAfter))
+	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAllowedAt))
 }
 
 const (
-	// pollPause is the least time between two questions: changes that come in
-	// series are asked for together.
-	pollPause = 150 * time.Millisecond
-	// askPause is the time between two questions while no relay answers.
-	askPause = 400 * time.Millisecond
-	// roleInterval is how often it is looked whether the slot is still held.
-	roleInterval = 200 * time.Millisecond
-	// directInterval is how often it is looked whether this instance has to notice by
-	// itself whether the store answers.
-	directInterval = time.Second
-	// slotsWait is how long a relay's read of the slots waits; directWait is that of
-	// an instance that has to notice a cut link to the store.
-	slotsWait  = 12 * time.Second
-	directWait = 3 * time.Second
+	// pollInterval is the minimum time between two polls, so that changes in quick
+	// succession are fetched together.
+	pollInterval = 150 * time.Millisecond
+	// queryRetryInterval is the time between two queries of a relay whose reads of the
+	// store fail.
+	queryRetryInterval = 400 * time.Millisecond
+	// slotCheckInterval is how often an instance checks whether it holds a slot.
+	slotCheckInterval = 200 * time.Millisecond
+	// watchInterval is how often an instance checks whether it has to watch the store
+	// itself.
+	watchInterval = time.Second
+	// slotsReadWait is how long a relay's read of the slots waits. watchReadWait is that
+	// of an instance that watches the store and has to detect a cut connection.
+	slotsReadWait = 12 * time.Second
+	watchReadWait = 3 * time.Second
 )
 
 // Run keeps the topics up to date until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	n.setReadAlone()
+	n.scheduleFallback()
 	var work sync.WaitGroup
 	work.Go(func() { n.watchStore(ctx) })
 	for ctx.Err() == nil {
 		switch {
 		case n.holdsSlot():
-			n.read(ctx, func() bool { return !n.holdsSlot() })
+			n.readFromStore(ctx, func() bool { return !n.holdsSlot() })
 		case !n.slots.Loaded():
-			n.learnSlots(ctx)
-			if n.slotsAlone(ctx) {
-				n.Log.Warn("topics are read without knowing the relays")
-				n.read(ctx, n.slots.Loaded)
+			n.discoverSlots(ctx)
+			if n.onlySlotsUnavailable(ctx) {
+				n.Log.Warn("slots are unavailable, reading the topics from the store")
+				n.readFromStore(ctx, n.slots.Loaded)
 			}
 		default:
-			n.followWhile(ctx)
+			n.followRelays(ctx)
 		}
 	}
 	work.Wait()
@@ -184,26 +191,26 @@
 func (n *Node) holdsSlot() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, ok := n.table.held(n.Self)
+	_, ok := n.table.slotOf(n.Self)
 	return ok
 }
 
-// read reads the topics from the store until an event.
-func (n *Node) read(ctx context.Context, ended func() bool) {
+// readFromStore reads the topics from the store until ended returns true.
+func (n *Node) readFromStore(ctx context.Context, ended func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var work sync.WaitGroup
 	for _, f := range n.Topics {
 		work.Go(func() { n.followStore(ctx, f) })
 	}
-	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: slotsWait}) })
-	work.Go(func() { n.askWhileFailing(ctx) })
-	work.Go(func() { n.greetSeeds(ctx) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: slotsReadWait}) })
+	work.Go(func() { n.queryWhileFailing(ctx) })
+	work.Go(func() { n.announceToSeeds(ctx) })
 	n.reading.Store(true)
 	n.source.Store(nil)
-	n.Log.Info("topics are read from the store")
+	n.Log.Info("reading the topics from the store")
 	for ctx.Err() == nil && !ended() {
-		delay.Sleep(ctx, roleInterval)
+		delay.Sleep(ctx, slotCheckInterval)
 	}
 	n.reading.Store(false)
 	cancel()
@@ -215,7 +222,7 @@
 		Store: n.Store, Topic: f.Topic, Wait: f.Wait, Pause: f.Pause, Health: n.Health, Log: n.Log,
 	}
 	if f.Bounded {
-		follower.Limit = n.limit
+		follower.Limit = n.limitRead
 	}
 	if f.Large {
 		follower.CatchUp = func(ctx context.Context) bool { return n.catchUp(ctx, f) }
@@ -223,53 +230,53 @@
 	follower.Run(ctx)
 }
 
-// watchStore follows the slots at the store while this instance has to notice by
-// itself whether the store answers.
+// watchStore follows the slots at the store while this instance writes to the store
+// without being a relay, in order to detect outages.
 func (n *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.WritesToStore() && !n.reading.Load() && n.slots.Loaded() {
 			n.watchWhile(ctx, func() bool { return n.WritesToStore() && !n.reading.Load() })
 		}
-		delay.Sleep(ctx, directInterval)
+		delay.Sleep(ctx, watchInterval)
 	}
 }
 
 func (n *Node) watchWhile(ctx context.Context, holds func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: directWait}) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: watchReadWait}) })
 	for ctx.Err() == nil && holds() {
-		delay.Sleep(ctx, directInterval)
+		delay.Sleep(ctx, watchInterval)
 	}
 	cancel()
 	work.Wait()
 }
 
-// Bounds of the wait for another relay's copy of a large topic. One that is not
-// known is urgent; one whose history was dropped is taken once the other relay has
-// read it again, after its pause.
+// Timeouts of the copy of a large topic from another relay. A topic that is not loaded is
+// urgent. One whose history was trimmed is available once the other relay has read it
+// again, after its pause.
 const (
-	catchUpFirst = 700 * time.Millisecond
-	catchUpAgain = 300 * time.Millisecond
+	firstCatchUpTimeout = 700 * time.Millisecond
+	catchUpMargin       = 300 * time.Millisecond
 )
 
-// catchUp takes a topic from a relay with an earlier slot. It tells whether there
-// was more to take than is known.
+// catchUp takes a topic from the relays with earlier slots. It reports whether they had
+// newer records.
 func (n *Node) catchUp(ctx context.Context, f FollowedTopic) bool {
 	n.mu.Lock()
-	number, _ := n.table.held(n.Self)
-	earlier := n.table.earlier(n.Self.DataCentre, number)
+	number, _ := n.table.slotOf(n.Self)
+	earlier := n.table.holdersBefore(n.Self.DataCentre, number)
 	n.mu.Unlock()
-	before, wait := f.Topic.NextOffset(), catchUpFirst
+	before, wait := f.Topic.NextOffset(), firstCatchUpTimeout
 	if f.Topic.Loaded() {
-		wait = f.Pause + catchUpAgain
+		wait = f.Pause + catchUpMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	for _, e := range earlier {
+	for _, holder := range earlier {
 		for ctx.Err() == nil {
-			if err := n.ask(ctx, e.Address, wait, f.Topic); err != nil {
-				n.Log.Debug("relay gave no copy", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
+			if err := n.query(ctx, holder.Address, wait, f.Topic); err != nil {
+				n.Log.Debug("failed to copy a topic from a relay", "address", holder.Address, "topic", f.Topic.Name, "error", err.Error())
 				break
 			}
 			if f.Topic.Loaded() && f.Topic.NextOffset() > before {
@@ -280,58 +287,59 @@
 	return false
 }
 
-// greetInterval is the time between two greetings of the seeds.
-const greetInterval = 2 * time.Second
+// announceInterval is the time between two announcements to the seeds.
+const announceInterval = 2 * time.Second
 
-// greetSeeds tells the seeds of this relay: they are all that an instance knows which
-// the store refuses, and the store may refuse them too.
-func (n *Node) greetSeeds(ctx context.Context) {
+// announceToSeeds sends this relay's address to the seeds. An instance that the store
+// refuses knows only the seeds, and the store may refuse those too.
+func (n *Node) announceToSeeds(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, seed := range n.otherSeeds() {
-			if err := n.ask(ctx, seed, 0); err != nil && !errors.Is(err, errNoRelay) {
-				n.Log.Debug("seed does not answer", "address", seed, "error", err.Error())
+			if err := n.query(ctx, seed, 0); err != nil && !errors.Is(err, errNotRelay) {
+				n.Log.Debug("failed to announce this relay to a seed", "address", seed, "error", err.Error())
 			}
 		}
-		delay.Sleep(ctx, greetInterval)
+		delay.Sleep(ctx, announceInterval)
 	}
 }
 
-// askWhileFailing asks others for news while the store refuses this instance.
-func (n *Node) askWhileFailing(ctx context.Context) {
-	for delay.Sleep(ctx, askPause) {
+// queryWhileFailing queries other instances while this instance's reads of the store
+// fail.
+func (n *Node) queryWhileFailing(ctx context.Context) {
+	for delay.Sleep(ctx, queryRetryInterval) {
 		if !n.Health.OK() {
-			n.askAnyone(ctx, 0)
+			n.queryAny(ctx, 0)
 		}
 	}
 }
 
-// askAnyone asks another relay, or any instance if none is known, which may wait for
-// news.
-func (n *Node) askAnyone(ctx context.Context, wait time.Duration) {
-	address := n.anyone()
+// queryAny queries a random relay or other instance, which may wait for updates.
+func (n *Node) queryAny(ctx context.Context, wait time.Duration) {
+	address := n.anyAddress()
 	if address == "" {
 		return
 	}
-	if err := n.askAll(ctx, address, wait); err != nil {
-		n.Log.Debug("instance gave no topics", "address", address, "error", err.Error())
+	if err := n.queryAll(ctx, address, wait); err != nil {
+		n.Log.Debug("failed to query an instance for topics", "address", address, "error", err.Error())
 	}
 }
 
-// anyone is the address of another relay or, for as often as not, of any instance.
-func (n *Node) anyone() string {
+// anyAddress picks the address of another relay or, half of the time or if no relay is
+// known, of any instance.
+func (n *Node) anyAddress() string {
 	n.mu.Lock()
 	sources := n.table.sources(n.Self)
 	n.mu.Unlock()
 	var addresses []string
-	for _, e := range sources {
-		addresses = append(addresses, e.Address)
+	for _, holder := range sources {
+		addresses = append(addresses, holder.Address)
 	}
 	if len(addresses) == 0 || rand.IntN(2) == 0 {
 		addresses = append(addresses[:0], n.PeerAddresses()...)
 	}
 	if len(addresses) == 0 {
 		addresses = n.otherSeeds()
-		if hint := n.hint.Load(); hint != nil {
+		if hint := n.relayHint.Load(); hint != nil {
 			addresses = []string{*hint}
 		}
 	}
@@ -351,76 +359,76 @@
 	return seeds
 }
 
-// errNoRelay tells that an instance that was asked as a relay is none.
-var errNoRelay = errors.New("the instance does not read the topics from the store")
+// errNotRelay indicates that the queried instance is not a relay.
+var errNotRelay = errors.New("the instance is not a relay")
 
-// askAll asks an instance for what is new in all topics.
-func (n *Node) askAll(ctx context.Context, address string, wait time.Duration) error {
+// queryAll queries an instance for updates of all topics.
+func (n *Node) queryAll(ctx context.Context, address string, wait time.Duration) error {
 	topics := []*feed.Topic{n.slots}
 	for _, f := range n.Topics {
 		topics = append(topics, f.Topic)
 	}
-	return n.ask(ctx, address, wait, topics...)
+	return n.query(ctx, address, wait, topics...)
 }
 
-// wholeSilence is how long an answer with a whole topic may be silent.
-const wholeSilence = 900 * time.Millisecond
+// wholeTopicTimeout is the reply timeout of queries for whole topics.
+const wholeTopicTimeout = 900 * time.Millisecond
 
-// ask asks an instance for what is new in topics. It returns errNoRelay, with the
-// answer taken, if the instance is no relay.
-func (n *Node) ask(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
-	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.times.silence}
+// query fetches updates of topics from an instance. If that instance is not a relay, it
+// merges the reply and returns errNotRelay.
+func (n *Node) query(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
+	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.timing.replyTimeout}
 	for _, t := range topics {
 		if t.Loaded() {
 			q.Offsets[t.Name] = t.NextOffset()
 			continue
 		}
-		// A whole topic takes a relay a while that many ask at once.
-		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeSilence
+		// A relay takes longer to send a whole topic when many instances start at once.
+		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeTopicTimeout
 	}
 	if n.reading.Load() {
 		q.RelayAddress = n.Self.Address
 	}
-	asked := time.Now()
-	answer, err := n.Peers.Ask(ctx, address, q)
+	sent := time.Now()
+	reply, err := n.Peers.Query(ctx, address, q)
 	if err != nil {
 		return err
 	}
-	answered := asked.Add(time.Duration(answer.HeldMs) * time.Millisecond)
+	receivedAt := sent.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	for _, t := range topics {
-		given, ok := answer.Topics[t.Name]
+		update, ok := reply.Topics[t.Name]
 		if !ok {
 			continue
 		}
-		taken, err := t.MergeCopy(given.Copy, answered)
+		merged, err := t.MergeCopy(update.Copy, receivedAt)
 		if err != nil {
-			return errors.Wrapf(err, "topic %s of %s", t.Name, address)
+			return errors.Wrapf(err, "merge topic %s from %s", t.Name, address)
 		}
-		if taken > 0 {
-			n.Log.Info("records taken from a copy", "topic", t.Name, "records", taken, "next", t.NextOffset(), "source", address)
+		if merged > 0 {
+			n.Log.Info("records taken from a copy", "topic", t.Name, "records", merged, "next", t.NextOffset(), "source", address)
 		}
-		n.hear(t, given)
+		n.updateHealth(t, update)
 	}
-	if !answer.Relay {
-		return errNoRelay
+	if !reply.Relay {
+		return errNotRelay
 	}
 	return nil
 }
 
-// hear takes the word of a relay on the store, where this instance does not know by
-// itself. One that has not read a topic yet knows nothing of it; one whose copy is
-// fresh all the same is refused alone, and has it from others: that is no outage, in
-// which registrations lapse.
-func (n *Node) hear(t *feed.Topic, given Given) {
-	if !given.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
+// updateHealth records a relay's report on the store where this instance does not read
+// the store itself. A relay that has not loaded a topic knows nothing about it. A relay
+// whose reads fail but whose copy is fresh, from other relays, is refused alone: that is
+// no outage, in which registrations lapse.
+func (n *Node) updateHealth(t *feed.Topic, update TopicReply) {
+	if !update.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
 		return
 	}
-	fresh := given.AgeMs >= 0 && given.AgeMs <= n.times.stale.Milliseconds()
-	n.Health.SetFailing(t.Name, given.Failing && !fresh, time.Now())
+	fresh := update.AgeMs >= 0 && update.AgeMs <= n.timing.maxAge.Milliseconds()
+	n.Health.SetFailing(t.Name, update.Failing && !fresh, time.Now())
 }
 
-// entries is a copy of who holds the slots.
-func (n *Node) entries() table {
+// slotHolders returns a copy of the slot table.
+func (n *Node) slotHolders() slotTable {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return maps.Clone(n.table)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	// fleetDataCentres is the number of data centres of a large deployment.
-	fleetDataCentres = 5
-	// startBound is the time in which all know all after a start of all.
-	startBound = 10 * time.Second
-	// startCalls is the number of calls to the store that a start of all may take, an
-	// instance.
-	startCalls = 16
-	// manyTargets fill some pages of the store.
-	manyTargets = 3 * storePage
+	// clusterDataCentres is the number of data centres of a large deployment.
+	clusterDataCentres = 5
+	// startTimeout bounds the time until all instances hold all records after a
+	// simultaneous start.
+	startTimeout = 10 * time.Second
+	// maxStartCalls bounds the calls to the store per instance during a simultaneous
+	// start.
+	maxStartCalls = 16
+	// targetCount is a number of targets that spans several pages of the store.
+	targetCount = 3 * storePageSize
 )
 
-// All know all within ten seconds of a start of all, with a bounded number of calls
-// an instance, whatever the number of instances: a start that asks more than the
-// store gives fails, asks again and never ends.
+// A simultaneous start has to complete within a bounded time and a bounded number of
+// calls per instance, or instances that exceed the store's limits retry forever.
 func TestStartOfAllStaysWithinWhatTheStoreGives(t *testing.T) {
 	faults := map[string]storeFault{
-		"sound":         {},
-		"away for 5 s":  {away: 5 * time.Second},
-		"60 times slow": {slow: 59 * storeAnswerTime},
-		"refuses third": {refused: 1.0 / 3},
+		"sound":               {},
+		"unavailable for 5 s": {outage: 5 * time.Second},
+		"60 times slower":     {extraLatency: 59 * storeLatency},
+		"refuses a third":     {refusedFraction: 1.0 / 3},
 	}
 	for name, fault := range faults {
 		for _, instances := range []int{1000, 2000} {
 			t.Run(fmt.Sprint(name, "/", instances), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, fleetDataCentres, fault, func(f *fleet) {
-					for i := range manyTargets {
-						f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
+				withCluster(t, clusterDataCentres, fault, func(c *cluster) {
+					for i := range targetCount {
+						c.store.put(targetsTopic, fmt.Sprint("t", i), "x")
 					}
 					for i := range instances {
-						f.start(i)
+						c.start(i)
 					}
-					took := f.until(startBound)
-					calls := float64(f.store.counted()) / float64(instances)
-					t.Logf("%s, %.1f calls an instance, %d relays", took, calls, len(f.relays()))
-					if calls > startCalls {
-						t.Errorf("%.1f calls an instance", calls)
+					took := c.waitUntilSynced(startTimeout)
+					calls := float64(c.store.callCount()) / float64(instances)
+					t.Logf("%s, %.1f calls per instance, %d relays", took, calls, len(c.relays()))
+					if calls > maxStartCalls {
+						t.Errorf("%.1f calls per instance", calls)
 					}
-					if relays := len(f.relays()); relays > fleetDataCentres*SlotsPerDataCentre {
+					if relays := len(c.relays()); relays > clusterDataCentres*SlotsPerDataCentre {
 						t.Errorf("%d relays", relays)
 					}
 				})
@@ -59,29 +59,29 @@
 	}
 }
 
-// Instances that the store refuses learn of the relays although it refuses all seeds.
+// Instances that the store refuses find the relays even if the store refuses all seeds.
 func TestRefusedInstancesFindTheRelaysThroughRefusedSeeds(t *testing.T) {
-	inFleet(t, 2, storeFault{}, func(f *fleet) {
+	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
-			f.startRefused(i, i < len(f.seeds) || i%3 == 0)
+			c.startRefused(i, i < len(c.seeds) || i%3 == 0)
 		}
-		f.until(startBound)
+		c.waitUntilSynced(startTimeout)
 	})
 }
 
-// What idle instances ask of the store does not grow with their number.
+// The read load of idle instances on the store does not grow with their number.
 func TestReadsOfTheStoreDoNotFollowTheInstances(t *testing.T) {
 	rates := make(map[int]int)
 	for _, instances := range []int{300, 1000} {
-		inFleet(t, fleetDataCentres, storeFault{}, func(f *fleet) {
+		withCluster(t, clusterDataCentres, storeFault{}, func(c *cluster) {
 			for i := range instances {
-				f.start(i)
+				c.start(i)
 			}
-			f.until(startBound)
+			c.waitUntilSynced(startTimeout)
 			time.Sleep(2 * time.Second)
-			before := f.store.counted()
+			before := c.store.callCount()
 			time.Sleep(10 * time.Second)
-			rates[instances] = f.store.counted() - before
+			rates[instances] = c.store.callCount() - before
 		})
 	}
 	if float64(rates[1000]) > 1.2*float64(rates[300]) {
@@ -89,78 +89,79 @@
 	}
 }
 
-// Where a data centre has no more instances than slots each reads for itself.
-func TestSmallDeploymentsHaveRelaysOnly(t *testing.T) {
-	inFleet(t, 3, storeFault{}, func(f *fleet) {
+// Where a data centre has no more instances than slots, each is a relay.
+func TestAllInstancesOfASmallDeploymentAreRelays(t *testing.T) {
+	withCluster(t, 3, storeFault{}, func(c *cluster) {
 		for i := range 12 {
-			f.start(i)
+			c.start(i)
 		}
-		f.until(startBound)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(5 * time.Second)
-		if got := len(f.relays()); got != 12 {
+		if got := len(c.relays()); got != 12 {
 			t.Errorf("%d relays", got)
 		}
 	})
 }
 
-// A change reaches all soon, also while relays are lost, and their slots are taken.
+// Changes still spread quickly when relays are killed, and other instances take their
+// slots.
 func TestChangesReachAllWhileRelaysAreLost(t *testing.T) {
-	inFleet(t, 2, storeFault{}, func(f *fleet) {
+	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
-			f.start(i)
+			c.start(i)
 		}
-		f.until(startBound)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
-		lost := f.relays()
-		if len(lost) != 2*SlotsPerDataCentre {
-			t.Fatalf("relays %v", lost)
+		killed := c.relays()
+		if len(killed) != 2*SlotsPerDataCentre {
+			t.Fatalf("relays %v", killed)
 		}
-		for _, i := range lost[:len(lost)-1] {
-			f.kill(i)
+		for _, i := range killed[:len(killed)-1] {
+			c.kill(i)
 		}
-		f.store.put(settingsTopic, "settings", "v2")
-		if took := f.until(2 * time.Second); took > 2*time.Second {
-			t.Errorf("known to all after %s", took)
+		c.store.put(settingsTopic, "settings", "v2")
+		if took := c.waitUntilSynced(2 * time.Second); took > 2*time.Second {
+			t.Errorf("change took %s to reach all instances", took)
 		}
-		time.Sleep(takeoverAfter + takeoverSpans*claimSpan*10 + time.Second)
-		if got := len(f.relays()); got != 2*SlotsPerDataCentre {
-			t.Errorf("%d relays after others took over", got)
+		time.Sleep(takeoverAfter + takeoverDelayFactor*claimJitter*10 + time.Second)
+		if got := len(c.relays()); got != 2*SlotsPerDataCentre {
+			t.Errorf("%d relays after the takeover", got)
 		}
 	})
 }
 
-// Instances know of a change within the bound although their relay, or the store for
-// their relay, has fallen silent right before it.
+// A change reaches the followers of a relay within the bound although the relay hangs, or
+// the relay's calls to the store hang, from right before the change.
 func TestChangesAreKnownWithinTheBoundWhileARelayIsSilent(t *testing.T) {
-	for name, silence := range map[string]func(n *testNode){
-		"relay frozen":          func(n *testNode) { n.frozen.Store(true) },
-		"store silent to relay": func(n *testNode) { n.storeSilent.Store(true) },
-		"relay frozen, store silent to all": func(n *testNode) {
+	for name, induceFault := range map[string]func(n *testNode){
+		"relay hangs":           func(n *testNode) { n.frozen.Store(true) },
+		"store hangs for relay": func(n *testNode) { n.storeHangs.Store(true) },
+		"relay hangs, store hangs for the others": func(n *testNode) {
 			n.frozen.Store(true)
-			for _, other := range n.fleet.nodes {
-				other.storeSilent.Store(!other.Reading())
+			for _, other := range n.cluster.nodes {
+				other.storeHangs.Store(!other.ReadsStore())
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 1, storeFault{}, func(f *fleet) {
-				f.store.put(targetsTopic, "t", "x")
+			withCluster(t, 1, storeFault{}, func(c *cluster) {
+				c.store.put(targetsTopic, "t", "x")
 				for i := range 40 {
-					f.start(i)
+					c.start(i)
 				}
-				f.until(startBound)
+				c.waitUntilSynced(startTimeout)
 				time.Sleep(3 * time.Second)
 				for round := range 5 {
-					silent := f.nodes[address(f.relays()[round%SlotsPerDataCentre])]
-					silence(silent)
+					faulty := c.nodes[address(c.relays()[round%SlotsPerDataCentre])]
+					induceFault(faulty)
 					time.Sleep(time.Duration(round) * 900 * time.Millisecond)
-					f.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
-					if took := f.untilBut(silent, testBound); took >= testBound {
-						t.Errorf("round %d: known after %s", round, took)
+					c.store.put(targetsTopic, "t", fmt.Sprint("draining", round))
+					if took := c.waitUntilSyncedExcept(faulty, testBound); took >= testBound {
+						t.Errorf("round %d: change took %s", round, took)
 					}
-					silent.frozen.Store(false)
-					for _, n := range f.nodes {
-						n.storeSilent.Store(false)
+					faulty.frozen.Store(false)
+					for _, n := range c.nodes {
+						n.storeHangs.Store(false)
 					}
 					time.Sleep(10 * time.Second)
 				}
@@ -169,89 +170,90 @@
 	}
 }
 
-// Where the store drops its history not every relay reads the whole list again.
-func TestDroppedHistoryIsReadOnceADataCentre(t *testing.T) {
-	inFleet(t, fleetDataCentres, storeFault{}, func(f *fleet) {
+// After the store trims its history, not every relay reads the whole topic again.
+func TestTrimmedHistoryIsReadOncePerDataCentre(t *testing.T) {
+	withCluster(t, clusterDataCentres, storeFault{}, func(c *cluster) {
 		for i := range 100 {
-			f.start(i)
+			c.start(i)
 		}
-		f.until(startBound)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(2 * time.Second)
-		before := f.store.readWhole(targetsTopic)
+		before := c.store.wholeReadCount(targetsTopic)
 		for range 4 {
 			for i := range 10 {
-				f.store.put(targetsTopic, fmt.Sprint("t", i), "x")
+				c.store.put(targetsTopic, fmt.Sprint("t", i), "x")
 			}
-			f.store.trim(targetsTopic)
+			c.store.trim(targetsTopic)
 			time.Sleep(3 * time.Second)
 		}
-		f.until(startBound)
-		if reads := f.store.readWhole(targetsTopic) - before; reads > 4*2*fleetDataCentres {
-			t.Errorf("%d whole reads after 4 trims by %d relays", reads, fleetDataCentres*SlotsPerDataCentre)
+		c.waitUntilSynced(startTimeout)
+		if reads := c.store.wholeReadCount(targetsTopic) - before; reads > 4*2*clusterDataCentres {
+			t.Errorf("%d whole reads after 4 trims by %d relays", reads, clusterDataCentres*SlotsPerDataCentre)
 		}
 	})
 }
 
-// A process that starts again on the machine of a slot's holder goes on in the slot.
-func TestRestartedRelayGoesOn(t *testing.T) {
-	inFleet(t, 1, storeFault{}, func(f *fleet) {
+// A process that restarts on the machine of a slot's holder keeps the slot.
+func TestRestartedRelayKeepsItsSlot(t *testing.T) {
+	withCluster(t, 1, storeFault{}, func(c *cluster) {
 		for i := range 20 {
-			f.start(i)
+			c.start(i)
 		}
-		f.until(startBound)
+		c.waitUntilSynced(startTimeout)
 		time.Sleep(time.Second)
-		relays := f.relays()
-		f.kill(relays[0])
-		f.start(relays[0])
-		f.until(startBound)
-		if got := f.relays(); fmt.Sprint(got) != fmt.Sprint(relays) {
+		relays := c.relays()
+		c.kill(relays[0])
+		c.start(relays[0])
+		c.waitUntilSynced(startTimeout)
+		if got := c.relays(); fmt.Sprint(got) != fmt.Sprint(relays) {
 			t.Errorf("relays %v, before %v", got, relays)
 		}
 	})
 }
 
-// That the store refuses a relay alone is no outage for those who ask it: a target whose
-// registration goes then is gone, and not kept for its return.
-func TestRefusalOfARelayIsNoOutageForItsFollowers(t *testing.T) {
+// A relay that the store refuses alone is no outage for its followers: a target whose
+// registration ends meanwhile is removed rather than retained.
+func TestRefusedRelayIsNoOutageForItsFollowers(t *testing.T) {
 	topic := feed.NewTopic(targetsTopic, func(platform.Record) {})
 	health := feed.NewHealth()
 	n := New(Config{
 		Health: health, MaxStaleness: testBound, WritesToStore: func() bool { return false },
 		Topics: []FollowedTopic{{Topic: topic, Bounded: true}}, Log: slog.New(slog.DiscardHandler),
 	})
-	given := func(failing bool, age time.Duration) {
-		n.hear(topic, Given{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
+	observe := func(failing bool, age time.Duration) {
+		n.updateHealth(topic, TopicReply{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
 	}
-	given(true, testBound/4)
-	given(false, testBound/4)
-	if back, ok := health.RecoveredAt(targetsTopic); !ok || !back.IsZero() {
-		t.Errorf("an outage ended at %s", back)
+	observe(true, testBound/4)
+	observe(false, testBound/4)
+	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || !recoveredAt.IsZero() {
+		t.Errorf("unexpected end of an outage at %s", recoveredAt)
 	}
-	given(true, testBound)
+	observe(true, testBound)
 	if _, ok := health.RecoveredAt(targetsTopic); ok {
-		t.Error("no outage although nobody knows anything new")
+		t.Error("no outage although all copies are stale")
 	}
-	given(false, testBound/4)
-	if back, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(back) > time.Minute {
-		t.Errorf("the outage ended at %s", back)
+	observe(false, testBound/4)
+	if recoveredAt, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(recoveredAt) > time.Minute {
+		t.Errorf("end of the outage is %s", recoveredAt)
 	}
 }
 
-// What no instance can have written names no holder, and leaves the slot free.
+// A slot record that no instance can have written names no holder and leaves the slot
+// free.
 func TestSlotOfAnotherWriterNamesNobody(t *testing.T) {
 	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
-	good := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
-	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(good)})
-	if key, _ := n.table.free(self); key != "dc/1" {
-		t.Errorf("free slot %q beside one that is held", key)
+	valid := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
+	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(valid)})
+	if key, _ := n.table.freeSlot(self); key != "dc/1" {
+		t.Errorf("free slot %q although dc/0 is held", key)
 	}
 	for _, value := range []string{
-		"\xff", "null", "[]", "{}", good[:20], strings.Replace(good, "dc", "other", 1),
-		strings.Replace(good, `"o"`, `""`, 1), strings.Replace(good, "10.0.0.2:80", "somewhere", 1),
+		"\xff", "null", "[]", "{}", valid[:20], strings.Replace(valid, "dc", "other", 1),
+		strings.Replace(valid, `"o"`, `""`, 1), strings.Replace(valid, "10.0.0.2:80", "somewhere", 1),
 	} {
 		n.applySlot(platform.Record{Key: "dc/0", Value: []byte(value)})
-		if key, _ := n.table.free(self); key != "dc/0" {
+		if key, _ := n.table.freeSlot(self); key != "dc/0" {
 			t.Errorf("after %s: free slot %q", value, key)
 		}
 	}
@@ -261,20 +263,20 @@
 	f.Add("dc/0", []byte(`{"machine":"m","address":"10.0.0.1:80","data_centre":"dc"}`))
 	f.Add("/", []byte(`{"machine":"m","address":"[::1]:1"}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		e, err := decodeEntry(platform.Record{Key: key, Value: value})
+		e, err := decodeHolder(platform.Record{Key: key, Value: value})
 		if err == nil && (e.Machine == "" || !strings.HasPrefix(key, e.DataCentre)) {
 			t.Fatalf("got %+v for %q", e, key)
 		}
 	})
 }
 
-// Instances spread evenly over the relays of their data centre, and ask those of
-// others only behind them.
-func TestInstancesSpreadOverTheirRelays(t *testing.T) {
-	slots := make(table)
+// Instances spread evenly over the relays of their data centre and use those of other
+// data centres last.
+func TestInstancesSpreadEvenlyOverRelays(t *testing.T) {
+	slots := make(slotTable)
 	for _, dc := range []string{"a", "b"} {
 		for i := range SlotsPerDataCentre {
-			slots[slot(dc, i)] = Holder{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
+			slots[slotKey(dc, i)] = Holder{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
 		}
 	}
 	first := make(map[string]int)
--- /dev/null
+++ b/internal/relay/timing.go
@@ -0,0 +1,63 @@
+package relay
+
+import "time"
+
+// timing holds the timeouts on the path of a change from the store to an instance. A
+// change has to arrive within the staleness bound even if the relay, or the relay's
+// connection to the store, hangs right before it: the relay's read, the timeout of the
+// poll and the query to the next relay together fit into the bound.
+type timing struct {
+	// pollWait is how long a relay may hold a poll, replyTimeout how long the reply may
+	// take beyond that.
+	pollWait, replyTimeout time.Duration
+	// maxReadWait and maxReadPause bound a relay's reads of the store and the pauses
+	// between them while other instances poll it.
+	maxReadWait, maxReadPause time.Duration
+	// maxAge is the age from which a relay's copies count as stale. It exceeds their age
+	// while the relay's reads succeed.
+	maxAge time.Duration
+}
+
+// The timeouts as fractions of the staleness bound.
+const (
+	pollWaitFraction     = 1.0 / 4
+	replyTimeoutFraction = 1.0 / 5
+	readWaitFraction     = 1.0 / 4
+	readPauseFraction    = 1.0 / 8
+	maxAgeFraction       = 0.45
+	// maxStalenessCap is used in place of longer bounds or none.
+	maxStalenessCap = 5 * time.Second
+	// followerTimeout is how long after a query an instance counts as polled by others.
+	followerTimeout = 5 * time.Second
+)
+
+func newTiming(bound time.Duration) timing {
+	if bound <= 0 || bound > maxStalenessCap {
+		bound = maxStalenessCap
+	}
+	fraction := func(f float64) time.Duration { return time.Duration(f * float64(bound)) }
+	return timing{
+		pollWait: fraction(pollWaitFraction), replyTimeout: fraction(replyTimeoutFraction), maxReadWait: fraction(readWaitFraction), maxReadPause: fraction(readPauseFraction),
+		maxAge: fraction(maxAgeFraction),
+	}
+}
+
+// limitRead bounds a read of the store and the pause after it while other instances poll
+// this one.
+func (n *Node) limitRead(wait, pause time.Duration) (time.Duration, time.Duration) {
+	if at := n.lastQueriedAt.Load(); at == nil || time.Since(*at) > followerTimeout {
+		return wait, pause
+	}
+	return min(wait, n.timing.maxReadWait), min(pause, n.timing.maxReadPause)
+}
+
+// hasStaleTopics reports whether the copies of the bounded topics are older than those of
+// a relay whose reads succeed.
+func (n *Node) hasStaleTopics(now time.Time) bool {
+	for _, f := range n.Topics {
+		if f.Bounded && f.Topic.Loaded() && f.Topic.Age(now) > n.timing.maxAge {
+			return true
+		}
+	}
+	return false
+}
