--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -55,7 +55,7 @@
 		return true
 	}
 	if x.permit != nil {
-		x.permit.GiveBack()
+		x.permit.Release()
 	}
 	return false
 }
@@ -108,7 +108,7 @@
 	if x.permit == nil {
 		return 0
 	}
-	return x.permit.Use()
+	return x.permit.Utilization()
 }
 
 // targetRetryAfter returns the RetryAfter delay after no target accepted the request.
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -131,8 +131,8 @@
 
 func (n *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
 func (n *utilizationPermit) Again()                                                  {}
-func (n *utilizationPermit) Use() float64                                            { return n.utilization }
-func (n *utilizationPermit) GiveBack()                                               { n.returned++ }
+func (n *utilizationPermit) Utilization() float64                                    { return n.utilization }
+func (n *utilizationPermit) Release()                                                { n.returned++ }
 
 func TestOrganisationOverFairUseIsRefusedAndReturnsItsPermit(t *testing.T) {
 	w, _ := withLimit(t)
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -83,12 +83,12 @@
 type Permit interface {
 	// Again counts the request once more: it is sent again after it may have run.
 	Again()
-	// Use returns the utilization of the organisation's limit: 1 is at the limit, 0 is
+	// Utilization returns the utilization of the organisation's limit: 1 is at the limit, 0 is
 	// unknown.
-	Use() float64
-	// GiveBack returns the permit of a request that is not sent. It may be called once,
+	Utilization() float64
+	// Release returns the permit of a request that is not sent. It may be called once,
 	// before the request is sent, and does not block.
-	GiveBack()
+	Release()
 }
 
 // Allowances enforces the limits of organisations.
