--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -37,7 +37,7 @@
 
 // startsProgram reports whether the turn that holds the lease is its program's first.
 func (x *transfer) startsProgram(lease Lease) bool {
-	return x.mayStartProgram() && (x.route.StoresTurns || lease.First())
+	return x.mayStartProgram() && (x.route.StoresTurns || lease.FirstTurn())
 }
 
 // checkAdmission checks admission before other instances are involved. First turns are
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -130,7 +130,7 @@
 }
 
 func (n *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
-func (n *utilizationPermit) Again()                                                  {}
+func (n *utilizationPermit) CountRerun()                                             {}
 func (n *utilizationPermit) Utilization() float64                                    { return n.utilization }
 func (n *utilizationPermit) Release()                                                { n.returned++ }
 
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -265,7 +265,7 @@
 
 type countedPermit struct{ a *fakeAllowances }
 
-func (p countedPermit) Again()               { p.a.again++ }
+func (p countedPermit) CountRerun()          { p.a.again++ }
 func (p countedPermit) Utilization() float64 { return 0 }
 func (p countedPermit) Release()             { p.a.returned++ }
 
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -110,7 +110,7 @@
 // another send may follow.
 func (x *transfer) send(target *targets.Target) bool {
 	if x.mayHaveRun && x.permit != nil {
-		x.permit.Again()
+		x.permit.CountRerun()
 	}
 	x.sends++
 	x.lastTarget = target.ID
@@ -240,7 +240,7 @@
 	}
 	if x.server.targets.Broke(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.TargetBroke()
+		x.server.notices.ReportTargetBreaks()
 	}
 }
 
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -36,11 +36,11 @@
 
 // Lease is a reservation in a program's budget.
 type Lease interface {
-	// Target returns the target that ran the program's last turn and may hold its
+	// LastTarget returns the target that ran the program's last turn and may hold its
 	// prompt in its cache, empty if unknown.
-	Target() string
-	// First reports whether no turn of the program is known to have run yet.
-	First() bool
+	LastTarget() string
+	// FirstTurn reports whether no turn of the program is known to have run yet.
+	FirstTurn() bool
 	// Settle returns the unused tokens and reports how the turn ended. It does not
 	// block.
 	Settle(end TurnResult)
@@ -81,8 +81,8 @@
 
 // Permit represents a request that was admitted within its organisation's limit.
 type Permit interface {
-	// Again counts the request once more: it is sent again after it may have run.
-	Again()
+	// CountRerun counts the request once more: it is sent again after it may have run.
+	CountRerun()
 	// Utilization returns the utilization of the organisation's limit: 1 is at the limit, 0 is
 	// unknown.
 	Utilization() float64
@@ -128,9 +128,9 @@
 
 // Notices notifies other instances of failing targets.
 type Notices interface {
-	// TargetBroke reports that a target broke a new connection or failed a turn. It
+	// ReportTargetBreaks reports that a target broke a new connection or failed a turn. It
 	// does not block.
-	TargetBroke()
+	ReportTargetBreaks()
 }
 
 // Health reports whether the platform's store is available to this instance.
