--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -4,7 +4,7 @@
 
 // permit is a request that was let in.
 type permit struct {
-	keeper *Keeper
+	keeper *Manager
 	line   *line
 	// first tells that it begins a program.
 	first bool
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -15,25 +15,25 @@
 // knows from its record.
 func lose(a *account) *account {
 	if a.recorded {
-		return restored(a.program, accountRecord{Budget: a.budget, Most: a.most, Limit: a.limit, Losses: a.losses}, a.losses+1, time.Minute, time.Time{})
+		return restoreAccount(a.program, accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: a.crashes}, a.crashes+1, time.Minute, time.Time{})
 	}
-	return newAccount(a.program, a.budget, a.most, a.losses+1)
+	return newAccount(a.program, a.budget, a.maxTurn, a.crashes+1)
 }
 
 // runTurn runs a turn, writing a record if one is needed. It tells whether
 // there was room.
 func runTurn(a *account, most, used int) bool {
 	id := structs.RoomLease{Number: 1}
-	verdict := a.judge(most)
+	verdict := a.decide(most)
 	if verdict == awaitRecord {
-		a.wantRecord(most)
-		a.limit, a.recorded, a.want = a.want, true, 0
-		verdict = a.judge(most)
+		a.requestRecord(most)
+		a.limit, a.recorded, a.pendingLimit = a.pendingLimit, true, 0
+		verdict = a.decide(most)
 	}
 	if verdict != granted {
 		return false
 	}
-	a.grant(&ask{lease: id, most: most})
+	a.grant(&waiter{lease: id, maxTokens: most})
 	a.settle(id, used)
 	return true
 }
@@ -98,18 +98,18 @@
 	for _, step := range steps {
 		if step%3 == 0 {
 			if a != nil && a.recorded {
-				recorded[true] = accountRecord{Budget: a.budget, Most: a.most, Limit: a.limit, Losses: losses}
+				recorded[true] = accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: losses}
 			}
 			a, losses = nil, losses+1
 			continue
 		}
 		most := 1 + step/6%largest
 		if r, ok := recorded[true]; a == nil && ok {
-			a = restored("p", r, losses, time.Minute, time.Time{})
+			a = restoreAccount("p", r, losses, time.Minute, time.Time{})
 		} else if a == nil {
 			a = newAccount("p", budget, most, losses)
 		}
-		a.most = max(a.most, most)
+		a.maxTurn = max(a.maxTurn, most)
 		seen = max(seen, most)
 		used := most
 		if step%2 == 0 {
@@ -129,8 +129,8 @@
 	for losses := range 2 {
 		a := newAccount("p", budget, most, losses)
 		turns := 0
-		for a.judge(most) == granted {
-			a.grant(&ask{lease: structs.RoomLease{Number: 1}, most: most})
+		for a.decide(most) == granted {
+			a.grant(&waiter{lease: structs.RoomLease{Number: 1}, maxTokens: most})
 			a.settle(structs.RoomLease{Number: 1}, most/3)
 			turns++
 		}
@@ -143,8 +143,8 @@
 func TestLostLeaseIsGivenBackWhenItsHolderSettles(t *testing.T) {
 	a := newAccount("p", 1000, 100, 0)
 	id := structs.RoomLease{Holder: "x", Number: 7}
-	a.grant(&ask{lease: id, most: 100})
-	a.loseHolder("x")
+	a.grant(&waiter{lease: id, maxTokens: 100})
+	a.chargeLeasesOf("x")
 	if a.used != 100 || a.leased != 0 {
 		t.Errorf("after the loss: %d used, %d leased", a.used, a.leased)
 	}
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -15,26 +15,26 @@
 	// storeTimeout bounds one call to the store, which answers within
 	// milliseconds, and within a few hundred when it is slow.
 	storeTimeout = 700 * time.Millisecond
-	// doubtTimeout bounds it while reads of other topics fail. If the store
+	// degradedStoreTimeout bounds it while reads of other topics fail. If the store
 	// serves this partition it answers at once; if not, turns wait for nothing.
-	doubtTimeout = 100 * time.Millisecond
-	// claimAttempts bounds the tries of one claim; others may write between a
+	degradedStoreTimeout = 100 * time.Millisecond
+	// maxClaimAttempts bounds the tries of one claim; others may write between a
 	// read and the append.
-	claimAttempts = 4
-	// claimPause is the time between two claims of a partition that the store
+	maxClaimAttempts = 4
+	// claimBackoff is the time between two claims of a partition that the store
 	// does not serve; each costs calls.
-	claimPause = 400 * time.Millisecond
-	// lostRetention is how long accounts from records are kept for programs
+	claimBackoff = 400 * time.Millisecond
+	// defaultRetention is how long accounts from records are kept for programs
 	// that do not come back; a turn that comes sets its route's.
-	lostRetention = 60 * time.Second
-	// maxSequence bounds the first sequence number of an epoch. It is random,
+	defaultRetention = 60 * time.Second
+	// maxFirstSequence bounds the first sequence number of an epoch. It is random,
 	// so that another claim under the same epoch is never taken for a repeat
 	// of this one.
-	maxSequence = 1 << 40
+	maxFirstSequence = 1 << 40
 )
 
 // startClaim claims a partition in the background. The mutex is held.
-func (k *Keeper) startClaim(p *partition) {
+func (k *Manager) startClaim(p *partition) {
 	if p.claiming || k.leaving.Load() || time.Now().Before(p.claimAfter) {
 		return
 	}
@@ -43,28 +43,28 @@
 }
 
 // claim claims a partition and answers the asks that wait for it.
-func (k *Keeper) claim(p *partition) {
+func (k *Manager) claim(p *partition) {
 	k.mu.Lock()
-	former := p.owner
+	previousOwner := p.owner
 	k.mu.Unlock()
 	err := k.tryClaim(p)
 	k.mu.Lock()
 	p.claiming = false
 	if err != nil {
-		p.claimAfter = time.Now().Add(claimPause)
-		k.refuseWaiting(p)
+		p.claimAfter = time.Now().Add(claimBackoff)
+		k.refuseRecordWaiters(p)
 	}
-	parked := p.parked
-	p.parked = nil
+	parked := p.waitingForClaim
+	p.waitingForClaim = nil
 	owned := p.own != nil
 	for _, waiting := range parked {
 		switch {
 		case owned:
 			k.admit(p, waiting.request, waiting.reply)
 		case k.ownerUsable(p):
-			waiting.reply(answer{outcome: structs.RoomNotOwner, owner: p.owner})
+			waiting.reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
 		default:
-			waiting.reply(answer{outcome: structs.RoomUnavailable})
+			waiting.reply(result{outcome: structs.RoomUnavailable})
 		}
 	}
 	k.mu.Unlock()
@@ -73,14 +73,14 @@
 		return
 	}
 	if owned {
-		k.announce(former)
+		k.announce(previousOwner)
 	}
 }
 
 // tryClaim claims a partition, unless a usable instance owns it.
-func (k *Keeper) tryClaim(p *partition) error {
+func (k *Manager) tryClaim(p *partition) error {
 	var err error
-	for range claimAttempts {
+	for range maxClaimAttempts {
 		var done bool
 		done, err = k.claimOnce(p)
 		if done {
@@ -96,79 +96,79 @@
 // retryable tells whether a claim may succeed when it is tried again at once:
 // somebody wrote meanwhile, or the outcome is unknown.
 func retryable(err error) bool {
-	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errUnread)
+	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errReadFailed)
 }
 
-// errUnread tells that the partition could not be read before a claim.
-var errUnread = errors.New("the partition could not be read")
+// errReadFailed tells that the partition could not be read before a claim.
+var errReadFailed = errors.New("the partition could not be read")
 
 // claimOnce reads the partition and claims it if nobody else has. It returns
 // true if the partition has an owner now.
-func (k *Keeper) claimOnce(p *partition) (bool, error) {
-	now, err := k.read(p)
+func (k *Manager) claimOnce(p *partition) (bool, error) {
+	state, err := k.read(p)
 	if err != nil {
-		return false, errors.Mark(err, errUnread)
+		return false, errors.Mark(err, errReadFailed)
 	}
-	if now.owner != nil {
+	if state.owner != nil {
 		// When all instances start together, owners are known from their claims before
 		// the list names them; otherwise each would claim in turn.
-		k.directory.Learn(now.owner.Owner, now.owner.Address)
-		k.confirm(now.owner.Owner)
-		if k.adopt(p, now.owner) {
+		k.directory.Learn(state.owner.Owner, state.owner.Address)
+		k.awaitProbe(state.owner.Owner)
+		if k.adoptOwner(p, state.owner) {
 			return true, nil
 		}
 	}
 	claim := ownerRecord{Epoch: 1, Owner: k.self.ID, Address: k.self.Address}
-	if now.owner != nil {
-		claim.Epoch = now.owner.Epoch + 1
+	if state.owner != nil {
+		claim.Epoch = state.owner.Epoch + 1
 	}
-	clean := k.continues(p, now.owner)
-	losses := k.lossesOf(p, now.owner, clean)
-	claim.Losses = &losses
-	sequence := rand.Int64N(maxSequence)
-	err = k.appendClaim(p, claim, sequence, now.end)
+	clean := k.hasAccountsOf(p, state.owner)
+	crashes := k.crashesBefore(p, state.owner, clean)
+	claim.Crashes = &crashes
+	sequence := rand.Int64N(maxFirstSequence)
+	err = k.appendClaim(p, claim, sequence, state.end)
 	if err != nil {
 		return false, err
 	}
-	return true, k.install(p, claim, sequence, now, clean)
+	return true, k.becomeOwner(p, claim, sequence, state, clean)
 }
 
 // storeContext bounds one call to the store.
-func (k *Keeper) storeContext() (context.Context, context.CancelFunc) {
+func (k *Manager) storeContext() (context.Context, context.CancelFunc) {
 	if k.health.OK() {
 		return context.WithTimeout(k.ctx, storeTimeout)
 	}
-	return context.WithTimeout(k.ctx, doubtTimeout)
+	return context.WithTimeout(k.ctx, degradedStoreTimeout)
 }
 
-func (k *Keeper) read(p *partition) (content, error) {
+func (k *Manager) read(p *partition) (partitionState, error) {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	list, err := k.store.Newest(ctx, topic, p.number)
 	if err != nil {
-		return content{}, err
+		return partitionState{}, err
 	}
-	return decodeContent(list)
+	return decodePartition(list)
 }
 
-// confirmTimeout bounds the wait for an owner that did not answer before. One
+// probeTimeout bounds the wait for an owner that did not answer before. One
 // that is there answers within milliseconds; a dead process's machine refuses
 // the connection as fast.
-const confirmTimeout = 250 * time.Millisecond
+const probeTimeout = 250 * time.Millisecond
 
-// confirm asks an owner that did not answer before once more before its partition
+// awaitProbe asks an owner that did not answer before once more before its partition
 // is claimed: an instance that was paused finds all connections broken when it
 // wakes, and must not take the others' partitions, whose accounts would be lost.
-func (k *Keeper) confirm(owner structs.InstanceID) {
+func (k *Manager) awaitProbe(owner structs.InstanceID) {
 	if !k.directory.Doubted(owner) {
 		return
 	}
 	heard := make(chan struct{}, 1)
 	k.mu.Lock()
-	k.confirms[owner] = append(k.confirms[owner], heard)
+	k.probes[owner] = append(k.probes[owner], heard)
 	k.mu.Unlock()
 	k.peers.Probe(owner)
-	timer := time.NewTimer(confirmTimeout)
+	timer := time.NewTimer(probeTimeout)
 	defer timer.Stop()
 	select {
 	case <-heard:
@@ -177,17 +177,17 @@
 	}
 }
 
-// confirmed ends the waits for word of an instance. The mutex is held.
-func (k *Keeper) confirmed(id structs.InstanceID) {
-	for _, heard := range k.confirms[id] {
+// resolveProbes ends the waits for word of an instance. The mutex is held.
+func (k *Manager) resolveProbes(id structs.InstanceID) {
+	for _, heard := range k.probes[id] {
 		heard <- struct{}{}
 	}
-	delete(k.confirms, id)
+	delete(k.probes, id)
 }
 
-// adopt takes the owner in the store for the present one if it is usable, or
+// adoptOwner takes the owner in the store for the present one if it is usable, or
 // if it is this instance already. It tells whether that is so.
-func (k *Keeper) adopt(p *partition, owner *ownerRecord) bool {
+func (k *Manager) adoptOwner(p *partition, owner *ownerRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if owner.Owner == k.self.ID {
@@ -209,34 +209,34 @@
 	return true
 }
 
-// continues tells whether this instance has the exact accounts of the owner in
+// hasAccountsOf tells whether this instance has the exact accounts of the owner in
 // the store.
-func (k *Keeper) continues(p *partition, owner *ownerRecord) bool {
+func (k *Manager) hasAccountsOf(p *partition, owner *ownerRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return p.own != nil && owner != nil && p.own.epoch == owner.Epoch
 }
 
-// lossesOf is how many owners before a claim of this instance may have handed out
+// crashesBefore is how many owners before a claim of this instance may have handed out
 // their slice. An owner that never learned of its claim handed out nothing: the
 // claim took effect without an answer.
-func (k *Keeper) lossesOf(p *partition, owner *ownerRecord, clean bool) int {
+func (k *Manager) crashesBefore(p *partition, owner *ownerRecord, clean bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case clean:
 		// The accounts that this instance goes on with have used this slice.
-		p.served = owner.Epoch + 1
-		return p.own.losses
+		p.servedEpoch = owner.Epoch + 1
+		return p.own.crashes
 	case owner == nil:
 		return 0
-	case owner.Owner == k.self.ID && owner.Epoch > p.served:
-		return owner.losses()
+	case owner.Owner == k.self.ID && owner.Epoch > p.servedEpoch:
+		return owner.crashes()
 	}
-	return owner.losses() + 1
+	return owner.crashes() + 1
 }
 
-func (k *Keeper) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
+func (k *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	_, err := k.store.Append(ctx, platform.Append{
@@ -247,43 +247,43 @@
 	return err
 }
 
-// install makes this instance the owner after its claim was appended.
-func (k *Keeper) install(p *partition, claim ownerRecord, sequence int64, now content, clean bool) error {
+// becomeOwner makes this instance the owner after its claim was appended.
+func (k *Manager) becomeOwner(p *partition, claim ownerRecord, sequence int64, state partitionState, clean bool) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if clean && (p.own == nil || now.owner == nil || p.own.epoch != now.owner.Epoch) {
+	if clean && (p.own == nil || state.owner == nil || p.own.epoch != state.owner.Epoch) {
 		// The accounts went between the check and the append: they were
 		// dropped or handed on, so that this claim counts too little.
 		return errors.New("the accounts were given up during the claim")
 	}
 	if !clean {
 		p.own = newOwnership(claim.Epoch)
-		p.own.losses = claim.losses()
-		k.restore(p.own, now)
+		p.own.crashes = claim.crashes()
+		k.restoreAccounts(p.own, state)
 	}
 	p.own.epoch, p.own.claimed, p.own.sequence = claim.Epoch, true, sequence
-	p.served = claim.Epoch
-	p.own.failing = false
+	p.servedEpoch = claim.Epoch
+	p.own.writeFailing = false
 	k.setOwner(p, k.self.ID, claim.Epoch)
-	k.redirect(p)
+	k.redirectPending(p)
 	k.metrics.claims.Inc(1)
-	if !clean && now.owner != nil {
-		k.metrics.losses.Inc(1)
+	if !clean && state.owner != nil {
+		k.metrics.crashes.Inc(1)
 	}
-	k.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.loss != nil, "losses", p.own.losses, "recorded_programs", len(now.programs))
+	k.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.crash != nil, "losses", p.own.crashes, "recorded_programs", len(state.programs))
 	for a := range p.own.dirty {
-		k.startWrite(p, a)
+		k.scheduleWrite(p, a)
 	}
 	return nil
 }
 
-// restore makes accounts of the records that an owner left; those without a
+// restoreAccounts makes accounts of the records that an owner left; those without a
 // record are lost.
-func (k *Keeper) restore(own *ownership, now content) {
-	for program, record := range now.programs {
-		own.accounts[program] = restored(program, record, own.losses, lostRetention, time.Now())
+func (k *Manager) restoreAccounts(own *ownership, state partitionState) {
+	for program, record := range state.programs {
+		own.accounts[program] = restoreAccount(program, record, own.crashes, defaultRetention, time.Now())
 	}
-	if now.owner != nil {
-		own.loss = &loss{owner: now.owner.Owner, at: time.Now()}
+	if state.owner != nil {
+		own.crash = &crash{owner: state.owner.Owner, at: time.Now()}
 	}
 }
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -15,20 +15,20 @@
 
 // Leave hands all partitions over to other instances. The Keeper goes on
 // asking other owners for this instance's turns.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Manager) Leave(ctx context.Context) {
 	k.leaving.Store(true)
 	k.directory.SetLeaving(k.self.ID)
-	k.tellLeaving()
+	k.announceLeaving()
 	for _, p := range k.partitions {
 		k.handOver(ctx, p)
 	}
 }
 
-// tellLeaving tells those who may ask this instance, or would claim what it owns, that
+// announceLeaving tells those who may ask this instance, or would claim what it owns, that
 // it leaves. An instance that is not told and asks is sent on. To tell all would take
 // a connection to each: a small machine needs its grace period for that where there
 // are hundreds.
-func (k *Keeper) tellLeaving() {
+func (k *Manager) announceLeaving() {
 	k.peers.Broadcast(new(structs.Leaving))
 	for _, id := range k.successors() {
 		k.peers.Send(id, new(structs.Leaving))
@@ -36,7 +36,7 @@
 }
 
 // successors lists the instances that would claim the partitions of this one.
-func (k *Keeper) successors() []structs.InstanceID {
+func (k *Manager) successors() []structs.InstanceID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var successors []structs.InstanceID
@@ -44,7 +44,7 @@
 		if p.own == nil {
 			continue
 		}
-		for _, id := range k.directory.Listed(p.key(), standbys) {
+		for _, id := range k.directory.Listed(p.key(), watchersPerOwner) {
 			if id != k.self.ID && !slices.Contains(successors, id) {
 				successors = append(successors, id)
 			}
@@ -56,21 +56,21 @@
 // handOver gives a partition to the first instance that takes it. Only an
 // explicit refusal lets the next one be asked: an answer that does not come
 // may mean that the first has the partition.
-func (k *Keeper) handOver(ctx context.Context, p *partition) {
+func (k *Manager) handOver(ctx context.Context, p *partition) {
 	for _, successor := range k.directory.Ranked(p.key()) {
 		if successor == k.self.ID {
 			continue
 		}
-		taken, known := k.handOverTo(ctx, p, successor)
-		if taken || !known {
+		accepted, known := k.handOverTo(ctx, p, successor)
+		if accepted || !known {
 			return
 		}
 	}
 }
 
-// relieve hands the partitions over while the store refuses this instance, if
+// evacuate hands the partitions over while the store refuses this instance, if
 // another one reaches it: an owner has to write records.
-func (k *Keeper) relieve(ctx context.Context) {
+func (k *Manager) evacuate(ctx context.Context) {
 	for _, p := range k.partitions {
 		k.mu.Lock()
 		owned := p.own != nil
@@ -88,25 +88,25 @@
 
 // findSuccessor asks one instance, another one each time, whether it would take
 // a partition.
-func (k *Keeper) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
+func (k *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
 	others := k.directory.Others()
 	if len(others) == 0 {
 		return "", false
 	}
 	asked := others[rand.IntN(len(others))].ID
-	answers := make(chan bool, 1)
+	replies := make(chan bool, 1)
 	k.mu.Lock()
 	offer := &structs.PartitionHandover{Number: k.nextNumber(), Partition: p.number, Offer: true}
-	k.handovers[offer.Number] = answers
+	k.handovers[offer.Number] = replies
 	k.mu.Unlock()
 	k.peers.Send(asked, offer)
-	would, known := k.awaitHandover(ctx, offer.Number, answers)
-	return asked, would && known
+	willing, known := k.awaitHandover(ctx, offer.Number, replies)
+	return asked, willing && known
 }
 
 // handOverTo gives a partition to one instance. It returns whether that has
 // taken it, and whether this is known.
-func (k *Keeper) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (taken, known bool) {
+func (k *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (accepted, known bool) {
 	k.mu.Lock()
 	own := p.own
 	if own == nil {
@@ -114,36 +114,36 @@
 		return true, true
 	}
 	message := k.exportPartition(p)
-	answers := make(chan bool, 1)
-	k.handovers[message.Number] = answers
+	replies := make(chan bool, 1)
+	k.handovers[message.Number] = replies
 	// From here on this instance hands out no room.
 	p.own = nil
 	k.setOwner(p, successor, own.epoch)
 	for _, a := range own.accounts {
-		k.refuseAsks(a, structs.RoomNotOwner, successor)
+		k.refuseWaiters(a, structs.RoomNotOwner, successor)
 	}
 	k.mu.Unlock()
 	k.peers.Send(successor, message)
-	taken, known = k.awaitHandover(ctx, message.Number, answers)
-	if taken {
+	accepted, known = k.awaitHandover(ctx, message.Number, replies)
+	if accepted {
 		k.metrics.handovers.Inc(1)
 	}
 	k.log.Info("partition handed over", "partition", p.number, "epoch", own.epoch, "successor", successor,
-		"accounts", len(own.accounts), "taken", taken, "known", known)
-	if known && !taken {
-		k.takeBack(p, own)
+		"accounts", len(own.accounts), "taken", accepted, "known", known)
+	if known && !accepted {
+		k.resumeOwnership(p, own)
 	}
-	return taken, known
+	return accepted, known
 }
 
 // exportPartition makes the message that hands a partition over. The mutex is
 // held.
-func (k *Keeper) exportPartition(p *partition) *structs.PartitionHandover {
+func (k *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
-		Number: k.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.losses,
+		Number: k.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.crashes,
 	}
-	if l := p.own.loss; l != nil {
+	if l := p.own.crash; l != nil {
 		message.LostBy, message.LostFor = l.owner, now.Sub(l.at)
 	}
 	for _, a := range p.own.accounts {
@@ -152,7 +152,7 @@
 	return message
 }
 
-func (k *Keeper) awaitHandover(ctx context.Context, number uint64, answers chan bool) (taken, known bool) {
+func (k *Manager) awaitHandover(ctx context.Context, number uint64, replies chan bool) (accepted, known bool) {
 	timer := time.NewTimer(handoverTimeout)
 	defer timer.Stop()
 	defer func() {
@@ -161,16 +161,16 @@
 		k.mu.Unlock()
 	}()
 	select {
-	case taken = <-answers:
-		return taken, true
+	case accepted = <-replies:
+		return accepted, true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false, false
 }
 
-// takeBack resumes an ownership that the successor has refused.
-func (k *Keeper) takeBack(p *partition, own *ownership) {
+// resumeOwnership resumes an ownership that the successor has refused.
+func (k *Manager) resumeOwnership(p *partition, own *ownership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != nil || p.epoch > own.epoch {
@@ -179,51 +179,51 @@
 	p.own = own
 	k.setOwner(p, k.self.ID, own.epoch)
 	for a := range own.dirty {
-		k.startWrite(p, a)
+		k.scheduleWrite(p, a)
 	}
 }
 
-func (k *Keeper) receiveHandoverReply(m *structs.HandoverReply) {
+func (k *Manager) receiveHandoverReply(m *structs.HandoverReply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if answers, ok := k.handovers[m.Number]; ok {
-		answers <- m.Accepted
+	if replies, ok := k.handovers[m.Number]; ok {
+		replies <- m.Accepted
 		delete(k.handovers, m.Number)
 	}
 }
 
 // receiveHandover takes a partition over, unless this instance leaves or knows
 // of a newer owner.
-func (k *Keeper) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
+func (k *Manager) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
 	if m.Offer {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.spawn(func() { k.answerOffer(from, m) })
+		k.spawn(func() { k.replyToOffer(from, m) })
 		return
 	}
-	accepted := k.takeOver(from, m)
+	accepted := k.acceptHandover(from, m)
 	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: accepted})
 	if accepted {
 		// Who asks the former owner is sent on by it.
 		k.mu.Lock()
-		notice := k.ownNotice()
+		notice := k.ownerNotice()
 		k.mu.Unlock()
 		k.peers.Broadcast(notice)
 	}
 }
 
-// answerOffer tells whether this instance would take a partition over: whether the
+// replyToOffer tells whether this instance would take a partition over: whether the
 // store serves it the partition. What others say of the store is no sign of that.
-func (k *Keeper) answerOffer(from structs.InstanceID, m *structs.PartitionHandover) {
-	would := !k.leaving.Load() && k.health.OK() && m.Partition >= 0 && m.Partition < len(k.partitions)
-	if would {
+func (k *Manager) replyToOffer(from structs.InstanceID, m *structs.PartitionHandover) {
+	willing := !k.leaving.Load() && k.health.OK() && m.Partition >= 0 && m.Partition < len(k.partitions)
+	if willing {
 		_, err := k.read(k.partitions[m.Partition])
-		would = err == nil
+		willing = err == nil
 	}
-	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: would})
+	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: willing})
 }
 
-func (k *Keeper) takeOver(from structs.InstanceID, m *structs.PartitionHandover) bool {
+func (k *Manager) acceptHandover(from structs.InstanceID, m *structs.PartitionHandover) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.leaving.Load() || m.Partition < 0 || m.Partition >= len(k.partitions) {
@@ -235,12 +235,12 @@
 	}
 	now := time.Now()
 	p.own = newOwnership(m.Epoch)
-	p.own.losses = lossesKnown(m.Losses, m.LostBy != "")
+	p.own.crashes = reportedCrashes(m.Losses, m.LostBy != "")
 	if m.LostBy != "" {
-		p.own.loss = &loss{owner: m.LostBy, at: now.Add(-m.LostFor)}
+		p.own.crash = &crash{owner: m.LostBy, at: now.Add(-m.LostFor)}
 	}
 	for _, a := range m.Accounts {
-		p.own.accounts[a.Program] = imported(a, now)
+		p.own.accounts[a.Program] = importAccount(a, now)
 	}
 	k.setOwner(p, k.self.ID, m.Epoch)
 	k.log.Info("partition taken over", "partition", p.number, "epoch", m.Epoch, "from", from,
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -78,8 +78,8 @@
 		if own == nil || !own.claimed {
 			t.Fatal("the successor did not claim the partition")
 		}
-		if own.loss == nil || own.loss.owner != third.ID {
-			t.Errorf("claimed with epoch %d, loss %+v, want one by %s", own.epoch, own.loss, third.ID)
+		if own.crash == nil || own.crash.owner != third.ID {
+			t.Errorf("claimed with epoch %d, loss %+v, want one by %s", own.epoch, own.crash, third.ID)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 		n.keeper.mu.Lock()
 		p.own, p.epoch = nil, 5
 		n.keeper.mu.Unlock()
-		if n.keeper.takeOver(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
+		if n.keeper.acceptHandover(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
 			t.Error("a handover of an ownership that another claim has ended was taken")
 		}
 	})
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -58,10 +58,10 @@
 // partition can do is found out by trying; the tries are shorter meanwhile.
 type Health interface{ OK() bool }
 
-// Keeper hands out room in programs' budgets: for the partitions that this
+// Manager hands out room in programs' budgets: for the partitions that this
 // instance owns by itself, for the others through their owners. It is safe for
 // concurrent use.
-type Keeper struct {
+type Manager struct {
 	self      structs.Peer
 	directory *directory.Directory
 	store     Store
@@ -83,14 +83,14 @@
 	stopped    bool
 	partitions []*partition
 	// pending are this instance's requests to other owners.
-	pending   map[structs.RoomLease]*pendingAsk
-	handovers map[uint64]chan bool
-	number    uint64
-	// watchedAt is the version of the directory by which it was last decided whom to
+	pending    map[structs.RoomLease]*pendingRequest
+	handovers  map[uint64]chan bool
+	lastNumber uint64
+	// watchVersion is the version of the directory by which it was last decided whom to
 	// watch.
-	watchedAt uint64
-	// confirms wait to hear whether an instance answers.
-	confirms map[structs.InstanceID][]chan struct{}
+	watchVersion uint64
+	// probes wait to hear whether an instance answers.
+	probes map[structs.InstanceID][]chan struct{}
 }
 
 // partition is what this instance knows of one partition. The mutex of the
@@ -100,26 +100,26 @@
 	// owner and epoch are the newest known ownership; empty if unknown.
 	owner structs.InstanceID
 	epoch int64
-	// served is the newest epoch under which this instance may have handed out
+	// servedEpoch is the newest epoch under which this instance may have handed out
 	// room, or has tried to claim accounts that had.
-	served int64
+	servedEpoch int64
 	// own is set while this instance owns the partition.
 	own *ownership
 	// claiming tells that a claim is under way; parked asks wait for it.
-	claiming bool
-	parked   []parkedAsk
+	claiming        bool
+	waitingForClaim []parkedRequest
 	// claimAfter is when a claim may be tried again after one that failed.
 	claimAfter time.Time
 }
 
-// parkedAsk is an ask that waits for a claim.
-type parkedAsk struct {
+// parkedRequest is an ask that waits for a claim.
+type parkedRequest struct {
 	request structs.RoomRequest
-	reply   func(answer)
+	reply   func(result)
 }
 
-// Parts are what a Keeper works with.
-type Parts struct {
+// Config are what a Keeper works with.
+type Config struct {
 	Directory *directory.Directory
 	// Partitions is the number of the topic's partitions.
 	Partitions int
@@ -135,14 +135,14 @@
 }
 
 // New makes a Keeper that works until the context ends.
-func New(ctx context.Context, parts Parts) *Keeper {
-	k := &Keeper{
+func New(ctx context.Context, parts Config) *Manager {
+	k := &Manager{
 		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
 		breaks: parts.Breaks, loads: parts.Loads, health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), ctx: ctx,
 		listed: parts.Listed, started: time.Now(),
-		pending:   make(map[structs.RoomLease]*pendingAsk),
+		pending:   make(map[structs.RoomLease]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
-		confirms:  make(map[structs.InstanceID][]chan struct{}),
+		probes:    make(map[structs.InstanceID][]chan struct{}),
 	}
 	for i := range parts.Partitions {
 		k.partitions = append(k.partitions, &partition{number: i})
@@ -151,7 +151,7 @@
 }
 
 // partitionOf is the partition of a program.
-func (k *Keeper) partitionOf(program string) *partition {
+func (k *Manager) partitionOf(program string) *partition {
 	return k.partitions[xxhash.Sum64String(program)%uint64(len(k.partitions))]
 }
 
@@ -163,14 +163,14 @@
 
 // spawn works in the background, unless the Keeper has stopped. The mutex is
 // held.
-func (k *Keeper) spawn(work func()) {
+func (k *Manager) spawn(work func()) {
 	if !k.stopped {
 		k.work.Go(work)
 	}
 }
 
 // stop waits for what works in the background.
-func (k *Keeper) stop() {
+func (k *Manager) stop() {
 	k.mu.Lock()
 	k.stopped = true
 	k.mu.Unlock()
@@ -178,13 +178,13 @@
 }
 
 // nextNumber numbers leases and handovers. The mutex is held.
-func (k *Keeper) nextNumber() uint64 {
-	k.number++
-	return k.number
+func (k *Manager) nextNumber() uint64 {
+	k.lastNumber++
+	return k.lastNumber
 }
 
 // Receive handles an event of the transport between instances.
-func (k *Keeper) Receive(event structs.Event) {
+func (k *Manager) Receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerMessage:
 		k.receiveMessage(e.From, e.Msg)
@@ -195,7 +195,7 @@
 	}
 }
 
-func (k *Keeper) receiveMessage(from structs.InstanceID, msg structs.Message) {
+func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.RoomRequest:
 		k.receiveRequest(from, *m)
@@ -222,9 +222,9 @@
 // back; they may stay some seconds longer.
 const sweepInterval = 5 * time.Second
 
-// reliefInterval is the time between two searches for an instance that takes
+// evacuateInterval is the time between two searches for an instance that takes
 // over the partitions of one which the store refuses; each asks one instance.
-const reliefInterval = 400 * time.Millisecond
+const evacuateInterval = 400 * time.Millisecond
 
 // claimInterval is the time between two searches for partitions to claim that
 // nobody asked for. The first comes that long after the start, so that
@@ -232,10 +232,10 @@
 const claimInterval = 1500 * time.Millisecond
 
 // Run keeps the partitions until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
-	relief := time.NewTicker(reliefInterval)
+	relief := time.NewTicker(evacuateInterval)
 	defer relief.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
@@ -248,7 +248,7 @@
 			k.claimVacant()
 		case <-relief.C:
 			if !k.health.OK() && !k.leaving.Load() {
-				k.relieve(ctx)
+				k.evacuate(ctx)
 			}
 		case now := <-sweep.C:
 			k.sweep(now)
@@ -258,39 +258,39 @@
 
 // claimVacant claims the partitions that were handed to this instance, and
 // those without a known usable owner for which it ranks first.
-func (k *Keeper) claimVacant() {
+func (k *Manager) claimVacant() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.watchChanged()
-	known := k.knowsOthers()
+	k.rewatchIfChanged()
+	known := k.instancesKnown()
 	for _, p := range k.partitions {
 		handed := p.own != nil && !p.own.claimed
-		vacant := known && p.own == nil && !k.ownerUsable(p) && k.firstChoice(p) == k.self.ID
+		vacant := known && p.own == nil && !k.ownerUsable(p) && k.preferredOwner(p) == k.self.ID
 		if handed || vacant {
 			k.startClaim(p)
 		}
 	}
 }
 
-// firstChoice is the instance that should own a partition, empty if there is
+// preferredOwner is the instance that should own a partition, empty if there is
 // none.
-func (k *Keeper) firstChoice(p *partition) structs.InstanceID {
+func (k *Manager) preferredOwner(p *partition) structs.InstanceID {
 	return k.directory.First(p.key())
 }
 
-// listPatience is how long an instance that starts waits for the list of instances
+// listTimeout is how long an instance that starts waits for the list of instances
 // before it claims what it is asked for: alone it would take itself for the first
 // choice of all partitions, as all that start with it would.
-const listPatience = 500 * time.Millisecond
+const listTimeout = 500 * time.Millisecond
 
-// knowsOthers tells whether the list of instances is known.
-func (k *Keeper) knowsOthers() bool { return k.listed == nil || k.listed() }
+// instancesKnown tells whether the list of instances is known.
+func (k *Manager) instancesKnown() bool { return k.listed == nil || k.listed() }
 
 // mayClaim tells whether this instance may claim a partition that it is asked for.
-func (k *Keeper) mayClaim() bool { return k.knowsOthers() || time.Since(k.started) > listPatience }
+func (k *Manager) mayClaim() bool { return k.instancesKnown() || time.Since(k.started) > listTimeout }
 
-// Owns tells whether this instance owns a partition.
-func (k *Keeper) Owns() bool {
+// OwnsPartitions tells whether this instance owns a partition.
+func (k *Manager) OwnsPartitions() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.ContainsFunc(k.partitions, func(p *partition) bool { return p.own != nil })
@@ -298,12 +298,12 @@
 
 // ownerUsable tells whether another instance is known to own the partition and
 // answers.
-func (k *Keeper) ownerUsable(p *partition) bool {
+func (k *Manager) ownerUsable(p *partition) bool {
 	return p.owner != "" && p.owner != k.self.ID && k.directory.Usable(p.owner)
 }
 
 // sweep forgets programs that cannot come back.
-func (k *Keeper) sweep(now time.Time) {
+func (k *Manager) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, p := range k.partitions {
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/keeper_test.go
@@ -109,8 +109,8 @@
 		if !errors.Is(err, serve.ErrStoreAway) {
 			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
 		}
-		if got := w.delivered["p"]; got > sliceEnd(testBudget, 1) {
-			t.Errorf("delivered %d tokens without a record, allowed are %d", got, sliceEnd(testBudget, 1))
+		if got := w.delivered["p"]; got > unrecordedLimit(testBudget, 1) {
+			t.Errorf("delivered %d tokens without a record, allowed are %d", got, unrecordedLimit(testBudget, 1))
 		}
 		w.Store.Set(metastore.Fault{})
 		if err := w.turn(w.all()[0], "p", testBudget, testMost, 100, time.Millisecond); err != nil {
@@ -151,33 +151,33 @@
 		if losses, _ := w.lossesOf("q"); losses != 1 {
 			t.Errorf("behind a loss: %d losses", losses)
 		}
-		time.Sleep(2*lostRetention + 4*sweepInterval)
+		time.Sleep(2*defaultRetention + 4*sweepInterval)
 		if losses, claimed := w.lossesOf("q"); losses != 0 || !claimed {
 			t.Errorf("later: %d losses, claimed %v", losses, claimed)
 		}
 	})
 }
 
-// lossesOf is what the owner of a program's partition knows of losses, and whether
+// crashesBefore is what the owner of a program's partition knows of losses, and whether
 // its claim has landed.
 func (w *world) lossesOf(program string) (losses int, claimed bool) {
 	n := w.ownerOf(program)
 	own := n.own(program)
 	n.keeper.mu.Lock()
 	defer n.keeper.mu.Unlock()
-	return own.losses, own.claimed
+	return own.crashes, own.claimed
 }
 
 // A record of before slices counts for what its owner may have handed out, 0.6 of
 // a budget.
 func TestOwnersOfBeforeSlicesAreCharged(t *testing.T) {
-	held, err := decodeContent(platform.Newest{Records: []platform.Record{
+	held, err := decodePartition(platform.Newest{Records: []platform.Record{
 		{Key: ownerKey, Value: []byte(`{"epoch":3,"owner":"m~1","address":"m"}`)},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAccount("p", usersBudget, usersMost, held.owner.losses()+1)
+	a := newAccount("p", usersBudget, usersMost, held.owner.crashes()+1)
 	if a.used < usersBudget*6/10 {
 		t.Errorf("%d of %d charged", a.used, usersBudget)
 	}
@@ -201,7 +201,7 @@
 		time.Sleep(time.Second)
 		last := w.all()[0]
 		a := last.keeper.partitionOf("p").own.accounts["p"]
-		if a == nil || a.used != 490 || a.losses > 0 {
+		if a == nil || a.used != 490 || a.crashes > 0 {
 			t.Errorf("account after two handovers: %+v, want 490 tokens used", a)
 		}
 	})
@@ -268,7 +268,7 @@
 	inWorld(t, 3, func(t *testing.T, w *world) {
 		owner := w.ownerOf("p")
 		owner.Refused.Store(true)
-		time.Sleep(5 * reliefInterval)
+		time.Sleep(5 * evacuateInterval)
 		for range 8 {
 			if err := w.turn(owner, "p", testBudget, testMost, 70, time.Millisecond); err != nil {
 				t.Fatal(err)
@@ -287,7 +287,7 @@
 		for _, n := range w.all() {
 			n.Refused.Store(true)
 		}
-		time.Sleep(5 * reliefInterval)
+		time.Sleep(5 * evacuateInterval)
 		if w.ownerOf("p") != owner {
 			t.Error("the partition changed hands")
 		}
@@ -310,10 +310,10 @@
 			}
 		}
 		took := time.Since(begun)
-		if limit := int(4*(took/claimPause+2)) * claimAttempts; w.Store.Calls()-before > limit {
+		if limit := int(4*(took/claimBackoff+2)) * maxClaimAttempts; w.Store.Calls()-before > limit {
 			t.Errorf("%d calls to the store in %s", w.Store.Calls()-before, took)
 		}
-		if took > turns*ownerPatience/2 {
+		if took > turns*ownerTimeout/2 {
 			t.Errorf("%d refusals took %s", turns, took)
 		}
 	})
@@ -364,7 +364,7 @@
 		if !errors.Is(err, serve.ErrStoreAway) {
 			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
 		}
-		if took := time.Since(begun); took > 2*storePatience {
+		if took := time.Since(begun); took > 2*recordTimeout {
 			t.Errorf("the refusal took %s", took)
 		}
 	})
@@ -384,7 +384,7 @@
 		first := w.all()[0]
 		runAll(first)
 		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
-		first.keeper.TargetBroke()
+		first.keeper.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range w.all() {
 			runAll(n)
@@ -401,7 +401,7 @@
 	inWorld(t, 3, func(t *testing.T, w *world) {
 		w.Store.Set(metastore.Fault{Status: 503})
 		w.Kill(w.ownerOf("p").Node)
-		time.Sleep(claimPause)
+		time.Sleep(claimBackoff)
 		w.Store.Set(metastore.Fault{})
 		first := w.all()[0]
 		p := first.keeper.partitionOf("p")
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -33,13 +33,13 @@
 			id := directory.InstanceID(fmt.Sprint("m", i), "1")
 			dir.Put(structs.Peer{ID: id, Address: "10.0.0.1:1"})
 		}
-		k := New(t.Context(), Parts{
+		k := New(t.Context(), Config{
 			Directory: dir, Partitions: 24, Store: simnet.New().Store, Peers: peers, Breaks: new(breakList), Loads: new(breakList),
 			Health: new(simnet.Node), Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
 		k.partitions[3].own = newOwnership(1)
-		k.tellLeaving()
-		if peers.broadcasts != 1 || len(peers.sent) == 0 || len(peers.sent) > standbys {
+		k.announceLeaving()
+		if peers.broadcasts != 1 || len(peers.sent) == 0 || len(peers.sent) > watchersPerOwner {
 			t.Errorf("of %d instances %d were told apart from those connected", instances, len(peers.sent))
 		}
 	}
--- a/internal/budget/metrics.go
+++ b/internal/budget/metrics.go
@@ -5,10 +5,10 @@
 // metrics of budgets.
 type metrics struct {
 	granted     tally.Counter
-	spent       tally.Counter
+	exhausted   tally.Counter
 	unavailable tally.Counter
 	claims      tally.Counter
-	losses      tally.Counter
+	crashes     tally.Counter
 	handovers   tally.Counter
 	records     tally.Counter
 }
@@ -17,10 +17,10 @@
 	s := scope.SubScope("budget")
 	return metrics{
 		granted:     s.Counter("room_granted"),
-		spent:       s.Counter("room_spent"),
+		exhausted:   s.Counter("room_spent"),
 		unavailable: s.Counter("room_unavailable"),
 		claims:      s.Counter("partitions_claimed"),
-		losses:      s.Counter("accounts_lost"),
+		crashes:     s.Counter("accounts_lost"),
 		handovers:   s.Counter("partitions_handed_over"),
 		records:     s.Counter("programs_recorded"),
 	}
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -10,20 +10,20 @@
 // What instances tell each other of who owns a partition, and who watches whom.
 
 // peerUp notes that an instance answers, and tells it what this one owns.
-func (k *Keeper) peerUp(id structs.InstanceID) {
+func (k *Manager) peerUp(id structs.InstanceID) {
 	k.directory.SetSilent(id, false)
 	k.mu.Lock()
-	k.confirmed(id)
-	k.rewatch(id)
-	notice := k.ownNotice()
+	k.resolveProbes(id)
+	k.rewatchOwner(id)
+	notice := k.ownerNotice()
 	k.mu.Unlock()
 	if len(notice.Owned) > 0 {
 		k.peers.Send(id, notice)
 	}
 }
 
-// ownNotice lists what this instance owns. The mutex is held.
-func (k *Keeper) ownNotice() *structs.OwnerNotice {
+// ownerNotice lists what this instance owns. The mutex is held.
+func (k *Manager) ownerNotice() *structs.OwnerNotice {
 	notice := new(structs.OwnerNotice)
 	for _, p := range k.partitions {
 		if p.own != nil {
@@ -36,30 +36,30 @@
 // peerDown notes that an instance does not answer: its turns count at their
 // most, its partitions get another owner, and what was asked of it is asked
 // again elsewhere.
-func (k *Keeper) peerDown(id structs.InstanceID) {
+func (k *Manager) peerDown(id structs.InstanceID) {
 	k.directory.SetSilent(id, true)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.confirmed(id)
-	k.rewatch(id)
+	k.resolveProbes(id)
+	k.rewatchOwner(id)
 	for _, p := range k.partitions {
 		if p.own != nil {
-			k.loseHolder(p, id)
+			k.chargeLeasesOf(p, id)
 		}
-		if p.own == nil && p.owner == id && k.firstChoice(p) == k.self.ID {
+		if p.own == nil && p.owner == id && k.preferredOwner(p) == k.self.ID {
 			k.startClaim(p)
 		}
 	}
 	for lease, pending := range k.pending {
-		if pending.asked == id {
+		if pending.owner == id {
 			delete(k.pending, lease)
-			pending.answer <- answer{outcome: lost}
+			pending.result <- result{outcome: noReply}
 		}
 	}
 }
 
 // receiveNotice takes over who owns partitions.
-func (k *Keeper) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
+func (k *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, owned := range notice.Owned {
@@ -75,13 +75,13 @@
 		}
 		if p.own == nil {
 			k.setOwner(p, from, owned.Epoch)
-			k.redirect(p)
+			k.redirectPending(p)
 		}
 	}
 }
 
 // setOwner notes who owns a partition. The mutex is held.
-func (k *Keeper) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
+func (k *Manager) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
 	changed := p.owner != owner
 	p.owner, p.epoch = owner, max(p.epoch, epoch)
 	if changed {
@@ -89,52 +89,52 @@
 	}
 }
 
-// redirect ends the requests that wait for an answer of a former owner, which may
+// redirectPending ends the requests that wait for an answer of a former owner, which may
 // be silent, once the new one has told that it claimed the partition. Room that a
 // late answer grants is given back. The mutex is held.
-func (k *Keeper) redirect(p *partition) {
+func (k *Manager) redirectPending(p *partition) {
 	for lease, pending := range k.pending {
-		if pending.request.Partition == p.number && pending.asked != p.owner {
+		if pending.request.Partition == p.number && pending.owner != p.owner {
 			delete(k.pending, lease)
-			pending.answer <- answer{outcome: structs.RoomNotOwner, owner: p.owner}
+			pending.result <- result{outcome: structs.RoomNotOwner, owner: p.owner}
 		}
 	}
 }
 
-// standbys is how many instances watch the owner of a partition: those that
+// watchersPerOwner is how many instances watch the owner of a partition: those that
 // would claim it, in rendezvous order. They tell all others who claimed. The
 // others notice a silent owner when they ask it. If all watched, heartbeats would
 // grow with instances times owners. Small deployments have all watch.
-const standbys = 16
+const watchersPerOwner = 16
 
 // watchOwners has the other owners watched whose partitions this instance would
 // claim, so that a silent one is noticed before a turn waits for it, and those that
 // did not answer, so that their return is noticed. The mutex is held.
-func (k *Keeper) watchOwners() {
-	k.watchedAt = k.directory.Version()
+func (k *Manager) watchOwners() {
+	k.watchVersion = k.directory.Version()
 	var watched []structs.InstanceID
 	for _, p := range k.partitions {
 		if p.owner == "" || p.owner == k.self.ID || slices.Contains(watched, p.owner) {
 			continue
 		}
-		if k.directory.Doubted(p.owner) || k.directory.RankOf(p.key(), k.self.ID) < standbys {
+		if k.directory.Doubted(p.owner) || k.directory.RankOf(p.key(), k.self.ID) < watchersPerOwner {
 			watched = append(watched, p.owner)
 		}
 	}
 	k.peers.Watch(watched)
 }
 
-// watchChanged looks again whom to watch if the list of instances has changed: it takes
+// rewatchIfChanged looks again whom to watch if the list of instances has changed: it takes
 // a look at each instance for each partition. The mutex is held.
-func (k *Keeper) watchChanged() {
-	if k.directory.Version() != k.watchedAt {
+func (k *Manager) rewatchIfChanged() {
+	if k.directory.Version() != k.watchVersion {
 		k.watchOwners()
 	}
 }
 
-// rewatch looks again whom to watch after an instance went silent or came back, if
+// rewatchOwner looks again whom to watch after an instance went silent or came back, if
 // it owns a partition. The mutex is held.
-func (k *Keeper) rewatch(id structs.InstanceID) {
+func (k *Manager) rewatchOwner(id structs.InstanceID) {
 	for _, p := range k.partitions {
 		if p.owner == id {
 			k.watchOwners()
@@ -143,25 +143,25 @@
 	}
 }
 
-// announceMost bounds the instances that are told of a claim without a connection to
+// maxAnnounceDials bounds the instances that are told of a claim without a connection to
 // them: a dial to each of hundreds takes a small machine seconds. The others notice the
 // silent owner when they ask it.
-const announceMost = 128
+const maxAnnounceDials = 128
 
 // announce tells others what this instance owns: those that are connected and, if they
 // may wait for a silent former owner, others too. When all instances start together
 // nobody waits.
-func (k *Keeper) announce(former structs.InstanceID) {
+func (k *Manager) announce(previousOwner structs.InstanceID) {
 	k.mu.Lock()
-	notice := k.ownNotice()
+	notice := k.ownerNotice()
 	k.mu.Unlock()
 	k.peers.Broadcast(notice)
-	if former == "" || former == k.self.ID || k.directory.Ended(former) {
+	if previousOwner == "" || previousOwner == k.self.ID || k.directory.Ended(previousOwner) {
 		return
 	}
 	others := k.directory.Others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, p := range others[:min(len(others), announceMost)] {
+	for _, p := range others[:min(len(others), maxAnnounceDials)] {
 		k.peers.Send(p.ID, notice)
 	}
 }
--- a/internal/budget/record.go
+++ b/internal/budget/record.go
@@ -27,32 +27,32 @@
 	Owner structs.InstanceID `json:"owner"`
 	// Address is where other instances reach the owner, IP:port.
 	Address string `json:"address"`
-	// Losses is how many owners before this one may have handed out their slice
+	// Crashes is how many owners before this one may have handed out their slice
 	// of budgets without a record; nil in records of before slices.
-	Losses *int `json:"losses,omitempty"`
+	Crashes *int `json:"losses,omitempty"`
 }
 
-// lossesBefore is what a record without a number of losses counts for: owners of
+// defaultCrashes is what a record without a number of losses counts for: owners of
 // before slices handed out 0.6 of a budget, which the first two slices cover.
-const lossesBefore = 1
+const defaultCrashes = 1
 
-// losses is how many owners before that of the record may have handed out their
+// crashes is how many owners before that of the record may have handed out their
 // slice.
-func (r ownerRecord) losses() int {
-	if r.Losses == nil {
-		return lossesBefore
+func (r ownerRecord) crashes() int {
+	if r.Crashes == nil {
+		return defaultCrashes
 	}
-	return *r.Losses
+	return *r.Crashes
 }
 
 // accountRecord is the limit of a program's account, in tokens.
 type accountRecord struct {
-	Budget int `json:"budget"`
-	Most   int `json:"most"`
-	Limit  int `json:"limit"`
-	// Losses is that of the owner that wrote the record: its slice is within the
+	Budget  int `json:"budget"`
+	MaxTurn int `json:"most"`
+	Limit   int `json:"limit"`
+	// Crashes is that of the owner that wrote the record: its slice is within the
 	// limit, those of later owners are not.
-	Losses int `json:"losses"`
+	Crashes int `json:"losses"`
 }
 
 // encode encodes a record. The types above always can be.
@@ -64,8 +64,8 @@
 	return data
 }
 
-// content is what a partition holds in the store.
-type content struct {
+// partitionState is what a partition holds in the store.
+type partitionState struct {
 	// owner is nil if the partition was never claimed.
 	owner    *ownerRecord
 	programs map[string]accountRecord
@@ -73,10 +73,10 @@
 	end int64
 }
 
-// decodeContent decodes the newest records of a partition. A record that
+// decodePartition decodes the newest records of a partition. A record that
 // cannot be decoded is an error: what it allows is not known.
-func decodeContent(list platform.Newest) (content, error) {
-	out := content{programs: make(map[string]accountRecord), end: list.End}
+func decodePartition(list platform.Newest) (partitionState, error) {
+	out := partitionState{programs: make(map[string]accountRecord), end: list.End}
 	for _, r := range list.Records {
 		if len(r.Value) == 0 {
 			continue
@@ -84,13 +84,13 @@
 		if r.Key == ownerKey {
 			out.owner = new(ownerRecord)
 			if err := json.Unmarshal(r.Value, out.owner); err != nil {
-				return content{}, errors.Wrapf(err, "owner's record at offset %d", r.Offset)
+				return partitionState{}, errors.Wrapf(err, "owner's record at offset %d", r.Offset)
 			}
 			continue
 		}
 		var account accountRecord
 		if err := json.Unmarshal(r.Value, &account); err != nil {
-			return content{}, errors.Wrapf(err, "record of %s at offset %d", r.Key, r.Offset)
+			return partitionState{}, errors.Wrapf(err, "record of %s at offset %d", r.Key, r.Offset)
 		}
 		if len(r.Key) > len(programPrefix) {
 			out.programs[r.Key[len(programPrefix):]] = account
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -15,21 +15,21 @@
 	// instance is asked who owns the partition. A round trip takes a few
 	// milliseconds; an owner answers at once unless the turn has to wait.
 	replyTimeout = 300 * time.Millisecond
-	// ownerPatience bounds the search for an owner: its loss is noticed within
+	// ownerTimeout bounds the search for an owner: its loss is noticed within
 	// the liveness timeout, and a claim takes two calls to the store.
-	ownerPatience = time.Second
-	// roomPatience bounds the wait for room that other turns of the program may
+	ownerTimeout = time.Second
+	// admissionTimeout bounds the wait for room that other turns of the program may
 	// give back, which run for some hundred milliseconds.
-	roomPatience = 1500 * time.Millisecond
-	// maxUnable is how many instances are asked that cannot claim a partition:
+	admissionTimeout = 1500 * time.Millisecond
+	// maxUnavailable is how many instances are asked that cannot claim a partition:
 	// the store then does not serve it to anyone.
-	maxUnable = 3
-	// ownerPause is the time between two tries to find an owner.
-	ownerPause = 20 * time.Millisecond
+	maxUnavailable = 3
+	// ownerRetryInterval is the time between two tries to find an owner.
+	ownerRetryInterval = 20 * time.Millisecond
 )
 
-// answer is what became of one try to get room.
-type answer struct {
+// result is what became of one try to get room.
+type result struct {
 	outcome structs.RoomOutcome
 	// owner is a better one to ask, empty if unknown.
 	owner structs.InstanceID
@@ -39,33 +39,33 @@
 	first bool
 }
 
-// lost is the outcome of a request whose owner went silent.
-const lost structs.RoomOutcome = 0
+// noReply is the outcome of a request whose owner went silent.
+const noReply structs.RoomOutcome = 0
 
-// pendingAsk is a request of this instance to another owner.
-type pendingAsk struct {
-	asked   structs.InstanceID
+// pendingRequest is a request of this instance to another owner.
+type pendingRequest struct {
+	owner   structs.InstanceID
 	request structs.RoomRequest
-	answer  chan answer
+	result  chan result
 }
 
-// heldRoom is room that a turn of this instance holds.
-type heldRoom struct {
-	keeper  *Keeper
+// reservation is room that a turn of this instance holds.
+type reservation struct {
+	manager *Manager
 	request structs.RoomRequest
 	target  string
 	first   bool
 }
 
 // Target ran the program's last turn, empty if unknown.
-func (h heldRoom) Target() string { return h.target }
+func (h reservation) Target() string { return h.target }
 
 // First tells that no turn of the program has run yet, as far as its owner knows.
-func (h heldRoom) First() bool { return h.first }
+func (h reservation) First() bool { return h.first }
 
 // Settle gives back what was not used and tells how the turn ended.
-func (h heldRoom) Settle(end serve.TurnEnd) {
-	h.keeper.receiveSettle(&structs.RoomSettle{
+func (h reservation) Settle(end serve.TurnEnd) {
+	h.manager.receiveSettle(&structs.RoomSettle{
 		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.Used,
 		Target: end.Target, Failed: end.Failed,
 	})
@@ -75,8 +75,8 @@
 // has none, serve.ErrNoRoom if turns under way hold what is left,
 // serve.ErrStoreAway if a record is needed that the store does not take,
 // serve.ErrNoOwner if no owner is found, or the error of the context.
-func (k *Keeper) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
-	wait, cancel := context.WithTimeout(ctx, roomPatience)
+func (k *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
 	lease, err := k.reserve(wait, turn)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
@@ -86,12 +86,12 @@
 }
 
 // reserve waits for room until the context ends.
-func (k *Keeper) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+func (k *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := k.partitionOf(turn.Program)
 	request := structs.RoomRequest{
 		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.Most, Retention: turn.Retention,
 	}
-	search := search{keeper: k, partition: p}
+	search := ownerSearch{manager: k, partition: p}
 	started := time.Now()
 	for {
 		got, err := search.try(ctx, &request)
@@ -100,19 +100,19 @@
 		}
 		switch got.outcome {
 		case structs.RoomGranted:
-			return heldRoom{k, request, got.target, got.first}, nil
+			return reservation{k, request, got.target, got.first}, nil
 		case structs.RoomSpent:
 			return nil, serve.ErrSpent
 		case structs.RoomNoRecord:
 			return nil, serve.ErrStoreAway
 		}
-		if len(search.unable) >= maxUnable {
+		if len(search.unavailable) >= maxUnavailable {
 			return nil, serve.ErrStoreAway
 		}
-		if time.Since(started) > ownerPatience || k.isolated() {
+		if time.Since(started) > ownerTimeout || k.isolated() {
 			return nil, serve.ErrNoOwner
 		}
-		if !delay.Sleep(ctx, ownerPause) {
+		if !delay.Sleep(ctx, ownerRetryInterval) {
 			return nil, ctx.Err()
 		}
 	}
@@ -120,40 +120,40 @@
 
 // isolated tells that neither the store nor any other instance answers, so that
 // an owner will not be found soon.
-func (k *Keeper) isolated() bool {
+func (k *Manager) isolated() bool {
 	return !k.health.OK() && len(k.directory.Others()) == 0
 }
 
-// search finds the owner of a partition for one turn.
-type search struct {
-	keeper    *Keeper
+// ownerSearch finds the owner of a partition for one turn.
+type ownerSearch struct {
+	manager   *Manager
 	partition *partition
-	// unable are the instances that could neither hand out room nor claim.
-	unable []structs.InstanceID
+	// unavailable are the instances that could neither hand out room nor claim.
+	unavailable []structs.InstanceID
 	// suspect is an owner that did not answer this instance.
 	suspect structs.InstanceID
-	// named is the owner that the last instance asked has named.
-	named structs.InstanceID
+	// redirect is the owner that the last instance asked has named.
+	redirect structs.InstanceID
 }
 
 // try asks the instance that should know. Each try has a lease of its own, so
 // that a late answer to an earlier one is told apart.
-func (s *search) try(ctx context.Context, request *structs.RoomRequest) (answer, error) {
-	k := s.keeper
-	answers := make(chan answer, 1)
+func (s *ownerSearch) try(ctx context.Context, request *structs.RoomRequest) (result, error) {
+	k := s.manager
+	answers := make(chan result, 1)
 	k.mu.Lock()
 	request.Lease = structs.RoomLease{Holder: k.self.ID, Number: k.nextNumber()}
 	request.Suspect = s.suspect
-	asked := s.choose()
-	request.Named = asked != "" && asked == s.named
+	asked := s.candidate()
+	request.Named = asked != "" && asked == s.redirect
 	if asked == k.self.ID {
-		k.request(s.partition, *request, func(got answer) { answers <- got })
+		k.request(s.partition, *request, func(got result) { answers <- got })
 	} else if asked != "" {
-		k.pending[request.Lease] = &pendingAsk{asked: asked, request: *request, answer: answers}
+		k.pending[request.Lease] = &pendingRequest{owner: asked, request: *request, result: answers}
 	}
 	k.mu.Unlock()
 	if asked == "" {
-		return s.nobody(), nil
+		return s.noCandidate(), nil
 	}
 	if asked != k.self.ID {
 		message := *request
@@ -163,44 +163,44 @@
 	return s.await(ctx, request, asked, answers)
 }
 
-// nobody is the answer if there is no instance left to ask.
-func (s *search) nobody() answer {
-	if len(s.unable) > 0 {
-		return answer{outcome: structs.RoomNoRecord}
+// noCandidate is the answer if there is no instance left to ask.
+func (s *ownerSearch) noCandidate() result {
+	if len(s.unavailable) > 0 {
+		return result{outcome: structs.RoomNoRecord}
 	}
-	return answer{outcome: lost}
+	return result{outcome: noReply}
 }
 
-// choose is whom to ask: the known owner, or the instance that should claim
+// candidate is whom to ask: the known owner, or the instance that should claim
 // the partition. The mutex is held.
-func (s *search) choose() structs.InstanceID {
-	k, p := s.keeper, s.partition
-	if p.own != nil || s.named == k.self.ID {
+func (s *ownerSearch) candidate() structs.InstanceID {
+	k, p := s.manager, s.partition
+	if p.own != nil || s.redirect == k.self.ID {
 		return k.self.ID
 	}
-	if k.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unable, p.owner) {
+	if k.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unavailable, p.owner) {
 		return p.owner
 	}
 	return k.directory.FirstBut(p.key(), func(id structs.InstanceID) bool {
-		return id == s.suspect || slices.Contains(s.unable, id)
+		return id == s.suspect || slices.Contains(s.unavailable, id)
 	})
 }
 
 // await waits for the answer of the instance asked.
-func (s *search) await(
-	ctx context.Context, request *structs.RoomRequest, asked structs.InstanceID, answers chan answer,
-) (answer, error) {
-	k := s.keeper
+func (s *ownerSearch) await(
+	ctx context.Context, request *structs.RoomRequest, asked structs.InstanceID, answers chan result,
+) (result, error) {
+	k := s.manager
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
 		case got := <-answers:
-			s.learn(asked, got)
+			s.update(asked, got)
 			return got, nil
 		case <-ctx.Done():
 			k.abandon(request, asked, answers)
-			return answer{}, ctx.Err()
+			return result{}, ctx.Err()
 		case <-timer.C:
 			if asked != k.self.ID {
 				// An owner lets a turn wait while others of its program run:
@@ -211,22 +211,22 @@
 	}
 }
 
-// learn draws the conclusions from an answer.
-func (s *search) learn(asked structs.InstanceID, got answer) {
+// update draws the conclusions from an answer.
+func (s *ownerSearch) update(asked structs.InstanceID, got result) {
 	switch got.outcome {
 	case structs.RoomUnavailable:
-		s.unable = append(s.unable, asked)
-		s.named = ""
+		s.unavailable = append(s.unavailable, asked)
+		s.redirect = ""
 	case structs.RoomNotOwner:
-		s.named = got.owner
-		s.keeper.learnOwner(s.partition, got.owner)
-	case lost:
+		s.redirect = got.owner
+		s.manager.learnOwner(s.partition, got.owner)
+	case noReply:
 		s.suspect = asked
 	}
 }
 
 // learnOwner takes another instance's word on who owns a partition.
-func (k *Keeper) learnOwner(p *partition, owner structs.InstanceID) {
+func (k *Manager) learnOwner(p *partition, owner structs.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if owner != "" && owner != k.self.ID && p.own == nil {
@@ -236,7 +236,7 @@
 
 // abandon withdraws a request whose turn is no longer wanted; room that it was
 // or will be given goes back.
-func (k *Keeper) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan answer) {
+func (k *Manager) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan result) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.pending, request.Lease)
@@ -247,7 +247,7 @@
 		select {
 		case got := <-answers:
 			if got.outcome == structs.RoomGranted {
-				heldRoom{keeper: k, request: *request}.Settle(serve.TurnEnd{})
+				reservation{manager: k, request: *request}.Settle(serve.TurnEnd{})
 			}
 		case <-k.ctx.Done():
 		}
@@ -255,7 +255,7 @@
 }
 
 // receiveReply takes the answer of another owner.
-func (k *Keeper) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
+func (k *Manager) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
 	k.breaks.Hear(m.Breaks, time.Now())
 	k.loads.HearLoads(m.Loads, time.Now())
 	k.loads.HearPools(m.Pools, time.Now())
@@ -264,7 +264,7 @@
 	delete(k.pending, m.Lease)
 	k.mu.Unlock()
 	if ok {
-		pending.answer <- answer{outcome: m.Outcome, owner: m.Owner, target: m.Target, first: m.First}
+		pending.result <- result{outcome: m.Outcome, owner: m.Owner, target: m.Target, first: m.First}
 		return
 	}
 	if m.Outcome == structs.RoomGranted {
@@ -273,7 +273,7 @@
 }
 
 // receiveRequest takes another instance's request for room.
-func (k *Keeper) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
+func (k *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
 	if r.Partition < 0 || r.Partition >= len(k.partitions) {
 		k.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
 		return
@@ -281,7 +281,7 @@
 	k.loads.HearLoads(r.Loads, time.Now())
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.request(k.partitions[r.Partition], r, func(got answer) {
+	k.request(k.partitions[r.Partition], r, func(got result) {
 		k.peers.Send(from, &structs.RoomReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
 			Breaks: k.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
@@ -293,7 +293,7 @@
 // request hands out room if this instance owns the partition, names the owner
 // if another does, and claims the partition if nobody usable does. The mutex
 // is held.
-func (k *Keeper) request(p *partition, r structs.RoomRequest, reply func(answer)) {
+func (k *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
 	if r.Named && p.own == nil {
 		// A claim of this instance took effect without an answer, or somebody
 		// is mistaken: the store tells.
@@ -306,11 +306,11 @@
 		if r.Suspect == p.owner {
 			k.peers.Probe(p.owner)
 		}
-		reply(answer{outcome: structs.RoomNotOwner, owner: p.owner})
+		reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
 	case k.leaving.Load() || time.Now().Before(p.claimAfter) || !k.mayClaim():
-		reply(answer{outcome: structs.RoomUnavailable})
+		reply(result{outcome: structs.RoomUnavailable})
 	default:
-		p.parked = append(p.parked, parkedAsk{r, reply})
+		p.waitingForClaim = append(p.waitingForClaim, parkedRequest{r, reply})
 		k.startClaim(p)
 	}
 }
--- a/internal/budget/storm_test.go
+++ b/internal/budget/storm_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := decodeContent(list)
+	held, err := decodePartition(list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 		w := newWorld(t)
 		w.listed = known.Load
 		n := w.start("m")
-		time.Sleep(listPatience / 2)
+		time.Sleep(listTimeout / 2)
 		if err := w.turn(n, "p", 1000, testMost, testMost, 0); err == nil {
 			t.Error("a turn was let in before the instances are known")
 		}
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -84,10 +84,10 @@
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
 	inWorld(t, 3, func(t *testing.T, w *world) {
 		k := w.all()[0].keeper
-		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan answer {
-			answers := make(chan answer, 1)
+		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan result {
+			answers := make(chan result, 1)
 			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: k.self.ID, Number: lease}}
-			k.pending[request.Lease] = &pendingAsk{asked: asked, request: request, answer: answers}
+			k.pending[request.Lease] = &pendingRequest{owner: asked, request: request, result: answers}
 			return answers
 		}
 		k.mu.Lock()
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -34,7 +34,7 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 	breaks breakList
 }
 
@@ -84,7 +84,7 @@
 // run starts a life of an instance.
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Parts{
+	n.keeper = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
 		Health: sim, Listed: w.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// storePatience is how long turns wait for a record while the store fails;
+	// recordTimeout is how long turns wait for a record while the store fails;
 	// their callers may find another way after that.
-	storePatience = 300 * time.Millisecond
-	// doubtPatience is the same while reads of other topics fail: a few tries.
-	doubtPatience = 60 * time.Millisecond
-	// writeRetryFirst and writeRetryMost bound the pause between two tries of
+	recordTimeout = 300 * time.Millisecond
+	// degradedRecordTimeout is the same while reads of other topics fail: a few tries.
+	degradedRecordTimeout = 60 * time.Millisecond
+	// minWriteBackoff and maxWriteBackoff bound the pause between two tries of
 	// an append; it doubles. Refused calls are priced.
-	writeRetryFirst = 20 * time.Millisecond
-	writeRetryMost  = 320 * time.Millisecond
-	// maxBatch bounds the records of one append, far below the store's limit
+	minWriteBackoff = 20 * time.Millisecond
+	maxWriteBackoff = 320 * time.Millisecond
+	// maxBatchRecords bounds the records of one append, far below the store's limit
 	// of bytes for a call.
-	maxBatch = 500
+	maxBatchRecords = 500
 )
 
-// startWrite has an account's record written. The mutex is held.
-func (k *Keeper) startWrite(p *partition, a *account) {
+// scheduleWrite has an account's record written. The mutex is held.
+func (k *Manager) scheduleWrite(p *partition, a *account) {
 	own := p.own
 	own.dirty[a] = true
 	if !own.claimed {
@@ -42,14 +42,14 @@
 // batch is the records of one append.
 type batch struct {
 	accounts []*account
-	wants    []int
+	limits   []int
 	records  []platform.Record
 	writer   platform.Writer
 }
 
-// takeBatch gathers the records to be written. It returns nil and ends the
+// nextBatch gathers the records to be written. It returns nil and ends the
 // writing if there are none, or if the ownership has ended.
-func (k *Keeper) takeBatch(p *partition, own *ownership) *batch {
+func (k *Manager) nextBatch(p *partition, own *ownership) *batch {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != own || len(own.dirty) == 0 {
@@ -58,20 +58,20 @@
 	}
 	b := new(batch)
 	for a := range own.dirty {
-		if len(b.accounts) == maxBatch {
+		if len(b.accounts) == maxBatchRecords {
 			break
 		}
 		delete(own.dirty, a)
-		if a.want <= a.limit {
+		if a.pendingLimit <= a.limit {
 			// The record was written since: a record must never fall below
 			// the limit.
 			continue
 		}
 		b.accounts = append(b.accounts, a)
-		b.wants = append(b.wants, a.want)
+		b.limits = append(b.limits, a.pendingLimit)
 		b.records = append(b.records, platform.Record{
 			Key:   programPrefix + a.program,
-			Value: encode(accountRecord{Budget: a.budget, Most: a.most, Limit: a.want, Losses: own.losses}),
+			Value: encode(accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.pendingLimit, Crashes: own.crashes}),
 		})
 	}
 	if len(b.accounts) == 0 {
@@ -84,40 +84,40 @@
 }
 
 // write appends batches until there is nothing to write.
-func (k *Keeper) write(p *partition, own *ownership) {
+func (k *Manager) write(p *partition, own *ownership) {
 	for {
-		b := k.takeBatch(p, own)
+		b := k.nextBatch(p, own)
 		if b == nil {
 			return
 		}
 		if err := k.appendBatch(p, own, b); err != nil {
-			k.giveUpWriting(p, own, err)
+			k.abortWrites(p, own, err)
 			return
 		}
-		k.written(p, own, b)
+		k.applyBatch(p, own, b)
 	}
 }
 
 // appendBatch appends a batch and repeats it until its outcome is known. The
 // sequence number makes the repeats take effect once.
-func (k *Keeper) appendBatch(p *partition, own *ownership, b *batch) error {
+func (k *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
 	started := time.Now()
-	wait := writeRetryFirst
+	wait := minWriteBackoff
 	for {
 		err := k.appendOnce(p, b)
-		if err == nil || final(err) || k.ctx.Err() != nil {
+		if err == nil || permanent(err) || k.ctx.Err() != nil {
 			return err
 		}
-		if time.Since(started) > k.patience() && !k.noteFailing(p, own) {
+		if time.Since(started) > k.writeTimeout() && !k.markWriteFailing(p, own) {
 			return err
 		}
 		time.Sleep(wait)
-		wait = min(2*wait, writeRetryMost)
+		wait = min(2*wait, maxWriteBackoff)
 	}
 }
 
 // appendOnce makes one try of an append.
-func (k *Keeper) appendOnce(p *partition, b *batch) error {
+func (k *Manager) appendOnce(p *partition, b *batch) error {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	_, err := k.store.Append(ctx, platform.Append{
@@ -131,68 +131,68 @@
 	return err
 }
 
-// final tells whether an append that failed cannot succeed when it is repeated.
-func final(err error) bool {
+// permanent tells whether an append that failed cannot succeed when it is repeated.
+func permanent(err error) bool {
 	var outOfSequence *platform.SequenceError
 	return errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrRejected) || errors.As(err, &outOfSequence)
 }
 
-// patience is how long turns wait for a record.
-func (k *Keeper) patience() time.Duration {
+// writeTimeout is how long turns wait for a record.
+func (k *Manager) writeTimeout() time.Duration {
 	if k.health.OK() {
-		return storePatience
+		return recordTimeout
 	}
-	return doubtPatience
+	return degradedRecordTimeout
 }
 
-// noteFailing notes that records cannot be written for now and refuses the
+// markWriteFailing notes that records cannot be written for now and refuses the
 // turns that wait for them. It returns false if the ownership has ended.
-func (k *Keeper) noteFailing(p *partition, own *ownership) bool {
+func (k *Manager) markWriteFailing(p *partition, own *ownership) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != own {
 		return false
 	}
-	own.failing = true
-	k.refuseWaiting(p)
+	own.writeFailing = true
+	k.refuseRecordWaiters(p)
 	return true
 }
 
-// refuseWaiting refuses the turns that wait for a record of a partition. Those
+// refuseRecordWaiters refuses the turns that wait for a record of a partition. Those
 // that may get room from other turns of their program wait on. The mutex is
 // held.
-func (k *Keeper) refuseWaiting(p *partition) {
+func (k *Manager) refuseRecordWaiters(p *partition) {
 	if p.own == nil {
 		return
 	}
 	for _, a := range p.own.accounts {
-		if len(a.asks) > 0 && a.leased == 0 {
-			k.refuseAsks(a, structs.RoomNoRecord, "")
+		if len(a.waiters) > 0 && a.leased == 0 {
+			k.refuseWaiters(a, structs.RoomNoRecord, "")
 		}
 	}
 }
 
-// written raises the limits that a batch has recorded.
-func (k *Keeper) written(p *partition, own *ownership, b *batch) {
+// applyBatch raises the limits that a batch has recorded.
+func (k *Manager) applyBatch(p *partition, own *ownership, b *batch) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.metrics.records.Inc(int64(len(b.accounts)))
 	if p.own != own {
 		return
 	}
-	own.failing = false
+	own.writeFailing = false
 	for i, a := range b.accounts {
-		a.limit, a.recorded = max(a.limit, b.wants[i]), true
-		if a.want <= b.wants[i] {
-			a.want = 0
+		a.limit, a.recorded = max(a.limit, b.limits[i]), true
+		if a.pendingLimit <= b.limits[i] {
+			a.pendingLimit = 0
 		}
-		k.serveAsks(p, a)
+		k.serveWaiters(p, a)
 	}
 }
 
-// giveUpWriting ends the ownership: another instance has claimed the
+// abortWrites ends the ownership: another instance has claimed the
 // partition, or the store's state is not the one expected.
-func (k *Keeper) giveUpWriting(p *partition, own *ownership, err error) {
+func (k *Manager) abortWrites(p *partition, own *ownership, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	own.writing = false
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -124,8 +124,8 @@
 }
 
 func newServer(
-	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
+	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Manager,
+	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Manager, conversations *conversation.Keeper,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Parts{
@@ -153,10 +153,10 @@
 
 	directory *directory.Directory
 	transport *peer.Transport
-	keeper    *budget.Keeper
+	keeper    *budget.Manager
 	// conversations keeps those of routes whose turns carry their input only.
 	conversations *conversation.Keeper
-	allowances    *allowance.Keeper
+	allowances    *allowance.Manager
 
 	settings  *feed.Topic
 	targets   *feed.Topic
@@ -174,8 +174,8 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, incoming *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Keeper,
-	currency *settingsCurrency, instances *listing, allowances *allowance.Keeper,
+	dir *directory.Directory, transport *peer.Transport, keeper *budget.Manager, conversations *conversation.Keeper,
+	currency *settingsCurrency, instances *listing, allowances *allowance.Manager,
 ) *edge {
 	e := &edge{
 		machine: machine, log: log, reporter: reporter, store: store, health: health,
@@ -204,7 +204,7 @@
 			{Topic: e.instances, Wait: instancesWait, Pause: instancesPause},
 		},
 		Bound:  leastBound(m.ConfigDelay, m.DrainDelay),
-		Direct: func() bool { return e.keepsTurns.Load() || e.keeper.Owns() },
+		Direct: func() bool { return e.keepsTurns.Load() || e.keeper.OwnsPartitions() },
 		Others: e.otherAddresses, Health: e.health, Log: e.log,
 	})
 }
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -241,7 +241,7 @@
 	}
 	if x.server.targets.Broke(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.TargetBroke()
+		x.server.notices.ReportTargetBreaks()
 	}
 }
 
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -126,9 +126,9 @@
 
 // Notices tells other instances what this one learns of targets.
 type Notices interface {
-	// TargetBroke tells that a target broke a new connection at once. It does
+	// ReportTargetBreaks tells that a target broke a new connection at once. It does
 	// not block.
-	TargetBroke()
+	ReportTargetBreaks()
 }
 
 // Health tells whether the platform's store answers this instance.
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -81,8 +81,8 @@
 	notices atomic.Int64
 }
 
-// TargetBroke implements Notices.
-func (w *world) TargetBroke() { w.notices.Add(1) }
+// ReportTargetBreaks implements Notices.
+func (w *world) ReportTargetBreaks() { w.notices.Add(1) }
 
 // logBuffer keeps the log.
 type logBuffer struct {
