--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -8,7 +8,7 @@
 // Organisations are spread over slots. A slot has some voters, chosen by
 // rendezvous hashing among all instances that are listed, whether they answer or
 // not. Each voter holds an equal part of every limit of the slot and lends it to
-// one coordinator at a time, for voteLife. A coordinator asks its voters again
+// one coordinator at a time, for voteTTL. A coordinator asks its voters again
 // and again; it deals out what the votes that it holds allow, and nothing without
 // any. An instance that is cut off, and whoever else takes itself for the
 // coordinator, therefore has the parts of those voters alone that it reaches.
@@ -17,13 +17,13 @@
 //
 // With rate r, burst b, window W, tolerance D = over*(r*W + b) + slack:
 //
-//	r*W + level + start + fresh*r*voteLife <= r*W + b + D - late
+//	r*W + level + start + fresh*r*voteTTL <= r*W + b + D - late
 //
 // level bounds what all coordinators together have saved up: a coordinator keeps
 // no more than its share of the votes of it, and nothing once it holds no vote.
 // start is what a voter brings along when it changes its coordinator, at most
 // once in a window. A voter that starts does not know to whom its last start lent
-// its part; its vote counts for the part fresh until voteLife after its start.
+// its part; its vote counts for the part fresh until voteTTL after its start.
 // terms (terms.go) divides D among level, start, fresh and late, which is for
 // requests that reach their targets later than others and for those that run
 // twice.
--- a/internal/allowance/dump.go
+++ b/internal/allowance/dump.go
@@ -44,7 +44,7 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	out := Dump{Waiting: []Waiting{}, Coordinated: []Coordinated{}}
-	for _, l := range k.lines {
+	for _, l := range k.queues {
 		out.Waiting = append(out.Waiting, Waiting{
 			Organisation: l.organisation, PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Requests: len(l.waiting),
 		})
@@ -54,7 +54,7 @@
 		for name, b := range s.buckets {
 			out.Coordinated = append(out.Coordinated, Coordinated{
 				Slot: s.number, Organisation: name, PerSecond: b.limit.PerSecond, Level: b.level, Capacity: b.capacity,
-				Starts: b.starts, PerProgram: b.needs.perProgram, Use: b.use.rate(now) / b.limit.PerSecond, Votes: len(s.votes), Voters: s.voters,
+				Starts: b.starts, PerProgram: b.demand.perProgram, Use: b.usage.rate(now) / b.limit.PerSecond, Votes: len(s.votes), Voters: s.voters,
 			})
 		}
 	}
--- a/internal/allowance/keeper.go
+++ b/internal/allowance/keeper.go
@@ -21,22 +21,22 @@
 	// takes a few milliseconds; one that used up its share of the processor pauses
 	// for up to 100 ms. What is dealt out is used within this time.
 	replyTimeout = 200 * time.Millisecond
-	// holdPause bounds the time until room is asked for again for requests that are
+	// maxHeldRetryInterval bounds the time until room is asked for again for requests that are
 	// held.
-	holdPause = 100 * time.Millisecond
-	// noSharePause is the time before somebody is asked again who holds no votes:
+	maxHeldRetryInterval = 100 * time.Millisecond
+	// noVotesRetryInterval is the time before somebody is asked again who holds no votes:
 	// a new coordinator collects them within a few round trips.
-	noSharePause = 40 * time.Millisecond
-	// patience is how long a request waits for word from a coordinator. Turning a
+	noVotesRetryInterval = 40 * time.Millisecond
+	// admissionTimeout is how long a request waits for word from a coordinator. Turning a
 	// request of a program under way away ends the program, so it is longer than
 	// the loss of a coordinator goes unnoticed.
-	patience = 1100 * time.Millisecond
-	// holdMost is how long a request of a program under way is held if there will
+	admissionTimeout = 1100 * time.Millisecond
+	// maxHold is how long a request of a program under way is held if there will
 	// be room by then: refusing it ends the program. It is below patience.
-	holdMost = 900 * time.Millisecond
-	// doubtedInterval is the time between two requests for the vote of an instance
+	maxHold = 900 * time.Millisecond
+	// unresponsiveRetryInterval is the time between two requests for the vote of an instance
 	// that did not answer: each may cost a dial.
-	doubtedInterval = time.Second
+	unresponsiveRetryInterval = time.Second
 )
 
 // Peers sends messages to other instances. Sending never blocks.
@@ -69,29 +69,29 @@
 	self    structs.InstanceID
 	metrics metrics
 
-	mu      sync.Mutex
-	voter   *voter
-	slots   []*slot
-	lines   map[string]*line
-	number  uint64
-	pending map[uint64]sentAsk
-	// requests holds when votes were asked for, by number.
-	requests map[uint64]sentRequest
-	doubted  map[structs.InstanceID]time.Time
+	mu         sync.Mutex
+	voter      *voter
+	slots      []*slot
+	queues     map[string]*queue
+	lastNumber uint64
+	pending    map[uint64]pendingRequest
+	// voteRequests holds when votes were asked for, by number.
+	voteRequests map[uint64]pendingVote
+	lastTried    map[structs.InstanceID]time.Time
 	// active tells that some organisation has a limit.
 	active bool
 	// leaving tells that this instance coordinates nothing any more.
 	leaving bool
 }
 
-// sentAsk is an ask under way.
-type sentAsk struct {
-	line *line
-	to   structs.InstanceID
+// pendingRequest is an ask under way.
+type pendingRequest struct {
+	queue *queue
+	to    structs.InstanceID
 }
 
-// sentRequest is a request for a vote under way.
-type sentRequest struct {
+// pendingVote is a request for a vote under way.
+type pendingVote struct {
 	slot int
 	to   structs.InstanceID
 	at   time.Time
@@ -102,9 +102,9 @@
 	parts.Slots = min(parts.Slots, maxSlots)
 	k := &Manager{
 		Config: parts, self: parts.Directory.Self().ID, metrics: newMetrics(parts.Scope),
-		voter: newVoter(parts.Slots, parts.Tolerance.Window, time.Now()),
-		lines: make(map[string]*line), pending: make(map[uint64]sentAsk),
-		requests: make(map[uint64]sentRequest), doubted: make(map[structs.InstanceID]time.Time),
+		voter:  newVoter(parts.Slots, parts.Tolerance.Window, time.Now()),
+		queues: make(map[string]*queue), pending: make(map[uint64]pendingRequest),
+		voteRequests: make(map[uint64]pendingVote), lastTried: make(map[structs.InstanceID]time.Time),
 	}
 	for i := range parts.Slots {
 		k.slots = append(k.slots, newSlot(i))
@@ -163,14 +163,14 @@
 	now := time.Now()
 	w := &waiter{
 		first: entry.First, rank: min(max(entry.Rank, 0), structs.AllowanceRanks-1),
-		program: programHash(entry.Program), until: now.Add(holdMost), verdict: make(chan verdict, 1),
+		program: programHash(entry.Program), holdUntil: now.Add(maxHold), decision: make(chan decision, 1),
 	}
 	k.mu.Lock()
-	l := k.lineOf(entry)
+	l := k.queueOf(entry)
 	l.waiting = append(l.waiting, w)
-	k.startAsk(l, now)
+	k.sendRequest(l, now)
 	k.mu.Unlock()
-	return k.await(ctx, l, w)
+	return k.awaitDecision(ctx, l, w)
 }
 
 // programHash stands for a program in messages, 0 for none.
@@ -181,33 +181,33 @@
 	return xxhash.Sum64String(program)
 }
 
-// await waits for the verdict on a request.
-func (k *Manager) await(ctx context.Context, l *line, w *waiter) (serve.Permit, error) {
-	timer := time.NewTimer(patience)
+// awaitDecision waits for the verdict on a request.
+func (k *Manager) awaitDecision(ctx context.Context, l *queue, w *waiter) (serve.Permit, error) {
+	timer := time.NewTimer(admissionTimeout)
 	defer timer.Stop()
 	var err error
 	select {
-	case got := <-w.verdict:
-		return k.conclude(l, w, got)
+	case got := <-w.decision:
+		return k.permitOrError(l, w, got)
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
 		err = serve.ErrNoAllowance
 	}
 	k.mu.Lock()
-	left := l.leave(w)
+	left := l.remove(w)
 	k.mu.Unlock()
 	if !left {
-		return k.conclude(l, w, <-w.verdict)
+		return k.permitOrError(l, w, <-w.decision)
 	}
 	k.metrics.unknown.Inc(1)
 	return nil, err
 }
 
-func (k *Manager) conclude(l *line, w *waiter, got verdict) (serve.Permit, error) {
+func (k *Manager) permitOrError(l *queue, w *waiter, got decision) (serve.Permit, error) {
 	if got.admitted {
 		k.metrics.admitted.Inc(1)
-		return permit{keeper: k, line: l, first: w.first}, nil
+		return permit{manager: k, queue: l, first: w.first}, nil
 	}
 	k.metrics.refused.Inc(1)
 	k.mu.Lock()
@@ -219,13 +219,13 @@
 	}
 }
 
-// lineOf is what waits of an organisation, under its newest limit. The mutex is
+// queueOf is what waits of an organisation, under its newest limit. The mutex is
 // held.
-func (k *Manager) lineOf(entry serve.Entry) *line {
-	l := k.lines[entry.Organisation]
+func (k *Manager) queueOf(entry serve.Entry) *queue {
+	l := k.queues[entry.Organisation]
 	if l == nil {
-		l = &line{organisation: entry.Organisation}
-		k.lines[entry.Organisation] = l
+		l = &queue{organisation: entry.Organisation}
+		k.queues[entry.Organisation] = l
 	}
 	if entry.Version >= l.version {
 		l.limit, l.version = entry.Limit, entry.Version
@@ -233,10 +233,10 @@
 	return l
 }
 
-// startAsk asks the coordinator of an organisation, unless an ask is under way.
+// sendRequest asks the coordinator of an organisation, unless an ask is under way.
 // The mutex is held.
-func (k *Manager) startAsk(l *line, now time.Time) {
-	if l.asking != 0 {
+func (k *Manager) sendRequest(l *queue, now time.Time) {
+	if l.pendingNumber != 0 {
 		return
 	}
 	slot := k.slotOf(l.organisation)
@@ -244,21 +244,21 @@
 	if to == "" {
 		return
 	}
-	k.number++
-	ask := l.askOf(to, k.number, slot)
-	k.pending[ask.Number] = sentAsk{line: l, to: to}
+	k.lastNumber++
+	request := l.requestTo(to, k.lastNumber, slot)
+	k.pending[request.Number] = pendingRequest{queue: l, to: to}
 	k.metrics.asks.Inc(1)
 	if to == k.self {
-		k.settle(k.serveAsk(ask, now), now)
+		k.handleReply(k.handleRequest(request, now), now)
 		return
 	}
-	k.Peers.Send(to, ask)
-	time.AfterFunc(replyTimeout, func() { k.unanswered(ask.Number) })
+	k.Peers.Send(to, request)
+	time.AfterFunc(replyTimeout, func() { k.requestTimedOut(request.Number) })
 }
 
-// unanswered asks anew after an ask that got no answer in time. What a later
+// requestTimedOut asks anew after an ask that got no answer in time. What a later
 // answer grants is used by nobody.
-func (k *Manager) unanswered(number uint64) {
+func (k *Manager) requestTimedOut(number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	sent, ok := k.pending[number]
@@ -266,69 +266,69 @@
 		return
 	}
 	k.Peers.Probe(sent.to)
-	k.askAnew(number, sent)
+	k.retryRequest(number, sent)
 }
 
-// askAnew gives an ask up and asks again if requests wait. The mutex is held.
-func (k *Manager) askAnew(number uint64, sent sentAsk) {
+// retryRequest gives an ask up and asks again if requests wait. The mutex is held.
+func (k *Manager) retryRequest(number uint64, sent pendingRequest) {
 	delete(k.pending, number)
-	sent.line.asking, sent.line.asked = 0, nil
-	k.askForWaiting(sent.line)
+	sent.queue.pendingNumber, sent.queue.pendingWaiters = 0, nil
+	k.requestIfNeeded(sent.queue)
 }
 
-// askForWaiting asks again if requests wait, or permits are to be given back. The
+// requestIfNeeded asks again if requests wait, or permits are to be given back. The
 // mutex is held.
-func (k *Manager) askForWaiting(l *line) {
+func (k *Manager) requestIfNeeded(l *queue) {
 	if len(l.waiting) > 0 || l.returned > 0 || l.returnedStarts > 0 {
-		k.startAsk(l, time.Now())
+		k.sendRequest(l, time.Now())
 	}
 }
 
-// settle takes an answer. The mutex is held.
-func (k *Manager) settle(reply *structs.AllowanceReply, now time.Time) {
+// handleReply takes an answer. The mutex is held.
+func (k *Manager) handleReply(reply *structs.AllowanceReply, now time.Time) {
 	sent, ok := k.pending[reply.Number]
 	if !ok {
 		return
 	}
 	delete(k.pending, reply.Number)
-	newcomers := len(sent.line.waiting) > len(sent.line.asked)
-	sent.line.settle(reply, sent.to, now)
-	if len(sent.line.waiting) == 0 {
-		k.askForWaiting(sent.line)
+	newcomers := len(sent.queue.waiting) > len(sent.queue.pendingWaiters)
+	sent.queue.applyReply(reply, sent.to, now)
+	if len(sent.queue.waiting) == 0 {
+		k.requestIfNeeded(sent.queue)
 		return
 	}
-	pause := noSharePause
+	pause := noVotesRetryInterval
 	switch {
 	case reply.Outcome != structs.AllowanceDealt:
 	case newcomers:
 		pause = 0
 	default:
-		pause = min(reply.RetryAfter, holdPause)
+		pause = min(reply.RetryAfter, maxHeldRetryInterval)
 	}
 	time.AfterFunc(pause, func() {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.askForWaiting(sent.line)
+		k.requestIfNeeded(sent.queue)
 	})
 }
 
-// serveAsk answers an ask as the coordinator. The mutex is held.
-func (k *Manager) serveAsk(ask *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
-	if ask.Slot < 0 || ask.Slot >= len(k.slots) || !(org.Limit{PerSecond: ask.PerSecond}).Limited() {
-		return &structs.AllowanceReply{Number: ask.Number, Outcome: structs.AllowanceNoShare}
+// handleRequest answers an ask as the coordinator. The mutex is held.
+func (k *Manager) handleRequest(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
+	if request.Slot < 0 || request.Slot >= len(k.slots) || !(org.Limit{PerSecond: request.PerSecond}).Limited() {
+		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
 	}
-	reply := k.slots[ask.Slot].serve(ask, k.Tolerance, now)
+	reply := k.slots[request.Slot].allocate(request, k.Tolerance, now)
 	if reply.Outcome == structs.AllowanceNoShare {
-		k.confirmFirst(ask.Slot)
+		k.probePreferred(request.Slot)
 	}
 	return reply
 }
 
-// confirmFirst asks the instance that should coordinate a slot for a heartbeat,
+// probePreferred asks the instance that should coordinate a slot for a heartbeat,
 // since others took this one for it. After a loss of all instances the list holds
 // some that are gone for good, and nothing else would tell this one so: a slot had
 // no coordinator for 7 s.
-func (k *Manager) confirmFirst(slot int) {
+func (k *Manager) probePreferred(slot int) {
 	if first := k.Directory.First(k.Key(slot)); first != "" && first != k.self {
 		k.Peers.Probe(first)
 	}
@@ -354,25 +354,25 @@
 		k.receiveMessage(e.From, e.Msg, now)
 	case structs.PeerDown:
 		k.renew(now)
-		k.askElsewhere(e.Peer)
+		k.retryRequestsTo(e.Peer)
 	}
 }
 
 func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message, now time.Time) {
 	switch m := msg.(type) {
 	case *structs.AllowanceAsk:
-		k.Peers.Send(from, k.serveAsk(m, now))
+		k.Peers.Send(from, k.handleRequest(m, now))
 	case *structs.AllowanceReply:
 		if k.pending[m.Number].to == from {
-			k.settle(m, now)
+			k.handleReply(m, now)
 		}
 	case *structs.VoteRequest:
-		if reply, ok := k.lend(m, from, now); ok {
+		if reply, ok := k.grantVote(m, from, now); ok {
 			k.Peers.Send(from, reply)
 		}
 	case *structs.VoteReply:
-		if k.requests[m.Number].to == from {
-			k.takeVote(m, now)
+		if k.voteRequests[m.Number].to == from {
+			k.acceptVote(m, now)
 		}
 	case *structs.Leaving:
 		k.voter.release(from, now)
@@ -380,12 +380,12 @@
 	}
 }
 
-// askElsewhere asks anew what was asked of an instance that does not answer. The
+// retryRequestsTo asks anew what was asked of an instance that does not answer. The
 // mutex is held.
-func (k *Manager) askElsewhere(id structs.InstanceID) {
+func (k *Manager) retryRequestsTo(id structs.InstanceID) {
 	for number, sent := range k.pending {
 		if sent.to == id {
-			k.askAnew(number, sent)
+			k.retryRequest(number, sent)
 		}
 	}
 }
--- a/internal/allowance/keeper_test.go
+++ b/internal/allowance/keeper_test.go
@@ -23,9 +23,9 @@
 	pause    time.Duration
 }
 
-// playPrograms begins programs of an organisation at a rate for a time, each at
+// runPrograms begins programs of an organisation at a rate for a time, each at
 // one instance, and returns how many began and how many got all their requests.
-func playPrograms(w *world, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
+func runPrograms(w *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var work sync.WaitGroup
 	var mu sync.Mutex
@@ -37,7 +37,7 @@
 		work.Go(func() {
 			for i := range p.requests {
 				entry := serve.Entry{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
-				if !w.enter(n, entry) {
+				if !w.admit(n, entry) {
 					return
 				}
 				if i%3 == 0 {
@@ -53,12 +53,12 @@
 	return begun, whole
 }
 
-// usersProgram is about what programs of the users' deployment are like.
-var usersProgram = program{requests: 26, pause: 250 * time.Millisecond}
+// typicalProgram is about what programs of the users' deployment are like.
+var typicalProgram = program{requests: 26, pause: 250 * time.Millisecond}
 
-// carries is how many programs a limit carries in a time.
-func carries(limit org.Limit, lasts time.Duration) int {
-	return int((limit.PerSecond*lasts.Seconds() + limit.Burst) / float64(usersProgram.requests))
+// programCapacity is how many programs a limit carries in a time.
+func programCapacity(limit org.Limit, lasts time.Duration) int {
+	return int((limit.PerSecond*lasts.Seconds() + limit.Burst) / float64(typicalProgram.requests))
 }
 
 // TestBelowItsLimitAnOrganisationGetsAll replays organisations of the users' sizes
@@ -67,17 +67,17 @@
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newCluster(t)
 				for _, m := range machines(87) {
 					w.start(m)
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := playPrograms(w, "o", limit, usersProgram, rate/1.6/26, lasts, 1)
+				begun, whole := runPrograms(w, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
 				w.Stop()
 				// A few programs that begin together pass a small limit.
-				owed := min(begun, carries(limit, lasts))
+				owed := min(begun, programCapacity(limit, lasts))
 				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, w.refused, w.unknown)
 				if whole < owed*95/100 {
 					t.Errorf("%d of %d programs got all their requests, the limit carries %d", whole, begun, owed)
@@ -96,21 +96,21 @@
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newCluster(t)
 				for _, m := range machines(87) {
 					w.start(m)
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := playPrograms(w, "o", limit, usersProgram, rate/1.6/26*7.5, lasts, 1)
+				begun, whole := runPrograms(w, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
 				w.Stop()
-				carried := carries(limit, lasts)
+				carried := programCapacity(limit, lasts)
 				t.Logf("%d programs begun, %d whole, the limit carries %d; %d requests", begun, whole, carried, len(w.admitted["o"]))
 				if whole < carried*9/10 {
 					t.Errorf("%d programs got all their requests, the limit carries %d", whole, carried)
 				}
-				if got, most := most(w.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
+				if got, most := maxInWindow(w.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
 					t.Errorf("%d requests in a window, %d are allowed", got, most)
 				}
 			})
@@ -122,14 +122,14 @@
 // but one, which all others still list.
 func TestCoordinatorThatIsGoneForGoodIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		for _, m := range machines(30) {
 			w.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 20, Burst: 20}
 		some := w.all()[0]
-		ranked := some.Directory.Ranked(some.keeper.Key(some.keeper.slotOf("o")))
+		ranked := some.Directory.Ranked(some.manager.Key(some.manager.slotOf("o")))
 		gone, next := ranked[0], directory.MachineOf(ranked[1])
 		for _, n := range w.all() {
 			if n.ID == gone {
--- a/internal/allowance/line.go
+++ b/internal/allowance/line.go
@@ -15,15 +15,15 @@
 	rank  int
 	// program is the hash of its program, 0 for none; named tells that the
 	// coordinator was told.
-	program uint64
-	named   bool
-	// until is how long a request of a program under way is held for room.
-	until   time.Time
-	verdict chan verdict
+	program  uint64
+	reported bool
+	// holdUntil is how long a request of a program under way is held for room.
+	holdUntil time.Time
+	decision  chan decision
 }
 
-// verdict is what became of a request that waited.
-type verdict struct {
+// decision is what became of a request that waited.
+type decision struct {
 	admitted bool
 	// reply is the answer that refused it.
 	reply *structs.AllowanceReply
@@ -31,47 +31,47 @@
 	coordinator structs.InstanceID
 }
 
-// line is the requests of one organisation that wait at this instance. It does no
+// queue is the requests of one organisation that wait at this instance. It does no
 // I/O.
-type line struct {
+type queue struct {
 	organisation string
 	limit        org.Limit
 	version      int64
 	waiting      []*waiter
-	// debt, and the requests and first turns that were let in and did not run,
+	// reruns, and the requests and first turns that were let in and did not run,
 	// are told with the next ask.
-	debt                     int
+	reruns                   int
 	returned, returnedStarts int
-	// dealtBy is the coordinator that dealt out last: no other one may take back
+	// allocatedBy is the coordinator that dealt out last: no other one may take back
 	// what it dealt.
-	dealtBy structs.InstanceID
-	// told is the organisation's use as the last answer told it.
-	told told
-	// asking is the number of the ask under way, 0 for none; asked are the
+	allocatedBy structs.InstanceID
+	// usage is the organisation's use as the last answer told it.
+	usage reportedUsage
+	// pendingNumber is the number of the ask under way, 0 for none; asked are the
 	// waiters that it names.
-	asking uint64
-	asked  []*waiter
+	pendingNumber  uint64
+	pendingWaiters []*waiter
 }
 
-// askOf makes the next ask of an instance. What another one dealt out is not given
+// requestTo makes the next ask of an instance. What another one dealt out is not given
 // back to it.
-func (l *line) askOf(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
-	if to != l.dealtBy {
+func (l *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
+	if to != l.allocatedBy {
 		l.returned, l.returnedStarts = 0, 0
 	}
-	return l.ask(number, slot)
+	return l.newRequest(number, slot)
 }
 
-// ask makes the next ask, with what waits now.
-func (l *line) ask(number uint64, slot int) *structs.AllowanceAsk {
+// newRequest makes the next ask, with what waits now.
+func (l *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
 	m := &structs.AllowanceAsk{
 		Number: number, Slot: slot, Organisation: l.organisation,
-		PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Version: l.version, Debt: l.debt,
+		PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Version: l.version, Debt: l.reruns,
 		Returned: l.returned, ReturnedStarts: l.returnedStarts,
 	}
-	l.debt, l.returned, l.returnedStarts = 0, 0, 0
-	l.asking, l.asked = number, slices.Clone(l.waiting)
-	for _, w := range l.asked {
+	l.reruns, l.returned, l.returnedStarts = 0, 0, 0
+	l.pendingNumber, l.pendingWaiters = number, slices.Clone(l.waiting)
+	for _, w := range l.pendingWaiters {
 		w.addTo(m)
 	}
 	return m
@@ -85,51 +85,51 @@
 		return
 	}
 	m.Want++
-	if w.program != 0 && !w.named {
+	if w.program != 0 && !w.reported {
 		m.Calls = append(m.Calls, w.program)
-		w.named = true
+		w.reported = true
 	}
 }
 
-// settle takes the answer that an instance gave to the ask under way.
-func (l *line) settle(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
-	asked := l.asked
-	l.asking, l.asked = 0, nil
+// applyReply takes the answer that an instance gave to the ask under way.
+func (l *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
+	asked := l.pendingWaiters
+	l.pendingNumber, l.pendingWaiters = 0, nil
 	if reply.Outcome != structs.AllowanceDealt {
 		l.returned, l.returnedStarts = 0, 0
 		return
 	}
-	l.dealtBy = from
-	l.told = told{use: reply.Use, at: now}
+	l.allocatedBy = from
+	l.usage = reportedUsage{use: reply.Use, at: now}
 	granted, starts := reply.Granted, reply.Starts
 	for _, w := range asked {
 		left := &granted
 		if w.first {
 			left = &starts[w.rank]
 		}
-		l.decide(w, left, verdict{reply: reply, coordinator: from}, now)
+		l.decide(w, left, decision{reply: reply, coordinator: from}, now)
 	}
 }
 
 // decide tells one waiter what the answer means for it. What was meant for one
 // that has left is used by nobody.
-func (l *line) decide(w *waiter, left *int, refusal verdict, now time.Time) {
+func (l *queue) decide(w *waiter, left *int, refusal decision, now time.Time) {
 	if *left > 0 {
 		*left--
-		if l.leave(w) {
-			w.verdict <- verdict{admitted: true}
+		if l.remove(w) {
+			w.decision <- decision{admitted: true}
 		}
 		return
 	}
-	held := !w.first && !now.Add(refusal.reply.RetryAfter).After(w.until)
-	if !held && l.leave(w) {
-		w.verdict <- refusal
+	held := !w.first && !now.Add(refusal.reply.RetryAfter).After(w.holdUntil)
+	if !held && l.remove(w) {
+		w.decision <- refusal
 	}
 }
 
-// leave withdraws a waiter. It returns false if its verdict has been given or it
+// remove withdraws a waiter. It returns false if its verdict has been given or it
 // has left before.
-func (l *line) leave(w *waiter) bool {
+func (l *queue) remove(w *waiter) bool {
 	at := slices.Index(l.waiting, w)
 	if at < 0 {
 		return false
--- a/internal/allowance/needs.go
+++ b/internal/allowance/needs.go
@@ -15,87 +15,87 @@
 	defaultRequests = 30
 	// defaultWeight is how many programs that guess counts for.
 	defaultWeight = 2
-	// memory is the number of programs after which what was seen counts half.
-	memory = 200
-	// quiet is the time without a request after which a program counts as ended;
+	// maxSampledPrograms is the number of programs after which what was seen counts half.
+	maxSampledPrograms = 200
+	// idleTimeout is the time without a request after which a program counts as ended;
 	// what it sends later is added. Long pauses are rare, and what programs need
 	// should be known before an overload.
-	quiet = time.Second
-	// forgotten is the time without a request after which it is followed no more.
-	forgotten = 10 * time.Second
-	// countInterval is the time between two looks for programs that have ended.
-	countInterval = 250 * time.Millisecond
-	// maxFollowed bounds the programs of an organisation that are followed.
-	maxFollowed = 1024
+	idleTimeout = time.Second
+	// forgetTimeout is the time without a request after which it is followed no more.
+	forgetTimeout = 10 * time.Second
+	// updateInterval is the time between two looks for programs that have ended.
+	updateInterval = 250 * time.Millisecond
+	// maxTracked bounds the programs of an organisation that are followed.
+	maxTracked = 1024
 )
 
-// followed is a program whose first turn was let in by this coordinator.
-type followed struct {
+// trackedProgram is a program whose first turn was let in by this coordinator.
+type trackedProgram struct {
 	requests int
 	last     time.Time
-	// counted tells that it counts as ended.
-	counted bool
+	// ended tells that it counts as ended.
+	ended bool
 }
 
-// needs learns what a program of one organisation needs, in requests.
-type needs struct {
-	under map[uint64]followed
+// demand learns what a program of one organisation needs, in requests.
+type demand struct {
+	tracked map[uint64]trackedProgram
 	// requests and programs are those of programs that ended.
 	requests, programs float64
-	counted            time.Time
+	updatedAt          time.Time
 	// perProgram is the estimate as of counted.
 	perProgram float64
 }
 
-func newNeeds() needs {
-	return needs{under: make(map[uint64]followed), perProgram: defaultRequests}
+func newDemand() demand {
+	return demand{tracked: make(map[uint64]trackedProgram), perProgram: defaultRequests}
 }
 
-// begin follows a program from its first turn on.
-func (n *needs) begin(program uint64, now time.Time) {
-	if program != 0 && len(n.under) < maxFollowed {
-		n.under[program] = followed{requests: 1, last: now}
+// track follows a program from its first turn on.
+func (n *demand) track(program uint64, now time.Time) {
+	if program != 0 && len(n.tracked) < maxTracked {
+		n.tracked[program] = trackedProgram{requests: 1, last: now}
 	}
 }
 
 // add counts a request of a program under way.
-func (n *needs) add(program uint64, now time.Time) {
-	f, ok := n.under[program]
+func (n *demand) add(program uint64, now time.Time) {
+	f, ok := n.tracked[program]
 	if !ok {
 		return
 	}
 	f.requests++
 	f.last = now
-	n.under[program] = f
-	if f.counted {
+	n.tracked[program] = f
+	if f.ended {
 		n.requests++
 	}
 }
 
-// count takes in the programs that have ended. Those under way count if they
+// update takes in the programs that have ended. Those under way count if they
 // needed more than the others already.
-func (n *needs) count(now time.Time) {
-	if now.Sub(n.counted) < countInterval {
+func (n *demand) update(now time.Time) {
+	if now.Sub(n.updatedAt) < updateInterval {
 		return
 	}
-	n.counted = now
+	n.updatedAt = now
 	longer, longerRequests := 0.0, 0.0
-	for program, f := range n.under {
+	for program, f := range n.tracked {
 		switch {
-		case f.counted && now.Sub(f.last) > forgotten:
-			delete(n.under, program)
-		case f.counted:
-		case now.Sub(f.last) > quiet:
+		case f.ended && now.Sub(f.last) > forgetTimeout:
+			delete(n.tracked, program)
+		case f.ended:
+		case now.Sub(f.last) > idleTimeout:
 			n.requests += float64(f.requests)
 			n.programs++
-			f.counted = true
-			n.under[program] = f
+			f.ended = true
+			n.tracked[program] = f
 		case float64(f.requests) > n.perProgram:
 			longer++
 			longerRequests += float64(f.requests)
 		}
 	}
-	if n.programs > memory {
+	if n.programs > maxSampledPrograms {
 		n.requests, n.programs = n.requests/2, n.programs/2
 	}
 	requests := n.requests + longerRequests + defaultWeight*defaultRequests
--- a/internal/allowance/needs_test.go
+++ b/internal/allowance/needs_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// TestManyThatHaveJustBegunDoNotLowerTheNeed replays an organisation that begins
+// TestNewProgramsDoNotLowerTheEstimate replays an organisation that begins
 // a hundred programs within a second, each of which needs 26 requests.
-func TestManyThatHaveJustBegunDoNotLowerTheNeed(t *testing.T) {
-	n, now := newNeeds(), time.Unix(0, 0)
+func TestNewProgramsDoNotLowerTheEstimate(t *testing.T) {
+	n, now := newDemand(), time.Unix(0, 0)
 	for sent := range 26 {
 		for program := range uint64(100) {
 			if sent == 0 {
-				n.begin(program+1, now)
+				n.track(program+1, now)
 			} else {
 				n.add(program+1, now)
 			}
 		}
-		n.count(now)
+		n.update(now)
 		if n.perProgram < 26 {
 			t.Fatalf("%.1f requests a program after %d", n.perProgram, sent+1)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	n.count(now.Add(quiet + time.Second))
-	n.count(now.Add(forgotten + time.Second))
+	n.update(now.Add(idleTimeout + time.Second))
+	n.update(now.Add(forgetTimeout + time.Second))
 	if math.Abs(n.perProgram-26) > 0.2 {
 		t.Errorf("%.1f requests a program after all ended", n.perProgram)
 	}
-	if len(n.under) > 0 {
-		t.Errorf("%d programs are still followed", len(n.under))
+	if len(n.tracked) > 0 {
+		t.Errorf("%d programs are still followed", len(n.tracked))
 	}
 }
 
 // TestLongProgramsCountBeforeTheyEnd replays programs that go on for long.
 func TestLongProgramsCountBeforeTheyEnd(t *testing.T) {
-	n, now := newNeeds(), time.Unix(0, 0)
-	n.begin(1, now)
+	n, now := newDemand(), time.Unix(0, 0)
+	n.track(1, now)
 	for range 200 {
-		now = now.Add(countInterval)
+		now = now.Add(updateInterval)
 		n.add(1, now)
-		n.count(now)
+		n.update(now)
 	}
 	if n.perProgram < 50 {
 		t.Errorf("%.1f requests a program, one under way has sent 201", n.perProgram)
@@ -50,9 +50,9 @@
 
 // TestAProgramThatPausesCountsOnce replays a program with a pause in the middle.
 func TestAProgramThatPausesCountsOnce(t *testing.T) {
-	n, now := newNeeds(), time.Unix(0, 0)
+	n, now := newDemand(), time.Unix(0, 0)
 	for program := range uint64(100) {
-		n.begin(program+1, now)
+		n.track(program+1, now)
 	}
 	for range 2 {
 		for range 5 {
@@ -60,8 +60,8 @@
 				n.add(program+1, now)
 			}
 		}
-		now = now.Add(quiet + countInterval)
-		n.count(now)
+		now = now.Add(idleTimeout + updateInterval)
+		n.update(now)
 	}
 	if n.programs != 100 || n.requests != 1100 {
 		t.Errorf("%g programs with %g requests, 100 have sent 11 each", n.programs, n.requests)
--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -4,43 +4,43 @@
 
 // permit is a request that was let in.
 type permit struct {
-	keeper *Manager
-	line   *line
+	manager *Manager
+	queue   *queue
 	// first tells that it begins a program.
 	first bool
 }
 
-// Again counts one more run of the request.
-func (p permit) Again() {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
-	p.line.debt++
+// CountRerun counts one more run of the request.
+func (p permit) CountRerun() {
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	p.queue.reruns++
 }
 
-// Use implements serve.Permit.
-func (p permit) Use() float64 {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
-	return p.line.told.now(time.Now())
+// Utilization implements serve.Permit.
+func (p permit) Utilization() float64 {
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	return p.queue.usage.current(time.Now())
 }
 
-// GiveBack implements serve.Permit. It is told at once: what came back later
+// Release implements serve.Permit. It is told at once: what came back later
 // would count for a window in which it was not dealt out.
-func (p permit) GiveBack() {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
+func (p permit) Release() {
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
 	if p.first {
-		p.line.returnedStarts++
+		p.queue.returnedStarts++
 	} else {
-		p.line.returned++
+		p.queue.returned++
 	}
-	p.keeper.metrics.returned.Inc(1)
-	p.keeper.startAsk(p.line, time.Now())
+	p.manager.metrics.returned.Inc(1)
+	p.manager.sendRequest(p.queue, time.Now())
 }
 
 // noPermit is that of a request without a limit.
 type noPermit struct{}
 
-func (noPermit) Again()       {}
-func (noPermit) Use() float64 { return 0 }
-func (noPermit) GiveBack()    {}
+func (noPermit) CountRerun()          {}
+func (noPermit) Utilization() float64 { return 0 }
+func (noPermit) Release()             {}
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -27,7 +27,7 @@
 func TestLimitsHoldOverRandomFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			for name, over := range playSchedule(t, seed, 12, false) {
+			for name, over := range runSchedule(t, seed, 12, false) {
 				t.Errorf("%s: %s", name, over)
 			}
 		})
@@ -39,7 +39,7 @@
 func TestOneOwnerWithoutVotesPassesTheLimit(t *testing.T) {
 	passed := 0
 	for seed := range uint64(*schedules) {
-		passed += len(playSchedule(t, seed, 12, true))
+		passed += len(runSchedule(t, seed, 12, true))
 	}
 	if passed == 0 {
 		t.Error("no limit was passed, so that the check sees nothing")
@@ -49,15 +49,15 @@
 // scheduleTime is how long a schedule goes on.
 const scheduleTime = 12 * time.Second
 
-// playSchedule lets organisations ask for several times their limits at instances
+// runSchedule lets organisations ask for several times their limits at instances
 // that are killed, cut off, lose power and shut down. It returns the limits that
 // were passed.
-func playSchedule(t *testing.T, seed uint64, instances int, sole bool) map[string]string {
+func runSchedule(t *testing.T, seed uint64, instances int, grantAll bool) map[string]string {
 	passed := make(map[string]string)
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t)
-		w.sole, w.unused = sole, seed%2 == 1
+		w := newCluster(t)
+		w.grantAll, w.releaseSome = grantAll, seed%2 == 1
 		w.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
 		names := machines(instances)
 		for _, m := range names {
@@ -68,17 +68,17 @@
 		for name, limit := range testLimits {
 			for line := range 8 {
 				lineSeed := seed*1000 + uint64(line)
-				work.Go(func() { askFor(w, name, limit, 4.0/8, lineSeed, ends) })
+				work.Go(func() { sendLoad(w, name, limit, 4.0/8, lineSeed, ends) })
 			}
 		}
 		for time.Now().Before(ends) {
 			time.Sleep(time.Duration(r.IntN(1200)) * time.Millisecond)
-			causeTrouble(w, r, names)
+			injectFault(w, r, names)
 		}
 		work.Wait()
 		w.Stop()
 		for name, limit := range testLimits {
-			got, most := most(w.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
+			got, most := maxInWindow(w.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
 			if got > most {
 				passed[name] = fmt.Sprintf("%d requests in a window, %d are allowed", got, most)
 			}
@@ -87,10 +87,10 @@
 	return passed
 }
 
-// askFor asks for a multiple of a limit at any instance until the time is up.
-func askFor(w *world, name string, limit org.Limit, times float64, seed uint64, ends time.Time) {
+// sendLoad asks for a multiple of a limit at any instance until the time is up.
+func sendLoad(w *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	pause := float64(time.Second) / (limit.PerSecond * times)
+	pause := float64(time.Second) / (limit.PerSecond * factor)
 	var work sync.WaitGroup
 	for time.Now().Before(ends) {
 		time.Sleep(time.Duration(pause * r.ExpFloat64()))
@@ -104,8 +104,8 @@
 	work.Wait()
 }
 
-// causeTrouble does one thing to the instances.
-func causeTrouble(w *world, r *rand.Rand, names []string) {
+// injectFault does one thing to the instances.
+func injectFault(w *cluster, r *rand.Rand, names []string) {
 	nodes := w.all()
 	if len(nodes) == 0 {
 		for _, m := range names {
--- a/internal/allowance/slot.go
+++ b/internal/allowance/slot.go
@@ -19,8 +19,8 @@
 	// voters is how many voters the slot has in this instance's view.
 	voters int
 	votes  map[structs.InstanceID]vote
-	// filled is up to when the sums below were taken.
-	filled time.Time
+	// advancedAt is up to when the sums below were taken.
+	advancedAt time.Time
 	// full and fresh sum up the parts of the votes over time, in seconds of the
 	// whole; moved the parts of the voters that changed to this instance.
 	full, fresh, moved float64
@@ -34,34 +34,34 @@
 // advance sums up what the votes allowed until now. Without any vote nothing of
 // what was saved up is left.
 func (s *slot) advance(now time.Time) {
-	part := 1 / float64(max(s.voters, 1))
+	fraction := 1 / float64(max(s.voters, 1))
 	for voter, v := range s.votes {
 		end := now
 		if v.until.Before(end) {
 			end = v.until
 			delete(s.votes, voter)
 		}
-		seconds := max(end.Sub(s.filled).Seconds(), 0)
+		seconds := max(end.Sub(s.advancedAt).Seconds(), 0)
 		if v.fresh {
-			s.fresh += part * seconds
+			s.fresh += fraction * seconds
 		} else {
-			s.full += part * seconds
+			s.full += fraction * seconds
 		}
 	}
-	s.filled = now
+	s.advancedAt = now
 	if len(s.votes) == 0 {
 		s.full, s.fresh, s.moved = 0, 0, 0
 		for _, b := range s.buckets {
-			b.empty()
+			b.clearSaved()
 		}
 	}
 }
 
 // addVote takes a vote that was asked for at a time. It counts until a vote's
 // lifetime after that, so that the voter is bound for longer.
-func (s *slot) addVote(voter structs.InstanceID, reply *structs.VoteReply, asked, now time.Time) {
+func (s *slot) addVote(voter structs.InstanceID, reply *structs.VoteReply, requestedAt, now time.Time) {
 	s.advance(now)
-	until := asked.Add(voteLife)
+	until := requestedAt.Add(voteTTL)
 	if !until.After(now) {
 		return
 	}
@@ -90,26 +90,26 @@
 	return min(sum/float64(max(s.voters, 1)), 1)
 }
 
-// serve answers an ask. Without votes this instance is not the coordinator.
-func (s *slot) serve(ask *structs.AllowanceAsk, t Tolerance, now time.Time) *structs.AllowanceReply {
+// allocate answers an ask. Without votes this instance is not the coordinator.
+func (s *slot) allocate(request *structs.AllowanceAsk, t Tolerance, now time.Time) *structs.AllowanceReply {
 	s.advance(now)
 	if len(s.votes) == 0 {
-		return &structs.AllowanceReply{Number: ask.Number, Outcome: structs.AllowanceNoShare}
+		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
 	}
-	b, known := s.buckets[ask.Organisation]
+	b, known := s.buckets[request.Organisation]
 	if !known {
 		// It has saved up as much as if it had been asked for from the start.
-		b = &bucket{needs: newNeeds()}
-		s.buckets[ask.Organisation] = b
+		b = &bucket{demand: newDemand()}
+		s.buckets[request.Organisation] = b
 	}
-	b.setLimit(ask, t)
-	b.fill(s)
+	b.setLimit(request, t)
+	b.refill(s)
 	if !known {
 		// What limits starts is no bound to be kept, so they need not begin empty.
 		b.starts = b.startsCap
 	}
-	reply := b.deal(ask, now)
-	reply.Number, reply.Outcome = ask.Number, structs.AllowanceDealt
+	reply := b.allocate(request, now)
+	reply.Number, reply.Outcome = request.Number, structs.AllowanceDealt
 	reply.Left, reply.Votes = b.level, len(s.votes)
 	return reply
 }
--- a/internal/allowance/steady_test.go
+++ b/internal/allowance/steady_test.go
@@ -12,14 +12,14 @@
 // limit for long: once what was saved up is used, it gets its rate.
 func TestSteadyOverloadGetsTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		for _, m := range machines(87) {
 			w.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 265, Burst: 265}
 		begun := time.Now()
-		playPrograms(w, "o", limit, usersProgram, 2*265.0/26, 15*time.Second, 1)
+		runPrograms(w, "o", limit, typicalProgram, 2*265.0/26, 15*time.Second, 1)
 		w.Stop()
 		late := 0
 		for _, at := range w.admitted["o"] {
--- a/internal/allowance/terms.go
+++ b/internal/allowance/terms.go
@@ -18,10 +18,10 @@
 }
 
 const (
-	// voteLife is how long a voter lends its part. After the silent loss of a
+	// voteTTL is how long a voter lends its part. After the silent loss of a
 	// coordinator its slot deals out nothing for that long, and longer if the
 	// loss is noticed later; it has to outlast a few tries to renew.
-	voteLife = time.Second
+	voteTTL = time.Second
 	// renewInterval is the time between two requests for a vote.
 	renewInterval = 250 * time.Millisecond
 	// maxVoters bounds the voters of a slot, and maxSlots the slots, so that
@@ -33,38 +33,38 @@
 )
 
 const (
-	// lateArrival is how much later than others a request may reach its target
+	// maxLateArrival is how much later than others a request may reach its target
 	// after it was dealt out: what is counted there is not what was counted here.
-	lateArrival = 150 * time.Millisecond
-	// rerunShare of the requests may run a second time, since their answers were
+	maxLateArrival = 150 * time.Millisecond
+	// rerunFraction of the requests may run a second time, since their answers were
 	// lost; they are counted afterwards only.
-	rerunShare = 0.02
+	rerunFraction = 0.02
 	// What is left of the tolerance pays for the votes of instances that have just
 	// started, for what a voter brings along when it moves, and the rest for bursts:
 	// agent programs send several calls at once, and the smallest organisations'
 	// limits are below what one program sends in its busiest second.
-	freshShare = 0.2
-	startShare = 0.2
+	freshFraction     = 0.2
+	carryOverFraction = 0.2
 )
 
-// terms are the figures of the invariant for one limit.
-type terms struct {
+// bounds are the figures of the invariant for one limit.
+type bounds struct {
 	// level bounds what coordinators save up, start what a voter brings along
 	// when it moves, all voters together; in requests.
-	level float64
-	start float64
-	// fresh is what the vote of an instance counts that has just started.
-	fresh float64
+	level     float64
+	carryOver float64
+	// freshWeight is what the vote of an instance counts that has just started.
+	freshWeight float64
 }
 
-// termsOf divides the tolerance of a limit.
-func termsOf(limit org.Limit, t Tolerance) terms {
+// boundsOf divides the tolerance of a limit.
+func boundsOf(limit org.Limit, t Tolerance) bounds {
 	rate := limit.PerSecond
 	perWindow := rate*t.Window.Seconds() + limit.Burst
-	spare := t.Over*perWindow + t.Slack - rate*lateArrival.Seconds() - rerunShare*perWindow
+	spare := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
 	spare = max(spare, 0)
-	fresh := min(freshShare*spare/(rate*voteLife.Seconds()), 1)
-	start := startShare * spare
-	level := max(spare-start-fresh*rate*voteLife.Seconds(), 0)
-	return terms{level: limit.Burst + level, start: start, fresh: fresh}
+	fresh := min(freshFraction*spare/(rate*voteTTL.Seconds()), 1)
+	start := carryOverFraction * spare
+	level := max(spare-start-fresh*rate*voteTTL.Seconds(), 0)
+	return bounds{level: limit.Burst + level, carryOver: start, freshWeight: fresh}
 }
--- a/internal/allowance/use_test.go
+++ b/internal/allowance/use_test.go
@@ -12,11 +12,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// TestPermitsTellTheUse replays an organisation at its usual load, 1/1.6 of its
+// TestPermitsReportUtilization replays an organisation at its usual load, 1/1.6 of its
 // limit, next to one at several times its usual.
-func TestPermitsTellTheUse(t *testing.T) {
+func TestPermitsReportUtilization(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		for _, m := range machines(30) {
 			w.start(m)
 		}
@@ -25,22 +25,22 @@
 		uses := make(map[string]float64)
 		for name, share := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
 			w.Work.Go(func() {
-				playPrograms(w, name, limit, usersProgram, limit.PerSecond*share/26, 14*time.Second, 1)
+				runPrograms(w, name, limit, typicalProgram, limit.PerSecond*share/26, 14*time.Second, 1)
 			})
 		}
 		time.Sleep(12 * time.Second)
 		permits := make(map[string]serve.Permit)
 		for _, name := range []string{"usual", "hot"} {
-			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
+			permit, err := w.all()[0].manager.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			permits[name], uses[name] = permit, permit.Use()
+			permits[name], uses[name] = permit, permit.Utilization()
 		}
 		// The load has ended, so no answer comes any more.
 		time.Sleep(30 * time.Second)
-		if stale := permits["hot"].Use(); stale != 0 {
-			t.Errorf("a use of %g is told for longer than %s", stale, useLife)
+		if stale := permits["hot"].Utilization(); stale != 0 {
+			t.Errorf("a use of %g is told for longer than %s", stale, usageTTL)
 		}
 		w.Stop()
 		if uses["hot"] < 0.85 || uses["usual"] > 0.8 || uses["usual"] == 0 {
@@ -49,11 +49,11 @@
 	})
 }
 
-// TestUnusedPermitsComeBack replays first turns that the engines have no room
+// TestReleasedPermitsCostNothing replays first turns that the engines have no room
 // for: they cost the organisation nothing.
-func TestUnusedPermitsComeBack(t *testing.T) {
+func TestReleasedPermitsCostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		for _, m := range machines(12) {
 			w.start(m)
 		}
@@ -61,13 +61,13 @@
 		limit := org.Limit{PerSecond: 10, Burst: 10}
 		before := w.left("o", limit)
 		for range 50 {
-			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.Entry{
+			permit, err := w.all()[0].manager.Admit(context.Background(), serve.Entry{
 				Organisation: "o", Limit: limit, Version: 1, First: true, Program: "p",
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			permit.GiveBack()
+			permit.Release()
 			time.Sleep(20 * time.Millisecond)
 		}
 		after := w.left("o", limit)
@@ -79,11 +79,11 @@
 }
 
 // left is what the coordinator of an organisation has left, after one request.
-func (w *world) left(name string, limit org.Limit) float64 {
+func (w *cluster) left(name string, limit org.Limit) float64 {
 	w.request(w.all()[0], name, limit, 1, false)
 	most := 0.0
 	for _, n := range w.all() {
-		for _, c := range n.keeper.Dump().Coordinated {
+		for _, c := range n.manager.Dump().Coordinated {
 			if c.Organisation == name {
 				most = max(most, c.Level)
 			}
@@ -92,8 +92,8 @@
 	return most
 }
 
-func TestUseIsAMovingRate(t *testing.T) {
-	var u use
+func TestUsageIsAMovingRate(t *testing.T) {
+	var u usage
 	now := time.Unix(0, 0)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
@@ -109,22 +109,22 @@
 
 // What was let in by one coordinator is given back to no other: that one would
 // deal out what its votes never allowed.
-func TestPermitsAreGivenBackToTheirCoordinatorAlone(t *testing.T) {
-	l := &line{organisation: "o", limit: org.Limit{PerSecond: 10}}
-	l.settle(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
-	if l.dealtBy != "a" {
-		t.Fatalf("dealt by %q", l.dealtBy)
+func TestPermitsAreReleasedToTheirCoordinatorOnly(t *testing.T) {
+	l := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
+	l.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
+	if l.allocatedBy != "a" {
+		t.Fatalf("dealt by %q", l.allocatedBy)
 	}
 	l.returned = 3
-	if got := l.askOf("a", 1, 0).Returned; got != 3 {
+	if got := l.requestTo("a", 1, 0).Returned; got != 3 {
 		t.Errorf("%d of 3 given back", got)
 	}
 	l.returned = 3
-	if got := l.askOf("b", 2, 0).Returned; got != 0 {
+	if got := l.requestTo("b", 2, 0).Returned; got != 0 {
 		t.Errorf("%d given back to another coordinator", got)
 	}
 	l.returned = 3
-	l.settle(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
+	l.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
 	if l.returned != 0 {
 		t.Error("kept for whoever coordinates next")
 	}
--- a/internal/allowance/voter.go
+++ b/internal/allowance/voter.go
@@ -6,50 +6,50 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// loan is to whom this instance lends its part of a slot.
-type loan struct {
-	to    structs.InstanceID
-	until time.Time
-	// moved is when it went to another coordinator last.
-	moved time.Time
+// lease is to whom this instance lends its part of a slot.
+type lease struct {
+	coordinator structs.InstanceID
+	until       time.Time
+	// movedAt is when it went to another coordinator last.
+	movedAt time.Time
 }
 
 // voter lends this instance's part of each slot to one coordinator at a time. It
 // does no I/O.
 type voter struct {
-	// born is when this instance started.
-	born   time.Time
-	window time.Duration
-	loans  []loan
+	// startedAt is when this instance started.
+	startedAt time.Time
+	window    time.Duration
+	leases    []lease
 }
 
 func newVoter(slots int, window time.Duration, now time.Time) *voter {
-	return &voter{born: now, window: window, loans: make([]loan, slots)}
+	return &voter{startedAt: now, window: window, leases: make([]lease, slots)}
 }
 
-// lend answers a coordinator's request. The function ended tells whether an
+// grant answers a coordinator's request. The function ended tells whether an
 // instance is known to have ended: it can no longer use what was lent to it.
-func (v *voter) lend(
+func (v *voter) grant(
 	slot int, to structs.InstanceID, ended func(structs.InstanceID) bool, now time.Time,
 ) structs.VoteReply {
-	l := &v.loans[slot]
-	if l.to != to && now.Before(l.until) && !ended(l.to) {
+	l := &v.leases[slot]
+	if l.coordinator != to && now.Before(l.until) && !ended(l.coordinator) {
 		return structs.VoteReply{}
 	}
-	reply := structs.VoteReply{Granted: true, Fresh: now.Sub(v.born) < voteLife}
-	if l.to != to {
-		reply.Moved = l.moved.IsZero() || now.Sub(l.moved) > v.window
-		l.to, l.moved = to, now
+	reply := structs.VoteReply{Granted: true, Fresh: now.Sub(v.startedAt) < voteTTL}
+	if l.coordinator != to {
+		reply.Moved = l.movedAt.IsZero() || now.Sub(l.movedAt) > v.window
+		l.coordinator, l.movedAt = to, now
 	}
-	l.until = now.Add(voteLife)
+	l.until = now.Add(voteTTL)
 	return reply
 }
 
 // release ends what was lent to an instance that deals out nothing any more.
 func (v *voter) release(to structs.InstanceID, now time.Time) {
-	for i := range v.loans {
-		if v.loans[i].to == to {
-			v.loans[i].until = now
+	for i := range v.leases {
+		if v.leases[i].coordinator == to {
+			v.leases[i].until = now
 		}
 	}
 }
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -12,7 +12,7 @@
 	if !k.active || k.leaving || !k.Listed() {
 		return
 	}
-	k.forgetRequests(now)
+	k.dropExpiredRequests(now)
 	for _, s := range k.slots {
 		key := k.Key(s.number)
 		if k.Directory.First(key) != k.self {
@@ -27,11 +27,11 @@
 	}
 }
 
-// forgetRequests drops requests whose votes would not count any more.
-func (k *Manager) forgetRequests(now time.Time) {
-	for number, sent := range k.requests {
-		if now.Sub(sent.at) > voteLife {
-			delete(k.requests, number)
+// dropExpiredRequests drops requests whose votes would not count any more.
+func (k *Manager) dropExpiredRequests(now time.Time) {
+	for number, sent := range k.voteRequests {
+		if now.Sub(sent.at) > voteTTL {
+			delete(k.voteRequests, number)
 		}
 	}
 }
@@ -40,38 +40,38 @@
 func (k *Manager) requestVote(s *slot, voter structs.InstanceID, now time.Time) {
 	switch {
 	case voter == k.self || k.Directory.Usable(voter):
-		delete(k.doubted, voter)
-	case now.Sub(k.doubted[voter]) < doubtedInterval:
+		delete(k.lastTried, voter)
+	case now.Sub(k.lastTried[voter]) < unresponsiveRetryInterval:
 		return
 	default:
-		k.doubted[voter] = now
+		k.lastTried[voter] = now
 	}
-	k.number++
-	request := &structs.VoteRequest{Number: k.number, Slot: s.number}
-	k.requests[request.Number] = sentRequest{slot: s.number, to: voter, at: now}
+	k.lastNumber++
+	request := &structs.VoteRequest{Number: k.lastNumber, Slot: s.number}
+	k.voteRequests[request.Number] = pendingVote{slot: s.number, to: voter, at: now}
 	if voter != k.self {
 		k.Peers.Send(voter, request)
 		return
 	}
-	if reply, ok := k.lend(request, k.self, now); ok {
-		k.takeVote(reply, now)
+	if reply, ok := k.grantVote(request, k.self, now); ok {
+		k.acceptVote(reply, now)
 	}
 }
 
-// lend answers a request for this instance's vote. The mutex is held.
-func (k *Manager) lend(m *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
+// grantVote answers a request for this instance's vote. The mutex is held.
+func (k *Manager) grantVote(m *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
 	if m.Slot < 0 || m.Slot >= len(k.slots) || !k.Listed() {
 		return nil, false
 	}
-	reply := k.voter.lend(m.Slot, to, k.Directory.Ended, now)
+	reply := k.voter.grant(m.Slot, to, k.Directory.Ended, now)
 	reply.Number = m.Number
 	return &reply, true
 }
 
-// takeVote takes the answer to a request for a vote. The mutex is held.
-func (k *Manager) takeVote(reply *structs.VoteReply, now time.Time) {
-	sent, ok := k.requests[reply.Number]
-	delete(k.requests, reply.Number)
+// acceptVote takes the answer to a request for a vote. The mutex is held.
+func (k *Manager) acceptVote(reply *structs.VoteReply, now time.Time) {
+	sent, ok := k.voteRequests[reply.Number]
+	delete(k.voteRequests, reply.Number)
 	if !ok || !reply.Granted || k.leaving {
 		return
 	}
--- a/internal/allowance/world_test.go
+++ b/internal/allowance/world_test.go
@@ -23,19 +23,19 @@
 // testSlots is few, so that each coordinates several organisations.
 const testSlots = 4
 
-// world is some instances with a network, in virtual time.
-type world struct {
+// cluster is some instances with a network, in virtual time.
+type cluster struct {
 	*simnet.Net
 	lives simnet.Lives[*node]
 	t     *testing.T
-	// sole has each coordinator get all votes at once, whoever else has them: what
+	// grantAll has each coordinator get all votes at once, whoever else has them: what
 	// one owner without votes would deal out.
-	sole bool
+	grantAll bool
 
 	mu sync.Mutex
-	// unused has every third request give its permit back.
-	unused bool
-	let    int
+	// releaseSome has every third request give its permit back.
+	releaseSome   bool
+	admittedCount int
 	// admitted is when requests of each organisation were let in.
 	admitted map[string][]time.Time
 	// outcomes counts how requests ended.
@@ -45,49 +45,49 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Manager
+	manager *Manager
 }
 
 // peers is the transport of a node.
 type peers struct {
 	*simnet.Node
-	world  *world
-	keeper *Manager
+	cluster *cluster
+	manager *Manager
 }
 
 // Send sends a message; a request for a vote is granted at once in a world whose
 // coordinators share nothing.
 func (p *peers) Send(to structs.InstanceID, msg structs.Message) {
-	if m, ok := msg.(*structs.VoteRequest); ok && p.world.sole {
+	if m, ok := msg.(*structs.VoteRequest); ok && p.cluster.grantAll {
 		p.Node.Post(structs.PeerMessage{From: to, Msg: &structs.VoteReply{Number: m.Number, Granted: true, Moved: true}})
 		return
 	}
 	p.Node.Send(to, msg)
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{
+func newCluster(t *testing.T) *cluster {
+	return &cluster{
 		Net: simnet.New(), t: t,
 		admitted: make(map[string][]time.Time),
 	}
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (w *world) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (w *cluster) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
 
 // run starts a life of an instance.
-func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	link := &peers{Node: sim, world: w}
-	n.keeper = New(Config{
+	link := &peers{Node: sim, cluster: w}
+	n.manager = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
 		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	link.keeper = n.keeper
-	n.keeper.SetActive(true)
+	link.manager = n.manager
+	n.manager.SetActive(true)
 	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.keeper.Run(ctx) })
+	w.Work.Go(func() { n.manager.Run(ctx) })
 	return n.receive
 }
 
@@ -103,28 +103,28 @@
 			n.Directory.SetLeaving(e.From)
 		}
 	}
-	n.keeper.Receive(event)
+	n.manager.Receive(event)
 }
 
 // all lists the instances that live.
-func (w *world) all() []*node { return w.lives.All(w.Net) }
+func (w *cluster) all() []*node { return w.lives.All(w.Net) }
 
 // request asks an instance to let one request in.
-func (w *world) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return w.enter(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
+func (w *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
+	return w.admit(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
-// enter asks an instance to let a request in.
-func (w *world) enter(n *node, entry serve.Entry) bool {
+// admit asks an instance to let a request in.
+func (w *cluster) admit(n *node, entry serve.Entry) bool {
 	name := entry.Organisation
-	permit, err := n.keeper.Admit(context.Background(), entry)
+	permit, err := n.manager.Admit(context.Background(), entry)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch err.(type) {
 	case nil:
-		w.let++
-		if w.unused && w.let%3 == 0 {
-			permit.GiveBack()
+		w.admittedCount++
+		if w.releaseSome && w.admittedCount%3 == 0 {
+			permit.Release()
 			return true
 		}
 		w.admitted[name] = append(w.admitted[name], time.Now())
@@ -138,10 +138,10 @@
 }
 
 // leaveSlowly shuts an instance down; it lets requests in for a while yet.
-func (w *world) leaveSlowly(n *node, d time.Duration) {
+func (w *cluster) leaveSlowly(n *node, d time.Duration) {
 	w.Work.Go(func() {
 		n.Directory.SetLeaving(n.ID)
-		n.keeper.Leave()
+		n.manager.Leave()
 		for _, p := range n.Directory.Others() {
 			n.Send(p.ID, new(structs.Leaving))
 		}
@@ -150,8 +150,8 @@
 	})
 }
 
-// most is the largest number of requests let in within a window.
-func most(times []time.Time, window time.Duration) int {
+// maxInWindow is the largest number of requests let in within a window.
+func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	highest, from := 0, 0
 	for i, at := range times {
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -11,9 +11,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lose is what the next owner makes of an account that it does not know, or
+// nextOwner is what the next owner makes of an account that it does not know, or
 // knows from its record.
-func lose(a *account) *account {
+func nextOwner(a *account) *account {
 	if a.recorded {
 		return restoreAccount(a.program, accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: a.crashes}, a.crashes+1, time.Minute, time.Time{})
 	}
@@ -45,7 +45,7 @@
 	if !runTurn(a, most, used) {
 		t.Fatal("no room for the first turn after a loss")
 	}
-	a = lose(a)
+	a = nextOwner(a)
 	if !runTurn(a, most, used) {
 		t.Errorf("no room for a turn after another loss: %+v", a)
 	}
@@ -68,7 +68,7 @@
 	total := 0
 	for _, step := range steps {
 		if step%5 == 0 {
-			a = lose(a)
+			a = nextOwner(a)
 			continue
 		}
 		used := step % (most + 1)
@@ -124,7 +124,7 @@
 
 // A program begins and goes on behind two losses in a row without any record, as
 // it has to while the store is away.
-func TestProgramRunsWithoutARecordBehindLosses(t *testing.T) {
+func TestProgramRunsWithoutARecordAfterCrashes(t *testing.T) {
 	const budget, most = 2304, 288
 	for losses := range 2 {
 		a := newAccount("p", budget, most, losses)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestLostLeaseIsGivenBackWhenItsHolderSettles(t *testing.T) {
+func TestChargedLeaseIsRefundedWhenItsHolderSettles(t *testing.T) {
 	a := newAccount("p", 1000, 100, 0)
 	id := structs.RoomLease{Holder: "x", Number: 7}
 	a.grant(&waiter{lease: id, maxTokens: 100})
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -12,13 +12,13 @@
 // own is what an instance keeps as the owner of a program's partition, nil if
 // it does not own it.
 func (n *node) own(program string) *ownership {
-	n.keeper.mu.Lock()
-	defer n.keeper.mu.Unlock()
-	return n.keeper.partitionOf(program).own
+	n.manager.mu.Lock()
+	defer n.manager.mu.Unlock()
+	return n.manager.partitionOf(program).own
 }
 
 // others lists all instances but one.
-func (w *world) others(n *node) []*node {
+func (w *cluster) others(n *node) []*node {
 	var others []*node
 	for _, other := range w.all() {
 		if other != n {
@@ -31,8 +31,8 @@
 // A successor whose answer is lost may have the partition: the old owner must
 // not go on.
 func TestHandoverWithoutAnAnswerIsNotTakenBack(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
 		owner := w.ownerOf("p")
@@ -40,7 +40,7 @@
 		for _, other := range others {
 			w.SetCut(other.ID, simnet.Mute)
 		}
-		owner.keeper.Leave(t.Context())
+		owner.manager.Leave(t.Context())
 		if owner.own("p") != nil {
 			t.Error("the old owner goes on although its successor may have the partition")
 		}
@@ -49,14 +49,14 @@
 
 // An instance that was handed a partition which another has claimed since has
 // accounts that are no longer exact.
-func TestHandedOverAccountsAreVoidBehindAnotherClaim(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+func TestHandedOverAccountsAreVoidAfterAnotherClaim(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
 		owner := w.ownerOf("p")
 		w.Store.Set(metastore.Fault{Reset: true})
-		owner.keeper.Leave(t.Context())
+		owner.manager.Leave(t.Context())
 		successor := w.ownerOf("p")
 		if successor == nil || successor == owner {
 			t.Fatal("nobody took the partition over")
@@ -85,13 +85,13 @@
 }
 
 func TestHandoverFromAnEarlierOwnerIsRefused(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
+	runInCluster(t, 2, func(t *testing.T, w *cluster) {
 		n := w.all()[0]
-		p := n.keeper.partitions[0]
-		n.keeper.mu.Lock()
+		p := n.manager.partitions[0]
+		n.manager.mu.Lock()
 		p.own, p.epoch = nil, 5
-		n.keeper.mu.Unlock()
-		if n.keeper.acceptHandover(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
+		n.manager.mu.Unlock()
+		if n.manager.acceptHandover(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
 			t.Error("a handover of an ownership that another claim has ended was taken")
 		}
 	})
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/keeper_test.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	testBudget = 900
-	testMost   = 290
+	testBudget  = 900
+	testMaxTurn = 290
 	// Budgets of the users' programs hold eight turns.
-	usersBudget = 2304
-	usersMost   = 288
+	typicalBudget  = 2304
+	typicalMaxTurn = 288
 )
 
-// inWorld runs a test with instances in virtual time.
-func inWorld(t *testing.T, machines int, body func(t *testing.T, w *world)) {
+// runInCluster runs a test with instances in virtual time.
+func runInCluster(t *testing.T, machines int, body func(t *testing.T, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		for i := range machines {
 			w.start(string(rune('a' + i)))
 		}
@@ -38,13 +38,13 @@
 }
 
 // spendAll runs turns at all instances in parallel until the budget is spent.
-func spendAll(t *testing.T, w *world, program string, used int) {
+func spendAll(t *testing.T, w *cluster, program string, used int) {
 	t.Helper()
 	var work sync.WaitGroup
 	for _, n := range w.all() {
 		work.Go(func() {
 			for {
-				err := w.turn(n, program, testBudget, testMost, used, 50*time.Millisecond)
+				err := w.turn(n, program, testBudget, testMaxTurn, used, 50*time.Millisecond)
 				if errors.Is(err, serve.ErrSpent) {
 					return
 				}
@@ -59,9 +59,9 @@
 }
 
 func TestTurnsInParallelStayWithinTheBudget(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		spendAll(t, w, "p", 70)
-		if got := w.delivered["p"]; got > testBudget || got < testBudget-testMost {
+		if got := w.delivered["p"]; got > testBudget || got < testBudget-testMaxTurn {
 			t.Errorf("delivered %d of %d tokens", got, testBudget)
 		}
 	})
@@ -70,7 +70,7 @@
 // A record written again while turns wait for it must not lower the limit that
 // a later owner counts.
 func TestBudgetHoldsAfterAllInstancesAreLost(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		spendAll(t, w, "p", 70)
 		for _, n := range w.all() {
 			w.Kill(n.Node)
@@ -80,29 +80,29 @@
 		}
 		time.Sleep(2 * claimInterval)
 		spendAll(t, w, "p", 70)
-		if got := w.delivered["p"]; got > testBudget+testMost {
-			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMost)
+		if got := w.delivered["p"]; got > testBudget+testMaxTurn {
+			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
 
 func TestOrdinaryProgramNeedsNoRecord(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
+	runInCluster(t, 2, func(t *testing.T, w *cluster) {
 		w.Store.Set(metastore.Fault{Silent: true})
 		for range 5 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMost, 40, time.Millisecond); err != nil {
+			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 40, time.Millisecond); err != nil {
 				t.Fatalf("turn while the store is away: %v", err)
 			}
 		}
 	})
 }
 
-func TestTurnBeyondTheUnrecordedPartIsRefusedWhileTheStoreIsAway(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
+func TestTurnOverTheUnrecordedLimitIsRefusedWhileTheStoreIsUnavailable(t *testing.T) {
+	runInCluster(t, 2, func(t *testing.T, w *cluster) {
 		w.Store.Set(metastore.Fault{Status: 503})
 		var err error
 		for range 4 {
-			if err = w.turn(w.all()[0], "p", testBudget, testMost, 200, time.Millisecond); err != nil {
+			if err = w.turn(w.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
 				break
 			}
 		}
@@ -113,7 +113,7 @@
 			t.Errorf("delivered %d tokens without a record, allowed are %d", got, unrecordedLimit(testBudget, 1))
 		}
 		w.Store.Set(metastore.Fault{})
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 100, time.Millisecond); err != nil {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 100, time.Millisecond); err != nil {
 			t.Errorf("turn after the store is back: %v", err)
 		}
 	})
@@ -122,15 +122,15 @@
 // The return of everybody: all instances are lost, and the store goes away once
 // they are back. New programs run, and go on over the loss of an owner.
 func TestProgramsBeginBehindALossWhileTheStoreIsAway(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "earlier", testBudget, testMost, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "earlier", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		w.loseAll()
+		w.restartAll()
 		time.Sleep(2 * claimInterval)
 		w.Store.Set(metastore.Fault{Status: 503})
 		for i := range 10 {
-			if err := w.turn(w.all()[i%3], fmt.Sprint("new", i), usersBudget, usersMost, 70, 0); err != nil {
+			if err := w.turn(w.all()[i%3], fmt.Sprint("new", i), typicalBudget, typicalMaxTurn, 70, 0); err != nil {
 				t.Errorf("program %d: %v", i, err)
 			}
 		}
@@ -139,20 +139,20 @@
 }
 
 func TestLossesAreForgottenOnceNoProgramOfBeforeIsLeft(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+	runInCluster(t, 2, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		w.loseAll()
+		w.restartAll()
 		time.Sleep(2 * claimInterval)
-		if err := w.turn(w.all()[0], "q", testBudget, testMost, 70, 0); err != nil {
+		if err := w.turn(w.all()[0], "q", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		if losses, _ := w.lossesOf("q"); losses != 1 {
+		if losses, _ := w.crashesOf("q"); losses != 1 {
 			t.Errorf("behind a loss: %d losses", losses)
 		}
 		time.Sleep(2*defaultRetention + 4*sweepInterval)
-		if losses, claimed := w.lossesOf("q"); losses != 0 || !claimed {
+		if losses, claimed := w.crashesOf("q"); losses != 0 || !claimed {
 			t.Errorf("later: %d losses, claimed %v", losses, claimed)
 		}
 	})
@@ -160,33 +160,33 @@
 
 // crashesBefore is what the owner of a program's partition knows of losses, and whether
 // its claim has landed.
-func (w *world) lossesOf(program string) (losses int, claimed bool) {
+func (w *cluster) crashesOf(program string) (losses int, claimed bool) {
 	n := w.ownerOf(program)
 	own := n.own(program)
-	n.keeper.mu.Lock()
-	defer n.keeper.mu.Unlock()
+	n.manager.mu.Lock()
+	defer n.manager.mu.Unlock()
 	return own.crashes, own.claimed
 }
 
 // A record of before slices counts for what its owner may have handed out, 0.6 of
 // a budget.
-func TestOwnersOfBeforeSlicesAreCharged(t *testing.T) {
+func TestClaimsWithoutACrashCountAreCharged(t *testing.T) {
 	held, err := decodePartition(platform.Newest{Records: []platform.Record{
 		{Key: ownerKey, Value: []byte(`{"epoch":3,"owner":"m~1","address":"m"}`)},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAccount("p", usersBudget, usersMost, held.owner.crashes()+1)
-	if a.used < usersBudget*6/10 {
-		t.Errorf("%d of %d charged", a.used, usersBudget)
+	a := newAccount("p", typicalBudget, typicalMaxTurn, held.owner.crashes()+1)
+	if a.used < typicalBudget*6/10 {
+		t.Errorf("%d of %d charged", a.used, typicalBudget)
 	}
 }
 
 func TestLeavingOwnerHandsExactFiguresOver(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		for range 7 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -194,27 +194,27 @@
 		w.Store.Set(metastore.Fault{Reset: true})
 		for range 2 {
 			owner := w.ownerOf("p")
-			owner.keeper.Leave(t.Context())
+			owner.manager.Leave(t.Context())
 			w.Kill(owner.Node)
 		}
 		w.Store.Set(metastore.Fault{})
 		time.Sleep(time.Second)
 		last := w.all()[0]
-		a := last.keeper.partitionOf("p").own.accounts["p"]
+		a := last.manager.partitionOf("p").own.accounts["p"]
 		if a == nil || a.used != 490 || a.crashes > 0 {
 			t.Errorf("account after two handovers: %+v, want 490 tokens used", a)
 		}
 	})
 }
 
-func TestDeadOwnerIsReplaced(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+func TestCrashedOwnerIsReplaced(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 		w.Kill(w.ownerOf("p").Node)
 		started := time.Now()
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatalf("turn after the owner's death: %v", err)
 		}
 		if waited := time.Since(started); waited > 200*time.Millisecond {
@@ -226,8 +226,8 @@
 // An owner that others took for dead goes on with what it has; all of it is
 // counted by the next owner.
 func TestCutOffOwnerCannotOverrunTheBudget(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 		old := w.ownerOf("p")
@@ -236,26 +236,26 @@
 		for _, n := range w.all() {
 			work.Go(func() {
 				for range 30 {
-					if err := w.turn(n, "p", testBudget, testMost, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
+					if err := w.turn(n, "p", testBudget, testMaxTurn, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
 						return
 					}
 				}
 			})
 		}
 		work.Wait()
-		if got := w.delivered["p"]; got > testBudget+testMost {
-			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMost)
+		if got := w.delivered["p"]; got > testBudget+testMaxTurn {
+			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
 
-func TestInstanceThatTheStoreRefusesLetsAnotherOwn(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+func TestInstanceRefusedByTheStoreLetsAnotherClaim(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		dead := w.ownerOf("p")
 		w.Kill(dead.Node)
 		w.all()[0].Refused.Store(true)
 		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -264,13 +264,13 @@
 
 // An owner that the store refuses hands its partitions to an instance that the
 // store serves, before a turn needs a record.
-func TestOwnerThatTheStoreRefusesHandsOver(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+func TestOwnerRefusedByTheStoreHandsOver(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		owner := w.ownerOf("p")
 		owner.Refused.Store(true)
 		time.Sleep(5 * evacuateInterval)
 		for range 8 {
-			if err := w.turn(owner, "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+			if err := w.turn(owner, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -281,8 +281,8 @@
 }
 
 // While the store is away for all, the owner keeps its partitions.
-func TestOwnerKeepsPartitionsWhileTheStoreIsAwayForAll(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+func TestOwnerKeepsPartitionsWhileTheStoreIsUnavailableForAll(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		owner := w.ownerOf("p")
 		for _, n := range w.all() {
 			n.Refused.Store(true)
@@ -297,14 +297,14 @@
 // While the store does not serve a partition without an owner, turns are
 // refused at once and the store is not asked for each of them.
 func TestPartitionThatTheStoreDoesNotServe(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		w.Kill(w.ownerOf("p").Node)
 		w.Store.Set(metastore.Fault{Reset: true})
 		before := w.Store.Calls()
 		begun := time.Now()
 		const turns = 20
 		for i := range turns {
-			err := w.turn(w.all()[i%2], "p", testBudget, testMost, 70, 0)
+			err := w.turn(w.all()[i%2], "p", testBudget, testMaxTurn, 70, 0)
 			if !errors.Is(err, serve.ErrStoreAway) && !errors.Is(err, serve.ErrNoOwner) {
 				t.Fatalf("got %v", err)
 			}
@@ -322,13 +322,13 @@
 // The store may fail to serve some partitions while it serves others: what
 // fails elsewhere does not keep an instance from claiming a partition.
 func TestPartitionIsClaimedWhileOtherTopicsFail(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		w.Kill(w.ownerOf("p").Node)
 		for _, n := range w.all() {
 			n.FeedsFail.Store(true)
 		}
 		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -336,12 +336,12 @@
 }
 
 func TestRecordIsWrittenWhileOtherTopicsFail(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		for _, n := range w.all() {
 			n.FeedsFail.Store(true)
 		}
 		for i := range 9 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, time.Millisecond); err != nil {
+			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatalf("turn %d: %v", i, err)
 			}
 		}
@@ -351,13 +351,13 @@
 // A turn that needs a record of a partition that was handed over in an outage
 // is refused at once: its new owner could not claim it yet.
 func TestRecordOfAPartitionThatCannotBeClaimed(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		w.Store.Set(metastore.Fault{Status: 503})
-		w.ownerOf("p").keeper.Leave(t.Context())
+		w.ownerOf("p").manager.Leave(t.Context())
 		var err error
 		begun := time.Now()
 		for range 6 {
-			if err = w.turn(w.all()[0], "p", testBudget, testMost, 200, time.Millisecond); err != nil {
+			if err = w.turn(w.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
 				break
 			}
 		}
@@ -372,11 +372,11 @@
 
 // What one instance learns of a target reaches the others through the owners of
 // their programs' budgets.
-func TestBrokenTargetsAreToldThroughOwners(t *testing.T) {
-	inWorld(t, 4, func(t *testing.T, w *world) {
+func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
+	runInCluster(t, 4, func(t *testing.T, w *cluster) {
 		runAll := func(n *node) {
 			for i := range 12 {
-				if err := w.turn(n, string(rune('a'+i)), testBudget, testMost, 10, 0); err != nil {
+				if err := w.turn(n, string(rune('a'+i)), testBudget, testMaxTurn, 10, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -384,7 +384,7 @@
 		first := w.all()[0]
 		runAll(first)
 		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
-		first.keeper.ReportTargetBreaks()
+		first.manager.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range w.all() {
 			runAll(n)
@@ -398,14 +398,14 @@
 // A claim may take effect without an answer to the instance that made it, and
 // another that reads the partition then names that instance as the owner.
 func TestInstanceThatOthersNameAsTheOwnerClaims(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		w.Store.Set(metastore.Fault{Status: 503})
 		w.Kill(w.ownerOf("p").Node)
 		time.Sleep(claimBackoff)
 		w.Store.Set(metastore.Fault{})
 		first := w.all()[0]
-		p := first.keeper.partitionOf("p")
-		named := w.lives.ByID(first.keeper.directory.Ranked(p.key())[1])
+		p := first.manager.partitionOf("p")
+		named := w.lives.ByID(first.manager.directory.Ranked(p.key())[1])
 		const epoch = 100
 		_, err := w.Store.Append(t.Context(), platform.Append{
 			Topic: topic, Partition: p.number,
@@ -416,12 +416,12 @@
 			t.Fatal(err)
 		}
 		// The one that is named takes another for the owner.
-		stale := first.keeper.directory.Ranked(p.key())[0]
-		named.keeper.receiveNotice(stale, &structs.OwnerNotice{
+		stale := first.manager.directory.Ranked(p.key())[0]
+		named.manager.receiveNotice(stale, &structs.OwnerNotice{
 			Owned: []structs.OwnedPartition{{Partition: p.number, Epoch: epoch - 1}},
 		})
 		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMost, 70, 0); err != nil {
+			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, 0); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -431,9 +431,9 @@
 // An instance that was paused finds its connections broken and takes all others
 // for dead when it wakes.
 func TestInstanceThatWakesDoesNotTakePartitions(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		for _, program := range []string{"p", "q", "r", "s"} {
-			if err := w.turn(w.all()[0], program, testBudget, testMost, 70, 0); err != nil {
+			if err := w.turn(w.all()[0], program, testBudget, testMaxTurn, 70, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -459,10 +459,10 @@
 // The owner remembers where a program's last turn ran and tells whoever runs the
 // next one, also after it has handed its accounts over.
 func TestOwnerRemembersTheTargetOfAProgram(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
 		reserve := func(n *node) serve.Lease {
-			lease, err := n.keeper.Reserve(t.Context(), serve.Turn{
-				Program: "p", Budget: testBudget, Most: testMost, Retention: time.Minute,
+			lease, err := n.manager.Reserve(t.Context(), serve.Turn{
+				Program: "p", Budget: testBudget, Most: testMaxTurn, Retention: time.Minute,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -470,16 +470,16 @@
 			return lease
 		}
 		first := reserve(w.all()[0])
-		if got := first.Target(); got != "" {
+		if got := first.LastTarget(); got != "" {
 			t.Errorf("a new program's target is %q", got)
 		}
 		first.Settle(serve.TurnEnd{Used: 10, Target: "engine1"})
 		owner := w.ownerOf("p")
-		owner.keeper.Leave(t.Context())
+		owner.manager.Leave(t.Context())
 		w.Kill(owner.Node)
 		for _, n := range w.all() {
 			lease := reserve(n)
-			if got := lease.Target(); got != "engine1" {
+			if got := lease.LastTarget(); got != "engine1" {
 				t.Errorf("%s is told %q", n.ID, got)
 			}
 			lease.Settle(serve.TurnEnd{}) // ran nowhere
@@ -489,12 +489,12 @@
 		reserve(n).Settle(serve.TurnEnd{Target: "engine2", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
-		if got := last.Target(); got != "engine1" {
+		if got := last.LastTarget(); got != "engine1" {
 			t.Errorf("after another one's failure: %q", got)
 		}
 		last.Settle(serve.TurnEnd{Target: "engine1", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
-		if got := reserve(n).Target(); got != "" {
+		if got := reserve(n).LastTarget(); got != "" {
 			t.Errorf("a target that failed the program is remembered: %q", got)
 		}
 	})
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -12,22 +12,22 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// sentTo is a Peers that notes to whom messages go.
-type sentTo struct {
+// recordingPeers is a Peers that notes to whom messages go.
+type recordingPeers struct {
 	sent       map[structs.InstanceID]int
 	broadcasts int
 }
 
-func (s *sentTo) Send(to structs.InstanceID, _ structs.Message) { s.sent[to]++ }
-func (s *sentTo) Broadcast(structs.Message)                     { s.broadcasts++ }
-func (s *sentTo) Probe(structs.InstanceID)                      {}
-func (s *sentTo) Watch([]structs.InstanceID)                    {}
+func (s *recordingPeers) Send(to structs.InstanceID, _ structs.Message) { s.sent[to]++ }
+func (s *recordingPeers) Broadcast(structs.Message)                     { s.broadcasts++ }
+func (s *recordingPeers) Probe(structs.InstanceID)                      {}
+func (s *recordingPeers) Watch([]structs.InstanceID)                    {}
 
 // An instance that leaves opens no connection to each other one: the number of those
 // that it tells does not follow the number of instances.
-func TestLeavingIsToldToFew(t *testing.T) {
+func TestLeavingIsAnnouncedToFew(t *testing.T) {
 	for _, instances := range []int{100, 1000} {
-		peers := &sentTo{sent: make(map[structs.InstanceID]int)}
+		peers := &recordingPeers{sent: make(map[structs.InstanceID]int)}
 		dir := directory.New(structs.Peer{ID: directory.InstanceID("self", "1")})
 		for i := range instances {
 			id := directory.InstanceID(fmt.Sprint("m", i), "1")
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -20,23 +20,23 @@
 
 func TestBudgetsHoldOverRandomFaults(t *testing.T) {
 	for _, seed := range regressions {
-		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 	for seed := range uint64(*schedules) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 }
 
 // scheduleTime is how long a schedule's faults go on.
 const scheduleTime = 8 * time.Second
 
-// playSchedule lets programs run without end at instances that are killed,
+// runSchedule lets programs run without end at instances that are killed,
 // paused, cut off and shut down, with a store that fails in all its ways, and
 // checks that no program gets more than its budget and the most of one turn.
-func playSchedule(t *testing.T, seed uint64) {
+func runSchedule(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t)
+		w := newCluster(t)
 		machines := []string{"a", "b", "c", "d"}
 		for _, m := range machines {
 			w.start(m)
@@ -61,14 +61,14 @@
 		begun := time.Now()
 		for time.Since(begun) < scheduleTime {
 			time.Sleep(time.Duration(r.IntN(700)) * time.Millisecond)
-			causeTrouble(w, r, machines)
+			injectFault(w, r, machines)
 		}
 		w.Store.Set(metastore.Fault{})
 		work.Wait()
 		w.Stop()
 		for program, budget := range budgets {
-			if got := w.delivered[program]; got > budget+testMost {
-				t.Errorf("program %s got %d tokens, its budget is %d and a turn's most %d", program, got, budget, testMost)
+			if got := w.delivered[program]; got > budget+testMaxTurn {
+				t.Errorf("program %s got %d tokens, its budget is %d and a turn's most %d", program, got, budget, testMaxTurn)
 			}
 		}
 	})
@@ -76,7 +76,7 @@
 
 // runProgram runs turns until the time is up. It goes on after its budget is
 // spent.
-func runProgram(w *world, program string, budget int, seed uint64, ends time.Time) {
+func runProgram(w *cluster, program string, budget int, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for time.Now().Before(ends) {
 		nodes := w.all()
@@ -85,8 +85,8 @@
 			continue
 		}
 		runs := time.Duration(20+r.IntN(200)) * time.Millisecond
-		used := testMost - 10*r.IntN(8)
-		err := w.turn(simnet.Any(r, nodes), program, budget, testMost, used, runs)
+		used := testMaxTurn - 10*r.IntN(8)
+		err := w.turn(simnet.Any(r, nodes), program, budget, testMaxTurn, used, runs)
 		if err != nil || r.IntN(3) == 0 {
 			time.Sleep(time.Duration(50+r.IntN(900)) * time.Millisecond)
 		}
@@ -95,16 +95,16 @@
 
 // leaveSlowly shuts an instance down; it answers turns for a while yet. Its
 // messages may be lost on the way.
-func leaveSlowly(w *world, n *node, d time.Duration) {
+func leaveSlowly(w *cluster, n *node, d time.Duration) {
 	w.Work.Go(func() {
-		n.keeper.Leave(n.keeper.ctx)
+		n.manager.Leave(n.manager.ctx)
 		time.Sleep(d)
 		w.Restart(n.Node)
 	})
 }
 
-// causeTrouble does one thing to the instances or the store.
-func causeTrouble(w *world, r *rand.Rand, machines []string) {
+// injectFault does one thing to the instances or the store.
+func injectFault(w *cluster, r *rand.Rand, machines []string) {
 	nodes := w.all()
 	if len(nodes) == 0 {
 		for _, m := range machines {
--- a/internal/budget/storm_test.go
+++ b/internal/budget/storm_test.go
@@ -11,7 +11,7 @@
 )
 
 // epochOf is the epoch of the newest claim of a partition.
-func (w *world) epochOf(t *testing.T, partition int) int64 {
+func (w *cluster) epochOf(t *testing.T, partition int) int64 {
 	t.Helper()
 	list, err := w.Store.Newest(context.Background(), topic, partition)
 	if err != nil {
@@ -35,7 +35,7 @@
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := rand.New(rand.NewPCG(1, 1))
-				w := newWorld(t)
+				w := newCluster(t)
 				w.ListDelay = func() time.Duration { return time.Duration(r.IntN(600)) * time.Millisecond }
 				for i := range instances {
 					w.start(fmt.Sprint("m", i))
@@ -52,7 +52,7 @@
 					time.Sleep(time.Second / time.Duration(instances))
 					n := w.start(fmt.Sprint("m", i))
 					program := fmt.Sprint("p", i)
-					w.Work.Go(func() { _ = w.turn(n, program, 1000, testMost, testMost, 100*time.Millisecond) })
+					w.Work.Go(func() { _ = w.turn(n, program, 1000, testMaxTurn, testMaxTurn, 100*time.Millisecond) })
 				}
 				time.Sleep(4 * time.Second)
 				claims := int64(0)
@@ -75,18 +75,18 @@
 func TestNothingIsClaimedBeforeTheInstancesAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var known atomic.Bool
-		w := newWorld(t)
+		w := newCluster(t)
 		w.listed = known.Load
 		n := w.start("m")
 		time.Sleep(listTimeout / 2)
-		if err := w.turn(n, "p", 1000, testMost, testMost, 0); err == nil {
+		if err := w.turn(n, "p", 1000, testMaxTurn, testMaxTurn, 0); err == nil {
 			t.Error("a turn was let in before the instances are known")
 		}
 		time.Sleep(3 * claimInterval)
 		if calls := w.Store.Calls(); calls != 0 {
 			t.Errorf("%d calls to the store without a request", calls)
 		}
-		if err := w.turn(n, "p", 1000, testMost, testMost, 0); err != nil {
+		if err := w.turn(n, "p", 1000, testMaxTurn, testMaxTurn, 0); err != nil {
 			t.Errorf("a turn while the list stays away: %v", err)
 		}
 		known.Store(true)
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -15,14 +15,14 @@
 const (
 	// manyInstances is a deployment of hundreds of machines.
 	manyInstances = 300
-	// mostWatchers is how many may watch the owner of one partition.
-	mostWatchers = 32
+	// maxWatchers is how many may watch the owner of one partition.
+	maxWatchers = 32
 )
 
-// inLargeWorld runs a test with hundreds of instances in virtual time.
-func inLargeWorld(t *testing.T, body func(t *testing.T, w *world)) {
+// runInLargeCluster runs a test with hundreds of instances in virtual time.
+func runInLargeCluster(t *testing.T, body func(t *testing.T, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		defer w.Stop()
 		for i := range manyInstances {
 			w.start(fmt.Sprint("m", i))
@@ -35,7 +35,7 @@
 // At hundreds of instances a few watch each owner, among them the one that would
 // claim its partition, so that heartbeats do not grow with instances times owners.
 func TestFewInstancesWatchEachOwner(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
+	runInLargeCluster(t, func(t *testing.T, w *cluster) {
 		watchers := make(map[structs.InstanceID]int)
 		for _, n := range w.all() {
 			for _, owner := range n.Watched() {
@@ -48,7 +48,7 @@
 			owners[owner]++
 		}
 		for owner, partitions := range owners {
-			if n := watchers[owner]; n > partitions*mostWatchers {
+			if n := watchers[owner]; n > partitions*maxWatchers {
 				t.Errorf("%d instances watch the owner of %d partitions", n, partitions)
 			}
 		}
@@ -57,10 +57,10 @@
 
 // checkClaimant checks that the instance which would claim a partition watches its
 // owner, and returns the owner.
-func (w *world) checkClaimant(t *testing.T, number int) structs.InstanceID {
+func (w *cluster) checkClaimant(t *testing.T, number int) structs.InstanceID {
 	t.Helper()
 	nodes := w.all()
-	k := nodes[0].keeper
+	k := nodes[0].manager
 	k.mu.Lock()
 	p := k.partitions[number]
 	owner, key := p.owner, p.key()
@@ -82,8 +82,8 @@
 // A request that waits for a silent owner ends when another instance tells that it
 // has claimed the partition.
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		k := w.all()[0].keeper
+	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+		k := w.all()[0].manager
 		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan result {
 			answers := make(chan result, 1)
 			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: k.self.ID, Number: lease}}
@@ -114,11 +114,11 @@
 // An owner that did not answer once is watched until it does: silence that nobody
 // asks about again would last for good.
 func TestOwnerThatDidNotAnswerIsWatched(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
+	runInLargeCluster(t, func(t *testing.T, w *cluster) {
 		var distant *node
 		var owner structs.InstanceID
 		for _, n := range w.all() {
-			k := n.keeper
+			k := n.manager
 			k.mu.Lock()
 			owner = k.partitions[0].owner
 			k.mu.Unlock()
@@ -130,11 +130,11 @@
 		if distant == nil {
 			t.Fatal("all instances watch the owner")
 		}
-		distant.keeper.Receive(structs.PeerDown{Peer: owner})
+		distant.manager.Receive(structs.PeerDown{Peer: owner})
 		if !slices.Contains(distant.Watched(), owner) {
 			t.Error("nobody will notice that the owner answers again")
 		}
-		distant.keeper.Receive(structs.PeerUp{Peer: owner})
+		distant.manager.Receive(structs.PeerUp{Peer: owner})
 		if slices.Contains(distant.Watched(), owner) {
 			t.Error("an owner that answers is still watched by an instance that would not claim")
 		}
@@ -145,7 +145,7 @@
 // than it takes to notice and to claim, and later ones at instances that never asked
 // it wait no time.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
+	runInLargeCluster(t, func(t *testing.T, w *cluster) {
 		const program, budget, most = "p", 100_000, 100
 		longest := func(nodes []*node) time.Duration {
 			var work sync.WaitGroup
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -18,8 +18,8 @@
 // testPartitions is few, so that partitions change owners often.
 const testPartitions = 3
 
-// world is some instances with a store and a network, in virtual time.
-type world struct {
+// cluster is some instances with a store and a network, in virtual time.
+type cluster struct {
 	*simnet.Net
 	lives simnet.Lives[*node]
 	t     *testing.T
@@ -34,8 +34,8 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Manager
-	breaks breakList
+	manager *Manager
+	breaks  breakList
 }
 
 // breakList is a Breaks that lists targets by their names alone.
@@ -71,30 +71,30 @@
 	}
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{
+func newCluster(t *testing.T) *cluster {
+	return &cluster{
 		Net: simnet.New(), t: t,
 		delivered: make(map[string]int),
 	}
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (w *world) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (w *cluster) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
 
 // run starts a life of an instance.
-func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Config{
+	n.manager = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
 		Health: sim, Listed: w.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.keeper.Run(ctx) })
-	return n.keeper.Receive
+	w.Work.Go(func() { n.manager.Run(ctx) })
+	return n.manager.Receive
 }
 
-// loseAll kills all instances at the same time and starts them again.
-func (w *world) loseAll() {
+// restartAll kills all instances at the same time and starts them again.
+func (w *cluster) restartAll() {
 	nodes := w.all()
 	for _, n := range nodes {
 		w.Kill(n.Node)
@@ -105,14 +105,14 @@
 }
 
 // all lists the instances that live.
-func (w *world) all() []*node { return w.lives.All(w.Net) }
+func (w *cluster) all() []*node { return w.lives.All(w.Net) }
 
 // turn runs a turn of a program at an instance: it takes room, and its caller
 // receives some tokens.
-func (w *world) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
+func (w *cluster) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	lease, err := n.keeper.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
+	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -125,9 +125,9 @@
 }
 
 // ownerOf is the instance that owns a program's partition, nil if none does.
-func (w *world) ownerOf(program string) *node {
+func (w *cluster) ownerOf(program string) *node {
 	for _, n := range w.all() {
-		k := n.keeper
+		k := n.manager
 		k.mu.Lock()
 		own := k.partitionOf(program).own
 		k.mu.Unlock()
--- a/internal/org/org_test.go
+++ b/internal/org/org_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestSetsThatCannotBeUsed(t *testing.T) {
+func TestInvalidSetsAreRejected(t *testing.T) {
 	limited := func(rate, burst float64) *Organisation {
 		return &Organisation{Name: "a", Limit: Limit{rate, burst}}
 	}
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -36,7 +36,7 @@
 
 // begins tells whether a turn with room in its budget is its program's first.
 func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.KeepsTurns || lease.First())
+	return x.mayBegin() && (x.route.KeepsTurns || lease.FirstTurn())
 }
 
 // hasRoom asks for room before anything is asked of others. First turns ask
@@ -53,7 +53,7 @@
 		return true
 	}
 	if x.permit != nil {
-		x.permit.GiveBack()
+		x.permit.Release()
 	}
 	return false
 }
@@ -106,7 +106,7 @@
 	if x.permit == nil {
 		return 0
 	}
-	return x.permit.Use()
+	return x.permit.Utilization()
 }
 
 // comeBack is when the caller should come back after no target took the request.
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -130,9 +130,9 @@
 }
 
 func (n *nearLimit) Admit(context.Context, Entry) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                       {}
-func (n *nearLimit) Use() float64                                 { return n.use }
-func (n *nearLimit) GiveBack()                                    { n.back++ }
+func (n *nearLimit) CountRerun()                                  {}
+func (n *nearLimit) Utilization() float64                         { return n.use }
+func (n *nearLimit) Release()                                     { n.back++ }
 
 func TestAnOrganisationsUseCountsAndItsPermitIsGivenBack(t *testing.T) {
 	w, _ := withLimit(t)
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -264,9 +264,9 @@
 
 type countedPermit struct{ a *allowances }
 
-func (p countedPermit) Again()       { p.a.again++ }
-func (p countedPermit) Use() float64 { return 0 }
-func (p countedPermit) GiveBack()    { p.a.back++ }
+func (p countedPermit) CountRerun()          { p.a.again++ }
+func (p countedPermit) Utilization() float64 { return 0 }
+func (p countedPermit) Release()             { p.a.back++ }
 
 // withLimit makes a world with one organisation that has a limit.
 func withLimit(t *testing.T) (*world, *allowances) {
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -112,7 +112,7 @@
 // whether another send may follow.
 func (x *transfer) send(target *targets.Target) bool {
 	if x.mayHaveRun && x.permit != nil {
-		x.permit.Again()
+		x.permit.CountRerun()
 	}
 	x.sends++
 	x.lastTarget = target.ID
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -36,11 +36,11 @@
 
 // Lease is room in a program's budget.
 type Lease interface {
-	// Target ran the program's last turn and may have its prompt; empty if that
+	// LastTarget ran the program's last turn and may have its prompt; empty if that
 	// is not known.
-	Target() string
-	// First tells that no turn of the program has run yet, as far as is known.
-	First() bool
+	LastTarget() string
+	// FirstTurn tells that no turn of the program has run yet, as far as is known.
+	FirstTurn() bool
 	// Settle gives back what was not used and tells how the turn ended. It does
 	// not block.
 	Settle(end TurnEnd)
@@ -80,14 +80,14 @@
 
 // Permit is a request that was let in.
 type Permit interface {
-	// Again tells that it runs once more.
-	Again()
-	// Use is what its organisation uses against its limit: 1 is at the limit, 0 is
+	// CountRerun tells that it runs once more.
+	CountRerun()
+	// Utilization is what its organisation uses against its limit: 1 is at the limit, 0 is
 	// unknown.
-	Use() float64
-	// GiveBack tells that it does not run. It has to be called before the request
+	Utilization() float64
+	// Release tells that it does not run. It has to be called before the request
 	// is sent, once at most, and does not block.
-	GiveBack()
+	Release()
 }
 
 // Allowances keep organisations within their limits.
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -54,9 +54,9 @@
 
 type budgetLease struct{ b *budgets }
 
-func (l budgetLease) Target() string { return l.b.target }
+func (l budgetLease) LastTarget() string { return l.b.target }
 
-func (l budgetLease) First() bool { return l.b.target == "" }
+func (l budgetLease) FirstTurn() bool { return l.b.target == "" }
 
 func (l budgetLease) Settle(end TurnEnd) {
 	l.b.mu.Lock()
