--- a/internal/allowance/world_test.go
+++ b/internal/allowance/cluster_test.go
@@ -73,12 +73,12 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (w *cluster) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
 
 // run starts a life of an instance.
-func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	link := &peers{Node: sim, cluster: w}
+	link := &peers{Node: sim, cluster: c}
 	n.manager = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
 		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
@@ -86,8 +86,8 @@
 	})
 	link.manager = n.manager
 	n.manager.SetActive(true)
-	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.manager.Run(ctx) })
+	c.lives.Put(sim, n)
+	c.Work.Go(func() { n.manager.Run(ctx) })
 	return n.receive
 }
 
@@ -107,46 +107,46 @@
 }
 
 // all lists the instances that live.
-func (w *cluster) all() []*node { return w.lives.All(w.Net) }
+func (c *cluster) all() []*node { return c.lives.All(c.Net) }
 
 // request asks an instance to let one request in.
-func (w *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return w.admit(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
+func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
+	return c.admit(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
 // admit asks an instance to let a request in.
-func (w *cluster) admit(n *node, entry serve.Entry) bool {
+func (c *cluster) admit(n *node, entry serve.Entry) bool {
 	name := entry.Organisation
 	permit, err := n.manager.Admit(context.Background(), entry)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch err.(type) {
 	case nil:
-		w.admittedCount++
-		if w.releaseSome && w.admittedCount%3 == 0 {
+		c.admittedCount++
+		if c.releaseSome && c.admittedCount%3 == 0 {
 			permit.Release()
 			return true
 		}
-		w.admitted[name] = append(w.admitted[name], time.Now())
+		c.admitted[name] = append(c.admitted[name], time.Now())
 		return true
 	case *serve.OverLimitError:
-		w.refused++
+		c.refused++
 	default:
-		w.unknown++
+		c.unknown++
 	}
 	return false
 }
 
 // leaveSlowly shuts an instance down; it lets requests in for a while yet.
-func (w *cluster) leaveSlowly(n *node, d time.Duration) {
-	w.Work.Go(func() {
+func (c *cluster) leaveSlowly(n *node, d time.Duration) {
+	c.Work.Go(func() {
 		n.Directory.SetLeaving(n.ID)
 		n.manager.Leave()
 		for _, p := range n.Directory.Others() {
 			n.Send(p.ID, new(structs.Leaving))
 		}
 		time.Sleep(d)
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	})
 }
 
--- a/internal/allowance/keeper.go
+++ b/internal/allowance/manager.go
@@ -358,21 +358,21 @@
 	}
 }
 
-func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message, now time.Time) {
-	switch m := msg.(type) {
+func (k *Manager) receiveMessage(from structs.InstanceID, message structs.Message, now time.Time) {
+	switch msg := message.(type) {
 	case *structs.AllowanceAsk:
-		k.Peers.Send(from, k.handleRequest(m, now))
+		k.Peers.Send(from, k.handleRequest(msg, now))
 	case *structs.AllowanceReply:
-		if k.pending[m.Number].to == from {
-			k.handleReply(m, now)
+		if k.pending[msg.Number].to == from {
+			k.handleReply(msg, now)
 		}
 	case *structs.VoteRequest:
-		if reply, ok := k.grantVote(m, from, now); ok {
+		if reply, ok := k.grantVote(msg, from, now); ok {
 			k.Peers.Send(from, reply)
 		}
 	case *structs.VoteReply:
-		if k.voteRequests[m.Number].to == from {
-			k.acceptVote(m, now)
+		if k.voteRequests[msg.Number].to == from {
+			k.acceptVote(msg, now)
 		}
 	case *structs.Leaving:
 		k.voter.release(from, now)
--- a/internal/allowance/keeper_test.go
+++ b/internal/allowance/manager_test.go
@@ -25,19 +25,19 @@
 
 // runPrograms begins programs of an organisation at a rate for a time, each at
 // one instance, and returns how many began and how many got all their requests.
-func runPrograms(w *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
+func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	for ends := time.Now().Add(lasts); time.Now().Before(ends); {
 		time.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
-		n := simnet.Any(r, w.all())
+		n := simnet.Any(r, c.all())
 		begun++
 		id := fmt.Sprint("program", begun)
 		work.Go(func() {
 			for i := range p.requests {
 				entry := serve.Entry{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
-				if !w.admit(n, entry) {
+				if !c.admit(n, entry) {
 					return
 				}
 				if i%3 == 0 {
@@ -67,23 +67,23 @@
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newCluster(t)
+				c := newCluster(t)
 				for _, m := range machines(87) {
-					w.start(m)
+					c.start(m)
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := runPrograms(w, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
-				w.Stop()
+				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
+				c.Stop()
 				// A few programs that begin together pass a small limit.
 				owed := min(begun, programCapacity(limit, lasts))
-				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, w.refused, w.unknown)
+				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, c.refused, c.unknown)
 				if whole < owed*95/100 {
 					t.Errorf("%d of %d programs got all their requests, the limit carries %d", whole, begun, owed)
 				}
-				if w.unknown > 0 {
-					t.Errorf("%d requests got no word", w.unknown)
+				if c.unknown > 0 {
+					t.Errorf("%d requests got no word", c.unknown)
 				}
 			})
 		})
@@ -96,21 +96,21 @@
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newCluster(t)
+				c := newCluster(t)
 				for _, m := range machines(87) {
-					w.start(m)
+					c.start(m)
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := runPrograms(w, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
-				w.Stop()
+				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
+				c.Stop()
 				carried := programCapacity(limit, lasts)
-				t.Logf("%d programs begun, %d whole, the limit carries %d; %d requests", begun, whole, carried, len(w.admitted["o"]))
+				t.Logf("%d programs begun, %d whole, the limit carries %d; %d requests", begun, whole, carried, len(c.admitted["o"]))
 				if whole < carried*9/10 {
 					t.Errorf("%d programs got all their requests, the limit carries %d", whole, carried)
 				}
-				if got, most := maxInWindow(w.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
+				if got, most := maxInWindow(c.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
 					t.Errorf("%d requests in a window, %d are allowed", got, most)
 				}
 			})
@@ -122,38 +122,38 @@
 // but one, which all others still list.
 func TestCoordinatorThatIsGoneForGoodIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
+		c := newCluster(t)
 		for _, m := range machines(30) {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 20, Burst: 20}
-		some := w.all()[0]
+		some := c.all()[0]
 		ranked := some.Directory.Ranked(some.manager.Key(some.manager.slotOf("o")))
 		gone, next := ranked[0], directory.MachineOf(ranked[1])
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			if n.ID == gone {
-				w.PowerOff(n.Node)
+				c.PowerOff(n.Node)
 				continue
 			}
-			w.Kill(n.Node)
+			c.Kill(n.Node)
 		}
 		for _, m := range machines(30) {
 			if m == directory.MachineOf(gone) {
 				continue
 			}
-			w.start(m).Directory.Put(structs.Peer{ID: gone, Address: directory.MachineOf(gone)})
+			c.start(m).Directory.Put(structs.Peer{ID: gone, Address: directory.MachineOf(gone)})
 		}
 		// The one that comes next has no callers of its own.
-		asking := slices.DeleteFunc(w.all(), func(n *node) bool { return n.Machine() == next })
+		asking := slices.DeleteFunc(c.all(), func(n *node) bool { return n.Machine() == next })
 		admitted := 0
 		for i := range 30 {
 			time.Sleep(100 * time.Millisecond)
-			if w.request(asking[i%len(asking)], "o", limit, 1, false) {
+			if c.request(asking[i%len(asking)], "o", limit, 1, false) {
 				admitted++
 			}
 		}
-		w.Stop()
+		c.Stop()
 		if admitted < 15 {
 			t.Errorf("%d of 30 requests in 3 s were let in", admitted)
 		}
--- a/internal/allowance/line.go
+++ b/internal/allowance/queue.go
@@ -64,7 +64,7 @@
 
 // newRequest makes the next ask, with what waits now.
 func (l *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
-	m := &structs.AllowanceAsk{
+	request := &structs.AllowanceAsk{
 		Number: number, Slot: slot, Organisation: l.organisation,
 		PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Version: l.version, Debt: l.reruns,
 		Returned: l.returned, ReturnedStarts: l.returnedStarts,
@@ -72,21 +72,21 @@
 	l.reruns, l.returned, l.returnedStarts = 0, 0, 0
 	l.pendingNumber, l.pendingWaiters = number, slices.Clone(l.waiting)
 	for _, w := range l.pendingWaiters {
-		w.addTo(m)
+		w.addTo(request)
 	}
-	return m
+	return request
 }
 
 // addTo names a waiter in an ask.
-func (w *waiter) addTo(m *structs.AllowanceAsk) {
+func (w *waiter) addTo(request *structs.AllowanceAsk) {
 	if w.first {
-		m.Starts[w.rank]++
-		m.Begins[w.rank] = append(m.Begins[w.rank], w.program)
+		request.Starts[w.rank]++
+		request.Begins[w.rank] = append(request.Begins[w.rank], w.program)
 		return
 	}
-	m.Want++
+	request.Want++
 	if w.program != 0 && !w.reported {
-		m.Calls = append(m.Calls, w.program)
+		request.Calls = append(request.Calls, w.program)
 		w.reported = true
 	}
 }
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -56,29 +56,29 @@
 	passed := make(map[string]string)
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newCluster(t)
-		w.grantAll, w.releaseSome = grantAll, seed%2 == 1
-		w.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
+		c := newCluster(t)
+		c.grantAll, c.releaseSome = grantAll, seed%2 == 1
+		c.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
 		names := machines(instances)
 		for _, m := range names {
-			w.start(m)
+			c.start(m)
 		}
 		ends := time.Now().Add(scheduleTime)
 		var work sync.WaitGroup
 		for name, limit := range testLimits {
 			for line := range 8 {
 				lineSeed := seed*1000 + uint64(line)
-				work.Go(func() { sendLoad(w, name, limit, 4.0/8, lineSeed, ends) })
+				work.Go(func() { sendLoad(c, name, limit, 4.0/8, lineSeed, ends) })
 			}
 		}
 		for time.Now().Before(ends) {
 			time.Sleep(time.Duration(r.IntN(1200)) * time.Millisecond)
-			injectFault(w, r, names)
+			injectFault(c, r, names)
 		}
 		work.Wait()
-		w.Stop()
+		c.Stop()
 		for name, limit := range testLimits {
-			got, most := maxInWindow(w.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
+			got, most := maxInWindow(c.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
 			if got > most {
 				passed[name] = fmt.Sprintf("%d requests in a window, %d are allowed", got, most)
 			}
@@ -88,51 +88,51 @@
 }
 
 // sendLoad asks for a multiple of a limit at any instance until the time is up.
-func sendLoad(w *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
+func sendLoad(c *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	pause := float64(time.Second) / (limit.PerSecond * factor)
 	var work sync.WaitGroup
 	for time.Now().Before(ends) {
 		time.Sleep(time.Duration(pause * r.ExpFloat64()))
-		nodes := w.all()
+		nodes := c.all()
 		if len(nodes) == 0 {
 			continue
 		}
 		n, first := simnet.Any(r, nodes), r.IntN(10) == 0
-		work.Go(func() { w.request(n, name, limit, 1, first) })
+		work.Go(func() { c.request(n, name, limit, 1, first) })
 	}
 	work.Wait()
 }
 
 // injectFault does one thing to the instances.
-func injectFault(w *cluster, r *rand.Rand, names []string) {
-	nodes := w.all()
+func injectFault(c *cluster, r *rand.Rand, names []string) {
+	nodes := c.all()
 	if len(nodes) == 0 {
 		for _, m := range names {
-			w.start(m)
+			c.start(m)
 		}
 		return
 	}
 	n := simnet.Any(r, nodes)
 	switch r.IntN(11) {
 	case 0, 1:
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	case 2:
 		for _, n := range nodes {
-			w.Kill(n.Node)
+			c.Kill(n.Node)
 		}
 	case 3, 4:
-		w.leaveSlowly(n, time.Duration(r.IntN(1500))*time.Millisecond)
+		c.leaveSlowly(n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5, 6:
 		for _, n := range nodes[:r.IntN(len(nodes))] {
-			w.CutFor(n.Node, simnet.Both, time.Duration(r.IntN(4000))*time.Millisecond)
+			c.CutFor(n.Node, simnet.Both, time.Duration(r.IntN(4000))*time.Millisecond)
 		}
 	case 7:
-		w.CutFor(n.Node, simnet.Mute, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.CutFor(n.Node, simnet.Mute, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 9:
-		w.start(fmt.Sprint("new", r.IntN(6)))
+		c.start(fmt.Sprint("new", r.IntN(6)))
 	case 8:
-		w.PowerOff(n.Node)
-		w.start(n.Machine())
+		c.PowerOff(n.Node)
+		c.start(n.Machine())
 	}
 }
--- a/internal/allowance/steady_test.go
+++ b/internal/allowance/steady_test.go
@@ -12,17 +12,17 @@
 // limit for long: once what was saved up is used, it gets its rate.
 func TestSteadyOverloadGetsTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
+		c := newCluster(t)
 		for _, m := range machines(87) {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 265, Burst: 265}
 		begun := time.Now()
-		runPrograms(w, "o", limit, typicalProgram, 2*265.0/26, 15*time.Second, 1)
-		w.Stop()
+		runPrograms(c, "o", limit, typicalProgram, 2*265.0/26, 15*time.Second, 1)
+		c.Stop()
 		late := 0
-		for _, at := range w.admitted["o"] {
+		for _, at := range c.admitted["o"] {
 			if since := at.Sub(begun); since > 8*time.Second && since < 13*time.Second {
 				late++
 			}
--- a/internal/allowance/use_test.go
+++ b/internal/allowance/usage_test.go
@@ -16,22 +16,22 @@
 // limit, next to one at several times its usual.
 func TestPermitsReportUtilization(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
+		c := newCluster(t)
 		for _, m := range machines(30) {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 60, Burst: 60}
 		uses := make(map[string]float64)
 		for name, share := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
-			w.Work.Go(func() {
-				runPrograms(w, name, limit, typicalProgram, limit.PerSecond*share/26, 14*time.Second, 1)
+			c.Work.Go(func() {
+				runPrograms(c, name, limit, typicalProgram, limit.PerSecond*share/26, 14*time.Second, 1)
 			})
 		}
 		time.Sleep(12 * time.Second)
 		permits := make(map[string]serve.Permit)
 		for _, name := range []string{"usual", "hot"} {
-			permit, err := w.all()[0].manager.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
+			permit, err := c.all()[0].manager.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
 			if err != nil {
 				t.Fatal(name, err)
 			}
@@ -42,7 +42,7 @@
 		if stale := permits["hot"].Utilization(); stale != 0 {
 			t.Errorf("a use of %g is told for longer than %s", stale, usageTTL)
 		}
-		w.Stop()
+		c.Stop()
 		if uses["hot"] < 0.85 || uses["usual"] > 0.8 || uses["usual"] == 0 {
 			t.Errorf("use against the limit: %v", uses)
 		}
@@ -53,15 +53,15 @@
 // for: they cost the organisation nothing.
 func TestReleasedPermitsCostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
+		c := newCluster(t)
 		for _, m := range machines(12) {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 10, Burst: 10}
-		before := w.left("o", limit)
+		before := c.left("o", limit)
 		for range 50 {
-			permit, err := w.all()[0].manager.Admit(context.Background(), serve.Entry{
+			permit, err := c.all()[0].manager.Admit(context.Background(), serve.Entry{
 				Organisation: "o", Limit: limit, Version: 1, First: true, Program: "p",
 			})
 			if err != nil {
@@ -70,8 +70,8 @@
 			permit.Release()
 			time.Sleep(20 * time.Millisecond)
 		}
-		after := w.left("o", limit)
-		w.Stop()
+		after := c.left("o", limit)
+		c.Stop()
 		if math.Abs(after-before) > 1 {
 			t.Errorf("%.1f requests are left, %.1f were before", after, before)
 		}
@@ -79,10 +79,10 @@
 }
 
 // left is what the coordinator of an organisation has left, after one request.
-func (w *cluster) left(name string, limit org.Limit) float64 {
-	w.request(w.all()[0], name, limit, 1, false)
+func (c *cluster) left(name string, limit org.Limit) float64 {
+	c.request(c.all()[0], name, limit, 1, false)
 	most := 0.0
-	for _, n := range w.all() {
+	for _, n := range c.all() {
 		for _, c := range n.manager.Dump().Coordinated {
 			if c.Organisation == name {
 				most = max(most, c.Level)
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -59,12 +59,12 @@
 }
 
 // grantVote answers a request for this instance's vote. The mutex is held.
-func (k *Manager) grantVote(m *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
-	if m.Slot < 0 || m.Slot >= len(k.slots) || !k.Listed() {
+func (k *Manager) grantVote(msg *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
+	if msg.Slot < 0 || msg.Slot >= len(k.slots) || !k.Listed() {
 		return nil, false
 	}
-	reply := k.voter.grant(m.Slot, to, k.Directory.Ended, now)
-	reply.Number = m.Number
+	reply := k.voter.grant(msg.Slot, to, k.Directory.Ended, now)
+	reply.Number = msg.Number
 	return &reply, true
 }
 
--- a/internal/budget/world_test.go
+++ b/internal/budget/cluster_test.go
@@ -79,37 +79,37 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (w *cluster) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
 
 // run starts a life of an instance.
-func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
-		Health: sim, Listed: w.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
+		Health: sim, Listed: c.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.manager.Run(ctx) })
+	c.lives.Put(sim, n)
+	c.Work.Go(func() { n.manager.Run(ctx) })
 	return n.manager.Receive
 }
 
 // restartAll kills all instances at the same time and starts them again.
-func (w *cluster) restartAll() {
-	nodes := w.all()
+func (c *cluster) restartAll() {
+	nodes := c.all()
 	for _, n := range nodes {
-		w.Kill(n.Node)
+		c.Kill(n.Node)
 	}
 	for _, n := range nodes {
-		w.start(n.Machine())
+		c.start(n.Machine())
 	}
 }
 
 // all lists the instances that live.
-func (w *cluster) all() []*node { return w.lives.All(w.Net) }
+func (c *cluster) all() []*node { return c.lives.All(c.Net) }
 
 // turn runs a turn of a program at an instance: it takes room, and its caller
 // receives some tokens.
-func (w *cluster) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
+func (c *cluster) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
@@ -117,16 +117,16 @@
 		return err
 	}
 	time.Sleep(runs)
-	w.mu.Lock()
-	w.delivered[program] += used
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.delivered[program] += used
+	c.mu.Unlock()
 	lease.Settle(serve.TurnEnd{Used: used})
 	return nil
 }
 
 // ownerOf is the instance that owns a program's partition, nil if none does.
-func (w *cluster) ownerOf(program string) *node {
-	for _, n := range w.all() {
+func (c *cluster) ownerOf(program string) *node {
+	for _, n := range c.all() {
 		k := n.manager
 		k.mu.Lock()
 		own := k.partitionOf(program).own
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -183,26 +183,26 @@
 	}
 }
 
-func (k *Manager) receiveHandoverReply(m *structs.HandoverReply) {
+func (k *Manager) receiveHandoverReply(msg *structs.HandoverReply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if replies, ok := k.handovers[m.Number]; ok {
-		replies <- m.Accepted
-		delete(k.handovers, m.Number)
+	if replies, ok := k.handovers[msg.Number]; ok {
+		replies <- msg.Accepted
+		delete(k.handovers, msg.Number)
 	}
 }
 
 // receiveHandover takes a partition over, unless this instance leaves or knows
 // of a newer owner.
-func (k *Manager) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
-	if m.Offer {
+func (k *Manager) receiveHandover(from structs.InstanceID, msg *structs.PartitionHandover) {
+	if msg.Offer {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.spawn(func() { k.replyToOffer(from, m) })
+		k.spawn(func() { k.replyToOffer(from, msg) })
 		return
 	}
-	accepted := k.acceptHandover(from, m)
-	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: accepted})
+	accepted := k.acceptHandover(from, msg)
+	k.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: accepted})
 	if accepted {
 		// Who asks the former owner is sent on by it.
 		k.mu.Lock()
@@ -214,37 +214,37 @@
 
 // replyToOffer tells whether this instance would take a partition over: whether the
 // store serves it the partition. What others say of the store is no sign of that.
-func (k *Manager) replyToOffer(from structs.InstanceID, m *structs.PartitionHandover) {
-	willing := !k.leaving.Load() && k.health.OK() && m.Partition >= 0 && m.Partition < len(k.partitions)
+func (k *Manager) replyToOffer(from structs.InstanceID, msg *structs.PartitionHandover) {
+	willing := !k.leaving.Load() && k.health.OK() && msg.Partition >= 0 && msg.Partition < len(k.partitions)
 	if willing {
-		_, err := k.read(k.partitions[m.Partition])
+		_, err := k.read(k.partitions[msg.Partition])
 		willing = err == nil
 	}
-	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: willing})
+	k.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: willing})
 }
 
-func (k *Manager) acceptHandover(from structs.InstanceID, m *structs.PartitionHandover) bool {
+func (k *Manager) acceptHandover(from structs.InstanceID, msg *structs.PartitionHandover) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.leaving.Load() || m.Partition < 0 || m.Partition >= len(k.partitions) {
+	if k.leaving.Load() || msg.Partition < 0 || msg.Partition >= len(k.partitions) {
 		return false
 	}
-	p := k.partitions[m.Partition]
-	if p.own != nil || p.epoch > m.Epoch {
+	p := k.partitions[msg.Partition]
+	if p.own != nil || p.epoch > msg.Epoch {
 		return false
 	}
 	now := time.Now()
-	p.own = newOwnership(m.Epoch)
-	p.own.crashes = reportedCrashes(m.Losses, m.LostBy != "")
-	if m.LostBy != "" {
-		p.own.crash = &crash{owner: m.LostBy, at: now.Add(-m.LostFor)}
+	p.own = newOwnership(msg.Epoch)
+	p.own.crashes = reportedCrashes(msg.Losses, msg.LostBy != "")
+	if msg.LostBy != "" {
+		p.own.crash = &crash{owner: msg.LostBy, at: now.Add(-msg.LostFor)}
 	}
-	for _, a := range m.Accounts {
+	for _, a := range msg.Accounts {
 		p.own.accounts[a.Program] = importAccount(a, now)
 	}
-	k.setOwner(p, k.self.ID, m.Epoch)
-	k.log.Info("partition taken over", "partition", p.number, "epoch", m.Epoch, "from", from,
-		"accounts", len(m.Accounts))
+	k.setOwner(p, k.self.ID, msg.Epoch)
+	k.log.Info("partition taken over", "partition", p.number, "epoch", msg.Epoch, "from", from,
+		"accounts", len(msg.Accounts))
 	k.startClaim(p)
 	return true
 }
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -18,9 +18,9 @@
 }
 
 // others lists all instances but one.
-func (w *cluster) others(n *node) []*node {
+func (c *cluster) others(n *node) []*node {
 	var others []*node
-	for _, other := range w.all() {
+	for _, other := range c.all() {
 		if other != n {
 			others = append(others, other)
 		}
@@ -31,14 +31,14 @@
 // A successor whose answer is lost may have the partition: the old owner must
 // not go on.
 func TestHandoverWithoutAnAnswerIsNotTakenBack(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		owner := w.ownerOf("p")
-		others := w.others(owner)
+		owner := c.ownerOf("p")
+		others := c.others(owner)
 		for _, other := range others {
-			w.SetCut(other.ID, simnet.Mute)
+			c.SetCut(other.ID, simnet.Mute)
 		}
 		owner.manager.Leave(t.Context())
 		if owner.own("p") != nil {
@@ -50,28 +50,28 @@
 // An instance that was handed a partition which another has claimed since has
 // accounts that are no longer exact.
 func TestHandedOverAccountsAreVoidAfterAnotherClaim(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		owner := w.ownerOf("p")
-		w.Store.Set(metastore.Fault{Reset: true})
+		owner := c.ownerOf("p")
+		c.Store.Set(metastore.Fault{Reset: true})
 		owner.manager.Leave(t.Context())
-		successor := w.ownerOf("p")
+		successor := c.ownerOf("p")
 		if successor == nil || successor == owner {
 			t.Fatal("nobody took the partition over")
 		}
-		w.Kill(owner.Node)
-		third := w.others(successor)[0]
-		w.Store.Set(metastore.Fault{})
+		c.Kill(owner.Node)
+		third := c.others(successor)[0]
+		c.Store.Set(metastore.Fault{})
 		successor.Refused.Store(true)
-		w.SetCut(third.ID, simnet.Mute)
+		c.SetCut(third.ID, simnet.Mute)
 		third.Post(structs.PeerDown{Peer: successor.ID})
 		time.Sleep(time.Second)
 		if third.own("p") == nil {
 			t.Fatal("the third instance did not claim the partition")
 		}
-		w.Kill(third.Node)
+		c.Kill(third.Node)
 		successor.Refused.Store(false)
 		time.Sleep(2 * claimInterval)
 		own := successor.own("p")
@@ -85,13 +85,13 @@
 }
 
 func TestHandoverFromAnEarlierOwnerIsRefused(t *testing.T) {
-	runInCluster(t, 2, func(t *testing.T, w *cluster) {
-		n := w.all()[0]
+	runInCluster(t, 2, func(t *testing.T, c *cluster) {
+		n := c.all()[0]
 		p := n.manager.partitions[0]
 		n.manager.mu.Lock()
 		p.own, p.epoch = nil, 5
 		n.manager.mu.Unlock()
-		if n.manager.acceptHandover(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
+		if n.manager.acceptHandover(c.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
 			t.Error("a handover of an ownership that another claim has ended was taken")
 		}
 	})
--- a/internal/budget/keeper.go
+++ b/internal/budget/manager.go
@@ -195,26 +195,26 @@
 	}
 }
 
-func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
-	switch m := msg.(type) {
+func (k *Manager) receiveMessage(from structs.InstanceID, message structs.Message) {
+	switch msg := message.(type) {
 	case *structs.RoomRequest:
-		k.receiveRequest(from, *m)
+		k.receiveRequest(from, *msg)
 	case *structs.RoomReply:
-		k.receiveReply(from, m)
+		k.receiveReply(from, msg)
 	case *structs.RoomSettle:
-		k.receiveSettle(m)
+		k.receiveSettle(msg)
 	case *structs.OwnerNotice:
-		k.receiveNotice(from, m)
+		k.receiveNotice(from, msg)
 	case *structs.PartitionHandover:
-		k.receiveHandover(from, m)
+		k.receiveHandover(from, msg)
 	case *structs.HandoverReply:
-		k.receiveHandoverReply(m)
+		k.receiveHandoverReply(msg)
 	case *structs.TargetNotice:
-		k.breaks.Hear(m.Breaks, time.Now())
+		k.breaks.Hear(msg.Breaks, time.Now())
 	case *structs.Leaving:
 		k.directory.SetLeaving(from)
 	default:
-		k.log.Warn("message of an unexpected kind ignored", "peer", from, "kind", msg.Kind())
+		k.log.Warn("message of an unexpected kind ignored", "peer", from, "kind", message.Kind())
 	}
 }
 
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/manager_test.go
@@ -25,26 +25,26 @@
 )
 
 // runInCluster runs a test with instances in virtual time.
-func runInCluster(t *testing.T, machines int, body func(t *testing.T, w *cluster)) {
+func runInCluster(t *testing.T, machines int, body func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
+		c := newCluster(t)
 		for i := range machines {
-			w.start(string(rune('a' + i)))
+			c.start(string(rune('a' + i)))
 		}
-		defer w.Stop()
+		defer c.Stop()
 		time.Sleep(2 * claimInterval)
-		body(t, w)
+		body(t, c)
 	})
 }
 
 // spendAll runs turns at all instances in parallel until the budget is spent.
-func spendAll(t *testing.T, w *cluster, program string, used int) {
+func spendAll(t *testing.T, c *cluster, program string, used int) {
 	t.Helper()
 	var work sync.WaitGroup
-	for _, n := range w.all() {
+	for _, n := range c.all() {
 		work.Go(func() {
 			for {
-				err := w.turn(n, program, testBudget, testMaxTurn, used, 50*time.Millisecond)
+				err := c.turn(n, program, testBudget, testMaxTurn, used, 50*time.Millisecond)
 				if errors.Is(err, serve.ErrSpent) {
 					return
 				}
@@ -59,9 +59,9 @@
 }
 
 func TestTurnsInParallelStayWithinTheBudget(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		spendAll(t, w, "p", 70)
-		if got := w.delivered["p"]; got > testBudget || got < testBudget-testMaxTurn {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		spendAll(t, c, "p", 70)
+		if got := c.delivered["p"]; got > testBudget || got < testBudget-testMaxTurn {
 			t.Errorf("delivered %d of %d tokens", got, testBudget)
 		}
 	})
@@ -70,27 +70,27 @@
 // A record written again while turns wait for it must not lower the limit that
 // a later owner counts.
 func TestBudgetHoldsAfterAllInstancesAreLost(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		spendAll(t, w, "p", 70)
-		for _, n := range w.all() {
-			w.Kill(n.Node)
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		spendAll(t, c, "p", 70)
+		for _, n := range c.all() {
+			c.Kill(n.Node)
 		}
 		for _, machine := range []string{"a", "b", "c"} {
-			w.start(machine)
+			c.start(machine)
 		}
 		time.Sleep(2 * claimInterval)
-		spendAll(t, w, "p", 70)
-		if got := w.delivered["p"]; got > testBudget+testMaxTurn {
+		spendAll(t, c, "p", 70)
+		if got := c.delivered["p"]; got > testBudget+testMaxTurn {
 			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
 
 func TestOrdinaryProgramNeedsNoRecord(t *testing.T) {
-	runInCluster(t, 2, func(t *testing.T, w *cluster) {
-		w.Store.Set(metastore.Fault{Silent: true})
+	runInCluster(t, 2, func(t *testing.T, c *cluster) {
+		c.Store.Set(metastore.Fault{Silent: true})
 		for range 5 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 40, time.Millisecond); err != nil {
+			if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 40, time.Millisecond); err != nil {
 				t.Fatalf("turn while the store is away: %v", err)
 			}
 		}
@@ -98,22 +98,22 @@
 }
 
 func TestTurnOverTheUnrecordedLimitIsRefusedWhileTheStoreIsUnavailable(t *testing.T) {
-	runInCluster(t, 2, func(t *testing.T, w *cluster) {
-		w.Store.Set(metastore.Fault{Status: 503})
+	runInCluster(t, 2, func(t *testing.T, c *cluster) {
+		c.Store.Set(metastore.Fault{Status: 503})
 		var err error
 		for range 4 {
-			if err = w.turn(w.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
+			if err = c.turn(c.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
 				break
 			}
 		}
 		if !errors.Is(err, serve.ErrStoreAway) {
 			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
 		}
-		if got := w.delivered["p"]; got > unrecordedLimit(testBudget, 1) {
+		if got := c.delivered["p"]; got > unrecordedLimit(testBudget, 1) {
 			t.Errorf("delivered %d tokens without a record, allowed are %d", got, unrecordedLimit(testBudget, 1))
 		}
-		w.Store.Set(metastore.Fault{})
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 100, time.Millisecond); err != nil {
+		c.Store.Set(metastore.Fault{})
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 100, time.Millisecond); err != nil {
 			t.Errorf("turn after the store is back: %v", err)
 		}
 	})
@@ -122,37 +122,37 @@
 // The return of everybody: all instances are lost, and the store goes away once
 // they are back. New programs run, and go on over the loss of an owner.
 func TestProgramsBeginBehindALossWhileTheStoreIsAway(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "earlier", testBudget, testMaxTurn, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "earlier", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		w.restartAll()
+		c.restartAll()
 		time.Sleep(2 * claimInterval)
-		w.Store.Set(metastore.Fault{Status: 503})
+		c.Store.Set(metastore.Fault{Status: 503})
 		for i := range 10 {
-			if err := w.turn(w.all()[i%3], fmt.Sprint("new", i), typicalBudget, typicalMaxTurn, 70, 0); err != nil {
+			if err := c.turn(c.all()[i%3], fmt.Sprint("new", i), typicalBudget, typicalMaxTurn, 70, 0); err != nil {
 				t.Errorf("program %d: %v", i, err)
 			}
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 	})
 }
 
 func TestLossesAreForgottenOnceNoProgramOfBeforeIsLeft(t *testing.T) {
-	runInCluster(t, 2, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
+	runInCluster(t, 2, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		w.restartAll()
+		c.restartAll()
 		time.Sleep(2 * claimInterval)
-		if err := w.turn(w.all()[0], "q", testBudget, testMaxTurn, 70, 0); err != nil {
+		if err := c.turn(c.all()[0], "q", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		if losses, _ := w.crashesOf("q"); losses != 1 {
+		if losses, _ := c.crashesOf("q"); losses != 1 {
 			t.Errorf("behind a loss: %d losses", losses)
 		}
 		time.Sleep(2*defaultRetention + 4*sweepInterval)
-		if losses, claimed := w.crashesOf("q"); losses != 0 || !claimed {
+		if losses, claimed := c.crashesOf("q"); losses != 0 || !claimed {
 			t.Errorf("later: %d losses, claimed %v", losses, claimed)
 		}
 	})
@@ -160,8 +160,8 @@
 
 // crashesBefore is what the owner of a program's partition knows of losses, and whether
 // its claim has landed.
-func (w *cluster) crashesOf(program string) (losses int, claimed bool) {
-	n := w.ownerOf(program)
+func (c *cluster) crashesOf(program string) (losses int, claimed bool) {
+	n := c.ownerOf(program)
 	own := n.own(program)
 	n.manager.mu.Lock()
 	defer n.manager.mu.Unlock()
@@ -184,22 +184,22 @@
 }
 
 func TestLeavingOwnerHandsExactFiguresOver(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		for range 7 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+			if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
 		}
 		// Also while the store is away.
-		w.Store.Set(metastore.Fault{Reset: true})
+		c.Store.Set(metastore.Fault{Reset: true})
 		for range 2 {
-			owner := w.ownerOf("p")
+			owner := c.ownerOf("p")
 			owner.manager.Leave(t.Context())
-			w.Kill(owner.Node)
+			c.Kill(owner.Node)
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		time.Sleep(time.Second)
-		last := w.all()[0]
+		last := c.all()[0]
 		a := last.manager.partitionOf("p").own.accounts["p"]
 		if a == nil || a.used != 490 || a.crashes > 0 {
 			t.Errorf("account after two handovers: %+v, want 490 tokens used", a)
@@ -208,13 +208,13 @@
 }
 
 func TestCrashedOwnerIsReplaced(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
-		w.Kill(w.ownerOf("p").Node)
+		c.Kill(c.ownerOf("p").Node)
 		started := time.Now()
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatalf("turn after the owner's death: %v", err)
 		}
 		if waited := time.Since(started); waited > 200*time.Millisecond {
@@ -226,36 +226,36 @@
 // An owner that others took for dead goes on with what it has; all of it is
 // counted by the next owner.
 func TestCutOffOwnerCannotOverrunTheBudget(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
-		old := w.ownerOf("p")
-		w.SetCut(old.ID, simnet.Both)
+		old := c.ownerOf("p")
+		c.SetCut(old.ID, simnet.Both)
 		var work sync.WaitGroup
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			work.Go(func() {
 				for range 30 {
-					if err := w.turn(n, "p", testBudget, testMaxTurn, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
+					if err := c.turn(n, "p", testBudget, testMaxTurn, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
 						return
 					}
 				}
 			})
 		}
 		work.Wait()
-		if got := w.delivered["p"]; got > testBudget+testMaxTurn {
+		if got := c.delivered["p"]; got > testBudget+testMaxTurn {
 			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
 
 func TestInstanceRefusedByTheStoreLetsAnotherClaim(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		dead := w.ownerOf("p")
-		w.Kill(dead.Node)
-		w.all()[0].Refused.Store(true)
-		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		dead := c.ownerOf("p")
+		c.Kill(dead.Node)
+		c.all()[0].Refused.Store(true)
+		for _, n := range c.all() {
+			if err := c.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -265,16 +265,16 @@
 // An owner that the store refuses hands its partitions to an instance that the
 // store serves, before a turn needs a record.
 func TestOwnerRefusedByTheStoreHandsOver(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		owner := w.ownerOf("p")
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		owner := c.ownerOf("p")
 		owner.Refused.Store(true)
 		time.Sleep(5 * evacuateInterval)
 		for range 8 {
-			if err := w.turn(owner, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+			if err := c.turn(owner, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if next := w.ownerOf("p"); next == owner {
+		if next := c.ownerOf("p"); next == owner {
 			t.Error("the refused instance still owns the partition")
 		}
 	})
@@ -282,13 +282,13 @@
 
 // While the store is away for all, the owner keeps its partitions.
 func TestOwnerKeepsPartitionsWhileTheStoreIsUnavailableForAll(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		owner := w.ownerOf("p")
-		for _, n := range w.all() {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		owner := c.ownerOf("p")
+		for _, n := range c.all() {
 			n.Refused.Store(true)
 		}
 		time.Sleep(5 * evacuateInterval)
-		if w.ownerOf("p") != owner {
+		if c.ownerOf("p") != owner {
 			t.Error("the partition changed hands")
 		}
 	})
@@ -297,21 +297,21 @@
 // While the store does not serve a partition without an owner, turns are
 // refused at once and the store is not asked for each of them.
 func TestPartitionThatTheStoreDoesNotServe(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		w.Kill(w.ownerOf("p").Node)
-		w.Store.Set(metastore.Fault{Reset: true})
-		before := w.Store.Calls()
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		c.Kill(c.ownerOf("p").Node)
+		c.Store.Set(metastore.Fault{Reset: true})
+		before := c.Store.Calls()
 		begun := time.Now()
 		const turns = 20
 		for i := range turns {
-			err := w.turn(w.all()[i%2], "p", testBudget, testMaxTurn, 70, 0)
+			err := c.turn(c.all()[i%2], "p", testBudget, testMaxTurn, 70, 0)
 			if !errors.Is(err, serve.ErrStoreAway) && !errors.Is(err, serve.ErrNoOwner) {
 				t.Fatalf("got %v", err)
 			}
 		}
 		took := time.Since(begun)
-		if limit := int(4*(took/claimBackoff+2)) * maxClaimAttempts; w.Store.Calls()-before > limit {
-			t.Errorf("%d calls to the store in %s", w.Store.Calls()-before, took)
+		if limit := int(4*(took/claimBackoff+2)) * maxClaimAttempts; c.Store.Calls()-before > limit {
+			t.Errorf("%d calls to the store in %s", c.Store.Calls()-before, took)
 		}
 		if took > turns*ownerTimeout/2 {
 			t.Errorf("%d refusals took %s", turns, took)
@@ -322,13 +322,13 @@
 // The store may fail to serve some partitions while it serves others: what
 // fails elsewhere does not keep an instance from claiming a partition.
 func TestPartitionIsClaimedWhileOtherTopicsFail(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		w.Kill(w.ownerOf("p").Node)
-		for _, n := range w.all() {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		c.Kill(c.ownerOf("p").Node)
+		for _, n := range c.all() {
 			n.FeedsFail.Store(true)
 		}
-		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+		for _, n := range c.all() {
+			if err := c.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -336,12 +336,12 @@
 }
 
 func TestRecordIsWrittenWhileOtherTopicsFail(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		for _, n := range w.all() {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		for _, n := range c.all() {
 			n.FeedsFail.Store(true)
 		}
 		for i := range 9 {
-			if err := w.turn(w.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
+			if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Fatalf("turn %d: %v", i, err)
 			}
 		}
@@ -351,13 +351,13 @@
 // A turn that needs a record of a partition that was handed over in an outage
 // is refused at once: its new owner could not claim it yet.
 func TestRecordOfAPartitionThatCannotBeClaimed(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		w.Store.Set(metastore.Fault{Status: 503})
-		w.ownerOf("p").manager.Leave(t.Context())
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		c.Store.Set(metastore.Fault{Status: 503})
+		c.ownerOf("p").manager.Leave(t.Context())
 		var err error
 		begun := time.Now()
 		for range 6 {
-			if err = w.turn(w.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
+			if err = c.turn(c.all()[0], "p", testBudget, testMaxTurn, 200, time.Millisecond); err != nil {
 				break
 			}
 		}
@@ -373,20 +373,20 @@
 // What one instance learns of a target reaches the others through the owners of
 // their programs' budgets.
 func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
-	runInCluster(t, 4, func(t *testing.T, w *cluster) {
+	runInCluster(t, 4, func(t *testing.T, c *cluster) {
 		runAll := func(n *node) {
 			for i := range 12 {
-				if err := w.turn(n, string(rune('a'+i)), testBudget, testMaxTurn, 10, 0); err != nil {
+				if err := c.turn(n, string(rune('a'+i)), testBudget, testMaxTurn, 10, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		first := w.all()[0]
+		first := c.all()[0]
 		runAll(first)
 		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
 		first.manager.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			runAll(n)
 			if got := n.breaks.Breaks(time.Now()); len(got) != 1 || got[0].Target != "down" {
 				t.Errorf("%s knows %v", n.ID, got)
@@ -398,16 +398,16 @@
 // A claim may take effect without an answer to the instance that made it, and
 // another that reads the partition then names that instance as the owner.
 func TestInstanceThatOthersNameAsTheOwnerClaims(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		w.Store.Set(metastore.Fault{Status: 503})
-		w.Kill(w.ownerOf("p").Node)
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		c.Store.Set(metastore.Fault{Status: 503})
+		c.Kill(c.ownerOf("p").Node)
 		time.Sleep(claimBackoff)
-		w.Store.Set(metastore.Fault{})
-		first := w.all()[0]
+		c.Store.Set(metastore.Fault{})
+		first := c.all()[0]
 		p := first.manager.partitionOf("p")
-		named := w.lives.ByID(first.manager.directory.Ranked(p.key())[1])
+		named := c.lives.ByID(first.manager.directory.Ranked(p.key())[1])
 		const epoch = 100
-		_, err := w.Store.Append(t.Context(), platform.Append{
+		_, err := c.Store.Append(t.Context(), platform.Append{
 			Topic: topic, Partition: p.number,
 			Records: []platform.Record{{Key: ownerKey, Value: encode(ownerRecord{Epoch: epoch, Owner: named.ID})}},
 			Writer:  &platform.Writer{Name: writerName, Epoch: epoch, Sequence: 1},
@@ -420,8 +420,8 @@
 		named.manager.receiveNotice(stale, &structs.OwnerNotice{
 			Owned: []structs.OwnedPartition{{Partition: p.number, Epoch: epoch - 1}},
 		})
-		for _, n := range w.all() {
-			if err := w.turn(n, "p", testBudget, testMaxTurn, 70, 0); err != nil {
+		for _, n := range c.all() {
+			if err := c.turn(n, "p", testBudget, testMaxTurn, 70, 0); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
 			}
 		}
@@ -431,25 +431,25 @@
 // An instance that was paused finds its connections broken and takes all others
 // for dead when it wakes.
 func TestInstanceThatWakesDoesNotTakePartitions(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		for _, program := range []string{"p", "q", "r", "s"} {
-			if err := w.turn(w.all()[0], program, testBudget, testMaxTurn, 70, 0); err != nil {
+			if err := c.turn(c.all()[0], program, testBudget, testMaxTurn, 70, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
-		woken := w.all()[1]
+		woken := c.all()[1]
 		owners := make(map[string]*node)
 		for _, program := range []string{"p", "q", "r", "s"} {
-			owners[program] = w.ownerOf(program)
+			owners[program] = c.ownerOf(program)
 		}
-		for _, other := range w.all() {
+		for _, other := range c.all() {
 			if other != woken {
 				woken.Post(structs.PeerDown{Peer: other.ID})
 			}
 		}
 		time.Sleep(2 * claimInterval)
 		for program, owner := range owners {
-			if w.ownerOf(program) != owner {
+			if c.ownerOf(program) != owner {
 				t.Errorf("the partition of %s changed hands", program)
 			}
 		}
@@ -459,7 +459,7 @@
 // The owner remembers where a program's last turn ran and tells whoever runs the
 // next one, also after it has handed its accounts over.
 func TestOwnerRemembersTheTargetOfAProgram(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		reserve := func(n *node) serve.Lease {
 			lease, err := n.manager.Reserve(t.Context(), serve.Turn{
 				Program: "p", Budget: testBudget, Most: testMaxTurn, Retention: time.Minute,
@@ -469,15 +469,15 @@
 			}
 			return lease
 		}
-		first := reserve(w.all()[0])
+		first := reserve(c.all()[0])
 		if got := first.LastTarget(); got != "" {
 			t.Errorf("a new program's target is %q", got)
 		}
 		first.Settle(serve.TurnEnd{Used: 10, Target: "engine1"})
-		owner := w.ownerOf("p")
+		owner := c.ownerOf("p")
 		owner.manager.Leave(t.Context())
-		w.Kill(owner.Node)
-		for _, n := range w.all() {
+		c.Kill(owner.Node)
+		for _, n := range c.all() {
 			lease := reserve(n)
 			if got := lease.LastTarget(); got != "engine1" {
 				t.Errorf("%s is told %q", n.ID, got)
@@ -485,7 +485,7 @@
 			lease.Settle(serve.TurnEnd{}) // ran nowhere
 			time.Sleep(2 * simnet.LinkTime)
 		}
-		n := w.all()[0]
+		n := c.all()[0]
 		reserve(n).Settle(serve.TurnEnd{Target: "engine2", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -121,30 +121,30 @@
 }
 
 // receiveSettle ends a lease, or passes the message on to the newest owner.
-func (k *Manager) receiveSettle(m *structs.RoomSettle) {
+func (k *Manager) receiveSettle(msg *structs.RoomSettle) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if m.Partition < 0 || m.Partition >= len(k.partitions) {
+	if msg.Partition < 0 || msg.Partition >= len(k.partitions) {
 		return
 	}
-	p := k.partitions[m.Partition]
+	p := k.partitions[msg.Partition]
 	if p.own == nil {
 		if k.ownerUsable(p) {
-			k.peers.Send(p.owner, m)
+			k.peers.Send(p.owner, msg)
 		}
 		return
 	}
-	k.settle(p, m)
+	k.settle(p, msg)
 }
 
 // settle ends a lease at the owner. The mutex is held.
-func (k *Manager) settle(p *partition, m *structs.RoomSettle) {
-	a, ok := p.own.accounts[m.Program]
-	if !ok || !a.settle(m.Lease, m.Used) {
+func (k *Manager) settle(p *partition, msg *structs.RoomSettle) {
+	a, ok := p.own.accounts[msg.Program]
+	if !ok || !a.settle(msg.Lease, msg.Used) {
 		return
 	}
 	a.lastUsed = time.Now()
-	a.updateTarget(m.Target, m.Failed)
+	a.updateTarget(msg.Target, msg.Failed)
 	k.serveWaiters(p, a)
 }
 
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -36,10 +36,10 @@
 func runSchedule(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newCluster(t)
+		c := newCluster(t)
 		machines := []string{"a", "b", "c", "d"}
 		for _, m := range machines {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(2 * claimInterval)
 		var work sync.WaitGroup
@@ -54,20 +54,20 @@
 				lineSeed := seed*1000 + uint64(i*10+line)
 				work.Go(func() {
 					time.Sleep(starts)
-					runProgram(w, program, budget, lineSeed, ends)
+					runProgram(c, program, budget, lineSeed, ends)
 				})
 			}
 		}
 		begun := time.Now()
 		for time.Since(begun) < scheduleTime {
 			time.Sleep(time.Duration(r.IntN(700)) * time.Millisecond)
-			injectFault(w, r, machines)
+			injectFault(c, r, machines)
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		work.Wait()
-		w.Stop()
+		c.Stop()
 		for program, budget := range budgets {
-			if got := w.delivered[program]; got > budget+testMaxTurn {
+			if got := c.delivered[program]; got > budget+testMaxTurn {
 				t.Errorf("program %s got %d tokens, its budget is %d and a turn's most %d", program, got, budget, testMaxTurn)
 			}
 		}
@@ -76,17 +76,17 @@
 
 // runProgram runs turns until the time is up. It goes on after its budget is
 // spent.
-func runProgram(w *cluster, program string, budget int, seed uint64, ends time.Time) {
+func runProgram(c *cluster, program string, budget int, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for time.Now().Before(ends) {
-		nodes := w.all()
+		nodes := c.all()
 		if len(nodes) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
 		runs := time.Duration(20+r.IntN(200)) * time.Millisecond
 		used := testMaxTurn - 10*r.IntN(8)
-		err := w.turn(simnet.Any(r, nodes), program, budget, testMaxTurn, used, runs)
+		err := c.turn(simnet.Any(r, nodes), program, budget, testMaxTurn, used, runs)
 		if err != nil || r.IntN(3) == 0 {
 			time.Sleep(time.Duration(50+r.IntN(900)) * time.Millisecond)
 		}
@@ -95,48 +95,48 @@
 
 // leaveSlowly shuts an instance down; it answers turns for a while yet. Its
 // messages may be lost on the way.
-func leaveSlowly(w *cluster, n *node, d time.Duration) {
-	w.Work.Go(func() {
+func leaveSlowly(c *cluster, n *node, d time.Duration) {
+	c.Work.Go(func() {
 		n.manager.Leave(n.manager.ctx)
 		time.Sleep(d)
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	})
 }
 
 // injectFault does one thing to the instances or the store.
-func injectFault(w *cluster, r *rand.Rand, machines []string) {
-	nodes := w.all()
+func injectFault(c *cluster, r *rand.Rand, machines []string) {
+	nodes := c.all()
 	if len(nodes) == 0 {
 		for _, m := range machines {
-			w.start(m)
+			c.start(m)
 		}
 		return
 	}
 	n := simnet.Any(r, nodes)
 	switch r.IntN(12) {
 	case 0, 1:
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	case 2:
 		for _, n := range nodes {
-			w.Kill(n.Node)
+			c.Kill(n.Node)
 		}
 	case 3, 4:
-		leaveSlowly(w, n, time.Duration(r.IntN(1500))*time.Millisecond)
+		leaveSlowly(c, n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5:
 		cut := simnet.Both
 		if r.IntN(2) == 0 {
 			cut = simnet.Mute
 		}
-		w.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 6:
-		w.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Silent: true})
 	case 7:
-		w.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
 	case 8:
-		w.Store.Set(metastore.Fault{Status: 503})
+		c.Store.Set(metastore.Fault{Status: 503})
 	case 9:
-		w.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
+		c.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
 	default:
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 	}
 }
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -255,20 +255,20 @@
 }
 
 // receiveReply takes the answer of another owner.
-func (k *Manager) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
-	k.breaks.Hear(m.Breaks, time.Now())
-	k.loads.HearLoads(m.Loads, time.Now())
-	k.loads.HearPools(m.Pools, time.Now())
+func (k *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
+	k.breaks.Hear(msg.Breaks, time.Now())
+	k.loads.HearLoads(msg.Loads, time.Now())
+	k.loads.HearPools(msg.Pools, time.Now())
 	k.mu.Lock()
-	pending, ok := k.pending[m.Lease]
-	delete(k.pending, m.Lease)
+	pending, ok := k.pending[msg.Lease]
+	delete(k.pending, msg.Lease)
 	k.mu.Unlock()
 	if ok {
-		pending.result <- result{outcome: m.Outcome, owner: m.Owner, target: m.Target, first: m.First}
+		pending.result <- result{outcome: msg.Outcome, owner: msg.Owner, target: msg.Target, first: msg.First}
 		return
 	}
-	if m.Outcome == structs.RoomGranted {
-		k.peers.Send(from, &structs.RoomSettle{Lease: m.Lease, Partition: m.Partition, Program: m.Program})
+	if msg.Outcome == structs.RoomGranted {
+		k.peers.Send(from, &structs.RoomSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
 	}
 }
 
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -20,31 +20,31 @@
 )
 
 // runInLargeCluster runs a test with hundreds of instances in virtual time.
-func runInLargeCluster(t *testing.T, body func(t *testing.T, w *cluster)) {
+func runInLargeCluster(t *testing.T, body func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t)
-		defer w.Stop()
+		c := newCluster(t)
+		defer c.Stop()
 		for i := range manyInstances {
-			w.start(fmt.Sprint("m", i))
+			c.start(fmt.Sprint("m", i))
 		}
 		time.Sleep(4 * claimInterval)
-		body(t, w)
+		body(t, c)
 	})
 }
 
 // At hundreds of instances a few watch each owner, among them the one that would
 // claim its partition, so that heartbeats do not grow with instances times owners.
 func TestFewInstancesWatchEachOwner(t *testing.T) {
-	runInLargeCluster(t, func(t *testing.T, w *cluster) {
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		watchers := make(map[structs.InstanceID]int)
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			for _, owner := range n.Watched() {
 				watchers[owner]++
 			}
 		}
 		owners := make(map[structs.InstanceID]int)
 		for number := range testPartitions {
-			owner := w.checkClaimant(t, number)
+			owner := c.checkClaimant(t, number)
 			owners[owner]++
 		}
 		for owner, partitions := range owners {
@@ -57,9 +57,9 @@
 
 // checkClaimant checks that the instance which would claim a partition watches its
 // owner, and returns the owner.
-func (w *cluster) checkClaimant(t *testing.T, number int) structs.InstanceID {
+func (c *cluster) checkClaimant(t *testing.T, number int) structs.InstanceID {
 	t.Helper()
-	nodes := w.all()
+	nodes := c.all()
 	k := nodes[0].manager
 	k.mu.Lock()
 	p := k.partitions[number]
@@ -73,7 +73,7 @@
 	if next == owner {
 		next = ranked[1]
 	}
-	if claimant := w.lives.ByID(next); !slices.Contains(claimant.Watched(), owner) {
+	if claimant := c.lives.ByID(next); !slices.Contains(claimant.Watched(), owner) {
 		t.Errorf("the instance that would claim partition %d does not watch its owner", number)
 	}
 	return owner
@@ -82,8 +82,8 @@
 // A request that waits for a silent owner ends when another instance tells that it
 // has claimed the partition.
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
-	runInCluster(t, 3, func(t *testing.T, w *cluster) {
-		k := w.all()[0].manager
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		k := c.all()[0].manager
 		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan result {
 			answers := make(chan result, 1)
 			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: k.self.ID, Number: lease}}
@@ -114,10 +114,10 @@
 // An owner that did not answer once is watched until it does: silence that nobody
 // asks about again would last for good.
 func TestOwnerThatDidNotAnswerIsWatched(t *testing.T) {
-	runInLargeCluster(t, func(t *testing.T, w *cluster) {
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		var distant *node
 		var owner structs.InstanceID
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			k := n.manager
 			k.mu.Lock()
 			owner = k.partitions[0].owner
@@ -145,7 +145,7 @@
 // than it takes to notice and to claim, and later ones at instances that never asked
 // it wait no time.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
-	runInLargeCluster(t, func(t *testing.T, w *cluster) {
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		const program, budget, most = "p", 100_000, 100
 		longest := func(nodes []*node) time.Duration {
 			var work sync.WaitGroup
@@ -153,7 +153,7 @@
 			for i, n := range nodes {
 				work.Go(func() {
 					begun := time.Now()
-					if err := w.turn(n, program, budget, most, 10, 0); err != nil {
+					if err := c.turn(n, program, budget, most, 10, 0); err != nil {
 						t.Errorf("turn at %s: %v", n.ID, err)
 					}
 					waits[i] = time.Since(begun)
@@ -162,17 +162,17 @@
 			work.Wait()
 			return slices.Max(waits)
 		}
-		longest(w.all()[:40])
-		owner := w.ownerOf(program)
+		longest(c.all()[:40])
+		owner := c.ownerOf(program)
 		if owner == nil {
 			t.Fatal("the program's partition has no owner")
 		}
-		w.PowerOff(owner.Node)
-		if wait := longest(w.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
+		c.PowerOff(owner.Node)
+		if wait := longest(c.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
 			t.Errorf("a turn waited %s after the loss of the owner", wait)
 		}
 		time.Sleep(simnet.SilentTime)
-		if wait := longest(w.all()[100:]); wait > 100*time.Millisecond {
+		if wait := longest(c.all()[100:]); wait > 100*time.Millisecond {
 			t.Errorf("a turn waited %s long after the loss of the owner", wait)
 		}
 	})
