--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -61,10 +61,10 @@
 func boundsOf(limit org.Limit, t Tolerance) bounds {
 	rate := limit.PerSecond
 	perWindow := rate*t.Window.Seconds() + limit.Burst
-	spare := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
-	spare = max(spare, 0)
-	fresh := min(freshFraction*spare/(rate*voteTTL.Seconds()), 1)
-	start := carryOverFraction * spare
-	level := max(spare-start-fresh*rate*voteTTL.Seconds(), 0)
+	tolerance := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
+	tolerance = max(tolerance, 0)
+	fresh := min(freshFraction*tolerance/(rate*voteTTL.Seconds()), 1)
+	start := carryOverFraction * tolerance
+	level := max(tolerance-start-fresh*rate*voteTTL.Seconds(), 0)
 	return bounds{level: limit.Burst + level, carryOver: start, freshWeight: fresh}
 }
--- a/internal/allowance/dump.go
+++ b/internal/allowance/dump.go
@@ -39,17 +39,17 @@
 }
 
 // Dump tells the state.
-func (k *Manager) Dump() Dump {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Dump() Dump {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	out := Dump{Waiting: []Waiting{}, Coordinated: []Coordinated{}}
-	for _, l := range k.queues {
+	for _, q := range m.queues {
 		out.Waiting = append(out.Waiting, Waiting{
-			Organisation: l.organisation, PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Requests: len(l.waiting),
+			Organisation: q.organisation, PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Requests: len(q.waiting),
 		})
 	}
-	for _, s := range k.slots {
+	for _, s := range m.slots {
 		s.advance(now)
 		for name, b := range s.buckets {
 			out.Coordinated = append(out.Coordinated, Coordinated{
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -100,28 +100,28 @@
 // New makes a Keeper.
 func New(parts Config) *Manager {
 	parts.Slots = min(parts.Slots, maxSlots)
-	k := &Manager{
+	m := &Manager{
 		Config: parts, self: parts.Directory.Self().ID, metrics: newMetrics(parts.Scope),
 		voter:  newVoter(parts.Slots, parts.Tolerance.Window, time.Now()),
 		queues: make(map[string]*queue), pending: make(map[uint64]pendingRequest),
 		voteRequests: make(map[uint64]pendingVote), lastTried: make(map[structs.InstanceID]time.Time),
 	}
 	for i := range parts.Slots {
-		k.slots = append(k.slots, newSlot(i))
+		m.slots = append(m.slots, newSlot(i))
 	}
-	return k
+	return m
 }
 
 // SetActive tells whether any organisation has a limit. Without one no messages
 // are sent.
-func (k *Manager) SetActive(active bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.active = active
+func (m *Manager) SetActive(active bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.active = active
 }
 
 // Run collects votes until the context ends.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
@@ -129,34 +129,34 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			k.mu.Lock()
-			k.renew(time.Now())
-			k.mu.Unlock()
+			m.mu.Lock()
+			m.renew(time.Now())
+			m.mu.Unlock()
 		}
 	}
 }
 
 // Leave gives up what this instance coordinates. It has to be called before
 // others are told that this instance leaves: they lend their votes anew then.
-func (k *Manager) Leave() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leaving = true
+func (m *Manager) Leave() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.leaving = true
 	now := time.Now()
-	for _, s := range k.slots {
+	for _, s := range m.slots {
 		s.dropVotes(now)
 	}
 }
 
 // slotOf is the slot of an organisation.
-func (k *Manager) slotOf(organisation string) int {
-	return int(xxhash.Sum64String(organisation) % uint64(len(k.slots)))
+func (m *Manager) slotOf(organisation string) int {
+	return int(xxhash.Sum64String(organisation) % uint64(len(m.slots)))
 }
 
 // Admit lets a request in or tells why not: with a *serve.OverLimitError,
 // serve.ErrNoAllowance if nobody who could tell answers, or the error of the
 // context.
-func (k *Manager) Admit(ctx context.Context, entry serve.Entry) (serve.Permit, error) {
+func (m *Manager) Admit(ctx context.Context, entry serve.Entry) (serve.Permit, error) {
 	if !entry.Limit.Limited() {
 		return noPermit{}, nil
 	}
@@ -165,12 +165,12 @@
 		first: entry.First, rank: min(max(entry.Rank, 0), structs.AllowanceRanks-1),
 		program: programHash(entry.Program), holdUntil: now.Add(maxHold), decision: make(chan decision, 1),
 	}
-	k.mu.Lock()
-	l := k.queueOf(entry)
-	l.waiting = append(l.waiting, w)
-	k.sendRequest(l, now)
-	k.mu.Unlock()
-	return k.awaitDecision(ctx, l, w)
+	m.mu.Lock()
+	q := m.queueOf(entry)
+	q.waiting = append(q.waiting, w)
+	m.sendRequest(q, now)
+	m.mu.Unlock()
+	return m.awaitDecision(ctx, q, w)
 }
 
 // programHash stands for a program in messages, 0 for none.
@@ -182,37 +182,37 @@
 }
 
 // awaitDecision waits for the verdict on a request.
-func (k *Manager) awaitDecision(ctx context.Context, l *queue, w *waiter) (serve.Permit, error) {
+func (m *Manager) awaitDecision(ctx context.Context, q *queue, w *waiter) (serve.Permit, error) {
 	timer := time.NewTimer(admissionTimeout)
 	defer timer.Stop()
 	var err error
 	select {
 	case got := <-w.decision:
-		return k.permitOrError(l, w, got)
+		return m.permitOrError(q, w, got)
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
 		err = serve.ErrNoAllowance
 	}
-	k.mu.Lock()
-	left := l.remove(w)
-	k.mu.Unlock()
+	m.mu.Lock()
+	left := q.remove(w)
+	m.mu.Unlock()
 	if !left {
-		return k.permitOrError(l, w, <-w.decision)
+		return m.permitOrError(q, w, <-w.decision)
 	}
-	k.metrics.unknown.Inc(1)
+	m.metrics.unknown.Inc(1)
 	return nil, err
 }
 
-func (k *Manager) permitOrError(l *queue, w *waiter, got decision) (serve.Permit, error) {
+func (m *Manager) permitOrError(q *queue, w *waiter, got decision) (serve.Permit, error) {
 	if got.admitted {
-		k.metrics.admitted.Inc(1)
-		return permit{manager: k, queue: l, first: w.first}, nil
+		m.metrics.admitted.Inc(1)
+		return permit{manager: m, queue: q, first: w.first}, nil
 	}
-	k.metrics.refused.Inc(1)
-	k.mu.Lock()
-	limit := l.limit
-	k.mu.Unlock()
+	m.metrics.refused.Inc(1)
+	m.mu.Lock()
+	limit := q.limit
+	m.mu.Unlock()
 	return nil, &serve.OverLimitError{
 		RetryAfter: got.reply.RetryAfter, Limit: limit, Left: got.reply.Left, Votes: got.reply.Votes,
 		Coordinator: got.coordinator,
@@ -221,80 +221,80 @@
 
 // queueOf is what waits of an organisation, under its newest limit. The mutex is
 // held.
-func (k *Manager) queueOf(entry serve.Entry) *queue {
-	l := k.queues[entry.Organisation]
-	if l == nil {
-		l = &queue{organisation: entry.Organisation}
-		k.queues[entry.Organisation] = l
+func (m *Manager) queueOf(entry serve.Entry) *queue {
+	q := m.queues[entry.Organisation]
+	if q == nil {
+		q = &queue{organisation: entry.Organisation}
+		m.queues[entry.Organisation] = q
 	}
-	if entry.Version >= l.version {
-		l.limit, l.version = entry.Limit, entry.Version
+	if entry.Version >= q.version {
+		q.limit, q.version = entry.Limit, entry.Version
 	}
-	return l
+	return q
 }
 
 // sendRequest asks the coordinator of an organisation, unless an ask is under way.
 // The mutex is held.
-func (k *Manager) sendRequest(l *queue, now time.Time) {
-	if l.pendingNumber != 0 {
+func (m *Manager) sendRequest(q *queue, now time.Time) {
+	if q.pendingNumber != 0 {
 		return
 	}
-	slot := k.slotOf(l.organisation)
-	to := k.Directory.First(k.Key(slot))
+	slot := m.slotOf(q.organisation)
+	to := m.Directory.First(m.Key(slot))
 	if to == "" {
 		return
 	}
-	k.lastNumber++
-	request := l.requestTo(to, k.lastNumber, slot)
-	k.pending[request.Number] = pendingRequest{queue: l, to: to}
-	k.metrics.asks.Inc(1)
-	if to == k.self {
-		k.handleReply(k.handleRequest(request, now), now)
+	m.lastNumber++
+	request := q.requestTo(to, m.lastNumber, slot)
+	m.pending[request.Number] = pendingRequest{queue: q, to: to}
+	m.metrics.asks.Inc(1)
+	if to == m.self {
+		m.handleReply(m.handleRequest(request, now), now)
 		return
 	}
-	k.Peers.Send(to, request)
-	time.AfterFunc(replyTimeout, func() { k.requestTimedOut(request.Number) })
+	m.Peers.Send(to, request)
+	time.AfterFunc(replyTimeout, func() { m.requestTimedOut(request.Number) })
 }
 
 // requestTimedOut asks anew after an ask that got no answer in time. What a later
 // answer grants is used by nobody.
-func (k *Manager) requestTimedOut(number uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	sent, ok := k.pending[number]
+func (m *Manager) requestTimedOut(number uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	sent, ok := m.pending[number]
 	if !ok {
 		return
 	}
-	k.Peers.Probe(sent.to)
-	k.retryRequest(number, sent)
+	m.Peers.Probe(sent.to)
+	m.retryRequest(number, sent)
 }
 
 // retryRequest gives an ask up and asks again if requests wait. The mutex is held.
-func (k *Manager) retryRequest(number uint64, sent pendingRequest) {
-	delete(k.pending, number)
+func (m *Manager) retryRequest(number uint64, sent pendingRequest) {
+	delete(m.pending, number)
 	sent.queue.pendingNumber, sent.queue.pendingWaiters = 0, nil
-	k.requestIfNeeded(sent.queue)
+	m.requestIfNeeded(sent.queue)
 }
 
 // requestIfNeeded asks again if requests wait, or permits are to be given back. The
 // mutex is held.
-func (k *Manager) requestIfNeeded(l *queue) {
-	if len(l.waiting) > 0 || l.returned > 0 || l.returnedStarts > 0 {
-		k.sendRequest(l, time.Now())
+func (m *Manager) requestIfNeeded(q *queue) {
+	if len(q.waiting) > 0 || q.returned > 0 || q.returnedStarts > 0 {
+		m.sendRequest(q, time.Now())
 	}
 }
 
 // handleReply takes an answer. The mutex is held.
-func (k *Manager) handleReply(reply *structs.AllowanceReply, now time.Time) {
-	sent, ok := k.pending[reply.Number]
+func (m *Manager) handleReply(reply *structs.AllowanceReply, now time.Time) {
+	sent, ok := m.pending[reply.Number]
 	if !ok {
 		return
 	}
-	delete(k.pending, reply.Number)
+	delete(m.pending, reply.Number)
 	newcomers := len(sent.queue.waiting) > len(sent.queue.pendingWaiters)
 	sent.queue.applyReply(reply, sent.to, now)
 	if len(sent.queue.waiting) == 0 {
-		k.requestIfNeeded(sent.queue)
+		m.requestIfNeeded(sent.queue)
 		return
 	}
 	pause := noVotesRetryInterval
@@ -306,20 +306,20 @@
 		pause = min(reply.RetryAfter, maxHeldRetryInterval)
 	}
 	time.AfterFunc(pause, func() {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.requestIfNeeded(sent.queue)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.requestIfNeeded(sent.queue)
 	})
 }
 
 // handleRequest answers an ask as the coordinator. The mutex is held.
-func (k *Manager) handleRequest(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
-	if request.Slot < 0 || request.Slot >= len(k.slots) || !(org.Limit{PerSecond: request.PerSecond}).Limited() {
+func (m *Manager) handleRequest(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
+	if request.Slot < 0 || request.Slot >= len(m.slots) || !(org.Limit{PerSecond: request.PerSecond}).Limited() {
 		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
 	}
-	reply := k.slots[request.Slot].allocate(request, k.Tolerance, now)
+	reply := m.slots[request.Slot].allocate(request, m.Tolerance, now)
 	if reply.Outcome == structs.AllowanceNoShare {
-		k.probePreferred(request.Slot)
+		m.probePreferred(request.Slot)
 	}
 	return reply
 }
@@ -328,9 +328,9 @@
 // since others took this one for it. After a loss of all instances the list holds
 // some that are gone for good, and nothing else would tell this one so: a slot had
 // no coordinator for 7 s.
-func (k *Manager) probePreferred(slot int) {
-	if first := k.Directory.First(k.Key(slot)); first != "" && first != k.self {
-		k.Peers.Probe(first)
+func (m *Manager) probePreferred(slot int) {
+	if first := m.Directory.First(m.Key(slot)); first != "" && first != m.self {
+		m.Peers.Probe(first)
 	}
 }
 
@@ -345,47 +345,47 @@
 
 // Receive handles an event of the transport between instances. The directory
 // must know of it before.
-func (k *Manager) Receive(event structs.Event) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Receive(event structs.Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	switch e := event.(type) {
 	case structs.PeerMessage:
-		k.receiveMessage(e.From, e.Msg, now)
+		m.receiveMessage(e.From, e.Msg, now)
 	case structs.PeerDown:
-		k.renew(now)
-		k.retryRequestsTo(e.Peer)
+		m.renew(now)
+		m.retryRequestsTo(e.Peer)
 	}
 }
 
-func (k *Manager) receiveMessage(from structs.InstanceID, message structs.Message, now time.Time) {
+func (m *Manager) receiveMessage(from structs.InstanceID, message structs.Message, now time.Time) {
 	switch msg := message.(type) {
 	case *structs.AllowanceAsk:
-		k.Peers.Send(from, k.handleRequest(msg, now))
+		m.Peers.Send(from, m.handleRequest(msg, now))
 	case *structs.AllowanceReply:
-		if k.pending[msg.Number].to == from {
-			k.handleReply(msg, now)
+		if m.pending[msg.Number].to == from {
+			m.handleReply(msg, now)
 		}
 	case *structs.VoteRequest:
-		if reply, ok := k.grantVote(msg, from, now); ok {
-			k.Peers.Send(from, reply)
+		if reply, ok := m.grantVote(msg, from, now); ok {
+			m.Peers.Send(from, reply)
 		}
 	case *structs.VoteReply:
-		if k.voteRequests[msg.Number].to == from {
-			k.acceptVote(msg, now)
+		if m.voteRequests[msg.Number].to == from {
+			m.acceptVote(msg, now)
 		}
 	case *structs.Leaving:
-		k.voter.release(from, now)
-		k.renew(now)
+		m.voter.release(from, now)
+		m.renew(now)
 	}
 }
 
 // retryRequestsTo asks anew what was asked of an instance that does not answer. The
 // mutex is held.
-func (k *Manager) retryRequestsTo(id structs.InstanceID) {
-	for number, sent := range k.pending {
+func (m *Manager) retryRequestsTo(id structs.InstanceID) {
+	for number, sent := range m.pending {
 		if sent.to == id {
-			k.retryRequest(number, sent)
+			m.retryRequest(number, sent)
 		}
 	}
 }
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -77,10 +77,10 @@
 				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
 				c.Stop()
 				// A few programs that begin together pass a small limit.
-				owed := min(begun, programCapacity(limit, lasts))
+				expected := min(begun, programCapacity(limit, lasts))
 				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, c.refused, c.unknown)
-				if whole < owed*95/100 {
-					t.Errorf("%d of %d programs got all their requests, the limit carries %d", whole, begun, owed)
+				if whole < expected*95/100 {
+					t.Errorf("%d of %d programs got all their requests, the limit carries %d", whole, begun, expected)
 				}
 				if c.unknown > 0 {
 					t.Errorf("%d requests got no word", c.unknown)
@@ -130,26 +130,26 @@
 		limit := org.Limit{PerSecond: 20, Burst: 20}
 		some := c.all()[0]
 		ranked := some.Directory.Ranked(some.manager.Key(some.manager.slotOf("o")))
-		gone, next := ranked[0], directory.MachineOf(ranked[1])
+		crashed, next := ranked[0], directory.MachineOf(ranked[1])
 		for _, n := range c.all() {
-			if n.ID == gone {
+			if n.ID == crashed {
 				c.PowerOff(n.Node)
 				continue
 			}
 			c.Kill(n.Node)
 		}
 		for _, m := range machines(30) {
-			if m == directory.MachineOf(gone) {
+			if m == directory.MachineOf(crashed) {
 				continue
 			}
-			c.start(m).Directory.Put(structs.Peer{ID: gone, Address: directory.MachineOf(gone)})
+			c.start(m).Directory.Put(structs.Peer{ID: crashed, Address: directory.MachineOf(crashed)})
 		}
 		// The one that comes next has no callers of its own.
-		asking := slices.DeleteFunc(c.all(), func(n *node) bool { return n.Machine() == next })
+		callers := slices.DeleteFunc(c.all(), func(n *node) bool { return n.Machine() == next })
 		admitted := 0
 		for i := range 30 {
 			time.Sleep(100 * time.Millisecond)
-			if c.request(asking[i%len(asking)], "o", limit, 1, false) {
+			if c.request(callers[i%len(callers)], "o", limit, 1, false) {
 				admitted++
 			}
 		}
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -55,23 +55,23 @@
 
 // requestTo makes the next ask of an instance. What another one dealt out is not given
 // back to it.
-func (l *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
-	if to != l.allocatedBy {
-		l.returned, l.returnedStarts = 0, 0
+func (q *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
+	if to != q.allocatedBy {
+		q.returned, q.returnedStarts = 0, 0
 	}
-	return l.newRequest(number, slot)
+	return q.newRequest(number, slot)
 }
 
 // newRequest makes the next ask, with what waits now.
-func (l *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
+func (q *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
 	request := &structs.AllowanceAsk{
-		Number: number, Slot: slot, Organisation: l.organisation,
-		PerSecond: l.limit.PerSecond, Burst: l.limit.Burst, Version: l.version, Debt: l.reruns,
-		Returned: l.returned, ReturnedStarts: l.returnedStarts,
+		Number: number, Slot: slot, Organisation: q.organisation,
+		PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Version: q.version, Debt: q.reruns,
+		Returned: q.returned, ReturnedStarts: q.returnedStarts,
 	}
-	l.reruns, l.returned, l.returnedStarts = 0, 0, 0
-	l.pendingNumber, l.pendingWaiters = number, slices.Clone(l.waiting)
-	for _, w := range l.pendingWaiters {
+	q.reruns, q.returned, q.returnedStarts = 0, 0, 0
+	q.pendingNumber, q.pendingWaiters = number, slices.Clone(q.waiting)
+	for _, w := range q.pendingWaiters {
 		w.addTo(request)
 	}
 	return request
@@ -92,48 +92,48 @@
 }
 
 // applyReply takes the answer that an instance gave to the ask under way.
-func (l *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
-	asked := l.pendingWaiters
-	l.pendingNumber, l.pendingWaiters = 0, nil
+func (q *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
+	asked := q.pendingWaiters
+	q.pendingNumber, q.pendingWaiters = 0, nil
 	if reply.Outcome != structs.AllowanceDealt {
-		l.returned, l.returnedStarts = 0, 0
+		q.returned, q.returnedStarts = 0, 0
 		return
 	}
-	l.allocatedBy = from
-	l.usage = reportedUsage{use: reply.Use, at: now}
+	q.allocatedBy = from
+	q.usage = reportedUsage{use: reply.Use, at: now}
 	granted, starts := reply.Granted, reply.Starts
 	for _, w := range asked {
 		left := &granted
 		if w.first {
 			left = &starts[w.rank]
 		}
-		l.decide(w, left, decision{reply: reply, coordinator: from}, now)
+		q.decide(w, left, decision{reply: reply, coordinator: from}, now)
 	}
 }
 
 // decide tells one waiter what the answer means for it. What was meant for one
 // that has left is used by nobody.
-func (l *queue) decide(w *waiter, left *int, refusal decision, now time.Time) {
+func (q *queue) decide(w *waiter, left *int, refusal decision, now time.Time) {
 	if *left > 0 {
 		*left--
-		if l.remove(w) {
+		if q.remove(w) {
 			w.decision <- decision{admitted: true}
 		}
 		return
 	}
 	held := !w.first && !now.Add(refusal.reply.RetryAfter).After(w.holdUntil)
-	if !held && l.remove(w) {
+	if !held && q.remove(w) {
 		w.decision <- refusal
 	}
 }
 
 // remove withdraws a waiter. It returns false if its verdict has been given or it
 // has left before.
-func (l *queue) remove(w *waiter) bool {
-	at := slices.Index(l.waiting, w)
+func (q *queue) remove(w *waiter) bool {
+	at := slices.Index(q.waiting, w)
 	if at < 0 {
 		return false
 	}
-	l.waiting = slices.Delete(l.waiting, at, at+1)
+	q.waiting = slices.Delete(q.waiting, at, at+1)
 	return true
 }
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -66,9 +66,9 @@
 		ends := time.Now().Add(scheduleTime)
 		var work sync.WaitGroup
 		for name, limit := range testLimits {
-			for line := range 8 {
-				lineSeed := seed*1000 + uint64(line)
-				work.Go(func() { sendLoad(c, name, limit, 4.0/8, lineSeed, ends) })
+			for caller := range 8 {
+				callerSeed := seed*1000 + uint64(caller)
+				work.Go(func() { sendLoad(c, name, limit, 4.0/8, callerSeed, ends) })
 			}
 		}
 		for time.Now().Before(ends) {
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -23,9 +23,9 @@
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 60, Burst: 60}
 		uses := make(map[string]float64)
-		for name, share := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
+		for name, factor := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
 			c.Work.Go(func() {
-				runPrograms(c, name, limit, typicalProgram, limit.PerSecond*share/26, 14*time.Second, 1)
+				runPrograms(c, name, limit, typicalProgram, limit.PerSecond*factor/26, 14*time.Second, 1)
 			})
 		}
 		time.Sleep(12 * time.Second)
@@ -110,22 +110,22 @@
 // What was let in by one coordinator is given back to no other: that one would
 // deal out what its votes never allowed.
 func TestPermitsAreReleasedToTheirCoordinatorOnly(t *testing.T) {
-	l := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
-	l.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
-	if l.allocatedBy != "a" {
-		t.Fatalf("dealt by %q", l.allocatedBy)
+	q := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
+	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
+	if q.allocatedBy != "a" {
+		t.Fatalf("dealt by %q", q.allocatedBy)
 	}
-	l.returned = 3
-	if got := l.requestTo("a", 1, 0).Returned; got != 3 {
+	q.returned = 3
+	if got := q.requestTo("a", 1, 0).Returned; got != 3 {
 		t.Errorf("%d of 3 given back", got)
 	}
-	l.returned = 3
-	if got := l.requestTo("b", 2, 0).Returned; got != 0 {
+	q.returned = 3
+	if got := q.requestTo("b", 2, 0).Returned; got != 0 {
 		t.Errorf("%d given back to another coordinator", got)
 	}
-	l.returned = 3
-	l.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
-	if l.returned != 0 {
+	q.returned = 3
+	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
+	if q.returned != 0 {
 		t.Error("kept for whoever coordinates next")
 	}
 }
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -22,31 +22,31 @@
 
 // runTurn runs a turn, writing a record if one is needed. It tells whether
 // there was room.
-func runTurn(a *account, most, used int) bool {
+func runTurn(a *account, maxTurn, used int) bool {
 	id := structs.RoomLease{Number: 1}
-	verdict := a.decide(most)
+	verdict := a.decide(maxTurn)
 	if verdict == awaitRecord {
-		a.requestRecord(most)
+		a.requestRecord(maxTurn)
 		a.limit, a.recorded, a.pendingLimit = a.pendingLimit, true, 0
-		verdict = a.decide(most)
+		verdict = a.decide(maxTurn)
 	}
 	if verdict != granted {
 		return false
 	}
-	a.grant(&waiter{lease: id, maxTokens: most})
+	a.grant(&waiter{lease: id, maxTokens: maxTurn})
 	a.settle(id, used)
 	return true
 }
 
 // An ordinary program goes on over two losses of its partition's accounts.
 func TestSmallProgramSurvivesTwoLosses(t *testing.T) {
-	const budget, most, used = 900, 290, 70
-	a := newAccount("p", budget, most, 1)
-	if !runTurn(a, most, used) {
+	const budget, maxTurn, used = 900, 290, 70
+	a := newAccount("p", budget, maxTurn, 1)
+	if !runTurn(a, maxTurn, used) {
 		t.Fatal("no room for the first turn after a loss")
 	}
 	a = nextOwner(a)
-	if !runTurn(a, most, used) {
+	if !runTurn(a, maxTurn, used) {
 		t.Errorf("no room for a turn after another loss: %+v", a)
 	}
 }
@@ -63,20 +63,20 @@
 }
 
 // boundHolds runs turns, and loses the accounts at each fifth step on average.
-func boundHolds(budget, most int, steps []int) bool {
-	a := newAccount("p", budget, most, 0)
+func boundHolds(budget, maxTurn int, steps []int) bool {
+	a := newAccount("p", budget, maxTurn, 0)
 	total := 0
 	for _, step := range steps {
 		if step%5 == 0 {
 			a = nextOwner(a)
 			continue
 		}
-		used := step % (most + 1)
-		if runTurn(a, most, used) {
+		used := step % (maxTurn + 1)
+		if runTurn(a, maxTurn, used) {
 			total += used
 		}
 	}
-	return total <= budget+most
+	return total <= budget+maxTurn
 }
 
 // The same where turns differ in the most that they generate.
@@ -93,29 +93,29 @@
 // most half of the time, and loses the accounts at each third step on average.
 func boundHoldsForSizes(budget, largest int, steps []int) bool {
 	var a *account
-	losses, total, seen := 0, 0, 0
+	crashes, total, seen := 0, 0, 0
 	recorded := map[bool]accountRecord{}
 	for _, step := range steps {
 		if step%3 == 0 {
 			if a != nil && a.recorded {
-				recorded[true] = accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: losses}
+				recorded[true] = accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: crashes}
 			}
-			a, losses = nil, losses+1
+			a, crashes = nil, crashes+1
 			continue
 		}
-		most := 1 + step/6%largest
+		maxTurn := 1 + step/6%largest
 		if r, ok := recorded[true]; a == nil && ok {
-			a = restoreAccount("p", r, losses, time.Minute, time.Time{})
+			a = restoreAccount("p", r, crashes, time.Minute, time.Time{})
 		} else if a == nil {
-			a = newAccount("p", budget, most, losses)
+			a = newAccount("p", budget, maxTurn, crashes)
 		}
-		a.maxTurn = max(a.maxTurn, most)
-		seen = max(seen, most)
-		used := most
+		a.maxTurn = max(a.maxTurn, maxTurn)
+		seen = max(seen, maxTurn)
+		used := maxTurn
 		if step%2 == 0 {
-			used = step / 7 % (most + 1)
+			used = step / 7 % (maxTurn + 1)
 		}
-		if runTurn(a, most, used) {
+		if runTurn(a, maxTurn, used) {
 			total += used
 		}
 	}
@@ -125,17 +125,17 @@
 // A program begins and goes on behind two losses in a row without any record, as
 // it has to while the store is away.
 func TestProgramRunsWithoutARecordAfterCrashes(t *testing.T) {
-	const budget, most = 2304, 288
-	for losses := range 2 {
-		a := newAccount("p", budget, most, losses)
+	const budget, maxTurn = 2304, 288
+	for crashes := range 2 {
+		a := newAccount("p", budget, maxTurn, crashes)
 		turns := 0
-		for a.decide(most) == granted {
-			a.grant(&waiter{lease: structs.RoomLease{Number: 1}, maxTokens: most})
-			a.settle(structs.RoomLease{Number: 1}, most/3)
+		for a.decide(maxTurn) == granted {
+			a.grant(&waiter{lease: structs.RoomLease{Number: 1}, maxTokens: maxTurn})
+			a.settle(structs.RoomLease{Number: 1}, maxTurn/3)
 			turns++
 		}
 		if turns < 4 {
-			t.Errorf("behind %d losses: %d turns without a record", losses, turns)
+			t.Errorf("behind %d losses: %d turns without a record", crashes, turns)
 		}
 	}
 }
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -34,25 +34,25 @@
 )
 
 // startClaim claims a partition in the background. The mutex is held.
-func (k *Manager) startClaim(p *partition) {
-	if p.claiming || k.leaving.Load() || time.Now().Before(p.claimAfter) {
+func (m *Manager) startClaim(p *partition) {
+	if p.claiming || m.leaving.Load() || time.Now().Before(p.claimAfter) {
 		return
 	}
 	p.claiming = true
-	k.spawn(func() { k.claim(p) })
+	m.spawn(func() { m.claim(p) })
 }
 
 // claim claims a partition and answers the asks that wait for it.
-func (k *Manager) claim(p *partition) {
-	k.mu.Lock()
+func (m *Manager) claim(p *partition) {
+	m.mu.Lock()
 	previousOwner := p.owner
-	k.mu.Unlock()
-	err := k.tryClaim(p)
-	k.mu.Lock()
+	m.mu.Unlock()
+	err := m.tryClaim(p)
+	m.mu.Lock()
 	p.claiming = false
 	if err != nil {
 		p.claimAfter = time.Now().Add(claimBackoff)
-		k.refuseRecordWaiters(p)
+		m.refuseRecordWaiters(p)
 	}
 	parked := p.waitingForClaim
 	p.waitingForClaim = nil
@@ -60,29 +60,29 @@
 	for _, waiting := range parked {
 		switch {
 		case owned:
-			k.admit(p, waiting.request, waiting.reply)
-		case k.ownerUsable(p):
+			m.admit(p, waiting.request, waiting.reply)
+		case m.ownerUsable(p):
 			waiting.reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
 		default:
 			waiting.reply(result{outcome: structs.RoomUnavailable})
 		}
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if err != nil {
-		k.log.Warn("partition not claimed", "partition", p.number, "error", err.Error())
+		m.log.Warn("partition not claimed", "partition", p.number, "error", err.Error())
 		return
 	}
 	if owned {
-		k.announce(previousOwner)
+		m.announce(previousOwner)
 	}
 }
 
 // tryClaim claims a partition, unless a usable instance owns it.
-func (k *Manager) tryClaim(p *partition) error {
+func (m *Manager) tryClaim(p *partition) error {
 	var err error
 	for range maxClaimAttempts {
 		var done bool
-		done, err = k.claimOnce(p)
+		done, err = m.claimOnce(p)
 		if done {
 			return nil
 		}
@@ -104,47 +104,47 @@
 
 // claimOnce reads the partition and claims it if nobody else has. It returns
 // true if the partition has an owner now.
-func (k *Manager) claimOnce(p *partition) (bool, error) {
-	state, err := k.read(p)
+func (m *Manager) claimOnce(p *partition) (bool, error) {
+	state, err := m.read(p)
 	if err != nil {
 		return false, errors.Mark(err, errReadFailed)
 	}
 	if state.owner != nil {
 		// When all instances start together, owners are known from their claims before
 		// the list names them; otherwise each would claim in turn.
-		k.directory.Learn(state.owner.Owner, state.owner.Address)
-		k.awaitProbe(state.owner.Owner)
-		if k.adoptOwner(p, state.owner) {
+		m.directory.Learn(state.owner.Owner, state.owner.Address)
+		m.awaitProbe(state.owner.Owner)
+		if m.adoptOwner(p, state.owner) {
 			return true, nil
 		}
 	}
-	claim := ownerRecord{Epoch: 1, Owner: k.self.ID, Address: k.self.Address}
+	claim := ownerRecord{Epoch: 1, Owner: m.self.ID, Address: m.self.Address}
 	if state.owner != nil {
 		claim.Epoch = state.owner.Epoch + 1
 	}
-	clean := k.hasAccountsOf(p, state.owner)
-	crashes := k.crashesBefore(p, state.owner, clean)
+	clean := m.hasAccountsOf(p, state.owner)
+	crashes := m.crashesBefore(p, state.owner, clean)
 	claim.Crashes = &crashes
 	sequence := rand.Int64N(maxFirstSequence)
-	err = k.appendClaim(p, claim, sequence, state.end)
+	err = m.appendClaim(p, claim, sequence, state.end)
 	if err != nil {
 		return false, err
 	}
-	return true, k.becomeOwner(p, claim, sequence, state, clean)
+	return true, m.becomeOwner(p, claim, sequence, state, clean)
 }
 
 // storeContext bounds one call to the store.
-func (k *Manager) storeContext() (context.Context, context.CancelFunc) {
-	if k.health.OK() {
-		return context.WithTimeout(k.ctx, storeTimeout)
+func (m *Manager) storeContext() (context.Context, context.CancelFunc) {
+	if m.health.OK() {
+		return context.WithTimeout(m.ctx, storeTimeout)
 	}
-	return context.WithTimeout(k.ctx, degradedStoreTimeout)
+	return context.WithTimeout(m.ctx, degradedStoreTimeout)
 }
 
-func (k *Manager) read(p *partition) (partitionState, error) {
-	ctx, cancel := k.storeContext()
+func (m *Manager) read(p *partition) (partitionState, error) {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	list, err := k.store.Newest(ctx, topic, p.number)
+	list, err := m.store.Newest(ctx, topic, p.number)
 	if err != nil {
 		return partitionState{}, err
 	}
@@ -159,38 +159,38 @@
 // awaitProbe asks an owner that did not answer before once more before its partition
 // is claimed: an instance that was paused finds all connections broken when it
 // wakes, and must not take the others' partitions, whose accounts would be lost.
-func (k *Manager) awaitProbe(owner structs.InstanceID) {
-	if !k.directory.Doubted(owner) {
+func (m *Manager) awaitProbe(owner structs.InstanceID) {
+	if !m.directory.Doubted(owner) {
 		return
 	}
-	heard := make(chan struct{}, 1)
-	k.mu.Lock()
-	k.probes[owner] = append(k.probes[owner], heard)
-	k.mu.Unlock()
-	k.peers.Probe(owner)
+	replied := make(chan struct{}, 1)
+	m.mu.Lock()
+	m.probes[owner] = append(m.probes[owner], replied)
+	m.mu.Unlock()
+	m.peers.Probe(owner)
 	timer := time.NewTimer(probeTimeout)
 	defer timer.Stop()
 	select {
-	case <-heard:
+	case <-replied:
 	case <-timer.C:
-	case <-k.ctx.Done():
+	case <-m.ctx.Done():
 	}
 }
 
 // resolveProbes ends the waits for word of an instance. The mutex is held.
-func (k *Manager) resolveProbes(id structs.InstanceID) {
-	for _, heard := range k.probes[id] {
-		heard <- struct{}{}
+func (m *Manager) resolveProbes(id structs.InstanceID) {
+	for _, replied := range m.probes[id] {
+		replied <- struct{}{}
 	}
-	delete(k.probes, id)
+	delete(m.probes, id)
 }
 
 // adoptOwner takes the owner in the store for the present one if it is usable, or
 // if it is this instance already. It tells whether that is so.
-func (k *Manager) adoptOwner(p *partition, owner *ownerRecord) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if owner.Owner == k.self.ID {
+func (m *Manager) adoptOwner(p *partition, owner *ownerRecord) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if owner.Owner == m.self.ID {
 		// An earlier try of this claim took effect without an answer. Its
 		// sequence number is not known any more: claim once more.
 		return p.own != nil && p.own.claimed && p.own.epoch == owner.Epoch
@@ -199,30 +199,30 @@
 		// The partition was handed over to this instance.
 		return false
 	}
-	if !k.directory.Usable(owner.Owner) {
+	if !m.directory.Usable(owner.Owner) {
 		return false
 	}
 	if p.own != nil {
-		k.dropOwnership(p, owner.Owner, "another instance has claimed it")
+		m.dropOwnership(p, owner.Owner, "another instance has claimed it")
 	}
-	k.setOwner(p, owner.Owner, owner.Epoch)
+	m.setOwner(p, owner.Owner, owner.Epoch)
 	return true
 }
 
 // hasAccountsOf tells whether this instance has the exact accounts of the owner in
 // the store.
-func (k *Manager) hasAccountsOf(p *partition, owner *ownerRecord) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) hasAccountsOf(p *partition, owner *ownerRecord) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return p.own != nil && owner != nil && p.own.epoch == owner.Epoch
 }
 
 // crashesBefore is how many owners before a claim of this instance may have handed out
 // their slice. An owner that never learned of its claim handed out nothing: the
 // claim took effect without an answer.
-func (k *Manager) crashesBefore(p *partition, owner *ownerRecord, clean bool) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) crashesBefore(p *partition, owner *ownerRecord, clean bool) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case clean:
 		// The accounts that this instance goes on with have used this slice.
@@ -230,16 +230,16 @@
 		return p.own.crashes
 	case owner == nil:
 		return 0
-	case owner.Owner == k.self.ID && owner.Epoch > p.servedEpoch:
+	case owner.Owner == m.self.ID && owner.Epoch > p.servedEpoch:
 		return owner.crashes()
 	}
 	return owner.crashes() + 1
 }
 
-func (k *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
-	ctx, cancel := k.storeContext()
+func (m *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	_, err := k.store.Append(ctx, platform.Append{
+	_, err := m.store.Append(ctx, platform.Append{
 		Topic: topic, Partition: p.number, At: &end,
 		Records: []platform.Record{{Key: ownerKey, Value: encode(claim)}},
 		Writer:  &platform.Writer{Name: writerName, Epoch: claim.Epoch, Sequence: sequence},
@@ -248,9 +248,9 @@
 }
 
 // becomeOwner makes this instance the owner after its claim was appended.
-func (k *Manager) becomeOwner(p *partition, claim ownerRecord, sequence int64, state partitionState, clean bool) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) becomeOwner(p *partition, claim ownerRecord, sequence int64, state partitionState, clean bool) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if clean && (p.own == nil || state.owner == nil || p.own.epoch != state.owner.Epoch) {
 		// The accounts went between the check and the append: they were
 		// dropped or handed on, so that this claim counts too little.
@@ -259,27 +259,27 @@
 	if !clean {
 		p.own = newOwnership(claim.Epoch)
 		p.own.crashes = claim.crashes()
-		k.restoreAccounts(p.own, state)
+		m.restoreAccounts(p.own, state)
 	}
 	p.own.epoch, p.own.claimed, p.own.sequence = claim.Epoch, true, sequence
 	p.servedEpoch = claim.Epoch
 	p.own.writeFailing = false
-	k.setOwner(p, k.self.ID, claim.Epoch)
-	k.redirectPending(p)
-	k.metrics.claims.Inc(1)
+	m.setOwner(p, m.self.ID, claim.Epoch)
+	m.redirectPending(p)
+	m.metrics.claims.Inc(1)
 	if !clean && state.owner != nil {
-		k.metrics.crashes.Inc(1)
+		m.metrics.crashes.Inc(1)
 	}
-	k.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.crash != nil, "losses", p.own.crashes, "recorded_programs", len(state.programs))
+	m.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.crash != nil, "losses", p.own.crashes, "recorded_programs", len(state.programs))
 	for a := range p.own.dirty {
-		k.scheduleWrite(p, a)
+		m.scheduleWrite(p, a)
 	}
 	return nil
 }
 
 // restoreAccounts makes accounts of the records that an owner left; those without a
 // record are lost.
-func (k *Manager) restoreAccounts(own *ownership, state partitionState) {
+func (m *Manager) restoreAccounts(own *ownership, state partitionState) {
 	for program, record := range state.programs {
 		own.accounts[program] = restoreAccount(program, record, own.crashes, defaultRetention, time.Now())
 	}
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -64,9 +64,9 @@
 func (b *breakList) Hear(breaks []structs.TargetBreak, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, heard := range breaks {
-		if !slices.Contains(b.names, heard.Target) {
-			b.names = append(b.names, heard.Target)
+	for _, received := range breaks {
+		if !slices.Contains(b.names, received.Target) {
+			b.names = append(b.names, received.Target)
 		}
 	}
 }
@@ -109,10 +109,10 @@
 
 // turn runs a turn of a program at an instance: it takes room, and its caller
 // receives some tokens.
-func (c *cluster) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
+func (c *cluster) turn(n *node, program string, budget, maxTurn, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
+	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: maxTurn, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -127,10 +127,10 @@
 // ownerOf is the instance that owns a program's partition, nil if none does.
 func (c *cluster) ownerOf(program string) *node {
 	for _, n := range c.all() {
-		k := n.manager
-		k.mu.Lock()
-		own := k.partitionOf(program).own
-		k.mu.Unlock()
+		m := n.manager
+		m.mu.Lock()
+		own := m.partitionOf(program).own
+		m.mu.Unlock()
 		if own != nil {
 			return n
 		}
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -15,12 +15,12 @@
 
 // Leave hands all partitions over to other instances. The Keeper goes on
 // asking other owners for this instance's turns.
-func (k *Manager) Leave(ctx context.Context) {
-	k.leaving.Store(true)
-	k.directory.SetLeaving(k.self.ID)
-	k.announceLeaving()
-	for _, p := range k.partitions {
-		k.handOver(ctx, p)
+func (m *Manager) Leave(ctx context.Context) {
+	m.leaving.Store(true)
+	m.directory.SetLeaving(m.self.ID)
+	m.announceLeaving()
+	for _, p := range m.partitions {
+		m.handOver(ctx, p)
 	}
 }
 
@@ -28,24 +28,24 @@
 // it leaves. An instance that is not told and asks is sent on. To tell all would take
 // a connection to each: a small machine needs its grace period for that where there
 // are hundreds.
-func (k *Manager) announceLeaving() {
-	k.peers.Broadcast(new(structs.Leaving))
-	for _, id := range k.successors() {
-		k.peers.Send(id, new(structs.Leaving))
+func (m *Manager) announceLeaving() {
+	m.peers.Broadcast(new(structs.Leaving))
+	for _, id := range m.successors() {
+		m.peers.Send(id, new(structs.Leaving))
 	}
 }
 
 // successors lists the instances that would claim the partitions of this one.
-func (k *Manager) successors() []structs.InstanceID {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) successors() []structs.InstanceID {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var successors []structs.InstanceID
-	for _, p := range k.partitions {
+	for _, p := range m.partitions {
 		if p.own == nil {
 			continue
 		}
-		for _, id := range k.directory.Listed(p.key(), watchersPerOwner) {
-			if id != k.self.ID && !slices.Contains(successors, id) {
+		for _, id := range m.directory.Listed(p.key(), watchersPerOwner) {
+			if id != m.self.ID && !slices.Contains(successors, id) {
 				successors = append(successors, id)
 			}
 		}
@@ -56,12 +56,12 @@
 // handOver gives a partition to the first instance that takes it. Only an
 // explicit refusal lets the next one be asked: an answer that does not come
 // may mean that the first has the partition.
-func (k *Manager) handOver(ctx context.Context, p *partition) {
-	for _, successor := range k.directory.Ranked(p.key()) {
-		if successor == k.self.ID {
+func (m *Manager) handOver(ctx context.Context, p *partition) {
+	for _, successor := range m.directory.Ranked(p.key()) {
+		if successor == m.self.ID {
 			continue
 		}
-		accepted, known := k.handOverTo(ctx, p, successor)
+		accepted, known := m.handOverTo(ctx, p, successor)
 		if accepted || !known {
 			return
 		}
@@ -70,78 +70,78 @@
 
 // evacuate hands the partitions over while the store refuses this instance, if
 // another one reaches it: an owner has to write records.
-func (k *Manager) evacuate(ctx context.Context) {
-	for _, p := range k.partitions {
-		k.mu.Lock()
+func (m *Manager) evacuate(ctx context.Context) {
+	for _, p := range m.partitions {
+		m.mu.Lock()
 		owned := p.own != nil
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if !owned {
 			continue
 		}
-		successor, ok := k.findSuccessor(ctx, p)
+		successor, ok := m.findSuccessor(ctx, p)
 		if !ok {
 			return
 		}
-		k.handOverTo(ctx, p, successor)
+		m.handOverTo(ctx, p, successor)
 	}
 }
 
 // findSuccessor asks one instance, another one each time, whether it would take
 // a partition.
-func (k *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
-	others := k.directory.Others()
+func (m *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
+	others := m.directory.Others()
 	if len(others) == 0 {
 		return "", false
 	}
 	asked := others[rand.IntN(len(others))].ID
 	replies := make(chan bool, 1)
-	k.mu.Lock()
-	offer := &structs.PartitionHandover{Number: k.nextNumber(), Partition: p.number, Offer: true}
-	k.handovers[offer.Number] = replies
-	k.mu.Unlock()
-	k.peers.Send(asked, offer)
-	willing, known := k.awaitHandover(ctx, offer.Number, replies)
+	m.mu.Lock()
+	offer := &structs.PartitionHandover{Number: m.nextNumber(), Partition: p.number, Offer: true}
+	m.handovers[offer.Number] = replies
+	m.mu.Unlock()
+	m.peers.Send(asked, offer)
+	willing, known := m.awaitHandover(ctx, offer.Number, replies)
 	return asked, willing && known
 }
 
 // handOverTo gives a partition to one instance. It returns whether that has
 // taken it, and whether this is known.
-func (k *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (accepted, known bool) {
-	k.mu.Lock()
+func (m *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (accepted, known bool) {
+	m.mu.Lock()
 	own := p.own
 	if own == nil {
-		k.mu.Unlock()
+		m.mu.Unlock()
 		return true, true
 	}
-	message := k.exportPartition(p)
+	message := m.exportPartition(p)
 	replies := make(chan bool, 1)
-	k.handovers[message.Number] = replies
+	m.handovers[message.Number] = replies
 	// From here on this instance hands out no room.
 	p.own = nil
-	k.setOwner(p, successor, own.epoch)
+	m.setOwner(p, successor, own.epoch)
 	for _, a := range own.accounts {
-		k.refuseWaiters(a, structs.RoomNotOwner, successor)
+		m.refuseWaiters(a, structs.RoomNotOwner, successor)
 	}
-	k.mu.Unlock()
-	k.peers.Send(successor, message)
-	accepted, known = k.awaitHandover(ctx, message.Number, replies)
+	m.mu.Unlock()
+	m.peers.Send(successor, message)
+	accepted, known = m.awaitHandover(ctx, message.Number, replies)
 	if accepted {
-		k.metrics.handovers.Inc(1)
+		m.metrics.handovers.Inc(1)
 	}
-	k.log.Info("partition handed over", "partition", p.number, "epoch", own.epoch, "successor", successor,
+	m.log.Info("partition handed over", "partition", p.number, "epoch", own.epoch, "successor", successor,
 		"accounts", len(own.accounts), "taken", accepted, "known", known)
 	if known && !accepted {
-		k.resumeOwnership(p, own)
+		m.resumeOwnership(p, own)
 	}
 	return accepted, known
 }
 
 // exportPartition makes the message that hands a partition over. The mutex is
 // held.
-func (k *Manager) exportPartition(p *partition) *structs.PartitionHandover {
+func (m *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
-		Number: k.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.crashes,
+		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.crashes,
 	}
 	if l := p.own.crash; l != nil {
 		message.LostBy, message.LostFor = l.owner, now.Sub(l.at)
@@ -152,13 +152,13 @@
 	return message
 }
 
-func (k *Manager) awaitHandover(ctx context.Context, number uint64, replies chan bool) (accepted, known bool) {
+func (m *Manager) awaitHandover(ctx context.Context, number uint64, replies chan bool) (accepted, known bool) {
 	timer := time.NewTimer(handoverTimeout)
 	defer timer.Stop()
 	defer func() {
-		k.mu.Lock()
-		delete(k.handovers, number)
-		k.mu.Unlock()
+		m.mu.Lock()
+		delete(m.handovers, number)
+		m.mu.Unlock()
 	}()
 	select {
 	case accepted = <-replies:
@@ -170,66 +170,66 @@
 }
 
 // resumeOwnership resumes an ownership that the successor has refused.
-func (k *Manager) resumeOwnership(p *partition, own *ownership) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) resumeOwnership(p *partition, own *ownership) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != nil || p.epoch > own.epoch {
 		return
 	}
 	p.own = own
-	k.setOwner(p, k.self.ID, own.epoch)
+	m.setOwner(p, m.self.ID, own.epoch)
 	for a := range own.dirty {
-		k.scheduleWrite(p, a)
+		m.scheduleWrite(p, a)
 	}
 }
 
-func (k *Manager) receiveHandoverReply(msg *structs.HandoverReply) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if replies, ok := k.handovers[msg.Number]; ok {
+func (m *Manager) receiveHandoverReply(msg *structs.HandoverReply) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if replies, ok := m.handovers[msg.Number]; ok {
 		replies <- msg.Accepted
-		delete(k.handovers, msg.Number)
+		delete(m.handovers, msg.Number)
 	}
 }
 
 // receiveHandover takes a partition over, unless this instance leaves or knows
 // of a newer owner.
-func (k *Manager) receiveHandover(from structs.InstanceID, msg *structs.PartitionHandover) {
+func (m *Manager) receiveHandover(from structs.InstanceID, msg *structs.PartitionHandover) {
 	if msg.Offer {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.spawn(func() { k.replyToOffer(from, msg) })
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.spawn(func() { m.replyToOffer(from, msg) })
 		return
 	}
-	accepted := k.acceptHandover(from, msg)
-	k.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: accepted})
+	accepted := m.acceptHandover(from, msg)
+	m.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: accepted})
 	if accepted {
 		// Who asks the former owner is sent on by it.
-		k.mu.Lock()
-		notice := k.ownerNotice()
-		k.mu.Unlock()
-		k.peers.Broadcast(notice)
+		m.mu.Lock()
+		notice := m.ownerNotice()
+		m.mu.Unlock()
+		m.peers.Broadcast(notice)
 	}
 }
 
 // replyToOffer tells whether this instance would take a partition over: whether the
 // store serves it the partition. What others say of the store is no sign of that.
-func (k *Manager) replyToOffer(from structs.InstanceID, msg *structs.PartitionHandover) {
-	willing := !k.leaving.Load() && k.health.OK() && msg.Partition >= 0 && msg.Partition < len(k.partitions)
+func (m *Manager) replyToOffer(from structs.InstanceID, msg *structs.PartitionHandover) {
+	willing := !m.leaving.Load() && m.health.OK() && msg.Partition >= 0 && msg.Partition < len(m.partitions)
 	if willing {
-		_, err := k.read(k.partitions[msg.Partition])
+		_, err := m.read(m.partitions[msg.Partition])
 		willing = err == nil
 	}
-	k.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: willing})
+	m.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: willing})
 }
 
-func (k *Manager) acceptHandover(from structs.InstanceID, msg *structs.PartitionHandover) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.leaving.Load() || msg.Partition < 0 || msg.Partition >= len(k.partitions) {
+func (m *Manager) acceptHandover(from structs.InstanceID, msg *structs.PartitionHandover) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leaving.Load() || msg.Partition < 0 || msg.Partition >= len(m.partitions) {
 		return false
 	}
-	p := k.partitions[msg.Partition]
+	p := m.partitions[msg.Partition]
 	if p.own != nil || p.epoch > msg.Epoch {
 		return false
 	}
@@ -242,9 +242,9 @@
 	for _, a := range msg.Accounts {
 		p.own.accounts[a.Program] = importAccount(a, now)
 	}
-	k.setOwner(p, k.self.ID, msg.Epoch)
-	k.log.Info("partition taken over", "partition", p.number, "epoch", msg.Epoch, "from", from,
+	m.setOwner(p, m.self.ID, msg.Epoch)
+	m.log.Info("partition taken over", "partition", p.number, "epoch", msg.Epoch, "from", from,
 		"accounts", len(msg.Accounts))
-	k.startClaim(p)
+	m.startClaim(p)
 	return true
 }
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -33,12 +33,12 @@
 			id := directory.InstanceID(fmt.Sprint("m", i), "1")
 			dir.Put(structs.Peer{ID: id, Address: "10.0.0.1:1"})
 		}
-		k := New(t.Context(), Config{
+		m := New(t.Context(), Config{
 			Directory: dir, Partitions: 24, Store: simnet.New().Store, Peers: peers, Breaks: new(breakList), Loads: new(breakList),
 			Health: new(simnet.Node), Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
-		k.partitions[3].own = newOwnership(1)
-		k.announceLeaving()
+		m.partitions[3].own = newOwnership(1)
+		m.announceLeaving()
 		if peers.broadcasts != 1 || len(peers.sent) == 0 || len(peers.sent) > watchersPerOwner {
 			t.Errorf("of %d instances %d were told apart from those connected", instances, len(peers.sent))
 		}
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -136,7 +136,7 @@
 
 // New makes a Keeper that works until the context ends.
 func New(ctx context.Context, parts Config) *Manager {
-	k := &Manager{
+	m := &Manager{
 		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
 		breaks: parts.Breaks, loads: parts.Loads, health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), ctx: ctx,
 		listed: parts.Listed, started: time.Now(),
@@ -145,14 +145,14 @@
 		probes:    make(map[structs.InstanceID][]chan struct{}),
 	}
 	for i := range parts.Partitions {
-		k.partitions = append(k.partitions, &partition{number: i})
+		m.partitions = append(m.partitions, &partition{number: i})
 	}
-	return k
+	return m
 }
 
 // partitionOf is the partition of a program.
-func (k *Manager) partitionOf(program string) *partition {
-	return k.partitions[xxhash.Sum64String(program)%uint64(len(k.partitions))]
+func (m *Manager) partitionOf(program string) *partition {
+	return m.partitions[xxhash.Sum64String(program)%uint64(len(m.partitions))]
 }
 
 // key is what the rendezvous hash of a partition's owner is made of.
@@ -163,58 +163,58 @@
 
 // spawn works in the background, unless the Keeper has stopped. The mutex is
 // held.
-func (k *Manager) spawn(work func()) {
-	if !k.stopped {
-		k.work.Go(work)
+func (m *Manager) spawn(work func()) {
+	if !m.stopped {
+		m.work.Go(work)
 	}
 }
 
 // stop waits for what works in the background.
-func (k *Manager) stop() {
-	k.mu.Lock()
-	k.stopped = true
-	k.mu.Unlock()
-	k.work.Wait()
+func (m *Manager) stop() {
+	m.mu.Lock()
+	m.stopped = true
+	m.mu.Unlock()
+	m.work.Wait()
 }
 
 // nextNumber numbers leases and handovers. The mutex is held.
-func (k *Manager) nextNumber() uint64 {
-	k.lastNumber++
-	return k.lastNumber
+func (m *Manager) nextNumber() uint64 {
+	m.lastNumber++
+	return m.lastNumber
 }
 
 // Receive handles an event of the transport between instances.
-func (k *Manager) Receive(event structs.Event) {
+func (m *Manager) Receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerMessage:
-		k.receiveMessage(e.From, e.Msg)
+		m.receiveMessage(e.From, e.Msg)
 	case structs.PeerUp:
-		k.peerUp(e.Peer)
+		m.peerUp(e.Peer)
 	case structs.PeerDown:
-		k.peerDown(e.Peer)
+		m.peerDown(e.Peer)
 	}
 }
 
-func (k *Manager) receiveMessage(from structs.InstanceID, message structs.Message) {
+func (m *Manager) receiveMessage(from structs.InstanceID, message structs.Message) {
 	switch msg := message.(type) {
 	case *structs.RoomRequest:
-		k.receiveRequest(from, *msg)
+		m.receiveRequest(from, *msg)
 	case *structs.RoomReply:
-		k.receiveReply(from, msg)
+		m.receiveReply(from, msg)
 	case *structs.RoomSettle:
-		k.receiveSettle(msg)
+		m.receiveSettle(msg)
 	case *structs.OwnerNotice:
-		k.receiveNotice(from, msg)
+		m.receiveNotice(from, msg)
 	case *structs.PartitionHandover:
-		k.receiveHandover(from, msg)
+		m.receiveHandover(from, msg)
 	case *structs.HandoverReply:
-		k.receiveHandoverReply(msg)
+		m.receiveHandoverReply(msg)
 	case *structs.TargetNotice:
-		k.breaks.Hear(msg.Breaks, time.Now())
+		m.breaks.Hear(msg.Breaks, time.Now())
 	case *structs.Leaving:
-		k.directory.SetLeaving(from)
+		m.directory.SetLeaving(from)
 	default:
-		k.log.Warn("message of an unexpected kind ignored", "peer", from, "kind", message.Kind())
+		m.log.Warn("message of an unexpected kind ignored", "peer", from, "kind", message.Kind())
 	}
 }
 
@@ -232,7 +232,7 @@
 const claimInterval = 1500 * time.Millisecond
 
 // Run keeps the partitions until the context ends.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
 	relief := time.NewTicker(evacuateInterval)
@@ -242,40 +242,40 @@
 	for {
 		select {
 		case <-ctx.Done():
-			k.stop()
+			m.stop()
 			return
 		case <-claim.C:
-			k.claimVacant()
+			m.claimVacant()
 		case <-relief.C:
-			if !k.health.OK() && !k.leaving.Load() {
-				k.evacuate(ctx)
+			if !m.health.OK() && !m.leaving.Load() {
+				m.evacuate(ctx)
 			}
 		case now := <-sweep.C:
-			k.sweep(now)
+			m.sweep(now)
 		}
 	}
 }
 
 // claimVacant claims the partitions that were handed to this instance, and
 // those without a known usable owner for which it ranks first.
-func (k *Manager) claimVacant() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.rewatchIfChanged()
-	known := k.instancesKnown()
-	for _, p := range k.partitions {
+func (m *Manager) claimVacant() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.rewatchIfChanged()
+	known := m.instancesKnown()
+	for _, p := range m.partitions {
 		handed := p.own != nil && !p.own.claimed
-		vacant := known && p.own == nil && !k.ownerUsable(p) && k.preferredOwner(p) == k.self.ID
+		vacant := known && p.own == nil && !m.ownerUsable(p) && m.preferredOwner(p) == m.self.ID
 		if handed || vacant {
-			k.startClaim(p)
+			m.startClaim(p)
 		}
 	}
 }
 
 // preferredOwner is the instance that should own a partition, empty if there is
 // none.
-func (k *Manager) preferredOwner(p *partition) structs.InstanceID {
-	return k.directory.First(p.key())
+func (m *Manager) preferredOwner(p *partition) structs.InstanceID {
+	return m.directory.First(p.key())
 }
 
 // listTimeout is how long an instance that starts waits for the list of instances
@@ -284,31 +284,31 @@
 const listTimeout = 500 * time.Millisecond
 
 // instancesKnown tells whether the list of instances is known.
-func (k *Manager) instancesKnown() bool { return k.listed == nil || k.listed() }
+func (m *Manager) instancesKnown() bool { return m.listed == nil || m.listed() }
 
 // mayClaim tells whether this instance may claim a partition that it is asked for.
-func (k *Manager) mayClaim() bool { return k.instancesKnown() || time.Since(k.started) > listTimeout }
+func (m *Manager) mayClaim() bool { return m.instancesKnown() || time.Since(m.started) > listTimeout }
 
 // OwnsPartitions tells whether this instance owns a partition.
-func (k *Manager) OwnsPartitions() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.ContainsFunc(k.partitions, func(p *partition) bool { return p.own != nil })
+func (m *Manager) OwnsPartitions() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.ContainsFunc(m.partitions, func(p *partition) bool { return p.own != nil })
 }
 
 // ownerUsable tells whether another instance is known to own the partition and
 // answers.
-func (k *Manager) ownerUsable(p *partition) bool {
-	return p.owner != "" && p.owner != k.self.ID && k.directory.Usable(p.owner)
+func (m *Manager) ownerUsable(p *partition) bool {
+	return p.owner != "" && p.owner != m.self.ID && m.directory.Usable(p.owner)
 }
 
 // sweep forgets programs that cannot come back.
-func (k *Manager) sweep(now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, p := range k.partitions {
+func (m *Manager) sweep(now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, p := range m.partitions {
 		if p.own != nil {
-			k.sweepAccounts(p, now)
+			m.sweepAccounts(p, now)
 		}
 	}
 }
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -148,19 +148,19 @@
 		if err := c.turn(c.all()[0], "q", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		if losses, _ := c.crashesOf("q"); losses != 1 {
-			t.Errorf("behind a loss: %d losses", losses)
+		if crashes, _ := c.crashesOf("q"); crashes != 1 {
+			t.Errorf("behind a loss: %d losses", crashes)
 		}
 		time.Sleep(2*defaultRetention + 4*sweepInterval)
-		if losses, claimed := c.crashesOf("q"); losses != 0 || !claimed {
-			t.Errorf("later: %d losses, claimed %v", losses, claimed)
+		if crashes, claimed := c.crashesOf("q"); crashes != 0 || !claimed {
+			t.Errorf("later: %d losses, claimed %v", crashes, claimed)
 		}
 	})
 }
 
 // crashesBefore is what the owner of a program's partition knows of losses, and whether
 // its claim has landed.
-func (c *cluster) crashesOf(program string) (losses int, claimed bool) {
+func (c *cluster) crashesOf(program string) (crashes int, claimed bool) {
 	n := c.ownerOf(program)
 	own := n.own(program)
 	n.manager.mu.Lock()
@@ -171,13 +171,13 @@
 // A record of before slices counts for what its owner may have handed out, 0.6 of
 // a budget.
 func TestClaimsWithoutACrashCountAreCharged(t *testing.T) {
-	held, err := decodePartition(platform.Newest{Records: []platform.Record{
+	state, err := decodePartition(platform.Newest{Records: []platform.Record{
 		{Key: ownerKey, Value: []byte(`{"epoch":3,"owner":"m~1","address":"m"}`)},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newAccount("p", typicalBudget, typicalMaxTurn, held.owner.crashes()+1)
+	a := newAccount("p", typicalBudget, typicalMaxTurn, state.owner.crashes()+1)
 	if a.used < typicalBudget*6/10 {
 		t.Errorf("%d of %d charged", a.used, typicalBudget)
 	}
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -56,7 +56,7 @@
 }
 
 // admit takes a request for room at the owner. The mutex is held.
-func (k *Manager) admit(p *partition, r structs.RoomRequest, reply func(result)) {
+func (m *Manager) admit(p *partition, r structs.RoomRequest, reply func(result)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
 		a = newAccount(r.Program, r.Budget, r.Most, p.own.initialCrashes())
@@ -66,32 +66,32 @@
 	a.maxTurn = max(a.maxTurn, r.Most)
 	a.retention = max(a.retention, r.Retention)
 	a.waiters = append(a.waiters, &waiter{lease: r.Lease, maxTokens: r.Most, reply: reply})
-	k.serveWaiters(p, a)
+	m.serveWaiters(p, a)
 }
 
 // serveWaiters answers the asks of an account, in order, as far as it can now.
 // The mutex is held.
-func (k *Manager) serveWaiters(p *partition, a *account) {
+func (m *Manager) serveWaiters(p *partition, a *account) {
 	for len(a.waiters) > 0 {
 		next := a.waiters[0]
 		switch a.decide(next.maxTokens) {
 		case granted:
 			first := a.unused()
 			a.grant(next)
-			k.metrics.granted.Inc(1)
+			m.metrics.granted.Inc(1)
 			next.reply(result{outcome: structs.RoomGranted, target: a.lastTarget, first: first})
 		case exhausted:
-			k.metrics.exhausted.Inc(1)
-			k.log.Info("budget spent", "program", a.program, "partition", p.number, "budget", a.budget,
+			m.metrics.exhausted.Inc(1)
+			m.log.Info("budget spent", "program", a.program, "partition", p.number, "budget", a.budget,
 				"used", a.used, "most", next.maxTokens, "losses", a.crashes, "recorded", a.recorded, "epoch", p.own.epoch)
 			next.reply(result{outcome: structs.RoomSpent})
 		case awaitSettle:
 			return
 		case awaitRecord:
 			a.requestRecord(next.maxTokens)
-			k.scheduleWrite(p, a)
-			if a.leased == 0 && k.unwritable(p) {
-				k.refuseWaiters(a, structs.RoomNoRecord, "")
+			m.scheduleWrite(p, a)
+			if a.leased == 0 && m.unwritable(p) {
+				m.refuseWaiters(a, structs.RoomNoRecord, "")
 			}
 			return
 		}
@@ -102,18 +102,18 @@
 // unwritable tells that the store has not taken the last write to a partition
 // that this instance owns, so that a turn need not wait for the next one: an
 // outage lasts for seconds. The mutex is held.
-func (k *Manager) unwritable(p *partition) bool {
+func (m *Manager) unwritable(p *partition) bool {
 	if p.own.claimed {
-		return p.own.writeFailing && !k.health.OK()
+		return p.own.writeFailing && !m.health.OK()
 	}
 	return time.Now().Before(p.claimAfter)
 }
 
 // refuseWaiters answers all asks of an account alike. The mutex is held.
-func (k *Manager) refuseWaiters(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
+func (m *Manager) refuseWaiters(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
 	for _, waiting := range a.waiters {
 		if outcome == structs.RoomNoRecord {
-			k.metrics.unavailable.Inc(1)
+			m.metrics.unavailable.Inc(1)
 		}
 		waiting.reply(result{outcome: outcome, owner: owner})
 	}
@@ -121,59 +121,59 @@
 }
 
 // receiveSettle ends a lease, or passes the message on to the newest owner.
-func (k *Manager) receiveSettle(msg *structs.RoomSettle) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if msg.Partition < 0 || msg.Partition >= len(k.partitions) {
+func (m *Manager) receiveSettle(msg *structs.RoomSettle) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
 		return
 	}
-	p := k.partitions[msg.Partition]
+	p := m.partitions[msg.Partition]
 	if p.own == nil {
-		if k.ownerUsable(p) {
-			k.peers.Send(p.owner, msg)
+		if m.ownerUsable(p) {
+			m.peers.Send(p.owner, msg)
 		}
 		return
 	}
-	k.settle(p, msg)
+	m.settle(p, msg)
 }
 
 // settle ends a lease at the owner. The mutex is held.
-func (k *Manager) settle(p *partition, msg *structs.RoomSettle) {
+func (m *Manager) settle(p *partition, msg *structs.RoomSettle) {
 	a, ok := p.own.accounts[msg.Program]
 	if !ok || !a.settle(msg.Lease, msg.Used) {
 		return
 	}
 	a.lastUsed = time.Now()
 	a.updateTarget(msg.Target, msg.Failed)
-	k.serveWaiters(p, a)
+	m.serveWaiters(p, a)
 }
 
 // chargeLeasesOf counts the leases of an instance that is gone as used. The mutex
 // is held.
-func (k *Manager) chargeLeasesOf(p *partition, holder structs.InstanceID) {
+func (m *Manager) chargeLeasesOf(p *partition, holder structs.InstanceID) {
 	for _, a := range p.own.accounts {
 		if a.chargeLeasesOf(holder) {
-			k.serveWaiters(p, a)
+			m.serveWaiters(p, a)
 		}
 	}
 }
 
 // sweepAccounts forgets the accounts of programs that cannot come back. The
 // mutex is held.
-func (k *Manager) sweepAccounts(p *partition, now time.Time) {
-	k.expireCrash(p, now)
+func (m *Manager) sweepAccounts(p *partition, now time.Time) {
+	m.expireCrash(p, now)
 	for name, a := range p.own.accounts {
 		if a.expired(now) && !p.own.dirty[a] {
 			delete(p.own.accounts, name)
 		}
 	}
-	k.resetCrashes(p)
+	m.resetCrashes(p)
 }
 
 // resetCrashes has the partition claimed anew without losses, once no program is
 // left that may have used the slice of an owner behind one. Else a partition had
 // no slices left after as many losses as there are slices. The mutex is held.
-func (k *Manager) resetCrashes(p *partition) {
+func (m *Manager) resetCrashes(p *partition) {
 	if p.own.crash != nil || p.own.crashes == 0 || !p.own.claimed {
 		return
 	}
@@ -183,20 +183,20 @@
 		}
 	}
 	p.own.crashes, p.own.claimed = 0, false
-	k.startClaim(p)
+	m.startClaim(p)
 }
 
 // expireCrash ends the charge for a loss once no program that the lost accounts
 // held can come back, and the owner that had them is known to have ended: until
 // then it might still hand out room without a record. The mutex is held.
-func (k *Manager) expireCrash(p *partition, now time.Time) {
+func (m *Manager) expireCrash(p *partition, now time.Time) {
 	l := p.own.crash
-	if l == nil || !k.directory.Ended(l.owner) {
+	if l == nil || !m.directory.Ended(l.owner) {
 		return
 	}
 	if now.Sub(l.at) > longestRetention(p.own.accounts) {
 		p.own.crash = nil
-		k.log.Info("loss of accounts is over", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
+		m.log.Info("loss of accounts is over", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
 	}
 }
 
@@ -210,11 +210,11 @@
 }
 
 // dropOwnership ends this instance's ownership. The mutex is held.
-func (k *Manager) dropOwnership(p *partition, owner structs.InstanceID, reason string) {
+func (m *Manager) dropOwnership(p *partition, owner structs.InstanceID, reason string) {
 	own := p.own
 	p.own = nil
-	k.log.Warn("partition lost", "partition", p.number, "epoch", own.epoch, "owner", owner, "reason", reason)
+	m.log.Warn("partition lost", "partition", p.number, "epoch", own.epoch, "owner", owner, "reason", reason)
 	for _, a := range own.accounts {
-		k.refuseWaiters(a, structs.RoomNotOwner, owner)
+		m.refuseWaiters(a, structs.RoomNotOwner, owner)
 	}
 }
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -50,11 +50,11 @@
 			budget := 1000 + 500*i
 			budgets[program] = budget
 			starts := time.Duration(r.Int64N(int64(scheduleTime)))
-			for line := range 1 + i%5 {
-				lineSeed := seed*1000 + uint64(i*10+line)
+			for caller := range 1 + i%5 {
+				callerSeed := seed*1000 + uint64(i*10+caller)
 				work.Go(func() {
 					time.Sleep(starts)
-					runProgram(c, program, budget, lineSeed, ends)
+					runProgram(c, program, budget, callerSeed, ends)
 				})
 			}
 		}
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -75,10 +75,10 @@
 // has none, serve.ErrNoRoom if turns under way hold what is left,
 // serve.ErrStoreAway if a record is needed that the store does not take,
 // serve.ErrNoOwner if no owner is found, or the error of the context.
-func (k *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
-	lease, err := k.reserve(wait, turn)
+	lease, err := m.reserve(wait, turn)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
 		return nil, serve.ErrNoRoom
 	}
@@ -86,12 +86,12 @@
 }
 
 // reserve waits for room until the context ends.
-func (k *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
-	p := k.partitionOf(turn.Program)
+func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+	p := m.partitionOf(turn.Program)
 	request := structs.RoomRequest{
 		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.Most, Retention: turn.Retention,
 	}
-	search := ownerSearch{manager: k, partition: p}
+	search := ownerSearch{manager: m, partition: p}
 	started := time.Now()
 	for {
 		got, err := search.try(ctx, &request)
@@ -100,7 +100,7 @@
 		}
 		switch got.outcome {
 		case structs.RoomGranted:
-			return reservation{k, request, got.target, got.first}, nil
+			return reservation{m, request, got.target, got.first}, nil
 		case structs.RoomSpent:
 			return nil, serve.ErrSpent
 		case structs.RoomNoRecord:
@@ -109,7 +109,7 @@
 		if len(search.unavailable) >= maxUnavailable {
 			return nil, serve.ErrStoreAway
 		}
-		if time.Since(started) > ownerTimeout || k.isolated() {
+		if time.Since(started) > ownerTimeout || m.isolated() {
 			return nil, serve.ErrNoOwner
 		}
 		if !delay.Sleep(ctx, ownerRetryInterval) {
@@ -120,8 +120,8 @@
 
 // isolated tells that neither the store nor any other instance answers, so that
 // an owner will not be found soon.
-func (k *Manager) isolated() bool {
-	return !k.health.OK() && len(k.directory.Others()) == 0
+func (m *Manager) isolated() bool {
+	return !m.health.OK() && len(m.directory.Others()) == 0
 }
 
 // ownerSearch finds the owner of a partition for one turn.
@@ -139,28 +139,28 @@
 // try asks the instance that should know. Each try has a lease of its own, so
 // that a late answer to an earlier one is told apart.
 func (s *ownerSearch) try(ctx context.Context, request *structs.RoomRequest) (result, error) {
-	k := s.manager
-	answers := make(chan result, 1)
-	k.mu.Lock()
-	request.Lease = structs.RoomLease{Holder: k.self.ID, Number: k.nextNumber()}
+	m := s.manager
+	results := make(chan result, 1)
+	m.mu.Lock()
+	request.Lease = structs.RoomLease{Holder: m.self.ID, Number: m.nextNumber()}
 	request.Suspect = s.suspect
-	asked := s.candidate()
-	request.Named = asked != "" && asked == s.redirect
-	if asked == k.self.ID {
-		k.request(s.partition, *request, func(got result) { answers <- got })
-	} else if asked != "" {
-		k.pending[request.Lease] = &pendingRequest{owner: asked, request: *request, result: answers}
+	to := s.candidate()
+	request.Named = to != "" && to == s.redirect
+	if to == m.self.ID {
+		m.request(s.partition, *request, func(got result) { results <- got })
+	} else if to != "" {
+		m.pending[request.Lease] = &pendingRequest{owner: to, request: *request, result: results}
 	}
-	k.mu.Unlock()
-	if asked == "" {
+	m.mu.Unlock()
+	if to == "" {
 		return s.noCandidate(), nil
 	}
-	if asked != k.self.ID {
+	if to != m.self.ID {
 		message := *request
-		message.Loads = k.loads.OwnLoads(time.Now())
-		k.peers.Send(asked, &message)
+		message.Loads = m.loads.OwnLoads(time.Now())
+		m.peers.Send(to, &message)
 	}
-	return s.await(ctx, request, asked, answers)
+	return s.await(ctx, request, to, results)
 }
 
 // noCandidate is the answer if there is no instance left to ask.
@@ -174,118 +174,118 @@
 // candidate is whom to ask: the known owner, or the instance that should claim
 // the partition. The mutex is held.
 func (s *ownerSearch) candidate() structs.InstanceID {
-	k, p := s.manager, s.partition
-	if p.own != nil || s.redirect == k.self.ID {
-		return k.self.ID
+	m, p := s.manager, s.partition
+	if p.own != nil || s.redirect == m.self.ID {
+		return m.self.ID
 	}
-	if k.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unavailable, p.owner) {
+	if m.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unavailable, p.owner) {
 		return p.owner
 	}
-	return k.directory.FirstBut(p.key(), func(id structs.InstanceID) bool {
+	return m.directory.FirstBut(p.key(), func(id structs.InstanceID) bool {
 		return id == s.suspect || slices.Contains(s.unavailable, id)
 	})
 }
 
 // await waits for the answer of the instance asked.
 func (s *ownerSearch) await(
-	ctx context.Context, request *structs.RoomRequest, asked structs.InstanceID, answers chan result,
+	ctx context.Context, request *structs.RoomRequest, to structs.InstanceID, results chan result,
 ) (result, error) {
-	k := s.manager
+	m := s.manager
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case got := <-answers:
-			s.update(asked, got)
+		case got := <-results:
+			s.update(to, got)
 			return got, nil
 		case <-ctx.Done():
-			k.abandon(request, asked, answers)
+			m.abandon(request, to, results)
 			return result{}, ctx.Err()
 		case <-timer.C:
-			if asked != k.self.ID {
+			if to != m.self.ID {
 				// An owner lets a turn wait while others of its program run:
 				// a silent one is found by a heartbeat.
-				k.peers.Probe(asked)
+				m.peers.Probe(to)
 			}
 		}
 	}
 }
 
 // update draws the conclusions from an answer.
-func (s *ownerSearch) update(asked structs.InstanceID, got result) {
+func (s *ownerSearch) update(to structs.InstanceID, got result) {
 	switch got.outcome {
 	case structs.RoomUnavailable:
-		s.unavailable = append(s.unavailable, asked)
+		s.unavailable = append(s.unavailable, to)
 		s.redirect = ""
 	case structs.RoomNotOwner:
 		s.redirect = got.owner
 		s.manager.learnOwner(s.partition, got.owner)
 	case noReply:
-		s.suspect = asked
+		s.suspect = to
 	}
 }
 
 // learnOwner takes another instance's word on who owns a partition.
-func (k *Manager) learnOwner(p *partition, owner structs.InstanceID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if owner != "" && owner != k.self.ID && p.own == nil {
-		k.setOwner(p, owner, 0)
+func (m *Manager) learnOwner(p *partition, owner structs.InstanceID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if owner != "" && owner != m.self.ID && p.own == nil {
+		m.setOwner(p, owner, 0)
 	}
 }
 
 // abandon withdraws a request whose turn is no longer wanted; room that it was
 // or will be given goes back.
-func (k *Manager) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan result) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.pending, request.Lease)
-	if asked != k.self.ID {
+func (m *Manager) abandon(request *structs.RoomRequest, to structs.InstanceID, results chan result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.pending, request.Lease)
+	if to != m.self.ID {
 		return // receiveReply gives back what a late answer grants
 	}
-	k.spawn(func() {
+	m.spawn(func() {
 		select {
-		case got := <-answers:
+		case got := <-results:
 			if got.outcome == structs.RoomGranted {
-				reservation{manager: k, request: *request}.Settle(serve.TurnEnd{})
+				reservation{manager: m, request: *request}.Settle(serve.TurnEnd{})
 			}
-		case <-k.ctx.Done():
+		case <-m.ctx.Done():
 		}
 	})
 }
 
 // receiveReply takes the answer of another owner.
-func (k *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
-	k.breaks.Hear(msg.Breaks, time.Now())
-	k.loads.HearLoads(msg.Loads, time.Now())
-	k.loads.HearPools(msg.Pools, time.Now())
-	k.mu.Lock()
-	pending, ok := k.pending[msg.Lease]
-	delete(k.pending, msg.Lease)
-	k.mu.Unlock()
+func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
+	m.breaks.Hear(msg.Breaks, time.Now())
+	m.loads.HearLoads(msg.Loads, time.Now())
+	m.loads.HearPools(msg.Pools, time.Now())
+	m.mu.Lock()
+	pending, ok := m.pending[msg.Lease]
+	delete(m.pending, msg.Lease)
+	m.mu.Unlock()
 	if ok {
 		pending.result <- result{outcome: msg.Outcome, owner: msg.Owner, target: msg.Target, first: msg.First}
 		return
 	}
 	if msg.Outcome == structs.RoomGranted {
-		k.peers.Send(from, &structs.RoomSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
+		m.peers.Send(from, &structs.RoomSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
 	}
 }
 
 // receiveRequest takes another instance's request for room.
-func (k *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
-	if r.Partition < 0 || r.Partition >= len(k.partitions) {
-		k.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
+func (m *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
+	if r.Partition < 0 || r.Partition >= len(m.partitions) {
+		m.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
 		return
 	}
-	k.loads.HearLoads(r.Loads, time.Now())
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.request(k.partitions[r.Partition], r, func(got result) {
-		k.peers.Send(from, &structs.RoomReply{
+	m.loads.HearLoads(r.Loads, time.Now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.request(m.partitions[r.Partition], r, func(got result) {
+		m.peers.Send(from, &structs.RoomReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
-			Breaks: k.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
-			Loads: k.loads.Loads(time.Now()), Pools: k.loads.PoolReports(time.Now()),
+			Breaks: m.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
+			Loads: m.loads.Loads(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
 }
@@ -293,24 +293,24 @@
 // request hands out room if this instance owns the partition, names the owner
 // if another does, and claims the partition if nobody usable does. The mutex
 // is held.
-func (k *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
+func (m *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
 	if r.Named && p.own == nil {
 		// A claim of this instance took effect without an answer, or somebody
 		// is mistaken: the store tells.
-		k.setOwner(p, "", 0)
+		m.setOwner(p, "", 0)
 	}
 	switch {
 	case p.own != nil:
-		k.admit(p, r, reply)
-	case k.ownerUsable(p):
+		m.admit(p, r, reply)
+	case m.ownerUsable(p):
 		if r.Suspect == p.owner {
-			k.peers.Probe(p.owner)
+			m.peers.Probe(p.owner)
 		}
 		reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
-	case k.leaving.Load() || time.Now().Before(p.claimAfter) || !k.mayClaim():
+	case m.leaving.Load() || time.Now().Before(p.claimAfter) || !m.mayClaim():
 		reply(result{outcome: structs.RoomUnavailable})
 	default:
 		p.waitingForClaim = append(p.waitingForClaim, parkedRequest{r, reply})
-		k.startClaim(p)
+		m.startClaim(p)
 	}
 }
--- a/internal/budget/restart_test.go
+++ b/internal/budget/restart_test.go
@@ -17,14 +17,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := decodePartition(list)
+	state, err := decodePartition(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held.owner == nil {
+	if state.owner == nil {
 		return 0
 	}
-	return held.owner.Epoch
+	return state.owner.Epoch
 }
 
 // TestPartitionsAreClaimedOnceBehindALossOfAll replays the return of everybody:
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -60,15 +60,15 @@
 func (c *cluster) checkClaimant(t *testing.T, number int) structs.InstanceID {
 	t.Helper()
 	nodes := c.all()
-	k := nodes[0].manager
-	k.mu.Lock()
-	p := k.partitions[number]
+	m := nodes[0].manager
+	m.mu.Lock()
+	p := m.partitions[number]
 	owner, key := p.owner, p.key()
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if owner == "" {
 		t.Fatalf("partition %d has no owner", number)
 	}
-	ranked := k.directory.Ranked(key)
+	ranked := m.directory.Ranked(key)
 	next := ranked[0]
 	if next == owner {
 		next = ranked[1]
@@ -83,20 +83,20 @@
 // has claimed the partition.
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
-		k := c.all()[0].manager
-		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan result {
-			answers := make(chan result, 1)
-			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: k.self.ID, Number: lease}}
-			k.pending[request.Lease] = &pendingRequest{owner: asked, request: request, result: answers}
-			return answers
+		m := c.all()[0].manager
+		waiting := func(lease uint64, partition int, owner structs.InstanceID) chan result {
+			results := make(chan result, 1)
+			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: m.self.ID, Number: lease}}
+			m.pending[request.Lease] = &pendingRequest{owner: owner, request: request, result: results}
+			return results
 		}
-		k.mu.Lock()
-		epoch := k.partitions[0].epoch + 1
+		m.mu.Lock()
+		epoch := m.partitions[0].epoch + 1
 		silent := waiting(1001, 0, "silent")
 		same := waiting(1002, 0, "claimant")
 		other := waiting(1003, 1, "silent")
-		k.mu.Unlock()
-		k.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
+		m.mu.Unlock()
+		m.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
 		select {
 		case got := <-silent:
 			if got.outcome != structs.RoomNotOwner || got.owner != "claimant" {
@@ -118,10 +118,10 @@
 		var distant *node
 		var owner structs.InstanceID
 		for _, n := range c.all() {
-			k := n.manager
-			k.mu.Lock()
-			owner = k.partitions[0].owner
-			k.mu.Unlock()
+			m := n.manager
+			m.mu.Lock()
+			owner = m.partitions[0].owner
+			m.mu.Unlock()
 			if owner != "" && owner != n.ID && !slices.Contains(n.Watched(), owner) {
 				distant = n
 				break
@@ -146,14 +146,14 @@
 // it wait no time.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
-		const program, budget, most = "p", 100_000, 100
+		const program, budget, maxTurn = "p", 100_000, 100
 		longest := func(nodes []*node) time.Duration {
 			var work sync.WaitGroup
 			waits := make([]time.Duration, len(nodes))
 			for i, n := range nodes {
 				work.Go(func() {
 					begun := time.Now()
-					if err := c.turn(n, program, budget, most, 10, 0); err != nil {
+					if err := c.turn(n, program, budget, maxTurn, 10, 0); err != nil {
 						t.Errorf("turn at %s: %v", n.ID, err)
 					}
 					waits[i] = time.Since(begun)
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -25,18 +25,18 @@
 )
 
 // scheduleWrite has an account's record written. The mutex is held.
-func (k *Manager) scheduleWrite(p *partition, a *account) {
+func (m *Manager) scheduleWrite(p *partition, a *account) {
 	own := p.own
 	own.dirty[a] = true
 	if !own.claimed {
-		k.startClaim(p)
+		m.startClaim(p)
 		return
 	}
 	if own.writing {
 		return
 	}
 	own.writing = true
-	k.spawn(func() { k.write(p, own) })
+	m.spawn(func() { m.write(p, own) })
 }
 
 // batch is the records of one append.
@@ -49,9 +49,9 @@
 
 // nextBatch gathers the records to be written. It returns nil and ends the
 // writing if there are none, or if the ownership has ended.
-func (k *Manager) nextBatch(p *partition, own *ownership) *batch {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) nextBatch(p *partition, own *ownership) *batch {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != own || len(own.dirty) == 0 {
 		own.writing = false
 		return nil
@@ -84,43 +84,43 @@
 }
 
 // write appends batches until there is nothing to write.
-func (k *Manager) write(p *partition, own *ownership) {
+func (m *Manager) write(p *partition, own *ownership) {
 	for {
-		b := k.nextBatch(p, own)
+		b := m.nextBatch(p, own)
 		if b == nil {
 			return
 		}
-		if err := k.appendBatch(p, own, b); err != nil {
-			k.abortWrites(p, own, err)
+		if err := m.appendBatch(p, own, b); err != nil {
+			m.abortWrites(p, own, err)
 			return
 		}
-		k.applyBatch(p, own, b)
+		m.applyBatch(p, own, b)
 	}
 }
 
 // appendBatch appends a batch and repeats it until its outcome is known. The
 // sequence number makes the repeats take effect once.
-func (k *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
+func (m *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
 	started := time.Now()
-	wait := minWriteBackoff
+	backoff := minWriteBackoff
 	for {
-		err := k.appendOnce(p, b)
-		if err == nil || permanent(err) || k.ctx.Err() != nil {
+		err := m.appendOnce(p, b)
+		if err == nil || permanent(err) || m.ctx.Err() != nil {
 			return err
 		}
-		if time.Since(started) > k.writeTimeout() && !k.markWriteFailing(p, own) {
+		if time.Since(started) > m.writeTimeout() && !m.markWriteFailing(p, own) {
 			return err
 		}
-		time.Sleep(wait)
-		wait = min(2*wait, maxWriteBackoff)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxWriteBackoff)
 	}
 }
 
 // appendOnce makes one try of an append.
-func (k *Manager) appendOnce(p *partition, b *batch) error {
-	ctx, cancel := k.storeContext()
+func (m *Manager) appendOnce(p *partition, b *batch) error {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	_, err := k.store.Append(ctx, platform.Append{
+	_, err := m.store.Append(ctx, platform.Append{
 		Topic: topic, Partition: p.number, Records: b.records, Writer: &b.writer,
 	})
 	var outOfSequence *platform.SequenceError
@@ -138,8 +138,8 @@
 }
 
 // writeTimeout is how long turns wait for a record.
-func (k *Manager) writeTimeout() time.Duration {
-	if k.health.OK() {
+func (m *Manager) writeTimeout() time.Duration {
+	if m.health.OK() {
 		return recordTimeout
 	}
 	return degradedRecordTimeout
@@ -147,36 +147,36 @@
 
 // markWriteFailing notes that records cannot be written for now and refuses the
 // turns that wait for them. It returns false if the ownership has ended.
-func (k *Manager) markWriteFailing(p *partition, own *ownership) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) markWriteFailing(p *partition, own *ownership) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != own {
 		return false
 	}
 	own.writeFailing = true
-	k.refuseRecordWaiters(p)
+	m.refuseRecordWaiters(p)
 	return true
 }
 
 // refuseRecordWaiters refuses the turns that wait for a record of a partition. Those
 // that may get room from other turns of their program wait on. The mutex is
 // held.
-func (k *Manager) refuseRecordWaiters(p *partition) {
+func (m *Manager) refuseRecordWaiters(p *partition) {
 	if p.own == nil {
 		return
 	}
 	for _, a := range p.own.accounts {
 		if len(a.waiters) > 0 && a.leased == 0 {
-			k.refuseWaiters(a, structs.RoomNoRecord, "")
+			m.refuseWaiters(a, structs.RoomNoRecord, "")
 		}
 	}
 }
 
 // applyBatch raises the limits that a batch has recorded.
-func (k *Manager) applyBatch(p *partition, own *ownership, b *batch) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.metrics.records.Inc(int64(len(b.accounts)))
+func (m *Manager) applyBatch(p *partition, own *ownership, b *batch) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.metrics.records.Inc(int64(len(b.accounts)))
 	if p.own != own {
 		return
 	}
@@ -186,18 +186,18 @@
 		if a.pendingLimit <= b.limits[i] {
 			a.pendingLimit = 0
 		}
-		k.serveWaiters(p, a)
+		m.serveWaiters(p, a)
 	}
 }
 
 // abortWrites ends the ownership: another instance has claimed the
 // partition, or the store's state is not the one expected.
-func (k *Manager) abortWrites(p *partition, own *ownership, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) abortWrites(p *partition, own *ownership, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	own.writing = false
 	if p.own == own {
-		k.dropOwnership(p, "", err.Error())
+		m.dropOwnership(p, "", err.Error())
 		p.owner = ""
 	}
 }
--- a/internal/org/org.go
+++ b/internal/org/org.go
@@ -97,8 +97,8 @@
 // organisation does no harm; a key of two organisations belongs to neither.
 func (s *Set) addKeys(o *Organisation) error {
 	for _, key := range o.Keys {
-		if holder := s.byKey[key]; holder != nil && holder != o {
-			return errors.Newf("organisations %s and %s hold the same key", holder.Name, o.Name)
+		if other := s.byKey[key]; other != nil && other != o {
+			return errors.Newf("organisations %s and %s hold the same key", other.Name, o.Name)
 		}
 		s.byKey[key] = o
 	}
