--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -98,15 +98,15 @@
 }
 
 // New makes a Keeper.
-func New(parts Config) *Manager {
-	parts.Slots = min(parts.Slots, maxSlots)
+func New(config Config) *Manager {
+	config.Slots = min(config.Slots, maxSlots)
 	m := &Manager{
-		Config: parts, self: parts.Directory.Self().ID, metrics: newMetrics(parts.Scope),
-		voter:  newVoter(parts.Slots, parts.Tolerance.Window, time.Now()),
+		Config: config, self: config.Directory.Self().ID, metrics: newMetrics(config.Scope),
+		voter:  newVoter(config.Slots, config.Tolerance.Window, time.Now()),
 		queues: make(map[string]*queue), pending: make(map[uint64]pendingRequest),
 		voteRequests: make(map[uint64]pendingVote), lastTried: make(map[structs.InstanceID]time.Time),
 	}
-	for i := range parts.Slots {
+	for i := range config.Slots {
 		m.slots = append(m.slots, newSlot(i))
 	}
 	return m
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -6,59 +6,59 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// A record makes room for up to recordAheadTurns whole turns beyond the one that needs
-// it, within maxRecordAheadFraction of the budget: a loss of accounts costs the program what
-// is left of it, while a record costs one append, shared with others.
+// A record raises the limit by up to recordAheadTurns turns beyond the one that needs
+// it, within maxRecordAheadFraction of the budget. A larger limit saves appends; after
+// a crash the program loses the unused part of it.
 const (
 	recordAheadTurns       = 2
 	maxRecordAheadFraction = 0.125
 )
 
-// account is one program's budget at its owner. All counts are tokens.
+// account is the budget of one program at its owner. All counts are tokens.
 type account struct {
 	program string
 	budget  int
-	// maxTurn is the most that any turn seen may generate.
+	// maxTurn is the largest number of tokens that any turn seen may generate.
 	maxTurn int
-	// crashes is how many owners' accounts were lost before this one was made: if
-	// there are any, used may hold more than was generated.
+	// crashes is the number of owners that had crashed before this account was
+	// created. If it is not 0, used may exceed what was generated.
 	crashes int
-	// used was generated or is charged.
+	// used is the number of tokens generated or charged.
 	used int
-	// leased is the sum of the leases that may still give room back.
+	// leased is the sum of the leases of turns in progress.
 	leased int
 	leases map[structs.RoomLease]lease
-	// limit is never passed by used and leased together.
+	// limit is the upper bound of used + leased.
 	limit int
-	// recorded tells that the store holds a record; want is the limit of the
-	// record to be written, 0 if none is.
+	// recorded indicates that the store holds a record. pendingLimit is the limit of
+	// the record to be written, 0 if none is.
 	recorded     bool
 	pendingLimit int
-	// waiters wait for room, in order of arrival.
+	// waiters wait for an allotment, in order of arrival.
 	waiters   []*waiter
 	retention time.Duration
 	lastUsed  time.Time
-	// lastTarget ran the last turn, empty if unknown.
+	// lastTarget ran the last turn; empty if unknown.
 	lastTarget string
 }
 
-// lease is room that a turn holds.
+// lease is the allotment of one turn.
 type lease struct {
 	tokens int
-	// holderDown tells that the turn's instance is gone: the room counts as used
-	// unless the instance comes back and settles.
+	// holderDown indicates that the turn's instance is unavailable: the lease counts
+	// as used unless the instance recovers and settles it.
 	holderDown bool
 }
 
-// waiter is a turn that waits for room. The function reply is called once.
+// waiter is a turn that waits for an allotment. reply is called once.
 type waiter struct {
 	lease     structs.RoomLease
 	maxTokens int
 	reply     func(result)
 }
 
-// newAccount makes the account of a program without a record. What it may have
-// used without one at owners whose accounts were lost counts as used.
+// newAccount creates the account of a program without a record. The slices of crashed
+// owners count as used.
 func newAccount(program string, budget, maxTurn, crashes int) *account {
 	return &account{
 		program: program, budget: budget, maxTurn: maxTurn, crashes: crashes,
@@ -67,9 +67,9 @@
 	}
 }
 
-// restoreAccount makes the account of a program from the limit in its record, at an
-// owner behind some losses. The owners between the one that wrote the record and
-// this one may have handed out their slices beyond it.
+// restoreAccount creates an account from the program's record. The owners between the
+// one that wrote the record and this one may have allocated their slices beyond its
+// limit, so these count as used.
 func restoreAccount(program string, r accountRecord, crashes int, retention time.Duration, now time.Time) *account {
 	a := &account{
 		program: program, budget: r.Budget, maxTurn: r.MaxTurn, crashes: max(crashes, 1), recorded: true,
@@ -85,9 +85,9 @@
 	return a
 }
 
-// hardLimit is what used and leased may reach in the end. Where used holds more
-// than was generated, the most of one turn is added: the invariant then still
-// keeps what was generated within the budget and the most of one turn.
+// hardLimit is the highest value that limit may reach. After a crash used may exceed
+// what was generated, so one more turn is allowed; tokens generated still stay within
+// the budget plus one turn.
 func (a *account) hardLimit() int {
 	if a.crashes > 0 {
 		return a.budget + a.maxTurn
@@ -95,20 +95,20 @@
 	return a.budget
 }
 
-// decision is what an ask gets at the moment.
+// decision is the outcome of admitting a turn now.
 type decision uint8
 
 const (
 	granted decision = iota
-	// exhausted: there is no room, and none can come back.
+	// exhausted: the budget is used up and no lease can return tokens.
 	exhausted
-	// awaitSettle: turns under way may give room back.
+	// awaitSettle: turns in progress may return tokens.
 	awaitSettle
-	// awaitRecord: there is room once a record is written.
+	// awaitRecord: the turn fits once a record is written.
 	awaitRecord
 )
 
-// decide tells what an ask for room gets.
+// decide returns whether a turn of up to maxTokens tokens is admitted.
 func (a *account) decide(maxTokens int) decision {
 	need := a.used + a.leased + maxTokens
 	switch {
@@ -122,23 +122,24 @@
 	return exhausted
 }
 
-// unused tells that no turn of the program is known to have run or to run now.
+// unused reports whether no turn of the program is known to have run or to be in
+// progress.
 func (a *account) unused() bool { return a.used == 0 && len(a.leases) == 0 && a.lastTarget == "" }
 
-// grant gives room to an ask that judge has granted.
+// grant leases tokens to a waiter for which decide returned granted.
 func (a *account) grant(w *waiter) {
 	a.leases[w.lease] = lease{tokens: w.maxTokens}
 	a.leased += w.maxTokens
 }
 
-// requestRecord asks for a record that makes room for a turn and some more.
+// requestRecord raises pendingLimit to cover the turn and some later ones.
 func (a *account) requestRecord(maxTokens int) {
 	need := a.used + a.leased + maxTokens
 	turns := min(recordAheadTurns, int(maxRecordAheadFraction*float64(a.budget))/max(maxTokens, 1))
 	a.pendingLimit = max(a.pendingLimit, min(a.hardLimit(), need+turns*maxTokens))
 }
 
-// settle ends a lease. It tells whether there was one.
+// settle ends a lease and reports whether it existed.
 func (a *account) settle(id structs.RoomLease, used int) bool {
 	l, ok := a.leases[id]
 	if !ok {
@@ -154,7 +155,8 @@
 	return true
 }
 
-// updateTarget remembers the target that ran the last turn, unless it failed it.
+// updateTarget stores the target of the last turn, and clears it if that target failed
+// the turn.
 func (a *account) updateTarget(target string, failed bool) {
 	switch {
 	case target == "":
@@ -165,7 +167,7 @@
 	}
 }
 
-// chargeLeasesOf counts the leases of an instance that is gone as used.
+// chargeLeasesOf counts the leases of an unavailable instance as used.
 func (a *account) chargeLeasesOf(holder structs.InstanceID) bool {
 	changed := false
 	for id, l := range a.leases {
@@ -180,12 +182,13 @@
 	return changed
 }
 
-// expired tells whether the program cannot come back any more.
+// expired reports whether the account can be dropped: no turn is in progress and the
+// retention has passed.
 func (a *account) expired(now time.Time) bool {
 	return len(a.waiters) == 0 && a.leased == 0 && now.Sub(a.lastUsed) > a.retention
 }
 
-// export is the account as it is handed over.
+// export returns the account in the form of a handover message.
 func (a *account) export(now time.Time) structs.RoomAccount {
 	out := structs.RoomAccount{
 		Program: a.program, Budget: a.budget, Most: a.maxTurn, Charged: a.crashes > 0, Losses: a.crashes,
@@ -200,16 +203,16 @@
 	return out
 }
 
-// reportedCrashes is a number of losses that another instance told, which is at least
-// one where there was any: instances of before do not count them.
-func reportedCrashes(crashes int, crashed bool) int {
-	if crashed {
+// reportedCrashes returns the crash count of a handover message. It is at least 1
+// after a crash, since older versions do not send a count.
+func reportedCrashes(crashes int, any bool) int {
+	if any {
 		return max(crashes, 1)
 	}
 	return crashes
 }
 
-// importAccount is an account that was handed over.
+// importAccount creates an account from a handover message.
 func importAccount(in structs.RoomAccount, now time.Time) *account {
 	a := &account{
 		program: in.Program, budget: in.Budget, maxTurn: in.Most, crashes: reportedCrashes(in.Losses, in.Charged),
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -11,8 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// nextOwner is what the next owner makes of an account that it does not know, or
-// knows from its record.
+// nextOwner returns the account at the next owner after a crash.
 func nextOwner(a *account) *account {
 	if a.recorded {
 		return restoreAccount(a.program, accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: a.crashes}, a.crashes+1, time.Minute, time.Time{})
@@ -20,8 +19,8 @@
 	return newAccount(a.program, a.budget, a.maxTurn, a.crashes+1)
 }
 
-// runTurn runs a turn, writing a record if one is needed. It tells whether
-// there was room.
+// runTurn runs a turn, writing a record if needed, and reports whether it was
+// admitted.
 func runTurn(a *account, maxTurn, used int) bool {
 	id := structs.RoomLease{Number: 1}
 	verdict := a.decide(maxTurn)
@@ -38,21 +37,20 @@
 	return true
 }
 
-// An ordinary program goes on over two losses of its partition's accounts.
+// A typical program continues after two crashes.
 func TestSmallProgramSurvivesTwoLosses(t *testing.T) {
 	const budget, maxTurn, used = 900, 290, 70
 	a := newAccount("p", budget, maxTurn, 1)
 	if !runTurn(a, maxTurn, used) {
-		t.Fatal("no room for the first turn after a loss")
+		t.Fatal("first turn after a crash was not admitted")
 	}
 	a = nextOwner(a)
 	if !runTurn(a, maxTurn, used) {
-		t.Errorf("no room for a turn after another loss: %+v", a)
+		t.Errorf("turn after a second crash was not admitted: %+v", a)
 	}
 }
 
-// Whatever turns run and whenever accounts are lost, a program gets no more
-// than its budget and the most of one turn.
+// Across any turns and crashes, a program generates at most its budget plus one turn.
 func TestAccountBoundHoldsOverLosses(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 2000
@@ -62,7 +60,7 @@
 	properties.TestingRun(t)
 }
 
-// boundHolds runs turns, and loses the accounts at each fifth step on average.
+// boundHolds runs turns, with a crash at each fifth step on average.
 func boundHolds(budget, maxTurn int, steps []int) bool {
 	a := newAccount("p", budget, maxTurn, 0)
 	total := 0
@@ -79,7 +77,7 @@
 	return total <= budget+maxTurn
 }
 
-// The same where turns differ in the most that they generate.
+// The same bound for turns of different sizes.
 func TestAccountBoundHoldsForTurnsOfAllSizes(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 5000
@@ -89,8 +87,8 @@
 	properties.TestingRun(t)
 }
 
-// boundHoldsForSizes runs turns of any size up to the largest, each using its
-// most half of the time, and loses the accounts at each third step on average.
+// boundHoldsForSizes runs turns of random sizes, with a crash at each third step on
+// average.
 func boundHoldsForSizes(budget, largest int, steps []int) bool {
 	var a *account
 	crashes, total, seen := 0, 0, 0
@@ -122,8 +120,8 @@
 	return total <= budget+seen
 }
 
-// A program begins and goes on behind two losses in a row without any record, as
-// it has to while the store is away.
+// Programs start and continue after two crashes in a row while the store is
+// unavailable.
 func TestProgramRunsWithoutARecordAfterCrashes(t *testing.T) {
 	const budget, maxTurn = 2304, 288
 	for crashes := range 2 {
@@ -135,7 +133,7 @@
 			turns++
 		}
 		if turns < 4 {
-			t.Errorf("behind %d losses: %d turns without a record", crashes, turns)
+			t.Errorf("after %d crashes: %d turns without a record", crashes, turns)
 		}
 	}
 }
@@ -146,7 +144,7 @@
 	a.grant(&waiter{lease: id, maxTokens: 100})
 	a.chargeLeasesOf("x")
 	if a.used != 100 || a.leased != 0 {
-		t.Errorf("after the loss: %d used, %d leased", a.used, a.leased)
+		t.Errorf("after the holder became unavailable: %d used, %d leased", a.used, a.leased)
 	}
 	a.settle(id, 30)
 	if a.used != 30 || a.settle(id, 30) {
--- a/internal/budget/breaks.go
+++ b/internal/budget/breaks.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ReportTargetBreaks tells the owners of partitions which targets broke connections.
-// They pass it on with their replies. It implements serve.Notices.
+// ReportTargetBreaks sends the targets that broke connections to the owners of
+// partitions, which pass them on with their replies. It implements serve.Notices.
 func (m *Manager) ReportTargetBreaks() {
 	notice := &structs.TargetNotice{Breaks: m.breaks.Breaks(time.Now())}
 	for _, owner := range m.otherOwners() {
@@ -15,7 +15,7 @@
 	}
 }
 
-// otherOwners lists the other instances that own partitions and answer.
+// otherOwners lists the other available instances that own partitions.
 func (m *Manager) otherOwners() []structs.InstanceID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -12,24 +12,22 @@
 )
 
 const (
-	// storeTimeout bounds one call to the store, which answers within
-	// milliseconds, and within a few hundred when it is slow.
+	// storeTimeout bounds one call to the store.
 	storeTimeout = 700 * time.Millisecond
-	// degradedStoreTimeout bounds it while reads of other topics fail. If the store
-	// serves this partition it answers at once; if not, turns wait for nothing.
+	// degradedStoreTimeout bounds one call to the store while reads of other topics
+	// fail: turns should not wait for a partition that the store does not serve.
 	degradedStoreTimeout = 100 * time.Millisecond
-	// maxClaimAttempts bounds the tries of one claim; others may write between a
-	// read and the append.
+	// maxClaimAttempts bounds the attempts of one claim; other writers may append
+	// between the read and the conditional append.
 	maxClaimAttempts = 4
-	// claimBackoff is the time between two claims of a partition that the store
-	// does not serve; each costs calls.
+	// claimBackoff is the pause after a failed claim.
 	claimBackoff = 400 * time.Millisecond
-	// defaultRetention is how long accounts from records are kept for programs
-	// that do not come back; a turn that comes sets its route's.
+	// defaultRetention is how long restored accounts are kept without a turn. A later
+	// turn sets the retention of its route.
 	defaultRetention = 60 * time.Second
-	// maxFirstSequence bounds the first sequence number of an epoch. It is random,
-	// so that another claim under the same epoch is never taken for a repeat
-	// of this one.
+	// maxFirstSequence bounds the random first sequence number of an epoch. It is
+	// random so that the store does not take another claim under the same epoch for a
+	// retry of this one.
 	maxFirstSequence = 1 << 40
 )
 
@@ -42,7 +40,7 @@
 	m.spawn(func() { m.claim(p) })
 }
 
-// claim claims a partition and answers the asks that wait for it.
+// claim claims a partition and replies to the requests that wait for it.
 func (m *Manager) claim(p *partition) {
 	m.mu.Lock()
 	previousOwner := p.owner
@@ -77,7 +75,7 @@
 	}
 }
 
-// tryClaim claims a partition, unless a usable instance owns it.
+// tryClaim claims a partition, unless an available instance owns it.
 func (m *Manager) tryClaim(p *partition) error {
 	var err error
 	for range maxClaimAttempts {
@@ -93,25 +91,25 @@
 	return err
 }
 
-// retryable tells whether a claim may succeed when it is tried again at once:
-// somebody wrote meanwhile, or the outcome is unknown.
+// retryable reports whether a claim may succeed if retried at once: another writer
+// appended in between, or the outcome is unknown.
 func retryable(err error) bool {
 	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errReadFailed)
 }
 
-// errReadFailed tells that the partition could not be read before a claim.
-var errReadFailed = errors.New("the partition could not be read")
+// errReadFailed indicates that could not read the partition before a claim.
+var errReadFailed = errors.New("could not read the partition")
 
-// claimOnce reads the partition and claims it if nobody else has. It returns
-// true if the partition has an owner now.
+// claimOnce reads the partition and claims it unless another instance owns it. It
+// returns true if the partition has an owner afterwards.
 func (m *Manager) claimOnce(p *partition) (bool, error) {
 	state, err := m.read(p)
 	if err != nil {
 		return false, errors.Mark(err, errReadFailed)
 	}
 	if state.owner != nil {
-		// When all instances start together, owners are known from their claims before
-		// the list names them; otherwise each would claim in turn.
+		// When all instances start together, an owner may be known by its claim before
+		// it is listed. Without this each instance would claim in turn.
 		m.directory.Learn(state.owner.Owner, state.owner.Address)
 		m.awaitProbe(state.owner.Owner)
 		if m.adoptOwner(p, state.owner) {
@@ -133,7 +131,7 @@
 	return true, m.becomeOwner(p, claim, sequence, state, clean)
 }
 
-// storeContext bounds one call to the store.
+// storeContext returns a context for one call to the store.
 func (m *Manager) storeContext() (context.Context, context.CancelFunc) {
 	if m.health.OK() {
 		return context.WithTimeout(m.ctx, storeTimeout)
@@ -151,14 +149,12 @@
 	return decodePartition(list)
 }
 
-// probeTimeout bounds the wait for an owner that did not answer before. One
-// that is there answers within milliseconds; a dead process's machine refuses
-// the connection as fast.
+// probeTimeout bounds the wait for the reply of an owner that did not reply before.
 const probeTimeout = 250 * time.Millisecond
 
-// awaitProbe asks an owner that did not answer before once more before its partition
-// is claimed: an instance that was paused finds all connections broken when it
-// wakes, and must not take the others' partitions, whose accounts would be lost.
+// awaitProbe probes an unresponsive owner before its partition is claimed. An instance
+// that resumes after a pause finds all its connections broken and must not take over
+// the partitions of running owners, whose accounts would be lost.
 func (m *Manager) awaitProbe(owner structs.InstanceID) {
 	if !m.directory.Doubted(owner) {
 		return
@@ -177,7 +173,7 @@
 	}
 }
 
-// resolveProbes ends the waits for word of an instance. The mutex is held.
+// resolveProbes ends all waits for a probe of an instance. The mutex is held.
 func (m *Manager) resolveProbes(id structs.InstanceID) {
 	for _, replied := range m.probes[id] {
 		replied <- struct{}{}
@@ -185,14 +181,14 @@
 	delete(m.probes, id)
 }
 
-// adoptOwner takes the owner in the store for the present one if it is usable, or
-// if it is this instance already. It tells whether that is so.
+// adoptOwner accepts the owner in the store if it is available or is this instance. It
+// reports whether the partition has an owner.
 func (m *Manager) adoptOwner(p *partition, owner *ownerRecord) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if owner.Owner == m.self.ID {
-		// An earlier try of this claim took effect without an answer. Its
-		// sequence number is not known any more: claim once more.
+		// An earlier attempt of this claim took effect, but its response was lost
+		// together with the sequence number: claim again.
 		return p.own != nil && p.own.claimed && p.own.epoch == owner.Epoch
 	}
 	if p.own != nil && p.own.epoch >= owner.Epoch {
@@ -209,7 +205,7 @@
 	return true
 }
 
-// hasAccountsOf tells whether this instance has the exact accounts of the owner in
+// hasAccountsOf reports whether this instance holds the exact accounts of the owner in
 // the store.
 func (m *Manager) hasAccountsOf(p *partition, owner *ownerRecord) bool {
 	m.mu.Lock()
@@ -217,15 +213,15 @@
 	return p.own != nil && owner != nil && p.own.epoch == owner.Epoch
 }
 
-// crashesBefore is how many owners before a claim of this instance may have handed out
-// their slice. An owner that never learned of its claim handed out nothing: the
-// claim took effect without an answer.
+// crashesBefore returns how many owners before a claim of this instance may have
+// allocated their slice. An instance that never learned of its own claim, because the
+// response was lost, allocated nothing.
 func (m *Manager) crashesBefore(p *partition, owner *ownerRecord, clean bool) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case clean:
-		// The accounts that this instance goes on with have used this slice.
+		// The accounts that were handed over have used this slice.
 		p.servedEpoch = owner.Epoch + 1
 		return p.own.crashes
 	case owner == nil:
@@ -252,9 +248,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if clean && (p.own == nil || state.owner == nil || p.own.epoch != state.owner.Epoch) {
-		// The accounts went between the check and the append: they were
-		// dropped or handed on, so that this claim counts too little.
-		return errors.New("the accounts were given up during the claim")
+		// The accounts were dropped or handed over between the check and the append,
+		// so the crash count in the claim is too low.
+		return errors.New("accounts were dropped or handed over during the claim")
 	}
 	if !clean {
 		p.own = newOwnership(claim.Epoch)
@@ -277,8 +273,8 @@
 	return nil
 }
 
-// restoreAccounts makes accounts of the records that an owner left; those without a
-// record are lost.
+// restoreAccounts creates accounts from the records of the previous owner. Accounts
+// without a record are lost.
 func (m *Manager) restoreAccounts(own *ownership, state partitionState) {
 	for program, record := range state.programs {
 		own.accounts[program] = restoreAccount(program, record, own.crashes, defaultRetention, time.Now())
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -15,30 +15,30 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// testPartitions is few, so that partitions change owners often.
+// testPartitions is small, so that partitions change owners often.
 const testPartitions = 3
 
-// cluster is some instances with a store and a network, in virtual time.
+// cluster simulates instances with a store and a network, in virtual time.
 type cluster struct {
 	*simnet.Net
 	lives simnet.Lives[*node]
 	t     *testing.T
-	// listed tells whether instances that start know the list of instances.
+	// listed reports whether a starting instance knows the list of instances.
 	listed func() bool
 
 	mu sync.Mutex
-	// delivered is what the callers of each program received, in tokens.
+	// delivered is the number of tokens that callers received, by program.
 	delivered map[string]int
 }
 
-// node is one life of an instance.
+// node is one incarnation of an instance.
 type node struct {
 	*simnet.Node
 	manager *Manager
 	breaks  breakList
 }
 
-// breakList is a Breaks that lists targets by their names alone.
+// breakList implements Breaks with target names only.
 type breakList struct {
 	mu    sync.Mutex
 	names []string
@@ -54,7 +54,7 @@
 	return breaks
 }
 
-// Loads, OwnLoads and HearLoads make it a Loads that holds none.
+// The other methods implement Loads without any reports.
 func (b *breakList) Loads(time.Time) []structs.TargetReport      { return nil }
 func (b *breakList) OwnLoads(time.Time) []structs.TargetReport   { return nil }
 func (b *breakList) PoolReports(time.Time) []structs.PoolReport  { return nil }
@@ -81,7 +81,7 @@
 // start starts an instance on a machine and lists it at all others.
 func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
 
-// run starts a life of an instance.
+// run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
@@ -93,7 +93,7 @@
 	return n.manager.Receive
 }
 
-// restartAll kills all instances at the same time and starts them again.
+// restartAll kills all instances at once and starts them again.
 func (c *cluster) restartAll() {
 	nodes := c.all()
 	for _, n := range nodes {
@@ -104,11 +104,10 @@
 	}
 }
 
-// all lists the instances that live.
+// all lists the running instances.
 func (c *cluster) all() []*node { return c.lives.All(c.Net) }
 
-// turn runs a turn of a program at an instance: it takes room, and its caller
-// receives some tokens.
+// turn runs a turn of a program at an instance, delivering used tokens.
 func (c *cluster) turn(n *node, program string, budget, maxTurn, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -124,7 +123,7 @@
 	return nil
 }
 
-// ownerOf is the instance that owns a program's partition, nil if none does.
+// ownerOf returns the owner of a program's partition, nil if there is none.
 func (c *cluster) ownerOf(program string) *node {
 	for _, n := range c.all() {
 		m := n.manager
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -9,12 +9,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// handoverTimeout is how long an instance that leaves waits for a successor's
-// answer; a round trip takes a few milliseconds.
+// handoverTimeout bounds the wait for a successor's reply on shutdown.
 const handoverTimeout = 500 * time.Millisecond
 
-// Leave hands all partitions over to other instances. The Keeper goes on
-// asking other owners for this instance's turns.
+// Leave hands all partitions over to other instances. The Manager still requests
+// allotments for the turns of this instance from other owners.
 func (m *Manager) Leave(ctx context.Context) {
 	m.leaving.Store(true)
 	m.directory.SetLeaving(m.self.ID)
@@ -24,10 +23,10 @@
 	}
 }
 
-// announceLeaving tells those who may ask this instance, or would claim what it owns, that
-// it leaves. An instance that is not told and asks is sent on. To tell all would take
-// a connection to each: a small machine needs its grace period for that where there
-// are hundreds.
+// announceLeaving notifies the connected instances and the likely successors that this
+// instance shuts down. Others are redirected when they send a request. Connecting to
+// each of hundreds of instances would take longer than the grace period of a small
+// machine.
 func (m *Manager) announceLeaving() {
 	m.peers.Broadcast(new(structs.Leaving))
 	for _, id := range m.successors() {
@@ -53,9 +52,9 @@
 	return successors
 }
 
-// handOver gives a partition to the first instance that takes it. Only an
-// explicit refusal lets the next one be asked: an answer that does not come
-// may mean that the first has the partition.
+// handOver hands a partition to the first instance that accepts it. The next one is
+// tried only after an explicit refusal: without a reply the first may own the
+// partition.
 func (m *Manager) handOver(ctx context.Context, p *partition) {
 	for _, successor := range m.directory.Ranked(p.key()) {
 		if successor == m.self.ID {
@@ -68,8 +67,8 @@
 	}
 }
 
-// evacuate hands the partitions over while the store refuses this instance, if
-// another one reaches it: an owner has to write records.
+// evacuate hands the partitions over while the store rejects this instance but serves
+// another one: an owner must be able to write records.
 func (m *Manager) evacuate(ctx context.Context) {
 	for _, p := range m.partitions {
 		m.mu.Lock()
@@ -86,8 +85,7 @@
 	}
 }
 
-// findSuccessor asks one instance, another one each time, whether it would take
-// a partition.
+// findSuccessor asks a random instance whether it would accept a partition.
 func (m *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
 	others := m.directory.Others()
 	if len(others) == 0 {
@@ -104,8 +102,8 @@
 	return asked, willing && known
 }
 
-// handOverTo gives a partition to one instance. It returns whether that has
-// taken it, and whether this is known.
+// handOverTo hands a partition to one instance. It returns whether that accepted it,
+// and whether the outcome is known.
 func (m *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (accepted, known bool) {
 	m.mu.Lock()
 	own := p.own
@@ -116,7 +114,7 @@
 	message := m.exportPartition(p)
 	replies := make(chan bool, 1)
 	m.handovers[message.Number] = replies
-	// From here on this instance hands out no room.
+	// From here on this instance allocates nothing.
 	p.own = nil
 	m.setOwner(p, successor, own.epoch)
 	for _, a := range own.accounts {
@@ -136,8 +134,7 @@
 	return accepted, known
 }
 
-// exportPartition makes the message that hands a partition over. The mutex is
-// held.
+// exportPartition returns the message that hands a partition over. The mutex is held.
 func (m *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
@@ -169,7 +166,7 @@
 	return false, false
 }
 
-// resumeOwnership resumes an ownership that the successor has refused.
+// resumeOwnership takes a partition back after the successor refused it.
 func (m *Manager) resumeOwnership(p *partition, own *ownership) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,8 +189,8 @@
 	}
 }
 
-// receiveHandover takes a partition over, unless this instance leaves or knows
-// of a newer owner.
+// receiveHandover takes a partition over, unless this instance is leaving or knows a
+// newer owner.
 func (m *Manager) receiveHandover(from structs.InstanceID, msg *structs.PartitionHandover) {
 	if msg.Offer {
 		m.mu.Lock()
@@ -204,7 +201,7 @@
 	accepted := m.acceptHandover(from, msg)
 	m.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: accepted})
 	if accepted {
-		// Who asks the former owner is sent on by it.
+		// The other instances are redirected by the former owner.
 		m.mu.Lock()
 		notice := m.ownerNotice()
 		m.mu.Unlock()
@@ -212,8 +209,8 @@
 	}
 }
 
-// replyToOffer tells whether this instance would take a partition over: whether the
-// store serves it the partition. What others say of the store is no sign of that.
+// replyToOffer replies whether this instance would accept a partition, which it would
+// if the store serves it that partition.
 func (m *Manager) replyToOffer(from structs.InstanceID, msg *structs.PartitionHandover) {
 	willing := !m.leaving.Load() && m.health.OK() && msg.Partition >= 0 && msg.Partition < len(m.partitions)
 	if willing {
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// own is what an instance keeps as the owner of a program's partition, nil if
-// it does not own it.
+// own returns the ownership of a program's partition at an instance, nil if it does
+// not own it.
 func (n *node) own(program string) *ownership {
 	n.manager.mu.Lock()
 	defer n.manager.mu.Unlock()
@@ -28,8 +28,7 @@
 	return others
 }
 
-// A successor whose answer is lost may have the partition: the old owner must
-// not go on.
+// A successor whose reply is lost may own the partition, so the old owner must stop.
 func TestHandoverWithoutAnAnswerIsNotTakenBack(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
@@ -42,13 +41,13 @@
 		}
 		owner.manager.Leave(t.Context())
 		if owner.own("p") != nil {
-			t.Error("the old owner goes on although its successor may have the partition")
+			t.Error("the old owner still owns the partition although its successor may own it")
 		}
 	})
 }
 
-// An instance that was handed a partition which another has claimed since has
-// accounts that are no longer exact.
+// Accounts that were handed over are no longer exact once another instance has claimed
+// the partition.
 func TestHandedOverAccountsAreVoidAfterAnotherClaim(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
@@ -59,7 +58,7 @@
 		owner.manager.Leave(t.Context())
 		successor := c.ownerOf("p")
 		if successor == nil || successor == owner {
-			t.Fatal("nobody took the partition over")
+			t.Fatal("no instance took the partition over")
 		}
 		c.Kill(owner.Node)
 		third := c.others(successor)[0]
@@ -79,7 +78,7 @@
 			t.Fatal("the successor did not claim the partition")
 		}
 		if own.crash == nil || own.crash.owner != third.ID {
-			t.Errorf("claimed with epoch %d, loss %+v, want one by %s", own.epoch, own.crash, third.ID)
+			t.Errorf("claimed with epoch %d, crash %+v, want a crash of %s", own.epoch, own.crash, third.ID)
 		}
 	})
 }
@@ -92,7 +91,7 @@
 		p.own, p.epoch = nil, 5
 		n.manager.mu.Unlock()
 		if n.manager.acceptHandover(c.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
-			t.Error("a handover of an ownership that another claim has ended was taken")
+			t.Error("accepted a handover with an epoch older than the newest claim")
 		}
 	})
 }
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// recordingPeers is a Peers that notes to whom messages go.
+// recordingPeers is a Peers that counts messages by receiver.
 type recordingPeers struct {
 	sent       map[structs.InstanceID]int
 	broadcasts int
@@ -23,8 +23,7 @@
 func (s *recordingPeers) Probe(structs.InstanceID)                      {}
 func (s *recordingPeers) Watch([]structs.InstanceID)                    {}
 
-// An instance that leaves opens no connection to each other one: the number of those
-// that it tells does not follow the number of instances.
+// A leaving instance notifies a bounded number of others that it has no connection to.
 func TestLeavingIsAnnouncedToFew(t *testing.T) {
 	for _, instances := range []int{100, 1000} {
 		peers := &recordingPeers{sent: make(map[structs.InstanceID]int)}
@@ -40,7 +39,7 @@
 		m.partitions[3].own = newOwnership(1)
 		m.announceLeaving()
 		if peers.broadcasts != 1 || len(peers.sent) == 0 || len(peers.sent) > watchersPerOwner {
-			t.Errorf("of %d instances %d were told apart from those connected", instances, len(peers.sent))
+			t.Errorf("%d instances: %d were notified without a connection", instances, len(peers.sent))
 		}
 	}
 }
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -17,49 +17,49 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Store is what a Keeper needs of the platform's store.
+// Store is the part of the platform's store that a Manager uses.
 type Store interface {
 	Append(ctx context.Context, a platform.Append) (int64, error)
 	Newest(ctx context.Context, topic string, partition int) (platform.Newest, error)
 }
 
-// Peers sends messages to other instances. Sending never blocks; a message
-// that is lost is followed by PeerDown.
+// Peers sends messages to other instances. Sending never blocks; a PeerDown event
+// follows a lost message.
 type Peers interface {
 	Send(to structs.InstanceID, msg structs.Message)
-	// Broadcast sends a message to all instances that are connected.
+	// Broadcast sends a message to all connected instances.
 	Broadcast(msg structs.Message)
 	Probe(to structs.InstanceID)
 	Watch(peers []structs.InstanceID)
 }
 
-// Breaks are the targets that broke connections lately. Owners pass them on with
-// their replies, which reach all instances that serve programs.
+// Breaks holds the targets that recently broke connections. Owners pass them on with
+// their replies.
 type Breaks interface {
 	Breaks(now time.Time) []structs.TargetBreak
 	Hear(breaks []structs.TargetBreak, now time.Time)
 }
 
-// Loads are the reports of targets' loads, which instances share with their
-// requests for room and the replies to them.
+// Loads holds the load reports of targets. Instances share them in allotment requests
+// and replies.
 type Loads interface {
-	// OwnLoads are the newest reports that targets gave this instance.
+	// OwnLoads returns the newest reports that targets sent to this instance.
 	OwnLoads(now time.Time) []structs.TargetReport
-	// Loads are new reports that this instance knows, whoever heard them.
+	// Loads returns the new reports that this instance knows, from any source.
 	Loads(now time.Time) []structs.TargetReport
 	HearLoads(loads []structs.TargetReport, now time.Time)
-	// PoolReports tell what this instance knows of whole services.
+	// PoolReports returns what this instance knows of whole services.
 	PoolReports(now time.Time) []structs.PoolReport
 	HearPools(pools []structs.PoolReport, now time.Time)
 }
 
-// Health tells whether the store answers all that this instance reads. It may
-// fail to serve some topics or partitions while it serves others, so what a
-// partition can do is found out by trying; the tries are shorter meanwhile.
+// Health indicates whether the store serves everything that this instance reads. The
+// store may fail for some topics or partitions only, so calls are attempted in any
+// case, with shorter timeouts while OK returns false.
 type Health interface{ OK() bool }
 
-// Manager hands out room in programs' budgets: for the partitions that this
-// instance owns by itself, for the others through their owners. It is safe for
+// Manager allocates tokens from the budgets of programs: directly for the partitions
+// that this instance owns, through their owners for the others. It is safe for
 // concurrent use.
 type Manager struct {
 	self      structs.Peer
@@ -71,7 +71,7 @@
 	health    Health
 	log       *slog.Logger
 	metrics   metrics
-	// ctx ends with the Keeper.
+	// ctx ends with the Manager.
 	ctx     context.Context
 	work    sync.WaitGroup
 	leaving atomic.Bool
@@ -79,89 +79,87 @@
 	started time.Time
 
 	mu sync.Mutex
-	// stopped tells that no more work is begun.
+	// stopped indicates that no more background work is started.
 	stopped    bool
 	partitions []*partition
-	// pending are this instance's requests to other owners.
+	// pending are the requests to other owners in flight.
 	pending    map[structs.RoomLease]*pendingRequest
 	handovers  map[uint64]chan bool
 	lastNumber uint64
-	// watchVersion is the version of the directory by which it was last decided whom to
-	// watch.
+	// watchVersion is the version of the directory when the watched instances were
+	// last computed.
 	watchVersion uint64
-	// probes wait to hear whether an instance answers.
+	// probes are the waits for a probe, by instance.
 	probes map[structs.InstanceID][]chan struct{}
 }
 
-// partition is what this instance knows of one partition. The mutex of the
-// Keeper guards it.
+// partition is the state of one partition as known to this instance. It is guarded by
+// the mutex of the Manager.
 type partition struct {
 	number int
-	// owner and epoch are the newest known ownership; empty if unknown.
+	// owner and epoch are the newest known ownership; owner is empty if unknown.
 	owner structs.InstanceID
 	epoch int64
-	// servedEpoch is the newest epoch under which this instance may have handed out
-	// room, or has tried to claim accounts that had.
+	// servedEpoch is the newest epoch under which this instance may have allocated
+	// tokens, or has tried to claim with accounts handed over.
 	servedEpoch int64
 	// own is set while this instance owns the partition.
 	own *ownership
-	// claiming tells that a claim is under way; parked asks wait for it.
+	// claiming indicates that a claim is in progress.
 	claiming        bool
 	waitingForClaim []parkedRequest
-	// claimAfter is when a claim may be tried again after one that failed.
+	// claimAfter is the earliest time of the next claim after a failed one.
 	claimAfter time.Time
 }
 
-// parkedRequest is an ask that waits for a claim.
+// parkedRequest is a request that waits for a claim.
 type parkedRequest struct {
 	request structs.RoomRequest
 	reply   func(result)
 }
 
-// Config are what a Keeper works with.
+// Config holds the dependencies of a Manager.
 type Config struct {
 	Directory *directory.Directory
-	// Partitions is the number of the topic's partitions.
+	// Partitions is the number of partitions of the topic.
 	Partitions int
 	Store      Store
 	Peers      Peers
 	Breaks     Breaks
 	Loads      Loads
 	Health     Health
-	// Listed tells whether the list of instances is known; nil if it always is.
+	// Listed reports whether the list of instances is known; nil if it always is.
 	Listed func() bool
 	Scope  tally.Scope
 	Log    *slog.Logger
 }
 
-// New makes a Keeper that works until the context ends.
-func New(ctx context.Context, parts Config) *Manager {
+// New creates a Manager that runs until the context ends.
+func New(ctx context.Context, config Config) *Manager {
 	m := &Manager{
-		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
-		breaks: parts.Breaks, loads: parts.Loads, health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), ctx: ctx,
-		listed: parts.Listed, started: time.Now(),
+		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
+		breaks: config.Breaks, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
+		listed: config.Listed, started: time.Now(),
 		pending:   make(map[structs.RoomLease]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
 		probes:    make(map[structs.InstanceID][]chan struct{}),
 	}
-	for i := range parts.Partitions {
+	for i := range config.Partitions {
 		m.partitions = append(m.partitions, &partition{number: i})
 	}
 	return m
 }
 
-// partitionOf is the partition of a program.
 func (m *Manager) partitionOf(program string) *partition {
 	return m.partitions[xxhash.Sum64String(program)%uint64(len(m.partitions))]
 }
 
-// key is what the rendezvous hash of a partition's owner is made of.
 func (p *partition) key() string { return PartitionKey(p.number) }
 
-// PartitionKey is the key of a partition's rendezvous hash.
+// PartitionKey returns the key of a partition for rendezvous hashing.
 func PartitionKey(number int) string { return "budgets/" + strconv.Itoa(number) }
 
-// spawn works in the background, unless the Keeper has stopped. The mutex is
+// spawn runs work in the background, unless the Manager has stopped. The mutex is
 // held.
 func (m *Manager) spawn(work func()) {
 	if !m.stopped {
@@ -169,7 +167,7 @@
 	}
 }
 
-// stop waits for what works in the background.
+// stop waits for the background work.
 func (m *Manager) stop() {
 	m.mu.Lock()
 	m.stopped = true
@@ -177,7 +175,7 @@
 	m.work.Wait()
 }
 
-// nextNumber numbers leases and handovers. The mutex is held.
+// nextNumber returns a number for a lease or handover. The mutex is held.
 func (m *Manager) nextNumber() uint64 {
 	m.lastNumber++
 	return m.lastNumber
@@ -214,24 +212,23 @@
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
-		m.log.Warn("message of an unexpected kind ignored", "peer", from, "kind", message.Kind())
+		m.log.Warn("ignored message of unexpected kind", "peer", from, "kind", message.Kind())
 	}
 }
 
-// sweepInterval is the time between two searches for programs that cannot come
-// back; they may stay some seconds longer.
+// sweepInterval is the time between two sweeps of expired accounts.
 const sweepInterval = 5 * time.Second
 
-// evacuateInterval is the time between two searches for an instance that takes
-// over the partitions of one which the store refuses; each asks one instance.
+// evacuateInterval is the time between two attempts to find a successor while the
+// store rejects this instance.
 const evacuateInterval = 400 * time.Millisecond
 
-// claimInterval is the time between two searches for partitions to claim that
-// nobody asked for. The first comes that long after the start, so that
-// instances that start together know each other by then.
+// claimInterval is the time between two checks for partitions without an owner. The
+// first check runs that long after the start, so that instances that start together
+// know each other by then.
 const claimInterval = 1500 * time.Millisecond
 
-// Run keeps the partitions until the context ends.
+// Run claims and maintains partitions until the context ends.
 func (m *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
@@ -256,8 +253,8 @@
 	}
 }
 
-// claimVacant claims the partitions that were handed to this instance, and
-// those without a known usable owner for which it ranks first.
+// claimVacant claims the partitions that were handed to this instance, and those
+// without an available owner for which it ranks first.
 func (m *Manager) claimVacant() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,37 +269,37 @@
 	}
 }
 
-// preferredOwner is the instance that should own a partition, empty if there is
+// preferredOwner returns the instance that should own a partition, empty if there is
 // none.
 func (m *Manager) preferredOwner(p *partition) structs.InstanceID {
 	return m.directory.First(p.key())
 }
 
-// listTimeout is how long an instance that starts waits for the list of instances
-// before it claims what it is asked for: alone it would take itself for the first
-// choice of all partitions, as all that start with it would.
+// listTimeout is how long a starting instance waits for the list of instances before
+// it claims partitions on request. Without the list it would rank first for all
+// partitions, as would every instance that starts with it.
 const listTimeout = 500 * time.Millisecond
 
-// instancesKnown tells whether the list of instances is known.
+// instancesKnown reports whether the list of instances is known.
 func (m *Manager) instancesKnown() bool { return m.listed == nil || m.listed() }
 
-// mayClaim tells whether this instance may claim a partition that it is asked for.
+// mayClaim reports whether this instance may claim a partition on request.
 func (m *Manager) mayClaim() bool { return m.instancesKnown() || time.Since(m.started) > listTimeout }
 
-// OwnsPartitions tells whether this instance owns a partition.
+// OwnsPartitions reports whether this instance owns any partition.
 func (m *Manager) OwnsPartitions() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.partitions, func(p *partition) bool { return p.own != nil })
 }
 
-// ownerUsable tells whether another instance is known to own the partition and
-// answers.
+// ownerUsable reports whether another, available instance is known to own the
+// partition.
 func (m *Manager) ownerUsable(p *partition) bool {
 	return p.owner != "" && p.owner != m.self.ID && m.directory.Usable(p.owner)
 }
 
-// sweep forgets programs that cannot come back.
+// sweep drops the accounts of expired programs.
 func (m *Manager) sweep(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -19,7 +19,7 @@
 const (
 	testBudget  = 900
 	testMaxTurn = 290
-	// Budgets of the users' programs hold eight turns.
+	// typicalBudget allows eight turns of the maximum size.
 	typicalBudget  = 2304
 	typicalMaxTurn = 288
 )
@@ -37,7 +37,7 @@
 	})
 }
 
-// spendAll runs turns at all instances in parallel until the budget is spent.
+// spendAll runs turns at all instances in parallel until the budget is exhausted.
 func spendAll(t *testing.T, c *cluster, program string, used int) {
 	t.Helper()
 	var work sync.WaitGroup
@@ -67,8 +67,8 @@
 	})
 }
 
-// A record written again while turns wait for it must not lower the limit that
-// a later owner counts.
+// A record rewritten while turns wait for it must not lower the limit that a later
+// owner counts.
 func TestBudgetHoldsAfterAllInstancesAreLost(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		spendAll(t, c, "p", 70)
@@ -81,7 +81,7 @@
 		time.Sleep(2 * claimInterval)
 		spendAll(t, c, "p", 70)
 		if got := c.delivered["p"]; got > testBudget+testMaxTurn {
-			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
+			t.Errorf("delivered %d tokens, the budget is %d and the maximum of a turn %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 		c.Store.Set(metastore.Fault{Silent: true})
 		for range 5 {
 			if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 40, time.Millisecond); err != nil {
-				t.Fatalf("turn while the store is away: %v", err)
+				t.Fatalf("turn while the store is unavailable: %v", err)
 			}
 		}
 	})
@@ -110,17 +110,17 @@
 			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
 		}
 		if got := c.delivered["p"]; got > unrecordedLimit(testBudget, 1) {
-			t.Errorf("delivered %d tokens without a record, allowed are %d", got, unrecordedLimit(testBudget, 1))
+			t.Errorf("delivered %d tokens without a record, want at most %d", got, unrecordedLimit(testBudget, 1))
 		}
 		c.Store.Set(metastore.Fault{})
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 100, time.Millisecond); err != nil {
-			t.Errorf("turn after the store is back: %v", err)
+			t.Errorf("turn after the store recovered: %v", err)
 		}
 	})
 }
 
-// The return of everybody: all instances are lost, and the store goes away once
-// they are back. New programs run, and go on over the loss of an owner.
+// After all instances crashed and the store became unavailable, new programs start and
+// continue.
 func TestProgramsBeginBehindALossWhileTheStoreIsAway(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "earlier", testBudget, testMaxTurn, 70, 0); err != nil {
@@ -149,17 +149,17 @@
 			t.Fatal(err)
 		}
 		if crashes, _ := c.crashesOf("q"); crashes != 1 {
-			t.Errorf("behind a loss: %d losses", crashes)
+			t.Errorf("after a crash: crash count %d", crashes)
 		}
 		time.Sleep(2*defaultRetention + 4*sweepInterval)
 		if crashes, claimed := c.crashesOf("q"); crashes != 0 || !claimed {
-			t.Errorf("later: %d losses, claimed %v", crashes, claimed)
+			t.Errorf("after the retention: crash count %d, claimed %v", crashes, claimed)
 		}
 	})
 }
 
-// crashesBefore is what the owner of a program's partition knows of losses, and whether
-// its claim has landed.
+// crashesOf returns the crash count at the owner of a program's partition, and whether
+// its claim was appended.
 func (c *cluster) crashesOf(program string) (crashes int, claimed bool) {
 	n := c.ownerOf(program)
 	own := n.own(program)
@@ -168,8 +168,8 @@
 	return own.crashes, own.claimed
 }
 
-// A record of before slices counts for what its owner may have handed out, 0.6 of
-// a budget.
+// A claim by a version without slices counts for the 0.6 of a budget that its owner
+// may have allocated.
 func TestClaimsWithoutACrashCountAreCharged(t *testing.T) {
 	state, err := decodePartition(platform.Newest{Records: []platform.Record{
 		{Key: ownerKey, Value: []byte(`{"epoch":3,"owner":"m~1","address":"m"}`)},
@@ -190,7 +190,7 @@
 				t.Fatal(err)
 			}
 		}
-		// Also while the store is away.
+		// Handovers also work while the store is unavailable.
 		c.Store.Set(metastore.Fault{Reset: true})
 		for range 2 {
 			owner := c.ownerOf("p")
@@ -215,7 +215,7 @@
 		c.Kill(c.ownerOf("p").Node)
 		started := time.Now()
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
-			t.Fatalf("turn after the owner's death: %v", err)
+			t.Fatalf("turn after the owner's crash: %v", err)
 		}
 		if waited := time.Since(started); waited > 200*time.Millisecond {
 			t.Errorf("the turn waited %s for a new owner", waited)
@@ -223,8 +223,8 @@
 	})
 }
 
-// An owner that others took for dead goes on with what it has; all of it is
-// counted by the next owner.
+// An owner that was presumed dead continues within its limits, all of which the next
+// owner counts.
 func TestCutOffOwnerCannotOverrunTheBudget(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
@@ -244,7 +244,7 @@
 		}
 		work.Wait()
 		if got := c.delivered["p"]; got > testBudget+testMaxTurn {
-			t.Errorf("delivered %d tokens, the budget is %d and a turn's most %d", got, testBudget, testMaxTurn)
+			t.Errorf("delivered %d tokens, the budget is %d and the maximum of a turn %d", got, testBudget, testMaxTurn)
 		}
 	})
 }
@@ -262,8 +262,8 @@
 	})
 }
 
-// An owner that the store refuses hands its partitions to an instance that the
-// store serves, before a turn needs a record.
+// An owner that the store rejects hands its partitions to an instance that the store
+// serves, before a turn needs a record.
 func TestOwnerRefusedByTheStoreHandsOver(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		owner := c.ownerOf("p")
@@ -275,12 +275,12 @@
 			}
 		}
 		if next := c.ownerOf("p"); next == owner {
-			t.Error("the refused instance still owns the partition")
+			t.Error("the rejected instance still owns the partition")
 		}
 	})
 }
 
-// While the store is away for all, the owner keeps its partitions.
+// While the store is unavailable for all, the owner keeps its partitions.
 func TestOwnerKeepsPartitionsWhileTheStoreIsUnavailableForAll(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		owner := c.ownerOf("p")
@@ -289,13 +289,13 @@
 		}
 		time.Sleep(5 * evacuateInterval)
 		if c.ownerOf("p") != owner {
-			t.Error("the partition changed hands")
+			t.Error("the owner of the partition changed")
 		}
 	})
 }
 
-// While the store does not serve a partition without an owner, turns are
-// refused at once and the store is not asked for each of them.
+// While the store does not serve a partition without an owner, turns are refused at
+// once and the store is not called for each of them.
 func TestPartitionThatTheStoreDoesNotServe(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Kill(c.ownerOf("p").Node)
@@ -319,8 +319,8 @@
 	})
 }
 
-// The store may fail to serve some partitions while it serves others: what
-// fails elsewhere does not keep an instance from claiming a partition.
+// The store may fail for some partitions only: failures of other topics do not keep an
+// instance from claiming.
 func TestPartitionIsClaimedWhileOtherTopicsFail(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Kill(c.ownerOf("p").Node)
@@ -348,8 +348,8 @@
 	})
 }
 
-// A turn that needs a record of a partition that was handed over in an outage
-// is refused at once: its new owner could not claim it yet.
+// A turn that needs a record of a partition handed over during an outage is refused at
+// once, since the new owner could not claim it yet.
 func TestRecordOfAPartitionThatCannotBeClaimed(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Store.Set(metastore.Fault{Status: 503})
@@ -370,8 +370,8 @@
 	})
 }
 
-// What one instance learns of a target reaches the others through the owners of
-// their programs' budgets.
+// Breaks observed by one instance reach the others through the owners of their
+// programs' budgets.
 func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
 	runInCluster(t, 4, func(t *testing.T, c *cluster) {
 		runAll := func(n *node) {
@@ -395,8 +395,8 @@
 	})
 }
 
-// A claim may take effect without an answer to the instance that made it, and
-// another that reads the partition then names that instance as the owner.
+// A claim may take effect although its response is lost; other instances that read the
+// partition then name the claimant as the owner.
 func TestInstanceThatOthersNameAsTheOwnerClaims(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Store.Set(metastore.Fault{Status: 503})
@@ -415,7 +415,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The one that is named takes another for the owner.
+		// The named instance considers another one the owner.
 		stale := first.manager.directory.Ranked(p.key())[0]
 		named.manager.receiveNotice(stale, &structs.OwnerNotice{
 			Owned: []structs.OwnedPartition{{Partition: p.number, Epoch: epoch - 1}},
@@ -428,8 +428,8 @@
 	})
 }
 
-// An instance that was paused finds its connections broken and takes all others
-// for dead when it wakes.
+// An instance that resumes after a pause finds its connections broken and considers
+// all others unavailable.
 func TestInstanceThatWakesDoesNotTakePartitions(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		for _, program := range []string{"p", "q", "r", "s"} {
@@ -450,14 +450,14 @@
 		time.Sleep(2 * claimInterval)
 		for program, owner := range owners {
 			if c.ownerOf(program) != owner {
-				t.Errorf("the partition of %s changed hands", program)
+				t.Errorf("the owner of the partition of %s changed", program)
 			}
 		}
 	})
 }
 
-// The owner remembers where a program's last turn ran and tells whoever runs the
-// next one, also after it has handed its accounts over.
+// The owner stores the target of a program's last turn and returns it for the next
+// one, also after a handover.
 func TestOwnerRemembersTheTargetOfAProgram(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		reserve := func(n *node) serve.Lease {
@@ -480,7 +480,7 @@
 		for _, n := range c.all() {
 			lease := reserve(n)
 			if got := lease.LastTarget(); got != "engine1" {
-				t.Errorf("%s is told %q", n.ID, got)
+				t.Errorf("%s got target %q", n.ID, got)
 			}
 			lease.Settle(serve.TurnEnd{}) // ran nowhere
 			time.Sleep(2 * simnet.LinkTime)
@@ -490,12 +490,12 @@
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
 		if got := last.LastTarget(); got != "engine1" {
-			t.Errorf("after another one's failure: %q", got)
+			t.Errorf("after a failure of another target: got %q", got)
 		}
 		last.Settle(serve.TurnEnd{Target: "engine1", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		if got := reserve(n).LastTarget(); got != "" {
-			t.Errorf("a target that failed the program is remembered: %q", got)
+			t.Errorf("got a target that failed the program: %q", got)
 		}
 	})
 }
--- a/internal/budget/metrics.go
+++ b/internal/budget/metrics.go
@@ -2,7 +2,6 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics of budgets.
 type metrics struct {
 	granted     tally.Counter
 	exhausted   tally.Counter
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -6,33 +6,29 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ownership is what the owner of a partition keeps. The mutex of the Keeper
-// guards it.
+// ownership is the state of an owned partition. It is guarded by the mutex of the
+// Manager.
 type ownership struct {
-	// epoch is that of the newest claim in the store that this ownership goes
-	// back to: this instance's own once claimed is set, else that of the
-	// instance which handed the partition over.
+	// epoch is that of the newest claim behind this ownership: this instance's own if
+	// claimed is set, else that of the instance which handed the partition over.
 	epoch   int64
 	claimed bool
-	// sequence numbers this instance's appends under its epoch.
+	// sequence numbers the appends of this instance under its epoch.
 	sequence int64
-	// crash is set while programs may come that an earlier owner knew and this
-	// one does not.
+	// crash is set while programs that a crashed owner knew may still return.
 	crash *crash
-	// crashes is how many owners before this one may have handed out their slice,
-	// as the claim says.
+	// crashes is how many earlier owners may have allocated their slice, as recorded
+	// in the claim.
 	crashes  int
 	accounts map[string]*account
 	// dirty are the accounts with a record to be written.
 	dirty   map[*account]bool
 	writing bool
-	// writeFailing tells that a record could not be written for longer than turns
-	// wait for it.
+	// writeFailing indicates that writing a record took longer than turns wait.
 	writeFailing bool
 }
 
-// initialCrashes is how many losses a program may have lived through that comes
-// without an account.
+// initialCrashes is the crash count of a program without an account.
 func (o *ownership) initialCrashes() int {
 	if o.crash == nil {
 		return 0
@@ -40,9 +36,9 @@
 	return o.crashes
 }
 
-// crash is the loss of a partition's accounts.
+// crash describes the loss of a partition's accounts.
 type crash struct {
-	// owner had the accounts.
+	// owner held the accounts.
 	owner structs.InstanceID
 	at    time.Time
 }
@@ -55,7 +51,7 @@
 	}
 }
 
-// admit takes a request for room at the owner. The mutex is held.
+// admit handles an allotment request at the owner. The mutex is held.
 func (m *Manager) admit(p *partition, r structs.RoomRequest, reply func(result)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
@@ -69,7 +65,7 @@
 	m.serveWaiters(p, a)
 }
 
-// serveWaiters answers the asks of an account, in order, as far as it can now.
+// serveWaiters replies to the waiters of an account, in order, as far as possible now.
 // The mutex is held.
 func (m *Manager) serveWaiters(p *partition, a *account) {
 	for len(a.waiters) > 0 {
@@ -99,9 +95,8 @@
 	}
 }
 
-// unwritable tells that the store has not taken the last write to a partition
-// that this instance owns, so that a turn need not wait for the next one: an
-// outage lasts for seconds. The mutex is held.
+// unwritable reports whether the last write to an owned partition failed, so that
+// turns should not wait for another one. The mutex is held.
 func (m *Manager) unwritable(p *partition) bool {
 	if p.own.claimed {
 		return p.own.writeFailing && !m.health.OK()
@@ -109,7 +104,8 @@
 	return time.Now().Before(p.claimAfter)
 }
 
-// refuseWaiters answers all asks of an account alike. The mutex is held.
+// refuseWaiters sends the same refusal to all waiters of an account. The mutex is
+// held.
 func (m *Manager) refuseWaiters(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
 	for _, waiting := range a.waiters {
 		if outcome == structs.RoomNoRecord {
@@ -120,7 +116,7 @@
 	a.waiters = nil
 }
 
-// receiveSettle ends a lease, or passes the message on to the newest owner.
+// receiveSettle settles a lease, or forwards the message to the newest owner.
 func (m *Manager) receiveSettle(msg *structs.RoomSettle) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,8 +144,8 @@
 	m.serveWaiters(p, a)
 }
 
-// chargeLeasesOf counts the leases of an instance that is gone as used. The mutex
-// is held.
+// chargeLeasesOf counts the leases of an unavailable instance as used. The mutex is
+// held.
 func (m *Manager) chargeLeasesOf(p *partition, holder structs.InstanceID) {
 	for _, a := range p.own.accounts {
 		if a.chargeLeasesOf(holder) {
@@ -158,8 +154,7 @@
 	}
 }
 
-// sweepAccounts forgets the accounts of programs that cannot come back. The
-// mutex is held.
+// sweepAccounts drops the accounts of expired programs. The mutex is held.
 func (m *Manager) sweepAccounts(p *partition, now time.Time) {
 	m.expireCrash(p, now)
 	for name, a := range p.own.accounts {
@@ -170,9 +165,9 @@
 	m.resetCrashes(p)
 }
 
-// resetCrashes has the partition claimed anew without losses, once no program is
-// left that may have used the slice of an owner behind one. Else a partition had
-// no slices left after as many losses as there are slices. The mutex is held.
+// resetCrashes claims the partition anew with a crash count of 0, once no program is
+// left that may have used the slice of a crashed owner. Otherwise the slices would run
+// out for good. The mutex is held.
 func (m *Manager) resetCrashes(p *partition) {
 	if p.own.crash != nil || p.own.crashes == 0 || !p.own.claimed {
 		return
@@ -186,9 +181,9 @@
 	m.startClaim(p)
 }
 
-// expireCrash ends the charge for a loss once no program that the lost accounts
-// held can come back, and the owner that had them is known to have ended: until
-// then it might still hand out room without a record. The mutex is held.
+// expireCrash ends the charge for a crash once no program of the lost accounts can
+// return and their owner is known to have ended: until then it might still allocate
+// tokens without a record. The mutex is held.
 func (m *Manager) expireCrash(p *partition, now time.Time) {
 	l := p.own.crash
 	if l == nil || !m.directory.Ended(l.owner) {
@@ -196,11 +191,11 @@
 	}
 	if now.Sub(l.at) > longestRetention(p.own.accounts) {
 		p.own.crash = nil
-		m.log.Info("loss of accounts is over", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
+		m.log.Info("charge for lost accounts ended", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
 	}
 }
 
-// longestRetention is how long any program may come back.
+// longestRetention is the longest time after which a program may return.
 func longestRetention(accounts map[string]*account) time.Duration {
 	longest := defaultRetention
 	for _, a := range accounts {
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -7,9 +7,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// What instances tell each other of who owns a partition, and who watches whom.
+// Ownership notices between instances, and which instances watch each other.
 
-// peerUp notes that an instance answers, and tells it what this one owns.
+// peerUp marks an instance as available and notifies it of the partitions owned here.
 func (m *Manager) peerUp(id structs.InstanceID) {
 	m.directory.SetSilent(id, false)
 	m.mu.Lock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// ownerNotice lists what this instance owns. The mutex is held.
+// ownerNotice lists the partitions owned here. The mutex is held.
 func (m *Manager) ownerNotice() *structs.OwnerNotice {
 	notice := new(structs.OwnerNotice)
 	for _, p := range m.partitions {
@@ -33,9 +33,8 @@
 	return notice
 }
 
-// peerDown notes that an instance does not answer: its turns count at their
-// most, its partitions get another owner, and what was asked of it is asked
-// again elsewhere.
+// peerDown marks an instance as unavailable: its leases are charged, its partitions
+// are claimed if this instance ranks first, and requests to it are sent elsewhere.
 func (m *Manager) peerDown(id structs.InstanceID) {
 	m.directory.SetSilent(id, true)
 	m.mu.Lock()
@@ -58,7 +57,7 @@
 	}
 }
 
-// receiveNotice takes over who owns partitions.
+// receiveNotice updates the owners of partitions.
 func (m *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +79,7 @@
 	}
 }
 
-// setOwner notes who owns a partition. The mutex is held.
+// setOwner sets the known owner of a partition. The mutex is held.
 func (m *Manager) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
 	changed := p.owner != owner
 	p.owner, p.epoch = owner, max(p.epoch, epoch)
@@ -89,9 +88,9 @@
 	}
 }
 
-// redirectPending ends the requests that wait for an answer of a former owner, which may
-// be silent, once the new one has told that it claimed the partition. Room that a
-// late answer grants is given back. The mutex is held.
+// redirectPending ends the requests to former owners of a partition, which may be
+// unresponsive, once the new owner is known. Tokens granted by a late reply are
+// returned. The mutex is held.
 func (m *Manager) redirectPending(p *partition) {
 	for lease, pending := range m.pending {
 		if pending.request.Partition == p.number && pending.owner != p.owner {
@@ -101,15 +100,15 @@
 	}
 }
 
-// watchersPerOwner is how many instances watch the owner of a partition: those that
-// would claim it, in rendezvous order. They tell all others who claimed. The
-// others notice a silent owner when they ask it. If all watched, heartbeats would
-// grow with instances times owners. Small deployments have all watch.
+// watchersPerOwner is how many instances watch the owner of a partition: the first in
+// rendezvous order, which would claim it and notify the others. The rest detect an
+// unresponsive owner when they send it a request. The bound keeps heartbeats from
+// growing with instances times owners.
 const watchersPerOwner = 16
 
-// watchOwners has the other owners watched whose partitions this instance would
-// claim, so that a silent one is noticed before a turn waits for it, and those that
-// did not answer, so that their return is noticed. The mutex is held.
+// watchOwners watches the owners whose partitions this instance would claim, to detect
+// a crash before a turn waits for it, and unresponsive owners, to detect their
+// recovery. The mutex is held.
 func (m *Manager) watchOwners() {
 	m.watchVersion = m.directory.Version()
 	var watched []structs.InstanceID
@@ -124,16 +123,16 @@
 	m.peers.Watch(watched)
 }
 
-// rewatchIfChanged looks again whom to watch if the list of instances has changed: it takes
-// a look at each instance for each partition. The mutex is held.
+// rewatchIfChanged recomputes the watched instances if the list of instances has
+// changed. The mutex is held.
 func (m *Manager) rewatchIfChanged() {
 	if m.directory.Version() != m.watchVersion {
 		m.watchOwners()
 	}
 }
 
-// rewatchOwner looks again whom to watch after an instance went silent or came back, if
-// it owns a partition. The mutex is held.
+// rewatchOwner recomputes the watched instances after the availability of an owner
+// changed. The mutex is held.
 func (m *Manager) rewatchOwner(id structs.InstanceID) {
 	for _, p := range m.partitions {
 		if p.owner == id {
@@ -143,14 +142,14 @@
 	}
 }
 
-// maxAnnounceDials bounds the instances that are told of a claim without a connection to
-// them: a dial to each of hundreds takes a small machine seconds. The others notice the
-// silent owner when they ask it.
+// maxAnnounceDials bounds the instances that are notified of a claim without an
+// existing connection: dialling hundreds takes seconds on a small machine. The others
+// detect the unresponsive owner when they send it a request.
 const maxAnnounceDials = 128
 
-// announce tells others what this instance owns: those that are connected and, if they
-// may wait for a silent former owner, others too. When all instances start together
-// nobody waits.
+// announce notifies other instances of the partitions owned here: those that are
+// connected and, if they may wait for an unresponsive previous owner, a random
+// selection of others.
 func (m *Manager) announce(previousOwner structs.InstanceID) {
 	m.mu.Lock()
 	notice := m.ownerNotice()
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -13,9 +13,9 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var schedules = flag.Int("schedules", 60, "random schedules to play")
+var schedules = flag.Int("schedules", 60, "number of random schedules to run")
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that failed before, with the cause.
 var regressions = []uint64{}
 
 func TestBudgetsHoldOverRandomFaults(t *testing.T) {
@@ -27,12 +27,12 @@
 	}
 }
 
-// scheduleTime is how long a schedule's faults go on.
+// scheduleTime is the duration of the faults of a schedule.
 const scheduleTime = 8 * time.Second
 
-// runSchedule lets programs run without end at instances that are killed,
-// paused, cut off and shut down, with a store that fails in all its ways, and
-// checks that no program gets more than its budget and the most of one turn.
+// runSchedule runs programs at instances that are killed, paused, partitioned and shut
+// down, with a failing store, and checks that no program generates more than its
+// budget plus one turn.
 func runSchedule(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -68,14 +68,13 @@
 		c.Stop()
 		for program, budget := range budgets {
 			if got := c.delivered[program]; got > budget+testMaxTurn {
-				t.Errorf("program %s got %d tokens, its budget is %d and a turn's most %d", program, got, budget, testMaxTurn)
+				t.Errorf("program %s got %d tokens, its budget is %d and the maximum of a turn %d", program, got, budget, testMaxTurn)
 			}
 		}
 	})
 }
 
-// runProgram runs turns until the time is up. It goes on after its budget is
-// spent.
+// runProgram runs turns until a deadline, also after the budget is exhausted.
 func runProgram(c *cluster, program string, budget int, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for time.Now().Before(ends) {
@@ -93,8 +92,7 @@
 	}
 }
 
-// leaveSlowly shuts an instance down; it answers turns for a while yet. Its
-// messages may be lost on the way.
+// leaveSlowly shuts an instance down, which still serves turns for a while.
 func leaveSlowly(c *cluster, n *node, d time.Duration) {
 	c.Work.Go(func() {
 		n.manager.Leave(n.manager.ctx)
@@ -103,7 +101,7 @@
 	})
 }
 
-// injectFault does one thing to the instances or the store.
+// injectFault applies one random fault to the instances or the store.
 func injectFault(c *cluster, r *rand.Rand, machines []string) {
 	nodes := c.all()
 	if len(nodes) == 0 {
--- a/internal/budget/record.go
+++ b/internal/budget/record.go
@@ -10,13 +10,11 @@
 )
 
 const (
-	// topic holds a record for each partition's owner and for the programs
-	// that need one.
+	// topic holds the claims of partitions and the records of programs.
 	topic = platform.KeyedPrefix + "budgets"
 	// writerName is the writer whose epochs fence earlier owners.
 	writerName = "owner"
-	// ownerKey is the key of the owner's record; programPrefix begins those of
-	// programs.
+	// ownerKey is the key of the claim; programPrefix starts the keys of programs.
 	ownerKey      = "owner"
 	programPrefix = "program/"
 )
@@ -25,18 +23,18 @@
 type ownerRecord struct {
 	Epoch int64              `json:"epoch"`
 	Owner structs.InstanceID `json:"owner"`
-	// Address is where other instances reach the owner, IP:port.
+	// Address is the IP:port on which other instances reach the owner.
 	Address string `json:"address"`
-	// Crashes is how many owners before this one may have handed out their slice
-	// of budgets without a record; nil in records of before slices.
+	// Crashes is how many earlier owners may have allocated their slice of budgets
+	// without a record; nil in records of versions without slices.
 	Crashes *int `json:"losses,omitempty"`
 }
 
-// defaultCrashes is what a record without a number of losses counts for: owners of
-// before slices handed out 0.6 of a budget, which the first two slices cover.
+// defaultCrashes is the crash count of a claim without one. Versions without slices
+// allocated 0.6 of a budget, which the first two slices cover.
 const defaultCrashes = 1
 
-// crashes is how many owners before that of the record may have handed out their
+// crashes returns how many owners before that of the record may have allocated their
 // slice.
 func (r ownerRecord) crashes() int {
 	if r.Crashes == nil {
@@ -50,12 +48,12 @@
 	Budget  int `json:"budget"`
 	MaxTurn int `json:"most"`
 	Limit   int `json:"limit"`
-	// Crashes is that of the owner that wrote the record: its slice is within the
-	// limit, those of later owners are not.
+	// Crashes is the crash count of the owner that wrote the record: the limit
+	// includes its slice, but not those of later owners.
 	Crashes int `json:"losses"`
 }
 
-// encode encodes a record. The types above always can be.
+// encode encodes a record. The record types can always be encoded.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -64,17 +62,17 @@
 	return data
 }
 
-// partitionState is what a partition holds in the store.
+// partitionState is the content of a partition in the store.
 type partitionState struct {
 	// owner is nil if the partition was never claimed.
 	owner    *ownerRecord
 	programs map[string]accountRecord
-	// end is the offset behind the newest record.
+	// end is the offset after the newest record.
 	end int64
 }
 
-// decodePartition decodes the newest records of a partition. A record that
-// cannot be decoded is an error: what it allows is not known.
+// decodePartition decodes the newest records of a partition. A record that cannot be
+// decoded is an error, since the limit in it is unknown.
 func decodePartition(list platform.Newest) (partitionState, error) {
 	out := partitionState{programs: make(map[string]accountRecord), end: list.End}
 	for _, r := range list.Records {
@@ -84,13 +82,13 @@
 		if r.Key == ownerKey {
 			out.owner = new(ownerRecord)
 			if err := json.Unmarshal(r.Value, out.owner); err != nil {
-				return partitionState{}, errors.Wrapf(err, "owner's record at offset %d", r.Offset)
+				return partitionState{}, errors.Wrapf(err, "decode claim at offset %d", r.Offset)
 			}
 			continue
 		}
 		var account accountRecord
 		if err := json.Unmarshal(r.Value, &account); err != nil {
-			return partitionState{}, errors.Wrapf(err, "record of %s at offset %d", r.Key, r.Offset)
+			return partitionState{}, errors.Wrapf(err, "decode record of %s at offset %d", r.Key, r.Offset)
 		}
 		if len(r.Key) > len(programPrefix) {
 			out.programs[r.Key[len(programPrefix):]] = account
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -11,45 +11,44 @@
 )
 
 const (
-	// replyTimeout is how long a remote owner may stay silent before another
-	// instance is asked who owns the partition. A round trip takes a few
-	// milliseconds; an owner answers at once unless the turn has to wait.
+	// replyTimeout is the time without a reply from a remote owner after which it is
+	// probed.
 	replyTimeout = 300 * time.Millisecond
-	// ownerTimeout bounds the search for an owner: its loss is noticed within
-	// the liveness timeout, and a claim takes two calls to the store.
+	// ownerTimeout bounds the search for an owner. It covers the detection of a crash
+	// and a claim.
 	ownerTimeout = time.Second
-	// admissionTimeout bounds the wait for room that other turns of the program may
-	// give back, which run for some hundred milliseconds.
+	// admissionTimeout bounds the wait for tokens that other turns of the program may
+	// return.
 	admissionTimeout = 1500 * time.Millisecond
-	// maxUnavailable is how many instances are asked that cannot claim a partition:
-	// the store then does not serve it to anyone.
+	// maxUnavailable is how many instances may fail to claim a partition before the
+	// store is taken to be unavailable for it.
 	maxUnavailable = 3
-	// ownerRetryInterval is the time between two tries to find an owner.
+	// ownerRetryInterval is the pause between two attempts to find an owner.
 	ownerRetryInterval = 20 * time.Millisecond
 )
 
-// result is what became of one try to get room.
+// result is the outcome of one allotment request.
 type result struct {
 	outcome structs.RoomOutcome
-	// owner is a better one to ask, empty if unknown.
+	// owner is the owner named in the reply; empty if unknown.
 	owner structs.InstanceID
-	// target ran the program's last turn, empty if unknown.
+	// target ran the program's last turn; empty if unknown.
 	target string
-	// first tells that no turn of the program is known before this one.
+	// first indicates that no earlier turn of the program is known.
 	first bool
 }
 
-// noReply is the outcome of a request whose owner went silent.
+// noReply is the outcome of a request to an owner that became unresponsive.
 const noReply structs.RoomOutcome = 0
 
-// pendingRequest is a request of this instance to another owner.
+// pendingRequest is a request to another owner in flight.
 type pendingRequest struct {
 	owner   structs.InstanceID
 	request structs.RoomRequest
 	result  chan result
 }
 
-// reservation is room that a turn of this instance holds.
+// reservation is the allotment of a turn of this instance.
 type reservation struct {
 	manager *Manager
 	request structs.RoomRequest
@@ -57,13 +56,14 @@
 	first   bool
 }
 
-// LastTarget ran the program's last turn, empty if unknown.
+// LastTarget returns the target of the program's last turn; empty if unknown.
 func (h reservation) LastTarget() string { return h.target }
 
-// FirstTurn tells that no turn of the program has run yet, as far as its owner knows.
+// FirstTurn reports whether no turn of the program has run yet, as far as its owner
+// knows.
 func (h reservation) FirstTurn() bool { return h.first }
 
-// Settle gives back what was not used and tells how the turn ended.
+// Settle returns the unused tokens and reports how the turn ended.
 func (h reservation) Settle(end serve.TurnEnd) {
 	h.manager.receiveSettle(&structs.RoomSettle{
 		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.Used,
@@ -71,10 +71,10 @@
 	})
 }
 
-// Reserve waits for room for a turn. It returns serve.ErrSpent if the budget
-// has none, serve.ErrNoRoom if turns under way hold what is left,
-// serve.ErrStoreAway if a record is needed that the store does not take,
-// serve.ErrNoOwner if no owner is found, or the error of the context.
+// Reserve waits for an allotment for a turn. It returns serve.ErrSpent if the budget
+// is exhausted, serve.ErrNoRoom if turns in progress hold the rest, serve.ErrStoreAway
+// if the store does not accept a record that is needed, serve.ErrNoOwner if no owner
+// is found, or the error of the context.
 func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 	return lease, err
 }
 
-// reserve waits for room until the context ends.
+// reserve waits for an allotment until the context ends.
 func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := m.partitionOf(turn.Program)
 	request := structs.RoomRequest{
@@ -118,8 +118,8 @@
 	}
 }
 
-// isolated tells that neither the store nor any other instance answers, so that
-// an owner will not be found soon.
+// isolated reports whether neither the store nor any other instance is available, so
+// that no owner will be found soon.
 func (m *Manager) isolated() bool {
 	return !m.health.OK() && len(m.directory.Others()) == 0
 }
@@ -128,16 +128,16 @@
 type ownerSearch struct {
 	manager   *Manager
 	partition *partition
-	// unavailable are the instances that could neither hand out room nor claim.
+	// unavailable are the instances that could neither allocate nor claim.
 	unavailable []structs.InstanceID
-	// suspect is an owner that did not answer this instance.
+	// suspect is an owner that did not reply to this instance.
 	suspect structs.InstanceID
-	// redirect is the owner that the last instance asked has named.
+	// redirect is the owner named in the last reply.
 	redirect structs.InstanceID
 }
 
-// try asks the instance that should know. Each try has a lease of its own, so
-// that a late answer to an earlier one is told apart.
+// try sends the request to the candidate. Each attempt has its own lease, so that late
+// replies to earlier attempts are distinguished.
 func (s *ownerSearch) try(ctx context.Context, request *structs.RoomRequest) (result, error) {
 	m := s.manager
 	results := make(chan result, 1)
@@ -163,7 +163,7 @@
 	return s.await(ctx, request, to, results)
 }
 
-// noCandidate is the answer if there is no instance left to ask.
+// noCandidate returns the result if no instance is left to try.
 func (s *ownerSearch) noCandidate() result {
 	if len(s.unavailable) > 0 {
 		return result{outcome: structs.RoomNoRecord}
@@ -171,7 +171,7 @@
 	return result{outcome: noReply}
 }
 
-// candidate is whom to ask: the known owner, or the instance that should claim
+// candidate returns the instance to try: the known owner, or the one that should claim
 // the partition. The mutex is held.
 func (s *ownerSearch) candidate() structs.InstanceID {
 	m, p := s.manager, s.partition
@@ -186,7 +186,7 @@
 	})
 }
 
-// await waits for the answer of the instance asked.
+// await waits for the reply.
 func (s *ownerSearch) await(
 	ctx context.Context, request *structs.RoomRequest, to structs.InstanceID, results chan result,
 ) (result, error) {
@@ -203,15 +203,15 @@
 			return result{}, ctx.Err()
 		case <-timer.C:
 			if to != m.self.ID {
-				// An owner lets a turn wait while others of its program run:
-				// a silent one is found by a heartbeat.
+				// The owner may be unresponsive, or let the turn wait for others of
+				// its program.
 				m.peers.Probe(to)
 			}
 		}
 	}
 }
 
-// update draws the conclusions from an answer.
+// update records the result of an attempt.
 func (s *ownerSearch) update(to structs.InstanceID, got result) {
 	switch got.outcome {
 	case structs.RoomUnavailable:
@@ -225,7 +225,7 @@
 	}
 }
 
-// learnOwner takes another instance's word on who owns a partition.
+// learnOwner sets the owner that another instance named.
 func (m *Manager) learnOwner(p *partition, owner structs.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -234,8 +234,8 @@
 	}
 }
 
-// abandon withdraws a request whose turn is no longer wanted; room that it was
-// or will be given goes back.
+// abandon withdraws a request whose turn is no longer wanted and returns tokens that
+// were or will be granted.
 func (m *Manager) abandon(request *structs.RoomRequest, to structs.InstanceID, results chan result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -254,7 +254,7 @@
 	})
 }
 
-// receiveReply takes the answer of another owner.
+// receiveReply handles the reply of another owner.
 func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
 	m.breaks.Hear(msg.Breaks, time.Now())
 	m.loads.HearLoads(msg.Loads, time.Now())
@@ -272,10 +272,10 @@
 	}
 }
 
-// receiveRequest takes another instance's request for room.
+// receiveRequest handles the request of another instance.
 func (m *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
 	if r.Partition < 0 || r.Partition >= len(m.partitions) {
-		m.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
+		m.log.Warn("ignored request for unknown partition", "peer", from, "partition", r.Partition)
 		return
 	}
 	m.loads.HearLoads(r.Loads, time.Now())
@@ -290,13 +290,13 @@
 	})
 }
 
-// request hands out room if this instance owns the partition, names the owner
-// if another does, and claims the partition if nobody usable does. The mutex
-// is held.
+// request admits the turn if this instance owns the partition, names the owner if
+// another available instance does, and claims the partition otherwise. The mutex is
+// held.
 func (m *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
 	if r.Named && p.own == nil {
-		// A claim of this instance took effect without an answer, or somebody
-		// is mistaken: the store tells.
+		// Either a claim of this instance took effect without a response, or the
+		// sender is mistaken. Forget the owner, so that the store is read again.
 		m.setOwner(p, "", 0)
 	}
 	switch {
--- a/internal/budget/restart_test.go
+++ b/internal/budget/restart_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// epochOf is the epoch of the newest claim of a partition.
+// epochOf returns the epoch of the newest claim of a partition.
 func (c *cluster) epochOf(t *testing.T, partition int) int64 {
 	t.Helper()
 	list, err := c.Store.Newest(context.Background(), topic, partition)
@@ -27,9 +27,8 @@
 	return state.owner.Epoch
 }
 
-// TestPartitionsAreClaimedOnceBehindALossOfAll replays the return of everybody:
-// all instances are killed and start again within a second, and hear of each
-// other's starts at different times.
+// Each partition is claimed once after all instances are killed and start again within
+// a second, learning of each other's starts at different times.
 func TestPartitionsAreClaimedOnceBehindALossOfAll(t *testing.T) {
 	for _, instances := range []int{12, 87} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -69,9 +68,8 @@
 	}
 }
 
-// Instances that do not know the list of instances claim nothing of their own: each
-// would take itself for the first choice of all partitions. What they are asked for
-// they claim after a while, since the list may stay away.
+// Instances without the list of instances claim nothing on their own, since each would
+// rank first for all partitions. On request they claim after listTimeout.
 func TestNothingIsClaimedBeforeTheInstancesAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var known atomic.Bool
@@ -80,14 +78,14 @@
 		n := c.start("m")
 		time.Sleep(listTimeout / 2)
 		if err := c.turn(n, "p", 1000, testMaxTurn, testMaxTurn, 0); err == nil {
-			t.Error("a turn was let in before the instances are known")
+			t.Error("a turn was admitted before the instances were known")
 		}
 		time.Sleep(3 * claimInterval)
 		if calls := c.Store.Calls(); calls != 0 {
 			t.Errorf("%d calls to the store without a request", calls)
 		}
 		if err := c.turn(n, "p", 1000, testMaxTurn, testMaxTurn, 0); err != nil {
-			t.Errorf("a turn while the list stays away: %v", err)
+			t.Errorf("turn while the list is unavailable: %v", err)
 		}
 		known.Store(true)
 		time.Sleep(3 * claimInterval)
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// manyInstances is a deployment of hundreds of machines.
-	manyInstances = 300
-	// maxWatchers is how many may watch the owner of one partition.
+	// largeClusterSize is the size of a large deployment.
+	largeClusterSize = 300
+	// maxWatchers bounds the watchers of the owner of one partition.
 	maxWatchers = 32
 )
 
@@ -24,7 +24,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.Stop()
-		for i := range manyInstances {
+		for i := range largeClusterSize {
 			c.start(fmt.Sprint("m", i))
 		}
 		time.Sleep(4 * claimInterval)
@@ -32,8 +32,8 @@
 	})
 }
 
-// At hundreds of instances a few watch each owner, among them the one that would
-// claim its partition, so that heartbeats do not grow with instances times owners.
+// A bounded number of instances watch each owner, among them the one that would claim
+// its partition.
 func TestFewInstancesWatchEachOwner(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		watchers := make(map[structs.InstanceID]int)
@@ -79,8 +79,8 @@
 	return owner
 }
 
-// A request that waits for a silent owner ends when another instance tells that it
-// has claimed the partition.
+// A request that waits for an unresponsive owner ends when another instance reports
+// that it has claimed the partition.
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		m := c.all()[0].manager
@@ -103,16 +103,16 @@
 				t.Errorf("got %+v", got)
 			}
 		default:
-			t.Error("the request still waits for the silent owner")
+			t.Error("the request still waits for the unresponsive owner")
 		}
 		if len(same) != 0 || len(other) != 0 {
-			t.Error("a request that waits for the present owner, or for another partition's, was ended")
+			t.Error("a request to the current owner or for another partition was ended")
 		}
 	})
 }
 
-// An owner that did not answer once is watched until it does: silence that nobody
-// asks about again would last for good.
+// An owner that did not reply is watched until it does, so that its recovery is
+// detected.
 func TestOwnerThatDidNotAnswerIsWatched(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		var distant *node
@@ -132,18 +132,17 @@
 		}
 		distant.manager.Receive(structs.PeerDown{Peer: owner})
 		if !slices.Contains(distant.Watched(), owner) {
-			t.Error("nobody will notice that the owner answers again")
+			t.Error("the recovery of the owner will not be detected")
 		}
 		distant.manager.Receive(structs.PeerUp{Peer: owner})
 		if slices.Contains(distant.Watched(), owner) {
-			t.Error("an owner that answers is still watched by an instance that would not claim")
+			t.Error("an owner that replies is still watched by an instance that would not claim")
 		}
 	})
 }
 
-// When an owner loses power, turns at instances that watch nobody wait for no longer
-// than it takes to notice and to claim, and later ones at instances that never asked
-// it wait no time.
+// When an owner loses power, turns wait no longer than the detection and the claim
+// take, and later turns do not wait.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		const program, budget, maxTurn = "p", 100_000, 100
@@ -169,11 +168,11 @@
 		}
 		c.PowerOff(owner.Node)
 		if wait := longest(c.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
-			t.Errorf("a turn waited %s after the loss of the owner", wait)
+			t.Errorf("a turn waited %s after the owner lost power", wait)
 		}
 		time.Sleep(simnet.SilentTime)
 		if wait := longest(c.all()[100:]); wait > 100*time.Millisecond {
-			t.Errorf("a turn waited %s long after the loss of the owner", wait)
+			t.Errorf("a turn waited %s long after the owner lost power", wait)
 		}
 	})
 }
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -10,21 +10,20 @@
 )
 
 const (
-	// recordTimeout is how long turns wait for a record while the store fails;
-	// their callers may find another way after that.
+	// recordTimeout is how long turns wait for a record while the store fails.
 	recordTimeout = 300 * time.Millisecond
-	// degradedRecordTimeout is the same while reads of other topics fail: a few tries.
+	// degradedRecordTimeout replaces recordTimeout while reads of other topics fail.
 	degradedRecordTimeout = 60 * time.Millisecond
-	// minWriteBackoff and maxWriteBackoff bound the pause between two tries of
-	// an append; it doubles. Refused calls are priced.
+	// minWriteBackoff and maxWriteBackoff bound the pause between two attempts of an
+	// append, which doubles each time.
 	minWriteBackoff = 20 * time.Millisecond
 	maxWriteBackoff = 320 * time.Millisecond
-	// maxBatchRecords bounds the records of one append, far below the store's limit
-	// of bytes for a call.
+	// maxBatchRecords bounds the records of one append, to stay below the store's
+	// request size limit.
 	maxBatchRecords = 500
 )
 
-// scheduleWrite has an account's record written. The mutex is held.
+// scheduleWrite schedules the write of an account's record. The mutex is held.
 func (m *Manager) scheduleWrite(p *partition, a *account) {
 	own := p.own
 	own.dirty[a] = true
@@ -39,7 +38,7 @@
 	m.spawn(func() { m.write(p, own) })
 }
 
-// batch is the records of one append.
+// batch holds the records of one append.
 type batch struct {
 	accounts []*account
 	limits   []int
@@ -47,8 +46,8 @@
 	writer   platform.Writer
 }
 
-// nextBatch gathers the records to be written. It returns nil and ends the
-// writing if there are none, or if the ownership has ended.
+// nextBatch collects the records to be written. It returns nil and clears writing if
+// there are none or the ownership has ended.
 func (m *Manager) nextBatch(p *partition, own *ownership) *batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,7 +62,7 @@
 		}
 		delete(own.dirty, a)
 		if a.pendingLimit <= a.limit {
-			// The record was written since: a record must never fall below
+			// The record was written in the meantime, and a record must never be below
 			// the limit.
 			continue
 		}
@@ -83,7 +82,7 @@
 	return b
 }
 
-// write appends batches until there is nothing to write.
+// write appends batches until no record is left.
 func (m *Manager) write(p *partition, own *ownership) {
 	for {
 		b := m.nextBatch(p, own)
@@ -98,8 +97,8 @@
 	}
 }
 
-// appendBatch appends a batch and repeats it until its outcome is known. The
-// sequence number makes the repeats take effect once.
+// appendBatch appends a batch and retries until the outcome is known. The sequence
+// number makes retries idempotent.
 func (m *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
 	started := time.Now()
 	backoff := minWriteBackoff
@@ -116,7 +115,6 @@
 	}
 }
 
-// appendOnce makes one try of an append.
 func (m *Manager) appendOnce(p *partition, b *batch) error {
 	ctx, cancel := m.storeContext()
 	defer cancel()
@@ -125,19 +123,19 @@
 	})
 	var outOfSequence *platform.SequenceError
 	if errors.As(err, &outOfSequence) && outOfSequence.Expected == b.writer.Sequence+1 {
-		// An earlier try took effect without an answer.
+		// An earlier attempt took effect, but its response was lost.
 		return nil
 	}
 	return err
 }
 
-// permanent tells whether an append that failed cannot succeed when it is repeated.
+// permanent reports whether retrying a failed append is useless.
 func permanent(err error) bool {
 	var outOfSequence *platform.SequenceError
 	return errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrRejected) || errors.As(err, &outOfSequence)
 }
 
-// writeTimeout is how long turns wait for a record.
+// writeTimeout returns how long turns wait for a record.
 func (m *Manager) writeTimeout() time.Duration {
 	if m.health.OK() {
 		return recordTimeout
@@ -145,8 +143,8 @@
 	return degradedRecordTimeout
 }
 
-// markWriteFailing notes that records cannot be written for now and refuses the
-// turns that wait for them. It returns false if the ownership has ended.
+// markWriteFailing marks the partition as unwritable and refuses the turns that wait
+// for a record. It returns false if the ownership has ended.
 func (m *Manager) markWriteFailing(p *partition, own *ownership) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,8 +157,7 @@
 }
 
 // refuseRecordWaiters refuses the turns that wait for a record of a partition. Those
-// that may get room from other turns of their program wait on. The mutex is
-// held.
+// that may get tokens from other turns of their program wait on. The mutex is held.
 func (m *Manager) refuseRecordWaiters(p *partition) {
 	if p.own == nil {
 		return
@@ -172,7 +169,7 @@
 	}
 }
 
-// applyBatch raises the limits that a batch has recorded.
+// applyBatch raises the limits to those of a written batch.
 func (m *Manager) applyBatch(p *partition, own *ownership, b *batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,8 +187,8 @@
 	}
 }
 
-// abortWrites ends the ownership: another instance has claimed the
-// partition, or the store's state is not the one expected.
+// abortWrites ends the ownership: another instance has claimed the partition, or the
+// store's state is not the expected one.
 func (m *Manager) abortWrites(p *partition, own *ownership, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
