--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -6,54 +6,51 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// Tolerance is by how much an organisation may pass its limit, as the operator
-// sets it.
+// Tolerance is how far an organisation may exceed its limit, as set by the operator.
 type Tolerance struct {
 	// Window is the time over which requests are counted.
 	Window time.Duration
-	// Over is a share of what the limit allows in a window, Slack a number of
+	// Over is a fraction of what the limit allows in a window, Slack a number of
 	// requests on top.
 	Over  float64
 	Slack float64
 }
 
 const (
-	// voteTTL is how long a voter lends its part. After the silent loss of a
-	// coordinator its slot deals out nothing for that long, and longer if the
-	// loss is noticed later; it has to outlast a few tries to renew.
+	// voteTTL is how long a voter leases its part of the limits. After a crash of its
+	// coordinator a slot allocates nothing until the votes expire. It covers several
+	// attempts to renew.
 	voteTTL = time.Second
 	// renewInterval is the time between two requests for a vote.
 	renewInterval = 250 * time.Millisecond
-	// maxVoters bounds the voters of a slot, and maxSlots the slots, so that
-	// messages do not grow with the instances: 768 a second with both. With 12
-	// voters the loss of a third of the instances at random leaves 0.67 +- 0.14 of
-	// an allowance.
+	// maxVoters bounds the voters of a slot and maxSlots the slots, so that the number
+	// of messages does not grow with the instances.
 	maxVoters = 12
 	maxSlots  = 8
 )
 
 const (
-	// maxLateArrival is how much later than others a request may reach its target
-	// after it was dealt out: what is counted there is not what was counted here.
+	// maxLateArrival is how much later a request may reach its target after it was
+	// admitted. Targets count requests on arrival.
 	maxLateArrival = 150 * time.Millisecond
-	// rerunFraction of the requests may run a second time, since their answers were
-	// lost; they are counted afterwards only.
+	// rerunFraction of the requests may run a second time because the first response
+	// was lost. These are counted only afterwards.
 	rerunFraction = 0.02
-	// What is left of the tolerance pays for the votes of instances that have just
-	// started, for what a voter brings along when it moves, and the rest for bursts:
-	// agent programs send several calls at once, and the smallest organisations'
-	// limits are below what one program sends in its busiest second.
+	// The rest of the tolerance is divided among the votes of instances that have just
+	// started, the carry-over of voters that change their coordinator, and bursts:
+	// agent programs send several calls at once, and the smallest limits are below one
+	// program's peak.
 	freshFraction     = 0.2
 	carryOverFraction = 0.2
 )
 
-// bounds are the figures of the invariant for one limit.
+// bounds divides the tolerance of one limit, as in the invariant of the package.
 type bounds struct {
-	// level bounds what coordinators save up, start what a voter brings along
-	// when it moves, all voters together; in requests.
+	// level bounds the requests saved up by all coordinators; carryOver is what all
+	// voters together add when they change their coordinator.
 	level     float64
 	carryOver float64
-	// freshWeight is what the vote of an instance counts that has just started.
+	// freshWeight is the weight of the vote of an instance that has just started.
 	freshWeight float64
 }
 
--- a/internal/allowance/bucket.go
+++ b/internal/allowance/bucket.go
@@ -7,32 +7,32 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Load pattern: an organisation at several times its usual load, or one whose
-// limit was lowered far below what it sends. Programs need some tens of requests;
-// refusing requests at random ends nearly all of them. So requests of programs
-// under way go first, and first turns are let in as fast as whole programs fit.
+// Guards against overload by an organisation that sends several times its limit, or
+// whose limit was lowered far below its load. A program fails if any of its requests
+// is refused, so random refusals would end nearly all programs. Requests of programs
+// in progress therefore go first, and first turns are admitted at the rate at which
+// whole programs fit.
 
 const (
-	// reservedFraction is the share of the level that is left to programs under way: they
-	// send several calls of tools at once.
+	// reservedFraction of the level is reserved for programs in progress, which send
+	// several tool calls at once.
 	reservedFraction = 0.1
-	// urgentStartFraction of the starts that are saved up is left to the most urgent
-	// first turns.
+	// urgentStartFraction of the saved starts is reserved for first turns of the
+	// highest priority.
 	urgentStartFraction = 0.25
-	// minStartsCap may be saved up by any organisation: three programs that begin
-	// together are no overload, since their requests spread over seconds.
+	// minStartsCap is the smallest cap of saved starts. A few programs that start
+	// together are no overload, since their requests are spread over time.
 	minStartsCap = 3
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound when a refused caller is to come back: a
-	// round trip, and about the time that callers wait.
+	// minRetryAfter and maxRetryAfter bound the RetryAfter delay of refused callers.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 )
 
-// bucket is what a coordinator deals out to one organisation. Levels are in
-// requests, or in programs for starts.
+// bucket is a token bucket of one organisation at its coordinator. Levels are in
+// requests; starts are in programs.
 type bucket struct {
 	limit     org.Limit
 	version   int64
@@ -41,16 +41,16 @@
 	starts    float64
 	capacity  float64
 	startsCap float64
-	// countedFull, fresh and moved are the sums of the slot that were counted.
+	// The sums of the slot at the last refill.
 	countedFull, countedFresh, countedMoved float64
 	demand                                  demand
 	usage                                   usage
-	// promisedUntil is up to when room was promised to refused callers, and
-	// startsPromisedUntil the same for first turns.
+	// The times up to which capacity was promised to refused callers, for requests and
+	// for first turns.
 	promisedUntil, startsPromisedUntil time.Time
 }
 
-// setLimit takes the limit of the newest settings that any instance knows.
+// setLimit applies the limit of the newest settings that any instance knows.
 func (b *bucket) setLimit(request *structs.AllowanceAsk, t Tolerance) {
 	if request.Version < b.version || (request.Version == b.version && b.limit.Limited()) {
 		return
@@ -60,13 +60,13 @@
 	b.bounds = boundsOf(b.limit, t)
 }
 
-// clearSaved drops what was saved up.
+// clearSaved drops saved requests.
 func (b *bucket) clearSaved() {
 	b.level = min(b.level, 0)
 	b.countedFull, b.countedFresh, b.countedMoved = 0, 0, 0
 }
 
-// refill adds what the votes allowed since the last time.
+// refill adds what the votes allowed since the last refill.
 func (b *bucket) refill(s *slot) {
 	rate := b.limit.PerSecond
 	gained := rate * ((s.full - b.countedFull) + b.bounds.freshWeight*(s.fresh-b.countedFresh))
@@ -78,7 +78,7 @@
 	b.starts = min(b.starts+gained/b.demand.perProgram, b.startsCap)
 }
 
-// allocate answers an ask.
+// allocate replies to a request.
 func (b *bucket) allocate(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
 	b.level -= float64(max(request.Debt, 0))
 	b.release(max(request.Returned, 0), max(request.ReturnedStarts, 0), now)
@@ -96,14 +96,14 @@
 	return reply
 }
 
-// release takes back what was dealt out and did not run.
+// release takes back what was allocated but not used.
 func (b *bucket) release(requests, starts int, now time.Time) {
 	b.level = min(b.level+float64(requests+starts), b.capacity)
 	b.starts = min(b.starts+float64(starts), b.startsCap)
 	b.usage.add(-requests-starts, now)
 }
 
-// recordUsage counts what runs: what is dealt out and what ran a second time.
+// recordUsage counts allocated requests and reruns.
 func (b *bucket) recordUsage(request *structs.AllowanceAsk, reply *structs.AllowanceReply, now time.Time) {
 	runs := reply.Granted + max(request.Debt, 0)
 	for _, n := range reply.Starts {
@@ -112,8 +112,8 @@
 	b.usage.add(runs, now)
 }
 
-// observePrograms follows the programs that the ask names: those that begin, as far as
-// their first turns were let in, and those under way.
+// observePrograms updates the estimate with the programs named in the request: those
+// whose first turn was admitted and those in progress.
 func (b *bucket) observePrograms(request *structs.AllowanceAsk, reply *structs.AllowanceReply, now time.Time) {
 	for rank, programs := range request.Begins {
 		for _, program := range programs[:min(reply.Starts[rank], len(programs))] {
@@ -126,14 +126,14 @@
 	b.demand.update(now)
 }
 
-// take takes requests out of what lies above a level.
+// take takes requests from the part of the level that is above a reserve.
 func (b *bucket) take(want int, above float64) int {
 	got := min(want, max(int(b.level-above), 0))
 	b.level -= float64(got)
 	return got
 }
 
-// takeStarts lets first turns in.
+// takeStarts admits first turns.
 func (b *bucket) takeStarts(want, rank int) int {
 	reserved := 0.0
 	if rank > 0 {
@@ -145,8 +145,8 @@
 	return got
 }
 
-// retryAfter is when there should be room for the requests refused now, behind
-// those refused before.
+// retryAfter returns when the refused requests should fit, after those refused
+// earlier.
 func (b *bucket) retryAfter(refused, refusedStarts int, now time.Time) time.Duration {
 	perRequest := time.Duration(float64(time.Second) / b.limit.PerSecond)
 	wait := time.Duration(0)
@@ -162,8 +162,8 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// extendPromise is up to when room is promised once some more takes a time. Nobody is
-// told to come later than maxRetryAfter, so no promise goes beyond that.
+// extendPromise adds a duration to the time up to which capacity is promised. The
+// result is at most maxRetryAfter from now, the longest delay given to a caller.
 func extendPromise(until, now time.Time, duration time.Duration) time.Time {
 	if until.Before(now) {
 		until = now
--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -17,32 +17,31 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// testTolerance is that of the users' deployment.
 var testTolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
-// testSlots is few, so that each coordinates several organisations.
+// testSlots is small, so that each coordinator has several organisations.
 const testSlots = 4
 
-// cluster is some instances with a network, in virtual time.
+// cluster simulates instances with a network, in virtual time.
 type cluster struct {
 	*simnet.Net
 	lives simnet.Lives[*node]
 	t     *testing.T
-	// grantAll has each coordinator get all votes at once, whoever else has them: what
-	// one owner without votes would deal out.
+	// grantAll grants every vote to every coordinator at once, so that each allocates
+	// the whole limit.
 	grantAll bool
 
 	mu sync.Mutex
-	// releaseSome has every third request give its permit back.
+	// releaseSome releases every third permit.
 	releaseSome   bool
 	admittedCount int
-	// admitted is when requests of each organisation were let in.
+	// admitted holds the times of admitted requests, by organisation.
 	admitted map[string][]time.Time
-	// outcomes counts how requests ended.
+	// refused and unknown count the requests that were not admitted.
 	refused, unknown int
 }
 
-// node is one life of an instance.
+// node is one incarnation of an instance.
 type node struct {
 	*simnet.Node
 	manager *Manager
@@ -55,8 +54,7 @@
 	manager *Manager
 }
 
-// Send sends a message; a request for a vote is granted at once in a world whose
-// coordinators share nothing.
+// Send sends a message. With grantAll set it grants vote requests itself.
 func (p *peers) Send(to structs.InstanceID, msg structs.Message) {
 	if m, ok := msg.(*structs.VoteRequest); ok && p.cluster.grantAll {
 		p.Node.Post(structs.PeerMessage{From: to, Msg: &structs.VoteReply{Number: m.Number, Granted: true, Moved: true}})
@@ -75,7 +73,7 @@
 // start starts an instance on a machine and lists it at all others.
 func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
 
-// run starts a life of an instance.
+// run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	link := &peers{Node: sim, cluster: c}
@@ -91,7 +89,8 @@
 	return n.receive
 }
 
-// receive notes in the directory what an event tells, as the budgets' keeper does.
+// receive updates the directory, as the budget manager does, before the event is
+// handled.
 func (n *node) receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerDown:
@@ -106,15 +105,15 @@
 	n.manager.Receive(event)
 }
 
-// all lists the instances that live.
+// all lists the running instances.
 func (c *cluster) all() []*node { return c.lives.All(c.Net) }
 
-// request asks an instance to let one request in.
+// request submits one request at an instance and reports whether it was admitted.
 func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
 	return c.admit(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
-// admit asks an instance to let a request in.
+// admit submits an entry at an instance and reports whether it was admitted.
 func (c *cluster) admit(n *node, entry serve.Entry) bool {
 	name := entry.Organisation
 	permit, err := n.manager.Admit(context.Background(), entry)
@@ -137,7 +136,7 @@
 	return false
 }
 
-// leaveSlowly shuts an instance down; it lets requests in for a while yet.
+// leaveSlowly shuts an instance down, which still admits requests for a while.
 func (c *cluster) leaveSlowly(n *node, d time.Duration) {
 	c.Work.Go(func() {
 		n.Directory.SetLeaving(n.ID)
@@ -150,7 +149,7 @@
 	})
 }
 
-// maxInWindow is the largest number of requests let in within a window.
+// maxInWindow returns the largest number of admitted requests within a window.
 func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	highest, from := 0, 0
@@ -163,7 +162,8 @@
 	return highest
 }
 
-// allowed is the most that a limit with the tolerance allows in a window.
+// allowed returns the number of requests that a limit with its tolerance allows in a
+// window.
 func allowed(limit org.Limit, t Tolerance) int {
 	exact := limit.PerSecond*t.Window.Seconds() + limit.Burst
 	return int(exact*(1+t.Over) + t.Slack)
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Load pattern: an organisation far over its limit begins many programs within
-// one program's duration. Requests let in over programs begun would then tell
-// less than what a program needs, since those begun have sent their first
-// requests only, and first turns would be let in faster than their programs can
-// be carried. So a program counts once it has ended.
+// Guards against underestimating the requests per program when an organisation starts
+// many programs at once: programs that have just started have sent few requests, so
+// first turns would be admitted too fast. A program is therefore counted once it has
+// ended.
 
 const (
-	// defaultRequests is the number of requests that a program is assumed to need
-	// before any has ended: more than most need, so that too few are let in rather
-	// than too many.
+	// defaultRequests is the assumed number of requests per program before any program
+	// has ended. It is above the typical number, to admit too few rather than too
+	// many.
 	defaultRequests = 30
-	// defaultWeight is how many programs that guess counts for.
+	// defaultWeight is the weight of defaultRequests, in programs.
 	defaultWeight = 2
-	// maxSampledPrograms is the number of programs after which what was seen counts half.
+	// maxSampledPrograms is the number of programs after which earlier samples count
+	// half.
 	maxSampledPrograms = 200
-	// idleTimeout is the time without a request after which a program counts as ended;
-	// what it sends later is added. Long pauses are rare, and what programs need
-	// should be known before an overload.
+	// idleTimeout is the time without a request after which a program counts as ended.
+	// Later requests are added.
 	idleTimeout = time.Second
-	// forgetTimeout is the time without a request after which it is followed no more.
+	// forgetTimeout is the time without a request after which a program is no longer
+	// tracked.
 	forgetTimeout = 10 * time.Second
-	// updateInterval is the time between two looks for programs that have ended.
+	// updateInterval is the time between two updates of the estimate.
 	updateInterval = 250 * time.Millisecond
-	// maxTracked bounds the programs of an organisation that are followed.
+	// maxTracked bounds the tracked programs of an organisation.
 	maxTracked = 1024
 )
 
-// trackedProgram is a program whose first turn was let in by this coordinator.
+// trackedProgram is a program whose first turn was admitted by this coordinator.
 type trackedProgram struct {
 	requests int
 	last     time.Time
-	// ended tells that it counts as ended.
+	// ended indicates that it counts as ended.
 	ended bool
 }
 
-// demand learns what a program of one organisation needs, in requests.
+// demand estimates the number of requests per program of one organisation.
 type demand struct {
 	tracked map[uint64]trackedProgram
-	// requests and programs are those of programs that ended.
+	// requests and programs are the sums over ended programs.
 	requests, programs float64
 	updatedAt          time.Time
-	// perProgram is the estimate as of counted.
+	// perProgram is the estimate as of updatedAt.
 	perProgram float64
 }
 
@@ -51,14 +51,14 @@
 	return demand{tracked: make(map[uint64]trackedProgram), perProgram: defaultRequests}
 }
 
-// track follows a program from its first turn on.
+// track starts tracking a program at its first turn.
 func (n *demand) track(program uint64, now time.Time) {
 	if program != 0 && len(n.tracked) < maxTracked {
 		n.tracked[program] = trackedProgram{requests: 1, last: now}
 	}
 }
 
-// add counts a request of a program under way.
+// add counts a request of a program in progress.
 func (n *demand) add(program uint64, now time.Time) {
 	f, ok := n.tracked[program]
 	if !ok {
@@ -72,8 +72,8 @@
 	}
 }
 
-// update takes in the programs that have ended. Those under way count if they
-// needed more than the others already.
+// update recomputes the estimate from the ended programs, and from those in progress
+// that already exceed it.
 func (n *demand) update(now time.Time) {
 	if now.Sub(n.updatedAt) < updateInterval {
 		return
--- a/internal/allowance/demand_test.go
+++ b/internal/allowance/demand_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNewProgramsDoNotLowerTheEstimate replays an organisation that begins
-// a hundred programs within a second, each of which needs 26 requests.
+// Programs that have just started do not lower the estimate: a hundred programs start
+// within a second and need 26 requests each.
 func TestNewProgramsDoNotLowerTheEstimate(t *testing.T) {
 	n, now := newDemand(), time.Unix(0, 0)
 	for sent := range 26 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestLongProgramsCountBeforeTheyEnd replays programs that go on for long.
+// Programs that run for long count before they end.
 func TestLongProgramsCountBeforeTheyEnd(t *testing.T) {
 	n, now := newDemand(), time.Unix(0, 0)
 	n.track(1, now)
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestAProgramThatPausesCountsOnce replays a program with a pause in the middle.
+// A program with a long pause counts once.
 func TestAProgramThatPausesCountsOnce(t *testing.T) {
 	n, now := newDemand(), time.Unix(0, 0)
 	for program := range uint64(100) {
--- a/internal/allowance/dump.go
+++ b/internal/allowance/dump.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Dump is what an instance tells of allowances on request.
+// Dump is the state of the allowances at an instance.
 type Dump struct {
-	// Waiting is what waits here, by organisation.
+	// Waiting lists the waiting requests, by organisation.
 	Waiting []Waiting `json:"waiting"`
-	// Coordinated is what it deals out.
+	// Coordinated lists the organisations coordinated by this instance.
 	Coordinated []Coordinated `json:"coordinated"`
 }
 
-// Waiting is what waits at an instance of one organisation, under the limit that
-// the instance knows.
+// Waiting is the number of waiting requests of an organisation, with the limit known
+// to the instance.
 type Waiting struct {
 	Organisation string  `json:"organisation"`
 	PerSecond    float64 `json:"limit_per_second"`
@@ -23,7 +23,7 @@
 	Requests     int     `json:"requests"`
 }
 
-// Coordinated is what a coordinator has to deal out to one organisation.
+// Coordinated is the bucket of an organisation at its coordinator.
 type Coordinated struct {
 	Slot         int     `json:"slot"`
 	Organisation string  `json:"organisation"`
@@ -32,13 +32,13 @@
 	Capacity     float64 `json:"requests_left_most"`
 	Starts       float64 `json:"programs_left"`
 	PerProgram   float64 `json:"requests_per_program"`
-	// Use is what was dealt out over the last second or two against the limit.
+	// Use is the recent utilization of the limit.
 	Use    float64 `json:"use"`
 	Votes  int     `json:"votes"`
 	Voters int     `json:"voters"`
 }
 
-// Dump tells the state.
+// Dump returns the current state.
 func (m *Manager) Dump() Dump {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -16,26 +16,25 @@
 )
 
 const (
-	// replyTimeout is how long a coordinator may take to answer before it is asked
-	// for a heartbeat and whoever coordinates then is asked instead. A round trip
-	// takes a few milliseconds; one that used up its share of the processor pauses
-	// for up to 100 ms. What is dealt out is used within this time.
+	// replyTimeout is how long a coordinator may take to reply before it is probed and
+	// the request is sent again, possibly to another coordinator. It covers pauses by
+	// CPU throttling. Permits are used within this time.
 	replyTimeout = 200 * time.Millisecond
-	// maxHeldRetryInterval bounds the time until room is asked for again for requests that are
+	// maxHeldRetryInterval bounds the time between two requests for waiters that are
 	// held.
 	maxHeldRetryInterval = 100 * time.Millisecond
-	// noVotesRetryInterval is the time before somebody is asked again who holds no votes:
-	// a new coordinator collects them within a few round trips.
+	// noVotesRetryInterval is the pause after a reply without votes: a new coordinator
+	// collects them within a few round trips.
 	noVotesRetryInterval = 40 * time.Millisecond
-	// admissionTimeout is how long a request waits for word from a coordinator. Turning a
-	// request of a program under way away ends the program, so it is longer than
-	// the loss of a coordinator goes unnoticed.
+	// admissionTimeout bounds the wait for a coordinator's decision. It is longer than
+	// the detection of a crashed coordinator, since refusing a request ends its
+	// program.
 	admissionTimeout = 1100 * time.Millisecond
-	// maxHold is how long a request of a program under way is held if there will
-	// be room by then: refusing it ends the program. It is below patience.
+	// maxHold is how long a request of a program in progress is held if it should fit
+	// by then, since refusing it ends the program. It is below admissionTimeout.
 	maxHold = 900 * time.Millisecond
-	// unresponsiveRetryInterval is the time between two requests for the vote of an instance
-	// that did not answer: each may cost a dial.
+	// unresponsiveRetryInterval is the time between two vote requests to an
+	// unresponsive instance, each of which may cost a dial.
 	unresponsiveRetryInterval = time.Second
 )
 
@@ -45,24 +44,25 @@
 	Probe(to structs.InstanceID)
 }
 
-// Config are what a Keeper works with.
+// Config holds the parameters and dependencies of a Manager.
 type Config struct {
 	Directory *directory.Directory
-	// Slots is the number of slots, of which maxSlots are used at most, Key the key
-	// of a slot's rendezvous hash. Slots that share the keys of the budgets'
-	// partitions have their owners as coordinators, to whom connections exist.
+	// Slots is the number of slots, at most maxSlots of which are used. Key returns
+	// the key of a slot for rendezvous hashing. With the keys of the budget
+	// partitions, their owners coordinate the slots, and connections to them exist
+	// already.
 	Slots     int
 	Key       func(slot int) string
 	Tolerance Tolerance
 	Peers     Peers
-	// Listed tells whether all instances are known. Nobody votes before: votes
-	// count by the number of all.
+	// Listed reports whether all instances are known. Before that this instance grants
+	// and requests no votes, since their weight depends on the number of instances.
 	Listed func() bool
 	Scope  tally.Scope
 	Log    *slog.Logger
 }
 
-// Manager lets requests in within their organisations' limits. It is safe for
+// Manager admits requests within the limits of their organisations. It is safe for
 // concurrent use.
 type Manager struct {
 	Config
@@ -75,29 +75,29 @@
 	queues     map[string]*queue
 	lastNumber uint64
 	pending    map[uint64]pendingRequest
-	// voteRequests holds when votes were asked for, by number.
+	// voteRequests are the vote requests in flight, by number.
 	voteRequests map[uint64]pendingVote
 	lastTried    map[structs.InstanceID]time.Time
-	// active tells that some organisation has a limit.
+	// active indicates that some organisation has a limit.
 	active bool
-	// leaving tells that this instance coordinates nothing any more.
+	// leaving indicates that this instance no longer coordinates.
 	leaving bool
 }
 
-// pendingRequest is an ask under way.
+// pendingRequest is a request to a coordinator in flight.
 type pendingRequest struct {
 	queue *queue
 	to    structs.InstanceID
 }
 
-// pendingVote is a request for a vote under way.
+// pendingVote is a vote request in flight.
 type pendingVote struct {
 	slot int
 	to   structs.InstanceID
 	at   time.Time
 }
 
-// New makes a Keeper.
+// New creates a Manager.
 func New(config Config) *Manager {
 	config.Slots = min(config.Slots, maxSlots)
 	m := &Manager{
@@ -112,15 +112,14 @@
 	return m
 }
 
-// SetActive tells whether any organisation has a limit. Without one no messages
-// are sent.
+// SetActive sets whether any organisation has a limit. No messages are sent otherwise.
 func (m *Manager) SetActive(active bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.active = active
 }
 
-// Run collects votes until the context ends.
+// Run renews votes until the context ends.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
@@ -136,8 +135,8 @@
 	}
 }
 
-// Leave gives up what this instance coordinates. It has to be called before
-// others are told that this instance leaves: they lend their votes anew then.
+// Leave stops coordinating. It must be called before other instances are notified that
+// this one is leaving, since they then lease their votes to others.
 func (m *Manager) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -148,14 +147,13 @@
 	}
 }
 
-// slotOf is the slot of an organisation.
+// slotOf returns the slot of an organisation.
 func (m *Manager) slotOf(organisation string) int {
 	return int(xxhash.Sum64String(organisation) % uint64(len(m.slots)))
 }
 
-// Admit lets a request in or tells why not: with a *serve.OverLimitError,
-// serve.ErrNoAllowance if nobody who could tell answers, or the error of the
-// context.
+// Admit admits a request or returns a *serve.OverLimitError, serve.ErrNoAllowance if
+// no coordinator replies in time, or the error of the context.
 func (m *Manager) Admit(ctx context.Context, entry serve.Entry) (serve.Permit, error) {
 	if !entry.Limit.Limited() {
 		return noPermit{}, nil
@@ -173,7 +171,7 @@
 	return m.awaitDecision(ctx, q, w)
 }
 
-// programHash stands for a program in messages, 0 for none.
+// programHash identifies a program in messages; 0 for none.
 func programHash(program string) uint64 {
 	if program == "" {
 		return 0
@@ -181,7 +179,7 @@
 	return xxhash.Sum64String(program)
 }
 
-// awaitDecision waits for the verdict on a request.
+// awaitDecision waits for the decision on a request.
 func (m *Manager) awaitDecision(ctx context.Context, q *queue, w *waiter) (serve.Permit, error) {
 	timer := time.NewTimer(admissionTimeout)
 	defer timer.Stop()
@@ -219,7 +217,7 @@
 	}
 }
 
-// queueOf is what waits of an organisation, under its newest limit. The mutex is
+// queueOf returns the queue of an organisation and updates its limit. The mutex is
 // held.
 func (m *Manager) queueOf(entry serve.Entry) *queue {
 	q := m.queues[entry.Organisation]
@@ -233,8 +231,8 @@
 	return q
 }
 
-// sendRequest asks the coordinator of an organisation, unless an ask is under way.
-// The mutex is held.
+// sendRequest sends a request to the coordinator of an organisation, unless one is in
+// flight. The mutex is held.
 func (m *Manager) sendRequest(q *queue, now time.Time) {
 	if q.pendingNumber != 0 {
 		return
@@ -256,8 +254,8 @@
 	time.AfterFunc(replyTimeout, func() { m.requestTimedOut(request.Number) })
 }
 
-// requestTimedOut asks anew after an ask that got no answer in time. What a later
-// answer grants is used by nobody.
+// requestTimedOut retries a request without a reply. Permits granted by a late reply
+// are not used.
 func (m *Manager) requestTimedOut(number uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -269,14 +267,14 @@
 	m.retryRequest(number, sent)
 }
 
-// retryRequest gives an ask up and asks again if requests wait. The mutex is held.
+// retryRequest abandons a request and sends a new one if needed. The mutex is held.
 func (m *Manager) retryRequest(number uint64, sent pendingRequest) {
 	delete(m.pending, number)
 	sent.queue.pendingNumber, sent.queue.pendingWaiters = 0, nil
 	m.requestIfNeeded(sent.queue)
 }
 
-// requestIfNeeded asks again if requests wait, or permits are to be given back. The
+// requestIfNeeded sends a request if requests wait or permits are to be returned. The
 // mutex is held.
 func (m *Manager) requestIfNeeded(q *queue) {
 	if len(q.waiting) > 0 || q.returned > 0 || q.returnedStarts > 0 {
@@ -284,7 +282,7 @@
 	}
 }
 
-// handleReply takes an answer. The mutex is held.
+// handleReply applies a coordinator's reply. The mutex is held.
 func (m *Manager) handleReply(reply *structs.AllowanceReply, now time.Time) {
 	sent, ok := m.pending[reply.Number]
 	if !ok {
@@ -312,7 +310,7 @@
 	})
 }
 
-// handleRequest answers an ask as the coordinator. The mutex is held.
+// handleRequest replies to a request as the coordinator. The mutex is held.
 func (m *Manager) handleRequest(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
 	if request.Slot < 0 || request.Slot >= len(m.slots) || !(org.Limit{PerSecond: request.PerSecond}).Limited() {
 		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
@@ -324,17 +322,16 @@
 	return reply
 }
 
-// probePreferred asks the instance that should coordinate a slot for a heartbeat,
-// since others took this one for it. After a loss of all instances the list holds
-// some that are gone for good, and nothing else would tell this one so: a slot had
-// no coordinator for 7 s.
+// probePreferred probes the instance that should coordinate a slot, after others took
+// this one for the coordinator. After a crash of all instances the list may hold
+// instances that never return, which this instance would not detect otherwise.
 func (m *Manager) probePreferred(slot int) {
 	if first := m.Directory.First(m.Key(slot)); first != "" && first != m.self {
 		m.Peers.Probe(first)
 	}
 }
 
-// Handles tells whether a message is about allowances.
+// Handles reports whether a message is handled by this package.
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
 	case structs.KindAllowanceAsk, structs.KindAllowanceReply, structs.KindVoteRequest, structs.KindVoteReply:
@@ -343,8 +340,8 @@
 	return false
 }
 
-// Receive handles an event of the transport between instances. The directory
-// must know of it before.
+// Receive handles an event of the transport between instances. The directory must have
+// been updated with the event before.
 func (m *Manager) Receive(event structs.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -380,8 +377,8 @@
 	}
 }
 
-// retryRequestsTo asks anew what was asked of an instance that does not answer. The
-// mutex is held.
+// retryRequestsTo retries the requests sent to an unavailable instance. The mutex is
+// held.
 func (m *Manager) retryRequestsTo(id structs.InstanceID) {
 	for number, sent := range m.pending {
 		if sent.to == id {
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -16,15 +16,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// program is the load of agent programs: a first turn, then requests in series
-// with some at once.
+// program simulates an agent program: a first turn, then requests in series, some of
+// them at once.
 type program struct {
 	requests int
 	pause    time.Duration
 }
 
-// runPrograms begins programs of an organisation at a rate for a time, each at
-// one instance, and returns how many began and how many got all their requests.
+// runPrograms starts programs of an organisation at a rate, each at one instance, and
+// returns how many started and how many got all their requests.
 func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var work sync.WaitGroup
@@ -53,16 +53,15 @@
 	return begun, whole
 }
 
-// typicalProgram is about what programs of the users' deployment are like.
+// typicalProgram resembles the programs of a real deployment.
 var typicalProgram = program{requests: 26, pause: 250 * time.Millisecond}
 
-// programCapacity is how many programs a limit carries in a time.
+// programCapacity returns how many programs a limit carries in a time.
 func programCapacity(limit org.Limit, lasts time.Duration) int {
 	return int((limit.PerSecond*lasts.Seconds() + limit.Burst) / float64(typicalProgram.requests))
 }
 
-// TestBelowItsLimitAnOrganisationGetsAll replays organisations of the users' sizes
-// at the usual load, 1/1.6 of their limits, at 87 instances.
+// At the usual load, 1/1.6 of the limit, an organisation gets all its requests.
 func TestBelowItsLimitAnOrganisationGetsAll(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -76,7 +75,7 @@
 				lasts := 10 * time.Second
 				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
 				c.Stop()
-				// A few programs that begin together pass a small limit.
+				// A few programs that start together exceed a small limit.
 				expected := min(begun, programCapacity(limit, lasts))
 				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, c.refused, c.unknown)
 				if whole < expected*95/100 {
@@ -90,8 +89,7 @@
 	}
 }
 
-// TestOverItsLimitAnOrganisationGetsWholePrograms replays an organisation at 7.5
-// times its usual load.
+// At 7.5 times the usual load, as many whole programs succeed as the limit carries.
 func TestOverItsLimitAnOrganisationGetsWholePrograms(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -118,8 +116,7 @@
 	}
 }
 
-// TestCoordinatorThatIsGoneForGoodIsReplaced replays the return of all instances
-// but one, which all others still list.
+// All instances but the coordinator restart, and all others still list it.
 func TestCoordinatorThatIsGoneForGoodIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -144,7 +141,7 @@
 			}
 			c.start(m).Directory.Put(structs.Peer{ID: crashed, Address: directory.MachineOf(crashed)})
 		}
-		// The one that comes next has no callers of its own.
+		// The next coordinator gets no requests of its own.
 		callers := slices.DeleteFunc(c.all(), func(n *node) bool { return n.Machine() == next })
 		admitted := 0
 		for i := range 30 {
--- a/internal/allowance/metrics.go
+++ b/internal/allowance/metrics.go
@@ -2,16 +2,16 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics of the requests of organisations with a limit.
+// metrics count the requests of organisations with a limit.
 type metrics struct {
-	// admitted were let in, refused were over their limit, unknown got no word in
+	// admitted and refused count decisions, unknown the requests without a decision in
 	// time.
 	admitted tally.Counter
 	refused  tally.Counter
 	unknown  tally.Counter
-	// returned were let in and given back, since there was no room elsewhere.
+	// returned counts the admitted requests that were released unused.
 	returned tally.Counter
-	// asks counts the messages to coordinators, each for all that waits.
+	// asks counts the requests to coordinators.
 	asks tally.Counter
 }
 
--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// permit is a request that was let in.
+// permit is an admitted request.
 type permit struct {
 	manager *Manager
 	queue   *queue
-	// first tells that it begins a program.
+	// first indicates that it starts a program.
 	first bool
 }
 
@@ -24,8 +24,8 @@
 	return p.queue.usage.current(time.Now())
 }
 
-// Release implements serve.Permit. It is told at once: what came back later
-// would count for a window in which it was not dealt out.
+// Release implements serve.Permit. It notifies the coordinator at once: a later return
+// would count for a window in which the permit was not allocated.
 func (p permit) Release() {
 	p.manager.mu.Lock()
 	defer p.manager.mu.Unlock()
@@ -38,7 +38,7 @@
 	p.manager.sendRequest(p.queue, time.Now())
 }
 
-// noPermit is that of a request without a limit.
+// noPermit is the permit of a request without a limit.
 type noPermit struct{}
 
 func (noPermit) CountRerun()          {}
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -8,53 +8,52 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// waiter is a request that waits to be let in. The channel has room for the one
-// verdict.
+// waiter is a request that waits for admission. decision has a buffer for the one
+// decision.
 type waiter struct {
 	first bool
 	rank  int
-	// program is the hash of its program, 0 for none; named tells that the
-	// coordinator was told.
+	// program is the hash of its program, 0 for none. reported indicates that the
+	// coordinator was notified of the request.
 	program  uint64
 	reported bool
-	// holdUntil is how long a request of a program under way is held for room.
+	// holdUntil is how long a request of a program in progress is held.
 	holdUntil time.Time
 	decision  chan decision
 }
 
-// decision is what became of a request that waited.
+// decision is the outcome of a waiting request.
 type decision struct {
 	admitted bool
-	// reply is the answer that refused it.
+	// reply is the refusal.
 	reply *structs.AllowanceReply
-	// coordinator gave it.
+	// coordinator sent the refusal.
 	coordinator structs.InstanceID
 }
 
-// queue is the requests of one organisation that wait at this instance. It does no
+// queue holds the waiting requests of one organisation at this instance. It does no
 // I/O.
 type queue struct {
 	organisation string
 	limit        org.Limit
 	version      int64
 	waiting      []*waiter
-	// reruns, and the requests and first turns that were let in and did not run,
-	// are told with the next ask.
+	// Reruns and released permits to be reported with the next request.
 	reruns                   int
 	returned, returnedStarts int
-	// allocatedBy is the coordinator that dealt out last: no other one may take back
-	// what it dealt.
+	// allocatedBy is the coordinator of the last allocation, the only one to which
+	// permits are returned.
 	allocatedBy structs.InstanceID
-	// usage is the organisation's use as the last answer told it.
+	// usage is the utilization in the last reply.
 	usage reportedUsage
-	// pendingNumber is the number of the ask under way, 0 for none; asked are the
-	// waiters that it names.
+	// pendingNumber is the number of the request in flight, 0 for none; pendingWaiters
+	// are the waiters in it.
 	pendingNumber  uint64
 	pendingWaiters []*waiter
 }
 
-// requestTo makes the next ask of an instance. What another one dealt out is not given
-// back to it.
+// requestTo builds the next request to a coordinator. Permits allocated by another one
+// are not returned to it.
 func (q *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
 	if to != q.allocatedBy {
 		q.returned, q.returnedStarts = 0, 0
@@ -62,7 +61,7 @@
 	return q.newRequest(number, slot)
 }
 
-// newRequest makes the next ask, with what waits now.
+// newRequest builds the next request from the current waiters.
 func (q *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
 	request := &structs.AllowanceAsk{
 		Number: number, Slot: slot, Organisation: q.organisation,
@@ -77,7 +76,7 @@
 	return request
 }
 
-// addTo names a waiter in an ask.
+// addTo adds a waiter to a request.
 func (w *waiter) addTo(request *structs.AllowanceAsk) {
 	if w.first {
 		request.Starts[w.rank]++
@@ -91,7 +90,7 @@
 	}
 }
 
-// applyReply takes the answer that an instance gave to the ask under way.
+// applyReply applies the reply to the request in flight.
 func (q *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
 	asked := q.pendingWaiters
 	q.pendingNumber, q.pendingWaiters = 0, nil
@@ -111,8 +110,7 @@
 	}
 }
 
-// decide tells one waiter what the answer means for it. What was meant for one
-// that has left is used by nobody.
+// decide decides on one waiter. A permit for a waiter that has left is not used.
 func (q *queue) decide(w *waiter, left *int, refusal decision, now time.Time) {
 	if *left > 0 {
 		*left--
@@ -127,8 +125,8 @@
 	}
 }
 
-// remove withdraws a waiter. It returns false if its verdict has been given or it
-// has left before.
+// remove removes a waiter. It returns false if the waiter was decided on or removed
+// before.
 func (q *queue) remove(w *waiter) bool {
 	at := slices.Index(q.waiting, w)
 	if at < 0 {
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -15,7 +15,7 @@
 
 var schedules = flag.Int("schedules", 6, "random schedules to play")
 
-// testLimits go from the smallest of the users' organisations to the largest.
+// testLimits range from the smallest organisations to the largest.
 var testLimits = map[string]org.Limit{
 	"tiny":  {PerSecond: 2, Burst: 2},
 	"small": {PerSecond: 13, Burst: 13},
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestOneOwnerWithoutVotesPassesTheLimit plays the same schedules with
-// coordinators that deal out whole limits each: the check must see it.
+// Without votes each coordinator allocates the whole limit, which the check must
+// detect.
 func TestOneOwnerWithoutVotesPassesTheLimit(t *testing.T) {
 	passed := 0
 	for seed := range uint64(*schedules) {
@@ -46,12 +46,12 @@
 	}
 }
 
-// scheduleTime is how long a schedule goes on.
+// scheduleTime is the duration of a schedule.
 const scheduleTime = 12 * time.Second
 
-// runSchedule lets organisations ask for several times their limits at instances
-// that are killed, cut off, lose power and shut down. It returns the limits that
-// were passed.
+// runSchedule sends several times their limits for all organisations, at instances
+// that are killed, partitioned, powered off and shut down. It returns the limits that
+// were exceeded.
 func runSchedule(t *testing.T, seed uint64, instances int, grantAll bool) map[string]string {
 	passed := make(map[string]string)
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	return passed
 }
 
-// sendLoad asks for a multiple of a limit at any instance until the time is up.
+// sendLoad sends a multiple of a limit to random instances until a deadline.
 func sendLoad(c *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	pause := float64(time.Second) / (limit.PerSecond * factor)
@@ -104,7 +104,7 @@
 	work.Wait()
 }
 
-// injectFault does one thing to the instances.
+// injectFault applies one random fault to the instances.
 func injectFault(c *cluster, r *rand.Rand, names []string) {
 	nodes := c.all()
 	if len(nodes) == 0 {
--- a/internal/allowance/slot.go
+++ b/internal/allowance/slot.go
@@ -6,23 +6,22 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// vote is a voter's part of a slot, lent to this instance.
+// vote is a voter's part of a slot, leased to this instance.
 type vote struct {
 	until time.Time
 	fresh bool
 }
 
-// slot is what this instance coordinates of the organisations of one slot. It
-// does no I/O.
+// slot is the state of one slot at its coordinator. It does no I/O.
 type slot struct {
 	number int
-	// voters is how many voters the slot has in this instance's view.
+	// voters is the number of voters in this instance's view.
 	voters int
 	votes  map[structs.InstanceID]vote
-	// advancedAt is up to when the sums below were taken.
+	// advancedAt is the time up to which the sums below are computed.
 	advancedAt time.Time
-	// full and fresh sum up the parts of the votes over time, in seconds of the
-	// whole; moved the parts of the voters that changed to this instance.
+	// full and fresh are the leased fractions integrated over time, in seconds; moved
+	// sums the fractions of the voters that changed to this instance.
 	full, fresh, moved float64
 	buckets            map[string]*bucket
 }
@@ -31,8 +30,7 @@
 	return &slot{number: number, votes: make(map[structs.InstanceID]vote), buckets: make(map[string]*bucket)}
 }
 
-// advance sums up what the votes allowed until now. Without any vote nothing of
-// what was saved up is left.
+// advance updates the sums up to now. Without votes the saved requests are dropped.
 func (s *slot) advance(now time.Time) {
 	fraction := 1 / float64(max(s.voters, 1))
 	for voter, v := range s.votes {
@@ -57,8 +55,8 @@
 	}
 }
 
-// addVote takes a vote that was asked for at a time. It counts until a vote's
-// lifetime after that, so that the voter is bound for longer.
+// addVote adds a vote. It expires voteTTL after it was requested, and so before the
+// voter's lease.
 func (s *slot) addVote(voter structs.InstanceID, reply *structs.VoteReply, requestedAt, now time.Time) {
 	s.advance(now)
 	until := requestedAt.Add(voteTTL)
@@ -71,13 +69,13 @@
 	s.votes[voter] = vote{until: until, fresh: reply.Fresh}
 }
 
-// dropVotes gives up what this instance coordinates.
+// dropVotes stops coordinating the slot.
 func (s *slot) dropVotes(now time.Time) {
 	clear(s.votes)
 	s.advance(now)
 }
 
-// weight is the part of a limit that the votes allow now.
+// weight returns the fraction of a limit that the votes allow now.
 func (s *slot) weight(fresh float64) float64 {
 	sum := 0.0
 	for _, v := range s.votes {
@@ -90,7 +88,7 @@
 	return min(sum/float64(max(s.voters, 1)), 1)
 }
 
-// allocate answers an ask. Without votes this instance is not the coordinator.
+// allocate replies to a request. Without votes this instance is not the coordinator.
 func (s *slot) allocate(request *structs.AllowanceAsk, t Tolerance, now time.Time) *structs.AllowanceReply {
 	s.advance(now)
 	if len(s.votes) == 0 {
@@ -98,14 +96,14 @@
 	}
 	b, known := s.buckets[request.Organisation]
 	if !known {
-		// It has saved up as much as if it had been asked for from the start.
+		// A new bucket is full, as if it had existed from the start.
 		b = &bucket{demand: newDemand()}
 		s.buckets[request.Organisation] = b
 	}
 	b.setLimit(request, t)
 	b.refill(s)
 	if !known {
-		// What limits starts is no bound to be kept, so they need not begin empty.
+		// Starts are only a rate limit outside the invariant, so they may begin full.
 		b.starts = b.startsCap
 	}
 	reply := b.allocate(request, now)
--- a/internal/allowance/steady_test.go
+++ b/internal/allowance/steady_test.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// TestSteadyOverloadGetsTheRate replays an organisation that asks for twice its
-// limit for long: once what was saved up is used, it gets its rate.
+// An organisation that sends twice its limit gets its rate once the saved requests are
+// used.
 func TestSteadyOverloadGetsTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -12,8 +12,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// TestPermitsReportUtilization replays an organisation at its usual load, 1/1.6 of its
-// limit, next to one at several times its usual.
+// Permits report the utilization of an organisation at its usual load, 1/1.6 of its
+// limit, and of one at several times that.
 func TestPermitsReportUtilization(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -37,7 +37,7 @@
 			}
 			permits[name], uses[name] = permit, permit.Utilization()
 		}
-		// The load has ended, so no answer comes any more.
+		// The load has ended, so no replies follow.
 		time.Sleep(30 * time.Second)
 		if stale := permits["hot"].Utilization(); stale != 0 {
 			t.Errorf("a use of %g is told for longer than %s", stale, usageTTL)
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestReleasedPermitsCostNothing replays first turns that the engines have no room
-// for: they cost the organisation nothing.
+// First turns without engine capacity release their permits and cost the organisation
+// nothing.
 func TestReleasedPermitsCostNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -78,7 +78,7 @@
 	})
 }
 
-// left is what the coordinator of an organisation has left, after one request.
+// left returns what the coordinator of an organisation has left, after one request.
 func (c *cluster) left(name string, limit org.Limit) float64 {
 	c.request(c.all()[0], name, limit, 1, false)
 	most := 0.0
@@ -107,8 +107,8 @@
 	}
 }
 
-// What was let in by one coordinator is given back to no other: that one would
-// deal out what its votes never allowed.
+// Permits are returned only to the coordinator that allocated them: another one would
+// allocate what its votes never allowed.
 func TestPermitsAreReleasedToTheirCoordinatorOnly(t *testing.T) {
 	q := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
 	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
--- a/internal/allowance/voter.go
+++ b/internal/allowance/voter.go
@@ -6,16 +6,16 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lease is to whom this instance lends its part of a slot.
+// lease is the lease of this instance's part of a slot.
 type lease struct {
 	coordinator structs.InstanceID
 	until       time.Time
-	// movedAt is when it went to another coordinator last.
+	// movedAt is when the coordinator last changed.
 	movedAt time.Time
 }
 
-// voter lends this instance's part of each slot to one coordinator at a time. It
-// does no I/O.
+// voter leases this instance's part of each slot to one coordinator at a time. It does
+// no I/O.
 type voter struct {
 	// startedAt is when this instance started.
 	startedAt time.Time
@@ -27,8 +27,8 @@
 	return &voter{startedAt: now, window: window, leases: make([]lease, slots)}
 }
 
-// grant answers a coordinator's request. The function ended tells whether an
-// instance is known to have ended: it can no longer use what was lent to it.
+// grant replies to a coordinator's request. ended reports whether an instance is known
+// to have ended, so that it can no longer use its lease.
 func (v *voter) grant(
 	slot int, to structs.InstanceID, ended func(structs.InstanceID) bool, now time.Time,
 ) structs.VoteReply {
@@ -45,7 +45,7 @@
 	return reply
 }
 
-// release ends what was lent to an instance that deals out nothing any more.
+// release ends the leases of an instance that no longer allocates.
 func (v *voter) release(to structs.InstanceID, now time.Time) {
 	for i := range v.leases {
 		if v.leases[i].coordinator == to {
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// renew asks the voters of the slots for which this instance ranks first. The
-// mutex is held.
+// renew requests votes for the slots for which this instance ranks first. The mutex is
+// held.
 func (m *Manager) renew(now time.Time) {
 	if !m.active || m.leaving || !m.Listed() {
 		return
@@ -27,7 +27,7 @@
 	}
 }
 
-// dropExpiredRequests drops requests whose votes would not count any more.
+// dropExpiredRequests drops requests whose votes would have expired.
 func (m *Manager) dropExpiredRequests(now time.Time) {
 	for number, sent := range m.voteRequests {
 		if now.Sub(sent.at) > voteTTL {
@@ -36,7 +36,7 @@
 	}
 }
 
-// requestVote asks one voter. The mutex is held.
+// requestVote sends a request to one voter. The mutex is held.
 func (m *Manager) requestVote(s *slot, voter structs.InstanceID, now time.Time) {
 	switch {
 	case voter == m.self || m.Directory.Usable(voter):
@@ -58,7 +58,7 @@
 	}
 }
 
-// grantVote answers a request for this instance's vote. The mutex is held.
+// grantVote replies to a request for this instance's vote. The mutex is held.
 func (m *Manager) grantVote(msg *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
 	if msg.Slot < 0 || msg.Slot >= len(m.slots) || !m.Listed() {
 		return nil, false
@@ -68,7 +68,7 @@
 	return &reply, true
 }
 
-// acceptVote takes the answer to a request for a vote. The mutex is held.
+// acceptVote handles the reply to a vote request. The mutex is held.
 func (m *Manager) acceptVote(reply *structs.VoteReply, now time.Time) {
 	sent, ok := m.voteRequests[reply.Number]
 	delete(m.voteRequests, reply.Number)
--- a/internal/org/org.go
+++ b/internal/org/org.go
@@ -1,6 +1,5 @@
-// Package org holds the organisations that the operator lists: whose keys let a
-// request in, how urgent its requests are and how many it may make. It does no
-// I/O.
+// Package org holds the organisations configured by the operator: their keys,
+// priorities and limits. It does no I/O.
 package org
 
 import (
@@ -11,18 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest stands for a key wherever one is looked up, so that keys themselves
-// stay out of memory dumps, messages and logs. The zero Digest is no key's.
+// Digest replaces a key in lookups, so that keys stay out of memory dumps, messages
+// and logs. The zero Digest matches no key.
 type Digest [sha256.Size]byte
 
-// DigestOf is the digest of a key.
+// DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// maxKeyBytes is the length of the longest key that is taken for one; the
-// platform's are 20 bytes long.
+// maxKeyBytes is the maximum length of a key.
 const maxKeyBytes = 256
 
-// WellFormed tells whether a text can be a key: visible ASCII without blanks.
+// WellFormed reports whether a string can be a key: visible ASCII without spaces.
 func WellFormed(key string) bool {
 	if len(key) == 0 || len(key) > maxKeyBytes {
 		return false
@@ -35,15 +33,15 @@
 	return true
 }
 
-// Limit is what an organisation may ask of all instances together.
+// Limit is the request limit of an organisation over all instances together.
 type Limit struct {
-	// PerSecond is the number of requests a second, 0 for no limit.
+	// PerSecond is the number of requests per second, 0 for no limit.
 	PerSecond float64
-	// Burst is the number of requests on top of it.
+	// Burst is the number of requests on top of the rate.
 	Burst float64
 }
 
-// Limited tells whether there is a limit.
+// Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
 // Organisation is one customer of the operator.
@@ -51,27 +49,25 @@
 	Name string
 	// Keys are the digests of the keys that its requests may carry.
 	Keys []Digest
-	// Priority goes before that of routes; nil if routes decide. 0 is the most
-	// urgent.
+	// Priority overrides the priority of routes, if not nil. 0 is the highest.
 	Priority *int
 	Limit    Limit
 }
 
-// Set is the organisations of one version of the settings. It does not change.
+// Set holds the organisations of one version of the settings. It is immutable.
 type Set struct {
 	byName map[string]*Organisation
 	byKey  map[Digest]*Organisation
 }
 
-// maxNameBytes bounds a name: it is part of keys of the store, which has 255
-// bytes for one.
+// maxNameBytes bounds a name, which is part of keys of the store.
 const maxNameBytes = 128
 
-// maxRate bounds a limit, in requests a second or requests: far above what any
-// deployment serves, so a larger one is a mistake.
+// maxRate bounds a limit, in requests per second or requests. Higher values are
+// configuration errors.
 const maxRate = 1e9
 
-// NewSet checks and indexes organisations. The error names the organisation and
+// NewSet validates and indexes organisations. The error names the organisation and
 // never a key.
 func NewSet(all []*Organisation) (*Set, error) {
 	s := &Set{byName: make(map[string]*Organisation), byKey: make(map[Digest]*Organisation)}
@@ -93,8 +89,8 @@
 	return s, nil
 }
 
-// addKeys indexes the keys of an organisation. Naming one twice in the same
-// organisation does no harm; a key of two organisations belongs to neither.
+// addKeys indexes the keys of an organisation. An organisation may list a key twice; a
+// key shared by two organisations is an error.
 func (s *Set) addKeys(o *Organisation) error {
 	for _, key := range o.Keys {
 		if other := s.byKey[key]; other != nil && other != o {
@@ -106,7 +102,7 @@
 }
 
 func (l Limit) check() error {
-	// The conditions are written so that they do not hold for NaN.
+	// The conditions also reject NaN.
 	if !(l.PerSecond >= 0 && l.PerSecond <= maxRate) {
 		return errors.Newf("rate: expected 0 to %g requests a second", maxRate)
 	}
@@ -116,7 +112,7 @@
 	return nil
 }
 
-// ByKey finds the organisation that holds a key; a nil Set has none.
+// ByKey returns the organisation with a key; a nil Set has none.
 func (s *Set) ByKey(key Digest) (*Organisation, bool) {
 	if s == nil {
 		return nil, false
@@ -125,7 +121,7 @@
 	return o, ok
 }
 
-// Len counts the organisations; a nil Set has none.
+// Len returns the number of organisations; a nil Set has none.
 func (s *Set) Len() int {
 	if s == nil {
 		return 0
@@ -133,7 +129,7 @@
 	return len(s.byName)
 }
 
-// Limited tells whether any organisation has a limit; a nil Set has none.
+// Limited reports whether any organisation has a limit; a nil Set has none.
 func (s *Set) Limited() bool {
 	if s == nil {
 		return false
@@ -146,18 +142,18 @@
 	return false
 }
 
-// separator stands between an organisation and a name that its callers chose.
-// Headers cannot hold it, so no caller can name another organisation's.
+// separator separates an organisation from a name that its caller chose. Headers
+// cannot contain it, so no caller can name an item of another organisation.
 const separator = "\x1f"
 
-// maxScopedBytes bounds what Scope returns, so that it fits into a key of the
-// store behind a prefix.
+// maxScopedBytes bounds the result of Scope, so that it fits into a key of the store
+// after a prefix.
 const maxScopedBytes = 224
 
-// Scope makes a name that a caller chose its organisation's own: the same name
-// of two organisations stands for two things. Without an organisation it stays
-// as it is, which is also what records of before organisations hold. A long one
-// is replaced by its digest.
+// Scope qualifies a name that a caller chose with its organisation, so that the same
+// name of two organisations refers to different items. Without an organisation the
+// name is unchanged, as in records of older versions. A long result is replaced by a
+// digest.
 func Scope(organisation, name string) string {
 	if organisation == "" || name == "" {
 		return name
