--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -58,10 +58,10 @@
 func boundsOf(limit org.Limit, t Tolerance) bounds {
 	rate := limit.PerSecond
 	perWindow := rate*t.Window.Seconds() + limit.Burst
-	tolerance := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
-	tolerance = max(tolerance, 0)
-	fresh := min(freshFraction*tolerance/(rate*voteTTL.Seconds()), 1)
-	start := carryOverFraction * tolerance
-	level := max(tolerance-start-fresh*rate*voteTTL.Seconds(), 0)
-	return bounds{level: limit.Burst + level, carryOver: start, freshWeight: fresh}
+	remaining := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
+	remaining = max(remaining, 0)
+	freshWeight := min(freshFraction*remaining/(rate*voteTTL.Seconds()), 1)
+	carryOver := carryOverFraction * remaining
+	level := max(remaining-carryOver-freshWeight*rate*voteTTL.Seconds(), 0)
+	return bounds{level: limit.Burst + level, carryOver: carryOver, freshWeight: freshWeight}
 }
--- a/internal/allowance/bucket.go
+++ b/internal/allowance/bucket.go
@@ -105,11 +105,11 @@
 
 // recordUsage counts allocated requests and reruns.
 func (b *bucket) recordUsage(request *structs.AllowanceAsk, reply *structs.AllowanceReply, now time.Time) {
-	runs := reply.Granted + max(request.Debt, 0)
+	used := reply.Granted + max(request.Debt, 0)
 	for _, n := range reply.Starts {
-		runs += n
+		used += n
 	}
-	b.usage.add(runs, now)
+	b.usage.add(used, now)
 }
 
 // observePrograms updates the estimate with the programs named in the request: those
--- a/internal/allowance/demand_test.go
+++ b/internal/allowance/demand_test.go
@@ -20,17 +20,17 @@
 		}
 		n.update(now)
 		if n.perProgram < 26 {
-			t.Fatalf("%.1f requests a program after %d", n.perProgram, sent+1)
+			t.Fatalf("estimate of %.1f requests per program after %d each", n.perProgram, sent+1)
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
 	n.update(now.Add(idleTimeout + time.Second))
 	n.update(now.Add(forgetTimeout + time.Second))
 	if math.Abs(n.perProgram-26) > 0.2 {
-		t.Errorf("%.1f requests a program after all ended", n.perProgram)
+		t.Errorf("estimate after all programs ended: %.1f requests per program", n.perProgram)
 	}
 	if len(n.tracked) > 0 {
-		t.Errorf("%d programs are still followed", len(n.tracked))
+		t.Errorf("%d programs are still tracked", len(n.tracked))
 	}
 }
 
@@ -44,7 +44,7 @@
 		n.update(now)
 	}
 	if n.perProgram < 50 {
-		t.Errorf("%.1f requests a program, one under way has sent 201", n.perProgram)
+		t.Errorf("estimate of %.1f requests per program, one in progress has sent 201", n.perProgram)
 	}
 }
 
@@ -64,6 +64,6 @@
 		n.update(now)
 	}
 	if n.programs != 100 || n.requests != 1100 {
-		t.Errorf("%g programs with %g requests, 100 have sent 11 each", n.programs, n.requests)
+		t.Errorf("counted %g programs with %g requests, want 100 with 11 each", n.programs, n.requests)
 	}
 }
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -245,7 +245,7 @@
 	m.lastNumber++
 	request := q.requestTo(to, m.lastNumber, slot)
 	m.pending[request.Number] = pendingRequest{queue: q, to: to}
-	m.metrics.asks.Inc(1)
+	m.metrics.requests.Inc(1)
 	if to == m.self {
 		m.handleReply(m.handleRequest(request, now), now)
 		return
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -25,15 +25,15 @@
 
 // runPrograms starts programs of an organisation at a rate, each at one instance, and
 // returns how many started and how many got all their requests.
-func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (begun, whole int) {
+func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (started, completed int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	for ends := time.Now().Add(lasts); time.Now().Before(ends); {
 		time.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
 		n := simnet.Any(r, c.all())
-		begun++
-		id := fmt.Sprint("program", begun)
+		started++
+		id := fmt.Sprint("program", started)
 		work.Go(func() {
 			for i := range p.requests {
 				entry := serve.Entry{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
@@ -45,12 +45,12 @@
 				}
 			}
 			mu.Lock()
-			whole++
+			completed++
 			mu.Unlock()
 		})
 	}
 	work.Wait()
-	return begun, whole
+	return started, completed
 }
 
 // typicalProgram resembles the programs of a real deployment.
@@ -73,16 +73,16 @@
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
+				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
 				c.Stop()
 				// A few programs that start together exceed a small limit.
-				expected := min(begun, programCapacity(limit, lasts))
-				t.Logf("%d programs begun, %d whole; %d requests refused, %d unknown", begun, whole, c.refused, c.unknown)
-				if whole < expected*95/100 {
-					t.Errorf("%d of %d programs got all their requests, the limit carries %d", whole, begun, expected)
+				expected := min(started, programCapacity(limit, lasts))
+				t.Logf("%d programs started, %d complete; %d requests refused, %d unknown", started, completed, c.refused, c.unknown)
+				if completed < expected*95/100 {
+					t.Errorf("%d of %d programs got all their requests, the limit carries %d", completed, started, expected)
 				}
 				if c.unknown > 0 {
-					t.Errorf("%d requests got no word", c.unknown)
+					t.Errorf("%d requests got no decision", c.unknown)
 				}
 			})
 		})
@@ -101,15 +101,15 @@
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
 				lasts := 10 * time.Second
-				begun, whole := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
+				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
 				c.Stop()
 				carried := programCapacity(limit, lasts)
-				t.Logf("%d programs begun, %d whole, the limit carries %d; %d requests", begun, whole, carried, len(c.admitted["o"]))
-				if whole < carried*9/10 {
-					t.Errorf("%d programs got all their requests, the limit carries %d", whole, carried)
+				t.Logf("%d programs started, %d complete, the limit carries %d; %d requests", started, completed, carried, len(c.admitted["o"]))
+				if completed < carried*9/10 {
+					t.Errorf("%d programs got all their requests, the limit carries %d", completed, carried)
 				}
 				if got, most := maxInWindow(c.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
-					t.Errorf("%d requests in a window, %d are allowed", got, most)
+					t.Errorf("%d requests in a window, want at most %d", got, most)
 				}
 			})
 		})
@@ -152,7 +152,7 @@
 		}
 		c.Stop()
 		if admitted < 15 {
-			t.Errorf("%d of 30 requests in 3 s were let in", admitted)
+			t.Errorf("%d of 30 requests in 3 s were admitted", admitted)
 		}
 	})
 }
--- a/internal/allowance/metrics.go
+++ b/internal/allowance/metrics.go
@@ -11,14 +11,14 @@
 	unknown  tally.Counter
 	// returned counts the admitted requests that were released unused.
 	returned tally.Counter
-	// asks counts the requests to coordinators.
-	asks tally.Counter
+	// requests counts the requests to coordinators.
+	requests tally.Counter
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	scope = scope.SubScope("allowances")
 	return metrics{
 		admitted: scope.Counter("admitted"), refused: scope.Counter("refused"),
-		unknown: scope.Counter("unknown"), returned: scope.Counter("returned"), asks: scope.Counter("asks"),
+		unknown: scope.Counter("unknown"), returned: scope.Counter("returned"), requests: scope.Counter("asks"),
 	}
 }
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -92,7 +92,7 @@
 
 // applyReply applies the reply to the request in flight.
 func (q *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
-	asked := q.pendingWaiters
+	waiters := q.pendingWaiters
 	q.pendingNumber, q.pendingWaiters = 0, nil
 	if reply.Outcome != structs.AllowanceDealt {
 		q.returned, q.returnedStarts = 0, 0
@@ -101,7 +101,7 @@
 	q.allocatedBy = from
 	q.usage = reportedUsage{use: reply.Use, at: now}
 	granted, starts := reply.Granted, reply.Starts
-	for _, w := range asked {
+	for _, w := range waiters {
 		left := &granted
 		if w.first {
 			left = &starts[w.rank]
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -13,7 +13,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var schedules = flag.Int("schedules", 6, "random schedules to play")
+var schedules = flag.Int("schedules", 6, "number of random schedules to run")
 
 // testLimits range from the smallest organisations to the largest.
 var testLimits = map[string]org.Limit{
@@ -37,12 +37,12 @@
 // Without votes each coordinator allocates the whole limit, which the check must
 // detect.
 func TestOneOwnerWithoutVotesPassesTheLimit(t *testing.T) {
-	passed := 0
+	exceeded := 0
 	for seed := range uint64(*schedules) {
-		passed += len(runSchedule(t, seed, 12, true))
+		exceeded += len(runSchedule(t, seed, 12, true))
 	}
-	if passed == 0 {
-		t.Error("no limit was passed, so that the check sees nothing")
+	if exceeded == 0 {
+		t.Error("no limit was exceeded, so the check detects nothing")
 	}
 }
 
@@ -53,7 +53,7 @@
 // that are killed, partitioned, powered off and shut down. It returns the limits that
 // were exceeded.
 func runSchedule(t *testing.T, seed uint64, instances int, grantAll bool) map[string]string {
-	passed := make(map[string]string)
+	exceeded := make(map[string]string)
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		c := newCluster(t)
@@ -80,11 +80,11 @@
 		for name, limit := range testLimits {
 			got, most := maxInWindow(c.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
 			if got > most {
-				passed[name] = fmt.Sprintf("%d requests in a window, %d are allowed", got, most)
+				exceeded[name] = fmt.Sprintf("%d requests in a window, want at most %d", got, most)
 			}
 		}
 	})
-	return passed
+	return exceeded
 }
 
 // sendLoad sends a multiple of a limit to random instances until a deadline.
--- a/internal/allowance/steady_test.go
+++ b/internal/allowance/steady_test.go
@@ -28,9 +28,9 @@
 			}
 		}
 		rate := float64(late) / 5
-		t.Logf("%.0f requests a second", rate)
+		t.Logf("%.0f requests per second", rate)
 		if rate > 1.05*limit.PerSecond || rate < 0.9*limit.PerSecond {
-			t.Errorf("%.0f requests a second, the limit is %.0f", rate, limit.PerSecond)
+			t.Errorf("%.0f requests per second, the limit is %.0f", rate, limit.PerSecond)
 		}
 	})
 }
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -40,11 +40,11 @@
 		// The load has ended, so no replies follow.
 		time.Sleep(30 * time.Second)
 		if stale := permits["hot"].Utilization(); stale != 0 {
-			t.Errorf("a use of %g is told for longer than %s", stale, usageTTL)
+			t.Errorf("a utilization of %g is reported for longer than %s", stale, usageTTL)
 		}
 		c.Stop()
 		if uses["hot"] < 0.85 || uses["usual"] > 0.8 || uses["usual"] == 0 {
-			t.Errorf("use against the limit: %v", uses)
+			t.Errorf("utilization: %v", uses)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 		after := c.left("o", limit)
 		c.Stop()
 		if math.Abs(after-before) > 1 {
-			t.Errorf("%.1f requests are left, %.1f were before", after, before)
+			t.Errorf("%.1f requests are left, want about %.1f", after, before)
 		}
 	})
 }
@@ -100,10 +100,10 @@
 		u.add(10, now)
 	}
 	if got := u.rate(now); math.Abs(got-100) > 5 {
-		t.Errorf("%.1f requests a second", got)
+		t.Errorf("%.1f requests per second", got)
 	}
 	if got := u.rate(now.Add(5 * time.Second)); got > 5 {
-		t.Errorf("%.1f requests a second after a silence of 5 s", got)
+		t.Errorf("%.1f requests per second after 5 s without requests", got)
 	}
 }
 
@@ -113,19 +113,19 @@
 	q := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
 	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
 	if q.allocatedBy != "a" {
-		t.Fatalf("dealt by %q", q.allocatedBy)
+		t.Fatalf("allocated by %q", q.allocatedBy)
 	}
 	q.returned = 3
 	if got := q.requestTo("a", 1, 0).Returned; got != 3 {
-		t.Errorf("%d of 3 given back", got)
+		t.Errorf("%d of 3 permits returned", got)
 	}
 	q.returned = 3
 	if got := q.requestTo("b", 2, 0).Returned; got != 0 {
-		t.Errorf("%d given back to another coordinator", got)
+		t.Errorf("%d permits returned to another coordinator", got)
 	}
 	q.returned = 3
 	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
 	if q.returned != 0 {
-		t.Error("kept for whoever coordinates next")
+		t.Error("permits are kept for the next coordinator")
 	}
 }
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -91,15 +91,15 @@
 	if len(others) == 0 {
 		return "", false
 	}
-	asked := others[rand.IntN(len(others))].ID
+	candidate := others[rand.IntN(len(others))].ID
 	replies := make(chan bool, 1)
 	m.mu.Lock()
 	offer := &structs.PartitionHandover{Number: m.nextNumber(), Partition: p.number, Offer: true}
 	m.handovers[offer.Number] = replies
 	m.mu.Unlock()
-	m.peers.Send(asked, offer)
+	m.peers.Send(candidate, offer)
 	willing, known := m.awaitHandover(ctx, offer.Number, replies)
-	return asked, willing && known
+	return candidate, willing && known
 }
 
 // handOverTo hands a partition to one instance. It returns whether that accepted it,
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -92,13 +92,13 @@
 		}
 		m.mu.Lock()
 		epoch := m.partitions[0].epoch + 1
-		silent := waiting(1001, 0, "silent")
+		unresponsive := waiting(1001, 0, "silent")
 		same := waiting(1002, 0, "claimant")
 		other := waiting(1003, 1, "silent")
 		m.mu.Unlock()
 		m.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
 		select {
-		case got := <-silent:
+		case got := <-unresponsive:
 			if got.outcome != structs.RoomNotOwner || got.owner != "claimant" {
 				t.Errorf("got %+v", got)
 			}
--- a/internal/org/org_test.go
+++ b/internal/org/org_test.go
@@ -38,10 +38,10 @@
 		}
 	}
 	if _, ok := s.ByKey(DigestOf("k4")); ok {
-		t.Error("an unknown key found an organisation")
+		t.Error("an unknown key matched an organisation")
 	}
 	if _, ok := s.ByKey(Digest{}); ok {
-		t.Error("no key found an organisation")
+		t.Error("the zero Digest matched an organisation")
 	}
 }
 
@@ -57,14 +57,14 @@
 		"key of two organisations": {organisation("a", "secret-key"), organisation("b", "secret-key")},
 		"negative rate":            {limited(-1, 0)},
 		"negative burst":           {limited(1, -0.5)},
-		"absurd rate":              {limited(1e10, 0)},
-		"rate that is no number":   {limited(math.NaN(), 0)},
-		"endless burst":            {limited(1, math.Inf(1))},
+		"rate over the maximum":    {limited(1e10, 0)},
+		"NaN rate":                 {limited(math.NaN(), 0)},
+		"infinite burst":           {limited(1, math.Inf(1))},
 	}
 	for name, all := range cases {
 		_, err := NewSet(all)
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 			continue
 		}
 		if strings.Contains(err.Error(), "secret") {
@@ -85,11 +85,11 @@
 	seen := make(map[string]bool)
 	for _, name := range names {
 		if seen[name] || len(name) > maxScopedBytes {
-			t.Errorf("%q stands for two things or is too long", name)
+			t.Errorf("%q is ambiguous or too long", name)
 		}
 		seen[name] = true
 	}
 	if Scope("a", "") != "" {
-		t.Error("no name became one")
+		t.Error("an empty name did not stay empty")
 	}
 }
