--- a/internal/allowance/bucket.go
+++ b/internal/allowance/bucket.go
@@ -70,10 +70,10 @@
 func (b *bucket) refill(s *slot) {
 	rate := b.limit.PerSecond
 	gained := rate * ((s.full - b.countedFull) + b.bounds.freshWeight*(s.fresh-b.countedFresh))
-	start := b.bounds.carryOver * (s.moved - b.countedMoved)
+	carriedOver := b.bounds.carryOver * (s.moved - b.countedMoved)
 	b.countedFull, b.countedFresh, b.countedMoved = s.full, s.fresh, s.moved
 	b.capacity = b.bounds.level * s.weight(b.bounds.freshWeight)
-	b.level = min(b.level+gained+start, b.capacity)
+	b.level = min(b.level+gained+carriedOver, b.capacity)
 	b.startsCap = max((b.limit.Burst+rate)/b.demand.perProgram, minStartsCap)
 	b.starts = min(b.starts+gained/b.demand.perProgram, b.startsCap)
 }
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -16,7 +16,7 @@
 //
 // With rate r, burst b, window W, tolerance D = over*(r*W + b) + slack:
 //
-// \tr*W + level + carryOver + freshWeight*r*voteTTL <= r*W + b + D - late
+//	r*W + level + carryOver + freshWeight*r*voteTTL <= r*W + b + D - late
 //
 // level bounds what all coordinators together have saved up: a coordinator keeps no
 // more than the fraction of it that its votes allow, and nothing without votes.
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -14,7 +14,7 @@
 //
 // Each account has a limit that its owner never exceeds:
 //
-// \tused + leased <= limit
+//	used + leased <= limit
 //
 // A later owner without better information counts the limit as used. The limit is
 // either recorded in the store before tokens under it are allocated, or it is the part
