--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -94,9 +94,9 @@
 func (n *node) receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerDown:
-		n.Directory.SetSilent(e.Peer, true)
+		n.Directory.SetUnresponsive(e.Peer, true)
 	case structs.PeerUp:
-		n.Directory.SetSilent(e.Peer, false)
+		n.Directory.SetUnresponsive(e.Peer, false)
 	case structs.PeerMessage:
 		if _, ok := e.Msg.(*structs.Leaving); ok {
 			n.Directory.SetLeaving(e.From)
@@ -110,11 +110,11 @@
 
 // request submits one request at an instance and reports whether it was admitted.
 func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return c.admit(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
+	return c.admit(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
 // admit submits an entry at an instance and reports whether it was admitted.
-func (c *cluster) admit(n *node, entry serve.Entry) bool {
+func (c *cluster) admit(n *node, entry serve.AllowanceRequest) bool {
 	name := entry.Organisation
 	permit, err := n.manager.Admit(context.Background(), entry)
 	c.mu.Lock()
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -152,15 +152,15 @@
 	return int(xxhash.Sum64String(organisation) % uint64(len(m.slots)))
 }
 
-// Admit admits a request or returns a *serve.OverLimitError, serve.ErrNoAllowance if
+// Admit admits a request or returns a *serve.OverLimitError, serve.ErrLimitUnknown if
 // no coordinator replies in time, or the error of the context.
-func (m *Manager) Admit(ctx context.Context, entry serve.Entry) (serve.Permit, error) {
+func (m *Manager) Admit(ctx context.Context, entry serve.AllowanceRequest) (serve.Permit, error) {
 	if !entry.Limit.Limited() {
 		return noPermit{}, nil
 	}
 	now := time.Now()
 	w := &waiter{
-		first: entry.First, rank: min(max(entry.Rank, 0), structs.AllowanceRanks-1),
+		first: entry.First, rank: min(max(entry.Priority, 0), structs.AllowanceRanks-1),
 		program: programHash(entry.Program), holdUntil: now.Add(maxHold), decision: make(chan decision, 1),
 	}
 	m.mu.Lock()
@@ -190,7 +190,7 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
-		err = serve.ErrNoAllowance
+		err = serve.ErrLimitUnknown
 	}
 	m.mu.Lock()
 	left := q.remove(w)
@@ -212,14 +212,14 @@
 	limit := q.limit
 	m.mu.Unlock()
 	return nil, &serve.OverLimitError{
-		RetryAfter: got.reply.RetryAfter, Limit: limit, Left: got.reply.Left, Votes: got.reply.Votes,
+		RetryAfter: got.reply.RetryAfter, Limit: limit, Remaining: got.reply.Left, Votes: got.reply.Votes,
 		Coordinator: got.coordinator,
 	}
 }
 
 // queueOf returns the queue of an organisation and updates its limit. The mutex is
 // held.
-func (m *Manager) queueOf(entry serve.Entry) *queue {
+func (m *Manager) queueOf(entry serve.AllowanceRequest) *queue {
 	q := m.queues[entry.Organisation]
 	if q == nil {
 		q = &queue{organisation: entry.Organisation}
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -36,7 +36,7 @@
 		id := fmt.Sprint("program", started)
 		work.Go(func() {
 			for i := range p.requests {
-				entry := serve.Entry{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
+				entry := serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
 				if !c.admit(n, entry) {
 					return
 				}
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -31,7 +31,7 @@
 		time.Sleep(12 * time.Second)
 		permits := make(map[string]serve.Permit)
 		for _, name := range []string{"usual", "hot"} {
-			permit, err := c.all()[0].manager.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
+			permit, err := c.all()[0].manager.Admit(context.Background(), serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1})
 			if err != nil {
 				t.Fatal(name, err)
 			}
@@ -61,7 +61,7 @@
 		limit := org.Limit{PerSecond: 10, Burst: 10}
 		before := c.left("o", limit)
 		for range 50 {
-			permit, err := c.all()[0].manager.Admit(context.Background(), serve.Entry{
+			permit, err := c.all()[0].manager.Admit(context.Background(), serve.AllowanceRequest{
 				Organisation: "o", Limit: limit, Version: 1, First: true, Program: "p",
 			})
 			if err != nil {
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -18,7 +18,7 @@
 		if m.Directory.First(key) != m.self {
 			continue
 		}
-		voters := m.Directory.Listed(key, maxVoters)
+		voters := m.Directory.TopN(key, maxVoters)
 		s.advance(now)
 		s.voters = len(voters)
 		for _, voter := range voters {
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -110,7 +110,7 @@
 	if state.owner != nil {
 		// When all instances start together, an owner may be known by its claim before
 		// it is listed. Without this each instance would claim in turn.
-		m.directory.Learn(state.owner.Owner, state.owner.Address)
+		m.directory.Discover(state.owner.Owner, state.owner.Address)
 		m.awaitProbe(state.owner.Owner)
 		if m.adoptOwner(p, state.owner) {
 			return true, nil
@@ -156,7 +156,7 @@
 // that resumes after a pause finds all its connections broken and must not take over
 // the partitions of running owners, whose accounts would be lost.
 func (m *Manager) awaitProbe(owner structs.InstanceID) {
-	if !m.directory.Doubted(owner) {
+	if !m.directory.Suspected(owner) {
 		return
 	}
 	replied := make(chan struct{}, 1)
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -111,7 +111,7 @@
 func (c *cluster) turn(n *node, program string, budget, maxTurn, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: maxTurn, Retention: time.Minute})
+	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, MaxTokens: maxTurn, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	c.mu.Lock()
 	c.delivered[program] += used
 	c.mu.Unlock()
-	lease.Settle(serve.TurnEnd{Used: used})
+	lease.Settle(serve.TurnResult{UsedTokens: used})
 	return nil
 }
 
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -43,7 +43,7 @@
 		if p.own == nil {
 			continue
 		}
-		for _, id := range m.directory.Listed(p.key(), watchersPerOwner) {
+		for _, id := range m.directory.TopN(p.key(), watchersPerOwner) {
 			if id != m.self.ID && !slices.Contains(successors, id) {
 				successors = append(successors, id)
 			}
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -45,7 +45,7 @@
 		work.Go(func() {
 			for {
 				err := c.turn(n, program, testBudget, testMaxTurn, used, 50*time.Millisecond)
-				if errors.Is(err, serve.ErrSpent) {
+				if errors.Is(err, serve.ErrBudgetSpent) {
 					return
 				}
 				if err != nil {
@@ -106,8 +106,8 @@
 				break
 			}
 		}
-		if !errors.Is(err, serve.ErrStoreAway) {
-			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
+		if !errors.Is(err, serve.ErrStoreUnavailable) {
+			t.Errorf("got %v, want %v", err, serve.ErrStoreUnavailable)
 		}
 		if got := c.delivered["p"]; got > unrecordedLimit(testBudget, 1) {
 			t.Errorf("delivered %d tokens without a record, want at most %d", got, unrecordedLimit(testBudget, 1))
@@ -236,7 +236,7 @@
 		for _, n := range c.all() {
 			work.Go(func() {
 				for range 30 {
-					if err := c.turn(n, "p", testBudget, testMaxTurn, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
+					if err := c.turn(n, "p", testBudget, testMaxTurn, 290, time.Millisecond); errors.Is(err, serve.ErrBudgetSpent) {
 						return
 					}
 				}
@@ -305,7 +305,7 @@
 		const turns = 20
 		for i := range turns {
 			err := c.turn(c.all()[i%2], "p", testBudget, testMaxTurn, 70, 0)
-			if !errors.Is(err, serve.ErrStoreAway) && !errors.Is(err, serve.ErrNoOwner) {
+			if !errors.Is(err, serve.ErrStoreUnavailable) && !errors.Is(err, serve.ErrNoOwner) {
 				t.Fatalf("got %v", err)
 			}
 		}
@@ -361,8 +361,8 @@
 				break
 			}
 		}
-		if !errors.Is(err, serve.ErrStoreAway) {
-			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
+		if !errors.Is(err, serve.ErrStoreUnavailable) {
+			t.Errorf("got %v, want %v", err, serve.ErrStoreUnavailable)
 		}
 		if took := time.Since(begun); took > 2*recordTimeout {
 			t.Errorf("the refusal took %s", took)
@@ -462,7 +462,7 @@
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		reserve := func(n *node) serve.Lease {
 			lease, err := n.manager.Reserve(t.Context(), serve.Turn{
-				Program: "p", Budget: testBudget, Most: testMaxTurn, Retention: time.Minute,
+				Program: "p", Budget: testBudget, MaxTokens: testMaxTurn, Retention: time.Minute,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -473,7 +473,7 @@
 		if got := first.LastTarget(); got != "" {
 			t.Errorf("a new program's target is %q", got)
 		}
-		first.Settle(serve.TurnEnd{Used: 10, Target: "engine1"})
+		first.Settle(serve.TurnResult{UsedTokens: 10, Target: "engine1"})
 		owner := c.ownerOf("p")
 		owner.manager.Leave(t.Context())
 		c.Kill(owner.Node)
@@ -482,17 +482,17 @@
 			if got := lease.LastTarget(); got != "engine1" {
 				t.Errorf("%s got target %q", n.ID, got)
 			}
-			lease.Settle(serve.TurnEnd{}) // ran nowhere
+			lease.Settle(serve.TurnResult{}) // ran nowhere
 			time.Sleep(2 * simnet.LinkTime)
 		}
 		n := c.all()[0]
-		reserve(n).Settle(serve.TurnEnd{Target: "engine2", Failed: true})
+		reserve(n).Settle(serve.TurnResult{Target: "engine2", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
 		if got := last.LastTarget(); got != "engine1" {
 			t.Errorf("after a failure of another target: got %q", got)
 		}
-		last.Settle(serve.TurnEnd{Target: "engine1", Failed: true})
+		last.Settle(serve.TurnResult{Target: "engine1", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		if got := reserve(n).LastTarget(); got != "" {
 			t.Errorf("got a target that failed the program: %q", got)
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -11,7 +11,7 @@
 
 // peerUp marks an instance as available and notifies it of the partitions owned here.
 func (m *Manager) peerUp(id structs.InstanceID) {
-	m.directory.SetSilent(id, false)
+	m.directory.SetUnresponsive(id, false)
 	m.mu.Lock()
 	m.resolveProbes(id)
 	m.rewatchOwner(id)
@@ -36,7 +36,7 @@
 // peerDown marks an instance as unavailable: its leases are charged, its partitions
 // are claimed if this instance ranks first, and requests to it are sent elsewhere.
 func (m *Manager) peerDown(id structs.InstanceID) {
-	m.directory.SetSilent(id, true)
+	m.directory.SetUnresponsive(id, true)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.resolveProbes(id)
@@ -116,7 +116,7 @@
 		if p.owner == "" || p.owner == m.self.ID || slices.Contains(watched, p.owner) {
 			continue
 		}
-		if m.directory.Doubted(p.owner) || m.directory.RankOf(p.key(), m.self.ID) < watchersPerOwner {
+		if m.directory.Suspected(p.owner) || m.directory.Rank(p.key(), m.self.ID) < watchersPerOwner {
 			watched = append(watched, p.owner)
 		}
 	}
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -64,15 +64,15 @@
 func (h reservation) FirstTurn() bool { return h.first }
 
 // Settle returns the unused tokens and reports how the turn ended.
-func (h reservation) Settle(end serve.TurnEnd) {
+func (h reservation) Settle(end serve.TurnResult) {
 	h.manager.receiveSettle(&structs.RoomSettle{
-		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.Used,
+		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
 		Target: end.Target, Failed: end.Failed,
 	})
 }
 
-// Reserve waits for an allotment for a turn. It returns serve.ErrSpent if the budget
-// is exhausted, serve.ErrNoRoom if turns in progress hold the rest, serve.ErrStoreAway
+// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the budget
+// is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest, serve.ErrStoreUnavailable
 // if the store does not accept a record that is needed, serve.ErrNoOwner if no owner
 // is found, or the error of the context.
 func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
@@ -80,7 +80,7 @@
 	defer cancel()
 	lease, err := m.reserve(wait, turn)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
-		return nil, serve.ErrNoRoom
+		return nil, serve.ErrBudgetHeld
 	}
 	return lease, err
 }
@@ -89,7 +89,7 @@
 func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := m.partitionOf(turn.Program)
 	request := structs.RoomRequest{
-		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.Most, Retention: turn.Retention,
+		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.MaxTokens, Retention: turn.Retention,
 	}
 	search := ownerSearch{manager: m, partition: p}
 	started := time.Now()
@@ -102,12 +102,12 @@
 		case structs.RoomGranted:
 			return reservation{m, request, got.target, got.first}, nil
 		case structs.RoomSpent:
-			return nil, serve.ErrSpent
+			return nil, serve.ErrBudgetSpent
 		case structs.RoomNoRecord:
-			return nil, serve.ErrStoreAway
+			return nil, serve.ErrStoreUnavailable
 		}
 		if len(search.unavailable) >= maxUnavailable {
-			return nil, serve.ErrStoreAway
+			return nil, serve.ErrStoreUnavailable
 		}
 		if time.Since(started) > ownerTimeout || m.isolated() {
 			return nil, serve.ErrNoOwner
@@ -181,7 +181,7 @@
 	if m.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unavailable, p.owner) {
 		return p.owner
 	}
-	return m.directory.FirstBut(p.key(), func(id structs.InstanceID) bool {
+	return m.directory.FirstExcept(p.key(), func(id structs.InstanceID) bool {
 		return id == s.suspect || slices.Contains(s.unavailable, id)
 	})
 }
@@ -247,7 +247,7 @@
 		select {
 		case got := <-results:
 			if got.outcome == structs.RoomGranted {
-				reservation{manager: m, request: *request}.Settle(serve.TurnEnd{})
+				reservation{manager: m, request: *request}.Settle(serve.TurnResult{})
 			}
 		case <-m.ctx.Done():
 		}
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -29,7 +29,7 @@
 // use; a nil Bound has no limit.
 type Bound struct {
 	mu    sync.Mutex
-	bytes policy.Bytes
+	bytes policy.RequestMemory
 
 	held    tally.Gauge
 	refused tally.Counter
@@ -39,13 +39,13 @@
 func New(most int64, scope tally.Scope) *Bound {
 	scope = scope.SubScope("request_bytes")
 	scope.Gauge("most").Update(float64(most))
-	return &Bound{bytes: policy.Bytes{Most: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
+	return &Bound{bytes: policy.RequestMemory{Max: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
 // Bytes is what is held now.
-func (b *Bound) Bytes() policy.Bytes {
+func (b *Bound) Bytes() policy.RequestMemory {
 	if b == nil {
-		return policy.Bytes{}
+		return policy.RequestMemory{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +58,7 @@
 	defer b.mu.Unlock()
 	if !b.bytes.Fits(size, underWay) {
 		b.refused.Inc(1)
-		return &ShortError{Size: size, Held: b.bytes.Held, Most: b.bytes.Most, UnderWay: underWay}
+		return &ShortError{Size: size, Held: b.bytes.Held, Most: b.bytes.Max, UnderWay: underWay}
 	}
 	b.add(size)
 	return nil
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -52,7 +52,7 @@
 	ID      string
 	// Call tells that it is no turn but a call of a program.
 	Call  bool
-	Class policy.RoomClass
+	Class policy.AdmissionClass
 	// Route is the one of a turn.
 	Route string
 	// Rank is how urgent it is; 0 is the most urgent.
@@ -100,18 +100,18 @@
 }
 
 // Admit decides on a request.
-func (g *Guard) Admit(r Request, now time.Time) policy.RoomVerdict {
+func (g *Guard) Admit(r Request, now time.Time) policy.AdmissionVerdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service, now)
 	if r.Call {
 		s.calledAt = now
 	}
-	ask := policy.RoomAsk{
-		Class: r.Class, Rank: s.rankAbove(r), Size: s.size(r), Use: r.Use, Draw: draw(r), Jitter: g.jitter(),
-		TimeLeft: r.TimeLeft, Usual: s.usual,
+	ask := policy.AdmissionRequest{
+		Class: r.Class, Rank: s.rankAbove(r), RelativeSize: s.size(r), LimitUsage: r.Use, Random: draw(r), Jitter: g.jitter(),
+		TimeLeft: r.TimeLeft, TypicalTime: s.usual,
 	}
-	verdict := policy.AdmitRoom(ask, g.needed(r, s, now)...)
+	verdict := policy.AdmitRequest(ask, g.needed(r, s, now)...)
 	if verdict.Admit {
 		s.retries.Allow(0)
 		s.learn(r)
@@ -126,7 +126,7 @@
 // rankAbove is how much less urgent a request is than first turns in the mean.
 func (s *service) rankAbove(r Request) float64 {
 	rank := float64(r.Rank)
-	if r.Class == policy.RoomFirst {
+	if r.Class == policy.ClassFirstTurn {
 		if !s.ranked {
 			s.rank, s.ranked = rank, true
 		}
@@ -171,8 +171,8 @@
 		n = new(need)
 		s.needs[r.Route] = n
 	}
-	n.add(r.Class == policy.RoomFirst)
-	s.all.add(r.Class == policy.RoomFirst)
+	n.add(r.Class == policy.ClassFirstTurn)
+	s.all.add(r.Class == policy.ClassFirstTurn)
 }
 
 // size is what a program of the request's route needs against others, 0 if that
@@ -189,7 +189,7 @@
 // those that programs call.
 func (g *Guard) needed(r Request, own *service, now time.Time) []policy.PoolLoad {
 	pools := []policy.PoolLoad{own.view}
-	if r.Class != policy.RoomFirst {
+	if r.Class != policy.ClassFirstTurn {
 		return pools
 	}
 	for name, s := range g.services {
@@ -207,7 +207,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
-	if !s.view.Learned || !s.view.Full() && (s.view.Tells() || refusals <= 1) {
+	if !s.view.SpeedsLearned || !s.view.Full() && (s.view.HasEnoughData() || refusals <= 1) {
 		return true
 	}
 	return s.again()
@@ -231,12 +231,12 @@
 	return !s.view.Full() || s.again()
 }
 
-// ComeBack is when a caller should come back whose request no target took.
+// RetryAfter is when a caller should come back whose request no target took.
 func (g *Guard) ComeBack(name string, timeLeft time.Duration, now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ask := policy.RoomAsk{Class: policy.RoomUnderWay, Jitter: g.jitter(), TimeLeft: timeLeft}
-	return policy.ComeBack(ask, g.service(name, now).view, 0)
+	ask := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: g.jitter(), TimeLeft: timeLeft}
+	return policy.RetryAfter(ask, g.service(name, now).view, 0)
 }
 
 // Served notes how long a request took that was served.
@@ -258,13 +258,13 @@
 func (g *Guard) service(name string, now time.Time) *service {
 	s := g.services[name]
 	if s == nil {
-		s = &service{needs: make(map[string]*need), retries: policy.NewRetryBudgetOf(retryShare, retryBurst),
+		s = &service{needs: make(map[string]*need), retries: policy.NewRetryBudgetWith(retryShare, retryBurst),
 			metrics: newMetrics(g.scope, name)}
 		g.services[name] = s
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewAge {
 		p := g.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Fill: p.Fill, Known: p.Known, All: p.All, Age: p.Age, Learned: p.Learned}
+		s.view = policy.PoolLoad{Service: name, Utilization: p.Fill, ReportingTargets: p.Known, Targets: p.All, ReportAge: p.Age, SpeedsLearned: p.Learned}
 		s.viewAt = now
 		s.metrics.see(s.view)
 	}
@@ -281,11 +281,11 @@
 }
 
 // Describe tells in one line why a request was refused.
-func Describe(r Request, v policy.RoomVerdict) string {
+func Describe(r Request, v policy.AdmissionVerdict) string {
 	return fmt.Sprintf("%s: service %s at a fill of %.2f, %d of %d targets known, reports %d ms old; class %s, rank %d, "+
 		"use of the organisation %.2f of its limit; refused are %.2f of such requests; room is expected in %s",
-		v.Cause, v.Pool.Service, v.Pool.Fill, v.Pool.Known, v.Pool.All, v.Pool.Age.Milliseconds(), r.Class, r.Rank,
-		r.Use, v.Chance, v.RetryAfter)
+		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.Targets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
+		r.Use, v.RefusalProbability, v.RetryAfter)
 }
 
 // Dump is what an instance knows of a pool.
@@ -308,7 +308,7 @@
 	for name := range g.services {
 		s := g.service(name, now)
 		all = append(all, Dump{
-			Service: name, Fill: s.view.Fill, Known: s.view.Known, All: s.view.All, AgeMs: s.view.Age.Milliseconds(),
+			Service: name, Fill: s.view.Utilization, Known: s.view.ReportingTargets, All: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
 			UsualMs: s.usual.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -31,7 +31,7 @@
 }
 
 func first(program string) Request {
-	return Request{Service: "engine", Program: program, Class: policy.RoomFirst}
+	return Request{Service: "engine", Program: program, Class: policy.ClassFirstTurn}
 }
 
 func TestEachInstanceDecidesTheSameOfAProgram(t *testing.T) {
@@ -58,7 +58,7 @@
 	if v := g.Admit(first("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	g.Admit(Request{Service: "tool", Program: "q", Call: true, Class: policy.RoomUnderWay}, start)
+	g.Admit(Request{Service: "tool", Program: "q", Call: true, Class: policy.ClassInProgress}, start)
 	refused := 0
 	for i := range 20 {
 		v := g.Admit(first(strings.Repeat("p", i+1)), start)
@@ -78,7 +78,7 @@
 	again := func(g *Guard, refusals int) int {
 		allowed := 0
 		for range 1000 {
-			g.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
+			g.Admit(Request{Service: "engine", Class: policy.ClassInProgress, Program: "p"}, start)
 			if g.Again("engine", refusals, start) {
 				allowed++
 			}
@@ -150,7 +150,7 @@
 	same := guard(fills{"engine": 1.45})
 	r := first("p")
 	r.Rank = 7
-	if got := same.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, same.services["engine"].view).Chance {
+	if got := same.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, same.services["engine"].view).RefusalProbability {
 		t.Errorf("a rank that all have changes the chance to %.2f", got)
 	}
 }
@@ -158,16 +158,16 @@
 func TestBigProgramsAreRefusedMore(t *testing.T) {
 	pools := fills{"engine": 0.5}
 	g := guard(pools)
-	turn := func(route string, class policy.RoomClass) {
+	turn := func(route string, class policy.AdmissionClass) {
 		g.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
 	}
 	for range 20 {
-		turn("big", policy.RoomFirst)
+		turn("big", policy.ClassFirstTurn)
 		for range 30 {
-			turn("big", policy.RoomUnderWay)
+			turn("big", policy.ClassInProgress)
 		}
-		turn("small", policy.RoomFirst)
-		turn("small", policy.RoomUnderWay)
+		turn("small", policy.ClassFirstTurn)
+		turn("small", policy.ClassInProgress)
 	}
 	pools["engine"] = 1.5
 	s := g.services["engine"]
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -37,7 +37,7 @@
 
 // way is a way to decide who is let in.
 type way interface {
-	admit(instance int, r Request, now time.Time) policy.RoomVerdict
+	admit(instance int, r Request, now time.Time) policy.AdmissionVerdict
 	again(instance, refusals int, now time.Time) bool
 	// heard brings a target's report, which a turn at an instance carried.
 	heard(instance, engine, busy int, now time.Time)
@@ -48,8 +48,8 @@
 // nobody decides.
 type nobody struct{}
 
-func (nobody) admit(int, Request, time.Time) policy.RoomVerdict {
-	return policy.RoomVerdict{Admit: true}
+func (nobody) admit(int, Request, time.Time) policy.AdmissionVerdict {
+	return policy.AdmissionVerdict{Admit: true}
 }
 func (nobody) again(int, int, time.Time) bool { return true }
 func (nobody) heard(int, int, int, time.Time) {}
@@ -64,7 +64,7 @@
 // noConnections has no connection kept.
 type noConnections struct{}
 
-func (noConnections) Kept(string, time.Time) bool { return false }
+func (noConnections) HasIdle(string, time.Time) bool { return false }
 
 func newKnown() *known {
 	k := &known{registry: targets.NewRegistry("dc", noConnections{})}
@@ -104,8 +104,8 @@
 	return s
 }
 
-func (s *shared) admit(i int, r Request, now time.Time) policy.RoomVerdict {
-	if r.Class == policy.RoomFirst {
+func (s *shared) admit(i int, r Request, now time.Time) policy.AdmissionVerdict {
+	if r.Class == policy.ClassFirstTurn {
 		s.ask(i, now)
 	}
 	return s.guards[i].Admit(r, now)
@@ -143,16 +143,16 @@
 	lostFrom  time.Time
 }
 
-func (d *dealt) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
-	if r.Class != policy.RoomFirst {
-		return policy.RoomVerdict{Admit: true}
+func (d *dealt) admit(i int, r Request, _ time.Time) policy.AdmissionVerdict {
+	if r.Class != policy.ClassFirstTurn {
+		return policy.AdmissionVerdict{Admit: true}
 	}
 	d.asked[i]++
 	if d.granted[i] < 1 {
-		return policy.RoomVerdict{RetryAfter: 200 * time.Millisecond}
+		return policy.AdmissionVerdict{RetryAfter: 200 * time.Millisecond}
 	}
 	d.granted[i]--
-	return policy.RoomVerdict{Admit: true}
+	return policy.AdmissionVerdict{Admit: true}
 }
 
 func (d *dealt) again(int, int, time.Time) bool { return true }
@@ -258,12 +258,12 @@
 // send sends a turn to the less busy of two engines for their speed: where it goes
 // is not what is compared here.
 func (r *replay) send(p *program, now time.Time) {
-	class := policy.RoomUnderWay
+	class := policy.ClassInProgress
 	switch {
 	case p.turn == 0:
-		class = policy.RoomFirst
+		class = policy.ClassFirstTurn
 	case now.Sub(p.began) > aim:
-		class = policy.RoomLate
+		class = policy.ClassOverdue
 	}
 	verdict := r.way.admit(p.instance, Request{Service: "engine", Program: p.name, Class: class}, now)
 	if !verdict.Admit {
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -107,7 +107,7 @@
 	target := r.Pick(Want{Service: "s"}, f.now)
 	f.sent++
 	f.ran[target.ID]++
-	if !f.kept[instance].Kept(target.Address, f.now) {
+	if !f.kept[instance].HasIdle(target.Address, f.now) {
 		f.opened++
 	}
 	f.running[target.ID]++
--- a/internal/targets/ends.go
+++ b/internal/targets/ends.go
@@ -17,22 +17,22 @@
 	warm := want.warm(all)
 	r.options = r.options[:0]
 	for _, t := range all {
-		kept := r.connections.Kept(t.Address, now)
+		kept := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == want.Last
 		slowness := t.present(usual, now)
 		if last {
 			// A program does not move for what passes in parts of a second.
 			slowness = t.slowness(usual, now)
 		}
-		r.options = append(r.options, policy.EndOption{
-			Fill: t.fill(pool, w.request, now), Slowness: slowness, Share: t.share(fills),
-			Opens: !kept, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
-			Last: last, Warm: t == warm,
-			Shut: t.Draining || slices.Contains(want.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
-			Rank: r.order(t, kept || !want.Stream),
+		r.options = append(r.options, policy.TargetOption{
+			Utilization: t.fill(pool, w.request, now), Slowness: slowness, RelativeLoad: t.share(fills),
+			NeedsConnection: !kept, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
+			HasPrompt: last, Warm: t == warm,
+			Excluded: t.Draining || slices.Contains(want.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
+			Rank:     r.order(t, kept || !want.Stream),
 		})
 	}
-	choice := policy.ByEnd(r.options, w.needs(want))
+	choice := policy.ChooseTarget(r.options, w.needs(want))
 	if choice.Index < 0 {
 		return nil
 	}
@@ -53,7 +53,7 @@
 type Why struct {
 	// Known tells that the expected ends decided.
 	Known bool
-	// End and NextEnd are when the target and the best other one are expected to
+	// End and RunnerUpCompletion are when the target and the best other one are expected to
 	// end the request, in parts of its usual time.
 	End, NextEnd float64
 	// Next is the id of the best other one, empty for none.
@@ -67,17 +67,17 @@
 }
 
 // fill takes a choice; a nil Why stays.
-func (y *Why) fill(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
+func (y *Why) fill(options []policy.TargetOption, all []*Target, choice policy.TargetChoice, now time.Time) {
 	if y == nil {
 		return
 	}
 	t, o := all[choice.Index], options[choice.Index]
 	*y = Why{
-		Known: true, End: choice.End, NextEnd: choice.NextEnd, Fill: o.Fill, Slowness: o.Slowness,
-		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.At, now), Stayed: choice.Stayed, Moved: choice.Moved,
+		Known: true, End: choice.Completion, NextEnd: choice.RunnerUpCompletion, Fill: o.Utilization, Slowness: o.Slowness,
+		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
-	if choice.Next >= 0 {
-		y.Next = all[choice.Next].ID
+	if choice.RunnerUp >= 0 {
+		y.Next = all[choice.RunnerUp].ID
 	}
 }
 
@@ -108,13 +108,13 @@
 }
 
 // needs is what a request needs of a service, in parts of its usual time.
-func (w *work) needs(want Want) policy.EndRequest {
+func (w *work) needs(want Want) policy.RequestProfile {
 	if !want.Stream {
-		return policy.EndRequest{}
+		return policy.RequestProfile{}
 	}
 	read := w.turns.PrefillPerToken * time.Duration(want.PromptTokens)
-	answer := w.turns.Expected(0, int64(w.turns.Tokens))
-	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(answer, time.Millisecond).Seconds()}
+	answer := w.turns.ExpectedTime(0, int64(w.turns.Tokens))
+	return policy.RequestProfile{Batched: true, PromptCost: read.Seconds() / max(answer, time.Millisecond).Seconds()}
 }
 
 // avoided tells whether requests are kept away from a target.
--- a/internal/targets/ends_test.go
+++ b/internal/targets/ends_test.go
@@ -115,7 +115,7 @@
 	r := newTestRegistry(3)
 	r.Report(r.byID["t0"], call.Load{Slots: testSlots}, now)
 	r.Paused(r.byID["t0"], time.Second, now)
-	if len(r.works) != 0 || !r.byID["t0"].speed.At.IsZero() {
+	if len(r.works) != 0 || !r.byID["t0"].speed.UpdatedAt.IsZero() {
 		t.Error("something was learned")
 	}
 	var why Why
--- a/internal/targets/loads.go
+++ b/internal/targets/loads.go
@@ -113,7 +113,7 @@
 // setLoad takes a report of a time. The mutex is held.
 func (r *Registry) setLoad(t *Target, load call.Load, at time.Time) {
 	fill := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
-	t.usualFill = policy.TrendFill(t.usualFill, fill, t.loadAt.IsZero())
+	t.usualFill = policy.SmoothUtilization(t.usualFill, fill, t.loadAt.IsZero())
 	t.load, t.loadAt, t.inFlightAtLoad = load, at, t.inFlight
 	if s := r.byService[t.Service]; r.byID[t.ID] == t {
 		s.tell(t)
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		fill := t.busy(now) / float64(max(t.Slots, 1))
-		kept := r.connections.Kept(t.Address, now)
+		kept := r.connections.HasIdle(t.Address, now)
 		least.offer(t, -fill-r.distance(t, kept))
 		if want.Key == "" || fill >= keyedFill {
 			continue
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -11,7 +11,7 @@
 // countingConnections counts the targets that choices look at.
 type countingConnections struct{ asked int }
 
-func (c *countingConnections) Kept(string, time.Time) bool {
+func (c *countingConnections) HasIdle(string, time.Time) bool {
 	c.asked++
 	return false
 }
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -35,7 +35,7 @@
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
 			Fill: t.fill(r.pool(t.Service, now).Fill, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
-			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.At, now).Seconds(),
+			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.UpdatedAt, now).Seconds(),
 		})
 	}
 	slices.SortFunc(all, func(a, b Snapshot) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -32,7 +32,7 @@
 type routeTimes struct {
 	// usual is their moving mean, in seconds.
 	usual      float64
-	stragglers policy.Stragglers
+	stragglers policy.Hedger
 }
 
 // add takes an answer in and gives its time over the usual one.
@@ -103,7 +103,7 @@
 	if w == nil {
 		return 0, false
 	}
-	return w.route(route).stragglers.Patience(r.pool(service, now).Fill)
+	return w.route(route).stragglers.HedgeDelay(r.pool(service, now).Fill)
 }
 
 // SentAgain counts a second send after Patience, and how long the first one took
@@ -116,7 +116,7 @@
 		return
 	}
 	times := w.route(route)
-	times.stragglers.Again()
+	times.stragglers.RecordHedge()
 	if times.usual > 0 {
 		t.speed.Add(took.Seconds()/times.usual, now)
 	}
@@ -132,7 +132,7 @@
 }
 
 // TurnEnded takes a whole turn.
-func (r *Registry) TurnEnded(t *Target, sample policy.Sample) {
+func (r *Registry) TurnEnded(t *Target, sample policy.RunSample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if w := r.works[t.Service]; w != nil {
@@ -148,11 +148,11 @@
 func usualOf(all []*Target) usual {
 	var speed, standing mean
 	for _, t := range all {
-		if !t.speed.At.IsZero() {
+		if !t.speed.UpdatedAt.IsZero() {
 			speed.add(t.speed.Mean)
 		}
-		if t.standing.Middle > 0 {
-			standing.add(t.standing.Middle)
+		if t.standing.Value > 0 {
+			standing.add(t.standing.Value)
 		}
 	}
 	return usual{speed: speed.value(), standing: standing.value()}
@@ -211,10 +211,10 @@
 
 // says is what the target usually says of its pace, over the usual one.
 func (t *Target) says(u usual) float64 {
-	if t.standing.Middle <= 0 {
+	if t.standing.Value <= 0 {
 		return 1
 	}
-	return t.standing.Middle / u.standing
+	return t.standing.Value / u.standing
 }
 
 // present is the slowness with what the target says of the present.
@@ -223,14 +223,14 @@
 	if t.load.Pace <= 0 || u.standing <= 0 {
 		return slowness
 	}
-	return policy.Present(slowness, float64(t.load.Pace)/100/u.standing, now.Sub(t.loadAt))
+	return policy.CurrentSlowness(slowness, float64(t.load.Pace)/100/u.standing, now.Sub(t.loadAt))
 }
 
 // fill is the expected number of requests at a target, in parts of its slots.
 func (t *Target) fill(pool float64, request time.Duration, now time.Time) float64 {
-	return policy.Fill(policy.LoadReport{
-		Busy: t.load.Running + t.load.Waiting, Since: t.inFlight - t.inFlightAtLoad, Own: t.inFlight,
-		Slots: t.Slots, Usual: t.usualFill, Known: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
+	return policy.ExpectedUtilization(policy.LoadReport{
+		Busy: t.load.Running + t.load.Waiting, OwnDelta: t.inFlight - t.inFlightAtLoad, OwnInFlight: t.inFlight,
+		Slots: t.Slots, TypicalUtilization: t.usualFill, HasReport: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
 	}, pool, request)
 }
 
@@ -239,8 +239,8 @@
 	report := structs.TargetReport{
 		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if told := t.speed.Told(u.speed, t.says(u)); told > 0 {
-		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.At)
+	if told := t.speed.AdvertisedMean(u.speed, t.says(u)); told > 0 {
+		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
@@ -248,6 +248,6 @@
 // hearSpeed takes what another instance learned of a target. The mutex is held.
 func (r *Registry) hearSpeed(t *Target, report structs.TargetReport, now time.Time) {
 	if report.Speed > 0 {
-		t.speed.Hear(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
+		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
 	}
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -72,8 +72,8 @@
 	usualFill float64
 	// speed is what was learned of the target's time for a unit of work, standing
 	// what it says itself, 0 if it says nothing.
-	speed    policy.Speed
-	standing policy.Standing
+	speed    policy.SpeedEstimate
+	standing policy.PaceMedian
 	// failures counts failures in a row; avoidUntil keeps requests away.
 	failures   int
 	avoidUntil time.Time
@@ -100,8 +100,8 @@
 
 // Connections are this instance's kept connections to targets.
 type Connections interface {
-	// Kept tells whether an idle connection to an address can be used.
-	Kept(address string, now time.Time) bool
+	// HasIdle tells whether an idle connection to an address can be used.
+	HasIdle(address string, now time.Time) bool
 }
 
 // Registry is the table of targets. It is safe for concurrent use.
@@ -131,7 +131,7 @@
 	// that are alike.
 	seed string
 	// options is reused by choices.
-	options []policy.EndOption
+	options []policy.TargetOption
 }
 
 // NewRegistry makes an empty table for an instance in a data centre.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -15,7 +15,7 @@
 // expires.
 type keptTo map[string]time.Time
 
-func (k keptTo) Kept(address string, now time.Time) bool { return now.Before(k[address]) }
+func (k keptTo) HasIdle(address string, now time.Time) bool { return now.Before(k[address]) }
 
 func newTestRegistry(n int) *Registry { return newRegistryWith(n, keptTo{}) }
 
