--- a/internal/allowance/world_test.go
+++ b/internal/allowance/cluster_test.go
@@ -17,81 +17,80 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// testTolerance is that of the users' deployment.
 var testTolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
-// testSlots is few, so that each coordinates several organisations.
+// testSlots is small, so that each coordinator has several organisations.
 const testSlots = 4
 
-// world is some instances with a network, in virtual time.
-type world struct {
+// cluster simulates instances with a network, in virtual time.
+type cluster struct {
 	*simnet.Net
 	lives simnet.Lives[*node]
 	t     *testing.T
-	// sole has each coordinator get all votes at once, whoever else has them: what
-	// one owner without votes would deal out.
-	sole bool
+	// grantAll grants every vote to every coordinator at once, so that each allocates
+	// the whole limit.
+	grantAll bool
 
 	mu sync.Mutex
-	// unused has every third request give its permit back.
-	unused bool
-	let    int
-	// admitted is when requests of each organisation were let in.
+	// releaseSome releases every third permit.
+	releaseSome   bool
+	admittedCount int
+	// admitted holds the times of admitted requests, by organisation.
 	admitted map[string][]time.Time
-	// outcomes counts how requests ended.
+	// refused and unknown count the requests that were not admitted.
 	refused, unknown int
 }
 
-// node is one life of an instance.
+// node is one incarnation of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Manager
+	manager *Manager
 }
 
 // peers is the transport of a node.
 type peers struct {
 	*simnet.Node
-	world  *world
-	keeper *Manager
+	cluster *cluster
+	manager *Manager
 }
 
-// Send sends a message; a request for a vote is granted at once in a world whose
-// coordinators share nothing.
+// Send sends a message. With grantAll set it grants vote requests itself.
 func (p *peers) Send(to structs.InstanceID, msg structs.Message) {
-	if m, ok := msg.(*structs.VoteRequest); ok && p.world.sole {
+	if m, ok := msg.(*structs.VoteRequest); ok && p.cluster.grantAll {
 		p.Node.Post(structs.PeerMessage{From: to, Msg: &structs.VoteReply{Number: m.Number, Granted: true, Moved: true}})
 		return
 	}
 	p.Node.Send(to, msg)
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{
+func newCluster(t *testing.T) *cluster {
+	return &cluster{
 		Net: simnet.New(), t: t,
 		admitted: make(map[string][]time.Time),
 	}
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (w *world) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
 
-// run starts a life of an instance.
-func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+// run starts an incarnation of an instance.
+func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	link := &peers{Node: sim, world: w}
-	n.keeper = New(Config{
+	link := &peers{Node: sim, cluster: c}
+	n.manager = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
 		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	link.keeper = n.keeper
-	n.keeper.SetActive(true)
-	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.keeper.Run(ctx) })
+	link.manager = n.manager
+	n.manager.SetActive(true)
+	c.lives.Put(sim, n)
+	c.Work.Go(func() { n.manager.Run(ctx) })
 	return n.receive
 }
 
-// receive notes in the directory what an event tells, as the budgets' keeper does.
+// receive updates the directory, as the budget manager does, before the event is
+// handled.
 func (n *node) receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerDown:
@@ -103,55 +102,55 @@
 			n.Directory.SetLeaving(e.From)
 		}
 	}
-	n.keeper.Receive(event)
+	n.manager.Receive(event)
 }
 
-// all lists the instances that live.
-func (w *world) all() []*node { return w.lives.All(w.Net) }
+// all lists the running instances.
+func (c *cluster) all() []*node { return c.lives.All(c.Net) }
 
-// request asks an instance to let one request in.
-func (w *world) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return w.enter(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
+// request submits one request at an instance and reports whether it was admitted.
+func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
+	return c.admit(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
-// enter asks an instance to let a request in.
-func (w *world) enter(n *node, entry serve.AllowanceRequest) bool {
+// admit submits an entry at an instance and reports whether it was admitted.
+func (c *cluster) admit(n *node, entry serve.AllowanceRequest) bool {
 	name := entry.Organisation
-	permit, err := n.keeper.Admit(context.Background(), entry)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	permit, err := n.manager.Admit(context.Background(), entry)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch err.(type) {
 	case nil:
-		w.let++
-		if w.unused && w.let%3 == 0 {
+		c.admittedCount++
+		if c.releaseSome && c.admittedCount%3 == 0 {
 			permit.Release()
 			return true
 		}
-		w.admitted[name] = append(w.admitted[name], time.Now())
+		c.admitted[name] = append(c.admitted[name], time.Now())
 		return true
 	case *serve.OverLimitError:
-		w.refused++
+		c.refused++
 	default:
-		w.unknown++
+		c.unknown++
 	}
 	return false
 }
 
-// leaveSlowly shuts an instance down; it lets requests in for a while yet.
-func (w *world) leaveSlowly(n *node, d time.Duration) {
-	w.Work.Go(func() {
+// leaveSlowly shuts an instance down, which still admits requests for a while.
+func (c *cluster) leaveSlowly(n *node, d time.Duration) {
+	c.Work.Go(func() {
 		n.Directory.SetLeaving(n.ID)
-		n.keeper.Leave()
+		n.manager.Leave()
 		for _, p := range n.Directory.Others() {
 			n.Send(p.ID, new(structs.Leaving))
 		}
 		time.Sleep(d)
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	})
 }
 
-// most is the largest number of requests let in within a window.
-func most(times []time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of admitted requests within a window.
+func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	highest, from := 0, 0
 	for i, at := range times {
@@ -163,7 +162,8 @@
 	return highest
 }
 
-// allowed is the most that a limit with the tolerance allows in a window.
+// allowed returns the number of requests that a limit with its tolerance allows in a
+// window.
 func allowed(limit org.Limit, t Tolerance) int {
 	exact := limit.PerSecond*t.Window.Seconds() + limit.Burst
 	return int(exact*(1+t.Over) + t.Slack)
--- /dev/null
+++ b/internal/allowance/demand.go
@@ -0,0 +1,103 @@
+package allowance
+
+import "time"
+
+// Guards against underestimating the requests per program when an organisation starts
+// many programs at once: programs that have just started have sent few requests, so
+// first turns would be admitted too fast. A program is therefore counted once it has
+// ended.
+
+const (
+	// defaultRequests is the assumed number of requests per program before any program
+	// has ended. It is above the typical number, to admit too few rather than too
+	// many.
+	defaultRequests = 30
+	// defaultWeight is the weight of defaultRequests, in programs.
+	defaultWeight = 2
+	// maxSampledPrograms is the number of programs after which earlier samples count
+	// half.
+	maxSampledPrograms = 200
+	// idleTimeout is the time without a request after which a program counts as ended.
+	// Later requests are added.
+	idleTimeout = time.Second
+	// forgetTimeout is the time without a request after which a program is no longer
+	// tracked.
+	forgetTimeout = 10 * time.Second
+	// updateInterval is the time between two updates of the estimate.
+	updateInterval = 250 * time.Millisecond
+	// maxTracked bounds the tracked programs of an organisation.
+	maxTracked = 1024
+)
+
+// trackedProgram is a program whose first turn was admitted by this coordinator.
+type trackedProgram struct {
+	requests int
+	last     time.Time
+	// ended indicates that it counts as ended.
+	ended bool
+}
+
+// demand estimates the number of requests per program of one organisation.
+type demand struct {
+	tracked map[uint64]trackedProgram
+	// requests and programs are the sums over ended programs.
+	requests, programs float64
+	updatedAt          time.Time
+	// perProgram is the estimate as of updatedAt.
+	perProgram float64
+}
+
+func newDemand() demand {
+	return demand{tracked: make(map[uint64]trackedProgram), perProgram: defaultRequests}
+}
+
+// track starts tracking a program at its first turn.
+func (n *demand) track(program uint64, now time.Time) {
+	if program != 0 && len(n.tracked) < maxTracked {
+		n.tracked[program] = trackedProgram{requests: 1, last: now}
+	}
+}
+
+// add counts a request of a program in progress.
+func (n *demand) add(program uint64, now time.Time) {
+	f, ok := n.tracked[program]
+	if !ok {
+		return
+	}
+	f.requests++
+	f.last = now
+	n.tracked[program] = f
+	if f.ended {
+		n.requests++
+	}
+}
+
+// update recomputes the estimate from the ended programs, and from those in progress
+// that already exceed it.
+func (n *demand) update(now time.Time) {
+	if now.Sub(n.updatedAt) < updateInterval {
+		return
+	}
+	n.updatedAt = now
+	longer, longerRequests := 0.0, 0.0
+	for program, f := range n.tracked {
+		switch {
+		case f.ended && now.Sub(f.last) > forgetTimeout:
+			delete(n.tracked, program)
+		case f.ended:
+		case now.Sub(f.last) > idleTimeout:
+			n.requests += float64(f.requests)
+			n.programs++
+			f.ended = true
+			n.tracked[program] = f
+		case float64(f.requests) > n.perProgram:
+			longer++
+			longerRequests += float64(f.requests)
+		}
+	}
+	if n.programs > maxSampledPrograms {
+		n.requests, n.programs = n.requests/2, n.programs/2
+	}
+	requests := n.requests + longerRequests + defaultWeight*defaultRequests
+	n.perProgram = max(requests/(n.programs+longer+defaultWeight), 1)
+}
--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// permit is a request that was let in.
+// permit is an admitted request.
 type permit struct {
-	keeper *Manager
-	line   *line
-	// first tells that it begins a program.
+	manager *Manager
+	queue   *queue
+	// first indicates that it starts a program.
 	first bool
 }
 
 // CountRerun counts one more run of the request.
 func (p permit) CountRerun() {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
-	p.line.debt++
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	p.queue.reruns++
 }
 
 // Utilization implements serve.Permit.
 func (p permit) Utilization() float64 {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
-	return p.line.told.now(time.Now())
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
+	return p.queue.usage.current(time.Now())
 }
 
-// Release implements serve.Permit. It is told at once: what came back later
-// would count for a window in which it was not dealt out.
+// Release implements serve.Permit. It notifies the coordinator at once: a later return
+// would count for a window in which the permit was not allocated.
 func (p permit) Release() {
-	p.keeper.mu.Lock()
-	defer p.keeper.mu.Unlock()
+	p.manager.mu.Lock()
+	defer p.manager.mu.Unlock()
 	if p.first {
-		p.line.returnedStarts++
+		p.queue.returnedStarts++
 	} else {
-		p.line.returned++
+		p.queue.returned++
 	}
-	p.keeper.metrics.returned.Inc(1)
-	p.keeper.startAsk(p.line, time.Now())
+	p.manager.metrics.returned.Inc(1)
+	p.manager.sendRequest(p.queue, time.Now())
 }
 
-// noPermit is that of a request without a limit.
+// noPermit is the permit of a request without a limit.
 type noPermit struct{}
 
 func (noPermit) CountRerun()          {}
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -13,9 +13,9 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var schedules = flag.Int("schedules", 6, "random schedules to play")
+var schedules = flag.Int("schedules", 6, "number of random schedules to run")
 
-// testLimits go from the smallest of the users' organisations to the largest.
+// testLimits range from the smallest organisations to the largest.
 var testLimits = map[string]org.Limit{
 	"tiny":  {PerSecond: 2, Burst: 2},
 	"small": {PerSecond: 13, Burst: 13},
@@ -27,112 +27,112 @@
 func TestLimitsHoldOverRandomFaults(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			for name, over := range playSchedule(t, seed, 12, false) {
+			for name, over := range runSchedule(t, seed, 12, false) {
 				t.Errorf("%s: %s", name, over)
 			}
 		})
 	}
 }
 
-// TestOneOwnerWithoutVotesPassesTheLimit plays the same schedules with
-// coordinators that deal out whole limits each: the check must see it.
+// Without votes each coordinator allocates the whole limit, which the check must
+// detect.
 func TestOneOwnerWithoutVotesPassesTheLimit(t *testing.T) {
-	passed := 0
+	exceeded := 0
 	for seed := range uint64(*schedules) {
-		passed += len(playSchedule(t, seed, 12, true))
+		exceeded += len(runSchedule(t, seed, 12, true))
 	}
-	if passed == 0 {
-		t.Error("no limit was passed, so that the check sees nothing")
+	if exceeded == 0 {
+		t.Error("no limit was exceeded, so the check detects nothing")
 	}
 }
 
-// scheduleTime is how long a schedule goes on.
+// scheduleTime is the duration of a schedule.
 const scheduleTime = 12 * time.Second
 
-// playSchedule lets organisations ask for several times their limits at instances
-// that are killed, cut off, lose power and shut down. It returns the limits that
-// were passed.
-func playSchedule(t *testing.T, seed uint64, instances int, sole bool) map[string]string {
-	passed := make(map[string]string)
+// runSchedule sends several times their limits for all organisations, at instances
+// that are killed, partitioned, powered off and shut down. It returns the limits that
+// were exceeded.
+func runSchedule(t *testing.T, seed uint64, instances int, grantAll bool) map[string]string {
+	exceeded := make(map[string]string)
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t)
-		w.sole, w.unused = sole, seed%2 == 1
-		w.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
+		c := newCluster(t)
+		c.grantAll, c.releaseSome = grantAll, seed%2 == 1
+		c.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
 		names := machines(instances)
 		for _, m := range names {
-			w.start(m)
+			c.start(m)
 		}
 		ends := time.Now().Add(scheduleTime)
 		var work sync.WaitGroup
 		for name, limit := range testLimits {
-			for line := range 8 {
-				lineSeed := seed*1000 + uint64(line)
-				work.Go(func() { askFor(w, name, limit, 4.0/8, lineSeed, ends) })
+			for caller := range 8 {
+				callerSeed := seed*1000 + uint64(caller)
+				work.Go(func() { sendLoad(c, name, limit, 4.0/8, callerSeed, ends) })
 			}
 		}
 		for time.Now().Before(ends) {
 			time.Sleep(time.Duration(r.IntN(1200)) * time.Millisecond)
-			causeTrouble(w, r, names)
+			injectFault(c, r, names)
 		}
 		work.Wait()
-		w.Stop()
+		c.Stop()
 		for name, limit := range testLimits {
-			got, most := most(w.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
+			got, most := maxInWindow(c.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
 			if got > most {
-				passed[name] = fmt.Sprintf("%d requests in a window, %d are allowed", got, most)
+				exceeded[name] = fmt.Sprintf("%d requests in a window, want at most %d", got, most)
 			}
 		}
 	})
-	return passed
+	return exceeded
 }
 
-// askFor asks for a multiple of a limit at any instance until the time is up.
-func askFor(w *world, name string, limit org.Limit, times float64, seed uint64, ends time.Time) {
+// sendLoad sends a multiple of a limit to random instances until a deadline.
+func sendLoad(c *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	pause := float64(time.Second) / (limit.PerSecond * times)
+	pause := float64(time.Second) / (limit.PerSecond * factor)
 	var work sync.WaitGroup
 	for time.Now().Before(ends) {
 		time.Sleep(time.Duration(pause * r.ExpFloat64()))
-		nodes := w.all()
+		nodes := c.all()
 		if len(nodes) == 0 {
 			continue
 		}
 		n, first := simnet.Any(r, nodes), r.IntN(10) == 0
-		work.Go(func() { w.request(n, name, limit, 1, first) })
+		work.Go(func() { c.request(n, name, limit, 1, first) })
 	}
 	work.Wait()
 }
 
-// causeTrouble does one thing to the instances.
-func causeTrouble(w *world, r *rand.Rand, names []string) {
-	nodes := w.all()
+// injectFault applies one random fault to the instances.
+func injectFault(c *cluster, r *rand.Rand, names []string) {
+	nodes := c.all()
 	if len(nodes) == 0 {
 		for _, m := range names {
-			w.start(m)
+			c.start(m)
 		}
 		return
 	}
 	n := simnet.Any(r, nodes)
 	switch r.IntN(11) {
 	case 0, 1:
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	case 2:
 		for _, n := range nodes {
-			w.Kill(n.Node)
+			c.Kill(n.Node)
 		}
 	case 3, 4:
-		w.leaveSlowly(n, time.Duration(r.IntN(1500))*time.Millisecond)
+		c.leaveSlowly(n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5, 6:
 		for _, n := range nodes[:r.IntN(len(nodes))] {
-			w.CutFor(n.Node, simnet.Both, time.Duration(r.IntN(4000))*time.Millisecond)
+			c.CutFor(n.Node, simnet.Both, time.Duration(r.IntN(4000))*time.Millisecond)
 		}
 	case 7:
-		w.CutFor(n.Node, simnet.Mute, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.CutFor(n.Node, simnet.Mute, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 9:
-		w.start(fmt.Sprint("new", r.IntN(6)))
+		c.start(fmt.Sprint("new", r.IntN(6)))
 	case 8:
-		w.PowerOff(n.Node)
-		w.start(n.Machine())
+		c.PowerOff(n.Node)
+		c.start(n.Machine())
 	}
 }
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -11,48 +11,46 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lose is what the next owner makes of an account that it does not know, or
-// knows from its record.
-func lose(a *account) *account {
+// nextOwner returns the account at the next owner after a crash.
+func nextOwner(a *account) *account {
 	if a.recorded {
-		return restored(a.program, accountRecord{Budget: a.budget, Most: a.most, Limit: a.limit, Losses: a.losses}, a.losses+1, time.Minute, time.Time{})
+		return restoreAccount(a.program, accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: a.crashes}, a.crashes+1, time.Minute, time.Time{})
 	}
-	return newAccount(a.program, a.budget, a.most, a.losses+1)
+	return newAccount(a.program, a.budget, a.maxTurn, a.crashes+1)
 }
 
-// runTurn runs a turn, writing a record if one is needed. It tells whether
-// there was room.
-func runTurn(a *account, most, used int) bool {
+// runTurn runs a turn, writing a record if needed, and reports whether it was
+// admitted.
+func runTurn(a *account, maxTurn, used int) bool {
 	id := structs.RoomLease{Number: 1}
-	verdict := a.judge(most)
+	verdict := a.decide(maxTurn)
 	if verdict == awaitRecord {
-		a.wantRecord(most)
-		a.limit, a.recorded, a.want = a.want, true, 0
-		verdict = a.judge(most)
+		a.requestRecord(maxTurn)
+		a.limit, a.recorded, a.pendingLimit = a.pendingLimit, true, 0
+		verdict = a.decide(maxTurn)
 	}
 	if verdict != granted {
 		return false
 	}
-	a.grant(&ask{lease: id, most: most})
+	a.grant(&waiter{lease: id, maxTokens: maxTurn})
 	a.settle(id, used)
 	return true
 }
 
-// An ordinary program goes on over two losses of its partition's accounts.
+// A typical program continues after two crashes.
 func TestSmallProgramSurvivesTwoLosses(t *testing.T) {
-	const budget, most, used = 900, 290, 70
-	a := newAccount("p", budget, most, 1)
-	if !runTurn(a, most, used) {
-		t.Fatal("no room for the first turn after a loss")
+	const budget, maxTurn, used = 900, 290, 70
+	a := newAccount("p", budget, maxTurn, 1)
+	if !runTurn(a, maxTurn, used) {
+		t.Fatal("first turn after a crash was not admitted")
 	}
-	a = lose(a)
-	if !runTurn(a, most, used) {
-		t.Errorf("no room for a turn after another loss: %+v", a)
+	a = nextOwner(a)
+	if !runTurn(a, maxTurn, used) {
+		t.Errorf("turn after a second crash was not admitted: %+v", a)
 	}
 }
 
-// Whatever turns run and whenever accounts are lost, a program gets no more
-// than its budget and the most of one turn.
+// Across any turns and crashes, a program generates at most its budget plus one turn.
 func TestAccountBoundHoldsOverLosses(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 2000
@@ -62,24 +60,24 @@
 	properties.TestingRun(t)
 }
 
-// boundHolds runs turns, and loses the accounts at each fifth step on average.
-func boundHolds(budget, most int, steps []int) bool {
-	a := newAccount("p", budget, most, 0)
+// boundHolds runs turns, with a crash at each fifth step on average.
+func boundHolds(budget, maxTurn int, steps []int) bool {
+	a := newAccount("p", budget, maxTurn, 0)
 	total := 0
 	for _, step := range steps {
 		if step%5 == 0 {
-			a = lose(a)
+			a = nextOwner(a)
 			continue
 		}
-		used := step % (most + 1)
-		if runTurn(a, most, used) {
+		used := step % (maxTurn + 1)
+		if runTurn(a, maxTurn, used) {
 			total += used
 		}
 	}
-	return total <= budget+most
+	return total <= budget+maxTurn
 }
 
-// The same where turns differ in the most that they generate.
+// The same bound for turns of different sizes.
 func TestAccountBoundHoldsForTurnsOfAllSizes(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 5000
@@ -89,64 +87,64 @@
 	properties.TestingRun(t)
 }
 
-// boundHoldsForSizes runs turns of any size up to the largest, each using its
-// most half of the time, and loses the accounts at each third step on average.
+// boundHoldsForSizes runs turns of random sizes, with a crash at each third step on
+// average.
 func boundHoldsForSizes(budget, largest int, steps []int) bool {
 	var a *account
-	losses, total, seen := 0, 0, 0
+	crashes, total, seen := 0, 0, 0
 	recorded := map[bool]accountRecord{}
 	for _, step := range steps {
 		if step%3 == 0 {
 			if a != nil && a.recorded {
-				recorded[true] = accountRecord{Budget: a.budget, Most: a.most, Limit: a.limit, Losses: losses}
+				recorded[true] = accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: crashes}
 			}
-			a, losses = nil, losses+1
+			a, crashes = nil, crashes+1
 			continue
 		}
-		most := 1 + step/6%largest
+		maxTurn := 1 + step/6%largest
 		if r, ok := recorded[true]; a == nil && ok {
-			a = restored("p", r, losses, time.Minute, time.Time{})
+			a = restoreAccount("p", r, crashes, time.Minute, time.Time{})
 		} else if a == nil {
-			a = newAccount("p", budget, most, losses)
+			a = newAccount("p", budget, maxTurn, crashes)
 		}
-		a.most = max(a.most, most)
-		seen = max(seen, most)
-		used := most
+		a.maxTurn = max(a.maxTurn, maxTurn)
+		seen = max(seen, maxTurn)
+		used := maxTurn
 		if step%2 == 0 {
-			used = step / 7 % (most + 1)
+			used = step / 7 % (maxTurn + 1)
 		}
-		if runTurn(a, most, used) {
+		if runTurn(a, maxTurn, used) {
 			total += used
 		}
 	}
 	return total <= budget+seen
 }
 
-// A program begins and goes on behind two losses in a row without any record, as
-// it has to while the store is away.
-func TestProgramRunsWithoutARecordBehindLosses(t *testing.T) {
-	const budget, most = 2304, 288
-	for losses := range 2 {
-		a := newAccount("p", budget, most, losses)
+// Programs start and continue after two crashes in a row while the store is
+// unavailable.
+func TestProgramRunsWithoutARecordAfterCrashes(t *testing.T) {
+	const budget, maxTurn = 2304, 288
+	for crashes := range 2 {
+		a := newAccount("p", budget, maxTurn, crashes)
 		turns := 0
-		for a.judge(most) == granted {
-			a.grant(&ask{lease: structs.RoomLease{Number: 1}, most: most})
-			a.settle(structs.RoomLease{Number: 1}, most/3)
+		for a.decide(maxTurn) == granted {
+			a.grant(&waiter{lease: structs.RoomLease{Number: 1}, maxTokens: maxTurn})
+			a.settle(structs.RoomLease{Number: 1}, maxTurn/3)
 			turns++
 		}
 		if turns < 4 {
-			t.Errorf("behind %d losses: %d turns without a record", losses, turns)
+			t.Errorf("after %d crashes: %d turns without a record", crashes, turns)
 		}
 	}
 }
 
-func TestLostLeaseIsGivenBackWhenItsHolderSettles(t *testing.T) {
+func TestChargedLeaseIsRefundedWhenItsHolderSettles(t *testing.T) {
 	a := newAccount("p", 1000, 100, 0)
 	id := structs.RoomLease{Holder: "x", Number: 7}
-	a.grant(&ask{lease: id, most: 100})
-	a.loseHolder("x")
+	a.grant(&waiter{lease: id, maxTokens: 100})
+	a.chargeLeasesOf("x")
 	if a.used != 100 || a.leased != 0 {
-		t.Errorf("after the loss: %d used, %d leased", a.used, a.leased)
+		t.Errorf("after the holder became unavailable: %d used, %d leased", a.used, a.leased)
 	}
 	a.settle(id, 30)
 	if a.used != 30 || a.settle(id, 30) {
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -12,77 +12,75 @@
 )
 
 const (
-	// storeTimeout bounds one call to the store, which answers within
-	// milliseconds, and within a few hundred when it is slow.
+	// storeTimeout bounds one call to the store.
 	storeTimeout = 700 * time.Millisecond
-	// doubtTimeout bounds it while reads of other topics fail. If the store
-	// serves this partition it answers at once; if not, turns wait for nothing.
-	doubtTimeout = 100 * time.Millisecond
-	// claimAttempts bounds the tries of one claim; others may write between a
-	// read and the append.
-	claimAttempts = 4
-	// claimPause is the time between two claims of a partition that the store
-	// does not serve; each costs calls.
-	claimPause = 400 * time.Millisecond
-	// lostRetention is how long accounts from records are kept for programs
-	// that do not come back; a turn that comes sets its route's.
-	lostRetention = 60 * time.Second
-	// maxSequence bounds the first sequence number of an epoch. It is random,
-	// so that another claim under the same epoch is never taken for a repeat
-	// of this one.
-	maxSequence = 1 << 40
+	// degradedStoreTimeout bounds one call to the store while reads of other topics
+	// fail: turns should not wait for a partition that the store does not serve.
+	degradedStoreTimeout = 100 * time.Millisecond
+	// maxClaimAttempts bounds the attempts of one claim; other writers may append
+	// between the read and the conditional append.
+	maxClaimAttempts = 4
+	// claimBackoff is the pause after a failed claim.
+	claimBackoff = 400 * time.Millisecond
+	// defaultRetention is how long restored accounts are kept without a turn. A later
+	// turn sets the retention of its route.
+	defaultRetention = 60 * time.Second
+	// maxFirstSequence bounds the random first sequence number of an epoch. It is
+	// random so that the store does not take another claim under the same epoch for a
+	// retry of this one.
+	maxFirstSequence = 1 << 40
 )
 
 // startClaim claims a partition in the background. The mutex is held.
-func (k *Manager) startClaim(p *partition) {
-	if p.claiming || k.leaving.Load() || time.Now().Before(p.claimAfter) {
+func (m *Manager) startClaim(p *partition) {
+	if p.claiming || m.leaving.Load() || time.Now().Before(p.claimAfter) {
 		return
 	}
 	p.claiming = true
-	k.spawn(func() { k.claim(p) })
+	m.spawn(func() { m.claim(p) })
 }
 
-// claim claims a partition and answers the asks that wait for it.
-func (k *Manager) claim(p *partition) {
-	k.mu.Lock()
-	former := p.owner
-	k.mu.Unlock()
-	err := k.tryClaim(p)
-	k.mu.Lock()
+// claim claims a partition and replies to the requests that wait for it.
+func (m *Manager) claim(p *partition) {
+	m.mu.Lock()
+	previousOwner := p.owner
+	m.mu.Unlock()
+	err := m.tryClaim(p)
+	m.mu.Lock()
 	p.claiming = false
 	if err != nil {
-		p.claimAfter = time.Now().Add(claimPause)
-		k.refuseWaiting(p)
+		p.claimAfter = time.Now().Add(claimBackoff)
+		m.refuseRecordWaiters(p)
 	}
-	parked := p.parked
-	p.parked = nil
+	parked := p.waitingForClaim
+	p.waitingForClaim = nil
 	owned := p.own != nil
 	for _, waiting := range parked {
 		switch {
 		case owned:
-			k.admit(p, waiting.request, waiting.reply)
-		case k.ownerUsable(p):
-			waiting.reply(answer{outcome: structs.RoomNotOwner, owner: p.owner})
+			m.admit(p, waiting.request, waiting.reply)
+		case m.ownerUsable(p):
+			waiting.reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
 		default:
-			waiting.reply(answer{outcome: structs.RoomUnavailable})
+			waiting.reply(result{outcome: structs.RoomUnavailable})
 		}
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if err != nil {
-		k.log.Warn("partition not claimed", "partition", p.number, "error", err.Error())
+		m.log.Warn("partition not claimed", "partition", p.number, "error", err.Error())
 		return
 	}
 	if owned {
-		k.announce(former)
+		m.announce(previousOwner)
 	}
 }
 
-// tryClaim claims a partition, unless a usable instance owns it.
-func (k *Manager) tryClaim(p *partition) error {
+// tryClaim claims a partition, unless an available instance owns it.
+func (m *Manager) tryClaim(p *partition) error {
 	var err error
-	for range claimAttempts {
+	for range maxClaimAttempts {
 		var done bool
-		done, err = k.claimOnce(p)
+		done, err = m.claimOnce(p)
 		if done {
 			return nil
 		}
@@ -93,153 +91,151 @@
 	return err
 }
 
-// retryable tells whether a claim may succeed when it is tried again at once:
-// somebody wrote meanwhile, or the outcome is unknown.
+// retryable reports whether a claim may succeed if retried at once: another writer
+// appended in between, or the outcome is unknown.
 func retryable(err error) bool {
-	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errUnread)
+	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errReadFailed)
 }
 
-// errUnread tells that the partition could not be read before a claim.
-var errUnread = errors.New("the partition could not be read")
+// errReadFailed indicates that could not read the partition before a claim.
+var errReadFailed = errors.New("could not read the partition")
 
-// claimOnce reads the partition and claims it if nobody else has. It returns
-// true if the partition has an owner now.
-func (k *Manager) claimOnce(p *partition) (bool, error) {
-	now, err := k.read(p)
+// claimOnce reads the partition and claims it unless another instance owns it. It
+// returns true if the partition has an owner afterwards.
+func (m *Manager) claimOnce(p *partition) (bool, error) {
+	state, err := m.read(p)
 	if err != nil {
-		return false, errors.Mark(err, errUnread)
+		return false, errors.Mark(err, errReadFailed)
 	}
-	if now.owner != nil {
-		// When all instances start together, owners are known from their claims before
-		// the list names them; otherwise each would claim in turn.
-		k.directory.Discover(now.owner.Owner, now.owner.Address)
-		k.confirm(now.owner.Owner)
-		if k.adopt(p, now.owner) {
+	if state.owner != nil {
+		// When all instances start together, an owner may be known by its claim before
+		// it is listed. Without this each instance would claim in turn.
+		m.directory.Discover(state.owner.Owner, state.owner.Address)
+		m.awaitProbe(state.owner.Owner)
+		if m.adoptOwner(p, state.owner) {
 			return true, nil
 		}
 	}
-	claim := ownerRecord{Epoch: 1, Owner: k.self.ID, Address: k.self.Address}
-	if now.owner != nil {
-		claim.Epoch = now.owner.Epoch + 1
+	claim := ownerRecord{Epoch: 1, Owner: m.self.ID, Address: m.self.Address}
+	if state.owner != nil {
+		claim.Epoch = state.owner.Epoch + 1
 	}
-	clean := k.continues(p, now.owner)
-	losses := k.lossesOf(p, now.owner, clean)
-	claim.Losses = &losses
-	sequence := rand.Int64N(maxSequence)
-	err = k.appendClaim(p, claim, sequence, now.end)
+	clean := m.hasAccountsOf(p, state.owner)
+	crashes := m.crashesBefore(p, state.owner, clean)
+	claim.Crashes = &crashes
+	sequence := rand.Int64N(maxFirstSequence)
+	err = m.appendClaim(p, claim, sequence, state.end)
 	if err != nil {
 		return false, err
 	}
-	return true, k.install(p, claim, sequence, now, clean)
+	return true, m.becomeOwner(p, claim, sequence, state, clean)
 }
 
-// storeContext bounds one call to the store.
-func (k *Manager) storeContext() (context.Context, context.CancelFunc) {
-	if k.health.OK() {
-		return context.WithTimeout(k.ctx, storeTimeout)
+// storeContext returns a context for one call to the store.
+func (m *Manager) storeContext() (context.Context, context.CancelFunc) {
+	if m.health.OK() {
+		return context.WithTimeout(m.ctx, storeTimeout)
 	}
-	return context.WithTimeout(k.ctx, doubtTimeout)
+	return context.WithTimeout(m.ctx, degradedStoreTimeout)
 }
 
-func (k *Manager) read(p *partition) (content, error) {
-	ctx, cancel := k.storeContext()
+func (m *Manager) read(p *partition) (partitionState, error) {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	list, err := k.store.Newest(ctx, topic, p.number)
+	list, err := m.store.Newest(ctx, topic, p.number)
 	if err != nil {
-		return content{}, err
+		return partitionState{}, err
 	}
-	return decodeContent(list)
+	return decodePartition(list)
 }
 
-// confirmTimeout bounds the wait for an owner that did not answer before. One
-// that is there answers within milliseconds; a dead process's machine refuses
-// the connection as fast.
-const confirmTimeout = 250 * time.Millisecond
+// probeTimeout bounds the wait for the reply of an owner that did not reply before.
+const probeTimeout = 250 * time.Millisecond
 
-// confirm asks an owner that did not answer before once more before its partition
-// is claimed: an instance that was paused finds all connections broken when it
-// wakes, and must not take the others' partitions, whose accounts would be lost.
-func (k *Manager) confirm(owner structs.InstanceID) {
-	if !k.directory.Suspected(owner) {
+// awaitProbe probes an unresponsive owner before its partition is claimed. An instance
+// that resumes after a pause finds all its connections broken and must not take over
+// the partitions of running owners, whose accounts would be lost.
+func (m *Manager) awaitProbe(owner structs.InstanceID) {
+	if !m.directory.Suspected(owner) {
 		return
 	}
-	heard := make(chan struct{}, 1)
-	k.mu.Lock()
-	k.confirms[owner] = append(k.confirms[owner], heard)
-	k.mu.Unlock()
-	k.peers.Probe(owner)
-	timer := time.NewTimer(confirmTimeout)
+	replied := make(chan struct{}, 1)
+	m.mu.Lock()
+	m.probes[owner] = append(m.probes[owner], replied)
+	m.mu.Unlock()
+	m.peers.Probe(owner)
+	timer := time.NewTimer(probeTimeout)
 	defer timer.Stop()
 	select {
-	case <-heard:
+	case <-replied:
 	case <-timer.C:
-	case <-k.ctx.Done():
+	case <-m.ctx.Done():
 	}
 }
 
-// confirmed ends the waits for word of an instance. The mutex is held.
-func (k *Manager) confirmed(id structs.InstanceID) {
-	for _, heard := range k.confirms[id] {
-		heard <- struct{}{}
+// resolveProbes ends all waits for a probe of an instance. The mutex is held.
+func (m *Manager) resolveProbes(id structs.InstanceID) {
+	for _, replied := range m.probes[id] {
+		replied <- struct{}{}
 	}
-	delete(k.confirms, id)
+	delete(m.probes, id)
 }
 
-// adopt takes the owner in the store for the present one if it is usable, or
-// if it is this instance already. It tells whether that is so.
-func (k *Manager) adopt(p *partition, owner *ownerRecord) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if owner.Owner == k.self.ID {
-		// An earlier try of this claim took effect without an answer. Its
-		// sequence number is not known any more: claim once more.
+// adoptOwner accepts the owner in the store if it is available or is this instance. It
+// reports whether the partition has an owner.
+func (m *Manager) adoptOwner(p *partition, owner *ownerRecord) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if owner.Owner == m.self.ID {
+		// An earlier attempt of this claim took effect, but its response was lost
+		// together with the sequence number: claim again.
 		return p.own != nil && p.own.claimed && p.own.epoch == owner.Epoch
 	}
 	if p.own != nil && p.own.epoch >= owner.Epoch {
 		// The partition was handed over to this instance.
 		return false
 	}
-	if !k.directory.Usable(owner.Owner) {
+	if !m.directory.Usable(owner.Owner) {
 		return false
 	}
 	if p.own != nil {
-		k.dropOwnership(p, owner.Owner, "another instance has claimed it")
+		m.dropOwnership(p, owner.Owner, "another instance has claimed it")
 	}
-	k.setOwner(p, owner.Owner, owner.Epoch)
+	m.setOwner(p, owner.Owner, owner.Epoch)
 	return true
 }
 
-// continues tells whether this instance has the exact accounts of the owner in
+// hasAccountsOf reports whether this instance holds the exact accounts of the owner in
 // the store.
-func (k *Manager) continues(p *partition, owner *ownerRecord) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) hasAccountsOf(p *partition, owner *ownerRecord) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return p.own != nil && owner != nil && p.own.epoch == owner.Epoch
 }
 
-// lossesOf is how many owners before a claim of this instance may have handed out
-// their slice. An owner that never learned of its claim handed out nothing: the
-// claim took effect without an answer.
-func (k *Manager) lossesOf(p *partition, owner *ownerRecord, clean bool) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// crashesBefore returns how many owners before a claim of this instance may have
+// allocated their slice. An instance that never learned of its own claim, because the
+// response was lost, allocated nothing.
+func (m *Manager) crashesBefore(p *partition, owner *ownerRecord, clean bool) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case clean:
-		// The accounts that this instance goes on with have used this slice.
-		p.served = owner.Epoch + 1
-		return p.own.losses
+		// The accounts that were handed over have used this slice.
+		p.servedEpoch = owner.Epoch + 1
+		return p.own.crashes
 	case owner == nil:
 		return 0
-	case owner.Owner == k.self.ID && owner.Epoch > p.served:
-		return owner.losses()
+	case owner.Owner == m.self.ID && owner.Epoch > p.servedEpoch:
+		return owner.crashes()
 	}
-	return owner.losses() + 1
+	return owner.crashes() + 1
 }
 
-func (k *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
-	ctx, cancel := k.storeContext()
+func (m *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	_, err := k.store.Append(ctx, platform.Append{
+	_, err := m.store.Append(ctx, platform.Append{
 		Topic: topic, Partition: p.number, At: &end,
 		Records: []platform.Record{{Key: ownerKey, Value: encode(claim)}},
 		Writer:  &platform.Writer{Name: writerName, Epoch: claim.Epoch, Sequence: sequence},
@@ -247,43 +243,43 @@
 	return err
 }
 
-// install makes this instance the owner after its claim was appended.
-func (k *Manager) install(p *partition, claim ownerRecord, sequence int64, now content, clean bool) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if clean && (p.own == nil || now.owner == nil || p.own.epoch != now.owner.Epoch) {
-		// The accounts went between the check and the append: they were
-		// dropped or handed on, so that this claim counts too little.
-		return errors.New("the accounts were given up during the claim")
+// becomeOwner makes this instance the owner after its claim was appended.
+func (m *Manager) becomeOwner(p *partition, claim ownerRecord, sequence int64, state partitionState, clean bool) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if clean && (p.own == nil || state.owner == nil || p.own.epoch != state.owner.Epoch) {
+		// The accounts were dropped or handed over between the check and the append,
+		// so the crash count in the claim is too low.
+		return errors.New("accounts were dropped or handed over during the claim")
 	}
 	if !clean {
 		p.own = newOwnership(claim.Epoch)
-		p.own.losses = claim.losses()
-		k.restore(p.own, now)
+		p.own.crashes = claim.crashes()
+		m.restoreAccounts(p.own, state)
 	}
 	p.own.epoch, p.own.claimed, p.own.sequence = claim.Epoch, true, sequence
-	p.served = claim.Epoch
-	p.own.failing = false
-	k.setOwner(p, k.self.ID, claim.Epoch)
-	k.redirect(p)
-	k.metrics.claims.Inc(1)
-	if !clean && now.owner != nil {
-		k.metrics.losses.Inc(1)
+	p.servedEpoch = claim.Epoch
+	p.own.writeFailing = false
+	m.setOwner(p, m.self.ID, claim.Epoch)
+	m.redirectPending(p)
+	m.metrics.claims.Inc(1)
+	if !clean && state.owner != nil {
+		m.metrics.crashes.Inc(1)
 	}
-	k.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.loss != nil, "losses", p.own.losses, "recorded_programs", len(now.programs))
+	m.log.Info("partition claimed", "partition", p.number, "epoch", claim.Epoch, "accounts_lost", p.own.crash != nil, "losses", p.own.crashes, "recorded_programs", len(state.programs))
 	for a := range p.own.dirty {
-		k.startWrite(p, a)
+		m.scheduleWrite(p, a)
 	}
 	return nil
 }
 
-// restore makes accounts of the records that an owner left; those without a
-// record are lost.
-func (k *Manager) restore(own *ownership, now content) {
-	for program, record := range now.programs {
-		own.accounts[program] = restored(program, record, own.losses, lostRetention, time.Now())
+// restoreAccounts creates accounts from the records of the previous owner. Accounts
+// without a record are lost.
+func (m *Manager) restoreAccounts(own *ownership, state partitionState) {
+	for program, record := range state.programs {
+		own.accounts[program] = restoreAccount(program, record, own.crashes, defaultRetention, time.Now())
 	}
-	if now.owner != nil {
-		own.loss = &loss{owner: now.owner.Owner, at: time.Now()}
+	if state.owner != nil {
+		own.crash = &crash{owner: state.owner.Owner, at: time.Now()}
 	}
 }
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -9,43 +9,42 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// handoverTimeout is how long an instance that leaves waits for a successor's
-// answer; a round trip takes a few milliseconds.
+// handoverTimeout bounds the wait for a successor's reply on shutdown.
 const handoverTimeout = 500 * time.Millisecond
 
-// Leave hands all partitions over to other instances. The Keeper goes on
-// asking other owners for this instance's turns.
-func (k *Manager) Leave(ctx context.Context) {
-	k.leaving.Store(true)
-	k.directory.SetLeaving(k.self.ID)
-	k.tellLeaving()
-	for _, p := range k.partitions {
-		k.handOver(ctx, p)
+// Leave hands all partitions over to other instances. The Manager still requests
+// allotments for the turns of this instance from other owners.
+func (m *Manager) Leave(ctx context.Context) {
+	m.leaving.Store(true)
+	m.directory.SetLeaving(m.self.ID)
+	m.announceLeaving()
+	for _, p := range m.partitions {
+		m.handOver(ctx, p)
 	}
 }
 
-// tellLeaving tells those who may ask this instance, or would claim what it owns, that
-// it leaves. An instance that is not told and asks is sent on. To tell all would take
-// a connection to each: a small machine needs its grace period for that where there
-// are hundreds.
-func (k *Manager) tellLeaving() {
-	k.peers.Broadcast(new(structs.Leaving))
-	for _, id := range k.successors() {
-		k.peers.Send(id, new(structs.Leaving))
+// announceLeaving notifies the connected instances and the likely successors that this
+// instance shuts down. Others are redirected when they send a request. Connecting to
+// each of hundreds of instances would take longer than the grace period of a small
+// machine.
+func (m *Manager) announceLeaving() {
+	m.peers.Broadcast(new(structs.Leaving))
+	for _, id := range m.successors() {
+		m.peers.Send(id, new(structs.Leaving))
 	}
 }
 
 // successors lists the instances that would claim the partitions of this one.
-func (k *Manager) successors() []structs.InstanceID {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) successors() []structs.InstanceID {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var successors []structs.InstanceID
-	for _, p := range k.partitions {
+	for _, p := range m.partitions {
 		if p.own == nil {
 			continue
 		}
-		for _, id := range k.directory.TopN(p.key(), standbys) {
-			if id != k.self.ID && !slices.Contains(successors, id) {
+		for _, id := range m.directory.TopN(p.key(), watchersPerOwner) {
+			if id != m.self.ID && !slices.Contains(successors, id) {
 				successors = append(successors, id)
 			}
 		}
@@ -53,97 +52,95 @@
 	return successors
 }
 
-// handOver gives a partition to the first instance that takes it. Only an
-// explicit refusal lets the next one be asked: an answer that does not come
-// may mean that the first has the partition.
-func (k *Manager) handOver(ctx context.Context, p *partition) {
-	for _, successor := range k.directory.Ranked(p.key()) {
-		if successor == k.self.ID {
+// handOver hands a partition to the first instance that accepts it. The next one is
+// tried only after an explicit refusal: without a reply the first may own the
+// partition.
+func (m *Manager) handOver(ctx context.Context, p *partition) {
+	for _, successor := range m.directory.Ranked(p.key()) {
+		if successor == m.self.ID {
 			continue
 		}
-		taken, known := k.handOverTo(ctx, p, successor)
-		if taken || !known {
+		accepted, known := m.handOverTo(ctx, p, successor)
+		if accepted || !known {
 			return
 		}
 	}
 }
 
-// relieve hands the partitions over while the store refuses this instance, if
-// another one reaches it: an owner has to write records.
-func (k *Manager) relieve(ctx context.Context) {
-	for _, p := range k.partitions {
-		k.mu.Lock()
+// evacuate hands the partitions over while the store rejects this instance but serves
+// another one: an owner must be able to write records.
+func (m *Manager) evacuate(ctx context.Context) {
+	for _, p := range m.partitions {
+		m.mu.Lock()
 		owned := p.own != nil
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if !owned {
 			continue
 		}
-		successor, ok := k.findSuccessor(ctx, p)
+		successor, ok := m.findSuccessor(ctx, p)
 		if !ok {
 			return
 		}
-		k.handOverTo(ctx, p, successor)
+		m.handOverTo(ctx, p, successor)
 	}
 }
 
-// findSuccessor asks one instance, another one each time, whether it would take
-// a partition.
-func (k *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
-	others := k.directory.Others()
+// findSuccessor asks a random instance whether it would accept a partition.
+func (m *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
+	others := m.directory.Others()
 	if len(others) == 0 {
 		return "", false
 	}
-	asked := others[rand.IntN(len(others))].ID
-	answers := make(chan bool, 1)
-	k.mu.Lock()
-	offer := &structs.PartitionHandover{Number: k.nextNumber(), Partition: p.number, Offer: true}
-	k.handovers[offer.Number] = answers
-	k.mu.Unlock()
-	k.peers.Send(asked, offer)
-	would, known := k.awaitHandover(ctx, offer.Number, answers)
-	return asked, would && known
+	candidate := others[rand.IntN(len(others))].ID
+	replies := make(chan bool, 1)
+	m.mu.Lock()
+	offer := &structs.PartitionHandover{Number: m.nextNumber(), Partition: p.number, Offer: true}
+	m.handovers[offer.Number] = replies
+	m.mu.Unlock()
+	m.peers.Send(candidate, offer)
+	willing, known := m.awaitHandover(ctx, offer.Number, replies)
+	return candidate, willing && known
 }
 
-// handOverTo gives a partition to one instance. It returns whether that has
-// taken it, and whether this is known.
-func (k *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (taken, known bool) {
-	k.mu.Lock()
+// handOverTo hands a partition to one instance. It returns whether that accepted it,
+// and whether the outcome is known.
+func (m *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (accepted, known bool) {
+	m.mu.Lock()
 	own := p.own
 	if own == nil {
-		k.mu.Unlock()
+		m.mu.Unlock()
 		return true, true
 	}
-	message := k.exportPartition(p)
-	answers := make(chan bool, 1)
-	k.handovers[message.Number] = answers
-	// From here on this instance hands out no room.
+	message := m.exportPartition(p)
+	replies := make(chan bool, 1)
+	m.handovers[message.Number] = replies
+	// From here on this instance allocates nothing.
 	p.own = nil
-	k.setOwner(p, successor, own.epoch)
+	m.setOwner(p, successor, own.epoch)
 	for _, a := range own.accounts {
-		k.refuseAsks(a, structs.RoomNotOwner, successor)
+		m.refuseWaiters(a, structs.RoomNotOwner, successor)
 	}
-	k.mu.Unlock()
-	k.peers.Send(successor, message)
-	taken, known = k.awaitHandover(ctx, message.Number, answers)
-	if taken {
-		k.metrics.handovers.Inc(1)
+	m.mu.Unlock()
+	m.peers.Send(successor, message)
+	accepted, known = m.awaitHandover(ctx, message.Number, replies)
+	if accepted {
+		m.metrics.handovers.Inc(1)
 	}
-	k.log.Info("partition handed over", "partition", p.number, "epoch", own.epoch, "successor", successor,
-		"accounts", len(own.accounts), "taken", taken, "known", known)
-	if known && !taken {
-		k.takeBack(p, own)
+	m.log.Info("partition handed over", "partition", p.number, "epoch", own.epoch, "successor", successor,
+		"accounts", len(own.accounts), "taken", accepted, "known", known)
+	if known && !accepted {
+		m.resumeOwnership(p, own)
 	}
-	return taken, known
+	return accepted, known
 }
 
-// exportPartition makes the message that hands a partition over. The mutex is
-// held.
-func (k *Manager) exportPartition(p *partition) *structs.PartitionHandover {
+// exportPartition returns the message that hands a partition over. The mutex is held.
+func (m *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
-		Number: k.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.losses,
+		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.crashes,
 	}
-	if l := p.own.loss; l != nil {
+	if l := p.own.crash; l != nil {
 		message.LostBy, message.LostFor = l.owner, now.Sub(l.at)
 	}
 	for _, a := range p.own.accounts {
@@ -152,99 +149,99 @@
 	return message
 }
 
-func (k *Manager) awaitHandover(ctx context.Context, number uint64, answers chan bool) (taken, known bool) {
+func (m *Manager) awaitHandover(ctx context.Context, number uint64, replies chan bool) (accepted, known bool) {
 	timer := time.NewTimer(handoverTimeout)
 	defer timer.Stop()
 	defer func() {
-		k.mu.Lock()
-		delete(k.handovers, number)
-		k.mu.Unlock()
+		m.mu.Lock()
+		delete(m.handovers, number)
+		m.mu.Unlock()
 	}()
 	select {
-	case taken = <-answers:
-		return taken, true
+	case accepted = <-replies:
+		return accepted, true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false, false
 }
 
-// takeBack resumes an ownership that the successor has refused.
-func (k *Manager) takeBack(p *partition, own *ownership) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// resumeOwnership takes a partition back after the successor refused it.
+func (m *Manager) resumeOwnership(p *partition, own *ownership) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != nil || p.epoch > own.epoch {
 		return
 	}
 	p.own = own
-	k.setOwner(p, k.self.ID, own.epoch)
+	m.setOwner(p, m.self.ID, own.epoch)
 	for a := range own.dirty {
-		k.startWrite(p, a)
+		m.scheduleWrite(p, a)
 	}
 }
 
-func (k *Manager) receiveHandoverReply(m *structs.HandoverReply) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if answers, ok := k.handovers[m.Number]; ok {
-		answers <- m.Accepted
-		delete(k.handovers, m.Number)
+func (m *Manager) receiveHandoverReply(msg *structs.HandoverReply) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if replies, ok := m.handovers[msg.Number]; ok {
+		replies <- msg.Accepted
+		delete(m.handovers, msg.Number)
 	}
 }
 
-// receiveHandover takes a partition over, unless this instance leaves or knows
-// of a newer owner.
-func (k *Manager) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
-	if m.Offer {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.spawn(func() { k.answerOffer(from, m) })
+// receiveHandover takes a partition over, unless this instance is leaving or knows a
+// newer owner.
+func (m *Manager) receiveHandover(from structs.InstanceID, msg *structs.PartitionHandover) {
+	if msg.Offer {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.spawn(func() { m.replyToOffer(from, msg) })
 		return
 	}
-	accepted := k.takeOver(from, m)
-	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: accepted})
+	accepted := m.acceptHandover(from, msg)
+	m.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: accepted})
 	if accepted {
-		// Who asks the former owner is sent on by it.
-		k.mu.Lock()
-		notice := k.ownNotice()
-		k.mu.Unlock()
-		k.peers.Broadcast(notice)
+		// The other instances are redirected by the former owner.
+		m.mu.Lock()
+		notice := m.ownerNotice()
+		m.mu.Unlock()
+		m.peers.Broadcast(notice)
 	}
 }
 
-// answerOffer tells whether this instance would take a partition over: whether the
-// store serves it the partition. What others say of the store is no sign of that.
-func (k *Manager) answerOffer(from structs.InstanceID, m *structs.PartitionHandover) {
-	would := !k.leaving.Load() && k.health.OK() && m.Partition >= 0 && m.Partition < len(k.partitions)
-	if would {
-		_, err := k.read(k.partitions[m.Partition])
-		would = err == nil
+// replyToOffer replies whether this instance would accept a partition, which it would
+// if the store serves it that partition.
+func (m *Manager) replyToOffer(from structs.InstanceID, msg *structs.PartitionHandover) {
+	willing := !m.leaving.Load() && m.health.OK() && msg.Partition >= 0 && msg.Partition < len(m.partitions)
+	if willing {
+		_, err := m.read(m.partitions[msg.Partition])
+		willing = err == nil
 	}
-	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: would})
+	m.peers.Send(from, &structs.HandoverReply{Number: msg.Number, Accepted: willing})
 }
 
-func (k *Manager) takeOver(from structs.InstanceID, m *structs.PartitionHandover) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.leaving.Load() || m.Partition < 0 || m.Partition >= len(k.partitions) {
+func (m *Manager) acceptHandover(from structs.InstanceID, msg *structs.PartitionHandover) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leaving.Load() || msg.Partition < 0 || msg.Partition >= len(m.partitions) {
 		return false
 	}
-	p := k.partitions[m.Partition]
-	if p.own != nil || p.epoch > m.Epoch {
+	p := m.partitions[msg.Partition]
+	if p.own != nil || p.epoch > msg.Epoch {
 		return false
 	}
 	now := time.Now()
-	p.own = newOwnership(m.Epoch)
-	p.own.losses = lossesKnown(m.Losses, m.LostBy != "")
-	if m.LostBy != "" {
-		p.own.loss = &loss{owner: m.LostBy, at: now.Add(-m.LostFor)}
-	}
-	for _, a := range m.Accounts {
-		p.own.accounts[a.Program] = imported(a, now)
-	}
-	k.setOwner(p, k.self.ID, m.Epoch)
-	k.log.Info("partition taken over", "partition", p.number, "epoch", m.Epoch, "from", from,
-		"accounts", len(m.Accounts))
-	k.startClaim(p)
+	p.own = newOwnership(msg.Epoch)
+	p.own.crashes = reportedCrashes(msg.Losses, msg.LostBy != "")
+	if msg.LostBy != "" {
+		p.own.crash = &crash{owner: msg.LostBy, at: now.Add(-msg.LostFor)}
+	}
+	for _, a := range msg.Accounts {
+		p.own.accounts[a.Program] = importAccount(a, now)
+	}
+	m.setOwner(p, m.self.ID, msg.Epoch)
+	m.log.Info("partition taken over", "partition", p.number, "epoch", msg.Epoch, "from", from,
+		"accounts", len(msg.Accounts))
+	m.startClaim(p)
 	return true
 }
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -9,18 +9,18 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-// own is what an instance keeps as the owner of a program's partition, nil if
-// it does not own it.
+// own returns the ownership of a program's partition at an instance, nil if it does
+// not own it.
 func (n *node) own(program string) *ownership {
-	n.keeper.mu.Lock()
-	defer n.keeper.mu.Unlock()
-	return n.keeper.partitionOf(program).own
+	n.manager.mu.Lock()
+	defer n.manager.mu.Unlock()
+	return n.manager.partitionOf(program).own
 }
 
 // others lists all instances but one.
-func (w *world) others(n *node) []*node {
+func (c *cluster) others(n *node) []*node {
 	var others []*node
-	for _, other := range w.all() {
+	for _, other := range c.all() {
 		if other != n {
 			others = append(others, other)
 		}
@@ -28,71 +28,70 @@
 	return others
 }
 
-// A successor whose answer is lost may have the partition: the old owner must
-// not go on.
+// A successor whose reply is lost may own the partition, so the old owner must stop.
 func TestHandoverWithoutAnAnswerIsNotTakenBack(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		owner := w.ownerOf("p")
-		others := w.others(owner)
+		owner := c.ownerOf("p")
+		others := c.others(owner)
 		for _, other := range others {
-			w.SetCut(other.ID, simnet.Mute)
+			c.SetCut(other.ID, simnet.Mute)
 		}
-		owner.keeper.Leave(t.Context())
+		owner.manager.Leave(t.Context())
 		if owner.own("p") != nil {
-			t.Error("the old owner goes on although its successor may have the partition")
+			t.Error("the old owner still owns the partition although its successor may own it")
 		}
 	})
 }
 
-// An instance that was handed a partition which another has claimed since has
-// accounts that are no longer exact.
-func TestHandedOverAccountsAreVoidBehindAnotherClaim(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		if err := w.turn(w.all()[0], "p", testBudget, testMost, 70, 0); err != nil {
+// Accounts that were handed over are no longer exact once another instance has claimed
+// the partition.
+func TestHandedOverAccountsAreVoidAfterAnotherClaim(t *testing.T) {
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
 		}
-		owner := w.ownerOf("p")
-		w.Store.Set(metastore.Fault{Reset: true})
-		owner.keeper.Leave(t.Context())
-		successor := w.ownerOf("p")
+		owner := c.ownerOf("p")
+		c.Store.Set(metastore.Fault{Reset: true})
+		owner.manager.Leave(t.Context())
+		successor := c.ownerOf("p")
 		if successor == nil || successor == owner {
-			t.Fatal("nobody took the partition over")
+			t.Fatal("no instance took the partition over")
 		}
-		w.Kill(owner.Node)
-		third := w.others(successor)[0]
-		w.Store.Set(metastore.Fault{})
+		c.Kill(owner.Node)
+		third := c.others(successor)[0]
+		c.Store.Set(metastore.Fault{})
 		successor.Refused.Store(true)
-		w.SetCut(third.ID, simnet.Mute)
+		c.SetCut(third.ID, simnet.Mute)
 		third.Post(structs.PeerDown{Peer: successor.ID})
 		time.Sleep(time.Second)
 		if third.own("p") == nil {
 			t.Fatal("the third instance did not claim the partition")
 		}
-		w.Kill(third.Node)
+		c.Kill(third.Node)
 		successor.Refused.Store(false)
 		time.Sleep(2 * claimInterval)
 		own := successor.own("p")
 		if own == nil || !own.claimed {
 			t.Fatal("the successor did not claim the partition")
 		}
-		if own.loss == nil || own.loss.owner != third.ID {
-			t.Errorf("claimed with epoch %d, loss %+v, want one by %s", own.epoch, own.loss, third.ID)
+		if own.crash == nil || own.crash.owner != third.ID {
+			t.Errorf("claimed with epoch %d, crash %+v, want a crash of %s", own.epoch, own.crash, third.ID)
 		}
 	})
 }
 
 func TestHandoverFromAnEarlierOwnerIsRefused(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
-		n := w.all()[0]
-		p := n.keeper.partitions[0]
-		n.keeper.mu.Lock()
+	runInCluster(t, 2, func(t *testing.T, c *cluster) {
+		n := c.all()[0]
+		p := n.manager.partitions[0]
+		n.manager.mu.Lock()
 		p.own, p.epoch = nil, 5
-		n.keeper.mu.Unlock()
-		if n.keeper.takeOver(w.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
-			t.Error("a handover of an ownership that another claim has ended was taken")
+		n.manager.mu.Unlock()
+		if n.manager.acceptHandover(c.all()[1].ID, &structs.PartitionHandover{Number: 1, Partition: 0, Epoch: 4}) {
+			t.Error("accepted a handover with an epoch older than the newest claim")
 		}
 	})
 }
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -7,25 +7,25 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// What instances tell each other of who owns a partition, and who watches whom.
+// Ownership notices between instances, and which instances watch each other.
 
-// peerUp notes that an instance answers, and tells it what this one owns.
-func (k *Manager) peerUp(id structs.InstanceID) {
-	k.directory.SetUnresponsive(id, false)
-	k.mu.Lock()
-	k.confirmed(id)
-	k.rewatch(id)
-	notice := k.ownNotice()
-	k.mu.Unlock()
+// peerUp marks an instance as available and notifies it of the partitions owned here.
+func (m *Manager) peerUp(id structs.InstanceID) {
+	m.directory.SetUnresponsive(id, false)
+	m.mu.Lock()
+	m.resolveProbes(id)
+	m.rewatchOwner(id)
+	notice := m.ownerNotice()
+	m.mu.Unlock()
 	if len(notice.Owned) > 0 {
-		k.peers.Send(id, notice)
+		m.peers.Send(id, notice)
 	}
 }
 
-// ownNotice lists what this instance owns. The mutex is held.
-func (k *Manager) ownNotice() *structs.OwnerNotice {
+// ownerNotice lists the partitions owned here. The mutex is held.
+func (m *Manager) ownerNotice() *structs.OwnerNotice {
 	notice := new(structs.OwnerNotice)
-	for _, p := range k.partitions {
+	for _, p := range m.partitions {
 		if p.own != nil {
 			notice.Owned = append(notice.Owned, structs.OwnedPartition{Partition: p.number, Epoch: p.own.epoch})
 		}
@@ -33,135 +33,134 @@
 	return notice
 }
 
-// peerDown notes that an instance does not answer: its turns count at their
-// most, its partitions get another owner, and what was asked of it is asked
-// again elsewhere.
-func (k *Manager) peerDown(id structs.InstanceID) {
-	k.directory.SetUnresponsive(id, true)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.confirmed(id)
-	k.rewatch(id)
-	for _, p := range k.partitions {
+// peerDown marks an instance as unavailable: its leases are charged, its partitions
+// are claimed if this instance ranks first, and requests to it are sent elsewhere.
+func (m *Manager) peerDown(id structs.InstanceID) {
+	m.directory.SetUnresponsive(id, true)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.resolveProbes(id)
+	m.rewatchOwner(id)
+	for _, p := range m.partitions {
 		if p.own != nil {
-			k.loseHolder(p, id)
+			m.chargeLeasesOf(p, id)
 		}
-		if p.own == nil && p.owner == id && k.firstChoice(p) == k.self.ID {
-			k.startClaim(p)
+		if p.own == nil && p.owner == id && m.preferredOwner(p) == m.self.ID {
+			m.startClaim(p)
 		}
 	}
-	for lease, pending := range k.pending {
-		if pending.asked == id {
-			delete(k.pending, lease)
-			pending.answer <- answer{outcome: lost}
+	for lease, pending := range m.pending {
+		if pending.owner == id {
+			delete(m.pending, lease)
+			pending.result <- result{outcome: noReply}
 		}
 	}
 }
 
-// receiveNotice takes over who owns partitions.
-func (k *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// receiveNotice updates the owners of partitions.
+func (m *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, owned := range notice.Owned {
-		if owned.Partition < 0 || owned.Partition >= len(k.partitions) {
+		if owned.Partition < 0 || owned.Partition >= len(m.partitions) {
 			continue
 		}
-		p := k.partitions[owned.Partition]
+		p := m.partitions[owned.Partition]
 		if owned.Epoch < p.epoch {
 			continue
 		}
 		if p.own != nil && owned.Epoch > p.own.epoch {
-			k.dropOwnership(p, from, "another instance owns it")
+			m.dropOwnership(p, from, "another instance owns it")
 		}
 		if p.own == nil {
-			k.setOwner(p, from, owned.Epoch)
-			k.redirect(p)
+			m.setOwner(p, from, owned.Epoch)
+			m.redirectPending(p)
 		}
 	}
 }
 
-// setOwner notes who owns a partition. The mutex is held.
-func (k *Manager) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
+// setOwner sets the known owner of a partition. The mutex is held.
+func (m *Manager) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
 	changed := p.owner != owner
 	p.owner, p.epoch = owner, max(p.epoch, epoch)
 	if changed {
-		k.watchOwners()
+		m.watchOwners()
 	}
 }
 
-// redirect ends the requests that wait for an answer of a former owner, which may
-// be silent, once the new one has told that it claimed the partition. Room that a
-// late answer grants is given back. The mutex is held.
-func (k *Manager) redirect(p *partition) {
-	for lease, pending := range k.pending {
-		if pending.request.Partition == p.number && pending.asked != p.owner {
-			delete(k.pending, lease)
-			pending.answer <- answer{outcome: structs.RoomNotOwner, owner: p.owner}
+// redirectPending ends the requests to former owners of a partition, which may be
+// unresponsive, once the new owner is known. Tokens granted by a late reply are
+// returned. The mutex is held.
+func (m *Manager) redirectPending(p *partition) {
+	for lease, pending := range m.pending {
+		if pending.request.Partition == p.number && pending.owner != p.owner {
+			delete(m.pending, lease)
+			pending.result <- result{outcome: structs.RoomNotOwner, owner: p.owner}
 		}
 	}
 }
 
-// standbys is how many instances watch the owner of a partition: those that
-// would claim it, in rendezvous order. They tell all others who claimed. The
-// others notice a silent owner when they ask it. If all watched, heartbeats would
-// grow with instances times owners. Small deployments have all watch.
-const standbys = 16
+// watchersPerOwner is how many instances watch the owner of a partition: the first in
+// rendezvous order, which would claim it and notify the others. The rest detect an
+// unresponsive owner when they send it a request. The bound keeps heartbeats from
+// growing with instances times owners.
+const watchersPerOwner = 16
 
-// watchOwners has the other owners watched whose partitions this instance would
-// claim, so that a silent one is noticed before a turn waits for it, and those that
-// did not answer, so that their return is noticed. The mutex is held.
-func (k *Manager) watchOwners() {
-	k.watchedAt = k.directory.Version()
+// watchOwners watches the owners whose partitions this instance would claim, to detect
+// a crash before a turn waits for it, and unresponsive owners, to detect their
+// recovery. The mutex is held.
+func (m *Manager) watchOwners() {
+	m.watchVersion = m.directory.Version()
 	var watched []structs.InstanceID
-	for _, p := range k.partitions {
-		if p.owner == "" || p.owner == k.self.ID || slices.Contains(watched, p.owner) {
+	for _, p := range m.partitions {
+		if p.owner == "" || p.owner == m.self.ID || slices.Contains(watched, p.owner) {
 			continue
 		}
-		if k.directory.Suspected(p.owner) || k.directory.Rank(p.key(), k.self.ID) < standbys {
+		if m.directory.Suspected(p.owner) || m.directory.Rank(p.key(), m.self.ID) < watchersPerOwner {
 			watched = append(watched, p.owner)
 		}
 	}
-	k.peers.Watch(watched)
+	m.peers.Watch(watched)
 }
 
-// watchChanged looks again whom to watch if the list of instances has changed: it takes
-// a look at each instance for each partition. The mutex is held.
-func (k *Manager) watchChanged() {
-	if k.directory.Version() != k.watchedAt {
-		k.watchOwners()
+// rewatchIfChanged recomputes the watched instances if the list of instances has
+// changed. The mutex is held.
+func (m *Manager) rewatchIfChanged() {
+	if m.directory.Version() != m.watchVersion {
+		m.watchOwners()
 	}
 }
 
-// rewatch looks again whom to watch after an instance went silent or came back, if
-// it owns a partition. The mutex is held.
-func (k *Manager) rewatch(id structs.InstanceID) {
-	for _, p := range k.partitions {
+// rewatchOwner recomputes the watched instances after the availability of an owner
+// changed. The mutex is held.
+func (m *Manager) rewatchOwner(id structs.InstanceID) {
+	for _, p := range m.partitions {
 		if p.owner == id {
-			k.watchOwners()
+			m.watchOwners()
 			return
 		}
 	}
 }
 
-// announceMost bounds the instances that are told of a claim without a connection to
-// them: a dial to each of hundreds takes a small machine seconds. The others notice the
-// silent owner when they ask it.
-const announceMost = 128
+// maxAnnounceDials bounds the instances that are notified of a claim without an
+// existing connection: dialling hundreds takes seconds on a small machine. The others
+// detect the unresponsive owner when they send it a request.
+const maxAnnounceDials = 128
 
-// announce tells others what this instance owns: those that are connected and, if they
-// may wait for a silent former owner, others too. When all instances start together
-// nobody waits.
-func (k *Manager) announce(former structs.InstanceID) {
-	k.mu.Lock()
-	notice := k.ownNotice()
-	k.mu.Unlock()
-	k.peers.Broadcast(notice)
-	if former == "" || former == k.self.ID || k.directory.Ended(former) {
+// announce notifies other instances of the partitions owned here: those that are
+// connected and, if they may wait for an unresponsive previous owner, a random
+// selection of others.
+func (m *Manager) announce(previousOwner structs.InstanceID) {
+	m.mu.Lock()
+	notice := m.ownerNotice()
+	m.mu.Unlock()
+	m.peers.Broadcast(notice)
+	if previousOwner == "" || previousOwner == m.self.ID || m.directory.Ended(previousOwner) {
 		return
 	}
-	others := k.directory.Others()
+	others := m.directory.Others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, p := range others[:min(len(others), announceMost)] {
-		k.peers.Send(p.ID, notice)
+	for _, p := range others[:min(len(others), maxAnnounceDials)] {
+		m.peers.Send(p.ID, notice)
 	}
 }
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -13,33 +13,33 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var schedules = flag.Int("schedules", 60, "random schedules to play")
+var schedules = flag.Int("schedules", 60, "number of random schedules to run")
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that failed before, with the cause.
 var regressions = []uint64{}
 
 func TestBudgetsHoldOverRandomFaults(t *testing.T) {
 	for _, seed := range regressions {
-		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 	for seed := range uint64(*schedules) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 }
 
-// scheduleTime is how long a schedule's faults go on.
+// scheduleTime is the duration of the faults of a schedule.
 const scheduleTime = 8 * time.Second
 
-// playSchedule lets programs run without end at instances that are killed,
-// paused, cut off and shut down, with a store that fails in all its ways, and
-// checks that no program gets more than its budget and the most of one turn.
-func playSchedule(t *testing.T, seed uint64) {
+// runSchedule runs programs at instances that are killed, paused, partitioned and shut
+// down, with a failing store, and checks that no program generates more than its
+// budget plus one turn.
+func runSchedule(t *testing.T, seed uint64) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(t)
+		c := newCluster(t)
 		machines := []string{"a", "b", "c", "d"}
 		for _, m := range machines {
-			w.start(m)
+			c.start(m)
 		}
 		time.Sleep(2 * claimInterval)
 		var work sync.WaitGroup
@@ -50,93 +50,91 @@
 			budget := 1000 + 500*i
 			budgets[program] = budget
 			starts := time.Duration(r.Int64N(int64(scheduleTime)))
-			for line := range 1 + i%5 {
-				lineSeed := seed*1000 + uint64(i*10+line)
+			for caller := range 1 + i%5 {
+				callerSeed := seed*1000 + uint64(i*10+caller)
 				work.Go(func() {
 					time.Sleep(starts)
-					runProgram(w, program, budget, lineSeed, ends)
+					runProgram(c, program, budget, callerSeed, ends)
 				})
 			}
 		}
 		begun := time.Now()
 		for time.Since(begun) < scheduleTime {
 			time.Sleep(time.Duration(r.IntN(700)) * time.Millisecond)
-			causeTrouble(w, r, machines)
+			injectFault(c, r, machines)
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		work.Wait()
-		w.Stop()
+		c.Stop()
 		for program, budget := range budgets {
-			if got := w.delivered[program]; got > budget+testMost {
-				t.Errorf("program %s got %d tokens, its budget is %d and a turn's most %d", program, got, budget, testMost)
+			if got := c.delivered[program]; got > budget+testMaxTurn {
+				t.Errorf("program %s got %d tokens, its budget is %d and the maximum of a turn %d", program, got, budget, testMaxTurn)
 			}
 		}
 	})
 }
 
-// runProgram runs turns until the time is up. It goes on after its budget is
-// spent.
-func runProgram(w *world, program string, budget int, seed uint64, ends time.Time) {
+// runProgram runs turns until a deadline, also after the budget is exhausted.
+func runProgram(c *cluster, program string, budget int, seed uint64, ends time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for time.Now().Before(ends) {
-		nodes := w.all()
+		nodes := c.all()
 		if len(nodes) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
 		runs := time.Duration(20+r.IntN(200)) * time.Millisecond
-		used := testMost - 10*r.IntN(8)
-		err := w.turn(simnet.Any(r, nodes), program, budget, testMost, used, runs)
+		used := testMaxTurn - 10*r.IntN(8)
+		err := c.turn(simnet.Any(r, nodes), program, budget, testMaxTurn, used, runs)
 		if err != nil || r.IntN(3) == 0 {
 			time.Sleep(time.Duration(50+r.IntN(900)) * time.Millisecond)
 		}
 	}
 }
 
-// leaveSlowly shuts an instance down; it answers turns for a while yet. Its
-// messages may be lost on the way.
-func leaveSlowly(w *world, n *node, d time.Duration) {
-	w.Work.Go(func() {
-		n.keeper.Leave(n.keeper.ctx)
+// leaveSlowly shuts an instance down, which still serves turns for a while.
+func leaveSlowly(c *cluster, n *node, d time.Duration) {
+	c.Work.Go(func() {
+		n.manager.Leave(n.manager.ctx)
 		time.Sleep(d)
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	})
 }
 
-// causeTrouble does one thing to the instances or the store.
-func causeTrouble(w *world, r *rand.Rand, machines []string) {
-	nodes := w.all()
+// injectFault applies one random fault to the instances or the store.
+func injectFault(c *cluster, r *rand.Rand, machines []string) {
+	nodes := c.all()
 	if len(nodes) == 0 {
 		for _, m := range machines {
-			w.start(m)
+			c.start(m)
 		}
 		return
 	}
 	n := simnet.Any(r, nodes)
 	switch r.IntN(12) {
 	case 0, 1:
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	case 2:
 		for _, n := range nodes {
-			w.Kill(n.Node)
+			c.Kill(n.Node)
 		}
 	case 3, 4:
-		leaveSlowly(w, n, time.Duration(r.IntN(1500))*time.Millisecond)
+		leaveSlowly(c, n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5:
 		cut := simnet.Both
 		if r.IntN(2) == 0 {
 			cut = simnet.Mute
 		}
-		w.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 6:
-		w.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Silent: true})
 	case 7:
-		w.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
 	case 8:
-		w.Store.Set(metastore.Fault{Status: 503})
+		c.Store.Set(metastore.Fault{Status: 503})
 	case 9:
-		w.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
+		c.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
 	default:
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 	}
 }
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -11,87 +11,87 @@
 )
 
 const (
-	// replyTimeout is how long a remote owner may stay silent before another
-	// instance is asked who owns the partition. A round trip takes a few
-	// milliseconds; an owner answers at once unless the turn has to wait.
+	// replyTimeout is the time without a reply from a remote owner after which it is
+	// probed.
 	replyTimeout = 300 * time.Millisecond
-	// ownerPatience bounds the search for an owner: its loss is noticed within
-	// the liveness timeout, and a claim takes two calls to the store.
-	ownerPatience = time.Second
-	// roomPatience bounds the wait for room that other turns of the program may
-	// give back, which run for some hundred milliseconds.
-	roomPatience = 1500 * time.Millisecond
-	// maxUnable is how many instances are asked that cannot claim a partition:
-	// the store then does not serve it to anyone.
-	maxUnable = 3
-	// ownerPause is the time between two tries to find an owner.
-	ownerPause = 20 * time.Millisecond
+	// ownerTimeout bounds the search for an owner. It covers the detection of a crash
+	// and a claim.
+	ownerTimeout = time.Second
+	// admissionTimeout bounds the wait for tokens that other turns of the program may
+	// return.
+	admissionTimeout = 1500 * time.Millisecond
+	// maxUnavailable is how many instances may fail to claim a partition before the
+	// store is taken to be unavailable for it.
+	maxUnavailable = 3
+	// ownerRetryInterval is the pause between two attempts to find an owner.
+	ownerRetryInterval = 20 * time.Millisecond
 )
 
-// answer is what became of one try to get room.
-type answer struct {
+// result is the outcome of one allotment request.
+type result struct {
 	outcome structs.RoomOutcome
-	// owner is a better one to ask, empty if unknown.
+	// owner is the owner named in the reply; empty if unknown.
 	owner structs.InstanceID
-	// target ran the program's last turn, empty if unknown.
+	// target ran the program's last turn; empty if unknown.
 	target string
-	// first tells that no turn of the program is known before this one.
+	// first indicates that no earlier turn of the program is known.
 	first bool
 }
 
-// lost is the outcome of a request whose owner went silent.
-const lost structs.RoomOutcome = 0
+// noReply is the outcome of a request to an owner that became unresponsive.
+const noReply structs.RoomOutcome = 0
 
-// pendingAsk is a request of this instance to another owner.
-type pendingAsk struct {
-	asked   structs.InstanceID
+// pendingRequest is a request to another owner in flight.
+type pendingRequest struct {
+	owner   structs.InstanceID
 	request structs.RoomRequest
-	answer  chan answer
+	result  chan result
 }
 
-// heldRoom is room that a turn of this instance holds.
-type heldRoom struct {
-	keeper  *Manager
+// reservation is the allotment of a turn of this instance.
+type reservation struct {
+	manager *Manager
 	request structs.RoomRequest
 	target  string
 	first   bool
 }
 
-// LastTarget ran the program's last turn, empty if unknown.
-func (h heldRoom) LastTarget() string { return h.target }
+// LastTarget returns the target of the program's last turn; empty if unknown.
+func (h reservation) LastTarget() string { return h.target }
 
-// FirstTurn tells that no turn of the program has run yet, as far as its owner knows.
-func (h heldRoom) FirstTurn() bool { return h.first }
+// FirstTurn reports whether no turn of the program has run yet, as far as its owner
+// knows.
+func (h reservation) FirstTurn() bool { return h.first }
 
-// Settle gives back what was not used and tells how the turn ended.
-func (h heldRoom) Settle(end serve.TurnResult) {
-	h.keeper.receiveSettle(&structs.RoomSettle{
+// Settle returns the unused tokens and reports how the turn ended.
+func (h reservation) Settle(end serve.TurnResult) {
+	h.manager.receiveSettle(&structs.RoomSettle{
 		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
 		Target: end.Target, Failed: end.Failed,
 	})
 }
 
-// Reserve waits for room for a turn. It returns serve.ErrBudgetSpent if the budget
-// has none, serve.ErrBudgetHeld if turns under way hold what is left,
-// serve.ErrStoreUnavailable if a record is needed that the store does not take,
-// serve.ErrNoOwner if no owner is found, or the error of the context.
-func (k *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
-	wait, cancel := context.WithTimeout(ctx, roomPatience)
+// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the budget
+// is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest, serve.ErrStoreUnavailable
+// if the store does not accept a record that is needed, serve.ErrNoOwner if no owner
+// is found, or the error of the context.
+func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
-	lease, err := k.reserve(wait, turn)
+	lease, err := m.reserve(wait, turn)
 	if err != nil && wait.Err() != nil && ctx.Err() == nil {
 		return nil, serve.ErrBudgetHeld
 	}
 	return lease, err
 }
 
-// reserve waits for room until the context ends.
-func (k *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
-	p := k.partitionOf(turn.Program)
+// reserve waits for an allotment until the context ends.
+func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+	p := m.partitionOf(turn.Program)
 	request := structs.RoomRequest{
 		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.MaxTokens, Retention: turn.Retention,
 	}
-	search := search{keeper: k, partition: p}
+	search := ownerSearch{manager: m, partition: p}
 	started := time.Now()
 	for {
 		got, err := search.try(ctx, &request)
@@ -100,217 +100,217 @@
 		}
 		switch got.outcome {
 		case structs.RoomGranted:
-			return heldRoom{k, request, got.target, got.first}, nil
+			return reservation{m, request, got.target, got.first}, nil
 		case structs.RoomSpent:
 			return nil, serve.ErrBudgetSpent
 		case structs.RoomNoRecord:
 			return nil, serve.ErrStoreUnavailable
 		}
-		if len(search.unable) >= maxUnable {
+		if len(search.unavailable) >= maxUnavailable {
 			return nil, serve.ErrStoreUnavailable
 		}
-		if time.Since(started) > ownerPatience || k.isolated() {
+		if time.Since(started) > ownerTimeout || m.isolated() {
 			return nil, serve.ErrNoOwner
 		}
-		if !delay.Sleep(ctx, ownerPause) {
+		if !delay.Sleep(ctx, ownerRetryInterval) {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// isolated tells that neither the store nor any other instance answers, so that
-// an owner will not be found soon.
-func (k *Manager) isolated() bool {
-	return !k.health.OK() && len(k.directory.Others()) == 0
+// isolated reports whether neither the store nor any other instance is available, so
+// that no owner will be found soon.
+func (m *Manager) isolated() bool {
+	return !m.health.OK() && len(m.directory.Others()) == 0
 }
 
-// search finds the owner of a partition for one turn.
-type search struct {
-	keeper    *Manager
+// ownerSearch finds the owner of a partition for one turn.
+type ownerSearch struct {
+	manager   *Manager
 	partition *partition
-	// unable are the instances that could neither hand out room nor claim.
-	unable []structs.InstanceID
-	// suspect is an owner that did not answer this instance.
+	// unavailable are the instances that could neither allocate nor claim.
+	unavailable []structs.InstanceID
+	// suspect is an owner that did not reply to this instance.
 	suspect structs.InstanceID
-	// named is the owner that the last instance asked has named.
-	named structs.InstanceID
+	// redirect is the owner named in the last reply.
+	redirect structs.InstanceID
 }
 
-// try asks the instance that should know. Each try has a lease of its own, so
-// that a late answer to an earlier one is told apart.
-func (s *search) try(ctx context.Context, request *structs.RoomRequest) (answer, error) {
-	k := s.keeper
-	answers := make(chan answer, 1)
-	k.mu.Lock()
-	request.Lease = structs.RoomLease{Holder: k.self.ID, Number: k.nextNumber()}
+// try sends the request to the candidate. Each attempt has its own lease, so that late
+// replies to earlier attempts are distinguished.
+func (s *ownerSearch) try(ctx context.Context, request *structs.RoomRequest) (result, error) {
+	m := s.manager
+	results := make(chan result, 1)
+	m.mu.Lock()
+	request.Lease = structs.RoomLease{Holder: m.self.ID, Number: m.nextNumber()}
 	request.Suspect = s.suspect
-	asked := s.choose()
-	request.Named = asked != "" && asked == s.named
-	if asked == k.self.ID {
-		k.request(s.partition, *request, func(got answer) { answers <- got })
-	} else if asked != "" {
-		k.pending[request.Lease] = &pendingAsk{asked: asked, request: *request, answer: answers}
+	to := s.candidate()
+	request.Named = to != "" && to == s.redirect
+	if to == m.self.ID {
+		m.request(s.partition, *request, func(got result) { results <- got })
+	} else if to != "" {
+		m.pending[request.Lease] = &pendingRequest{owner: to, request: *request, result: results}
 	}
-	k.mu.Unlock()
-	if asked == "" {
-		return s.nobody(), nil
+	m.mu.Unlock()
+	if to == "" {
+		return s.noCandidate(), nil
 	}
-	if asked != k.self.ID {
+	if to != m.self.ID {
 		message := *request
-		message.Loads = k.loads.OwnLoads(time.Now())
-		k.peers.Send(asked, &message)
+		message.Loads = m.loads.OwnLoads(time.Now())
+		m.peers.Send(to, &message)
 	}
-	return s.await(ctx, request, asked, answers)
+	return s.await(ctx, request, to, results)
 }
 
-// nobody is the answer if there is no instance left to ask.
-func (s *search) nobody() answer {
-	if len(s.unable) > 0 {
-		return answer{outcome: structs.RoomNoRecord}
+// noCandidate returns the result if no instance is left to try.
+func (s *ownerSearch) noCandidate() result {
+	if len(s.unavailable) > 0 {
+		return result{outcome: structs.RoomNoRecord}
 	}
-	return answer{outcome: lost}
+	return result{outcome: noReply}
 }
 
-// choose is whom to ask: the known owner, or the instance that should claim
+// candidate returns the instance to try: the known owner, or the one that should claim
 // the partition. The mutex is held.
-func (s *search) choose() structs.InstanceID {
-	k, p := s.keeper, s.partition
-	if p.own != nil || s.named == k.self.ID {
-		return k.self.ID
+func (s *ownerSearch) candidate() structs.InstanceID {
+	m, p := s.manager, s.partition
+	if p.own != nil || s.redirect == m.self.ID {
+		return m.self.ID
 	}
-	if k.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unable, p.owner) {
+	if m.ownerUsable(p) && p.owner != s.suspect && !slices.Contains(s.unavailable, p.owner) {
 		return p.owner
 	}
-	return k.directory.FirstExcept(p.key(), func(id structs.InstanceID) bool {
-		return id == s.suspect || slices.Contains(s.unable, id)
+	return m.directory.FirstExcept(p.key(), func(id structs.InstanceID) bool {
+		return id == s.suspect || slices.Contains(s.unavailable, id)
 	})
 }
 
-// await waits for the answer of the instance asked.
-func (s *search) await(
-	ctx context.Context, request *structs.RoomRequest, asked structs.InstanceID, answers chan answer,
-) (answer, error) {
-	k := s.keeper
+// await waits for the reply.
+func (s *ownerSearch) await(
+	ctx context.Context, request *structs.RoomRequest, to structs.InstanceID, results chan result,
+) (result, error) {
+	m := s.manager
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case got := <-answers:
-			s.learn(asked, got)
+		case got := <-results:
+			s.update(to, got)
 			return got, nil
 		case <-ctx.Done():
-			k.abandon(request, asked, answers)
-			return answer{}, ctx.Err()
+			m.abandon(request, to, results)
+			return result{}, ctx.Err()
 		case <-timer.C:
-			if asked != k.self.ID {
-				// An owner lets a turn wait while others of its program run:
-				// a silent one is found by a heartbeat.
-				k.peers.Probe(asked)
+			if to != m.self.ID {
+				// The owner may be unresponsive, or let the turn wait for others of
+				// its program.
+				m.peers.Probe(to)
 			}
 		}
 	}
 }
 
-// learn draws the conclusions from an answer.
-func (s *search) learn(asked structs.InstanceID, got answer) {
+// update records the result of an attempt.
+func (s *ownerSearch) update(to structs.InstanceID, got result) {
 	switch got.outcome {
 	case structs.RoomUnavailable:
-		s.unable = append(s.unable, asked)
-		s.named = ""
+		s.unavailable = append(s.unavailable, to)
+		s.redirect = ""
 	case structs.RoomNotOwner:
-		s.named = got.owner
-		s.keeper.learnOwner(s.partition, got.owner)
-	case lost:
-		s.suspect = asked
+		s.redirect = got.owner
+		s.manager.learnOwner(s.partition, got.owner)
+	case noReply:
+		s.suspect = to
 	}
 }
 
-// learnOwner takes another instance's word on who owns a partition.
-func (k *Manager) learnOwner(p *partition, owner structs.InstanceID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if owner != "" && owner != k.self.ID && p.own == nil {
-		k.setOwner(p, owner, 0)
+// learnOwner sets the owner that another instance named.
+func (m *Manager) learnOwner(p *partition, owner structs.InstanceID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if owner != "" && owner != m.self.ID && p.own == nil {
+		m.setOwner(p, owner, 0)
 	}
 }
 
-// abandon withdraws a request whose turn is no longer wanted; room that it was
-// or will be given goes back.
-func (k *Manager) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan answer) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.pending, request.Lease)
-	if asked != k.self.ID {
+// abandon withdraws a request whose turn is no longer wanted and returns tokens that
+// were or will be granted.
+func (m *Manager) abandon(request *structs.RoomRequest, to structs.InstanceID, results chan result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.pending, request.Lease)
+	if to != m.self.ID {
 		return // receiveReply gives back what a late answer grants
 	}
-	k.spawn(func() {
+	m.spawn(func() {
 		select {
-		case got := <-answers:
+		case got := <-results:
 			if got.outcome == structs.RoomGranted {
-				heldRoom{keeper: k, request: *request}.Settle(serve.TurnResult{})
+				reservation{manager: m, request: *request}.Settle(serve.TurnResult{})
 			}
-		case <-k.ctx.Done():
+		case <-m.ctx.Done():
 		}
 	})
 }
 
-// receiveReply takes the answer of another owner.
-func (k *Manager) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
-	k.breaks.Hear(m.Breaks, time.Now())
-	k.loads.HearLoads(m.Loads, time.Now())
-	k.loads.HearPools(m.Pools, time.Now())
-	k.mu.Lock()
-	pending, ok := k.pending[m.Lease]
-	delete(k.pending, m.Lease)
-	k.mu.Unlock()
+// receiveReply handles the reply of another owner.
+func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
+	m.breaks.Hear(msg.Breaks, time.Now())
+	m.loads.HearLoads(msg.Loads, time.Now())
+	m.loads.HearPools(msg.Pools, time.Now())
+	m.mu.Lock()
+	pending, ok := m.pending[msg.Lease]
+	delete(m.pending, msg.Lease)
+	m.mu.Unlock()
 	if ok {
-		pending.answer <- answer{outcome: m.Outcome, owner: m.Owner, target: m.Target, first: m.First}
+		pending.result <- result{outcome: msg.Outcome, owner: msg.Owner, target: msg.Target, first: msg.First}
 		return
 	}
-	if m.Outcome == structs.RoomGranted {
-		k.peers.Send(from, &structs.RoomSettle{Lease: m.Lease, Partition: m.Partition, Program: m.Program})
+	if msg.Outcome == structs.RoomGranted {
+		m.peers.Send(from, &structs.RoomSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
 	}
 }
 
-// receiveRequest takes another instance's request for room.
-func (k *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
-	if r.Partition < 0 || r.Partition >= len(k.partitions) {
-		k.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
+// receiveRequest handles the request of another instance.
+func (m *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
+	if r.Partition < 0 || r.Partition >= len(m.partitions) {
+		m.log.Warn("ignored request for unknown partition", "peer", from, "partition", r.Partition)
 		return
 	}
-	k.loads.HearLoads(r.Loads, time.Now())
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.request(k.partitions[r.Partition], r, func(got answer) {
-		k.peers.Send(from, &structs.RoomReply{
+	m.loads.HearLoads(r.Loads, time.Now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.request(m.partitions[r.Partition], r, func(got result) {
+		m.peers.Send(from, &structs.RoomReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
-			Breaks: k.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
-			Loads: k.loads.Loads(time.Now()), Pools: k.loads.PoolReports(time.Now()),
+			Breaks: m.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
+			Loads: m.loads.Loads(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
 }
 
-// request hands out room if this instance owns the partition, names the owner
-// if another does, and claims the partition if nobody usable does. The mutex
-// is held.
-func (k *Manager) request(p *partition, r structs.RoomRequest, reply func(answer)) {
+// request admits the turn if this instance owns the partition, names the owner if
+// another available instance does, and claims the partition otherwise. The mutex is
+// held.
+func (m *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
 	if r.Named && p.own == nil {
-		// A claim of this instance took effect without an answer, or somebody
-		// is mistaken: the store tells.
-		k.setOwner(p, "", 0)
+		// Either a claim of this instance took effect without a response, or the
+		// sender is mistaken. Forget the owner, so that the store is read again.
+		m.setOwner(p, "", 0)
 	}
 	switch {
 	case p.own != nil:
-		k.admit(p, r, reply)
-	case k.ownerUsable(p):
+		m.admit(p, r, reply)
+	case m.ownerUsable(p):
 		if r.Suspect == p.owner {
-			k.peers.Probe(p.owner)
+			m.peers.Probe(p.owner)
 		}
-		reply(answer{outcome: structs.RoomNotOwner, owner: p.owner})
-	case k.leaving.Load() || time.Now().Before(p.claimAfter) || !k.mayClaim():
-		reply(answer{outcome: structs.RoomUnavailable})
+		reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
+	case m.leaving.Load() || time.Now().Before(p.claimAfter) || !m.mayClaim():
+		reply(result{outcome: structs.RoomUnavailable})
 	default:
-		p.parked = append(p.parked, parkedAsk{r, reply})
-		k.startClaim(p)
+		p.waitingForClaim = append(p.waitingForClaim, parkedRequest{r, reply})
+		m.startClaim(p)
 	}
 }
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// manyInstances is a deployment of hundreds of machines.
-	manyInstances = 300
-	// mostWatchers is how many may watch the owner of one partition.
-	mostWatchers = 32
+	// largeClusterSize is the size of a large deployment.
+	largeClusterSize = 300
+	// maxWatchers bounds the watchers of the owner of one partition.
+	maxWatchers = 32
 )
 
-// inLargeWorld runs a test with hundreds of instances in virtual time.
-func inLargeWorld(t *testing.T, body func(t *testing.T, w *world)) {
+// runInLargeCluster runs a test with hundreds of instances in virtual time.
+func runInLargeCluster(t *testing.T, body func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		defer w.Stop()
-		for i := range manyInstances {
-			w.start(fmt.Sprint("m", i))
+		c := newCluster(t)
+		defer c.Stop()
+		for i := range largeClusterSize {
+			c.start(fmt.Sprint("m", i))
 		}
 		time.Sleep(4 * claimInterval)
-		body(t, w)
+		body(t, c)
 	})
 }
 
-// At hundreds of instances a few watch each owner, among them the one that would
-// claim its partition, so that heartbeats do not grow with instances times owners.
+// A bounded number of instances watch each owner, among them the one that would claim
+// its partition.
 func TestFewInstancesWatchEachOwner(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		watchers := make(map[structs.InstanceID]int)
-		for _, n := range w.all() {
+		for _, n := range c.all() {
 			for _, owner := range n.Watched() {
 				watchers[owner]++
 			}
 		}
 		owners := make(map[structs.InstanceID]int)
 		for number := range testPartitions {
-			owner := w.checkClaimant(t, number)
+			owner := c.checkClaimant(t, number)
 			owners[owner]++
 		}
 		for owner, partitions := range owners {
-			if n := watchers[owner]; n > partitions*mostWatchers {
+			if n := watchers[owner]; n > partitions*maxWatchers {
 				t.Errorf("%d instances watch the owner of %d partitions", n, partitions)
 			}
 		}
@@ -57,71 +57,71 @@
 
 // checkClaimant checks that the instance which would claim a partition watches its
 // owner, and returns the owner.
-func (w *world) checkClaimant(t *testing.T, number int) structs.InstanceID {
+func (c *cluster) checkClaimant(t *testing.T, number int) structs.InstanceID {
 	t.Helper()
-	nodes := w.all()
-	k := nodes[0].keeper
-	k.mu.Lock()
-	p := k.partitions[number]
+	nodes := c.all()
+	m := nodes[0].manager
+	m.mu.Lock()
+	p := m.partitions[number]
 	owner, key := p.owner, p.key()
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if owner == "" {
 		t.Fatalf("partition %d has no owner", number)
 	}
-	ranked := k.directory.Ranked(key)
+	ranked := m.directory.Ranked(key)
 	next := ranked[0]
 	if next == owner {
 		next = ranked[1]
 	}
-	if claimant := w.lives.ByID(next); !slices.Contains(claimant.Watched(), owner) {
+	if claimant := c.lives.ByID(next); !slices.Contains(claimant.Watched(), owner) {
 		t.Errorf("the instance that would claim partition %d does not watch its owner", number)
 	}
 	return owner
 }
 
-// A request that waits for a silent owner ends when another instance tells that it
-// has claimed the partition.
+// A request that waits for an unresponsive owner ends when another instance reports
+// that it has claimed the partition.
 func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		k := w.all()[0].keeper
-		waiting := func(lease uint64, partition int, asked structs.InstanceID) chan answer {
-			answers := make(chan answer, 1)
-			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: k.self.ID, Number: lease}}
-			k.pending[request.Lease] = &pendingAsk{asked: asked, request: request, answer: answers}
-			return answers
+	runInCluster(t, 3, func(t *testing.T, c *cluster) {
+		m := c.all()[0].manager
+		waiting := func(lease uint64, partition int, owner structs.InstanceID) chan result {
+			results := make(chan result, 1)
+			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: m.self.ID, Number: lease}}
+			m.pending[request.Lease] = &pendingRequest{owner: owner, request: request, result: results}
+			return results
 		}
-		k.mu.Lock()
-		epoch := k.partitions[0].epoch + 1
-		silent := waiting(1001, 0, "silent")
+		m.mu.Lock()
+		epoch := m.partitions[0].epoch + 1
+		unresponsive := waiting(1001, 0, "silent")
 		same := waiting(1002, 0, "claimant")
 		other := waiting(1003, 1, "silent")
-		k.mu.Unlock()
-		k.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
+		m.mu.Unlock()
+		m.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
 		select {
-		case got := <-silent:
+		case got := <-unresponsive:
 			if got.outcome != structs.RoomNotOwner || got.owner != "claimant" {
 				t.Errorf("got %+v", got)
 			}
 		default:
-			t.Error("the request still waits for the silent owner")
+			t.Error("the request still waits for the unresponsive owner")
 		}
 		if len(same) != 0 || len(other) != 0 {
-			t.Error("a request that waits for the present owner, or for another partition's, was ended")
+			t.Error("a request to the current owner or for another partition was ended")
 		}
 	})
 }
 
-// An owner that did not answer once is watched until it does: silence that nobody
-// asks about again would last for good.
+// An owner that did not reply is watched until it does, so that its recovery is
+// detected.
 func TestOwnerThatDidNotAnswerIsWatched(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		var distant *node
 		var owner structs.InstanceID
-		for _, n := range w.all() {
-			k := n.keeper
-			k.mu.Lock()
-			owner = k.partitions[0].owner
-			k.mu.Unlock()
+		for _, n := range c.all() {
+			m := n.manager
+			m.mu.Lock()
+			owner = m.partitions[0].owner
+			m.mu.Unlock()
 			if owner != "" && owner != n.ID && !slices.Contains(n.Watched(), owner) {
 				distant = n
 				break
@@ -130,30 +130,29 @@
 		if distant == nil {
 			t.Fatal("all instances watch the owner")
 		}
-		distant.keeper.Receive(structs.PeerDown{Peer: owner})
+		distant.manager.Receive(structs.PeerDown{Peer: owner})
 		if !slices.Contains(distant.Watched(), owner) {
-			t.Error("nobody will notice that the owner answers again")
+			t.Error("the recovery of the owner will not be detected")
 		}
-		distant.keeper.Receive(structs.PeerUp{Peer: owner})
+		distant.manager.Receive(structs.PeerUp{Peer: owner})
 		if slices.Contains(distant.Watched(), owner) {
-			t.Error("an owner that answers is still watched by an instance that would not claim")
+			t.Error("an owner that replies is still watched by an instance that would not claim")
 		}
 	})
 }
 
-// When an owner loses power, turns at instances that watch nobody wait for no longer
-// than it takes to notice and to claim, and later ones at instances that never asked
-// it wait no time.
+// When an owner loses power, turns wait no longer than the detection and the claim
+// take, and later turns do not wait.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
-	inLargeWorld(t, func(t *testing.T, w *world) {
-		const program, budget, most = "p", 100_000, 100
+	runInLargeCluster(t, func(t *testing.T, c *cluster) {
+		const program, budget, maxTurn = "p", 100_000, 100
 		longest := func(nodes []*node) time.Duration {
 			var work sync.WaitGroup
 			waits := make([]time.Duration, len(nodes))
 			for i, n := range nodes {
 				work.Go(func() {
 					begun := time.Now()
-					if err := w.turn(n, program, budget, most, 10, 0); err != nil {
+					if err := c.turn(n, program, budget, maxTurn, 10, 0); err != nil {
 						t.Errorf("turn at %s: %v", n.ID, err)
 					}
 					waits[i] = time.Since(begun)
@@ -162,18 +161,18 @@
 			work.Wait()
 			return slices.Max(waits)
 		}
-		longest(w.all()[:40])
-		owner := w.ownerOf(program)
+		longest(c.all()[:40])
+		owner := c.ownerOf(program)
 		if owner == nil {
 			t.Fatal("the program's partition has no owner")
 		}
-		w.PowerOff(owner.Node)
-		if wait := longest(w.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
-			t.Errorf("a turn waited %s after the loss of the owner", wait)
+		c.PowerOff(owner.Node)
+		if wait := longest(c.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
+			t.Errorf("a turn waited %s after the owner lost power", wait)
 		}
 		time.Sleep(simnet.SilentTime)
-		if wait := longest(w.all()[100:]); wait > 100*time.Millisecond {
-			t.Errorf("a turn waited %s long after the loss of the owner", wait)
+		if wait := longest(c.all()[100:]); wait > 100*time.Millisecond {
+			t.Errorf("a turn waited %s long after the owner lost power", wait)
 		}
 	})
 }
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -10,68 +10,67 @@
 )
 
 const (
-	// storePatience is how long turns wait for a record while the store fails;
-	// their callers may find another way after that.
-	storePatience = 300 * time.Millisecond
-	// doubtPatience is the same while reads of other topics fail: a few tries.
-	doubtPatience = 60 * time.Millisecond
-	// writeRetryFirst and writeRetryMost bound the pause between two tries of
-	// an append; it doubles. Refused calls are priced.
-	writeRetryFirst = 20 * time.Millisecond
-	writeRetryMost  = 320 * time.Millisecond
-	// maxBatch bounds the records of one append, far below the store's limit
-	// of bytes for a call.
-	maxBatch = 500
+	// recordTimeout is how long turns wait for a record while the store fails.
+	recordTimeout = 300 * time.Millisecond
+	// degradedRecordTimeout replaces recordTimeout while reads of other topics fail.
+	degradedRecordTimeout = 60 * time.Millisecond
+	// minWriteBackoff and maxWriteBackoff bound the pause between two attempts of an
+	// append, which doubles each time.
+	minWriteBackoff = 20 * time.Millisecond
+	maxWriteBackoff = 320 * time.Millisecond
+	// maxBatchRecords bounds the records of one append, to stay below the store's
+	// request size limit.
+	maxBatchRecords = 500
 )
 
-// startWrite has an account's record written. The mutex is held.
-func (k *Manager) startWrite(p *partition, a *account) {
+// scheduleWrite schedules the write of an account's record. The mutex is held.
+func (m *Manager) scheduleWrite(p *partition, a *account) {
 	own := p.own
 	own.dirty[a] = true
 	if !own.claimed {
-		k.startClaim(p)
+		m.startClaim(p)
 		return
 	}
 	if own.writing {
 		return
 	}
 	own.writing = true
-	k.spawn(func() { k.write(p, own) })
+	m.spawn(func() { m.write(p, own) })
 }
 
-// batch is the records of one append.
+// batch holds the records of one append.
 type batch struct {
 	accounts []*account
-	wants    []int
+	limits   []int
 	records  []platform.Record
 	writer   platform.Writer
 }
 
-// takeBatch gathers the records to be written. It returns nil and ends the
-// writing if there are none, or if the ownership has ended.
-func (k *Manager) takeBatch(p *partition, own *ownership) *batch {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// nextBatch collects the records to be written. It returns nil and clears writing if
+// there are none or the ownership has ended.
+func (m *Manager) nextBatch(p *partition, own *ownership) *batch {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != own || len(own.dirty) == 0 {
 		own.writing = false
 		return nil
 	}
 	b := new(batch)
 	for a := range own.dirty {
-		if len(b.accounts) == maxBatch {
+		if len(b.accounts) == maxBatchRecords {
 			break
 		}
 		delete(own.dirty, a)
-		if a.want <= a.limit {
-			// The record was written since: a record must never fall below
+		if a.pendingLimit <= a.limit {
+			// The record was written in the meantime, and a record must never be below
 			// the limit.
 			continue
 		}
 		b.accounts = append(b.accounts, a)
-		b.wants = append(b.wants, a.want)
+		b.limits = append(b.limits, a.pendingLimit)
 		b.records = append(b.records, platform.Record{
 			Key:   programPrefix + a.program,
-			Value: encode(accountRecord{Budget: a.budget, Most: a.most, Limit: a.want, Losses: own.losses}),
+			Value: encode(accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.pendingLimit, Crashes: own.crashes}),
 		})
 	}
 	if len(b.accounts) == 0 {
@@ -83,121 +82,119 @@
 	return b
 }
 
-// write appends batches until there is nothing to write.
-func (k *Manager) write(p *partition, own *ownership) {
+// write appends batches until no record is left.
+func (m *Manager) write(p *partition, own *ownership) {
 	for {
-		b := k.takeBatch(p, own)
+		b := m.nextBatch(p, own)
 		if b == nil {
 			return
 		}
-		if err := k.appendBatch(p, own, b); err != nil {
-			k.giveUpWriting(p, own, err)
+		if err := m.appendBatch(p, own, b); err != nil {
+			m.abortWrites(p, own, err)
 			return
 		}
-		k.written(p, own, b)
+		m.applyBatch(p, own, b)
 	}
 }
 
-// appendBatch appends a batch and repeats it until its outcome is known. The
-// sequence number makes the repeats take effect once.
-func (k *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
+// appendBatch appends a batch and retries until the outcome is known. The sequence
+// number makes retries idempotent.
+func (m *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
 	started := time.Now()
-	wait := writeRetryFirst
+	backoff := minWriteBackoff
 	for {
-		err := k.appendOnce(p, b)
-		if err == nil || final(err) || k.ctx.Err() != nil {
+		err := m.appendOnce(p, b)
+		if err == nil || permanent(err) || m.ctx.Err() != nil {
 			return err
 		}
-		if time.Since(started) > k.patience() && !k.noteFailing(p, own) {
+		if time.Since(started) > m.writeTimeout() && !m.markWriteFailing(p, own) {
 			return err
 		}
-		time.Sleep(wait)
-		wait = min(2*wait, writeRetryMost)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, maxWriteBackoff)
 	}
 }
 
-// appendOnce makes one try of an append.
-func (k *Manager) appendOnce(p *partition, b *batch) error {
-	ctx, cancel := k.storeContext()
+func (m *Manager) appendOnce(p *partition, b *batch) error {
+	ctx, cancel := m.storeContext()
 	defer cancel()
-	_, err := k.store.Append(ctx, platform.Append{
+	_, err := m.store.Append(ctx, platform.Append{
 		Topic: topic, Partition: p.number, Records: b.records, Writer: &b.writer,
 	})
 	var outOfSequence *platform.SequenceError
 	if errors.As(err, &outOfSequence) && outOfSequence.Expected == b.writer.Sequence+1 {
-		// An earlier try took effect without an answer.
+		// An earlier attempt took effect, but its response was lost.
 		return nil
 	}
 	return err
 }
 
-// final tells whether an append that failed cannot succeed when it is repeated.
-func final(err error) bool {
+// permanent reports whether retrying a failed append is useless.
+func permanent(err error) bool {
 	var outOfSequence *platform.SequenceError
 	return errors.Is(err, platform.ErrFenced) || errors.Is(err, platform.ErrRejected) || errors.As(err, &outOfSequence)
 }
 
-// patience is how long turns wait for a record.
-func (k *Manager) patience() time.Duration {
-	if k.health.OK() {
-		return storePatience
+// writeTimeout returns how long turns wait for a record.
+func (m *Manager) writeTimeout() time.Duration {
+	if m.health.OK() {
+		return recordTimeout
 	}
-	return doubtPatience
+	return degradedRecordTimeout
 }
 
-// noteFailing notes that records cannot be written for now and refuses the
-// turns that wait for them. It returns false if the ownership has ended.
-func (k *Manager) noteFailing(p *partition, own *ownership) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// markWriteFailing marks the partition as unwritable and refuses the turns that wait
+// for a record. It returns false if the ownership has ended.
+func (m *Manager) markWriteFailing(p *partition, own *ownership) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if p.own != own {
 		return false
 	}
-	own.failing = true
-	k.refuseWaiting(p)
+	own.writeFailing = true
+	m.refuseRecordWaiters(p)
 	return true
 }
 
-// refuseWaiting refuses the turns that wait for a record of a partition. Those
-// that may get room from other turns of their program wait on. The mutex is
-// held.
-func (k *Manager) refuseWaiting(p *partition) {
+// refuseRecordWaiters refuses the turns that wait for a record of a partition. Those
+// that may get tokens from other turns of their program wait on. The mutex is held.
+func (m *Manager) refuseRecordWaiters(p *partition) {
 	if p.own == nil {
 		return
 	}
 	for _, a := range p.own.accounts {
-		if len(a.asks) > 0 && a.leased == 0 {
-			k.refuseAsks(a, structs.RoomNoRecord, "")
+		if len(a.waiters) > 0 && a.leased == 0 {
+			m.refuseWaiters(a, structs.RoomNoRecord, "")
 		}
 	}
 }
 
-// written raises the limits that a batch has recorded.
-func (k *Manager) written(p *partition, own *ownership, b *batch) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.metrics.records.Inc(int64(len(b.accounts)))
+// applyBatch raises the limits to those of a written batch.
+func (m *Manager) applyBatch(p *partition, own *ownership, b *batch) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.metrics.records.Inc(int64(len(b.accounts)))
 	if p.own != own {
 		return
 	}
-	own.failing = false
+	own.writeFailing = false
 	for i, a := range b.accounts {
-		a.limit, a.recorded = max(a.limit, b.wants[i]), true
-		if a.want <= b.wants[i] {
-			a.want = 0
+		a.limit, a.recorded = max(a.limit, b.limits[i]), true
+		if a.pendingLimit <= b.limits[i] {
+			a.pendingLimit = 0
 		}
-		k.serveAsks(p, a)
+		m.serveWaiters(p, a)
 	}
 }
 
-// giveUpWriting ends the ownership: another instance has claimed the
-// partition, or the store's state is not the one expected.
-func (k *Manager) giveUpWriting(p *partition, own *ownership, err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// abortWrites ends the ownership: another instance has claimed the partition, or the
+// store's state is not the expected one.
+func (m *Manager) abortWrites(p *partition, own *ownership, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	own.writing = false
 	if p.own == own {
-		k.dropOwnership(p, "", err.Error())
+		m.dropOwnership(p, "", err.Error())
 		p.owner = ""
 	}
 }
