--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -37,20 +37,20 @@
 // their replies, which reach all instances that serve programs.
 type Breaks interface {
 	Breaks(now time.Time) []structs.TargetBreak
-	Hear(breaks []structs.TargetBreak, now time.Time)
+	MergeBreaks(breaks []structs.TargetBreak, now time.Time)
 }
 
 // Loads are the reports of targets' loads, which instances share with their
 // requests for room and the replies to them.
 type Loads interface {
-	// OwnLoads are the newest reports that targets gave this instance.
-	OwnLoads(now time.Time) []structs.TargetReport
-	// Loads are new reports that this instance knows, whoever heard them.
-	Loads(now time.Time) []structs.TargetReport
-	HearLoads(loads []structs.TargetReport, now time.Time)
+	// OwnLoadReports are the newest reports that targets gave this instance.
+	OwnLoadReports(now time.Time) []structs.TargetReport
+	// LoadReports are new reports that this instance knows, whoever heard them.
+	LoadReports(now time.Time) []structs.TargetReport
+	MergeLoadReports(loads []structs.TargetReport, now time.Time)
 	// PoolReports tell what this instance knows of whole services.
 	PoolReports(now time.Time) []structs.PoolReport
-	HearPools(pools []structs.PoolReport, now time.Time)
+	MergePoolReports(pools []structs.PoolReport, now time.Time)
 }
 
 // Health tells whether the store answers all that this instance reads. It may
@@ -210,7 +210,7 @@
 	case *structs.HandoverReply:
 		k.receiveHandoverReply(m)
 	case *structs.TargetNotice:
-		k.breaks.Hear(m.Breaks, time.Now())
+		k.breaks.MergeBreaks(m.Breaks, time.Now())
 	case *structs.Leaving:
 		k.directory.SetLeaving(from)
 	default:
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/keeper_test.go
@@ -383,7 +383,7 @@
 		}
 		first := w.all()[0]
 		runAll(first)
-		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
+		first.breaks.MergeBreaks([]structs.TargetBreak{{Target: "down"}}, time.Now())
 		first.keeper.TargetBroke()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range w.all() {
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -157,7 +157,7 @@
 	}
 	if asked != k.self.ID {
 		message := *request
-		message.Loads = k.loads.OwnLoads(time.Now())
+		message.Loads = k.loads.OwnLoadReports(time.Now())
 		k.peers.Send(asked, &message)
 	}
 	return s.await(ctx, request, asked, answers)
@@ -256,9 +256,9 @@
 
 // receiveReply takes the answer of another owner.
 func (k *Keeper) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
-	k.breaks.Hear(m.Breaks, time.Now())
-	k.loads.HearLoads(m.Loads, time.Now())
-	k.loads.HearPools(m.Pools, time.Now())
+	k.breaks.MergeBreaks(m.Breaks, time.Now())
+	k.loads.MergeLoadReports(m.Loads, time.Now())
+	k.loads.MergePoolReports(m.Pools, time.Now())
 	k.mu.Lock()
 	pending, ok := k.pending[m.Lease]
 	delete(k.pending, m.Lease)
@@ -278,14 +278,14 @@
 		k.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
 		return
 	}
-	k.loads.HearLoads(r.Loads, time.Now())
+	k.loads.MergeLoadReports(r.Loads, time.Now())
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.request(k.partitions[r.Partition], r, func(got answer) {
 		k.peers.Send(from, &structs.RoomReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
 			Breaks: k.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
-			Loads: k.loads.Loads(time.Now()), Pools: k.loads.PoolReports(time.Now()),
+			Loads: k.loads.LoadReports(time.Now()), Pools: k.loads.PoolReports(time.Now()),
 		})
 	})
 }
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -54,14 +54,14 @@
 	return breaks
 }
 
-// Loads, OwnLoads and HearLoads make it a Loads that holds none.
-func (b *breakList) Loads(time.Time) []structs.TargetReport      { return nil }
-func (b *breakList) OwnLoads(time.Time) []structs.TargetReport   { return nil }
-func (b *breakList) PoolReports(time.Time) []structs.PoolReport  { return nil }
-func (b *breakList) HearPools([]structs.PoolReport, time.Time)   {}
-func (b *breakList) HearLoads([]structs.TargetReport, time.Time) {}
-
-func (b *breakList) Hear(breaks []structs.TargetBreak, _ time.Time) {
+// LoadReports, OwnLoadReports and MergeLoadReports make it a Loads that holds none.
+func (b *breakList) LoadReports(time.Time) []structs.TargetReport       { return nil }
+func (b *breakList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
+func (b *breakList) PoolReports(time.Time) []structs.PoolReport         { return nil }
+func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
+func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
+
+func (b *breakList) MergeBreaks(breaks []structs.TargetBreak, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, heard := range breaks {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -50,20 +50,20 @@
 	// Program names its program in its organisation; ID the request.
 	Program string
 	ID      string
-	// Call tells that it is no turn but a call of a program.
-	Call  bool
-	Class policy.RoomClass
+	// IsCall tells that it is no turn but a call of a program.
+	IsCall bool
+	Class  policy.RoomClass
 	// Route is the one of a turn.
 	Route string
 	// Rank is how urgent it is; 0 is the most urgent.
 	Rank int
-	// Use is what its organisation uses, in parts of its limit; 0 if unknown.
-	Use      float64
+	// Usage is what its organisation uses, in parts of its limit; 0 if unknown.
+	Usage    float64
 	TimeLeft time.Duration
 }
 
-// Guard decides for one instance who is let in.
-type Guard struct {
+// Controller decides for one instance who is let in.
+type Controller struct {
 	pools  Pools
 	scope  tally.Scope
 	jitter func() float64
@@ -93,22 +93,22 @@
 }
 
 // New makes a Guard.
-func New(pools Pools, scope tally.Scope) *Guard {
-	return &Guard{
+func New(pools Pools, scope tally.Scope) *Controller {
+	return &Controller{
 		pools: pools, scope: scope.SubScope("room"), jitter: rand.Float64, services: make(map[string]*service),
 	}
 }
 
 // Admit decides on a request.
-func (g *Guard) Admit(r Request, now time.Time) policy.RoomVerdict {
+func (g *Controller) Admit(r Request, now time.Time) policy.RoomVerdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service, now)
-	if r.Call {
+	if r.IsCall {
 		s.calledAt = now
 	}
 	ask := policy.RoomAsk{
-		Class: r.Class, Rank: s.rankAbove(r), Size: s.size(r), Use: r.Use, Draw: draw(r), Jitter: g.jitter(),
+		Class: r.Class, Rank: s.rankAbove(r), Size: s.size(r), Use: r.Usage, Draw: draw(r), Jitter: g.jitter(),
 		TimeLeft: r.TimeLeft, Usual: s.usual,
 	}
 	verdict := policy.AdmitRoom(ask, g.needed(r, s, now)...)
@@ -160,7 +160,7 @@
 
 // learn counts a turn that was let in.
 func (s *service) learn(r Request) {
-	if r.Call || r.Program == "" || r.Route == "" {
+	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
 	}
 	n := s.needs[r.Route]
@@ -187,7 +187,7 @@
 
 // needed lists the pools that a request needs: a program that begins also needs
 // those that programs call.
-func (g *Guard) needed(r Request, own *service, now time.Time) []policy.PoolLoad {
+func (g *Controller) needed(r Request, own *service, now time.Time) []policy.PoolLoad {
 	pools := []policy.PoolLoad{own.view}
 	if r.Class != policy.RoomFirst {
 		return pools
@@ -200,10 +200,10 @@
 	return pools
 }
 
-// Again tells whether a request may be sent to one more target of a service
+// AllowRetry tells whether a request may be sent to one more target of a service
 // after a number of targets were full. It may where slots are free, and once where
 // nothing is known; else such sends are a bounded share.
-func (g *Guard) Again(name string, refusals int, now time.Time) bool {
+func (g *Controller) AllowRetry(name string, refusals int, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
@@ -222,25 +222,25 @@
 	return allowed
 }
 
-// AgainAfterFailure tells the same after a target failed. Such sends are bounded
+// AllowRetryAfterFailure tells the same after a target failed. Such sends are bounded
 // only where all slots are known to be taken: the failure says nothing of the room.
-func (g *Guard) AgainAfterFailure(name string, now time.Time) bool {
+func (g *Controller) AllowRetryAfterFailure(name string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
 	return !s.view.Full() || s.again()
 }
 
-// ComeBack is when a caller should come back whose request no target took.
-func (g *Guard) ComeBack(name string, timeLeft time.Duration, now time.Time) time.Duration {
+// RetryAfter is when a caller should come back whose request no target took.
+func (g *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ask := policy.RoomAsk{Class: policy.RoomUnderWay, Jitter: g.jitter(), TimeLeft: timeLeft}
 	return policy.ComeBack(ask, g.service(name, now).view, 0)
 }
 
-// Served notes how long a request took that was served.
-func (g *Guard) Served(name string, took time.Duration) {
+// RecordDuration notes how long a request took that was served.
+func (g *Controller) RecordDuration(name string, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
@@ -255,7 +255,7 @@
 }
 
 // service finds a service with a fresh view of its pool.
-func (g *Guard) service(name string, now time.Time) *service {
+func (g *Controller) service(name string, now time.Time) *service {
 	s := g.services[name]
 	if s == nil {
 		s = &service{needs: make(map[string]*need), retries: policy.NewRetryBudgetOf(retryShare, retryBurst),
@@ -264,7 +264,7 @@
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewAge {
 		p := g.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Fill: p.Fill, Known: p.Known, All: p.All, Age: p.Age, Learned: p.Learned}
+		s.view = policy.PoolLoad{Service: name, Fill: p.Utilization, Known: p.Reporting, All: p.Usable, Age: p.ReportAge, Learned: p.SpeedsLearned}
 		s.viewAt = now
 		s.metrics.see(s.view)
 	}
@@ -280,36 +280,36 @@
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// Describe tells in one line why a request was refused.
-func Describe(r Request, v policy.RoomVerdict) string {
+// DescribeRefusal tells in one line why a request was refused.
+func DescribeRefusal(r Request, v policy.RoomVerdict) string {
 	return fmt.Sprintf("%s: service %s at a fill of %.2f, %d of %d targets known, reports %d ms old; class %s, rank %d, "+
 		"use of the organisation %.2f of its limit; refused are %.2f of such requests; room is expected in %s",
 		v.Cause, v.Pool.Service, v.Pool.Fill, v.Pool.Known, v.Pool.All, v.Pool.Age.Milliseconds(), r.Class, r.Rank,
-		r.Use, v.Chance, v.RetryAfter)
+		r.Usage, v.Chance, v.RetryAfter)
 }
 
 // Dump is what an instance knows of a pool.
 type Dump struct {
-	Service  string  `json:"service"`
-	Fill     float64 `json:"fill"`
-	Known    int     `json:"known"`
-	All      int     `json:"all"`
-	AgeMs    int64   `json:"age_ms"`
-	UsualMs  int64   `json:"usual_ms"`
-	Admitted int64   `json:"admitted"`
-	Refused  int64   `json:"refused"`
+	Service        string  `json:"service"`
+	Utilization    float64 `json:"fill"`
+	Reporting      int     `json:"known"`
+	Usable         int     `json:"all"`
+	AgeMs          int64   `json:"age_ms"`
+	MeanDurationMs int64   `json:"usual_ms"`
+	Admitted       int64   `json:"admitted"`
+	Refused        int64   `json:"refused"`
 }
 
 // Dump lists the pools.
-func (g *Guard) Dump(now time.Time) []Dump {
+func (g *Controller) Dump(now time.Time) []Dump {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := make([]Dump, 0, len(g.services))
 	for name := range g.services {
 		s := g.service(name, now)
 		all = append(all, Dump{
-			Service: name, Fill: s.view.Fill, Known: s.view.Known, All: s.view.All, AgeMs: s.view.Age.Milliseconds(),
-			UsualMs: s.usual.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
+			Service: name, Utilization: s.view.Fill, Reporting: s.view.Known, Usable: s.view.All, AgeMs: s.view.Age.Milliseconds(),
+			MeanDurationMs: s.usual.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Service < all[j].Service })
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -19,12 +19,12 @@
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Fill: fill, Known: 40, All: 44, Age: 200 * time.Millisecond, Learned: true}
+	return targets.Pool{Utilization: fill, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
 
-func guard(f fills) *Guard {
+func guard(f fills) *Controller {
 	g := New(f, tally.NoopScope)
 	g.jitter = func() float64 { return 0.5 }
 	return g
@@ -58,7 +58,7 @@
 	if v := g.Admit(first("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	g.Admit(Request{Service: "tool", Program: "q", Call: true, Class: policy.RoomUnderWay}, start)
+	g.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.RoomUnderWay}, start)
 	refused := 0
 	for i := range 20 {
 		v := g.Admit(first(strings.Repeat("p", i+1)), start)
@@ -75,11 +75,11 @@
 }
 
 func TestFurtherSendsAreABoundedShare(t *testing.T) {
-	again := func(g *Guard, refusals int) int {
+	again := func(g *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
 			g.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
-			if g.Again("engine", refusals, start) {
+			if g.AllowRetry("engine", refusals, start) {
 				allowed++
 			}
 		}
@@ -100,7 +100,7 @@
 	g := guard(fills{"engine": 3})
 	failures := 0
 	for range 100 {
-		if g.AgainAfterFailure("engine", start) {
+		if g.AllowRetryAfterFailure("engine", start) {
 			failures++
 		}
 	}
@@ -112,15 +112,15 @@
 func TestARefusalNamesWhatItComesFrom(t *testing.T) {
 	g := guard(fills{"engine": 5})
 	r := first("p")
-	r.Rank, r.Use = 2, 0.95
-	line := Describe(r, g.Admit(r, start))
+	r.Rank, r.Usage = 2, 0.95
+	line := DescribeRefusal(r, g.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
 			t.Errorf("%q lacks %q", line, part)
 		}
 	}
 	dump := g.Dump(start)
-	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Known != 40 {
+	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Reporting != 40 {
 		t.Errorf("dump %+v", dump)
 	}
 }
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -13,14 +13,14 @@
 type Room interface {
 	// Admit decides on a request.
 	Admit(request overload.Request, now time.Time) policy.RoomVerdict
-	// Again and AgainAfterFailure tell whether a request may go to one more target,
+	// AllowRetry and AllowRetryAfterFailure tell whether a request may go to one more target,
 	// after a number of targets were full or after one failed.
-	Again(service string, refusals int, now time.Time) bool
-	AgainAfterFailure(service string, now time.Time) bool
-	// ComeBack is when a caller should come back whose request no target took.
-	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
-	// Served notes how long a request took.
-	Served(service string, took time.Duration)
+	AllowRetry(service string, refusals int, now time.Time) bool
+	AllowRetryAfterFailure(service string, now time.Time) bool
+	// RetryAfter is when a caller should come back whose request no target took.
+	RetryAfter(service string, timeLeft time.Duration, now time.Time) time.Duration
+	// RecordDuration notes how long a request took.
+	RecordDuration(service string, took time.Duration)
 	// Dump lists what is known of the services' room.
 	Dump(now time.Time) []overload.Dump
 }
@@ -77,13 +77,13 @@
 func (x *transfer) admitClass(class policy.RoomClass) bool {
 	asked := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.urgency(),
-		Call: x.call.Program != "" && !x.isTurn(), Use: x.use(), TimeLeft: time.Until(x.deadline),
+		IsCall: x.call.Program != "" && !x.isTurn(), Usage: x.use(), TimeLeft: time.Until(x.deadline),
 	}
 	verdict := x.server.room.Admit(asked, time.Now())
 	if verdict.Admit {
 		return true
 	}
-	x.detail = overload.Describe(asked, verdict)
+	x.detail = overload.DescribeRefusal(asked, verdict)
 	x.refuse(http.StatusServiceUnavailable, reasonNoRoom, verdict.RetryAfter)
 	return false
 }
@@ -111,5 +111,5 @@
 
 // comeBack is when the caller should come back after no target took the request.
 func (x *transfer) comeBack() time.Duration {
-	return x.server.room.ComeBack(x.service, time.Until(x.deadline), time.Now())
+	return x.server.room.RetryAfter(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -54,7 +54,7 @@
 		x.refuse(http.StatusServiceUnavailable, reasonUncertain, x.server.retryAfter(retryBudget))
 		return false
 	}
-	if err := x.held.Hold(int64(len(before))); err != nil {
+	if err := x.held.Reserve(int64(len(before))); err != nil {
 		return x.refuseUnread(err)
 	}
 	x.body = append(before, x.body...)
@@ -66,7 +66,7 @@
 	if x.turn == nil {
 		return
 	}
-	x.held.Count(int64(len(e.bytes)))
+	x.held.ForceReserve(int64(len(e.bytes)))
 	x.turn.output.Write(e.data())
 	x.turn.output.WriteByte('\n')
 }
--- a/internal/serve/lengths.go
+++ b/internal/serve/lengths.go
@@ -20,7 +20,7 @@
 	net.Conn
 	// conflict tells that a head held both a length and chunks.
 	conflict atomic.Bool
-	memory   *memlimit.Bound
+	memory   *memlimit.Limiter
 }
 
 // Read reads from the caller.
@@ -68,7 +68,7 @@
 
 type watchListener struct {
 	net.Listener
-	memory *memlimit.Bound
+	memory *memlimit.Limiter
 }
 
 // Accept waits for a caller.
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -54,29 +54,29 @@
 			return nil
 		}
 	}
-	want := targets.Want{
-		Service: x.service, Key: x.placementKey(), Last: x.lastOfProgram, Remembered: x.settle != nil,
+	want := targets.Criteria{
+		Service: x.service, Key: x.placementKey(), LastIncarnation: x.lastOfProgram, Sticky: x.settle != nil,
 		Exclude: x.tried, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
 		return x.server.targets.Pick(want, time.Now())
 	}
-	var why targets.Why
-	want.Why = &why
+	var why targets.Explanation
+	want.Explanation = &why
 	target := x.server.targets.Pick(want, time.Now())
 	x.logChoice(target, why)
 	return target
 }
 
 // logChoice tells why a target was chosen.
-func (x *transfer) logChoice(target *targets.Target, why targets.Why) {
-	if target == nil || !why.Known {
+func (x *transfer) logChoice(target *targets.Target, why targets.Explanation) {
+	if target == nil || !why.Estimated {
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.End, "fill", why.Fill, "slowness", why.Slowness,
+		"end", why.ExpectedEnd, "fill", why.Utilization, "slowness", why.Slowness,
 		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.Next, "next_end", why.NextEnd)
+		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpEnd)
 }
 
 // bytesPerToken is the usual length of a token of a conversation kept here, of
@@ -100,12 +100,12 @@
 	if slices.Contains(x.tried, last) {
 		return nil
 	}
-	return x.server.targets.PickSame(last)
+	return x.server.targets.PickIncarnation(last)
 }
 
 // forgetEnded drops the targets that have left from those that run the request.
 func (x *transfer) forgetEnded() {
-	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.Runs(incarnation) })
+	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.IsRegistered(incarnation) })
 }
 
 // send sends the request to a target and handles what comes back. It tells
@@ -141,7 +141,7 @@
 	}
 	defer func() { resp.Close(answer.KeepAlive) }()
 	if answer.Load != nil {
-		x.server.targets.Report(target, *answer.Load, time.Now())
+		x.server.targets.RecordLoad(target, *answer.Load, time.Now())
 	}
 	if answer.NotRun {
 		return x.refusedBy(target, resp)
@@ -186,7 +186,7 @@
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
-	return x.server.targets.Patience(x.service, x.route.Name, time.Now())
+	return x.server.targets.HedgeTimeout(x.service, x.route.Name, time.Now())
 }
 
 // gaveUpStraggler tells whether a send was given up for a second one, and counts
@@ -196,7 +196,7 @@
 		return false
 	}
 	now := time.Now()
-	x.server.targets.SentAgain(target, x.route.Name, now.Sub(sentAt), now)
+	x.server.targets.RecordHedge(target, x.route.Name, now.Sub(sentAt), now)
 	x.server.metrics.hurried.Inc(1)
 	return true
 }
@@ -234,12 +234,12 @@
 		return
 	}
 	now := time.Now()
-	x.server.targets.Failed(target, now)
+	x.server.targets.RecordFailure(target, now)
 	ended := errors.Is(err, exchange.ErrUnanswered) && now.Sub(sentAt) < x.server.downWithin
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
-	if x.server.targets.Broke(target, now) {
+	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
 		x.server.notices.TargetBroke()
 	}
@@ -300,7 +300,7 @@
 // send that this instance gave up itself, or a stream that its caller has a part
 // of, goes on in any case.
 func (x *transfer) mayTryAgain() bool {
-	return x.sendCtx.Err() != nil || x.headSent || x.server.room.AgainAfterFailure(x.service, time.Now())
+	return x.sendCtx.Err() != nil || x.headSent || x.server.room.AllowRetryAfterFailure(x.service, time.Now())
 }
 
 // maxSends bounds the sends of one request of any outcome.
@@ -316,9 +316,9 @@
 	x.refusals++
 	if resp.Status == http.StatusMisdirectedRequest {
 		// Another target has the address by now.
-		x.server.targets.Failed(target, time.Now())
+		x.server.targets.RecordFailure(target, time.Now())
 	}
-	if x.refusals < maxRefusals && x.server.room.Again(x.service, x.refusals, time.Now()) {
+	if x.refusals < maxRefusals && x.server.room.AllowRetry(x.service, x.refusals, time.Now()) {
 		return true
 	}
 	x.giveUp(reasonTargetsFull)
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -155,7 +155,7 @@
 	Health        Health
 	Currency      Currency
 	// Memory bounds what is held for requests; nil for no bound.
-	Memory *memlimit.Bound
+	Memory *memlimit.Limiter
 	// Keys says what to do with keys while the settings are old.
 	Keys KeyPolicy
 	// Room decides who is let in; nil for a guard of the targets' loads.
@@ -175,7 +175,7 @@
 	notices    Notices
 	health     Health
 	currency   Currency
-	memory     *memlimit.Bound
+	memory     *memlimit.Limiter
 	keys       KeyPolicy
 	room       Room
 	log        *slog.Logger
@@ -226,7 +226,7 @@
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.Open()}
+	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.NewAccount()}
 	defer x.held.Close()
 	x.run()
 	s.finish(x)
@@ -247,7 +247,7 @@
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
 	if x.reason == reasonServed {
-		s.room.Served(x.service, elapsed)
+		s.room.RecordDuration(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
 	if x.cut {
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -15,13 +15,13 @@
 	InFlight int     `json:"in_flight"`
 	Busy     float64 `json:"busy"`
 	Avoided  bool    `json:"avoided"`
-	// Fill is the expected number of requests in parts of the slots, Slowness the
+	// Utilization is the expected number of requests in parts of the slots, Slowness the
 	// time for the same work over the usual; the ages are those of the newest
 	// report and sample in seconds, -1 for none.
-	Fill      float64 `json:"fill"`
-	Slowness  float64 `json:"slowness"`
-	ReportAge float64 `json:"report_age"`
-	SpeedAge  float64 `json:"speed_age"`
+	Utilization float64 `json:"fill"`
+	Slowness    float64 `json:"slowness"`
+	ReportAge   float64 `json:"report_age"`
+	SpeedAge    float64 `json:"speed_age"`
 }
 
 // Snapshot lists all targets by id.
@@ -34,7 +34,7 @@
 		all = append(all, Snapshot{
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
-			Fill: t.fill(r.pool(t.Service, now).Fill, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
+			Utilization: t.fill(r.pool(t.Service, now).Utilization, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
 			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.At, now).Seconds(),
 		})
 	}
