--- a/internal/memlimit/buffer.go
+++ b/internal/memlimit/buffer.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// leastGrowth is the smallest step of a Buffer, in bytes.
-const leastGrowth = 4 << 10
+// minGrowth is the smallest step of a Buffer, in bytes.
+const minGrowth = 4 << 10
 
 // Buffer reads into memory that an Account holds.
 type Buffer struct {
@@ -41,7 +41,7 @@
 func (b *Buffer) ReadAll(source io.Reader) error {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
-			if err := b.grow(int64(max(cap(b.bytes), leastGrowth))); err != nil {
+			if err := b.grow(int64(max(cap(b.bytes), minGrowth))); err != nil {
 				return err
 			}
 		}
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -36,10 +36,10 @@
 }
 
 // New makes a Bound of some bytes, 0 for none.
-func New(most int64, scope tally.Scope) *Limiter {
+func New(limit int64, scope tally.Scope) *Limiter {
 	scope = scope.SubScope("request_bytes")
-	scope.Gauge("most").Update(float64(most))
-	return &Limiter{bytes: policy.Bytes{Most: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
+	scope.Gauge("most").Update(float64(limit))
+	return &Limiter{bytes: policy.Bytes{Most: limit}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
 // Usage is what is held now.
@@ -52,13 +52,13 @@
 	return b.bytes
 }
 
-// hold takes some bytes, or returns a *LimitError.
-func (b *Limiter) hold(size int64, underWay bool) error {
+// reserve takes some bytes, or returns a *LimitError.
+func (b *Limiter) reserve(size int64, inProgress bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.bytes.Fits(size, underWay) {
+	if !b.bytes.Fits(size, inProgress) {
 		b.refused.Inc(1)
-		return &LimitError{Requested: size, Held: b.bytes.Held, Max: b.bytes.Most, InProgress: underWay}
+		return &LimitError{Requested: size, Held: b.bytes.Held, Max: b.bytes.Most, InProgress: inProgress}
 	}
 	b.add(size)
 	return nil
@@ -72,24 +72,24 @@
 
 // Account is what is held for one request. It is not safe for concurrent use.
 type Account struct {
-	bound    *Limiter
-	held     int64
-	underWay bool
+	limiter    *Limiter
+	held       int64
+	inProgress bool
 }
 
 // NewAccount makes an Account that holds nothing.
-func (b *Limiter) NewAccount() Account { return Account{bound: b} }
+func (b *Limiter) NewAccount() Account { return Account{limiter: b} }
 
 // SetInProgress tells whether what is held next is needed by a program under way,
 // which may use the whole bound.
-func (a *Account) SetInProgress(needed bool) { a.underWay = needed }
+func (a *Account) SetInProgress(needed bool) { a.inProgress = needed }
 
 // Reserve takes some bytes more, or returns a *LimitError.
 func (a *Account) Reserve(size int64) error {
-	if a.bound == nil {
+	if a.limiter == nil {
 		return nil
 	}
-	if err := a.bound.hold(size, a.underWay); err != nil {
+	if err := a.limiter.reserve(size, a.inProgress); err != nil {
 		return err
 	}
 	a.held += size
@@ -98,12 +98,12 @@
 
 // ForceReserve takes bytes that are there already, whether they fit or not.
 func (a *Account) ForceReserve(size int64) {
-	if a.bound == nil {
+	if a.limiter == nil {
 		return
 	}
-	a.bound.mu.Lock()
-	defer a.bound.mu.Unlock()
-	a.bound.add(size)
+	a.limiter.mu.Lock()
+	defer a.limiter.mu.Unlock()
+	a.limiter.add(size)
 	a.held += size
 }
 
--- a/internal/memlimit/memlimit_test.go
+++ b/internal/memlimit/memlimit_test.go
@@ -9,9 +9,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestBuffersStayWithinTheBound reads bodies of unknown length, one of which is
+// TestBuffersStayWithinTheLimit reads bodies of unknown length, one of which is
 // far larger than what is left.
-func TestBuffersStayWithinTheBound(t *testing.T) {
+func TestBuffersStayWithinTheLimit(t *testing.T) {
 	bound := New(100<<10, tally.NoopScope)
 	large := bound.NewAccount()
 	b, err := NewBuffer(&large, 0)
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestABodyOfKnownLengthTakesItsLength reads one.
-func TestABodyOfKnownLengthTakesItsLength(t *testing.T) {
+// TestKnownLengthReservesItsSize reads one.
+func TestKnownLengthReservesItsSize(t *testing.T) {
 	bound := New(100<<10, tally.NoopScope)
 	account := bound.NewAccount()
 	b, err := NewBuffer(&account, 1000)
--- a/internal/overload/metrics.go
+++ b/internal/overload/metrics.go
@@ -8,10 +8,10 @@
 
 // metrics of one service.
 type metrics struct {
-	fill    tally.Gauge
-	known   tally.Gauge
-	age     tally.Gauge
-	noRetry tally.Counter
+	utilization    tally.Gauge
+	reporting      tally.Gauge
+	reportAge      tally.Gauge
+	retriesRefused tally.Counter
 	// admitted counts by class, refused by class and cause.
 	admitted map[policy.RoomClass]tally.Counter
 	refused  map[policy.RoomClass]map[policy.RoomCause]tally.Counter
@@ -20,8 +20,8 @@
 func newMetrics(scope tally.Scope, service string) metrics {
 	scope = scope.Tagged(map[string]string{"service": service})
 	m := metrics{
-		fill: scope.Gauge("fill"), known: scope.Gauge("known_targets"),
-		age: scope.Gauge("report_age_seconds"), noRetry: scope.Counter("sends_over_retry_budget"),
+		utilization: scope.Gauge("fill"), reporting: scope.Gauge("known_targets"),
+		reportAge: scope.Gauge("report_age_seconds"), retriesRefused: scope.Counter("sends_over_retry_budget"),
 		admitted: make(map[policy.RoomClass]tally.Counter),
 		refused:  make(map[policy.RoomClass]map[policy.RoomCause]tally.Counter),
 	}
@@ -48,9 +48,9 @@
 	m.refused[class][v.Cause].Inc(1)
 }
 
-// see notes a view of the pool.
-func (m *metrics) see(p policy.PoolLoad) {
-	m.fill.Update(p.Fill)
-	m.known.Update(float64(p.Known))
-	m.age.Update(p.Age.Seconds())
+// observe notes a view of the pool.
+func (m *metrics) observe(p policy.PoolLoad) {
+	m.utilization.Update(p.Fill)
+	m.reporting.Update(float64(p.Known))
+	m.reportAge.Update(p.Age.Seconds())
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// viewAge is how long a view of a pool is used: far below the age of the
+	// maxViewAge is how long a view of a pool is used: far below the age of the
 	// reports that it is made of.
-	viewAge = 50 * time.Millisecond
+	maxViewAge = 50 * time.Millisecond
 	// maxRoutes bounds the routes whose programs' sizes are kept.
 	maxRoutes = 4096
-	// usedFor is how long a service counts among those that programs call.
-	usedFor = 10 * time.Second
-	// rankWeight is the part of one first turn in the mean rank of a service.
-	rankWeight = 1.0 / 32
-	// needFade is the part by which a turn makes older ones count less, needPrograms
+	// calledServiceTTL is how long a service counts among those that programs call.
+	calledServiceTTL = 10 * time.Second
+	// meanRankWeight is the part of one first turn in the mean rank of a service.
+	meanRankWeight = 1.0 / 32
+	// turnDecay is the part by which a turn makes older ones count less, minPrograms
 	// the programs that tell what one needs.
-	needFade     = 1.0 / 256
-	needPrograms = 3
-	// usualWeight is the part of one request in how long requests usually take.
-	usualWeight = 1.0 / 16
-	// retryShare and retryBurst bound the sends after a first one to a service
+	turnDecay   = 1.0 / 256
+	minPrograms = 3
+	// durationWeight is the part of one request in how long requests usually take.
+	durationWeight = 1.0 / 16
+	// retryRatio and retryBurst bound the sends after a first one to a service
 	// without free slots, in parts of the first ones and in sends.
-	retryShare = 0.2
+	retryRatio = 0.2
 	retryBurst = 4
 )
 
@@ -76,18 +76,18 @@
 type service struct {
 	view   policy.PoolLoad
 	viewAt time.Time
-	// calledAt is when a program last called it.
-	calledAt time.Time
-	// usual is how long requests that were served took.
-	usual   time.Duration
-	retries policy.RetryBudget
-	// rank is the mean rank of the first turns, ranked tells that there was one.
-	rank   float64
-	ranked bool
+	// lastCalledAt is when a program last called it.
+	lastCalledAt time.Time
+	// meanDuration is how long requests that were served took.
+	meanDuration time.Duration
+	retries      policy.RetryBudget
+	// meanRank is the mean rank of the first turns, ranked tells that there was one.
+	meanRank float64
+	hasRank  bool
 	// needs count turns, all and by route.
-	all     need
-	needs   map[string]*need
-	metrics metrics
+	turns        turnCounts
+	turnsByRoute map[string]*turnCounts
+	metrics      metrics
 	// admitted and refused count since the start.
 	admitted, refused int64
 }
@@ -105,16 +105,16 @@
 	defer g.mu.Unlock()
 	s := g.service(r.Service, now)
 	if r.IsCall {
-		s.calledAt = now
+		s.lastCalledAt = now
 	}
 	ask := policy.RoomAsk{
-		Class: r.Class, Rank: s.rankAbove(r), Size: s.size(r), Use: r.Usage, Draw: draw(r), Jitter: g.jitter(),
-		TimeLeft: r.TimeLeft, Usual: s.usual,
+		Class: r.Class, Rank: s.relativeRank(r), Size: s.relativeSize(r), Use: r.Usage, Draw: programHash(r), Jitter: g.jitter(),
+		TimeLeft: r.TimeLeft, Usual: s.meanDuration,
 	}
-	verdict := policy.AdmitRoom(ask, g.needed(r, s, now)...)
+	verdict := policy.AdmitRoom(ask, g.requiredPools(r, s, now)...)
 	if verdict.Admit {
 		s.retries.Allow(0)
-		s.learn(r)
+		s.recordTurn(r)
 		s.admitted++
 	} else {
 		s.refused++
@@ -123,77 +123,77 @@
 	return verdict
 }
 
-// rankAbove is how much less urgent a request is than first turns in the mean.
-func (s *service) rankAbove(r Request) float64 {
+// relativeRank is how much less urgent a request is than first turns in the mean.
+func (s *service) relativeRank(r Request) float64 {
 	rank := float64(r.Rank)
 	if r.Class == policy.RoomFirst {
-		if !s.ranked {
-			s.rank, s.ranked = rank, true
+		if !s.hasRank {
+			s.meanRank, s.hasRank = rank, true
 		}
-		s.rank += rankWeight * (rank - s.rank)
+		s.meanRank += meanRankWeight * (rank - s.meanRank)
 	}
-	if !s.ranked {
+	if !s.hasRank {
 		return 0
 	}
-	return rank - s.rank
+	return rank - s.meanRank
 }
 
-// need is how many turns programs make, with those of their sub-agents.
-type need struct{ turns, programs float64 }
+// turnCounts is how many turns programs make, with those of their sub-agents.
+type turnCounts struct{ turns, programs float64 }
 
 // add takes a turn that was let in. Old ones fade.
-func (n *need) add(first bool) {
-	n.turns += 1 - needFade*n.turns
-	n.programs -= needFade * n.programs
+func (n *turnCounts) add(first bool) {
+	n.turns += 1 - turnDecay*n.turns
+	n.programs -= turnDecay * n.programs
 	if first {
 		n.programs++
 	}
 }
 
 // perProgram is 0 while few programs were seen.
-func (n *need) perProgram() float64 {
-	if n == nil || n.programs < needPrograms {
+func (n *turnCounts) perProgram() float64 {
+	if n == nil || n.programs < minPrograms {
 		return 0
 	}
 	return n.turns / n.programs
 }
 
-// learn counts a turn that was let in.
-func (s *service) learn(r Request) {
+// recordTurn counts a turn that was let in.
+func (s *service) recordTurn(r Request) {
 	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
 	}
-	n := s.needs[r.Route]
+	n := s.turnsByRoute[r.Route]
 	if n == nil {
-		if len(s.needs) >= maxRoutes {
-			clear(s.needs) // most are of former settings
+		if len(s.turnsByRoute) >= maxRoutes {
+			clear(s.turnsByRoute) // most are of former settings
 		}
-		n = new(need)
-		s.needs[r.Route] = n
+		n = new(turnCounts)
+		s.turnsByRoute[r.Route] = n
 	}
 	n.add(r.Class == policy.RoomFirst)
-	s.all.add(r.Class == policy.RoomFirst)
+	s.turns.add(r.Class == policy.RoomFirst)
 }
 
-// size is what a program of the request's route needs against others, 0 if that
+// relativeSize is what a program of the request's route needs against others, 0 if that
 // is not known.
-func (s *service) size(r Request) float64 {
-	mean := s.all.perProgram()
+func (s *service) relativeSize(r Request) float64 {
+	mean := s.turns.perProgram()
 	if mean == 0 {
 		return 0
 	}
-	return s.needs[r.Route].perProgram() / mean
+	return s.turnsByRoute[r.Route].perProgram() / mean
 }
 
-// needed lists the pools that a request needs: a program that begins also needs
+// requiredPools lists the pools that a request needs: a program that begins also needs
 // those that programs call.
-func (g *Controller) needed(r Request, own *service, now time.Time) []policy.PoolLoad {
+func (g *Controller) requiredPools(r Request, own *service, now time.Time) []policy.PoolLoad {
 	pools := []policy.PoolLoad{own.view}
 	if r.Class != policy.RoomFirst {
 		return pools
 	}
 	for name, s := range g.services {
-		if s != own && !s.calledAt.IsZero() && now.Sub(s.calledAt) < usedFor {
+		if s != own && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
 			pools = append(pools, g.service(name, now).view)
 		}
 	}
@@ -210,14 +210,14 @@
 	if !s.view.Learned || !s.view.Full() && (s.view.Tells() || refusals <= 1) {
 		return true
 	}
-	return s.again()
+	return s.takeRetry()
 }
 
-// again takes a further send from the budget.
-func (s *service) again() bool {
+// takeRetry takes a further send from the budget.
+func (s *service) takeRetry() bool {
 	allowed := s.retries.Allow(1)
 	if !allowed {
-		s.metrics.noRetry.Inc(1)
+		s.metrics.retriesRefused.Inc(1)
 	}
 	return allowed
 }
@@ -228,7 +228,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
-	return !s.view.Full() || s.again()
+	return !s.view.Full() || s.takeRetry()
 }
 
 // RetryAfter is when a caller should come back whose request no target took.
@@ -247,32 +247,32 @@
 	if s == nil {
 		return
 	}
-	if s.usual == 0 {
-		s.usual = took
+	if s.meanDuration == 0 {
+		s.meanDuration = took
 		return
 	}
-	s.usual += time.Duration(usualWeight * float64(took-s.usual))
+	s.meanDuration += time.Duration(durationWeight * float64(took-s.meanDuration))
 }
 
 // service finds a service with a fresh view of its pool.
 func (g *Controller) service(name string, now time.Time) *service {
 	s := g.services[name]
 	if s == nil {
-		s = &service{needs: make(map[string]*need), retries: policy.NewRetryBudgetOf(retryShare, retryBurst),
+		s = &service{turnsByRoute: make(map[string]*turnCounts), retries: policy.NewRetryBudgetOf(retryRatio, retryBurst),
 			metrics: newMetrics(g.scope, name)}
 		g.services[name] = s
 	}
-	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewAge {
+	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
 		p := g.pools.Pool(name, now)
 		s.view = policy.PoolLoad{Service: name, Fill: p.Utilization, Known: p.Reporting, All: p.Usable, Age: p.ReportAge, Learned: p.SpeedsLearned}
 		s.viewAt = now
-		s.metrics.see(s.view)
+		s.metrics.observe(s.view)
 	}
 	return s
 }
 
-// draw places a program among all, the same at each instance and for each try.
-func draw(r Request) float64 {
+// programHash places a program among all, the same at each instance and for each try.
+func programHash(r Request) float64 {
 	name := r.Program
 	if name == "" {
 		name = r.ID
@@ -309,7 +309,7 @@
 		s := g.service(name, now)
 		all = append(all, Dump{
 			Service: name, Utilization: s.view.Fill, Reporting: s.view.Known, Usable: s.view.All, AgeMs: s.view.Age.Milliseconds(),
-			MeanDurationMs: s.usual.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
+			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Service < all[j].Service })
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,10 +11,10 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// fills are pools of 44 targets, by service.
-type fills map[string]float64
+// testPools are pools of 44 targets, by service.
+type testPools map[string]float64
 
-func (f fills) Pool(service string, _ time.Time) targets.Pool {
+func (f testPools) Pool(service string, _ time.Time) targets.Pool {
 	fill, ok := f[service]
 	if !ok {
 		return targets.Pool{}
@@ -24,21 +24,21 @@
 
 var start = time.Unix(1000, 0)
 
-func guard(f fills) *Controller {
+func newTestController(f testPools) *Controller {
 	g := New(f, tally.NoopScope)
 	g.jitter = func() float64 { return 0.5 }
 	return g
 }
 
-func first(program string) Request {
+func firstTurn(program string) Request {
 	return Request{Service: "engine", Program: program, Class: policy.RoomFirst}
 }
 
-func TestEachInstanceDecidesTheSameOfAProgram(t *testing.T) {
-	a, b := guard(fills{"engine": 1.5}), guard(fills{"engine": 1.5})
+func TestInstancesAgreeOnAProgram(t *testing.T) {
+	a, b := newTestController(testPools{"engine": 1.5}), newTestController(testPools{"engine": 1.5})
 	refused := 0
 	for i := range 200 {
-		r := first(strings.Repeat("p", i+1))
+		r := firstTurn(strings.Repeat("p", i+1))
 		here, there := a.Admit(r, start), b.Admit(r, start)
 		again := a.Admit(r, start)
 		if here.Admit != there.Admit || here.Admit != again.Admit {
@@ -53,15 +53,15 @@
 	}
 }
 
-func TestAFirstTurnNeedsThePoolsThatProgramsCall(t *testing.T) {
-	g := guard(fills{"engine": 0.5, "tool": 9})
-	if v := g.Admit(first("p"), start); !v.Admit {
+func TestFirstTurnRequiresCalledPools(t *testing.T) {
+	g := newTestController(testPools{"engine": 0.5, "tool": 9})
+	if v := g.Admit(firstTurn("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
 	g.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.RoomUnderWay}, start)
 	refused := 0
 	for i := range 20 {
-		v := g.Admit(first(strings.Repeat("p", i+1)), start)
+		v := g.Admit(firstTurn(strings.Repeat("p", i+1)), start)
 		if !v.Admit && v.Pool.Service == "tool" {
 			refused++
 		}
@@ -69,12 +69,12 @@
 	if refused < 15 {
 		t.Errorf("%d of 20 refused though calls find no room", refused)
 	}
-	if v := g.Admit(first("p"), start.Add(usedFor)); !v.Admit {
+	if v := g.Admit(firstTurn("p"), start.Add(calledServiceTTL)); !v.Admit {
 		t.Errorf("long after the last call: %+v", v)
 	}
 }
 
-func TestFurtherSendsAreABoundedShare(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	again := func(g *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
@@ -85,19 +85,19 @@
 		}
 		return allowed
 	}
-	if got := again(guard(fills{"engine": 3}), 1); got < 150 || got > 220 {
+	if got := again(newTestController(testPools{"engine": 3}), 1); got < 150 || got > 220 {
 		t.Errorf("where no slot is free %d of 1000 are sent again", got)
 	}
-	if got := again(guard(fills{"engine": 0.7}), 3); got != 1000 {
+	if got := again(newTestController(testPools{"engine": 0.7}), 3); got != 1000 {
 		t.Errorf("where slots are free %d of 1000 are sent again", got)
 	}
-	if got := again(guard(nil), 1); got != 1000 {
+	if got := again(newTestController(nil), 1); got != 1000 {
 		t.Errorf("where nothing is known %d of 1000 are sent again once", got)
 	}
-	if got := again(guard(nil), 3); got != 1000 {
+	if got := again(newTestController(nil), 3); got != 1000 {
 		t.Errorf("where no speeds are learned %d of 1000 are sent again", got)
 	}
-	g := guard(fills{"engine": 3})
+	g := newTestController(testPools{"engine": 3})
 	failures := 0
 	for range 100 {
 		if g.AllowRetryAfterFailure("engine", start) {
@@ -109,9 +109,9 @@
 	}
 }
 
-func TestARefusalNamesWhatItComesFrom(t *testing.T) {
-	g := guard(fills{"engine": 5})
-	r := first("p")
+func TestRefusalDescription(t *testing.T) {
+	g := newTestController(testPools{"engine": 5})
+	r := firstTurn("p")
 	r.Rank, r.Usage = 2, 0.95
 	line := DescribeRefusal(r, g.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
@@ -127,15 +127,15 @@
 
 func TestLessUrgentProgramsAreRefusedMore(t *testing.T) {
 	refused := func(rank int) int {
-		g := guard(fills{"engine": 1.45})
+		g := newTestController(testPools{"engine": 1.45})
 		for i := range 200 {
-			r := first(strings.Repeat("q", i+1))
+			r := firstTurn(strings.Repeat("q", i+1))
 			r.Rank = i % 3
 			g.Admit(r, start)
 		}
 		n := 0
 		for i := range 200 {
-			r := first(strings.Repeat("p", i+1))
+			r := firstTurn(strings.Repeat("p", i+1))
 			r.Rank = rank
 			if !g.Admit(r, start).Admit {
 				n++
@@ -147,17 +147,17 @@
 	if urgent >= mean || mean >= less {
 		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, mean, less)
 	}
-	same := guard(fills{"engine": 1.45})
-	r := first("p")
+	same := newTestController(testPools{"engine": 1.45})
+	r := firstTurn("p")
 	r.Rank = 7
 	if got := same.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, same.services["engine"].view).Chance {
 		t.Errorf("a rank that all have changes the chance to %.2f", got)
 	}
 }
 
-func TestBigProgramsAreRefusedMore(t *testing.T) {
-	pools := fills{"engine": 0.5}
-	g := guard(pools)
+func TestLargeProgramsAreRefusedMore(t *testing.T) {
+	pools := testPools{"engine": 0.5}
+	g := newTestController(pools)
 	turn := func(route string, class policy.RoomClass) {
 		g.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
 	}
@@ -171,16 +171,16 @@
 	}
 	pools["engine"] = 1.5
 	s := g.services["engine"]
-	size := func(route string) float64 { return s.size(Request{Route: route}) }
+	size := func(route string) float64 { return s.relativeSize(Request{Route: route}) }
 	if size("big") < 1.5 || size("small") > 0.5 || size("new") != 0 {
 		t.Errorf("sizes %.2f and %.2f, of a new route %.2f", size("big"), size("small"), size("new"))
 	}
 	refused := make(map[string]int)
 	for i := range 20 {
 		for _, route := range []string{"big", "small"} {
-			r := first(strings.Repeat("p", i+1))
+			r := firstTurn(strings.Repeat("p", i+1))
 			r.Route = route
-			if !g.Admit(r, start.Add(viewAge)).Admit {
+			if !g.Admit(r, start.Add(maxViewAge)).Admit {
 				refused[route]++
 			}
 		}
--- a/internal/overload/replay_test.go
+++ b/internal/overload/simulation_test.go
@@ -17,46 +17,46 @@
 // third of the engines four times slower meanwhile. Time is passed in.
 
 const (
-	step        = 10 * time.Millisecond
-	loadFrom    = 4 * time.Second
-	loadTo      = 12 * time.Second
-	replayEnd   = 22 * time.Second
-	engineCount = 44
-	slots       = 8
-	queue       = 24
-	// owners of budgets pass reports on.
-	owners     = 24
+	step          = 10 * time.Millisecond
+	loadFrom      = 4 * time.Second
+	loadTo        = 12 * time.Second
+	simulationEnd = 22 * time.Second
+	engineCount   = 44
+	slots         = 8
+	queueLength   = 24
+	// ownerCount of budgets pass reports on.
+	ownerCount = 24
 	turnTime   = 250 * time.Millisecond
 	thinkTime  = 100 * time.Millisecond
 	turns      = 4
 	callerTime = 4 * time.Second
-	// usualPrograms begin each step, of about 3.5 that the engines carry.
-	usualPrograms = 2.2
-	aim           = turns*(turnTime+thinkTime)*3/2 + 200*time.Millisecond
+	// basePrograms begin each step, of about 3.5 that the engines carry.
+	basePrograms = 2.2
+	deadline     = turns*(turnTime+thinkTime)*3/2 + 200*time.Millisecond
 )
 
-// way is a way to decide who is let in.
-type way interface {
+// strategy is a way to decide who is let in.
+type strategy interface {
 	admit(instance int, r Request, now time.Time) policy.RoomVerdict
 	again(instance, refusals int, now time.Time) bool
-	// heard brings a target's report, which a turn at an instance carried.
-	heard(instance, engine, busy int, now time.Time)
+	// reported brings a target's report, which a turn at an instance carried.
+	reported(instance, engine, busy int, now time.Time)
 	// tick passes each step.
 	tick(now time.Time)
 }
 
-// nobody decides.
-type nobody struct{}
+// admitAll decides.
+type admitAll struct{}
 
-func (nobody) admit(int, Request, time.Time) policy.RoomVerdict {
+func (admitAll) admit(int, Request, time.Time) policy.RoomVerdict {
 	return policy.RoomVerdict{Admit: true}
 }
-func (nobody) again(int, int, time.Time) bool { return true }
-func (nobody) heard(int, int, int, time.Time) {}
-func (nobody) tick(time.Time)                 {}
+func (admitAll) again(int, int, time.Time) bool    { return true }
+func (admitAll) reported(int, int, int, time.Time) {}
+func (admitAll) tick(time.Time)                    {}
 
-// known is what one instance knows of the engines.
-type known struct {
+// engineView is what one instance knows of the engines.
+type engineView struct {
 	registry *targets.Registry
 	engines  []*targets.Target
 }
@@ -66,8 +66,8 @@
 
 func (noConnections) Kept(string, time.Time) bool { return false }
 
-func newKnown() *known {
-	k := &known{registry: targets.NewRegistry("dc", noConnections{})}
+func newEngineView() *engineView {
+	k := &engineView{registry: targets.NewRegistry("dc", noConnections{})}
 	for e := range engineCount {
 		id := fmt.Sprint("e", e)
 		k.registry.Put(targets.Entry{ID: id, Service: "engine", Address: id, DataCentre: "dc", Slots: slots})
@@ -78,76 +78,76 @@
 	return k
 }
 
-func (k *known) hear(engine, busy int, at time.Time) {
+func (k *engineView) report(engine, busy int, at time.Time) {
 	load := call.Load{Running: min(busy, slots), Waiting: max(busy-slots, 0), Slots: slots, Pace: 100}
 	k.registry.RecordLoad(k.engines[engine], load, at)
 }
 
-// shared: each instance decides from reports that ride on messages to others.
-type shared struct {
-	known  []*known
-	guards []*Controller
-	// cut instances exchange nothing; none of them is an owner.
-	cut    int
-	random *rand.Rand
+// decentralized: each instance decides from reports that ride on messages to others.
+type decentralized struct {
+	views       []*engineView
+	controllers []*Controller
+	// isolated instances exchange nothing; none of them is an owner.
+	isolated int
+	random   *rand.Rand
 }
 
-func newShared(instances, cut int) *shared {
-	s := &shared{cut: cut, random: rand.New(rand.NewPCG(3, 4))}
+func newDecentralized(instances, cut int) *decentralized {
+	s := &decentralized{isolated: cut, random: rand.New(rand.NewPCG(3, 4))}
 	for range instances {
-		k := newKnown()
-		s.known = append(s.known, k)
+		k := newEngineView()
+		s.views = append(s.views, k)
 		g := New(k.registry, tally.NoopScope)
 		g.jitter = s.random.Float64
-		s.guards = append(s.guards, g)
+		s.controllers = append(s.controllers, g)
 	}
 	return s
 }
 
-func (s *shared) admit(i int, r Request, now time.Time) policy.RoomVerdict {
+func (s *decentralized) admit(i int, r Request, now time.Time) policy.RoomVerdict {
 	if r.Class == policy.RoomFirst {
-		s.ask(i, now)
+		s.exchange(i, now)
 	}
-	return s.guards[i].Admit(r, now)
+	return s.controllers[i].Admit(r, now)
 }
-func (s *shared) again(i, refusals int, now time.Time) bool {
-	return s.guards[i].AllowRetry("engine", refusals, now)
+func (s *decentralized) again(i, refusals int, now time.Time) bool {
+	return s.controllers[i].AllowRetry("engine", refusals, now)
 }
-func (s *shared) tick(time.Time) {}
+func (s *decentralized) tick(time.Time) {}
 
-func (s *shared) heard(i, engine, busy int, now time.Time) {
-	s.known[i].hear(engine, busy, now)
-	s.ask(i, now)
+func (s *decentralized) reported(i, engine, busy int, now time.Time) {
+	s.views[i].report(engine, busy, now)
+	s.exchange(i, now)
 }
 
-// ask exchanges what is known with an owner, unless the instance is cut off.
-func (s *shared) ask(i int, now time.Time) {
-	if i >= len(s.known)-s.cut {
+// exchange exchanges what is known with an owner, unless the instance is cut off.
+func (s *decentralized) exchange(i int, now time.Time) {
+	if i >= len(s.views)-s.isolated {
 		return
 	}
-	owner := s.known[s.random.IntN(owners)].registry
-	own := s.known[i].registry
+	owner := s.views[s.random.IntN(ownerCount)].registry
+	own := s.views[i].registry
 	owner.MergeLoadReports(own.OwnLoadReports(now), now)
 	own.MergeLoadReports(owner.LoadReports(now), now)
 	own.MergePoolReports(owner.PoolReports(now), now)
 }
 
-// dealt: a coordinator deals out the right to begin programs five times a second
+// coordinated: a coordinator deals out the right to begin programs five times a second
 // from what all instances tell it then; without it nobody may begin any for as
 // long as nobody else is chosen.
-type dealt struct {
-	known     *known
-	granted   []float64
-	asked     []float64
-	lostUntil time.Time
-	lostFrom  time.Time
+type coordinated struct {
+	view             *engineView
+	granted          []float64
+	requested        []float64
+	unavailableUntil time.Time
+	unavailableFrom  time.Time
 }
 
-func (d *dealt) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
+func (d *coordinated) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
 	if r.Class != policy.RoomFirst {
 		return policy.RoomVerdict{Admit: true}
 	}
-	d.asked[i]++
+	d.requested[i]++
 	if d.granted[i] < 1 {
 		return policy.RoomVerdict{RetryAfter: 200 * time.Millisecond}
 	}
@@ -155,23 +155,23 @@
 	return policy.RoomVerdict{Admit: true}
 }
 
-func (d *dealt) again(int, int, time.Time) bool { return true }
+func (d *coordinated) again(int, int, time.Time) bool { return true }
 
-func (d *dealt) heard(_, engine, busy int, now time.Time) { d.known.hear(engine, busy, now) }
+func (d *coordinated) reported(_, engine, busy int, now time.Time) { d.view.report(engine, busy, now) }
 
-func (d *dealt) tick(now time.Time) {
-	if now.UnixMilli()%200 != 0 || (now.After(d.lostFrom) && now.Before(d.lostUntil)) {
+func (d *coordinated) tick(now time.Time) {
+	if now.UnixMilli()%200 != 0 || (now.After(d.unavailableFrom) && now.Before(d.unavailableUntil)) {
 		return
 	}
-	free := 1.1 - d.known.registry.Pool("engine", now).Utilization
+	free := 1.1 - d.view.registry.Pool("engine", now).Utilization
 	room := max(free*engineCount*slots/2, 1)
 	total := 0.0
-	for _, a := range d.asked {
+	for _, a := range d.requested {
 		total += a
 	}
 	for i := range d.granted {
-		d.granted[i] = min(d.granted[i], 1) + room*(d.asked[i]+0.2)/(total+0.2*float64(len(d.granted)))
-		d.asked[i] = 0
+		d.granted[i] = min(d.granted[i], 1) + room*(d.requested[i]+0.2)/(total+0.2*float64(len(d.granted)))
+		d.requested[i] = 0
 	}
 }
 
@@ -196,9 +196,9 @@
 	ends    time.Time
 }
 
-// replay is one load on its way.
-type replay struct {
-	way       way
+// simulation is one load on its way.
+type simulation struct {
+	strategy  strategy
 	engines   [engineCount]engine
 	due       map[time.Time][]*program
 	random    *rand.Rand
@@ -207,40 +207,40 @@
 	instances int
 }
 
-// play returns the share of the programs that were in time by windows of two
+// simulate returns the share of the programs that were in time by windows of two
 // seconds in which they began.
-func play(w way, instances int) []float64 {
-	r := &replay{
-		way: w, due: make(map[time.Time][]*program),
+func simulate(w strategy, instances int) []float64 {
+	r := &simulation{
+		strategy: w, due: make(map[time.Time][]*program),
 		random: rand.New(rand.NewPCG(1, 2)), inTime: make(map[int]int), begun: make(map[int]int), instances: instances,
 	}
-	for now := start; now.Before(start.Add(replayEnd)); now = now.Add(step) {
+	for now := start; now.Before(start.Add(simulationEnd)); now = now.Add(step) {
 		r.step(now)
 	}
-	shares := make([]float64, int(replayEnd/time.Second)/2-2)
+	shares := make([]float64, int(simulationEnd/time.Second)/2-2)
 	for i := range shares {
 		shares[i] = float64(r.inTime[i]) / float64(r.begun[i])
 	}
 	return shares
 }
 
-func (r *replay) step(now time.Time) {
+func (r *simulation) step(now time.Time) {
 	since := now.Sub(start)
 	loaded := since >= loadFrom && since < loadTo
-	count := usualPrograms
+	count := basePrograms
 	if loaded {
 		count *= 3
 	}
 	for range int(count + r.random.Float64()) {
 		p := &program{instance: r.random.IntN(r.instances), began: now}
 		p.name = fmt.Sprint(r.random.Uint64())
-		r.begun[r.window(p)]++
+		r.begun[r.windowOf(p)]++
 		r.due[now] = append(r.due[now], p)
 	}
-	r.way.tick(now)
+	r.strategy.tick(now)
 	for e := range r.engines {
 		r.engines[e].slow = loaded && e%3 == 0
-		r.work(e, now)
+		r.advance(e, now)
 	}
 	for _, p := range r.due[now] {
 		r.send(p, now)
@@ -248,49 +248,49 @@
 	delete(r.due, now)
 }
 
-func (r *replay) window(p *program) int { return int(p.began.Sub(start) / (2 * time.Second)) }
+func (r *simulation) windowOf(p *program) int { return int(p.began.Sub(start) / (2 * time.Second)) }
 
-func (r *replay) later(p *program, at time.Time) {
+func (r *simulation) schedule(p *program, at time.Time) {
 	at = start.Add(at.Sub(start).Round(step)).Add(step)
 	r.due[at] = append(r.due[at], p)
 }
 
 // send sends a turn to the less busy of two engines for their speed: where it goes
 // is not what is compared here.
-func (r *replay) send(p *program, now time.Time) {
+func (r *simulation) send(p *program, now time.Time) {
 	class := policy.RoomUnderWay
 	switch {
 	case p.turn == 0:
 		class = policy.RoomFirst
-	case now.Sub(p.began) > aim:
+	case now.Sub(p.began) > deadline:
 		class = policy.RoomLate
 	}
-	verdict := r.way.admit(p.instance, Request{Service: "engine", Program: p.name, Class: class}, now)
+	verdict := r.strategy.admit(p.instance, Request{Service: "engine", Program: p.name, Class: class}, now)
 	if !verdict.Admit {
-		r.comeBack(p, now, verdict.RetryAfter)
+		r.retry(p, now, verdict.RetryAfter)
 		return
 	}
 	for refusals := 1; refusals <= 4; refusals++ {
 		e, other := r.random.IntN(engineCount), r.random.IntN(engineCount)
-		if r.wait(other) < r.wait(e) {
+		if r.expectedWait(other) < r.expectedWait(e) {
 			e = other
 		}
 		busy := len(r.engines[e].running) + len(r.engines[e].waiting)
-		r.way.heard(p.instance, e, busy, now)
-		if busy < slots+queue {
+		r.strategy.reported(p.instance, e, busy, now)
+		if busy < slots+queueLength {
 			p.sentAt = now
 			r.engines[e].waiting = append(r.engines[e].waiting, p)
 			return
 		}
-		if !r.way.again(p.instance, refusals, now) {
+		if !r.strategy.again(p.instance, refusals, now) {
 			break
 		}
 	}
-	r.comeBack(p, now, 150*time.Millisecond)
+	r.retry(p, now, 150*time.Millisecond)
 }
 
-// wait grows with the time that a turn waits at an engine.
-func (r *replay) wait(e int) int {
+// expectedWait grows with the time that a turn waits at an engine.
+func (r *simulation) expectedWait(e int) int {
 	g := &r.engines[e]
 	busy := len(g.running) + len(g.waiting)
 	if g.slow {
@@ -299,14 +299,14 @@
 	return busy
 }
 
-func (r *replay) comeBack(p *program, now time.Time, after time.Duration) {
+func (r *simulation) retry(p *program, now time.Time, after time.Duration) {
 	if p.tries++; p.tries < 6 {
-		r.later(p, now.Add(after))
+		r.schedule(p, now.Add(after))
 	}
 }
 
-// work ends what is done at an engine and starts what waits.
-func (r *replay) work(e int, now time.Time) {
+// advance ends what is done at an engine and starts what waits.
+func (r *simulation) advance(e int, now time.Time) {
 	g := &r.engines[e]
 	kept := g.running[:0]
 	for _, run := range g.running {
@@ -314,7 +314,7 @@
 			kept = append(kept, run)
 			continue
 		}
-		r.ended(run.program, now)
+		r.endTurn(run.program, now)
 	}
 	g.running = kept
 	for len(g.running) < slots && len(g.waiting) > 0 {
@@ -331,15 +331,15 @@
 	}
 }
 
-func (r *replay) ended(p *program, now time.Time) {
+func (r *simulation) endTurn(p *program, now time.Time) {
 	p.turn++
 	p.tries = 0
 	if p.turn < turns {
-		r.later(p, now.Add(thinkTime))
+		r.schedule(p, now.Add(thinkTime))
 		return
 	}
-	if now.Sub(p.began) <= aim {
-		r.inTime[r.window(p)]++
+	if now.Sub(p.began) <= deadline {
+		r.inTime[r.windowOf(p)]++
 	}
 }
 
@@ -353,20 +353,20 @@
 
 func TestWaysOutOfAnOverload(t *testing.T) {
 	for _, instances := range []int{90, 300} {
-		deal := func(from, to time.Duration) *dealt {
-			return &dealt{known: newKnown(), granted: make([]float64, instances), asked: make([]float64, instances),
-				lostFrom: start.Add(from), lostUntil: start.Add(to)}
+		deal := func(from, to time.Duration) *coordinated {
+			return &coordinated{view: newEngineView(), granted: make([]float64, instances), requested: make([]float64, instances),
+				unavailableFrom: start.Add(from), unavailableUntil: start.Add(to)}
 		}
-		ways := map[string]way{
-			"nobody":              nobody{},
-			"shared":              newShared(instances, 0),
-			"shared, a tenth cut": newShared(instances, instances/10),
+		ways := map[string]strategy{
+			"nobody":              admitAll{},
+			"shared":              newDecentralized(instances, 0),
+			"shared, a tenth cut": newDecentralized(instances, instances/10),
 			"dealt":               deal(0, 0),
 			"dealt, lost for 3 s": deal(6*time.Second, 9*time.Second),
 		}
 		shares := make(map[string][]float64)
 		for name, w := range ways {
-			shares[name] = play(w, instances)
+			shares[name] = simulate(w, instances)
 			t.Logf("%3d instances, %-20s in time by 2 s: %.2f", instances, name, shares[name])
 		}
 		during, after := int(loadFrom/time.Second)/2, int(loadTo/time.Second)/2
--- a/internal/targets/breaks.go
+++ b/internal/targets/breaks.go
@@ -11,16 +11,16 @@
 // each other of such targets.
 
 const (
-	// heardFor is how long a target is avoided after it broke a connection of
+	// peerAvoidance is how long a target is avoided after it broke a connection of
 	// another instance: shorter than the time until the registration of a dead
 	// target lapses, and long enough that few requests try one that stays down.
-	heardFor = time.Second
-	// heardShare is the most of a service's targets that are avoided on the
+	peerAvoidance = time.Second
+	// maxPeerAvoidedFraction is the most of a service's targets that are avoided on the
 	// word of others, so that a mistaken word cannot empty a service.
-	heardShare = 1.0 / 3
-	// noticeInterval is the least time between two notices of one target by
-	// one instance: its word counts for heardFor anyway.
-	noticeInterval = 200 * time.Millisecond
+	maxPeerAvoidedFraction = 1.0 / 3
+	// minNoticeInterval is the least time between two notices of one target by
+	// one instance: its word counts for peerAvoidance anyway.
+	minNoticeInterval = 200 * time.Millisecond
 )
 
 // RecordBreak notes that a target broke a new connection at once. It tells whether
@@ -31,12 +31,12 @@
 	if r.byIncarnation[t.incarnation] != t {
 		return false // it has been replaced meanwhile
 	}
-	t.brokeAt = now
+	t.lastBreakAt = now
 	r.broken[t.incarnation] = t
-	if now.Sub(t.noticedAt) < noticeInterval {
+	if now.Sub(t.lastNoticeAt) < minNoticeInterval {
 		return false
 	}
-	t.noticedAt = now
+	t.lastNoticeAt = now
 	return true
 }
 
@@ -49,8 +49,8 @@
 	}
 	var breaks []structs.TargetBreak
 	for incarnation, t := range r.broken {
-		age := now.Sub(t.brokeAt)
-		if age >= heardFor || r.byIncarnation[incarnation] != t {
+		age := now.Sub(t.lastBreakAt)
+		if age >= peerAvoidance || r.byIncarnation[incarnation] != t {
 			delete(r.broken, incarnation)
 			continue
 		}
@@ -70,23 +70,23 @@
 	for _, b := range breaks {
 		t, ok := r.byIncarnation[b.Target]
 		at := now.Add(-b.Age)
-		if !ok || b.Age >= heardFor || !at.After(t.brokeAt) || t.provenAt.After(at) {
+		if !ok || b.Age >= peerAvoidance || !at.After(t.lastBreakAt) || t.lastSuccessAt.After(at) {
 			continue
 		}
-		if !now.Before(t.heardUntil) && r.heardAt(t.Service, now)+1 > int(heardShare*float64(len(r.of(t.Service).all))) {
+		if !now.Before(t.peerAvoidUntil) && r.peerAvoidedCount(t.Service, now)+1 > int(maxPeerAvoidedFraction*float64(len(r.serviceByName(t.Service).all))) {
 			continue
 		}
-		t.brokeAt, t.heardUntil = at, at.Add(heardFor)
+		t.lastBreakAt, t.peerAvoidUntil = at, at.Add(peerAvoidance)
 		r.broken[t.incarnation] = t
 	}
 }
 
-// heardAt counts the targets of a service that are avoided on the word of
+// peerAvoidedCount counts the targets of a service that are avoided on the word of
 // others. The mutex is held.
-func (r *Registry) heardAt(service string, now time.Time) int {
+func (r *Registry) peerAvoidedCount(service string, now time.Time) int {
 	n := 0
-	for _, t := range r.of(service).all {
-		if now.Before(t.heardUntil) {
+	for _, t := range r.serviceByName(service).all {
+		if now.Before(t.peerAvoidUntil) {
 			n++
 		}
 	}
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -10,9 +10,9 @@
 
 // A request that any target can run goes where a connection is kept, unless the
 // target there is much busier than others.
-func TestRequestGoesWhereAConnectionIsKept(t *testing.T) {
+func TestPickPrefersIdleConnection(t *testing.T) {
 	now := time.Unix(100, 0)
-	kept := keptTo{"a2": now.Add(time.Second)}
+	kept := idleConnections{"a2": now.Add(time.Second)}
 	r := newRegistryWith(4, kept)
 	for range 20 {
 		got := r.Pick(Criteria{Service: "s"}, now)
@@ -30,20 +30,20 @@
 	}
 }
 
-// fleet is a data centre in virtual time: instances that each send a few requests
+// clusterSim is a data centre in virtual time: instances that each send a few requests
 // a second to targets that any of them may run on.
-type fleet struct {
+type clusterSim struct {
 	now       time.Time
 	instances []*Registry
-	kept      []keptTo
+	kept      []idleConnections
 	// running and ran count the requests at each target.
 	running map[string]int
-	ran     map[string]int
+	served  map[string]int
 	ends    []runEnd
 	opened  int
 	sent    int
-	// every is the number of steps between two requests of an instance.
-	every int
+	// sendInterval is the number of steps between two requests of an instance.
+	sendInterval int
 	// pace is what each target tells of its pace, 0 for nothing; instances that
 	// are told it tell each other of loads.
 	pace int
@@ -56,39 +56,39 @@
 }
 
 const (
-	fleetInstances = 60
-	fleetTargets   = 20
-	// fleetIdle is how long a target keeps a connection without a request.
-	fleetIdle = 7500 * time.Millisecond
-	fleetStep = 5 * time.Millisecond
-	fleetWork = 100 * time.Millisecond
-	// fleetEvery is the number of steps between two requests of an instance.
-	fleetEvery = 67
+	simInstances = 60
+	simTargets   = 20
+	// simIdleTimeout is how long a target keeps a connection without a request.
+	simIdleTimeout     = 7500 * time.Millisecond
+	simStep            = 5 * time.Millisecond
+	simRequestDuration = 100 * time.Millisecond
+	// simSendInterval is the number of steps between two requests of an instance.
+	simSendInterval = 67
 )
 
-func newFleet() *fleet {
-	f := &fleet{now: time.Unix(100, 0), running: map[string]int{}, ran: map[string]int{}, every: fleetEvery}
-	for range fleetInstances {
-		kept := keptTo{}
+func newClusterSim() *clusterSim {
+	f := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
+	for range simInstances {
+		kept := idleConnections{}
 		f.kept = append(f.kept, kept)
-		f.instances = append(f.instances, newRegistryWith(fleetTargets, kept))
+		f.instances = append(f.instances, newRegistryWith(simTargets, kept))
 	}
 	return f
 }
 
-func (f *fleet) play(steps int) {
+func (f *clusterSim) run(steps int) {
 	for step := range steps {
-		f.now = f.now.Add(fleetStep)
+		f.now = f.now.Add(simStep)
 		f.end()
 		for i := range f.instances {
-			if (step+i)%f.every == 0 {
+			if (step+i)%f.sendInterval == 0 {
 				f.send(i)
 			}
 		}
 	}
 }
 
-func (f *fleet) end() {
+func (f *clusterSim) end() {
 	left := f.ends[:0]
 	for _, e := range f.ends {
 		if e.at.After(f.now) {
@@ -97,50 +97,50 @@
 		}
 		f.running[e.target.ID]--
 		f.instances[e.instance].End(e.target)
-		f.kept[e.instance][e.target.Address] = f.now.Add(fleetIdle)
+		f.kept[e.instance][e.target.Address] = f.now.Add(simIdleTimeout)
 	}
 	f.ends = left
 }
 
-func (f *fleet) send(instance int) {
+func (f *clusterSim) send(instance int) {
 	r := f.instances[instance]
 	target := r.Pick(Criteria{Service: "s"}, f.now)
 	f.sent++
-	f.ran[target.ID]++
+	f.served[target.ID]++
 	if !f.kept[instance].Kept(target.Address, f.now) {
 		f.opened++
 	}
 	f.running[target.ID]++
 	r.RecordLoad(target, call.Load{Running: f.running[target.ID], Slots: testSlots, Pace: f.pace}, f.now)
 	if f.pace > 0 {
-		f.tell(instance)
+		f.shareReports(instance)
 	}
-	f.ends = append(f.ends, runEnd{f.now.Add(fleetWork), instance, target})
+	f.ends = append(f.ends, runEnd{f.now.Add(simRequestDuration), instance, target})
 }
 
-// tell passes the reports of an instance on to the next ones, as messages about
+// shareReports passes the reports of an instance on to the next ones, as messages about
 // budgets do.
-func (f *fleet) tell(instance int) {
+func (f *clusterSim) shareReports(instance int) {
 	loads := f.instances[instance].LoadReports(f.now)
-	for i := range fleetHear {
-		f.instances[(instance+7*i+1)%fleetInstances].MergeLoadReports(loads, f.now)
+	for i := range simFanout {
+		f.instances[(instance+7*i+1)%simInstances].MergeLoadReports(loads, f.now)
 	}
 }
 
-// fleetHear is how many instances hear the reports that one passes on.
-const fleetHear = 3
+// simFanout is how many instances hear the reports that one passes on.
+const simFanout = 3
 
 // Where targets tell their pace and instances share reports, fewer connections are
 // opened, and the targets are loaded more evenly.
 func TestManyInstancesWithSharedReports(t *testing.T) {
-	f := newFleet()
+	f := newClusterSim()
 	f.pace = 100
-	f.play(int(time.Minute / fleetStep))
+	f.run(int(time.Minute / simStep))
 	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.03 {
 		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
 	}
-	for id, n := range f.ran {
-		if n > 9*f.sent/5/fleetTargets {
+	for id, n := range f.served {
+		if n > 9*f.sent/5/simTargets {
 			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
 		}
 	}
@@ -148,29 +148,29 @@
 
 // The callers of another data centre move here: targets there take over what those
 // here have no room for, and give it back, without leaving any of these crowded.
-func TestOtherDataCentreTakesOverWhenCallersMove(t *testing.T) {
-	f := newFleet()
+func TestOtherDataCentreAbsorbsExcessLoad(t *testing.T) {
+	f := newClusterSim()
 	f.pace = 100
 	for _, r := range f.instances {
-		for i := range fleetTargets / 2 {
+		for i := range simTargets / 2 {
 			entry := r.byID[fmt.Sprint("t", i)].Entry
 			entry.DataCentre = "far"
 			r.Put(entry)
 		}
 	}
 	far := func(every int) float64 {
-		clear(f.ran)
-		f.sent, f.every = 0, every
-		f.play(int(10 * time.Second / fleetStep))
+		clear(f.served)
+		f.sent, f.sendInterval = 0, every
+		f.run(int(10 * time.Second / simStep))
 		n := 0
-		for i := range fleetTargets / 2 {
-			n += f.ran[fmt.Sprint("t", i)]
+		for i := range simTargets / 2 {
+			n += f.served[fmt.Sprint("t", i)]
 		}
 		return float64(n) / float64(f.sent)
 	}
-	before, moved := far(2*fleetEvery), far(fleetEvery/4)
-	far(2 * fleetEvery)
-	after := far(2 * fleetEvery)
+	before, moved := far(2*simSendInterval), far(simSendInterval/4)
+	far(2 * simSendInterval)
+	after := far(2 * simSendInterval)
 	if before > 0.2 || after > 0.2 || moved < 0.3 || moved > 0.6 {
 		t.Errorf("parts at the other data centre: %.2f, %.2f while callers were here, %.2f", before, moved, after)
 	}
@@ -180,13 +180,13 @@
 // less than one request in ten, and load no target with more than three times
 // its share.
 func TestManyInstancesOpenFewConnections(t *testing.T) {
-	f := newFleet()
-	f.play(int(time.Minute / fleetStep))
+	f := newClusterSim()
+	f.run(int(time.Minute / simStep))
 	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.1 {
 		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
 	}
-	for id, n := range f.ran {
-		if n > 3*f.sent/fleetTargets {
+	for id, n := range f.served {
+		if n > 3*f.sent/simTargets {
 			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
 		}
 	}
--- a/internal/targets/ends.go
+++ b/internal/targets/expected_end.go
@@ -10,39 +10,39 @@
 
 // chooseByEnd chooses a target of a service whose targets tell their pace, by
 // when each is expected to end the request. The mutex is held.
-func (r *Registry) chooseByEnd(w *work, all []*Target, want Criteria, now time.Time, includeAvoided bool) *Target {
-	pool := r.pool(want.Service, now).Utilization
-	fills := usualFills(all)
-	usual := usualOf(all)
-	warm := want.warm(all)
+func (r *Registry) chooseByEnd(w *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
+	pool := r.recentPool(criteria.Service, now).Utilization
+	fills := meanUtilizations(all)
+	usual := meansOf(all)
+	warm := criteria.preferred(all)
 	r.options = r.options[:0]
 	for _, t := range all {
 		kept := r.connections.Kept(t.Address, now)
-		last := t.incarnation == want.LastIncarnation
-		slowness := t.present(usual, now)
+		last := t.incarnation == criteria.LastIncarnation
+		slowness := t.currentSlowness(usual, now)
 		if last {
 			// A program does not move for what passes in parts of a second.
 			slowness = t.slowness(usual, now)
 		}
 		r.options = append(r.options, policy.EndOption{
-			Fill: t.fill(pool, w.request, now), Slowness: slowness, Share: t.share(fills),
+			Fill: t.utilization(pool, w.requestDuration, now), Slowness: slowness, Share: t.relativeUtilization(fills),
 			Opens: !kept, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
 			Last: last, Warm: t == warm,
-			Shut: t.Draining || slices.Contains(want.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
-			Rank: r.order(t, kept || !want.Stream),
+			Shut: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
+			Rank: r.tieBreak(t, kept || !criteria.Stream),
 		})
 	}
-	choice := policy.ByEnd(r.options, w.needs(want))
+	choice := policy.ByEnd(r.options, w.endRequest(criteria))
 	if choice.Index < 0 {
 		return nil
 	}
-	want.Explanation.fill(r.options, all, choice, now)
+	criteria.Explanation.set(r.options, all, choice, now)
 	return all[choice.Index]
 }
 
-// order ranks targets that are alike: by chance, or by an order that differs
+// tieBreak ranks targets that are alike: by chance, or by an order that differs
 // between instances, so that each keeps connections to a few engines.
-func (r *Registry) order(t *Target, chance bool) float64 {
+func (r *Registry) tieBreak(t *Target, chance bool) float64 {
 	if chance {
 		return rand.Float64()
 	}
@@ -66,8 +66,8 @@
 	Stayed, Moved bool
 }
 
-// fill takes a choice; a nil Why stays.
-func (y *Explanation) fill(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
+// set takes a choice; a nil Why stays.
+func (y *Explanation) set(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
 	if y == nil {
 		return
 	}
@@ -92,9 +92,9 @@
 	return now.Sub(at)
 }
 
-// warm is the target that its key ranks first, which all instances find without
+// preferred is the target that its key ranks first, which all instances find without
 // asking; nil for a program, of which the engine is remembered, and without a key.
-func (w Criteria) warm(all []*Target) *Target {
+func (w Criteria) preferred(all []*Target) *Target {
 	if w.Key == "" || w.Sticky {
 		return nil
 	}
@@ -107,17 +107,17 @@
 	return first.target
 }
 
-// needs is what a request needs of a service, in parts of its usual time.
-func (w *work) needs(want Criteria) policy.EndRequest {
-	if !want.Stream {
+// endRequest is what a request needs of a service, in parts of its usual time.
+func (w *serviceModel) endRequest(criteria Criteria) policy.EndRequest {
+	if !criteria.Stream {
 		return policy.EndRequest{}
 	}
-	read := w.turns.PrefillPerToken * time.Duration(want.PromptTokens)
-	answer := w.turns.Expected(0, int64(w.turns.Tokens))
+	read := w.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
+	answer := w.turnEstimates.Expected(0, int64(w.turnEstimates.Tokens))
 	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(answer, time.Millisecond).Seconds()}
 }
 
 // avoided tells whether requests are kept away from a target.
 func (t *Target) avoided(now time.Time) bool {
-	return now.Before(t.avoidUntil) || now.Before(t.heardUntil)
+	return now.Before(t.avoidUntil) || now.Before(t.peerAvoidUntil)
 }
--- a/internal/targets/ends_test.go
+++ b/internal/targets/expected_end_test.go
@@ -10,7 +10,7 @@
 )
 
 // pacedRegistry has targets of which each told its usual pace some times.
-func pacedRegistry(n int, kept keptTo, now time.Time) *Registry {
+func pacedRegistry(n int, kept idleConnections, now time.Time) *Registry {
 	r := newRegistryWith(n, kept)
 	for i := range 10 * n {
 		r.RecordLoad(r.byID[fmt.Sprint("t", i%n)], call.Load{Slots: testSlots, Pace: 100}, now)
@@ -18,8 +18,8 @@
 	return r
 }
 
-// chosen counts the targets that n requests at once get.
-func chosen(r *Registry, want Criteria, n int, now time.Time) map[string]int {
+// countConcurrentPicks counts the targets that n requests at once get.
+func countConcurrentPicks(r *Registry, want Criteria, n int, now time.Time) map[string]int {
 	counts := map[string]int{}
 	var all []*Target
 	for range n {
@@ -33,11 +33,11 @@
 	return counts
 }
 
-// chosenInTurn counts the targets that n requests one after the other get.
-func chosenInTurn(r *Registry, want Criteria, n int, now time.Time) map[string]int {
+// countSequentialPicks counts the targets that n requests one after the other get.
+func countSequentialPicks(r *Registry, want Criteria, n int, now time.Time) map[string]int {
 	counts := map[string]int{}
 	for range n {
-		for id := range chosen(r, want, 1, now) {
+		for id := range countConcurrentPicks(r, want, 1, now) {
 			counts[id]++
 		}
 	}
@@ -46,14 +46,14 @@
 
 // One target of five turns slow for half a second and says so: requests avoid it
 // while that is new, and come back.
-func TestSlowMachineIsAvoidedWhileItSaysSo(t *testing.T) {
+func TestSlowTargetIsAvoidedWhileItReportsSlowness(t *testing.T) {
 	now := time.Unix(100, 0)
-	r := pacedRegistry(5, keptTo{}, now)
+	r := pacedRegistry(5, idleConnections{}, now)
 	r.RecordLoad(r.byID["t0"], call.Load{Slots: testSlots, Pace: 250}, now)
-	if n := chosenInTurn(r, Criteria{Service: "s"}, 50, now)["t0"]; n != 0 {
+	if n := countSequentialPicks(r, Criteria{Service: "s"}, 50, now)["t0"]; n != 0 {
 		t.Errorf("%d of 50 requests went to the slow target", n)
 	}
-	if n := chosen(r, Criteria{Service: "s"}, 20, now.Add(time.Second))["t0"]; n == 0 {
+	if n := countConcurrentPicks(r, Criteria{Service: "s"}, 20, now.Add(time.Second))["t0"]; n == 0 {
 		t.Error("the target was not tried again")
 	}
 }
@@ -61,9 +61,9 @@
 // A third of the engines is several times slower for seconds, which only the
 // pauses between events tell: programs begin elsewhere and those there leave,
 // here and at an instance that only heard of it.
-func TestProgramsLeaveEnginesThatTurnSlow(t *testing.T) {
+func TestProgramsLeaveSlowEngines(t *testing.T) {
 	now := time.Unix(100, 0)
-	r, other := pacedRegistry(6, keptTo{}, now), pacedRegistry(6, keptTo{}, now)
+	r, other := pacedRegistry(6, idleConnections{}, now), pacedRegistry(6, idleConnections{}, now)
 	for i := range 6 {
 		pause := 40 * time.Millisecond
 		if i < 2 {
@@ -76,32 +76,32 @@
 	later := now.Add(20 * time.Millisecond)
 	var told []structs.TargetReport
 	for _, target := range r.byID {
-		told = append(told, target.report(usualOf(r.of("s").all), later))
+		told = append(told, target.report(meansOf(r.serviceByName("s").all), later))
 	}
 	other.MergeLoadReports(told, later)
 	for name, at := range map[string]*Registry{"seen": r, "heard": other} {
-		begins := chosen(at, Criteria{Service: "s", Key: "p", Sticky: true, Stream: true}, 16, later)
+		begins := countConcurrentPicks(at, Criteria{Service: "s", Key: "p", Sticky: true, Stream: true}, 16, later)
 		if begins["t0"]+begins["t1"] != 0 || len(begins) != 4 {
 			t.Errorf("%s: programs began at %v", name, begins)
 		}
 		leaves := Criteria{Service: "s", Key: "p", LastIncarnation: "t0", Sticky: true, Stream: true, PromptTokens: 2000}
-		if n := chosenInTurn(at, leaves, 20, later)["t0"]; n != 0 {
+		if n := countSequentialPicks(at, leaves, 20, later)["t0"]; n != 0 {
 			t.Errorf("%s: %d of 20 turns stayed at the slow engine", name, n)
 		}
 		stays := Criteria{Service: "s", Key: "p", LastIncarnation: "t5", Sticky: true, Stream: true, PromptTokens: 2000}
-		if n := chosenInTurn(at, stays, 20, later)["t5"]; n != 20 {
+		if n := countSequentialPicks(at, stays, 20, later)["t5"]; n != 20 {
 			t.Errorf("%s: %d of 20 turns stayed at a usual engine", name, n)
 		}
 	}
 }
 
 // Requests about one object go to one target, found alike by all instances.
-func TestObjectsHaveATargetOfTheirOwn(t *testing.T) {
+func TestKeyMapsToOneTargetAtAllInstances(t *testing.T) {
 	now := time.Unix(100, 0)
-	first, second := pacedRegistry(5, keptTo{}, now), pacedRegistry(5, keptTo{}, now)
+	first, second := pacedRegistry(5, idleConnections{}, now), pacedRegistry(5, idleConnections{}, now)
 	for i := range 20 {
 		want := Criteria{Service: "s", Key: fmt.Sprint("object", i)}
-		a, b := chosenInTurn(first, want, 3, now), chosenInTurn(second, want, 3, now)
+		a, b := countSequentialPicks(first, want, 3, now), countSequentialPicks(second, want, 3, now)
 		if len(a) != 1 || fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("object %d went to %v and %v", i, a, b)
 		}
@@ -110,12 +110,12 @@
 
 // Targets that say nothing of their pace are chosen as before, and nothing is
 // learned of them.
-func TestTargetsWithoutAPaceAreChosenAsBefore(t *testing.T) {
+func TestNoSpeedsAreLearnedWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(3)
 	r.RecordLoad(r.byID["t0"], call.Load{Slots: testSlots}, now)
 	r.RecordEventInterval(r.byID["t0"], time.Second, now)
-	if len(r.works) != 0 || !r.byID["t0"].speed.At.IsZero() {
+	if len(r.models) != 0 || !r.byID["t0"].speed.At.IsZero() {
 		t.Error("something was learned")
 	}
 	var why Explanation
@@ -127,7 +127,7 @@
 
 // What other instances heard does not move the programs of targets that say
 // nothing of their pace.
-func TestProgramsStayAtTargetsWithoutAPaceWhateverOthersHeard(t *testing.T) {
+func TestRelayedReportsDoNotMoveProgramsWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := newTestRegistry(3), newTestRegistry(3)
 	other.RecordLoad(other.byID["t0"], call.Load{Running: 3 * testSlots, Slots: testSlots}, now)
@@ -141,9 +141,9 @@
 	}
 }
 
-func TestWhyTellsTheEstimateAndTheRunnerUp(t *testing.T) {
+func TestExplanationHasEstimateAndRunnerUp(t *testing.T) {
 	now := time.Unix(100, 0)
-	r := pacedRegistry(2, keptTo{}, now)
+	r := pacedRegistry(2, idleConnections{}, now)
 	r.RecordLoad(r.byID["t0"], call.Load{Running: testSlots, Slots: testSlots, Pace: 100}, now)
 	var why Explanation
 	got := r.Pick(Criteria{Service: "s", Explanation: &why}, now.Add(time.Millisecond))
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -33,48 +33,48 @@
 }
 
 const (
-	// keyedFill is how busy a target may be, in parts of its slots, for a
+	// maxKeyedUtilization is how busy a target may be, in parts of its slots, for a
 	// request to go to the one that its key ranks first. Above 1 the request
 	// waits there, which costs less than reading a program's whole prompt
 	// elsewhere, and elsewhere it also takes room in the cache: in an overload
 	// programs that move push each other's prompts out.
-	keyedFill = 1.6
-	// nearFill is how busy a target of this data centre may be, in parts of its
+	maxKeyedUtilization = 1.6
+	// maxLocalUtilization is how busy a target of this data centre may be, in parts of its
 	// slots, for a program to begin there: it has room for the program's
 	// sub-agents. Prompts sent to other data centres are priced by the byte. All
 	// targets of the data centre together must usually be less busy, too: what an
 	// instance knows of a single one is mostly old, and a data centre with more
 	// callers than its targets can serve would keep them all.
-	nearFill = 0.6
-	// otherDataCentre is what a target in another data centre must be less
+	maxLocalUtilization = 0.6
+	// otherDataCentreCost is what a target in another data centre must be less
 	// busy, in parts of its slots, to be chosen over one here.
-	otherDataCentre = 0.15
+	otherDataCentreCost = 0.15
 	// coldCost is added for a target that is still slow after its start.
 	coldCost = 0.5
-	// openingCost is added for a target to which a connection has to be opened,
+	// newConnectionCost is added for a target to which a connection has to be opened,
 	// in parts of its slots.
-	openingCost = 0.3
+	newConnectionCost = 0.3
 )
 
 // Pick chooses a target and counts a request there; the caller calls End when
 // it has ended. It returns nil if the service has no target to try.
-func (r *Registry) Pick(want Criteria, now time.Time) *Target {
+func (r *Registry) Pick(criteria Criteria, now time.Time) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.of(want.Service)
-	candidates, keyed := r.candidates(s, want)
-	chosen := r.choose(candidates, keyed, want, now, false)
+	s := r.serviceByName(criteria.Service)
+	candidates, keyed := r.candidates(s, criteria)
+	chosen := r.choose(candidates, keyed, criteria, now, false)
 	anyKeyed := func(int) bool { return true }
 	if chosen == nil && len(candidates) < len(s.all) {
-		chosen = r.choose(s.all, anyKeyed, want, now, false)
+		chosen = r.choose(s.all, anyKeyed, criteria, now, false)
 	}
 	if chosen == nil {
 		// Each target failed lately: trying one is better than none.
-		chosen = r.choose(s.all, anyKeyed, want, now, true)
+		chosen = r.choose(s.all, anyKeyed, criteria, now, true)
 	}
 	if chosen != nil {
 		chosen.inFlight++
-		s.use(chosen)
+		s.markUsed(chosen)
 	}
 	return chosen
 }
@@ -86,7 +86,7 @@
 	t := r.byIncarnation[incarnation]
 	if t != nil {
 		t.inFlight++
-		r.of(t.Service).use(t)
+		r.serviceByName(t.Service).markUsed(t)
 	}
 	return t
 }
@@ -100,20 +100,20 @@
 // Where targets tell their pace the expected ends decide. The function keyed tells of
 // a position whether the key may rank the target there.
 func (r *Registry) choose(
-	all []*Target, keyed func(i int) bool, want Criteria, now time.Time, includeAvoided bool,
+	all []*Target, keyed func(i int) bool, criteria Criteria, now time.Time, includeAvoided bool,
 ) *Target {
-	if w := r.works[want.Service]; w != nil {
-		return r.chooseByEnd(w, r.of(want.Service).all, want, now, includeAvoided)
+	if w := r.models[criteria.Service]; w != nil {
+		return r.chooseByEnd(w, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
 	}
 	var last, near, ranked, least best
-	beginsNear := want.Sticky && r.nearLoads[want.Service] < nearFill
+	beginsNear := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
 	// Instances with the same view must not all choose the same target.
 	start := rand.IntN(len(all) + 1)
-	sampled := len(all) < len(r.of(want.Service).all)
+	sampled := len(all) < len(r.serviceByName(criteria.Service).all)
 	for i := range all {
 		at := (start + i) % len(all)
 		t := all[at]
-		if t.Draining || slices.Contains(want.Exclude, t.incarnation) {
+		if t.Draining || slices.Contains(criteria.Exclude, t.incarnation) {
 			continue
 		}
 		if !includeAvoided && t.avoided(now) {
@@ -121,23 +121,23 @@
 		}
 		fill := t.busy(now) / float64(max(t.Slots, 1))
 		kept := r.connections.Kept(t.Address, now)
-		least.offer(t, -fill-r.distance(t, kept))
-		if want.Key == "" || fill >= keyedFill {
+		least.offer(t, -fill-r.placementCost(t, kept))
+		if criteria.Key == "" || fill >= maxKeyedUtilization {
 			continue
 		}
-		rank := rank(want.Key, t.ID)
+		rank := rank(criteria.Key, t.ID)
 		if keyed(at) {
 			ranked.offer(t, rank)
 		}
-		if beginsNear && t.DataCentre == r.dataCentre && fill < nearFill {
+		if beginsNear && t.DataCentre == r.dataCentre && fill < maxLocalUtilization {
 			if sampled && kept {
 				// Among thousands of targets hardly any other program's connection
 				// or prompt would be met again.
-				rank += keptRank
+				rank += idleConnectionRank
 			}
 			near.offer(t, rank)
 		}
-		if t.incarnation == want.LastIncarnation {
+		if t.incarnation == criteria.LastIncarnation {
 			last.offer(t, 1)
 		}
 	}
@@ -149,19 +149,19 @@
 	return nil
 }
 
-// nearLoadWeight is the part that one report has in the usual load of the targets
+// localLoadWeight is the part that one report has in the usual load of the targets
 // of this data centre: some tens of reports, a few seconds of an instance's work.
-const nearLoadWeight = 1.0 / 16
+const localLoadWeight = 1.0 / 16
 
-// noteNearLoad takes a report into the usual load of the targets of this data
+// updateLocalUtilization takes a report into the usual load of the targets of this data
 // centre. The mutex is held.
-func (r *Registry) noteNearLoad(t *Target, load call.Load) {
+func (r *Registry) updateLocalUtilization(t *Target, load call.Load) {
 	fill := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
-	r.nearLoads[t.Service] += nearLoadWeight * (fill - r.nearLoads[t.Service])
+	r.localUtilization[t.Service] += localLoadWeight * (fill - r.localUtilization[t.Service])
 }
 
-// keptRank sets targets to which a connection is kept before all others.
-const keptRank = math.MaxUint64
+// idleConnectionRank sets targets to which a connection is kept before all others.
+const idleConnectionRank = math.MaxUint64
 
 // best is the target with the highest score so far.
 type best struct {
@@ -176,14 +176,14 @@
 	}
 }
 
-// distance is what speaks against a target besides its load.
-func (r *Registry) distance(t *Target, kept bool) float64 {
+// placementCost is what speaks against a target besides its load.
+func (r *Registry) placementCost(t *Target, kept bool) float64 {
 	cost := 0.0
 	if !kept {
-		cost += openingCost
+		cost += newConnectionCost
 	}
 	if t.DataCentre != r.dataCentre {
-		cost += otherDataCentre
+		cost += otherDataCentreCost
 	}
 	if t.ColdRemaining > 0 {
 		cost += coldCost
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -10,7 +10,7 @@
 
 // What to expect of a target follows the newest reports, and these are passed on
 // first.
-func TestNewerReportsCountMore(t *testing.T) {
+func TestNewerReportsHaveMoreWeight(t *testing.T) {
 	const n = 20
 	r, start := newTestRegistry(n), time.Unix(100, 0)
 	for i := range n {
@@ -21,8 +21,8 @@
 		r.RecordLoad(r.byID[fmt.Sprint("t", i)], load, start.Add(time.Duration(i)*50*time.Millisecond))
 	}
 	now := start.Add(n * 50 * time.Millisecond)
-	pool := r.pool("s", now)
-	if pool.Reporting != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolHalfLife {
+	pool := r.recentPool("s", now)
+	if pool.Reporting != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolReportHalfLife {
 		t.Errorf("half of the targets, those that reported last, are full: got %+v", pool)
 	}
 	newest := 0
@@ -30,19 +30,19 @@
 	for range 100 {
 		for i, l := range r.LoadReports(now) {
 			told[l.Target] = true
-			if i < loadsMost/2 && l.Age <= loadsMost/2*50*time.Millisecond {
+			if i < maxReports/2 && l.Age <= maxReports/2*50*time.Millisecond {
 				newest++
 			}
 		}
 	}
-	if newest != 100*loadsMost/2 || len(told) < n-1 {
+	if newest != 100*maxReports/2 || len(told) < n-1 {
 		t.Errorf("%d of the newest reports passed on, %d targets told of", newest, len(told))
 	}
 }
 
 // A slow target's queue is less of the service's load than a quick one's: it does
 // less work, and programs that begin go elsewhere.
-func TestSlowTargetsCountLess(t *testing.T) {
+func TestSlowTargetsHaveLessWeight(t *testing.T) {
 	const n = 20
 	r, now := newTestRegistry(n), time.Unix(100, 0)
 	fill := func(slowBusy int) float64 {
@@ -73,8 +73,8 @@
 	}
 }
 
-// report has some targets report a load and a pace.
-func report(r *Registry, from, to, busy, pace int, now time.Time) {
+// reportLoads has some targets report a load and a pace.
+func reportLoads(r *Registry, from, to, busy, pace int, now time.Time) {
 	for i := from; i < to; i++ {
 		load := call.Load{Running: min(busy, testSlots), Waiting: max(busy-testSlots, 0), Slots: testSlots, Pace: pace}
 		r.RecordLoad(r.byID[fmt.Sprint("t", i)], load, now)
@@ -82,12 +82,12 @@
 }
 
 // Queues at slow targets do not hide the room of the others.
-func TestSlowTargetsCountByTheirSpeed(t *testing.T) {
+func TestTargetsAreWeightedBySpeed(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(12)
 	for range 30 {
-		report(r, 0, 4, 4*testSlots, 400, now)
-		report(r, 4, 12, testSlots/2, 100, now)
+		reportLoads(r, 0, 4, 4*testSlots, 400, now)
+		reportLoads(r, 4, 12, testSlots/2, 100, now)
 	}
 	if pool := r.Pool("s", now); !pool.SpeedsLearned || pool.Utilization < 0.5 || pool.Utilization > 1 {
 		t.Errorf("a third has long queues, the others are half free: %+v", pool)
@@ -95,41 +95,41 @@
 }
 
 // A target that nobody has heard from lately was asked for nothing.
-func TestSilentTargetsCountAsFree(t *testing.T) {
+func TestUnresponsiveTargetsCountAsFree(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(20)
-	report(r, 0, 5, testSlots, 100, now)
+	reportLoads(r, 0, 5, testSlots, 100, now)
 	if pool := r.Pool("s", now); pool.Reporting != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
 		t.Errorf("five of twenty are full: %+v", pool)
 	}
 }
 
 // The better informed view of a service counts while it is new.
-func TestBetterInformedViewCounts(t *testing.T) {
+func TestBetterInformedPoolViewWins(t *testing.T) {
 	now := time.Unix(100, 0)
 	owner, r := newTestRegistry(20), newTestRegistry(20)
-	report(owner, 0, 20, 2*testSlots, 100, now)
-	report(r, 0, 5, 0, 100, now)
+	reportLoads(owner, 0, 20, 2*testSlots, 100, now)
+	reportLoads(r, 0, 5, 0, 100, now)
 	r.MergePoolReports(owner.PoolReports(now), now)
 	if pool := r.Pool("s", now); pool.Reporting != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
 		t.Errorf("the owner knows that all are full: %+v", pool)
 	}
 	less := newTestRegistry(20)
-	report(less, 0, 2, 0, 100, now)
+	reportLoads(less, 0, 2, 0, 100, now)
 	r.MergePoolReports(less.PoolReports(now), now)
 	if pool := r.Pool("s", now); pool.Reporting != 20 {
 		t.Errorf("a view that rests on less replaced it: %+v", pool)
 	}
-	if pool := r.Pool("s", now.Add(toldAge+time.Millisecond)); pool.Reporting != 5 {
+	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.Reporting != 5 {
 		t.Errorf("an old view still counts: %+v", pool)
 	}
 }
 
 // Speeds are learned where targets tell their pace, or where that is asked for.
-func TestSpeedsAreLearnedWhereAskedFor(t *testing.T) {
+func TestSpeedsAreLearnedWithPaceOrWhenEnabled(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(4)
-	report(r, 0, 4, testSlots, 0, now)
+	reportLoads(r, 0, 4, testSlots, 0, now)
 	if pool := r.Pool("s", now); pool.SpeedsLearned || len(r.PoolReports(now)) != 0 {
 		t.Errorf("nobody asked for speeds: %+v", pool)
 	}
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -13,14 +13,14 @@
 // of budgets hear most of all targets; their view goes with each of their replies.
 
 const (
-	// poolReportLife is the time in which a report fades to what its target usually
+	// reportDecayTime is the time in which a report fades to what its target usually
 	// reports, in the load of the service.
-	poolReportLife = 400 * time.Millisecond
-	// toldAge is how old another instance's view may be: the load changes within
+	reportDecayTime = 400 * time.Millisecond
+	// maxViewAge is how old another instance's view may be: the load changes within
 	// the time of a program.
-	toldAge = time.Second
-	// fillUnit is the part of the slots in which views are told.
-	fillUnit = 1e-3
+	maxViewAge = time.Second
+	// utilizationUnit is the part of the slots in which views are told.
+	utilizationUnit = 1e-3
 )
 
 // Pool is the load of a service as a whole.
@@ -38,16 +38,16 @@
 
 // poolView is another instance's view of a service.
 type poolView struct {
-	fill  float64
-	known int
-	// at is when the reports were given, in the mean, heard when it was told.
-	at, heard time.Time
+	utilization float64
+	reporting   int
+	// reportedAt is when the reports were given, in the mean, heard when it was told.
+	reportedAt, receivedAt time.Time
 }
 
-// better tells whether a view rests on more targets, or on newer reports, than
+// betterThan tells whether a view rests on more targets, or on newer reports, than
 // what this instance knows itself.
-func (v poolView) better(own Pool, now time.Time) bool {
-	return v.known > own.Reporting || (v.known == own.Reporting && now.Sub(v.at) < own.ReportAge)
+func (v poolView) betterThan(own Pool, now time.Time) bool {
+	return v.reporting > own.Reporting || (v.reporting == own.Reporting && now.Sub(v.reportedAt) < own.ReportAge)
 }
 
 // Pool tells the load of a service for who may begin. The better informed view
@@ -57,8 +57,8 @@
 	defer r.mu.Unlock()
 	pool := r.ownPool(service, now)
 	view, ok := r.views[xxhash.Sum64String(service)]
-	if ok && now.Sub(view.heard) <= toldAge && view.better(pool, now) {
-		pool.Utilization, pool.Reporting, pool.ReportAge = view.fill, min(view.known, pool.Usable), now.Sub(view.at)
+	if ok && now.Sub(view.receivedAt) <= maxViewAge && view.betterThan(pool, now) {
+		pool.Utilization, pool.Reporting, pool.ReportAge = view.utilization, min(view.reporting, pool.Usable), now.Sub(view.reportedAt)
 	}
 	return pool
 }
@@ -68,8 +68,8 @@
 // counts by its speed. One that has told nothing lately was asked for nothing, as
 // far as is known: it counts as free. The mutex is held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
-	s, usual := r.of(service), r.usual(service)
-	pool := Pool{Usable: s.usable, SpeedsLearned: r.works[service] != nil}
+	s, usual := r.serviceByName(service), r.means(service)
+	pool := Pool{Usable: s.usable, SpeedsLearned: r.models[service] != nil}
 	weight := func(t *Target) float64 { return float64(max(t.Slots, 1)) }
 	capacity, busy, ages := float64(s.slots), 0.0, 0.0
 	if pool.SpeedsLearned {
@@ -81,12 +81,12 @@
 			}
 		}
 	}
-	s.eachTold(now, func(t *Target) {
+	s.forEachReporting(now, func(t *Target) {
 		if t.Draining {
 			return
 		}
 		pool.Reporting++
-		busy += weight(t) * t.fill(0, poolReportLife, now)
+		busy += weight(t) * t.utilization(0, reportDecayTime, now)
 		ages += float64(now.Sub(t.loadAt))
 	})
 	if pool.Reporting > 0 {
@@ -102,7 +102,7 @@
 	defer r.mu.Unlock()
 	var reports []structs.PoolReport
 	for service := range r.byService {
-		if r.works[service] == nil {
+		if r.models[service] == nil {
 			continue
 		}
 		pool := r.ownPool(service, now)
@@ -110,7 +110,7 @@
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Fill: int(pool.Utilization / fillUnit), Known: pool.Reporting, Age: pool.ReportAge,
+			Service: xxhash.Sum64String(service), Fill: int(pool.Utilization / utilizationUnit), Known: pool.Reporting, Age: pool.ReportAge,
 		})
 	}
 	return reports
@@ -121,17 +121,17 @@
 func (r *Registry) MergePoolReports(reports []structs.PoolReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.heard) > toldAge })
+	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.receivedAt) > maxViewAge })
 	for _, p := range reports {
 		if p.Fill < 0 || p.Known <= 0 {
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.known > p.Known && now.Sub(before.heard) < toldAge/2 {
+		if ok && before.reporting > p.Known && now.Sub(before.receivedAt) < maxViewAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			fill: float64(p.Fill) * fillUnit, known: p.Known, at: now.Add(-max(p.Age, 0)), heard: now,
+			utilization: float64(p.Fill) * utilizationUnit, reporting: p.Known, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
 		}
 	}
 }
--- a/internal/targets/loads_test.go
+++ b/internal/targets/reports_test.go
@@ -10,7 +10,7 @@
 
 // An instance that has sent nothing for a while knows the load of a service from
 // what others were told.
-func TestLoadsAreLearnedFromOthers(t *testing.T) {
+func TestLoadReportsAreRelayed(t *testing.T) {
 	now := time.Unix(100, 0)
 	a, owner, b := newTestRegistry(3), newTestRegistry(3), newTestRegistry(3)
 	for i := range 3 {
@@ -26,13 +26,13 @@
 	if len(owner.OwnLoadReports(later)) != 0 {
 		t.Error("what was heard is told as the instance's own")
 	}
-	if pool := b.Pool("s", now.Add(2*poolLoadAge)); pool.Reporting != 0 {
+	if pool := b.Pool("s", now.Add(2*maxPoolReportAge)); pool.Reporting != 0 {
 		t.Errorf("old reports still count: %+v", pool)
 	}
 }
 
 // The newest report counts, whoever was given it, and none of an earlier start.
-func TestNewestReportCounts(t *testing.T) {
+func TestNewestReportWins(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := newTestRegistry(2), newTestRegistry(2)
 	other.RecordLoad(other.byID["t0"], call.Load{Running: 1, Slots: testSlots}, now)
--- a/internal/targets/service.go
+++ b/internal/targets/service.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// wholeChoice is the number of targets up to which a choice looks at each one.
+	// maxFullScan is the number of targets up to which a choice looks at each one.
 	// Beyond it a choice looks at as many whatever their number is: those that this
 	// instance sent to last, to which connections are kept, those that the key ranks
 	// first, and some drawn at random, more of them in its data centre.
-	wholeChoice = 512
-	usedMost    = 16
-	keyedMost   = 4
-	nearDrawn   = 16
-	allDrawn    = 8
+	maxFullScan  = 512
+	maxRecent    = 16
+	maxKeyed     = 4
+	localSample  = 16
+	globalSample = 8
 )
 
 // service is the targets of one service. The mutex of the Registry guards it.
 type service struct {
 	all []*Target
-	// near are those of this data centre.
-	near []*Target
+	// local are those of this data centre.
+	local []*Target
 	// ring are all in the order of the hashes of their ids, if sorted is set: thousands
 	// come one by one when an instance starts.
 	ring   []*Target
 	sorted bool
-	// used are those that this instance sent to last, the last one first.
-	used []*Target
-	// told are those with a report of their load that may still be believed.
-	told []*Target
+	// recent are those that this instance sent to last, the last one first.
+	recent []*Target
+	// reporting are those with a report of their load that may still be believed.
+	reporting []*Target
 	// usable counts those that do not drain, slots their slots.
 	usable, slots int
 }
 
-// of finds the targets of a service, empty if there is none. The mutex is held.
-func (r *Registry) of(name string) *service {
+// serviceByName finds the targets of a service, empty if there is none. The mutex is held.
+func (r *Registry) serviceByName(name string) *service {
 	s := r.byService[name]
 	if s == nil {
 		s = new(service)
@@ -48,29 +48,29 @@
 }
 
 func (s *service) add(t *Target, dataCentre string) {
-	t.place = len(s.all)
+	t.index = len(s.all)
 	s.all = append(s.all, t)
 	if t.DataCentre == dataCentre {
-		s.near = append(s.near, t)
+		s.local = append(s.local, t)
 	}
 	s.sorted = false
-	s.count(t, 1)
+	s.adjustTotals(t, 1)
 }
 
 func (s *service) remove(t *Target) {
 	last := s.all[len(s.all)-1]
-	s.all[t.place], last.place = last, t.place
+	s.all[t.index], last.index = last, t.index
 	s.all = s.all[:len(s.all)-1]
 	is := func(other *Target) bool { return other == t }
-	s.near = slices.DeleteFunc(s.near, is)
-	s.used = slices.DeleteFunc(s.used, is)
+	s.local = slices.DeleteFunc(s.local, is)
+	s.recent = slices.DeleteFunc(s.recent, is)
 	s.sorted = false
-	s.told = slices.DeleteFunc(s.told, is)
-	s.count(t, -1)
+	s.reporting = slices.DeleteFunc(s.reporting, is)
+	s.adjustTotals(t, -1)
 }
 
-// count takes a target into the sums, or out of them with -1.
-func (s *service) count(t *Target, sign int) {
+// adjustTotals takes a target into the sums, or out of them with -1.
+func (s *service) adjustTotals(t *Target, sign int) {
 	if t.Draining {
 		return
 	}
@@ -78,42 +78,42 @@
 	s.slots += sign * max(t.Slots, 1)
 }
 
-// sort puts the ring in order after targets came or went.
-func (s *service) sort() {
+// sortRing puts the ring in order after targets came or went.
+func (s *service) sortRing() {
 	if s.sorted {
 		return
 	}
 	s.ring = append(s.ring[:0], s.all...)
 	slices.SortFunc(s.ring, func(a, b *Target) int {
-		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.idHash, b.idHash), cmp.Compare(a.ID, b.ID))
 	})
 	s.sorted = true
 }
 
-// use notes that this instance sends to a target.
-func (s *service) use(t *Target) {
-	if len(s.used) > 0 && s.used[0] == t {
+// markUsed notes that this instance sends to a target.
+func (s *service) markUsed(t *Target) {
+	if len(s.recent) > 0 && s.recent[0] == t {
 		return
 	}
-	s.used = slices.DeleteFunc(s.used, func(other *Target) bool { return other == t })
-	s.used = slices.Insert(s.used, 0, t)
-	s.used = s.used[:min(len(s.used), usedMost)]
+	s.recent = slices.DeleteFunc(s.recent, func(other *Target) bool { return other == t })
+	s.recent = slices.Insert(s.recent, 0, t)
+	s.recent = s.recent[:min(len(s.recent), maxRecent)]
 }
 
 // candidates are the targets that a choice looks at; keyed tells of a position
 // whether the key may rank the target there. The mutex is held.
-func (r *Registry) candidates(s *service, want Criteria) (all []*Target, keyed func(i int) bool) {
-	if len(s.all) <= wholeChoice {
+func (r *Registry) candidates(s *service, criteria Criteria) (all []*Target, keyed func(i int) bool) {
+	if len(s.all) <= maxFullScan {
 		return s.all, func(int) bool { return true }
 	}
-	all = append(make([]*Target, 0, 1+usedMost+keyedMost+nearDrawn+allDrawn), s.ranked(want.Key)...)
+	all = append(make([]*Target, 0, 1+maxRecent+maxKeyed+localSample+globalSample), s.ranked(criteria.Key)...)
 	ranked := len(all)
-	if last := r.byIncarnation[want.LastIncarnation]; last != nil && last.Service == want.Service {
+	if last := r.byIncarnation[criteria.LastIncarnation]; last != nil && last.Service == criteria.Service {
 		all = append(all, last)
 	}
-	all = append(all, s.used...)
-	all = append(all, draw(s.near, nearDrawn)...)
-	all = append(all, draw(s.all, allDrawn)...)
+	all = append(all, s.recent...)
+	all = append(all, sample(s.local, localSample)...)
+	all = append(all, sample(s.all, globalSample)...)
 	return all, func(i int) bool { return i < ranked }
 }
 
@@ -122,19 +122,19 @@
 	if key == "" {
 		return nil
 	}
-	s.sort()
+	s.sortRing()
 	at, _ := slices.BinarySearchFunc(s.ring, xxhash.Sum64String(key), func(t *Target, key uint64) int {
-		return cmp.Compare(t.key, key)
+		return cmp.Compare(t.idHash, key)
 	})
-	ranked := make([]*Target, 0, keyedMost)
-	for i := range min(keyedMost, len(s.ring)) {
+	ranked := make([]*Target, 0, maxKeyed)
+	for i := range min(maxKeyed, len(s.ring)) {
 		ranked = append(ranked, s.ring[(at+i)%len(s.ring)])
 	}
 	return ranked
 }
 
-// draw takes some of a list at random.
-func draw(all []*Target, most int) []*Target {
+// sample takes some of a list at random.
+func sample(all []*Target, most int) []*Target {
 	if len(all) <= most {
 		return all
 	}
@@ -145,30 +145,30 @@
 	return drawn
 }
 
-// tell notes that a target has a new report.
-func (s *service) tell(t *Target) {
-	if !t.isTold {
-		t.isTold = true
-		s.told = append(s.told, t)
+// markReporting notes that a target has a new report.
+func (s *service) markReporting(t *Target) {
+	if !t.hasReport {
+		t.hasReport = true
+		s.reporting = append(s.reporting, t)
 	}
 }
 
-// eachTold visits the targets with a report that is not older than poolLoadAge.
-func (s *service) eachTold(now time.Time, visit func(*Target)) {
-	s.told = slices.DeleteFunc(s.told, func(t *Target) bool {
-		t.isTold = now.Sub(t.loadAt) <= poolLoadAge
-		return !t.isTold
+// forEachReporting visits the targets with a report that is not older than maxPoolReportAge.
+func (s *service) forEachReporting(now time.Time, visit func(*Target)) {
+	s.reporting = slices.DeleteFunc(s.reporting, func(t *Target) bool {
+		t.hasReport = now.Sub(t.loadAt) <= maxPoolReportAge
+		return !t.hasReport
 	})
-	for _, t := range s.told {
+	for _, t := range s.reporting {
 		visit(t)
 	}
 }
 
-// usual are the means of what is known of a service's targets, where speeds are
+// means are the means of what is known of a service's targets, where speeds are
 // learned. The mutex is held.
-func (r *Registry) usual(name string) usual {
-	if r.works[name] == nil {
-		return usual{}
+func (r *Registry) means(name string) serviceMeans {
+	if r.models[name] == nil {
+		return serviceMeans{}
 	}
-	return usualOf(r.of(name).all)
+	return meansOf(r.serviceByName(name).all)
 }
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -9,10 +9,10 @@
 )
 
 // countingConnections counts the targets that choices look at.
-type countingConnections struct{ asked int }
+type countingConnections struct{ lookups int }
 
 func (c *countingConnections) Kept(string, time.Time) bool {
-	c.asked++
+	c.lookups++
 	return false
 }
 
@@ -37,9 +37,9 @@
 		for _, want := range []Criteria{
 			{Service: "s"}, {Service: "s", Key: "k"}, {Service: "s", Key: "p", Sticky: true, LastIncarnation: "t7"},
 		} {
-			connections.asked = 0
-			if r.Pick(want, time.Now()) == nil || connections.asked > most {
-				t.Errorf("%d of %d targets were looked at for %+v", connections.asked, n, want)
+			connections.lookups = 0
+			if r.Pick(want, time.Now()) == nil || connections.lookups > most {
+				t.Errorf("%d of %d targets were looked at for %+v", connections.lookups, n, want)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // A program stays with its engine among thousands.
-func TestProgramStaysAmongThousands(t *testing.T) {
+func TestProgramStaysAtItsEngineAmongThousands(t *testing.T) {
 	r := registryOf(3000, new(countingConnections))
 	for i := range 100 {
 		last := fmt.Sprint("t", 29*i)
@@ -78,7 +78,7 @@
 }
 
 // When the targets that a choice looks at are not to be used the others are.
-func TestChoiceFindsTheOneTargetLeftAmongThousands(t *testing.T) {
+func TestPickFallsBackToAllTargets(t *testing.T) {
 	const n = 2000
 	r := registryOf(n, new(countingConnections))
 	now := time.Now()
@@ -91,28 +91,28 @@
 }
 
 // What a message tells of loads takes no walk over targets that told nothing lately.
-func TestReportsAreFoundWithoutAWalkOverAllTargets(t *testing.T) {
+func TestOnlyReportingTargetsAreScanned(t *testing.T) {
 	r := registryOf(5000, new(countingConnections))
 	now := time.Now()
 	for i := range 10 {
 		r.RecordLoad(r.byID[fmt.Sprint("t", i)], call.Load{Running: 1, Slots: 6}, now)
 	}
-	if got := len(r.of("s").told); got != 10 {
+	if got := len(r.serviceByName("s").reporting); got != 10 {
 		t.Errorf("%d targets with a report", got)
 	}
-	if got := len(r.LoadReports(now)); got != loadsMost {
+	if got := len(r.LoadReports(now)); got != maxReports {
 		t.Errorf("%d reports told", got)
 	}
 	if pool := r.Pool("s", now); pool.Usable != 5000 || pool.Reporting != 10 {
 		t.Errorf("pool %+v", pool)
 	}
-	if got := len(r.LoadReports(now.Add(2 * poolLoadAge))); got != 0 || len(r.of("s").told) != 0 {
-		t.Errorf("%d old reports told, %d kept", got, len(r.of("s").told))
+	if got := len(r.LoadReports(now.Add(2 * maxPoolReportAge))); got != 0 || len(r.serviceByName("s").reporting) != 0 {
+		t.Errorf("%d old reports told, %d kept", got, len(r.serviceByName("s").reporting))
 	}
 }
 
 // The sums of a service follow its targets as they drain, come back and go.
-func TestSumsOfAServiceFollowItsTargets(t *testing.T) {
+func TestServiceTotalsFollowItsTargets(t *testing.T) {
 	r := registryOf(10, new(countingConnections))
 	entry := r.byID["t3"].Entry
 	entry.Draining = true
@@ -123,13 +123,13 @@
 	draining.Draining = true
 	r.Put(draining)
 	r.Put(entry)
-	r.of("s").sort()
-	if s := r.of("s"); s.usable != 8 || s.slots != 7*6+8 || len(s.all) != 9 || len(s.ring) != 9 || len(s.near) != 2 {
-		t.Errorf("usable %d, slots %d, all %d, ring %d, near %d", s.usable, s.slots, len(s.all), len(s.ring), len(s.near))
+	r.serviceByName("s").sortRing()
+	if s := r.serviceByName("s"); s.usable != 8 || s.slots != 7*6+8 || len(s.all) != 9 || len(s.ring) != 9 || len(s.local) != 2 {
+		t.Errorf("usable %d, slots %d, all %d, ring %d, near %d", s.usable, s.slots, len(s.all), len(s.ring), len(s.local))
 	}
-	for i, target := range r.of("s").all {
-		if target.place != i {
-			t.Errorf("%s stands at %d, not %d", target.ID, i, target.place)
+	for i, target := range r.serviceByName("s").all {
+		if target.index != i {
+			t.Errorf("%s stands at %d, not %d", target.ID, i, target.index)
 		}
 	}
 }
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -34,7 +34,7 @@
 		all = append(all, Snapshot{
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
-			Utilization: t.fill(r.pool(t.Service, now).Utilization, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
+			Utilization: t.utilization(r.recentPool(t.Service, now).Utilization, r.meanRequestDuration(t.Service), now), Slowness: t.currentSlowness(r.means(t.Service), now),
 			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.At, now).Seconds(),
 		})
 	}
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -10,87 +10,87 @@
 const (
 	// speedUnit is the part of a unit of work in which speeds are told.
 	speedUnit = 1e-6
-	// routeGain is the weight of an answer in the usual time of its route.
-	routeGain = 0.02
+	// durationWeight is the weight of an answer in the usual time of its route.
+	durationWeight = 0.02
 	// maxRoutes bounds the routes whose times are kept for one service.
 	maxRoutes = 4096
-	// initialRequest is taken for the time of a request until some were seen.
-	initialRequest = 200 * time.Millisecond
+	// initialRequestDuration is taken for the time of a request until some were seen.
+	initialRequestDuration = 200 * time.Millisecond
 )
 
-// work is what is usual for a service whose targets tell their pace.
-type work struct {
+// serviceModel is what is usual for a service whose targets tell their pace.
+type serviceModel struct {
 	// routes are the times of answers, by route.
-	routes map[string]*routeTimes
-	// turns are the usual parts of an engine's turn.
-	turns policy.Estimates
-	// request is the usual time of a request of any kind.
-	request time.Duration
+	routes map[string]*routeDurations
+	// turnEstimates are the usual parts of an engine's turn.
+	turnEstimates policy.Estimates
+	// requestDuration is the usual time of a request of any kind.
+	requestDuration time.Duration
 }
 
-// routeTimes are the times of whole plain answers of one route.
-type routeTimes struct {
-	// usual is their moving mean, in seconds.
-	usual      float64
-	stragglers policy.Stragglers
+// routeDurations are the times of whole plain answers of one route.
+type routeDurations struct {
+	// mean is their moving mean, in seconds.
+	mean    float64
+	hedging policy.Stragglers
 }
 
 // add takes an answer in and gives its time over the usual one.
-func (t *routeTimes) add(took time.Duration) float64 {
-	t.stragglers.Add(took)
-	if t.usual == 0 {
-		t.usual = took.Seconds()
+func (t *routeDurations) add(took time.Duration) float64 {
+	t.hedging.Add(took)
+	if t.mean == 0 {
+		t.mean = took.Seconds()
 	}
-	t.usual += routeGain * (took.Seconds() - t.usual)
-	return took.Seconds() / t.usual
+	t.mean += durationWeight * (took.Seconds() - t.mean)
+	return took.Seconds() / t.mean
 }
 
 // route finds the times of a route.
-func (w *work) route(name string) *routeTimes {
+func (w *serviceModel) route(name string) *routeDurations {
 	times := w.routes[name]
 	if times == nil {
 		if len(w.routes) >= maxRoutes {
 			clear(w.routes) // most are of former settings
 		}
-		times = new(routeTimes)
+		times = new(routeDurations)
 		w.routes[name] = times
 	}
 	return times
 }
 
-// took takes the time of a request into the usual one.
-func (w *work) took(d time.Duration) {
-	w.request += time.Duration(routeGain * float64(d-w.request))
+// addDuration takes the time of a request into the usual one.
+func (w *serviceModel) addDuration(d time.Duration) {
+	w.requestDuration += time.Duration(durationWeight * float64(d-w.requestDuration))
 }
 
-// work finds what is usual for a service, or begins to learn it. The mutex is
+// model finds what is usual for a service, or begins to learn it. The mutex is
 // held.
-func (r *Registry) work(service string) *work {
-	w := r.works[service]
+func (r *Registry) model(service string) *serviceModel {
+	w := r.models[service]
 	if w == nil {
-		w = &work{routes: make(map[string]*routeTimes), turns: policy.NewEstimates(), request: initialRequest}
-		r.works[service] = w
+		w = &serviceModel{routes: make(map[string]*routeDurations), turnEstimates: policy.NewEstimates(), requestDuration: initialRequestDuration}
+		r.models[service] = w
 	}
 	return w
 }
 
-// usualRequest is the usual time of a request to a service. The mutex is held.
-func (r *Registry) usualRequest(service string) time.Duration {
-	if w := r.works[service]; w != nil {
-		return w.request
+// meanRequestDuration is the usual time of a request to a service. The mutex is held.
+func (r *Registry) meanRequestDuration(service string) time.Duration {
+	if w := r.models[service]; w != nil {
+		return w.requestDuration
 	}
-	return initialRequest
+	return initialRequestDuration
 }
 
 // RecordResponse takes the time of a whole plain answer.
 func (r *Registry) RecordResponse(t *Target, route string, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[t.Service]
+	w := r.models[t.Service]
 	if w == nil || took <= 0 {
 		return
 	}
-	w.took(took)
+	w.addDuration(took)
 	t.speed.Add(w.route(route).add(took), now)
 }
 
@@ -99,11 +99,11 @@
 func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[service]
+	w := r.models[service]
 	if w == nil {
 		return 0, false
 	}
-	return w.route(route).stragglers.Patience(r.pool(service, now).Utilization)
+	return w.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
 }
 
 // RecordHedge counts a second send after Patience, and how long the first one took
@@ -111,14 +111,14 @@
 func (r *Registry) RecordHedge(t *Target, route string, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[t.Service]
+	w := r.models[t.Service]
 	if w == nil {
 		return
 	}
 	times := w.route(route)
-	times.stragglers.Again()
-	if times.usual > 0 {
-		t.speed.Add(took.Seconds()/times.usual, now)
+	times.hedging.Again()
+	if times.mean > 0 {
+		t.speed.Add(took.Seconds()/times.mean, now)
 	}
 }
 
@@ -126,7 +126,7 @@
 func (r *Registry) RecordEventInterval(t *Target, perEvent time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.works[t.Service] != nil {
+	if r.models[t.Service] != nil {
 		t.speed.Add(perEvent.Seconds(), now)
 	}
 }
@@ -135,36 +135,36 @@
 func (r *Registry) RecordTurn(t *Target, sample policy.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.works[t.Service]; w != nil {
-		w.took(sample.Took)
-		w.turns.Add(sample)
+	if w := r.models[t.Service]; w != nil {
+		w.addDuration(sample.Took)
+		w.turnEstimates.Add(sample)
 	}
 }
 
-// usual are the means of what is known of a service's targets, 0 where nothing
+// serviceMeans are the means of what is known of a service's targets, 0 where nothing
 // is.
-type usual struct{ speed, standing float64 }
+type serviceMeans struct{ speed, pace float64 }
 
-func usualOf(all []*Target) usual {
+func meansOf(all []*Target) serviceMeans {
 	var speed, standing mean
 	for _, t := range all {
 		if !t.speed.At.IsZero() {
 			speed.add(t.speed.Mean)
 		}
-		if t.standing.Middle > 0 {
-			standing.add(t.standing.Middle)
+		if t.pace.Middle > 0 {
+			standing.add(t.pace.Middle)
 		}
 	}
-	return usual{speed: speed.value(), standing: standing.value()}
+	return serviceMeans{speed: speed.value(), pace: standing.value()}
 }
 
-// leastFill is the usual load of a service, in parts of the slots, below which it
+// minMeanUtilization is the usual load of a service, in parts of the slots, below which it
 // does not matter how even it is.
-const leastFill = 0.02
+const minMeanUtilization = 0.02
 
-// usualFills are the means of what the targets of a service usually report, by
+// meanUtilizations are the means of what the targets of a service usually report, by
 // data centre: between these the load itself decides.
-func usualFills(all []*Target) map[string]float64 {
+func meanUtilizations(all []*Target) map[string]float64 {
 	means := make(map[string]*mean)
 	for _, t := range all {
 		if t.loadAt.IsZero() {
@@ -173,7 +173,7 @@
 		if means[t.DataCentre] == nil {
 			means[t.DataCentre] = new(mean)
 		}
-		means[t.DataCentre].add(t.usualFill)
+		means[t.DataCentre].add(t.meanUtilization)
 	}
 	fills := make(map[string]float64, len(means))
 	for dataCentre, m := range means {
@@ -182,14 +182,14 @@
 	return fills
 }
 
-// share is what a target usually has over what those of its data centre have, 1
+// relativeUtilization is what a target usually has over what those of its data centre have, 1
 // while little is known.
-func (t *Target) share(fills map[string]float64) float64 {
+func (t *Target) relativeUtilization(fills map[string]float64) float64 {
 	usual := fills[t.DataCentre]
-	if t.loadAt.IsZero() || usual < leastFill {
+	if t.loadAt.IsZero() || usual < minMeanUtilization {
 		return 1
 	}
-	return t.usualFill / usual
+	return t.meanUtilization / usual
 }
 
 // mean is that of the values added.
@@ -205,48 +205,48 @@
 
 // slowness is the target's time for the same work over the usual one, apart from
 // what it says of the present.
-func (t *Target) slowness(u usual, now time.Time) float64 {
-	return t.speed.Slowness(u.speed, t.says(u), now)
+func (t *Target) slowness(u serviceMeans, now time.Time) float64 {
+	return t.speed.Slowness(u.speed, t.relativePace(u), now)
 }
 
-// says is what the target usually says of its pace, over the usual one.
-func (t *Target) says(u usual) float64 {
-	if t.standing.Middle <= 0 {
+// relativePace is what the target usually says of its pace, over the usual one.
+func (t *Target) relativePace(u serviceMeans) float64 {
+	if t.pace.Middle <= 0 {
 		return 1
 	}
-	return t.standing.Middle / u.standing
+	return t.pace.Middle / u.pace
 }
 
-// present is the slowness with what the target says of the present.
-func (t *Target) present(u usual, now time.Time) float64 {
+// currentSlowness is the slowness with what the target says of the present.
+func (t *Target) currentSlowness(u serviceMeans, now time.Time) float64 {
 	slowness := t.slowness(u, now)
-	if t.load.Pace <= 0 || u.standing <= 0 {
+	if t.load.Pace <= 0 || u.pace <= 0 {
 		return slowness
 	}
-	return policy.Present(slowness, float64(t.load.Pace)/100/u.standing, now.Sub(t.loadAt))
+	return policy.Present(slowness, float64(t.load.Pace)/100/u.pace, now.Sub(t.loadAt))
 }
 
-// fill is the expected number of requests at a target, in parts of its slots.
-func (t *Target) fill(pool float64, request time.Duration, now time.Time) float64 {
+// utilization is the expected number of requests at a target, in parts of its slots.
+func (t *Target) utilization(pool float64, request time.Duration, now time.Time) float64 {
 	return policy.Fill(policy.LoadReport{
 		Busy: t.load.Running + t.load.Waiting, Since: t.inFlight - t.inFlightAtLoad, Own: t.inFlight,
-		Slots: t.Slots, Usual: t.usualFill, Known: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
+		Slots: t.Slots, Usual: t.meanUtilization, Known: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
 	}, pool, request)
 }
 
 // report is what others are told of a target.
-func (t *Target) report(u usual, now time.Time) structs.TargetReport {
+func (t *Target) report(u serviceMeans, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
-		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
+		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if told := t.speed.Told(u.speed, t.says(u)); told > 0 {
+	if told := t.speed.Told(u.speed, t.relativePace(u)); told > 0 {
 		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.At)
 	}
 	return report
 }
 
-// hearSpeed takes what another instance learned of a target. The mutex is held.
-func (r *Registry) hearSpeed(t *Target, report structs.TargetReport, now time.Time) {
+// mergeSpeed takes what another instance learned of a target. The mutex is held.
+func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
 	if report.Speed > 0 {
 		t.speed.Hear(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
 	}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -50,11 +50,11 @@
 type Target struct {
 	Entry
 	// incarnation is that of the entry, hash its hash; they never change.
-	incarnation string
-	hash        uint64
-	// key is the hash of the id, place where the target stands in its service.
-	key   uint64
-	place int
+	incarnation     string
+	incarnationHash uint64
+	// idHash is the hash of the id, place where the target stands in its service.
+	idHash uint64
+	index  int
 	// inFlight counts this instance's requests at the target.
 	inFlight int
 	// load is the newest report, inFlight as it was then; heard tells that it
@@ -62,40 +62,40 @@
 	load           call.Load
 	loadAt         time.Time
 	inFlightAtLoad int
-	heard          bool
-	// isTold tells that the target is among those with a report.
-	isTold bool
-	// told is the newest report that was given to this instance itself, by which
+	relayed        bool
+	// hasReport tells that the target is among those with a report.
+	hasReport bool
+	// direct is the newest report that was given to this instance itself, by which
 	// targets that do not tell their pace are placed.
-	told told
-	// usualFill is the moving mean of the reports, in parts of the slots.
-	usualFill float64
+	direct directReport
+	// meanUtilization is the moving mean of the reports, in parts of the slots.
+	meanUtilization float64
 	// speed is what was learned of the target's time for a unit of work, standing
 	// what it says itself, 0 if it says nothing.
-	speed    policy.Speed
-	standing policy.Standing
+	speed policy.Speed
+	pace  policy.Standing
 	// failures counts failures in a row; avoidUntil keeps requests away.
 	failures   int
 	avoidUntil time.Time
-	// provenAt is when it last answered this instance in order.
-	provenAt time.Time
-	// brokeAt is when it last broke a connection at once, here or, as far as
-	// is known, elsewhere; heardUntil keeps requests away on others' word.
-	brokeAt    time.Time
-	heardUntil time.Time
-	// noticedAt is when others were last told of it.
-	noticedAt time.Time
+	// lastSuccessAt is when it last answered this instance in order.
+	lastSuccessAt time.Time
+	// lastBreakAt is when it last broke a connection at once, here or, as far as
+	// is known, elsewhere; peerAvoidUntil keeps requests away on others' word.
+	lastBreakAt    time.Time
+	peerAvoidUntil time.Time
+	// lastNoticeAt is when others were last told of it.
+	lastNoticeAt time.Time
 }
 
 const (
-	// loadAge is how long a report of a target's load is believed: a few
+	// maxLoadAge is how long a report of a target's load is believed: a few
 	// requests' duration, as others change it meanwhile.
-	loadAge = 400 * time.Millisecond
-	// avoidFirst and avoidMost bound how long a failing target is avoided; the
+	maxLoadAge = 400 * time.Millisecond
+	// minAvoidance and maxAvoidance bound how long a failing target is avoided; the
 	// time doubles with each failure in a row. The first is about the time in
 	// which a crashed target's successor registers.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
+	minAvoidance = 500 * time.Millisecond
+	maxAvoidance = 4 * time.Second
 )
 
 // Connections are this instance's kept connections to targets.
@@ -120,13 +120,13 @@
 	byHash map[uint64]*Target
 	// broken are the targets that broke connections lately, by incarnation.
 	broken map[string]*Target
-	// nearLoads are the usual loads of the targets of this data centre, by
+	// localUtilization are the usual loads of the targets of this data centre, by
 	// service, in parts of their slots.
-	nearLoads map[string]float64
-	// works are what is usual for services whose targets' speeds are learned.
-	works map[string]*work
-	// learns tells that the speeds of all targets are learned.
-	learns bool
+	localUtilization map[string]float64
+	// models are what is usual for services whose targets' speeds are learned.
+	models map[string]*serviceModel
+	// learnsSpeeds tells that the speeds of all targets are learned.
+	learnsSpeeds bool
 	// seed differs between instances, so that each prefers other targets of those
 	// that are alike.
 	seed string
@@ -137,17 +137,17 @@
 // NewRegistry makes an empty table for an instance in a data centre.
 func NewRegistry(dataCentre string, connections Connections) *Registry {
 	return &Registry{
-		dataCentre:    dataCentre,
-		connections:   connections,
-		byID:          make(map[string]*Target),
-		byIncarnation: make(map[string]*Target),
-		byHash:        make(map[uint64]*Target),
-		views:         make(map[uint64]poolView),
-		byService:     make(map[string]*service),
-		broken:        make(map[string]*Target),
-		nearLoads:     make(map[string]float64),
-		works:         make(map[string]*work),
-		seed:          strconv.FormatUint(rand.Uint64(), 36),
+		dataCentre:       dataCentre,
+		connections:      connections,
+		byID:             make(map[string]*Target),
+		byIncarnation:    make(map[string]*Target),
+		byHash:           make(map[uint64]*Target),
+		views:            make(map[uint64]poolView),
+		byService:        make(map[string]*service),
+		broken:           make(map[string]*Target),
+		localUtilization: make(map[string]float64),
+		models:           make(map[string]*serviceModel),
+		seed:             strconv.FormatUint(rand.Uint64(), 36),
 	}
 }
 
@@ -156,9 +156,9 @@
 func (r *Registry) LearnSpeeds() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.learns = true
+	r.learnsSpeeds = true
 	for service := range r.byService {
-		r.work(service)
+		r.model(service)
 	}
 }
 
@@ -168,27 +168,27 @@
 func (r *Registry) Put(entry Entry) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t, ok := r.byID[entry.ID]; ok && t.same(entry) {
+	if t, ok := r.byID[entry.ID]; ok && t.matches(entry) {
 		changed := t.Draining != entry.Draining
 		s := r.byService[t.Service]
-		s.count(t, -1)
+		s.adjustTotals(t, -1)
 		// The fields that name the target are read without the mutex.
 		t.DataCentre, t.Slots, t.Draining, t.ColdRemaining = entry.DataCentre, entry.Slots, entry.Draining, entry.ColdRemaining
-		s.count(t, 1)
+		s.adjustTotals(t, 1)
 		return changed
 	}
 	r.remove(entry.ID)
 	t := &Target{Entry: entry, incarnation: entry.Incarnation()}
-	t.hash, t.key = xxhash.Sum64String(t.incarnation), xxhash.Sum64String(t.ID)
+	t.incarnationHash, t.idHash = xxhash.Sum64String(t.incarnation), xxhash.Sum64String(t.ID)
 	r.byID[entry.ID] = t
 	r.byIncarnation[t.incarnation] = t
-	r.byHash[t.hash] = t
+	r.byHash[t.incarnationHash] = t
 	if r.byService[entry.Service] == nil {
 		r.byService[entry.Service] = new(service)
 	}
 	r.byService[entry.Service].add(t, r.dataCentre)
-	if r.learns {
-		r.work(entry.Service)
+	if r.learnsSpeeds {
+		r.model(entry.Service)
 	}
 	return true
 }
@@ -207,7 +207,7 @@
 	}
 	delete(r.byID, id)
 	delete(r.byIncarnation, t.incarnation)
-	delete(r.byHash, t.hash)
+	delete(r.byHash, t.incarnationHash)
 	r.byService[t.Service].remove(t)
 	return true
 }
@@ -269,10 +269,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setLoad(t, load, now)
-	t.heard = false
-	t.told = told{busy: load.Running + load.Waiting, at: now, inFlight: t.inFlight}
+	t.relayed = false
+	t.direct = directReport{busy: load.Running + load.Waiting, at: now, inFlight: t.inFlight}
 	if t.DataCentre == r.dataCentre {
-		r.noteNearLoad(t, load)
+		r.updateLocalUtilization(t, load)
 	}
 }
 
@@ -280,7 +280,7 @@
 func (r *Registry) RecordSuccess(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.failures, t.avoidUntil, t.heardUntil, t.provenAt = 0, time.Time{}, time.Time{}, now
+	t.failures, t.avoidUntil, t.peerAvoidUntil, t.lastSuccessAt = 0, time.Time{}, time.Time{}, now
 }
 
 // RecordFailure notes that a target could not be reached or broke off, and avoids it
@@ -288,7 +288,7 @@
 func (r *Registry) RecordFailure(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := min(avoidFirst<<min(t.failures, 8), avoidMost)
+	wait := min(minAvoidance<<min(t.failures, 8), maxAvoidance)
 	t.failures++
 	t.avoidUntil = now.Add(wait)
 }
@@ -296,13 +296,13 @@
 // Incarnation names the start of the target that this is.
 func (t *Target) Incarnation() string { return t.incarnation }
 
-// same tells whether an entry is of the same start, at the same place.
-func (t *Target) same(entry Entry) bool {
+// matches tells whether an entry is of the same start, at the same place.
+func (t *Target) matches(entry Entry) bool {
 	return t.Service == entry.Service && t.Address == entry.Address && t.Start == entry.Start
 }
 
-// told is a target's report to this instance.
-type told struct {
+// directReport is a target's report to this instance.
+type directReport struct {
 	// busy counts the requests that ran and waited at the time, inFlight those of
 	// this instance among them.
 	busy     int
@@ -314,9 +314,9 @@
 // instance. What others heard makes programs leave engines that are full for a
 // moment, and read their prompts again.
 func (t *Target) busy(now time.Time) float64 {
-	if now.Sub(t.told.at) > loadAge {
+	if now.Sub(t.direct.at) > maxLoadAge {
 		return float64(t.inFlight)
 	}
-	reported := t.told.busy + t.inFlight - t.told.inFlight
+	reported := t.direct.busy + t.inFlight - t.direct.inFlight
 	return float64(max(reported, t.inFlight))
 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -11,15 +11,15 @@
 
 const testSlots = 4
 
-// keptTo are the addresses with a kept connection, with the time at which it
+// idleConnections are the addresses with a kept connection, with the time at which it
 // expires.
-type keptTo map[string]time.Time
+type idleConnections map[string]time.Time
 
-func (k keptTo) Kept(address string, now time.Time) bool { return now.Before(k[address]) }
+func (k idleConnections) Kept(address string, now time.Time) bool { return now.Before(k[address]) }
 
-func newTestRegistry(n int) *Registry { return newRegistryWith(n, keptTo{}) }
+func newTestRegistry(n int) *Registry { return newRegistryWith(n, idleConnections{}) }
 
-func newRegistryWith(n int, kept keptTo) *Registry {
+func newRegistryWith(n int, kept idleConnections) *Registry {
 	r := NewRegistry("dc", kept)
 	for i := range n {
 		r.Put(Entry{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint("a", i), DataCentre: "dc", Slots: testSlots})
@@ -27,10 +27,10 @@
 	return r
 }
 
-// fullAt is the number of requests at which a target is full for its keys.
-func fullAt() int { return int(math.Ceil(keyedFill * testSlots)) }
+// maxKeyedRequests is the number of requests at which a target is full for its keys.
+func maxKeyedRequests() int { return int(math.Ceil(maxKeyedUtilization * testSlots)) }
 
-func TestKeyStaysAtItsTargetUntilThatIsTooBusy(t *testing.T) {
+func TestKeyStaysAtItsTargetUntilOverloaded(t *testing.T) {
 	r := newTestRegistry(5)
 	now := time.Unix(100, 0)
 	first := r.Pick(Criteria{Service: "s", Key: "program"}, now)
@@ -38,7 +38,7 @@
 	for r.Pick(Criteria{Service: "s", Key: "program"}, now) == first {
 		placed++
 	}
-	if want := fullAt(); placed != want {
+	if want := maxKeyedRequests(); placed != want {
 		t.Errorf("%d requests went to the first target, want %d", placed, want)
 	}
 	for range placed {
@@ -60,7 +60,7 @@
 
 // A program goes on where its last turn ran, also if that is elsewhere, until
 // that target is full.
-func TestProgramGoesOnWhereItsLastTurnRan(t *testing.T) {
+func TestProgramContinuesAtItsLastTarget(t *testing.T) {
 	r := twoDataCentres(4)
 	now := time.Unix(100, 0)
 	for i := range 20 {
@@ -71,7 +71,7 @@
 		}
 		r.End(got)
 	}
-	for range fullAt() {
+	for range maxKeyedRequests() {
 		r.PickIncarnation("far2")
 	}
 	if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "far2", Sticky: true}, now); got.DataCentre != "dc" {
@@ -85,10 +85,10 @@
 
 // Programs begin at targets of this data centre while these have room, then at
 // the one that every instance would choose.
-func TestProgramsBeginNearbyWhileThereIsRoom(t *testing.T) {
+func TestProgramsBeginLocallyWhileThereIsCapacity(t *testing.T) {
 	r := twoDataCentres(2)
 	now := time.Unix(100, 0)
-	// A target takes another program while it is less full than nearFill, so
+	// A target takes another program while it is less full than maxLocalUtilization, so
 	// each of the two takes three.
 	for i := range 6 {
 		got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("program", i), Sticky: true}, now)
@@ -142,7 +142,7 @@
 		}
 		return far
 	}
-	later := now.Add(2 * loadAge)
+	later := now.Add(2 * maxLoadAge)
 	report(2 * testSlots)
 	if far := beginsFar(later); far < 10 || far > 30 {
 		t.Errorf("%d of 40 programs began elsewhere while all targets here were full", far)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestRequestsWithoutAKeySpread(t *testing.T) {
+func TestRequestsWithoutAKeyAreSpread(t *testing.T) {
 	r := newTestRegistry(4)
 	now := time.Unix(100, 0)
 	counts := map[string]int{}
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestReportedLoadCountsWhileItIsNew(t *testing.T) {
+func TestReportedLoadExpires(t *testing.T) {
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
 	a := r.Pick(Criteria{Service: "s"}, now)
@@ -178,12 +178,12 @@
 			t.Error("the busy target was chosen")
 		}
 	}
-	if a.busy(now.Add(2*loadAge)) != 0 {
+	if a.busy(now.Add(2*maxLoadAge)) != 0 {
 		t.Error("an old report still counts")
 	}
 }
 
-func TestFailingTargetIsAvoidedAndTriedAgain(t *testing.T) {
+func TestFailedTargetIsAvoidedAndRetried(t *testing.T) {
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
 	bad := r.PickIncarnation("t0")
@@ -193,12 +193,12 @@
 			t.Error("a target that failed was chosen at once")
 		}
 	}
-	if later := now.Add(avoidFirst); r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, later) != bad {
+	if later := now.Add(minAvoidance); r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, later) != bad {
 		t.Error("the target was not tried again")
 	}
 }
 
-func TestFailingTargetsAreBetterThanNone(t *testing.T) {
+func TestFailedTargetIsPickedIfItIsTheOnlyOne(t *testing.T) {
 	r := newTestRegistry(1)
 	now := time.Unix(100, 0)
 	r.RecordFailure(r.PickIncarnation("t0"), now)
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestLeavingAndExcludedTargets(t *testing.T) {
+func TestDrainingAndExcludedTargetsAreNotPicked(t *testing.T) {
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
 	if !r.Put(Entry{ID: "t0", Service: "s", Address: "a0", Slots: testSlots, Draining: true}) {
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestAnotherTargetUnderTheSameIDIsNew(t *testing.T) {
+func TestReusedIDDoesNotInheritState(t *testing.T) {
 	r := newTestRegistry(1)
 	old := r.PickIncarnation("t0")
 	r.Put(Entry{ID: "t0", Service: "other", Address: "a0", Slots: testSlots})
