--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -43,31 +43,31 @@
 }
 
 // Usage is what is held now.
-func (b *Limiter) Usage() policy.Bytes {
-	if b == nil {
+func (l *Limiter) Usage() policy.Bytes {
+	if l == nil {
 		return policy.Bytes{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.bytes
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.bytes
 }
 
 // reserve takes some bytes, or returns a *LimitError.
-func (b *Limiter) reserve(size int64, inProgress bool) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.bytes.Fits(size, inProgress) {
-		b.refused.Inc(1)
-		return &LimitError{Requested: size, Held: b.bytes.Held, Max: b.bytes.Most, InProgress: inProgress}
+func (l *Limiter) reserve(size int64, inProgress bool) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.bytes.Fits(size, inProgress) {
+		l.refused.Inc(1)
+		return &LimitError{Requested: size, Held: l.bytes.Held, Max: l.bytes.Most, InProgress: inProgress}
 	}
-	b.add(size)
+	l.add(size)
 	return nil
 }
 
 // add counts bytes. The mutex is held.
-func (b *Limiter) add(size int64) {
-	b.bytes.Held += size
-	b.held.Update(float64(b.bytes.Held))
+func (l *Limiter) add(size int64) {
+	l.bytes.Held += size
+	l.held.Update(float64(l.bytes.Held))
 }
 
 // Account is what is held for one request. It is not safe for concurrent use.
@@ -78,11 +78,11 @@
 }
 
 // NewAccount makes an Account that holds nothing.
-func (b *Limiter) NewAccount() Account { return Account{limiter: b} }
+func (l *Limiter) NewAccount() Account { return Account{limiter: l} }
 
 // SetInProgress tells whether what is held next is needed by a program under way,
 // which may use the whole bound.
-func (a *Account) SetInProgress(needed bool) { a.inProgress = needed }
+func (a *Account) SetInProgress(inProgress bool) { a.inProgress = inProgress }
 
 // Reserve takes some bytes more, or returns a *LimitError.
 func (a *Account) Reserve(size int64) error {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -100,18 +100,18 @@
 }
 
 // Admit decides on a request.
-func (g *Controller) Admit(r Request, now time.Time) policy.RoomVerdict {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(r.Service, now)
+func (c *Controller) Admit(r Request, now time.Time) policy.RoomVerdict {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(r.Service, now)
 	if r.IsCall {
 		s.lastCalledAt = now
 	}
-	ask := policy.RoomAsk{
-		Class: r.Class, Rank: s.relativeRank(r), Size: s.relativeSize(r), Use: r.Usage, Draw: programHash(r), Jitter: g.jitter(),
+	admission := policy.RoomAsk{
+		Class: r.Class, Rank: s.relativeRank(r), Size: s.relativeSize(r), Use: r.Usage, Draw: programHash(r), Jitter: c.jitter(),
 		TimeLeft: r.TimeLeft, Usual: s.meanDuration,
 	}
-	verdict := policy.AdmitRoom(ask, g.requiredPools(r, s, now)...)
+	verdict := policy.AdmitRoom(admission, c.requiredPools(r, s, now)...)
 	if verdict.Admit {
 		s.retries.Allow(0)
 		s.recordTurn(r)
@@ -142,20 +142,20 @@
 type turnCounts struct{ turns, programs float64 }
 
 // add takes a turn that was let in. Old ones fade.
-func (n *turnCounts) add(first bool) {
-	n.turns += 1 - turnDecay*n.turns
-	n.programs -= turnDecay * n.programs
+func (counts *turnCounts) add(first bool) {
+	counts.turns += 1 - turnDecay*counts.turns
+	counts.programs -= turnDecay * counts.programs
 	if first {
-		n.programs++
+		counts.programs++
 	}
 }
 
 // perProgram is 0 while few programs were seen.
-func (n *turnCounts) perProgram() float64 {
-	if n == nil || n.programs < minPrograms {
+func (counts *turnCounts) perProgram() float64 {
+	if counts == nil || counts.programs < minPrograms {
 		return 0
 	}
-	return n.turns / n.programs
+	return counts.turns / counts.programs
 }
 
 // recordTurn counts a turn that was let in.
@@ -163,15 +163,15 @@
 	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
 	}
-	n := s.turnsByRoute[r.Route]
-	if n == nil {
+	counts := s.turnsByRoute[r.Route]
+	if counts == nil {
 		if len(s.turnsByRoute) >= maxRoutes {
 			clear(s.turnsByRoute) // most are of former settings
 		}
-		n = new(turnCounts)
-		s.turnsByRoute[r.Route] = n
+		counts = new(turnCounts)
+		s.turnsByRoute[r.Route] = counts
 	}
-	n.add(r.Class == policy.RoomFirst)
+	counts.add(r.Class == policy.RoomFirst)
 	s.turns.add(r.Class == policy.RoomFirst)
 }
 
@@ -187,14 +187,14 @@
 
 // requiredPools lists the pools that a request needs: a program that begins also needs
 // those that programs call.
-func (g *Controller) requiredPools(r Request, own *service, now time.Time) []policy.PoolLoad {
-	pools := []policy.PoolLoad{own.view}
+func (c *Controller) requiredPools(r Request, service *service, now time.Time) []policy.PoolLoad {
+	pools := []policy.PoolLoad{service.view}
 	if r.Class != policy.RoomFirst {
 		return pools
 	}
-	for name, s := range g.services {
-		if s != own && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
-			pools = append(pools, g.service(name, now).view)
+	for name, s := range c.services {
+		if s != service && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
+			pools = append(pools, c.service(name, now).view)
 		}
 	}
 	return pools
@@ -203,10 +203,10 @@
 // AllowRetry tells whether a request may be sent to one more target of a service
 // after a number of targets were full. It may where slots are free, and once where
 // nothing is known; else such sends are a bounded share.
-func (g *Controller) AllowRetry(name string, refusals int, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(name, now)
+func (c *Controller) AllowRetry(name string, refusals int, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(name, now)
 	if !s.view.Learned || !s.view.Full() && (s.view.Tells() || refusals <= 1) {
 		return true
 	}
@@ -224,46 +224,46 @@
 
 // AllowRetryAfterFailure tells the same after a target failed. Such sends are bounded
 // only where all slots are known to be taken: the failure says nothing of the room.
-func (g *Controller) AllowRetryAfterFailure(name string, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(name, now)
+func (c *Controller) AllowRetryAfterFailure(name string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(name, now)
 	return !s.view.Full() || s.takeRetry()
 }
 
 // RetryAfter is when a caller should come back whose request no target took.
-func (g *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	ask := policy.RoomAsk{Class: policy.RoomUnderWay, Jitter: g.jitter(), TimeLeft: timeLeft}
-	return policy.ComeBack(ask, g.service(name, now).view, 0)
+func (c *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	admission := policy.RoomAsk{Class: policy.RoomUnderWay, Jitter: c.jitter(), TimeLeft: timeLeft}
+	return policy.ComeBack(admission, c.service(name, now).view, 0)
 }
 
 // RecordDuration notes how long a request took that was served.
-func (g *Controller) RecordDuration(name string, took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.services[name]
+func (c *Controller) RecordDuration(name string, duration time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.services[name]
 	if s == nil {
 		return
 	}
 	if s.meanDuration == 0 {
-		s.meanDuration = took
+		s.meanDuration = duration
 		return
 	}
-	s.meanDuration += time.Duration(durationWeight * float64(took-s.meanDuration))
+	s.meanDuration += time.Duration(durationWeight * float64(duration-s.meanDuration))
 }
 
 // service finds a service with a fresh view of its pool.
-func (g *Controller) service(name string, now time.Time) *service {
-	s := g.services[name]
+func (c *Controller) service(name string, now time.Time) *service {
+	s := c.services[name]
 	if s == nil {
 		s = &service{turnsByRoute: make(map[string]*turnCounts), retries: policy.NewRetryBudgetOf(retryRatio, retryBurst),
-			metrics: newMetrics(g.scope, name)}
-		g.services[name] = s
+			metrics: newMetrics(c.scope, name)}
+		c.services[name] = s
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
-		p := g.pools.Pool(name, now)
+		p := c.pools.Pool(name, now)
 		s.view = policy.PoolLoad{Service: name, Fill: p.Utilization, Known: p.Reporting, All: p.Usable, Age: p.ReportAge, Learned: p.SpeedsLearned}
 		s.viewAt = now
 		s.metrics.observe(s.view)
@@ -301,12 +301,12 @@
 }
 
 // Dump lists the pools.
-func (g *Controller) Dump(now time.Time) []Dump {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	all := make([]Dump, 0, len(g.services))
-	for name := range g.services {
-		s := g.service(name, now)
+func (c *Controller) Dump(now time.Time) []Dump {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]Dump, 0, len(c.services))
+	for name := range c.services {
+		s := c.service(name, now)
 		all = append(all, Dump{
 			Service: name, Utilization: s.view.Fill, Reporting: s.view.Known, Usable: s.view.All, AgeMs: s.view.Age.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -14,8 +14,8 @@
 // testPools are pools of 44 targets, by service.
 type testPools map[string]float64
 
-func (f testPools) Pool(service string, _ time.Time) targets.Pool {
-	fill, ok := f[service]
+func (pools testPools) Pool(service string, _ time.Time) targets.Pool {
+	fill, ok := pools[service]
 	if !ok {
 		return targets.Pool{}
 	}
@@ -24,10 +24,10 @@
 
 var start = time.Unix(1000, 0)
 
-func newTestController(f testPools) *Controller {
-	g := New(f, tally.NoopScope)
-	g.jitter = func() float64 { return 0.5 }
-	return g
+func newTestController(pools testPools) *Controller {
+	c := New(pools, tally.NoopScope)
+	c.jitter = func() float64 { return 0.5 }
+	return c
 }
 
 func firstTurn(program string) Request {
@@ -54,14 +54,14 @@
 }
 
 func TestFirstTurnRequiresCalledPools(t *testing.T) {
-	g := newTestController(testPools{"engine": 0.5, "tool": 9})
-	if v := g.Admit(firstTurn("p"), start); !v.Admit {
+	c := newTestController(testPools{"engine": 0.5, "tool": 9})
+	if v := c.Admit(firstTurn("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	g.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.RoomUnderWay}, start)
+	c.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.RoomUnderWay}, start)
 	refused := 0
 	for i := range 20 {
-		v := g.Admit(firstTurn(strings.Repeat("p", i+1)), start)
+		v := c.Admit(firstTurn(strings.Repeat("p", i+1)), start)
 		if !v.Admit && v.Pool.Service == "tool" {
 			refused++
 		}
@@ -69,17 +69,17 @@
 	if refused < 15 {
 		t.Errorf("%d of 20 refused though calls find no room", refused)
 	}
-	if v := g.Admit(firstTurn("p"), start.Add(calledServiceTTL)); !v.Admit {
+	if v := c.Admit(firstTurn("p"), start.Add(calledServiceTTL)); !v.Admit {
 		t.Errorf("long after the last call: %+v", v)
 	}
 }
 
 func TestRetriesAreBounded(t *testing.T) {
-	again := func(g *Controller, refusals int) int {
+	again := func(c *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
-			g.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
-			if g.AllowRetry("engine", refusals, start) {
+			c.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
+			if c.AllowRetry("engine", refusals, start) {
 				allowed++
 			}
 		}
@@ -97,10 +97,10 @@
 	if got := again(newTestController(nil), 3); got != 1000 {
 		t.Errorf("where no speeds are learned %d of 1000 are sent again", got)
 	}
-	g := newTestController(testPools{"engine": 3})
+	c := newTestController(testPools{"engine": 3})
 	failures := 0
 	for range 100 {
-		if g.AllowRetryAfterFailure("engine", start) {
+		if c.AllowRetryAfterFailure("engine", start) {
 			failures++
 		}
 	}
@@ -110,16 +110,16 @@
 }
 
 func TestRefusalDescription(t *testing.T) {
-	g := newTestController(testPools{"engine": 5})
+	c := newTestController(testPools{"engine": 5})
 	r := firstTurn("p")
 	r.Rank, r.Usage = 2, 0.95
-	line := DescribeRefusal(r, g.Admit(r, start))
+	line := DescribeRefusal(r, c.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
 			t.Errorf("%q lacks %q", line, part)
 		}
 	}
-	dump := g.Dump(start)
+	dump := c.Dump(start)
 	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Reporting != 40 {
 		t.Errorf("dump %+v", dump)
 	}
@@ -127,25 +127,25 @@
 
 func TestLessUrgentProgramsAreRefusedMore(t *testing.T) {
 	refused := func(rank int) int {
-		g := newTestController(testPools{"engine": 1.45})
+		c := newTestController(testPools{"engine": 1.45})
 		for i := range 200 {
 			r := firstTurn(strings.Repeat("q", i+1))
 			r.Rank = i % 3
-			g.Admit(r, start)
+			c.Admit(r, start)
 		}
 		n := 0
 		for i := range 200 {
 			r := firstTurn(strings.Repeat("p", i+1))
 			r.Rank = rank
-			if !g.Admit(r, start).Admit {
+			if !c.Admit(r, start).Admit {
 				n++
 			}
 		}
 		return n
 	}
-	urgent, mean, less := refused(0), refused(1), refused(2)
-	if urgent >= mean || mean >= less {
-		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, mean, less)
+	urgent, normal, less := refused(0), refused(1), refused(2)
+	if urgent >= normal || normal >= less {
+		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, normal, less)
 	}
 	same := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
@@ -157,9 +157,9 @@
 
 func TestLargeProgramsAreRefusedMore(t *testing.T) {
 	pools := testPools{"engine": 0.5}
-	g := newTestController(pools)
+	c := newTestController(pools)
 	turn := func(route string, class policy.RoomClass) {
-		g.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
+		c.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
 	}
 	for range 20 {
 		turn("big", policy.RoomFirst)
@@ -170,7 +170,7 @@
 		turn("small", policy.RoomUnderWay)
 	}
 	pools["engine"] = 1.5
-	s := g.services["engine"]
+	s := c.services["engine"]
 	size := func(route string) float64 { return s.relativeSize(Request{Route: route}) }
 	if size("big") < 1.5 || size("small") > 0.5 || size("new") != 0 {
 		t.Errorf("sizes %.2f and %.2f, of a new route %.2f", size("big"), size("small"), size("new"))
@@ -180,7 +180,7 @@
 		for _, route := range []string{"big", "small"} {
 			r := firstTurn(strings.Repeat("p", i+1))
 			r.Route = route
-			if !g.Admit(r, start.Add(maxViewAge)).Admit {
+			if !c.Admit(r, start.Add(maxViewAge)).Admit {
 				refused[route]++
 			}
 		}
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -18,8 +18,8 @@
 
 const (
 	step          = 10 * time.Millisecond
-	loadFrom      = 4 * time.Second
-	loadTo        = 12 * time.Second
+	overloadStart = 4 * time.Second
+	overloadEnd   = 12 * time.Second
 	simulationEnd = 22 * time.Second
 	engineCount   = 44
 	slots         = 8
@@ -164,25 +164,25 @@
 		return
 	}
 	free := 1.1 - d.view.registry.Pool("engine", now).Utilization
-	room := max(free*engineCount*slots/2, 1)
+	capacity := max(free*engineCount*slots/2, 1)
 	total := 0.0
 	for _, a := range d.requested {
 		total += a
 	}
 	for i := range d.granted {
-		d.granted[i] = min(d.granted[i], 1) + room*(d.requested[i]+0.2)/(total+0.2*float64(len(d.granted)))
+		d.granted[i] = min(d.granted[i], 1) + capacity*(d.requested[i]+0.2)/(total+0.2*float64(len(d.granted)))
 		d.requested[i] = 0
 	}
 }
 
 // program is one on its way; it tries each turn up to tries times.
 type program struct {
-	instance int
-	turn     int
-	tries    int
-	began    time.Time
-	name     string
-	sentAt   time.Time
+	instance  int
+	turn      int
+	attempts  int
+	startedAt time.Time
+	name      string
+	sentAt    time.Time
 }
 
 type engine struct {
@@ -193,7 +193,7 @@
 
 type run struct {
 	program *program
-	ends    time.Time
+	endsAt  time.Time
 }
 
 // simulation is one load on its way.
@@ -203,7 +203,7 @@
 	due       map[time.Time][]*program
 	random    *rand.Rand
 	inTime    map[int]int
-	begun     map[int]int
+	started   map[int]int
 	instances int
 }
 
@@ -212,34 +212,34 @@
 func simulate(w strategy, instances int) []float64 {
 	r := &simulation{
 		strategy: w, due: make(map[time.Time][]*program),
-		random: rand.New(rand.NewPCG(1, 2)), inTime: make(map[int]int), begun: make(map[int]int), instances: instances,
+		random: rand.New(rand.NewPCG(1, 2)), inTime: make(map[int]int), started: make(map[int]int), instances: instances,
 	}
 	for now := start; now.Before(start.Add(simulationEnd)); now = now.Add(step) {
 		r.step(now)
 	}
-	shares := make([]float64, int(simulationEnd/time.Second)/2-2)
-	for i := range shares {
-		shares[i] = float64(r.inTime[i]) / float64(r.begun[i])
+	fractions := make([]float64, int(simulationEnd/time.Second)/2-2)
+	for i := range fractions {
+		fractions[i] = float64(r.inTime[i]) / float64(r.started[i])
 	}
-	return shares
+	return fractions
 }
 
 func (r *simulation) step(now time.Time) {
-	since := now.Sub(start)
-	loaded := since >= loadFrom && since < loadTo
+	elapsed := now.Sub(start)
+	overloaded := elapsed >= overloadStart && elapsed < overloadEnd
 	count := basePrograms
-	if loaded {
+	if overloaded {
 		count *= 3
 	}
 	for range int(count + r.random.Float64()) {
-		p := &program{instance: r.random.IntN(r.instances), began: now}
+		p := &program{instance: r.random.IntN(r.instances), startedAt: now}
 		p.name = fmt.Sprint(r.random.Uint64())
-		r.begun[r.windowOf(p)]++
+		r.started[r.windowOf(p)]++
 		r.due[now] = append(r.due[now], p)
 	}
 	r.strategy.tick(now)
 	for e := range r.engines {
-		r.engines[e].slow = loaded && e%3 == 0
+		r.engines[e].slow = overloaded && e%3 == 0
 		r.advance(e, now)
 	}
 	for _, p := range r.due[now] {
@@ -248,7 +248,7 @@
 	delete(r.due, now)
 }
 
-func (r *simulation) windowOf(p *program) int { return int(p.began.Sub(start) / (2 * time.Second)) }
+func (r *simulation) windowOf(p *program) int { return int(p.startedAt.Sub(start) / (2 * time.Second)) }
 
 func (r *simulation) schedule(p *program, at time.Time) {
 	at = start.Add(at.Sub(start).Round(step)).Add(step)
@@ -262,7 +262,7 @@
 	switch {
 	case p.turn == 0:
 		class = policy.RoomFirst
-	case now.Sub(p.began) > deadline:
+	case now.Sub(p.startedAt) > deadline:
 		class = policy.RoomLate
 	}
 	verdict := r.strategy.admit(p.instance, Request{Service: "engine", Program: p.name, Class: class}, now)
@@ -300,7 +300,7 @@
 }
 
 func (r *simulation) retry(p *program, now time.Time, after time.Duration) {
-	if p.tries++; p.tries < 6 {
+	if p.attempts++; p.attempts < 6 {
 		r.schedule(p, now.Add(after))
 	}
 }
@@ -308,44 +308,44 @@
 // advance ends what is done at an engine and starts what waits.
 func (r *simulation) advance(e int, now time.Time) {
 	g := &r.engines[e]
-	kept := g.running[:0]
+	running := g.running[:0]
 	for _, run := range g.running {
-		if run.ends.After(now) {
-			kept = append(kept, run)
+		if run.endsAt.After(now) {
+			running = append(running, run)
 			continue
 		}
 		r.endTurn(run.program, now)
 	}
-	g.running = kept
+	g.running = running
 	for len(g.running) < slots && len(g.waiting) > 0 {
 		p := g.waiting[0]
 		g.waiting = g.waiting[1:]
 		if now.Sub(p.sentAt) > callerTime {
 			continue
 		}
-		took := turnTime
+		duration := turnTime
 		if g.slow {
-			took *= 4
+			duration *= 4
 		}
-		g.running = append(g.running, run{p, now.Add(took)})
+		g.running = append(g.running, run{p, now.Add(duration)})
 	}
 }
 
 func (r *simulation) endTurn(p *program, now time.Time) {
 	p.turn++
-	p.tries = 0
+	p.attempts = 0
 	if p.turn < turns {
 		r.schedule(p, now.Add(thinkTime))
 		return
 	}
-	if now.Sub(p.began) <= deadline {
+	if now.Sub(p.startedAt) <= deadline {
 		r.inTime[r.windowOf(p)]++
 	}
 }
 
-func sum(shares []float64) float64 {
+func sum(fractions []float64) float64 {
 	total := 0.0
-	for _, s := range shares {
+	for _, s := range fractions {
 		total += s
 	}
 	return total
@@ -353,31 +353,31 @@
 
 func TestWaysOutOfAnOverload(t *testing.T) {
 	for _, instances := range []int{90, 300} {
-		deal := func(from, to time.Duration) *coordinated {
+		newCoordinated := func(from, to time.Duration) *coordinated {
 			return &coordinated{view: newEngineView(), granted: make([]float64, instances), requested: make([]float64, instances),
 				unavailableFrom: start.Add(from), unavailableUntil: start.Add(to)}
 		}
-		ways := map[string]strategy{
+		strategies := map[string]strategy{
 			"nobody":              admitAll{},
 			"shared":              newDecentralized(instances, 0),
 			"shared, a tenth cut": newDecentralized(instances, instances/10),
-			"dealt":               deal(0, 0),
-			"dealt, lost for 3 s": deal(6*time.Second, 9*time.Second),
+			"dealt":               newCoordinated(0, 0),
+			"dealt, lost for 3 s": newCoordinated(6*time.Second, 9*time.Second),
 		}
-		shares := make(map[string][]float64)
-		for name, w := range ways {
-			shares[name] = simulate(w, instances)
-			t.Logf("%3d instances, %-20s in time by 2 s: %.2f", instances, name, shares[name])
+		fractions := make(map[string][]float64)
+		for name, w := range strategies {
+			fractions[name] = simulate(w, instances)
+			t.Logf("%3d instances, %-20s in time by 2 s: %.2f", instances, name, fractions[name])
 		}
-		during, after := int(loadFrom/time.Second)/2, int(loadTo/time.Second)/2
+		during, after := int(overloadStart/time.Second)/2, int(overloadEnd/time.Second)/2
 		for _, name := range []string{"shared", "shared, a tenth cut"} {
-			for i, share := range shares[name][after+1:] {
-				if share < 0.85 {
-					t.Errorf("%d instances, %s: %.2f in time in window %d after the load", instances, name, share, i+1)
+			for i, fraction := range fractions[name][after+1:] {
+				if fraction < 0.85 {
+					t.Errorf("%d instances, %s: %.2f in time in window %d after the load", instances, name, fraction, i+1)
 				}
 			}
-			if got, none := sum(shares[name][during:after]), sum(shares["nobody"][during:after]); got <= none {
-				t.Errorf("%d instances, %s: %.2f in time during the load, %.2f where nobody decides", instances, name, got, none)
+			if got, baseline := sum(fractions[name][during:after]), sum(fractions["nobody"][during:after]); got <= baseline {
+				t.Errorf("%d instances, %s: %.2f in time during the load, %.2f where nobody decides", instances, name, got, baseline)
 			}
 		}
 	}
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -37,11 +37,11 @@
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0", "t1"), now)
-	if got := countPicks(r, now); got["t0"]+got["t1"] != 0 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); counts["t0"]+counts["t1"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
-	if got := countPicks(r, now.Add(peerAvoidance)); got["t0"] == 0 {
-		t.Errorf("after its time t0 was not tried: %v", got)
+	if counts := countPicks(r, now.Add(peerAvoidance)); counts["t0"] == 0 {
+		t.Errorf("after its time t0 was not tried: %v", counts)
 	}
 }
 
@@ -50,16 +50,16 @@
 	now := time.Unix(100, 0)
 	r.RecordSuccess(r.byID["t0"], now.Add(-50*time.Millisecond))
 	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0"), now)
-	if got := countPicks(r, now); got["t0"] == 0 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("picked %v", counts)
 	}
 	r.MergeBreaks(peerBreaks(10*time.Millisecond, "t0"), now)
-	if got := countPicks(r, now); got["t0"] != 0 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
 	r.RecordSuccess(r.byID["t0"], now)
-	if got := countPicks(r, now); got["t0"] == 0 {
-		t.Errorf("after an answer picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("after an answer picked %v", counts)
 	}
 }
 
@@ -67,8 +67,8 @@
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.MergeBreaks(peerBreaks(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
-	if got := countPicks(r, now); len(got) != 4 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); len(counts) != 4 {
+		t.Errorf("picked %v", counts)
 	}
 }
 
@@ -79,11 +79,11 @@
 		t.Error("a second break was to be told at once")
 	}
 	b.MergeBreaks(a.Breaks(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
-	if got := b.Breaks(now.Add(peerAvoidance / 2)); len(got) != 1 || got[0].Age <= 0 {
-		t.Errorf("passed on %v", got)
+	if counts := b.Breaks(now.Add(peerAvoidance / 2)); len(counts) != 1 || counts[0].Age <= 0 {
+		t.Errorf("passed on %v", counts)
 	}
-	if got := b.Breaks(now.Add(2 * peerAvoidance)); len(got) != 0 {
-		t.Errorf("passed on %v", got)
+	if counts := b.Breaks(now.Add(2 * peerAvoidance)); len(counts) != 0 {
+		t.Errorf("passed on %v", counts)
 	}
 }
 
@@ -100,14 +100,14 @@
 	later.Start = 2000
 	r.Put(later)
 	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0@1000", "t0"), now)
-	if got := countPicks(r, now); got["t0"] == 0 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("picked %v", counts)
 	}
 	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
 		t.Error("a break of an earlier start is told")
 	}
 	r.MergeBreaks(peerBreaks(0, "t0@2000"), now)
-	if got := countPicks(r, now); got["t0"] != 0 {
-		t.Errorf("picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
 }
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -12,8 +12,8 @@
 // target there is much busier than others.
 func TestPickPrefersIdleConnection(t *testing.T) {
 	now := time.Unix(100, 0)
-	kept := idleConnections{"a2": now.Add(time.Second)}
-	r := newRegistryWith(4, kept)
+	idle := idleConnections{"a2": now.Add(time.Second)}
+	r := newRegistryWith(4, idle)
 	for range 20 {
 		got := r.Pick(Criteria{Service: "s"}, now)
 		if got.ID != "t2" {
@@ -69,9 +69,9 @@
 func newClusterSim() *clusterSim {
 	f := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
 	for range simInstances {
-		kept := idleConnections{}
-		f.kept = append(f.kept, kept)
-		f.instances = append(f.instances, newRegistryWith(simTargets, kept))
+		idle := idleConnections{}
+		f.kept = append(f.kept, idle)
+		f.instances = append(f.instances, newRegistryWith(simTargets, idle))
 	}
 	return f
 }
--- a/internal/targets/expected_end.go
+++ b/internal/targets/expected_end.go
@@ -10,40 +10,40 @@
 
 // chooseByEnd chooses a target of a service whose targets tell their pace, by
 // when each is expected to end the request. The mutex is held.
-func (r *Registry) chooseByEnd(w *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
+func (r *Registry) chooseByEnd(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
 	pool := r.recentPool(criteria.Service, now).Utilization
-	fills := meanUtilizations(all)
-	usual := meansOf(all)
-	warm := criteria.preferred(all)
-	r.options = r.options[:0]
+	means := meanUtilizations(all)
+	serviceMeans := meansOf(all)
+	preferred := criteria.preferred(all)
+	r.endOptions = r.endOptions[:0]
 	for _, t := range all {
-		kept := r.connections.Kept(t.Address, now)
+		idle := r.connections.Kept(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
-		slowness := t.currentSlowness(usual, now)
+		slowness := t.currentSlowness(serviceMeans, now)
 		if last {
 			// A program does not move for what passes in parts of a second.
-			slowness = t.slowness(usual, now)
+			slowness = t.slowness(serviceMeans, now)
 		}
-		r.options = append(r.options, policy.EndOption{
-			Fill: t.utilization(pool, w.requestDuration, now), Slowness: slowness, Share: t.relativeUtilization(fills),
-			Opens: !kept, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
-			Last: last, Warm: t == warm,
+		r.endOptions = append(r.endOptions, policy.EndOption{
+			Fill: t.utilization(pool, model.requestDuration, now), Slowness: slowness, Share: t.relativeUtilization(means),
+			Opens: !idle, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
+			Last: last, Warm: t == preferred,
 			Shut: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
-			Rank: r.tieBreak(t, kept || !criteria.Stream),
+			Rank: r.tieBreak(t, idle || !criteria.Stream),
 		})
 	}
-	choice := policy.ByEnd(r.options, w.endRequest(criteria))
+	choice := policy.ByEnd(r.endOptions, model.endRequest(criteria))
 	if choice.Index < 0 {
 		return nil
 	}
-	criteria.Explanation.set(r.options, all, choice, now)
+	criteria.Explanation.set(r.endOptions, all, choice, now)
 	return all[choice.Index]
 }
 
 // tieBreak ranks targets that are alike: by chance, or by an order that differs
 // between instances, so that each keeps connections to a few engines.
-func (r *Registry) tieBreak(t *Target, chance bool) float64 {
-	if chance {
+func (r *Registry) tieBreak(t *Target, random bool) float64 {
+	if random {
 		return rand.Float64()
 	}
 	return rank(r.seed, t.ID)
@@ -67,17 +67,17 @@
 }
 
 // set takes a choice; a nil Why stays.
-func (y *Explanation) set(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
-	if y == nil {
+func (e *Explanation) set(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
+	if e == nil {
 		return
 	}
 	t, o := all[choice.Index], options[choice.Index]
-	*y = Explanation{
+	*e = Explanation{
 		Estimated: true, ExpectedEnd: choice.End, RunnerUpEnd: choice.NextEnd, Utilization: o.Fill, Slowness: o.Slowness,
 		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.At, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
 	if choice.Next >= 0 {
-		y.RunnerUp = all[choice.Next].ID
+		e.RunnerUp = all[choice.Next].ID
 	}
 }
 
@@ -94,27 +94,27 @@
 
 // preferred is the target that its key ranks first, which all instances find without
 // asking; nil for a program, of which the engine is remembered, and without a key.
-func (w Criteria) preferred(all []*Target) *Target {
-	if w.Key == "" || w.Sticky {
+func (model Criteria) preferred(all []*Target) *Target {
+	if model.Key == "" || model.Sticky {
 		return nil
 	}
 	var first best
 	for _, t := range all {
 		if !t.Draining {
-			first.offer(t, rank(w.Key, t.ID))
+			first.offer(t, rank(model.Key, t.ID))
 		}
 	}
 	return first.target
 }
 
 // endRequest is what a request needs of a service, in parts of its usual time.
-func (w *serviceModel) endRequest(criteria Criteria) policy.EndRequest {
+func (model *serviceModel) endRequest(criteria Criteria) policy.EndRequest {
 	if !criteria.Stream {
 		return policy.EndRequest{}
 	}
-	read := w.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
-	answer := w.turnEstimates.Expected(0, int64(w.turnEstimates.Tokens))
-	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(answer, time.Millisecond).Seconds()}
+	read := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
+	response := model.turnEstimates.Expected(0, int64(model.turnEstimates.Tokens))
+	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
 // avoided tells whether requests are kept away from a target.
--- a/internal/targets/expected_end_test.go
+++ b/internal/targets/expected_end_test.go
@@ -10,8 +10,8 @@
 )
 
 // pacedRegistry has targets of which each told its usual pace some times.
-func pacedRegistry(n int, kept idleConnections, now time.Time) *Registry {
-	r := newRegistryWith(n, kept)
+func pacedRegistry(n int, idle idleConnections, now time.Time) *Registry {
+	r := newRegistryWith(n, idle)
 	for i := range 10 * n {
 		r.RecordLoad(r.byID[fmt.Sprint("t", i%n)], call.Load{Slots: testSlots, Pace: 100}, now)
 	}
@@ -74,11 +74,11 @@
 		}
 	}
 	later := now.Add(20 * time.Millisecond)
-	var told []structs.TargetReport
+	var reports []structs.TargetReport
 	for _, target := range r.byID {
-		told = append(told, target.report(meansOf(r.serviceByName("s").all), later))
+		reports = append(reports, target.report(meansOf(r.serviceByName("s").all), later))
 	}
-	other.MergeLoadReports(told, later)
+	other.MergeLoadReports(reports, later)
 	for name, at := range map[string]*Registry{"seen": r, "heard": other} {
 		begins := countConcurrentPicks(at, Criteria{Service: "s", Key: "p", Sticky: true, Stream: true}, 16, later)
 		if begins["t0"]+begins["t1"] != 0 || len(begins) != 4 {
@@ -118,10 +118,10 @@
 	if len(r.models) != 0 || !r.byID["t0"].speed.At.IsZero() {
 		t.Error("something was learned")
 	}
-	var why Explanation
-	r.Pick(Criteria{Service: "s", Explanation: &why}, now)
-	if why.Estimated {
-		t.Errorf("got %+v", why)
+	var explanation Explanation
+	r.Pick(Criteria{Service: "s", Explanation: &explanation}, now)
+	if explanation.Estimated {
+		t.Errorf("got %+v", explanation)
 	}
 }
 
@@ -145,10 +145,10 @@
 	now := time.Unix(100, 0)
 	r := pacedRegistry(2, idleConnections{}, now)
 	r.RecordLoad(r.byID["t0"], call.Load{Running: testSlots, Slots: testSlots, Pace: 100}, now)
-	var why Explanation
-	got := r.Pick(Criteria{Service: "s", Explanation: &why}, now.Add(time.Millisecond))
-	if got.ID != "t1" || !why.Estimated || why.RunnerUp != "t0" || why.RunnerUpEnd <= why.ExpectedEnd ||
-		why.ReportAge != time.Millisecond || why.SpeedAge != unknownAge {
-		t.Errorf("%s was chosen for %+v", got.ID, why)
+	var explanation Explanation
+	got := r.Pick(Criteria{Service: "s", Explanation: &explanation}, now.Add(time.Millisecond))
+	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpEnd <= explanation.ExpectedEnd ||
+		explanation.ReportAge != time.Millisecond || explanation.SpeedAge != unknownAge {
+		t.Errorf("%s was chosen for %+v", got.ID, explanation)
 	}
 }
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -105,8 +105,8 @@
 	if w := r.models[criteria.Service]; w != nil {
 		return r.chooseByEnd(w, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
 	}
-	var last, near, ranked, least best
-	beginsNear := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
+	var last, local, ranked, least best
+	preferLocal := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
 	// Instances with the same view must not all choose the same target.
 	start := rand.IntN(len(all) + 1)
 	sampled := len(all) < len(r.serviceByName(criteria.Service).all)
@@ -119,29 +119,29 @@
 		if !includeAvoided && t.avoided(now) {
 			continue
 		}
-		fill := t.busy(now) / float64(max(t.Slots, 1))
-		kept := r.connections.Kept(t.Address, now)
-		least.offer(t, -fill-r.placementCost(t, kept))
-		if criteria.Key == "" || fill >= maxKeyedUtilization {
+		utilization := t.busy(now) / float64(max(t.Slots, 1))
+		idle := r.connections.Kept(t.Address, now)
+		least.offer(t, -utilization-r.placementCost(t, idle))
+		if criteria.Key == "" || utilization >= maxKeyedUtilization {
 			continue
 		}
 		rank := rank(criteria.Key, t.ID)
 		if keyed(at) {
 			ranked.offer(t, rank)
 		}
-		if beginsNear && t.DataCentre == r.dataCentre && fill < maxLocalUtilization {
-			if sampled && kept {
+		if preferLocal && t.DataCentre == r.dataCentre && utilization < maxLocalUtilization {
+			if sampled && idle {
 				// Among thousands of targets hardly any other program's connection
 				// or prompt would be met again.
 				rank += idleConnectionRank
 			}
-			near.offer(t, rank)
+			local.offer(t, rank)
 		}
 		if t.incarnation == criteria.LastIncarnation {
 			last.offer(t, 1)
 		}
 	}
-	for _, b := range []best{last, near, ranked, least} {
+	for _, b := range []best{last, local, ranked, least} {
 		if b.target != nil {
 			return b.target
 		}
@@ -156,8 +156,8 @@
 // updateLocalUtilization takes a report into the usual load of the targets of this data
 // centre. The mutex is held.
 func (r *Registry) updateLocalUtilization(t *Target, load call.Load) {
-	fill := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
-	r.localUtilization[t.Service] += localLoadWeight * (fill - r.localUtilization[t.Service])
+	utilization := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
+	r.localUtilization[t.Service] += localLoadWeight * (utilization - r.localUtilization[t.Service])
 }
 
 // idleConnectionRank sets targets to which a connection is kept before all others.
@@ -177,9 +177,9 @@
 }
 
 // placementCost is what speaks against a target besides its load.
-func (r *Registry) placementCost(t *Target, kept bool) float64 {
+func (r *Registry) placementCost(t *Target, idle bool) float64 {
 	cost := 0.0
-	if !kept {
+	if !idle {
 		cost += newConnectionCost
 	}
 	if t.DataCentre != r.dataCentre {
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -26,17 +26,17 @@
 		t.Errorf("half of the targets, those that reported last, are full: got %+v", pool)
 	}
 	newest := 0
-	told := make(map[uint64]bool)
+	reported := make(map[uint64]bool)
 	for range 100 {
 		for i, l := range r.LoadReports(now) {
-			told[l.Target] = true
+			reported[l.Target] = true
 			if i < maxReports/2 && l.Age <= maxReports/2*50*time.Millisecond {
 				newest++
 			}
 		}
 	}
-	if newest != 100*maxReports/2 || len(told) < n-1 {
-		t.Errorf("%d of the newest reports passed on, %d targets told of", newest, len(told))
+	if newest != 100*maxReports/2 || len(reported) < n-1 {
+		t.Errorf("%d of the newest reports passed on, %d targets told of", newest, len(reported))
 	}
 }
 
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -68,12 +68,12 @@
 // counts by its speed. One that has told nothing lately was asked for nothing, as
 // far as is known: it counts as free. The mutex is held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
-	s, usual := r.serviceByName(service), r.means(service)
+	s, means := r.serviceByName(service), r.means(service)
 	pool := Pool{Usable: s.usable, SpeedsLearned: r.models[service] != nil}
 	weight := func(t *Target) float64 { return float64(max(t.Slots, 1)) }
 	capacity, busy, ages := float64(s.slots), 0.0, 0.0
 	if pool.SpeedsLearned {
-		weight = func(t *Target) float64 { return float64(max(t.Slots, 1)) / t.slowness(usual, now) }
+		weight = func(t *Target) float64 { return float64(max(t.Slots, 1)) / t.slowness(means, now) }
 		capacity = 0
 		for _, t := range s.all {
 			if !t.Draining {
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -66,13 +66,13 @@
 
 // shareableReports lists reports to pass on: the newest ones, which tell the load of now,
 // and as many others, so that over some messages each is told.
-func (r *Registry) shareableReports(now time.Time, most int, tell func(*Target) bool) []structs.TargetReport {
+func (r *Registry) shareableReports(now time.Time, limit int, include func(*Target) bool) []structs.TargetReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var newest []*Target
 	for _, s := range r.byService {
 		s.forEachReporting(now, func(t *Target) {
-			if now.Sub(t.loadAt) <= maxSharedReportAge && tell(t) {
+			if now.Sub(t.loadAt) <= maxSharedReportAge && include(t) {
 				newest = append(newest, t)
 			}
 		})
@@ -80,11 +80,11 @@
 	slices.SortFunc(newest, func(a, b *Target) int {
 		return cmp.Or(b.loadAt.Compare(a.loadAt), cmp.Compare(a.index, b.index))
 	})
-	most = min(most, len(newest))
-	others := newest[(most+1)/2:]
+	limit = min(limit, len(newest))
+	others := newest[(limit+1)/2:]
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	var loads []structs.TargetReport
-	for _, t := range newest[:most] {
+	for _, t := range newest[:limit] {
 		loads = append(loads, t.report(r.means(t.Service), now))
 	}
 	return loads
@@ -112,8 +112,8 @@
 
 // setLoad takes a report of a time. The mutex is held.
 func (r *Registry) setLoad(t *Target, load call.Load, at time.Time) {
-	fill := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
-	t.meanUtilization = policy.TrendFill(t.meanUtilization, fill, t.loadAt.IsZero())
+	utilization := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
+	t.meanUtilization = policy.TrendFill(t.meanUtilization, utilization, t.loadAt.IsZero())
 	t.load, t.loadAt, t.inFlightAtLoad = load, at, t.inFlight
 	if s := r.byService[t.Service]; r.byID[t.ID] == t {
 		s.markReporting(t)
--- a/internal/targets/service.go
+++ b/internal/targets/service.go
@@ -61,11 +61,11 @@
 	last := s.all[len(s.all)-1]
 	s.all[t.index], last.index = last, t.index
 	s.all = s.all[:len(s.all)-1]
-	is := func(other *Target) bool { return other == t }
-	s.local = slices.DeleteFunc(s.local, is)
-	s.recent = slices.DeleteFunc(s.recent, is)
+	isTarget := func(other *Target) bool { return other == t }
+	s.local = slices.DeleteFunc(s.local, isTarget)
+	s.recent = slices.DeleteFunc(s.recent, isTarget)
 	s.sorted = false
-	s.reporting = slices.DeleteFunc(s.reporting, is)
+	s.reporting = slices.DeleteFunc(s.reporting, isTarget)
 	s.adjustTotals(t, -1)
 }
 
@@ -134,15 +134,15 @@
 }
 
 // sample takes some of a list at random.
-func sample(all []*Target, most int) []*Target {
-	if len(all) <= most {
+func sample(all []*Target, n int) []*Target {
+	if len(all) <= n {
 		return all
 	}
-	drawn := make([]*Target, most)
-	for i := range drawn {
-		drawn[i] = all[rand.IntN(len(all))]
+	sampled := make([]*Target, n)
+	for i := range sampled {
+		sampled[i] = all[rand.IntN(len(all))]
 	}
-	return drawn
+	return sampled
 }
 
 // markReporting notes that a target has a new report.
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -30,7 +30,7 @@
 // A choice among thousands of targets looks at no more of them as their number
 // doubles.
 func TestChoiceLooksAtABoundedNumberOfTargets(t *testing.T) {
-	const most = 64
+	const limit = 64
 	for _, n := range []int{2500, 5000, 10000} {
 		connections := new(countingConnections)
 		r := registryOf(n, connections)
@@ -38,7 +38,7 @@
 			{Service: "s"}, {Service: "s", Key: "k"}, {Service: "s", Key: "p", Sticky: true, LastIncarnation: "t7"},
 		} {
 			connections.lookups = 0
-			if r.Pick(want, time.Now()) == nil || connections.lookups > most {
+			if r.Pick(want, time.Now()) == nil || connections.lookups > limit {
 				t.Errorf("%d of %d targets were looked at for %+v", connections.lookups, n, want)
 			}
 		}
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -36,13 +36,13 @@
 }
 
 // add takes an answer in and gives its time over the usual one.
-func (t *routeDurations) add(took time.Duration) float64 {
-	t.hedging.Add(took)
+func (t *routeDurations) add(duration time.Duration) float64 {
+	t.hedging.Add(duration)
 	if t.mean == 0 {
-		t.mean = took.Seconds()
+		t.mean = duration.Seconds()
 	}
-	t.mean += durationWeight * (took.Seconds() - t.mean)
-	return took.Seconds() / t.mean
+	t.mean += durationWeight * (duration.Seconds() - t.mean)
+	return duration.Seconds() / t.mean
 }
 
 // route finds the times of a route.
@@ -83,15 +83,15 @@
 }
 
 // RecordResponse takes the time of a whole plain answer.
-func (r *Registry) RecordResponse(t *Target, route string, took time.Duration, now time.Time) {
+func (r *Registry) RecordResponse(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.models[t.Service]
-	if w == nil || took <= 0 {
+	if w == nil || duration <= 0 {
 		return
 	}
-	w.addDuration(took)
-	t.speed.Add(w.route(route).add(took), now)
+	w.addDuration(duration)
+	t.speed.Add(w.route(route).add(duration), now)
 }
 
 // HedgeTimeout is how long a first send of a request that may run again may take;
@@ -108,7 +108,7 @@
 
 // RecordHedge counts a second send after Patience, and how long the first one took
 // at least.
-func (r *Registry) RecordHedge(t *Target, route string, took time.Duration, now time.Time) {
+func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.models[t.Service]
@@ -118,7 +118,7 @@
 	times := w.route(route)
 	times.hedging.Again()
 	if times.mean > 0 {
-		t.speed.Add(took.Seconds()/times.mean, now)
+		t.speed.Add(duration.Seconds()/times.mean, now)
 	}
 }
 
@@ -175,21 +175,21 @@
 		}
 		means[t.DataCentre].add(t.meanUtilization)
 	}
-	fills := make(map[string]float64, len(means))
+	meansByDataCentre := make(map[string]float64, len(means))
 	for dataCentre, m := range means {
-		fills[dataCentre] = m.value()
+		meansByDataCentre[dataCentre] = m.value()
 	}
-	return fills
+	return meansByDataCentre
 }
 
 // relativeUtilization is what a target usually has over what those of its data centre have, 1
 // while little is known.
-func (t *Target) relativeUtilization(fills map[string]float64) float64 {
-	usual := fills[t.DataCentre]
-	if t.loadAt.IsZero() || usual < minMeanUtilization {
+func (t *Target) relativeUtilization(meansByDataCentre map[string]float64) float64 {
+	localMean := meansByDataCentre[t.DataCentre]
+	if t.loadAt.IsZero() || localMean < minMeanUtilization {
 		return 1
 	}
-	return t.meanUtilization / usual
+	return t.meanUtilization / localMean
 }
 
 // mean is that of the values added.
@@ -227,11 +227,11 @@
 }
 
 // utilization is the expected number of requests at a target, in parts of its slots.
-func (t *Target) utilization(pool float64, request time.Duration, now time.Time) float64 {
+func (t *Target) utilization(pool float64, requestDuration time.Duration, now time.Time) float64 {
 	return policy.Fill(policy.LoadReport{
 		Busy: t.load.Running + t.load.Waiting, Since: t.inFlight - t.inFlightAtLoad, Own: t.inFlight,
 		Slots: t.Slots, Usual: t.meanUtilization, Known: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
-	}, pool, request)
+	}, pool, requestDuration)
 }
 
 // report is what others are told of a target.
@@ -239,8 +239,8 @@
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if told := t.speed.Told(u.speed, t.relativePace(u)); told > 0 {
-		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.At)
+	if speed := t.speed.Told(u.speed, t.relativePace(u)); speed > 0 {
+		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.At)
 	}
 	return report
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -130,8 +130,8 @@
 	// seed differs between instances, so that each prefers other targets of those
 	// that are alike.
 	seed string
-	// options is reused by choices.
-	options []policy.EndOption
+	// endOptions is reused by choices.
+	endOptions []policy.EndOption
 }
 
 // NewRegistry makes an empty table for an instance in a data centre.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -19,8 +19,8 @@
 
 func newTestRegistry(n int) *Registry { return newRegistryWith(n, idleConnections{}) }
 
-func newRegistryWith(n int, kept idleConnections) *Registry {
-	r := NewRegistry("dc", kept)
+func newRegistryWith(n int, idle idleConnections) *Registry {
+	r := NewRegistry("dc", idle)
 	for i := range n {
 		r.Put(Entry{ID: fmt.Sprint("t", i), Service: "s", Address: fmt.Sprint("a", i), DataCentre: "dc", Slots: testSlots})
 	}
@@ -77,9 +77,9 @@
 	if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "far2", Sticky: true}, now); got.DataCentre != "dc" {
 		t.Errorf("%s was chosen instead of one nearby", got.ID)
 	}
-	gone := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "gone", Sticky: true}, now)
-	if gone == nil || gone.DataCentre != "dc" {
-		t.Errorf("got %+v for a program whose target is gone", gone)
+	removed := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "gone", Sticky: true}, now)
+	if removed == nil || removed.DataCentre != "dc" {
+		t.Errorf("got %+v for a program whose target is gone", removed)
 	}
 }
 
@@ -96,15 +96,15 @@
 			t.Fatalf("program %d began at %s", i, got.ID)
 		}
 	}
-	beyond := 0
+	elsewhere := 0
 	for i := range 20 {
 		got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("next", i), Sticky: true}, now)
 		if got.DataCentre != "dc" {
-			beyond++
+			elsewhere++
 		}
 		r.End(got)
 	}
-	if beyond == 0 {
+	if elsewhere == 0 {
 		t.Error("no program began elsewhere although the targets here had no room")
 	}
 	far := 0
