--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -142,20 +142,20 @@
 type turnCounts struct{ turns, programs float64 }
 
 // add takes a turn that was let in. Old ones fade.
-func (counts *turnCounts) add(first bool) {
-	counts.turns += 1 - turnDecay*counts.turns
-	counts.programs -= turnDecay * counts.programs
+func (t *turnCounts) add(first bool) {
+	t.turns += 1 - turnDecay*t.turns
+	t.programs -= turnDecay * t.programs
 	if first {
-		counts.programs++
+		t.programs++
 	}
 }
 
 // perProgram is 0 while few programs were seen.
-func (counts *turnCounts) perProgram() float64 {
-	if counts == nil || counts.programs < minPrograms {
+func (t *turnCounts) perProgram() float64 {
+	if t == nil || t.programs < minPrograms {
 		return 0
 	}
-	return counts.turns / counts.programs
+	return t.turns / t.programs
 }
 
 // recordTurn counts a turn that was let in.
@@ -187,13 +187,13 @@
 
 // requiredPools lists the pools that a request needs: a program that begins also needs
 // those that programs call.
-func (c *Controller) requiredPools(r Request, service *service, now time.Time) []policy.PoolLoad {
-	pools := []policy.PoolLoad{service.view}
+func (c *Controller) requiredPools(r Request, requested *service, now time.Time) []policy.PoolLoad {
+	pools := []policy.PoolLoad{requested.view}
 	if r.Class != policy.RoomFirst {
 		return pools
 	}
 	for name, s := range c.services {
-		if s != service && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
+		if s != requested && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
 			pools = append(pools, c.service(name, now).view)
 		}
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -15,11 +15,11 @@
 type testPools map[string]float64
 
 func (pools testPools) Pool(service string, _ time.Time) targets.Pool {
-	fill, ok := pools[service]
+	utilization, ok := pools[service]
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Utilization: fill, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
+	return targets.Pool{Utilization: utilization, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
@@ -40,9 +40,9 @@
 	for i := range 200 {
 		r := firstTurn(strings.Repeat("p", i+1))
 		here, there := a.Admit(r, start), b.Admit(r, start)
-		again := a.Admit(r, start)
-		if here.Admit != there.Admit || here.Admit != again.Admit {
-			t.Fatalf("program %d: %+v and %+v, again %+v", i, here, there, again)
+		allowedRetries := a.Admit(r, start)
+		if here.Admit != there.Admit || here.Admit != allowedRetries.Admit {
+			t.Fatalf("program %d: %+v and %+v, again %+v", i, here, there, allowedRetries)
 		}
 		if !here.Admit {
 			refused++
@@ -75,7 +75,7 @@
 }
 
 func TestRetriesAreBounded(t *testing.T) {
-	again := func(c *Controller, refusals int) int {
+	allowedRetries := func(c *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
 			c.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
@@ -85,16 +85,16 @@
 		}
 		return allowed
 	}
-	if got := again(newTestController(testPools{"engine": 3}), 1); got < 150 || got > 220 {
+	if got := allowedRetries(newTestController(testPools{"engine": 3}), 1); got < 150 || got > 220 {
 		t.Errorf("where no slot is free %d of 1000 are sent again", got)
 	}
-	if got := again(newTestController(testPools{"engine": 0.7}), 3); got != 1000 {
+	if got := allowedRetries(newTestController(testPools{"engine": 0.7}), 3); got != 1000 {
 		t.Errorf("where slots are free %d of 1000 are sent again", got)
 	}
-	if got := again(newTestController(nil), 1); got != 1000 {
+	if got := allowedRetries(newTestController(nil), 1); got != 1000 {
 		t.Errorf("where nothing is known %d of 1000 are sent again once", got)
 	}
-	if got := again(newTestController(nil), 3); got != 1000 {
+	if got := allowedRetries(newTestController(nil), 3); got != 1000 {
 		t.Errorf("where no speeds are learned %d of 1000 are sent again", got)
 	}
 	c := newTestController(testPools{"engine": 3})
@@ -143,14 +143,14 @@
 		}
 		return n
 	}
-	urgent, normal, less := refused(0), refused(1), refused(2)
-	if urgent >= normal || normal >= less {
-		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, normal, less)
+	urgent, normal, lessUrgent := refused(0), refused(1), refused(2)
+	if urgent >= normal || normal >= lessUrgent {
+		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, normal, lessUrgent)
 	}
-	same := newTestController(testPools{"engine": 1.45})
+	uniform := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
 	r.Rank = 7
-	if got := same.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, same.services["engine"].view).Chance {
+	if got := uniform.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, uniform.services["engine"].view).Chance {
 		t.Errorf("a rank that all have changes the chance to %.2f", got)
 	}
 }
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -25,11 +25,11 @@
 	slots         = 8
 	queueLength   = 24
 	// ownerCount of budgets pass reports on.
-	ownerCount = 24
-	turnTime   = 250 * time.Millisecond
-	thinkTime  = 100 * time.Millisecond
-	turns      = 4
-	callerTime = 4 * time.Second
+	ownerCount    = 24
+	turnTime      = 250 * time.Millisecond
+	thinkTime     = 100 * time.Millisecond
+	turns         = 4
+	callerTimeout = 4 * time.Second
 	// basePrograms begin each step, of about 3.5 that the engines carry.
 	basePrograms = 2.2
 	deadline     = turns*(turnTime+thinkTime)*3/2 + 200*time.Millisecond
@@ -67,20 +67,20 @@
 func (noConnections) Kept(string, time.Time) bool { return false }
 
 func newEngineView() *engineView {
-	k := &engineView{registry: targets.NewRegistry("dc", noConnections{})}
+	v := &engineView{registry: targets.NewRegistry("dc", noConnections{})}
 	for e := range engineCount {
 		id := fmt.Sprint("e", e)
-		k.registry.Put(targets.Entry{ID: id, Service: "engine", Address: id, DataCentre: "dc", Slots: slots})
-		t := k.registry.PickIncarnation(id)
-		k.registry.End(t)
-		k.engines = append(k.engines, t)
+		v.registry.Put(targets.Entry{ID: id, Service: "engine", Address: id, DataCentre: "dc", Slots: slots})
+		t := v.registry.PickIncarnation(id)
+		v.registry.End(t)
+		v.engines = append(v.engines, t)
 	}
-	return k
+	return v
 }
 
-func (k *engineView) report(engine, busy int, at time.Time) {
+func (v *engineView) report(engine, busy int, at time.Time) {
 	load := call.Load{Running: min(busy, slots), Waiting: max(busy-slots, 0), Slots: slots, Pace: 100}
-	k.registry.RecordLoad(k.engines[engine], load, at)
+	v.registry.RecordLoad(v.engines[engine], load, at)
 }
 
 // decentralized: each instance decides from reports that ride on messages to others.
@@ -92,14 +92,14 @@
 	random   *rand.Rand
 }
 
-func newDecentralized(instances, cut int) *decentralized {
-	s := &decentralized{isolated: cut, random: rand.New(rand.NewPCG(3, 4))}
+func newDecentralized(instances, isolated int) *decentralized {
+	s := &decentralized{isolated: isolated, random: rand.New(rand.NewPCG(3, 4))}
 	for range instances {
-		k := newEngineView()
-		s.views = append(s.views, k)
-		g := New(k.registry, tally.NoopScope)
-		g.jitter = s.random.Float64
-		s.controllers = append(s.controllers, g)
+		v := newEngineView()
+		s.views = append(s.views, v)
+		controller := New(v.registry, tally.NoopScope)
+		controller.jitter = s.random.Float64
+		s.controllers = append(s.controllers, controller)
 	}
 	return s
 }
@@ -143,42 +143,42 @@
 	unavailableFrom  time.Time
 }
 
-func (d *coordinated) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
+func (c *coordinated) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
 	if r.Class != policy.RoomFirst {
 		return policy.RoomVerdict{Admit: true}
 	}
-	d.requested[i]++
-	if d.granted[i] < 1 {
+	c.requested[i]++
+	if c.granted[i] < 1 {
 		return policy.RoomVerdict{RetryAfter: 200 * time.Millisecond}
 	}
-	d.granted[i]--
+	c.granted[i]--
 	return policy.RoomVerdict{Admit: true}
 }
 
-func (d *coordinated) again(int, int, time.Time) bool { return true }
+func (c *coordinated) again(int, int, time.Time) bool { return true }
 
-func (d *coordinated) reported(_, engine, busy int, now time.Time) { d.view.report(engine, busy, now) }
+func (c *coordinated) reported(_, engine, busy int, now time.Time) { c.view.report(engine, busy, now) }
 
-func (d *coordinated) tick(now time.Time) {
-	if now.UnixMilli()%200 != 0 || (now.After(d.unavailableFrom) && now.Before(d.unavailableUntil)) {
+func (c *coordinated) tick(now time.Time) {
+	if now.UnixMilli()%200 != 0 || (now.After(c.unavailableFrom) && now.Before(c.unavailableUntil)) {
 		return
 	}
-	free := 1.1 - d.view.registry.Pool("engine", now).Utilization
+	free := 1.1 - c.view.registry.Pool("engine", now).Utilization
 	capacity := max(free*engineCount*slots/2, 1)
 	total := 0.0
-	for _, a := range d.requested {
+	for _, a := range c.requested {
 		total += a
 	}
-	for i := range d.granted {
-		d.granted[i] = min(d.granted[i], 1) + capacity*(d.requested[i]+0.2)/(total+0.2*float64(len(d.granted)))
-		d.requested[i] = 0
+	for i := range c.granted {
+		c.granted[i] = min(c.granted[i], 1) + capacity*(c.requested[i]+0.2)/(total+0.2*float64(len(c.granted)))
+		c.requested[i] = 0
 	}
 }
 
 // program is one on its way; it tries each turn up to tries times.
 type program struct {
 	instance  int
-	turn      int
+	turnIndex int
 	attempts  int
 	startedAt time.Time
 	name      string
@@ -209,9 +209,9 @@
 
 // simulate returns the share of the programs that were in time by windows of two
 // seconds in which they began.
-func simulate(w strategy, instances int) []float64 {
+func simulate(st strategy, instances int) []float64 {
 	r := &simulation{
-		strategy: w, due: make(map[time.Time][]*program),
+		strategy: st, due: make(map[time.Time][]*program),
 		random: rand.New(rand.NewPCG(1, 2)), inTime: make(map[int]int), started: make(map[int]int), instances: instances,
 	}
 	for now := start; now.Before(start.Add(simulationEnd)); now = now.Add(step) {
@@ -260,7 +260,7 @@
 func (r *simulation) send(p *program, now time.Time) {
 	class := policy.RoomUnderWay
 	switch {
-	case p.turn == 0:
+	case p.turnIndex == 0:
 		class = policy.RoomFirst
 	case now.Sub(p.startedAt) > deadline:
 		class = policy.RoomLate
@@ -291,9 +291,9 @@
 
 // expectedWait grows with the time that a turn waits at an engine.
 func (r *simulation) expectedWait(e int) int {
-	g := &r.engines[e]
-	busy := len(g.running) + len(g.waiting)
-	if g.slow {
+	eng := &r.engines[e]
+	busy := len(eng.running) + len(eng.waiting)
+	if eng.slow {
 		return 4 * busy
 	}
 	return busy
@@ -307,34 +307,34 @@
 
 // advance ends what is done at an engine and starts what waits.
 func (r *simulation) advance(e int, now time.Time) {
-	g := &r.engines[e]
-	running := g.running[:0]
-	for _, run := range g.running {
+	eng := &r.engines[e]
+	running := eng.running[:0]
+	for _, run := range eng.running {
 		if run.endsAt.After(now) {
 			running = append(running, run)
 			continue
 		}
 		r.endTurn(run.program, now)
 	}
-	g.running = running
-	for len(g.running) < slots && len(g.waiting) > 0 {
-		p := g.waiting[0]
-		g.waiting = g.waiting[1:]
-		if now.Sub(p.sentAt) > callerTime {
+	eng.running = running
+	for len(eng.running) < slots && len(eng.waiting) > 0 {
+		p := eng.waiting[0]
+		eng.waiting = eng.waiting[1:]
+		if now.Sub(p.sentAt) > callerTimeout {
 			continue
 		}
 		duration := turnTime
-		if g.slow {
+		if eng.slow {
 			duration *= 4
 		}
-		g.running = append(g.running, run{p, now.Add(duration)})
+		eng.running = append(eng.running, run{p, now.Add(duration)})
 	}
 }
 
 func (r *simulation) endTurn(p *program, now time.Time) {
-	p.turn++
+	p.turnIndex++
 	p.attempts = 0
-	if p.turn < turns {
+	if p.turnIndex < turns {
 		r.schedule(p, now.Add(thinkTime))
 		return
 	}
@@ -365,8 +365,8 @@
 			"dealt, lost for 3 s": newCoordinated(6*time.Second, 9*time.Second),
 		}
 		fractions := make(map[string][]float64)
-		for name, w := range strategies {
-			fractions[name] = simulate(w, instances)
+		for name, st := range strategies {
+			fractions[name] = simulate(st, instances)
 			t.Logf("%3d instances, %-20s in time by 2 s: %.2f", instances, name, fractions[name])
 		}
 		during, after := int(overloadStart/time.Second)/2, int(overloadEnd/time.Second)/2
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -67,63 +67,63 @@
 )
 
 func newClusterSim() *clusterSim {
-	f := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
+	sim := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
 	for range simInstances {
 		idle := idleConnections{}
-		f.kept = append(f.kept, idle)
-		f.instances = append(f.instances, newRegistryWith(simTargets, idle))
+		sim.kept = append(sim.kept, idle)
+		sim.instances = append(sim.instances, newRegistryWith(simTargets, idle))
 	}
-	return f
+	return sim
 }
 
-func (f *clusterSim) run(steps int) {
+func (sim *clusterSim) run(steps int) {
 	for step := range steps {
-		f.now = f.now.Add(simStep)
-		f.end()
-		for i := range f.instances {
-			if (step+i)%f.sendInterval == 0 {
-				f.send(i)
+		sim.now = sim.now.Add(simStep)
+		sim.end()
+		for i := range sim.instances {
+			if (step+i)%sim.sendInterval == 0 {
+				sim.send(i)
 			}
 		}
 	}
 }
 
-func (f *clusterSim) end() {
-	left := f.ends[:0]
-	for _, e := range f.ends {
-		if e.at.After(f.now) {
+func (sim *clusterSim) end() {
+	left := sim.ends[:0]
+	for _, e := range sim.ends {
+		if e.at.After(sim.now) {
 			left = append(left, e)
 			continue
 		}
-		f.running[e.target.ID]--
-		f.instances[e.instance].End(e.target)
-		f.kept[e.instance][e.target.Address] = f.now.Add(simIdleTimeout)
+		sim.running[e.target.ID]--
+		sim.instances[e.instance].End(e.target)
+		sim.kept[e.instance][e.target.Address] = sim.now.Add(simIdleTimeout)
 	}
-	f.ends = left
+	sim.ends = left
 }
 
-func (f *clusterSim) send(instance int) {
-	r := f.instances[instance]
-	target := r.Pick(Criteria{Service: "s"}, f.now)
-	f.sent++
-	f.served[target.ID]++
-	if !f.kept[instance].Kept(target.Address, f.now) {
-		f.opened++
-	}
-	f.running[target.ID]++
-	r.RecordLoad(target, call.Load{Running: f.running[target.ID], Slots: testSlots, Pace: f.pace}, f.now)
-	if f.pace > 0 {
-		f.shareReports(instance)
-	}
-	f.ends = append(f.ends, runEnd{f.now.Add(simRequestDuration), instance, target})
+func (sim *clusterSim) send(instance int) {
+	r := sim.instances[instance]
+	target := r.Pick(Criteria{Service: "s"}, sim.now)
+	sim.sent++
+	sim.served[target.ID]++
+	if !sim.kept[instance].Kept(target.Address, sim.now) {
+		sim.opened++
+	}
+	sim.running[target.ID]++
+	r.RecordLoad(target, call.Load{Running: sim.running[target.ID], Slots: testSlots, Pace: sim.pace}, sim.now)
+	if sim.pace > 0 {
+		sim.shareReports(instance)
+	}
+	sim.ends = append(sim.ends, runEnd{sim.now.Add(simRequestDuration), instance, target})
 }
 
 // shareReports passes the reports of an instance on to the next ones, as messages about
 // budgets do.
-func (f *clusterSim) shareReports(instance int) {
-	loads := f.instances[instance].LoadReports(f.now)
+func (sim *clusterSim) shareReports(instance int) {
+	loads := sim.instances[instance].LoadReports(sim.now)
 	for i := range simFanout {
-		f.instances[(instance+7*i+1)%simInstances].MergeLoadReports(loads, f.now)
+		sim.instances[(instance+7*i+1)%simInstances].MergeLoadReports(loads, sim.now)
 	}
 }
 
@@ -133,15 +133,15 @@
 // Where targets tell their pace and instances share reports, fewer connections are
 // opened, and the targets are loaded more evenly.
 func TestManyInstancesWithSharedReports(t *testing.T) {
-	f := newClusterSim()
-	f.pace = 100
-	f.run(int(time.Minute / simStep))
-	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.03 {
-		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
-	}
-	for id, n := range f.served {
-		if n > 9*f.sent/5/simTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
+	sim := newClusterSim()
+	sim.pace = 100
+	sim.run(int(time.Minute / simStep))
+	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.03 {
+		t.Errorf("%d connections opened for %d requests", sim.opened, sim.sent)
+	}
+	for id, n := range sim.served {
+		if n > 9*sim.sent/5/simTargets {
+			t.Errorf("%s ran %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
@@ -149,9 +149,9 @@
 // The callers of another data centre move here: targets there take over what those
 // here have no room for, and give it back, without leaving any of these crowded.
 func TestOtherDataCentreAbsorbsExcessLoad(t *testing.T) {
-	f := newClusterSim()
-	f.pace = 100
-	for _, r := range f.instances {
+	sim := newClusterSim()
+	sim.pace = 100
+	for _, r := range sim.instances {
 		for i := range simTargets / 2 {
 			entry := r.byID[fmt.Sprint("t", i)].Entry
 			entry.DataCentre = "far"
@@ -159,14 +159,14 @@
 		}
 	}
 	far := func(every int) float64 {
-		clear(f.served)
-		f.sent, f.sendInterval = 0, every
-		f.run(int(10 * time.Second / simStep))
+		clear(sim.served)
+		sim.sent, sim.sendInterval = 0, every
+		sim.run(int(10 * time.Second / simStep))
 		n := 0
 		for i := range simTargets / 2 {
-			n += f.served[fmt.Sprint("t", i)]
+			n += sim.served[fmt.Sprint("t", i)]
 		}
-		return float64(n) / float64(f.sent)
+		return float64(n) / float64(sim.sent)
 	}
 	before, moved := far(2*simSendInterval), far(simSendInterval/4)
 	far(2 * simSendInterval)
@@ -180,14 +180,14 @@
 // less than one request in ten, and load no target with more than three times
 // its share.
 func TestManyInstancesOpenFewConnections(t *testing.T) {
-	f := newClusterSim()
-	f.run(int(time.Minute / simStep))
-	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.1 {
-		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
-	}
-	for id, n := range f.served {
-		if n > 3*f.sent/simTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
+	sim := newClusterSim()
+	sim.run(int(time.Minute / simStep))
+	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.1 {
+		t.Errorf("%d connections opened for %d requests", sim.opened, sim.sent)
+	}
+	for id, n := range sim.served {
+		if n > 3*sim.sent/simTargets {
+			t.Errorf("%s ran %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
--- a/internal/targets/expected_end.go
+++ b/internal/targets/expected_end.go
@@ -17,7 +17,7 @@
 	preferred := criteria.preferred(all)
 	r.endOptions = r.endOptions[:0]
 	for _, t := range all {
-		idle := r.connections.Kept(t.Address, now)
+		hasIdle := r.connections.Kept(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
 		slowness := t.currentSlowness(serviceMeans, now)
 		if last {
@@ -26,10 +26,10 @@
 		}
 		r.endOptions = append(r.endOptions, policy.EndOption{
 			Fill: t.utilization(pool, model.requestDuration, now), Slowness: slowness, Share: t.relativeUtilization(means),
-			Opens: !idle, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
+			Opens: !hasIdle, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
 			Last: last, Warm: t == preferred,
 			Shut: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
-			Rank: r.tieBreak(t, idle || !criteria.Stream),
+			Rank: r.tieBreak(t, hasIdle || !criteria.Stream),
 		})
 	}
 	choice := policy.ByEnd(r.endOptions, model.endRequest(criteria))
@@ -94,14 +94,14 @@
 
 // preferred is the target that its key ranks first, which all instances find without
 // asking; nil for a program, of which the engine is remembered, and without a key.
-func (model Criteria) preferred(all []*Target) *Target {
-	if model.Key == "" || model.Sticky {
+func (c Criteria) preferred(all []*Target) *Target {
+	if c.Key == "" || c.Sticky {
 		return nil
 	}
 	var first best
 	for _, t := range all {
 		if !t.Draining {
-			first.offer(t, rank(model.Key, t.ID))
+			first.offer(t, rank(c.Key, t.ID))
 		}
 	}
 	return first.target
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -102,8 +102,8 @@
 func (r *Registry) choose(
 	all []*Target, keyed func(i int) bool, criteria Criteria, now time.Time, includeAvoided bool,
 ) *Target {
-	if w := r.models[criteria.Service]; w != nil {
-		return r.chooseByEnd(w, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
+	if model := r.models[criteria.Service]; model != nil {
+		return r.chooseByEnd(model, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
 	}
 	var last, local, ranked, least best
 	preferLocal := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
@@ -120,8 +120,8 @@
 			continue
 		}
 		utilization := t.busy(now) / float64(max(t.Slots, 1))
-		idle := r.connections.Kept(t.Address, now)
-		least.offer(t, -utilization-r.placementCost(t, idle))
+		hasIdle := r.connections.Kept(t.Address, now)
+		least.offer(t, -utilization-r.placementCost(t, hasIdle))
 		if criteria.Key == "" || utilization >= maxKeyedUtilization {
 			continue
 		}
@@ -130,7 +130,7 @@
 			ranked.offer(t, rank)
 		}
 		if preferLocal && t.DataCentre == r.dataCentre && utilization < maxLocalUtilization {
-			if sampled && idle {
+			if sampled && hasIdle {
 				// Among thousands of targets hardly any other program's connection
 				// or prompt would be met again.
 				rank += idleConnectionRank
@@ -177,9 +177,9 @@
 }
 
 // placementCost is what speaks against a target besides its load.
-func (r *Registry) placementCost(t *Target, idle bool) float64 {
+func (r *Registry) placementCost(t *Target, hasIdle bool) float64 {
 	cost := 0.0
-	if !idle {
+	if !hasIdle {
 		cost += newConnectionCost
 	}
 	if t.DataCentre != r.dataCentre {
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -55,7 +55,7 @@
 		}
 		return r.Pool("s", now).Utilization
 	}
-	usual := fill(2 * testSlots)
+	equal := fill(2 * testSlots)
 	for range 100 {
 		for i := range n {
 			pause := 10 * time.Millisecond
@@ -65,8 +65,8 @@
 			r.RecordEventInterval(r.byID[fmt.Sprint("t", i)], pause, now)
 		}
 	}
-	if slow := fill(2 * testSlots); slow >= 0.9*usual || slow <= 1 {
-		t.Errorf("half of the targets have queues: fill %.2f, %.2f where these are slow", usual, slow)
+	if slow := fill(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
+		t.Errorf("half of the targets have queues: fill %.2f, %.2f where these are slow", equal, slow)
 	}
 	if even := fill(0); even != 1 {
 		t.Errorf("all slots are taken: fill %.2f", even)
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -69,22 +69,22 @@
 func (r *Registry) shareableReports(now time.Time, limit int, include func(*Target) bool) []structs.TargetReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var newest []*Target
+	var candidates []*Target
 	for _, s := range r.byService {
 		s.forEachReporting(now, func(t *Target) {
 			if now.Sub(t.loadAt) <= maxSharedReportAge && include(t) {
-				newest = append(newest, t)
+				candidates = append(candidates, t)
 			}
 		})
 	}
-	slices.SortFunc(newest, func(a, b *Target) int {
+	slices.SortFunc(candidates, func(a, b *Target) int {
 		return cmp.Or(b.loadAt.Compare(a.loadAt), cmp.Compare(a.index, b.index))
 	})
-	limit = min(limit, len(newest))
-	others := newest[(limit+1)/2:]
+	limit = min(limit, len(candidates))
+	others := candidates[(limit+1)/2:]
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	var loads []structs.TargetReport
-	for _, t := range newest[:limit] {
+	for _, t := range candidates[:limit] {
 		loads = append(loads, t.report(r.means(t.Service), now))
 	}
 	return loads
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -54,12 +54,12 @@
 	moved := 0
 	for i := range keys {
 		want := Criteria{Service: "s", Key: fmt.Sprint("k", i)}
-		ta, tb := a.Pick(want, time.Now()), b.Pick(want, time.Now())
-		if ta.ID != tb.ID {
+		targetA, targetB := a.Pick(want, time.Now()), b.Pick(want, time.Now())
+		if targetA.ID != targetB.ID {
 			moved++
 		}
-		a.End(ta)
-		b.End(tb)
+		a.End(targetA)
+		b.End(targetB)
 	}
 	if moved > keys/100 {
 		t.Errorf("%d of %d keys moved with one of %d targets", moved, keys, n)
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -46,38 +46,38 @@
 }
 
 // route finds the times of a route.
-func (w *serviceModel) route(name string) *routeDurations {
-	times := w.routes[name]
-	if times == nil {
-		if len(w.routes) >= maxRoutes {
-			clear(w.routes) // most are of former settings
+func (model *serviceModel) route(name string) *routeDurations {
+	durations := model.routes[name]
+	if durations == nil {
+		if len(model.routes) >= maxRoutes {
+			clear(model.routes) // most are of former settings
 		}
-		times = new(routeDurations)
-		w.routes[name] = times
+		durations = new(routeDurations)
+		model.routes[name] = durations
 	}
-	return times
+	return durations
 }
 
 // addDuration takes the time of a request into the usual one.
-func (w *serviceModel) addDuration(d time.Duration) {
-	w.requestDuration += time.Duration(durationWeight * float64(d-w.requestDuration))
+func (model *serviceModel) addDuration(d time.Duration) {
+	model.requestDuration += time.Duration(durationWeight * float64(d-model.requestDuration))
 }
 
 // model finds what is usual for a service, or begins to learn it. The mutex is
 // held.
 func (r *Registry) model(service string) *serviceModel {
-	w := r.models[service]
-	if w == nil {
-		w = &serviceModel{routes: make(map[string]*routeDurations), turnEstimates: policy.NewEstimates(), requestDuration: initialRequestDuration}
-		r.models[service] = w
+	model := r.models[service]
+	if model == nil {
+		model = &serviceModel{routes: make(map[string]*routeDurations), turnEstimates: policy.NewEstimates(), requestDuration: initialRequestDuration}
+		r.models[service] = model
 	}
-	return w
+	return model
 }
 
 // meanRequestDuration is the usual time of a request to a service. The mutex is held.
 func (r *Registry) meanRequestDuration(service string) time.Duration {
-	if w := r.models[service]; w != nil {
-		return w.requestDuration
+	if model := r.models[service]; model != nil {
+		return model.requestDuration
 	}
 	return initialRequestDuration
 }
@@ -86,12 +86,12 @@
 func (r *Registry) RecordResponse(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.models[t.Service]
-	if w == nil || duration <= 0 {
+	model := r.models[t.Service]
+	if model == nil || duration <= 0 {
 		return
 	}
-	w.addDuration(duration)
-	t.speed.Add(w.route(route).add(duration), now)
+	model.addDuration(duration)
+	t.speed.Add(model.route(route).add(duration), now)
 }
 
 // HedgeTimeout is how long a first send of a request that may run again may take;
@@ -99,11 +99,11 @@
 func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.models[service]
-	if w == nil {
+	model := r.models[service]
+	if model == nil {
 		return 0, false
 	}
-	return w.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
+	return model.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
 }
 
 // RecordHedge counts a second send after Patience, and how long the first one took
@@ -111,14 +111,14 @@
 func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.models[t.Service]
-	if w == nil {
+	model := r.models[t.Service]
+	if model == nil {
 		return
 	}
-	times := w.route(route)
-	times.hedging.Again()
-	if times.mean > 0 {
-		t.speed.Add(duration.Seconds()/times.mean, now)
+	durations := model.route(route)
+	durations.hedging.Again()
+	if durations.mean > 0 {
+		t.speed.Add(duration.Seconds()/durations.mean, now)
 	}
 }
 
@@ -135,9 +135,9 @@
 func (r *Registry) RecordTurn(t *Target, sample policy.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.models[t.Service]; w != nil {
-		w.addDuration(sample.Took)
-		w.turnEstimates.Add(sample)
+	if model := r.models[t.Service]; model != nil {
+		model.addDuration(sample.Took)
+		model.turnEstimates.Add(sample)
 	}
 }
 
@@ -146,16 +146,16 @@
 type serviceMeans struct{ speed, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
-	var speed, standing mean
+	var speed, pace mean
 	for _, t := range all {
 		if !t.speed.At.IsZero() {
 			speed.add(t.speed.Mean)
 		}
 		if t.pace.Middle > 0 {
-			standing.add(t.pace.Middle)
+			pace.add(t.pace.Middle)
 		}
 	}
-	return serviceMeans{speed: speed.value(), pace: standing.value()}
+	return serviceMeans{speed: speed.value(), pace: pace.value()}
 }
 
 // minMeanUtilization is the usual load of a service, in parts of the slots, below which it
@@ -205,25 +205,25 @@
 
 // slowness is the target's time for the same work over the usual one, apart from
 // what it says of the present.
-func (t *Target) slowness(u serviceMeans, now time.Time) float64 {
-	return t.speed.Slowness(u.speed, t.relativePace(u), now)
+func (t *Target) slowness(means serviceMeans, now time.Time) float64 {
+	return t.speed.Slowness(means.speed, t.relativePace(means), now)
 }
 
 // relativePace is what the target usually says of its pace, over the usual one.
-func (t *Target) relativePace(u serviceMeans) float64 {
+func (t *Target) relativePace(means serviceMeans) float64 {
 	if t.pace.Middle <= 0 {
 		return 1
 	}
-	return t.pace.Middle / u.pace
+	return t.pace.Middle / means.pace
 }
 
 // currentSlowness is the slowness with what the target says of the present.
-func (t *Target) currentSlowness(u serviceMeans, now time.Time) float64 {
-	slowness := t.slowness(u, now)
-	if t.load.Pace <= 0 || u.pace <= 0 {
+func (t *Target) currentSlowness(means serviceMeans, now time.Time) float64 {
+	slowness := t.slowness(means, now)
+	if t.load.Pace <= 0 || means.pace <= 0 {
 		return slowness
 	}
-	return policy.Present(slowness, float64(t.load.Pace)/100/u.pace, now.Sub(t.loadAt))
+	return policy.Present(slowness, float64(t.load.Pace)/100/means.pace, now.Sub(t.loadAt))
 }
 
 // utilization is the expected number of requests at a target, in parts of its slots.
@@ -235,11 +235,11 @@
 }
 
 // report is what others are told of a target.
-func (t *Target) report(u serviceMeans, now time.Time) structs.TargetReport {
+func (t *Target) report(means serviceMeans, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if speed := t.speed.Told(u.speed, t.relativePace(u)); speed > 0 {
+	if speed := t.speed.Told(means.speed, t.relativePace(means)); speed > 0 {
 		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.At)
 	}
 	return report
