--- a/internal/targets/breaks.go
+++ b/internal/targets/breaks.go
@@ -6,30 +6,30 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// A target that is down breaks each connection at once and looks idle, so that
-// it draws requests from each instance that does not know yet. Instances tell
-// each other of such targets.
+// A target that is down breaks each new connection and appears idle, so it attracts
+// requests from every instance that has not yet seen it fail. Instances notify each
+// other of such targets.
 
 const (
 	// peerAvoidance is how long a target is avoided after it broke a connection of
-	// another instance: shorter than the time until the registration of a dead
-	// target lapses, and long enough that few requests try one that stays down.
+	// another instance. It is shorter than the time until the registration of a dead
+	// target expires.
 	peerAvoidance = time.Second
-	// maxPeerAvoidedFraction is the most of a service's targets that are avoided on the
-	// word of others, so that a mistaken word cannot empty a service.
+	// maxPeerAvoidedFraction limits the targets of a service that are avoided on other
+	// instances' reports, so that false reports cannot disable a service.
 	maxPeerAvoidedFraction = 1.0 / 3
-	// minNoticeInterval is the least time between two notices of one target by
-	// one instance: its word counts for peerAvoidance anyway.
+	// minNoticeInterval is the minimum time between two notifications of one target by
+	// this instance.
 	minNoticeInterval = 200 * time.Millisecond
 )
 
-// RecordBreak notes that a target broke a new connection at once. It tells whether
-// other instances should hear of it now.
+// RecordBreak records that a target broke a new connection. It reports whether
+// other instances should be notified now.
 func (r *Registry) RecordBreak(t *Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byIncarnation[t.incarnation] != t {
-		return false // it has been replaced meanwhile
+		return false // replaced by a later incarnation
 	}
 	t.lastBreakAt = now
 	r.broken[t.incarnation] = t
@@ -40,7 +40,8 @@
 	return true
 }
 
-// Breaks lists the targets that broke connections lately, here or elsewhere.
+// Breaks returns the targets that recently broke connections of this or other
+// instances.
 func (r *Registry) Breaks(now time.Time) []structs.TargetBreak {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,8 +60,9 @@
 	return breaks
 }
 
-// MergeBreaks takes another instance's word on targets. What this instance has seen
-// itself since then counts more; what was said of an earlier start says nothing.
+// MergeBreaks applies another instance's report of broken connections. Later
+// observations of this instance take precedence, and reports of other incarnations
+// are ignored.
 func (r *Registry) MergeBreaks(breaks []structs.TargetBreak, now time.Time) {
 	if len(breaks) == 0 {
 		return
@@ -81,8 +83,8 @@
 	}
 }
 
-// peerAvoidedCount counts the targets of a service that are avoided on the word of
-// others. The mutex is held.
+// peerAvoidedCount counts the targets of a service that are avoided on other
+// instances' reports. The mutex must be held.
 func (r *Registry) peerAvoidedCount(service string, now time.Time) int {
 	n := 0
 	for _, t := range r.serviceByName(service).all {
--- a/internal/targets/expected_end.go
+++ b/internal/targets/expected_end.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// chooseByEnd chooses a target of a service whose targets tell their pace, by
-// when each is expected to end the request. The mutex is held.
+// chooseByEnd selects the target with the earliest expected end of the request. It
+// is used for services whose targets' speeds are learned. The mutex must be held.
 func (r *Registry) chooseByEnd(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
 	pool := r.recentPool(criteria.Service, now).Utilization
 	means := meanUtilizations(all)
@@ -21,7 +21,7 @@
 		last := t.incarnation == criteria.LastIncarnation
 		slowness := t.currentSlowness(serviceMeans, now)
 		if last {
-			// A program does not move for what passes in parts of a second.
+			// Short slowdowns must not move a program from its target.
 			slowness = t.slowness(serviceMeans, now)
 		}
 		r.endOptions = append(r.endOptions, policy.EndOption{
@@ -40,8 +40,8 @@
 	return all[choice.Index]
 }
 
-// tieBreak ranks targets that are alike: by chance, or by an order that differs
-// between instances, so that each keeps connections to a few engines.
+// tieBreak ranks equivalent targets: at random, or in a fixed order that differs
+// between instances, so that each instance keeps connections to a few engines.
 func (r *Registry) tieBreak(t *Target, random bool) float64 {
 	if random {
 		return rand.Float64()
@@ -49,24 +49,25 @@
 	return rank(r.seed, t.ID)
 }
 
-// Explanation is what spoke for a target where the expected ends decide.
+// Explanation describes why a target was selected by its expected end.
 type Explanation struct {
-	// Estimated tells that the expected ends decided.
+	// Estimated indicates that the target was selected by its expected end.
 	Estimated bool
-	// ExpectedEnd and RunnerUpEnd are when the target and the best other one are expected to
-	// end the request, in parts of its usual time.
+	// ExpectedEnd and RunnerUpEnd are the expected ends at the selected and at the
+	// second best target, as a fraction of the mean request duration.
 	ExpectedEnd, RunnerUpEnd float64
-	// RunnerUp is the id of the best other one, empty for none.
+	// RunnerUp is the ID of the second best target, empty if there was none.
 	RunnerUp string
-	// Utilization and Slowness are the estimate of the target, ReportAge and SpeedAge the
-	// ages of what it rests on.
+	// Utilization and Slowness are the estimates for the selected target, ReportAge and
+	// SpeedAge the ages of the data behind them, -1s if there is none.
 	Utilization, Slowness float64
 	ReportAge, SpeedAge   time.Duration
-	// Stayed tells that the program stays, Moved that it leaves its target.
+	// Stayed indicates that the program stays at its last target, Moved that it leaves
+	// it.
 	Stayed, Moved bool
 }
 
-// set takes a choice; a nil Why stays.
+// set records a selection. It does nothing on a nil Explanation.
 func (e *Explanation) set(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
 	if e == nil {
 		return
@@ -81,10 +82,10 @@
 	}
 }
 
-// unknownAge stands for the age of what is not known.
+// unknownAge is the age of data that was never received.
 const unknownAge = -time.Second
 
-// age is the time since an event, unknownAge if there was none.
+// age returns the time since an event, or unknownAge if at is zero.
 func age(at, now time.Time) time.Duration {
 	if at.IsZero() {
 		return unknownAge
@@ -92,8 +93,9 @@
 	return now.Sub(at)
 }
 
-// preferred is the target that its key ranks first, which all instances find without
-// asking; nil for a program, of which the engine is remembered, and without a key.
+// preferred returns the target with the highest rank for the key, on which all
+// instances agree without coordination. It is nil without a key, and for sticky
+// requests.
 func (c Criteria) preferred(all []*Target) *Target {
 	if c.Key == "" || c.Sticky {
 		return nil
@@ -107,7 +109,7 @@
 	return first.target
 }
 
-// endRequest is what a request needs of a service, in parts of its usual time.
+// endRequest returns what a request needs, as a fraction of the mean response time.
 func (model *serviceModel) endRequest(criteria Criteria) policy.EndRequest {
 	if !criteria.Stream {
 		return policy.EndRequest{}
@@ -117,7 +119,8 @@
 	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
-// avoided tells whether requests are kept away from a target.
+// avoided reports whether the target recently failed and should not receive
+// requests.
 func (t *Target) avoided(now time.Time) bool {
 	return now.Before(t.avoidUntil) || now.Before(t.peerAvoidUntil)
 }
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -10,54 +10,50 @@
 	"github.com/banyanglade/banyanglade/internal/rendezvous"
 )
 
-// Criteria says what kind of target a request needs.
+// Criteria describes the target that a request needs.
 type Criteria struct {
 	Service string
-	// Key is what a target may have kept: the program of a turn, or the object
-	// of a plain request; empty if any target is as good as another.
+	// Key identifies what a target may have cached: the program of a turn, or the
+	// object of a plain request. It is empty if all targets are equivalent.
 	Key string
-	// LastIncarnation names the start of the target that ran the key's last request, empty
-	// if unknown.
+	// LastIncarnation is the target that ran the key's last request, empty if unknown.
 	LastIncarnation string
-	// Sticky tells that whoever sends the key's next request will know the
-	// target of this one, so that it may be chosen freely.
+	// Sticky indicates that the target of this request will be known for the key's next
+	// request, so that the selection need not be reproducible.
 	Sticky bool
-	// Stream tells that an engine's batch runs the request, with a prompt of
+	// Stream indicates that the request is run by an engine's batch, with a prompt of
 	// PromptTokens.
 	Stream       bool
 	PromptTokens int
-	// Exclude lists the starts of targets that were tried before.
+	// Exclude lists the incarnations that were already tried.
 	Exclude []string
-	// Explanation is filled with what spoke for the choice, unless it is nil.
+	// Explanation, if not nil, receives the reason for the selection.
 	Explanation *Explanation
 }
 
 const (
-	// maxKeyedUtilization is how busy a target may be, in parts of its slots, for a
-	// request to go to the one that its key ranks first. Above 1 the request
-	// waits there, which costs less than reading a program's whole prompt
-	// elsewhere, and elsewhere it also takes room in the cache: in an overload
-	// programs that move push each other's prompts out.
+	// maxKeyedUtilization is the utilization, as a fraction of the slots, up to which a
+	// request goes to the target preferred by its key. It is above 1 because waiting
+	// there is cheaper than processing a program's whole prompt elsewhere, where it
+	// would also evict other programs' prompts from the cache.
 	maxKeyedUtilization = 1.6
-	// maxLocalUtilization is how busy a target of this data centre may be, in parts of its
-	// slots, for a program to begin there: it has room for the program's
-	// sub-agents. Prompts sent to other data centres are priced by the byte. All
-	// targets of the data centre together must usually be less busy, too: what an
-	// instance knows of a single one is mostly old, and a data centre with more
-	// callers than its targets can serve would keep them all.
+	// maxLocalUtilization is the utilization up to which a program begins at a target
+	// of this data centre, leaving capacity for its sub-agents. The average utilization
+	// of the data centre must be below it, too, since the data about single targets is
+	// mostly outdated.
 	maxLocalUtilization = 0.6
-	// otherDataCentreCost is what a target in another data centre must be less
-	// busy, in parts of its slots, to be chosen over one here.
+	// otherDataCentreCost is how much lower the utilization of a target in another data
+	// centre must be for it to be preferred to a local one.
 	otherDataCentreCost = 0.15
-	// coldCost is added for a target that is still slow after its start.
+	// coldCost is added to the utilization of a target that is slow after its start.
 	coldCost = 0.5
-	// newConnectionCost is added for a target to which a connection has to be opened,
-	// in parts of its slots.
+	// newConnectionCost is added to the utilization of a target without an idle
+	// connection.
 	newConnectionCost = 0.3
 )
 
-// Pick chooses a target and counts a request there; the caller calls End when
-// it has ended. It returns nil if the service has no target to try.
+// Pick selects a target and counts a request there; the caller must call End when
+// the request has ended. It returns nil if the service has no usable target.
 func (r *Registry) Pick(criteria Criteria, now time.Time) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +65,7 @@
 		chosen = r.choose(s.all, anyKeyed, criteria, now, false)
 	}
 	if chosen == nil {
-		// Each target failed lately: trying one is better than none.
+		// All targets failed recently: try one anyway.
 		chosen = r.choose(s.all, anyKeyed, criteria, now, true)
 	}
 	if chosen != nil {
@@ -79,7 +75,8 @@
 	return chosen
 }
 
-// PickIncarnation counts a request at one start of a target, nil if it has ended.
+// PickIncarnation counts a request at the target with the given incarnation; the
+// caller must call End. It returns nil if the incarnation is not registered.
 func (r *Registry) PickIncarnation(incarnation string) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,14 +88,15 @@
 	return t
 }
 
-// choose chooses among the targets of a service:
-//   - the one that ran the key's last request, since it has the prompt;
-//   - for a key that begins, or whose target is gone or full, one nearby;
-//   - the one that the key ranks first, which all instances find without asking;
-//   - the least busy one, preferably one to which a connection is kept.
+// choose selects among all; the first three only below maxKeyedUtilization:
+//   - the target that ran the key's last request, since it has the prompt cached;
+//   - for a sticky request, a local target with capacity;
+//   - the target that the key ranks first, on which all instances agree without
+//     coordination;
+//   - the least utilized target, preferring those with an idle connection.
 //
-// Where targets tell their pace the expected ends decide. The function keyed tells of
-// a position whether the key may rank the target there.
+// Where speeds are learned, chooseByEnd selects the target instead. keyed reports
+// whether the key may rank the target at an index. The mutex must be held.
 func (r *Registry) choose(
 	all []*Target, keyed func(i int) bool, criteria Criteria, now time.Time, includeAvoided bool,
 ) *Target {
@@ -107,7 +105,7 @@
 	}
 	var last, local, ranked, least best
 	preferLocal := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
-	// Instances with the same view must not all choose the same target.
+	// A random start keeps instances with the same data from selecting the same target.
 	start := rand.IntN(len(all) + 1)
 	sampled := len(all) < len(r.serviceByName(criteria.Service).all)
 	for i := range all {
@@ -131,8 +129,8 @@
 		}
 		if preferLocal && t.DataCentre == r.dataCentre && utilization < maxLocalUtilization {
 			if sampled && hasIdle {
-				// Among thousands of targets hardly any other program's connection
-				// or prompt would be met again.
+				// Among thousands of targets, spreading programs by rank would hardly
+				// ever reuse a connection or a cached prompt.
 				rank += idleConnectionRank
 			}
 			local.offer(t, rank)
@@ -149,18 +147,17 @@
 	return nil
 }
 
-// localLoadWeight is the part that one report has in the usual load of the targets
-// of this data centre: some tens of reports, a few seconds of an instance's work.
+// localLoadWeight is the weight of one report in localUtilization.
 const localLoadWeight = 1.0 / 16
 
-// updateLocalUtilization takes a report into the usual load of the targets of this data
-// centre. The mutex is held.
+// updateLocalUtilization adds a report to the average of this data centre. The
+// mutex must be held.
 func (r *Registry) updateLocalUtilization(t *Target, load call.Load) {
 	utilization := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
 	r.localUtilization[t.Service] += localLoadWeight * (utilization - r.localUtilization[t.Service])
 }
 
-// idleConnectionRank sets targets to which a connection is kept before all others.
+// idleConnectionRank places targets with an idle connection before all others.
 const idleConnectionRank = math.MaxUint64
 
 // best is the target with the highest score so far.
@@ -169,14 +166,14 @@
 	score  float64
 }
 
-// offer takes a target if its score is higher than those before.
+// offer replaces the target if the score is higher.
 func (b *best) offer(t *Target, score float64) {
 	if b.target == nil || score > b.score {
 		b.target, b.score = t, score
 	}
 }
 
-// placementCost is what speaks against a target besides its load.
+// placementCost returns the cost of using a target, to be added to its utilization.
 func (r *Registry) placementCost(t *Target, hasIdle bool) float64 {
 	cost := 0.0
 	if !hasIdle {
@@ -191,5 +188,5 @@
 	return cost
 }
 
-// rank orders targets for a key by rendezvous hashing.
+// rank returns the rendezvous hash of a target for a key.
 func rank(key, id string) float64 { return float64(rendezvous.Score(key, id)) }
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -9,30 +9,29 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Who lets programs begin has to know the load of a service as a whole. The owners
-// of budgets hear most of all targets; their view goes with each of their replies.
+// Admission of programs depends on the load of a service as a whole. Budget owners
+// receive the most reports and attach their view of each service to their replies.
 
 const (
-	// reportDecayTime is the time in which a report fades to what its target usually
-	// reports, in the load of the service.
+	// reportDecayTime is the time over which a report fades to the target's average, in
+	// the load of a service.
 	reportDecayTime = 400 * time.Millisecond
-	// maxViewAge is how old another instance's view may be: the load changes within
-	// the time of a program.
+	// maxViewAge is the age up to which another instance's view is used.
 	maxViewAge = time.Second
-	// utilizationUnit is the part of the slots in which views are told.
+	// utilizationUnit is the unit of utilization in pool reports.
 	utilizationUnit = 1e-3
 )
 
 // Pool is the load of a service as a whole.
 type Pool struct {
-	// Utilization is what runs and waits, in parts of the work that the service's targets
-	// can do, as Known of All usable ones told.
+	// Utilization is the number of running and waiting requests as a fraction of the
+	// capacity, based on reports of Reporting of the Usable targets.
 	Utilization float64
 	Reporting   int
 	Usable      int
 	// ReportAge is the mean age of the reports.
 	ReportAge time.Duration
-	// SpeedsLearned tells that the speeds of the targets are learned.
+	// SpeedsLearned indicates that the speeds of the targets are learned.
 	SpeedsLearned bool
 }
 
@@ -40,18 +39,19 @@
 type poolView struct {
 	utilization float64
 	reporting   int
-	// reportedAt is when the reports were given, in the mean, heard when it was told.
+	// reportedAt is when the targets reported, on average; receivedAt is when this
+	// instance received the view.
 	reportedAt, receivedAt time.Time
 }
 
-// betterThan tells whether a view rests on more targets, or on newer reports, than
-// what this instance knows itself.
+// betterThan reports whether the view is based on more targets than own, or on
+// newer reports of as many.
 func (v poolView) betterThan(own Pool, now time.Time) bool {
 	return v.reporting > own.Reporting || (v.reporting == own.Reporting && now.Sub(v.reportedAt) < own.ReportAge)
 }
 
-// Pool tells the load of a service for who may begin. The better informed view
-// counts, of this instance or of another one.
+// Pool returns the load of a service, from this instance's data or from another
+// instance's view, whichever is based on more targets.
 func (r *Registry) Pool(service string, now time.Time) Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,10 +63,10 @@
 	return pool
 }
 
-// ownPool is the load of a service by what this instance knows of its targets. A
-// queue at a slow target says little of the room that the others have, so each
-// counts by its speed. One that has told nothing lately was asked for nothing, as
-// far as is known: it counts as free. The mutex is held.
+// ownPool returns the load of a service from this instance's data. Targets are
+// weighted by speed, so that queues at slow targets don't hide the capacity of
+// others. Targets without a recent report count as free: no instance is known to
+// have used them. The mutex must be held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
 	s, means := r.serviceByName(service), r.means(service)
 	pool := Pool{Usable: s.usable, SpeedsLearned: r.models[service] != nil}
@@ -96,7 +96,7 @@
 	return pool
 }
 
-// PoolReports tell other instances what this one knows of its services.
+// PoolReports returns this instance's views of services, for other instances.
 func (r *Registry) PoolReports(now time.Time) []structs.PoolReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,8 +116,8 @@
 	return reports
 }
 
-// MergePoolReports takes another instance's view of services, unless a better informed
-// one is new.
+// MergePoolReports stores another instance's views of services, except where a
+// recent one is based on more targets.
 func (r *Registry) MergePoolReports(reports []structs.PoolReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -12,26 +12,28 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// With many instances each one seldom sends to a given target, so its own reports
-// are old when they are needed. Instances pass reports on to the owners of
-// budgets, and these to all that ask them for room.
+// With many instances, each one rarely sends to a given target, so the reports that it
+// receives itself are outdated when it needs them. Instances forward reports to the
+// budget owners, which return them to all instances that request admission.
 
 const (
-	// maxOwnReports and maxReports bound the reports of one message, in both
-	// directions.
+	// maxOwnReports and maxReports limit the reports in a message, to and from budget
+	// owners.
 	maxOwnReports = 3
 	maxReports    = 8
-	// maxSharedReportAge is how old a report may be to be passed on.
+	// maxSharedReportAge is the age up to which a report is forwarded.
 	maxSharedReportAge = time.Second
-	// maxPoolReportAge is how old reports may be that tell of a service as a whole.
+	// maxPoolReportAge is the age up to which a report is used for the load of a
+	// service.
 	maxPoolReportAge = 1500 * time.Millisecond
-	// poolReportHalfLife is the age at which a report counts half in a service's load.
-	// Who decides on older ones acts too late, and loads swing.
+	// poolReportHalfLife is the age at which a report has half its weight in the load
+	// of a service. With a long half-life, selections react late and the load
+	// oscillates.
 	poolReportHalfLife = 100 * time.Millisecond
 )
 
-// recentPool is the mean load of a service's targets, newer reports counting more: what
-// to expect of one that nothing is known of.
+// recentPool returns the mean load of a service's targets, weighted towards newer
+// reports. It is the estimate for targets without a report. The mutex must be held.
 func (r *Registry) recentPool(service string, now time.Time) Pool {
 	s := r.serviceByName(service)
 	pool := Pool{Usable: s.usable}
@@ -54,18 +56,18 @@
 	return pool
 }
 
-// OwnLoadReports are the newest reports that targets gave this instance.
+// OwnLoadReports returns recent reports that this instance received from targets.
 func (r *Registry) OwnLoadReports(now time.Time) []structs.TargetReport {
 	return r.shareableReports(now, maxOwnReports, func(t *Target) bool { return !t.relayed })
 }
 
-// LoadReports are some new reports that this instance knows, whoever heard them.
+// LoadReports returns recent reports, including those relayed by other instances.
 func (r *Registry) LoadReports(now time.Time) []structs.TargetReport {
 	return r.shareableReports(now, maxReports, func(*Target) bool { return true })
 }
 
-// shareableReports lists reports to pass on: the newest ones, which tell the load of now,
-// and as many others, so that over some messages each is told.
+// shareableReports returns up to limit reports: half are the newest ones, the
+// others a random sample, so that successive messages cover all targets.
 func (r *Registry) shareableReports(now time.Time, limit int, include func(*Target) bool) []structs.TargetReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +92,8 @@
 	return loads
 }
 
-// MergeLoadReports takes reports that other instances were given, where they are newer
-// than what is known here.
+// MergeLoadReports applies load reports relayed by another instance, ignoring those
+// that are older than what is known here.
 func (r *Registry) MergeLoadReports(loads []structs.TargetReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +112,7 @@
 	}
 }
 
-// setLoad takes a report of a time. The mutex is held.
+// setLoad stores a load report received at a given time. The mutex must be held.
 func (r *Registry) setLoad(t *Target, load call.Load, at time.Time) {
 	utilization := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
 	t.meanUtilization = policy.TrendFill(t.meanUtilization, utilization, t.loadAt.IsZero())
--- a/internal/targets/service.go
+++ b/internal/targets/service.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxFullScan is the number of targets up to which a choice looks at each one.
-	// Beyond it a choice looks at as many whatever their number is: those that this
-	// instance sent to last, to which connections are kept, those that the key ranks
-	// first, and some drawn at random, more of them in its data centre.
+	// maxFullScan is the number of targets up to which each selection considers all of
+	// them. Beyond it, a selection considers at most maxRecent targets that this
+	// instance used last, maxKeyed that the key ranks first, and random samples of the
+	// local and of all targets.
 	maxFullScan  = 512
 	maxRecent    = 16
 	maxKeyed     = 4
@@ -21,24 +21,24 @@
 	globalSample = 8
 )
 
-// service is the targets of one service. The mutex of the Registry guards it.
+// service holds the targets of one service. The mutex of the Registry guards it.
 type service struct {
 	all []*Target
-	// local are those of this data centre.
+	// local are the targets in this data centre.
 	local []*Target
-	// ring are all in the order of the hashes of their ids, if sorted is set: thousands
-	// come one by one when an instance starts.
+	// ring holds all targets sorted by idHash if sorted is set. It is sorted lazily,
+	// since thousands of targets are added one by one when an instance starts.
 	ring   []*Target
 	sorted bool
-	// recent are those that this instance sent to last, the last one first.
+	// recent are the targets that this instance last used, most recent first.
 	recent []*Target
-	// reporting are those with a report of their load that may still be believed.
+	// reporting are the targets with a recent load report.
 	reporting []*Target
-	// usable counts those that do not drain, slots their slots.
+	// usable counts the targets that are not draining, slots their slots.
 	usable, slots int
 }
 
-// serviceByName finds the targets of a service, empty if there is none. The mutex is held.
+// serviceByName returns a service, empty if unknown. The mutex must be held.
 func (r *Registry) serviceByName(name string) *service {
 	s := r.byService[name]
 	if s == nil {
@@ -69,7 +69,7 @@
 	s.adjustTotals(t, -1)
 }
 
-// adjustTotals takes a target into the sums, or out of them with -1.
+// adjustTotals adds a target to the totals (sign 1) or removes it (sign -1).
 func (s *service) adjustTotals(t *Target, sign int) {
 	if t.Draining {
 		return
@@ -78,7 +78,7 @@
 	s.slots += sign * max(t.Slots, 1)
 }
 
-// sortRing puts the ring in order after targets came or went.
+// sortRing sorts the ring if targets were added or removed.
 func (s *service) sortRing() {
 	if s.sorted {
 		return
@@ -90,7 +90,7 @@
 	s.sorted = true
 }
 
-// markUsed notes that this instance sends to a target.
+// markUsed moves a target to the front of recent.
 func (s *service) markUsed(t *Target) {
 	if len(s.recent) > 0 && s.recent[0] == t {
 		return
@@ -100,8 +100,8 @@
 	s.recent = s.recent[:min(len(s.recent), maxRecent)]
 }
 
-// candidates are the targets that a choice looks at; keyed tells of a position
-// whether the key may rank the target there. The mutex is held.
+// candidates returns the targets that a selection considers. keyed reports whether
+// the key may rank the target at an index. The mutex must be held.
 func (r *Registry) candidates(s *service, criteria Criteria) (all []*Target, keyed func(i int) bool) {
 	if len(s.all) <= maxFullScan {
 		return s.all, func(int) bool { return true }
@@ -117,7 +117,8 @@
 	return all, func(i int) bool { return i < ranked }
 }
 
-// ranked are the targets behind a key in the ring, which all instances find.
+// ranked returns the first targets behind the key's hash in the ring, on which all
+// instances agree.
 func (s *service) ranked(key string) []*Target {
 	if key == "" {
 		return nil
@@ -133,7 +134,8 @@
 	return ranked
 }
 
-// sample takes some of a list at random.
+// sample returns n random elements, possibly repeated, or all if there are no more
+// than n.
 func sample(all []*Target, n int) []*Target {
 	if len(all) <= n {
 		return all
@@ -145,7 +147,7 @@
 	return sampled
 }
 
-// markReporting notes that a target has a new report.
+// markReporting records that a target has a new report.
 func (s *service) markReporting(t *Target) {
 	if !t.hasReport {
 		t.hasReport = true
@@ -153,7 +155,8 @@
 	}
 }
 
-// forEachReporting visits the targets with a report that is not older than maxPoolReportAge.
+// forEachReporting visits the targets with a report that is not older than
+// maxPoolReportAge, and drops the others from reporting.
 func (s *service) forEachReporting(now time.Time, visit func(*Target)) {
 	s.reporting = slices.DeleteFunc(s.reporting, func(t *Target) bool {
 		t.hasReport = now.Sub(t.loadAt) <= maxPoolReportAge
@@ -164,8 +167,8 @@
 	}
 }
 
-// means are the means of what is known of a service's targets, where speeds are
-// learned. The mutex is held.
+// means returns the mean speed and pace of a service's targets; zero if speeds are
+// not learned. The mutex must be held.
 func (r *Registry) means(name string) serviceMeans {
 	if r.models[name] == nil {
 		return serviceMeans{}
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Snapshot is a target as a dump shows it.
+// Snapshot is the state of a target in a dump.
 type Snapshot struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
@@ -15,16 +15,16 @@
 	InFlight int     `json:"in_flight"`
 	Busy     float64 `json:"busy"`
 	Avoided  bool    `json:"avoided"`
-	// Utilization is the expected number of requests in parts of the slots, Slowness the
-	// time for the same work over the usual; the ages are those of the newest
-	// report and sample in seconds, -1 for none.
+	// Utilization is the expected number of requests as a fraction of the slots.
+	// Slowness is the time for a unit of work relative to the service's mean. The ages
+	// are those of the newest report and speed sample, in seconds, -1 if there is none.
 	Utilization float64 `json:"fill"`
 	Slowness    float64 `json:"slowness"`
 	ReportAge   float64 `json:"report_age"`
 	SpeedAge    float64 `json:"speed_age"`
 }
 
-// Snapshot lists all targets by id.
+// Snapshot returns the state of all targets, sorted by ID.
 func (r *Registry) Snapshot() []Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// speedUnit is the part of a unit of work in which speeds are told.
+	// speedUnit is the unit of speeds in target reports.
 	speedUnit = 1e-6
-	// durationWeight is the weight of an answer in the usual time of its route.
+	// durationWeight is the weight of one sample in moving averages of durations.
 	durationWeight = 0.02
-	// maxRoutes bounds the routes whose times are kept for one service.
+	// maxRoutes limits the routes with stored durations per service.
 	maxRoutes = 4096
-	// initialRequestDuration is taken for the time of a request until some were seen.
+	// initialRequestDuration is the assumed duration of a request before any was
+	// measured.
 	initialRequestDuration = 200 * time.Millisecond
 )
 
-// serviceModel is what is usual for a service whose targets tell their pace.
+// serviceModel holds the averages of a service whose targets' speeds are learned.
 type serviceModel struct {
-	// routes are the times of answers, by route.
+	// routes holds the durations of plain responses, by route.
 	routes map[string]*routeDurations
-	// turnEstimates are the usual parts of an engine's turn.
+	// turnEstimates are the expected durations of the phases of an engine's turn.
 	turnEstimates policy.Estimates
-	// requestDuration is the usual time of a request of any kind.
+	// requestDuration is the mean duration of requests of all kinds.
 	requestDuration time.Duration
 }
 
-// routeDurations are the times of whole plain answers of one route.
+// routeDurations tracks the durations of complete plain responses of a route.
 type routeDurations struct {
-	// mean is their moving mean, in seconds.
+	// mean is the moving average, in seconds.
 	mean    float64
 	hedging policy.Stragglers
 }
 
-// add takes an answer in and gives its time over the usual one.
+// add records a duration and returns it relative to the mean.
 func (t *routeDurations) add(duration time.Duration) float64 {
 	t.hedging.Add(duration)
 	if t.mean == 0 {
@@ -45,12 +46,12 @@
 	return duration.Seconds() / t.mean
 }
 
-// route finds the times of a route.
+// route returns the durations of a route, creating them if needed.
 func (model *serviceModel) route(name string) *routeDurations {
 	durations := model.routes[name]
 	if durations == nil {
 		if len(model.routes) >= maxRoutes {
-			clear(model.routes) // most are of former settings
+			clear(model.routes) // most belong to removed routes
 		}
 		durations = new(routeDurations)
 		model.routes[name] = durations
@@ -58,12 +59,12 @@
 	return durations
 }
 
-// addDuration takes the time of a request into the usual one.
+// addDuration adds a sample to requestDuration.
 func (model *serviceModel) addDuration(d time.Duration) {
 	model.requestDuration += time.Duration(durationWeight * float64(d-model.requestDuration))
 }
 
-// model finds what is usual for a service, or begins to learn it. The mutex is
+// model returns the model of a service, creating it if needed. The mutex must be
 // held.
 func (r *Registry) model(service string) *serviceModel {
 	model := r.models[service]
@@ -74,7 +75,8 @@
 	return model
 }
 
-// meanRequestDuration is the usual time of a request to a service. The mutex is held.
+// meanRequestDuration returns the mean duration of requests to a service. The mutex
+// must be held.
 func (r *Registry) meanRequestDuration(service string) time.Duration {
 	if model := r.models[service]; model != nil {
 		return model.requestDuration
@@ -82,7 +84,7 @@
 	return initialRequestDuration
 }
 
-// RecordResponse takes the time of a whole plain answer.
+// RecordResponse records the duration of a complete plain response.
 func (r *Registry) RecordResponse(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,8 +96,8 @@
 	t.speed.Add(model.route(route).add(duration), now)
 }
 
-// HedgeTimeout is how long a first send of a request that may run again may take;
-// false if there is to be no second one for now.
+// HedgeTimeout returns how long to wait for a repeatable request before a hedged
+// send. It returns false if no hedged send is allowed now.
 func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,8 +108,8 @@
 	return model.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
 }
 
-// RecordHedge counts a second send after Patience, and how long the first one took
-// at least.
+// RecordHedge records a hedged send after HedgeTimeout. duration is the time that
+// the first send to t has taken so far.
 func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// RecordEventInterval takes the time between events of an engine.
+// RecordEventInterval records the mean time between events of an engine's stream.
 func (r *Registry) RecordEventInterval(t *Target, perEvent time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +133,7 @@
 	}
 }
 
-// RecordTurn takes a whole turn.
+// RecordTurn records a completed turn.
 func (r *Registry) RecordTurn(t *Target, sample policy.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,8 +143,7 @@
 	}
 }
 
-// serviceMeans are the means of what is known of a service's targets, 0 where nothing
-// is.
+// serviceMeans holds the mean speed and pace of a service's targets, 0 if unknown.
 type serviceMeans struct{ speed, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
@@ -158,12 +159,12 @@
 	return serviceMeans{speed: speed.value(), pace: pace.value()}
 }
 
-// minMeanUtilization is the usual load of a service, in parts of the slots, below which it
-// does not matter how even it is.
+// minMeanUtilization is the mean utilization below which the balance of targets is
+// ignored.
 const minMeanUtilization = 0.02
 
-// meanUtilizations are the means of what the targets of a service usually report, by
-// data centre: between these the load itself decides.
+// meanUtilizations returns the mean of the targets' average utilizations by data
+// centre. Differences between data centres are left to the selection by load.
 func meanUtilizations(all []*Target) map[string]float64 {
 	means := make(map[string]*mean)
 	for _, t := range all {
@@ -182,8 +183,8 @@
 	return meansByDataCentre
 }
 
-// relativeUtilization is what a target usually has over what those of its data centre have, 1
-// while little is known.
+// relativeUtilization returns the average utilization relative to the mean of the
+// data centre, or 1 if too little is known.
 func (t *Target) relativeUtilization(meansByDataCentre map[string]float64) float64 {
 	localMean := meansByDataCentre[t.DataCentre]
 	if t.loadAt.IsZero() || localMean < minMeanUtilization {
@@ -192,7 +193,7 @@
 	return t.meanUtilization / localMean
 }
 
-// mean is that of the values added.
+// mean is an arithmetic mean.
 type mean struct {
 	sum float64
 	n   int
@@ -200,16 +201,17 @@
 
 func (m *mean) add(value float64) { m.sum, m.n = m.sum+value, m.n+1 }
 
-// value is 0 if none was added.
+// value returns the mean, 0 without samples.
 func (m *mean) value() float64 { return m.sum / max(float64(m.n), 1) }
 
-// slowness is the target's time for the same work over the usual one, apart from
-// what it says of the present.
+// slowness returns the target's time for a unit of work relative to the mean,
+// without its current pace.
 func (t *Target) slowness(means serviceMeans, now time.Time) float64 {
 	return t.speed.Slowness(means.speed, t.relativePace(means), now)
 }
 
-// relativePace is what the target usually says of its pace, over the usual one.
+// relativePace returns the typical pace that the target reports, relative to the
+// mean.
 func (t *Target) relativePace(means serviceMeans) float64 {
 	if t.pace.Middle <= 0 {
 		return 1
@@ -217,7 +219,7 @@
 	return t.pace.Middle / means.pace
 }
 
-// currentSlowness is the slowness with what the target says of the present.
+// currentSlowness is the slowness adjusted by the pace in the newest report.
 func (t *Target) currentSlowness(means serviceMeans, now time.Time) float64 {
 	slowness := t.slowness(means, now)
 	if t.load.Pace <= 0 || means.pace <= 0 {
@@ -226,7 +228,8 @@
 	return policy.Present(slowness, float64(t.load.Pace)/100/means.pace, now.Sub(t.loadAt))
 }
 
-// utilization is the expected number of requests at a target, in parts of its slots.
+// utilization estimates the number of requests at a target as a fraction of its
+// slots.
 func (t *Target) utilization(pool float64, requestDuration time.Duration, now time.Time) float64 {
 	return policy.Fill(policy.LoadReport{
 		Busy: t.load.Running + t.load.Waiting, Since: t.inFlight - t.inFlightAtLoad, Own: t.inFlight,
@@ -234,7 +237,7 @@
 	}, pool, requestDuration)
 }
 
-// report is what others are told of a target.
+// report returns what other instances are sent about a target.
 func (t *Target) report(means serviceMeans, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
@@ -245,7 +248,7 @@
 	return report
 }
 
-// mergeSpeed takes what another instance learned of a target. The mutex is held.
+// mergeSpeed applies a speed measured by another instance. The mutex must be held.
 func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
 	if report.Speed > 0 {
 		t.speed.Hear(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,5 +1,5 @@
-// Package targets keeps the table of targets with what this instance knows of
-// their load and health, and chooses the target of a request.
+// Package targets holds the registered targets with the load and health known to
+// this instance, and selects the target of each request.
 package targets
 
 import (
@@ -16,25 +16,25 @@
 
 // Entry is a target's registration.
 type Entry struct {
-	// ID names one start of a target.
+	// ID identifies the target across restarts; see Incarnation.
 	ID         string
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 	// Draining targets take no new requests.
 	Draining bool
-	// ColdRemaining is how much longer it is slow after its start.
+	// ColdRemaining is how much longer the target is slow after its start.
 	ColdRemaining time.Duration
-	// Start is when it started, in Unix milliseconds; 0 if it does not tell.
-	// Each later one under the same id is another target, which holds and knows
-	// nothing of the former.
+	// Start is when it started, in Unix milliseconds; 0 if not reported. A later start
+	// under the same ID is a different incarnation, which shares no state with the
+	// earlier one.
 	Start int64
 }
 
-// Incarnation names one start of the target. A target that does not tell when
-// it started has one only.
+// Incarnation identifies one start of the target. A target that does not report its
+// start time has a single incarnation.
 func (e Entry) Incarnation() string {
 	if e.Start == 0 {
 		return e.ID
@@ -42,71 +42,72 @@
 	return e.ID + incarnationSeparator + strconv.FormatInt(e.Start, 10)
 }
 
-// incarnationSeparator stands between the id and the start of a target.
+// incarnationSeparator separates the ID and the start time in an incarnation.
 const incarnationSeparator = "@"
 
-// Target is a target with its state at this instance. The fields below the
-// entry are guarded by the mutex of its Registry.
+// Target is a registered target with its state at this instance. The mutex of its
+// Registry guards the fields below the entry, except the immutable ones.
 type Target struct {
 	Entry
-	// incarnation is that of the entry, hash its hash; they never change.
+	// incarnation is Entry.Incarnation, incarnationHash its hash; both are immutable.
 	incarnation     string
 	incarnationHash uint64
-	// idHash is the hash of the id, place where the target stands in its service.
+	// idHash is the hash of the ID, index the target's position in service.all.
 	idHash uint64
 	index  int
 	// inFlight counts this instance's requests at the target.
 	inFlight int
-	// load is the newest report, inFlight as it was then; heard tells that it
-	// was given to another instance.
+	// load is the newest report, inFlightAtLoad the value of inFlight when it was
+	// received. relayed indicates that another instance received the report.
 	load           call.Load
 	loadAt         time.Time
 	inFlightAtLoad int
 	relayed        bool
-	// hasReport tells that the target is among those with a report.
+	// hasReport indicates that the target is in service.reporting.
 	hasReport bool
-	// direct is the newest report that was given to this instance itself, by which
-	// targets that do not tell their pace are placed.
+	// direct is the newest report that this instance received itself. It is used to
+	// select among targets that do not report their pace.
 	direct directReport
-	// meanUtilization is the moving mean of the reports, in parts of the slots.
+	// meanUtilization is the moving average of the reported load, as a fraction of the
+	// slots.
 	meanUtilization float64
-	// speed is what was learned of the target's time for a unit of work, standing
-	// what it says itself, 0 if it says nothing.
+	// speed is the measured time for a unit of work; pace summarizes the paces that the
+	// target reports.
 	speed policy.Speed
 	pace  policy.Standing
-	// failures counts failures in a row; avoidUntil keeps requests away.
+	// failures counts consecutive failures; the target is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
-	// lastSuccessAt is when it last answered this instance in order.
+	// lastSuccessAt is when a request of this instance last succeeded.
 	lastSuccessAt time.Time
-	// lastBreakAt is when it last broke a connection at once, here or, as far as
-	// is known, elsewhere; peerAvoidUntil keeps requests away on others' word.
+	// lastBreakAt is when the target last broke a new connection, of this or another
+	// instance. peerAvoidUntil is set by reports of other instances.
 	lastBreakAt    time.Time
 	peerAvoidUntil time.Time
-	// lastNoticeAt is when others were last told of it.
+	// lastNoticeAt is when other instances were last notified of a break.
 	lastNoticeAt time.Time
 }
 
 const (
-	// maxLoadAge is how long a report of a target's load is believed: a few
-	// requests' duration, as others change it meanwhile.
+	// maxLoadAge is the age at which a load report is discarded: other instances change
+	// the load meanwhile.
 	maxLoadAge = 400 * time.Millisecond
 	// minAvoidance and maxAvoidance bound how long a failing target is avoided; the
-	// time doubles with each failure in a row. The first is about the time in
-	// which a crashed target's successor registers.
+	// time doubles with each consecutive failure. The replacement of a crashed target
+	// registers within about minAvoidance.
 	minAvoidance = 500 * time.Millisecond
 	maxAvoidance = 4 * time.Second
 )
 
-// Connections are this instance's kept connections to targets.
+// Connections is this instance's pool of connections to targets.
 type Connections interface {
-	// Kept tells whether an idle connection to an address can be used.
+	// Kept reports whether a usable idle connection to an address exists.
 	Kept(address string, now time.Time) bool
 }
 
-// Registry is the table of targets. It is safe for concurrent use.
+// Registry holds the registered targets. It is safe for concurrent use.
 type Registry struct {
-	// dataCentre is where this instance is.
+	// dataCentre is the data centre of this instance.
 	dataCentre  string
 	connections Connections
 
@@ -114,27 +115,26 @@
 	byID          map[string]*Target
 	byIncarnation map[string]*Target
 	byService     map[string]*service
-	// views are other instances' views of services, by the hashes of their names.
+	// views holds other instances' views of services, by hash of the service name.
 	views map[uint64]poolView
-	// byHash finds targets by the hash of their incarnation.
+	// byHash indexes targets by incarnationHash.
 	byHash map[uint64]*Target
-	// broken are the targets that broke connections lately, by incarnation.
+	// broken holds the targets that recently broke connections, by incarnation.
 	broken map[string]*Target
-	// localUtilization are the usual loads of the targets of this data centre, by
-	// service, in parts of their slots.
+	// localUtilization is the moving average of the utilization of targets in this data
+	// centre, by service.
 	localUtilization map[string]float64
-	// models are what is usual for services whose targets' speeds are learned.
+	// models holds the services whose targets' speeds are learned.
 	models map[string]*serviceModel
-	// learnsSpeeds tells that the speeds of all targets are learned.
+	// learnsSpeeds indicates that the speeds of all targets are learned.
 	learnsSpeeds bool
-	// seed differs between instances, so that each prefers other targets of those
-	// that are alike.
+	// seed makes each instance prefer different targets among equivalent ones.
 	seed string
-	// endOptions is reused by choices.
+	// endOptions is reused between selections to avoid allocations.
 	endOptions []policy.EndOption
 }
 
-// NewRegistry makes an empty table for an instance in a data centre.
+// NewRegistry returns an empty Registry for an instance in dataCentre.
 func NewRegistry(dataCentre string, connections Connections) *Registry {
 	return &Registry{
 		dataCentre:       dataCentre,
@@ -151,8 +151,8 @@
 	}
 }
 
-// LearnSpeeds has the speeds of all targets learned, also of those that do not tell
-// the pace of their machines.
+// LearnSpeeds enables speed learning for all targets, including those that do not
+// report their pace.
 func (r *Registry) LearnSpeeds() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,9 +162,9 @@
 	}
 }
 
-// Put adds or updates a target and tells whether it is new or began to leave.
-// Nothing that is known of an earlier start, or of another service or address
-// under the same id, holds for the new one.
+// Put adds or updates a target. It reports whether the target is new or its
+// draining state changed. A new incarnation, or a new service or address under the
+// same ID, starts without state.
 func (r *Registry) Put(entry Entry) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +172,8 @@
 		changed := t.Draining != entry.Draining
 		s := r.byService[t.Service]
 		s.adjustTotals(t, -1)
-		// The fields that name the target are read without the mutex.
+		// ID, Service, Address and Start are not updated: they are read without the
+		// mutex.
 		t.DataCentre, t.Slots, t.Draining, t.ColdRemaining = entry.DataCentre, entry.Slots, entry.Draining, entry.ColdRemaining
 		s.adjustTotals(t, 1)
 		return changed
@@ -193,7 +194,7 @@
 	return true
 }
 
-// Remove drops a target and tells whether it was there.
+// Remove deletes a target and reports whether it was registered.
 func (r *Registry) Remove(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +213,7 @@
 	return true
 }
 
-// IDs lists all targets.
+// IDs returns the IDs of all targets, in no particular order.
 func (r *Registry) IDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +224,7 @@
 	return ids
 }
 
-// Has tells whether a target is registered.
+// Has reports whether a target is registered.
 func (r *Registry) Has(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +232,7 @@
 	return ok
 }
 
-// Entry is the registration of a target.
+// Entry returns the registration of a target.
 func (r *Registry) Entry(id string) (Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +243,7 @@
 	return t.Entry, true
 }
 
-// IsRegistered tells whether a start of a target is the registered one.
+// IsRegistered reports whether an incarnation is the registered one of its target.
 func (r *Registry) IsRegistered(incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,21 +251,21 @@
 	return ok
 }
 
-// Begin counts a request that is sent to a target.
+// Begin records that a request is sent to a target.
 func (r *Registry) Begin(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.inFlight++
 }
 
-// End counts a request that has ended.
+// End records that a request has ended.
 func (r *Registry) End(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.inFlight--
 }
 
-// RecordLoad takes a target's report of its load.
+// RecordLoad records a load report received from a target.
 func (r *Registry) RecordLoad(t *Target, load call.Load, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -276,15 +277,15 @@
 	}
 }
 
-// RecordSuccess notes that a target answered in order.
+// RecordSuccess records a successful response and stops avoiding the target.
 func (r *Registry) RecordSuccess(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.failures, t.avoidUntil, t.peerAvoidUntil, t.lastSuccessAt = 0, time.Time{}, time.Time{}, now
 }
 
-// RecordFailure notes that a target could not be reached or broke off, and avoids it
-// for a while.
+// RecordFailure records that a target was unreachable or aborted a request. The
+// target is avoided for a time that grows with consecutive failures.
 func (r *Registry) RecordFailure(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -293,26 +294,25 @@
 	t.avoidUntil = now.Add(wait)
 }
 
-// Incarnation names the start of the target that this is.
+// Incarnation returns Entry.Incarnation without formatting it again.
 func (t *Target) Incarnation() string { return t.incarnation }
 
-// matches tells whether an entry is of the same start, at the same place.
+// matches reports whether an entry is of the same incarnation, service and address.
 func (t *Target) matches(entry Entry) bool {
 	return t.Service == entry.Service && t.Address == entry.Address && t.Start == entry.Start
 }
 
-// directReport is a target's report to this instance.
+// directReport is a load report that this instance received from the target.
 type directReport struct {
-	// busy counts the requests that ran and waited at the time, inFlight those of
-	// this instance among them.
+	// busy counts the running and waiting requests, inFlight those of this instance.
 	busy     int
 	at       time.Time
 	inFlight int
 }
 
-// busy estimates how many requests run and wait at a target, by what it told this
-// instance. What others heard makes programs leave engines that are full for a
-// moment, and read their prompts again.
+// busy estimates the running and waiting requests from direct reports only: relayed
+// ones would move programs away from engines that are full for a moment, and their
+// prompts would be processed again.
 func (t *Target) busy(now time.Time) float64 {
 	if now.Sub(t.direct.at) > maxLoadAge {
 		return float64(t.inFlight)
