--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// peerBreaks is another instance's word on targets.
+// peerBreaks returns another instance's report of broken connections.
 func peerBreaks(age time.Duration, ids ...string) []structs.TargetBreak {
 	var breaks []structs.TargetBreak
 	for _, id := range ids {
@@ -17,8 +17,8 @@
 	return breaks
 }
 
-// countPicks counts how often each target is chosen of some requests that run at the
-// same time, so that each of the targets in question gets some.
+// countPicks counts the picks per target for concurrent requests, so that each
+// usable target is picked.
 func countPicks(r *Registry, now time.Time) map[string]int {
 	counts := make(map[string]int)
 	var picked []*Target
@@ -41,7 +41,7 @@
 		t.Errorf("picked %v", counts)
 	}
 	if counts := countPicks(r, now.Add(peerAvoidance)); counts["t0"] == 0 {
-		t.Errorf("after its time t0 was not tried: %v", counts)
+		t.Errorf("t0 was not picked after the avoidance ended: %v", counts)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	r.RecordSuccess(r.byID["t0"], now)
 	if counts := countPicks(r, now); counts["t0"] == 0 {
-		t.Errorf("after an answer picked %v", counts)
+		t.Errorf("picked %v after a success", counts)
 	}
 }
 
@@ -76,19 +76,19 @@
 	a, b := newTestRegistry(6), newTestRegistry(6)
 	now := time.Unix(100, 0)
 	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(minNoticeInterval/2)) {
-		t.Error("a second break was to be told at once")
+		t.Error("want a notice for the first break only")
 	}
 	b.MergeBreaks(a.Breaks(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
-	if counts := b.Breaks(now.Add(peerAvoidance / 2)); len(counts) != 1 || counts[0].Age <= 0 {
-		t.Errorf("passed on %v", counts)
+	if breaks := b.Breaks(now.Add(peerAvoidance / 2)); len(breaks) != 1 || breaks[0].Age <= 0 {
+		t.Errorf("relayed breaks %v", breaks)
 	}
-	if counts := b.Breaks(now.Add(2 * peerAvoidance)); len(counts) != 0 {
-		t.Errorf("passed on %v", counts)
+	if breaks := b.Breaks(now.Add(2 * peerAvoidance)); len(breaks) != 0 {
+		t.Errorf("relayed breaks %v", breaks)
 	}
 }
 
-// What others say of an earlier start of a target says nothing of this one, and
-// what an earlier start did here is not passed on.
+// Breaks reported for an earlier incarnation have no effect, and breaks by an
+// earlier incarnation are not relayed.
 func TestBreaksOfAnEarlierStartSayNothing(t *testing.T) {
 	r := NewRegistry("dc", idleConnections{})
 	now := time.Unix(100, 0)
@@ -104,7 +104,7 @@
 		t.Errorf("picked %v", counts)
 	}
 	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
-		t.Error("a break of an earlier start is told")
+		t.Error("a break of an earlier incarnation is relayed")
 	}
 	r.MergeBreaks(peerBreaks(0, "t0@2000"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/call"
 )
 
-// A request that any target can run goes where a connection is kept, unless the
-// target there is much busier than others.
+// Without a key, a target with an idle connection is preferred unless it is much
+// busier than others.
 func TestPickPrefersIdleConnection(t *testing.T) {
 	now := time.Unix(100, 0)
 	idle := idleConnections{"a2": now.Add(time.Second)}
@@ -17,26 +17,26 @@
 	for range 20 {
 		got := r.Pick(Criteria{Service: "s"}, now)
 		if got.ID != "t2" {
-			t.Fatalf("%s was chosen", got.ID)
+			t.Fatalf("picked %s, want t2", got.ID)
 		}
 		r.End(got)
 	}
 	r.RecordLoad(r.byID["t2"], call.Load{Running: testSlots, Slots: testSlots}, now)
 	if got := r.Pick(Criteria{Service: "s"}, now); got.ID == "t2" {
-		t.Error("a busy target was chosen for its connection")
+		t.Error("a busy target was picked for its connection")
 	}
 	if got := r.Pick(Criteria{Service: "s", Exclude: []string{"t2"}}, now); got.ID == "t2" {
-		t.Error("an excluded target was chosen for its connection")
+		t.Error("an excluded target was picked for its connection")
 	}
 }
 
-// clusterSim is a data centre in virtual time: instances that each send a few requests
-// a second to targets that any of them may run on.
+// clusterSim simulates the instances of a data centre in virtual time. Each sends a
+// few requests per second without a key.
 type clusterSim struct {
 	now       time.Time
 	instances []*Registry
-	kept      []idleConnections
-	// running and ran count the requests at each target.
+	idle      []idleConnections
+	// running and served count the requests at each target.
 	running map[string]int
 	served  map[string]int
 	ends    []runEnd
@@ -44,13 +44,13 @@
 	sent    int
 	// sendInterval is the number of steps between two requests of an instance.
 	sendInterval int
-	// pace is what each target tells of its pace, 0 for nothing; instances that
-	// are told it tell each other of loads.
+	// pace is the pace that targets report, 0 for none; with a pace, instances share
+	// load reports.
 	pace int
 }
 
 type runEnd struct {
-	at       time.Time
+	endsAt   time.Time
 	instance int
 	target   *Target
 }
@@ -58,11 +58,11 @@
 const (
 	simInstances = 60
 	simTargets   = 20
-	// simIdleTimeout is how long a target keeps a connection without a request.
+	// simIdleTimeout is how long a target keeps an idle connection open.
 	simIdleTimeout     = 7500 * time.Millisecond
 	simStep            = 5 * time.Millisecond
 	simRequestDuration = 100 * time.Millisecond
-	// simSendInterval is the number of steps between two requests of an instance.
+	// simSendInterval is the default of sendInterval.
 	simSendInterval = 67
 )
 
@@ -70,7 +70,7 @@
 	sim := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
 	for range simInstances {
 		idle := idleConnections{}
-		sim.kept = append(sim.kept, idle)
+		sim.idle = append(sim.idle, idle)
 		sim.instances = append(sim.instances, newRegistryWith(simTargets, idle))
 	}
 	return sim
@@ -91,13 +91,13 @@
 func (sim *clusterSim) end() {
 	left := sim.ends[:0]
 	for _, e := range sim.ends {
-		if e.at.After(sim.now) {
+		if e.endsAt.After(sim.now) {
 			left = append(left, e)
 			continue
 		}
 		sim.running[e.target.ID]--
 		sim.instances[e.instance].End(e.target)
-		sim.kept[e.instance][e.target.Address] = sim.now.Add(simIdleTimeout)
+		sim.idle[e.instance][e.target.Address] = sim.now.Add(simIdleTimeout)
 	}
 	sim.ends = left
 }
@@ -107,7 +107,7 @@
 	target := r.Pick(Criteria{Service: "s"}, sim.now)
 	sim.sent++
 	sim.served[target.ID]++
-	if !sim.kept[instance].Kept(target.Address, sim.now) {
+	if !sim.idle[instance].Kept(target.Address, sim.now) {
 		sim.opened++
 	}
 	sim.running[target.ID]++
@@ -118,8 +118,7 @@
 	sim.ends = append(sim.ends, runEnd{sim.now.Add(simRequestDuration), instance, target})
 }
 
-// shareReports passes the reports of an instance on to the next ones, as messages about
-// budgets do.
+// shareReports sends the load reports of an instance to simFanout others.
 func (sim *clusterSim) shareReports(instance int) {
 	loads := sim.instances[instance].LoadReports(sim.now)
 	for i := range simFanout {
@@ -127,27 +126,27 @@
 	}
 }
 
-// simFanout is how many instances hear the reports that one passes on.
+// simFanout is the number of instances that receive each message with reports.
 const simFanout = 3
 
-// Where targets tell their pace and instances share reports, fewer connections are
-// opened, and the targets are loaded more evenly.
+// With reported paces and shared load reports, few connections are opened and the
+// load is even.
 func TestManyInstancesWithSharedReports(t *testing.T) {
 	sim := newClusterSim()
 	sim.pace = 100
 	sim.run(int(time.Minute / simStep))
 	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.03 {
-		t.Errorf("%d connections opened for %d requests", sim.opened, sim.sent)
+		t.Errorf("opened %d connections for %d requests", sim.opened, sim.sent)
 	}
 	for id, n := range sim.served {
 		if n > 9*sim.sent/5/simTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, sim.sent)
+			t.Errorf("%s served %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
 
-// The callers of another data centre move here: targets there take over what those
-// here have no room for, and give it back, without leaving any of these crowded.
+// When the local load exceeds the local capacity, targets of another data centre
+// take over a part, and no longer do so afterwards.
 func TestOtherDataCentreAbsorbsExcessLoad(t *testing.T) {
 	sim := newClusterSim()
 	sim.pace = 100
@@ -172,22 +171,21 @@
 	far(2 * simSendInterval)
 	after := far(2 * simSendInterval)
 	if before > 0.2 || after > 0.2 || moved < 0.3 || moved > 0.6 {
-		t.Errorf("parts at the other data centre: %.2f, %.2f while callers were here, %.2f", before, moved, after)
+		t.Errorf("fraction served by the other data centre: %.2f before, %.2f during and %.2f after the overload", before, moved, after)
 	}
 }
 
-// Sixty instances that send three requests a second each open a connection for
-// less than one request in ten, and load no target with more than three times
-// its share.
+// Many instances with a low request rate open few connections and don't overload
+// any target.
 func TestManyInstancesOpenFewConnections(t *testing.T) {
 	sim := newClusterSim()
 	sim.run(int(time.Minute / simStep))
 	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.1 {
-		t.Errorf("%d connections opened for %d requests", sim.opened, sim.sent)
+		t.Errorf("opened %d connections for %d requests", sim.opened, sim.sent)
 	}
 	for id, n := range sim.served {
 		if n > 3*sim.sent/simTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, sim.sent)
+			t.Errorf("%s served %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
--- a/internal/targets/expected_end_test.go
+++ b/internal/targets/expected_end_test.go
@@ -9,7 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pacedRegistry has targets of which each told its usual pace some times.
+// pacedRegistry returns a registry whose targets each reported a usual pace several
+// times.
 func pacedRegistry(n int, idle idleConnections, now time.Time) *Registry {
 	r := newRegistryWith(n, idle)
 	for i := range 10 * n {
@@ -18,7 +19,7 @@
 	return r
 }
 
-// countConcurrentPicks counts the targets that n requests at once get.
+// countConcurrentPicks counts the picks per target of n concurrent requests.
 func countConcurrentPicks(r *Registry, want Criteria, n int, now time.Time) map[string]int {
 	counts := map[string]int{}
 	var all []*Target
@@ -33,7 +34,7 @@
 	return counts
 }
 
-// countSequentialPicks counts the targets that n requests one after the other get.
+// countSequentialPicks counts the picks per target of n sequential requests.
 func countSequentialPicks(r *Registry, want Criteria, n int, now time.Time) map[string]int {
 	counts := map[string]int{}
 	for range n {
@@ -44,8 +45,8 @@
 	return counts
 }
 
-// One target of five turns slow for half a second and says so: requests avoid it
-// while that is new, and come back.
+// A target that reports a slow pace is avoided while the report is recent, and used
+// again later.
 func TestSlowTargetIsAvoidedWhileItReportsSlowness(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := pacedRegistry(5, idleConnections{}, now)
@@ -54,13 +55,13 @@
 		t.Errorf("%d of 50 requests went to the slow target", n)
 	}
 	if n := countConcurrentPicks(r, Criteria{Service: "s"}, 20, now.Add(time.Second))["t0"]; n == 0 {
-		t.Error("the target was not tried again")
+		t.Error("the target was not picked after the report expired")
 	}
 }
 
-// A third of the engines is several times slower for seconds, which only the
-// pauses between events tell: programs begin elsewhere and those there leave,
-// here and at an instance that only heard of it.
+// Some engines are slow, which only the intervals between events show. Programs
+// avoid and leave them, at the instance that measured it and at one that received
+// its reports.
 func TestProgramsLeaveSlowEngines(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := pacedRegistry(6, idleConnections{}, now), pacedRegistry(6, idleConnections{}, now)
@@ -90,12 +91,12 @@
 		}
 		stays := Criteria{Service: "s", Key: "p", LastIncarnation: "t5", Sticky: true, Stream: true, PromptTokens: 2000}
 		if n := countSequentialPicks(at, stays, 20, later)["t5"]; n != 20 {
-			t.Errorf("%s: %d of 20 turns stayed at a usual engine", name, n)
+			t.Errorf("%s: %d of 20 turns stayed at an engine of usual speed", name, n)
 		}
 	}
 }
 
-// Requests about one object go to one target, found alike by all instances.
+// Requests with the same key go to the same target from all instances.
 func TestKeyMapsToOneTargetAtAllInstances(t *testing.T) {
 	now := time.Unix(100, 0)
 	first, second := pacedRegistry(5, idleConnections{}, now), pacedRegistry(5, idleConnections{}, now)
@@ -108,25 +109,25 @@
 	}
 }
 
-// Targets that say nothing of their pace are chosen as before, and nothing is
-// learned of them.
+// For targets that do not report their pace, no speeds are learned, and selection
+// is not by expected end.
 func TestNoSpeedsAreLearnedWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(3)
 	r.RecordLoad(r.byID["t0"], call.Load{Slots: testSlots}, now)
 	r.RecordEventInterval(r.byID["t0"], time.Second, now)
 	if len(r.models) != 0 || !r.byID["t0"].speed.At.IsZero() {
-		t.Error("something was learned")
+		t.Error("a speed was learned")
 	}
 	var explanation Explanation
 	r.Pick(Criteria{Service: "s", Explanation: &explanation}, now)
 	if explanation.Estimated {
-		t.Errorf("got %+v", explanation)
+		t.Errorf("got %+v, want no estimate", explanation)
 	}
 }
 
-// What other instances heard does not move the programs of targets that say
-// nothing of their pace.
+// Relayed load reports do not move programs between targets that do not report
+// their pace.
 func TestRelayedReportsDoNotMoveProgramsWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := newTestRegistry(3), newTestRegistry(3)
@@ -134,10 +135,10 @@
 	r.MergeLoadReports(other.LoadReports(now), now)
 	want := Criteria{Service: "s", Key: "p", LastIncarnation: "t0", Sticky: true, Stream: true}
 	if got := r.Pick(want, now); got.ID != "t0" {
-		t.Errorf("%s was chosen", got.ID)
+		t.Errorf("picked %s, want t0", got.ID)
 	}
 	if pool := r.Pool("s", now); pool.Reporting != 1 || pool.Utilization < 1 || pool.Utilization > 1.1 {
-		t.Errorf("the pool's load is %+v", pool)
+		t.Errorf("unexpected load of the pool: %+v", pool)
 	}
 }
 
@@ -149,6 +150,6 @@
 	got := r.Pick(Criteria{Service: "s", Explanation: &explanation}, now.Add(time.Millisecond))
 	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpEnd <= explanation.ExpectedEnd ||
 		explanation.ReportAge != time.Millisecond || explanation.SpeedAge != unknownAge {
-		t.Errorf("%s was chosen for %+v", got.ID, explanation)
+		t.Errorf("picked %s with explanation %+v", got.ID, explanation)
 	}
 }
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -8,8 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/call"
 )
 
-// What to expect of a target follows the newest reports, and these are passed on
-// first.
+// Newer reports have more weight in the load of a service, and are relayed first.
 func TestNewerReportsHaveMoreWeight(t *testing.T) {
 	const n = 20
 	r, start := newTestRegistry(n), time.Unix(100, 0)
@@ -36,12 +35,12 @@
 		}
 	}
 	if newest != 100*maxReports/2 || len(reported) < n-1 {
-		t.Errorf("%d of the newest reports passed on, %d targets told of", newest, len(reported))
+		t.Errorf("relayed %d of the newest reports, and reports of %d targets", newest, len(reported))
 	}
 }
 
-// A slow target's queue is less of the service's load than a quick one's: it does
-// less work, and programs that begin go elsewhere.
+// Queues at slow targets contribute less to the utilization of a service than
+// queues at fast ones.
 func TestSlowTargetsHaveLessWeight(t *testing.T) {
 	const n = 20
 	r, now := newTestRegistry(n), time.Unix(100, 0)
@@ -66,14 +65,15 @@
 		}
 	}
 	if slow := fill(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
-		t.Errorf("half of the targets have queues: fill %.2f, %.2f where these are slow", equal, slow)
+		t.Errorf("half of the targets have queues: utilization %.2f, %.2f where these are slow", equal, slow)
 	}
 	if even := fill(0); even != 1 {
-		t.Errorf("all slots are taken: fill %.2f", even)
+		t.Errorf("all slots are taken: utilization %.2f", even)
 	}
 }
 
-// reportLoads has some targets report a load and a pace.
+// reportLoads reports a load and a pace for the targets with indexes from from to
+// to-1.
 func reportLoads(r *Registry, from, to, busy, pace int, now time.Time) {
 	for i := from; i < to; i++ {
 		load := call.Load{Running: min(busy, testSlots), Waiting: max(busy-testSlots, 0), Slots: testSlots, Pace: pace}
@@ -81,7 +81,7 @@
 	}
 }
 
-// Queues at slow targets do not hide the room of the others.
+// Queues at slow targets don't hide the capacity of the others.
 func TestTargetsAreWeightedBySpeed(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(12)
@@ -90,21 +90,21 @@
 		reportLoads(r, 4, 12, testSlots/2, 100, now)
 	}
 	if pool := r.Pool("s", now); !pool.SpeedsLearned || pool.Utilization < 0.5 || pool.Utilization > 1 {
-		t.Errorf("a third has long queues, the others are half free: %+v", pool)
+		t.Errorf("a third of the targets has long queues, the others are half free: %+v", pool)
 	}
 }
 
-// A target that nobody has heard from lately was asked for nothing.
+// A target without a recent report counts as free.
 func TestUnresponsiveTargetsCountAsFree(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(20)
 	reportLoads(r, 0, 5, testSlots, 100, now)
 	if pool := r.Pool("s", now); pool.Reporting != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
-		t.Errorf("five of twenty are full: %+v", pool)
+		t.Errorf("five of twenty targets are full: %+v", pool)
 	}
 }
 
-// The better informed view of a service counts while it is new.
+// A view that is based on more targets is used while it is recent.
 func TestBetterInformedPoolViewWins(t *testing.T) {
 	now := time.Unix(100, 0)
 	owner, r := newTestRegistry(20), newTestRegistry(20)
@@ -112,26 +112,26 @@
 	reportLoads(r, 0, 5, 0, 100, now)
 	r.MergePoolReports(owner.PoolReports(now), now)
 	if pool := r.Pool("s", now); pool.Reporting != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
-		t.Errorf("the owner knows that all are full: %+v", pool)
+		t.Errorf("the view of the owner is not used: %+v", pool)
 	}
 	less := newTestRegistry(20)
 	reportLoads(less, 0, 2, 0, 100, now)
 	r.MergePoolReports(less.PoolReports(now), now)
 	if pool := r.Pool("s", now); pool.Reporting != 20 {
-		t.Errorf("a view that rests on less replaced it: %+v", pool)
+		t.Errorf("a view based on fewer targets replaced it: %+v", pool)
 	}
 	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.Reporting != 5 {
-		t.Errorf("an old view still counts: %+v", pool)
+		t.Errorf("an expired view is used: %+v", pool)
 	}
 }
 
-// Speeds are learned where targets tell their pace, or where that is asked for.
+// Speeds are learned where targets report their pace, or after LearnSpeeds.
 func TestSpeedsAreLearnedWithPaceOrWhenEnabled(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(4)
 	reportLoads(r, 0, 4, testSlots, 0, now)
 	if pool := r.Pool("s", now); pool.SpeedsLearned || len(r.PoolReports(now)) != 0 {
-		t.Errorf("nobody asked for speeds: %+v", pool)
+		t.Errorf("speeds are learned without pace: %+v", pool)
 	}
 	r.LearnSpeeds()
 	r.Put(Entry{ID: "u", Service: "other", Address: "u", DataCentre: "dc", Slots: testSlots})
--- a/internal/targets/reports_test.go
+++ b/internal/targets/reports_test.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/call"
 )
 
-// An instance that has sent nothing for a while knows the load of a service from
-// what others were told.
+// An instance without recent requests knows the load of a service from reports that
+// others received.
 func TestLoadReportsAreRelayed(t *testing.T) {
 	now := time.Unix(100, 0)
 	a, owner, b := newTestRegistry(3), newTestRegistry(3), newTestRegistry(3)
@@ -24,14 +24,15 @@
 		t.Errorf("got %+v", pool)
 	}
 	if len(owner.OwnLoadReports(later)) != 0 {
-		t.Error("what was heard is told as the instance's own")
+		t.Error("a relayed report is listed as the instance's own")
 	}
 	if pool := b.Pool("s", now.Add(2*maxPoolReportAge)); pool.Reporting != 0 {
 		t.Errorf("old reports still count: %+v", pool)
 	}
 }
 
-// The newest report counts, whoever was given it, and none of an earlier start.
+// The newest report counts, whichever instance received it; reports of an earlier
+// incarnation do not.
 func TestNewestReportWins(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := newTestRegistry(2), newTestRegistry(2)
@@ -40,13 +41,13 @@
 	r.RecordLoad(r.byID["t0"], call.Load{Running: 3, Slots: testSlots}, now.Add(20*time.Millisecond))
 	r.MergeLoadReports(old, now.Add(50*time.Millisecond))
 	if got := r.byID["t0"].load.Running; got != 3 {
-		t.Errorf("an older report replaced a newer one: %d run", got)
+		t.Errorf("an older report replaced a newer one: %d running", got)
 	}
 	later := r.byID["t0"].Entry
 	later.Start = 2000
 	r.Put(later)
 	r.MergeLoadReports(old, now.Add(50*time.Millisecond))
 	if !r.byID["t0"].loadAt.IsZero() {
-		t.Error("a report of an earlier start was taken")
+		t.Error("a report of an earlier incarnation was applied")
 	}
 }
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/call"
 )
 
-// countingConnections counts the targets that choices look at.
+// countingConnections counts the targets that selections consider.
 type countingConnections struct{ lookups int }
 
 func (c *countingConnections) Kept(string, time.Time) bool {
@@ -27,8 +27,8 @@
 	return r
 }
 
-// A choice among thousands of targets looks at no more of them as their number
-// doubles.
+// The number of targets that a selection considers does not grow with the size of
+// the service.
 func TestChoiceLooksAtABoundedNumberOfTargets(t *testing.T) {
 	const limit = 64
 	for _, n := range []int{2500, 5000, 10000} {
@@ -39,14 +39,14 @@
 		} {
 			connections.lookups = 0
 			if r.Pick(want, time.Now()) == nil || connections.lookups > limit {
-				t.Errorf("%d of %d targets were looked at for %+v", connections.lookups, n, want)
+				t.Errorf("%d of %d targets were considered for %+v", connections.lookups, n, want)
 			}
 		}
 	}
 }
 
-// Instances that know the same thousands of targets find the same one for a key, and
-// one that comes or goes moves few keys.
+// Instances agree on the target of a key, and adding or removing a target moves few
+// keys.
 func TestInstancesAgreeOnTheTargetOfAKeyAmongThousands(t *testing.T) {
 	const n, keys = 3000, 500
 	a, b := registryOf(n, new(countingConnections)), registryOf(n, new(countingConnections))
@@ -62,22 +62,22 @@
 		b.End(targetB)
 	}
 	if moved > keys/100 {
-		t.Errorf("%d of %d keys moved with one of %d targets", moved, keys, n)
+		t.Errorf("%d of %d keys moved after removal of one of %d targets", moved, keys, n)
 	}
 }
 
-// A program stays with its engine among thousands.
+// A program stays at its engine although selections consider only a sample.
 func TestProgramStaysAtItsEngineAmongThousands(t *testing.T) {
 	r := registryOf(3000, new(countingConnections))
 	for i := range 100 {
 		last := fmt.Sprint("t", 29*i)
 		if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: last, Sticky: true}, time.Now()); got.ID != last {
-			t.Errorf("went from %s to %s", last, got.ID)
+			t.Errorf("moved from %s to %s", last, got.ID)
 		}
 	}
 }
 
-// When the targets that a choice looks at are not to be used the others are.
+// If none of the candidates is usable, all targets are considered.
 func TestPickFallsBackToAllTargets(t *testing.T) {
 	const n = 2000
 	r := registryOf(n, new(countingConnections))
@@ -90,7 +90,7 @@
 	}
 }
 
-// What a message tells of loads takes no walk over targets that told nothing lately.
+// Only targets with a recent report are scanned for load reports.
 func TestOnlyReportingTargetsAreScanned(t *testing.T) {
 	r := registryOf(5000, new(countingConnections))
 	now := time.Now()
@@ -98,20 +98,20 @@
 		r.RecordLoad(r.byID[fmt.Sprint("t", i)], call.Load{Running: 1, Slots: 6}, now)
 	}
 	if got := len(r.serviceByName("s").reporting); got != 10 {
-		t.Errorf("%d targets with a report", got)
+		t.Errorf("got %d targets with a report, want 10", got)
 	}
 	if got := len(r.LoadReports(now)); got != maxReports {
-		t.Errorf("%d reports told", got)
+		t.Errorf("got %d reports", got)
 	}
 	if pool := r.Pool("s", now); pool.Usable != 5000 || pool.Reporting != 10 {
 		t.Errorf("pool %+v", pool)
 	}
 	if got := len(r.LoadReports(now.Add(2 * maxPoolReportAge))); got != 0 || len(r.serviceByName("s").reporting) != 0 {
-		t.Errorf("%d old reports told, %d kept", got, len(r.serviceByName("s").reporting))
+		t.Errorf("%d expired reports relayed, %d stored", got, len(r.serviceByName("s").reporting))
 	}
 }
 
-// The sums of a service follow its targets as they drain, come back and go.
+// The totals of a service are updated when targets drain, return or are removed.
 func TestServiceTotalsFollowItsTargets(t *testing.T) {
 	r := registryOf(10, new(countingConnections))
 	entry := r.byID["t3"].Entry
@@ -125,11 +125,11 @@
 	r.Put(entry)
 	r.serviceByName("s").sortRing()
 	if s := r.serviceByName("s"); s.usable != 8 || s.slots != 7*6+8 || len(s.all) != 9 || len(s.ring) != 9 || len(s.local) != 2 {
-		t.Errorf("usable %d, slots %d, all %d, ring %d, near %d", s.usable, s.slots, len(s.all), len(s.ring), len(s.local))
+		t.Errorf("usable %d, slots %d, all %d, ring %d, local %d", s.usable, s.slots, len(s.all), len(s.ring), len(s.local))
 	}
 	for i, target := range r.serviceByName("s").all {
 		if target.index != i {
-			t.Errorf("%s stands at %d, not %d", target.ID, i, target.index)
+			t.Errorf("%s is at index %d, but has index %d", target.ID, i, target.index)
 		}
 	}
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -96,8 +96,9 @@
 	t.speed.Add(model.route(route).add(duration), now)
 }
 
-// HedgeTimeout returns how long to wait for a repeatable request before a hedged
-// send. It returns false if no hedged send is allowed now.
+// HedgeTimeout returns how long the first send of a repeatable request may take
+// before it is given up for a hedged send. It returns false if no hedged send is
+// allowed now.
 func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,8 +109,8 @@
 	return model.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
 }
 
-// RecordHedge records a hedged send after HedgeTimeout. duration is the time that
-// the first send to t has taken so far.
+// RecordHedge records a hedged send. duration is how long the first send, to t,
+// took before it was given up.
 func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -11,8 +11,7 @@
 
 const testSlots = 4
 
-// idleConnections are the addresses with a kept connection, with the time at which it
-// expires.
+// idleConnections maps addresses with an idle connection to its expiry.
 type idleConnections map[string]time.Time
 
 func (k idleConnections) Kept(address string, now time.Time) bool { return now.Before(k[address]) }
@@ -27,7 +26,8 @@
 	return r
 }
 
-// maxKeyedRequests is the number of requests at which a target is full for its keys.
+// maxKeyedRequests is the number of requests at which a target takes no more
+// requests by key.
 func maxKeyedRequests() int { return int(math.Ceil(maxKeyedUtilization * testSlots)) }
 
 func TestKeyStaysAtItsTargetUntilOverloaded(t *testing.T) {
@@ -45,11 +45,12 @@
 		r.End(first)
 	}
 	if r.Pick(Criteria{Service: "s", Key: "program"}, now) != first {
-		t.Error("the key did not come back to its target")
+		t.Error("the key did not return to its target")
 	}
 }
 
-// twoDataCentres has n targets here and n elsewhere.
+// twoDataCentres returns a registry with n local targets and n in another data
+// centre.
 func twoDataCentres(n int) *Registry {
 	r := newTestRegistry(n)
 	for i := range n {
@@ -58,8 +59,7 @@
 	return r
 }
 
-// A program goes on where its last turn ran, also if that is elsewhere, until
-// that target is full.
+// A program continues at its last target, in any data centre, until that is full.
 func TestProgramContinuesAtItsLastTarget(t *testing.T) {
 	r := twoDataCentres(4)
 	now := time.Unix(100, 0)
@@ -67,7 +67,7 @@
 		want := Criteria{Service: "s", Key: fmt.Sprint("program", i), LastIncarnation: "far2", Sticky: true}
 		got := r.Pick(want, now)
 		if got.ID != "far2" {
-			t.Fatalf("%s was chosen", got.ID)
+			t.Fatalf("picked %s, want far2", got.ID)
 		}
 		r.End(got)
 	}
@@ -75,21 +75,20 @@
 		r.PickIncarnation("far2")
 	}
 	if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "far2", Sticky: true}, now); got.DataCentre != "dc" {
-		t.Errorf("%s was chosen instead of one nearby", got.ID)
+		t.Errorf("picked %s instead of a local target", got.ID)
 	}
 	removed := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "gone", Sticky: true}, now)
 	if removed == nil || removed.DataCentre != "dc" {
-		t.Errorf("got %+v for a program whose target is gone", removed)
+		t.Errorf("got %+v for a program whose target was removed", removed)
 	}
 }
 
-// Programs begin at targets of this data centre while these have room, then at
-// the one that every instance would choose.
+// Programs begin at local targets while these have capacity, then at the target
+// ranked first by the key.
 func TestProgramsBeginLocallyWhileThereIsCapacity(t *testing.T) {
 	r := twoDataCentres(2)
 	now := time.Unix(100, 0)
-	// A target takes another program while it is less full than maxLocalUtilization, so
-	// each of the two takes three.
+	// Each of the two targets takes three programs below maxLocalUtilization.
 	for i := range 6 {
 		got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("program", i), Sticky: true}, now)
 		if got.DataCentre != "dc" {
@@ -105,7 +104,7 @@
 		r.End(got)
 	}
 	if elsewhere == 0 {
-		t.Error("no program began elsewhere although the targets here had no room")
+		t.Error("no program began elsewhere although the local targets were full")
 	}
 	far := 0
 	for i := range 20 {
@@ -115,13 +114,13 @@
 		}
 	}
 	if far == 0 {
-		t.Error("keys whose target nobody remembers must not depend on the data centre")
+		t.Error("the target of a request that is not sticky depends on the data centre")
 	}
 }
 
-// While the targets of this data centre are usually full, programs begin wherever
-// their rank says, though nothing new is known of the single targets; once they
-// have room again, nearby.
+// While the average utilization of this data centre is high, programs begin at
+// targets of all data centres, even without a recent report of single targets;
+// afterwards they begin locally again.
 func TestProgramsBeginElsewhereWhileThisDataCentreIsFull(t *testing.T) {
 	r := twoDataCentres(8)
 	now := time.Unix(100, 0)
@@ -145,11 +144,11 @@
 	later := now.Add(2 * maxLoadAge)
 	report(2 * testSlots)
 	if far := beginsFar(later); far < 10 || far > 30 {
-		t.Errorf("%d of 40 programs began elsewhere while all targets here were full", far)
+		t.Errorf("%d of 40 programs began elsewhere while all local targets were full", far)
 	}
 	report(1)
 	if far := beginsFar(later); far != 0 {
-		t.Errorf("%d of 40 programs began elsewhere although the targets here have room", far)
+		t.Errorf("%d of 40 programs began elsewhere although local targets have capacity", far)
 	}
 }
 
@@ -175,11 +174,11 @@
 	r.RecordLoad(a, call.Load{Running: testSlots, Waiting: 3, Slots: testSlots}, now)
 	for range 3 {
 		if got := r.Pick(Criteria{Service: "s"}, now); got == a {
-			t.Error("the busy target was chosen")
+			t.Error("the busy target was picked")
 		}
 	}
 	if a.busy(now.Add(2*maxLoadAge)) != 0 {
-		t.Error("an old report still counts")
+		t.Error("an expired report is used")
 	}
 }
 
@@ -190,11 +189,11 @@
 	r.RecordFailure(bad, now)
 	for range 4 {
 		if r.Pick(Criteria{Service: "s"}, now) == bad {
-			t.Error("a target that failed was chosen at once")
+			t.Error("a target was picked right after a failure")
 		}
 	}
 	if later := now.Add(minAvoidance); r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, later) != bad {
-		t.Error("the target was not tried again")
+		t.Error("the target was not picked after the avoidance ended")
 	}
 }
 
@@ -203,7 +202,7 @@
 	now := time.Unix(100, 0)
 	r.RecordFailure(r.PickIncarnation("t0"), now)
 	if r.Pick(Criteria{Service: "s"}, now) == nil {
-		t.Error("no target was chosen")
+		t.Error("no target was picked")
 	}
 }
 
@@ -211,13 +210,13 @@
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
 	if !r.Put(Entry{ID: "t0", Service: "s", Address: "a0", Slots: testSlots, Draining: true}) {
-		t.Error("a target that began to leave is no change")
+		t.Error("Put did not report the start of draining as a change")
 	}
 	if got := r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, now); got != nil {
-		t.Errorf("got %s", got.ID)
+		t.Errorf("picked %s, want none", got.ID)
 	}
 	if !r.Remove("t1") || r.Remove("t1") || r.Has("t1") {
-		t.Error("a target can be removed once")
+		t.Error("removal of t1 was not reported exactly once")
 	}
 }
 
@@ -226,6 +225,6 @@
 	old := r.PickIncarnation("t0")
 	r.Put(Entry{ID: "t0", Service: "other", Address: "a0", Slots: testSlots})
 	if r.PickIncarnation("t0") == old || r.Pick(Criteria{Service: "s"}, time.Unix(100, 0)) != nil {
-		t.Error("the target kept the state of another service's")
+		t.Error("the target inherited the state of another service's target")
 	}
 }
