--- a/internal/memlimit/buffer.go
+++ b/internal/memlimit/buffer.go
@@ -5,27 +5,27 @@
 	"math"
 )
 
-// minGrowth is the smallest step of a Buffer, in bytes.
+// minGrowth is the minimum growth of a Buffer, in bytes.
 const minGrowth = 4 << 10
 
-// Buffer reads into memory that an Account holds.
+// Buffer reads into memory that is reserved in an Account.
 type Buffer struct {
 	account *Account
 	bytes   []byte
 }
 
-// NewBuffer makes a Buffer with room for some bytes, or returns a *LimitError.
+// NewBuffer returns a Buffer with memory reserved for size bytes, or a *LimitError.
+// An unknown size (not positive, or math.MaxInt64) reserves nothing.
 func NewBuffer(account *Account, size int64) (*Buffer, error) {
 	b := &Buffer{account: account}
 	if size <= 0 || size == math.MaxInt64 {
 		return b, nil
 	}
-	// One byte more, so that the end of what has that size is read without
-	// growing.
+	// One byte more, so that the end of a body of this size is read without growing.
 	return b, b.grow(size + 1)
 }
 
-// grow makes room for some bytes more, or returns a *LimitError.
+// grow increases the capacity, or returns a *LimitError.
 func (b *Buffer) grow(more int64) error {
 	if err := b.account.Reserve(more); err != nil {
 		return err
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// ReadAll reads until the end of a source, or until more does not fit: then it
-// returns a *LimitError, and what was read stays.
+// ReadAll reads source to its end. If the limit is reached it returns a
+// *LimitError; the data read so far stays available.
 func (b *Buffer) ReadAll(source io.Reader) error {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
@@ -56,5 +56,5 @@
 	}
 }
 
-// Bytes is what was read.
+// Bytes returns the data read so far.
 func (b *Buffer) Bytes() []byte { return b.bytes }
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -1,5 +1,5 @@
-// Package memlimit bounds the bytes that an instance holds for requests: their
-// bodies, the conversations before them and answers that wait for slow callers.
+// Package memlimit limits the memory that an instance holds for requests: their
+// bodies, conversation histories and responses that wait for slow callers.
 package memlimit
 
 import (
@@ -11,22 +11,22 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// LimitError tells that bytes were refused; nothing of the request has run for
-// lack of them.
+// LimitError reports that a reservation exceeded the limit. Nothing of the request
+// was run.
 type LimitError struct {
-	// Requested was asked for while Held of Most were held, all in bytes.
+	// Requested bytes were refused while Held of Max were held.
 	Requested, Held, Max int64
-	// InProgress tells that the request belongs to a program under way.
+	// InProgress indicates that the request belongs to a program in progress.
 	InProgress bool
 }
 
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%d bytes more do not fit: %d of %d are held for requests (program under way: %t)",
+	return fmt.Sprintf("reservation of %d bytes exceeds the memory limit for requests: %d of %d bytes held (program under way: %t)",
 		e.Requested, e.Held, e.Max, e.InProgress)
 }
 
-// Limiter is what an instance may hold for requests. It is safe for concurrent
-// use; a nil Bound has no limit.
+// Limiter limits the bytes held for requests. It is safe for concurrent use; a nil
+// Limiter has no limit.
 type Limiter struct {
 	mu    sync.Mutex
 	bytes policy.Bytes
@@ -35,14 +35,14 @@
 	refused tally.Counter
 }
 
-// New makes a Bound of some bytes, 0 for none.
+// New returns a Limiter of limit bytes, 0 for no limit.
 func New(limit int64, scope tally.Scope) *Limiter {
 	scope = scope.SubScope("request_bytes")
 	scope.Gauge("most").Update(float64(limit))
 	return &Limiter{bytes: policy.Bytes{Most: limit}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
-// Usage is what is held now.
+// Usage returns the bytes held now and the limit.
 func (l *Limiter) Usage() policy.Bytes {
 	if l == nil {
 		return policy.Bytes{}
@@ -52,7 +52,7 @@
 	return l.bytes
 }
 
-// reserve takes some bytes, or returns a *LimitError.
+// reserve reserves size bytes, or returns a *LimitError.
 func (l *Limiter) reserve(size int64, inProgress bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,27 +64,27 @@
 	return nil
 }
 
-// add counts bytes. The mutex is held.
+// add adjusts the held bytes. The mutex must be held.
 func (l *Limiter) add(size int64) {
 	l.bytes.Held += size
 	l.held.Update(float64(l.bytes.Held))
 }
 
-// Account is what is held for one request. It is not safe for concurrent use.
+// Account tracks the bytes held for one request. It is not safe for concurrent use.
 type Account struct {
 	limiter    *Limiter
 	held       int64
 	inProgress bool
 }
 
-// NewAccount makes an Account that holds nothing.
+// NewAccount returns an empty Account.
 func (l *Limiter) NewAccount() Account { return Account{limiter: l} }
 
-// SetInProgress tells whether what is held next is needed by a program under way,
-// which may use the whole bound.
+// SetInProgress sets whether later reservations are for a program in progress,
+// which may use the whole limit.
 func (a *Account) SetInProgress(inProgress bool) { a.inProgress = inProgress }
 
-// Reserve takes some bytes more, or returns a *LimitError.
+// Reserve reserves size bytes, or returns a *LimitError.
 func (a *Account) Reserve(size int64) error {
 	if a.limiter == nil {
 		return nil
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// ForceReserve takes bytes that are there already, whether they fit or not.
+// ForceReserve counts bytes that are already allocated, even beyond the limit. A
+// negative size releases bytes.
 func (a *Account) ForceReserve(size int64) {
 	if a.limiter == nil {
 		return
@@ -107,7 +108,7 @@
 	a.held += size
 }
 
-// Close gives everything back.
+// Close releases everything held.
 func (a *Account) Close() {
 	if a.held != 0 {
 		a.ForceReserve(-a.held)
--- a/internal/memlimit/memlimit_test.go
+++ b/internal/memlimit/memlimit_test.go
@@ -9,8 +9,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestBuffersStayWithinTheLimit reads bodies of unknown length, one of which is
-// far larger than what is left.
+// Reading a body of unknown length fails at the limit, and Close releases what was
+// read.
 func TestBuffersStayWithinTheLimit(t *testing.T) {
 	limiter := New(100<<10, tally.NoopScope)
 	large := limiter.NewAccount()
@@ -20,18 +20,18 @@
 	}
 	var limitErr *LimitError
 	if err := b.ReadAll(bytes.NewReader(make([]byte, 1<<20))); !errors.As(err, &limitErr) {
-		t.Fatalf("%v: a body of 1 MB was read into a bound of 100 KB", err)
+		t.Fatalf("got error %v for a body of 1 MB with a limit of 100 KB, want a *LimitError", err)
 	}
 	if used := limiter.Usage().Held; used == 0 || used > 100<<10 {
 		t.Errorf("%d bytes are held", used)
 	}
 	large.Close()
 	if used := limiter.Usage().Held; used != 0 {
-		t.Errorf("%d bytes are held after the end", used)
+		t.Errorf("%d bytes are held after Close", used)
 	}
 }
 
-// TestKnownLengthReservesItsSize reads one.
+// A body of known length reserves its size without growing.
 func TestKnownLengthReservesItsSize(t *testing.T) {
 	limiter := New(100<<10, tally.NoopScope)
 	account := limiter.NewAccount()
--- a/internal/overload/metrics.go
+++ b/internal/overload/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// metrics of one service.
+// metrics holds the metrics of one service.
 type metrics struct {
 	utilization    tally.Gauge
 	reporting      tally.Gauge
 	reportAge      tally.Gauge
 	retriesRefused tally.Counter
-	// admitted counts by class, refused by class and cause.
+	// admitted is indexed by class, refused by class and cause.
 	admitted map[policy.RoomClass]tally.Counter
 	refused  map[policy.RoomClass]map[policy.RoomCause]tally.Counter
 }
@@ -39,7 +39,7 @@
 	return m
 }
 
-// count counts a decision.
+// count records an admission decision.
 func (m *metrics) count(class policy.RoomClass, v policy.RoomVerdict) {
 	if v.Admit {
 		m.admitted[class].Inc(1)
@@ -48,7 +48,7 @@
 	m.refused[class][v.Cause].Inc(1)
 }
 
-// observe notes a view of the pool.
+// observe records the load of the pool.
 func (m *metrics) observe(p policy.PoolLoad) {
 	m.utilization.Update(p.Fill)
 	m.reporting.Update(float64(p.Known))
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload is what an instance remembers to decide who is let in while
-// there is too little room: the pools' loads, how long requests take and the
-// budgets of retries. The decisions themselves are in package policy.
+// Package overload decides which requests an instance admits under overload. It
+// keeps the loads of the pools, the durations of requests and the retry budgets;
+// the decisions themselves are made by package policy.
 package overload
 
 import (
@@ -18,51 +18,53 @@
 )
 
 const (
-	// maxViewAge is how long a view of a pool is used: far below the age of the
-	// reports that it is made of.
+	// maxViewAge is how long the load of a pool is cached. It is short relative to the
+	// age of the underlying reports.
 	maxViewAge = 50 * time.Millisecond
-	// maxRoutes bounds the routes whose programs' sizes are kept.
+	// maxRoutes limits the routes with stored turn counts per service.
 	maxRoutes = 4096
-	// calledServiceTTL is how long a service counts among those that programs call.
+	// calledServiceTTL is how long after a call by a program a service is required for
+	// new programs.
 	calledServiceTTL = 10 * time.Second
-	// meanRankWeight is the part of one first turn in the mean rank of a service.
+	// meanRankWeight is the weight of one first turn in the mean rank of a service.
 	meanRankWeight = 1.0 / 32
-	// turnDecay is the part by which a turn makes older ones count less, minPrograms
-	// the programs that tell what one needs.
+	// turnDecay is the weight that each turn takes from the previous ones. minPrograms
+	// is the number of programs required for an estimate.
 	turnDecay   = 1.0 / 256
 	minPrograms = 3
-	// durationWeight is the part of one request in how long requests usually take.
+	// durationWeight is the weight of one request in the mean duration.
 	durationWeight = 1.0 / 16
-	// retryRatio and retryBurst bound the sends after a first one to a service
-	// without free slots, in parts of the first ones and in sends.
+	// retryRatio and retryBurst limit the retries to a service without free slots: as a
+	// fraction of the first sends, and as a number of sends.
 	retryRatio = 0.2
 	retryBurst = 4
 )
 
-// Pools tells the load of services.
+// Pools provides the load of services.
 type Pools interface {
 	Pool(service string, now time.Time) targets.Pool
 }
 
-// Request is one that asks for room.
+// Request is a request for admission.
 type Request struct {
 	Service string
-	// Program names its program in its organisation; ID the request.
+	// Program identifies the program within its organisation, ID the request.
 	Program string
 	ID      string
-	// IsCall tells that it is no turn but a call of a program.
+	// IsCall indicates a call made by a program rather than a turn.
 	IsCall bool
 	Class  policy.RoomClass
-	// Route is the one of a turn.
+	// Route is the route of a turn.
 	Route string
-	// Rank is how urgent it is; 0 is the most urgent.
+	// Rank orders requests by urgency; 0 is the most urgent.
 	Rank int
-	// Usage is what its organisation uses, in parts of its limit; 0 if unknown.
+	// Usage is the organisation's usage as a fraction of its limit; 0 if unknown.
 	Usage    float64
 	TimeLeft time.Duration
 }
 
-// Controller decides for one instance who is let in.
+// Controller decides which requests this instance admits. It is safe for concurrent
+// use.
 type Controller struct {
 	pools  Pools
 	scope  tally.Scope
@@ -72,34 +74,34 @@
 	services map[string]*service
 }
 
-// service is what is remembered of one.
+// service is the state of one service.
 type service struct {
 	view   policy.PoolLoad
 	viewAt time.Time
-	// lastCalledAt is when a program last called it.
+	// lastCalledAt is when a program last called the service.
 	lastCalledAt time.Time
-	// meanDuration is how long requests that were served took.
+	// meanDuration is the moving average of the duration of served requests.
 	meanDuration time.Duration
 	retries      policy.RetryBudget
-	// meanRank is the mean rank of the first turns, ranked tells that there was one.
+	// meanRank is the mean rank of first turns; hasRank indicates that there was one.
 	meanRank float64
 	hasRank  bool
-	// needs count turns, all and by route.
+	// turns and turnsByRoute count the admitted turns.
 	turns        turnCounts
 	turnsByRoute map[string]*turnCounts
 	metrics      metrics
-	// admitted and refused count since the start.
+	// admitted and refused count requests since the start.
 	admitted, refused int64
 }
 
-// New makes a Guard.
+// New returns a Controller that decides by the loads of pools.
 func New(pools Pools, scope tally.Scope) *Controller {
 	return &Controller{
 		pools: pools, scope: scope.SubScope("room"), jitter: rand.Float64, services: make(map[string]*service),
 	}
 }
 
-// Admit decides on a request.
+// Admit decides whether a request is admitted.
 func (c *Controller) Admit(r Request, now time.Time) policy.RoomVerdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +125,8 @@
 	return verdict
 }
 
-// relativeRank is how much less urgent a request is than first turns in the mean.
+// relativeRank returns how much less urgent a request is than first turns on
+// average.
 func (s *service) relativeRank(r Request) float64 {
 	rank := float64(r.Rank)
 	if r.Class == policy.RoomFirst {
@@ -138,10 +141,11 @@
 	return rank - s.meanRank
 }
 
-// turnCounts is how many turns programs make, with those of their sub-agents.
+// turnCounts counts turns, including those of sub-agents, and programs. Older ones
+// decay.
 type turnCounts struct{ turns, programs float64 }
 
-// add takes a turn that was let in. Old ones fade.
+// add records an admitted turn.
 func (t *turnCounts) add(first bool) {
 	t.turns += 1 - turnDecay*t.turns
 	t.programs -= turnDecay * t.programs
@@ -150,7 +154,8 @@
 	}
 }
 
-// perProgram is 0 while few programs were seen.
+// perProgram returns the mean number of turns per program, 0 if too few programs
+// were seen.
 func (t *turnCounts) perProgram() float64 {
 	if t == nil || t.programs < minPrograms {
 		return 0
@@ -158,7 +163,7 @@
 	return t.turns / t.programs
 }
 
-// recordTurn counts a turn that was let in.
+// recordTurn records an admitted turn.
 func (s *service) recordTurn(r Request) {
 	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
@@ -166,7 +171,7 @@
 	counts := s.turnsByRoute[r.Route]
 	if counts == nil {
 		if len(s.turnsByRoute) >= maxRoutes {
-			clear(s.turnsByRoute) // most are of former settings
+			clear(s.turnsByRoute) // most belong to removed routes
 		}
 		counts = new(turnCounts)
 		s.turnsByRoute[r.Route] = counts
@@ -175,8 +180,8 @@
 	s.turns.add(r.Class == policy.RoomFirst)
 }
 
-// relativeSize is what a program of the request's route needs against others, 0 if that
-// is not known.
+// relativeSize returns the turns per program of the request's route relative to all
+// routes, 0 if unknown.
 func (s *service) relativeSize(r Request) float64 {
 	mean := s.turns.perProgram()
 	if mean == 0 {
@@ -185,8 +190,8 @@
 	return s.turnsByRoute[r.Route].perProgram() / mean
 }
 
-// requiredPools lists the pools that a request needs: a program that begins also needs
-// those that programs call.
+// requiredPools returns the loads that decide on a request. A new program also
+// requires the services that programs call.
 func (c *Controller) requiredPools(r Request, requested *service, now time.Time) []policy.PoolLoad {
 	pools := []policy.PoolLoad{requested.view}
 	if r.Class != policy.RoomFirst {
@@ -200,9 +205,10 @@
 	return pools
 }
 
-// AllowRetry tells whether a request may be sent to one more target of a service
-// after a number of targets were full. It may where slots are free, and once where
-// nothing is known; else such sends are a bounded share.
+// AllowRetry reports whether a request may be sent to another target after refusals
+// targets of the service were full. Retries are unlimited while slots are free or
+// speeds are not learned, and a first retry is allowed while the load is unknown;
+// other retries are taken from the budget.
 func (c *Controller) AllowRetry(name string, refusals int, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +219,7 @@
 	return s.takeRetry()
 }
 
-// takeRetry takes a further send from the budget.
+// takeRetry takes a retry from the budget and reports whether one was left.
 func (s *service) takeRetry() bool {
 	allowed := s.retries.Allow(1)
 	if !allowed {
@@ -222,8 +228,9 @@
 	return allowed
 }
 
-// AllowRetryAfterFailure tells the same after a target failed. Such sends are bounded
-// only where all slots are known to be taken: the failure says nothing of the room.
+// AllowRetryAfterFailure reports whether a request may be sent to another target
+// after one failed. A failure does not indicate overload, so retries are limited
+// only while all slots are known to be taken.
 func (c *Controller) AllowRetryAfterFailure(name string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,7 +238,7 @@
 	return !s.view.Full() || s.takeRetry()
 }
 
-// RetryAfter is when a caller should come back whose request no target took.
+// RetryAfter returns the RetryAfter delay for a request that no target accepted.
 func (c *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,7 +246,7 @@
 	return policy.ComeBack(admission, c.service(name, now).view, 0)
 }
 
-// RecordDuration notes how long a request took that was served.
+// RecordDuration records the duration of a served request.
 func (c *Controller) RecordDuration(name string, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,7 +261,8 @@
 	s.meanDuration += time.Duration(durationWeight * float64(duration-s.meanDuration))
 }
 
-// service finds a service with a fresh view of its pool.
+// service returns the state of a service, with the load of its pool updated. The
+// mutex must be held.
 func (c *Controller) service(name string, now time.Time) *service {
 	s := c.services[name]
 	if s == nil {
@@ -271,7 +279,8 @@
 	return s
 }
 
-// programHash places a program among all, the same at each instance and for each try.
+// programHash maps a program to a number in [0, 1), the same at all instances and
+// for all attempts. A request without a program is mapped by its ID.
 func programHash(r Request) float64 {
 	name := r.Program
 	if name == "" {
@@ -280,15 +289,15 @@
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// DescribeRefusal tells in one line why a request was refused.
+// DescribeRefusal returns a one-line explanation of a refusal.
 func DescribeRefusal(r Request, v policy.RoomVerdict) string {
-	return fmt.Sprintf("%s: service %s at a fill of %.2f, %d of %d targets known, reports %d ms old; class %s, rank %d, "+
-		"use of the organisation %.2f of its limit; refused are %.2f of such requests; room is expected in %s",
+	return fmt.Sprintf("%s: service %s at utilization %.2f, %d of %d targets reporting, reports %d ms old; class %s, rank %d, "+
+		"organisation at %.2f of its limit; fraction %.2f of such requests refused; capacity expected in %s",
 		v.Cause, v.Pool.Service, v.Pool.Fill, v.Pool.Known, v.Pool.All, v.Pool.Age.Milliseconds(), r.Class, r.Rank,
 		r.Usage, v.Chance, v.RetryAfter)
 }
 
-// Dump is what an instance knows of a pool.
+// Dump is the state of a service in a dump.
 type Dump struct {
 	Service        string  `json:"service"`
 	Utilization    float64 `json:"fill"`
@@ -300,7 +309,7 @@
 	Refused        int64   `json:"refused"`
 }
 
-// Dump lists the pools.
+// Dump returns the state of all services, sorted by name.
 func (c *Controller) Dump(now time.Time) []Dump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// testPools are pools of 44 targets, by service.
+// testPools maps services to the utilization of pools of 44 targets.
 type testPools map[string]float64
 
 func (pools testPools) Pool(service string, _ time.Time) targets.Pool {
@@ -42,7 +42,7 @@
 		here, there := a.Admit(r, start), b.Admit(r, start)
 		allowedRetries := a.Admit(r, start)
 		if here.Admit != there.Admit || here.Admit != allowedRetries.Admit {
-			t.Fatalf("program %d: %+v and %+v, again %+v", i, here, there, allowedRetries)
+			t.Fatalf("program %d: %+v and %+v at two instances, %+v on retry", i, here, there, allowedRetries)
 		}
 		if !here.Admit {
 			refused++
@@ -67,7 +67,7 @@
 		}
 	}
 	if refused < 15 {
-		t.Errorf("%d of 20 refused though calls find no room", refused)
+		t.Errorf("%d of 20 refused although the called service is full", refused)
 	}
 	if v := c.Admit(firstTurn("p"), start.Add(calledServiceTTL)); !v.Admit {
 		t.Errorf("long after the last call: %+v", v)
@@ -86,16 +86,16 @@
 		return allowed
 	}
 	if got := allowedRetries(newTestController(testPools{"engine": 3}), 1); got < 150 || got > 220 {
-		t.Errorf("where no slot is free %d of 1000 are sent again", got)
+		t.Errorf("without free slots %d of 1000 retries allowed", got)
 	}
 	if got := allowedRetries(newTestController(testPools{"engine": 0.7}), 3); got != 1000 {
-		t.Errorf("where slots are free %d of 1000 are sent again", got)
+		t.Errorf("with free slots %d of 1000 retries allowed", got)
 	}
 	if got := allowedRetries(newTestController(nil), 1); got != 1000 {
-		t.Errorf("where nothing is known %d of 1000 are sent again once", got)
+		t.Errorf("without known load %d of 1000 first retries allowed", got)
 	}
 	if got := allowedRetries(newTestController(nil), 3); got != 1000 {
-		t.Errorf("where no speeds are learned %d of 1000 are sent again", got)
+		t.Errorf("without learned speeds %d of 1000 retries allowed", got)
 	}
 	c := newTestController(testPools{"engine": 3})
 	failures := 0
@@ -105,7 +105,7 @@
 		}
 	}
 	if failures > retryBurst {
-		t.Errorf("%d sends after failures without a fresh request", failures)
+		t.Errorf("%d retries allowed after failures, without a new request", failures)
 	}
 }
 
@@ -116,7 +116,7 @@
 	line := DescribeRefusal(r, c.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
-			t.Errorf("%q lacks %q", line, part)
+			t.Errorf("%q does not contain %q", line, part)
 		}
 	}
 	dump := c.Dump(start)
@@ -145,13 +145,13 @@
 	}
 	urgent, normal, lessUrgent := refused(0), refused(1), refused(2)
 	if urgent >= normal || normal >= lessUrgent {
-		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, normal, lessUrgent)
+		t.Errorf("refused of 200: urgent %d, normal %d, less urgent %d", urgent, normal, lessUrgent)
 	}
 	uniform := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
 	r.Rank = 7
 	if got := uniform.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, uniform.services["engine"].view).Chance {
-		t.Errorf("a rank that all have changes the chance to %.2f", got)
+		t.Errorf("the refusal probability is %.2f, but a rank common to all must not change it", got)
 	}
 }
 
@@ -186,6 +186,6 @@
 		}
 	}
 	if refused["big"] <= refused["small"] {
-		t.Errorf("of 20 each refused: %v", refused)
+		t.Errorf("refused of 20 each: %v", refused)
 	}
 }
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -13,8 +13,8 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// The load: three times the programs that the engines carry for eight seconds, a
-// third of the engines four times slower meanwhile. Time is passed in.
+// The simulation compares admission strategies in virtual time: for eight seconds the
+// arrival rate of programs triples and a third of the engines is four times slower.
 
 const (
 	step          = 10 * time.Millisecond
@@ -24,28 +24,29 @@
 	engineCount   = 44
 	slots         = 8
 	queueLength   = 24
-	// ownerCount of budgets pass reports on.
+	// ownerCount is the number of budget owners, which relay reports.
 	ownerCount    = 24
 	turnTime      = 250 * time.Millisecond
 	thinkTime     = 100 * time.Millisecond
 	turns         = 4
 	callerTimeout = 4 * time.Second
-	// basePrograms begin each step, of about 3.5 that the engines carry.
+	// basePrograms is the number of programs that begin per step; the engines can serve
+	// about 3.5.
 	basePrograms = 2.2
 	deadline     = turns*(turnTime+thinkTime)*3/2 + 200*time.Millisecond
 )
 
-// strategy is a way to decide who is let in.
+// strategy is an admission strategy.
 type strategy interface {
 	admit(instance int, r Request, now time.Time) policy.RoomVerdict
 	again(instance, refusals int, now time.Time) bool
-	// reported brings a target's report, which a turn at an instance carried.
+	// reported delivers the load of an engine in a response to an instance.
 	reported(instance, engine, busy int, now time.Time)
-	// tick passes each step.
+	// tick is called at each step.
 	tick(now time.Time)
 }
 
-// admitAll decides.
+// admitAll admits every request.
 type admitAll struct{}
 
 func (admitAll) admit(int, Request, time.Time) policy.RoomVerdict {
@@ -55,13 +56,13 @@
 func (admitAll) reported(int, int, int, time.Time) {}
 func (admitAll) tick(time.Time)                    {}
 
-// engineView is what one instance knows of the engines.
+// engineView is the data that one instance has about the engines.
 type engineView struct {
 	registry *targets.Registry
 	engines  []*targets.Target
 }
 
-// noConnections has no connection kept.
+// noConnections has no idle connections.
 type noConnections struct{}
 
 func (noConnections) Kept(string, time.Time) bool { return false }
@@ -83,11 +84,13 @@
 	v.registry.RecordLoad(v.engines[engine], load, at)
 }
 
-// decentralized: each instance decides from reports that ride on messages to others.
+// decentralized lets each instance decide from reports that are exchanged with
+// budget owners.
 type decentralized struct {
 	views       []*engineView
 	controllers []*Controller
-	// isolated instances exchange nothing; none of them is an owner.
+	// isolated is the number of instances that exchange no reports; none of them is an
+	// owner.
 	isolated int
 	random   *rand.Rand
 }
@@ -120,7 +123,8 @@
 	s.exchange(i, now)
 }
 
-// exchange exchanges what is known with an owner, unless the instance is cut off.
+// exchange sends and receives reports to and from a random owner, unless the
+// instance is isolated.
 func (s *decentralized) exchange(i int, now time.Time) {
 	if i >= len(s.views)-s.isolated {
 		return
@@ -132,9 +136,9 @@
 	own.MergePoolReports(owner.PoolReports(now), now)
 }
 
-// coordinated: a coordinator deals out the right to begin programs five times a second
-// from what all instances tell it then; without it nobody may begin any for as
-// long as nobody else is chosen.
+// coordinated has a coordinator that allocates admissions of programs to instances
+// five times a second, by their requests. While it is unavailable, no programs are
+// admitted.
 type coordinated struct {
 	view             *engineView
 	granted          []float64
@@ -175,7 +179,8 @@
 	}
 }
 
-// program is one on its way; it tries each turn up to tries times.
+// program is a running program; attempts counts the failed attempts of the current
+// turn.
 type program struct {
 	instance  int
 	turnIndex int
@@ -196,7 +201,7 @@
 	endsAt  time.Time
 }
 
-// simulation is one load on its way.
+// simulation is the state of one simulated overload.
 type simulation struct {
 	strategy  strategy
 	engines   [engineCount]engine
@@ -207,8 +212,8 @@
 	instances int
 }
 
-// simulate returns the share of the programs that were in time by windows of two
-// seconds in which they began.
+// simulate returns the fraction of programs that met the deadline, by two-second
+// windows of their start.
 func simulate(st strategy, instances int) []float64 {
 	r := &simulation{
 		strategy: st, due: make(map[time.Time][]*program),
@@ -255,8 +260,8 @@
 	r.due[at] = append(r.due[at], p)
 }
 
-// send sends a turn to the less busy of two engines for their speed: where it goes
-// is not what is compared here.
+// send sends a turn to the engine with the shorter wait of two, since target
+// selection is not compared here.
 func (r *simulation) send(p *program, now time.Time) {
 	class := policy.RoomUnderWay
 	switch {
@@ -289,7 +294,7 @@
 	r.retry(p, now, 150*time.Millisecond)
 }
 
-// expectedWait grows with the time that a turn waits at an engine.
+// expectedWait returns a value proportional to the wait at an engine.
 func (r *simulation) expectedWait(e int) int {
 	eng := &r.engines[e]
 	busy := len(eng.running) + len(eng.waiting)
@@ -305,7 +310,7 @@
 	}
 }
 
-// advance ends what is done at an engine and starts what waits.
+// advance ends the completed turns of an engine and starts waiting ones.
 func (r *simulation) advance(e int, now time.Time) {
 	eng := &r.engines[e]
 	running := eng.running[:0]
@@ -358,26 +363,26 @@
 				unavailableFrom: start.Add(from), unavailableUntil: start.Add(to)}
 		}
 		strategies := map[string]strategy{
-			"nobody":              admitAll{},
-			"shared":              newDecentralized(instances, 0),
-			"shared, a tenth cut": newDecentralized(instances, instances/10),
-			"dealt":               newCoordinated(0, 0),
-			"dealt, lost for 3 s": newCoordinated(6*time.Second, 9*time.Second),
+			"admit all":                        admitAll{},
+			"decentralized":                    newDecentralized(instances, 0),
+			"decentralized, a tenth isolated":  newDecentralized(instances, instances/10),
+			"coordinated":                      newCoordinated(0, 0),
+			"coordinated, unavailable for 3 s": newCoordinated(6*time.Second, 9*time.Second),
 		}
 		fractions := make(map[string][]float64)
 		for name, st := range strategies {
 			fractions[name] = simulate(st, instances)
-			t.Logf("%3d instances, %-20s in time by 2 s: %.2f", instances, name, fractions[name])
+			t.Logf("%3d instances, %-32s in time by 2 s: %.2f", instances, name, fractions[name])
 		}
 		during, after := int(overloadStart/time.Second)/2, int(overloadEnd/time.Second)/2
-		for _, name := range []string{"shared", "shared, a tenth cut"} {
+		for _, name := range []string{"decentralized", "decentralized, a tenth isolated"} {
 			for i, fraction := range fractions[name][after+1:] {
 				if fraction < 0.85 {
-					t.Errorf("%d instances, %s: %.2f in time in window %d after the load", instances, name, fraction, i+1)
+					t.Errorf("%d instances, %s: %.2f in time in window %d after the overload", instances, name, fraction, i+1)
 				}
 			}
-			if got, baseline := sum(fractions[name][during:after]), sum(fractions["nobody"][during:after]); got <= baseline {
-				t.Errorf("%d instances, %s: %.2f in time during the load, %.2f where nobody decides", instances, name, got, baseline)
+			if got, baseline := sum(fractions[name][during:after]), sum(fractions["admit all"][during:after]); got <= baseline {
+				t.Errorf("%d instances, %s: %.2f in time during the overload, %.2f when all are admitted", instances, name, got, baseline)
 			}
 		}
 	}
