--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -40,7 +40,7 @@
 	// maxLocalUtilization is the utilization up to which a program begins at a target
 	// of this data centre, leaving capacity for its sub-agents. The average utilization
 	// of the data centre must be below it, too, since the data about single targets is
-	// mostly outdated.
+	// mostly outdated. Prompts sent to other data centres are charged by the byte.
 	maxLocalUtilization = 0.6
 	// otherDataCentreCost is how much lower the utilization of a target in another data
 	// centre must be for it to be preferred to a local one.
