--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -152,7 +152,7 @@
 func (k *Keeper) gathers(p *partition) bool {
 	now := time.Now()
 	k.mu.Lock()
-	gathers, failing := k.path.Gathers(p.number, k.pendingAppends(), now), k.path.Failing()
+	gathers, failing := k.path.ShouldBatch(p.number, k.pendingAppends(), now), k.path.Failing()
 	k.mu.Unlock()
 	return gathers && (failing || k.indexOf(p, nil) != k.self.ID)
 }
@@ -160,7 +160,7 @@
 func (k *Keeper) hedgeAfter() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.path.HedgeAfter(time.Now())
+	return k.path.HedgeDelay(time.Now())
 }
 
 // mayHedge takes a second try from the budget of second tries.
@@ -198,19 +198,19 @@
 		return // an instance of an older version does not report the time
 	}
 	if winner.by != k.self.ID {
-		k.path.Heard(winner.answer(), now)
+		k.path.Observe(winner.answer(), now)
 	}
 	for id, begun := range open {
-		if !k.path.Overtaken(winner.answer(), now.Sub(begun)) {
+		if !k.path.PathDegraded(winner.answer(), now.Sub(begun)) {
 			continue
 		}
 		if id != k.self.ID {
 			k.unableUntil[id] = now.Add(unableTime)
 			continue
 		}
-		k.path.OwnAppend(false, now)
+		k.path.ObserveOutcome(false, now)
 		k.directAfter = now.Add(jittered(directPause))
-		p.appends.abandon(func(age time.Duration) bool { return k.path.Overtaken(winner.answer(), age) }, now)
+		p.appends.abandon(func(age time.Duration) bool { return k.path.PathDegraded(winner.answer(), age) }, now)
 	}
 	k.noteState(nil)
 }
@@ -225,16 +225,16 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	if result.err == nil {
-		answer := k.path.Own(result.took, now)
+		answer := k.path.ObserveOwn(result.took, now)
 		result.slow = answer.Slow
-		p.appends.window.Answered(answer, k.path.Shortest())
+		p.appends.window.Observe(answer, k.path.ShortestSlow())
 	}
 	switch {
 	case errors.Is(result.err, context.DeadlineExceeded):
-		k.path.TimedOut(now)
+		k.path.ObserveTimeout(now)
 	case result.err != nil:
-		k.path.Refused(now)
-	case k.path.OwnAppend(true, now):
+		k.path.ObserveRefusal(now)
+	case k.path.ObserveOutcome(true, now):
 		k.tellBack()
 	}
 	k.noteState(result.err)
@@ -244,7 +244,7 @@
 // tellSlow tells others that the store is slow, if it is and nobody did so
 // lately. The mutex is held.
 func (k *Keeper) tellSlow(took time.Duration, now time.Time) {
-	if k.path.Tells(now) {
+	if k.path.ShouldNotifySlow(now) {
 		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
 	}
 }
@@ -259,7 +259,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if k.path.Hangs(since, now) && k.path.TellsOfHanging(now) {
+	if k.path.AppendHangs(since, now) && k.path.ShouldNotifyHang(now) {
 		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
 	}
 }
@@ -271,7 +271,7 @@
 	now := time.Now()
 	switch {
 	case m.News == structs.StoreSlow:
-		k.path.Told(m.Took, now)
+		k.path.ObserveNotice(m.Took, now)
 		k.noteState(nil)
 	case m.News == structs.StoreBack:
 		k.storeBack()
@@ -285,10 +285,12 @@
 // appends hang. The mutex is held.
 func (k *Keeper) storeBack() {
 	now := time.Now()
-	k.path.OwnAppend(true, now)
+	k.path.ObserveOutcome(true, now)
 	k.noteState(nil)
 	for _, p := range k.partitions {
-		p.appends.abandon(func(age time.Duration) bool { return !k.path.Slow(now) && k.path.Overtaken(policy.StoreAnswer{}, age) }, now)
+		p.appends.abandon(func(age time.Duration) bool {
+			return !k.path.Slow(now) && k.path.PathDegraded(policy.AppendResult{}, age)
+		}, now)
 	}
 	clear(k.unableUntil)
 	k.endOutage()
@@ -301,13 +303,13 @@
 	if state == k.state {
 		return
 	}
-	attrs := []any{"before", k.state, "now", state, "typical_ms", k.path.Typical(time.Now()).Milliseconds()}
+	attrs := []any{"before", k.state, "now", state, "typical_ms", k.path.TypicalLatency(time.Now()).Milliseconds()}
 	if err != nil {
 		attrs = append(attrs, "error", err.Error())
 	}
 	k.state = state
 	k.metrics.setState(state)
-	if state == policy.StoreGood {
+	if state == policy.StoreHealthy {
 		k.log.Info("turns can be appended again", attrs...)
 		return
 	}
@@ -344,14 +346,14 @@
 func (k *Keeper) patience() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.path.Patience(time.Now())
+	return k.path.AppendTimeout(time.Now())
 }
 
 // gatherPatience is how long another instance may take to append turns.
 func (k *Keeper) gatherPatience() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.path.GatherPatience(time.Now())
+	return k.path.BatchTimeout(time.Now())
 }
 
 // receiveKeep appends turns for another instance.
--- a/internal/conversation/ask.go
+++ b/internal/conversation/ask.go
@@ -64,7 +64,7 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	if k.path.Slow(now) {
-		return max(replyTimeout, k.path.Patience(now))
+		return max(replyTimeout, k.path.AppendTimeout(now))
 	}
 	return replyTimeout
 }
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -67,8 +67,8 @@
 }
 
 // answer is what an append that succeeded tells of the store.
-func (r appendResult) answer() policy.StoreAnswer {
-	return policy.StoreAnswer{Took: r.took, Slow: r.slow}
+func (r appendResult) answer() policy.AppendResult {
+	return policy.AppendResult{Took: r.took, Slow: r.slow}
 }
 
 // appendBatched appends turns together with all others that wait for the partition. If
@@ -204,11 +204,11 @@
 }
 
 // pendingAppends lists the appends in flight. The mutex is held.
-func (k *Keeper) pendingAppends() []policy.Pending {
-	var pending []policy.Pending
+func (k *Keeper) pendingAppends() []policy.PendingAppend {
+	var pending []policy.PendingAppend
 	for _, p := range k.partitions {
 		for _, f := range p.appends.open {
-			pending = append(pending, policy.Pending{Partition: p.number, Begun: f.begun})
+			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: f.begun})
 		}
 	}
 	return pending
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -38,7 +38,7 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	d := Dump{Turns: len(k.memory.turns), Bytes: k.memory.bytes, DirectFailing: k.path.Failing(),
-		Store: k.path.State(now), TypicalAppend: k.path.Typical(now)}
+		Store: k.path.State(now), TypicalAppend: k.path.TypicalLatency(now)}
 	if !k.outage.since.IsZero() {
 		d.AwayFor = now.Sub(k.outage.since)
 	}
--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -24,7 +24,7 @@
 
 // Keep makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
-func (k *Keeper) Keep(ctx context.Context, program string, turn serve.EndedTurn) error {
+func (k *Keeper) Keep(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := k.partitionOf(program)
 	w := &writing{keeper: k, home: home, turn: structs.KeptTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
@@ -164,7 +164,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	return now.Sub(begun) >= k.path.Patience(now) && !k.path.AnsweredSince(begun)
+	return now.Sub(begun) >= k.path.AppendTimeout(now) && !k.path.RespondedSince(begun)
 }
 
 // aimAt prepares the turn to be written to a partition.
--- a/internal/conversation/keeper.go
+++ b/internal/conversation/keeper.go
@@ -63,7 +63,7 @@
 	// store is passed over.
 	unableUntil map[structs.InstanceID]time.Time
 	// path is this instance's access to the store, state its state as last logged.
-	path  policy.StorePath
+	path  policy.StoreMonitor
 	state policy.StoreState
 	// directAfter is when an instance whose appends fail tries again.
 	directAfter time.Time
@@ -103,7 +103,7 @@
 		pending:     make(map[uint64]*question),
 		unableUntil: make(map[structs.InstanceID]time.Time),
 		outage:      outage{changed: make(chan struct{})},
-		state:       policy.StoreGood,
+		state:       policy.StoreHealthy,
 		hedges:      policy.NewRetryBudget(),
 		callBytes:   parts.MaxCallBytes,
 	}
--- a/internal/conversation/keeper_test.go
+++ b/internal/conversation/keeper_test.go
@@ -74,7 +74,7 @@
 	inWorld(t, 3, func(t *testing.T, w *world) {
 		w.chainOf("p", "", 4)
 		_, err := w.recall(t.Context(), w.all()[0], "p", "nosuchturn")
-		if !errors.Is(err, serve.ErrNoTurn) {
+		if !errors.Is(err, serve.ErrTurnNotFound) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -88,7 +88,7 @@
 			w.chainOf("p", "", 4)
 			w.Store.Set(metastore.Fault{Status: 503, Partitions: []int{part}})
 			_, err := w.recall(t.Context(), w.all()[0], "p", "nosuchturn")
-			if !errors.Is(err, serve.ErrUncertain) {
+			if !errors.Is(err, serve.ErrTurnUncertain) {
 				t.Errorf("partition %d away: got %v", part, err)
 			}
 		})
@@ -199,7 +199,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := n.keeper.Before(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrUncertain) {
+		if _, err := n.keeper.Before(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -261,7 +261,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := n.keeper.Before(ctx, "p", "x"); !errors.Is(err, serve.ErrUncertain) {
+		if _, err := n.keeper.Before(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -37,7 +37,7 @@
 }
 
 // Before is what a conversation holds up to and with a turn. It returns
-// serve.ErrNoTurn if there is no such turn, serve.ErrUncertain if that is not
+// serve.ErrTurnNotFound if there is no such turn, serve.ErrTurnUncertain if that is not
 // known.
 func (k *Keeper) Before(ctx context.Context, program, turn string) ([]byte, error) {
 	if text, ok := k.text(turn); ok {
@@ -58,12 +58,12 @@
 	if outcome == structs.ConversationUnknown {
 		k.metrics.unknown.Inc(1)
 		k.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
-		return nil, serve.ErrNoTurn
+		return nil, serve.ErrTurnNotFound
 	}
 	k.metrics.uncertain.Inc(1)
 	k.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
 		"home_outcome", int(found.outcome))
-	return nil, serve.ErrUncertain
+	return nil, serve.ErrTurnUncertain
 }
 
 // text joins a turn and all before it, if this instance has them.
--- a/internal/conversation/metrics.go
+++ b/internal/conversation/metrics.go
@@ -41,7 +41,7 @@
 
 // setState shows the state of the access to the store.
 func (m metrics) setState(state policy.StoreState) {
-	values := map[policy.StoreState]float64{policy.StoreGood: 0, policy.StoreSlow: 1, policy.StoreClosed: 2}
+	values := map[policy.StoreState]float64{policy.StoreHealthy: 0, policy.StoreSlow: 1, policy.StoreFailing: 2}
 	m.state.Update(values[state])
 }
 
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -108,7 +108,7 @@
 	switch {
 	case err != nil && !failing:
 		o.since, o.pause = time.Now(), appendRetryFirst
-		o.whole = k.path.Outage(o.since)
+		o.whole = k.path.InOutage(o.since)
 		k.log.Warn("turns cannot be kept", "error", err.Error())
 	case err != nil:
 		o.pause = min(2*o.pause, appendRetryMost)
@@ -154,7 +154,7 @@
 	if o.full {
 		return now.Sub(o.tried) > fullPause
 	}
-	if o.since.IsZero() || policy.HoldsTurn(now.Sub(o.since), left) {
+	if o.since.IsZero() || policy.AllowTurnDuringOutage(now.Sub(o.since), left) {
 		return true
 	}
 	if now.Sub(o.through) <= fullPause {
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -104,7 +104,7 @@
 // nameNothing asks for a turn that does not exist.
 func (w *world) nameNothing(r *rand.Rand, n *node, program string) {
 	_, err := w.recall(w.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
-	if !errors.Is(err, serve.ErrNoTurn) && !errors.Is(err, serve.ErrUncertain) {
+	if !errors.Is(err, serve.ErrTurnNotFound) && !errors.Is(err, serve.ErrTurnUncertain) {
 		w.t.Errorf("a turn that does not exist: %v", err)
 	}
 }
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -21,7 +21,7 @@
 		w.mustRecall(w.all()[0], "q", long)
 		w.restartAll()
 		w.mustRecall(w.all()[0], "q", long)
-		if _, err := w.all()[0].keeper.Before(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
+		if _, err := w.all()[0].keeper.Before(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
 			t.Errorf("a turn long past its retention: %v", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
@@ -48,7 +48,7 @@
 		last := w.mustTurn(n, first, "")
 		w.mustRecall(n, second, last)
 		time.Sleep(testRetention + 2*namedMargin)
-		end := serve.EndedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
+		end := serve.CompletedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
 		if err := n.keeper.Keep(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/conversation/world_test.go
+++ b/internal/conversation/world_test.go
@@ -91,9 +91,9 @@
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
-			sim.Directory.SetSilent(e.Peer, true)
+			sim.Directory.SetUnresponsive(e.Peer, true)
 		case structs.PeerUp:
-			sim.Directory.SetSilent(e.Peer, false)
+			sim.Directory.SetUnresponsive(e.Peer, false)
 		}
 		n.keeper.Receive(event)
 	}
@@ -143,7 +143,7 @@
 	id := fmt.Sprintf("%016x", uint64(w.made)*0x9e3779b97f4a7c15)
 	w.mu.Unlock()
 	input, output := "in "+id+"\n", "out "+id+"\n"
-	err = n.keeper.Keep(ctx, program, serve.EndedTurn{
+	err = n.keeper.Keep(ctx, program, serve.CompletedTurn{
 		ID: id, Previous: previous, Input: []byte(input), Output: []byte(output), Retention: testRetention,
 	})
 	if err != nil {
@@ -168,7 +168,7 @@
 	switch {
 	case err == nil && string(got) != want.text && exists:
 		w.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
-	case errors.Is(err, serve.ErrNoTurn) && exists && time.Since(want.at) < testRetention:
+	case errors.Is(err, serve.ErrTurnNotFound) && exists && time.Since(want.at) < testRetention:
 		w.t.Errorf("turn %s of %s, ended %s ago, is unknown at %s", turn, want.program, time.Since(want.at), n.ID)
 	}
 	return string(got), err
--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -177,7 +177,7 @@
 		if entry.running > 0 {
 			continue
 		}
-		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, Return: chance(entry)})
+		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, ReturnProbability: chance(entry)})
 		left -= entry.tokens
 	}
 	return victims, need
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -99,7 +99,7 @@
 		return "no target"
 	case !p.anyOpen(now):
 		return "no target has a free slot and little prefill queued"
-	case p.shares.Over(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backlogged(c.class))):
+	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backlogged(c.class))):
 		return "its team is ahead of its share"
 	case p.queue.ahead(c) >= candidates:
 		return "others go first"
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -42,11 +42,11 @@
 	expected := p.estimates.CallTime
 	uncached := max(0, m.Usage.PromptTokens-m.Usage.CachedTokens)
 	if p.service.Kind == structs.ServiceEngine {
-		expected = c.queued + p.estimates.Expected(uncached, m.Usage.CompletionTokens)
+		expected = c.queued + p.estimates.ExpectedTime(uncached, m.Usage.CompletionTokens)
 	}
 	ratio := float64(m.Took) / float64(max(time.Millisecond, expected))
-	t.health.Succeed(p.service.Rules, now, ratio, p.mayEject())
-	p.estimates.Add(policy.Sample{
+	t.health.RecordSuccess(p.service.Rules, now, ratio, p.mayEject())
+	p.estimates.Add(policy.RunSample{
 		Uncached: uncached, Completion: m.Usage.CompletionTokens,
 		FirstToken: m.FirstToken, Took: m.Took, Queued: c.queued,
 	})
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -75,7 +75,7 @@
 		}
 	}
 	return p.queue.first(candidates, func(l *lane) bool {
-		return p.shares.Over(p.service.Rules, l.team, floors[l.class])
+		return p.shares.ExceedsBurst(p.service.Rules, l.team, floors[l.class])
 	})
 }
 
@@ -96,7 +96,7 @@
 	if !p.service.Rules.LateBinding {
 		return true
 	}
-	return t.load() < t.health.Slots(p.service.Slots) && t.backlog(now) <= prefillLimit
+	return t.load() < t.health.EffectiveSlots(p.service.Slots) && t.backlog(now) <= prefillLimit
 }
 
 // refuseAll answers the waiting calls of a pool that has no target.
@@ -137,7 +137,7 @@
 		Prefill: time.Duration(uncached) * p.estimates.PrefillPerToken,
 		Cached:  cached, Slowness: t.health.Slowness,
 	}
-	if slots := t.health.Slots(p.service.Slots); p.service.Rules.LateBinding && t.load() >= slots {
+	if slots := t.health.EffectiveSlots(p.service.Slots); p.service.Rules.LateBinding && t.load() >= slots {
 		option.Delay = p.estimates.CallTime / time.Duration(max(1, slots))
 	}
 	if p.service.Rules.EvictionTerm && p.service.Rules.Placement == policy.PlaceCost {
@@ -155,7 +155,7 @@
 	known.waited += now.Sub(c.arrived)
 	c.prefill, c.queued = option.Prefill, t.backlog(now)
 	p.countGrant(now)
-	p.late(c.class).Granted(now.Sub(d.epoch), c.key, !p.queue.waits(c.class))
+	p.late(c.class).ObserveGrant(now.Sub(d.epoch), c.key, !p.queue.waits(c.class))
 	d.hold(now, c, t)
 	d.send(c.owner, &structs.PermitGrant{Pool: p.id, Ref: c.request.Ref, Target: t.info})
 }
@@ -189,7 +189,7 @@
 // setWake sets the time at which the next target has done enough prefill.
 func (p *pool) setWake(now time.Time) {
 	for _, t := range p.targets {
-		if t.eligible() && t.load() < t.health.Slots(p.service.Slots) && t.backlog(now) > prefillLimit {
+		if t.eligible() && t.load() < t.health.EffectiveSlots(p.service.Slots) && t.backlog(now) > prefillLimit {
 			p.wakeAt = earliest(p.wakeAt, t.prefillUntil.Add(-prefillLimit))
 		}
 	}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -155,7 +155,7 @@
 
 // targetFailed counts a failure of a target.
 func (p *pool) targetFailed(now time.Time, t *target) {
-	t.health.Fail(p.service.Rules, now, p.mayEject())
+	t.health.RecordFailure(p.service.Rules, now, p.mayEject())
 }
 
 // mayEject tells whether one more target may be ejected: at most half of a
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -85,7 +85,7 @@
 
 func (d *Dispatcher) enqueue(now time.Time, from structs.InstanceID, p *pool, m *structs.PermitRequest) {
 	if !p.budget.Allow(m.Attempt) {
-		d.refuse(from, m, structs.ReasonOverloaded, policy.RetryBudgetPause)
+		d.refuse(from, m, structs.ReasonOverloaded, policy.RetryBudgetRetryAfter)
 		return
 	}
 	c := d.newCall(now, from, p, m)
@@ -110,7 +110,7 @@
 		Waiting: p.queue.size, Limit: p.service.QueueLimit,
 		TeamWaiting: p.queue.teamSize(m.Team), TeamLimit: d.settings.Policy(m.Team).MaxQueued,
 		Wait: d.expectedWait(now, c), CallTime: p.estimates.CallTime,
-		Remaining: m.Remaining, First: m.Turns == 0 && m.Served == 0,
+		Remaining: m.Remaining, FirstCall: m.Turns == 0 && m.Served == 0,
 	})
 }
 
@@ -127,7 +127,7 @@
 		return 0
 	}
 	position := time.Duration(ahead) * p.interval
-	return p.late(c.class).Wait(now.Sub(d.epoch), c.key, position)
+	return p.late(c.class).ExpectedWait(now.Sub(d.epoch), c.key, position)
 }
 
 // joinShares starts the team's account if it was not backlogged.
--- a/internal/dispatch/retention.go
+++ b/internal/dispatch/retention.go
@@ -89,9 +89,9 @@
 	case known.pause == nil && !known.presumed:
 		return
 	case returned:
-		team.estimate.Returned(now.Sub(known.idleSince), known.presumed)
+		team.estimate.ObserveReturn(now.Sub(known.idleSince), known.presumed)
 	case !known.presumed && now.Sub(known.idleSince) > closeGrace:
-		team.estimate.Lost()
+		team.estimate.ObserveAbandoned()
 	}
 	if known.pause != nil {
 		team.open.Remove(known.pause)
@@ -102,7 +102,7 @@
 // presumeLost ends the pauses that are so long that few programs return.
 func (p *pool) presumeLost(now time.Time) {
 	for _, team := range p.pauses {
-		limit := team.estimate.Presume()
+		limit := team.estimate.AbandonTimeout()
 		for front := team.open.Front(); front != nil; front = team.open.Front() {
 			known := front.Value.(*program)
 			if now.Sub(known.idleSince) < limit {
@@ -110,7 +110,7 @@
 			}
 			team.open.Remove(front)
 			known.pause, known.presumed = nil, true
-			team.estimate.Lost()
+			team.estimate.ObserveAbandoned()
 		}
 	}
 }
@@ -354,7 +354,7 @@
 	if entry.shared {
 		return 1
 	}
-	return p.teamPauses(entry.team).estimate.ReturnChance(now.Sub(entry.touched))
+	return p.teamPauses(entry.team).estimate.ReturnProbability(now.Sub(entry.touched))
 }
 
 // evictionCost is the replacement cost of storing so many tokens more.
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -63,7 +63,7 @@
 // forgotten notes the addresses whose kept connections are closed.
 type forgotten []string
 
-func (f *forgotten) Forget(address string) { *f = append(*f, address) }
+func (f *forgotten) CloseIdle(address string) { *f = append(*f, address) }
 
 // entryOf is the entry of a target that started at a time, in Unix
 // milliseconds; 0 for one that does not tell.
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -29,7 +29,7 @@
 // Limiter has no limit.
 type Limiter struct {
 	mu    sync.Mutex
-	bytes policy.Bytes
+	bytes policy.RequestMemory
 
 	held    tally.Gauge
 	refused tally.Counter
@@ -39,13 +39,13 @@
 func New(limit int64, scope tally.Scope) *Limiter {
 	scope = scope.SubScope("request_bytes")
 	scope.Gauge("most").Update(float64(limit))
-	return &Limiter{bytes: policy.Bytes{Most: limit}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
+	return &Limiter{bytes: policy.RequestMemory{Max: limit}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
 // Usage returns the bytes held now and the limit.
-func (l *Limiter) Usage() policy.Bytes {
+func (l *Limiter) Usage() policy.RequestMemory {
 	if l == nil {
-		return policy.Bytes{}
+		return policy.RequestMemory{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	defer l.mu.Unlock()
 	if !l.bytes.Fits(size, inProgress) {
 		l.refused.Inc(1)
-		return &LimitError{Requested: size, Held: l.bytes.Held, Max: l.bytes.Most, InProgress: inProgress}
+		return &LimitError{Requested: size, Held: l.bytes.Held, Max: l.bytes.Max, InProgress: inProgress}
 	}
 	l.add(size)
 	return nil
--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -20,9 +20,9 @@
 	probeCount    = 1
 )
 
-// Dialer makes a dialer with a timeout for the set-up of a connection. Its
+// NewDialer makes a dialer with a timeout for the set-up of a connection. Its
 // connections end once bytes were sent and not acknowledged for the time unacked.
-func Dialer(timeout, unacked time.Duration) *net.Dialer {
+func NewDialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	conn, err := Dialer(time.Second, 100*time.Millisecond).Dial("tcp", listener.Addr().String())
+	conn, err := NewDialer(time.Second, 100*time.Millisecond).Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	conn, err := Dialer(time.Second, time.Second).Dial("tcp", listener.Addr().String())
+	conn, err := NewDialer(time.Second, time.Second).Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/overload/metrics.go
+++ b/internal/overload/metrics.go
@@ -13,8 +13,8 @@
 	reportAge      tally.Gauge
 	retriesRefused tally.Counter
 	// admitted is indexed by class, refused by class and cause.
-	admitted map[policy.RoomClass]tally.Counter
-	refused  map[policy.RoomClass]map[policy.RoomCause]tally.Counter
+	admitted map[policy.AdmissionClass]tally.Counter
+	refused  map[policy.AdmissionClass]map[policy.RefusalCause]tally.Counter
 }
 
 func newMetrics(scope tally.Scope, service string) metrics {
@@ -22,16 +22,16 @@
 	m := metrics{
 		utilization: scope.Gauge("fill"), reporting: scope.Gauge("known_targets"),
 		reportAge: scope.Gauge("report_age_seconds"), retriesRefused: scope.Counter("sends_over_retry_budget"),
-		admitted: make(map[policy.RoomClass]tally.Counter),
-		refused:  make(map[policy.RoomClass]map[policy.RoomCause]tally.Counter),
+		admitted: make(map[policy.AdmissionClass]tally.Counter),
+		refused:  make(map[policy.AdmissionClass]map[policy.RefusalCause]tally.Counter),
 	}
-	for _, class := range []policy.RoomClass{
-		policy.RoomOutside, policy.RoomFirst, policy.RoomUnderWay, policy.RoomLate,
+	for _, class := range []policy.AdmissionClass{
+		policy.ClassOutside, policy.ClassFirstTurn, policy.ClassInProgress, policy.ClassOverdue,
 	} {
 		tags := map[string]string{"class": class.String()}
 		m.admitted[class] = scope.Tagged(tags).Counter("admitted")
-		m.refused[class] = make(map[policy.RoomCause]tally.Counter)
-		for _, cause := range []policy.RoomCause{policy.RoomPoolFull, policy.RoomNotInTime} {
+		m.refused[class] = make(map[policy.RefusalCause]tally.Counter)
+		for _, cause := range []policy.RefusalCause{policy.CausePoolFull, policy.CauseNotInTime} {
 			tags := map[string]string{"class": class.String(), "cause": string(cause)}
 			m.refused[class][cause] = scope.Tagged(tags).Counter("refused")
 		}
@@ -40,7 +40,7 @@
 }
 
 // count records an admission decision.
-func (m *metrics) count(class policy.RoomClass, v policy.RoomVerdict) {
+func (m *metrics) count(class policy.AdmissionClass, v policy.AdmissionVerdict) {
 	if v.Admit {
 		m.admitted[class].Inc(1)
 		return
@@ -50,7 +50,7 @@
 
 // observe records the load of the pool.
 func (m *metrics) observe(p policy.PoolLoad) {
-	m.utilization.Update(p.Fill)
-	m.reporting.Update(float64(p.Known))
-	m.reportAge.Update(p.Age.Seconds())
+	m.utilization.Update(p.Utilization)
+	m.reporting.Update(float64(p.ReportingTargets))
+	m.reportAge.Update(p.ReportAge.Seconds())
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -53,7 +53,7 @@
 	ID      string
 	// IsCall indicates a call made by a program rather than a turn.
 	IsCall bool
-	Class  policy.RoomClass
+	Class  policy.AdmissionClass
 	// Route is the route of a turn.
 	Route string
 	// Rank orders requests by urgency; 0 is the most urgent.
@@ -102,18 +102,18 @@
 }
 
 // Admit decides whether a request is admitted.
-func (c *Controller) Admit(r Request, now time.Time) policy.RoomVerdict {
+func (c *Controller) Admit(r Request, now time.Time) policy.AdmissionVerdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(r.Service, now)
 	if r.IsCall {
 		s.lastCalledAt = now
 	}
-	admission := policy.RoomAsk{
-		Class: r.Class, Rank: s.relativeRank(r), Size: s.relativeSize(r), Use: r.Usage, Draw: programHash(r), Jitter: c.jitter(),
-		TimeLeft: r.TimeLeft, Usual: s.meanDuration,
+	admission := policy.AdmissionRequest{
+		Class: r.Class, Rank: s.relativeRank(r), RelativeSize: s.relativeSize(r), LimitUsage: r.Usage, Random: programHash(r), Jitter: c.jitter(),
+		TimeLeft: r.TimeLeft, TypicalTime: s.meanDuration,
 	}
-	verdict := policy.AdmitRoom(admission, c.requiredPools(r, s, now)...)
+	verdict := policy.AdmitRequest(admission, c.requiredPools(r, s, now)...)
 	if verdict.Admit {
 		s.retries.Allow(0)
 		s.recordTurn(r)
@@ -129,7 +129,7 @@
 // average.
 func (s *service) relativeRank(r Request) float64 {
 	rank := float64(r.Rank)
-	if r.Class == policy.RoomFirst {
+	if r.Class == policy.ClassFirstTurn {
 		if !s.hasRank {
 			s.meanRank, s.hasRank = rank, true
 		}
@@ -176,8 +176,8 @@
 		counts = new(turnCounts)
 		s.turnsByRoute[r.Route] = counts
 	}
-	counts.add(r.Class == policy.RoomFirst)
-	s.turns.add(r.Class == policy.RoomFirst)
+	counts.add(r.Class == policy.ClassFirstTurn)
+	s.turns.add(r.Class == policy.ClassFirstTurn)
 }
 
 // relativeSize returns the turns per program of the request's route relative to all
@@ -194,7 +194,7 @@
 // requires the services that programs call.
 func (c *Controller) requiredPools(r Request, requested *service, now time.Time) []policy.PoolLoad {
 	pools := []policy.PoolLoad{requested.view}
-	if r.Class != policy.RoomFirst {
+	if r.Class != policy.ClassFirstTurn {
 		return pools
 	}
 	for name, s := range c.services {
@@ -213,7 +213,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(name, now)
-	if !s.view.Learned || !s.view.Full() && (s.view.Tells() || refusals <= 1) {
+	if !s.view.SpeedsLearned || !s.view.Full() && (s.view.HasEnoughData() || refusals <= 1) {
 		return true
 	}
 	return s.takeRetry()
@@ -242,8 +242,8 @@
 func (c *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	admission := policy.RoomAsk{Class: policy.RoomUnderWay, Jitter: c.jitter(), TimeLeft: timeLeft}
-	return policy.ComeBack(admission, c.service(name, now).view, 0)
+	admission := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: c.jitter(), TimeLeft: timeLeft}
+	return policy.RetryAfter(admission, c.service(name, now).view, 0)
 }
 
 // RecordDuration records the duration of a served request.
@@ -266,13 +266,13 @@
 func (c *Controller) service(name string, now time.Time) *service {
 	s := c.services[name]
 	if s == nil {
-		s = &service{turnsByRoute: make(map[string]*turnCounts), retries: policy.NewRetryBudgetOf(retryRatio, retryBurst),
+		s = &service{turnsByRoute: make(map[string]*turnCounts), retries: policy.NewRetryBudgetWith(retryRatio, retryBurst),
 			metrics: newMetrics(c.scope, name)}
 		c.services[name] = s
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
 		p := c.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Fill: p.Utilization, Known: p.Reporting, All: p.Usable, Age: p.ReportAge, Learned: p.SpeedsLearned}
+		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.Reporting, Targets: p.Usable, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
 		s.viewAt = now
 		s.metrics.observe(s.view)
 	}
@@ -290,11 +290,11 @@
 }
 
 // DescribeRefusal returns a one-line explanation of a refusal.
-func DescribeRefusal(r Request, v policy.RoomVerdict) string {
+func DescribeRefusal(r Request, v policy.AdmissionVerdict) string {
 	return fmt.Sprintf("%s: service %s at utilization %.2f, %d of %d targets reporting, reports %d ms old; class %s, rank %d, "+
 		"organisation at %.2f of its limit; fraction %.2f of such requests refused; capacity expected in %s",
-		v.Cause, v.Pool.Service, v.Pool.Fill, v.Pool.Known, v.Pool.All, v.Pool.Age.Milliseconds(), r.Class, r.Rank,
-		r.Usage, v.Chance, v.RetryAfter)
+		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.Targets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
+		r.Usage, v.RefusalProbability, v.RetryAfter)
 }
 
 // Dump is the state of a service in a dump.
@@ -317,7 +317,7 @@
 	for name := range c.services {
 		s := c.service(name, now)
 		all = append(all, Dump{
-			Service: name, Utilization: s.view.Fill, Reporting: s.view.Known, Usable: s.view.All, AgeMs: s.view.Age.Milliseconds(),
+			Service: name, Utilization: s.view.Utilization, Reporting: s.view.ReportingTargets, Usable: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -31,7 +31,7 @@
 }
 
 func firstTurn(program string) Request {
-	return Request{Service: "engine", Program: program, Class: policy.RoomFirst}
+	return Request{Service: "engine", Program: program, Class: policy.ClassFirstTurn}
 }
 
 func TestInstancesAgreeOnAProgram(t *testing.T) {
@@ -58,7 +58,7 @@
 	if v := c.Admit(firstTurn("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	c.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.RoomUnderWay}, start)
+	c.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.ClassInProgress}, start)
 	refused := 0
 	for i := range 20 {
 		v := c.Admit(firstTurn(strings.Repeat("p", i+1)), start)
@@ -78,7 +78,7 @@
 	allowedRetries := func(c *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
-			c.Admit(Request{Service: "engine", Class: policy.RoomUnderWay, Program: "p"}, start)
+			c.Admit(Request{Service: "engine", Class: policy.ClassInProgress, Program: "p"}, start)
 			if c.AllowRetry("engine", refusals, start) {
 				allowed++
 			}
@@ -150,7 +150,7 @@
 	uniform := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
 	r.Rank = 7
-	if got := uniform.Admit(r, start).Chance; got != policy.AdmitRoom(policy.RoomAsk{Class: policy.RoomFirst}, uniform.services["engine"].view).Chance {
+	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].view).RefusalProbability {
 		t.Errorf("the refusal probability is %.2f, but a rank common to all must not change it", got)
 	}
 }
@@ -158,16 +158,16 @@
 func TestLargeProgramsAreRefusedMore(t *testing.T) {
 	pools := testPools{"engine": 0.5}
 	c := newTestController(pools)
-	turn := func(route string, class policy.RoomClass) {
+	turn := func(route string, class policy.AdmissionClass) {
 		c.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
 	}
 	for range 20 {
-		turn("big", policy.RoomFirst)
+		turn("big", policy.ClassFirstTurn)
 		for range 30 {
-			turn("big", policy.RoomUnderWay)
+			turn("big", policy.ClassInProgress)
 		}
-		turn("small", policy.RoomFirst)
-		turn("small", policy.RoomUnderWay)
+		turn("small", policy.ClassFirstTurn)
+		turn("small", policy.ClassInProgress)
 	}
 	pools["engine"] = 1.5
 	s := c.services["engine"]
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -38,7 +38,7 @@
 
 // strategy is an admission strategy.
 type strategy interface {
-	admit(instance int, r Request, now time.Time) policy.RoomVerdict
+	admit(instance int, r Request, now time.Time) policy.AdmissionVerdict
 	again(instance, refusals int, now time.Time) bool
 	// reported delivers the load of an engine in a response to an instance.
 	reported(instance, engine, busy int, now time.Time)
@@ -49,8 +49,8 @@
 // admitAll admits every request.
 type admitAll struct{}
 
-func (admitAll) admit(int, Request, time.Time) policy.RoomVerdict {
-	return policy.RoomVerdict{Admit: true}
+func (admitAll) admit(int, Request, time.Time) policy.AdmissionVerdict {
+	return policy.AdmissionVerdict{Admit: true}
 }
 func (admitAll) again(int, int, time.Time) bool    { return true }
 func (admitAll) reported(int, int, int, time.Time) {}
@@ -65,7 +65,7 @@
 // noConnections has no idle connections.
 type noConnections struct{}
 
-func (noConnections) Kept(string, time.Time) bool { return false }
+func (noConnections) HasIdle(string, time.Time) bool { return false }
 
 func newEngineView() *engineView {
 	v := &engineView{registry: targets.NewRegistry("dc", noConnections{})}
@@ -107,8 +107,8 @@
 	return s
 }
 
-func (s *decentralized) admit(i int, r Request, now time.Time) policy.RoomVerdict {
-	if r.Class == policy.RoomFirst {
+func (s *decentralized) admit(i int, r Request, now time.Time) policy.AdmissionVerdict {
+	if r.Class == policy.ClassFirstTurn {
 		s.exchange(i, now)
 	}
 	return s.controllers[i].Admit(r, now)
@@ -147,16 +147,16 @@
 	unavailableFrom  time.Time
 }
 
-func (c *coordinated) admit(i int, r Request, _ time.Time) policy.RoomVerdict {
-	if r.Class != policy.RoomFirst {
-		return policy.RoomVerdict{Admit: true}
+func (c *coordinated) admit(i int, r Request, _ time.Time) policy.AdmissionVerdict {
+	if r.Class != policy.ClassFirstTurn {
+		return policy.AdmissionVerdict{Admit: true}
 	}
 	c.requested[i]++
 	if c.granted[i] < 1 {
-		return policy.RoomVerdict{RetryAfter: 200 * time.Millisecond}
+		return policy.AdmissionVerdict{RetryAfter: 200 * time.Millisecond}
 	}
 	c.granted[i]--
-	return policy.RoomVerdict{Admit: true}
+	return policy.AdmissionVerdict{Admit: true}
 }
 
 func (c *coordinated) again(int, int, time.Time) bool { return true }
@@ -263,12 +263,12 @@
 // send sends a turn to the engine with the shorter wait of two, since target
 // selection is not compared here.
 func (r *simulation) send(p *program, now time.Time) {
-	class := policy.RoomUnderWay
+	class := policy.ClassInProgress
 	switch {
 	case p.turnIndex == 0:
-		class = policy.RoomFirst
+		class = policy.ClassFirstTurn
 	case now.Sub(p.startedAt) > deadline:
-		class = policy.RoomLate
+		class = policy.ClassOverdue
 	}
 	verdict := r.strategy.admit(p.instance, Request{Service: "engine", Program: p.name, Class: class}, now)
 	if !verdict.Admit {
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -16,7 +16,7 @@
 
 func newDialClient(cfg Config) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         netopt.Dialer(cfg.DialTimeout, cfg.PeerTimeout).DialContext,
+		DialContext:         netopt.NewDialer(cfg.DialTimeout, cfg.PeerTimeout).DialContext,
 		TLSClientConfig:     cfg.TLS,
 		TLSHandshakeTimeout: cfg.DialTimeout,
 	}}
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -18,8 +18,8 @@
 	CallTime time.Duration
 	// Remaining is the time to the call's deadline, 0 if it has none.
 	Remaining time.Duration
-	// First tells that the call is the first of its program.
-	First bool
+	// FirstCall tells that the call is the first of its program.
+	FirstCall bool
 }
 
 // Verdict is the decision of the admission rule.
@@ -50,7 +50,7 @@
 		return Verdict{Admit: true}
 	}
 	allowed := load.Remaining - min(load.CallTime, load.Remaining/2)
-	if load.First {
+	if load.FirstCall {
 		allowed = min(allowed, time.Duration(firstCallShare*float64(load.Remaining)))
 	}
 	if late := load.Wait - allowed; late > 0 {
@@ -84,18 +84,18 @@
 	saturatedShare = 0.5
 )
 
-// Granted counts a grant at a time, of a call with a key; last tells that no
+// ObserveGrant counts a grant at a time, of a call with a key; last tells that no
 // call of the class waits any more.
-func (l *Lateness) Granted(now, key time.Duration, last bool) {
+func (l *Lateness) ObserveGrant(now, key time.Duration, last bool) {
 	l.average += time.Duration(latenessGain * float64(now-key-l.average))
 	if last {
 		l.emptied = now
 	}
 }
 
-// Wait is the expected wait of a call with a key, given the wait by its
+// ExpectedWait is the expected wait of a call with a key, given the wait by its
 // position in the queue alone.
-func (l *Lateness) Wait(now, key, position time.Duration) time.Duration {
+func (l *Lateness) ExpectedWait(now, key, position time.Duration) time.Duration {
 	wait := key - now + l.average
 	if now-l.emptied < max(saturatedAfter, time.Duration(saturatedShare*float64(wait))) {
 		return position
--- a/internal/policy/appendwindow.go
+++ b/internal/policy/appendwindow.go
@@ -22,9 +22,9 @@
 // Size is the number of appends that may be in flight.
 func (w *AppendWindow) Size() int { return 1 + w.more }
 
-// Answered notes an answer and the shortest one since the store is
+// Observe notes an answer and the shortest one since the store is
 // slow.
-func (w *AppendWindow) Answered(a StoreAnswer, shortest time.Duration) {
+func (w *AppendWindow) Observe(a AppendResult, shortest time.Duration) {
 	switch {
 	case !a.Slow:
 		w.more = 0
--- a/internal/policy/appendwindow_test.go
+++ b/internal/policy/appendwindow_test.go
@@ -15,7 +15,7 @@
 			largest = max(largest, w.Size())
 		}
 		took := base + queue*time.Duration(w.Size())
-		w.Answered(StoreAnswer{Took: took, Slow: took > storeSlowAbove}, base+queue)
+		w.Observe(AppendResult{Took: took, Slow: took > storeSlowAbove}, base+queue)
 	}
 	return largest
 }
--- a/internal/policy/bytes.go
+++ b/internal/policy/bytes.go
@@ -20,34 +20,34 @@
 	stallMostTight = 2 * time.Second
 )
 
-// Bytes is what an instance holds for requests, in bytes.
-type Bytes struct {
+// RequestMemory is what an instance holds for requests, in bytes.
+type RequestMemory struct {
 	Held int64
-	// Most is the bound, 0 for none.
-	Most int64
+	// Max is the bound, 0 for none.
+	Max int64
 }
 
 // Fits tells whether some bytes more may be held. Programs under way may use the
 // whole bound. Other requests may take half of what is left of their share, so
 // that the largest are refused first; what fits into the share alone is let in
 // while nothing else is held, so that no size is refused for good.
-func (b Bytes) Fits(size int64, underWay bool) bool {
-	if b.Most <= 0 {
+func (b RequestMemory) Fits(size int64, underWay bool) bool {
+	if b.Max <= 0 {
 		return true
 	}
 	if underWay {
-		return size <= b.Most-b.Held
+		return size <= b.Max-b.Held
 	}
-	share := int64(beginShare * float64(b.Most))
+	share := int64(beginShare * float64(b.Max))
 	if b.Held == 0 {
 		return size <= share
 	}
 	return size <= (share-b.Held)/2
 }
 
-// StallMost is how long a caller may read nothing of its answer.
-func (b Bytes) StallMost() time.Duration {
-	if b.Most > 0 && float64(b.Held) > tightShare*float64(b.Most) {
+// StallTimeout is how long a caller may read nothing of its answer.
+func (b RequestMemory) StallTimeout() time.Duration {
+	if b.Max > 0 && float64(b.Held) > tightShare*float64(b.Max) {
 		return stallMostTight
 	}
 	return stallMost
--- a/internal/policy/bytes_test.go
+++ b/internal/policy/bytes_test.go
@@ -7,7 +7,7 @@
 func TestBytesGoToProgramsUnderWay(t *testing.T) {
 	const most = 1000
 	fill := func(held, size int64, underWay bool) int64 {
-		for (Bytes{Held: held, Most: most}).Fits(size, underWay) {
+		for (RequestMemory{Held: held, Max: most}).Fits(size, underWay) {
 			held += size
 		}
 		return held
@@ -19,17 +19,17 @@
 	if all := fill(small, 10, true); all != most {
 		t.Errorf("programs under way fill %d of %d", all, most)
 	}
-	if !(Bytes{Most: most}).Fits(700, false) || (Bytes{Most: most}).Fits(701, false) {
+	if !(RequestMemory{Max: most}).Fits(700, false) || (RequestMemory{Max: most}).Fits(701, false) {
 		t.Error("alone a request gets the whole share and no more")
 	}
-	if !(Bytes{Held: 1 << 40}).Fits(1<<40, false) {
+	if !(RequestMemory{Held: 1 << 40}).Fits(1<<40, false) {
 		t.Error("refused without a bound")
 	}
 }
 
 // TestStalledCallersAreCutSoonerWhileBytesAreShort compares both states.
 func TestStalledCallersAreCutSoonerWhileBytesAreShort(t *testing.T) {
-	if tight, ample := (Bytes{Held: 800, Most: 1000}).StallMost(), (Bytes{Held: 100, Most: 1000}).StallMost(); tight >= ample {
+	if tight, ample := (RequestMemory{Held: 800, Max: 1000}).StallTimeout(), (RequestMemory{Held: 100, Max: 1000}).StallTimeout(); tight >= ample {
 		t.Errorf("%s while bytes are short, %s otherwise", tight, ample)
 	}
 }
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Slots gives how many calls the target may run of its usual number.
-func (h *Health) Slots(slots int) int {
+// EffectiveSlots gives how many calls the target may run of its usual number.
+func (h *Health) EffectiveSlots(slots int) int {
 	switch h.State {
 	case Ejected:
 		return 0
@@ -68,8 +68,8 @@
 	return slots
 }
 
-// Fail counts a failure and tells whether the target is ejected by it.
-func (h *Health) Fail(rules structs.Rules, now time.Time, mayEject bool) bool {
+// RecordFailure counts a failure and tells whether the target is ejected by it.
+func (h *Health) RecordFailure(rules structs.Rules, now time.Time, mayEject bool) bool {
 	h.failures++
 	limit := maxFailures
 	if h.State == Probation {
@@ -81,9 +81,9 @@
 	return h.eject(rules, now, mayEject)
 }
 
-// Succeed counts a run that took ratio times the expected time and tells
+// RecordSuccess counts a run that took ratio times the expected time and tells
 // whether the target is ejected by it.
-func (h *Health) Succeed(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
+func (h *Health) RecordSuccess(rules structs.Rules, now time.Time, ratio float64, mayEject bool) bool {
 	h.failures = 0
 	h.Slowness += slowGain * (ratio - h.Slowness)
 	if ratio > slowFactor {
--- a/internal/policy/estimate.go
+++ b/internal/policy/estimate.go
@@ -41,96 +41,96 @@
 	minLoadLife = 50 * time.Millisecond
 )
 
-// Speed is the time that a target takes for a unit of work, learned from
+// SpeedEstimate is the time that a target takes for a unit of work, learned from
 // samples. The unit is the service's own: it only counts against the mean of
 // the service's targets.
-type Speed struct {
+type SpeedEstimate struct {
 	Mean float64
 	// Variance is that of single samples around the mean.
 	Variance float64
-	// At is the time of the last sample, zero for none.
-	At time.Time
+	// UpdatedAt is the time of the last sample, zero for none.
+	UpdatedAt time.Time
 }
 
 // Add takes a sample in.
-func (s *Speed) Add(sample float64, now time.Time) {
-	if s.At.IsZero() {
+func (s *SpeedEstimate) Add(sample float64, now time.Time) {
+	if s.UpdatedAt.IsZero() {
 		// One sample may be far off: its error is taken as large as itself.
-		s.Mean, s.Variance, s.At = sample, sample*sample, now
+		s.Mean, s.Variance, s.UpdatedAt = sample, sample*sample, now
 		return
 	}
 	off := sample - s.Mean
 	s.Mean += speedGain * off
 	s.Variance += speedGain * (off*off - s.Variance)
-	s.At = now
+	s.UpdatedAt = now
 }
 
-// Hear takes another instance's mean in if it is newer. The variance is that of
+// MergeRemote takes another instance's mean in if it is newer. The variance is that of
 // samples, so it stays.
-func (s *Speed) Hear(mean float64, at time.Time) {
-	if mean <= 0 || !at.After(s.At) {
+func (s *SpeedEstimate) MergeRemote(mean float64, at time.Time) {
+	if mean <= 0 || !at.After(s.UpdatedAt) {
 		return
 	}
-	if s.At.IsZero() {
-		s.Mean, s.At = mean, at
+	if s.UpdatedAt.IsZero() {
+		s.Mean, s.UpdatedAt = mean, at
 		return
 	}
 	s.Mean += heardSpeed * (mean - s.Mean)
-	s.At = at
+	s.UpdatedAt = at
 }
 
 // Slowness is the target's time over the usual one; standing is what its own reports
 // say, which counts where nothing was learned. A distance from that within the
 // mean's own error counts little.
-func (s *Speed) Slowness(usual, standing float64, now time.Time) float64 {
-	if s.At.IsZero() || usual <= 0 {
+func (s *SpeedEstimate) Slowness(usual, standing float64, now time.Time) float64 {
+	if s.UpdatedAt.IsZero() || usual <= 0 {
 		return standing
 	}
-	slowness := standing + s.trend(usual, standing)*fade(now.Sub(s.At), speedLife)
+	slowness := standing + s.trend(usual, standing)*fade(now.Sub(s.UpdatedAt), speedLife)
 	return min(max(slowness, minSlowness), maxSlowness)
 }
 
 // trend is how far the mean is from the target's standing, in parts of the usual,
 // without what may be noise.
-func (s *Speed) trend(usual, standing float64) float64 {
+func (s *SpeedEstimate) trend(usual, standing float64) float64 {
 	off := s.Mean/usual - standing
 	noise := noiseWeight * s.errorOfMean() / (usual * usual)
 	return off * off * off / (off*off + noise + math.SmallestNonzeroFloat64)
 }
 
-// Told is the mean that others are told: without what may be noise, which they
+// AdvertisedMean is the mean that others are told: without what may be noise, which they
 // cannot know. It is 0 if nothing was learned.
-func (s *Speed) Told(usual, standing float64) float64 {
-	if s.At.IsZero() || usual <= 0 {
+func (s *SpeedEstimate) AdvertisedMean(usual, standing float64) float64 {
+	if s.UpdatedAt.IsZero() || usual <= 0 {
 		return 0
 	}
 	return usual * (standing + s.trend(usual, standing))
 }
 
 // errorOfMean is the variance of the moving mean.
-func (s *Speed) errorOfMean() float64 { return s.Variance * speedGain / (2 - speedGain) }
+func (s *SpeedEstimate) errorOfMean() float64 { return s.Variance * speedGain / (2 - speedGain) }
 
-// Standing is the median of the paces that a target reports, 1 as usual: machines that
+// PaceMedian is the median of the paces that a target reports, 1 as usual: machines that
 // turn slow for parts of a second do not move it.
-type Standing struct {
-	Middle  float64
+type PaceMedian struct {
+	Value   float64
 	reports int
 }
 
 // Add takes a reported pace in, in percent of the usual.
-func (s *Standing) Add(percent int) {
+func (s *PaceMedian) Add(percent int) {
 	pace := float64(percent) / 100
 	if s.reports == 0 {
-		s.Middle = pace
+		s.Value = pace
 	}
 	s.reports++
-	step := s.Middle * max(1/float64(s.reports+1), standingStep)
-	s.Middle += min(max(pace-s.Middle, -step), step)
+	step := s.Value * max(1/float64(s.reports+1), standingStep)
+	s.Value += min(max(pace-s.Value, -step), step)
 }
 
-// Present is the slowness of a target that turned slow for now, by a new report of
+// CurrentSlowness is the slowness of a target that turned slow for now, by a new report of
 // its pace: slowness where that says nothing worse. Both are over the usual.
-func Present(slowness, pace float64, age time.Duration) float64 {
+func CurrentSlowness(slowness, pace float64, age time.Duration) float64 {
 	return slowness + max(pace-slowness, 0)*fade(age, paceLife)
 }
 
@@ -138,38 +138,38 @@
 type LoadReport struct {
 	// Busy counts the requests that the target reported, Since this instance's
 	// own that began after it less those that ended, Own all of its own.
-	Busy  int
-	Since int
-	Own   int
-	Slots int
-	// Usual is the moving mean of the reports, as TrendFill makes it.
-	Usual float64
-	// Known tells that there is a report, of an Age.
-	Known bool
-	Age   time.Duration
+	Busy        int
+	OwnDelta    int
+	OwnInFlight int
+	Slots       int
+	// TypicalUtilization is the moving mean of the reports, as SmoothUtilization makes it.
+	TypicalUtilization float64
+	// HasReport tells that there is a report, of an Age.
+	HasReport bool
+	Age       time.Duration
 }
 
-// TrendFill takes a report of requests, in parts of the slots, into the moving
+// SmoothUtilization takes a report of requests, in parts of the slots, into the moving
 // mean of a target's reports.
-func TrendFill(usual, reported float64, first bool) float64 {
+func SmoothUtilization(usual, reported float64, first bool) float64 {
 	if first {
 		return reported
 	}
 	return usual + trendGain*(reported-usual)
 }
 
-// Fill is the expected number of requests at a target, in parts of its slots.
+// ExpectedUtilization is the expected number of requests at a target, in parts of its slots.
 // A report fades within the usual time of a request towards what the target
 // usually reports, that towards the pool's mean, and with long silence below it.
-func Fill(r LoadReport, pool float64, request time.Duration) float64 {
+func ExpectedUtilization(r LoadReport, pool float64, request time.Duration) float64 {
 	slots := float64(max(r.Slots, 1))
-	own := float64(r.Own) / slots
-	if !r.Known {
+	own := float64(r.OwnInFlight) / slots
+	if !r.HasReport {
 		return max(silentPart*pool, own)
 	}
 	pool *= silentPart + (1-silentPart)*fade(r.Age, silentLife)
-	reported := max(float64(r.Busy+r.Since)/slots, 0)
-	usual := pool + (r.Usual-pool)*fade(r.Age, trendLife)
+	reported := max(float64(r.Busy+r.OwnDelta)/slots, 0)
+	usual := pool + (r.TypicalUtilization-pool)*fade(r.Age, trendLife)
 	return max(usual+(reported-usual)*fade(r.Age, max(request, minLoadLife)), own)
 }
 
--- a/internal/policy/estimate_test.go
+++ b/internal/policy/estimate_test.go
@@ -10,8 +10,8 @@
 
 // speedOf is a Speed after n samples a tenth of a second apart, with the time of
 // the last one.
-func speedOf(n int, sample func() float64) (Speed, time.Time) {
-	var s Speed
+func speedOf(n int, sample func() float64) (SpeedEstimate, time.Time) {
+	var s SpeedEstimate
 	now := estimateStart
 	for range n {
 		now = now.Add(100 * time.Millisecond)
@@ -53,7 +53,7 @@
 	if before < 4 || after > 1.3 {
 		t.Errorf("slowness %.2f when new, %.2f when old", before, after)
 	}
-	var none Speed
+	var none SpeedEstimate
 	if none.Slowness(1, 1, now) != 1 || s.Slowness(0, 1, now) != 1 {
 		t.Error("an unknown target is not like the usual")
 	}
@@ -64,30 +64,30 @@
 func TestSpeedIsToldWithoutItsNoise(t *testing.T) {
 	uneven := []float64{0.4, 2.6}
 	few, _ := speedOf(2, func() float64 { next := uneven[0]; uneven = uneven[1:]; return next })
-	if told := few.Told(1, 1); told < 0.8 || told > 1.2 {
+	if told := few.AdvertisedMean(1, 1); told < 0.8 || told > 1.2 {
 		t.Errorf("told %.2f of a mean of %.2f", told, few.Mean)
 	}
 	slow, _ := speedOf(10, func() float64 { return 4 })
-	if told := slow.Told(1, 1); told < 3 {
+	if told := slow.AdvertisedMean(1, 1); told < 3 {
 		t.Errorf("told %.2f of a mean of %.2f", told, slow.Mean)
 	}
-	if none := new(Speed).Told(1, 1); none != 0 {
+	if none := new(SpeedEstimate).AdvertisedMean(1, 1); none != 0 {
 		t.Errorf("told %.2f of nothing", none)
 	}
 }
 
 func TestSpeedHearsWhatIsNewer(t *testing.T) {
-	var s Speed
-	s.Hear(4, estimateStart)
+	var s SpeedEstimate
+	s.MergeRemote(4, estimateStart)
 	if s.Mean != 4 {
 		t.Errorf("the first word gives %.1f", s.Mean)
 	}
 	s.Add(4, estimateStart.Add(time.Second))
-	s.Hear(1, estimateStart.Add(time.Second))
+	s.MergeRemote(1, estimateStart.Add(time.Second))
 	if s.Mean != 4 {
 		t.Error("a word as old as the own sample was taken")
 	}
-	s.Hear(1, estimateStart.Add(2*time.Second))
+	s.MergeRemote(1, estimateStart.Add(2*time.Second))
 	if s.Mean >= 4 || s.Mean <= 1 {
 		t.Errorf("a newer word gives %.1f", s.Mean)
 	}
@@ -96,13 +96,13 @@
 // A target's word on its present pace fades, and its standing pace is what it says
 // most of the time, even if the first word was not.
 func TestPaceFades(t *testing.T) {
-	if Present(0.7, 2.5, 0) != 2.5 || Present(4, 1, 0) != 4 {
+	if CurrentSlowness(0.7, 2.5, 0) != 2.5 || CurrentSlowness(4, 1, 0) != 4 {
 		t.Error("a new pace that is worse does not count fully")
 	}
-	if late := Present(1, 2.5, 4*paceLife); late > 1.05 {
+	if late := CurrentSlowness(1, 2.5, 4*paceLife); late > 1.05 {
 		t.Errorf("an old pace still counts %.2f", late)
 	}
-	var s Standing
+	var s PaceMedian
 	for i := range 60 {
 		word := 70
 		if i%7 == 0 {
@@ -110,8 +110,8 @@
 		}
 		s.Add(word)
 	}
-	if s.Middle < 0.65 || s.Middle > 0.8 {
-		t.Errorf("got %.2f", s.Middle)
+	if s.Value < 0.65 || s.Value > 0.8 {
+		t.Errorf("got %.2f", s.Value)
 	}
 }
 
@@ -119,10 +119,10 @@
 // reports, that towards the pool's mean; never below the own requests.
 func TestFillFadesTowardsThePool(t *testing.T) {
 	const request = 100 * time.Millisecond
-	report := LoadReport{Busy: 8, Slots: 4, Usual: 1, Known: true}
+	report := LoadReport{Busy: 8, Slots: 4, TypicalUtilization: 1, HasReport: true}
 	at := func(age time.Duration) float64 {
 		report.Age = age
-		return Fill(report, 0.5, request)
+		return ExpectedUtilization(report, 0.5, request)
 	}
 	if at(0) != 2 {
 		t.Error("a new report does not count fully")
@@ -133,16 +133,16 @@
 	if old := at(2 * silentLife); old < 0.25 || old > 0.4 {
 		t.Errorf("an old report gives %.2f", old)
 	}
-	if never := Fill(LoadReport{Slots: 4}, 0.5, request); never != 0.25 {
+	if never := ExpectedUtilization(LoadReport{Slots: 4}, 0.5, request); never != 0.25 {
 		t.Errorf("no report gives %.2f", never)
 	}
-	if got := Fill(LoadReport{Own: 4, Slots: 4}, 0.5, request); got != 1 {
+	if got := ExpectedUtilization(LoadReport{OwnInFlight: 4, Slots: 4}, 0.5, request); got != 1 {
 		t.Errorf("own requests give %.2f", got)
 	}
-	if got := Fill(LoadReport{Busy: 4, Since: 2, Slots: 4, Known: true}, 0, request); got != 1.5 {
+	if got := ExpectedUtilization(LoadReport{Busy: 4, OwnDelta: 2, Slots: 4, HasReport: true}, 0, request); got != 1.5 {
 		t.Errorf("own requests since the report give %.2f", got)
 	}
-	if first, later := TrendFill(0, 3, true), TrendFill(1, 2, false); first != 3 || later <= 1 || later >= 2 {
+	if first, later := SmoothUtilization(0, 3, true), SmoothUtilization(1, 2, false); first != 3 || later <= 1 || later >= 2 {
 		t.Errorf("usual loads %.2f and %.2f", first, later)
 	}
 }
--- a/internal/policy/estimates.go
+++ b/internal/policy/estimates.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Sample is what one finished run tells.
-type Sample struct {
+// RunSample is what one finished run tells.
+type RunSample struct {
 	Uncached   int64
 	Completion int64
 	FirstToken time.Duration
@@ -45,7 +45,7 @@
 }
 
 // Add takes a finished run into the averages.
-func (e *Estimates) Add(s Sample) {
+func (e *Estimates) Add(s RunSample) {
 	e.CallTime = blend(e.CallTime, s.Took)
 	e.Tokens += estimateGain * (float64(s.Completion) - e.Tokens)
 	if s.Completion > 1 && s.Took > s.FirstToken {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Expected is the time that a run of that size usually takes.
-func (e *Estimates) Expected(uncached, completion int64) time.Duration {
+// ExpectedTime is the time that a run of that size usually takes.
+func (e *Estimates) ExpectedTime(uncached, completion int64) time.Duration {
 	return time.Duration(uncached)*e.PrefillPerToken + time.Duration(completion+1)*e.TokenTime
 }
 
--- a/internal/policy/eviction.go
+++ b/internal/policy/eviction.go
@@ -5,8 +5,8 @@
 // CacheEntry is a cached prefix that may be evicted.
 type CacheEntry struct {
 	Tokens int64
-	// Return is the chance that the prefix is used again.
-	Return float64
+	// ReturnProbability is the chance that the prefix is used again.
+	ReturnProbability float64
 }
 
 // EvictionCost is the replacement cost of a placement: the expected time to
@@ -23,7 +23,7 @@
 		}
 		taken := min(need, victim.Tokens)
 		need -= taken
-		cost += float64(taken) * victim.Return
+		cost += float64(taken) * victim.ReturnProbability
 	}
 	return time.Duration(cost * float64(perToken))
 }
--- a/internal/policy/expected.go
+++ b/internal/policy/expected.go
@@ -51,84 +51,84 @@
 	plainBeyond = 1.2
 )
 
-// EndOption is a target that a request could be sent to.
-type EndOption struct {
-	// Fill is how many requests it has, in parts of its slots, Slowness its time
+// TargetOption is a target that a request could be sent to.
+type TargetOption struct {
+	// Utilization is how many requests it has, in parts of its slots, Slowness its time
 	// for the same work over the usual.
-	Fill     float64
-	Slowness float64
-	// Share is what the target usually has over what those of its data centre
+	Utilization float64
+	Slowness    float64
+	// RelativeLoad is what the target usually has over what those of its data centre
 	// usually have, 1 if unknown.
-	Share float64
-	// Opens tells that a connection has to be opened, Far that it is in another
+	RelativeLoad float64
+	// NeedsConnection tells that a connection has to be opened, Far that it is in another
 	// data centre, Cold that it started just now.
-	Opens bool
-	Far   bool
-	Cold  bool
-	// Last tells that it ran the program's last turn and has its prompt.
-	Last bool
+	NeedsConnection bool
+	Remote          bool
+	Cold            bool
+	// HasPrompt tells that it ran the program's last turn and has its prompt.
+	HasPrompt bool
 	// Warm tells that it is the one that all instances choose for the request's
 	// object, so that it may have kept what the object needs.
 	Warm bool
-	// Shut tells that it must not be chosen.
-	Shut bool
+	// Excluded tells that it must not be chosen.
+	Excluded bool
 	// Rank orders targets that are alike, the highest first.
 	Rank float64
 }
 
-// EndRequest is what a request needs.
-type EndRequest struct {
-	// Read is the time to read its prompt where it is not kept, in parts of the
+// RequestProfile is what a request needs.
+type RequestProfile struct {
+	// PromptCost is the time to read its prompt where it is not kept, in parts of the
 	// usual time of the rest.
-	Read float64
+	PromptCost float64
 	// Batched tells that targets work on all requests in their slots at once.
 	Batched bool
 }
 
 // margin is how much later than at the best target it may be expected to end for
 // a choice to be open.
-func (r EndRequest) margin() float64 {
+func (r RequestProfile) margin() float64 {
 	if r.Batched {
 		return alikeBegin
 	}
 	return alike
 }
 
-// EndChoice is a decision with what speaks for it.
-type EndChoice struct {
+// TargetChoice is a decision with what speaks for it.
+type TargetChoice struct {
 	// Index is the option chosen, -1 for none; Next is the best other one, -1 for
 	// none.
-	Index, Next int
-	// End and NextEnd are when these are expected to end the request, in parts of
+	Index, RunnerUp int
+	// Completion and RunnerUpCompletion are when these are expected to end the request, in parts of
 	// its usual time.
-	End, NextEnd float64
+	Completion, RunnerUpCompletion float64
 	// Stayed tells that the program stays where its prompt is, Moved that it
 	// leaves such a target.
 	Stayed, Moved bool
 }
 
-// ByEnd chooses the target that is expected to end a request first; among those
+// ChooseTarget chooses the target that is expected to end a request first; among those
 // that are alike, one to which a connection is kept. A program stays with its
 // prompt unless another target with room ends the turn clearly sooner.
-func ByEnd(options []EndOption, request EndRequest) EndChoice {
+func ChooseTarget(options []TargetOption, request RequestProfile) TargetChoice {
 	ends := make([]float64, len(options))
 	first, last := -1, -1
 	for i, o := range options {
-		if o.Shut {
+		if o.Excluded {
 			continue
 		}
 		ends[i] = ExpectedEnd(o, request)
 		if first < 0 || ends[i] < ends[first] {
 			first = i
 		}
-		if o.Last {
+		if o.HasPrompt {
 			last = i
 		}
 	}
 	if first < 0 {
-		return EndChoice{Index: -1, Next: -1}
+		return TargetChoice{Index: -1, RunnerUp: -1}
 	}
-	choice := EndChoice{Index: first}
+	choice := TargetChoice{Index: first}
 	switch {
 	case last >= 0 && stays(options, ends, last, first):
 		choice.Index, choice.Stayed = last, true
@@ -136,10 +136,10 @@
 		choice.Index = pickAlike(options, ends, first, request.margin())
 		choice.Moved = last >= 0 && choice.Index != last
 	}
-	choice.End = ends[choice.Index]
-	choice.Next = runnerUp(options, ends, choice.Index)
-	if choice.Next >= 0 {
-		choice.NextEnd = ends[choice.Next]
+	choice.Completion = ends[choice.Index]
+	choice.RunnerUp = runnerUp(options, ends, choice.Index)
+	if choice.RunnerUp >= 0 {
+		choice.RunnerUpCompletion = ends[choice.RunnerUp]
 	}
 	return choice
 }
@@ -147,16 +147,16 @@
 // stays tells whether a program stays at the target that has its prompt. Where
 // none has room it moves for much only: programs that move push each other's
 // prompts out, and then all wait longer.
-func stays(options []EndOption, ends []float64, last, first int) bool {
+func stays(options []TargetOption, ends []float64, last, first int) bool {
 	at, sooner := options[last], ends[last]-ends[first]
 	switch {
-	case at.Fill >= crowdedFill:
+	case at.Utilization >= crowdedFill:
 		return false
-	case options[first].Fill >= ReadyFill:
+	case options[first].Utilization >= ReadyFill:
 		return ends[last] < moveTimesCrowded*ends[first]
-	case at.Fill >= FullFill:
+	case at.Utilization >= FullFill:
 		return false
-	case at.Opens:
+	case at.NeedsConnection:
 		return sooner < moveGainOpen
 	}
 	return sooner < moveGain
@@ -164,10 +164,10 @@
 
 // pickAlike chooses among the options that are expected to end about when the
 // first does.
-func pickAlike(options []EndOption, ends []float64, first int, margin float64) int {
+func pickAlike(options []TargetOption, ends []float64, first int, margin float64) int {
 	best := first
 	for i, o := range options {
-		if !o.Shut && ends[i] <= ends[first]+margin && o.preferred(options[best]) {
+		if !o.Excluded && ends[i] <= ends[first]+margin && o.preferred(options[best]) {
 			best = i
 		}
 	}
@@ -177,20 +177,20 @@
 // preferred tells whether an option goes before another one that is alike: one in
 // this data centre first, since each request to another one costs bytes, then one
 // with a connection.
-func (o EndOption) preferred(other EndOption) bool {
+func (o TargetOption) preferred(other TargetOption) bool {
 	switch {
-	case o.Far != other.Far:
-		return other.Far
-	case o.Opens != other.Opens:
-		return other.Opens
+	case o.Remote != other.Remote:
+		return other.Remote
+	case o.NeedsConnection != other.NeedsConnection:
+		return other.NeedsConnection
 	}
 	return o.Rank > other.Rank
 }
 
-func runnerUp(options []EndOption, ends []float64, chosen int) int {
+func runnerUp(options []TargetOption, ends []float64, chosen int) int {
 	next := -1
 	for i, o := range options {
-		if o.Shut || i == chosen {
+		if o.Excluded || i == chosen {
 			continue
 		}
 		if next < 0 || ends[i] < ends[next] {
@@ -202,22 +202,22 @@
 
 // ExpectedEnd is when a target is expected to end a request, in parts of its
 // usual time.
-func ExpectedEnd(o EndOption, request EndRequest) float64 {
-	work := 1 + waiting(o.Fill, request.Batched)
-	if !o.Last {
-		work += request.Read
+func ExpectedEnd(o TargetOption, request RequestProfile) float64 {
+	work := 1 + waiting(o.Utilization, request.Batched)
+	if !o.HasPrompt {
+		work += request.PromptCost
 	}
 	if o.Warm {
 		work -= warmGain
 	}
 	end := o.Slowness * work
 	if !request.Batched {
-		end += shareCost * min(o.Share-1, 1)
+		end += shareCost * min(o.RelativeLoad-1, 1)
 	}
-	if o.Opens {
+	if o.NeedsConnection {
 		end += openCost
 	}
-	if o.Far {
+	if o.Remote {
 		end += farCost
 	}
 	if o.Cold {
--- a/internal/policy/expected_test.go
+++ b/internal/policy/expected_test.go
@@ -3,23 +3,23 @@
 import "testing"
 
 // optionsOf gives targets with connections, of a fill and slowness each.
-func optionsOf(pairs ...[2]float64) []EndOption {
-	var options []EndOption
+func optionsOf(pairs ...[2]float64) []TargetOption {
+	var options []TargetOption
 	for _, pair := range pairs {
-		options = append(options, EndOption{Fill: pair[0], Slowness: pair[1]})
+		options = append(options, TargetOption{Utilization: pair[0], Slowness: pair[1]})
 	}
 	return options
 }
 
 func TestByEnd(t *testing.T) {
-	turn := EndRequest{Read: 0.2, Batched: true}
-	plain := EndRequest{}
-	stay := func(options []EndOption) []EndOption { options[0].Last = true; return options }
-	opens := func(options []EndOption, i int) []EndOption { options[i].Opens = true; return options }
+	turn := RequestProfile{PromptCost: 0.2, Batched: true}
+	plain := RequestProfile{}
+	stay := func(options []TargetOption) []TargetOption { options[0].HasPrompt = true; return options }
+	opens := func(options []TargetOption, i int) []TargetOption { options[i].NeedsConnection = true; return options }
 	tests := []struct {
 		name    string
-		options []EndOption
-		request EndRequest
+		options []TargetOption
+		request RequestProfile
 		index   int
 	}{
 		{"the least busy of equals", optionsOf([2]float64{0.6, 1}, [2]float64{0.2, 1}), plain, 1},
@@ -29,9 +29,9 @@
 		{"a full fast engine is left to others", optionsOf([2]float64{0.1, 1.3}, [2]float64{2.5, 0.5}), turn, 0},
 		{"a program stays while moving gains little", stay(optionsOf([2]float64{0.4, 1}, [2]float64{0.1, 0.9})), turn, 0},
 		{"a program leaves an engine that turned slow", stay(optionsOf([2]float64{0.4, 4}, [2]float64{0.3, 1})), turn, 1},
-		{"a short prompt is read again rather than a connection opened", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), EndRequest{Read: 0.1, Batched: true}, 1},
-		{"a long one is not", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), EndRequest{Read: 0.5, Batched: true}, 0},
-		{"a long prompt keeps it", stay(optionsOf([2]float64{0.4, 1.6}, [2]float64{0.3, 1})), EndRequest{Read: 2, Batched: true}, 0},
+		{"a short prompt is read again rather than a connection opened", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.1, Batched: true}, 1},
+		{"a long one is not", opens(stay(optionsOf([2]float64{0.2, 1}, [2]float64{0.2, 1})), 0), RequestProfile{PromptCost: 0.5, Batched: true}, 0},
+		{"a long prompt keeps it", stay(optionsOf([2]float64{0.4, 1.6}, [2]float64{0.3, 1})), RequestProfile{PromptCost: 2, Batched: true}, 0},
 		{"in an overload programs do not move", stay(optionsOf([2]float64{1.5, 1.2}, [2]float64{0.9, 0.8})), turn, 0},
 		{"a slow engine is left in an overload too", stay(optionsOf([2]float64{1.5, 4}, [2]float64{0.9, 0.8})), turn, 1},
 		{"a full engine is left for one with room", stay(optionsOf([2]float64{1.7, 1}, [2]float64{0.4, 1})), turn, 1},
@@ -41,7 +41,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if choice := ByEnd(test.options, test.request); choice.Index != test.index {
+			if choice := ChooseTarget(test.options, test.request); choice.Index != test.index {
 				t.Errorf("got %+v, want %d", choice, test.index)
 			}
 		})
@@ -53,11 +53,11 @@
 func TestByEndPrefersAWarmTarget(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.3, 1})
 	options[1].Warm = true
-	if choice := ByEnd(options, EndRequest{}); choice.Index != 1 {
+	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 1 {
 		t.Errorf("got %+v", choice)
 	}
-	options[1].Opens = true
-	if choice := ByEnd(options, EndRequest{}); choice.Index == 1 {
+	options[1].NeedsConnection = true
+	if choice := ChooseTarget(options, RequestProfile{}); choice.Index == 1 {
 		t.Errorf("got %+v", choice)
 	}
 }
@@ -66,17 +66,17 @@
 // the rank; a target that must not be chosen is none of them.
 func TestByEndPrefersAKeptConnection(t *testing.T) {
 	options := optionsOf([2]float64{0.3, 1}, [2]float64{0.3, 1}, [2]float64{0.25, 1}, [2]float64{0, 1})
-	options[0].Opens, options[3].Shut = true, true
+	options[0].NeedsConnection, options[3].Excluded = true, true
 	options[1].Rank, options[2].Rank = 2, 1
-	if choice := ByEnd(options, EndRequest{}); choice.Index != 1 {
+	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 1 {
 		t.Errorf("got %+v", choice)
 	}
-	options[1].Far = true
-	if choice := ByEnd(options, EndRequest{}); choice.Index != 2 {
+	options[1].Remote = true
+	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 2 {
 		t.Errorf("got %+v in place of one nearby", choice)
 	}
-	options[1].Shut, options[2].Shut = true, true
-	if choice := ByEnd(options, EndRequest{}); choice.Index != 0 || choice.Next != -1 {
+	options[1].Excluded, options[2].Excluded = true, true
+	if choice := ChooseTarget(options, RequestProfile{}); choice.Index != 0 || choice.RunnerUp != -1 {
 		t.Errorf("got %+v", choice)
 	}
 }
--- a/internal/policy/fairshare.go
+++ b/internal/policy/fairshare.go
@@ -49,7 +49,7 @@
 	return floor
 }
 
-// Over tells whether a team is so far ahead of floor that others go first.
-func (s *Shares) Over(rules structs.Rules, team structs.Team, floor time.Duration) bool {
+// ExceedsBurst tells whether a team is so far ahead of floor that others go first.
+func (s *Shares) ExceedsBurst(rules structs.Rules, team structs.Team, floor time.Duration) bool {
 	return rules.FairShare && s.usage[team]-floor > FairShareBurst
 }
--- a/internal/policy/heldturn.go
+++ b/internal/policy/heldturn.go
@@ -11,8 +11,8 @@
 // ends at the very moment of the store's return.
 const heldTurnShare = 0.5
 
-// HoldsTurn tells whether a turn may begin whose end has to wait for the end of
+// AllowTurnDuringOutage tells whether a turn may begin whose end has to wait for the end of
 // an outage that has lasted some time, for a caller that leaves after another.
-func HoldsTurn(lasted, left time.Duration) bool {
+func AllowTurnDuringOutage(lasted, left time.Duration) bool {
 	return heldTurnShare*lasted.Seconds() <= left.Seconds()
 }
--- a/internal/policy/heldturn_test.go
+++ b/internal/policy/heldturn_test.go
@@ -10,7 +10,7 @@
 func TestTurnsAreHeldOverShortOutagesOnly(t *testing.T) {
 	const left = 4 * time.Second
 	for lasted, want := range map[time.Duration]bool{0: true, 7 * time.Second: true, 9 * time.Second: false} {
-		if got := HoldsTurn(lasted, left); got != want {
+		if got := AllowTurnDuringOutage(lasted, left); got != want {
 			t.Errorf("after %s: %v", lasted, got)
 		}
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -25,8 +25,8 @@
 		{"starts in time", rules, func(l *Load) { l.Wait = 8 * time.Second }, true},
 		{"starts too late", rules, func(l *Load) { l.Wait = 9500 * time.Millisecond }, false},
 		{"starts too late, rule off", off, func(l *Load) { l.Wait = time.Hour }, true},
-		{"new program behind a long wait", rules, func(l *Load) { l.First, l.Wait = true, 3*time.Second }, false},
-		{"new program behind a short wait", rules, func(l *Load) { l.First, l.Wait = true, 2*time.Second }, true},
+		{"new program behind a long wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 3*time.Second }, false},
+		{"new program behind a short wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 2*time.Second }, true},
 		{"no deadline", rules, func(l *Load) { l.Remaining, l.Wait = 0, time.Hour }, true},
 	}
 	for _, test := range tests {
@@ -89,10 +89,10 @@
 	shares.Add("a", 10*time.Second, 1)
 	shares.Add("b", 10*time.Second, 10)
 	floor := shares.Floor([]structs.Team{"a", "b"})
-	if !shares.Over(rules, "a", floor) || shares.Over(rules, "b", floor) {
+	if !shares.ExceedsBurst(rules, "a", floor) || shares.ExceedsBurst(rules, "b", floor) {
 		t.Fatalf("usage a %v, b %v: only a is ahead of its share", shares.Usage("a"), shares.Usage("b"))
 	}
-	if shares.Over(structs.Rules{}, "a", floor) {
+	if shares.ExceedsBurst(structs.Rules{}, "a", floor) {
 		t.Fatal("the rule is off")
 	}
 	shares.Join("c", floor)
@@ -141,7 +141,7 @@
 }
 
 func TestEvictionCost(t *testing.T) {
-	victims := []CacheEntry{{Tokens: 1000, Return: 0}, {Tokens: 1000, Return: 0.5}, {Tokens: 1000, Return: 1}}
+	victims := []CacheEntry{{Tokens: 1000, ReturnProbability: 0}, {Tokens: 1000, ReturnProbability: 0.5}, {Tokens: 1000, ReturnProbability: 1}}
 	for need, want := range map[int64]time.Duration{
 		0: 0, 1000: 0, 1500: 250 * time.Microsecond, 3000: 1500 * time.Microsecond, 9000: 1500 * time.Microsecond,
 	} {
@@ -153,20 +153,20 @@
 
 func TestPausesLearnWhoReturns(t *testing.T) {
 	pauses := NewPauses()
-	if pauses.ReturnChance(time.Hour) != 1 {
+	if pauses.ReturnProbability(time.Hour) != 1 {
 		t.Fatal("nothing is known yet, so nothing is to be released")
 	}
 	for i := range 1000 {
-		pauses.Returned(time.Duration(300+i%200)*time.Millisecond, false)
+		pauses.ObserveReturn(time.Duration(300+i%200)*time.Millisecond, false)
 		if i%10 == 0 {
-			pauses.Lost()
+			pauses.ObserveAbandoned()
 		}
 	}
-	early, late := pauses.ReturnChance(100*time.Millisecond), pauses.ReturnChance(5*time.Second)
+	early, late := pauses.ReturnProbability(100*time.Millisecond), pauses.ReturnProbability(5*time.Second)
 	if early < 0.85 || late > 0.05 {
 		t.Fatalf("chance of return %v early and %v late", early, late)
 	}
-	if limit := pauses.Presume(); limit < time.Second || limit > 3*time.Second {
+	if limit := pauses.AbandonTimeout(); limit < time.Second || limit > 3*time.Second {
 		t.Fatalf("presumed lost after %v", limit)
 	}
 	rules := structs.DefaultRules()
@@ -179,29 +179,29 @@
 	rules, now := structs.DefaultRules(), time.Unix(0, 0)
 	h := NewHealth()
 	for range slowRuns {
-		h.Succeed(rules, now, 10, true)
+		h.RecordSuccess(rules, now, 10, true)
 	}
-	if h.State != Ejected || h.Slots(8) != 0 {
+	if h.State != Ejected || h.EffectiveSlots(8) != 0 {
 		t.Fatalf("state %v after slow runs", h.State)
 	}
 	now = h.Until
 	h.Advance(now)
-	if h.State != Probation || h.Slots(8) != 1 {
+	if h.State != Probation || h.EffectiveSlots(8) != 1 {
 		t.Fatalf("state %v after the ejection", h.State)
 	}
-	h.Fail(rules, now, true)
+	h.RecordFailure(rules, now, true)
 	if h.State != Ejected || h.Until.Sub(now) <= minEjection {
 		t.Fatalf("a failure on probation: %v for %v, want a longer ejection", h.State, h.Until.Sub(now))
 	}
 	h.Advance(h.Until)
 	for range probationRuns {
-		h.Succeed(rules, now, 1, true)
+		h.RecordSuccess(rules, now, 1, true)
 	}
 	if h.State != Healthy {
 		t.Fatalf("state %v after good runs", h.State)
 	}
 	for range maxFailures {
-		h.Fail(rules, now, false)
+		h.RecordFailure(rules, now, false)
 	}
 	if h.State != Healthy {
 		t.Fatal("ejected although no more targets may be")
@@ -225,19 +225,19 @@
 func TestLatenessTellsTheWaitOfASaturatedClass(t *testing.T) {
 	const position = 100 * time.Millisecond
 	var l Lateness
-	l.Granted(0, 0, true)
+	l.ObserveGrant(0, 0, true)
 	for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
-		l.Granted(now, now-time.Second, false) // a second behind the due time
+		l.ObserveGrant(now, now-time.Second, false) // a second behind the due time
 	}
 	now := 20 * time.Second
-	if wait := l.Wait(now, now+4*time.Second, position); wait < 4900*time.Millisecond || wait > 5*time.Second {
+	if wait := l.ExpectedWait(now, now+4*time.Second, position); wait < 4900*time.Millisecond || wait > 5*time.Second {
 		t.Errorf("wait %v of a call due in 4 s, want about 5 s", wait)
 	}
-	if wait := l.Wait(now, now+time.Hour, position); wait != position {
+	if wait := l.ExpectedWait(now, now+time.Hour, position); wait != position {
 		t.Errorf("a backlog of 20 s told of a wait of %v", wait)
 	}
-	l.Granted(now, now, true)
-	if wait := l.Wait(now+time.Second, now+4*time.Second, position); wait != position {
+	l.ObserveGrant(now, now, true)
+	if wait := l.ExpectedWait(now+time.Second, now+4*time.Second, position); wait != position {
 		t.Errorf("wait %v behind an empty queue, want that by position", wait)
 	}
 }
--- a/internal/policy/retention.go
+++ b/internal/policy/retention.go
@@ -66,9 +66,9 @@
 	return pauseBuckets - 1
 }
 
-// Returned counts a pause that ended by a further call; presumed tells that it
+// ObserveReturn counts a pause that ended by a further call; presumed tells that it
 // was counted as lost before.
-func (p *Pauses) Returned(pause time.Duration, presumed bool) {
+func (p *Pauses) ObserveReturn(pause time.Duration, presumed bool) {
 	if presumed {
 		p.lost = max(0, p.lost-pauseGain)
 	}
@@ -76,9 +76,9 @@
 	p.returned[pauseBucket(pause)] += pauseGain
 }
 
-// Lost counts a pause that ended, or seems to have ended, without a further
+// ObserveAbandoned counts a pause that ended, or seems to have ended, without a further
 // call.
-func (p *Pauses) Lost() {
+func (p *Pauses) ObserveAbandoned() {
 	p.decay()
 	p.lost += pauseGain
 }
@@ -91,9 +91,9 @@
 	p.lost *= 1 - pauseGain
 }
 
-// Presume gives the length of a pause after which the program is presumed
+// AbandonTimeout gives the length of a pause after which the program is presumed
 // lost.
-func (p *Pauses) Presume() time.Duration {
+func (p *Pauses) AbandonTimeout() time.Duration {
 	if p.seen < minPauses {
 		return pauseBounds[pauseBuckets-1]
 	}
@@ -108,9 +108,9 @@
 	return pauseBounds[pauseBuckets-1]
 }
 
-// ReturnChance is the chance that a program that has paused that long comes
+// ReturnProbability is the chance that a program that has paused that long comes
 // back; 1 as long as too little is known.
-func (p *Pauses) ReturnChance(paused time.Duration) float64 {
+func (p *Pauses) ReturnProbability(paused time.Duration) float64 {
 	if p.seen < minPauses {
 		return 1
 	}
--- a/internal/policy/retrybudget.go
+++ b/internal/policy/retrybudget.go
@@ -8,8 +8,8 @@
 	retryShare = 0.2
 	// retryBurst is the number of retries that may come at once.
 	retryBurst = 20
-	// RetryBudgetPause is when a retry that was refused may come again.
-	RetryBudgetPause = time.Second
+	// RetryBudgetRetryAfter is when a retry that was refused may come again.
+	RetryBudgetRetryAfter = time.Second
 )
 
 // RetryBudget limits further attempts to a share of the fresh requests, so
@@ -17,10 +17,10 @@
 type RetryBudget struct{ share, burst, credit float64 }
 
 // NewRetryBudget returns a full budget.
-func NewRetryBudget() RetryBudget { return NewRetryBudgetOf(retryShare, retryBurst) }
+func NewRetryBudget() RetryBudget { return NewRetryBudgetWith(retryShare, retryBurst) }
 
-// NewRetryBudgetOf returns a full budget of another share and burst.
-func NewRetryBudgetOf(share, burst float64) RetryBudget {
+// NewRetryBudgetWith returns a full budget of another share and burst.
+func NewRetryBudgetWith(share, burst float64) RetryBudget {
 	return RetryBudget{share: share, burst: burst, credit: burst}
 }
 
--- a/internal/policy/room.go
+++ b/internal/policy/room.go
@@ -10,28 +10,28 @@
 // beyond makes all of them late, and in the end none is in time. A refusal costs
 // least where no work is lost yet: at the first turn of a program.
 
-// RoomClass is what is lost if a request is refused.
-type RoomClass uint8
+// AdmissionClass is what is lost if a request is refused.
+type AdmissionClass uint8
 
 // Classes of requests.
 const (
-	// RoomOutside requests belong to no program.
-	RoomOutside RoomClass = iota
-	// RoomFirst is the first turn of a program.
-	RoomFirst
-	// RoomUnderWay is a turn or call of a program that has begun.
-	RoomUnderWay
-	// RoomLate is a turn or call of a program whose time is over.
-	RoomLate
+	// ClassOutside requests belong to no program.
+	ClassOutside AdmissionClass = iota
+	// ClassFirstTurn is the first turn of a program.
+	ClassFirstTurn
+	// ClassInProgress is a turn or call of a program that has begun.
+	ClassInProgress
+	// ClassOverdue is a turn or call of a program whose time is over.
+	ClassOverdue
 )
 
-func (c RoomClass) String() string {
+func (c AdmissionClass) String() string {
 	switch c {
-	case RoomFirst:
+	case ClassFirstTurn:
 		return "first_turn"
-	case RoomUnderWay:
+	case ClassInProgress:
 		return "under_way"
-	case RoomLate:
+	case ClassOverdue:
 		return "late"
 	default:
 		return "outside_programs"
@@ -41,15 +41,15 @@
 // PoolLoad is what is known of a service's targets.
 type PoolLoad struct {
 	Service string
-	// Fill is how many requests run and wait, in parts of the slots, at the Known
+	// Utilization is how many requests run and wait, in parts of the slots, at the Known
 	// ones of All targets; the reports are of the mean age Age.
-	Fill  float64
-	Known int
-	All   int
-	Age   time.Duration
-	// Learned tells that the targets' speeds are learned. Otherwise those that are
+	Utilization      float64
+	ReportingTargets int
+	Targets          int
+	ReportAge        time.Duration
+	// SpeedsLearned tells that the targets' speeds are learned. Otherwise those that are
 	// busy cannot be told from those that are slow.
-	Learned bool
+	SpeedsLearned bool
 }
 
 const (
@@ -60,53 +60,53 @@
 	knownShare = 0.2
 )
 
-// Tells tells whether enough is known to refuse anything.
-func (p PoolLoad) Tells() bool {
-	return p.Learned && p.All > fewTargets && p.Known > fewTargets && float64(p.Known) >= knownShare*float64(p.All)
+// HasEnoughData tells whether enough is known to refuse anything.
+func (p PoolLoad) HasEnoughData() bool {
+	return p.SpeedsLearned && p.Targets > fewTargets && p.ReportingTargets > fewTargets && float64(p.ReportingTargets) >= knownShare*float64(p.Targets)
 }
 
 // Full tells that all slots are taken, as far as is known.
-func (p PoolLoad) Full() bool { return p.Tells() && p.Fill >= 1 }
+func (p PoolLoad) Full() bool { return p.HasEnoughData() && p.Utilization >= 1 }
 
-// RoomAsk is a request that asks for room.
-type RoomAsk struct {
-	Class RoomClass
+// AdmissionRequest is a request that asks for room.
+type AdmissionRequest struct {
+	Class AdmissionClass
 	// Rank is how much less urgent it is than such requests are in the mean.
 	Rank float64
-	// Size is what a program of its route needs, in parts of what programs need in
+	// RelativeSize is what a program of its route needs, in parts of what programs need in
 	// the mean; 0 if unknown.
-	Size float64
-	// Use is what its organisation uses, in parts of its limit; 0 if unknown.
-	Use float64
-	// Draw is from 0 to 1 and the same for each try of a program, so that tries do
+	RelativeSize float64
+	// LimitUsage is what its organisation uses, in parts of its limit; 0 if unknown.
+	LimitUsage float64
+	// Random is from 0 to 1 and the same for each try of a program, so that tries do
 	// not add up and programs under one load are not let in by turns.
-	Draw float64
+	Random float64
 	// Jitter is from 0 to 1 and spreads the times to come back.
 	Jitter float64
 	// TimeLeft is how long its caller waits, Usual how long such requests take
 	// now; 0 if unknown.
-	TimeLeft time.Duration
-	Usual    time.Duration
+	TimeLeft    time.Duration
+	TypicalTime time.Duration
 }
 
-// RoomCause is why there is no room.
-type RoomCause string
+// RefusalCause is why there is no room.
+type RefusalCause string
 
 // Causes of a refusal.
 const (
-	RoomPoolFull  RoomCause = "pool_full"
-	RoomNotInTime RoomCause = "not_in_time"
+	CausePoolFull  RefusalCause = "pool_full"
+	CauseNotInTime RefusalCause = "not_in_time"
 )
 
-// RoomVerdict is the decision on a RoomAsk.
-type RoomVerdict struct {
+// AdmissionVerdict is the decision on a AdmissionRequest.
+type AdmissionVerdict struct {
 	Admit bool
-	Cause RoomCause
+	Cause RefusalCause
 	// Pool is the one that has no room, Chance the share of such requests that it
 	// refuses.
-	Pool       PoolLoad
-	Chance     float64
-	RetryAfter time.Duration
+	Pool               PoolLoad
+	RefusalProbability float64
+	RetryAfter         time.Duration
 }
 
 // ramp refuses none up to a fill of start and most of the requests from a fill of
@@ -140,68 +140,68 @@
 	sizeShift = 0.05
 	// mostShift bounds both, around the mean.
 	mostShift = 0.3
-	// FairUse is the part of its limit up to which an organisation is served as
+	// FairUsageThreshold is the part of its limit up to which an organisation is served as
 	// others are: limits leave room above the usual. One at its limit is refused
 	// useFactor times as often.
-	FairUse   = 0.75
-	useFactor = 3
+	FairUsageThreshold = 0.75
+	useFactor          = 3
 	// leastServed is how often a rank or an organisation is served at least,
 	// against the most urgent.
 	leastServed = 0.3
 )
 
-// AdmitRoom decides whether a request may use the pools that it needs.
-func AdmitRoom(ask RoomAsk, pools ...PoolLoad) RoomVerdict {
+// AdmitRequest decides whether a request may use the pools that it needs.
+func AdmitRequest(ask AdmissionRequest, pools ...PoolLoad) AdmissionVerdict {
 	for _, p := range pools {
-		if p.Full() && ask.TimeLeft > 0 && ask.TimeLeft < ask.Usual/2 {
-			return RoomVerdict{Cause: RoomNotInTime, Pool: p, Chance: 1, RetryAfter: ComeBack(ask, p, 0)}
+		if p.Full() && ask.TimeLeft > 0 && ask.TimeLeft < ask.TypicalTime/2 {
+			return AdmissionVerdict{Cause: CauseNotInTime, Pool: p, RefusalProbability: 1, RetryAfter: RetryAfter(ask, p, 0)}
 		}
 	}
-	verdict := RoomVerdict{Admit: true}
+	verdict := AdmissionVerdict{Admit: true}
 	for _, p := range pools {
-		if chance := refusalChance(ask, p); chance > verdict.Chance {
-			verdict.Pool, verdict.Chance = p, chance
+		if chance := refusalChance(ask, p); chance > verdict.RefusalProbability {
+			verdict.Pool, verdict.RefusalProbability = p, chance
 		}
 	}
-	if ask.Draw >= verdict.Chance {
+	if ask.Random >= verdict.RefusalProbability {
 		return verdict
 	}
-	verdict.Admit, verdict.Cause = false, RoomPoolFull
-	verdict.RetryAfter = ComeBack(ask, verdict.Pool, verdict.Chance-ask.Draw)
+	verdict.Admit, verdict.Cause = false, CausePoolFull
+	verdict.RetryAfter = RetryAfter(ask, verdict.Pool, verdict.RefusalProbability-ask.Random)
 	return verdict
 }
 
 // refusalChance is the share of such requests that a pool refuses.
-func refusalChance(ask RoomAsk, pool PoolLoad) float64 {
-	if !pool.Tells() {
+func refusalChance(ask AdmissionRequest, pool PoolLoad) float64 {
+	if !pool.HasEnoughData() {
 		return 0
 	}
 	var r ramp
 	switch ask.Class {
-	case RoomFirst:
+	case ClassFirstTurn:
 		r = firstRamp
-	case RoomLate:
+	case ClassOverdue:
 		r = lateRamp
 	default:
 		return 0
 	}
-	best := r.chance(pool.Fill, -mostShift)
-	chance := r.chance(pool.Fill, earlier(ask)) * oftener(ask.Use)
+	best := r.chance(pool.Utilization, -mostShift)
+	chance := r.chance(pool.Utilization, earlier(ask)) * oftener(ask.LimitUsage)
 	return min(chance, 1-leastServed*(1-best))
 }
 
 // earlier is how much earlier a request is refused than the mean one.
-func earlier(ask RoomAsk) float64 {
+func earlier(ask AdmissionRequest) float64 {
 	return min(max(rankShift*ask.Rank+sizeEarlier(ask), -mostShift), mostShift)
 }
 
 // sizeEarlier is how much earlier a program is refused for what it needs. Size does
 // not put it behind less urgent ones, nor before more urgent ones.
-func sizeEarlier(ask RoomAsk) float64 {
-	if ask.Class != RoomFirst || ask.Size <= 0 {
+func sizeEarlier(ask AdmissionRequest) float64 {
+	if ask.Class != ClassFirstTurn || ask.RelativeSize <= 0 {
 		return 0
 	}
-	shift := sizeShift * math.Log2(ask.Size)
+	shift := sizeShift * math.Log2(ask.RelativeSize)
 	if shift*ask.Rank < 0 {
 		return 0
 	}
@@ -210,7 +210,7 @@
 
 // oftener is how much more often an organisation is refused than others.
 func oftener(use float64) float64 {
-	return 1 + (useFactor-1)*min(max((use-FairUse)/(1-FairUse), 0), 1)
+	return 1 + (useFactor-1)*min(max((use-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
 
 const (
@@ -226,12 +226,12 @@
 	jitterShare = 0.25
 )
 
-// ComeBack is when there should be room for a caller: in excess parts of the
+// RetryAfter is when there should be room for a caller: in excess parts of the
 // ramp, and the longer the more requests wait at the pool.
-func ComeBack(ask RoomAsk, pool PoolLoad, excess float64) time.Duration {
+func RetryAfter(ask AdmissionRequest, pool PoolLoad, excess float64) time.Duration {
 	after := float64(leastComeBack) + excess*float64(drainTime)
 	if pool.Full() {
-		after += (min(pool.Fill, 2) - 1) * float64(leastComeBack)
+		after += (min(pool.Utilization, 2) - 1) * float64(leastComeBack)
 	}
 	if ask.TimeLeft > 0 {
 		after = min(after, waitShare*float64(ask.TimeLeft))
--- a/internal/policy/room_test.go
+++ b/internal/policy/room_test.go
@@ -7,16 +7,16 @@
 
 // pool is one of many targets that all reported.
 func pool(fill float64) PoolLoad {
-	return PoolLoad{Service: "s", Fill: fill, Known: 40, All: 44, Age: 300 * time.Millisecond, Learned: true}
+	return PoolLoad{Service: "s", Utilization: fill, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
 }
 
 // served is the share of evenly drawn programs that are let in.
-func served(ask RoomAsk, pools ...PoolLoad) float64 {
+func served(ask AdmissionRequest, pools ...PoolLoad) float64 {
 	const n = 1000
 	admitted := 0
 	for i := range n {
-		ask.Draw = (float64(i) + 0.5) / n
-		if AdmitRoom(ask, pools...).Admit {
+		ask.Random = (float64(i) + 0.5) / n
+		if AdmitRequest(ask, pools...).Admit {
 			admitted++
 		}
 	}
@@ -24,14 +24,14 @@
 }
 
 func TestRoomIsRefusedByClass(t *testing.T) {
-	first, late := RoomAsk{Class: RoomFirst}, RoomAsk{Class: RoomLate}
+	first, late := AdmissionRequest{Class: ClassFirstTurn}, AdmissionRequest{Class: ClassOverdue}
 	for _, test := range []struct {
 		name        string
-		ask         RoomAsk
+		ask         AdmissionRequest
 		pool        PoolLoad
 		least, most float64
 	}{
-		{"half of the slots are free", RoomAsk{Class: RoomFirst, Rank: 9, Use: 1}, pool(0.5), 1, 1},
+		{"half of the slots are free", AdmissionRequest{Class: ClassFirstTurn, Rank: 9, LimitUsage: 1}, pool(0.5), 1, 1},
 		{"few wait", first, pool(1.2), 1, 1},
 		{"some wait", first, pool(1.4), 0.6, 0.9},
 		{"half as many wait as run", first, pool(1.6), 0.2, 0.5},
@@ -39,10 +39,10 @@
 		{"far too many", first, pool(100), 0.01, 0.1},
 		{"late work beside first turns", late, pool(1.55), 1, 1},
 		{"late work where that did not suffice", late, pool(2), 0.2, 0.5},
-		{"under way", RoomAsk{Class: RoomUnderWay}, pool(4), 1, 1},
-		{"outside programs", RoomAsk{}, pool(4), 1, 1},
-		{"few targets", first, PoolLoad{Fill: 9, Known: 1, All: 1}, 1, 1},
-		{"few reports", first, PoolLoad{Fill: 9, Known: 5, All: 44}, 1, 1},
+		{"under way", AdmissionRequest{Class: ClassInProgress}, pool(4), 1, 1},
+		{"outside programs", AdmissionRequest{}, pool(4), 1, 1},
+		{"few targets", first, PoolLoad{Utilization: 9, ReportingTargets: 1, Targets: 1}, 1, 1},
+		{"few reports", first, PoolLoad{Utilization: 9, ReportingTargets: 5, Targets: 44}, 1, 1},
 		{"nothing known", first, PoolLoad{}, 1, 1},
 	} {
 		if got := served(test.ask, test.pool); got < test.least || got > test.most {
@@ -56,62 +56,62 @@
 
 func TestRoomOfRanksAndOrganisations(t *testing.T) {
 	for fill := 0.5; fill < 4; fill += 0.05 {
-		top := served(RoomAsk{Class: RoomFirst, Rank: -9}, pool(fill))
+		top := served(AdmissionRequest{Class: ClassFirstTurn, Rank: -9}, pool(fill))
 		before := top
 		for rank := -4.0; rank < 6; rank++ {
-			got := served(RoomAsk{Class: RoomFirst, Rank: rank}, pool(fill))
+			got := served(AdmissionRequest{Class: ClassFirstTurn, Rank: rank}, pool(fill))
 			if got > before || got < top/4 {
 				t.Fatalf("fill %.2f: rank %g is served %.2f, the one before it %.2f, the first %.2f", fill, rank, got, before, top)
 			}
 			before = got
 		}
-		mean := served(RoomAsk{Class: RoomFirst}, pool(fill))
-		if got := served(RoomAsk{Class: RoomFirst, Use: 0.6}, pool(fill)); got != mean {
+		mean := served(AdmissionRequest{Class: ClassFirstTurn}, pool(fill))
+		if got := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(fill)); got != mean {
 			t.Fatalf("fill %.2f: at a usual use %.2f are served, %.2f of those unknown", fill, got, mean)
 		}
-		over := served(RoomAsk{Class: RoomFirst, Use: 1}, pool(fill))
+		over := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(fill))
 		if over > mean || over < mean/4 {
 			t.Fatalf("fill %.2f: served at the limit %.2f, else %.2f", fill, over, mean)
 		}
 	}
-	if over, usual := served(RoomAsk{Class: RoomFirst, Use: 1}, pool(1.4)), served(RoomAsk{Class: RoomFirst, Use: 0.6}, pool(1.4)); over > usual-0.3 {
+	if over, usual := served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), served(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > usual-0.3 {
 		t.Errorf("at the limit %.2f are served, at a usual use %.2f", over, usual)
 	}
 }
 
 func TestRoomInTime(t *testing.T) {
-	ask := RoomAsk{Class: RoomUnderWay, TimeLeft: 100 * time.Millisecond, Usual: time.Second}
-	if v := AdmitRoom(ask, pool(1.2)); v.Admit || v.Cause != RoomNotInTime || v.RetryAfter <= 0 {
+	ask := AdmissionRequest{Class: ClassInProgress, TimeLeft: 100 * time.Millisecond, TypicalTime: time.Second}
+	if v := AdmitRequest(ask, pool(1.2)); v.Admit || v.Cause != CauseNotInTime || v.RetryAfter <= 0 {
 		t.Errorf("a request that cannot be served in time: %+v", v)
 	}
-	if v := AdmitRoom(ask, pool(0.9)); !v.Admit {
+	if v := AdmitRequest(ask, pool(0.9)); !v.Admit {
 		t.Errorf("with free slots: %+v", v)
 	}
 	ask.TimeLeft = 0
-	if v := AdmitRoom(ask, pool(1.2)); !v.Admit {
+	if v := AdmitRequest(ask, pool(1.2)); !v.Admit {
 		t.Errorf("its time is not known: %+v", v)
 	}
 }
 
 func TestComeBack(t *testing.T) {
-	near := AdmitRoom(RoomAsk{Class: RoomFirst, Draw: 0.3, Jitter: 0.5}, pool(1.5))
-	far := AdmitRoom(RoomAsk{Class: RoomFirst, Draw: 0.1, Jitter: 0.5}, pool(2))
+	near := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.3, Jitter: 0.5}, pool(1.5))
+	far := AdmitRequest(AdmissionRequest{Class: ClassFirstTurn, Random: 0.1, Jitter: 0.5}, pool(2))
 	if near.Admit || far.Admit || near.RetryAfter >= far.RetryAfter {
 		t.Errorf("a program that is nearly let in comes back in %s, another in %s", near.RetryAfter, far.RetryAfter)
 	}
-	early := ComeBack(RoomAsk{Jitter: 0}, pool(2), 0.5)
-	late := ComeBack(RoomAsk{Jitter: 1}, pool(2), 0.5)
+	early := RetryAfter(AdmissionRequest{Jitter: 0}, pool(2), 0.5)
+	late := RetryAfter(AdmissionRequest{Jitter: 1}, pool(2), 0.5)
 	if late < early*3/2 {
 		t.Errorf("callers come back between %s and %s", early, late)
 	}
-	if got := ComeBack(RoomAsk{TimeLeft: 600 * time.Millisecond, Jitter: 0.5}, pool(2), 1); got > 200*time.Millisecond {
+	if got := RetryAfter(AdmissionRequest{TimeLeft: 600 * time.Millisecond, Jitter: 0.5}, pool(2), 1); got > 200*time.Millisecond {
 		t.Errorf("comes back in %s of 600 ms", got)
 	}
 }
 
 func TestRoomBySize(t *testing.T) {
 	ask := func(size, rank float64) float64 {
-		return served(RoomAsk{Class: RoomFirst, Size: size, Rank: rank}, pool(1.4))
+		return served(AdmissionRequest{Class: ClassFirstTurn, RelativeSize: size, Rank: rank}, pool(1.4))
 	}
 	if big, mean, small := ask(4, 0), ask(1, 0), ask(0.4, 0); big >= mean || mean >= small {
 		t.Errorf("served: big %.2f, mean %.2f, small %.2f", big, mean, small)
--- a/internal/policy/storepath.go
+++ b/internal/policy/storepath.go
@@ -60,9 +60,9 @@
 	at   time.Time
 }
 
-// StorePath is what an instance knows of its access to the store and of the
+// StoreMonitor is what an instance knows of its access to the store and of the
 // store's speed. The zero value knows nothing and takes all for well.
-type StorePath struct {
+type StoreMonitor struct {
 	answers []storeAnswer
 	// slowAt is when the store last was seen to be slow, fast how many answers
 	// since were not.
@@ -91,30 +91,30 @@
 
 // States of the access to the store.
 const (
-	StoreGood StoreState = "good"
+	StoreHealthy StoreState = "good"
 	// StoreSlow means that the store answers late, whoever asks.
 	StoreSlow StoreState = "slow"
-	// StoreClosed means that this instance's appends fail.
-	StoreClosed StoreState = "closed"
+	// StoreFailing means that this instance's appends fail.
+	StoreFailing StoreState = "closed"
 )
 
-// StoreAnswer is an append that the store took, as the instance that made it saw
+// AppendResult is an append that the store took, as the instance that made it saw
 // it: whether the time is long depends on how far the store is from there.
-type StoreAnswer struct {
+type AppendResult struct {
 	Took time.Duration
 	Slow bool
 }
 
-// Own notes an append of this instance that the store took.
-func (s *StorePath) Own(took time.Duration, now time.Time) StoreAnswer {
+// ObserveOwn notes an append of this instance that the store took.
+func (s *StoreMonitor) ObserveOwn(took time.Duration, now time.Time) AppendResult {
 	s.learnUsual(min(took, storeUsualMost))
-	a := StoreAnswer{Took: took, Slow: took > s.slowAbove()}
-	s.Heard(a, now)
+	a := AppendResult{Took: took, Slow: took > s.slowAbove()}
+	s.Observe(a, now)
 	return a
 }
 
 // learnUsual follows the short answers at once and the long ones slowly.
-func (s *StorePath) learnUsual(took time.Duration) {
+func (s *StoreMonitor) learnUsual(took time.Duration) {
 	if s.usual == 0 || took < s.usual {
 		s.usual = took
 		return
@@ -123,12 +123,12 @@
 }
 
 // slowAbove is the time from which on an append of this instance is slow.
-func (s *StorePath) slowAbove() time.Duration {
+func (s *StoreMonitor) slowAbove() time.Duration {
 	return max(storeSlowAbove, storeSlowTimes*s.usual)
 }
 
-// Heard notes an append that the store took from another instance.
-func (s *StorePath) Heard(a StoreAnswer, now time.Time) {
+// Observe notes an append that the store took from another instance.
+func (s *StoreMonitor) Observe(a AppendResult, now time.Time) {
 	if len(s.answers) == storeAnswers {
 		s.answers = s.answers[1:]
 	}
@@ -144,26 +144,26 @@
 	s.slowAt, s.fast = now, 0
 }
 
-// Shortest is the shortest answer of a slow store since it is slow.
-func (s *StorePath) Shortest() time.Duration { return s.shortest }
+// ShortestSlow is the shortest answer of a slow store since it is slow.
+func (s *StoreMonitor) ShortestSlow() time.Duration { return s.shortest }
 
-// Told notes that another instance found the store slow, by an answer that took
+// ObserveNotice notes that another instance found the store slow, by an answer that took
 // some time, or by an append that hangs if that is 0.
-func (s *StorePath) Told(took time.Duration, now time.Time) {
+func (s *StoreMonitor) ObserveNotice(took time.Duration, now time.Time) {
 	if now.Sub(s.heardFrom) >= storeTellPause {
 		s.heardFrom, s.heard = now, 0
 	}
 	s.heard++
 	if took > 0 {
-		s.Heard(StoreAnswer{Took: took, Slow: true}, now)
+		s.Observe(AppendResult{Took: took, Slow: true}, now)
 		return
 	}
 	s.suspected, s.fast = now, 0
 }
 
-// Tells tells whether others should be told that the store is slow: not if this
+// ShouldNotifySlow tells whether others should be told that the store is slow: not if this
 // instance or enough others did so lately.
-func (s *StorePath) Tells(now time.Time) bool {
+func (s *StoreMonitor) ShouldNotifySlow(now time.Time) bool {
 	if !s.Slow(now) || s.allKnow(now) {
 		return false
 	}
@@ -173,21 +173,21 @@
 
 // allKnow tells whether all instances were told lately that the store is slow,
 // as far as this one knows.
-func (s *StorePath) allKnow(now time.Time) bool {
+func (s *StoreMonitor) allKnow(now time.Time) bool {
 	return now.Sub(s.told) < storeTellPause || s.heard >= storeTellers && now.Sub(s.heardFrom) < storeTellPause
 }
 
-// TimedOut notes that an append of this instance had no answer in time. Where the
+// ObserveTimeout notes that an append of this instance had no answer in time. Where the
 // store is slow for all that tells nothing of this instance's way.
-func (s *StorePath) TimedOut(now time.Time) {
+func (s *StoreMonitor) ObserveTimeout(now time.Time) {
 	if !s.Slow(now) {
-		s.OwnAppend(false, now)
+		s.ObserveOutcome(false, now)
 	}
 }
 
-// OwnAppend notes whether an append of this instance succeeded. It tells whether
+// ObserveOutcome notes whether an append of this instance succeeded. It tells whether
 // appends succeed again after an outage.
-func (s *StorePath) OwnAppend(ok bool, now time.Time) (back bool) {
+func (s *StoreMonitor) ObserveOutcome(ok bool, now time.Time) (back bool) {
 	back = ok && s.failing
 	if back {
 		s.returned = now
@@ -199,17 +199,17 @@
 	return back
 }
 
-// Refused notes that the store refused an append of this instance or cut it off. A
+// ObserveRefusal notes that the store refused an append of this instance or cut it off. A
 // single refusal among successes is its partition's own.
-func (s *StorePath) Refused(now time.Time) { s.failing = s.failing || s.Outage(now) }
+func (s *StoreMonitor) ObserveRefusal(now time.Time) { s.failing = s.failing || s.InOutage(now) }
 
-// Outage tells whether a failure now is more than that of single partitions: no
+// InOutage tells whether a failure now is more than that of single partitions: no
 // append of this instance succeeded lately.
-func (s *StorePath) Outage(now time.Time) bool { return now.Sub(s.succeeded) >= storeOutage }
+func (s *StoreMonitor) InOutage(now time.Time) bool { return now.Sub(s.succeeded) >= storeOutage }
 
-// TellsOfHanging tells whether others should be told that an append hangs: the
+// ShouldNotifyHang tells whether others should be told that an append hangs: the
 // store may be slow, which all would find out one after the other.
-func (s *StorePath) TellsOfHanging(now time.Time) bool {
+func (s *StoreMonitor) ShouldNotifyHang(now time.Time) bool {
 	if s.failing || s.allKnow(now) {
 		return false
 	}
@@ -217,30 +217,30 @@
 	return true
 }
 
-// Overtaken tells whether the way of an append is bad that has no answer after
+// PathDegraded tells whether the way of an append is bad that has no answer after
 // a time, while another instance's was answered.
 // It is not if the store itself is slow.
-func (s *StorePath) Overtaken(other StoreAnswer, without time.Duration) bool {
+func (s *StoreMonitor) PathDegraded(other AppendResult, without time.Duration) bool {
 	return !other.Slow && without > s.slowAbove()
 }
 
 // Failing tells that this instance's appends fail.
-func (s *StorePath) Failing() bool { return s.failing }
+func (s *StoreMonitor) Failing() bool { return s.failing }
 
 // Slow tells whether the store is slow: it was, lately, and has not been fast
 // often enough since.
-func (s *StorePath) Slow(now time.Time) bool {
+func (s *StoreMonitor) Slow(now time.Time) bool {
 	return s.fast < storeFastAgain && !s.slowAt.IsZero() && now.Sub(s.slowAt) < storeMemory
 }
 
 // suspects tells whether the store may be slow or silent: an append hung, and
 // there were few answers in time since.
-func (s *StorePath) suspects(now time.Time) bool {
+func (s *StoreMonitor) suspects(now time.Time) bool {
 	return s.fast < storeFastAgain && !s.suspected.IsZero() && now.Sub(s.suspected) < storeMemory
 }
 
-// Typical is the median of the answers that still tell, 0 if there is none.
-func (s *StorePath) Typical(now time.Time) time.Duration {
+// TypicalLatency is the median of the answers that still tell, 0 if there is none.
+func (s *StoreMonitor) TypicalLatency(now time.Time) time.Duration {
 	times := s.recent(now)
 	if len(times) == 0 {
 		return 0
@@ -249,7 +249,7 @@
 }
 
 // recent lists the times of the answers that still tell, in order.
-func (s *StorePath) recent(now time.Time) []time.Duration {
+func (s *StoreMonitor) recent(now time.Time) []time.Duration {
 	var times []time.Duration
 	for _, a := range s.answers {
 		if now.Sub(a.at) < storeMemory {
@@ -261,7 +261,7 @@
 }
 
 // longest is the longest answer that still tells, 0 if there is none.
-func (s *StorePath) longest(now time.Time) time.Duration {
+func (s *StoreMonitor) longest(now time.Time) time.Duration {
 	times := s.recent(now)
 	if len(times) == 0 {
 		return 0
@@ -269,75 +269,75 @@
 	return times[len(times)-1]
 }
 
-// Pending is an append of this instance without an answer yet.
-type Pending struct {
+// PendingAppend is an append of this instance without an answer yet.
+type PendingAppend struct {
 	Partition int
-	Begun     time.Time
+	Started   time.Time
 }
 
-// Gathers tells whether a turn for a partition should ride on the append of the
+// ShouldBatch tells whether a turn for a partition should ride on the append of the
 // partition's gatherer: where this instance's appends fail or hang, or the store
 // is slow or has just come back.
-func (s *StorePath) Gathers(partition int, pending []Pending, now time.Time) bool {
+func (s *StoreMonitor) ShouldBatch(partition int, pending []PendingAppend, now time.Time) bool {
 	if s.failing || s.Slow(now) || s.suspects(now) || now.Sub(s.returned) < storeSettle {
 		return true
 	}
 	for _, p := range pending {
-		if s.Hangs(p.Begun, now) || p.Partition == partition && now.Sub(p.Begun) > s.slowAbove() {
+		if s.AppendHangs(p.Started, now) || p.Partition == partition && now.Sub(p.Started) > s.slowAbove() {
 			return true
 		}
 	}
 	return false
 }
 
-// Hangs tells whether an append takes long and nothing was answered since it
+// AppendHangs tells whether an append takes long and nothing was answered since it
 // began.
-func (s *StorePath) Hangs(begun, now time.Time) bool {
-	return now.Sub(begun) > s.slowAbove() && !s.AnsweredSince(begun)
+func (s *StoreMonitor) AppendHangs(begun, now time.Time) bool {
+	return now.Sub(begun) > s.slowAbove() && !s.RespondedSince(begun)
 }
 
-// AnsweredSince tells whether the store answered an append of anyone, as far as
+// RespondedSince tells whether the store answered an append of anyone, as far as
 // this instance knows.
-func (s *StorePath) AnsweredSince(t time.Time) bool {
+func (s *StoreMonitor) RespondedSince(t time.Time) bool {
 	return len(s.answers) > 0 && s.answers[len(s.answers)-1].at.After(t)
 }
 
-// Patience is how long an append may take. It grows with the store's answers;
+// AppendTimeout is how long an append may take. It grows with the store's answers;
 // without any the store is silent and trying again is the only way to learn of
 // its return.
-func (s *StorePath) Patience(now time.Time) time.Duration {
+func (s *StoreMonitor) AppendTimeout(now time.Time) time.Duration {
 	return min(max(storePatienceTimes*s.longest(now), storePatienceLeast), storePatienceMost)
 }
 
-// HedgeAfter is how long a try may take until another instance is asked. Where
+// HedgeDelay is how long a try may take until another instance is asked. Where
 // the store is slow it is as long as the slowest append may take, and where it
 // may be, half as long: until then an answer shows whether it is.
-func (s *StorePath) HedgeAfter(now time.Time) time.Duration {
+func (s *StoreMonitor) HedgeDelay(now time.Time) time.Duration {
 	switch {
 	case s.Slow(now):
-		return s.Patience(now)
+		return s.AppendTimeout(now)
 	case s.suspects(now):
-		return s.Patience(now) / 2
+		return s.AppendTimeout(now) / 2
 	}
 	return max(storeHedgeLeast, 2*s.slowAbove())
 }
 
 // State is the state as a whole.
-func (s *StorePath) State(now time.Time) StoreState {
+func (s *StoreMonitor) State(now time.Time) StoreState {
 	switch {
 	case s.failing:
-		return StoreClosed
+		return StoreFailing
 	case s.Slow(now):
 		return StoreSlow
 	}
-	return StoreGood
+	return StoreHealthy
 }
 
-// GatherPatience is how long the gatherer of a partition may take: turns may have
+// BatchTimeout is how long the gatherer of a partition may take: turns may have
 // to wait for the append before theirs.
-func (s *StorePath) GatherPatience(now time.Time) time.Duration {
+func (s *StoreMonitor) BatchTimeout(now time.Time) time.Duration {
 	if s.Slow(now) {
-		return 2 * s.Patience(now)
+		return 2 * s.AppendTimeout(now)
 	}
-	return s.Patience(now) + storeHedgeLeast
+	return s.AppendTimeout(now) + storeHedgeLeast
 }
--- a/internal/policy/storepath_test.go
+++ b/internal/policy/storepath_test.go
@@ -9,10 +9,10 @@
 func at(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 
 // pathWith is a path with answers of a length, every 10 ms.
-func pathWith(took time.Duration, answers int) *StorePath {
-	s := new(StorePath)
+func pathWith(took time.Duration, answers int) *StoreMonitor {
+	s := new(StoreMonitor)
 	for i := range answers {
-		s.Own(took, at(time.Duration(i)*10*time.Millisecond))
+		s.ObserveOwn(took, at(time.Duration(i)*10*time.Millisecond))
 	}
 	return s
 }
@@ -21,22 +21,22 @@
 func TestSlowStoreIsGivenTime(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s := pathWith(300*time.Millisecond, 8)
-	if !s.Gathers(1, nil, now) || s.State(now) != StoreSlow {
+	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreSlow {
 		t.Error("turns are not gathered")
 	}
-	if got := s.Patience(now); got != 1200*time.Millisecond {
+	if got := s.AppendTimeout(now); got != 1200*time.Millisecond {
 		t.Errorf("patience %s", got)
 	}
-	if got := s.HedgeAfter(now); got < time.Second {
+	if got := s.HedgeDelay(now); got < time.Second {
 		t.Errorf("another instance is asked after %s", got)
 	}
-	if s.Overtaken(StoreAnswer{Took: 300 * time.Millisecond, Slow: true}, time.Second) {
+	if s.PathDegraded(AppendResult{Took: 300 * time.Millisecond, Slow: true}, time.Second) {
 		t.Error("the way is blamed for a slow store")
 	}
 	for range 20 {
-		s.Own(5*time.Millisecond, now)
+		s.ObserveOwn(5*time.Millisecond, now)
 	}
-	if s.Gathers(1, nil, now) || s.State(now) != StoreGood {
+	if s.ShouldBatch(1, nil, now) || s.State(now) != StoreHealthy {
 		t.Error("turns are gathered when the store is well again")
 	}
 }
@@ -45,14 +45,14 @@
 func TestSilenceIsNotSlowness(t *testing.T) {
 	now := at(200 * time.Millisecond)
 	s := pathWith(5*time.Millisecond, 8)
-	hung := []Pending{{Partition: 2, Begun: at(100 * time.Millisecond)}}
-	if !s.Gathers(1, hung, now) {
+	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
+	if !s.ShouldBatch(1, hung, now) {
 		t.Error("turns follow one that hangs")
 	}
-	if s.Patience(now) != storePatienceLeast || s.HedgeAfter(now) != storeHedgeLeast {
-		t.Errorf("patience %s, hedge %s", s.Patience(now), s.HedgeAfter(now))
+	if s.AppendTimeout(now) != storePatienceLeast || s.HedgeDelay(now) != storeHedgeLeast {
+		t.Errorf("patience %s, hedge %s", s.AppendTimeout(now), s.HedgeDelay(now))
 	}
-	if !s.Overtaken(StoreAnswer{Took: 5 * time.Millisecond}, 100*time.Millisecond) {
+	if !s.PathDegraded(AppendResult{Took: 5 * time.Millisecond}, 100*time.Millisecond) {
 		t.Error("the way is not blamed though others are answered")
 	}
 }
@@ -60,11 +60,11 @@
 // One partition away: the turns of others go on.
 func TestPartitionThatHangsStopsNoOther(t *testing.T) {
 	s := pathWith(5*time.Millisecond, 8)
-	hung := []Pending{{Partition: 2, Begun: at(100 * time.Millisecond)}}
-	s.Own(5*time.Millisecond, at(120*time.Millisecond))
+	hung := []PendingAppend{{Partition: 2, Started: at(100 * time.Millisecond)}}
+	s.ObserveOwn(5*time.Millisecond, at(120*time.Millisecond))
 	now := at(200 * time.Millisecond)
-	if s.Gathers(1, hung, now) || !s.Gathers(2, hung, now) {
-		t.Errorf("gathers 1: %v, 2: %v", s.Gathers(1, hung, now), s.Gathers(2, hung, now))
+	if s.ShouldBatch(1, hung, now) || !s.ShouldBatch(2, hung, now) {
+		t.Errorf("gathers 1: %v, 2: %v", s.ShouldBatch(1, hung, now), s.ShouldBatch(2, hung, now))
 	}
 }
 
@@ -76,15 +76,15 @@
 	for i := range 40 {
 		now := at(100*time.Millisecond + time.Duration(i)*50*time.Millisecond)
 		if i%4 == 3 {
-			s.Refused(now)
-		} else if s.OwnAppend(true, now) {
+			s.ObserveRefusal(now)
+		} else if s.ObserveOutcome(true, now) {
 			t.Fatal("a success beside refusals is told as the store's return")
 		}
-		if s.State(now) != StoreGood || s.Gathers(1, nil, now) {
+		if s.State(now) != StoreHealthy || s.ShouldBatch(1, nil, now) {
 			t.Fatalf("after append %d the way is taken for %s", i, s.State(now))
 		}
 	}
-	if last := at(2100 * time.Millisecond); s.Outage(last) || !s.Outage(last.Add(time.Second)) {
+	if last := at(2100 * time.Millisecond); s.InOutage(last) || !s.InOutage(last.Add(time.Second)) {
 		t.Error("single failures and an outage are not told apart")
 	}
 }
@@ -93,21 +93,21 @@
 func TestRefusedAppendsGoThroughOthers(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s := pathWith(5*time.Millisecond, 8)
-	s.Refused(now)
-	if !s.Gathers(1, nil, now) || s.State(now) != StoreClosed {
+	s.ObserveRefusal(now)
+	if !s.ShouldBatch(1, nil, now) || s.State(now) != StoreFailing {
 		t.Error("turns go where they are refused")
 	}
 	now = now.Add(storeOutage)
-	if !s.OwnAppend(true, now) || !s.Gathers(1, nil, now) {
+	if !s.ObserveOutcome(true, now) || !s.ShouldBatch(1, nil, now) {
 		t.Error("turns are not gathered right after the store's return")
 	}
 	now = now.Add(storeSettle)
-	if s.Gathers(1, nil, now) {
+	if s.ShouldBatch(1, nil, now) {
 		t.Error("turns go through others though they need not")
 	}
 	slow := pathWith(300*time.Millisecond, 8)
 	later := now.Add(storeMemory + time.Second)
-	if slow.Gathers(1, nil, later) || slow.Patience(later) != storePatienceLeast {
+	if slow.ShouldBatch(1, nil, later) || slow.AppendTimeout(later) != storePatienceLeast {
 		t.Error("old answers decide")
 	}
 }
@@ -116,16 +116,16 @@
 func TestFewTellThatTheStoreIsSlow(t *testing.T) {
 	now := at(100 * time.Millisecond)
 	s, other := pathWith(300*time.Millisecond, 1), pathWith(5*time.Millisecond, 8)
-	if other.Tells(now) || !s.Tells(now) || s.Tells(now) {
+	if other.ShouldNotifySlow(now) || !s.ShouldNotifySlow(now) || s.ShouldNotifySlow(now) {
 		t.Error("told wrongly")
 	}
 	for range storeTellers {
-		other.Told(300*time.Millisecond, now)
+		other.ObserveNotice(300*time.Millisecond, now)
 	}
-	if !other.Gathers(1, nil, now) || other.Tells(now) {
+	if !other.ShouldBatch(1, nil, now) || other.ShouldNotifySlow(now) {
 		t.Error("what was told has no effect, or is told once more")
 	}
-	if !other.Tells(now.Add(storeTellPause)) {
+	if !other.ShouldNotifySlow(now.Add(storeTellPause)) {
 		t.Error("that the store stays slow is not told")
 	}
 }
@@ -135,10 +135,10 @@
 func TestFarStoreIsNotSlow(t *testing.T) {
 	s := pathWith(50*time.Millisecond, 8)
 	now := at(200 * time.Millisecond)
-	if s.Own(60*time.Millisecond, now).Slow || s.Gathers(1, nil, now) || s.HedgeAfter(now) < 100*time.Millisecond {
+	if s.ObserveOwn(60*time.Millisecond, now).Slow || s.ShouldBatch(1, nil, now) || s.HedgeDelay(now) < 100*time.Millisecond {
 		t.Error("a store that is far away is taken for slow")
 	}
-	if !s.Own(500*time.Millisecond, now).Slow || !s.Gathers(1, nil, now) {
+	if !s.ObserveOwn(500*time.Millisecond, now).Slow || !s.ShouldBatch(1, nil, now) {
 		t.Error("a slow store that is far away is not noticed")
 	}
 }
--- a/internal/policy/straggler.go
+++ b/internal/policy/straggler.go
@@ -24,8 +24,8 @@
 	againFill = 0.8
 )
 
-// Stragglers follows the times of one kind of request.
-type Stragglers struct {
+// Hedger follows the times of one kind of request.
+type Hedger struct {
 	// Rare is the time that few answers pass.
 	Rare time.Duration
 	seen int
@@ -34,7 +34,7 @@
 }
 
 // Add takes the time of an answer in.
-func (s *Stragglers) Add(took time.Duration) {
+func (s *Hedger) Add(took time.Duration) {
 	s.seen++
 	s.saved = min(s.saved+againShare, againMost)
 	if s.Rare == 0 {
@@ -49,17 +49,17 @@
 	s.Rare -= time.Duration(step * rarely)
 }
 
-// Patience is how long a first send may take where a second one is allowed, in a
+// HedgeDelay is how long a first send may take where a second one is allowed, in a
 // service of a fill; false if there is to be none for now.
-func (s *Stragglers) Patience(fill float64) (time.Duration, bool) {
+func (s *Hedger) HedgeDelay(fill float64) (time.Duration, bool) {
 	if s.seen < rareKnown || s.saved < 1 || fill >= againFill {
 		return 0, false
 	}
 	return time.Duration(rareMargin * float64(s.Rare)), true
 }
 
-// Again counts a second send, after a first one that passed Rare.
-func (s *Stragglers) Again() {
+// RecordHedge counts a second send, after a first one that passed Rare.
+func (s *Hedger) RecordHedge() {
 	s.saved--
 	s.Add(s.Rare + 1)
 }
--- a/internal/policy/straggler_test.go
+++ b/internal/policy/straggler_test.go
@@ -10,15 +10,15 @@
 // the requests while half of the answers straggle, and stop in an overload.
 func TestSecondSendsStayWithinTheirPart(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	var s Stragglers
+	var s Hedger
 	usual := func() time.Duration { return time.Duration(20+random.Intn(60)) * time.Millisecond }
-	if _, ok := s.Patience(0); ok {
+	if _, ok := s.HedgeDelay(0); ok {
 		t.Error("a second send was allowed before anything was seen")
 	}
 	late, known := 0, 0
 	for range 4000 {
 		took := usual()
-		if patience, ok := s.Patience(0.3); ok {
+		if patience, ok := s.HedgeDelay(0.3); ok {
 			known++
 			if took > patience {
 				late++
@@ -34,8 +34,8 @@
 	}
 	again := 0
 	for range 1000 {
-		if _, ok := s.Patience(0.3); ok && random.Intn(2) == 0 {
-			s.Again()
+		if _, ok := s.HedgeDelay(0.3); ok && random.Intn(2) == 0 {
+			s.RecordHedge()
 			again++
 			continue
 		}
@@ -47,7 +47,7 @@
 	for range 1000 {
 		s.Add(usual())
 	}
-	if _, ok := s.Patience(againFill); ok {
+	if _, ok := s.HedgeDelay(againFill); ok {
 		t.Error("a second send was allowed in an overload")
 	}
 }
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -12,7 +12,7 @@
 // Room decides who is let in while there is too little room.
 type Room interface {
 	// Admit decides on a request.
-	Admit(request overload.Request, now time.Time) policy.RoomVerdict
+	Admit(request overload.Request, now time.Time) policy.AdmissionVerdict
 	// AllowRetry and AllowRetryAfterFailure tell whether a request may go to one more target,
 	// after a number of targets were full or after one failed.
 	AllowRetry(service string, refusals int, now time.Time) bool
@@ -31,12 +31,12 @@
 // mayBegin tells whether a turn may be a program's first: of a route that keeps
 // turns one that continues none.
 func (x *transfer) mayBegin() bool {
-	return x.isTurn() && x.call.LastEvent == "" && (!x.route.KeepsTurns || x.call.PreviousTurn == "")
+	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
 // begins tells whether a turn with room in its budget is its program's first.
 func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.KeepsTurns || lease.First())
+	return x.mayBegin() && (x.route.StoresTurns || lease.First())
 }
 
 // hasRoom asks for room before anything is asked of others. First turns ask
@@ -53,28 +53,28 @@
 		return true
 	}
 	if x.permit != nil {
-		x.permit.GiveBack()
+		x.permit.Release()
 	}
 	return false
 }
 
 // roomClass is what is lost if the request is refused.
-func (x *transfer) roomClass(first bool) policy.RoomClass {
+func (x *transfer) roomClass(first bool) policy.AdmissionClass {
 	switch {
 	case x.call.Program == "":
-		return policy.RoomOutside
+		return policy.ClassOutside
 	case first:
-		return policy.RoomFirst
+		return policy.ClassFirstTurn
 	case x.call.LastEvent != "":
-		return policy.RoomUnderWay // an earlier attempt may have run
+		return policy.ClassInProgress // an earlier attempt may have run
 	case x.call.ProgramOver:
-		return policy.RoomLate
+		return policy.ClassOverdue
 	}
-	return policy.RoomUnderWay
+	return policy.ClassInProgress
 }
 
 // admitClass returns false if the request has been refused.
-func (x *transfer) admitClass(class policy.RoomClass) bool {
+func (x *transfer) admitClass(class policy.AdmissionClass) bool {
 	asked := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.urgency(),
 		IsCall: x.call.Program != "" && !x.isTurn(), Usage: x.use(), TimeLeft: time.Until(x.deadline),
@@ -106,7 +106,7 @@
 	if x.permit == nil {
 		return 0
 	}
-	return x.permit.Use()
+	return x.permit.Utilization()
 }
 
 // comeBack is when the caller should come back after no target took the request.
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -19,19 +19,19 @@
 
 // fullRoom refuses a class of requests and allows no second send.
 type fullRoom struct {
-	refused policy.RoomClass
+	refused policy.AdmissionClass
 
 	mu    sync.Mutex
 	asked []overload.Request
 }
 
-func (f *fullRoom) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
+func (f *fullRoom) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked = append(f.asked, r)
-	return policy.RoomVerdict{
-		Admit: r.Class != f.refused, Cause: policy.RoomPoolFull, RetryAfter: 300 * time.Millisecond,
-		Pool: policy.PoolLoad{Service: r.Service, Fill: 1.7},
+	return policy.AdmissionVerdict{
+		Admit: r.Class != f.refused, Cause: policy.CausePoolFull, RetryAfter: 300 * time.Millisecond,
+		Pool: policy.PoolLoad{Service: r.Service, Utilization: 1.7},
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestAFirstTurnWithoutRoomIsRefusedAtOnce(t *testing.T) {
 	w := newWorld(t)
 	engine := w.target("e", "engine", serveEvents(1, never))
-	room := &fullRoom{refused: policy.RoomFirst}
+	room := &fullRoom{refused: policy.ClassFirstTurn}
 	w.server.room = room
 	got := w.do(w.turn("/kept/x", "t1"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.3" || !strings.Contains(got.body, "no_room") {
@@ -88,17 +88,17 @@
 	for _, test := range []struct {
 		name    string
 		request *http.Request
-		class   policy.RoomClass
+		class   policy.AdmissionClass
 		call    bool
 	}{
-		{"first turn", w.turn("/kept/x", "k1"), policy.RoomFirst, false},
-		{"first turn that is resumed", w.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.RoomUnderWay, false},
-		{"time left", w.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.RoomUnderWay, false},
-		{"time over", w.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, false},
-		{"call", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.RoomUnderWay, true},
+		{"first turn", w.turn("/kept/x", "k1"), policy.ClassFirstTurn, false},
+		{"first turn that is resumed", w.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.ClassInProgress, false},
+		{"time left", w.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.ClassInProgress, false},
+		{"time over", w.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, false},
+		{"call", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.ClassInProgress, true},
 		{"call, time over", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p",
-			"Banyanglade-Program-Deadline-Ms", "0"), policy.RoomLate, true},
-		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.RoomOutside, false},
+			"Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, true},
+		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOutside, false},
 	} {
 		room := &fullRoom{refused: test.class}
 		w.server.room = room
@@ -113,7 +113,7 @@
 	w := newWorld(t)
 	full := w.target("full", "app", refuseFull)
 	also := w.target("also", "app", refuseFull)
-	w.server.room = &fullRoom{refused: policy.RoomLate}
+	w.server.room = &fullRoom{refused: policy.ClassOverdue}
 	got := w.do(w.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.07" {
 		t.Errorf("got %+v", got)
@@ -129,10 +129,10 @@
 	back int
 }
 
-func (n *nearLimit) Admit(context.Context, Entry) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                       {}
-func (n *nearLimit) Use() float64                                 { return n.use }
-func (n *nearLimit) GiveBack()                                    { n.back++ }
+func (n *nearLimit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
+func (n *nearLimit) Again()                                                  {}
+func (n *nearLimit) Utilization() float64                                    { return n.use }
+func (n *nearLimit) Release()                                                { n.back++ }
 
 func TestAnOrganisationsUseCountsAndItsPermitIsGivenBack(t *testing.T) {
 	w, _ := withLimit(t)
@@ -151,8 +151,8 @@
 // fairRoom refuses organisations that use more than is fair.
 type fairRoom struct{ fullRoom }
 
-func (*fairRoom) Admit(r overload.Request, _ time.Time) policy.RoomVerdict {
-	return policy.RoomVerdict{Admit: r.Usage <= policy.FairUse, RetryAfter: time.Second}
+func (*fairRoom) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
+	return policy.AdmissionVerdict{Admit: r.Usage <= policy.FairUsageThreshold, RetryAfter: time.Second}
 }
 
 func TestAnOrganisationsRankGoesBeforeItsRoutes(t *testing.T) {
@@ -180,7 +180,7 @@
 	}
 	w.target("a", "app", slowThenQuick)
 	w.target("b", "app", slowThenQuick)
-	w.server.room = &fullRoom{refused: policy.RoomLate}
+	w.server.room = &fullRoom{refused: policy.ClassOverdue}
 	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/serve/lengths.go
+++ b/internal/serve/lengths.go
@@ -62,9 +62,9 @@
 
 type connKey struct{}
 
-// WatchListener makes a listener for callers whose connections are looked at.
+// WrapListener makes a listener for callers whose connections are looked at.
 // ConnContext must be set in the http.Server that uses it.
-func (s *Server) WatchListener(l net.Listener) net.Listener { return watchListener{l, s.memory} }
+func (s *Server) WrapListener(l net.Listener) net.Listener { return watchListener{l, s.memory} }
 
 type watchListener struct {
 	net.Listener
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -230,12 +230,12 @@
 // noteFailure draws the conclusions from a send without an answer. A kept
 // connection that ended says nothing of its target.
 func (x *transfer) noteFailure(target *targets.Target, err error, sentAt time.Time) {
-	if errors.Is(err, exchange.ErrReused) && errors.Is(err, exchange.ErrUnanswered) {
+	if errors.Is(err, exchange.ErrReusedConn) && errors.Is(err, exchange.ErrNoResponse) {
 		return
 	}
 	now := time.Now()
 	x.server.targets.RecordFailure(target, now)
-	ended := errors.Is(err, exchange.ErrUnanswered) && now.Sub(sentAt) < x.server.downWithin
+	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.downWithin
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
@@ -258,7 +258,7 @@
 // target is asked again, on a new one.
 func (x *transfer) passOverUnanswered(target *targets.Target, err error) {
 	x.passOverSilent(target, err)
-	if errors.Is(err, exchange.ErrReused) {
+	if errors.Is(err, exchange.ErrReusedConn) {
 		return
 	}
 	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.broken, target.Incarnation()) {
@@ -289,7 +289,7 @@
 // mayRepeat tells whether the request may be sent once more after it may have
 // run; if not, it ends it.
 func (x *transfer) mayRepeat() bool {
-	if x.route.MayRepeat() && x.sends < maxSends && x.mayTryAgain() {
+	if x.route.Retryable() && x.sends < maxSends && x.mayTryAgain() {
 		return true
 	}
 	x.giveUp(reasonBroken)
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -56,7 +56,7 @@
 	if s.events == 0 {
 		return
 	}
-	sample := policy.Sample{
+	sample := policy.RunSample{
 		Completion: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Took: time.Since(s.sentAt),
 	}
 	if s.target.Incarnation() != x.lastOfProgram {
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -107,7 +107,7 @@
 	target := r.Pick(Criteria{Service: "s"}, sim.now)
 	sim.sent++
 	sim.served[target.ID]++
-	if !sim.idle[instance].Kept(target.Address, sim.now) {
+	if !sim.idle[instance].HasIdle(target.Address, sim.now) {
 		sim.opened++
 	}
 	sim.running[target.ID]++
--- a/internal/targets/expected_end.go
+++ b/internal/targets/expected_end.go
@@ -17,22 +17,22 @@
 	preferred := criteria.preferred(all)
 	r.endOptions = r.endOptions[:0]
 	for _, t := range all {
-		hasIdle := r.connections.Kept(t.Address, now)
+		hasIdle := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
 		slowness := t.currentSlowness(serviceMeans, now)
 		if last {
 			// Short slowdowns must not move a program from its target.
 			slowness = t.slowness(serviceMeans, now)
 		}
-		r.endOptions = append(r.endOptions, policy.EndOption{
-			Fill: t.utilization(pool, model.requestDuration, now), Slowness: slowness, Share: t.relativeUtilization(means),
-			Opens: !hasIdle, Far: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
-			Last: last, Warm: t == preferred,
-			Shut: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
-			Rank: r.tieBreak(t, hasIdle || !criteria.Stream),
+		r.endOptions = append(r.endOptions, policy.TargetOption{
+			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(means),
+			NeedsConnection: !hasIdle, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
+			HasPrompt: last, Warm: t == preferred,
+			Excluded: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
+			Rank:     r.tieBreak(t, hasIdle || !criteria.Stream),
 		})
 	}
-	choice := policy.ByEnd(r.endOptions, model.endRequest(criteria))
+	choice := policy.ChooseTarget(r.endOptions, model.endRequest(criteria))
 	if choice.Index < 0 {
 		return nil
 	}
@@ -68,17 +68,17 @@
 }
 
 // set records a selection. It does nothing on a nil Explanation.
-func (e *Explanation) set(options []policy.EndOption, all []*Target, choice policy.EndChoice, now time.Time) {
+func (e *Explanation) set(options []policy.TargetOption, all []*Target, choice policy.TargetChoice, now time.Time) {
 	if e == nil {
 		return
 	}
 	t, o := all[choice.Index], options[choice.Index]
 	*e = Explanation{
-		Estimated: true, ExpectedEnd: choice.End, RunnerUpEnd: choice.NextEnd, Utilization: o.Fill, Slowness: o.Slowness,
-		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.At, now), Stayed: choice.Stayed, Moved: choice.Moved,
+		Estimated: true, ExpectedEnd: choice.Completion, RunnerUpEnd: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
+		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
-	if choice.Next >= 0 {
-		e.RunnerUp = all[choice.Next].ID
+	if choice.RunnerUp >= 0 {
+		e.RunnerUp = all[choice.RunnerUp].ID
 	}
 }
 
@@ -110,13 +110,13 @@
 }
 
 // endRequest returns what a request needs, as a fraction of the mean response time.
-func (model *serviceModel) endRequest(criteria Criteria) policy.EndRequest {
+func (model *serviceModel) endRequest(criteria Criteria) policy.RequestProfile {
 	if !criteria.Stream {
-		return policy.EndRequest{}
+		return policy.RequestProfile{}
 	}
 	read := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
-	response := model.turnEstimates.Expected(0, int64(model.turnEstimates.Tokens))
-	return policy.EndRequest{Batched: true, Read: read.Seconds() / max(response, time.Millisecond).Seconds()}
+	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.Tokens))
+	return policy.RequestProfile{Batched: true, PromptCost: read.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
 // avoided reports whether the target recently failed and should not receive
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		utilization := t.busy(now) / float64(max(t.Slots, 1))
-		hasIdle := r.connections.Kept(t.Address, now)
+		hasIdle := r.connections.HasIdle(t.Address, now)
 		least.offer(t, -utilization-r.placementCost(t, hasIdle))
 		if criteria.Key == "" || utilization >= maxKeyedUtilization {
 			continue
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -115,7 +115,7 @@
 // setLoad stores a load report received at a given time. The mutex must be held.
 func (r *Registry) setLoad(t *Target, load call.Load, at time.Time) {
 	utilization := float64(load.Running+load.Waiting) / float64(max(t.Slots, 1))
-	t.meanUtilization = policy.TrendFill(t.meanUtilization, utilization, t.loadAt.IsZero())
+	t.meanUtilization = policy.SmoothUtilization(t.meanUtilization, utilization, t.loadAt.IsZero())
 	t.load, t.loadAt, t.inFlightAtLoad = load, at, t.inFlight
 	if s := r.byService[t.Service]; r.byID[t.ID] == t {
 		s.markReporting(t)
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -11,7 +11,7 @@
 // countingConnections counts the targets that selections consider.
 type countingConnections struct{ lookups int }
 
-func (c *countingConnections) Kept(string, time.Time) bool {
+func (c *countingConnections) HasIdle(string, time.Time) bool {
 	c.lookups++
 	return false
 }
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -35,7 +35,7 @@
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
 			Utilization: t.utilization(r.recentPool(t.Service, now).Utilization, r.meanRequestDuration(t.Service), now), Slowness: t.currentSlowness(r.means(t.Service), now),
-			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.At, now).Seconds(),
+			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.UpdatedAt, now).Seconds(),
 		})
 	}
 	slices.SortFunc(all, func(a, b Snapshot) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -33,7 +33,7 @@
 type routeDurations struct {
 	// mean is the moving average, in seconds.
 	mean    float64
-	hedging policy.Stragglers
+	hedging policy.Hedger
 }
 
 // add records a duration and returns it relative to the mean.
@@ -106,7 +106,7 @@
 	if model == nil {
 		return 0, false
 	}
-	return model.route(route).hedging.Patience(r.recentPool(service, now).Utilization)
+	return model.route(route).hedging.HedgeDelay(r.recentPool(service, now).Utilization)
 }
 
 // RecordHedge records a hedged send. duration is how long the first send, to t,
@@ -119,7 +119,7 @@
 		return
 	}
 	durations := model.route(route)
-	durations.hedging.Again()
+	durations.hedging.RecordHedge()
 	if durations.mean > 0 {
 		t.speed.Add(duration.Seconds()/durations.mean, now)
 	}
@@ -135,7 +135,7 @@
 }
 
 // RecordTurn records a completed turn.
-func (r *Registry) RecordTurn(t *Target, sample policy.Sample) {
+func (r *Registry) RecordTurn(t *Target, sample policy.RunSample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if model := r.models[t.Service]; model != nil {
@@ -150,11 +150,11 @@
 func meansOf(all []*Target) serviceMeans {
 	var speed, pace mean
 	for _, t := range all {
-		if !t.speed.At.IsZero() {
+		if !t.speed.UpdatedAt.IsZero() {
 			speed.add(t.speed.Mean)
 		}
-		if t.pace.Middle > 0 {
-			pace.add(t.pace.Middle)
+		if t.pace.Value > 0 {
+			pace.add(t.pace.Value)
 		}
 	}
 	return serviceMeans{speed: speed.value(), pace: pace.value()}
@@ -214,10 +214,10 @@
 // relativePace returns the typical pace that the target reports, relative to the
 // mean.
 func (t *Target) relativePace(means serviceMeans) float64 {
-	if t.pace.Middle <= 0 {
+	if t.pace.Value <= 0 {
 		return 1
 	}
-	return t.pace.Middle / means.pace
+	return t.pace.Value / means.pace
 }
 
 // currentSlowness is the slowness adjusted by the pace in the newest report.
@@ -226,15 +226,15 @@
 	if t.load.Pace <= 0 || means.pace <= 0 {
 		return slowness
 	}
-	return policy.Present(slowness, float64(t.load.Pace)/100/means.pace, now.Sub(t.loadAt))
+	return policy.CurrentSlowness(slowness, float64(t.load.Pace)/100/means.pace, now.Sub(t.loadAt))
 }
 
 // utilization estimates the number of requests at a target as a fraction of its
 // slots.
 func (t *Target) utilization(pool float64, requestDuration time.Duration, now time.Time) float64 {
-	return policy.Fill(policy.LoadReport{
-		Busy: t.load.Running + t.load.Waiting, Since: t.inFlight - t.inFlightAtLoad, Own: t.inFlight,
-		Slots: t.Slots, Usual: t.meanUtilization, Known: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
+	return policy.ExpectedUtilization(policy.LoadReport{
+		Busy: t.load.Running + t.load.Waiting, OwnDelta: t.inFlight - t.inFlightAtLoad, OwnInFlight: t.inFlight,
+		Slots: t.Slots, TypicalUtilization: t.meanUtilization, HasReport: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
 	}, pool, requestDuration)
 }
 
@@ -243,8 +243,8 @@
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if speed := t.speed.Told(means.speed, t.relativePace(means)); speed > 0 {
-		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.At)
+	if speed := t.speed.AdvertisedMean(means.speed, t.relativePace(means)); speed > 0 {
+		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
@@ -252,6 +252,6 @@
 // mergeSpeed applies a speed measured by another instance. The mutex must be held.
 func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
 	if report.Speed > 0 {
-		t.speed.Hear(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
+		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
 	}
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -73,8 +73,8 @@
 	meanUtilization float64
 	// speed is the measured time for a unit of work; pace summarizes the paces that the
 	// target reports.
-	speed policy.Speed
-	pace  policy.Standing
+	speed policy.SpeedEstimate
+	pace  policy.PaceMedian
 	// failures counts consecutive failures; the target is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
@@ -101,8 +101,8 @@
 
 // Connections is this instance's pool of connections to targets.
 type Connections interface {
-	// Kept reports whether a usable idle connection to an address exists.
-	Kept(address string, now time.Time) bool
+	// HasIdle reports whether a usable idle connection to an address exists.
+	HasIdle(address string, now time.Time) bool
 }
 
 // Registry holds the registered targets. It is safe for concurrent use.
@@ -131,7 +131,7 @@
 	// seed makes each instance prefer different targets among equivalent ones.
 	seed string
 	// endOptions is reused between selections to avoid allocations.
-	endOptions []policy.EndOption
+	endOptions []policy.TargetOption
 }
 
 // NewRegistry returns an empty Registry for an instance in dataCentre.
