--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -10,8 +10,8 @@
 	first bool
 }
 
-// Again counts one more run of the request.
-func (p permit) Again() {
+// CountRerun counts one more run of the request.
+func (p permit) CountRerun() {
 	p.keeper.mu.Lock()
 	defer p.keeper.mu.Unlock()
 	p.line.debt++
@@ -41,6 +41,6 @@
 // noPermit is that of a request without a limit.
 type noPermit struct{}
 
-func (noPermit) Again()               {}
+func (noPermit) CountRerun()          {}
 func (noPermit) Utilization() float64 { return 0 }
 func (noPermit) Release()             {}
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -57,11 +57,11 @@
 	first   bool
 }
 
-// Target ran the program's last turn, empty if unknown.
-func (h heldRoom) Target() string { return h.target }
+// LastTarget ran the program's last turn, empty if unknown.
+func (h heldRoom) LastTarget() string { return h.target }
 
-// First tells that no turn of the program has run yet, as far as its owner knows.
-func (h heldRoom) First() bool { return h.first }
+// FirstTurn tells that no turn of the program has run yet, as far as its owner knows.
+func (h heldRoom) FirstTurn() bool { return h.first }
 
 // Settle gives back what was not used and tells how the turn ended.
 func (h heldRoom) Settle(end serve.TurnResult) {
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -36,7 +36,7 @@
 
 // begins tells whether a turn with room in its budget is its program's first.
 func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.StoresTurns || lease.First())
+	return x.mayBegin() && (x.route.StoresTurns || lease.FirstTurn())
 }
 
 // hasRoom asks for room before anything is asked of others. First turns ask
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -130,7 +130,7 @@
 }
 
 func (n *nearLimit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                                  {}
+func (n *nearLimit) CountRerun()                                             {}
 func (n *nearLimit) Utilization() float64                                    { return n.use }
 func (n *nearLimit) Release()                                                { n.back++ }
 
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -264,7 +264,7 @@
 
 type countedPermit struct{ a *allowances }
 
-func (p countedPermit) Again()               { p.a.again++ }
+func (p countedPermit) CountRerun()          { p.a.again++ }
 func (p countedPermit) Utilization() float64 { return 0 }
 func (p countedPermit) Release()             { p.a.back++ }
 
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -112,7 +112,7 @@
 // whether another send may follow.
 func (x *transfer) send(target *targets.Target) bool {
 	if x.mayHaveRun && x.permit != nil {
-		x.permit.Again()
+		x.permit.CountRerun()
 	}
 	x.sends++
 	x.lastTarget = target.ID
@@ -241,7 +241,7 @@
 	}
 	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.TargetBroke()
+		x.server.notices.ReportTargetBreaks()
 	}
 }
 
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -36,11 +36,11 @@
 
 // Lease is room in a program's budget.
 type Lease interface {
-	// Target ran the program's last turn and may have its prompt; empty if that
+	// LastTarget ran the program's last turn and may have its prompt; empty if that
 	// is not known.
-	Target() string
-	// First tells that no turn of the program has run yet, as far as is known.
-	First() bool
+	LastTarget() string
+	// FirstTurn tells that no turn of the program has run yet, as far as is known.
+	FirstTurn() bool
 	// Settle gives back what was not used and tells how the turn ended. It does
 	// not block.
 	Settle(end TurnResult)
@@ -80,8 +80,8 @@
 
 // Permit is a request that was let in.
 type Permit interface {
-	// Again tells that it runs once more.
-	Again()
+	// CountRerun tells that it runs once more.
+	CountRerun()
 	// Utilization is what its organisation uses against its limit: 1 is at the limit, 0 is
 	// unknown.
 	Utilization() float64
@@ -126,9 +126,9 @@
 
 // Notices tells other instances what this one learns of targets.
 type Notices interface {
-	// TargetBroke tells that a target broke a new connection at once. It does
+	// ReportTargetBreaks tells that a target broke a new connection at once. It does
 	// not block.
-	TargetBroke()
+	ReportTargetBreaks()
 }
 
 // Health tells whether the platform's store answers this instance.
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -239,7 +239,7 @@
 		x.detail = err.Error()
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetOwner, x.server.retryAfter(retryBudget))
 	default:
-		x.lastOfProgram = lease.Target()
+		x.lastOfProgram = lease.LastTarget()
 		x.settle = func() { lease.Settle(x.turnEnd(perEvent)) }
 		defer x.settleOnce()
 		begins := x.begins(lease)
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -54,9 +54,9 @@
 
 type budgetLease struct{ b *budgets }
 
-func (l budgetLease) Target() string { return l.b.target }
+func (l budgetLease) LastTarget() string { return l.b.target }
 
-func (l budgetLease) First() bool { return l.b.target == "" }
+func (l budgetLease) FirstTurn() bool { return l.b.target == "" }
 
 func (l budgetLease) Settle(end TurnResult) {
 	l.b.mu.Lock()
@@ -81,8 +81,8 @@
 	notices atomic.Int64
 }
 
-// TargetBroke implements Notices.
-func (w *world) TargetBroke() { w.notices.Add(1) }
+// ReportTargetBreaks implements Notices.
+func (w *world) ReportTargetBreaks() { w.notices.Add(1) }
 
 // logBuffer keeps the log.
 type logBuffer struct {
