--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -1,5 +1,5 @@
-// Package memlimit bounds the bytes that an instance holds for requests: their
-// bodies, the conversations before them and answers that wait for slow callers.
+// Package memlimit limits the memory that an instance holds for requests: their
+// bodies, conversation histories and responses that wait for slow callers.
 package memlimit
 
 import (
@@ -11,22 +11,22 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// LimitError tells that bytes were refused; nothing of the request has run for
-// lack of them.
+// LimitError reports that a reservation exceeded the limit. Nothing of the request
+// was run.
 type LimitError struct {
-	// Size was asked for while Held of Most were held, all in bytes.
-	Size, Held, Most int64
-	// UnderWay tells that the request belongs to a program under way.
-	UnderWay bool
+	// Requested bytes were refused while Held of Max were held.
+	Requested, Held, Max int64
+	// InProgress indicates that the request belongs to a program in progress.
+	InProgress bool
 }
 
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("%d bytes more do not fit: %d of %d are held for requests (program under way: %t)",
-		e.Size, e.Held, e.Most, e.UnderWay)
+	return fmt.Sprintf("reservation of %d bytes exceeds the memory limit for requests: %d of %d bytes held (program under way: %t)",
+		e.Requested, e.Held, e.Max, e.InProgress)
 }
 
-// Limiter is what an instance may hold for requests. It is safe for concurrent
-// use; a nil Bound has no limit.
+// Limiter limits the bytes held for requests. It is safe for concurrent use; a nil
+// Limiter has no limit.
 type Limiter struct {
 	mu    sync.Mutex
 	bytes policy.RequestMemory
@@ -35,79 +35,80 @@
 	refused tally.Counter
 }
 
-// New makes a Bound of some bytes, 0 for none.
-func New(most int64, scope tally.Scope) *Limiter {
+// New returns a Limiter of limit bytes, 0 for no limit.
+func New(limit int64, scope tally.Scope) *Limiter {
 	scope = scope.SubScope("request_bytes")
-	scope.Gauge("most").Update(float64(most))
-	return &Limiter{bytes: policy.RequestMemory{Max: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
+	scope.Gauge("most").Update(float64(limit))
+	return &Limiter{bytes: policy.RequestMemory{Max: limit}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
-// Usage is what is held now.
-func (b *Limiter) Usage() policy.RequestMemory {
-	if b == nil {
+// Usage returns the bytes held now and the limit.
+func (l *Limiter) Usage() policy.RequestMemory {
+	if l == nil {
 		return policy.RequestMemory{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.bytes
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.bytes
 }
 
-// hold takes some bytes, or returns a *LimitError.
-func (b *Limiter) hold(size int64, underWay bool) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.bytes.Fits(size, underWay) {
-		b.refused.Inc(1)
-		return &LimitError{Size: size, Held: b.bytes.Held, Most: b.bytes.Max, UnderWay: underWay}
+// reserve reserves size bytes, or returns a *LimitError.
+func (l *Limiter) reserve(size int64, inProgress bool) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.bytes.Fits(size, inProgress) {
+		l.refused.Inc(1)
+		return &LimitError{Requested: size, Held: l.bytes.Held, Max: l.bytes.Max, InProgress: inProgress}
 	}
-	b.add(size)
+	l.add(size)
 	return nil
 }
 
-// add counts bytes. The mutex is held.
-func (b *Limiter) add(size int64) {
-	b.bytes.Held += size
-	b.held.Update(float64(b.bytes.Held))
+// add adjusts the held bytes. The mutex must be held.
+func (l *Limiter) add(size int64) {
+	l.bytes.Held += size
+	l.held.Update(float64(l.bytes.Held))
 }
 
-// Account is what is held for one request. It is not safe for concurrent use.
+// Account tracks the bytes held for one request. It is not safe for concurrent use.
 type Account struct {
-	bound    *Limiter
-	held     int64
-	underWay bool
+	limiter    *Limiter
+	held       int64
+	inProgress bool
 }
 
-// NewAccount makes an Account that holds nothing.
-func (b *Limiter) NewAccount() Account { return Account{bound: b} }
+// NewAccount returns an empty Account.
+func (l *Limiter) NewAccount() Account { return Account{limiter: l} }
 
-// SetInProgress tells whether what is held next is needed by a program under way,
-// which may use the whole bound.
-func (a *Account) SetInProgress(needed bool) { a.underWay = needed }
+// SetInProgress sets whether later reservations are for a program in progress,
+// which may use the whole limit.
+func (a *Account) SetInProgress(inProgress bool) { a.inProgress = inProgress }
 
-// Reserve takes some bytes more, or returns a *LimitError.
+// Reserve reserves size bytes, or returns a *LimitError.
 func (a *Account) Reserve(size int64) error {
-	if a.bound == nil {
+	if a.limiter == nil {
 		return nil
 	}
-	if err := a.bound.hold(size, a.underWay); err != nil {
+	if err := a.limiter.reserve(size, a.inProgress); err != nil {
 		return err
 	}
 	a.held += size
 	return nil
 }
 
-// ForceReserve takes bytes that are there already, whether they fit or not.
+// ForceReserve counts bytes that are already allocated, even beyond the limit. A
+// negative size releases bytes.
 func (a *Account) ForceReserve(size int64) {
-	if a.bound == nil {
+	if a.limiter == nil {
 		return
 	}
-	a.bound.mu.Lock()
-	defer a.bound.mu.Unlock()
-	a.bound.add(size)
+	a.limiter.mu.Lock()
+	defer a.limiter.mu.Unlock()
+	a.limiter.add(size)
 	a.held += size
 }
 
-// Close gives everything back.
+// Close releases everything held.
 func (a *Account) Close() {
 	if a.held != 0 {
 		a.ForceReserve(-a.held)
--- a/internal/overload/metrics.go
+++ b/internal/overload/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// metrics of one service.
+// metrics holds the metrics of one service.
 type metrics struct {
-	fill    tally.Gauge
-	known   tally.Gauge
-	age     tally.Gauge
-	noRetry tally.Counter
-	// admitted counts by class, refused by class and cause.
+	utilization    tally.Gauge
+	reporting      tally.Gauge
+	reportAge      tally.Gauge
+	retriesRefused tally.Counter
+	// admitted is indexed by class, refused by class and cause.
 	admitted map[policy.AdmissionClass]tally.Counter
 	refused  map[policy.AdmissionClass]map[policy.RefusalCause]tally.Counter
 }
@@ -20,8 +20,8 @@
 func newMetrics(scope tally.Scope, service string) metrics {
 	scope = scope.Tagged(map[string]string{"service": service})
 	m := metrics{
-		fill: scope.Gauge("fill"), known: scope.Gauge("known_targets"),
-		age: scope.Gauge("report_age_seconds"), noRetry: scope.Counter("sends_over_retry_budget"),
+		utilization: scope.Gauge("fill"), reporting: scope.Gauge("known_targets"),
+		reportAge: scope.Gauge("report_age_seconds"), retriesRefused: scope.Counter("sends_over_retry_budget"),
 		admitted: make(map[policy.AdmissionClass]tally.Counter),
 		refused:  make(map[policy.AdmissionClass]map[policy.RefusalCause]tally.Counter),
 	}
@@ -39,7 +39,7 @@
 	return m
 }
 
-// count counts a decision.
+// count records an admission decision.
 func (m *metrics) count(class policy.AdmissionClass, v policy.AdmissionVerdict) {
 	if v.Admit {
 		m.admitted[class].Inc(1)
@@ -48,9 +48,9 @@
 	m.refused[class][v.Cause].Inc(1)
 }
 
-// see notes a view of the pool.
-func (m *metrics) see(p policy.PoolLoad) {
-	m.fill.Update(p.Utilization)
-	m.known.Update(float64(p.ReportingTargets))
-	m.age.Update(p.ReportAge.Seconds())
+// observe records the load of the pool.
+func (m *metrics) observe(p policy.PoolLoad) {
+	m.utilization.Update(p.Utilization)
+	m.reporting.Update(float64(p.ReportingTargets))
+	m.reportAge.Update(p.ReportAge.Seconds())
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload is what an instance remembers to decide who is let in while
-// there is too little room: the pools' loads, how long requests take and the
-// budgets of retries. The decisions themselves are in package policy.
+// Package overload decides which requests an instance admits under overload. It
+// keeps the loads of the pools, the durations of requests and the retry budgets;
+// the decisions themselves are made by package policy.
 package overload
 
 import (
@@ -18,52 +18,54 @@
 )
 
 const (
-	// viewAge is how long a view of a pool is used: far below the age of the
-	// reports that it is made of.
-	viewAge = 50 * time.Millisecond
-	// maxRoutes bounds the routes whose programs' sizes are kept.
+	// maxViewAge is how long the load of a pool is cached. It is short relative to the
+	// age of the underlying reports.
+	maxViewAge = 50 * time.Millisecond
+	// maxRoutes limits the routes with stored turn counts per service.
 	maxRoutes = 4096
-	// usedFor is how long a service counts among those that programs call.
-	usedFor = 10 * time.Second
-	// rankWeight is the part of one first turn in the mean rank of a service.
-	rankWeight = 1.0 / 32
-	// needFade is the part by which a turn makes older ones count less, needPrograms
-	// the programs that tell what one needs.
-	needFade     = 1.0 / 256
-	needPrograms = 3
-	// usualWeight is the part of one request in how long requests usually take.
-	usualWeight = 1.0 / 16
-	// retryShare and retryBurst bound the sends after a first one to a service
-	// without free slots, in parts of the first ones and in sends.
-	retryShare = 0.2
+	// calledServiceTTL is how long after a call by a program a service is required for
+	// new programs.
+	calledServiceTTL = 10 * time.Second
+	// meanRankWeight is the weight of one first turn in the mean rank of a service.
+	meanRankWeight = 1.0 / 32
+	// turnDecay is the weight that each turn takes from the previous ones. minPrograms
+	// is the number of programs required for an estimate.
+	turnDecay   = 1.0 / 256
+	minPrograms = 3
+	// durationWeight is the weight of one request in the mean duration.
+	durationWeight = 1.0 / 16
+	// retryRatio and retryBurst limit the retries to a service without free slots: as a
+	// fraction of the first sends, and as a number of sends.
+	retryRatio = 0.2
 	retryBurst = 4
 )
 
-// Pools tells the load of services.
+// Pools provides the load of services.
 type Pools interface {
 	Pool(service string, now time.Time) targets.Pool
 }
 
-// Request is one that asks for room.
+// Request is a request for admission.
 type Request struct {
 	Service string
-	// Program names its program in its organisation; ID the request.
+	// Program identifies the program within its organisation, ID the request.
 	Program string
 	ID      string
-	// IsCall tells that it is no turn but a call of a program.
+	// IsCall indicates a call made by a program rather than a turn.
 	IsCall bool
 	Class  policy.AdmissionClass
-	// Route is the one of a turn.
+	// Route is the route of a turn.
 	Route string
-	// Rank is how urgent it is; 0 is the most urgent.
+	// Rank orders requests by urgency; 0 is the most urgent.
 	Rank int
-	// Usage is what its organisation uses, in parts of its limit; 0 if unknown.
+	// Usage is the organisation's usage as a fraction of its limit; 0 if unknown.
 	Usage    float64
 	TimeLeft time.Duration
 }
 
-// Guard decides for one instance who is let in.
-type Guard struct {
+// Controller decides which requests this instance admits. It is safe for concurrent
+// use.
+type Controller struct {
 	pools  Pools
 	scope  tally.Scope
 	jitter func() float64
@@ -72,49 +74,49 @@
 	services map[string]*service
 }
 
-// service is what is remembered of one.
+// service is the state of one service.
 type service struct {
 	view   policy.PoolLoad
 	viewAt time.Time
-	// calledAt is when a program last called it.
-	calledAt time.Time
-	// usual is how long requests that were served took.
-	usual   time.Duration
-	retries policy.RetryBudget
-	// rank is the mean rank of the first turns, ranked tells that there was one.
-	rank   float64
-	ranked bool
-	// needs count turns, all and by route.
-	all     need
-	needs   map[string]*need
-	metrics metrics
-	// admitted and refused count since the start.
+	// lastCalledAt is when a program last called the service.
+	lastCalledAt time.Time
+	// meanDuration is the moving average of the duration of served requests.
+	meanDuration time.Duration
+	retries      policy.RetryBudget
+	// meanRank is the mean rank of first turns; hasRank indicates that there was one.
+	meanRank float64
+	hasRank  bool
+	// turns and turnsByRoute count the admitted turns.
+	turns        turnCounts
+	turnsByRoute map[string]*turnCounts
+	metrics      metrics
+	// admitted and refused count requests since the start.
 	admitted, refused int64
 }
 
-// New makes a Guard.
-func New(pools Pools, scope tally.Scope) *Guard {
-	return &Guard{
+// New returns a Controller that decides by the loads of pools.
+func New(pools Pools, scope tally.Scope) *Controller {
+	return &Controller{
 		pools: pools, scope: scope.SubScope("room"), jitter: rand.Float64, services: make(map[string]*service),
 	}
 }
 
-// Admit decides on a request.
-func (g *Guard) Admit(r Request, now time.Time) policy.AdmissionVerdict {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(r.Service, now)
+// Admit decides whether a request is admitted.
+func (c *Controller) Admit(r Request, now time.Time) policy.AdmissionVerdict {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(r.Service, now)
 	if r.IsCall {
-		s.calledAt = now
+		s.lastCalledAt = now
 	}
-	ask := policy.AdmissionRequest{
-		Class: r.Class, Rank: s.rankAbove(r), RelativeSize: s.size(r), LimitUsage: r.Usage, Random: draw(r), Jitter: g.jitter(),
-		TimeLeft: r.TimeLeft, TypicalTime: s.usual,
+	admission := policy.AdmissionRequest{
+		Class: r.Class, Rank: s.relativeRank(r), RelativeSize: s.relativeSize(r), LimitUsage: r.Usage, Random: programHash(r), Jitter: c.jitter(),
+		TimeLeft: r.TimeLeft, TypicalTime: s.meanDuration,
 	}
-	verdict := policy.AdmitRequest(ask, g.needed(r, s, now)...)
+	verdict := policy.AdmitRequest(admission, c.requiredPools(r, s, now)...)
 	if verdict.Admit {
 		s.retries.Allow(0)
-		s.learn(r)
+		s.recordTurn(r)
 		s.admitted++
 	} else {
 		s.refused++
@@ -123,156 +125,163 @@
 	return verdict
 }
 
-// rankAbove is how much less urgent a request is than first turns in the mean.
-func (s *service) rankAbove(r Request) float64 {
+// relativeRank returns how much less urgent a request is than first turns on
+// average.
+func (s *service) relativeRank(r Request) float64 {
 	rank := float64(r.Rank)
 	if r.Class == policy.ClassFirstTurn {
-		if !s.ranked {
-			s.rank, s.ranked = rank, true
+		if !s.hasRank {
+			s.meanRank, s.hasRank = rank, true
 		}
-		s.rank += rankWeight * (rank - s.rank)
+		s.meanRank += meanRankWeight * (rank - s.meanRank)
 	}
-	if !s.ranked {
+	if !s.hasRank {
 		return 0
 	}
-	return rank - s.rank
+	return rank - s.meanRank
 }
 
-// need is how many turns programs make, with those of their sub-agents.
-type need struct{ turns, programs float64 }
+// turnCounts counts turns, including those of sub-agents, and programs. Older ones
+// decay.
+type turnCounts struct{ turns, programs float64 }
 
-// add takes a turn that was let in. Old ones fade.
-func (n *need) add(first bool) {
-	n.turns += 1 - needFade*n.turns
-	n.programs -= needFade * n.programs
+// add records an admitted turn.
+func (t *turnCounts) add(first bool) {
+	t.turns += 1 - turnDecay*t.turns
+	t.programs -= turnDecay * t.programs
 	if first {
-		n.programs++
+		t.programs++
 	}
 }
 
-// perProgram is 0 while few programs were seen.
-func (n *need) perProgram() float64 {
-	if n == nil || n.programs < needPrograms {
+// perProgram returns the mean number of turns per program, 0 if too few programs
+// were seen.
+func (t *turnCounts) perProgram() float64 {
+	if t == nil || t.programs < minPrograms {
 		return 0
 	}
-	return n.turns / n.programs
+	return t.turns / t.programs
 }
 
-// learn counts a turn that was let in.
-func (s *service) learn(r Request) {
+// recordTurn records an admitted turn.
+func (s *service) recordTurn(r Request) {
 	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
 	}
-	n := s.needs[r.Route]
-	if n == nil {
-		if len(s.needs) >= maxRoutes {
-			clear(s.needs) // most are of former settings
+	counts := s.turnsByRoute[r.Route]
+	if counts == nil {
+		if len(s.turnsByRoute) >= maxRoutes {
+			clear(s.turnsByRoute) // most belong to removed routes
 		}
-		n = new(need)
-		s.needs[r.Route] = n
+		counts = new(turnCounts)
+		s.turnsByRoute[r.Route] = counts
 	}
-	n.add(r.Class == policy.ClassFirstTurn)
-	s.all.add(r.Class == policy.ClassFirstTurn)
+	counts.add(r.Class == policy.ClassFirstTurn)
+	s.turns.add(r.Class == policy.ClassFirstTurn)
 }
 
-// size is what a program of the request's route needs against others, 0 if that
-// is not known.
-func (s *service) size(r Request) float64 {
-	mean := s.all.perProgram()
+// relativeSize returns the turns per program of the request's route relative to all
+// routes, 0 if unknown.
+func (s *service) relativeSize(r Request) float64 {
+	mean := s.turns.perProgram()
 	if mean == 0 {
 		return 0
 	}
-	return s.needs[r.Route].perProgram() / mean
+	return s.turnsByRoute[r.Route].perProgram() / mean
 }
 
-// needed lists the pools that a request needs: a program that begins also needs
-// those that programs call.
-func (g *Guard) needed(r Request, own *service, now time.Time) []policy.PoolLoad {
-	pools := []policy.PoolLoad{own.view}
+// requiredPools returns the loads that decide on a request. A new program also
+// requires the services that programs call.
+func (c *Controller) requiredPools(r Request, requested *service, now time.Time) []policy.PoolLoad {
+	pools := []policy.PoolLoad{requested.view}
 	if r.Class != policy.ClassFirstTurn {
 		return pools
 	}
-	for name, s := range g.services {
-		if s != own && !s.calledAt.IsZero() && now.Sub(s.calledAt) < usedFor {
-			pools = append(pools, g.service(name, now).view)
+	for name, s := range c.services {
+		if s != requested && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
+			pools = append(pools, c.service(name, now).view)
 		}
 	}
 	return pools
 }
 
-// AllowRetry tells whether a request may be sent to one more target of a service
-// after a number of targets were full. It may where slots are free, and once where
-// nothing is known; else such sends are a bounded share.
-func (g *Guard) AllowRetry(name string, refusals int, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(name, now)
+// AllowRetry reports whether a request may be sent to another target after refusals
+// targets of the service were full. Retries are unlimited while slots are free or
+// speeds are not learned, and a first retry is allowed while the load is unknown;
+// other retries are taken from the budget.
+func (c *Controller) AllowRetry(name string, refusals int, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(name, now)
 	if !s.view.SpeedsLearned || !s.view.Full() && (s.view.HasEnoughData() || refusals <= 1) {
 		return true
 	}
-	return s.again()
+	return s.takeRetry()
 }
 
-// again takes a further send from the budget.
-func (s *service) again() bool {
+// takeRetry takes a retry from the budget and reports whether one was left.
+func (s *service) takeRetry() bool {
 	allowed := s.retries.Allow(1)
 	if !allowed {
-		s.metrics.noRetry.Inc(1)
+		s.metrics.retriesRefused.Inc(1)
 	}
 	return allowed
 }
 
-// AllowRetryAfterFailure tells the same after a target failed. Such sends are bounded
-// only where all slots are known to be taken: the failure says nothing of the room.
-func (g *Guard) AllowRetryAfterFailure(name string, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.service(name, now)
-	return !s.view.Full() || s.again()
+// AllowRetryAfterFailure reports whether a request may be sent to another target
+// after one failed. A failure does not indicate overload, so retries are limited
+// only while all slots are known to be taken.
+func (c *Controller) AllowRetryAfterFailure(name string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.service(name, now)
+	return !s.view.Full() || s.takeRetry()
 }
 
-// RetryAfter is when a caller should come back whose request no target took.
-func (g *Guard) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	ask := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: g.jitter(), TimeLeft: timeLeft}
-	return policy.RetryAfter(ask, g.service(name, now).view, 0)
+// RetryAfter returns the RetryAfter delay for a request that no target accepted.
+func (c *Controller) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	admission := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: c.jitter(), TimeLeft: timeLeft}
+	return policy.RetryAfter(admission, c.service(name, now).view, 0)
 }
 
-// RecordDuration notes how long a request took that was served.
-func (g *Guard) RecordDuration(name string, took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.services[name]
+// RecordDuration records the duration of a served request.
+func (c *Controller) RecordDuration(name string, duration time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.services[name]
 	if s == nil {
 		return
 	}
-	if s.usual == 0 {
-		s.usual = took
+	if s.meanDuration == 0 {
+		s.meanDuration = duration
 		return
 	}
-	s.usual += time.Duration(usualWeight * float64(took-s.usual))
+	s.meanDuration += time.Duration(durationWeight * float64(duration-s.meanDuration))
 }
 
-// service finds a service with a fresh view of its pool.
-func (g *Guard) service(name string, now time.Time) *service {
-	s := g.services[name]
+// service returns the state of a service, with the load of its pool updated. The
+// mutex must be held.
+func (c *Controller) service(name string, now time.Time) *service {
+	s := c.services[name]
 	if s == nil {
-		s = &service{needs: make(map[string]*need), retries: policy.NewRetryBudgetWith(retryShare, retryBurst),
-			metrics: newMetrics(g.scope, name)}
-		g.services[name] = s
+		s = &service{turnsByRoute: make(map[string]*turnCounts), retries: policy.NewRetryBudgetWith(retryRatio, retryBurst),
+			metrics: newMetrics(c.scope, name)}
+		c.services[name] = s
 	}
-	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewAge {
-		p := g.pools.Pool(name, now)
+	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
+		p := c.pools.Pool(name, now)
 		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.Reporting, Targets: p.Usable, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
 		s.viewAt = now
-		s.metrics.see(s.view)
+		s.metrics.observe(s.view)
 	}
 	return s
 }
 
-// draw places a program among all, the same at each instance and for each try.
-func draw(r Request) float64 {
+// programHash maps a program to a number in [0, 1), the same at all instances and
+// for all attempts. A request without a program is mapped by its ID.
+func programHash(r Request) float64 {
 	name := r.Program
 	if name == "" {
 		name = r.ID
@@ -280,36 +289,36 @@
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// DescribeRefusal tells in one line why a request was refused.
+// DescribeRefusal returns a one-line explanation of a refusal.
 func DescribeRefusal(r Request, v policy.AdmissionVerdict) string {
-	return fmt.Sprintf("%s: service %s at a fill of %.2f, %d of %d targets known, reports %d ms old; class %s, rank %d, "+
-		"use of the organisation %.2f of its limit; refused are %.2f of such requests; room is expected in %s",
+	return fmt.Sprintf("%s: service %s at utilization %.2f, %d of %d targets reporting, reports %d ms old; class %s, rank %d, "+
+		"organisation at %.2f of its limit; fraction %.2f of such requests refused; capacity expected in %s",
 		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.Targets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
 		r.Usage, v.RefusalProbability, v.RetryAfter)
 }
 
-// Dump is what an instance knows of a pool.
+// Dump is the state of a service in a dump.
 type Dump struct {
-	Service  string  `json:"service"`
-	Fill     float64 `json:"fill"`
-	Known    int     `json:"known"`
-	All      int     `json:"all"`
-	AgeMs    int64   `json:"age_ms"`
-	UsualMs  int64   `json:"usual_ms"`
-	Admitted int64   `json:"admitted"`
-	Refused  int64   `json:"refused"`
+	Service        string  `json:"service"`
+	Utilization    float64 `json:"fill"`
+	Reporting      int     `json:"known"`
+	Usable         int     `json:"all"`
+	AgeMs          int64   `json:"age_ms"`
+	MeanDurationMs int64   `json:"usual_ms"`
+	Admitted       int64   `json:"admitted"`
+	Refused        int64   `json:"refused"`
 }
 
-// Dump lists the pools.
-func (g *Guard) Dump(now time.Time) []Dump {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	all := make([]Dump, 0, len(g.services))
-	for name := range g.services {
-		s := g.service(name, now)
+// Dump returns the state of all services, sorted by name.
+func (c *Controller) Dump(now time.Time) []Dump {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all := make([]Dump, 0, len(c.services))
+	for name := range c.services {
+		s := c.service(name, now)
 		all = append(all, Dump{
-			Service: name, Fill: s.view.Utilization, Known: s.view.ReportingTargets, All: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
-			UsualMs: s.usual.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
+			Service: name, Utilization: s.view.Utilization, Reporting: s.view.ReportingTargets, Usable: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
+			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Service < all[j].Service })
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,38 +11,38 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// fills are pools of 44 targets, by service.
-type fills map[string]float64
+// testPools maps services to the utilization of pools of 44 targets.
+type testPools map[string]float64
 
-func (f fills) Pool(service string, _ time.Time) targets.Pool {
-	fill, ok := f[service]
+func (pools testPools) Pool(service string, _ time.Time) targets.Pool {
+	utilization, ok := pools[service]
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Utilization: fill, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
+	return targets.Pool{Utilization: utilization, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
 
-func guard(f fills) *Guard {
-	g := New(f, tally.NoopScope)
-	g.jitter = func() float64 { return 0.5 }
-	return g
+func newTestController(pools testPools) *Controller {
+	c := New(pools, tally.NoopScope)
+	c.jitter = func() float64 { return 0.5 }
+	return c
 }
 
-func first(program string) Request {
+func firstTurn(program string) Request {
 	return Request{Service: "engine", Program: program, Class: policy.ClassFirstTurn}
 }
 
-func TestEachInstanceDecidesTheSameOfAProgram(t *testing.T) {
-	a, b := guard(fills{"engine": 1.5}), guard(fills{"engine": 1.5})
+func TestInstancesAgreeOnAProgram(t *testing.T) {
+	a, b := newTestController(testPools{"engine": 1.5}), newTestController(testPools{"engine": 1.5})
 	refused := 0
 	for i := range 200 {
-		r := first(strings.Repeat("p", i+1))
+		r := firstTurn(strings.Repeat("p", i+1))
 		here, there := a.Admit(r, start), b.Admit(r, start)
-		again := a.Admit(r, start)
-		if here.Admit != there.Admit || here.Admit != again.Admit {
-			t.Fatalf("program %d: %+v and %+v, again %+v", i, here, there, again)
+		allowedRetries := a.Admit(r, start)
+		if here.Admit != there.Admit || here.Admit != allowedRetries.Admit {
+			t.Fatalf("program %d: %+v and %+v at two instances, %+v on retry", i, here, there, allowedRetries)
 		}
 		if !here.Admit {
 			refused++
@@ -53,113 +53,113 @@
 	}
 }
 
-func TestAFirstTurnNeedsThePoolsThatProgramsCall(t *testing.T) {
-	g := guard(fills{"engine": 0.5, "tool": 9})
-	if v := g.Admit(first("p"), start); !v.Admit {
+func TestFirstTurnRequiresCalledPools(t *testing.T) {
+	c := newTestController(testPools{"engine": 0.5, "tool": 9})
+	if v := c.Admit(firstTurn("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	g.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.ClassInProgress}, start)
+	c.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.ClassInProgress}, start)
 	refused := 0
 	for i := range 20 {
-		v := g.Admit(first(strings.Repeat("p", i+1)), start)
+		v := c.Admit(firstTurn(strings.Repeat("p", i+1)), start)
 		if !v.Admit && v.Pool.Service == "tool" {
 			refused++
 		}
 	}
 	if refused < 15 {
-		t.Errorf("%d of 20 refused though calls find no room", refused)
+		t.Errorf("%d of 20 refused although the called service is full", refused)
 	}
-	if v := g.Admit(first("p"), start.Add(usedFor)); !v.Admit {
+	if v := c.Admit(firstTurn("p"), start.Add(calledServiceTTL)); !v.Admit {
 		t.Errorf("long after the last call: %+v", v)
 	}
 }
 
-func TestFurtherSendsAreABoundedShare(t *testing.T) {
-	again := func(g *Guard, refusals int) int {
+func TestRetriesAreBounded(t *testing.T) {
+	allowedRetries := func(c *Controller, refusals int) int {
 		allowed := 0
 		for range 1000 {
-			g.Admit(Request{Service: "engine", Class: policy.ClassInProgress, Program: "p"}, start)
-			if g.AllowRetry("engine", refusals, start) {
+			c.Admit(Request{Service: "engine", Class: policy.ClassInProgress, Program: "p"}, start)
+			if c.AllowRetry("engine", refusals, start) {
 				allowed++
 			}
 		}
 		return allowed
 	}
-	if got := again(guard(fills{"engine": 3}), 1); got < 150 || got > 220 {
-		t.Errorf("where no slot is free %d of 1000 are sent again", got)
+	if got := allowedRetries(newTestController(testPools{"engine": 3}), 1); got < 150 || got > 220 {
+		t.Errorf("without free slots %d of 1000 retries allowed", got)
 	}
-	if got := again(guard(fills{"engine": 0.7}), 3); got != 1000 {
-		t.Errorf("where slots are free %d of 1000 are sent again", got)
+	if got := allowedRetries(newTestController(testPools{"engine": 0.7}), 3); got != 1000 {
+		t.Errorf("with free slots %d of 1000 retries allowed", got)
 	}
-	if got := again(guard(nil), 1); got != 1000 {
-		t.Errorf("where nothing is known %d of 1000 are sent again once", got)
+	if got := allowedRetries(newTestController(nil), 1); got != 1000 {
+		t.Errorf("without known load %d of 1000 first retries allowed", got)
 	}
-	if got := again(guard(nil), 3); got != 1000 {
-		t.Errorf("where no speeds are learned %d of 1000 are sent again", got)
+	if got := allowedRetries(newTestController(nil), 3); got != 1000 {
+		t.Errorf("without learned speeds %d of 1000 retries allowed", got)
 	}
-	g := guard(fills{"engine": 3})
+	c := newTestController(testPools{"engine": 3})
 	failures := 0
 	for range 100 {
-		if g.AllowRetryAfterFailure("engine", start) {
+		if c.AllowRetryAfterFailure("engine", start) {
 			failures++
 		}
 	}
 	if failures > retryBurst {
-		t.Errorf("%d sends after failures without a fresh request", failures)
+		t.Errorf("%d retries allowed after failures, without a new request", failures)
 	}
 }
 
-func TestARefusalNamesWhatItComesFrom(t *testing.T) {
-	g := guard(fills{"engine": 5})
-	r := first("p")
+func TestRefusalDescription(t *testing.T) {
+	c := newTestController(testPools{"engine": 5})
+	r := firstTurn("p")
 	r.Rank, r.Usage = 2, 0.95
-	line := DescribeRefusal(r, g.Admit(r, start))
+	line := DescribeRefusal(r, c.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
-			t.Errorf("%q lacks %q", line, part)
+			t.Errorf("%q does not contain %q", line, part)
 		}
 	}
-	dump := g.Dump(start)
-	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Known != 40 {
+	dump := c.Dump(start)
+	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Reporting != 40 {
 		t.Errorf("dump %+v", dump)
 	}
 }
 
 func TestLessUrgentProgramsAreRefusedMore(t *testing.T) {
 	refused := func(rank int) int {
-		g := guard(fills{"engine": 1.45})
+		c := newTestController(testPools{"engine": 1.45})
 		for i := range 200 {
-			r := first(strings.Repeat("q", i+1))
+			r := firstTurn(strings.Repeat("q", i+1))
 			r.Rank = i % 3
-			g.Admit(r, start)
+			c.Admit(r, start)
 		}
 		n := 0
 		for i := range 200 {
-			r := first(strings.Repeat("p", i+1))
+			r := firstTurn(strings.Repeat("p", i+1))
 			r.Rank = rank
-			if !g.Admit(r, start).Admit {
+			if !c.Admit(r, start).Admit {
 				n++
 			}
 		}
 		return n
 	}
-	urgent, mean, less := refused(0), refused(1), refused(2)
-	if urgent >= mean || mean >= less {
-		t.Errorf("of 200 refused: urgent %d, mean %d, less urgent %d", urgent, mean, less)
+	urgent, normal, lessUrgent := refused(0), refused(1), refused(2)
+	if urgent >= normal || normal >= lessUrgent {
+		t.Errorf("refused of 200: urgent %d, normal %d, less urgent %d", urgent, normal, lessUrgent)
 	}
-	same := guard(fills{"engine": 1.45})
-	r := first("p")
+	uniform := newTestController(testPools{"engine": 1.45})
+	r := firstTurn("p")
 	r.Rank = 7
-	if got := same.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, same.services["engine"].view).RefusalProbability {
-		t.Errorf("a rank that all have changes the chance to %.2f", got)
+	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].view).RefusalProbability {
+		t.Errorf("the refusal probability is %.2f, but a rank common to all must not change it", got)
 	}
 }
 
-func TestBigProgramsAreRefusedMore(t *testing.T) {
-	pools := fills{"engine": 0.5}
-	g := guard(pools)
+func TestLargeProgramsAreRefusedMore(t *testing.T) {
+	pools := testPools{"engine": 0.5}
+	c := newTestController(pools)
 	turn := func(route string, class policy.AdmissionClass) {
-		g.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
+		c.Admit(Request{Service: "engine", Program: "q", Route: route, Class: class}, start)
 	}
 	for range 20 {
 		turn("big", policy.ClassFirstTurn)
@@ -170,22 +170,22 @@
 		turn("small", policy.ClassInProgress)
 	}
 	pools["engine"] = 1.5
-	s := g.services["engine"]
-	size := func(route string) float64 { return s.size(Request{Route: route}) }
+	s := c.services["engine"]
+	size := func(route string) float64 { return s.relativeSize(Request{Route: route}) }
 	if size("big") < 1.5 || size("small") > 0.5 || size("new") != 0 {
 		t.Errorf("sizes %.2f and %.2f, of a new route %.2f", size("big"), size("small"), size("new"))
 	}
 	refused := make(map[string]int)
 	for i := range 20 {
 		for _, route := range []string{"big", "small"} {
-			r := first(strings.Repeat("p", i+1))
+			r := firstTurn(strings.Repeat("p", i+1))
 			r.Route = route
-			if !g.Admit(r, start.Add(viewAge)).Admit {
+			if !c.Admit(r, start.Add(maxViewAge)).Admit {
 				refused[route]++
 			}
 		}
 	}
 	if refused["big"] <= refused["small"] {
-		t.Errorf("of 20 each refused: %v", refused)
+		t.Errorf("refused of 20 each: %v", refused)
 	}
 }
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// word is another instance's word on targets.
-func word(age time.Duration, ids ...string) []structs.TargetBreak {
+// peerBreaks returns another instance's report of broken connections.
+func peerBreaks(age time.Duration, ids ...string) []structs.TargetBreak {
 	var breaks []structs.TargetBreak
 	for _, id := range ids {
 		breaks = append(breaks, structs.TargetBreak{Target: id, Age: age})
@@ -17,9 +17,9 @@
 	return breaks
 }
 
-// picks counts how often each target is chosen of some requests that run at the
-// same time, so that each of the targets in question gets some.
-func picks(r *Registry, now time.Time) map[string]int {
+// countPicks counts the picks per target for concurrent requests, so that each
+// usable target is picked.
+func countPicks(r *Registry, now time.Time) map[string]int {
 	counts := make(map[string]int)
 	var picked []*Target
 	for range 12 {
@@ -33,64 +33,64 @@
 	return counts
 }
 
-func TestTargetThatBrokeElsewhereIsAvoidedForAWhile(t *testing.T) {
+func TestPeerBreakAvoidsTargetTemporarily(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(word(100*time.Millisecond, "t0", "t1"), now)
-	if got := picks(r, now); got["t0"]+got["t1"] != 0 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0", "t1"), now)
+	if counts := countPicks(r, now); counts["t0"]+counts["t1"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
-	if got := picks(r, now.Add(heardFor)); got["t0"] == 0 {
-		t.Errorf("after its time t0 was not tried: %v", got)
+	if counts := countPicks(r, now.Add(peerAvoidance)); counts["t0"] == 0 {
+		t.Errorf("t0 was not picked after the avoidance ended: %v", counts)
 	}
 }
 
-func TestOwnAnswersCountMoreThanTheWordOfOthers(t *testing.T) {
+func TestOwnSuccessOverridesPeerBreaks(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.RecordSuccess(r.byID["t0"], now.Add(-50*time.Millisecond))
-	r.MergeBreaks(word(100*time.Millisecond, "t0"), now)
-	if got := picks(r, now); got["t0"] == 0 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0"), now)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("picked %v", counts)
 	}
-	r.MergeBreaks(word(10*time.Millisecond, "t0"), now)
-	if got := picks(r, now); got["t0"] != 0 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(10*time.Millisecond, "t0"), now)
+	if counts := countPicks(r, now); counts["t0"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
 	r.RecordSuccess(r.byID["t0"], now)
-	if got := picks(r, now); got["t0"] == 0 {
-		t.Errorf("after an answer picked %v", got)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("picked %v after a success", counts)
 	}
 }
 
 func TestWordOfOthersCannotEmptyAService(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(word(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
-	if got := picks(r, now); len(got) != 4 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
+	if counts := countPicks(r, now); len(counts) != 4 {
+		t.Errorf("picked %v", counts)
 	}
 }
 
-func TestBreaksArePassedOnUntilTheyAreOld(t *testing.T) {
+func TestBreaksAreRelayedUntilExpired(t *testing.T) {
 	a, b := newTestRegistry(6), newTestRegistry(6)
 	now := time.Unix(100, 0)
-	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(noticeInterval/2)) {
-		t.Error("a second break was to be told at once")
+	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(minNoticeInterval/2)) {
+		t.Error("want a notice for the first break only")
 	}
-	b.MergeBreaks(a.Breaks(now.Add(heardFor/2)), now.Add(heardFor/2))
-	if got := b.Breaks(now.Add(heardFor / 2)); len(got) != 1 || got[0].Age <= 0 {
-		t.Errorf("passed on %v", got)
+	b.MergeBreaks(a.Breaks(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
+	if breaks := b.Breaks(now.Add(peerAvoidance / 2)); len(breaks) != 1 || breaks[0].Age <= 0 {
+		t.Errorf("relayed breaks %v", breaks)
 	}
-	if got := b.Breaks(now.Add(2 * heardFor)); len(got) != 0 {
-		t.Errorf("passed on %v", got)
+	if breaks := b.Breaks(now.Add(2 * peerAvoidance)); len(breaks) != 0 {
+		t.Errorf("relayed breaks %v", breaks)
 	}
 }
 
-// What others say of an earlier start of a target says nothing of this one, and
-// what an earlier start did here is not passed on.
+// Breaks reported for an earlier incarnation have no effect, and breaks by an
+// earlier incarnation are not relayed.
 func TestBreaksOfAnEarlierStartSayNothing(t *testing.T) {
-	r := NewRegistry("dc", keptTo{})
+	r := NewRegistry("dc", idleConnections{})
 	now := time.Unix(100, 0)
 	for i := range 6 {
 		r.Put(Entry{ID: fmt.Sprint("t", i), Service: "s", Address: "a", Slots: testSlots, Start: 1000})
@@ -99,15 +99,15 @@
 	later := former.Entry
 	later.Start = 2000
 	r.Put(later)
-	r.MergeBreaks(word(100*time.Millisecond, "t0@1000", "t0"), now)
-	if got := picks(r, now); got["t0"] == 0 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0@1000", "t0"), now)
+	if counts := countPicks(r, now); counts["t0"] == 0 {
+		t.Errorf("picked %v", counts)
 	}
 	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
-		t.Error("a break of an earlier start is told")
+		t.Error("a break of an earlier incarnation is relayed")
 	}
-	r.MergeBreaks(word(0, "t0@2000"), now)
-	if got := picks(r, now); got["t0"] != 0 {
-		t.Errorf("picked %v", got)
+	r.MergeBreaks(peerBreaks(0, "t0@2000"), now)
+	if counts := countPicks(r, now); counts["t0"] != 0 {
+		t.Errorf("picked %v", counts)
 	}
 }
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -8,186 +8,184 @@
 	"github.com/banyanglade/banyanglade/internal/call"
 )
 
-// A request that any target can run goes where a connection is kept, unless the
-// target there is much busier than others.
-func TestRequestGoesWhereAConnectionIsKept(t *testing.T) {
+// Without a key, a target with an idle connection is preferred unless it is much
+// busier than others.
+func TestPickPrefersIdleConnection(t *testing.T) {
 	now := time.Unix(100, 0)
-	kept := keptTo{"a2": now.Add(time.Second)}
-	r := newRegistryWith(4, kept)
+	idle := idleConnections{"a2": now.Add(time.Second)}
+	r := newRegistryWith(4, idle)
 	for range 20 {
 		got := r.Pick(Criteria{Service: "s"}, now)
 		if got.ID != "t2" {
-			t.Fatalf("%s was chosen", got.ID)
+			t.Fatalf("picked %s, want t2", got.ID)
 		}
 		r.End(got)
 	}
 	r.RecordLoad(r.byID["t2"], call.Load{Running: testSlots, Slots: testSlots}, now)
 	if got := r.Pick(Criteria{Service: "s"}, now); got.ID == "t2" {
-		t.Error("a busy target was chosen for its connection")
+		t.Error("a busy target was picked for its connection")
 	}
 	if got := r.Pick(Criteria{Service: "s", Exclude: []string{"t2"}}, now); got.ID == "t2" {
-		t.Error("an excluded target was chosen for its connection")
+		t.Error("an excluded target was picked for its connection")
 	}
 }
 
-// fleet is a data centre in virtual time: instances that each send a few requests
-// a second to targets that any of them may run on.
-type fleet struct {
+// clusterSim simulates the instances of a data centre in virtual time. Each sends a
+// few requests per second without a key.
+type clusterSim struct {
 	now       time.Time
 	instances []*Registry
-	kept      []keptTo
-	// running and ran count the requests at each target.
+	idle      []idleConnections
+	// running and served count the requests at each target.
 	running map[string]int
-	ran     map[string]int
+	served  map[string]int
 	ends    []runEnd
 	opened  int
 	sent    int
-	// every is the number of steps between two requests of an instance.
-	every int
-	// pace is what each target tells of its pace, 0 for nothing; instances that
-	// are told it tell each other of loads.
+	// sendInterval is the number of steps between two requests of an instance.
+	sendInterval int
+	// pace is the pace that targets report, 0 for none; with a pace, instances share
+	// load reports.
 	pace int
 }
 
 type runEnd struct {
-	at       time.Time
+	endsAt   time.Time
 	instance int
 	target   *Target
 }
 
 const (
-	fleetInstances = 60
-	fleetTargets   = 20
-	// fleetIdle is how long a target keeps a connection without a request.
-	fleetIdle = 7500 * time.Millisecond
-	fleetStep = 5 * time.Millisecond
-	fleetWork = 100 * time.Millisecond
-	// fleetEvery is the number of steps between two requests of an instance.
-	fleetEvery = 67
+	simInstances = 60
+	simTargets   = 20
+	// simIdleTimeout is how long a target keeps an idle connection open.
+	simIdleTimeout     = 7500 * time.Millisecond
+	simStep            = 5 * time.Millisecond
+	simRequestDuration = 100 * time.Millisecond
+	// simSendInterval is the default of sendInterval.
+	simSendInterval = 67
 )
 
-func newFleet() *fleet {
-	f := &fleet{now: time.Unix(100, 0), running: map[string]int{}, ran: map[string]int{}, every: fleetEvery}
-	for range fleetInstances {
-		kept := keptTo{}
-		f.kept = append(f.kept, kept)
-		f.instances = append(f.instances, newRegistryWith(fleetTargets, kept))
-	}
-	return f
+func newClusterSim() *clusterSim {
+	sim := &clusterSim{now: time.Unix(100, 0), running: map[string]int{}, served: map[string]int{}, sendInterval: simSendInterval}
+	for range simInstances {
+		idle := idleConnections{}
+		sim.idle = append(sim.idle, idle)
+		sim.instances = append(sim.instances, newRegistryWith(simTargets, idle))
+	}
+	return sim
 }
 
-func (f *fleet) play(steps int) {
+func (sim *clusterSim) run(steps int) {
 	for step := range steps {
-		f.now = f.now.Add(fleetStep)
-		f.end()
-		for i := range f.instances {
-			if (step+i)%f.every == 0 {
-				f.send(i)
+		sim.now = sim.now.Add(simStep)
+		sim.end()
+		for i := range sim.instances {
+			if (step+i)%sim.sendInterval == 0 {
+				sim.send(i)
 			}
 		}
 	}
 }
 
-func (f *fleet) end() {
-	left := f.ends[:0]
-	for _, e := range f.ends {
-		if e.at.After(f.now) {
+func (sim *clusterSim) end() {
+	left := sim.ends[:0]
+	for _, e := range sim.ends {
+		if e.endsAt.After(sim.now) {
 			left = append(left, e)
 			continue
 		}
-		f.running[e.target.ID]--
-		f.instances[e.instance].End(e.target)
-		f.kept[e.instance][e.target.Address] = f.now.Add(fleetIdle)
+		sim.running[e.target.ID]--
+		sim.instances[e.instance].End(e.target)
+		sim.idle[e.instance][e.target.Address] = sim.now.Add(simIdleTimeout)
 	}
-	f.ends = left
+	sim.ends = left
 }
 
-func (f *fleet) send(instance int) {
-	r := f.instances[instance]
-	target := r.Pick(Criteria{Service: "s"}, f.now)
-	f.sent++
-	f.ran[target.ID]++
-	if !f.kept[instance].HasIdle(target.Address, f.now) {
-		f.opened++
-	}
-	f.running[target.ID]++
-	r.RecordLoad(target, call.Load{Running: f.running[target.ID], Slots: testSlots, Pace: f.pace}, f.now)
-	if f.pace > 0 {
-		f.tell(instance)
-	}
-	f.ends = append(f.ends, runEnd{f.now.Add(fleetWork), instance, target})
+func (sim *clusterSim) send(instance int) {
+	r := sim.instances[instance]
+	target := r.Pick(Criteria{Service: "s"}, sim.now)
+	sim.sent++
+	sim.served[target.ID]++
+	if !sim.idle[instance].HasIdle(target.Address, sim.now) {
+		sim.opened++
+	}
+	sim.running[target.ID]++
+	r.RecordLoad(target, call.Load{Running: sim.running[target.ID], Slots: testSlots, Pace: sim.pace}, sim.now)
+	if sim.pace > 0 {
+		sim.shareReports(instance)
+	}
+	sim.ends = append(sim.ends, runEnd{sim.now.Add(simRequestDuration), instance, target})
 }
 
-// tell passes the reports of an instance on to the next ones, as messages about
-// budgets do.
-func (f *fleet) tell(instance int) {
-	loads := f.instances[instance].LoadReports(f.now)
-	for i := range fleetHear {
-		f.instances[(instance+7*i+1)%fleetInstances].MergeLoadReports(loads, f.now)
+// shareReports sends the load reports of an instance to simFanout others.
+func (sim *clusterSim) shareReports(instance int) {
+	loads := sim.instances[instance].LoadReports(sim.now)
+	for i := range simFanout {
+		sim.instances[(instance+7*i+1)%simInstances].MergeLoadReports(loads, sim.now)
 	}
 }
 
-// fleetHear is how many instances hear the reports that one passes on.
-const fleetHear = 3
+// simFanout is the number of instances that receive each message with reports.
+const simFanout = 3
 
-// Where targets tell their pace and instances share reports, fewer connections are
-// opened, and the targets are loaded more evenly.
+// With reported paces and shared load reports, few connections are opened and the
+// load is even.
 func TestManyInstancesWithSharedReports(t *testing.T) {
-	f := newFleet()
-	f.pace = 100
-	f.play(int(time.Minute / fleetStep))
-	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.03 {
-		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
-	}
-	for id, n := range f.ran {
-		if n > 9*f.sent/5/fleetTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
+	sim := newClusterSim()
+	sim.pace = 100
+	sim.run(int(time.Minute / simStep))
+	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.03 {
+		t.Errorf("opened %d connections for %d requests", sim.opened, sim.sent)
+	}
+	for id, n := range sim.served {
+		if n > 9*sim.sent/5/simTargets {
+			t.Errorf("%s served %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
 
-// The callers of another data centre move here: targets there take over what those
-// here have no room for, and give it back, without leaving any of these crowded.
-func TestOtherDataCentreTakesOverWhenCallersMove(t *testing.T) {
-	f := newFleet()
-	f.pace = 100
-	for _, r := range f.instances {
-		for i := range fleetTargets / 2 {
+// When the local load exceeds the local capacity, targets of another data centre
+// take over a part, and no longer do so afterwards.
+func TestOtherDataCentreAbsorbsExcessLoad(t *testing.T) {
+	sim := newClusterSim()
+	sim.pace = 100
+	for _, r := range sim.instances {
+		for i := range simTargets / 2 {
 			entry := r.byID[fmt.Sprint("t", i)].Entry
 			entry.DataCentre = "far"
 			r.Put(entry)
 		}
 	}
 	far := func(every int) float64 {
-		clear(f.ran)
-		f.sent, f.every = 0, every
-		f.play(int(10 * time.Second / fleetStep))
+		clear(sim.served)
+		sim.sent, sim.sendInterval = 0, every
+		sim.run(int(10 * time.Second / simStep))
 		n := 0
-		for i := range fleetTargets / 2 {
-			n += f.ran[fmt.Sprint("t", i)]
+		for i := range simTargets / 2 {
+			n += sim.served[fmt.Sprint("t", i)]
 		}
-		return float64(n) / float64(f.sent)
+		return float64(n) / float64(sim.sent)
 	}
-	before, moved := far(2*fleetEvery), far(fleetEvery/4)
-	far(2 * fleetEvery)
-	after := far(2 * fleetEvery)
+	before, moved := far(2*simSendInterval), far(simSendInterval/4)
+	far(2 * simSendInterval)
+	after := far(2 * simSendInterval)
 	if before > 0.2 || after > 0.2 || moved < 0.3 || moved > 0.6 {
-		t.Errorf("parts at the other data centre: %.2f, %.2f while callers were here, %.2f", before, moved, after)
+		t.Errorf("fraction served by the other data centre: %.2f before, %.2f during and %.2f after the overload", before, moved, after)
 	}
 }
 
-// Sixty instances that send three requests a second each open a connection for
-// less than one request in ten, and load no target with more than three times
-// its share.
+// Many instances with a low request rate open few connections and don't overload
+// any target.
 func TestManyInstancesOpenFewConnections(t *testing.T) {
-	f := newFleet()
-	f.play(int(time.Minute / fleetStep))
-	if perRequest := float64(f.opened) / float64(f.sent); perRequest > 0.1 {
-		t.Errorf("%d connections opened for %d requests", f.opened, f.sent)
-	}
-	for id, n := range f.ran {
-		if n > 3*f.sent/fleetTargets {
-			t.Errorf("%s ran %d of %d requests", id, n, f.sent)
+	sim := newClusterSim()
+	sim.run(int(time.Minute / simStep))
+	if perRequest := float64(sim.opened) / float64(sim.sent); perRequest > 0.1 {
+		t.Errorf("opened %d connections for %d requests", sim.opened, sim.sent)
+	}
+	for id, n := range sim.served {
+		if n > 3*sim.sent/simTargets {
+			t.Errorf("%s served %d of %d requests", id, n, sim.sent)
 		}
 	}
 }
--- /dev/null
+++ b/internal/targets/expected_end.go
@@ -0,0 +1,126 @@
+package targets
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/banyanglade/banyanglade/internal/policy"
+)
+
+// chooseByEnd selects the target with the earliest expected end of the request. It
+// is used for services whose targets' speeds are learned. The mutex must be held.
+func (r *Registry) chooseByEnd(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
+	pool := r.recentPool(criteria.Service, now).Utilization
+	means := meanUtilizations(all)
+	serviceMeans := meansOf(all)
+	preferred := criteria.preferred(all)
+	r.endOptions = r.endOptions[:0]
+	for _, t := range all {
+		hasIdle := r.connections.HasIdle(t.Address, now)
+		last := t.incarnation == criteria.LastIncarnation
+		slowness := t.currentSlowness(serviceMeans, now)
+		if last {
+			// Short slowdowns must not move a program from its target.
+			slowness = t.slowness(serviceMeans, now)
+		}
+		r.endOptions = append(r.endOptions, policy.TargetOption{
+			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(means),
+			NeedsConnection: !hasIdle, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
+			HasPrompt: last, Warm: t == preferred,
+			Excluded: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
+			Rank:     r.tieBreak(t, hasIdle || !criteria.Stream),
+		})
+	}
+	choice := policy.ChooseTarget(r.endOptions, model.endRequest(criteria))
+	if choice.Index < 0 {
+		return nil
+	}
+	criteria.Explanation.set(r.endOptions, all, choice, now)
+	return all[choice.Index]
+}
+
+// tieBreak ranks equivalent targets: at random, or in a fixed order that differs
+// between instances, so that each instance keeps connections to a few engines.
+func (r *Registry) tieBreak(t *Target, random bool) float64 {
+	if random {
+		return rand.Float64()
+	}
+	return rank(r.seed, t.ID)
+}
+
+// Explanation describes why a target was selected by its expected end.
+type Explanation struct {
+	// Estimated indicates that the target was selected by its expected end.
+	Estimated bool
+	// ExpectedEnd and RunnerUpEnd are the expected ends at the selected and at the
+	// second best target, as a fraction of the mean request duration.
+	ExpectedEnd, RunnerUpEnd float64
+	// RunnerUp is the ID of the second best target, empty if there was none.
+	RunnerUp string
+	// Utilization and Slowness are the estimates for the selected target, ReportAge and
+	// SpeedAge the ages of the data behind them, -1s if there is none.
+	Utilization, Slowness float64
+	ReportAge, SpeedAge   time.Duration
+	// Stayed indicates that the program stays at its last target, Moved that it leaves
+	// it.
+	Stayed, Moved bool
+}
+
+// set records a selection. It does nothing on a nil Explanation.
+func (e *Explanation) set(options []policy.TargetOption, all []*Target, choice policy.TargetChoice, now time.Time) {
+	if e == nil {
+		return
+	}
+	t, o := all[choice.Index], options[choice.Index]
+	*e = Explanation{
+		Estimated: true, ExpectedEnd: choice.Completion, RunnerUpEnd: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
+		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
+	}
+	if choice.RunnerUp >= 0 {
+		e.RunnerUp = all[choice.RunnerUp].ID
+	}
+}
+
+// unknownAge is the age of data that was never received.
+const unknownAge = -time.Second
+
+// age returns the time since an event, or unknownAge if at is zero.
+func age(at, now time.Time) time.Duration {
+	if at.IsZero() {
+		return unknownAge
+	}
+	return now.Sub(at)
+}
+
+// preferred returns the target with the highest rank for the key, on which all
+// instances agree without coordination. It is nil without a key, and for sticky
+// requests.
+func (c Criteria) preferred(all []*Target) *Target {
+	if c.Key == "" || c.Sticky {
+		return nil
+	}
+	var first best
+	for _, t := range all {
+		if !t.Draining {
+			first.offer(t, rank(c.Key, t.ID))
+		}
+	}
+	return first.target
+}
+
+// endRequest returns what a request needs, as a fraction of the mean response time.
+func (model *serviceModel) endRequest(criteria Criteria) policy.RequestProfile {
+	if !criteria.Stream {
+		return policy.RequestProfile{}
+	}
+	read := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
+	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.Tokens))
+	return policy.RequestProfile{Batched: true, PromptCost: read.Seconds() / max(response, time.Millisecond).Seconds()}
+}
+
+// avoided reports whether the target recently failed and should not receive
+// requests.
+func (t *Target) avoided(now time.Time) bool {
+	return now.Before(t.avoidUntil) || now.Before(t.peerAvoidUntil)
+}
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -9,71 +9,71 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Who lets programs begin has to know the load of a service as a whole. The owners
-// of budgets hear most of all targets; their view goes with each of their replies.
+// Admission of programs depends on the load of a service as a whole. Budget owners
+// receive the most reports and attach their view of each service to their replies.
 
 const (
-	// poolReportLife is the time in which a report fades to what its target usually
-	// reports, in the load of the service.
-	poolReportLife = 400 * time.Millisecond
-	// toldAge is how old another instance's view may be: the load changes within
-	// the time of a program.
-	toldAge = time.Second
-	// fillUnit is the part of the slots in which views are told.
-	fillUnit = 1e-3
+	// reportDecayTime is the time over which a report fades to the target's average, in
+	// the load of a service.
+	reportDecayTime = 400 * time.Millisecond
+	// maxViewAge is the age up to which another instance's view is used.
+	maxViewAge = time.Second
+	// utilizationUnit is the unit of utilization in pool reports.
+	utilizationUnit = 1e-3
 )
 
 // Pool is the load of a service as a whole.
 type Pool struct {
-	// Utilization is what runs and waits, in parts of the work that the service's targets
-	// can do, as Known of All usable ones told.
+	// Utilization is the number of running and waiting requests as a fraction of the
+	// capacity, based on reports of Reporting of the Usable targets.
 	Utilization float64
 	Reporting   int
 	Usable      int
 	// ReportAge is the mean age of the reports.
 	ReportAge time.Duration
-	// SpeedsLearned tells that the speeds of the targets are learned.
+	// SpeedsLearned indicates that the speeds of the targets are learned.
 	SpeedsLearned bool
 }
 
 // poolView is another instance's view of a service.
 type poolView struct {
-	fill  float64
-	known int
-	// at is when the reports were given, in the mean, heard when it was told.
-	at, heard time.Time
+	utilization float64
+	reporting   int
+	// reportedAt is when the targets reported, on average; receivedAt is when this
+	// instance received the view.
+	reportedAt, receivedAt time.Time
 }
 
-// better tells whether a view rests on more targets, or on newer reports, than
-// what this instance knows itself.
-func (v poolView) better(own Pool, now time.Time) bool {
-	return v.known > own.Reporting || (v.known == own.Reporting && now.Sub(v.at) < own.ReportAge)
+// betterThan reports whether the view is based on more targets than own, or on
+// newer reports of as many.
+func (v poolView) betterThan(own Pool, now time.Time) bool {
+	return v.reporting > own.Reporting || (v.reporting == own.Reporting && now.Sub(v.reportedAt) < own.ReportAge)
 }
 
-// Pool tells the load of a service for who may begin. The better informed view
-// counts, of this instance or of another one.
+// Pool returns the load of a service, from this instance's data or from another
+// instance's view, whichever is based on more targets.
 func (r *Registry) Pool(service string, now time.Time) Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pool := r.ownPool(service, now)
 	view, ok := r.views[xxhash.Sum64String(service)]
-	if ok && now.Sub(view.heard) <= toldAge && view.better(pool, now) {
-		pool.Utilization, pool.Reporting, pool.ReportAge = view.fill, min(view.known, pool.Usable), now.Sub(view.at)
+	if ok && now.Sub(view.receivedAt) <= maxViewAge && view.betterThan(pool, now) {
+		pool.Utilization, pool.Reporting, pool.ReportAge = view.utilization, min(view.reporting, pool.Usable), now.Sub(view.reportedAt)
 	}
 	return pool
 }
 
-// ownPool is the load of a service by what this instance knows of its targets. A
-// queue at a slow target says little of the room that the others have, so each
-// counts by its speed. One that has told nothing lately was asked for nothing, as
-// far as is known: it counts as free. The mutex is held.
+// ownPool returns the load of a service from this instance's data. Targets are
+// weighted by speed, so that queues at slow targets don't hide the capacity of
+// others. Targets without a recent report count as free: no instance is known to
+// have used them. The mutex must be held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
-	s, usual := r.of(service), r.usual(service)
-	pool := Pool{Usable: s.usable, SpeedsLearned: r.works[service] != nil}
+	s, means := r.serviceByName(service), r.means(service)
+	pool := Pool{Usable: s.usable, SpeedsLearned: r.models[service] != nil}
 	weight := func(t *Target) float64 { return float64(max(t.Slots, 1)) }
 	capacity, busy, ages := float64(s.slots), 0.0, 0.0
 	if pool.SpeedsLearned {
-		weight = func(t *Target) float64 { return float64(max(t.Slots, 1)) / t.slowness(usual, now) }
+		weight = func(t *Target) float64 { return float64(max(t.Slots, 1)) / t.slowness(means, now) }
 		capacity = 0
 		for _, t := range s.all {
 			if !t.Draining {
@@ -81,12 +81,12 @@
 			}
 		}
 	}
-	s.eachTold(now, func(t *Target) {
+	s.forEachReporting(now, func(t *Target) {
 		if t.Draining {
 			return
 		}
 		pool.Reporting++
-		busy += weight(t) * t.fill(0, poolReportLife, now)
+		busy += weight(t) * t.utilization(0, reportDecayTime, now)
 		ages += float64(now.Sub(t.loadAt))
 	})
 	if pool.Reporting > 0 {
@@ -96,13 +96,13 @@
 	return pool
 }
 
-// PoolReports tell other instances what this one knows of its services.
+// PoolReports returns this instance's views of services, for other instances.
 func (r *Registry) PoolReports(now time.Time) []structs.PoolReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var reports []structs.PoolReport
 	for service := range r.byService {
-		if r.works[service] == nil {
+		if r.models[service] == nil {
 			continue
 		}
 		pool := r.ownPool(service, now)
@@ -110,28 +110,28 @@
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Fill: int(pool.Utilization / fillUnit), Known: pool.Reporting, Age: pool.ReportAge,
+			Service: xxhash.Sum64String(service), Fill: int(pool.Utilization / utilizationUnit), Known: pool.Reporting, Age: pool.ReportAge,
 		})
 	}
 	return reports
 }
 
-// MergePoolReports takes another instance's view of services, unless a better informed
-// one is new.
+// MergePoolReports stores another instance's views of services, except where a
+// recent one is based on more targets.
 func (r *Registry) MergePoolReports(reports []structs.PoolReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.heard) > toldAge })
+	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.receivedAt) > maxViewAge })
 	for _, p := range reports {
 		if p.Fill < 0 || p.Known <= 0 {
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.known > p.Known && now.Sub(before.heard) < toldAge/2 {
+		if ok && before.reporting > p.Known && now.Sub(before.receivedAt) < maxViewAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			fill: float64(p.Fill) * fillUnit, known: p.Known, at: now.Add(-max(p.Age, 0)), heard: now,
+			utilization: float64(p.Fill) * utilizationUnit, reporting: p.Known, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
 		}
 	}
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -8,163 +8,165 @@
 )
 
 const (
-	// speedUnit is the part of a unit of work in which speeds are told.
+	// speedUnit is the unit of speeds in target reports.
 	speedUnit = 1e-6
-	// routeGain is the weight of an answer in the usual time of its route.
-	routeGain = 0.02
-	// maxRoutes bounds the routes whose times are kept for one service.
+	// durationWeight is the weight of one sample in moving averages of durations.
+	durationWeight = 0.02
+	// maxRoutes limits the routes with stored durations per service.
 	maxRoutes = 4096
-	// initialRequest is taken for the time of a request until some were seen.
-	initialRequest = 200 * time.Millisecond
+	// initialRequestDuration is the assumed duration of a request before any was
+	// measured.
+	initialRequestDuration = 200 * time.Millisecond
 )
 
-// work is what is usual for a service whose targets tell their pace.
-type work struct {
-	// routes are the times of answers, by route.
-	routes map[string]*routeTimes
-	// turns are the usual parts of an engine's turn.
-	turns policy.Estimates
-	// request is the usual time of a request of any kind.
-	request time.Duration
+// serviceModel holds the averages of a service whose targets' speeds are learned.
+type serviceModel struct {
+	// routes holds the durations of plain responses, by route.
+	routes map[string]*routeDurations
+	// turnEstimates are the expected durations of the phases of an engine's turn.
+	turnEstimates policy.Estimates
+	// requestDuration is the mean duration of requests of all kinds.
+	requestDuration time.Duration
 }
 
-// routeTimes are the times of whole plain answers of one route.
-type routeTimes struct {
-	// usual is their moving mean, in seconds.
-	usual      float64
-	stragglers policy.Hedger
+// routeDurations tracks the durations of complete plain responses of a route.
+type routeDurations struct {
+	// mean is the moving average, in seconds.
+	mean    float64
+	hedging policy.Hedger
 }
 
-// add takes an answer in and gives its time over the usual one.
-func (t *routeTimes) add(took time.Duration) float64 {
-	t.stragglers.Add(took)
-	if t.usual == 0 {
-		t.usual = took.Seconds()
+// add records a duration and returns it relative to the mean.
+func (t *routeDurations) add(duration time.Duration) float64 {
+	t.hedging.Add(duration)
+	if t.mean == 0 {
+		t.mean = duration.Seconds()
 	}
-	t.usual += routeGain * (took.Seconds() - t.usual)
-	return took.Seconds() / t.usual
+	t.mean += durationWeight * (duration.Seconds() - t.mean)
+	return duration.Seconds() / t.mean
 }
 
-// route finds the times of a route.
-func (w *work) route(name string) *routeTimes {
-	times := w.routes[name]
-	if times == nil {
-		if len(w.routes) >= maxRoutes {
-			clear(w.routes) // most are of former settings
+// route returns the durations of a route, creating them if needed.
+func (model *serviceModel) route(name string) *routeDurations {
+	durations := model.routes[name]
+	if durations == nil {
+		if len(model.routes) >= maxRoutes {
+			clear(model.routes) // most belong to removed routes
 		}
-		times = new(routeTimes)
-		w.routes[name] = times
+		durations = new(routeDurations)
+		model.routes[name] = durations
 	}
-	return times
+	return durations
 }
 
-// took takes the time of a request into the usual one.
-func (w *work) took(d time.Duration) {
-	w.request += time.Duration(routeGain * float64(d-w.request))
+// addDuration adds a sample to requestDuration.
+func (model *serviceModel) addDuration(d time.Duration) {
+	model.requestDuration += time.Duration(durationWeight * float64(d-model.requestDuration))
 }
 
-// work finds what is usual for a service, or begins to learn it. The mutex is
+// model returns the model of a service, creating it if needed. The mutex must be
 // held.
-func (r *Registry) work(service string) *work {
-	w := r.works[service]
-	if w == nil {
-		w = &work{routes: make(map[string]*routeTimes), turns: policy.NewEstimates(), request: initialRequest}
-		r.works[service] = w
+func (r *Registry) model(service string) *serviceModel {
+	model := r.models[service]
+	if model == nil {
+		model = &serviceModel{routes: make(map[string]*routeDurations), turnEstimates: policy.NewEstimates(), requestDuration: initialRequestDuration}
+		r.models[service] = model
 	}
-	return w
+	return model
 }
 
-// usualRequest is the usual time of a request to a service. The mutex is held.
-func (r *Registry) usualRequest(service string) time.Duration {
-	if w := r.works[service]; w != nil {
-		return w.request
+// meanRequestDuration returns the mean duration of requests to a service. The mutex
+// must be held.
+func (r *Registry) meanRequestDuration(service string) time.Duration {
+	if model := r.models[service]; model != nil {
+		return model.requestDuration
 	}
-	return initialRequest
+	return initialRequestDuration
 }
 
-// RecordResponse takes the time of a whole plain answer.
-func (r *Registry) RecordResponse(t *Target, route string, took time.Duration, now time.Time) {
+// RecordResponse records the duration of a complete plain response.
+func (r *Registry) RecordResponse(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[t.Service]
-	if w == nil || took <= 0 {
+	model := r.models[t.Service]
+	if model == nil || duration <= 0 {
 		return
 	}
-	w.took(took)
-	t.speed.Add(w.route(route).add(took), now)
+	model.addDuration(duration)
+	t.speed.Add(model.route(route).add(duration), now)
 }
 
-// HedgeTimeout is how long a first send of a request that may run again may take;
-// false if there is to be no second one for now.
+// HedgeTimeout returns how long the first send of a repeatable request may take
+// before it is given up for a hedged send. It returns false if no hedged send is
+// allowed now.
 func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[service]
-	if w == nil {
+	model := r.models[service]
+	if model == nil {
 		return 0, false
 	}
-	return w.route(route).stragglers.HedgeDelay(r.pool(service, now).Utilization)
+	return model.route(route).hedging.HedgeDelay(r.recentPool(service, now).Utilization)
 }
 
-// RecordHedge counts a second send after Patience, and how long the first one took
-// at least.
-func (r *Registry) RecordHedge(t *Target, route string, took time.Duration, now time.Time) {
+// RecordHedge records a hedged send. duration is how long the first send, to t,
+// took before it was given up.
+func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.works[t.Service]
-	if w == nil {
+	model := r.models[t.Service]
+	if model == nil {
 		return
 	}
-	times := w.route(route)
-	times.stragglers.RecordHedge()
-	if times.usual > 0 {
-		t.speed.Add(took.Seconds()/times.usual, now)
+	durations := model.route(route)
+	durations.hedging.RecordHedge()
+	if durations.mean > 0 {
+		t.speed.Add(duration.Seconds()/durations.mean, now)
 	}
 }
 
-// RecordEventInterval takes the time between events of an engine.
+// RecordEventInterval records the mean time between events of an engine's stream.
 func (r *Registry) RecordEventInterval(t *Target, perEvent time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.works[t.Service] != nil {
+	if r.models[t.Service] != nil {
 		t.speed.Add(perEvent.Seconds(), now)
 	}
 }
 
-// RecordTurn takes a whole turn.
+// RecordTurn records a completed turn.
 func (r *Registry) RecordTurn(t *Target, sample policy.RunSample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if w := r.works[t.Service]; w != nil {
-		w.took(sample.Took)
-		w.turns.Add(sample)
+	if model := r.models[t.Service]; model != nil {
+		model.addDuration(sample.Took)
+		model.turnEstimates.Add(sample)
 	}
 }
 
-// usual are the means of what is known of a service's targets, 0 where nothing
-// is.
-type usual struct{ speed, standing float64 }
+// serviceMeans holds the mean speed and pace of a service's targets, 0 if unknown.
+type serviceMeans struct{ speed, pace float64 }
 
-func usualOf(all []*Target) usual {
-	var speed, standing mean
+func meansOf(all []*Target) serviceMeans {
+	var speed, pace mean
 	for _, t := range all {
 		if !t.speed.UpdatedAt.IsZero() {
 			speed.add(t.speed.Mean)
 		}
-		if t.standing.Value > 0 {
-			standing.add(t.standing.Value)
+		if t.pace.Value > 0 {
+			pace.add(t.pace.Value)
 		}
 	}
-	return usual{speed: speed.value(), standing: standing.value()}
+	return serviceMeans{speed: speed.value(), pace: pace.value()}
 }
 
-// leastFill is the usual load of a service, in parts of the slots, below which it
-// does not matter how even it is.
-const leastFill = 0.02
+// minMeanUtilization is the mean utilization below which the balance of targets is
+// ignored.
+const minMeanUtilization = 0.02
 
-// usualFills are the means of what the targets of a service usually report, by
-// data centre: between these the load itself decides.
-func usualFills(all []*Target) map[string]float64 {
+// meanUtilizations returns the mean of the targets' average utilizations by data
+// centre. Differences between data centres are left to the selection by load.
+func meanUtilizations(all []*Target) map[string]float64 {
 	means := make(map[string]*mean)
 	for _, t := range all {
 		if t.loadAt.IsZero() {
@@ -173,26 +175,26 @@
 		if means[t.DataCentre] == nil {
 			means[t.DataCentre] = new(mean)
 		}
-		means[t.DataCentre].add(t.usualFill)
+		means[t.DataCentre].add(t.meanUtilization)
 	}
-	fills := make(map[string]float64, len(means))
+	meansByDataCentre := make(map[string]float64, len(means))
 	for dataCentre, m := range means {
-		fills[dataCentre] = m.value()
+		meansByDataCentre[dataCentre] = m.value()
 	}
-	return fills
+	return meansByDataCentre
 }
 
-// share is what a target usually has over what those of its data centre have, 1
-// while little is known.
-func (t *Target) share(fills map[string]float64) float64 {
-	usual := fills[t.DataCentre]
-	if t.loadAt.IsZero() || usual < leastFill {
+// relativeUtilization returns the average utilization relative to the mean of the
+// data centre, or 1 if too little is known.
+func (t *Target) relativeUtilization(meansByDataCentre map[string]float64) float64 {
+	localMean := meansByDataCentre[t.DataCentre]
+	if t.loadAt.IsZero() || localMean < minMeanUtilization {
 		return 1
 	}
-	return t.usualFill / usual
+	return t.meanUtilization / localMean
 }
 
-// mean is that of the values added.
+// mean is an arithmetic mean.
 type mean struct {
 	sum float64
 	n   int
@@ -200,53 +202,55 @@
 
 func (m *mean) add(value float64) { m.sum, m.n = m.sum+value, m.n+1 }
 
-// value is 0 if none was added.
+// value returns the mean, 0 without samples.
 func (m *mean) value() float64 { return m.sum / max(float64(m.n), 1) }
 
-// slowness is the target's time for the same work over the usual one, apart from
-// what it says of the present.
-func (t *Target) slowness(u usual, now time.Time) float64 {
-	return t.speed.Slowness(u.speed, t.says(u), now)
+// slowness returns the target's time for a unit of work relative to the mean,
+// without its current pace.
+func (t *Target) slowness(means serviceMeans, now time.Time) float64 {
+	return t.speed.Slowness(means.speed, t.relativePace(means), now)
 }
 
-// says is what the target usually says of its pace, over the usual one.
-func (t *Target) says(u usual) float64 {
-	if t.standing.Value <= 0 {
+// relativePace returns the typical pace that the target reports, relative to the
+// mean.
+func (t *Target) relativePace(means serviceMeans) float64 {
+	if t.pace.Value <= 0 {
 		return 1
 	}
-	return t.standing.Value / u.standing
+	return t.pace.Value / means.pace
 }
 
-// present is the slowness with what the target says of the present.
-func (t *Target) present(u usual, now time.Time) float64 {
-	slowness := t.slowness(u, now)
-	if t.load.Pace <= 0 || u.standing <= 0 {
+// currentSlowness is the slowness adjusted by the pace in the newest report.
+func (t *Target) currentSlowness(means serviceMeans, now time.Time) float64 {
+	slowness := t.slowness(means, now)
+	if t.load.Pace <= 0 || means.pace <= 0 {
 		return slowness
 	}
-	return policy.CurrentSlowness(slowness, float64(t.load.Pace)/100/u.standing, now.Sub(t.loadAt))
+	return policy.CurrentSlowness(slowness, float64(t.load.Pace)/100/means.pace, now.Sub(t.loadAt))
 }
 
-// fill is the expected number of requests at a target, in parts of its slots.
-func (t *Target) fill(pool float64, request time.Duration, now time.Time) float64 {
+// utilization estimates the number of requests at a target as a fraction of its
+// slots.
+func (t *Target) utilization(pool float64, requestDuration time.Duration, now time.Time) float64 {
 	return policy.ExpectedUtilization(policy.LoadReport{
 		Busy: t.load.Running + t.load.Waiting, OwnDelta: t.inFlight - t.inFlightAtLoad, OwnInFlight: t.inFlight,
-		Slots: t.Slots, TypicalUtilization: t.usualFill, HasReport: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
-	}, pool, request)
+		Slots: t.Slots, TypicalUtilization: t.meanUtilization, HasReport: !t.loadAt.IsZero(), Age: now.Sub(t.loadAt),
+	}, pool, requestDuration)
 }
 
-// report is what others are told of a target.
-func (t *Target) report(u usual, now time.Time) structs.TargetReport {
+// report returns what other instances are sent about a target.
+func (t *Target) report(means serviceMeans, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
-		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
+		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if told := t.speed.AdvertisedMean(u.speed, t.says(u)); told > 0 {
-		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
+	if speed := t.speed.AdvertisedMean(means.speed, t.relativePace(means)); speed > 0 {
+		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
 
-// hearSpeed takes what another instance learned of a target. The mutex is held.
-func (r *Registry) hearSpeed(t *Target, report structs.TargetReport, now time.Time) {
+// mergeSpeed applies a speed measured by another instance. The mutex must be held.
+func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
 	if report.Speed > 0 {
 		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
 	}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,5 +1,5 @@
-// Package targets keeps the table of targets with what this instance knows of
-// their load and health, and chooses the target of a request.
+// Package targets holds the registered targets with the load and health known to
+// this instance, and selects the target of each request.
 package targets
 
 import (
@@ -16,25 +16,25 @@
 
 // Entry is a target's registration.
 type Entry struct {
-	// ID names one start of a target.
+	// ID identifies the target across restarts; see Incarnation.
 	ID         string
 	Service    string
 	Address    string
 	DataCentre string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
 	// Draining targets take no new requests.
 	Draining bool
-	// ColdRemaining is how much longer it is slow after its start.
+	// ColdRemaining is how much longer the target is slow after its start.
 	ColdRemaining time.Duration
-	// Start is when it started, in Unix milliseconds; 0 if it does not tell.
-	// Each later one under the same id is another target, which holds and knows
-	// nothing of the former.
+	// Start is when it started, in Unix milliseconds; 0 if not reported. A later start
+	// under the same ID is a different incarnation, which shares no state with the
+	// earlier one.
 	Start int64
 }
 
-// Incarnation names one start of the target. A target that does not tell when
-// it started has one only.
+// Incarnation identifies one start of the target. A target that does not report its
+// start time has a single incarnation.
 func (e Entry) Incarnation() string {
 	if e.Start == 0 {
 		return e.ID
@@ -42,71 +42,72 @@
 	return e.ID + incarnationSeparator + strconv.FormatInt(e.Start, 10)
 }
 
-// incarnationSeparator stands between the id and the start of a target.
+// incarnationSeparator separates the ID and the start time in an incarnation.
 const incarnationSeparator = "@"
 
-// Target is a target with its state at this instance. The fields below the
-// entry are guarded by the mutex of its Registry.
+// Target is a registered target with its state at this instance. The mutex of its
+// Registry guards the fields below the entry, except the immutable ones.
 type Target struct {
 	Entry
-	// incarnation is that of the entry, hash its hash; they never change.
-	incarnation string
-	hash        uint64
-	// key is the hash of the id, place where the target stands in its service.
-	key   uint64
-	place int
+	// incarnation is Entry.Incarnation, incarnationHash its hash; both are immutable.
+	incarnation     string
+	incarnationHash uint64
+	// idHash is the hash of the ID, index the target's position in service.all.
+	idHash uint64
+	index  int
 	// inFlight counts this instance's requests at the target.
 	inFlight int
-	// load is the newest report, inFlight as it was then; heard tells that it
-	// was given to another instance.
+	// load is the newest report, inFlightAtLoad the value of inFlight when it was
+	// received. relayed indicates that another instance received the report.
 	load           call.Load
 	loadAt         time.Time
 	inFlightAtLoad int
-	heard          bool
-	// isTold tells that the target is among those with a report.
-	isTold bool
-	// told is the newest report that was given to this instance itself, by which
-	// targets that do not tell their pace are placed.
-	told told
-	// usualFill is the moving mean of the reports, in parts of the slots.
-	usualFill float64
-	// speed is what was learned of the target's time for a unit of work, standing
-	// what it says itself, 0 if it says nothing.
-	speed    policy.SpeedEstimate
-	standing policy.PaceMedian
-	// failures counts failures in a row; avoidUntil keeps requests away.
+	relayed        bool
+	// hasReport indicates that the target is in service.reporting.
+	hasReport bool
+	// direct is the newest report that this instance received itself. It is used to
+	// select among targets that do not report their pace.
+	direct directReport
+	// meanUtilization is the moving average of the reported load, as a fraction of the
+	// slots.
+	meanUtilization float64
+	// speed is the measured time for a unit of work; pace summarizes the paces that the
+	// target reports.
+	speed policy.SpeedEstimate
+	pace  policy.PaceMedian
+	// failures counts consecutive failures; the target is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
-	// provenAt is when it last answered this instance in order.
-	provenAt time.Time
-	// brokeAt is when it last broke a connection at once, here or, as far as
-	// is known, elsewhere; heardUntil keeps requests away on others' word.
-	brokeAt    time.Time
-	heardUntil time.Time
-	// noticedAt is when others were last told of it.
-	noticedAt time.Time
+	// lastSuccessAt is when a request of this instance last succeeded.
+	lastSuccessAt time.Time
+	// lastBreakAt is when the target last broke a new connection, of this or another
+	// instance. peerAvoidUntil is set by reports of other instances.
+	lastBreakAt    time.Time
+	peerAvoidUntil time.Time
+	// lastNoticeAt is when other instances were last notified of a break.
+	lastNoticeAt time.Time
 }
 
 const (
-	// loadAge is how long a report of a target's load is believed: a few
-	// requests' duration, as others change it meanwhile.
-	loadAge = 400 * time.Millisecond
-	// avoidFirst and avoidMost bound how long a failing target is avoided; the
-	// time doubles with each failure in a row. The first is about the time in
-	// which a crashed target's successor registers.
-	avoidFirst = 500 * time.Millisecond
-	avoidMost  = 4 * time.Second
+	// maxLoadAge is the age at which a load report is discarded: other instances change
+	// the load meanwhile.
+	maxLoadAge = 400 * time.Millisecond
+	// minAvoidance and maxAvoidance bound how long a failing target is avoided; the
+	// time doubles with each consecutive failure. The replacement of a crashed target
+	// registers within about minAvoidance.
+	minAvoidance = 500 * time.Millisecond
+	maxAvoidance = 4 * time.Second
 )
 
-// Connections are this instance's kept connections to targets.
+// Connections is this instance's pool of connections to targets.
 type Connections interface {
-	// HasIdle tells whether an idle connection to an address can be used.
+	// HasIdle reports whether a usable idle connection to an address exists.
 	HasIdle(address string, now time.Time) bool
 }
 
-// Registry is the table of targets. It is safe for concurrent use.
+// Registry holds the registered targets. It is safe for concurrent use.
 type Registry struct {
-	// dataCentre is where this instance is.
+	// dataCentre is the data centre of this instance.
 	dataCentre  string
 	connections Connections
 
@@ -114,86 +115,86 @@
 	byID          map[string]*Target
 	byIncarnation map[string]*Target
 	byService     map[string]*service
-	// views are other instances' views of services, by the hashes of their names.
+	// views holds other instances' views of services, by hash of the service name.
 	views map[uint64]poolView
-	// byHash finds targets by the hash of their incarnation.
+	// byHash indexes targets by incarnationHash.
 	byHash map[uint64]*Target
-	// broken are the targets that broke connections lately, by incarnation.
+	// broken holds the targets that recently broke connections, by incarnation.
 	broken map[string]*Target
-	// nearLoads are the usual loads of the targets of this data centre, by
-	// service, in parts of their slots.
-	nearLoads map[string]float64
-	// works are what is usual for services whose targets' speeds are learned.
-	works map[string]*work
-	// learns tells that the speeds of all targets are learned.
-	learns bool
-	// seed differs between instances, so that each prefers other targets of those
-	// that are alike.
+	// localUtilization is the moving average of the utilization of targets in this data
+	// centre, by service.
+	localUtilization map[string]float64
+	// models holds the services whose targets' speeds are learned.
+	models map[string]*serviceModel
+	// learnsSpeeds indicates that the speeds of all targets are learned.
+	learnsSpeeds bool
+	// seed makes each instance prefer different targets among equivalent ones.
 	seed string
-	// options is reused by choices.
-	options []policy.TargetOption
+	// endOptions is reused between selections to avoid allocations.
+	endOptions []policy.TargetOption
 }
 
-// NewRegistry makes an empty table for an instance in a data centre.
+// NewRegistry returns an empty Registry for an instance in dataCentre.
 func NewRegistry(dataCentre string, connections Connections) *Registry {
 	return &Registry{
-		dataCentre:    dataCentre,
-		connections:   connections,
-		byID:          make(map[string]*Target),
-		byIncarnation: make(map[string]*Target),
-		byHash:        make(map[uint64]*Target),
-		views:         make(map[uint64]poolView),
-		byService:     make(map[string]*service),
-		broken:        make(map[string]*Target),
-		nearLoads:     make(map[string]float64),
-		works:         make(map[string]*work),
-		seed:          strconv.FormatUint(rand.Uint64(), 36),
+		dataCentre:       dataCentre,
+		connections:      connections,
+		byID:             make(map[string]*Target),
+		byIncarnation:    make(map[string]*Target),
+		byHash:           make(map[uint64]*Target),
+		views:            make(map[uint64]poolView),
+		byService:        make(map[string]*service),
+		broken:           make(map[string]*Target),
+		localUtilization: make(map[string]float64),
+		models:           make(map[string]*serviceModel),
+		seed:             strconv.FormatUint(rand.Uint64(), 36),
 	}
 }
 
-// LearnSpeeds has the speeds of all targets learned, also of those that do not tell
-// the pace of their machines.
+// LearnSpeeds enables speed learning for all targets, including those that do not
+// report their pace.
 func (r *Registry) LearnSpeeds() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.learns = true
+	r.learnsSpeeds = true
 	for service := range r.byService {
-		r.work(service)
+		r.model(service)
 	}
 }
 
-// Put adds or updates a target and tells whether it is new or began to leave.
-// Nothing that is known of an earlier start, or of another service or address
-// under the same id, holds for the new one.
+// Put adds or updates a target. It reports whether the target is new or its
+// draining state changed. A new incarnation, or a new service or address under the
+// same ID, starts without state.
 func (r *Registry) Put(entry Entry) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if t, ok := r.byID[entry.ID]; ok && t.same(entry) {
+	if t, ok := r.byID[entry.ID]; ok && t.matches(entry) {
 		changed := t.Draining != entry.Draining
 		s := r.byService[t.Service]
-		s.count(t, -1)
-		// The fields that name the target are read without the mutex.
+		s.adjustTotals(t, -1)
+		// ID, Service, Address and Start are not updated: they are read without the
+		// mutex.
 		t.DataCentre, t.Slots, t.Draining, t.ColdRemaining = entry.DataCentre, entry.Slots, entry.Draining, entry.ColdRemaining
-		s.count(t, 1)
+		s.adjustTotals(t, 1)
 		return changed
 	}
 	r.remove(entry.ID)
 	t := &Target{Entry: entry, incarnation: entry.Incarnation()}
-	t.hash, t.key = xxhash.Sum64String(t.incarnation), xxhash.Sum64String(t.ID)
+	t.incarnationHash, t.idHash = xxhash.Sum64String(t.incarnation), xxhash.Sum64String(t.ID)
 	r.byID[entry.ID] = t
 	r.byIncarnation[t.incarnation] = t
-	r.byHash[t.hash] = t
+	r.byHash[t.incarnationHash] = t
 	if r.byService[entry.Service] == nil {
 		r.byService[entry.Service] = new(service)
 	}
 	r.byService[entry.Service].add(t, r.dataCentre)
-	if r.learns {
-		r.work(entry.Service)
+	if r.learnsSpeeds {
+		r.model(entry.Service)
 	}
 	return true
 }
 
-// Remove drops a target and tells whether it was there.
+// Remove deletes a target and reports whether it was registered.
 func (r *Registry) Remove(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,12 +208,12 @@
 	}
 	delete(r.byID, id)
 	delete(r.byIncarnation, t.incarnation)
-	delete(r.byHash, t.hash)
+	delete(r.byHash, t.incarnationHash)
 	r.byService[t.Service].remove(t)
 	return true
 }
 
-// IDs lists all targets.
+// IDs returns the IDs of all targets, in no particular order.
 func (r *Registry) IDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +224,7 @@
 	return ids
 }
 
-// Has tells whether a target is registered.
+// Has reports whether a target is registered.
 func (r *Registry) Has(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,7 +232,7 @@
 	return ok
 }
 
-// Entry is the registration of a target.
+// Entry returns the registration of a target.
 func (r *Registry) Entry(id string) (Entry, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,7 +243,7 @@
 	return t.Entry, true
 }
 
-// IsRegistered tells whether a start of a target is the registered one.
+// IsRegistered reports whether an incarnation is the registered one of its target.
 func (r *Registry) IsRegistered(incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -250,73 +251,72 @@
 	return ok
 }
 
-// Begin counts a request that is sent to a target.
+// Begin records that a request is sent to a target.
 func (r *Registry) Begin(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.inFlight++
 }
 
-// End counts a request that has ended.
+// End records that a request has ended.
 func (r *Registry) End(t *Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.inFlight--
 }
 
-// RecordLoad takes a target's report of its load.
+// RecordLoad records a load report received from a target.
 func (r *Registry) RecordLoad(t *Target, load call.Load, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setLoad(t, load, now)
-	t.heard = false
-	t.told = told{busy: load.Running + load.Waiting, at: now, inFlight: t.inFlight}
+	t.relayed = false
+	t.direct = directReport{busy: load.Running + load.Waiting, at: now, inFlight: t.inFlight}
 	if t.DataCentre == r.dataCentre {
-		r.noteNearLoad(t, load)
+		r.updateLocalUtilization(t, load)
 	}
 }
 
-// RecordSuccess notes that a target answered in order.
+// RecordSuccess records a successful response and stops avoiding the target.
 func (r *Registry) RecordSuccess(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t.failures, t.avoidUntil, t.heardUntil, t.provenAt = 0, time.Time{}, time.Time{}, now
+	t.failures, t.avoidUntil, t.peerAvoidUntil, t.lastSuccessAt = 0, time.Time{}, time.Time{}, now
 }
 
-// RecordFailure notes that a target could not be reached or broke off, and avoids it
-// for a while.
+// RecordFailure records that a target was unreachable or aborted a request. The
+// target is avoided for a time that grows with consecutive failures.
 func (r *Registry) RecordFailure(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait := min(avoidFirst<<min(t.failures, 8), avoidMost)
+	wait := min(minAvoidance<<min(t.failures, 8), maxAvoidance)
 	t.failures++
 	t.avoidUntil = now.Add(wait)
 }
 
-// Incarnation names the start of the target that this is.
+// Incarnation returns Entry.Incarnation without formatting it again.
 func (t *Target) Incarnation() string { return t.incarnation }
 
-// same tells whether an entry is of the same start, at the same place.
-func (t *Target) same(entry Entry) bool {
+// matches reports whether an entry is of the same incarnation, service and address.
+func (t *Target) matches(entry Entry) bool {
 	return t.Service == entry.Service && t.Address == entry.Address && t.Start == entry.Start
 }
 
-// told is a target's report to this instance.
-type told struct {
-	// busy counts the requests that ran and waited at the time, inFlight those of
-	// this instance among them.
+// directReport is a load report that this instance received from the target.
+type directReport struct {
+	// busy counts the running and waiting requests, inFlight those of this instance.
 	busy     int
 	at       time.Time
 	inFlight int
 }
 
-// busy estimates how many requests run and wait at a target, by what it told this
-// instance. What others heard makes programs leave engines that are full for a
-// moment, and read their prompts again.
+// busy estimates the running and waiting requests from direct reports only: relayed
+// ones would move programs away from engines that are full for a moment, and their
+// prompts would be processed again.
 func (t *Target) busy(now time.Time) float64 {
-	if now.Sub(t.told.at) > loadAge {
+	if now.Sub(t.direct.at) > maxLoadAge {
 		return float64(t.inFlight)
 	}
-	reported := t.told.busy + t.inFlight - t.told.inFlight
+	reported := t.direct.busy + t.inFlight - t.direct.inFlight
 	return float64(max(reported, t.inFlight))
 }
