--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -127,7 +127,7 @@
 
 func newServer(
 	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Manager,
-	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Manager, conversations *conversation.Keeper,
+	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Manager, conversations *conversation.Manager,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Config{
@@ -158,7 +158,7 @@
 	budgets   *budget.Manager
 	// conversations holds the conversations of routes whose turns carry only their own
 	// input.
-	conversations *conversation.Keeper
+	conversations *conversation.Manager
 	allowances    *allowance.Manager
 
 	settings  *feed.Topic
@@ -178,7 +178,7 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, targetFeed *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, budgets *budget.Manager, conversations *conversation.Keeper,
+	dir *directory.Directory, transport *peer.Transport, budgets *budget.Manager, conversations *conversation.Manager,
 	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Manager,
 ) *edge {
 	e := &edge{
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -40,7 +40,7 @@
 	if previous == "" {
 		return true
 	}
-	before, err := x.server.conversations.Before(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
+	before, err := x.server.conversations.History(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
 	switch {
 	case errors.Is(err, ErrTurnNotFound):
 		x.detail = "turn " + previous
@@ -81,7 +81,7 @@
 		return false
 	}
 	x.settleOnce()
-	err := x.server.conversations.Keep(x.ctx, x.scoped(x.call.Program), CompletedTurn{
+	err := x.server.conversations.StoreTurn(x.ctx, x.scoped(x.call.Program), CompletedTurn{
 		ID: x.scoped(x.call.ID), Previous: x.scoped(x.call.PreviousTurn), Input: x.turn.input, Output: x.turn.output.Bytes(),
 		Retention: x.route.Retention,
 	})
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -23,7 +23,7 @@
 const maxBufferedBytes = 1 << 20
 
 // deliver passes a target's response on and reports whether another send may follow.
-func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Answer) bool {
+func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Response) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !meta.Signed {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -114,13 +114,13 @@
 // Conversations stores the conversations of routes whose turns carry their new input
 // only.
 type Conversations interface {
-	// Before returns the conversation up to and including a turn. It returns
+	// History returns the conversation up to and including a turn. It returns
 	// ErrTurnNotFound if there is no such turn and ErrTurnUncertain if its existence
 	// could not be determined.
-	Before(ctx context.Context, program, turn string) ([]byte, error)
-	// Keep makes a turn durable. It returns once the turn is durable, or with the error
+	History(ctx context.Context, program, turn string) ([]byte, error)
+	// StoreTurn makes a turn durable. It returns once the turn is durable, or with the error
 	// of the context.
-	Keep(ctx context.Context, program string, turn CompletedTurn) error
+	StoreTurn(ctx context.Context, program string, turn CompletedTurn) error
 	// Accepts reports whether a turn that begins now is expected to be stored within
 	// the time left.
 	Accepts(left time.Duration) bool
