--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -17,9 +17,9 @@
 	// the appends seen lately, 0 without any.
 	Store         policy.StoreState `json:"store"`
 	TypicalAppend time.Duration     `json:"typical_append_ns"`
-	// AwayFor is how long no turn could be kept, 0 if turns can.
-	AwayFor    time.Duration   `json:"away_for_ns"`
-	Partitions []PartitionDump `json:"partitions"`
+	// OutageDuration is how long no turn could be kept, 0 if turns can.
+	OutageDuration time.Duration   `json:"away_for_ns"`
+	Partitions     []PartitionDump `json:"partitions"`
 }
 
 // PartitionDump is what is known of one partition.
@@ -28,23 +28,23 @@
 	// Read tells that all records before the offset Next were read.
 	Read bool  `json:"read"`
 	Next int64 `json:"next"`
-	// Away tells that it lately took no append.
-	Away bool `json:"away"`
+	// Unavailable tells that it lately took no append.
+	Unavailable bool `json:"away"`
 }
 
 // Dump shows the state.
-func (k *Keeper) Dump() Dump {
+func (k *Manager) Dump() Dump {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	d := Dump{Turns: len(k.memory.turns), Bytes: k.memory.bytes, DirectFailing: k.path.Failing(),
 		Store: k.path.State(now), TypicalAppend: k.path.TypicalLatency(now)}
 	if !k.outage.since.IsZero() {
-		d.AwayFor = now.Sub(k.outage.since)
+		d.OutageDuration = now.Sub(k.outage.since)
 	}
 	for _, p := range k.partitions {
 		d.Partitions = append(d.Partitions, PartitionDump{
-			Partition: p.number, Read: p.read, Next: p.next, Away: now.Before(p.awayUntil),
+			Partition: p.number, Read: p.read, Next: p.next, Unavailable: now.Before(p.awayUntil),
 		})
 	}
 	return d
--- a/internal/conversation/keep_test.go
+++ b/internal/conversation/keep_test.go
@@ -169,7 +169,7 @@
 	inWorld(t, 2, func(t *testing.T, w *world) {
 		n := w.all()[0]
 		w.mustTurn(n, "p", "")
-		if d := n.keeper.Dump(); d.Turns != 1 || d.Bytes == 0 || d.AwayFor != 0 || d.DirectFailing {
+		if d := n.keeper.Dump(); d.Turns != 1 || d.Bytes == 0 || d.OutageDuration != 0 || d.DirectFailing {
 			t.Errorf("in order: %+v", d)
 		}
 		w.Store.Set(metastore.Fault{Status: 503})
@@ -177,8 +177,8 @@
 			t.Fatal("the turn ended")
 		}
 		d := n.keeper.Dump()
-		away := d.Partitions[n.keeper.partitionOf("p").number].Away
-		if d.AwayFor == 0 || !d.DirectFailing || !away {
+		away := d.Partitions[n.keeper.partitionOf("p").number].Unavailable
+		if d.OutageDuration == 0 || !d.DirectFailing || !away {
 			t.Errorf("with the store away: %+v", d)
 		}
 	})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -125,7 +125,7 @@
 
 func newServer(
 	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
+	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Manager,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Parts{
@@ -155,7 +155,7 @@
 	transport *peer.Transport
 	keeper    *budget.Keeper
 	// conversations keeps those of routes whose turns carry their input only.
-	conversations *conversation.Keeper
+	conversations *conversation.Manager
 	allowances    *allowance.Keeper
 
 	settings  *feed.Topic
@@ -174,7 +174,7 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, incoming *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Keeper,
+	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Manager,
 	currency *settingsCurrency, instances *listing, allowances *allowance.Keeper,
 ) *edge {
 	e := &edge{
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -24,7 +24,7 @@
 // after the transport.
 type receiver struct {
 	keeper        *budget.Keeper
-	conversations *conversation.Keeper
+	conversations *conversation.Manager
 	allowances    *allowance.Keeper
 }
 
@@ -75,8 +75,8 @@
 func newConversations(
 	life lifetime, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, health *feed.Health, r *receiver, scope tally.Scope, log *slog.Logger,
-) *conversation.Keeper {
-	r.conversations = conversation.New(life, conversation.Parts{
+) *conversation.Manager {
+	r.conversations = conversation.New(life, conversation.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
 		Store: store, Peers: transport, Health: health, Scope: scope, Log: log,
 	})
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -67,7 +67,7 @@
 		return policy.ClassFirstTurn
 	case x.call.LastEvent != "":
 		return policy.ClassInProgress // an earlier attempt may have run
-	case x.call.ProgramOver:
+	case x.call.ProgramExpired:
 		return policy.ClassOverdue
 	}
 	return policy.ClassInProgress
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -40,7 +40,7 @@
 	if previous == "" {
 		return true
 	}
-	before, err := x.server.kept.Before(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
+	before, err := x.server.kept.History(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
 	switch {
 	case errors.Is(err, ErrNoTurn):
 		x.detail = "turn " + previous
@@ -81,7 +81,7 @@
 		return false
 	}
 	x.settleOnce()
-	err := x.server.kept.Keep(x.ctx, x.scoped(x.call.Program), EndedTurn{
+	err := x.server.kept.StoreTurn(x.ctx, x.scoped(x.call.Program), EndedTurn{
 		ID: x.scoped(x.call.ID), Previous: x.scoped(x.call.PreviousTurn), Input: x.turn.input, Output: x.turn.output.Bytes(),
 		Retention: x.route.Retention,
 	})
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -27,7 +27,7 @@
 	kept    []EndedTurn
 }
 
-func (c *conversations) Before(_ context.Context, _, turn string) ([]byte, error) {
+func (c *conversations) History(_ context.Context, _, turn string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -40,7 +40,7 @@
 	return []byte(text), nil
 }
 
-func (c *conversations) Keep(ctx context.Context, _ string, turn EndedTurn) error {
+func (c *conversations) StoreTurn(ctx context.Context, _ string, turn EndedTurn) error {
 	if c.hold != nil {
 		select {
 		case <-c.hold:
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -24,7 +24,7 @@
 
 // deliver passes a target's answer on and tells whether another send may
 // follow.
-func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, answer call.Answer) bool {
+func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, answer call.Response) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !answer.Signed {
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -120,13 +120,13 @@
 	if x.headSent {
 		resumeAfter = x.lastEvent
 	}
-	header := x.server.codec.Outgoing(x.request.Header, call.Send{
+	header := x.server.codec.Outgoing(x.request.Header, call.SendOptions{
 		Target: target.ID, TimeLeft: time.Until(x.deadline), Organisation: x.orgName(), ResumeAfter: resumeAfter,
 	})
 	ctx, cancel := x.sendContext()
 	defer cancel()
 	x.sendCtx = ctx
-	var answer call.Answer
+	var answer call.Response
 	sentAt := time.Now()
 	x.sentAt = sentAt
 	resp, err := x.server.pool.Do(ctx, exchange.Request{
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -113,12 +113,12 @@
 // Conversations keeps the conversations of routes whose turns carry their new
 // input only.
 type Conversations interface {
-	// Before returns what a conversation holds up to and with a turn, ErrNoTurn
+	// History returns what a conversation holds up to and with a turn, ErrNoTurn
 	// if there is no such turn, or ErrUncertain if that is not known.
-	Before(ctx context.Context, program, turn string) ([]byte, error)
-	// Keep makes a turn durable. It returns once it is, or with the error of
+	History(ctx context.Context, program, turn string) ([]byte, error)
+	// StoreTurn makes a turn durable. It returns once it is, or with the error of
 	// the context.
-	Keep(ctx context.Context, program string, turn EndedTurn) error
+	StoreTurn(ctx context.Context, program string, turn EndedTurn) error
 	// Accepts tells whether a turn that begins now can be kept before its caller
 	// leaves, which it does after a time.
 	Accepts(left time.Duration) bool
