--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -11,44 +11,44 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// directPause is the time between two tries of an instance whose appends fail
+// directRetryInterval is the time between two tries of an instance whose appends fail
 // while others make them: refused calls are priced.
-const directPause = 250 * time.Millisecond
+const directRetryInterval = 250 * time.Millisecond
 
-// maxTries bounds the instances that try in one round.
-const maxTries = 3
+// maxAttempts bounds the instances that try in one round.
+const maxAttempts = 3
 
-// errNotKept tells that another instance could not append turns.
-var errNotKept = errors.New("the other instance did not append the turns")
+// errNotStored tells that another instance could not append turns.
+var errNotStored = errors.New("the other instance did not append the turns")
 
-// round tries by this instance or by the one that gathers the partition's turns
+// runRound tries by this instance or by the one that gathers the partition's turns
 // and, if that fails or takes too long, by others. It tells whether the turns
 // are kept.
-func (w *writing) round(ctx context.Context) (bool, error) {
+func (w *turnWrite) runRound(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &round{writing: w, results: make(chan tryResult, maxTries), begun: time.Now()}
-	if w.keeper.gathers(w.partition) && r.help(ctx) {
-		r.directBeside(ctx)
+	r := &attemptRound{write: w, results: make(chan attemptResult, maxAttempts), started: time.Now()}
+	if w.manager.appendsThroughOther(w.partition) && r.appendThroughHelper(ctx) {
+		r.probeDirect(ctx)
 	} else {
 		r.direct(ctx)
 	}
-	hedge := time.NewTimer(w.keeper.hedgeAfter())
+	hedge := time.NewTimer(w.manager.hedgeDelay())
 	defer hedge.Stop()
 	var failure error
-	for len(r.open) > 0 {
+	for len(r.inFlight) > 0 {
 		select {
 		case result := <-r.results:
-			delete(r.open, result.by)
+			delete(r.inFlight, result.by)
 			if result.err == nil {
-				w.keptBy = result.by
-				w.keeper.noteWinner(w.partition, result, r.open)
+				w.storedBy = result.by
+				w.manager.observeWinner(w.partition, result, r.inFlight)
 				return true, nil
 			}
 			failure = errors.Join(failure, result.err)
-			r.next(ctx)
+			r.retry(ctx)
 		case <-hedge.C:
-			if left := w.keeper.hedgeAfter() - time.Since(r.begun); left > 0 {
+			if left := w.manager.hedgeDelay() - time.Since(r.started); left > 0 {
 				hedge.Reset(left)
 				continue
 			}
@@ -58,128 +58,130 @@
 	return false, failure
 }
 
-// round is one round of tries of a writing.
-type round struct {
-	writing *writing
-	results chan tryResult
-	// open are the tries under way, by the instance that makes them, and when
+// attemptRound is one round of tries of a writing.
+type attemptRound struct {
+	write   *turnWrite
+	results chan attemptResult
+	// inFlight are the tries under way, by the instance that makes them, and when
 	// they began.
-	open  map[structs.InstanceID]time.Time
-	tries int
+	inFlight map[structs.InstanceID]time.Time
+	attempts int
 	// directTried tells that this instance tried.
 	directTried bool
-	begun       time.Time
+	started     time.Time
 }
 
-// tryResult is how one try ended, and by which instance.
-type tryResult struct {
+// attemptResult is how one try ended, and by which instance.
+type attemptResult struct {
 	by structs.InstanceID
 	appendResult
 }
 
-// begin notes a try.
-func (r *round) begin(by structs.InstanceID) {
-	if r.open == nil {
-		r.open = make(map[structs.InstanceID]time.Time)
+// recordAttempt notes a try.
+func (r *attemptRound) recordAttempt(by structs.InstanceID) {
+	if r.inFlight == nil {
+		r.inFlight = make(map[structs.InstanceID]time.Time)
 	}
-	r.open[by] = time.Now()
-	r.tries++
+	r.inFlight[by] = time.Now()
+	r.attempts++
 }
 
 // direct tries by this instance.
-func (r *round) direct(ctx context.Context) {
-	w := r.writing
-	self := w.keeper.self.ID
+func (r *attemptRound) direct(ctx context.Context) {
+	w := r.write
+	self := w.manager.self.ID
 	r.directTried = true
-	r.begin(self)
+	r.recordAttempt(self)
 	go func() {
-		result := w.keeper.appendBatched(ctx, w.partition, w.turns, w.records)
-		r.results <- tryResult{self, result}
+		result := w.manager.appendBatched(ctx, w.partition, w.turns, w.records)
+		r.results <- attemptResult{self, result}
 	}()
 }
 
-// directBeside tries by this instance beside another one, to learn whether its
+// probeDirect tries by this instance beside another one, to learn whether its
 // failing appends succeed again.
-func (r *round) directBeside(ctx context.Context) {
-	if r.writing.keeper.triesDirect() {
+func (r *attemptRound) probeDirect(ctx context.Context) {
+	if r.write.manager.shouldTryDirect() {
 		r.direct(ctx)
 	}
 }
 
 // hedge has another instance try beside one that takes long.
-func (r *round) hedge(ctx context.Context) {
-	k := r.writing.keeper
-	if begun, ok := r.open[k.self.ID]; ok {
-		k.tellHanging(begun)
+func (r *attemptRound) hedge(ctx context.Context) {
+	k := r.write.manager
+	if begun, ok := r.inFlight[k.self.ID]; ok {
+		k.notifyHang(begun)
 	}
-	if k.mayHedge() {
-		r.help(ctx)
+	if k.allowHedge() {
+		r.appendThroughHelper(ctx)
 	}
 }
 
-// next tries again after a failure: by another instance, else by this one. It
+// retry tries again after a failure: by another instance, else by this one. It
 // does not if the tries so far took as long as an append may: then the store is
 // silent, and a later round is as good.
-func (r *round) next(ctx context.Context) {
-	if r.spent() || r.help(ctx) || len(r.open) > 0 || r.directTried || r.tries >= maxTries {
+func (r *attemptRound) retry(ctx context.Context) {
+	if r.timedOut() || r.appendThroughHelper(ctx) || len(r.inFlight) > 0 || r.directTried || r.attempts >= maxAttempts {
 		return
 	}
 	r.direct(ctx)
 }
 
-// spent tells that the round took as long as an append may.
-func (r *round) spent() bool { return time.Since(r.begun) >= r.writing.keeper.patience() }
+// timedOut tells that the round took as long as an append may.
+func (r *attemptRound) timedOut() bool {
+	return time.Since(r.started) >= r.write.manager.appendTimeout()
+}
 
-// help tries by another instance. It tells whether there is one.
-func (r *round) help(ctx context.Context) bool {
-	if r.tries >= maxTries {
+// appendThroughHelper tries by another instance. It tells whether there is one.
+func (r *attemptRound) appendThroughHelper(ctx context.Context) bool {
+	if r.attempts >= maxAttempts {
 		return false
 	}
-	helper := r.writing.chooseHelper()
+	helper := r.write.chooseHelper()
 	if helper == "" {
 		return false
 	}
-	r.begin(helper)
+	r.recordAttempt(helper)
 	go func() {
-		took, slow, err := r.writing.appendBy(ctx, helper)
-		r.results <- tryResult{helper, appendResult{took, slow, err}}
+		took, slow, err := r.write.appendThrough(ctx, helper)
+		r.results <- attemptResult{helper, appendResult{took, slow, err}}
 	}()
 	return true
 }
 
-// gathers tells whether turns for a partition go to the instance that gathers
+// appendsThroughOther tells whether turns for a partition go to the instance that gathers
 // them, rather than by an append of this instance.
-func (k *Manager) gathers(p *partition) bool {
+func (k *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
 	k.mu.Lock()
 	gathers, failing := k.path.ShouldBatch(p.number, k.pendingAppends(), now), k.path.Failing()
 	k.mu.Unlock()
-	return gathers && (failing || k.indexOf(p, nil) != k.self.ID)
+	return gathers && (failing || k.indexer(p, nil) != k.self.ID)
 }
 
-func (k *Manager) hedgeAfter() time.Duration {
+func (k *Manager) hedgeDelay() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.HedgeDelay(time.Now())
 }
 
-// mayHedge takes a second try from the budget of second tries.
-func (k *Manager) mayHedge() bool {
+// allowHedge takes a second try from the budget of second tries.
+func (k *Manager) allowHedge() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hedges.Allow(1)
 }
 
-// triesDirect tells whether this instance, whose appends fail, should try by
+// shouldTryDirect tells whether this instance, whose appends fail, should try by
 // itself beside another one: one turn after each pause does.
-func (k *Manager) triesDirect() bool {
+func (k *Manager) shouldTryDirect() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if !k.path.Failing() || now.Before(k.directAfter) {
+	if !k.path.Failing() || now.Before(k.nextDirectAttempt) {
 		return false
 	}
-	k.directAfter = now.Add(jittered(directPause))
+	k.nextDirectAttempt = now.Add(jittered(directRetryInterval))
 	return true
 }
 
@@ -188,9 +190,9 @@
 	return d*3/4 + rand.N(d/4)
 }
 
-// noteWinner learns from the try that was answered first: the others' ways are
+// observeWinner learns from the try that was answered first: the others' ways are
 // bad, unless the store itself is slow.
-func (k *Manager) noteWinner(p *partition, winner tryResult, open map[structs.InstanceID]time.Time) {
+func (k *Manager) observeWinner(p *partition, winner attemptResult, open map[structs.InstanceID]time.Time) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -198,10 +200,10 @@
 		return // an instance of an older version does not report the time
 	}
 	if winner.by != k.self.ID {
-		k.path.Observe(winner.answer(), now)
+		k.path.Observe(winner.observation(), now)
 	}
 	for id, begun := range open {
-		if !k.path.PathDegraded(winner.answer(), now.Sub(begun)) {
+		if !k.path.PathDegraded(winner.observation(), now.Sub(begun)) {
 			continue
 		}
 		if id != k.self.ID {
@@ -209,15 +211,15 @@
 			continue
 		}
 		k.path.ObserveOutcome(false, now)
-		k.directAfter = now.Add(jittered(directPause))
-		p.appends.abandon(func(age time.Duration) bool { return k.path.PathDegraded(winner.answer(), age) }, now)
+		k.nextDirectAttempt = now.Add(jittered(directRetryInterval))
+		p.appends.abandon(func(age time.Duration) bool { return k.path.PathDegraded(winner.observation(), age) }, now)
 	}
-	k.noteState(nil)
+	k.updateState(nil)
 }
 
-// noteAppend learns from an append of this instance. Its outcome is unknown if
+// observeAppend learns from an append of this instance. Its outcome is unknown if
 // the Keeper stopped.
-func (k *Manager) noteAppend(p *partition, result *appendResult) {
+func (k *Manager) observeAppend(p *partition, result *appendResult) {
 	if k.ctx.Err() != nil {
 		return
 	}
@@ -235,27 +237,27 @@
 	case result.err != nil:
 		k.path.ObserveRefusal(now)
 	case k.path.ObserveOutcome(true, now):
-		k.tellBack()
+		k.notifyRecovery()
 	}
-	k.noteState(result.err)
-	k.tellSlow(result.took, now)
+	k.updateState(result.err)
+	k.notifySlow(result.took, now)
 }
 
-// tellSlow tells others that the store is slow, if it is and nobody did so
+// notifySlow tells others that the store is slow, if it is and nobody did so
 // lately. The mutex is held.
-func (k *Manager) tellSlow(took time.Duration, now time.Time) {
+func (k *Manager) notifySlow(took time.Duration, now time.Time) {
 	if k.path.ShouldNotifySlow(now) {
 		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
 	}
 }
 
-// tellBack tells others that the store takes appends again. The mutex is held.
-func (k *Manager) tellBack() {
+// notifyRecovery tells others that the store takes appends again. The mutex is held.
+func (k *Manager) notifyRecovery() {
 	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
 }
 
-// tellHanging tells others that an append of this instance hangs.
-func (k *Manager) tellHanging(since time.Time) {
+// notifyHang tells others that an append of this instance hangs.
+func (k *Manager) notifyHang(since time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -272,21 +274,21 @@
 	switch {
 	case m.News == structs.StoreSlow:
 		k.path.ObserveNotice(m.Took, now)
-		k.noteState(nil)
+		k.updateState(nil)
 	case m.News == structs.StoreBack:
-		k.storeBack()
+		k.handleRecovery()
 	}
 	if len(m.Turns) > 0 {
-		k.add(m.Turns, m.Partition)
+		k.addTurnsLocked(m.Turns, m.Partition)
 	}
 }
 
-// storeBack has those that wait for the store try at once, also those whose
+// handleRecovery has those that wait for the store try at once, also those whose
 // appends hang. The mutex is held.
-func (k *Manager) storeBack() {
+func (k *Manager) handleRecovery() {
 	now := time.Now()
 	k.path.ObserveOutcome(true, now)
-	k.noteState(nil)
+	k.updateState(nil)
 	for _, p := range k.partitions {
 		p.appends.abandon(func(age time.Duration) bool {
 			return !k.path.Slow(now) && k.path.PathDegraded(policy.AppendResult{}, age)
@@ -296,9 +298,9 @@
 	k.endOutage()
 }
 
-// noteState logs when the state of the access to the store changes. The mutex is
+// updateState logs when the state of the access to the store changes. The mutex is
 // held.
-func (k *Manager) noteState(err error) {
+func (k *Manager) updateState(err error) {
 	state := k.path.State(time.Now())
 	if state == k.state {
 		return
@@ -319,45 +321,45 @@
 // chooseHelper chooses another instance to append the turns: the one that
 // gathers the partition's turns, or the next in its order that was not asked
 // yet.
-func (w *writing) chooseHelper() structs.InstanceID {
-	helper := w.keeper.indexOf(w.partition, append(w.helpers, w.keeper.self.ID))
+func (w *turnWrite) chooseHelper() structs.InstanceID {
+	helper := w.manager.indexer(w.partition, append(w.helpers, w.manager.self.ID))
 	if helper != "" {
 		w.helpers = append(w.helpers, helper)
 	}
 	return helper
 }
 
-// appendBy has another instance append the turns. It returns how long the store
+// appendThrough has another instance append the turns. It returns how long the store
 // took, and whether the other instance takes that for slow.
-func (w *writing) appendBy(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
-	answer := w.keeper.askWithin(ctx, helper, w.keeper.gatherPatience, func(number uint64) structs.Message {
+func (w *turnWrite) appendThrough(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
+	answer := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
 		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
 	if reply, ok := answer.(*structs.KeepReply); ok && reply.Kept {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
-		w.keeper.setUnable(helper)
+		w.manager.markUnable(helper)
 	}
-	return 0, false, errNotKept
+	return 0, false, errNotStored
 }
 
-// patience is how long an append may take.
-func (k *Manager) patience() time.Duration {
+// appendTimeout is how long an append may take.
+func (k *Manager) appendTimeout() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.AppendTimeout(time.Now())
 }
 
-// gatherPatience is how long another instance may take to append turns.
-func (k *Manager) gatherPatience() time.Duration {
+// batchTimeout is how long another instance may take to append turns.
+func (k *Manager) batchTimeout() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.BatchTimeout(time.Now())
 }
 
-// receiveKeep appends turns for another instance.
-func (k *Manager) receiveKeep(from structs.InstanceID, m *structs.KeepRequest) {
+// receiveAppendRequest appends turns for another instance.
+func (k *Manager) receiveAppendRequest(from structs.InstanceID, m *structs.KeepRequest) {
 	if m.Partition < 0 || m.Partition >= len(k.partitions) {
 		k.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", m.Partition)
 		return
@@ -365,19 +367,19 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.spawn(func() {
-		result := k.keepForOther(k.partitions[m.Partition], m.Turns)
+		result := k.appendForPeer(k.partitions[m.Partition], m.Turns)
 		k.peers.Send(from, &structs.KeepReply{Number: m.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
-// keepForOther appends turns of another instance, at once or not at all if this
+// appendForPeer appends turns of another instance, at once or not at all if this
 // instance's appends fail.
-func (k *Manager) keepForOther(p *partition, turns []structs.KeptTurn) appendResult {
+func (k *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
 	k.mu.Lock()
 	failing := k.path.Failing()
 	k.mu.Unlock()
-	if failing && !k.triesDirect() {
-		return appendResult{err: errNotKept}
+	if failing && !k.shouldTryDirect() {
+		return appendResult{err: errNotStored}
 	}
 	records, err := encodeTurns(turns)
 	if err != nil {
@@ -386,7 +388,7 @@
 	}
 	result := k.appendBatched(k.ctx, p, turns, records)
 	if result.err == nil {
-		k.learn(turns, p.number)
+		k.addTurns(turns, p.number)
 	}
 	return result
 }
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -16,8 +16,8 @@
 const (
 	// maxBatchRecords bounds the records of one append.
 	maxBatchRecords = 500
-	// defaultCallBytes bounds an append where the platform names no limit.
-	defaultCallBytes = 1 << 20
+	// defaultAppendBytes bounds an append where the platform names no limit.
+	defaultAppendBytes = 1 << 20
 	// recordOverhead is what the wire adds to a record besides key and value.
 	recordOverhead = 8
 )
@@ -27,30 +27,30 @@
 // one, unless a slow store's answers only take long on their way. The Keeper's
 // mutex guards it.
 type appendQueue struct {
-	waiting []*waitingTurns
-	// open are the appends in flight, the oldest first.
-	open   []*openAppend
-	window policy.AppendWindow
+	waiting []*appendRequest
+	// inFlight are the appends in flight, the oldest first.
+	inFlight []*inFlightAppend
+	window   policy.AppendWindow
 }
 
-// openAppend is an append in flight.
-type openAppend struct {
-	begun  time.Time
-	cancel context.CancelCauseFunc
+// inFlightAppend is an append in flight.
+type inFlightAppend struct {
+	started time.Time
+	cancel  context.CancelCauseFunc
 }
 
 // abandon ends appends that have no answer for a time: they may take effect yet,
 // and those whose turns they hold try again.
-func (q *appendQueue) abandon(hang func(age time.Duration) bool, now time.Time) {
-	for _, f := range q.open {
-		if hang(now.Sub(f.begun)) {
-			f.cancel(context.DeadlineExceeded)
+func (q *appendQueue) abandon(hangs func(age time.Duration) bool, now time.Time) {
+	for _, a := range q.inFlight {
+		if hangs(now.Sub(a.started)) {
+			a.cancel(context.DeadlineExceeded)
 		}
 	}
 }
 
-// waitingTurns are turns that must be appended together.
-type waitingTurns struct {
+// appendRequest are turns that must be appended together.
+type appendRequest struct {
 	ctx     context.Context
 	turns   []structs.KeptTurn
 	records []platform.Record
@@ -66,15 +66,15 @@
 	err  error
 }
 
-// answer is what an append that succeeded tells of the store.
-func (r appendResult) answer() policy.AppendResult {
+// observation is what an append that succeeded tells of the store.
+func (r appendResult) observation() policy.AppendResult {
 	return policy.AppendResult{Took: r.took, Slow: r.slow}
 }
 
 // appendBatched appends turns together with all others that wait for the partition. If
 // the context ends first, the store may still get them.
 func (k *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
-	r := &waitingTurns{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
+	r := &appendRequest{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
 	}
@@ -96,23 +96,23 @@
 // them. The mutex is held.
 func (k *Manager) startAppends(p *partition) {
 	l := &p.appends
-	for len(l.open) < l.window.Size() && !k.stopped {
-		batch := k.takeBatch(p)
+	for len(l.inFlight) < l.window.Size() && !k.stopped {
+		batch := k.nextBatch(p)
 		if len(batch) == 0 {
 			return
 		}
-		f := &openAppend{begun: time.Now()}
+		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, f.cancel = context.WithCancelCause(k.ctx)
-		l.open = append(l.open, f)
-		k.spawn(func() { k.runAppend(ctx, p, f, batch) })
+		ctx, a.cancel = context.WithCancelCause(k.ctx)
+		l.inFlight = append(l.inFlight, a)
+		k.spawn(func() { k.runAppend(ctx, p, a, batch) })
 	}
 }
 
 // runAppend makes an append and hands its outcome to those whose turns it holds.
-func (k *Manager) runAppend(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) {
-	result := k.appendBatch(ctx, p, f, batch)
-	f.cancel(nil)
+func (k *Manager) runAppend(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) {
+	result := k.appendBatch(ctx, p, a, batch)
+	a.cancel(nil)
 	if errors.Is(result.err, platform.ErrRejected) && len(batch) > 1 {
 		k.appendOneByOne(p, batch)
 	} else {
@@ -122,13 +122,13 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	p.appends.open = slices.DeleteFunc(p.appends.open, func(other *openAppend) bool { return other == f })
+	p.appends.inFlight = slices.DeleteFunc(p.appends.inFlight, func(other *inFlightAppend) bool { return other == a })
 	k.startAppends(p)
 }
 
 // appendOneByOne appends the turns of each alone, after the store rejected all of them
 // together: one that it rejects must not stop the others.
-func (k *Manager) appendOneByOne(p *partition, batch []*waitingTurns) {
+func (k *Manager) appendOneByOne(p *partition, batch []*appendRequest) {
 	var last appendResult
 	for _, r := range batch {
 		if last.err != nil && !errors.Is(last.err, platform.ErrRejected) {
@@ -138,22 +138,22 @@
 		if r.ctx.Err() != nil {
 			continue
 		}
-		f := &openAppend{begun: time.Now()}
+		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, f.cancel = context.WithCancelCause(k.ctx)
-		last = k.appendBatch(ctx, p, f, []*waitingTurns{r})
-		f.cancel(nil)
+		ctx, a.cancel = context.WithCancelCause(k.ctx)
+		last = k.appendBatch(ctx, p, a, []*appendRequest{r})
+		a.cancel(nil)
 		r.done <- last
 	}
 }
 
-// takeBatch takes those whose turns go into the next append, leaving out those whose
+// nextBatch takes those whose turns go into the next append, leaving out those whose
 // callers left. The mutex is held.
-func (k *Manager) takeBatch(p *partition) []*waitingTurns {
-	var batch []*waitingTurns
+func (k *Manager) nextBatch(p *partition) []*appendRequest {
+	var batch []*appendRequest
 	records, bytes, taken := 0, 0, 0
 	for _, r := range p.appends.waiting {
-		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > k.callBytes
+		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > k.maxAppendBytes
 		if len(batch) > 0 && full {
 			break
 		}
@@ -171,30 +171,30 @@
 }
 
 // appendBatch makes one append and notes how it went.
-func (k *Manager) appendBatch(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) appendResult {
+func (k *Manager) appendBatch(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) appendResult {
 	var records []platform.Record
 	for _, r := range batch {
 		records = append(records, r.records...)
 	}
-	go k.endInTime(ctx, f)
+	go k.enforceTimeout(ctx, a)
 	_, err := k.store.Append(ctx, platform.Append{Topic: topic, Partition: p.number, Records: records})
 	if err != nil && ctx.Err() != nil {
 		err = errors.Wrap(context.Cause(ctx), "append turns")
 	}
-	result := appendResult{took: time.Since(f.begun), err: err}
-	k.noteAppend(p, &result)
+	result := appendResult{took: time.Since(a.started), err: err}
+	k.observeAppend(p, &result)
 	k.metrics.appends.Inc(1)
-	k.metrics.batch.RecordValue(float64(len(records)))
+	k.metrics.batchSize.RecordValue(float64(len(records)))
 	return result
 }
 
-// endInTime ends an append that takes longer than the store's state lets
+// enforceTimeout ends an append that takes longer than the store's state lets
 // expect, which may change meanwhile.
-func (k *Manager) endInTime(ctx context.Context, f *openAppend) {
+func (k *Manager) enforceTimeout(ctx context.Context, a *inFlightAppend) {
 	for {
-		left := k.patience() - time.Since(f.begun)
+		left := k.appendTimeout() - time.Since(a.started)
 		if left <= 0 {
-			f.cancel(context.DeadlineExceeded)
+			a.cancel(context.DeadlineExceeded)
 			return
 		}
 		if !delay.Sleep(ctx, left) {
@@ -207,8 +207,8 @@
 func (k *Manager) pendingAppends() []policy.PendingAppend {
 	var pending []policy.PendingAppend
 	for _, p := range k.partitions {
-		for _, f := range p.appends.open {
-			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: f.begun})
+		for _, a := range p.appends.inFlight {
+			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: a.started})
 		}
 	}
 	return pending
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -22,24 +22,24 @@
 // record whose key begins with "bad"; behind one whose key is "away" it refuses.
 type slowStore struct {
 	Store
-	away    bool
-	mu      sync.Mutex
-	flying  int
-	appends [][]platform.Record
+	unavailable bool
+	mu          sync.Mutex
+	inFlight    int
+	appends     [][]platform.Record
 }
 
 func (s *slowStore) Append(_ context.Context, a platform.Append) (int64, error) {
 	s.mu.Lock()
-	s.flying++
-	together := s.flying
+	s.inFlight++
+	together := s.inFlight
 	s.appends = append(s.appends, a.Records)
 	s.mu.Unlock()
 	time.Sleep(time.Duration(together) * 100 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flying--
-	s.away = s.away || len(a.Records) == 1 && a.Records[0].Key == "away"
-	if s.away {
+	s.inFlight--
+	s.unavailable = s.unavailable || len(a.Records) == 1 && a.Records[0].Key == "away"
+	if s.unavailable {
 		return 0, platform.ErrBusy
 	}
 	for _, r := range a.Records {
@@ -50,10 +50,10 @@
 	return 0, nil
 }
 
-// nobody is the peers of an instance that is alone.
-type nobody struct{ Peers }
+// noPeers is the peers of an instance that is alone.
+type noPeers struct{ Peers }
 
-func (nobody) Broadcast(structs.Message) {}
+func (noPeers) Broadcast(structs.Message) {}
 
 // appendAll has records of a size, one a caller, appended to one partition while an
 // append is in flight. It returns the callers' errors.
@@ -63,7 +63,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		k := New(ctx, Config{
-			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: nobody{},
+			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: noPeers{},
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
 		var work sync.WaitGroup
@@ -84,7 +84,7 @@
 
 // What comes while an append is in flight goes into the next one, within the
 // bytes that a call may have.
-func TestTurnsRideTogetherWithinTheBytesOfACall(t *testing.T) {
+func TestBatchesStayWithinMaxAppendBytes(t *testing.T) {
 	var keys []string
 	for i := range 10 {
 		keys = append(keys, fmt.Sprint("turn", i))
@@ -101,7 +101,7 @@
 }
 
 // A record that the store rejects stops no other.
-func TestRejectedTurnStopsNoOther(t *testing.T) {
+func TestRejectedTurnDoesNotFailOthers(t *testing.T) {
 	for key, err := range appendAll(t, new(slowStore), 0, 10, "bad", "good", "better") {
 		if errors.Is(err, platform.ErrRejected) != (key == "bad") {
 			t.Errorf("%s: %v", key, err)
@@ -111,7 +111,7 @@
 
 // A store that goes away while turns are appended one by one does not hold up the
 // partition for each of them.
-func TestTurnsApartStopWhenTheStoreIsAway(t *testing.T) {
+func TestSeparateAppendsStopWhenStoreIsUnavailable(t *testing.T) {
 	store := new(slowStore)
 	outcome := appendAll(t, store, 0, 10, "bad", "away", "c", "d", "e", "f")
 	if len(store.appends) != 4 {
--- a/internal/conversation/world_test.go
+++ b/internal/conversation/cluster_test.go
@@ -26,12 +26,12 @@
 	testRetention = 30 * time.Second
 )
 
-// world is some instances with a store and a network, in virtual time, and what
+// cluster is some instances with a store and a network, in virtual time, and what
 // callers were told.
-type world struct {
+type cluster struct {
 	*simnet.Net
-	lives simnet.Lives[*node]
-	t     *testing.T
+	incarnations simnet.Lives[*node]
+	t            *testing.T
 	// partitions is the number of the topic's partitions.
 	partitions int
 
@@ -52,18 +52,18 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Manager
+	manager *Manager
 }
 
-// inWorld runs a test with instances in virtual time.
-func inWorld(t *testing.T, machines int, body func(t *testing.T, w *world)) {
-	inWorldOf(t, machines, testPartitions, body)
+// runCluster runs a test with instances in virtual time.
+func runCluster(t *testing.T, machines int, body func(t *testing.T, w *cluster)) {
+	runClusterOf(t, machines, testPartitions, body)
 }
 
-// inWorldOf is inWorld with a number of partitions.
-func inWorldOf(t *testing.T, machines, partitions int, body func(t *testing.T, w *world)) {
+// runClusterOf is runCluster with a number of partitions.
+func runClusterOf(t *testing.T, machines, partitions int, body func(t *testing.T, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		w := &cluster{
 			Net: simnet.New(), t: t, partitions: partitions, ended: make(map[string]endedTurn),
 		}
 		for i := range machines {
@@ -77,17 +77,17 @@
 // machineName is a, b, c ... and beyond z what follows.
 func machineName(i int) string { return string(rune('a' + i)) }
 
-func (w *world) start(machine string) *node { return w.lives.Of(w.Start(machine, w.run)) }
+func (w *cluster) start(machine string) *node { return w.incarnations.Of(w.Start(machine, w.run)) }
 
 // run starts a life of an instance.
-func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Config{
+	n.manager = New(ctx, Config{
 		Directory: sim.Directory, Partitions: w.partitions, Store: sim.Store(), Peers: sim, Health: sim,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	w.lives.Put(sim, n)
-	w.Work.Go(func() { n.keeper.Run(ctx) })
+	w.incarnations.Put(sim, n)
+	w.Work.Go(func() { n.manager.Run(ctx) })
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
@@ -95,21 +95,21 @@
 		case structs.PeerUp:
 			sim.Directory.SetSilent(e.Peer, false)
 		}
-		n.keeper.Receive(event)
+		n.manager.Receive(event)
 	}
 }
 
-// all lists the instances that live.
-func (w *world) all() []*node { return w.lives.All(w.Net) }
+// running lists the instances that live.
+func (w *cluster) running() []*node { return w.incarnations.All(w.Net) }
 
-// index is the instance that indexes a program's partition.
-func (w *world) index(program string) *node {
-	first := w.all()[0]
-	p := first.keeper.partitionOf(program)
-	return w.lives.Of(w.find(first.keeper.indexOf(p, nil)))
+// indexer is the instance that indexes a program's partition.
+func (w *cluster) indexer(program string) *node {
+	first := w.running()[0]
+	p := first.manager.partitionOf(program)
+	return w.incarnations.Of(w.nodeByID(first.manager.indexer(p, nil)))
 }
 
-func (w *world) find(id structs.InstanceID) *simnet.Node {
+func (w *cluster) nodeByID(id structs.InstanceID) *simnet.Node {
 	for _, n := range w.Nodes() {
 		if n.ID == id {
 			return n
@@ -120,8 +120,8 @@
 }
 
 // restartAll ends all instances at once and starts others.
-func (w *world) restartAll() {
-	nodes := w.all()
+func (w *cluster) restartAll() {
+	nodes := w.running()
 	for _, n := range nodes {
 		w.Kill(n.Node)
 	}
@@ -131,10 +131,10 @@
 }
 
 // turn runs a turn at an instance and returns its id if its caller saw the end.
-func (w *world) turn(n *node, program, previous string, patience time.Duration) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (w *cluster) turn(n *node, program, previous string, timeout time.Duration) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	before, err := w.recall(ctx, n, program, previous)
+	before, err := w.lookUp(ctx, n, program, previous)
 	if err != nil {
 		return "", err
 	}
@@ -143,7 +143,7 @@
 	id := fmt.Sprintf("%016x", uint64(w.made)*0x9e3779b97f4a7c15)
 	w.mu.Unlock()
 	input, output := "in "+id+"\n", "out "+id+"\n"
-	err = n.keeper.StoreTurn(ctx, program, serve.EndedTurn{
+	err = n.manager.StoreTurn(ctx, program, serve.EndedTurn{
 		ID: id, Previous: previous, Input: []byte(input), Output: []byte(output), Retention: testRetention,
 	})
 	if err != nil {
@@ -156,15 +156,15 @@
 	return id, nil
 }
 
-// recall asks an instance for a conversation and checks what it says.
-func (w *world) recall(ctx context.Context, n *node, program, turn string) (string, error) {
+// lookUp asks an instance for a conversation and checks what it says.
+func (w *cluster) lookUp(ctx context.Context, n *node, program, turn string) (string, error) {
 	if turn == "" {
 		return "", nil
 	}
 	w.mu.Lock()
 	want, exists := w.ended[turn]
 	w.mu.Unlock()
-	got, err := n.keeper.History(ctx, program, turn)
+	got, err := n.manager.History(ctx, program, turn)
 	switch {
 	case err == nil && string(got) != want.text && exists:
 		w.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
@@ -175,7 +175,7 @@
 }
 
 // mustTurn is turn at a time when nothing may fail.
-func (w *world) mustTurn(n *node, program, previous string) string {
+func (w *cluster) mustTurn(n *node, program, previous string) string {
 	w.t.Helper()
 	id, err := w.turn(n, program, previous, 3*time.Second)
 	if err != nil {
@@ -184,16 +184,16 @@
 	return id
 }
 
-// mustRecall is recall at a time when nothing may fail.
-func (w *world) mustRecall(n *node, program, turn string) {
+// mustLookUp is recall at a time when nothing may fail.
+func (w *cluster) mustLookUp(n *node, program, turn string) {
 	w.t.Helper()
-	if _, err := w.recall(w.t.Context(), n, program, turn); err != nil {
+	if _, err := w.lookUp(w.t.Context(), n, program, turn); err != nil {
 		w.t.Errorf("turn %s at %s: %v", turn, n.ID, err)
 	}
 }
 
-// anyEnded chooses a turn whose caller saw its end lately, empty if none did.
-func (w *world) anyEnded(r *rand.Rand) string {
+// randomEndedTurn chooses a turn whose caller saw its end lately, empty if none did.
+func (w *cluster) randomEndedTurn(r *rand.Rand) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.order) == 0 {
@@ -204,6 +204,6 @@
 }
 
 // others lists all instances but some.
-func (w *world) others(but ...*node) []*node {
-	return slices.DeleteFunc(w.all(), func(n *node) bool { return slices.Contains(but, n) })
+func (w *cluster) others(but ...*node) []*node {
+	return slices.DeleteFunc(w.running(), func(n *node) bool { return slices.Contains(but, n) })
 }
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -44,7 +44,7 @@
 	}
 	for _, p := range k.partitions {
 		d.Partitions = append(d.Partitions, PartitionDump{
-			Partition: p.number, Read: p.read, Next: p.next, Unavailable: now.Before(p.awayUntil),
+			Partition: p.number, Read: p.read, Next: p.next, Unavailable: now.Before(p.unavailableUntil),
 		})
 	}
 	return d
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -8,24 +8,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxAsked is how many instances are asked for one partition, each after one
+// maxQueried is how many instances are asked for one partition, each after one
 // that could not read it.
-const maxAsked = 3
+const maxQueried = 3
 
-// finding is what became of the search for a turn in one partition.
-type finding struct {
+// lookupResult is what became of the search for a turn in one partition.
+type lookupResult struct {
 	outcome structs.ConversationOutcome
 	turns   []structs.KeptTurn
 	// partition holds the turns, if they were found.
 	partition int
 }
 
-// verdict is what the findings of all partitions together say: the turn is
+// combineOutcomes is what the findings of all partitions together say: the turn is
 // found if any partition holds it, and unknown only if every one was read.
-func verdict(findings []finding) structs.ConversationOutcome {
+func combineOutcomes(results []lookupResult) structs.ConversationOutcome {
 	outcome := structs.ConversationUnknown
-	for _, f := range findings {
-		switch f.outcome {
+	for _, r := range results {
+		switch r.outcome {
 		case structs.ConversationFound:
 			return structs.ConversationFound
 		case structs.ConversationUnknown:
@@ -40,19 +40,19 @@
 // serve.ErrNoTurn if there is no such turn, serve.ErrUncertain if that is not
 // known.
 func (k *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
-	if text, ok := k.text(turn); ok {
+	if text, ok := k.conversationText(turn); ok {
 		k.metrics.local.Inc(1)
 		return text, nil
 	}
 	home := k.partitionOf(program)
 	found := k.find(ctx, home, turn)
-	k.metrics.asked.Inc(1)
+	k.metrics.remote.Inc(1)
 	outcome := found.outcome
 	if outcome != structs.ConversationFound {
 		// The turn may be another program's, in any partition.
 		outcome = k.findElsewhere(ctx, home, found, turn)
 	}
-	if text, ok := k.text(turn); ok {
+	if text, ok := k.conversationText(turn); ok {
 		return text, nil
 	}
 	if outcome == structs.ConversationUnknown {
@@ -66,11 +66,11 @@
 	return nil, serve.ErrUncertain
 }
 
-// text joins a turn and all before it, if this instance has them.
-func (k *Manager) text(id string) ([]byte, bool) {
+// conversationText joins a turn and all before it, if this instance has them.
+func (k *Manager) conversationText(id string) ([]byte, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	entries, ok := k.memory.chain(id, time.Now())
+	entries, ok := k.memory.liveChain(id, time.Now())
 	if !ok {
 		return nil, false
 	}
@@ -87,10 +87,10 @@
 }
 
 // find looks for a turn in one partition, at the instance that indexes it.
-func (k *Manager) find(ctx context.Context, p *partition, turn string) finding {
-	var passOver []structs.InstanceID
-	for range maxAsked {
-		id := k.indexOf(p, passOver)
+func (k *Manager) find(ctx context.Context, p *partition, turn string) lookupResult {
+	var exclude []structs.InstanceID
+	for range maxQueried {
+		id := k.indexer(p, exclude)
 		if id == "" {
 			break
 		}
@@ -98,37 +98,37 @@
 		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
 			return found
 		}
-		k.setUnable(id)
-		passOver = append(passOver, id)
+		k.markUnable(id)
+		exclude = append(exclude, id)
 	}
-	return finding{outcome: structs.ConversationUnread}
+	return lookupResult{outcome: structs.ConversationUnread}
 }
 
 // findAt looks for a turn at one instance and remembers what it finds.
-func (k *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) finding {
+func (k *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) lookupResult {
 	if id == k.self.ID {
-		return k.findHere(ctx, p, turn)
+		return k.findLocally(ctx, p, turn)
 	}
-	answer := k.ask(ctx, id, func(number uint64) structs.Message {
+	answer := k.query(ctx, id, func(number uint64) structs.Message {
 		return &structs.ConversationRequest{Number: number, Partition: p.number, Turn: turn}
 	})
 	reply, ok := answer.(*structs.ConversationReply)
 	if !ok {
-		return finding{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	if reply.Outcome == structs.ConversationFound {
-		k.learn(reply.Turns, reply.Partition)
+		k.addTurns(reply.Turns, reply.Partition)
 	}
-	return finding{reply.Outcome, reply.Turns, reply.Partition}
+	return lookupResult{reply.Outcome, reply.Turns, reply.Partition}
 }
 
-// findHere looks for a turn in memory, then in the store.
-func (k *Manager) findHere(ctx context.Context, p *partition, turn string) finding {
+// findLocally looks for a turn in memory, then in the store.
+func (k *Manager) findLocally(ctx context.Context, p *partition, turn string) lookupResult {
 	if found, ok := k.findInMemory(turn); ok {
 		return found
 	}
 	if err := k.catchUp(ctx, p); err != nil {
-		return finding{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	if found, ok := k.findInMemory(turn); ok {
 		return found
@@ -138,47 +138,47 @@
 	e := k.memory.find(turn, time.Now())
 	// A turn that another partition holds may be here without those before it:
 	// whoever indexes that partition has them.
-	if e != nil && e.in(p.number) || p.spoilt[turn] {
+	if e != nil && e.storedIn(p.number) || p.corrupt[turn] {
 		// A turn before it is missing or cannot be read, which the invariant
 		// rules out: the conversation exists, but not whole.
 		k.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
-		return finding{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnread}
 	}
-	return finding{outcome: structs.ConversationUnknown}
+	return lookupResult{outcome: structs.ConversationUnknown}
 }
 
 // findInMemory looks for a turn among those that this instance has.
-func (k *Manager) findInMemory(turn string) (finding, bool) {
+func (k *Manager) findInMemory(turn string) (lookupResult, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	entries, ok := k.memory.chain(turn, time.Now())
+	entries, ok := k.memory.liveChain(turn, time.Now())
 	if !ok {
-		return finding{}, false
+		return lookupResult{}, false
 	}
 	newest := entries[len(entries)-1]
-	return finding{structs.ConversationFound, turnsOf(entries), newest.partitions[0]}, true
+	return lookupResult{structs.ConversationFound, turnsOf(entries), newest.partitions[0]}, true
 }
 
 // findElsewhere looks for a turn in all partitions but one, whose finding is
 // given.
 func (k *Manager) findElsewhere(
-	ctx context.Context, home *partition, found finding, turn string,
+	ctx context.Context, home *partition, homeResult lookupResult, turn string,
 ) structs.ConversationOutcome {
-	findings := make(chan finding, len(k.partitions))
+	results := make(chan lookupResult, len(k.partitions))
 	for _, p := range k.partitions {
 		if p != home {
-			go func() { findings <- k.find(ctx, p, turn) }()
+			go func() { results <- k.find(ctx, p, turn) }()
 		}
 	}
-	all := []finding{found}
+	all := []lookupResult{homeResult}
 	for range len(k.partitions) - 1 {
-		f := <-findings
+		f := <-results
 		if f.outcome == structs.ConversationFound {
 			return f.outcome
 		}
 		all = append(all, f)
 	}
-	return verdict(all)
+	return combineOutcomes(all)
 }
 
 // receiveRequest answers another instance's question.
@@ -197,12 +197,12 @@
 	k.spawn(func() {
 		ctx, cancel := context.WithTimeout(k.ctx, replyTimeout)
 		defer cancel()
-		found := k.findHere(ctx, p, m.Turn)
+		found := k.findLocally(ctx, p, m.Turn)
 		k.peers.Send(from, found.reply(m.Number))
 	})
 }
 
-func (f finding) reply(number uint64) *structs.ConversationReply {
+func (f lookupResult) reply(number uint64) *structs.ConversationReply {
 	return &structs.ConversationReply{
 		Number: number, Outcome: f.outcome, Turns: f.turns, Partition: f.partition,
 	}
--- a/internal/conversation/keeper.go
+++ b/internal/conversation/manager.go
@@ -57,27 +57,27 @@
 	memory     memory
 	partitions []*partition
 	// pending are this instance's questions to others, by number.
-	pending map[uint64]*question
-	number  uint64
+	pending    map[uint64]*pendingQuery
+	lastNumber uint64
 	// unableUntil is how long an instance that could not read or write the
 	// store is passed over.
 	unableUntil map[structs.InstanceID]time.Time
 	// path is this instance's access to the store, state its state as last logged.
 	path  policy.StoreMonitor
 	state policy.StoreState
-	// directAfter is when an instance whose appends fail tries again.
-	directAfter time.Time
+	// nextDirectAttempt is when an instance whose appends fail tries again.
+	nextDirectAttempt time.Time
 	// hedges bounds the second tries of appends that take long.
 	hedges policy.RetryBudget
 	outage outage
-	// callBytes bounds an append.
-	callBytes int
+	// maxAppendBytes bounds an append.
+	maxAppendBytes int
 }
 
-// question is a message of this instance that another one answers.
-type question struct {
-	asked  structs.InstanceID
-	answer chan structs.Message
+// pendingQuery is a message of this instance that another one answers.
+type pendingQuery struct {
+	to    structs.InstanceID
+	reply chan structs.Message
 }
 
 // Config are what a Keeper works with.
@@ -95,22 +95,22 @@
 }
 
 // New makes a Keeper that works until the context ends.
-func New(ctx context.Context, parts Config) *Manager {
+func New(ctx context.Context, config Config) *Manager {
 	k := &Manager{
-		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
-		health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), started: time.Now(), ctx: ctx,
-		memory:      newMemory(),
-		pending:     make(map[uint64]*question),
-		unableUntil: make(map[structs.InstanceID]time.Time),
-		outage:      outage{changed: make(chan struct{})},
-		state:       policy.StoreHealthy,
-		hedges:      policy.NewRetryBudget(),
-		callBytes:   parts.MaxCallBytes,
+		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
+		health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), started: time.Now(), ctx: ctx,
+		memory:         newMemory(),
+		pending:        make(map[uint64]*pendingQuery),
+		unableUntil:    make(map[structs.InstanceID]time.Time),
+		outage:         outage{changed: make(chan struct{})},
+		state:          policy.StoreHealthy,
+		hedges:         policy.NewRetryBudget(),
+		maxAppendBytes: config.MaxCallBytes,
 	}
-	if k.callBytes == 0 {
-		k.callBytes = defaultCallBytes
+	if k.maxAppendBytes == 0 {
+		k.maxAppendBytes = defaultAppendBytes
 	}
-	for i := range parts.Partitions {
+	for i := range config.Partitions {
 		k.partitions = append(k.partitions, newPartition(i))
 	}
 	return k
@@ -162,13 +162,13 @@
 	case *structs.ConversationRequest:
 		k.receiveRequest(from, m)
 	case *structs.ConversationReply:
-		k.answered(from, m.Number, m)
+		k.deliverReply(from, m.Number, m)
 	case *structs.TurnsNotice:
 		k.receiveNotice(m)
 	case *structs.KeepRequest:
-		k.receiveKeep(from, m)
+		k.receiveAppendRequest(from, m)
 	case *structs.KeepReply:
-		k.answered(from, m.Number, m)
+		k.deliverReply(from, m.Number, m)
 	}
 }
 
@@ -182,15 +182,15 @@
 	return false
 }
 
-// learn takes turns that a partition of the store holds.
-func (k *Manager) learn(turns []structs.KeptTurn, partition int) {
+// addTurns takes turns that a partition of the store holds.
+func (k *Manager) addTurns(turns []structs.KeptTurn, partition int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.add(turns, partition)
+	k.addTurnsLocked(turns, partition)
 }
 
-// add is learn with the mutex held.
-func (k *Manager) add(turns []structs.KeptTurn, partition int) {
+// addTurnsLocked is learn with the mutex held.
+func (k *Manager) addTurnsLocked(turns []structs.KeptTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
 		k.memory.add(turn, partition, now)
--- a/internal/conversation/memory.go
+++ b/internal/conversation/memory.go
@@ -12,9 +12,9 @@
 	structs.KeptTurn
 	// partitions is nearly always one.
 	partitions []int
-	// until is when the turn and all that continue it can no longer be named,
+	// expires is when the turn and all that continue it can no longer be named,
 	// as far as this instance knows.
-	until time.Time
+	expires time.Time
 }
 
 // memory is the turns that this instance has. Every one of them is in the
@@ -31,7 +31,7 @@
 func (m *memory) add(turn structs.KeptTurn, partition int, now time.Time) {
 	e, ok := m.turns[turn.ID]
 	if !ok {
-		e = &entry{KeptTurn: turn, until: expiry(turn, now)}
+		e = &entry{KeptTurn: turn, expires: expiry(turn, now)}
 		m.turns[turn.ID] = e
 		m.bytes += len(turn.Input) + len(turn.Output)
 	}
@@ -51,36 +51,36 @@
 	return ended.Add(turn.Retention)
 }
 
-// namedMargin is how long beyond its retention a turn may still be named:
+// referenceMargin is how long beyond its retention a turn may still be named:
 // clocks of instances differ. It is well below dropMargin, so that a turn that
 // begins in time is kept before what it continues is dropped.
-const namedMargin = 15 * time.Second
+const referenceMargin = 15 * time.Second
 
 // find is a turn that can still be named, nil if there is none.
 func (m *memory) find(id string, now time.Time) *entry {
 	e := m.turns[id]
-	if e == nil || now.Sub(e.until) <= namedMargin {
+	if e == nil || now.Sub(e.expires) <= referenceMargin {
 		return e
 	}
 	// Turns that continue it may have come since it was added.
-	m.extend()
-	if now.Sub(e.until) > namedMargin {
+	m.extendExpiry()
+	if now.Sub(e.expires) > referenceMargin {
 		return nil
 	}
 	return e
 }
 
-// chain is line for a turn that can still be named.
-func (m *memory) chain(id string, now time.Time) ([]*entry, bool) {
+// liveChain is line for a turn that can still be named.
+func (m *memory) liveChain(id string, now time.Time) ([]*entry, bool) {
 	if m.find(id, now) == nil {
 		return nil, false
 	}
-	return m.line(id)
+	return m.chain(id)
 }
 
-// line lists a turn and all before it, the oldest first. It returns false if any
+// chain lists a turn and all before it, the oldest first. It returns false if any
 // of them is missing, or if they form a cycle.
-func (m *memory) line(id string) ([]*entry, bool) {
+func (m *memory) chain(id string) ([]*entry, bool) {
 	var turns []*entry
 	for id != "" {
 		e, ok := m.turns[id]
@@ -94,24 +94,24 @@
 	return turns, len(turns) > 0
 }
 
-// in tells whether a partition is known to hold the turn.
-func (e *entry) in(partition int) bool { return slices.Contains(e.partitions, partition) }
+// storedIn tells whether a partition is known to hold the turn.
+func (e *entry) storedIn(partition int) bool { return slices.Contains(e.partitions, partition) }
 
-// extend makes every turn outlast all that continue it.
-func (m *memory) extend() {
+// extendExpiry makes every turn outlast all that continue it.
+func (m *memory) extendExpiry() {
 	for _, e := range m.turns {
-		for before := m.turns[e.Previous]; before != nil && before.until.Before(e.until); before = m.turns[before.Previous] {
-			before.until = e.until
+		for before := m.turns[e.Previous]; before != nil && before.expires.Before(e.expires); before = m.turns[before.Previous] {
+			before.expires = e.expires
 		}
 	}
 }
 
 // expired lists the turns that could not be named for a time.
 func (m *memory) expired(now time.Time, margin time.Duration) []*entry {
-	m.extend()
+	m.extendExpiry()
 	var out []*entry
 	for _, e := range m.turns {
-		if now.Sub(e.until) > margin {
+		if now.Sub(e.expires) > margin {
 			out = append(out, e)
 		}
 	}
--- a/internal/conversation/memory_test.go
+++ b/internal/conversation/memory_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestExpiryDoesNotTrustClocksAhead(t *testing.T) {
+func TestExpiryIgnoresFutureEndTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ahead := structs.KeptTurn{Ended: now.Add(time.Hour).UnixMilli(), Retention: time.Minute}
 	if got := expiry(ahead, now); !got.Equal(now.Add(time.Minute)) {
--- a/internal/conversation/metrics.go
+++ b/internal/conversation/metrics.go
@@ -13,18 +13,18 @@
 	// local counts conversations that were at hand, asked those that another
 	// instance or the store was asked for.
 	local     tally.Counter
-	asked     tally.Counter
+	remote    tally.Counter
 	unknown   tally.Counter
 	uncertain tally.Counter
-	// lost counts turns whose caller left before their record was durable.
-	lost tally.Counter
-	// loads counts first reads of partitions.
-	loads tally.Counter
-	// seconds is how long turns waited for their record.
-	seconds tally.Histogram
+	// abandoned counts turns whose caller left before their record was durable.
+	abandoned tally.Counter
+	// firstReads counts first reads of partitions.
+	firstReads tally.Counter
+	// storeLatency is how long turns waited for their record.
+	storeLatency tally.Histogram
 	// appends counts this instance's appends, batch the records of each.
-	appends tally.Counter
-	batch   tally.Histogram
+	appends   tally.Counter
+	batchSize tally.Histogram
 	// state is 0 if the store answers in time, 1 if it is slow, 2 if this
 	// instance's appends fail.
 	state tally.Gauge
@@ -32,7 +32,7 @@
 	turns tally.Gauge
 }
 
-var keepBuckets = tally.DurationBuckets{
+var latencyBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, time.Second, 3 * time.Second,
 }
@@ -48,17 +48,17 @@
 func newMetrics(scope tally.Scope) metrics {
 	scope = scope.SubScope("conversations")
 	return metrics{
-		local:     scope.Counter("found_here"),
-		asked:     scope.Counter("asked_for"),
-		unknown:   scope.Counter("unknown"),
-		uncertain: scope.Counter("uncertain"),
-		lost:      scope.Counter("turns_not_kept"),
-		loads:     scope.Counter("partitions_read"),
-		seconds:   scope.Histogram("keep_seconds", keepBuckets),
-		appends:   scope.Counter("appends"),
-		batch:     scope.Histogram("append_records", batchBuckets),
-		state:     scope.Gauge("store_state"),
-		bytes:     scope.Gauge("memory_bytes"),
-		turns:     scope.Gauge("turns"),
+		local:        scope.Counter("found_here"),
+		remote:       scope.Counter("asked_for"),
+		unknown:      scope.Counter("unknown"),
+		uncertain:    scope.Counter("uncertain"),
+		abandoned:    scope.Counter("turns_not_kept"),
+		firstReads:   scope.Counter("partitions_read"),
+		storeLatency: scope.Histogram("keep_seconds", latencyBuckets),
+		appends:      scope.Counter("appends"),
+		batchSize:    scope.Histogram("append_records", batchBuckets),
+		state:        scope.Gauge("store_state"),
+		bytes:        scope.Gauge("memory_bytes"),
+		turns:        scope.Gauge("turns"),
 	}
 }
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -17,16 +17,16 @@
 	// since is when the last round of tries failed after one had succeeded,
 	// zero if none has.
 	since time.Time
-	// whole tells that more than single partitions failed: its end is news to
+	// storeWide tells that more than single partitions failed: its end is news to
 	// others, and all partitions may be tried again.
-	whole bool
-	// pause is the time until the next round.
-	pause time.Duration
+	storeWide bool
+	// retryDelay is the time until the next round.
+	retryDelay time.Duration
 	// full tells that the store had no room in the last round, at tried.
-	full  bool
-	tried time.Time
-	// through is when a turn last began that is not expected to be kept.
-	through time.Time
+	full      bool
+	lastRound time.Time
+	// lastProbeTurn is when a turn last began that is not expected to be kept.
+	lastProbeTurn time.Time
 	// probing tells that somebody tries.
 	probing bool
 	// changed is closed and replaced when one of these changes.
@@ -38,9 +38,9 @@
 	o.changed = make(chan struct{})
 }
 
-// awaitTry waits until the caller may try to keep its turn. It tells whether
-// the caller tries for others as well, who wait until endTry.
-func (k *Manager) awaitTry(ctx context.Context) (prober bool, err error) {
+// awaitAttempt waits until the caller may try to keep its turn. It tells whether
+// the caller tries for others as well, who wait until endProbe.
+func (k *Manager) awaitAttempt(ctx context.Context) (prober bool, err error) {
 	for {
 		k.mu.Lock()
 		if k.outage.since.IsZero() {
@@ -62,8 +62,8 @@
 	}
 }
 
-// pauseTry waits before the next round of tries, unless the outage ends.
-func (k *Manager) pauseTry(ctx context.Context, wait time.Duration) {
+// waitBeforeRetry waits before the next round of tries, unless the outage ends.
+func (k *Manager) waitBeforeRetry(ctx context.Context, wait time.Duration) {
 	k.mu.Lock()
 	ended, changed := k.outage.since.IsZero(), k.outage.changed
 	k.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 }
 
-// endTry lets the next one try.
-func (k *Manager) endTry(prober bool) {
+// endProbe lets the next one try.
+func (k *Manager) endProbe(prober bool) {
 	if !prober {
 		return
 	}
@@ -91,35 +91,35 @@
 }
 
 const (
-	// appendRetryFirst and appendRetryMost bound the pause between two rounds
+	// minRetryDelay and maxRetryDelay bound the pause between two rounds
 	// of tries; it doubles over an outage. Refused calls are priced.
-	appendRetryFirst = 20 * time.Millisecond
-	appendRetryMost  = 320 * time.Millisecond
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 320 * time.Millisecond
 )
 
-// noteRound notes whether a round of tries over instances and partitions
+// recordRound notes whether a round of tries over instances and partitions
 // failed, and logs when that changes. It returns the pause before the next one.
-func (k *Manager) noteRound(err error) time.Duration {
+func (k *Manager) recordRound(err error) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	o := &k.outage
-	o.full, o.tried = errors.Is(err, platform.ErrFull), time.Now()
+	o.full, o.lastRound = errors.Is(err, platform.ErrFull), time.Now()
 	failing := !o.since.IsZero()
 	switch {
 	case err != nil && !failing:
-		o.since, o.pause = time.Now(), appendRetryFirst
-		o.whole = k.path.InOutage(o.since)
+		o.since, o.retryDelay = time.Now(), minRetryDelay
+		o.storeWide = k.path.InOutage(o.since)
 		k.log.Warn("turns cannot be kept", "error", err.Error())
 	case err != nil:
-		o.pause = min(2*o.pause, appendRetryMost)
+		o.retryDelay = min(2*o.retryDelay, maxRetryDelay)
 	case failing:
-		whole := o.whole
+		whole := o.storeWide
 		k.endOutage()
 		if whole {
-			k.tellBack()
+			k.notifyRecovery()
 		}
 	}
-	return o.pause
+	return o.retryDelay
 }
 
 // endOutage has all that wait try again. The mutex is held.
@@ -130,17 +130,17 @@
 	}
 	k.log.Info("turns can be kept again", "away_ms", time.Since(o.since).Milliseconds())
 	o.since = time.Time{}
-	if o.whole {
+	if o.storeWide {
 		for _, p := range k.partitions {
-			p.awayUntil = time.Time{}
+			p.unavailableUntil = time.Time{}
 		}
 	}
 	o.signal()
 }
 
-// fullPause is the time between two turns that are let through while none is
+// fullProbeInterval is the time between two turns that are let through while none is
 // expected to be kept, to find out whether that still is so.
-const fullPause = time.Second
+const fullProbeInterval = time.Second
 
 // Accepts tells whether a turn that begins now can be kept before its caller
 // leaves, as far as is known. While the store is full none can, for as long as
@@ -152,14 +152,14 @@
 	o := &k.outage
 	now := time.Now()
 	if o.full {
-		return now.Sub(o.tried) > fullPause
+		return now.Sub(o.lastRound) > fullProbeInterval
 	}
 	if o.since.IsZero() || policy.AllowTurnDuringOutage(now.Sub(o.since), left) {
 		return true
 	}
-	if now.Sub(o.through) <= fullPause {
+	if now.Sub(o.lastProbeTurn) <= fullProbeInterval {
 		return false
 	}
-	o.through = now
+	o.lastProbeTurn = now
 	return true
 }
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -29,15 +29,15 @@
 	waiting []chan error
 	// bytes is the size of the records read since history was last dropped.
 	bytes int
-	// spoilt are the keys whose records cannot be decoded.
-	spoilt map[string]bool
-	// awayUntil is how long the partition is tried last for appends.
-	awayUntil time.Time
-	appends   appendQueue
+	// corrupt are the keys whose records cannot be decoded.
+	corrupt map[string]bool
+	// unavailableUntil is how long the partition is tried last for appends.
+	unavailableUntil time.Time
+	appends          appendQueue
 }
 
 func newPartition(number int) *partition {
-	return &partition{number: number, spoilt: make(map[string]bool)}
+	return &partition{number: number, corrupt: make(map[string]bool)}
 }
 
 // catchUp reads a partition to its end, by a read that begins after the call.
@@ -48,7 +48,7 @@
 	p.waiting = append(p.waiting, done)
 	if !p.reading && !k.stopped {
 		p.reading = true
-		k.spawn(func() { k.readFor(p) })
+		k.spawn(func() { k.serveReads(p) })
 	}
 	k.mu.Unlock()
 	select {
@@ -61,8 +61,8 @@
 	}
 }
 
-// readFor reads for those who wait, until nobody does.
-func (k *Manager) readFor(p *partition) {
+// serveReads reads for those who wait, until nobody does.
+func (k *Manager) serveReads(p *partition) {
 	for {
 		k.mu.Lock()
 		waiting := p.waiting
@@ -88,7 +88,7 @@
 	read := p.read
 	k.mu.Unlock()
 	if read {
-		err := k.readOn(p)
+		err := k.readTail(p)
 		if !errors.Is(err, platform.ErrTrimmed) {
 			return err
 		}
@@ -96,7 +96,7 @@
 	if err := k.readNewest(p); err != nil {
 		return err
 	}
-	return k.readOn(p)
+	return k.readTail(p)
 }
 
 // readNewest reads the newest record of each key, page by page.
@@ -113,7 +113,7 @@
 			// while later pages were read.
 			next = page.End
 		}
-		k.take(p, page.Records)
+		k.addRecords(p, page.Records)
 		records += len(page.Records)
 		if !more {
 			break
@@ -123,7 +123,7 @@
 	k.mu.Lock()
 	p.read, p.next = true, next
 	k.mu.Unlock()
-	k.metrics.loads.Inc(1)
+	k.metrics.firstReads.Inc(1)
 	k.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
 		"ms", time.Since(begun).Milliseconds())
 	return nil
@@ -135,9 +135,9 @@
 	return k.store.NewestPage(ctx, topic, p.number, after)
 }
 
-// readOn reads the records behind what is in memory to the partition's end. It
+// readTail reads the records behind what is in memory to the partition's end. It
 // returns platform.ErrTrimmed if some of them are no longer kept.
-func (k *Manager) readOn(p *partition) error {
+func (k *Manager) readTail(p *partition) error {
 	for {
 		k.mu.Lock()
 		from := p.next
@@ -146,7 +146,7 @@
 		if err != nil {
 			return err
 		}
-		k.take(p, page.Records)
+		k.addRecords(p, page.Records)
 		k.mu.Lock()
 		p.next = page.Next
 		k.mu.Unlock()
@@ -165,9 +165,9 @@
 	return k.store.ReadPage(ctx, topic, p.number, from, 0)
 }
 
-// take adds the turns of records to memory. A record that cannot be decoded is
+// addRecords adds the turns of records to memory. A record that cannot be decoded is
 // logged and passed over: its conversation is then not found whole.
-func (k *Manager) take(p *partition, records []platform.Record) {
+func (k *Manager) addRecords(p *partition, records []platform.Record) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -178,7 +178,7 @@
 		}
 		turn, err := decodeTurn(r)
 		if err != nil {
-			p.spoilt[r.Key] = true
+			p.corrupt[r.Key] = true
 			k.log.Error("record of a turn ignored", "partition", p.number, "offset", r.Offset, "error", err.Error())
 			continue
 		}
--- a/internal/conversation/ask.go
+++ b/internal/conversation/query.go
@@ -22,44 +22,44 @@
 // key is what the rendezvous hash of a partition's index is made of.
 func (p *partition) key() string { return "turns/" + strconv.Itoa(p.number) }
 
-// indexOf is the instance that should index a partition, passing over those
+// indexer is the instance that should index a partition, passing over those
 // that lately could not, and over some; empty if there is none.
-func (k *Manager) indexOf(p *partition, passOver []structs.InstanceID) structs.InstanceID {
+func (k *Manager) indexer(p *partition, exclude []structs.InstanceID) structs.InstanceID {
 	ranked := k.directory.Ranked(p.key())
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, id := range ranked {
-		if !slices.Contains(passOver, id) && !now.Before(k.unableUntil[id]) {
+		if !slices.Contains(exclude, id) && !now.Before(k.unableUntil[id]) {
 			return id
 		}
 	}
 	// Those that were not able lately are better than none.
 	for _, id := range ranked {
-		if !slices.Contains(passOver, id) {
+		if !slices.Contains(exclude, id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// setUnable has an instance passed over for a while.
-func (k *Manager) setUnable(id structs.InstanceID) {
+// markUnable has an instance passed over for a while.
+func (k *Manager) markUnable(id structs.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unableUntil[id] = time.Now().Add(unableTime)
 }
 
-// ask sends a question, made with its number, and waits for the answer. It
+// query sends a question, made with its number, and waits for the answer. It
 // returns nil if none comes in time.
-func (k *Manager) ask(
+func (k *Manager) query(
 	ctx context.Context, to structs.InstanceID, make func(number uint64) structs.Message,
 ) structs.Message {
-	return k.askWithin(ctx, to, k.replyPatience, make)
+	return k.queryWithin(ctx, to, k.currentReplyTimeout, make)
 }
 
-// replyPatience is how long an instance may take that may have to read the store.
-func (k *Manager) replyPatience() time.Duration {
+// currentReplyTimeout is how long an instance may take that may have to read the store.
+func (k *Manager) currentReplyTimeout() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -69,14 +69,14 @@
 	return replyTimeout
 }
 
-// askWithin is ask with the time that the answer may take, which may change.
-func (k *Manager) askWithin(
-	ctx context.Context, to structs.InstanceID, patience func() time.Duration, make func(number uint64) structs.Message,
+// queryWithin is ask with the time that the answer may take, which may change.
+func (k *Manager) queryWithin(
+	ctx context.Context, to structs.InstanceID, timeout func() time.Duration, make func(number uint64) structs.Message,
 ) structs.Message {
-	q := &question{asked: to, answer: newAnswer()}
+	q := &pendingQuery{to: to, reply: newReplyChan()}
 	k.mu.Lock()
-	k.number++
-	number := k.number
+	k.lastNumber++
+	number := k.lastNumber
 	k.pending[number] = q
 	k.mu.Unlock()
 	defer func() {
@@ -86,14 +86,14 @@
 	}()
 	k.peers.Send(to, make(number))
 	begun := time.Now()
-	timer := time.NewTimer(patience())
+	timer := time.NewTimer(timeout())
 	defer timer.Stop()
 	for {
 		select {
-		case answer := <-q.answer:
+		case answer := <-q.reply:
 			return answer
 		case <-timer.C:
-			if left := patience() - time.Since(begun); left > 0 {
+			if left := timeout() - time.Since(begun); left > 0 {
 				timer.Reset(left)
 				continue
 			}
@@ -106,19 +106,19 @@
 	}
 }
 
-// newAnswer makes the channel of one answer, with room for it.
-func newAnswer() chan structs.Message { return make(chan structs.Message, 1) }
+// newReplyChan makes the channel of one answer, with room for it.
+func newReplyChan() chan structs.Message { return make(chan structs.Message, 1) }
 
-// answered hands the answer to a question to whoever waits for it.
-func (k *Manager) answered(from structs.InstanceID, number uint64, answer structs.Message) {
+// deliverReply hands the answer to a question to whoever waits for it.
+func (k *Manager) deliverReply(from structs.InstanceID, number uint64, answer structs.Message) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	q, ok := k.pending[number]
-	if !ok || q.asked != from {
+	if !ok || q.to != from {
 		return
 	}
 	delete(k.pending, number)
-	q.answer <- answer
+	q.reply <- answer
 }
 
 // peerDown ends the questions to an instance that does not answer.
@@ -126,9 +126,9 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number, q := range k.pending {
-		if q.asked == id {
+		if q.to == id {
 			delete(k.pending, number)
-			q.answer <- nil
+			q.reply <- nil
 		}
 	}
 }
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -22,10 +22,10 @@
 
 func TestConversationsHoldOverRandomFaults(t *testing.T) {
 	for _, seed := range regressions {
-		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint("regression ", seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 	for seed := range uint64(*schedules) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSchedule(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSchedule(t, seed) })
 	}
 }
 
@@ -37,12 +37,12 @@
 	slowEvery    = 8
 )
 
-// playSchedule lets programs talk at instances that are killed and cut off, with
+// runSchedule lets programs talk at instances that are killed and cut off, with
 // a store that fails in all its ways. What an instance says of a turn that ended
 // is checked each time it is asked; at the end all turns are asked for once
 // more, after the loss of everything.
-func playSchedule(t *testing.T, seed uint64) {
-	inWorld(t, 4, func(t *testing.T, w *world) {
+func runSchedule(t *testing.T, seed uint64) {
+	runCluster(t, 4, func(t *testing.T, w *cluster) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		factor := 1
 		if seed%slowEvery == 0 {
@@ -52,45 +52,45 @@
 		ends := time.Now().Add(time.Duration(factor) * scheduleTime)
 		for i := range 10 {
 			callerSeed := seed*100 + uint64(i)
-			work.Go(func() { w.converse(callerSeed, ends, factor) })
+			work.Go(func() { w.runPrograms(callerSeed, ends, factor) })
 		}
 		for time.Now().Before(ends) {
 			time.Sleep(time.Duration(factor*r.IntN(700)) * time.Millisecond)
-			w.causeTrouble(r)
+			w.injectFault(r)
 		}
 		w.Store.Set(metastore.Fault{})
 		work.Wait()
-		for _, n := range w.all() {
+		for _, n := range w.running() {
 			w.Kill(n.Node)
 		}
 		fresh := w.start("z")
 		for id, turn := range w.ended {
 			if time.Since(turn.at) < testRetention {
-				w.mustRecall(fresh, turn.program, id)
+				w.mustLookUp(fresh, turn.program, id)
 			}
 		}
 	})
 }
 
-// converse runs programs one after the other until the time is up. Some
+// runPrograms runs programs one after the other until the time is up. Some
 // continue another program's turn, some name turns that do not exist. Pauses are
 // longer by a factor.
-func (w *world) converse(seed uint64, ends time.Time, factor int) {
+func (w *cluster) runPrograms(seed uint64, ends time.Time, factor int) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n := 0; time.Now().Before(ends); n++ {
 		program := fmt.Sprint("p", seed, "-", n)
 		previous := ""
 		if r.IntN(4) == 0 {
-			previous = w.anyEnded(r)
+			previous = w.randomEndedTurn(r)
 		}
 		for range 1 + r.IntN(6) {
-			nodes := w.all()
+			nodes := w.running()
 			if len(nodes) == 0 {
 				time.Sleep(100 * time.Millisecond)
 				continue
 			}
 			if r.IntN(12) == 0 {
-				w.nameNothing(r, simnet.Any(r, nodes), program)
+				w.lookUpUnknownTurn(r, simnet.Any(r, nodes), program)
 			}
 			id, err := w.turn(simnet.Any(r, nodes), program, previous, time.Duration(300+r.IntN(3000))*time.Millisecond)
 			if err == nil {
@@ -101,17 +101,17 @@
 	}
 }
 
-// nameNothing asks for a turn that does not exist.
-func (w *world) nameNothing(r *rand.Rand, n *node, program string) {
-	_, err := w.recall(w.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
+// lookUpUnknownTurn asks for a turn that does not exist.
+func (w *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
+	_, err := w.lookUp(w.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
 	if !errors.Is(err, serve.ErrNoTurn) && !errors.Is(err, serve.ErrUncertain) {
 		w.t.Errorf("a turn that does not exist: %v", err)
 	}
 }
 
-// causeTrouble does one thing to the instances or the store.
-func (w *world) causeTrouble(r *rand.Rand) {
-	nodes := w.all()
+// injectFault does one thing to the instances or the store.
+func (w *cluster) injectFault(r *rand.Rand) {
+	nodes := w.running()
 	if len(nodes) == 0 {
 		return
 	}
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -13,19 +13,19 @@
 // A slow store, whose partitions take one append every 120 ms, keeps 600 turns
 // a second, whatever the number of instances: the number of appends follows
 // what the store takes.
-func TestSlowStoreKeepsAllTurns(t *testing.T) {
+func TestSlowStoreStoresAllTurns(t *testing.T) {
 	for _, machines := range []int{3, 61, 300} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			inWorldOf(t, machines, 24, func(t *testing.T, w *world) {
-				took, _ := w.load(600, 2*time.Second)
+			runClusterOf(t, machines, 24, func(t *testing.T, w *cluster) {
+				took, _ := w.generateLoad(600, 2*time.Second)
 				w.Store.Set(metastore.Fault{AppendTime: 120 * time.Millisecond})
 				before := w.Store.Calls()
-				slow, _ := w.load(600, 4*time.Second)
+				slow, _ := w.generateLoad(600, 4*time.Second)
 				if calls := w.Store.Calls() - before; calls > 24*(4000+1000)/120 {
 					t.Errorf("%d calls", calls)
 				}
 				w.Store.Set(metastore.Fault{})
-				after, _ := w.load(600, 2*time.Second)
+				after, _ := w.generateLoad(600, 2*time.Second)
 				t.Logf("longest: well %s, slow %s, after %s", took, slow, after)
 				if took > 10*time.Millisecond || slow > time.Second {
 					t.Errorf("a turn took %s, %s while the store was slow", took, slow)
@@ -37,11 +37,11 @@
 
 // Where a slow store's answers are long on their way, turns do not wait for the
 // answer before theirs as well.
-func TestTurnsDoNotWaitForAnswersOnTheirWay(t *testing.T) {
-	inWorldOf(t, 61, 24, func(t *testing.T, w *world) {
-		w.load(250, 2*time.Second)
+func TestDelayedResponsesDoNotBlockAppends(t *testing.T) {
+	runClusterOf(t, 61, 24, func(t *testing.T, w *cluster) {
+		w.generateLoad(250, 2*time.Second)
 		w.Store.Set(metastore.Fault{Delay: 340 * time.Millisecond, AppendTime: 120 * time.Millisecond})
-		longest, mean := w.load(250, 5*time.Second)
+		longest, mean := w.generateLoad(250, 5*time.Second)
 		t.Logf("longest %s, mean %s", longest, mean)
 		if longest > 1500*time.Millisecond || mean > 650*time.Millisecond {
 			t.Errorf("longest %s, mean %s", longest, mean)
@@ -51,9 +51,9 @@
 
 // What waits for a silent store ends soon after its return, which one instance
 // finds out for all, and the tries meanwhile are few.
-func TestSilentStoresReturnIsToldToAll(t *testing.T) {
-	inWorldOf(t, 61, 24, func(t *testing.T, w *world) {
-		w.load(600, time.Second)
+func TestStoreRecoveryIsBroadcast(t *testing.T) {
+	runClusterOf(t, 61, 24, func(t *testing.T, w *cluster) {
+		w.generateLoad(600, time.Second)
 		w.Store.Set(metastore.Fault{Silent: true})
 		before := w.Store.Calls()
 		var back time.Time
@@ -65,12 +65,12 @@
 				t.Errorf("%d calls while the store was silent", calls)
 			}
 		})
-		w.load(600, 2400*time.Millisecond)
+		w.generateLoad(600, 2400*time.Millisecond)
 		if took := time.Since(back); took > 300*time.Millisecond {
 			t.Errorf("the last turn ended %s after the store was back", took)
 		}
 		after := w.Store.Calls()
-		if longest, _ := w.load(600, time.Second); longest > 50*time.Millisecond {
+		if longest, _ := w.generateLoad(600, time.Second); longest > 50*time.Millisecond {
 			t.Errorf("a turn took %s after the store's return", longest)
 		}
 		if calls := w.Store.Calls() - after; calls > 700 {
@@ -79,14 +79,14 @@
 	})
 }
 
-// load keeps turns at a rate for a time and returns how long the slowest took,
+// generateLoad keeps turns at a rate for a time and returns how long the slowest took,
 // and each on average.
-func (w *world) load(perSecond int, length time.Duration) (longest, mean time.Duration) {
+func (w *cluster) generateLoad(perSecond int, length time.Duration) (longest, mean time.Duration) {
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	var sum time.Duration
 	turns := int(length.Seconds() * float64(perSecond))
-	nodes := w.all()
+	nodes := w.running()
 	r := rand.New(rand.NewPCG(1, uint64(len(nodes))))
 	for range turns {
 		time.Sleep(time.Second / time.Duration(perSecond))
@@ -106,9 +106,9 @@
 
 // A turn that has asked all others while the store refused everyone is kept once
 // it serves the others, though it still refuses this instance.
-func TestOthersAreAskedAgainAfterAnOutage(t *testing.T) {
-	inWorldOf(t, 3, 4, func(t *testing.T, w *world) {
-		n := w.all()[0]
+func TestHelpersAreRetriedAfterOutage(t *testing.T) {
+	runClusterOf(t, 3, 4, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
 		w.Store.Set(metastore.Fault{Status: 503})
 		w.Work.Go(func() {
 			time.Sleep(5 * time.Second)
--- a/internal/conversation/keep.go
+++ b/internal/conversation/store.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// awayTime is how long a partition that took no append is tried last.
-	awayTime = time.Second
-	// helpersAgain is the time after which instances may be asked again that were
+	// unavailableTime is how long a partition that took no append is tried last.
+	unavailableTime = time.Second
+	// helperRetryInterval is the time after which instances may be asked again that were
 	// asked to append a turn: the store may serve them by then.
-	helpersAgain = time.Second
-	// maxPartitionsTried bounds the partitions of one round of tries.
-	maxPartitionsTried = 2
+	helperRetryInterval = time.Second
+	// maxPartitionsPerRound bounds the partitions of one round of tries.
+	maxPartitionsPerRound = 2
 )
 
 // StoreTurn makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
 func (k *Manager) StoreTurn(ctx context.Context, program string, turn serve.EndedTurn) error {
 	home := k.partitionOf(program)
-	w := &writing{keeper: k, home: home, turn: structs.KeptTurn{
+	w := &turnWrite{manager: k, home: home, turn: structs.KeptTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
 		Ended: time.Now().UnixMilli(), Retention: turn.Retention,
 	}}
@@ -35,41 +35,41 @@
 	k.mu.Unlock()
 	begun := time.Now()
 	if err := w.persist(ctx); err != nil {
-		k.metrics.lost.Inc(1)
+		k.metrics.abandoned.Inc(1)
 		return err
 	}
-	k.metrics.seconds.RecordDuration(time.Since(begun))
-	k.learn(w.turns, w.partition.number)
-	if index := k.indexOf(home, nil); index != "" && index != k.self.ID && index != w.keptBy {
+	k.metrics.storeLatency.RecordDuration(time.Since(begun))
+	k.addTurns(w.turns, w.partition.number)
+	if index := k.indexer(home, nil); index != "" && index != k.self.ID && index != w.storedBy {
 		k.peers.Send(index, &structs.TurnsNotice{Partition: w.partition.number, Turns: w.turns})
 	}
 	return nil
 }
 
-// absent lists the turns of a conversation that a partition does not hold yet,
+// missingFrom lists the turns of a conversation that a partition does not hold yet,
 // since they are another program's or were kept while it was away.
-func (k *Manager) absent(p *partition, turn string) []structs.KeptTurn {
+func (k *Manager) missingFrom(p *partition, turn string) []structs.KeptTurn {
 	if turn == "" {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	// The turn was named in time; its retention may have ended since.
-	entries, ok := k.memory.line(turn)
+	entries, ok := k.memory.chain(turn)
 	if !ok {
 		k.log.Error("conversation went from memory while its turn ran", "turn", turn, "partition", p.number)
 	}
-	return lacking(entries, p.number, time.Now())
+	return missingTurns(entries, p.number, time.Now())
 }
 
-// lacking lists the turns of a conversation that a partition may lack. A turn is
+// missingTurns lists the turns of a conversation that a partition may lack. A turn is
 // kept there for its retention, and as long as it has any that continues it
 // there; the index of the partition may have dropped it after that.
-func lacking(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
+func missingTurns(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
 	var turns []structs.KeptTurn
 	continued := false
 	for _, e := range slices.Backward(entries) {
-		if e.in(partition) && (continued || now.Before(expiry(e.KeptTurn, now))) {
+		if e.storedIn(partition) && (continued || now.Before(expiry(e.KeptTurn, now))) {
 			continued = true
 			continue
 		}
@@ -79,9 +79,9 @@
 	return turns
 }
 
-// writing is a turn on its way to the store.
-type writing struct {
-	keeper *Manager
+// turnWrite is a turn on its way to the store.
+type turnWrite struct {
+	manager *Manager
 	// home is the partition of the turn's program.
 	home *partition
 	turn structs.KeptTurn
@@ -91,86 +91,86 @@
 	partition *partition
 	turns     []structs.KeptTurn
 	records   []platform.Record
-	// helpers are the instances that were asked to append them since askedAnew.
-	helpers   []structs.InstanceID
-	askedAnew time.Time
-	// keptBy is the instance whose append kept the turn.
-	keptBy structs.InstanceID
+	// helpers are the instances that were asked to append them since helpersResetAt.
+	helpers        []structs.InstanceID
+	helpersResetAt time.Time
+	// storedBy is the instance whose append kept the turn.
+	storedBy structs.InstanceID
 }
 
 // persist tries until the store holds the turn or the context ends.
-func (w *writing) persist(ctx context.Context) error {
-	k := w.keeper
+func (w *turnWrite) persist(ctx context.Context) error {
+	k := w.manager
 	for {
-		prober, err := k.awaitTry(ctx)
+		prober, err := k.awaitAttempt(ctx)
 		if err != nil {
 			return err
 		}
 		err = w.tryPartitions(ctx)
 		if ctx.Err() != nil {
-			k.endTry(prober)
+			k.endProbe(prober)
 			return ctx.Err()
 		}
-		wait := k.noteRound(err)
+		wait := k.recordRound(err)
 		if err == nil {
-			k.endTry(prober)
+			k.endProbe(prober)
 			return nil
 		}
 		k.log.Debug("turn not kept yet", "turn", w.turn.ID, "error", err.Error())
-		k.pauseTry(ctx, wait)
-		k.endTry(prober)
+		k.waitBeforeRetry(ctx, wait)
+		k.endProbe(prober)
 	}
 }
 
 // tryPartitions tries the home partition, then another one: the store may serve
 // some partitions and not others.
-func (w *writing) tryPartitions(ctx context.Context) error {
+func (w *turnWrite) tryPartitions(ctx context.Context) error {
 	var failure error
-	for _, p := range w.keeper.candidates(w.home) {
-		if err := w.aimAt(p); err != nil {
+	for _, p := range w.manager.candidates(w.home) {
+		if err := w.prepare(p); err != nil {
 			return err
 		}
 		begun := time.Now()
-		kept, err := w.round(ctx)
+		kept, err := w.runRound(ctx)
 		if kept {
 			return nil
 		}
-		w.askAnew(err)
+		w.resetHelpers(err)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		w.keeper.setAway(p)
+		w.manager.markUnavailable(p)
 		failure = errors.Join(failure, err)
-		if w.keeper.silentSince(begun) {
+		if w.manager.unresponsiveSince(begun) {
 			break
 		}
 	}
 	return failure
 }
 
-// askAnew lets all instances be asked again after the store refused a round, once a
+// resetHelpers lets all instances be asked again after the store refused a round, once a
 // second at most. It does not while the store is silent: whoever is asked then
 // would keep the turn waiting behind the store's return.
-func (w *writing) askAnew(failure error) {
+func (w *turnWrite) resetHelpers(failure error) {
 	now := time.Now()
-	if errors.Is(failure, platform.ErrBusy) && now.Sub(w.askedAnew) >= helpersAgain {
-		w.helpers, w.askedAnew = nil, now
+	if errors.Is(failure, platform.ErrBusy) && now.Sub(w.helpersResetAt) >= helperRetryInterval {
+		w.helpers, w.helpersResetAt = nil, now
 	}
 }
 
-// silentSince tells whether the store has answered nobody since a time, for as
+// unresponsiveSince tells whether the store has answered nobody since a time, for as
 // long as an append may take: another partition is then no better.
-func (k *Manager) silentSince(begun time.Time) bool {
+func (k *Manager) unresponsiveSince(begun time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	return now.Sub(begun) >= k.path.AppendTimeout(now) && !k.path.RespondedSince(begun)
 }
 
-// aimAt prepares the turn to be written to a partition.
-func (w *writing) aimAt(p *partition) error {
+// prepare prepares the turn to be written to a partition.
+func (w *turnWrite) prepare(p *partition) error {
 	w.partition = p
-	w.turns = append(w.keeper.absent(p, w.turn.Previous), w.turn)
+	w.turns = append(w.manager.missingFrom(p, w.turn.Previous), w.turn)
 	var err error
 	w.records, err = encodeTurns(w.turns)
 	return err
@@ -182,23 +182,23 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	var here, away []*partition
+	var available, unavailable []*partition
 	for i := range k.partitions {
 		p := k.partitions[(home.number+i)%len(k.partitions)]
-		if now.Before(p.awayUntil) {
-			away = append(away, p)
+		if now.Before(p.unavailableUntil) {
+			unavailable = append(unavailable, p)
 			continue
 		}
-		here = append(here, p)
+		available = append(available, p)
 	}
-	all := append(here, away...)
-	return all[:min(len(all), maxPartitionsTried)]
+	all := append(available, unavailable...)
+	return all[:min(len(all), maxPartitionsPerRound)]
 }
 
-// setAway notes that neither this instance nor another could append to a
+// markUnavailable notes that neither this instance nor another could append to a
 // partition.
-func (k *Manager) setAway(p *partition) {
+func (k *Manager) markUnavailable(p *partition) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	p.awayUntil = time.Now().Add(awayTime)
+	p.unavailableUntil = time.Now().Add(unavailableTime)
 }
--- a/internal/conversation/keep_test.go
+++ b/internal/conversation/store_test.go
@@ -10,9 +10,9 @@
 // A third of the instances may be refused by the store while it serves the
 // others: their turns are written and read through these.
 func TestInstanceThatTheStoreRefusesKeepsTurnsThroughOthers(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		refused := w.index("p")
-		last := w.chainOf("p", "", 3)
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
+		refused := w.indexer("p")
+		last := w.runTurns("p", "", 3)
 		refused.Refused.Store(true)
 		for range 4 {
 			last = w.mustTurn(refused, "p", last)
@@ -31,15 +31,15 @@
 			t.Errorf("20 turns took %d calls", calls)
 		}
 		w.restartAll()
-		w.mustRecall(w.all()[0], "p", last)
+		w.mustLookUp(w.running()[0], "p", last)
 	})
 }
 
 // An instance whose link to the store is silent notices it once.
-func TestInstanceThatTheStoreDoesNotHearKeepsTurnsThroughOthers(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		n := w.all()[0]
-		last := w.chainOf("p", "", 3)
+func TestInstanceWithUnresponsiveStoreLinkAppendsThroughOthers(t *testing.T) {
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
+		last := w.runTurns("p", "", 3)
 		n.Unheard.Store(true)
 		last = w.mustTurn(n, "p", last)
 		began := time.Now()
@@ -50,14 +50,14 @@
 			t.Errorf("a turn took %s", took)
 		}
 		n.Unheard.Store(false)
-		time.Sleep(directPause)
+		time.Sleep(directRetryInterval)
 		last = w.mustTurn(n, "p", last)
 		last = w.mustTurn(n, "p", last)
-		if n.keeper.Dump().DirectFailing {
+		if n.manager.Dump().DirectFailing {
 			t.Error("the instance did not notice that the store hears it again")
 		}
 		w.restartAll()
-		w.mustRecall(w.all()[0], "p", last)
+		w.mustLookUp(w.running()[0], "p", last)
 	})
 }
 
@@ -67,9 +67,9 @@
 	for name, fault := range map[string]metastore.Fault{
 		"refused": {Status: 503}, "silent": {Silent: true}, "reset": {Reset: true},
 	} {
-		inWorld(t, 3, func(t *testing.T, w *world) {
+		runCluster(t, 3, func(t *testing.T, w *cluster) {
 			w.Store.Set(fault)
-			if id, err := w.turn(w.all()[0], "p", "", 2*time.Second); err == nil {
+			if id, err := w.turn(w.running()[0], "p", "", 2*time.Second); err == nil {
 				t.Errorf("%s: turn %s ended", name, id)
 			}
 		})
@@ -78,15 +78,15 @@
 
 // The answers that wait for the store end soon after its return, and all of
 // them together cost few calls meanwhile.
-func TestTurnsThatWaitEndWhenTheStoreIsBack(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
+func TestWaitingTurnsEndWhenStoreRecovers(t *testing.T) {
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
 		const waiting = 40
-		w.chainOf("p", "", 3)
+		w.runTurns("p", "", 3)
 		w.Store.Set(metastore.Fault{Status: 503})
 		ended := make(chan time.Time, waiting)
 		for i := range waiting {
 			go func() {
-				w.mustTurn(w.all()[i%3], string(rune('a'+i)), "")
+				w.mustTurn(w.running()[i%3], string(rune('a'+i)), "")
 				ended <- time.Now()
 			}()
 		}
@@ -108,18 +108,18 @@
 // No turn is begun that a full store would not take; one a second finds out
 // whether it still is full. While it is away for another reason turns begin.
 func TestTurnsAreNotAcceptedWhileTheStoreIsFull(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
-		n := w.all()[0]
+	runCluster(t, 2, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
 		for status, accepted := range map[int]bool{507: false, 503: true} {
 			w.Store.Set(metastore.Fault{Status: status})
 			if _, err := w.turn(n, "p", "", time.Second); err == nil {
 				t.Fatalf("status %d: the turn ended", status)
 			}
-			if got := n.keeper.Accepts(3 * time.Second); got != accepted {
+			if got := n.manager.Accepts(3 * time.Second); got != accepted {
 				t.Errorf("status %d: accepts %v", status, got)
 			}
-			time.Sleep(2 * fullPause)
-			if !n.keeper.Accepts(3 * time.Second) {
+			time.Sleep(2 * fullProbeInterval)
+			if !n.manager.Accepts(3 * time.Second) {
 				t.Errorf("status %d: nobody finds out whether it is over", status)
 			}
 			w.Store.Set(metastore.Fault{})
@@ -131,53 +131,53 @@
 // The store may serve some partitions only; turns go to others meanwhile, with
 // all before them.
 func TestTurnGoesToAnotherPartitionWhileItsOwnIsAway(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		last := w.chainOf("p", "", 3)
-		home := w.all()[0].keeper.partitionOf("p").number
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
+		last := w.runTurns("p", "", 3)
+		home := w.running()[0].manager.partitionOf("p").number
 		w.Store.Set(metastore.Fault{Status: 503, Partitions: []int{home}})
-		last = w.chainOf("p", last, 3)
+		last = w.runTurns("p", last, 3)
 		w.Store.Set(metastore.Fault{})
-		last = w.chainOf("p", last, 3)
+		last = w.runTurns("p", last, 3)
 		w.restartAll()
-		w.mustRecall(w.all()[0], "p", last)
+		w.mustLookUp(w.running()[0], "p", last)
 	})
 }
 
 // Once the store has been away for longer than callers wait, turns are no longer
 // begun, but for one now and then that finds out.
 func TestTurnsAreNotAcceptedInALongOutage(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
-		n := w.all()[0]
+	runCluster(t, 2, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
 		w.Store.Set(metastore.Fault{Silent: true})
 		if _, err := w.turn(n, "p", "", 9*time.Second); err == nil {
 			t.Fatal("the turn ended")
 		}
-		n.keeper.Accepts(2 * time.Second)
-		if n.keeper.Accepts(2*time.Second) || !n.keeper.Accepts(20*time.Second) {
+		n.manager.Accepts(2 * time.Second)
+		if n.manager.Accepts(2*time.Second) || !n.manager.Accepts(20*time.Second) {
 			t.Error("the time that the caller waits does not decide")
 		}
 		w.Store.Set(metastore.Fault{})
-		time.Sleep(2 * fullPause)
+		time.Sleep(2 * fullProbeInterval)
 		w.mustTurn(n, "p", "")
-		if !n.keeper.Accepts(time.Second) {
+		if !n.manager.Accepts(time.Second) {
 			t.Error("turns are not accepted though the store is back")
 		}
 	})
 }
 
-func TestDumpTellsWhatIsAmiss(t *testing.T) {
-	inWorld(t, 2, func(t *testing.T, w *world) {
-		n := w.all()[0]
+func TestDumpReportsOutage(t *testing.T) {
+	runCluster(t, 2, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
 		w.mustTurn(n, "p", "")
-		if d := n.keeper.Dump(); d.Turns != 1 || d.Bytes == 0 || d.OutageDuration != 0 || d.DirectFailing {
+		if d := n.manager.Dump(); d.Turns != 1 || d.Bytes == 0 || d.OutageDuration != 0 || d.DirectFailing {
 			t.Errorf("in order: %+v", d)
 		}
 		w.Store.Set(metastore.Fault{Status: 503})
 		if _, err := w.turn(n, "p", "", time.Second); err == nil {
 			t.Fatal("the turn ended")
 		}
-		d := n.keeper.Dump()
-		away := d.Partitions[n.keeper.partitionOf("p").number].Unavailable
+		d := n.manager.Dump()
+		away := d.Partitions[n.manager.partitionOf("p").number].Unavailable
 		if d.OutageDuration == 0 || !d.DirectFailing || !away {
 			t.Errorf("with the store away: %+v", d)
 		}
--- a/internal/conversation/sweep.go
+++ b/internal/conversation/sweep.go
@@ -18,12 +18,12 @@
 	// names it just in time may run for a route's timeout, its record may reach
 	// the store some seconds late, and clocks of instances may differ by some.
 	dropMargin = time.Minute
-	// firstReadAfter is when an index reads a partition that nobody asked for,
+	// firstReadDelay is when an index reads a partition that nobody asked for,
 	// to drop what earlier instances left there: soon after a start others ask
 	// anyway.
-	firstReadAfter = time.Minute
-	// maxDropped bounds the records of one append.
-	maxDropped = 500
+	firstReadDelay = time.Minute
+	// maxDropBatch bounds the records of one append.
+	maxDropBatch = 500
 	// trimBytes is how much of a partition's history is kept beside the newest
 	// records: the store counts it towards its limits.
 	trimBytes = 8 << 20
@@ -33,8 +33,8 @@
 // partitions that this instance indexes, from the store.
 func (k *Manager) sweep(ctx context.Context) {
 	for _, p := range k.partitions {
-		if k.indexOf(p, nil) == k.self.ID {
-			k.dropFrom(ctx, p)
+		if k.indexer(p, nil) == k.self.ID {
+			k.dropExpired(ctx, p)
 		}
 	}
 	k.mu.Lock()
@@ -46,11 +46,11 @@
 	k.metrics.turns.Update(float64(len(k.memory.turns)))
 }
 
-// dropFrom drops a partition's expired turns and its history from the store.
-func (k *Manager) dropFrom(ctx context.Context, p *partition) {
+// dropExpired drops a partition's expired turns and its history from the store.
+func (k *Manager) dropExpired(ctx context.Context, p *partition) {
 	k.mu.Lock()
-	unread := !p.read && time.Since(k.started) > firstReadAfter
-	due := unread || len(k.expiredIn(p)) > 0 || p.bytes > trimBytes
+	unread := !p.read && time.Since(k.started) > firstReadDelay
+	due := unread || len(k.expiryRecords(p)) > 0 || p.bytes > trimBytes
 	k.mu.Unlock()
 	if !due {
 		return
@@ -60,10 +60,10 @@
 		return // logged; the next sweep tries again
 	}
 	k.mu.Lock()
-	expired := k.expiredIn(p)
+	expired := k.expiryRecords(p)
 	k.mu.Unlock()
 	for len(expired) > 0 {
-		n := min(len(expired), maxDropped)
+		n := min(len(expired), maxDropBatch)
 		if err := k.appendBatched(ctx, p, nil, expired[:n]).err; err != nil {
 			k.log.Warn("expired turns not dropped", "partition", p.number, "turns", len(expired), "error", err.Error())
 			return
@@ -74,12 +74,12 @@
 	k.trim(ctx, p)
 }
 
-// expiredIn lists the records that drop a partition's expired turns. The mutex
+// expiryRecords lists the records that drop a partition's expired turns. The mutex
 // is held.
-func (k *Manager) expiredIn(p *partition) []platform.Record {
+func (k *Manager) expiryRecords(p *partition) []platform.Record {
 	var records []platform.Record
 	for _, e := range k.memory.expired(time.Now(), dropMargin) {
-		if e.in(p.number) {
+		if e.storedIn(p.number) {
 			records = append(records, platform.Record{Key: e.ID})
 		}
 	}
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -11,22 +11,22 @@
 )
 
 func TestTurnsAreDroppedAfterTheirRetention(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		old := w.chainOf("p", "", 3)
-		long := w.chainOf("q", "", 2)
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
+		old := w.runTurns("p", "", 3)
+		long := w.runTurns("q", "", 2)
 		for range 8 {
 			time.Sleep(testRetention / 2)
-			long = w.chainOf("q", long, 1)
+			long = w.runTurns("q", long, 1)
 		}
-		w.mustRecall(w.all()[0], "q", long)
+		w.mustLookUp(w.running()[0], "q", long)
 		w.restartAll()
-		w.mustRecall(w.all()[0], "q", long)
-		if _, err := w.all()[0].keeper.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
+		w.mustLookUp(w.running()[0], "q", long)
+		if _, err := w.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
 			t.Errorf("a turn long past its retention: %v", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
-		for _, n := range w.all() {
-			if got := n.keeper.Dump().Turns; got != 0 {
+		for _, n := range w.running() {
+			if got := n.manager.Dump().Turns; got != 0 {
 				t.Errorf("%s holds %d turns past their retention", n.ID, got)
 			}
 		}
@@ -41,15 +41,15 @@
 
 // A turn that was named in time may end after the retention of the one before
 // it, in another partition.
-func TestTurnThatEndsAfterTheRetentionIsKeptWhole(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		n := w.all()[0]
+func TestTurnEndingAfterRetentionIsStoredWithItsHistory(t *testing.T) {
+	runCluster(t, 3, func(t *testing.T, w *cluster) {
+		n := w.running()[0]
 		first, second := w.programIn(0), w.programIn(1)
 		last := w.mustTurn(n, first, "")
-		w.mustRecall(n, second, last)
-		time.Sleep(testRetention + 2*namedMargin)
+		w.mustLookUp(n, second, last)
+		time.Sleep(testRetention + 2*referenceMargin)
 		end := serve.EndedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
-		if err := n.keeper.StoreTurn(t.Context(), second, end); err != nil {
+		if err := n.manager.StoreTurn(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
 		list, err := w.Store.Newest(t.Context(), topic, 1)
@@ -60,8 +60,8 @@
 }
 
 // programIn finds a program of a partition.
-func (w *world) programIn(part int) string {
-	k := w.all()[0].keeper
+func (w *cluster) programIn(part int) string {
+	k := w.running()[0].manager
 	for i := 0; ; i++ {
 		if program := fmt.Sprint("program", i); k.partitionOf(program).number == part {
 			return program
@@ -72,14 +72,14 @@
 // The beginning of a conversation that goes on in another partition is dropped
 // from its own. A later turn that comes back there must take it along again.
 func TestDroppedBeginningIsWrittenAgain(t *testing.T) {
-	inWorld(t, 4, func(t *testing.T, w *world) {
+	runCluster(t, 4, func(t *testing.T, w *cluster) {
 		first := w.programIn(0)
-		index := w.index(first)
+		index := w.indexer(first)
 		second := first
-		for part := 1; w.index(second) == index; part++ {
+		for part := 1; w.indexer(second) == index; part++ {
 			second = w.programIn(part)
 		}
-		writer := w.others(index, w.index(second))[0]
+		writer := w.others(index, w.indexer(second))[0]
 		last := w.mustTurn(writer, first, "")
 		for range 10 {
 			time.Sleep(testRetention / 2)
@@ -91,8 +91,8 @@
 		}
 		last = w.mustTurn(writer, first, last)
 		w.restartAll()
-		for _, n := range w.all() {
-			w.mustRecall(n, first, last)
+		for _, n := range w.running() {
+			w.mustLookUp(n, first, last)
 		}
 	})
 }
