--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -108,11 +108,11 @@
 
 // hedge has another instance try beside one that takes long.
 func (r *attemptRound) hedge(ctx context.Context) {
-	k := r.write.manager
-	if begun, ok := r.inFlight[k.self.ID]; ok {
-		k.notifyHang(begun)
+	m := r.write.manager
+	if begun, ok := r.inFlight[m.self.ID]; ok {
+		m.notifyHang(begun)
 	}
-	if k.allowHedge() {
+	if m.allowHedge() {
 		r.appendThroughHelper(ctx)
 	}
 }
@@ -151,37 +151,37 @@
 
 // appendsThroughOther tells whether turns for a partition go to the instance that gathers
 // them, rather than by an append of this instance.
-func (k *Manager) appendsThroughOther(p *partition) bool {
+func (m *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
-	k.mu.Lock()
-	gathers, failing := k.path.ShouldBatch(p.number, k.pendingAppends(), now), k.path.Failing()
-	k.mu.Unlock()
-	return gathers && (failing || k.indexer(p, nil) != k.self.ID)
+	m.mu.Lock()
+	gathers, failing := m.path.ShouldBatch(p.number, m.pendingAppends(), now), m.path.Failing()
+	m.mu.Unlock()
+	return gathers && (failing || m.indexer(p, nil) != m.self.ID)
 }
 
-func (k *Manager) hedgeDelay() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.HedgeDelay(time.Now())
+func (m *Manager) hedgeDelay() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.HedgeDelay(time.Now())
 }
 
 // allowHedge takes a second try from the budget of second tries.
-func (k *Manager) allowHedge() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.hedges.Allow(1)
+func (m *Manager) allowHedge() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.hedges.Allow(1)
 }
 
 // shouldTryDirect tells whether this instance, whose appends fail, should try by
 // itself beside another one: one turn after each pause does.
-func (k *Manager) shouldTryDirect() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) shouldTryDirect() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	if !k.path.Failing() || now.Before(k.nextDirectAttempt) {
+	if !m.path.Failing() || now.Before(m.nextDirectAttempt) {
 		return false
 	}
-	k.nextDirectAttempt = now.Add(jittered(directRetryInterval))
+	m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
 	return true
 }
 
@@ -192,130 +192,130 @@
 
 // observeWinner learns from the try that was answered first: the others' ways are
 // bad, unless the store itself is slow.
-func (k *Manager) observeWinner(p *partition, winner attemptResult, open map[structs.InstanceID]time.Time) {
+func (m *Manager) observeWinner(p *partition, winner attemptResult, open map[structs.InstanceID]time.Time) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if winner.took == 0 {
 		return // an instance of an older version does not report the time
 	}
-	if winner.by != k.self.ID {
-		k.path.Observe(winner.observation(), now)
+	if winner.by != m.self.ID {
+		m.path.Observe(winner.observation(), now)
 	}
 	for id, begun := range open {
-		if !k.path.PathDegraded(winner.observation(), now.Sub(begun)) {
+		if !m.path.PathDegraded(winner.observation(), now.Sub(begun)) {
 			continue
 		}
-		if id != k.self.ID {
-			k.unableUntil[id] = now.Add(unableTime)
+		if id != m.self.ID {
+			m.unableUntil[id] = now.Add(unableTime)
 			continue
 		}
-		k.path.ObserveOutcome(false, now)
-		k.nextDirectAttempt = now.Add(jittered(directRetryInterval))
-		p.appends.abandon(func(age time.Duration) bool { return k.path.PathDegraded(winner.observation(), age) }, now)
+		m.path.ObserveOutcome(false, now)
+		m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
+		p.appends.abandon(func(age time.Duration) bool { return m.path.PathDegraded(winner.observation(), age) }, now)
 	}
-	k.updateState(nil)
+	m.updateState(nil)
 }
 
 // observeAppend learns from an append of this instance. Its outcome is unknown if
 // the Keeper stopped.
-func (k *Manager) observeAppend(p *partition, result *appendResult) {
-	if k.ctx.Err() != nil {
+func (m *Manager) observeAppend(p *partition, result *appendResult) {
+	if m.ctx.Err() != nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	if result.err == nil {
-		answer := k.path.ObserveOwn(result.took, now)
+		answer := m.path.ObserveOwn(result.took, now)
 		result.slow = answer.Slow
-		p.appends.window.Observe(answer, k.path.ShortestSlow())
+		p.appends.window.Observe(answer, m.path.ShortestSlow())
 	}
 	switch {
 	case errors.Is(result.err, context.DeadlineExceeded):
-		k.path.ObserveTimeout(now)
+		m.path.ObserveTimeout(now)
 	case result.err != nil:
-		k.path.ObserveRefusal(now)
-	case k.path.ObserveOutcome(true, now):
-		k.notifyRecovery()
+		m.path.ObserveRefusal(now)
+	case m.path.ObserveOutcome(true, now):
+		m.notifyRecovery()
 	}
-	k.updateState(result.err)
-	k.notifySlow(result.took, now)
+	m.updateState(result.err)
+	m.notifySlow(result.took, now)
 }
 
 // notifySlow tells others that the store is slow, if it is and nobody did so
 // lately. The mutex is held.
-func (k *Manager) notifySlow(took time.Duration, now time.Time) {
-	if k.path.ShouldNotifySlow(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
+func (m *Manager) notifySlow(took time.Duration, now time.Time) {
+	if m.path.ShouldNotifySlow(now) {
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
 	}
 }
 
 // notifyRecovery tells others that the store takes appends again. The mutex is held.
-func (k *Manager) notifyRecovery() {
-	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
+func (m *Manager) notifyRecovery() {
+	m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
 }
 
 // notifyHang tells others that an append of this instance hangs.
-func (k *Manager) notifyHang(since time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) notifyHang(since time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	if k.path.AppendHangs(since, now) && k.path.ShouldNotifyHang(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
+	if m.path.AppendHangs(since, now) && m.path.ShouldNotifyHang(now) {
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
 	}
 }
 
 // receiveNotice takes turns that others kept, and what they tell of the store.
-func (k *Manager) receiveNotice(m *structs.TurnsNotice) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) receiveNotice(msg *structs.TurnsNotice) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	switch {
-	case m.News == structs.StoreSlow:
-		k.path.ObserveNotice(m.Took, now)
-		k.updateState(nil)
-	case m.News == structs.StoreBack:
-		k.handleRecovery()
+	case msg.News == structs.StoreSlow:
+		m.path.ObserveNotice(msg.Took, now)
+		m.updateState(nil)
+	case msg.News == structs.StoreBack:
+		m.handleRecovery()
 	}
-	if len(m.Turns) > 0 {
-		k.addTurnsLocked(m.Turns, m.Partition)
+	if len(msg.Turns) > 0 {
+		m.addTurnsLocked(msg.Turns, msg.Partition)
 	}
 }
 
 // handleRecovery has those that wait for the store try at once, also those whose
 // appends hang. The mutex is held.
-func (k *Manager) handleRecovery() {
+func (m *Manager) handleRecovery() {
 	now := time.Now()
-	k.path.ObserveOutcome(true, now)
-	k.updateState(nil)
-	for _, p := range k.partitions {
+	m.path.ObserveOutcome(true, now)
+	m.updateState(nil)
+	for _, p := range m.partitions {
 		p.appends.abandon(func(age time.Duration) bool {
-			return !k.path.Slow(now) && k.path.PathDegraded(policy.AppendResult{}, age)
+			return !m.path.Slow(now) && m.path.PathDegraded(policy.AppendResult{}, age)
 		}, now)
 	}
-	clear(k.unableUntil)
-	k.endOutage()
+	clear(m.unableUntil)
+	m.endOutage()
 }
 
 // updateState logs when the state of the access to the store changes. The mutex is
 // held.
-func (k *Manager) updateState(err error) {
-	state := k.path.State(time.Now())
-	if state == k.state {
+func (m *Manager) updateState(err error) {
+	state := m.path.State(time.Now())
+	if state == m.state {
 		return
 	}
-	attrs := []any{"before", k.state, "now", state, "typical_ms", k.path.TypicalLatency(time.Now()).Milliseconds()}
+	attrs := []any{"before", m.state, "now", state, "typical_ms", m.path.TypicalLatency(time.Now()).Milliseconds()}
 	if err != nil {
 		attrs = append(attrs, "error", err.Error())
 	}
-	k.state = state
-	k.metrics.setState(state)
+	m.state = state
+	m.metrics.setState(state)
 	if state == policy.StoreHealthy {
-		k.log.Info("turns can be appended again", attrs...)
+		m.log.Info("turns can be appended again", attrs...)
 		return
 	}
-	k.log.Warn("turns cannot be appended in time", attrs...)
+	m.log.Warn("turns cannot be appended in time", attrs...)
 }
 
 // chooseHelper chooses another instance to append the turns: the one that
@@ -345,50 +345,50 @@
 }
 
 // appendTimeout is how long an append may take.
-func (k *Manager) appendTimeout() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.AppendTimeout(time.Now())
+func (m *Manager) appendTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.AppendTimeout(time.Now())
 }
 
 // batchTimeout is how long another instance may take to append turns.
-func (k *Manager) batchTimeout() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.BatchTimeout(time.Now())
+func (m *Manager) batchTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.BatchTimeout(time.Now())
 }
 
 // receiveAppendRequest appends turns for another instance.
-func (k *Manager) receiveAppendRequest(from structs.InstanceID, m *structs.KeepRequest) {
-	if m.Partition < 0 || m.Partition >= len(k.partitions) {
-		k.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", m.Partition)
+func (m *Manager) receiveAppendRequest(from structs.InstanceID, msg *structs.KeepRequest) {
+	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
+		m.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spawn(func() {
-		result := k.appendForPeer(k.partitions[m.Partition], m.Turns)
-		k.peers.Send(from, &structs.KeepReply{Number: m.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.spawn(func() {
+		result := m.appendForPeer(m.partitions[msg.Partition], msg.Turns)
+		m.peers.Send(from, &structs.KeepReply{Number: msg.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
 // appendForPeer appends turns of another instance, at once or not at all if this
 // instance's appends fail.
-func (k *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
-	k.mu.Lock()
-	failing := k.path.Failing()
-	k.mu.Unlock()
-	if failing && !k.shouldTryDirect() {
+func (m *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
+	m.mu.Lock()
+	failing := m.path.Failing()
+	m.mu.Unlock()
+	if failing && !m.shouldTryDirect() {
 		return appendResult{err: errNotStored}
 	}
 	records, err := encodeTurns(turns)
 	if err != nil {
-		k.log.Error("turns of another instance not encoded", "error", err.Error())
+		m.log.Error("turns of another instance not encoded", "error", err.Error())
 		return appendResult{err: err}
 	}
-	result := k.appendBatched(k.ctx, p, turns, records)
+	result := m.appendBatched(m.ctx, p, turns, records)
 	if result.err == nil {
-		k.addTurns(turns, p.number)
+		m.addTurns(turns, p.number)
 	}
 	return result
 }
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -73,62 +73,62 @@
 
 // appendBatched appends turns together with all others that wait for the partition. If
 // the context ends first, the store may still get them.
-func (k *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
+func (m *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
 	r := &appendRequest{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	p.appends.waiting = append(p.appends.waiting, r)
-	k.startAppends(p)
-	k.mu.Unlock()
+	m.startAppends(p)
+	m.mu.Unlock()
 	select {
 	case result := <-r.done:
 		return result
 	case <-ctx.Done():
 		return appendResult{err: ctx.Err()}
-	case <-k.ctx.Done():
-		return appendResult{err: k.ctx.Err()}
+	case <-m.ctx.Done():
+		return appendResult{err: m.ctx.Err()}
 	}
 }
 
 // startAppends begins appends for those that wait, as far as the store carries
 // them. The mutex is held.
-func (k *Manager) startAppends(p *partition) {
+func (m *Manager) startAppends(p *partition) {
 	l := &p.appends
-	for len(l.inFlight) < l.window.Size() && !k.stopped {
-		batch := k.nextBatch(p)
+	for len(l.inFlight) < l.window.Size() && !m.stopped {
+		batch := m.nextBatch(p)
 		if len(batch) == 0 {
 			return
 		}
 		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, a.cancel = context.WithCancelCause(k.ctx)
+		ctx, a.cancel = context.WithCancelCause(m.ctx)
 		l.inFlight = append(l.inFlight, a)
-		k.spawn(func() { k.runAppend(ctx, p, a, batch) })
+		m.spawn(func() { m.runAppend(ctx, p, a, batch) })
 	}
 }
 
 // runAppend makes an append and hands its outcome to those whose turns it holds.
-func (k *Manager) runAppend(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) {
-	result := k.appendBatch(ctx, p, a, batch)
+func (m *Manager) runAppend(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) {
+	result := m.appendBatch(ctx, p, a, batch)
 	a.cancel(nil)
 	if errors.Is(result.err, platform.ErrRejected) && len(batch) > 1 {
-		k.appendOneByOne(p, batch)
+		m.appendOneByOne(p, batch)
 	} else {
 		for _, r := range batch {
 			r.done <- result
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	p.appends.inFlight = slices.DeleteFunc(p.appends.inFlight, func(other *inFlightAppend) bool { return other == a })
-	k.startAppends(p)
+	m.startAppends(p)
 }
 
 // appendOneByOne appends the turns of each alone, after the store rejected all of them
 // together: one that it rejects must not stop the others.
-func (k *Manager) appendOneByOne(p *partition, batch []*appendRequest) {
+func (m *Manager) appendOneByOne(p *partition, batch []*appendRequest) {
 	var last appendResult
 	for _, r := range batch {
 		if last.err != nil && !errors.Is(last.err, platform.ErrRejected) {
@@ -140,8 +140,8 @@
 		}
 		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, a.cancel = context.WithCancelCause(k.ctx)
-		last = k.appendBatch(ctx, p, a, []*appendRequest{r})
+		ctx, a.cancel = context.WithCancelCause(m.ctx)
+		last = m.appendBatch(ctx, p, a, []*appendRequest{r})
 		a.cancel(nil)
 		r.done <- last
 	}
@@ -149,11 +149,11 @@
 
 // nextBatch takes those whose turns go into the next append, leaving out those whose
 // callers left. The mutex is held.
-func (k *Manager) nextBatch(p *partition) []*appendRequest {
+func (m *Manager) nextBatch(p *partition) []*appendRequest {
 	var batch []*appendRequest
 	records, bytes, taken := 0, 0, 0
 	for _, r := range p.appends.waiting {
-		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > k.maxAppendBytes
+		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > m.maxAppendBytes
 		if len(batch) > 0 && full {
 			break
 		}
@@ -171,28 +171,28 @@
 }
 
 // appendBatch makes one append and notes how it went.
-func (k *Manager) appendBatch(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) appendResult {
+func (m *Manager) appendBatch(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) appendResult {
 	var records []platform.Record
 	for _, r := range batch {
 		records = append(records, r.records...)
 	}
-	go k.enforceTimeout(ctx, a)
-	_, err := k.store.Append(ctx, platform.Append{Topic: topic, Partition: p.number, Records: records})
+	go m.enforceTimeout(ctx, a)
+	_, err := m.store.Append(ctx, platform.Append{Topic: topic, Partition: p.number, Records: records})
 	if err != nil && ctx.Err() != nil {
 		err = errors.Wrap(context.Cause(ctx), "append turns")
 	}
 	result := appendResult{took: time.Since(a.started), err: err}
-	k.observeAppend(p, &result)
-	k.metrics.appends.Inc(1)
-	k.metrics.batchSize.RecordValue(float64(len(records)))
+	m.observeAppend(p, &result)
+	m.metrics.appends.Inc(1)
+	m.metrics.batchSize.RecordValue(float64(len(records)))
 	return result
 }
 
 // enforceTimeout ends an append that takes longer than the store's state lets
 // expect, which may change meanwhile.
-func (k *Manager) enforceTimeout(ctx context.Context, a *inFlightAppend) {
+func (m *Manager) enforceTimeout(ctx context.Context, a *inFlightAppend) {
 	for {
-		left := k.appendTimeout() - time.Since(a.started)
+		left := m.appendTimeout() - time.Since(a.started)
 		if left <= 0 {
 			a.cancel(context.DeadlineExceeded)
 			return
@@ -204,9 +204,9 @@
 }
 
 // pendingAppends lists the appends in flight. The mutex is held.
-func (k *Manager) pendingAppends() []policy.PendingAppend {
+func (m *Manager) pendingAppends() []policy.PendingAppend {
 	var pending []policy.PendingAppend
-	for _, p := range k.partitions {
+	for _, p := range m.partitions {
 		for _, a := range p.appends.inFlight {
 			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: a.started})
 		}
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		k := New(ctx, Config{
+		m := New(ctx, Config{
 			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: noPeers{},
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
@@ -70,7 +70,7 @@
 		var mu sync.Mutex
 		for _, key := range append([]string{"first"}, keys...) {
 			work.Go(func() {
-				err := k.appendBatched(ctx, k.partitions[0], nil, []platform.Record{{Key: key, Value: make([]byte, size)}}).err
+				err := m.appendBatched(ctx, m.partitions[0], nil, []platform.Record{{Key: key, Value: make([]byte, size)}}).err
 				mu.Lock()
 				defer mu.Unlock()
 				outcome[key] = err
--- a/internal/conversation/cluster_test.go
+++ b/internal/conversation/cluster_test.go
@@ -56,38 +56,38 @@
 }
 
 // runCluster runs a test with instances in virtual time.
-func runCluster(t *testing.T, machines int, body func(t *testing.T, w *cluster)) {
+func runCluster(t *testing.T, machines int, body func(t *testing.T, c *cluster)) {
 	runClusterOf(t, machines, testPartitions, body)
 }
 
 // runClusterOf is runCluster with a number of partitions.
-func runClusterOf(t *testing.T, machines, partitions int, body func(t *testing.T, w *cluster)) {
+func runClusterOf(t *testing.T, machines, partitions int, body func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{
+		c := &cluster{
 			Net: simnet.New(), t: t, partitions: partitions, ended: make(map[string]endedTurn),
 		}
 		for i := range machines {
-			w.start(machineName(i))
+			c.start(machineName(i))
 		}
-		defer w.Stop()
-		body(t, w)
+		defer c.Stop()
+		body(t, c)
 	})
 }
 
 // machineName is a, b, c ... and beyond z what follows.
 func machineName(i int) string { return string(rune('a' + i)) }
 
-func (w *cluster) start(machine string) *node { return w.incarnations.Of(w.Start(machine, w.run)) }
+func (c *cluster) start(machine string) *node { return c.incarnations.Of(c.Start(machine, c.run)) }
 
 // run starts a life of an instance.
-func (w *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
+func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
-		Directory: sim.Directory, Partitions: w.partitions, Store: sim.Store(), Peers: sim, Health: sim,
+		Directory: sim.Directory, Partitions: c.partitions, Store: sim.Store(), Peers: sim, Health: sim,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	w.incarnations.Put(sim, n)
-	w.Work.Go(func() { n.manager.Run(ctx) })
+	c.incarnations.Put(sim, n)
+	c.Work.Go(func() { n.manager.Run(ctx) })
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
@@ -100,48 +100,48 @@
 }
 
 // running lists the instances that live.
-func (w *cluster) running() []*node { return w.incarnations.All(w.Net) }
+func (c *cluster) running() []*node { return c.incarnations.All(c.Net) }
 
 // indexer is the instance that indexes a program's partition.
-func (w *cluster) indexer(program string) *node {
-	first := w.running()[0]
+func (c *cluster) indexer(program string) *node {
+	first := c.running()[0]
 	p := first.manager.partitionOf(program)
-	return w.incarnations.Of(w.nodeByID(first.manager.indexer(p, nil)))
+	return c.incarnations.Of(c.nodeByID(first.manager.indexer(p, nil)))
 }
 
-func (w *cluster) nodeByID(id structs.InstanceID) *simnet.Node {
-	for _, n := range w.Nodes() {
+func (c *cluster) nodeByID(id structs.InstanceID) *simnet.Node {
+	for _, n := range c.Nodes() {
 		if n.ID == id {
 			return n
 		}
 	}
-	w.t.Fatalf("instance %s does not live", id)
+	c.t.Fatalf("instance %s does not live", id)
 	return nil
 }
 
 // restartAll ends all instances at once and starts others.
-func (w *cluster) restartAll() {
-	nodes := w.running()
+func (c *cluster) restartAll() {
+	nodes := c.running()
 	for _, n := range nodes {
-		w.Kill(n.Node)
+		c.Kill(n.Node)
 	}
 	for _, n := range nodes {
-		w.start(n.Machine())
+		c.start(n.Machine())
 	}
 }
 
 // turn runs a turn at an instance and returns its id if its caller saw the end.
-func (w *cluster) turn(n *node, program, previous string, timeout time.Duration) (string, error) {
+func (c *cluster) turn(n *node, program, previous string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	before, err := w.lookUp(ctx, n, program, previous)
+	before, err := c.lookUp(ctx, n, program, previous)
 	if err != nil {
 		return "", err
 	}
-	w.mu.Lock()
-	w.made++
-	id := fmt.Sprintf("%016x", uint64(w.made)*0x9e3779b97f4a7c15)
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.made++
+	id := fmt.Sprintf("%016x", uint64(c.made)*0x9e3779b97f4a7c15)
+	c.mu.Unlock()
 	input, output := "in "+id+"\n", "out "+id+"\n"
 	err = n.manager.StoreTurn(ctx, program, serve.EndedTurn{
 		ID: id, Previous: previous, Input: []byte(input), Output: []byte(output), Retention: testRetention,
@@ -149,61 +149,61 @@
 	if err != nil {
 		return "", err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ended[id] = endedTurn{text: before + input + output, program: program, at: time.Now()}
-	w.order = append(w.order, id)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ended[id] = endedTurn{text: before + input + output, program: program, at: time.Now()}
+	c.order = append(c.order, id)
 	return id, nil
 }
 
 // lookUp asks an instance for a conversation and checks what it says.
-func (w *cluster) lookUp(ctx context.Context, n *node, program, turn string) (string, error) {
+func (c *cluster) lookUp(ctx context.Context, n *node, program, turn string) (string, error) {
 	if turn == "" {
 		return "", nil
 	}
-	w.mu.Lock()
-	want, exists := w.ended[turn]
-	w.mu.Unlock()
+	c.mu.Lock()
+	want, exists := c.ended[turn]
+	c.mu.Unlock()
 	got, err := n.manager.History(ctx, program, turn)
 	switch {
 	case err == nil && string(got) != want.text && exists:
-		w.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
+		c.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
 	case errors.Is(err, serve.ErrNoTurn) && exists && time.Since(want.at) < testRetention:
-		w.t.Errorf("turn %s of %s, ended %s ago, is unknown at %s", turn, want.program, time.Since(want.at), n.ID)
+		c.t.Errorf("turn %s of %s, ended %s ago, is unknown at %s", turn, want.program, time.Since(want.at), n.ID)
 	}
 	return string(got), err
 }
 
 // mustTurn is turn at a time when nothing may fail.
-func (w *cluster) mustTurn(n *node, program, previous string) string {
-	w.t.Helper()
-	id, err := w.turn(n, program, previous, 3*time.Second)
+func (c *cluster) mustTurn(n *node, program, previous string) string {
+	c.t.Helper()
+	id, err := c.turn(n, program, previous, 3*time.Second)
 	if err != nil {
-		w.t.Fatalf("turn of %s at %s behind %q: %v", program, n.ID, previous, err)
+		c.t.Fatalf("turn of %s at %s behind %q: %v", program, n.ID, previous, err)
 	}
 	return id
 }
 
 // mustLookUp is recall at a time when nothing may fail.
-func (w *cluster) mustLookUp(n *node, program, turn string) {
-	w.t.Helper()
-	if _, err := w.lookUp(w.t.Context(), n, program, turn); err != nil {
-		w.t.Errorf("turn %s at %s: %v", turn, n.ID, err)
+func (c *cluster) mustLookUp(n *node, program, turn string) {
+	c.t.Helper()
+	if _, err := c.lookUp(c.t.Context(), n, program, turn); err != nil {
+		c.t.Errorf("turn %s at %s: %v", turn, n.ID, err)
 	}
 }
 
 // randomEndedTurn chooses a turn whose caller saw its end lately, empty if none did.
-func (w *cluster) randomEndedTurn(r *rand.Rand) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.order) == 0 {
+func (c *cluster) randomEndedTurn(r *rand.Rand) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.order) == 0 {
 		return ""
 	}
-	newest := w.order[max(len(w.order)-40, 0):]
+	newest := c.order[max(len(c.order)-40, 0):]
 	return newest[r.IntN(len(newest))]
 }
 
 // others lists all instances but some.
-func (w *cluster) others(but ...*node) []*node {
-	return slices.DeleteFunc(w.running(), func(n *node) bool { return slices.Contains(but, n) })
+func (c *cluster) others(but ...*node) []*node {
+	return slices.DeleteFunc(c.running(), func(n *node) bool { return slices.Contains(but, n) })
 }
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -33,16 +33,16 @@
 }
 
 // Dump shows the state.
-func (k *Manager) Dump() Dump {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Dump() Dump {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	d := Dump{Turns: len(k.memory.turns), Bytes: k.memory.bytes, DirectFailing: k.path.Failing(),
-		Store: k.path.State(now), TypicalAppend: k.path.TypicalLatency(now)}
-	if !k.outage.since.IsZero() {
-		d.OutageDuration = now.Sub(k.outage.since)
+	d := Dump{Turns: len(m.memory.turns), Bytes: m.memory.bytes, DirectFailing: m.path.Failing(),
+		Store: m.path.State(now), TypicalAppend: m.path.TypicalLatency(now)}
+	if !m.outage.since.IsZero() {
+		d.OutageDuration = now.Sub(m.outage.since)
 	}
-	for _, p := range k.partitions {
+	for _, p := range m.partitions {
 		d.Partitions = append(d.Partitions, PartitionDump{
 			Partition: p.number, Read: p.read, Next: p.next, Unavailable: now.Before(p.unavailableUntil),
 		})
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -39,38 +39,38 @@
 // History is what a conversation holds up to and with a turn. It returns
 // serve.ErrNoTurn if there is no such turn, serve.ErrUncertain if that is not
 // known.
-func (k *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
-	if text, ok := k.conversationText(turn); ok {
-		k.metrics.local.Inc(1)
+func (m *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
+	if text, ok := m.conversationText(turn); ok {
+		m.metrics.local.Inc(1)
 		return text, nil
 	}
-	home := k.partitionOf(program)
-	found := k.find(ctx, home, turn)
-	k.metrics.remote.Inc(1)
+	home := m.partitionOf(program)
+	found := m.find(ctx, home, turn)
+	m.metrics.remote.Inc(1)
 	outcome := found.outcome
 	if outcome != structs.ConversationFound {
 		// The turn may be another program's, in any partition.
-		outcome = k.findElsewhere(ctx, home, found, turn)
+		outcome = m.findElsewhere(ctx, home, found, turn)
 	}
-	if text, ok := k.conversationText(turn); ok {
+	if text, ok := m.conversationText(turn); ok {
 		return text, nil
 	}
 	if outcome == structs.ConversationUnknown {
-		k.metrics.unknown.Inc(1)
-		k.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
+		m.metrics.unknown.Inc(1)
+		m.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
 		return nil, serve.ErrNoTurn
 	}
-	k.metrics.uncertain.Inc(1)
-	k.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
+	m.metrics.uncertain.Inc(1)
+	m.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
 		"home_outcome", int(found.outcome))
 	return nil, serve.ErrUncertain
 }
 
 // conversationText joins a turn and all before it, if this instance has them.
-func (k *Manager) conversationText(id string) ([]byte, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	entries, ok := k.memory.liveChain(id, time.Now())
+func (m *Manager) conversationText(id string) ([]byte, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entries, ok := m.memory.liveChain(id, time.Now())
 	if !ok {
 		return nil, false
 	}
@@ -87,29 +87,29 @@
 }
 
 // find looks for a turn in one partition, at the instance that indexes it.
-func (k *Manager) find(ctx context.Context, p *partition, turn string) lookupResult {
+func (m *Manager) find(ctx context.Context, p *partition, turn string) lookupResult {
 	var exclude []structs.InstanceID
 	for range maxQueried {
-		id := k.indexer(p, exclude)
+		id := m.indexer(p, exclude)
 		if id == "" {
 			break
 		}
-		found := k.findAt(ctx, id, p, turn)
+		found := m.findAt(ctx, id, p, turn)
 		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
 			return found
 		}
-		k.markUnable(id)
+		m.markUnable(id)
 		exclude = append(exclude, id)
 	}
 	return lookupResult{outcome: structs.ConversationUnread}
 }
 
 // findAt looks for a turn at one instance and remembers what it finds.
-func (k *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) lookupResult {
-	if id == k.self.ID {
-		return k.findLocally(ctx, p, turn)
+func (m *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) lookupResult {
+	if id == m.self.ID {
+		return m.findLocally(ctx, p, turn)
 	}
-	answer := k.query(ctx, id, func(number uint64) structs.Message {
+	answer := m.query(ctx, id, func(number uint64) structs.Message {
 		return &structs.ConversationRequest{Number: number, Partition: p.number, Turn: turn}
 	})
 	reply, ok := answer.(*structs.ConversationReply)
@@ -117,41 +117,41 @@
 		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	if reply.Outcome == structs.ConversationFound {
-		k.addTurns(reply.Turns, reply.Partition)
+		m.addTurns(reply.Turns, reply.Partition)
 	}
 	return lookupResult{reply.Outcome, reply.Turns, reply.Partition}
 }
 
 // findLocally looks for a turn in memory, then in the store.
-func (k *Manager) findLocally(ctx context.Context, p *partition, turn string) lookupResult {
-	if found, ok := k.findInMemory(turn); ok {
+func (m *Manager) findLocally(ctx context.Context, p *partition, turn string) lookupResult {
+	if found, ok := m.findInMemory(turn); ok {
 		return found
 	}
-	if err := k.catchUp(ctx, p); err != nil {
+	if err := m.catchUp(ctx, p); err != nil {
 		return lookupResult{outcome: structs.ConversationUnread}
 	}
-	if found, ok := k.findInMemory(turn); ok {
+	if found, ok := m.findInMemory(turn); ok {
 		return found
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.memory.find(turn, time.Now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	e := m.memory.find(turn, time.Now())
 	// A turn that another partition holds may be here without those before it:
 	// whoever indexes that partition has them.
 	if e != nil && e.storedIn(p.number) || p.corrupt[turn] {
 		// A turn before it is missing or cannot be read, which the invariant
 		// rules out: the conversation exists, but not whole.
-		k.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
+		m.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
 		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	return lookupResult{outcome: structs.ConversationUnknown}
 }
 
 // findInMemory looks for a turn among those that this instance has.
-func (k *Manager) findInMemory(turn string) (lookupResult, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	entries, ok := k.memory.liveChain(turn, time.Now())
+func (m *Manager) findInMemory(turn string) (lookupResult, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entries, ok := m.memory.liveChain(turn, time.Now())
 	if !ok {
 		return lookupResult{}, false
 	}
@@ -161,17 +161,17 @@
 
 // findElsewhere looks for a turn in all partitions but one, whose finding is
 // given.
-func (k *Manager) findElsewhere(
+func (m *Manager) findElsewhere(
 	ctx context.Context, home *partition, homeResult lookupResult, turn string,
 ) structs.ConversationOutcome {
-	results := make(chan lookupResult, len(k.partitions))
-	for _, p := range k.partitions {
+	results := make(chan lookupResult, len(m.partitions))
+	for _, p := range m.partitions {
 		if p != home {
-			go func() { results <- k.find(ctx, p, turn) }()
+			go func() { results <- m.find(ctx, p, turn) }()
 		}
 	}
 	all := []lookupResult{homeResult}
-	for range len(k.partitions) - 1 {
+	for range len(m.partitions) - 1 {
 		f := <-results
 		if f.outcome == structs.ConversationFound {
 			return f.outcome
@@ -182,23 +182,23 @@
 }
 
 // receiveRequest answers another instance's question.
-func (k *Manager) receiveRequest(from structs.InstanceID, m *structs.ConversationRequest) {
-	if m.Partition < 0 || m.Partition >= len(k.partitions) {
-		k.log.Warn("question for an unknown partition ignored", "peer", from, "partition", m.Partition)
+func (m *Manager) receiveRequest(from structs.InstanceID, msg *structs.ConversationRequest) {
+	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
+		m.log.Warn("question for an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
 	}
-	p := k.partitions[m.Partition]
-	if found, ok := k.findInMemory(m.Turn); ok {
-		k.peers.Send(from, found.reply(m.Number))
+	p := m.partitions[msg.Partition]
+	if found, ok := m.findInMemory(msg.Turn); ok {
+		m.peers.Send(from, found.reply(msg.Number))
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spawn(func() {
-		ctx, cancel := context.WithTimeout(k.ctx, replyTimeout)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.spawn(func() {
+		ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 		defer cancel()
-		found := k.findLocally(ctx, p, m.Turn)
-		k.peers.Send(from, found.reply(m.Number))
+		found := m.findLocally(ctx, p, msg.Turn)
+		m.peers.Send(from, found.reply(msg.Number))
 	})
 }
 
--- a/internal/conversation/manager.go
+++ b/internal/conversation/manager.go
@@ -96,7 +96,7 @@
 
 // New makes a Keeper that works until the context ends.
 func New(ctx context.Context, config Config) *Manager {
-	k := &Manager{
+	m := &Manager{
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
 		health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), started: time.Now(), ctx: ctx,
 		memory:         newMemory(),
@@ -107,68 +107,68 @@
 		hedges:         policy.NewRetryBudget(),
 		maxAppendBytes: config.MaxCallBytes,
 	}
-	if k.maxAppendBytes == 0 {
-		k.maxAppendBytes = defaultAppendBytes
+	if m.maxAppendBytes == 0 {
+		m.maxAppendBytes = defaultAppendBytes
 	}
 	for i := range config.Partitions {
-		k.partitions = append(k.partitions, newPartition(i))
+		m.partitions = append(m.partitions, newPartition(i))
 	}
-	return k
+	return m
 }
 
 // partitionOf is the partition that holds the turns of a program.
-func (k *Manager) partitionOf(program string) *partition {
-	return k.partitions[xxhash.Sum64String(program)%uint64(len(k.partitions))]
+func (m *Manager) partitionOf(program string) *partition {
+	return m.partitions[xxhash.Sum64String(program)%uint64(len(m.partitions))]
 }
 
 // spawn works in the background, unless the Keeper has stopped. The mutex is
 // held.
-func (k *Manager) spawn(work func()) {
-	if !k.stopped {
-		k.work.Go(work)
+func (m *Manager) spawn(work func()) {
+	if !m.stopped {
+		m.work.Go(work)
 	}
 }
 
 // Run drops what can no longer be named until the context ends.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			k.mu.Lock()
-			k.stopped = true
-			k.mu.Unlock()
-			k.work.Wait()
+			m.mu.Lock()
+			m.stopped = true
+			m.mu.Unlock()
+			m.work.Wait()
 			return
 		case <-ticker.C:
-			k.sweep(ctx)
+			m.sweep(ctx)
 		}
 	}
 }
 
 // Receive handles an event of the transport between instances.
-func (k *Manager) Receive(event structs.Event) {
+func (m *Manager) Receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerMessage:
-		k.receiveMessage(e.From, e.Msg)
+		m.receiveMessage(e.From, e.Msg)
 	case structs.PeerDown:
-		k.peerDown(e.Peer)
+		m.peerDown(e.Peer)
 	}
 }
 
-func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
-	switch m := msg.(type) {
+func (m *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
+	switch msg := msg.(type) {
 	case *structs.ConversationRequest:
-		k.receiveRequest(from, m)
+		m.receiveRequest(from, msg)
 	case *structs.ConversationReply:
-		k.deliverReply(from, m.Number, m)
+		m.deliverReply(from, msg.Number, msg)
 	case *structs.TurnsNotice:
-		k.receiveNotice(m)
+		m.receiveNotice(msg)
 	case *structs.KeepRequest:
-		k.receiveAppendRequest(from, m)
+		m.receiveAppendRequest(from, msg)
 	case *structs.KeepReply:
-		k.deliverReply(from, m.Number, m)
+		m.deliverReply(from, msg.Number, msg)
 	}
 }
 
@@ -183,20 +183,20 @@
 }
 
 // addTurns takes turns that a partition of the store holds.
-func (k *Manager) addTurns(turns []structs.KeptTurn, partition int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.addTurnsLocked(turns, partition)
+func (m *Manager) addTurns(turns []structs.KeptTurn, partition int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.addTurnsLocked(turns, partition)
 }
 
 // addTurnsLocked is learn with the mutex held.
-func (k *Manager) addTurnsLocked(turns []structs.KeptTurn, partition int) {
+func (m *Manager) addTurnsLocked(turns []structs.KeptTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
-		k.memory.add(turn, partition, now)
+		m.memory.add(turn, partition, now)
 	}
-	k.metrics.bytes.Update(float64(k.memory.bytes))
-	k.metrics.turns.Update(float64(len(k.memory.turns)))
+	m.metrics.bytes.Update(float64(m.memory.bytes))
+	m.metrics.turns.Update(float64(len(m.memory.turns)))
 }
 
 // turnsOf copies the turns out of entries.
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -40,20 +40,20 @@
 
 // awaitAttempt waits until the caller may try to keep its turn. It tells whether
 // the caller tries for others as well, who wait until endProbe.
-func (k *Manager) awaitAttempt(ctx context.Context) (prober bool, err error) {
+func (m *Manager) awaitAttempt(ctx context.Context) (prober bool, err error) {
 	for {
-		k.mu.Lock()
-		if k.outage.since.IsZero() {
-			k.mu.Unlock()
+		m.mu.Lock()
+		if m.outage.since.IsZero() {
+			m.mu.Unlock()
 			return false, nil
 		}
-		if !k.outage.probing {
-			k.outage.probing = true
-			k.mu.Unlock()
+		if !m.outage.probing {
+			m.outage.probing = true
+			m.mu.Unlock()
 			return true, nil
 		}
-		changed := k.outage.changed
-		k.mu.Unlock()
+		changed := m.outage.changed
+		m.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -63,10 +63,10 @@
 }
 
 // waitBeforeRetry waits before the next round of tries, unless the outage ends.
-func (k *Manager) waitBeforeRetry(ctx context.Context, wait time.Duration) {
-	k.mu.Lock()
-	ended, changed := k.outage.since.IsZero(), k.outage.changed
-	k.mu.Unlock()
+func (m *Manager) waitBeforeRetry(ctx context.Context, wait time.Duration) {
+	m.mu.Lock()
+	ended, changed := m.outage.since.IsZero(), m.outage.changed
+	m.mu.Unlock()
 	if ended {
 		return
 	}
@@ -80,14 +80,14 @@
 }
 
 // endProbe lets the next one try.
-func (k *Manager) endProbe(prober bool) {
+func (m *Manager) endProbe(prober bool) {
 	if !prober {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.outage.probing = false
-	k.outage.signal()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.outage.probing = false
+	m.outage.signal()
 }
 
 const (
@@ -99,39 +99,39 @@
 
 // recordRound notes whether a round of tries over instances and partitions
 // failed, and logs when that changes. It returns the pause before the next one.
-func (k *Manager) recordRound(err error) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	o := &k.outage
+func (m *Manager) recordRound(err error) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := &m.outage
 	o.full, o.lastRound = errors.Is(err, platform.ErrFull), time.Now()
 	failing := !o.since.IsZero()
 	switch {
 	case err != nil && !failing:
 		o.since, o.retryDelay = time.Now(), minRetryDelay
-		o.storeWide = k.path.InOutage(o.since)
-		k.log.Warn("turns cannot be kept", "error", err.Error())
+		o.storeWide = m.path.InOutage(o.since)
+		m.log.Warn("turns cannot be kept", "error", err.Error())
 	case err != nil:
 		o.retryDelay = min(2*o.retryDelay, maxRetryDelay)
 	case failing:
 		whole := o.storeWide
-		k.endOutage()
+		m.endOutage()
 		if whole {
-			k.notifyRecovery()
+			m.notifyRecovery()
 		}
 	}
 	return o.retryDelay
 }
 
 // endOutage has all that wait try again. The mutex is held.
-func (k *Manager) endOutage() {
-	o := &k.outage
+func (m *Manager) endOutage() {
+	o := &m.outage
 	if o.since.IsZero() {
 		return
 	}
-	k.log.Info("turns can be kept again", "away_ms", time.Since(o.since).Milliseconds())
+	m.log.Info("turns can be kept again", "away_ms", time.Since(o.since).Milliseconds())
 	o.since = time.Time{}
 	if o.storeWide {
-		for _, p := range k.partitions {
+		for _, p := range m.partitions {
 			p.unavailableUntil = time.Time{}
 		}
 	}
@@ -146,10 +146,10 @@
 // leaves, as far as is known. While the store is full none can, for as long as
 // nobody makes room. While it is away turns are accepted if it is expected back
 // in time: their callers get the text as it comes, and the end once it is back.
-func (k *Manager) Accepts(left time.Duration) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	o := &k.outage
+func (m *Manager) Accepts(left time.Duration) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := &m.outage
 	now := time.Now()
 	if o.full {
 		return now.Sub(o.lastRound) > fullProbeInterval
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -42,39 +42,39 @@
 
 // catchUp reads a partition to its end, by a read that begins after the call.
 // Calls that come together share one.
-func (k *Manager) catchUp(ctx context.Context, p *partition) error {
+func (m *Manager) catchUp(ctx context.Context, p *partition) error {
 	done := make(chan error, 1)
-	k.mu.Lock()
+	m.mu.Lock()
 	p.waiting = append(p.waiting, done)
-	if !p.reading && !k.stopped {
+	if !p.reading && !m.stopped {
 		p.reading = true
-		k.spawn(func() { k.serveReads(p) })
+		m.spawn(func() { m.serveReads(p) })
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.ctx.Done():
-		return k.ctx.Err()
+	case <-m.ctx.Done():
+		return m.ctx.Err()
 	}
 }
 
 // serveReads reads for those who wait, until nobody does.
-func (k *Manager) serveReads(p *partition) {
+func (m *Manager) serveReads(p *partition) {
 	for {
-		k.mu.Lock()
+		m.mu.Lock()
 		waiting := p.waiting
 		p.waiting = nil
 		p.reading = len(waiting) > 0
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if len(waiting) == 0 {
 			return
 		}
-		err := k.readToEnd(p)
+		err := m.readToEnd(p)
 		if err != nil {
-			k.log.Warn("turns not read", "partition", p.number, "error", err.Error())
+			m.log.Warn("turns not read", "partition", p.number, "error", err.Error())
 		}
 		for _, done := range waiting {
 			done <- err
@@ -83,28 +83,28 @@
 }
 
 // readToEnd reads what a partition holds beyond what is in memory.
-func (k *Manager) readToEnd(p *partition) error {
-	k.mu.Lock()
+func (m *Manager) readToEnd(p *partition) error {
+	m.mu.Lock()
 	read := p.read
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if read {
-		err := k.readTail(p)
+		err := m.readTail(p)
 		if !errors.Is(err, platform.ErrTrimmed) {
 			return err
 		}
 	}
-	if err := k.readNewest(p); err != nil {
+	if err := m.readNewest(p); err != nil {
 		return err
 	}
-	return k.readTail(p)
+	return m.readTail(p)
 }
 
 // readNewest reads the newest record of each key, page by page.
-func (k *Manager) readNewest(p *partition) error {
+func (m *Manager) readNewest(p *partition) error {
 	begun := time.Now()
 	after, next, records := "", int64(-1), 0
 	for {
-		page, more, err := k.newestPage(p, after)
+		page, more, err := m.newestPage(p, after)
 		if err != nil {
 			return err
 		}
@@ -113,43 +113,43 @@
 			// while later pages were read.
 			next = page.End
 		}
-		k.addRecords(p, page.Records)
+		m.addRecords(p, page.Records)
 		records += len(page.Records)
 		if !more {
 			break
 		}
 		after = page.Records[len(page.Records)-1].Key
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	p.read, p.next = true, next
-	k.mu.Unlock()
-	k.metrics.firstReads.Inc(1)
-	k.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
+	m.mu.Unlock()
+	m.metrics.firstReads.Inc(1)
+	m.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
 		"ms", time.Since(begun).Milliseconds())
 	return nil
 }
 
-func (k *Manager) newestPage(p *partition, after string) (platform.Newest, bool, error) {
-	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
+func (m *Manager) newestPage(p *partition, after string) (platform.Newest, bool, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, pageTimeout)
 	defer cancel()
-	return k.store.NewestPage(ctx, topic, p.number, after)
+	return m.store.NewestPage(ctx, topic, p.number, after)
 }
 
 // readTail reads the records behind what is in memory to the partition's end. It
 // returns platform.ErrTrimmed if some of them are no longer kept.
-func (k *Manager) readTail(p *partition) error {
+func (m *Manager) readTail(p *partition) error {
 	for {
-		k.mu.Lock()
+		m.mu.Lock()
 		from := p.next
-		k.mu.Unlock()
-		page, err := k.readPage(p, from)
+		m.mu.Unlock()
+		page, err := m.readPage(p, from)
 		if err != nil {
 			return err
 		}
-		k.addRecords(p, page.Records)
-		k.mu.Lock()
+		m.addRecords(p, page.Records)
+		m.mu.Lock()
 		p.next = page.Next
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if page.Next >= page.End {
 			return nil
 		}
@@ -159,18 +159,18 @@
 	}
 }
 
-func (k *Manager) readPage(p *partition, from int64) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
+func (m *Manager) readPage(p *partition, from int64) (platform.Page, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, pageTimeout)
 	defer cancel()
-	return k.store.ReadPage(ctx, topic, p.number, from, 0)
+	return m.store.ReadPage(ctx, topic, p.number, from, 0)
 }
 
 // addRecords adds the turns of records to memory. A record that cannot be decoded is
 // logged and passed over: its conversation is then not found whole.
-func (k *Manager) addRecords(p *partition, records []platform.Record) {
+func (m *Manager) addRecords(p *partition, records []platform.Record) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, r := range records {
 		p.bytes += len(r.Key) + len(r.Value)
 		if len(r.Value) == 0 {
@@ -179,10 +179,10 @@
 		turn, err := decodeTurn(r)
 		if err != nil {
 			p.corrupt[r.Key] = true
-			k.log.Error("record of a turn ignored", "partition", p.number, "offset", r.Offset, "error", err.Error())
+			m.log.Error("record of a turn ignored", "partition", p.number, "offset", r.Offset, "error", err.Error())
 			continue
 		}
-		k.memory.add(turn, p.number, now)
+		m.memory.add(turn, p.number, now)
 	}
-	k.metrics.bytes.Update(float64(k.memory.bytes))
+	m.metrics.bytes.Update(float64(m.memory.bytes))
 }
--- a/internal/conversation/query.go
+++ b/internal/conversation/query.go
@@ -24,13 +24,13 @@
 
 // indexer is the instance that should index a partition, passing over those
 // that lately could not, and over some; empty if there is none.
-func (k *Manager) indexer(p *partition, exclude []structs.InstanceID) structs.InstanceID {
-	ranked := k.directory.Ranked(p.key())
+func (m *Manager) indexer(p *partition, exclude []structs.InstanceID) structs.InstanceID {
+	ranked := m.directory.Ranked(p.key())
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, id := range ranked {
-		if !slices.Contains(exclude, id) && !now.Before(k.unableUntil[id]) {
+		if !slices.Contains(exclude, id) && !now.Before(m.unableUntil[id]) {
 			return id
 		}
 	}
@@ -44,47 +44,47 @@
 }
 
 // markUnable has an instance passed over for a while.
-func (k *Manager) markUnable(id structs.InstanceID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.unableUntil[id] = time.Now().Add(unableTime)
+func (m *Manager) markUnable(id structs.InstanceID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.unableUntil[id] = time.Now().Add(unableTime)
 }
 
 // query sends a question, made with its number, and waits for the answer. It
 // returns nil if none comes in time.
-func (k *Manager) query(
+func (m *Manager) query(
 	ctx context.Context, to structs.InstanceID, make func(number uint64) structs.Message,
 ) structs.Message {
-	return k.queryWithin(ctx, to, k.currentReplyTimeout, make)
+	return m.queryWithin(ctx, to, m.currentReplyTimeout, make)
 }
 
 // currentReplyTimeout is how long an instance may take that may have to read the store.
-func (k *Manager) currentReplyTimeout() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) currentReplyTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	if k.path.Slow(now) {
-		return max(replyTimeout, k.path.AppendTimeout(now))
+	if m.path.Slow(now) {
+		return max(replyTimeout, m.path.AppendTimeout(now))
 	}
 	return replyTimeout
 }
 
 // queryWithin is ask with the time that the answer may take, which may change.
-func (k *Manager) queryWithin(
+func (m *Manager) queryWithin(
 	ctx context.Context, to structs.InstanceID, timeout func() time.Duration, make func(number uint64) structs.Message,
 ) structs.Message {
 	q := &pendingQuery{to: to, reply: newReplyChan()}
-	k.mu.Lock()
-	k.lastNumber++
-	number := k.lastNumber
-	k.pending[number] = q
-	k.mu.Unlock()
+	m.mu.Lock()
+	m.lastNumber++
+	number := m.lastNumber
+	m.pending[number] = q
+	m.mu.Unlock()
 	defer func() {
-		k.mu.Lock()
-		delete(k.pending, number)
-		k.mu.Unlock()
+		m.mu.Lock()
+		delete(m.pending, number)
+		m.mu.Unlock()
 	}()
-	k.peers.Send(to, make(number))
+	m.peers.Send(to, make(number))
 	begun := time.Now()
 	timer := time.NewTimer(timeout())
 	defer timer.Stop()
@@ -98,7 +98,7 @@
 				continue
 			}
 			// The connection may have gone silent for good.
-			k.peers.Probe(to)
+			m.peers.Probe(to)
 			return nil
 		case <-ctx.Done():
 			return nil
@@ -110,24 +110,24 @@
 func newReplyChan() chan structs.Message { return make(chan structs.Message, 1) }
 
 // deliverReply hands the answer to a question to whoever waits for it.
-func (k *Manager) deliverReply(from structs.InstanceID, number uint64, answer structs.Message) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	q, ok := k.pending[number]
+func (m *Manager) deliverReply(from structs.InstanceID, number uint64, answer structs.Message) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	q, ok := m.pending[number]
 	if !ok || q.to != from {
 		return
 	}
-	delete(k.pending, number)
+	delete(m.pending, number)
 	q.reply <- answer
 }
 
 // peerDown ends the questions to an instance that does not answer.
-func (k *Manager) peerDown(id structs.InstanceID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for number, q := range k.pending {
+func (m *Manager) peerDown(id structs.InstanceID) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for number, q := range m.pending {
 		if q.to == id {
-			delete(k.pending, number)
+			delete(m.pending, number)
 			q.reply <- nil
 		}
 	}
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -42,7 +42,7 @@
 // is checked each time it is asked; at the end all turns are asked for once
 // more, after the loss of everything.
 func runSchedule(t *testing.T, seed uint64) {
-	runCluster(t, 4, func(t *testing.T, w *cluster) {
+	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		factor := 1
 		if seed%slowEvery == 0 {
@@ -52,21 +52,21 @@
 		ends := time.Now().Add(time.Duration(factor) * scheduleTime)
 		for i := range 10 {
 			callerSeed := seed*100 + uint64(i)
-			work.Go(func() { w.runPrograms(callerSeed, ends, factor) })
+			work.Go(func() { c.runPrograms(callerSeed, ends, factor) })
 		}
 		for time.Now().Before(ends) {
 			time.Sleep(time.Duration(factor*r.IntN(700)) * time.Millisecond)
-			w.injectFault(r)
+			c.injectFault(r)
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		work.Wait()
-		for _, n := range w.running() {
-			w.Kill(n.Node)
+		for _, n := range c.running() {
+			c.Kill(n.Node)
 		}
-		fresh := w.start("z")
-		for id, turn := range w.ended {
+		fresh := c.start("z")
+		for id, turn := range c.ended {
 			if time.Since(turn.at) < testRetention {
-				w.mustLookUp(fresh, turn.program, id)
+				c.mustLookUp(fresh, turn.program, id)
 			}
 		}
 	})
@@ -75,24 +75,24 @@
 // runPrograms runs programs one after the other until the time is up. Some
 // continue another program's turn, some name turns that do not exist. Pauses are
 // longer by a factor.
-func (w *cluster) runPrograms(seed uint64, ends time.Time, factor int) {
+func (c *cluster) runPrograms(seed uint64, ends time.Time, factor int) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n := 0; time.Now().Before(ends); n++ {
 		program := fmt.Sprint("p", seed, "-", n)
 		previous := ""
 		if r.IntN(4) == 0 {
-			previous = w.randomEndedTurn(r)
+			previous = c.randomEndedTurn(r)
 		}
 		for range 1 + r.IntN(6) {
-			nodes := w.running()
+			nodes := c.running()
 			if len(nodes) == 0 {
 				time.Sleep(100 * time.Millisecond)
 				continue
 			}
 			if r.IntN(12) == 0 {
-				w.lookUpUnknownTurn(r, simnet.Any(r, nodes), program)
+				c.lookUpUnknownTurn(r, simnet.Any(r, nodes), program)
 			}
-			id, err := w.turn(simnet.Any(r, nodes), program, previous, time.Duration(300+r.IntN(3000))*time.Millisecond)
+			id, err := c.turn(simnet.Any(r, nodes), program, previous, time.Duration(300+r.IntN(3000))*time.Millisecond)
 			if err == nil {
 				previous = id
 			}
@@ -102,58 +102,58 @@
 }
 
 // lookUpUnknownTurn asks for a turn that does not exist.
-func (w *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
-	_, err := w.lookUp(w.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
+func (c *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
+	_, err := c.lookUp(c.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
 	if !errors.Is(err, serve.ErrNoTurn) && !errors.Is(err, serve.ErrUncertain) {
-		w.t.Errorf("a turn that does not exist: %v", err)
+		c.t.Errorf("a turn that does not exist: %v", err)
 	}
 }
 
 // injectFault does one thing to the instances or the store.
-func (w *cluster) injectFault(r *rand.Rand) {
-	nodes := w.running()
+func (c *cluster) injectFault(r *rand.Rand) {
+	nodes := c.running()
 	if len(nodes) == 0 {
 		return
 	}
 	n := simnet.Any(r, nodes)
 	switch r.IntN(17) {
 	case 0, 1:
-		w.Restart(n.Node)
+		c.Restart(n.Node)
 	case 2:
-		w.restartAll()
+		c.restartAll()
 	case 3:
 		cut := simnet.Both
 		if r.IntN(2) == 0 {
 			cut = simnet.Mute
 		}
-		w.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 4, 5:
 		n.Refused.Store(true)
 		refusedFor := time.Duration(r.IntN(4000)) * time.Millisecond
-		w.Work.Go(func() {
+		c.Work.Go(func() {
 			time.Sleep(refusedFor)
 			n.Refused.Store(false)
 		})
 	case 6:
-		w.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Silent: true})
 	case 7:
-		w.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
 	case 8:
-		w.Store.Set(metastore.Fault{Status: 503})
+		c.Store.Set(metastore.Fault{Status: 503})
 	case 9:
-		w.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
+		c.Store.Set(metastore.Fault{Delay: 240 * time.Millisecond})
 	case 10:
-		w.Store.Set(metastore.Fault{Status: 503, Partitions: []int{r.IntN(testPartitions), r.IntN(testPartitions)}})
+		c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{r.IntN(testPartitions), r.IntN(testPartitions)}})
 	case 11:
 		// Appends come in each other's way, so that many go into one.
-		w.Store.Set(metastore.Fault{AppendTime: time.Duration(50+r.IntN(250)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{AppendTime: time.Duration(50+r.IntN(250)) * time.Millisecond})
 	case 12:
-		w.Store.Set(metastore.Fault{
+		c.Store.Set(metastore.Fault{
 			AppendTime: 120 * time.Millisecond, LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond,
 		})
 	case 13:
-		w.Store.DropHistory(topic, r.IntN(testPartitions))
+		c.Store.DropHistory(topic, r.IntN(testPartitions))
 	default:
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 	}
 }
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -16,16 +16,16 @@
 func TestSlowStoreStoresAllTurns(t *testing.T) {
 	for _, machines := range []int{3, 61, 300} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			runClusterOf(t, machines, 24, func(t *testing.T, w *cluster) {
-				took, _ := w.generateLoad(600, 2*time.Second)
-				w.Store.Set(metastore.Fault{AppendTime: 120 * time.Millisecond})
-				before := w.Store.Calls()
-				slow, _ := w.generateLoad(600, 4*time.Second)
-				if calls := w.Store.Calls() - before; calls > 24*(4000+1000)/120 {
+			runClusterOf(t, machines, 24, func(t *testing.T, c *cluster) {
+				took, _ := c.generateLoad(600, 2*time.Second)
+				c.Store.Set(metastore.Fault{AppendTime: 120 * time.Millisecond})
+				before := c.Store.Calls()
+				slow, _ := c.generateLoad(600, 4*time.Second)
+				if calls := c.Store.Calls() - before; calls > 24*(4000+1000)/120 {
 					t.Errorf("%d calls", calls)
 				}
-				w.Store.Set(metastore.Fault{})
-				after, _ := w.generateLoad(600, 2*time.Second)
+				c.Store.Set(metastore.Fault{})
+				after, _ := c.generateLoad(600, 2*time.Second)
 				t.Logf("longest: well %s, slow %s, after %s", took, slow, after)
 				if took > 10*time.Millisecond || slow > time.Second {
 					t.Errorf("a turn took %s, %s while the store was slow", took, slow)
@@ -38,10 +38,10 @@
 // Where a slow store's answers are long on their way, turns do not wait for the
 // answer before theirs as well.
 func TestDelayedResponsesDoNotBlockAppends(t *testing.T) {
-	runClusterOf(t, 61, 24, func(t *testing.T, w *cluster) {
-		w.generateLoad(250, 2*time.Second)
-		w.Store.Set(metastore.Fault{Delay: 340 * time.Millisecond, AppendTime: 120 * time.Millisecond})
-		longest, mean := w.generateLoad(250, 5*time.Second)
+	runClusterOf(t, 61, 24, func(t *testing.T, c *cluster) {
+		c.generateLoad(250, 2*time.Second)
+		c.Store.Set(metastore.Fault{Delay: 340 * time.Millisecond, AppendTime: 120 * time.Millisecond})
+		longest, mean := c.generateLoad(250, 5*time.Second)
 		t.Logf("longest %s, mean %s", longest, mean)
 		if longest > 1500*time.Millisecond || mean > 650*time.Millisecond {
 			t.Errorf("longest %s, mean %s", longest, mean)
@@ -52,28 +52,28 @@
 // What waits for a silent store ends soon after its return, which one instance
 // finds out for all, and the tries meanwhile are few.
 func TestStoreRecoveryIsBroadcast(t *testing.T) {
-	runClusterOf(t, 61, 24, func(t *testing.T, w *cluster) {
-		w.generateLoad(600, time.Second)
-		w.Store.Set(metastore.Fault{Silent: true})
-		before := w.Store.Calls()
+	runClusterOf(t, 61, 24, func(t *testing.T, c *cluster) {
+		c.generateLoad(600, time.Second)
+		c.Store.Set(metastore.Fault{Silent: true})
+		before := c.Store.Calls()
 		var back time.Time
-		w.Work.Go(func() {
+		c.Work.Go(func() {
 			time.Sleep(2500 * time.Millisecond)
-			w.Store.Set(metastore.Fault{})
+			c.Store.Set(metastore.Fault{})
 			back = time.Now()
-			if calls := w.Store.Calls() - before; calls > 61*20 {
+			if calls := c.Store.Calls() - before; calls > 61*20 {
 				t.Errorf("%d calls while the store was silent", calls)
 			}
 		})
-		w.generateLoad(600, 2400*time.Millisecond)
+		c.generateLoad(600, 2400*time.Millisecond)
 		if took := time.Since(back); took > 300*time.Millisecond {
 			t.Errorf("the last turn ended %s after the store was back", took)
 		}
-		after := w.Store.Calls()
-		if longest, _ := w.generateLoad(600, time.Second); longest > 50*time.Millisecond {
+		after := c.Store.Calls()
+		if longest, _ := c.generateLoad(600, time.Second); longest > 50*time.Millisecond {
 			t.Errorf("a turn took %s after the store's return", longest)
 		}
-		if calls := w.Store.Calls() - after; calls > 700 {
+		if calls := c.Store.Calls() - after; calls > 700 {
 			t.Errorf("%d calls for 600 turns", calls)
 		}
 	})
@@ -81,19 +81,19 @@
 
 // generateLoad keeps turns at a rate for a time and returns how long the slowest took,
 // and each on average.
-func (w *cluster) generateLoad(perSecond int, length time.Duration) (longest, mean time.Duration) {
+func (c *cluster) generateLoad(perSecond int, length time.Duration) (longest, mean time.Duration) {
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	var sum time.Duration
 	turns := int(length.Seconds() * float64(perSecond))
-	nodes := w.running()
+	nodes := c.running()
 	r := rand.New(rand.NewPCG(1, uint64(len(nodes))))
 	for range turns {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		n, program := nodes[r.IntN(len(nodes))], fmt.Sprint("p", r.Uint64())
 		work.Go(func() {
 			begun := time.Now()
-			w.mustTurn(n, program, "")
+			c.mustTurn(n, program, "")
 			mu.Lock()
 			defer mu.Unlock()
 			longest = max(longest, time.Since(begun))
@@ -107,16 +107,16 @@
 // A turn that has asked all others while the store refused everyone is kept once
 // it serves the others, though it still refuses this instance.
 func TestHelpersAreRetriedAfterOutage(t *testing.T) {
-	runClusterOf(t, 3, 4, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
-		w.Store.Set(metastore.Fault{Status: 503})
-		w.Work.Go(func() {
+	runClusterOf(t, 3, 4, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		c.Store.Set(metastore.Fault{Status: 503})
+		c.Work.Go(func() {
 			time.Sleep(5 * time.Second)
 			n.Refused.Store(true)
-			w.Store.Set(metastore.Fault{})
+			c.Store.Set(metastore.Fault{})
 		})
 		begun := time.Now()
-		w.turn(n, "p", "", 30*time.Second)
+		c.turn(n, "p", "", 30*time.Second)
 		if took := time.Since(begun); took > 7*time.Second {
 			t.Errorf("the turn took %s", took)
 		}
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -24,40 +24,40 @@
 
 // StoreTurn makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
-func (k *Manager) StoreTurn(ctx context.Context, program string, turn serve.EndedTurn) error {
-	home := k.partitionOf(program)
-	w := &turnWrite{manager: k, home: home, turn: structs.KeptTurn{
+func (m *Manager) StoreTurn(ctx context.Context, program string, turn serve.EndedTurn) error {
+	home := m.partitionOf(program)
+	w := &turnWrite{manager: m, home: home, turn: structs.KeptTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
 		Ended: time.Now().UnixMilli(), Retention: turn.Retention,
 	}}
-	k.mu.Lock()
-	k.hedges.Allow(0)
-	k.mu.Unlock()
+	m.mu.Lock()
+	m.hedges.Allow(0)
+	m.mu.Unlock()
 	begun := time.Now()
 	if err := w.persist(ctx); err != nil {
-		k.metrics.abandoned.Inc(1)
+		m.metrics.abandoned.Inc(1)
 		return err
 	}
-	k.metrics.storeLatency.RecordDuration(time.Since(begun))
-	k.addTurns(w.turns, w.partition.number)
-	if index := k.indexer(home, nil); index != "" && index != k.self.ID && index != w.storedBy {
-		k.peers.Send(index, &structs.TurnsNotice{Partition: w.partition.number, Turns: w.turns})
+	m.metrics.storeLatency.RecordDuration(time.Since(begun))
+	m.addTurns(w.turns, w.partition.number)
+	if index := m.indexer(home, nil); index != "" && index != m.self.ID && index != w.storedBy {
+		m.peers.Send(index, &structs.TurnsNotice{Partition: w.partition.number, Turns: w.turns})
 	}
 	return nil
 }
 
 // missingFrom lists the turns of a conversation that a partition does not hold yet,
 // since they are another program's or were kept while it was away.
-func (k *Manager) missingFrom(p *partition, turn string) []structs.KeptTurn {
+func (m *Manager) missingFrom(p *partition, turn string) []structs.KeptTurn {
 	if turn == "" {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	// The turn was named in time; its retention may have ended since.
-	entries, ok := k.memory.chain(turn)
+	entries, ok := m.memory.chain(turn)
 	if !ok {
-		k.log.Error("conversation went from memory while its turn ran", "turn", turn, "partition", p.number)
+		m.log.Error("conversation went from memory while its turn ran", "turn", turn, "partition", p.number)
 	}
 	return missingTurns(entries, p.number, time.Now())
 }
@@ -100,25 +100,25 @@
 
 // persist tries until the store holds the turn or the context ends.
 func (w *turnWrite) persist(ctx context.Context) error {
-	k := w.manager
+	m := w.manager
 	for {
-		prober, err := k.awaitAttempt(ctx)
+		prober, err := m.awaitAttempt(ctx)
 		if err != nil {
 			return err
 		}
 		err = w.tryPartitions(ctx)
 		if ctx.Err() != nil {
-			k.endProbe(prober)
+			m.endProbe(prober)
 			return ctx.Err()
 		}
-		wait := k.recordRound(err)
+		wait := m.recordRound(err)
 		if err == nil {
-			k.endProbe(prober)
+			m.endProbe(prober)
 			return nil
 		}
-		k.log.Debug("turn not kept yet", "turn", w.turn.ID, "error", err.Error())
-		k.waitBeforeRetry(ctx, wait)
-		k.endProbe(prober)
+		m.log.Debug("turn not kept yet", "turn", w.turn.ID, "error", err.Error())
+		m.waitBeforeRetry(ctx, wait)
+		m.endProbe(prober)
 	}
 }
 
@@ -160,11 +160,11 @@
 
 // unresponsiveSince tells whether the store has answered nobody since a time, for as
 // long as an append may take: another partition is then no better.
-func (k *Manager) unresponsiveSince(begun time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) unresponsiveSince(begun time.Time) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	return now.Sub(begun) >= k.path.AppendTimeout(now) && !k.path.RespondedSince(begun)
+	return now.Sub(begun) >= m.path.AppendTimeout(now) && !m.path.RespondedSince(begun)
 }
 
 // prepare prepares the turn to be written to a partition.
@@ -178,13 +178,13 @@
 
 // candidates are the partitions to try for a turn: its home, unless that was
 // away a moment ago, and one more.
-func (k *Manager) candidates(home *partition) []*partition {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) candidates(home *partition) []*partition {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	var available, unavailable []*partition
-	for i := range k.partitions {
-		p := k.partitions[(home.number+i)%len(k.partitions)]
+	for i := range m.partitions {
+		p := m.partitions[(home.number+i)%len(m.partitions)]
 		if now.Before(p.unavailableUntil) {
 			unavailable = append(unavailable, p)
 			continue
@@ -197,8 +197,8 @@
 
 // markUnavailable notes that neither this instance nor another could append to a
 // partition.
-func (k *Manager) markUnavailable(p *partition) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) markUnavailable(p *partition) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	p.unavailableUntil = time.Now().Add(unavailableTime)
 }
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -10,54 +10,54 @@
 // A third of the instances may be refused by the store while it serves the
 // others: their turns are written and read through these.
 func TestInstanceThatTheStoreRefusesKeepsTurnsThroughOthers(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
-		refused := w.indexer("p")
-		last := w.runTurns("p", "", 3)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		refused := c.indexer("p")
+		last := c.runTurns("p", "", 3)
 		refused.Refused.Store(true)
 		for range 4 {
-			last = w.mustTurn(refused, "p", last)
+			last = c.mustTurn(refused, "p", last)
 		}
 		began := time.Now()
-		last = w.mustTurn(refused, "p", last)
+		last = c.mustTurn(refused, "p", last)
 		if took := time.Since(began); took > 50*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
 		// While others make its appends it hardly tries by itself.
-		before := w.Store.Calls()
+		before := c.Store.Calls()
 		for range 20 {
-			last = w.mustTurn(refused, "p", last)
+			last = c.mustTurn(refused, "p", last)
 		}
-		if calls := w.Store.Calls() - before; calls > 22 {
+		if calls := c.Store.Calls() - before; calls > 22 {
 			t.Errorf("20 turns took %d calls", calls)
 		}
-		w.restartAll()
-		w.mustLookUp(w.running()[0], "p", last)
+		c.restartAll()
+		c.mustLookUp(c.running()[0], "p", last)
 	})
 }
 
 // An instance whose link to the store is silent notices it once.
 func TestInstanceWithUnresponsiveStoreLinkAppendsThroughOthers(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
-		last := w.runTurns("p", "", 3)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		last := c.runTurns("p", "", 3)
 		n.Unheard.Store(true)
-		last = w.mustTurn(n, "p", last)
+		last = c.mustTurn(n, "p", last)
 		began := time.Now()
 		for range 8 {
-			last = w.mustTurn(n, "p", last)
+			last = c.mustTurn(n, "p", last)
 		}
 		if took := time.Since(began) / 8; took > 30*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
 		n.Unheard.Store(false)
 		time.Sleep(directRetryInterval)
-		last = w.mustTurn(n, "p", last)
-		last = w.mustTurn(n, "p", last)
+		last = c.mustTurn(n, "p", last)
+		last = c.mustTurn(n, "p", last)
 		if n.manager.Dump().DirectFailing {
 			t.Error("the instance did not notice that the store hears it again")
 		}
-		w.restartAll()
-		w.mustLookUp(w.running()[0], "p", last)
+		c.restartAll()
+		c.mustLookUp(c.running()[0], "p", last)
 	})
 }
 
@@ -67,9 +67,9 @@
 	for name, fault := range map[string]metastore.Fault{
 		"refused": {Status: 503}, "silent": {Silent: true}, "reset": {Reset: true},
 	} {
-		runCluster(t, 3, func(t *testing.T, w *cluster) {
-			w.Store.Set(fault)
-			if id, err := w.turn(w.running()[0], "p", "", 2*time.Second); err == nil {
+		runCluster(t, 3, func(t *testing.T, c *cluster) {
+			c.Store.Set(fault)
+			if id, err := c.turn(c.running()[0], "p", "", 2*time.Second); err == nil {
 				t.Errorf("%s: turn %s ended", name, id)
 			}
 		})
@@ -79,23 +79,23 @@
 // The answers that wait for the store end soon after its return, and all of
 // them together cost few calls meanwhile.
 func TestWaitingTurnsEndWhenStoreRecovers(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		const waiting = 40
-		w.runTurns("p", "", 3)
-		w.Store.Set(metastore.Fault{Status: 503})
+		c.runTurns("p", "", 3)
+		c.Store.Set(metastore.Fault{Status: 503})
 		ended := make(chan time.Time, waiting)
 		for i := range waiting {
 			go func() {
-				w.mustTurn(w.running()[i%3], string(rune('a'+i)), "")
+				c.mustTurn(c.running()[i%3], string(rune('a'+i)), "")
 				ended <- time.Now()
 			}()
 		}
-		before := w.Store.Calls()
+		before := c.Store.Calls()
 		time.Sleep(1500 * time.Millisecond)
-		if calls := w.Store.Calls() - before; calls > 8*waiting {
+		if calls := c.Store.Calls() - before; calls > 8*waiting {
 			t.Errorf("%d calls for %d turns in 1.5 s", calls, waiting)
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		back := time.Now()
 		for range waiting {
 			if took := (<-ended).Sub(back); took > 400*time.Millisecond {
@@ -108,11 +108,11 @@
 // No turn is begun that a full store would not take; one a second finds out
 // whether it still is full. While it is away for another reason turns begin.
 func TestTurnsAreNotAcceptedWhileTheStoreIsFull(t *testing.T) {
-	runCluster(t, 2, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
 		for status, accepted := range map[int]bool{507: false, 503: true} {
-			w.Store.Set(metastore.Fault{Status: status})
-			if _, err := w.turn(n, "p", "", time.Second); err == nil {
+			c.Store.Set(metastore.Fault{Status: status})
+			if _, err := c.turn(n, "p", "", time.Second); err == nil {
 				t.Fatalf("status %d: the turn ended", status)
 			}
 			if got := n.manager.Accepts(3 * time.Second); got != accepted {
@@ -122,8 +122,8 @@
 			if !n.manager.Accepts(3 * time.Second) {
 				t.Errorf("status %d: nobody finds out whether it is over", status)
 			}
-			w.Store.Set(metastore.Fault{})
-			w.mustTurn(n, "p", "")
+			c.Store.Set(metastore.Fault{})
+			c.mustTurn(n, "p", "")
 		}
 	})
 }
@@ -131,34 +131,34 @@
 // The store may serve some partitions only; turns go to others meanwhile, with
 // all before them.
 func TestTurnGoesToAnotherPartitionWhileItsOwnIsAway(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
-		last := w.runTurns("p", "", 3)
-		home := w.running()[0].manager.partitionOf("p").number
-		w.Store.Set(metastore.Fault{Status: 503, Partitions: []int{home}})
-		last = w.runTurns("p", last, 3)
-		w.Store.Set(metastore.Fault{})
-		last = w.runTurns("p", last, 3)
-		w.restartAll()
-		w.mustLookUp(w.running()[0], "p", last)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		last := c.runTurns("p", "", 3)
+		home := c.running()[0].manager.partitionOf("p").number
+		c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{home}})
+		last = c.runTurns("p", last, 3)
+		c.Store.Set(metastore.Fault{})
+		last = c.runTurns("p", last, 3)
+		c.restartAll()
+		c.mustLookUp(c.running()[0], "p", last)
 	})
 }
 
 // Once the store has been away for longer than callers wait, turns are no longer
 // begun, but for one now and then that finds out.
 func TestTurnsAreNotAcceptedInALongOutage(t *testing.T) {
-	runCluster(t, 2, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
-		w.Store.Set(metastore.Fault{Silent: true})
-		if _, err := w.turn(n, "p", "", 9*time.Second); err == nil {
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		c.Store.Set(metastore.Fault{Silent: true})
+		if _, err := c.turn(n, "p", "", 9*time.Second); err == nil {
 			t.Fatal("the turn ended")
 		}
 		n.manager.Accepts(2 * time.Second)
 		if n.manager.Accepts(2*time.Second) || !n.manager.Accepts(20*time.Second) {
 			t.Error("the time that the caller waits does not decide")
 		}
-		w.Store.Set(metastore.Fault{})
+		c.Store.Set(metastore.Fault{})
 		time.Sleep(2 * fullProbeInterval)
-		w.mustTurn(n, "p", "")
+		c.mustTurn(n, "p", "")
 		if !n.manager.Accepts(time.Second) {
 			t.Error("turns are not accepted though the store is back")
 		}
@@ -166,14 +166,14 @@
 }
 
 func TestDumpReportsOutage(t *testing.T) {
-	runCluster(t, 2, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
-		w.mustTurn(n, "p", "")
+	runCluster(t, 2, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		c.mustTurn(n, "p", "")
 		if d := n.manager.Dump(); d.Turns != 1 || d.Bytes == 0 || d.OutageDuration != 0 || d.DirectFailing {
 			t.Errorf("in order: %+v", d)
 		}
-		w.Store.Set(metastore.Fault{Status: 503})
-		if _, err := w.turn(n, "p", "", time.Second); err == nil {
+		c.Store.Set(metastore.Fault{Status: 503})
+		if _, err := c.turn(n, "p", "", time.Second); err == nil {
 			t.Fatal("the turn ended")
 		}
 		d := n.manager.Dump()
--- a/internal/conversation/sweep.go
+++ b/internal/conversation/sweep.go
@@ -31,54 +31,54 @@
 
 // sweep drops turns that can no longer be named from memory and, from the
 // partitions that this instance indexes, from the store.
-func (k *Manager) sweep(ctx context.Context) {
-	for _, p := range k.partitions {
-		if k.indexer(p, nil) == k.self.ID {
-			k.dropExpired(ctx, p)
+func (m *Manager) sweep(ctx context.Context) {
+	for _, p := range m.partitions {
+		if m.indexer(p, nil) == m.self.ID {
+			m.dropExpired(ctx, p)
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, e := range k.memory.expired(time.Now(), dropMargin) {
-		k.memory.drop(e.ID)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, e := range m.memory.expired(time.Now(), dropMargin) {
+		m.memory.drop(e.ID)
 	}
-	k.metrics.bytes.Update(float64(k.memory.bytes))
-	k.metrics.turns.Update(float64(len(k.memory.turns)))
+	m.metrics.bytes.Update(float64(m.memory.bytes))
+	m.metrics.turns.Update(float64(len(m.memory.turns)))
 }
 
 // dropExpired drops a partition's expired turns and its history from the store.
-func (k *Manager) dropExpired(ctx context.Context, p *partition) {
-	k.mu.Lock()
-	unread := !p.read && time.Since(k.started) > firstReadDelay
-	due := unread || len(k.expiryRecords(p)) > 0 || p.bytes > trimBytes
-	k.mu.Unlock()
+func (m *Manager) dropExpired(ctx context.Context, p *partition) {
+	m.mu.Lock()
+	unread := !p.read && time.Since(m.started) > firstReadDelay
+	due := unread || len(m.expiryRecords(p)) > 0 || p.bytes > trimBytes
+	m.mu.Unlock()
 	if !due {
 		return
 	}
 	// Turns that others kept may continue what seems to have expired.
-	if err := k.catchUp(ctx, p); err != nil {
+	if err := m.catchUp(ctx, p); err != nil {
 		return // logged; the next sweep tries again
 	}
-	k.mu.Lock()
-	expired := k.expiryRecords(p)
-	k.mu.Unlock()
+	m.mu.Lock()
+	expired := m.expiryRecords(p)
+	m.mu.Unlock()
 	for len(expired) > 0 {
 		n := min(len(expired), maxDropBatch)
-		if err := k.appendBatched(ctx, p, nil, expired[:n]).err; err != nil {
-			k.log.Warn("expired turns not dropped", "partition", p.number, "turns", len(expired), "error", err.Error())
+		if err := m.appendBatched(ctx, p, nil, expired[:n]).err; err != nil {
+			m.log.Warn("expired turns not dropped", "partition", p.number, "turns", len(expired), "error", err.Error())
 			return
 		}
-		k.log.Info("expired turns dropped", "partition", p.number, "turns", n)
+		m.log.Info("expired turns dropped", "partition", p.number, "turns", n)
 		expired = expired[n:]
 	}
-	k.trim(ctx, p)
+	m.trim(ctx, p)
 }
 
 // expiryRecords lists the records that drop a partition's expired turns. The mutex
 // is held.
-func (k *Manager) expiryRecords(p *partition) []platform.Record {
+func (m *Manager) expiryRecords(p *partition) []platform.Record {
 	var records []platform.Record
-	for _, e := range k.memory.expired(time.Now(), dropMargin) {
+	for _, e := range m.memory.expired(time.Now(), dropMargin) {
 		if e.storedIn(p.number) {
 			records = append(records, platform.Record{Key: e.ID})
 		}
@@ -88,20 +88,20 @@
 
 // trim drops a partition's history once it has grown; the newest record of each
 // key stays.
-func (k *Manager) trim(ctx context.Context, p *partition) {
-	k.mu.Lock()
+func (m *Manager) trim(ctx context.Context, p *partition) {
+	m.mu.Lock()
 	before, bytes := p.next, p.bytes
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if bytes <= trimBytes {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, trimTimeout)
 	defer cancel()
-	if err := k.store.Trim(ctx, topic, p.number, before); err != nil {
-		k.log.Warn("history of turns not trimmed", "partition", p.number, "error", err.Error())
+	if err := m.store.Trim(ctx, topic, p.number, before); err != nil {
+		m.log.Warn("history of turns not trimmed", "partition", p.number, "error", err.Error())
 		return
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	p.bytes = 0
-	k.mu.Unlock()
+	m.mu.Unlock()
 }
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -11,27 +11,27 @@
 )
 
 func TestTurnsAreDroppedAfterTheirRetention(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
-		old := w.runTurns("p", "", 3)
-		long := w.runTurns("q", "", 2)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		old := c.runTurns("p", "", 3)
+		long := c.runTurns("q", "", 2)
 		for range 8 {
 			time.Sleep(testRetention / 2)
-			long = w.runTurns("q", long, 1)
+			long = c.runTurns("q", long, 1)
 		}
-		w.mustLookUp(w.running()[0], "q", long)
-		w.restartAll()
-		w.mustLookUp(w.running()[0], "q", long)
-		if _, err := w.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
+		c.mustLookUp(c.running()[0], "q", long)
+		c.restartAll()
+		c.mustLookUp(c.running()[0], "q", long)
+		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
 			t.Errorf("a turn long past its retention: %v", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
-		for _, n := range w.running() {
+		for _, n := range c.running() {
 			if got := n.manager.Dump().Turns; got != 0 {
 				t.Errorf("%s holds %d turns past their retention", n.ID, got)
 			}
 		}
 		for part := range testPartitions {
-			list, err := w.Store.Newest(t.Context(), topic, part)
+			list, err := c.Store.Newest(t.Context(), topic, part)
 			if err != nil || len(list.Records) > 0 {
 				t.Errorf("partition %d holds %d turns past their retention, %v", part, len(list.Records), err)
 			}
@@ -42,17 +42,17 @@
 // A turn that was named in time may end after the retention of the one before
 // it, in another partition.
 func TestTurnEndingAfterRetentionIsStoredWithItsHistory(t *testing.T) {
-	runCluster(t, 3, func(t *testing.T, w *cluster) {
-		n := w.running()[0]
-		first, second := w.programIn(0), w.programIn(1)
-		last := w.mustTurn(n, first, "")
-		w.mustLookUp(n, second, last)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		first, second := c.programIn(0), c.programIn(1)
+		last := c.mustTurn(n, first, "")
+		c.mustLookUp(n, second, last)
 		time.Sleep(testRetention + 2*referenceMargin)
 		end := serve.EndedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
 		if err := n.manager.StoreTurn(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
-		list, err := w.Store.Newest(t.Context(), topic, 1)
+		list, err := c.Store.Newest(t.Context(), topic, 1)
 		if err != nil || len(list.Records) != 2 {
 			t.Errorf("its partition holds %d turns, %v", len(list.Records), err)
 		}
@@ -60,10 +60,10 @@
 }
 
 // programIn finds a program of a partition.
-func (w *cluster) programIn(part int) string {
-	k := w.running()[0].manager
+func (c *cluster) programIn(part int) string {
+	m := c.running()[0].manager
 	for i := 0; ; i++ {
-		if program := fmt.Sprint("program", i); k.partitionOf(program).number == part {
+		if program := fmt.Sprint("program", i); m.partitionOf(program).number == part {
 			return program
 		}
 	}
@@ -72,27 +72,27 @@
 // The beginning of a conversation that goes on in another partition is dropped
 // from its own. A later turn that comes back there must take it along again.
 func TestDroppedBeginningIsWrittenAgain(t *testing.T) {
-	runCluster(t, 4, func(t *testing.T, w *cluster) {
-		first := w.programIn(0)
-		index := w.indexer(first)
+	runCluster(t, 4, func(t *testing.T, c *cluster) {
+		first := c.programIn(0)
+		index := c.indexer(first)
 		second := first
-		for part := 1; w.indexer(second) == index; part++ {
-			second = w.programIn(part)
+		for part := 1; c.indexer(second) == index; part++ {
+			second = c.programIn(part)
 		}
-		writer := w.others(index, w.indexer(second))[0]
-		last := w.mustTurn(writer, first, "")
+		writer := c.others(index, c.indexer(second))[0]
+		last := c.mustTurn(writer, first, "")
 		for range 10 {
 			time.Sleep(testRetention / 2)
-			last = w.mustTurn(writer, second, last)
+			last = c.mustTurn(writer, second, last)
 		}
-		list, err := w.Store.Newest(t.Context(), topic, 0)
+		list, err := c.Store.Newest(t.Context(), topic, 0)
 		if err != nil || len(list.Records) > 0 {
 			t.Fatalf("the beginning was not dropped: %d records, %v", len(list.Records), err)
 		}
-		last = w.mustTurn(writer, first, last)
-		w.restartAll()
-		for _, n := range w.running() {
-			w.mustLookUp(n, first, last)
+		last = c.mustTurn(writer, first, last)
+		c.restartAll()
+		for _, n := range c.running() {
+			c.mustLookUp(n, first, last)
 		}
 	})
 }
