--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -11,19 +11,20 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// directRetryInterval is the time between two tries of an instance whose appends fail
-// while others make them: refused calls are priced.
+// directRetryInterval is the pause between direct attempts while this
+// instance's appends fail and others append for it. Refused calls are billed
+// too.
 const directRetryInterval = 250 * time.Millisecond
 
-// maxAttempts bounds the instances that try in one round.
+// maxAttempts bounds the instances that attempt an append in one round.
 const maxAttempts = 3
 
-// errNotStored tells that another instance could not append turns.
+// errNotStored means that another instance could not append the turns.
 var errNotStored = errors.New("the other instance did not append the turns")
 
-// runRound tries by this instance or by the one that gathers the partition's turns
-// and, if that fails or takes too long, by others. It tells whether the turns
-// are kept.
+// runRound attempts the append directly or through the partition's indexer and,
+// if that fails or is slow, through other instances. It reports whether the
+// turns are stored.
 func (w *turnWrite) runRound(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,26 +59,25 @@
 	return false, failure
 }
 
-// attemptRound is one round of tries of a writing.
+// attemptRound is one round of append attempts for a turnWrite.
 type attemptRound struct {
 	write   *turnWrite
 	results chan attemptResult
-	// inFlight are the tries under way, by the instance that makes them, and when
-	// they began.
+	// inFlight holds the start time of each attempt in progress, by the
+	// instance that makes it.
 	inFlight map[structs.InstanceID]time.Time
 	attempts int
-	// directTried tells that this instance tried.
+	// directTried is set once this instance has made an attempt itself.
 	directTried bool
 	started     time.Time
 }
 
-// attemptResult is how one try ended, and by which instance.
+// attemptResult is the result of one attempt and the instance that made it.
 type attemptResult struct {
 	by structs.InstanceID
 	appendResult
 }
 
-// recordAttempt notes a try.
 func (r *attemptRound) recordAttempt(by structs.InstanceID) {
 	if r.inFlight == nil {
 		r.inFlight = make(map[structs.InstanceID]time.Time)
@@ -86,7 +86,7 @@
 	r.attempts++
 }
 
-// direct tries by this instance.
+// direct starts an attempt by this instance.
 func (r *attemptRound) direct(ctx context.Context) {
 	w := r.write
 	self := w.manager.self.ID
@@ -98,15 +98,16 @@
 	}()
 }
 
-// probeDirect tries by this instance beside another one, to learn whether its
-// failing appends succeed again.
+// probeDirect starts a direct attempt alongside another instance's, to detect
+// when this instance's appends succeed again.
 func (r *attemptRound) probeDirect(ctx context.Context) {
 	if r.write.manager.shouldTryDirect() {
 		r.direct(ctx)
 	}
 }
 
-// hedge has another instance try beside one that takes long.
+// hedge starts a second attempt through another instance while the first one is
+// slow.
 func (r *attemptRound) hedge(ctx context.Context) {
 	m := r.write.manager
 	if begun, ok := r.inFlight[m.self.ID]; ok {
@@ -117,9 +118,9 @@
 	}
 }
 
-// retry tries again after a failure: by another instance, else by this one. It
-// does not if the tries so far took as long as an append may: then the store is
-// silent, and a later round is as good.
+// retry starts another attempt after a failure, preferably through another
+// instance. It does nothing if the round has timed out: the store is then
+// unresponsive, and the next round retries.
 func (r *attemptRound) retry(ctx context.Context) {
 	if r.timedOut() || r.appendThroughHelper(ctx) || len(r.inFlight) > 0 || r.directTried || r.attempts >= maxAttempts {
 		return
@@ -127,12 +128,13 @@
 	r.direct(ctx)
 }
 
-// timedOut tells that the round took as long as an append may.
+// timedOut reports whether the round has lasted as long as an append may take.
 func (r *attemptRound) timedOut() bool {
 	return time.Since(r.started) >= r.write.manager.appendTimeout()
 }
 
-// appendThroughHelper tries by another instance. It tells whether there is one.
+// appendThroughHelper starts an attempt through another instance. It returns
+// false if none is left to try.
 func (r *attemptRound) appendThroughHelper(ctx context.Context) bool {
 	if r.attempts >= maxAttempts {
 		return false
@@ -149,8 +151,8 @@
 	return true
 }
 
-// appendsThroughOther tells whether turns for a partition go to the instance that gathers
-// them, rather than by an append of this instance.
+// appendsThroughOther reports whether turns of a partition are sent to the
+// instance that batches them instead of being appended by this instance.
 func (m *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
 	m.mu.Lock()
@@ -165,15 +167,15 @@
 	return m.path.HedgeDelay(time.Now())
 }
 
-// allowHedge takes a second try from the budget of second tries.
+// allowHedge takes one attempt from the hedging budget.
 func (m *Manager) allowHedge() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hedges.Allow(1)
 }
 
-// shouldTryDirect tells whether this instance, whose appends fail, should try by
-// itself beside another one: one turn after each pause does.
+// shouldTryDirect reports whether this instance, whose appends fail, should
+// make an attempt itself. It returns true once per retry interval.
 func (m *Manager) shouldTryDirect() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,19 +187,21 @@
 	return true
 }
 
-// jittered is a time of up to d, so that instances do not try in step.
+// jittered returns a random duration between 3/4 d and d, so that instances do
+// not retry in step.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/4)
 }
 
-// observeWinner learns from the try that was answered first: the others' ways are
-// bad, unless the store itself is slow.
+// observeWinner updates the health of the paths to the store after the first
+// successful attempt. Attempts that are still in flight mark their paths as
+// degraded, unless the store itself is slow.
 func (m *Manager) observeWinner(p *partition, winner attemptResult, open map[structs.InstanceID]time.Time) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if winner.took == 0 {
-		return // an instance of an older version does not report the time
+		return // instances of older versions do not report the latency
 	}
 	if winner.by != m.self.ID {
 		m.path.Observe(winner.observation(), now)
@@ -217,8 +221,8 @@
 	m.updateState(nil)
 }
 
-// observeAppend learns from an append of this instance. Its outcome is unknown if
-// the Keeper stopped.
+// observeAppend records the outcome of an append of this instance. The outcome
+// is unknown if the Manager has stopped.
 func (m *Manager) observeAppend(p *partition, result *appendResult) {
 	if m.ctx.Err() != nil {
 		return
@@ -243,20 +247,21 @@
 	m.notifySlow(result.took, now)
 }
 
-// notifySlow tells others that the store is slow, if it is and nobody did so
-// lately. The mutex is held.
+// notifySlow notifies other instances that the store is slow, unless a recent
+// notice has done so. The caller must hold m.mu.
 func (m *Manager) notifySlow(took time.Duration, now time.Time) {
 	if m.path.ShouldNotifySlow(now) {
 		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
 	}
 }
 
-// notifyRecovery tells others that the store takes appends again. The mutex is held.
+// notifyRecovery notifies other instances that the store accepts appends again.
+// The caller must hold m.mu.
 func (m *Manager) notifyRecovery() {
 	m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
 }
 
-// notifyHang tells others that an append of this instance hangs.
+// notifyHang notifies other instances that an append of this instance hangs.
 func (m *Manager) notifyHang(since time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -266,7 +271,8 @@
 	}
 }
 
-// receiveNotice takes turns that others kept, and what they tell of the store.
+// receiveNotice adds turns that another instance stored and applies its report
+// on the store.
 func (m *Manager) receiveNotice(msg *structs.TurnsNotice) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -283,8 +289,8 @@
 	}
 }
 
-// handleRecovery has those that wait for the store try at once, also those whose
-// appends hang. The mutex is held.
+// handleRecovery retries waiting writes at once and abandons appends that hang.
+// The caller must hold m.mu.
 func (m *Manager) handleRecovery() {
 	now := time.Now()
 	m.path.ObserveOutcome(true, now)
@@ -298,8 +304,8 @@
 	m.endOutage()
 }
 
-// updateState logs when the state of the access to the store changes. The mutex is
-// held.
+// updateState logs and records a change of this instance's access to the store.
+// The caller must hold m.mu.
 func (m *Manager) updateState(err error) {
 	state := m.path.State(time.Now())
 	if state == m.state {
@@ -318,9 +324,8 @@
 	m.log.Warn("turns cannot be appended in time", attrs...)
 }
 
-// chooseHelper chooses another instance to append the turns: the one that
-// gathers the partition's turns, or the next in its order that was not asked
-// yet.
+// chooseHelper returns the next instance to append the turns: the partition's
+// indexer, then others in rendezvous order. It returns "" if none is left.
 func (w *turnWrite) chooseHelper() structs.InstanceID {
 	helper := w.manager.indexer(w.partition, append(w.helpers, w.manager.self.ID))
 	if helper != "" {
@@ -329,8 +334,8 @@
 	return helper
 }
 
-// appendThrough has another instance append the turns. It returns how long the store
-// took, and whether the other instance takes that for slow.
+// appendThrough has another instance append the turns. It returns how long the
+// store took and whether the other instance considers that slow.
 func (w *turnWrite) appendThrough(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
 	answer := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
 		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
@@ -344,14 +349,14 @@
 	return 0, false, errNotStored
 }
 
-// appendTimeout is how long an append may take.
+// appendTimeout returns how long an append may take.
 func (m *Manager) appendTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.path.AppendTimeout(time.Now())
 }
 
-// batchTimeout is how long another instance may take to append turns.
+// batchTimeout returns how long another instance may take to append turns.
 func (m *Manager) batchTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -372,8 +377,8 @@
 	})
 }
 
-// appendForPeer appends turns of another instance, at once or not at all if this
-// instance's appends fail.
+// appendForPeer appends turns of another instance. While this instance's
+// appends fail it refuses, except for an occasional direct attempt.
 func (m *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
 	m.mu.Lock()
 	failing := m.path.Failing()
@@ -383,7 +388,7 @@
 	}
 	records, err := encodeTurns(turns)
 	if err != nil {
-		m.log.Error("turns of another instance not encoded", "error", err.Error())
+		m.log.Error("failed to encode turns of another instance", "error", err.Error())
 		return appendResult{err: err}
 	}
 	result := m.appendBatched(m.ctx, p, turns, records)
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -16,31 +16,32 @@
 const (
 	// maxBatchRecords bounds the records of one append.
 	maxBatchRecords = 500
-	// defaultAppendBytes bounds an append where the platform names no limit.
+	// defaultAppendBytes bounds the size of an append if the platform sets no
+	// limit.
 	defaultAppendBytes = 1 << 20
-	// recordOverhead is what the wire adds to a record besides key and value.
+	// recordOverhead is the encoded size of a record beyond its key and value,
+	// in bytes.
 	recordOverhead = 8
 )
 
-// appendQueue is what an instance appends to one partition: what comes while as
-// many appends are in flight as the store carries goes into the next one. That is
-// one, unless a slow store's answers only take long on their way. The Keeper's
-// mutex guards it.
+// appendQueue batches the appends of this instance to one partition. Requests
+// wait while the window is full and are batched into the next append. The
+// window is 1 unless a slow store's responses are delayed in transit. Guarded
+// by Manager.mu.
 type appendQueue struct {
 	waiting []*appendRequest
-	// inFlight are the appends in flight, the oldest first.
+	// inFlight holds the appends in flight, oldest first.
 	inFlight []*inFlightAppend
 	window   policy.AppendWindow
 }
 
-// inFlightAppend is an append in flight.
 type inFlightAppend struct {
 	started time.Time
 	cancel  context.CancelCauseFunc
 }
 
-// abandon ends appends that have no answer for a time: they may take effect yet,
-// and those whose turns they hold try again.
+// abandon cancels appends that hang, as decided by their age. They may still
+// take effect; the requests in them are retried.
 func (q *appendQueue) abandon(hangs func(age time.Duration) bool, now time.Time) {
 	for _, a := range q.inFlight {
 		if hangs(now.Sub(a.started)) {
@@ -49,30 +50,30 @@
 	}
 }
 
-// appendRequest are turns that must be appended together.
+// appendRequest is a set of turns that must be appended together.
 type appendRequest struct {
 	ctx     context.Context
 	turns   []structs.KeptTurn
 	records []platform.Record
 	bytes   int
-	// done gets the outcome; it has room for it.
+	// done receives the outcome. It is buffered.
 	done chan appendResult
 }
 
-// appendResult is how an append ended, and how long the store took for it.
+// appendResult is the outcome of an append and how long the store took for it.
 type appendResult struct {
 	took time.Duration
 	slow bool
 	err  error
 }
 
-// observation is what an append that succeeded tells of the store.
+// observation returns what a successful append shows about the store.
 func (r appendResult) observation() policy.AppendResult {
 	return policy.AppendResult{Took: r.took, Slow: r.slow}
 }
 
-// appendBatched appends turns together with all others that wait for the partition. If
-// the context ends first, the store may still get them.
+// appendBatched appends turns, batched with other requests for the partition.
+// If the context ends first, the store may still receive them.
 func (m *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
 	r := &appendRequest{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
@@ -92,8 +93,8 @@
 	}
 }
 
-// startAppends begins appends for those that wait, as far as the store carries
-// them. The mutex is held.
+// startAppends starts appends for the waiting requests, up to the window's
+// size. The caller must hold m.mu.
 func (m *Manager) startAppends(p *partition) {
 	l := &p.appends
 	for len(l.inFlight) < l.window.Size() && !m.stopped {
@@ -109,7 +110,7 @@
 	}
 }
 
-// runAppend makes an append and hands its outcome to those whose turns it holds.
+// runAppend performs an append and delivers its outcome to the requests in it.
 func (m *Manager) runAppend(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) {
 	result := m.appendBatch(ctx, p, a, batch)
 	a.cancel(nil)
@@ -126,13 +127,13 @@
 	m.startAppends(p)
 }
 
-// appendOneByOne appends the turns of each alone, after the store rejected all of them
-// together: one that it rejects must not stop the others.
+// appendOneByOne appends each request separately after the store rejected the
+// batch, so that one invalid request does not fail the others.
 func (m *Manager) appendOneByOne(p *partition, batch []*appendRequest) {
 	var last appendResult
 	for _, r := range batch {
 		if last.err != nil && !errors.Is(last.err, platform.ErrRejected) {
-			r.done <- last // the store is away: they try again
+			r.done <- last // the store is unavailable; the callers retry
 			continue
 		}
 		if r.ctx.Err() != nil {
@@ -147,8 +148,8 @@
 	}
 }
 
-// nextBatch takes those whose turns go into the next append, leaving out those whose
-// callers left. The mutex is held.
+// nextBatch removes the requests for the next append from the queue, discarding
+// those whose context has ended. The caller must hold m.mu.
 func (m *Manager) nextBatch(p *partition) []*appendRequest {
 	var batch []*appendRequest
 	records, bytes, taken := 0, 0, 0
@@ -165,12 +166,12 @@
 		records += len(r.records)
 		bytes += r.bytes
 	}
-	clear(p.appends.waiting[:taken]) // so that the turns can be collected
+	clear(p.appends.waiting[:taken]) // release the turns to the garbage collector
 	p.appends.waiting = p.appends.waiting[taken:]
 	return batch
 }
 
-// appendBatch makes one append and notes how it went.
+// appendBatch performs one append and records its outcome.
 func (m *Manager) appendBatch(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) appendResult {
 	var records []platform.Record
 	for _, r := range batch {
@@ -188,8 +189,8 @@
 	return result
 }
 
-// enforceTimeout ends an append that takes longer than the store's state lets
-// expect, which may change meanwhile.
+// enforceTimeout cancels an append that exceeds the append timeout, which may
+// change while the append runs.
 func (m *Manager) enforceTimeout(ctx context.Context, a *inFlightAppend) {
 	for {
 		left := m.appendTimeout() - time.Since(a.started)
@@ -203,7 +204,7 @@
 	}
 }
 
-// pendingAppends lists the appends in flight. The mutex is held.
+// pendingAppends lists the appends in flight. The caller must hold m.mu.
 func (m *Manager) pendingAppends() []policy.PendingAppend {
 	var pending []policy.PendingAppend
 	for _, p := range m.partitions {
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -18,8 +18,9 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// slowStore takes an append in a tenth of a second and rejects those with a
-// record whose key begins with "bad"; behind one whose key is "away" it refuses.
+// slowStore delays appends by 100 ms for each one in flight. It rejects those
+// with a record whose key begins with "bad", and fails all once a record with
+// the key "away" was appended alone.
 type slowStore struct {
 	Store
 	unavailable bool
@@ -50,13 +51,13 @@
 	return 0, nil
 }
 
-// noPeers is the peers of an instance that is alone.
+// noPeers is the Peers of the only instance of a cluster.
 type noPeers struct{ Peers }
 
 func (noPeers) Broadcast(structs.Message) {}
 
-// appendAll has records of a size, one a caller, appended to one partition while an
-// append is in flight. It returns the callers' errors.
+// appendAll appends one record of the given size per key to one partition while
+// an append is in flight. It returns the error for each key.
 func appendAll(t *testing.T, store *slowStore, callBytes, size int, keys ...string) map[string]error {
 	outcome := make(map[string]error)
 	synctest.Test(t, func(t *testing.T) {
@@ -82,8 +83,8 @@
 	return outcome
 }
 
-// What comes while an append is in flight goes into the next one, within the
-// bytes that a call may have.
+// Records that arrive while an append is in flight are batched into the next
+// one, within the size limit of an append.
 func TestBatchesStayWithinMaxAppendBytes(t *testing.T) {
 	var keys []string
 	for i := range 10 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// A record that the store rejects stops no other.
+// A record that the store rejects does not fail the others of its batch.
 func TestRejectedTurnDoesNotFailOthers(t *testing.T) {
 	for key, err := range appendAll(t, new(slowStore), 0, 10, "bad", "good", "better") {
 		if errors.Is(err, platform.ErrRejected) != (key == "bad") {
@@ -109,8 +110,8 @@
 	}
 }
 
-// A store that goes away while turns are appended one by one does not hold up the
-// partition for each of them.
+// If the store becomes unavailable while a batch is appended one by one, the
+// remaining requests fail at once.
 func TestSeparateAppendsStopWhenStoreIsUnavailable(t *testing.T) {
 	store := new(slowStore)
 	outcome := appendAll(t, store, 0, 10, "bad", "away", "c", "d", "e", "f")
--- a/internal/conversation/cluster_test.go
+++ b/internal/conversation/cluster_test.go
@@ -20,42 +20,43 @@
 )
 
 const (
-	// testPartitions is few, so that conversations meet in them.
+	// testPartitions is small, so that conversations share partitions.
 	testPartitions = 4
-	// testRetention is how long a turn may be named in these tests.
+	// testRetention is the retention of turns.
 	testRetention = 30 * time.Second
 )
 
-// cluster is some instances with a store and a network, in virtual time, and what
-// callers were told.
+// cluster simulates instances with a store and a network in virtual time, and
+// records the turns acknowledged to callers.
 type cluster struct {
 	*simnet.Net
 	incarnations simnet.Lives[*node]
 	t            *testing.T
-	// partitions is the number of the topic's partitions.
 	partitions int
 
 	mu sync.Mutex
-	// ended are the turns whose callers saw the end.
+	// ended holds the acknowledged turns by ID, order their IDs in order of
+	// their end.
 	ended map[string]endedTurn
 	order []string
 	made  int
 }
 
-// endedTurn is a turn with the whole conversation up to and with it.
+// endedTurn is an acknowledged turn; text is the conversation up to and
+// including it.
 type endedTurn struct {
 	text    string
 	program string
 	at      time.Time
 }
 
-// node is one life of an instance.
+// node is one incarnation of an instance.
 type node struct {
 	*simnet.Node
 	manager *Manager
 }
 
-// runCluster runs a test with instances in virtual time.
+// runCluster runs a test with the given number of machines in virtual time.
 func runCluster(t *testing.T, machines int, body func(t *testing.T, c *cluster)) {
 	runClusterOf(t, machines, testPartitions, body)
 }
@@ -74,12 +75,12 @@
 	})
 }
 
-// machineName is a, b, c ... and beyond z what follows.
+// machineName returns a, b, c, and so on.
 func machineName(i int) string { return string(rune('a' + i)) }
 
 func (c *cluster) start(machine string) *node { return c.incarnations.Of(c.Start(machine, c.run)) }
 
-// run starts a life of an instance.
+// run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
@@ -99,10 +100,10 @@
 	}
 }
 
-// running lists the instances that live.
+// running lists the running instances.
 func (c *cluster) running() []*node { return c.incarnations.All(c.Net) }
 
-// indexer is the instance that indexes a program's partition.
+// indexer returns the instance that indexes a program's partition.
 func (c *cluster) indexer(program string) *node {
 	first := c.running()[0]
 	p := first.manager.partitionOf(program)
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// restartAll ends all instances at once and starts others.
+// restartAll kills all instances, then starts new ones.
 func (c *cluster) restartAll() {
 	nodes := c.running()
 	for _, n := range nodes {
@@ -130,7 +131,7 @@
 	}
 }
 
-// turn runs a turn at an instance and returns its id if its caller saw the end.
+// turn runs a turn at an instance and returns its ID if it was acknowledged.
 func (c *cluster) turn(n *node, program, previous string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -156,7 +157,7 @@
 	return id, nil
 }
 
-// lookUp asks an instance for a conversation and checks what it says.
+// lookUp requests a conversation from an instance and checks the result.
 func (c *cluster) lookUp(ctx context.Context, n *node, program, turn string) (string, error) {
 	if turn == "" {
 		return "", nil
@@ -174,7 +175,7 @@
 	return string(got), err
 }
 
-// mustTurn is turn at a time when nothing may fail.
+// mustTurn is turn for times without faults.
 func (c *cluster) mustTurn(n *node, program, previous string) string {
 	c.t.Helper()
 	id, err := c.turn(n, program, previous, 3*time.Second)
@@ -184,7 +185,7 @@
 	return id
 }
 
-// mustLookUp is recall at a time when nothing may fail.
+// mustLookUp is lookUp for times without faults.
 func (c *cluster) mustLookUp(n *node, program, turn string) {
 	c.t.Helper()
 	if _, err := c.lookUp(c.t.Context(), n, program, turn); err != nil {
@@ -192,7 +193,8 @@
 	}
 }
 
-// randomEndedTurn chooses a turn whose caller saw its end lately, empty if none did.
+// randomEndedTurn picks a recently acknowledged turn, or returns "" if there is
+// none.
 func (c *cluster) randomEndedTurn(r *rand.Rand) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +205,7 @@
 	return newest[r.IntN(len(newest))]
 }
 
-// others lists all instances but some.
+// others lists the running instances except some.
 func (c *cluster) others(but ...*node) []*node {
 	return slices.DeleteFunc(c.running(), func(n *node) bool { return slices.Contains(but, n) })
 }
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -6,33 +6,34 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// Dump is the state of a Keeper as it is shown on request.
+// Dump is the state of a Manager for diagnostics.
 type Dump struct {
-	// Turns and Bytes are what is in memory.
+	// Turns and Bytes are the number and size of the turns in memory.
 	Turns int `json:"turns"`
 	Bytes int `json:"bytes"`
-	// DirectFailing tells that others append for this instance.
+	// DirectFailing reports whether this instance's own appends fail, so that
+	// others append for it.
 	DirectFailing bool `json:"direct_failing"`
-	// Store is the state of the access to the store, TypicalAppend the median of
-	// the appends seen lately, 0 without any.
+	// Store is the state of the access to the store, TypicalAppend the median
+	// latency of recent appends, 0 without any.
 	Store         policy.StoreState `json:"store"`
 	TypicalAppend time.Duration     `json:"typical_append_ns"`
-	// OutageDuration is how long no turn could be kept, 0 if turns can.
+	// OutageDuration is how long no turn could be stored, 0 outside an outage.
 	OutageDuration time.Duration   `json:"away_for_ns"`
 	Partitions     []PartitionDump `json:"partitions"`
 }
 
-// PartitionDump is what is known of one partition.
+// PartitionDump is the state of one partition.
 type PartitionDump struct {
 	Partition int `json:"partition"`
-	// Read tells that all records before the offset Next were read.
+	// Read reports whether all records before the offset Next were read.
 	Read bool  `json:"read"`
 	Next int64 `json:"next"`
-	// Unavailable tells that it lately took no append.
+	// Unavailable reports whether recent appends to the partition failed.
 	Unavailable bool `json:"away"`
 }
 
-// Dump shows the state.
+// Dump returns the current state.
 func (m *Manager) Dump() Dump {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -8,20 +8,20 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxQueried is how many instances are asked for one partition, each after one
-// that could not read it.
+// maxQueried bounds the instances queried for one partition. Each is tried
+// after the previous one could not read the partition.
 const maxQueried = 3
 
-// lookupResult is what became of the search for a turn in one partition.
+// lookupResult is the result of looking up a turn in one partition.
 type lookupResult struct {
 	outcome structs.ConversationOutcome
 	turns   []structs.KeptTurn
-	// partition holds the turns, if they were found.
+	// partition holds the turns if they were found.
 	partition int
 }
 
-// combineOutcomes is what the findings of all partitions together say: the turn is
-// found if any partition holds it, and unknown only if every one was read.
+// combineOutcomes combines the results of all partitions: the turn is found if
+// any partition holds it, and unknown only if every partition was read.
 func combineOutcomes(results []lookupResult) structs.ConversationOutcome {
 	outcome := structs.ConversationUnknown
 	for _, r := range results {
@@ -36,9 +36,9 @@
 	return outcome
 }
 
-// History is what a conversation holds up to and with a turn. It returns
-// serve.ErrNoTurn if there is no such turn, serve.ErrUncertain if that is not
-// known.
+// History returns the text of a conversation up to and including a turn. It
+// returns serve.ErrNoTurn if the turn does not exist and serve.ErrUncertain if
+// that could not be determined.
 func (m *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
 	if text, ok := m.conversationText(turn); ok {
 		m.metrics.local.Inc(1)
@@ -49,7 +49,7 @@
 	m.metrics.remote.Inc(1)
 	outcome := found.outcome
 	if outcome != structs.ConversationFound {
-		// The turn may be another program's, in any partition.
+		// The turn may belong to another program, in any partition.
 		outcome = m.findElsewhere(ctx, home, found, turn)
 	}
 	if text, ok := m.conversationText(turn); ok {
@@ -66,7 +66,8 @@
 	return nil, serve.ErrUncertain
 }
 
-// conversationText joins a turn and all before it, if this instance has them.
+// conversationText returns the text of a turn and its predecessors if all of
+// them are in memory.
 func (m *Manager) conversationText(id string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +87,7 @@
 	return text, true
 }
 
-// find looks for a turn in one partition, at the instance that indexes it.
+// find looks up a turn in one partition through its indexer.
 func (m *Manager) find(ctx context.Context, p *partition, turn string) lookupResult {
 	var exclude []structs.InstanceID
 	for range maxQueried {
@@ -104,7 +105,7 @@
 	return lookupResult{outcome: structs.ConversationUnread}
 }
 
-// findAt looks for a turn at one instance and remembers what it finds.
+// findAt looks up a turn at one instance and adds the turns found to memory.
 func (m *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) lookupResult {
 	if id == m.self.ID {
 		return m.findLocally(ctx, p, turn)
@@ -122,7 +123,7 @@
 	return lookupResult{reply.Outcome, reply.Turns, reply.Partition}
 }
 
-// findLocally looks for a turn in memory, then in the store.
+// findLocally looks up a turn in memory, then in the store.
 func (m *Manager) findLocally(ctx context.Context, p *partition, turn string) lookupResult {
 	if found, ok := m.findInMemory(turn); ok {
 		return found
@@ -136,18 +137,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.memory.find(turn, time.Now())
-	// A turn that another partition holds may be here without those before it:
-	// whoever indexes that partition has them.
+	// A turn stored in another partition may be in memory without its
+	// predecessors, which are known to that partition's indexer.
 	if e != nil && e.storedIn(p.number) || p.corrupt[turn] {
-		// A turn before it is missing or cannot be read, which the invariant
-		// rules out: the conversation exists, but not whole.
+		// A predecessor is missing or cannot be decoded, which violates the
+		// package's invariant: the conversation exists but is incomplete.
 		m.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
 		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	return lookupResult{outcome: structs.ConversationUnknown}
 }
 
-// findInMemory looks for a turn among those that this instance has.
+// findInMemory looks up a turn and its predecessors in memory.
 func (m *Manager) findInMemory(turn string) (lookupResult, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,8 +160,8 @@
 	return lookupResult{structs.ConversationFound, turnsOf(entries), newest.partitions[0]}, true
 }
 
-// findElsewhere looks for a turn in all partitions but one, whose finding is
-// given.
+// findElsewhere looks up a turn in all partitions but the home partition, whose
+// result is given.
 func (m *Manager) findElsewhere(
 	ctx context.Context, home *partition, homeResult lookupResult, turn string,
 ) structs.ConversationOutcome {
@@ -181,10 +182,10 @@
 	return combineOutcomes(all)
 }
 
-// receiveRequest answers another instance's question.
+// receiveRequest replies to another instance's lookup.
 func (m *Manager) receiveRequest(from structs.InstanceID, msg *structs.ConversationRequest) {
 	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
-		m.log.Warn("question for an unknown partition ignored", "peer", from, "partition", msg.Partition)
+		m.log.Warn("lookup in an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
 	}
 	p := m.partitions[msg.Partition]
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -14,8 +14,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// runTurns runs turns of a program one after the other, each at another
-// instance.
+// runTurns runs consecutive turns of a program, each at the next instance.
 func (c *cluster) runTurns(program, previous string, turns int) string {
 	c.t.Helper()
 	nodes := c.running()
@@ -57,7 +56,8 @@
 	})
 }
 
-// Behind the loss of everything new programs continue turns of earlier ones.
+// After the crash of all instances, new programs continue turns of earlier
+// ones.
 func TestTurnIsFoundUnderAnotherProgram(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 4)
@@ -80,8 +80,8 @@
 	})
 }
 
-// "Not found" needs every partition read to its end: a single one that the
-// store does not serve makes the answer uncertain.
+// A turn is unknown only if every partition was read to its end. If one
+// partition is unavailable, the lookup is uncertain.
 func TestNotFoundNeedsAllPartitions(t *testing.T) {
 	for part := range testPartitions {
 		runCluster(t, 3, func(t *testing.T, c *cluster) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A partition is read in pages; a turn on the last one is not unknown.
+// A partition is read in pages; the turns on its last page are found.
 func TestReadsContinueToTheEnd(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 2)
@@ -104,7 +104,7 @@
 		if err := index.manager.catchUp(t.Context(), index.manager.partitionOf("p")); err != nil {
 			t.Fatal(err)
 		}
-		// The index hears of none of the turns that follow.
+		// The indexer receives no notices of the following turns.
 		other := c.others(index)[0]
 		c.SetCut(other.ID, simnet.Mute)
 		for range 23 {
@@ -134,7 +134,8 @@
 	})
 }
 
-// A refused instance that starts knows nothing and asks those that can read.
+// A restarted instance without access to the store looks up turns through
+// others.
 func TestRefusedInstanceReadsThroughOthers(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 5)
@@ -147,8 +148,9 @@
 	})
 }
 
-// The index of a partition hears of a turn that was kept elsewhere, and starts
-// anew without those before it: it must not take its own partition for damaged.
+// The indexer of a partition is notified of a turn stored in another partition
+// and lacks its predecessors after a restart. It must not report its own
+// partition as damaged.
 func TestTurnKeptElsewhereIsFoundThere(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		index := c.indexer("p")
@@ -177,7 +179,7 @@
 	})
 }
 
-// While a partition is away, its conversations that others hold in memory go on.
+// Conversations in the memory of any instance are available during an outage.
 func TestConversationsInMemoryAreServedDuringOutage(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 6)
@@ -188,7 +190,7 @@
 	})
 }
 
-// A record that cannot be read is not "not found".
+// A turn whose record cannot be decoded is uncertain, not unknown.
 func TestRecordThatCannotBeDecodedIsUncertain(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
@@ -205,7 +207,8 @@
 	})
 }
 
-// An index that goes silent, as a paused one does, costs a caller one timeout.
+// An unresponsive indexer, such as a paused process, delays a lookup by one
+// timeout.
 func TestUnresponsiveIndexerIsSkipped(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 1)
@@ -244,7 +247,7 @@
 	}
 }
 
-// Turns that name each other, which no caller can make, do not hang a lookup.
+// A cycle of turns, which callers cannot create, does not hang a lookup.
 func TestCycleIsUncertain(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
--- a/internal/conversation/manager.go
+++ b/internal/conversation/manager.go
@@ -15,7 +15,7 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Store is what a Keeper needs of the platform's store.
+// Store is the part of the platform's store that a Manager uses.
 type Store interface {
 	Append(ctx context.Context, a platform.Append) (int64, error)
 	NewestPage(ctx context.Context, topic string, partition int, after string) (platform.Newest, bool, error)
@@ -23,21 +23,22 @@
 	Trim(ctx context.Context, topic string, partition int, before int64) error
 }
 
-// Peers sends messages to other instances. Sending never blocks; a message
-// that is lost is followed by PeerDown.
+// Peers sends messages to other instances. Sending never blocks; a lost message
+// is followed by PeerDown.
 type Peers interface {
 	Send(to structs.InstanceID, msg structs.Message)
-	// Broadcast sends a message to all instances that are connected.
+	// Broadcast sends a message to all connected instances.
 	Broadcast(msg structs.Message)
-	// Probe asks an instance for a heartbeat; without one PeerDown follows and
-	// the connection ends.
+	// Probe requests a heartbeat from an instance. If none arrives, PeerDown
+	// follows and the connection is closed.
 	Probe(to structs.InstanceID)
 }
 
-// Health tells whether the store answers this instance's reads of other topics.
+// Health reports whether the store responds to this instance's reads of other
+// topics.
 type Health interface{ OK() bool }
 
-// Manager keeps conversations. It is safe for concurrent use.
+// Manager stores and finds conversations. It is safe for concurrent use.
 type Manager struct {
 	self      structs.Peer
 	directory *directory.Directory
@@ -47,45 +48,47 @@
 	log       *slog.Logger
 	metrics   metrics
 	started   time.Time
-	// ctx ends with the Keeper.
+	// ctx ends when the Manager stops.
 	ctx  context.Context
 	work sync.WaitGroup
 
 	mu sync.Mutex
-	// stopped tells that no more work is begun.
+	// stopped prevents new background work.
 	stopped    bool
 	memory     memory
 	partitions []*partition
-	// pending are this instance's questions to others, by number.
+	// pending holds this instance's queries to others, by number.
 	pending    map[uint64]*pendingQuery
 	lastNumber uint64
-	// unableUntil is how long an instance that could not read or write the
-	// store is passed over.
+	// unableUntil is the time until which an instance that could not access the
+	// store is avoided.
 	unableUntil map[structs.InstanceID]time.Time
-	// path is this instance's access to the store, state its state as last logged.
+	// path tracks this instance's access to the store; state is its last logged
+	// state.
 	path  policy.StoreMonitor
 	state policy.StoreState
-	// nextDirectAttempt is when an instance whose appends fail tries again.
+	// nextDirectAttempt is when this instance tries again while its appends
+	// fail.
 	nextDirectAttempt time.Time
-	// hedges bounds the second tries of appends that take long.
-	hedges policy.RetryBudget
-	outage outage
-	// maxAppendBytes bounds an append.
+	// hedges bounds the hedged attempts.
+	hedges         policy.RetryBudget
+	outage         outage
 	maxAppendBytes int
 }
 
-// pendingQuery is a message of this instance that another one answers.
+// pendingQuery is a message to another instance that awaits a reply.
 type pendingQuery struct {
 	to    structs.InstanceID
 	reply chan structs.Message
 }
 
-// Config are what a Keeper works with.
+// Config configures a Manager.
 type Config struct {
 	Directory *directory.Directory
-	// Partitions is the number of the topic's partitions.
+	// Partitions is the number of partitions of the topic.
 	Partitions int
-	// MaxCallBytes bounds an append, 0 if the platform names no limit.
+	// MaxCallBytes bounds the size of an append, 0 if the platform sets no
+	// limit.
 	MaxCallBytes int
 	Store        Store
 	Peers        Peers
@@ -94,7 +97,7 @@
 	Log          *slog.Logger
 }
 
-// New makes a Keeper that works until the context ends.
+// New returns a Manager that works until the context ends.
 func New(ctx context.Context, config Config) *Manager {
 	m := &Manager{
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
@@ -116,20 +119,21 @@
 	return m
 }
 
-// partitionOf is the partition that holds the turns of a program.
+// partitionOf returns the home partition of a program's turns.
 func (m *Manager) partitionOf(program string) *partition {
 	return m.partitions[xxhash.Sum64String(program)%uint64(len(m.partitions))]
 }
 
-// spawn works in the background, unless the Keeper has stopped. The mutex is
-// held.
+// spawn runs work in the background, unless the Manager has stopped. The caller
+// must hold m.mu.
 func (m *Manager) spawn(work func()) {
 	if !m.stopped {
 		m.work.Go(work)
 	}
 }
 
-// Run drops what can no longer be named until the context ends.
+// Run drops expired turns until the context ends, then waits for background
+// work.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -172,7 +176,7 @@
 	}
 }
 
-// Handles tells whether a message is about conversations.
+// Handles reports whether a message belongs to this package.
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
 	case structs.KindConversationRequest, structs.KindConversationReply, structs.KindTurnsNotice,
@@ -182,14 +186,14 @@
 	return false
 }
 
-// addTurns takes turns that a partition of the store holds.
+// addTurns adds turns that a partition of the store holds to memory.
 func (m *Manager) addTurns(turns []structs.KeptTurn, partition int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.addTurnsLocked(turns, partition)
 }
 
-// addTurnsLocked is learn with the mutex held.
+// addTurnsLocked is addTurns for callers that hold m.mu.
 func (m *Manager) addTurnsLocked(turns []structs.KeptTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
@@ -199,7 +203,6 @@
 	m.metrics.turns.Update(float64(len(m.memory.turns)))
 }
 
-// turnsOf copies the turns out of entries.
 func turnsOf(entries []*entry) []structs.KeptTurn {
 	turns := make([]structs.KeptTurn, len(entries))
 	for i, e := range entries {
--- a/internal/conversation/memory.go
+++ b/internal/conversation/memory.go
@@ -7,27 +7,27 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// entry is a turn that this instance has, and the partitions that hold it.
+// entry is a turn in memory and the partitions that hold it.
 type entry struct {
 	structs.KeptTurn
-	// partitions is nearly always one.
+	// partitions rarely has more than one element.
 	partitions []int
-	// expires is when the turn and all that continue it can no longer be named,
-	// as far as this instance knows.
+	// expires is when neither the turn nor any known continuation of it can be
+	// referenced any more.
 	expires time.Time
 }
 
-// memory is the turns that this instance has. Every one of them is in the
-// store. It is a value without I/O; the Keeper's mutex guards it.
+// memory holds the turns known to this instance. All of them are in the store.
+// It does no I/O and is guarded by Manager.mu.
 type memory struct {
 	turns map[string]*entry
-	// bytes is the size of all inputs and outputs.
+	// bytes is the total size of inputs and outputs.
 	bytes int
 }
 
 func newMemory() memory { return memory{turns: make(map[string]*entry)} }
 
-// add takes a turn that a partition holds.
+// add adds a turn that a partition holds.
 func (m *memory) add(turn structs.KeptTurn, partition int, now time.Time) {
 	e, ok := m.turns[turn.ID]
 	if !ok {
@@ -40,9 +40,8 @@
 	}
 }
 
-// expiry is when a turn can no longer be named if none continues it. The clock
-// of the instance that ran it may differ from this one's, so a turn is never
-// taken to have ended in the future.
+// expiry returns when a turn expires if none continues it. An end time in the
+// future, from an instance whose clock is ahead, counts as now.
 func expiry(turn structs.KeptTurn, now time.Time) time.Time {
 	ended := time.UnixMilli(turn.Ended)
 	if ended.After(now) {
@@ -51,18 +50,18 @@
 	return ended.Add(turn.Retention)
 }
 
-// referenceMargin is how long beyond its retention a turn may still be named:
-// clocks of instances differ. It is well below dropMargin, so that a turn that
-// begins in time is kept before what it continues is dropped.
+// referenceMargin is how long after its retention a turn may still be
+// referenced, to allow for clock differences. It is well below dropMargin, so
+// that a turn accepted in time is stored before its predecessors are dropped.
 const referenceMargin = 15 * time.Second
 
-// find is a turn that can still be named, nil if there is none.
+// find returns a turn that can still be referenced, or nil.
 func (m *memory) find(id string, now time.Time) *entry {
 	e := m.turns[id]
 	if e == nil || now.Sub(e.expires) <= referenceMargin {
 		return e
 	}
-	// Turns that continue it may have come since it was added.
+	// Continuations may have been added since expires was computed.
 	m.extendExpiry()
 	if now.Sub(e.expires) > referenceMargin {
 		return nil
@@ -70,7 +69,7 @@
 	return e
 }
 
-// liveChain is line for a turn that can still be named.
+// liveChain is chain restricted to turns that can still be referenced.
 func (m *memory) liveChain(id string, now time.Time) ([]*entry, bool) {
 	if m.find(id, now) == nil {
 		return nil, false
@@ -78,8 +77,8 @@
 	return m.chain(id)
 }
 
-// chain lists a turn and all before it, the oldest first. It returns false if any
-// of them is missing, or if they form a cycle.
+// chain returns a turn and its predecessors, oldest first. It returns false if
+// one of them is missing or they form a cycle.
 func (m *memory) chain(id string) ([]*entry, bool) {
 	var turns []*entry
 	for id != "" {
@@ -94,10 +93,11 @@
 	return turns, len(turns) > 0
 }
 
-// storedIn tells whether a partition is known to hold the turn.
+// storedIn reports whether a partition is known to hold the turn.
 func (e *entry) storedIn(partition int) bool { return slices.Contains(e.partitions, partition) }
 
-// extendExpiry makes every turn outlast all that continue it.
+// extendExpiry extends the expiry of each turn to that of its latest
+// continuation.
 func (m *memory) extendExpiry() {
 	for _, e := range m.turns {
 		for before := m.turns[e.Previous]; before != nil && before.expires.Before(e.expires); before = m.turns[before.Previous] {
@@ -106,7 +106,7 @@
 	}
 }
 
-// expired lists the turns that could not be named for a time.
+// expired lists the turns that expired more than margin ago.
 func (m *memory) expired(now time.Time, margin time.Duration) []*entry {
 	m.extendExpiry()
 	var out []*entry
@@ -118,7 +118,7 @@
 	return out
 }
 
-// drop forgets a turn.
+// drop removes a turn.
 func (m *memory) drop(id string) {
 	e, ok := m.turns[id]
 	if !ok {
--- a/internal/conversation/memory_test.go
+++ b/internal/conversation/memory_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// BenchmarkMemory tells what a kept turn takes in memory beyond its text: 340 B
-// with ids of 16 letters, one partition and 2,200 B of text.
+// BenchmarkMemory measures the memory overhead of a stored turn beyond its
+// text.
 func BenchmarkMemory(b *testing.B) {
 	const turns, text = 20000, 2200
 	for b.Loop() {
--- a/internal/conversation/metrics.go
+++ b/internal/conversation/metrics.go
@@ -8,24 +8,24 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// metrics of the conversations that this instance keeps.
 type metrics struct {
-	// local counts conversations that were at hand, asked those that another
-	// instance or the store was asked for.
+	// local counts lookups served from memory, remote those that needed another
+	// instance or the store.
 	local     tally.Counter
 	remote    tally.Counter
 	unknown   tally.Counter
 	uncertain tally.Counter
-	// abandoned counts turns whose caller left before their record was durable.
+	// abandoned counts turns whose caller left before they were durable.
 	abandoned tally.Counter
-	// firstReads counts first reads of partitions.
+	// firstReads counts initial reads of partitions.
 	firstReads tally.Counter
-	// storeLatency is how long turns waited for their record.
+	// storeLatency is the time until a turn was durable.
 	storeLatency tally.Histogram
-	// appends counts this instance's appends, batch the records of each.
+	// appends counts this instance's appends; batchSize is the number of
+	// records in each.
 	appends   tally.Counter
 	batchSize tally.Histogram
-	// state is 0 if the store answers in time, 1 if it is slow, 2 if this
+	// state is 0 if the store responds in time, 1 if it is slow, 2 if this
 	// instance's appends fail.
 	state tally.Gauge
 	bytes tally.Gauge
@@ -39,7 +39,6 @@
 
 var batchBuckets = tally.ValueBuckets{1, 2, 4, 8, 16, 32, 64, 128, 256, 512}
 
-// setState shows the state of the access to the store.
 func (m metrics) setState(state policy.StoreState) {
 	values := map[policy.StoreState]float64{policy.StoreHealthy: 0, policy.StoreSlow: 1, policy.StoreFailing: 2}
 	m.state.Update(values[state])
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -10,26 +10,26 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// outage tells whether turns can be kept at all. While they cannot, one of those
-// that wait tries on for all of them: tries of each would take all the calls that
-// the store allows. The mutex of the Keeper guards it.
+// outage tracks whether turns can be stored at all. During an outage one
+// waiting write retries on behalf of all, because retries of each would exhaust
+// the store's call limit. Guarded by Manager.mu.
 type outage struct {
-	// since is when the last round of tries failed after one had succeeded,
-	// zero if none has.
+	// since is when the outage began, zero outside an outage.
 	since time.Time
-	// storeWide tells that more than single partitions failed: its end is news to
-	// others, and all partitions may be tried again.
+	// storeWide is set if the outage is not limited to single partitions. Its
+	// end is then broadcast, and all partitions may be tried again.
 	storeWide bool
-	// retryDelay is the time until the next round.
+	// retryDelay is the delay before the next round.
 	retryDelay time.Duration
-	// full tells that the store had no room in the last round, at tried.
+	// full is set if the store was out of space in the last round.
 	full      bool
 	lastRound time.Time
-	// lastProbeTurn is when a turn last began that is not expected to be kept.
+	// lastProbeTurn is when a turn was last accepted although it is not
+	// expected to be stored.
 	lastProbeTurn time.Time
-	// probing tells that somebody tries.
+	// probing is set while a write retries on behalf of all.
 	probing bool
-	// changed is closed and replaced when one of these changes.
+	// changed is closed and replaced when the state changes.
 	changed chan struct{}
 }
 
@@ -38,8 +38,8 @@
 	o.changed = make(chan struct{})
 }
 
-// awaitAttempt waits until the caller may try to keep its turn. It tells whether
-// the caller tries for others as well, who wait until endProbe.
+// awaitAttempt waits until the caller may try to store its turn. prober is true
+// if the caller retries on behalf of all; the others then wait until endProbe.
 func (m *Manager) awaitAttempt(ctx context.Context) (prober bool, err error) {
 	for {
 		m.mu.Lock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// waitBeforeRetry waits before the next round of tries, unless the outage ends.
+// waitBeforeRetry waits before the next round, unless the outage ends.
 func (m *Manager) waitBeforeRetry(ctx context.Context, wait time.Duration) {
 	m.mu.Lock()
 	ended, changed := m.outage.since.IsZero(), m.outage.changed
@@ -79,7 +79,7 @@
 	}
 }
 
-// endProbe lets the next one try.
+// endProbe allows the next waiting write to retry.
 func (m *Manager) endProbe(prober bool) {
 	if !prober {
 		return
@@ -91,14 +91,14 @@
 }
 
 const (
-	// minRetryDelay and maxRetryDelay bound the pause between two rounds
-	// of tries; it doubles over an outage. Refused calls are priced.
+	// minRetryDelay and maxRetryDelay bound the delay between rounds, which
+	// doubles during an outage. Refused calls are billed too.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 320 * time.Millisecond
 )
 
-// recordRound notes whether a round of tries over instances and partitions
-// failed, and logs when that changes. It returns the pause before the next one.
+// recordRound records the outcome of a round, logs the start and end of an
+// outage, and returns the delay before the next round.
 func (m *Manager) recordRound(err error) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,7 +122,8 @@
 	return o.retryDelay
 }
 
-// endOutage has all that wait try again. The mutex is held.
+// endOutage ends the outage and wakes all waiting writes. The caller must hold
+// m.mu.
 func (m *Manager) endOutage() {
 	o := &m.outage
 	if o.since.IsZero() {
@@ -138,14 +139,15 @@
 	o.signal()
 }
 
-// fullProbeInterval is the time between two turns that are let through while none is
-// expected to be kept, to find out whether that still is so.
+// fullProbeInterval is the time between two turns that are accepted during an
+// outage to detect its end.
 const fullProbeInterval = time.Second
 
-// Accepts tells whether a turn that begins now can be kept before its caller
-// leaves, as far as is known. While the store is full none can, for as long as
-// nobody makes room. While it is away turns are accepted if it is expected back
-// in time: their callers get the text as it comes, and the end once it is back.
+// Accepts reports whether a turn that begins now is expected to be stored
+// before its caller's time left runs out. While the store is full no turn is
+// accepted, except for occasional probes. During other outages a turn is
+// accepted if the store is expected to recover in time: the caller receives the
+// text as it is generated, and the end once the turn is stored.
 func (m *Manager) Accepts(left time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -9,29 +9,29 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// pageTimeout bounds the read of one page of up to 1 MB: 100 ms on a link of
-// 100 Mbit/s, some hundred when the store is slow.
+// pageTimeout bounds the read of one page of up to 1 MB.
 const pageTimeout = 900 * time.Millisecond
 
-// partition is what this instance has read of one partition.
+// partition is the state of this instance's reads and appends of one partition.
 type partition struct {
 	number int
 
-	// The Keeper's mutex guards what follows.
+	// The following fields are guarded by Manager.mu.
 
-	// read tells that the partition was read once; all before the offset next
-	// is in memory.
+	// read is set once the partition was read; all records before the offset
+	// next are then in memory.
 	read bool
 	next int64
-	// reading tells that a read is under way; waiting are those who need one
-	// that begins after they came.
+	// reading is set while a read is in progress. waiting receives the result
+	// of a read that begins after they were added.
 	reading bool
 	waiting []chan error
-	// bytes is the size of the records read since history was last dropped.
+	// bytes is the size of the records read since the last trim.
 	bytes int
-	// corrupt are the keys whose records cannot be decoded.
+	// corrupt holds the keys of records that cannot be decoded.
 	corrupt map[string]bool
-	// unavailableUntil is how long the partition is tried last for appends.
+	// unavailableUntil is the time until which other partitions are preferred
+	// for appends.
 	unavailableUntil time.Time
 	appends          appendQueue
 }
@@ -40,8 +40,8 @@
 	return &partition{number: number, corrupt: make(map[string]bool)}
 }
 
-// catchUp reads a partition to its end, by a read that begins after the call.
-// Calls that come together share one.
+// catchUp reads a partition to its end by a read that begins after the call.
+// Concurrent calls share a read.
 func (m *Manager) catchUp(ctx context.Context, p *partition) error {
 	done := make(chan error, 1)
 	m.mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// serveReads reads for those who wait, until nobody does.
+// serveReads reads the partition until no call waits for it.
 func (m *Manager) serveReads(p *partition) {
 	for {
 		m.mu.Lock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// readToEnd reads what a partition holds beyond what is in memory.
+// readToEnd reads the records of a partition that are not in memory yet.
 func (m *Manager) readToEnd(p *partition) error {
 	m.mu.Lock()
 	read := p.read
@@ -109,7 +109,7 @@
 			return err
 		}
 		if next < 0 {
-			// Reading on from the end of the first page misses no change made
+			// Resuming from the end of the first page includes changes made
 			// while later pages were read.
 			next = page.End
 		}
@@ -135,8 +135,8 @@
 	return m.store.NewestPage(ctx, topic, p.number, after)
 }
 
-// readTail reads the records behind what is in memory to the partition's end. It
-// returns platform.ErrTrimmed if some of them are no longer kept.
+// readTail reads from the offset next to the partition's end. It returns
+// platform.ErrTrimmed if some of these records were trimmed.
 func (m *Manager) readTail(p *partition) error {
 	for {
 		m.mu.Lock()
@@ -154,7 +154,7 @@
 			return nil
 		}
 		if page.Next == from {
-			return errors.Newf("the read of partition %d stops at offset %d of %d", p.number, from, page.End)
+			return errors.Newf("read of partition %d made no progress at offset %d, end is %d", p.number, from, page.End)
 		}
 	}
 }
@@ -165,8 +165,9 @@
 	return m.store.ReadPage(ctx, topic, p.number, from, 0)
 }
 
-// addRecords adds the turns of records to memory. A record that cannot be decoded is
-// logged and passed over: its conversation is then not found whole.
+// addRecords adds the turns of records to memory. A record that cannot be
+// decoded is logged and skipped; lookups of its conversation are then
+// uncertain.
 func (m *Manager) addRecords(p *partition, records []platform.Record) {
 	now := time.Now()
 	m.mu.Lock()
@@ -174,7 +175,7 @@
 	for _, r := range records {
 		p.bytes += len(r.Key) + len(r.Value)
 		if len(r.Value) == 0 {
-			continue // dropped after its retention
+			continue // deleted after its retention
 		}
 		turn, err := decodeTurn(r)
 		if err != nil {
--- a/internal/conversation/query.go
+++ b/internal/conversation/query.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// replyTimeout is how long an instance may take to answer: a round trip
-	// takes a few milliseconds, reading a partition for the first time up to a
-	// few hundred.
+	// replyTimeout is how long an instance may take to reply. It covers a round
+	// trip and the first read of a partition.
 	replyTimeout = 600 * time.Millisecond
 	// unableTime is how long an instance that could not reach the store, or did
-	// not answer, is passed over. Outages last for seconds.
+	// not reply, is avoided.
 	unableTime = time.Second
 )
 
-// key is what the rendezvous hash of a partition's index is made of.
+// key returns the rendezvous hash key of the partition's indexer.
 func (p *partition) key() string { return "turns/" + strconv.Itoa(p.number) }
 
-// indexer is the instance that should index a partition, passing over those
-// that lately could not, and over some; empty if there is none.
+// indexer returns the instance that should index a partition, leaving out the
+// excluded ones and preferring those that were not recently unable to. It
+// returns "" if there is none.
 func (m *Manager) indexer(p *partition, exclude []structs.InstanceID) structs.InstanceID {
 	ranked := m.directory.Ranked(p.key())
 	now := time.Now()
@@ -34,7 +34,7 @@
 			return id
 		}
 	}
-	// Those that were not able lately are better than none.
+	// Fall back to instances that were recently unable.
 	for _, id := range ranked {
 		if !slices.Contains(exclude, id) {
 			return id
@@ -43,22 +43,23 @@
 	return ""
 }
 
-// markUnable has an instance passed over for a while.
+// markUnable avoids an instance for unableTime.
 func (m *Manager) markUnable(id structs.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unableUntil[id] = time.Now().Add(unableTime)
 }
 
-// query sends a question, made with its number, and waits for the answer. It
-// returns nil if none comes in time.
+// query sends a message, built with the number of the query, and waits for the
+// reply. It returns nil if none arrives in time.
 func (m *Manager) query(
 	ctx context.Context, to structs.InstanceID, make func(number uint64) structs.Message,
 ) structs.Message {
 	return m.queryWithin(ctx, to, m.currentReplyTimeout, make)
 }
 
-// currentReplyTimeout is how long an instance may take that may have to read the store.
+// currentReplyTimeout returns the reply timeout, extended while the store is
+// slow, because the other instance may have to read the store.
 func (m *Manager) currentReplyTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,7 +70,8 @@
 	return replyTimeout
 }
 
-// queryWithin is ask with the time that the answer may take, which may change.
+// queryWithin is query with a custom timeout, which is reevaluated when it
+// expires.
 func (m *Manager) queryWithin(
 	ctx context.Context, to structs.InstanceID, timeout func() time.Duration, make func(number uint64) structs.Message,
 ) structs.Message {
@@ -97,7 +99,7 @@
 				timer.Reset(left)
 				continue
 			}
-			// The connection may have gone silent for good.
+			// The connection may be dead without having been closed.
 			m.peers.Probe(to)
 			return nil
 		case <-ctx.Done():
@@ -106,10 +108,11 @@
 	}
 }
 
-// newReplyChan makes the channel of one answer, with room for it.
+// newReplyChan returns a buffered channel, so that a reply never blocks its
+// sender.
 func newReplyChan() chan structs.Message { return make(chan structs.Message, 1) }
 
-// deliverReply hands the answer to a question to whoever waits for it.
+// deliverReply passes a reply to the query that waits for it.
 func (m *Manager) deliverReply(from structs.InstanceID, number uint64, answer structs.Message) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,7 +124,7 @@
 	q.reply <- answer
 }
 
-// peerDown ends the questions to an instance that does not answer.
+// peerDown fails the pending queries to an unresponsive instance.
 func (m *Manager) peerDown(id structs.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -17,7 +17,7 @@
 
 var schedules = flag.Int("schedules", 60, "random schedules to play")
 
-// regressions are seeds that failed once, with the cause.
+// regressions holds seeds that once failed, each with the cause.
 var regressions = []uint64{}
 
 func TestConversationsHoldOverRandomFaults(t *testing.T) {
@@ -29,18 +29,17 @@
 	}
 }
 
-// scheduleTime is how long a schedule's faults go on, slowFactor times as long
-// in slow schedules: turns are then dropped after their retention meanwhile.
+// scheduleTime is the duration of a schedule's faults. Every slowEvery-th
+// schedule lasts slowFactor times as long, so that turns expire meanwhile.
 const (
 	scheduleTime = 12 * time.Second
 	slowFactor   = 20
 	slowEvery    = 8
 )
 
-// runSchedule lets programs talk at instances that are killed and cut off, with
-// a store that fails in all its ways. What an instance says of a turn that ended
-// is checked each time it is asked; at the end all turns are asked for once
-// more, after the loss of everything.
+// runSchedule runs programs while instances are killed and partitioned and the
+// store fails. Each lookup is checked; at the end all instances crash and a new
+// one must find every turn within its retention.
 func runSchedule(t *testing.T, seed uint64) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -72,9 +71,9 @@
 	})
 }
 
-// runPrograms runs programs one after the other until the time is up. Some
-// continue another program's turn, some name turns that do not exist. Pauses are
-// longer by a factor.
+// runPrograms runs consecutive programs until the end time. Some continue
+// another program's turn, and some reference turns that do not exist. Pauses
+// are multiplied by factor.
 func (c *cluster) runPrograms(seed uint64, ends time.Time, factor int) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for n := 0; time.Now().Before(ends); n++ {
@@ -101,7 +100,6 @@
 	}
 }
 
-// lookUpUnknownTurn asks for a turn that does not exist.
 func (c *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
 	_, err := c.lookUp(c.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
 	if !errors.Is(err, serve.ErrNoTurn) && !errors.Is(err, serve.ErrUncertain) {
@@ -109,7 +107,7 @@
 	}
 }
 
-// injectFault does one thing to the instances or the store.
+// injectFault applies or clears a random fault of an instance or the store.
 func (c *cluster) injectFault(r *rand.Rand) {
 	nodes := c.running()
 	if len(nodes) == 0 {
@@ -145,7 +143,7 @@
 	case 10:
 		c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{r.IntN(testPartitions), r.IntN(testPartitions)}})
 	case 11:
-		// Appends come in each other's way, so that many go into one.
+		// Appends delay each other, which causes large batches.
 		c.Store.Set(metastore.Fault{AppendTime: time.Duration(50+r.IntN(250)) * time.Millisecond})
 	case 12:
 		c.Store.Set(metastore.Fault{
--- a/internal/conversation/record.go
+++ b/internal/conversation/record.go
@@ -8,14 +8,13 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// topic holds a record for each turn, under its id.
+// topic holds one record per turn, keyed by the turn's ID.
 const topic = platform.KeyedPrefix + "turns"
 
 // recordVersion is the first byte of a record's value.
 const recordVersion = 1
 
-// recordHandle encodes turns as CBOR arrays, about a tenth smaller than JSON
-// and without its escapes.
+// recordHandle encodes turns as CBOR arrays, which are more compact than JSON.
 var recordHandle = newRecordHandle()
 
 func newRecordHandle() *codec.CborHandle {
@@ -24,7 +23,7 @@
 	return h
 }
 
-// encodeTurn makes the record of a turn.
+// encodeTurn encodes a turn as a record.
 func encodeTurn(turn structs.KeptTurn) (platform.Record, error) {
 	value := []byte{recordVersion}
 	var body []byte
@@ -34,8 +33,8 @@
 	return platform.Record{Key: turn.ID, Value: append(value, body...)}, nil
 }
 
-// decodeTurn reads the record of a turn. An error means that it is not one of
-// this version.
+// decodeTurn decodes the record of a turn. It fails for records of another
+// version.
 func decodeTurn(record platform.Record) (structs.KeptTurn, error) {
 	var turn structs.KeptTurn
 	if len(record.Value) == 0 || record.Value[0] != recordVersion {
@@ -45,7 +44,7 @@
 		return turn, errors.Wrapf(err, "decode turn %s", record.Key)
 	}
 	if turn.ID != record.Key {
-		return turn, errors.Newf("record of turn %s names turn %s", record.Key, turn.ID)
+		return turn, errors.Newf("record of turn %s contains turn %s", record.Key, turn.ID)
 	}
 	return turn, nil
 }
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -10,9 +10,9 @@
 	"github.com/banyanglade/banyanglade/internal/standin/metastore"
 )
 
-// A slow store, whose partitions take one append every 120 ms, keeps 600 turns
-// a second, whatever the number of instances: the number of appends follows
-// what the store takes.
+// A slow store, whose partitions take one append every 120 ms, stores 600 turns
+// a second with any number of instances: batching limits the appends to what
+// the store handles.
 func TestSlowStoreStoresAllTurns(t *testing.T) {
 	for _, machines := range []int{3, 61, 300} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Where a slow store's answers are long on their way, turns do not wait for the
-// answer before theirs as well.
+// When a slow store's responses are delayed in transit, turns do not wait for
+// the response to the previous append.
 func TestDelayedResponsesDoNotBlockAppends(t *testing.T) {
 	runClusterOf(t, 61, 24, func(t *testing.T, c *cluster) {
 		c.generateLoad(250, 2*time.Second)
@@ -49,8 +49,8 @@
 	})
 }
 
-// What waits for a silent store ends soon after its return, which one instance
-// finds out for all, and the tries meanwhile are few.
+// Turns that wait for an unresponsive store end soon after it recovers. One
+// instance detects the recovery for all, with few appends meanwhile.
 func TestStoreRecoveryIsBroadcast(t *testing.T) {
 	runClusterOf(t, 61, 24, func(t *testing.T, c *cluster) {
 		c.generateLoad(600, time.Second)
@@ -79,8 +79,8 @@
 	})
 }
 
-// generateLoad keeps turns at a rate for a time and returns how long the slowest took,
-// and each on average.
+// generateLoad stores turns at a constant rate and returns their longest and
+// mean latency.
 func (c *cluster) generateLoad(perSecond int, length time.Duration) (longest, mean time.Duration) {
 	var work sync.WaitGroup
 	var mu sync.Mutex
@@ -104,8 +104,8 @@
 	return longest, sum / time.Duration(turns)
 }
 
-// A turn that has asked all others while the store refused everyone is kept once
-// it serves the others, though it still refuses this instance.
+// A turn that tried all helpers while the store refused everyone is stored once
+// the store serves the helpers, although it still refuses this instance.
 func TestHelpersAreRetriedAfterOutage(t *testing.T) {
 	runClusterOf(t, 3, 4, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// unavailableTime is how long a partition that took no append is tried last.
+	// unavailableTime is how long a partition that failed an append is tried
+	// after the others.
 	unavailableTime = time.Second
-	// helperRetryInterval is the time after which instances may be asked again that were
-	// asked to append a turn: the store may serve them by then.
+	// helperRetryInterval is the minimum time before the instances that were
+	// asked to append a turn may be asked again.
 	helperRetryInterval = time.Second
-	// maxPartitionsPerRound bounds the partitions of one round of tries.
+	// maxPartitionsPerRound bounds the partitions tried in one round.
 	maxPartitionsPerRound = 2
 )
 
-// StoreTurn makes a turn durable. It returns once the store holds the turn, or with
-// the error of the context; the store may then still get it.
+// StoreTurn makes a turn durable. It returns once the store holds the turn, or
+// with the context's error, in which case the store may still receive it.
 func (m *Manager) StoreTurn(ctx context.Context, program string, turn serve.EndedTurn) error {
 	home := m.partitionOf(program)
 	w := &turnWrite{manager: m, home: home, turn: structs.KeptTurn{
@@ -46,25 +47,26 @@
 	return nil
 }
 
-// missingFrom lists the turns of a conversation that a partition does not hold yet,
-// since they are another program's or were kept while it was away.
+// missingFrom lists the turns up to the given one that a partition does not
+// hold, because they belong to another program or were stored elsewhere while
+// the partition was unavailable.
 func (m *Manager) missingFrom(p *partition, turn string) []structs.KeptTurn {
 	if turn == "" {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// The turn was named in time; its retention may have ended since.
+	// The retention of the turn may have ended since the request was accepted.
 	entries, ok := m.memory.chain(turn)
 	if !ok {
-		m.log.Error("conversation went from memory while its turn ran", "turn", turn, "partition", p.number)
+		m.log.Error("conversation was removed from memory while its turn ran", "turn", turn, "partition", p.number)
 	}
 	return missingTurns(entries, p.number, time.Now())
 }
 
-// missingTurns lists the turns of a conversation that a partition may lack. A turn is
-// kept there for its retention, and as long as it has any that continues it
-// there; the index of the partition may have dropped it after that.
+// missingTurns lists the turns of a conversation that a partition may lack. A
+// partition holds a turn for its retention, and longer while a later turn in
+// the same partition continues it; after that the indexer may have dropped it.
 func missingTurns(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
 	var turns []structs.KeptTurn
 	continued := false
@@ -79,26 +81,25 @@
 	return turns
 }
 
-// turnWrite is a turn on its way to the store.
+// turnWrite is a turn being written to the store.
 type turnWrite struct {
 	manager *Manager
-	// home is the partition of the turn's program.
-	home *partition
-	turn structs.KeptTurn
+	home    *partition
+	turn    structs.KeptTurn
 
-	// partition is where the turn is written now, with turns and records: the
-	// turn and those before it that the partition lacks.
+	// partition is the partition being tried. turns holds the turn and its
+	// predecessors that the partition lacks, records their encoding.
 	partition *partition
 	turns     []structs.KeptTurn
 	records   []platform.Record
-	// helpers are the instances that were asked to append them since helpersResetAt.
+	// helpers are the instances asked to append the turns since helpersResetAt.
 	helpers        []structs.InstanceID
 	helpersResetAt time.Time
-	// storedBy is the instance whose append kept the turn.
+	// storedBy is the instance whose append stored the turn.
 	storedBy structs.InstanceID
 }
 
-// persist tries until the store holds the turn or the context ends.
+// persist retries until the store holds the turn or the context ends.
 func (w *turnWrite) persist(ctx context.Context) error {
 	m := w.manager
 	for {
@@ -122,8 +123,8 @@
 	}
 }
 
-// tryPartitions tries the home partition, then another one: the store may serve
-// some partitions and not others.
+// tryPartitions tries the home partition, then another one, since the store may
+// serve only some partitions.
 func (w *turnWrite) tryPartitions(ctx context.Context) error {
 	var failure error
 	for _, p := range w.manager.candidates(w.home) {
@@ -148,9 +149,10 @@
 	return failure
 }
 
-// resetHelpers lets all instances be asked again after the store refused a round, once a
-// second at most. It does not while the store is silent: whoever is asked then
-// would keep the turn waiting behind the store's return.
+// resetHelpers allows all instances to be asked again after the store refused a
+// round, at most once per helperRetryInterval. It does not while the store is
+// unresponsive: requests to helpers would then delay the turn beyond the
+// store's recovery.
 func (w *turnWrite) resetHelpers(failure error) {
 	now := time.Now()
 	if errors.Is(failure, platform.ErrBusy) && now.Sub(w.helpersResetAt) >= helperRetryInterval {
@@ -158,8 +160,9 @@
 	}
 }
 
-// unresponsiveSince tells whether the store has answered nobody since a time, for as
-// long as an append may take: another partition is then no better.
+// unresponsiveSince reports whether the store has not responded to any instance
+// since begun, for at least the append timeout. Trying another partition is
+// then pointless.
 func (m *Manager) unresponsiveSince(begun time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -167,7 +170,8 @@
 	return now.Sub(begun) >= m.path.AppendTimeout(now) && !m.path.RespondedSince(begun)
 }
 
-// prepare prepares the turn to be written to a partition.
+// prepare selects the partition to write to and encodes the turns that it
+// lacks.
 func (w *turnWrite) prepare(p *partition) error {
 	w.partition = p
 	w.turns = append(w.manager.missingFrom(p, w.turn.Previous), w.turn)
@@ -176,8 +180,8 @@
 	return err
 }
 
-// candidates are the partitions to try for a turn: its home, unless that was
-// away a moment ago, and one more.
+// candidates returns the partitions to try for a turn, the home partition first
+// unless it was recently unavailable.
 func (m *Manager) candidates(home *partition) []*partition {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,8 +199,7 @@
 	return all[:min(len(all), maxPartitionsPerRound)]
 }
 
-// markUnavailable notes that neither this instance nor another could append to a
-// partition.
+// markUnavailable records that no instance could append to a partition.
 func (m *Manager) markUnavailable(p *partition) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/standin/metastore"
 )
 
-// A third of the instances may be refused by the store while it serves the
-// others: their turns are written and read through these.
+// The store may refuse some instances while it serves others; their turns are
+// then stored and looked up through other instances.
 func TestInstanceThatTheStoreRefusesKeepsTurnsThroughOthers(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		refused := c.indexer("p")
@@ -22,7 +22,7 @@
 		if took := time.Since(began); took > 50*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
-		// While others make its appends it hardly tries by itself.
+		// While others append for it, the instance makes few attempts itself.
 		before := c.Store.Calls()
 		for range 20 {
 			last = c.mustTurn(refused, "p", last)
@@ -35,7 +35,8 @@
 	})
 }
 
-// An instance whose link to the store is silent notices it once.
+// An instance whose link to the store is unresponsive detects it once, and
+// detects the recovery.
 func TestInstanceWithUnresponsiveStoreLinkAppendsThroughOthers(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
@@ -61,8 +62,8 @@
 	})
 }
 
-// A turn is not acknowledged while the store does not hold it, however many
-// instances have it.
+// A turn is not acknowledged before the store holds it, even if instances have
+// it in memory.
 func TestTurnDoesNotEndBeforeItIsDurable(t *testing.T) {
 	for name, fault := range map[string]metastore.Fault{
 		"refused": {Status: 503}, "silent": {Silent: true}, "reset": {Reset: true},
@@ -76,8 +77,8 @@
 	}
 }
 
-// The answers that wait for the store end soon after its return, and all of
-// them together cost few calls meanwhile.
+// Waiting turns end soon after the store recovers, and together they make few
+// calls meanwhile.
 func TestWaitingTurnsEndWhenStoreRecovers(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		const waiting = 40
@@ -105,8 +106,8 @@
 	})
 }
 
-// No turn is begun that a full store would not take; one a second finds out
-// whether it still is full. While it is away for another reason turns begin.
+// While the store is full no turn is accepted, except for one per second that
+// probes it. Other outages do not reject turns at once.
 func TestTurnsAreNotAcceptedWhileTheStoreIsFull(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
@@ -128,8 +129,8 @@
 	})
 }
 
-// The store may serve some partitions only; turns go to others meanwhile, with
-// all before them.
+// The store may serve only some partitions. Turns are then stored in others,
+// together with their predecessors.
 func TestTurnGoesToAnotherPartitionWhileItsOwnIsAway(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 3)
@@ -143,8 +144,8 @@
 	})
 }
 
-// Once the store has been away for longer than callers wait, turns are no longer
-// begun, but for one now and then that finds out.
+// During an outage longer than callers wait, no turn is accepted except for
+// occasional probes.
 func TestTurnsAreNotAcceptedInALongOutage(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
--- a/internal/conversation/sweep.go
+++ b/internal/conversation/sweep.go
@@ -7,30 +7,29 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// trimTimeout bounds a call that drops history.
+// trimTimeout bounds a call that trims history.
 const trimTimeout = 700 * time.Millisecond
 
 const (
-	// sweepInterval is the time between two searches for turns that can no
-	// longer be named; they may stay that much longer.
+	// sweepInterval is the time between two sweeps for expired turns.
 	sweepInterval = 10 * time.Second
-	// dropMargin is how long a turn is kept beyond its retention. A turn that
-	// names it just in time may run for a route's timeout, its record may reach
-	// the store some seconds late, and clocks of instances may differ by some.
+	// dropMargin is how long a turn is stored beyond its retention. It covers
+	// the run time of a turn that continues it at the last moment, the delay
+	// until that turn is stored, and clock differences between instances.
 	dropMargin = time.Minute
-	// firstReadDelay is when an index reads a partition that nobody asked for,
-	// to drop what earlier instances left there: soon after a start others ask
-	// anyway.
+	// firstReadDelay is the time after a start at which an indexer reads
+	// partitions that no lookup has read, to drop turns that earlier instances
+	// left there.
 	firstReadDelay = time.Minute
 	// maxDropBatch bounds the records of one append.
 	maxDropBatch = 500
-	// trimBytes is how much of a partition's history is kept beside the newest
-	// records: the store counts it towards its limits.
+	// trimBytes is the size of a partition's history that triggers a trim.
+	// History counts towards the store's limits.
 	trimBytes = 8 << 20
 )
 
-// sweep drops turns that can no longer be named from memory and, from the
-// partitions that this instance indexes, from the store.
+// sweep drops expired turns from memory and, for the partitions that this
+// instance indexes, from the store.
 func (m *Manager) sweep(ctx context.Context) {
 	for _, p := range m.partitions {
 		if m.indexer(p, nil) == m.self.ID {
@@ -46,7 +45,8 @@
 	m.metrics.turns.Update(float64(len(m.memory.turns)))
 }
 
-// dropExpired drops a partition's expired turns and its history from the store.
+// dropExpired drops a partition's expired turns from the store and trims its
+// history.
 func (m *Manager) dropExpired(ctx context.Context, p *partition) {
 	m.mu.Lock()
 	unread := !p.read && time.Since(m.started) > firstReadDelay
@@ -55,9 +55,10 @@
 	if !due {
 		return
 	}
-	// Turns that others kept may continue what seems to have expired.
+	// Turns stored by other instances may continue those that seem to have
+	// expired.
 	if err := m.catchUp(ctx, p); err != nil {
-		return // logged; the next sweep tries again
+		return // logged; the next sweep retries
 	}
 	m.mu.Lock()
 	expired := m.expiryRecords(p)
@@ -65,7 +66,7 @@
 	for len(expired) > 0 {
 		n := min(len(expired), maxDropBatch)
 		if err := m.appendBatched(ctx, p, nil, expired[:n]).err; err != nil {
-			m.log.Warn("expired turns not dropped", "partition", p.number, "turns", len(expired), "error", err.Error())
+			m.log.Warn("failed to drop expired turns", "partition", p.number, "turns", len(expired), "error", err.Error())
 			return
 		}
 		m.log.Info("expired turns dropped", "partition", p.number, "turns", n)
@@ -74,8 +75,8 @@
 	m.trim(ctx, p)
 }
 
-// expiryRecords lists the records that drop a partition's expired turns. The mutex
-// is held.
+// expiryRecords returns the records that delete a partition's expired turns.
+// The caller must hold m.mu.
 func (m *Manager) expiryRecords(p *partition) []platform.Record {
 	var records []platform.Record
 	for _, e := range m.memory.expired(time.Now(), dropMargin) {
@@ -86,8 +87,8 @@
 	return records
 }
 
-// trim drops a partition's history once it has grown; the newest record of each
-// key stays.
+// trim drops a partition's history once it exceeds trimBytes. The newest record
+// of each key is retained.
 func (m *Manager) trim(ctx context.Context, p *partition) {
 	m.mu.Lock()
 	before, bytes := p.next, p.bytes
@@ -98,7 +99,7 @@
 	ctx, cancel := context.WithTimeout(ctx, trimTimeout)
 	defer cancel()
 	if err := m.store.Trim(ctx, topic, p.number, before); err != nil {
-		m.log.Warn("history of turns not trimmed", "partition", p.number, "error", err.Error())
+		m.log.Warn("failed to trim the history of turns", "partition", p.number, "error", err.Error())
 		return
 	}
 	m.mu.Lock()
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// A turn that was named in time may end after the retention of the one before
-// it, in another partition.
+// A turn accepted within the retention of its predecessor may end after it, in
+// another partition.
 func TestTurnEndingAfterRetentionIsStoredWithItsHistory(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
@@ -59,7 +59,7 @@
 	})
 }
 
-// programIn finds a program of a partition.
+// programIn returns a program whose home is the given partition.
 func (c *cluster) programIn(part int) string {
 	m := c.running()[0].manager
 	for i := 0; ; i++ {
@@ -69,8 +69,9 @@
 	}
 }
 
-// The beginning of a conversation that goes on in another partition is dropped
-// from its own. A later turn that comes back there must take it along again.
+// A conversation that continues in another partition has its beginning dropped
+// from the first one. A later turn in the first partition must store it there
+// again.
 func TestDroppedBeginningIsWrittenAgain(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		first := c.programIn(0)
