--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -110,8 +110,8 @@
 // slow.
 func (r *attemptRound) hedge(ctx context.Context) {
 	m := r.write.manager
-	if begun, ok := r.inFlight[m.self.ID]; ok {
-		m.notifyHang(begun)
+	if start, ok := r.inFlight[m.self.ID]; ok {
+		m.notifyHang(start)
 	}
 	if m.allowHedge() {
 		r.appendThroughHelper(ctx)
@@ -156,9 +156,9 @@
 func (m *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
 	m.mu.Lock()
-	gathers, failing := m.path.ShouldBatch(p.number, m.pendingAppends(), now), m.path.Failing()
+	batched, failing := m.path.ShouldBatch(p.number, m.pendingAppends(), now), m.path.Failing()
 	m.mu.Unlock()
-	return gathers && (failing || m.indexer(p, nil) != m.self.ID)
+	return batched && (failing || m.indexer(p, nil) != m.self.ID)
 }
 
 func (m *Manager) hedgeDelay() time.Duration {
@@ -196,7 +196,7 @@
 // observeWinner updates the health of the paths to the store after the first
 // successful attempt. Attempts that are still in flight mark their paths as
 // degraded, unless the store itself is slow.
-func (m *Manager) observeWinner(p *partition, winner attemptResult, open map[structs.InstanceID]time.Time) {
+func (m *Manager) observeWinner(p *partition, winner attemptResult, inFlight map[structs.InstanceID]time.Time) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -206,8 +206,8 @@
 	if winner.by != m.self.ID {
 		m.path.Observe(winner.observation(), now)
 	}
-	for id, begun := range open {
-		if !m.path.PathDegraded(winner.observation(), now.Sub(begun)) {
+	for id, start := range inFlight {
+		if !m.path.PathDegraded(winner.observation(), now.Sub(start)) {
 			continue
 		}
 		if id != m.self.ID {
@@ -231,9 +231,9 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	if result.err == nil {
-		answer := m.path.ObserveOwn(result.took, now)
-		result.slow = answer.Slow
-		p.appends.window.Observe(answer, m.path.ShortestSlow())
+		observed := m.path.ObserveOwn(result.took, now)
+		result.slow = observed.Slow
+		p.appends.window.Observe(observed, m.path.ShortestSlow())
 	}
 	switch {
 	case errors.Is(result.err, context.DeadlineExceeded):
@@ -337,10 +337,10 @@
 // appendThrough has another instance append the turns. It returns how long the
 // store took and whether the other instance considers that slow.
 func (w *turnWrite) appendThrough(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
-	answer := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
+	msg := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
 		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
-	if reply, ok := answer.(*structs.KeepReply); ok && reply.Kept {
+	if reply, ok := msg.(*structs.KeepReply); ok && reply.Kept {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -97,7 +97,7 @@
 		sizes = append(sizes, len(records))
 	}
 	if fmt.Sprint(sizes) != "[1 4 4 2]" {
-		t.Errorf("records an append: %v", sizes)
+		t.Errorf("records per append: got %v, want [1 4 4 2]", sizes)
 	}
 }
 
@@ -116,9 +116,9 @@
 	store := new(slowStore)
 	outcome := appendAll(t, store, 0, 10, "bad", "away", "c", "d", "e", "f")
 	if len(store.appends) != 4 {
-		t.Errorf("%d appends", len(store.appends))
+		t.Errorf("got %d appends, want 4", len(store.appends))
 	}
 	if !errors.Is(outcome["f"], platform.ErrBusy) {
-		t.Errorf("the last one got %v", outcome["f"])
+		t.Errorf("last request: got error %v, want ErrBusy", outcome["f"])
 	}
 }
--- a/internal/conversation/cluster_test.go
+++ b/internal/conversation/cluster_test.go
@@ -32,7 +32,7 @@
 	*simnet.Net
 	incarnations simnet.Lives[*node]
 	t            *testing.T
-	partitions int
+	partitions   int
 
 	mu sync.Mutex
 	// ended holds the acknowledged turns by ID, order their IDs in order of
@@ -116,7 +116,7 @@
 			return n
 		}
 	}
-	c.t.Fatalf("instance %s does not live", id)
+	c.t.Fatalf("instance %s is not running", id)
 	return nil
 }
 
@@ -180,7 +180,7 @@
 	c.t.Helper()
 	id, err := c.turn(n, program, previous, 3*time.Second)
 	if err != nil {
-		c.t.Fatalf("turn of %s at %s behind %q: %v", program, n.ID, previous, err)
+		c.t.Fatalf("turn of program %s at %s after turn %q: %v", program, n.ID, previous, err)
 	}
 	return id
 }
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -110,10 +110,10 @@
 	if id == m.self.ID {
 		return m.findLocally(ctx, p, turn)
 	}
-	answer := m.query(ctx, id, func(number uint64) structs.Message {
+	msg := m.query(ctx, id, func(number uint64) structs.Message {
 		return &structs.ConversationRequest{Number: number, Partition: p.number, Turn: turn}
 	})
-	reply, ok := answer.(*structs.ConversationReply)
+	reply, ok := msg.(*structs.ConversationReply)
 	if !ok {
 		return lookupResult{outcome: structs.ConversationUnread}
 	}
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -41,7 +41,7 @@
 		}
 		time.Sleep(2 * simnet.LinkTime) // the last notice is on its way
 		if got, want := c.indexer("p").manager.Dump().Turns, 3+4*3; got != want {
-			t.Errorf("the index holds %d turns, want %d", got, want)
+			t.Errorf("the indexer holds %d turns, want %d", got, want)
 		}
 	})
 }
@@ -89,7 +89,7 @@
 			c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{part}})
 			_, err := c.lookUp(t.Context(), c.running()[0], "p", "nosuchturn")
 			if !errors.Is(err, serve.ErrUncertain) {
-				t.Errorf("partition %d away: got %v", part, err)
+				t.Errorf("partition %d unavailable: got error %v, want ErrUncertain", part, err)
 			}
 		})
 	}
@@ -99,38 +99,38 @@
 func TestReadsContinueToTheEnd(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 2)
-		index := c.indexer("p")
-		c.mustLookUp(index, "p", last)
-		if err := index.manager.catchUp(t.Context(), index.manager.partitionOf("p")); err != nil {
+		indexer := c.indexer("p")
+		c.mustLookUp(indexer, "p", last)
+		if err := indexer.manager.catchUp(t.Context(), indexer.manager.partitionOf("p")); err != nil {
 			t.Fatal(err)
 		}
 		// The indexer receives no notices of the following turns.
-		other := c.others(index)[0]
+		other := c.others(indexer)[0]
 		c.SetCut(other.ID, simnet.Mute)
 		for range 23 {
 			last = c.mustTurn(other, "p", last)
 		}
 		c.SetCut(other.ID, 0)
-		c.mustLookUp(index, "p", last)
+		c.mustLookUp(indexer, "p", last)
 	})
 }
 
 func TestLookupAfterHistoryIsTrimmed(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 3)
-		index := c.indexer("p")
-		p := index.manager.partitionOf("p")
-		if err := index.manager.catchUp(t.Context(), p); err != nil {
+		indexer := c.indexer("p")
+		p := indexer.manager.partitionOf("p")
+		if err := indexer.manager.catchUp(t.Context(), p); err != nil {
 			t.Fatal(err)
 		}
-		other := c.others(index)[0]
+		other := c.others(indexer)[0]
 		c.SetCut(other.ID, simnet.Mute)
 		for range 8 {
 			last = c.mustTurn(other, "p", last)
 		}
 		c.SetCut(other.ID, 0)
 		c.Store.DropHistory(topic, p.number)
-		c.mustLookUp(index, "p", last)
+		c.mustLookUp(indexer, "p", last)
 	})
 }
 
@@ -153,25 +153,25 @@
 // partition as damaged.
 func TestTurnKeptElsewhereIsFoundThere(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
-		index := c.indexer("p")
-		home := index.manager.partitionOf("p")
+		indexer := c.indexer("p")
+		home := indexer.manager.partitionOf("p")
 		other := c.running()[0].manager.partitions[(home.number+1)%testPartitions]
 		c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{home.number}})
-		before := c.mustTurn(c.others(index)[0], "p", "")
-		c.Restart(index.Node)
-		last := c.mustTurn(c.others(index)[0], "p", before)
+		before := c.mustTurn(c.others(indexer)[0], "p", "")
+		c.Restart(indexer.Node)
+		last := c.mustTurn(c.others(indexer)[0], "p", before)
 		c.Store.Set(metastore.Fault{})
 		time.Sleep(2 * simnet.LinkTime)
-		index = c.indexer("p")
-		index.manager.mu.Lock()
-		index.manager.memory.drop(before)
-		e := index.manager.memory.turns[last]
-		index.manager.mu.Unlock()
+		indexer = c.indexer("p")
+		indexer.manager.mu.Lock()
+		indexer.manager.memory.drop(before)
+		e := indexer.manager.memory.turns[last]
+		indexer.manager.mu.Unlock()
 		if e == nil || !e.storedIn(other.number) || e.storedIn(home.number) {
-			t.Fatalf("the index knows of the last turn: %+v", e)
+			t.Fatalf("the indexer has the last turn as %+v, want it in the other partition only", e)
 		}
-		if got := index.manager.findLocally(t.Context(), home, last); got.outcome != structs.ConversationUnknown {
-			t.Errorf("in its own partition: outcome %d", got.outcome)
+		if got := indexer.manager.findLocally(t.Context(), home, last); got.outcome != structs.ConversationUnknown {
+			t.Errorf("lookup in the home partition: got outcome %d, want unknown", got.outcome)
 		}
 		for _, n := range c.running() {
 			c.mustLookUp(n, "p", last)
@@ -212,18 +212,18 @@
 func TestUnresponsiveIndexerIsSkipped(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 1)
-		index := c.indexer("p")
-		asks := c.others(index)
-		for _, n := range asks {
+		indexer := c.indexer("p")
+		others := c.others(indexer)
+		for _, n := range others {
 			n.manager.mu.Lock()
 			n.manager.memory = newMemory()
 			n.manager.mu.Unlock()
 		}
-		c.SetCut(index.ID, simnet.Mute)
-		began := time.Now()
-		c.mustLookUp(asks[0], "p", last)
-		if took := time.Since(began); took > 2*replyTimeout {
-			t.Errorf("took %s", took)
+		c.SetCut(indexer.ID, simnet.Mute)
+		start := time.Now()
+		c.mustLookUp(others[0], "p", last)
+		if took := time.Since(start); took > 2*replyTimeout {
+			t.Errorf("lookup took %s", took)
 		}
 	})
 }
@@ -233,7 +233,7 @@
 	unknown := lookupResult{outcome: structs.ConversationUnknown}
 	unread := lookupResult{outcome: structs.ConversationUnread}
 	for _, tt := range []struct {
-		findings []lookupResult
+		results []lookupResult
 		want     structs.ConversationOutcome
 	}{
 		{[]lookupResult{unknown, unknown}, structs.ConversationUnknown},
@@ -241,8 +241,8 @@
 		{[]lookupResult{unread, found, unknown}, structs.ConversationFound},
 		{[]lookupResult{{}, unknown}, structs.ConversationUnread},
 	} {
-		if got := combineOutcomes(tt.findings); got != tt.want {
-			t.Errorf("%v: got %d, want %d", tt.findings, got, tt.want)
+		if got := combineOutcomes(tt.results); got != tt.want {
+			t.Errorf("%v: got %d, want %d", tt.results, got, tt.want)
 		}
 	}
 }
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -101,7 +101,7 @@
 
 // readNewest reads the newest record of each key, page by page.
 func (m *Manager) readNewest(p *partition) error {
-	begun := time.Now()
+	start := time.Now()
 	after, next, records := "", int64(-1), 0
 	for {
 		page, more, err := m.newestPage(p, after)
@@ -125,7 +125,7 @@
 	m.mu.Unlock()
 	m.metrics.firstReads.Inc(1)
 	m.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
-		"ms", time.Since(begun).Milliseconds())
+		"ms", time.Since(start).Milliseconds())
 	return nil
 }
 
--- a/internal/conversation/query.go
+++ b/internal/conversation/query.go
@@ -87,15 +87,15 @@
 		m.mu.Unlock()
 	}()
 	m.peers.Send(to, make(number))
-	begun := time.Now()
+	start := time.Now()
 	timer := time.NewTimer(timeout())
 	defer timer.Stop()
 	for {
 		select {
-		case answer := <-q.reply:
-			return answer
+		case reply := <-q.reply:
+			return reply
 		case <-timer.C:
-			if left := timeout() - time.Since(begun); left > 0 {
+			if left := timeout() - time.Since(start); left > 0 {
 				timer.Reset(left)
 				continue
 			}
@@ -113,7 +113,7 @@
 func newReplyChan() chan structs.Message { return make(chan structs.Message, 1) }
 
 // deliverReply passes a reply to the query that waits for it.
-func (m *Manager) deliverReply(from structs.InstanceID, number uint64, answer structs.Message) {
+func (m *Manager) deliverReply(from structs.InstanceID, number uint64, reply structs.Message) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	q, ok := m.pending[number]
@@ -121,7 +121,7 @@
 		return
 	}
 	delete(m.pending, number)
-	q.reply <- answer
+	q.reply <- reply
 }
 
 // peerDown fails the pending queries to an unresponsive instance.
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -15,7 +15,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var schedules = flag.Int("schedules", 60, "random schedules to play")
+var schedules = flag.Int("schedules", 60, "number of random schedules to run")
 
 // regressions holds seeds that once failed, each with the cause.
 var regressions = []uint64{}
@@ -103,7 +103,7 @@
 func (c *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
 	_, err := c.lookUp(c.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
 	if !errors.Is(err, serve.ErrNoTurn) && !errors.Is(err, serve.ErrUncertain) {
-		c.t.Errorf("a turn that does not exist: %v", err)
+		c.t.Errorf("lookup of an unknown turn: got error %v, want ErrNoTurn or ErrUncertain", err)
 	}
 }
 
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -26,9 +26,9 @@
 				}
 				c.Store.Set(metastore.Fault{})
 				after, _ := c.generateLoad(600, 2*time.Second)
-				t.Logf("longest: well %s, slow %s, after %s", took, slow, after)
+				t.Logf("longest turn: healthy store %s, slow %s, recovered %s", took, slow, after)
 				if took > 10*time.Millisecond || slow > time.Second {
-					t.Errorf("a turn took %s, %s while the store was slow", took, slow)
+					t.Errorf("longest turn: %s, %s while the store was slow", took, slow)
 				}
 			})
 		})
@@ -42,9 +42,9 @@
 		c.generateLoad(250, 2*time.Second)
 		c.Store.Set(metastore.Fault{Delay: 340 * time.Millisecond, AppendTime: 120 * time.Millisecond})
 		longest, mean := c.generateLoad(250, 5*time.Second)
-		t.Logf("longest %s, mean %s", longest, mean)
+		t.Logf("longest turn %s, mean %s", longest, mean)
 		if longest > 1500*time.Millisecond || mean > 650*time.Millisecond {
-			t.Errorf("longest %s, mean %s", longest, mean)
+			t.Errorf("longest turn %s, mean %s", longest, mean)
 		}
 	})
 }
@@ -62,16 +62,16 @@
 			c.Store.Set(metastore.Fault{})
 			back = time.Now()
 			if calls := c.Store.Calls() - before; calls > 61*20 {
-				t.Errorf("%d calls while the store was silent", calls)
+				t.Errorf("%d calls while the store was unresponsive", calls)
 			}
 		})
 		c.generateLoad(600, 2400*time.Millisecond)
 		if took := time.Since(back); took > 300*time.Millisecond {
-			t.Errorf("the last turn ended %s after the store was back", took)
+			t.Errorf("the last turn ended %s after the store recovered", took)
 		}
 		after := c.Store.Calls()
 		if longest, _ := c.generateLoad(600, time.Second); longest > 50*time.Millisecond {
-			t.Errorf("a turn took %s after the store's return", longest)
+			t.Errorf("a turn took %s after the store recovered", longest)
 		}
 		if calls := c.Store.Calls() - after; calls > 700 {
 			t.Errorf("%d calls for 600 turns", calls)
@@ -92,12 +92,12 @@
 		time.Sleep(time.Second / time.Duration(perSecond))
 		n, program := nodes[r.IntN(len(nodes))], fmt.Sprint("p", r.Uint64())
 		work.Go(func() {
-			begun := time.Now()
+			start := time.Now()
 			c.mustTurn(n, program, "")
 			mu.Lock()
 			defer mu.Unlock()
-			longest = max(longest, time.Since(begun))
-			sum += time.Since(begun)
+			longest = max(longest, time.Since(start))
+			sum += time.Since(start)
 		})
 	}
 	work.Wait()
@@ -115,9 +115,9 @@
 			n.Refused.Store(true)
 			c.Store.Set(metastore.Fault{})
 		})
-		begun := time.Now()
+		start := time.Now()
 		c.turn(n, "p", "", 30*time.Second)
-		if took := time.Since(begun); took > 7*time.Second {
+		if took := time.Since(start); took > 7*time.Second {
 			t.Errorf("the turn took %s", took)
 		}
 	})
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -34,15 +34,15 @@
 	m.mu.Lock()
 	m.hedges.Allow(0)
 	m.mu.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	if err := w.persist(ctx); err != nil {
 		m.metrics.abandoned.Inc(1)
 		return err
 	}
-	m.metrics.storeLatency.RecordDuration(time.Since(begun))
+	m.metrics.storeLatency.RecordDuration(time.Since(start))
 	m.addTurns(w.turns, w.partition.number)
-	if index := m.indexer(home, nil); index != "" && index != m.self.ID && index != w.storedBy {
-		m.peers.Send(index, &structs.TurnsNotice{Partition: w.partition.number, Turns: w.turns})
+	if indexer := m.indexer(home, nil); indexer != "" && indexer != m.self.ID && indexer != w.storedBy {
+		m.peers.Send(indexer, &structs.TurnsNotice{Partition: w.partition.number, Turns: w.turns})
 	}
 	return nil
 }
@@ -131,9 +131,9 @@
 		if err := w.prepare(p); err != nil {
 			return err
 		}
-		begun := time.Now()
-		kept, err := w.runRound(ctx)
-		if kept {
+		start := time.Now()
+		stored, err := w.runRound(ctx)
+		if stored {
 			return nil
 		}
 		w.resetHelpers(err)
@@ -142,7 +142,7 @@
 		}
 		w.manager.markUnavailable(p)
 		failure = errors.Join(failure, err)
-		if w.manager.unresponsiveSince(begun) {
+		if w.manager.unresponsiveSince(start) {
 			break
 		}
 	}
@@ -163,11 +163,11 @@
 // unresponsiveSince reports whether the store has not responded to any instance
 // since begun, for at least the append timeout. Trying another partition is
 // then pointless.
-func (m *Manager) unresponsiveSince(begun time.Time) bool {
+func (m *Manager) unresponsiveSince(start time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	return now.Sub(begun) >= m.path.AppendTimeout(now) && !m.path.RespondedSince(begun)
+	return now.Sub(start) >= m.path.AppendTimeout(now) && !m.path.RespondedSince(start)
 }
 
 // prepare selects the partition to write to and encodes the turns that it
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -17,9 +17,9 @@
 		for range 4 {
 			last = c.mustTurn(refused, "p", last)
 		}
-		began := time.Now()
+		start := time.Now()
 		last = c.mustTurn(refused, "p", last)
-		if took := time.Since(began); took > 50*time.Millisecond {
+		if took := time.Since(start); took > 50*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
 		// While others append for it, the instance makes few attempts itself.
@@ -43,11 +43,11 @@
 		last := c.runTurns("p", "", 3)
 		n.Unheard.Store(true)
 		last = c.mustTurn(n, "p", last)
-		began := time.Now()
+		start := time.Now()
 		for range 8 {
 			last = c.mustTurn(n, "p", last)
 		}
-		if took := time.Since(began) / 8; took > 30*time.Millisecond {
+		if took := time.Since(start) / 8; took > 30*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
 		n.Unheard.Store(false)
@@ -55,7 +55,7 @@
 		last = c.mustTurn(n, "p", last)
 		last = c.mustTurn(n, "p", last)
 		if n.manager.Dump().DirectFailing {
-			t.Error("the instance did not notice that the store hears it again")
+			t.Error("the instance did not detect that its store link recovered")
 		}
 		c.restartAll()
 		c.mustLookUp(c.running()[0], "p", last)
@@ -66,12 +66,12 @@
 // it in memory.
 func TestTurnDoesNotEndBeforeItIsDurable(t *testing.T) {
 	for name, fault := range map[string]metastore.Fault{
-		"refused": {Status: 503}, "silent": {Silent: true}, "reset": {Reset: true},
+		"refused": {Status: 503}, "unresponsive": {Silent: true}, "reset": {Reset: true},
 	} {
 		runCluster(t, 3, func(t *testing.T, c *cluster) {
 			c.Store.Set(fault)
 			if id, err := c.turn(c.running()[0], "p", "", 2*time.Second); err == nil {
-				t.Errorf("%s: turn %s ended", name, id)
+				t.Errorf("%s: turn %s was acknowledged", name, id)
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 		back := time.Now()
 		for range waiting {
 			if took := (<-ended).Sub(back); took > 400*time.Millisecond {
-				t.Errorf("a turn ended %s after the store was back", took)
+				t.Errorf("a turn ended %s after the store recovered", took)
 			}
 		}
 	})
@@ -114,14 +114,14 @@
 		for status, accepted := range map[int]bool{507: false, 503: true} {
 			c.Store.Set(metastore.Fault{Status: status})
 			if _, err := c.turn(n, "p", "", time.Second); err == nil {
-				t.Fatalf("status %d: the turn ended", status)
+				t.Fatalf("status %d: the turn was acknowledged", status)
 			}
 			if got := n.manager.Accepts(3 * time.Second); got != accepted {
-				t.Errorf("status %d: accepts %v", status, got)
+				t.Errorf("status %d: Accepts returned %v", status, got)
 			}
 			time.Sleep(2 * fullProbeInterval)
 			if !n.manager.Accepts(3 * time.Second) {
-				t.Errorf("status %d: nobody finds out whether it is over", status)
+				t.Errorf("status %d: no probe turn is accepted", status)
 			}
 			c.Store.Set(metastore.Fault{})
 			c.mustTurn(n, "p", "")
@@ -151,17 +151,17 @@
 		n := c.running()[0]
 		c.Store.Set(metastore.Fault{Silent: true})
 		if _, err := c.turn(n, "p", "", 9*time.Second); err == nil {
-			t.Fatal("the turn ended")
+			t.Fatal("the turn was acknowledged")
 		}
 		n.manager.Accepts(2 * time.Second)
 		if n.manager.Accepts(2*time.Second) || !n.manager.Accepts(20*time.Second) {
-			t.Error("the time that the caller waits does not decide")
+			t.Error("Accepts does not depend on the time left of the caller")
 		}
 		c.Store.Set(metastore.Fault{})
 		time.Sleep(2 * fullProbeInterval)
 		c.mustTurn(n, "p", "")
 		if !n.manager.Accepts(time.Second) {
-			t.Error("turns are not accepted though the store is back")
+			t.Error("turns are not accepted after the store recovered")
 		}
 	})
 }
@@ -171,16 +171,16 @@
 		n := c.running()[0]
 		c.mustTurn(n, "p", "")
 		if d := n.manager.Dump(); d.Turns != 1 || d.Bytes == 0 || d.OutageDuration != 0 || d.DirectFailing {
-			t.Errorf("in order: %+v", d)
+			t.Errorf("without faults: %+v", d)
 		}
 		c.Store.Set(metastore.Fault{Status: 503})
 		if _, err := c.turn(n, "p", "", time.Second); err == nil {
-			t.Fatal("the turn ended")
+			t.Fatal("the turn was acknowledged")
 		}
 		d := n.manager.Dump()
 		away := d.Partitions[n.manager.partitionOf("p").number].Unavailable
 		if d.OutageDuration == 0 || !d.DirectFailing || !away {
-			t.Errorf("with the store away: %+v", d)
+			t.Errorf("during an outage: %+v", d)
 		}
 	})
 }
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -22,18 +22,18 @@
 		c.restartAll()
 		c.mustLookUp(c.running()[0], "q", long)
 		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
-			t.Errorf("a turn long past its retention: %v", err)
+			t.Errorf("lookup of an expired turn: got error %v, want ErrNoTurn", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
 		for _, n := range c.running() {
 			if got := n.manager.Dump().Turns; got != 0 {
-				t.Errorf("%s holds %d turns past their retention", n.ID, got)
+				t.Errorf("%s holds %d expired turns", n.ID, got)
 			}
 		}
 		for part := range testPartitions {
 			list, err := c.Store.Newest(t.Context(), topic, part)
 			if err != nil || len(list.Records) > 0 {
-				t.Errorf("partition %d holds %d turns past their retention, %v", part, len(list.Records), err)
+				t.Errorf("partition %d holds %d expired turns; error %v", part, len(list.Records), err)
 			}
 		}
 	})
@@ -54,7 +54,7 @@
 		}
 		list, err := c.Store.Newest(t.Context(), topic, 1)
 		if err != nil || len(list.Records) != 2 {
-			t.Errorf("its partition holds %d turns, %v", len(list.Records), err)
+			t.Errorf("partition 1 holds %d turns, want 2; error %v", len(list.Records), err)
 		}
 	})
 }
@@ -75,12 +75,12 @@
 func TestDroppedBeginningIsWrittenAgain(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		first := c.programIn(0)
-		index := c.indexer(first)
+		indexer := c.indexer(first)
 		second := first
-		for part := 1; c.indexer(second) == index; part++ {
+		for part := 1; c.indexer(second) == indexer; part++ {
 			second = c.programIn(part)
 		}
-		writer := c.others(index, c.indexer(second))[0]
+		writer := c.others(indexer, c.indexer(second))[0]
 		last := c.mustTurn(writer, first, "")
 		for range 10 {
 			time.Sleep(testRetention / 2)
@@ -88,7 +88,7 @@
 		}
 		list, err := c.Store.Newest(t.Context(), topic, 0)
 		if err != nil || len(list.Records) > 0 {
-			t.Fatalf("the beginning was not dropped: %d records, %v", len(list.Records), err)
+			t.Fatalf("the beginning was not dropped: %d records, error %v", len(list.Records), err)
 		}
 		last = c.mustTurn(writer, first, last)
 		c.restartAll()
