--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds what an instance knows of one request of a caller and of
-// a target's answer to it, in the project's own terms.
+// Package call defines callers' requests and targets' responses independently of
+// the headers that encode them.
 package call
 
 import (
@@ -9,92 +9,96 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 )
 
-// Request is a caller's request as the platform's adapter decodes it.
+// Request is a caller's request as decoded by the platform's adapter.
 type Request struct {
-	// ID names one attempt of the caller.
+	// ID identifies one attempt of the caller.
 	ID string
 	// Program and Session are empty for requests outside programs.
 	Program string
 	Session string
-	// Key is the digest of the key that the request carries, zero if it does
-	// not carry exactly one that is well formed.
+	// Key is the digest of the request's key, zero unless the request has
+	// exactly one well-formed key.
 	Key org.Digest
-	// TimeLeft is how long the caller waits, 0 if it did not say.
+	// TimeLeft is how long the caller waits, 0 if unset.
 	TimeLeft time.Duration
-	// ProgramTimeLeft is the time until the program should be finished, 0 if
-	// unknown.
+	// ProgramTimeLeft is the time until the program's deadline, 0 if unset.
 	ProgramTimeLeft time.Duration
-	// ProgramExpired tells that the program's time is over.
+	// ProgramExpired reports whether the program's deadline has passed.
 	ProgramExpired bool
-	// AffinityKey names the object that the request is about.
+	// AffinityKey identifies the object that the request refers to.
 	AffinityKey string
 	// Turn is set for a turn of a program.
 	Turn *Turn
-	// PreviousTurn is the id of the request whose turn this one continues,
+	// PreviousTurn is the ID of the request whose turn this one continues,
 	// empty at the start of a conversation.
 	PreviousTurn string
-	// LastEvent is the id of the last event that the caller has of a stream
-	// that it resumes, empty if it starts one.
+	// LastEvent is the ID of the last event that the caller received of the
+	// stream that it resumes, empty for a new stream.
 	LastEvent string
 }
 
-// Turn is what a program's turn says of its tokens.
+// Turn holds the token counts of a program's turn.
 type Turn struct {
-	// Budget is the number of tokens that all turns of the program may
-	// generate.
+	// Budget is the maximum number of tokens that all turns of the program
+	// together may generate.
 	Budget int
-	// MaxTokens is the most that this turn generates.
+	// MaxTokens is the maximum number of tokens that this turn generates.
 	MaxTokens int
-	// PromptTokens is the length of the prompt.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
 }
 
-// SendOptions is what an instance adds to a request that it passes on.
+// SendOptions holds what an instance adds to a request sent to a target.
 type SendOptions struct {
-	// Target is the id of the target that must run it; any other refuses.
+	// Target is the ID of the target that must run the request. Other targets
+	// refuse it.
 	Target string
-	// TimeLeft is the time until the work is of no use any more.
+	// TimeLeft is the time until the response is no longer needed.
 	TimeLeft time.Duration
-	// Organisation holds the request's key, empty if it has none.
+	// Organisation is the organisation of the request's key, empty without a
+	// key.
 	Organisation string
-	// ResumeAfter is the id of the last event received so far, empty to keep
-	// what the caller sent.
+	// ResumeAfter is the ID of the last event received so far, empty to leave
+	// the caller's value in place.
 	ResumeAfter string
 }
 
-// Response is what the head of a target's answer says besides its status.
+// Response holds what the header of a target's response states besides the
+// status.
 type Response struct {
-	// RequestID is the request that it answers, empty if it does not say.
+	// RequestID is the ID of the request that was answered, empty if unset.
 	RequestID string
-	// Signed tells that it is the work of a target.
+	// Signed reports whether the response carries a target's signature, which
+	// tells it from the response of an intermediary.
 	Signed bool
-	// NotRun tells that the target states that it did not run the request.
+	// NotRun reports whether the target states that it did not run the request.
 	NotRun bool
 	// Load is set if the target reported its load.
 	Load *Load
-	// KeepAlive is how long the target keeps the connection idle, 0 if it did
-	// not say.
+	// KeepAlive is how long the target keeps an idle connection open, 0 if
+	// unset.
 	KeepAlive time.Duration
 }
 
-// Load is the state of a target as it reports it.
+// Load is the load that a target reports.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Pace is how long work takes at the target now, in percent of the usual; 0
-	// if it does not say.
+	// Pace is the current run time of work at the target in percent of the
+	// typical run time, 0 if unset.
 	Pace int
 }
 
 // Codec translates between HTTP headers and the types of this package. The
 // platform's adapter implements it.
 type Codec interface {
-	// Request decodes the header of a caller's request. The error says which
-	// field is malformed.
+	// Request decodes the header of a caller's request. The error names the
+	// malformed field.
 	Request(header http.Header) (Request, error)
-	// Outgoing makes the header of a request to a target from the caller's.
-	Outgoing(header http.Header, send SendOptions) http.Header
-	// Answer decodes the head of a target's answer.
+	// Outgoing returns the header of a request to a target, based on the
+	// caller's header.
+	Outgoing(header http.Header, options SendOptions) http.Header
+	// Answer decodes the header of a target's response.
 	Answer(status int, header http.Header) Response
 }
--- a/internal/wire/engine.go
+++ b/internal/wire/engine.go
@@ -1,17 +1,17 @@
 package wire
 
-// Routes of a model engine (one target of a service of kind "engine").
+// Routes of a model engine, a target of a service of kind "engine".
 //
 //	POST /v1/chat/completions          ChatRequest -> ChatReply, or SSE of ChatChunk
 //	GET  /v1/streams/{id}?from=N       resumes the SSE of stream id at token N
-//	POST /v1/streams/{id}/cancel       stops the stream; 200 when it is stopped or unknown
-//	GET  /v1/load                      -> EngineLoad (lags)
-//	GET  /v1/cache/events?from=N       -> CacheEvents (late, with gaps and duplicates)
+//	POST /v1/streams/{id}/cancel       stops the stream; 200 if it is stopped or unknown
+//	GET  /v1/load                      -> EngineLoad (delayed)
+//	GET  /v1/cache/events?from=N       -> CacheEvents (delayed, with gaps and duplicates)
 //	POST /v1/cache/release             CacheRelease -> CacheReleaseReply
 //	GET  /v1/cache                     -> CacheState
 //	POST /v1/cache/export              CacheExport -> CacheBlob
 //	POST /v1/cache/import              CacheBlob -> CacheReleaseReply
-//	POST /v1/orders                    Order -> OrderReply; 409 for an old fencing number where checked
+//	POST /v1/orders                    Order -> OrderReply; 409 for a stale fencing number, if checked
 //	GET  /v1/orders                    -> OrderState
 const (
 	ChatRoute         = "/v1/chat/completions"
@@ -25,20 +25,20 @@
 	OrdersRoute       = "/v1/orders"
 )
 
-// Headers towards targets.
+// Headers of requests to targets.
 const (
-	// HeaderStream names the stream of a chat completion, chosen by the
-	// caller of the engine; a resume or cancel refers to it.
+	// HeaderStream is the ID of a chat completion's stream, chosen by the
+	// client. Resume and cancel requests refer to it.
 	HeaderStream = "X-Stream-Id"
-	// HeaderProgram names the program whose prefix cache a request extends.
+	// HeaderProgram is the program whose prefix cache a request extends.
 	HeaderProgram = "X-Program-Id"
-	// HeaderFencing carries the fencing number of an order or a call.
+	// HeaderFencing is the fencing number of an order or a call.
 	HeaderFencing = "X-Fencing"
-	// HeaderIdempotencyKey is the usual idempotency header.
+	// HeaderIdempotencyKey is the standard idempotency header.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// ChatMessage is one message of the usual chat completions protocol.
+// ChatMessage is one message of the chat completions protocol.
 type ChatMessage struct {
 	Role       string  `json:"role"`
 	Content    string  `json:"content"`
@@ -47,7 +47,7 @@
 	ToolCalls  RawJSON `json:"tool_calls,omitempty"`
 }
 
-// ChatRequest is the body of a chat completion.
+// ChatRequest is the request body of a chat completion.
 type ChatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []ChatMessage `json:"messages"`
@@ -72,7 +72,7 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// ChatReply is the whole answer of a completion that is not streamed.
+// ChatReply is the response body of a completion that is not streamed.
 type ChatReply struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -83,8 +83,9 @@
 }
 
 // ChatChunk is one server-sent event of a streamed completion: "data: {json}".
-// Each chunk carries one token; Index counts tokens from 0, so that a resume
-// is exact. The last chunk has a finish reason and Usage; then "data: [DONE]".
+// Each chunk carries one token. Index counts tokens from 0, so that a stream can
+// be resumed without gaps or duplicates. The last chunk has a finish reason and
+// Usage and is followed by "data: [DONE]".
 type ChatChunk struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -95,7 +96,7 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// EngineLoad is an engine's load report. It lags.
+// EngineLoad is an engine's load report. It may be outdated.
 type EngineLoad struct {
 	Running       int   `json:"running"`
 	Waiting       int   `json:"waiting"`
@@ -112,8 +113,8 @@
 	CacheEvicted = "evicted"
 )
 
-// CacheEvent tells that a program's cached prefix grew to Tokens, or was
-// evicted down to Tokens (0 when gone). Prefix is the prefix hash key.
+// CacheEvent reports that a program's cached prefix grew to Tokens, or was
+// evicted down to Tokens (0 if none is left).
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Kind     string `json:"kind"`
@@ -121,32 +122,32 @@
 	Tokens   int64  `json:"tokens"`
 }
 
-// CacheEvents is a page of events; Next is the sequence to ask for next. A gap
-// in Sequence is an event that was lost.
+// CacheEvents is a page of events. Next is the sequence number of the next
+// request. A gap in Sequence means that an event was lost.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
 }
 
-// CacheRelease asks an engine to drop what it holds for a program.
+// CacheRelease requests that an engine drop the cache of a program.
 type CacheRelease struct {
 	Program string `json:"program"`
 }
 
-// CacheReleaseReply tells how many tokens the engine still holds for the
-// program (0: released) .
+// CacheReleaseReply returns the number of tokens still cached for the program,
+// 0 if the cache was released.
 type CacheReleaseReply struct {
 	HeldTokens int64 `json:"held_tokens"`
 }
 
-// CacheState lists what an engine holds, for read-back and for checkers.
+// CacheState lists the cached tokens by program, to verify cache operations.
 type CacheState struct {
 	Capacity int64            `json:"capacity"`
 	Used     int64            `json:"used"`
 	Programs map[string]int64 `json:"programs"`
 }
 
-// CacheExport asks for a program's cache; CacheBlob carries it.
+// CacheExport requests a program's cache as a CacheBlob.
 type CacheExport struct {
 	Program string `json:"program"`
 }
@@ -166,8 +167,9 @@
 	OrderSetRole     = "set_role"
 )
 
-// Order asks an engine for a change of what it serves. Fencing is the holder's
-// fencing number; an engine that checks refuses one lower than it has seen.
+// Order requests a change of what an engine serves. Fencing is the sender's
+// fencing number. An engine that checks it refuses numbers lower than the
+// highest one received.
 type Order struct {
 	Kind    string `json:"kind"`
 	Value   string `json:"value"`
@@ -179,13 +181,13 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// OrderState is an engine's present state under orders, for read-back.
+// OrderState is the current result of an engine's orders, to verify them.
 type OrderState struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter"`
 	Version string `json:"version"`
 	Role    string `json:"role"`
 	Fencing uint64 `json:"fencing"`
-	// ChecksFencing tells whether the engine refuses old fencing numbers.
+	// ChecksFencing reports whether the engine refuses stale fencing numbers.
 	ChecksFencing bool `json:"checks_fencing"`
 }
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -8,11 +8,11 @@
 //	GET  /v1/streams/{stream}/records?from=&max=&wait_ms=   -> ReadReply
 //	GET  /v1/streams/{stream}                    -> StreamInfo
 //
-// Offsets start at 0 and grow by one a record. An append is atomic: its
-// records take consecutive offsets. Nothing is conditional. A reply may be
-// lost after the append took effect. Overload is status 429, an outage is
-// status 503 or a connection failure. A read below the first retained offset
-// is status 410 with a StreamInfo body.
+// Offsets start at 0 and increase by one per record. An append is atomic: its
+// records have consecutive offsets. Appends are unconditional, and a response
+// may be lost after the append took effect. Status 429 means overload; status
+// 503 or a connection failure means an outage. A read below the first retained
+// offset fails with status 410 and a StreamInfo body.
 const (
 	LogStreamsRoute   = "/v1/streams"
 	LogRecordsSegment = "records"
@@ -23,7 +23,7 @@
 	Records [][]byte `json:"records"`
 }
 
-// AppendReply gives the offset of the first record appended.
+// AppendReply contains the offset of the first record appended.
 type AppendReply struct {
 	First uint64 `json:"first"`
 }
@@ -31,21 +31,21 @@
 // LogRecord is one stored record.
 type LogRecord struct {
 	Offset uint64 `json:"offset"`
-	// TimeMS is the log's own wall clock at the append, in Unix milliseconds.
+	// TimeMS is the time of the append by the log's clock, in Unix milliseconds.
 	TimeMS int64  `json:"time_ms"`
 	Data   []byte `json:"data"`
 }
 
-// ReadReply carries records in offset order. Next is the offset after the
-// last record returned, or the requested offset if there is none. End is the
-// offset that the next append will take.
+// ReadReply contains records in offset order. Next is the offset after the last
+// record returned, or the requested offset if there are none. End is the offset
+// of the next append.
 type ReadReply struct {
 	Records []LogRecord `json:"records"`
 	Next    uint64      `json:"next"`
 	End     uint64      `json:"end"`
 }
 
-// StreamInfo gives the retained range [First, End) of a stream.
+// StreamInfo is the retained offset range [First, End) of a stream.
 type StreamInfo struct {
 	First uint64 `json:"first"`
 	End   uint64 `json:"end"`
@@ -55,10 +55,11 @@
 //
 //	GET /v1/members -> MemberList
 //
-// The reply has an ETag; with If-None-Match an unchanged list is status 304.
+// The response has an ETag. With If-None-Match, an unchanged list results in
+// status 304.
 const MembersRoute = "/v1/members"
 
-// MemberList is the membership list as the platform shows it. It lags.
+// MemberList is the platform's membership list. It may be outdated.
 type MemberList struct {
 	Version uint64   `json:"version"`
 	Members []Member `json:"members"`
@@ -72,7 +73,7 @@
 	MemberStateLeaving = "leaving"
 )
 
-// Member is one process the platform runs: an instance of banyanglade or a
+// Member is a process run by the platform: an instance of banyanglade or a
 // target of a service.
 type Member struct {
 	ID         string `json:"id"`
@@ -87,31 +88,31 @@
 	Service string `json:"service,omitempty"`
 }
 
-// Control routes, offered by the stand-ins only, for tests: the platform's
-// faults. POST /standin/faults sets LogFaults or MemberFaults.
+// StandinFaultsRoute injects faults. Only the stand-ins have it, for tests:
+// POST /standin/faults sets LogFaults or MemberFaults.
 const StandinFaultsRoute = "/standin/faults"
 
 // LogFaults is the fault state of the stand-in log service.
 type LogFaults struct {
 	// Down refuses every request with status 503.
 	Down bool `json:"down"`
-	// DropAppendReplies closes the connection of the next N appends after
+	// DropAppendReplies closes the connections of the next N appends after
 	// they took effect.
 	DropAppendReplies int `json:"drop_append_replies"`
-	// DropAppends closes the connection of the next N appends before they
+	// DropAppends closes the connections of the next N appends before they
 	// take effect.
 	DropAppends int `json:"drop_appends"`
 	// DelayMS delays each request.
 	DelayMS int `json:"delay_ms"`
-	// Stream limits DropAppendReplies and DropAppends to one stream; empty
-	// means all.
+	// Stream limits DropAppendReplies and DropAppends to one stream, all
+	// streams if empty.
 	Stream string `json:"stream,omitempty"`
 }
 
 // MemberFaults is the fault state of the stand-in membership list.
 type MemberFaults struct {
 	Down bool `json:"down"`
-	// LagMS is the age of the list shown.
+	// LagMS is the age of the returned list in milliseconds.
 	LagMS int `json:"lag_ms"`
 }
 
