--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -69,7 +69,7 @@
 	// RequestID is the ID of the request that was answered, empty if unset.
 	RequestID string
 	// Signed reports whether the response carries a target's signature, which
-	// tells it from the response of an intermediary.
+	// distinguishes it from the response of an intermediary.
 	Signed bool
 	// NotRun reports whether the target states that it did not run the request.
 	NotRun bool
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -96,8 +96,8 @@
 // startAppends starts appends for the waiting requests, up to the window's
 // size. The caller must hold m.mu.
 func (m *Manager) startAppends(p *partition) {
-	l := &p.appends
-	for len(l.inFlight) < l.window.Size() && !m.stopped {
+	q := &p.appends
+	for len(q.inFlight) < q.window.Size() && !m.stopped {
 		batch := m.nextBatch(p)
 		if len(batch) == 0 {
 			return
@@ -105,7 +105,7 @@
 		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
 		ctx, a.cancel = context.WithCancelCause(m.ctx)
-		l.inFlight = append(l.inFlight, a)
+		q.inFlight = append(q.inFlight, a)
 		m.spawn(func() { m.runAppend(ctx, p, a, batch) })
 	}
 }
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -234,7 +234,7 @@
 	unread := lookupResult{outcome: structs.ConversationUnread}
 	for _, tt := range []struct {
 		results []lookupResult
-		want     structs.ConversationOutcome
+		want    structs.ConversationOutcome
 	}{
 		{[]lookupResult{unknown, unknown}, structs.ConversationUnknown},
 		{[]lookupResult{unknown, unread}, structs.ConversationUnread},
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -113,9 +113,9 @@
 	case err != nil:
 		o.retryDelay = min(2*o.retryDelay, maxRetryDelay)
 	case failing:
-		whole := o.storeWide
+		storeWide := o.storeWide
 		m.endOutage()
-		if whole {
+		if storeWide {
 			m.notifyRecovery()
 		}
 	}
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -22,7 +22,7 @@
 				before := c.Store.Calls()
 				slow, _ := c.generateLoad(600, 4*time.Second)
 				if calls := c.Store.Calls() - before; calls > 24*(4000+1000)/120 {
-					t.Errorf("%d calls", calls)
+					t.Errorf("%d calls to the slow store", calls)
 				}
 				c.Store.Set(metastore.Fault{})
 				after, _ := c.generateLoad(600, 2*time.Second)
@@ -56,17 +56,17 @@
 		c.generateLoad(600, time.Second)
 		c.Store.Set(metastore.Fault{Silent: true})
 		before := c.Store.Calls()
-		var back time.Time
+		var recovered time.Time
 		c.Work.Go(func() {
 			time.Sleep(2500 * time.Millisecond)
 			c.Store.Set(metastore.Fault{})
-			back = time.Now()
+			recovered = time.Now()
 			if calls := c.Store.Calls() - before; calls > 61*20 {
 				t.Errorf("%d calls while the store was unresponsive", calls)
 			}
 		})
 		c.generateLoad(600, 2400*time.Millisecond)
-		if took := time.Since(back); took > 300*time.Millisecond {
+		if took := time.Since(recovered); took > 300*time.Millisecond {
 			t.Errorf("the last turn ended %s after the store recovered", took)
 		}
 		after := c.Store.Calls()
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -97,9 +97,9 @@
 			t.Errorf("%d calls for %d turns in 1.5 s", calls, waiting)
 		}
 		c.Store.Set(metastore.Fault{})
-		back := time.Now()
+		recovered := time.Now()
 		for range waiting {
-			if took := (<-ended).Sub(back); took > 400*time.Millisecond {
+			if took := (<-ended).Sub(recovered); took > 400*time.Millisecond {
 				t.Errorf("a turn ended %s after the store recovered", took)
 			}
 		}
