--- a/internal/allowance/keeper_test.go
+++ b/internal/allowance/keeper_test.go
@@ -36,7 +36,7 @@
 		id := fmt.Sprint("program", begun)
 		work.Go(func() {
 			for i := range p.requests {
-				entry := serve.Entry{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
+				entry := serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
 				if !w.enter(n, entry) {
 					return
 				}
--- a/internal/allowance/use_test.go
+++ b/internal/allowance/use_test.go
@@ -31,15 +31,15 @@
 		time.Sleep(12 * time.Second)
 		permits := make(map[string]serve.Permit)
 		for _, name := range []string{"usual", "hot"} {
-			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.Entry{Organisation: name, Limit: limit, Version: 1})
+			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1})
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			permits[name], uses[name] = permit, permit.Use()
+			permits[name], uses[name] = permit, permit.Utilization()
 		}
 		// The load has ended, so no answer comes any more.
 		time.Sleep(30 * time.Second)
-		if stale := permits["hot"].Use(); stale != 0 {
+		if stale := permits["hot"].Utilization(); stale != 0 {
 			t.Errorf("a use of %g is told for longer than %s", stale, useLife)
 		}
 		w.Stop()
@@ -61,13 +61,13 @@
 		limit := org.Limit{PerSecond: 10, Burst: 10}
 		before := w.left("o", limit)
 		for range 50 {
-			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.Entry{
+			permit, err := w.all()[0].keeper.Admit(context.Background(), serve.AllowanceRequest{
 				Organisation: "o", Limit: limit, Version: 1, First: true, Program: "p",
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			permit.GiveBack()
+			permit.Release()
 			time.Sleep(20 * time.Millisecond)
 		}
 		after := w.left("o", limit)
--- a/internal/allowance/world_test.go
+++ b/internal/allowance/world_test.go
@@ -45,14 +45,14 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 }
 
 // peers is the transport of a node.
 type peers struct {
 	*simnet.Node
 	world  *world
-	keeper *Keeper
+	keeper *Manager
 }
 
 // Send sends a message; a request for a vote is granted at once in a world whose
@@ -79,7 +79,7 @@
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	link := &peers{Node: sim, world: w}
-	n.keeper = New(Parts{
+	n.keeper = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
 		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
@@ -95,9 +95,9 @@
 func (n *node) receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerDown:
-		n.Directory.SetSilent(e.Peer, true)
+		n.Directory.SetUnresponsive(e.Peer, true)
 	case structs.PeerUp:
-		n.Directory.SetSilent(e.Peer, false)
+		n.Directory.SetUnresponsive(e.Peer, false)
 	case structs.PeerMessage:
 		if _, ok := e.Msg.(*structs.Leaving); ok {
 			n.Directory.SetLeaving(e.From)
@@ -111,11 +111,11 @@
 
 // request asks an instance to let one request in.
 func (w *world) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
-	return w.enter(n, serve.Entry{Organisation: name, Limit: limit, Version: version, First: first})
+	return w.enter(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
 // enter asks an instance to let a request in.
-func (w *world) enter(n *node, entry serve.Entry) bool {
+func (w *world) enter(n *node, entry serve.AllowanceRequest) bool {
 	name := entry.Organisation
 	permit, err := n.keeper.Admit(context.Background(), entry)
 	w.mu.Lock()
@@ -124,7 +124,7 @@
 	case nil:
 		w.let++
 		if w.unused && w.let%3 == 0 {
-			permit.GiveBack()
+			permit.Release()
 			return true
 		}
 		w.admitted[name] = append(w.admitted[name], time.Now())
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/keeper_test.go
@@ -45,7 +45,7 @@
 		work.Go(func() {
 			for {
 				err := w.turn(n, program, testBudget, testMost, used, 50*time.Millisecond)
-				if errors.Is(err, serve.ErrSpent) {
+				if errors.Is(err, serve.ErrBudgetSpent) {
 					return
 				}
 				if err != nil {
@@ -106,8 +106,8 @@
 				break
 			}
 		}
-		if !errors.Is(err, serve.ErrStoreAway) {
-			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
+		if !errors.Is(err, serve.ErrStoreUnavailable) {
+			t.Errorf("got %v, want %v", err, serve.ErrStoreUnavailable)
 		}
 		if got := w.delivered["p"]; got > sliceEnd(testBudget, 1) {
 			t.Errorf("delivered %d tokens without a record, allowed are %d", got, sliceEnd(testBudget, 1))
@@ -236,7 +236,7 @@
 		for _, n := range w.all() {
 			work.Go(func() {
 				for range 30 {
-					if err := w.turn(n, "p", testBudget, testMost, 290, time.Millisecond); errors.Is(err, serve.ErrSpent) {
+					if err := w.turn(n, "p", testBudget, testMost, 290, time.Millisecond); errors.Is(err, serve.ErrBudgetSpent) {
 						return
 					}
 				}
@@ -305,7 +305,7 @@
 		const turns = 20
 		for i := range turns {
 			err := w.turn(w.all()[i%2], "p", testBudget, testMost, 70, 0)
-			if !errors.Is(err, serve.ErrStoreAway) && !errors.Is(err, serve.ErrNoOwner) {
+			if !errors.Is(err, serve.ErrStoreUnavailable) && !errors.Is(err, serve.ErrNoOwner) {
 				t.Fatalf("got %v", err)
 			}
 		}
@@ -361,8 +361,8 @@
 				break
 			}
 		}
-		if !errors.Is(err, serve.ErrStoreAway) {
-			t.Errorf("got %v, want %v", err, serve.ErrStoreAway)
+		if !errors.Is(err, serve.ErrStoreUnavailable) {
+			t.Errorf("got %v, want %v", err, serve.ErrStoreUnavailable)
 		}
 		if took := time.Since(begun); took > 2*storePatience {
 			t.Errorf("the refusal took %s", took)
@@ -383,8 +383,8 @@
 		}
 		first := w.all()[0]
 		runAll(first)
-		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
-		first.keeper.TargetBroke()
+		first.breaks.MergeBreaks([]structs.TargetBreak{{Target: "down"}}, time.Now())
+		first.keeper.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range w.all() {
 			runAll(n)
@@ -462,7 +462,7 @@
 	inWorld(t, 3, func(t *testing.T, w *world) {
 		reserve := func(n *node) serve.Lease {
 			lease, err := n.keeper.Reserve(t.Context(), serve.Turn{
-				Program: "p", Budget: testBudget, Most: testMost, Retention: time.Minute,
+				Program: "p", Budget: testBudget, MaxTokens: testMost, Retention: time.Minute,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -470,31 +470,31 @@
 			return lease
 		}
 		first := reserve(w.all()[0])
-		if got := first.Target(); got != "" {
+		if got := first.LastTarget(); got != "" {
 			t.Errorf("a new program's target is %q", got)
 		}
-		first.Settle(serve.TurnEnd{Used: 10, Target: "engine1"})
+		first.Settle(serve.TurnResult{UsedTokens: 10, Target: "engine1"})
 		owner := w.ownerOf("p")
 		owner.keeper.Leave(t.Context())
 		w.Kill(owner.Node)
 		for _, n := range w.all() {
 			lease := reserve(n)
-			if got := lease.Target(); got != "engine1" {
+			if got := lease.LastTarget(); got != "engine1" {
 				t.Errorf("%s is told %q", n.ID, got)
 			}
-			lease.Settle(serve.TurnEnd{}) // ran nowhere
+			lease.Settle(serve.TurnResult{}) // ran nowhere
 			time.Sleep(2 * simnet.LinkTime)
 		}
 		n := w.all()[0]
-		reserve(n).Settle(serve.TurnEnd{Target: "engine2", Failed: true})
+		reserve(n).Settle(serve.TurnResult{Target: "engine2", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
-		if got := last.Target(); got != "engine1" {
+		if got := last.LastTarget(); got != "engine1" {
 			t.Errorf("after another one's failure: %q", got)
 		}
-		last.Settle(serve.TurnEnd{Target: "engine1", Failed: true})
+		last.Settle(serve.TurnResult{Target: "engine1", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
-		if got := reserve(n).Target(); got != "" {
+		if got := reserve(n).LastTarget(); got != "" {
 			t.Errorf("a target that failed the program is remembered: %q", got)
 		}
 	})
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -34,7 +34,7 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 	breaks breakList
 }
 
@@ -54,14 +54,14 @@
 	return breaks
 }
 
-// Loads, OwnLoads and HearLoads make it a Loads that holds none.
-func (b *breakList) Loads(time.Time) []structs.TargetReport      { return nil }
-func (b *breakList) OwnLoads(time.Time) []structs.TargetReport   { return nil }
-func (b *breakList) PoolReports(time.Time) []structs.PoolReport  { return nil }
-func (b *breakList) HearPools([]structs.PoolReport, time.Time)   {}
-func (b *breakList) HearLoads([]structs.TargetReport, time.Time) {}
+// LoadReports, OwnLoadReports and MergeLoadReports make it a Loads that holds none.
+func (b *breakList) LoadReports(time.Time) []structs.TargetReport       { return nil }
+func (b *breakList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
+func (b *breakList) PoolReports(time.Time) []structs.PoolReport         { return nil }
+func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
+func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) Hear(breaks []structs.TargetBreak, _ time.Time) {
+func (b *breakList) MergeBreaks(breaks []structs.TargetBreak, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, heard := range breaks {
@@ -84,7 +84,7 @@
 // run starts a life of an instance.
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Parts{
+	n.keeper = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
 		Health: sim, Listed: w.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
@@ -112,7 +112,7 @@
 func (w *world) turn(n *node, program string, budget, most, used int, runs time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	lease, err := n.keeper.Reserve(ctx, serve.Turn{Program: program, Budget: budget, Most: most, Retention: time.Minute})
+	lease, err := n.keeper.Reserve(ctx, serve.Turn{Program: program, Budget: budget, MaxTokens: most, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	w.mu.Lock()
 	w.delivered[program] += used
 	w.mu.Unlock()
-	lease.Settle(serve.TurnEnd{Used: used})
+	lease.Settle(serve.TurnResult{UsedTokens: used})
 	return nil
 }
 
--- a/internal/conversation/cluster_test.go
+++ b/internal/conversation/cluster_test.go
@@ -92,9 +92,9 @@
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
-			sim.Directory.SetSilent(e.Peer, true)
+			sim.Directory.SetUnresponsive(e.Peer, true)
 		case structs.PeerUp:
-			sim.Directory.SetSilent(e.Peer, false)
+			sim.Directory.SetUnresponsive(e.Peer, false)
 		}
 		n.manager.Receive(event)
 	}
@@ -144,7 +144,7 @@
 	id := fmt.Sprintf("%016x", uint64(c.made)*0x9e3779b97f4a7c15)
 	c.mu.Unlock()
 	input, output := "in "+id+"\n", "out "+id+"\n"
-	err = n.manager.StoreTurn(ctx, program, serve.EndedTurn{
+	err = n.manager.StoreTurn(ctx, program, serve.CompletedTurn{
 		ID: id, Previous: previous, Input: []byte(input), Output: []byte(output), Retention: testRetention,
 	})
 	if err != nil {
@@ -169,7 +169,7 @@
 	switch {
 	case err == nil && string(got) != want.text && exists:
 		c.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
-	case errors.Is(err, serve.ErrNoTurn) && exists && time.Since(want.at) < testRetention:
+	case errors.Is(err, serve.ErrTurnNotFound) && exists && time.Since(want.at) < testRetention:
 		c.t.Errorf("turn %s of %s, ended %s ago, is unknown at %s", turn, want.program, time.Since(want.at), n.ID)
 	}
 	return string(got), err
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -37,7 +37,7 @@
 }
 
 // History returns the text of a conversation up to and including a turn. It
-// returns serve.ErrNoTurn if the turn does not exist and serve.ErrUncertain if
+// returns serve.ErrTurnNotFound if the turn does not exist and serve.ErrTurnUncertain if
 // that could not be determined.
 func (m *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
 	if text, ok := m.conversationText(turn); ok {
@@ -58,12 +58,12 @@
 	if outcome == structs.ConversationUnknown {
 		m.metrics.unknown.Inc(1)
 		m.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
-		return nil, serve.ErrNoTurn
+		return nil, serve.ErrTurnNotFound
 	}
 	m.metrics.uncertain.Inc(1)
 	m.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
 		"home_outcome", int(found.outcome))
-	return nil, serve.ErrUncertain
+	return nil, serve.ErrTurnUncertain
 }
 
 // conversationText returns the text of a turn and its predecessors if all of
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -74,7 +74,7 @@
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.runTurns("p", "", 4)
 		_, err := c.lookUp(t.Context(), c.running()[0], "p", "nosuchturn")
-		if !errors.Is(err, serve.ErrNoTurn) {
+		if !errors.Is(err, serve.ErrTurnNotFound) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -88,7 +88,7 @@
 			c.runTurns("p", "", 4)
 			c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{part}})
 			_, err := c.lookUp(t.Context(), c.running()[0], "p", "nosuchturn")
-			if !errors.Is(err, serve.ErrUncertain) {
+			if !errors.Is(err, serve.ErrTurnUncertain) {
 				t.Errorf("partition %d unavailable: got error %v, want ErrUncertain", part, err)
 			}
 		})
@@ -201,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := n.manager.History(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrUncertain) {
+		if _, err := n.manager.History(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -264,7 +264,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := n.manager.History(ctx, "p", "x"); !errors.Is(err, serve.ErrUncertain) {
+		if _, err := n.manager.History(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -25,7 +25,7 @@
 
 // StoreTurn makes a turn durable. It returns once the store holds the turn, or
 // with the context's error, in which case the store may still receive it.
-func (m *Manager) StoreTurn(ctx context.Context, program string, turn serve.EndedTurn) error {
+func (m *Manager) StoreTurn(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := m.partitionOf(program)
 	w := &turnWrite{manager: m, home: home, turn: structs.KeptTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -21,7 +21,7 @@
 		c.mustLookUp(c.running()[0], "q", long)
 		c.restartAll()
 		c.mustLookUp(c.running()[0], "q", long)
-		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrNoTurn) {
+		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
 			t.Errorf("lookup of an expired turn: got error %v, want ErrNoTurn", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
@@ -48,7 +48,7 @@
 		last := c.mustTurn(n, first, "")
 		c.mustLookUp(n, second, last)
 		time.Sleep(testRetention + 2*referenceMargin)
-		end := serve.EndedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
+		end := serve.CompletedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
 		if err := n.manager.StoreTurn(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -27,7 +27,7 @@
 	s := state{
 		Instance: e.machine.Name, Ready: e.ready(), InFlight: e.server.InFlight(),
 		Targets: e.incoming.registry.Snapshot(), Conversations: e.conversations.Dump(),
-		Allowances: e.allowances.Dump(), Room: e.server.Room().Dump(time.Now()),
+		Allowances: e.allowances.Dump(), Room: e.server.Admission().Dump(time.Now()),
 		Topics: e.relay.Dump(time.Now()),
 	}
 	if table := e.server.Table(); table != nil {
--- a/internal/edge/listen.go
+++ b/internal/edge/listen.go
@@ -52,7 +52,7 @@
 			return nil, errors.Wrapf(err, "listen on %s", l.address)
 		}
 		if l.watched {
-			listener = e.server.WatchListener(listener)
+			listener = e.server.WrapListener(listener)
 		}
 		go s.serve(l.server, listener)
 	}
--- a/internal/edge/targetfeed.go
+++ b/internal/edge/targetfeed.go
@@ -18,8 +18,8 @@
 
 // connections are the kept connections to targets.
 type connections interface {
-	// Forget closes those to an address that carry no request.
-	Forget(address string)
+	// CloseIdle closes those to an address that carry no request.
+	CloseIdle(address string)
 }
 
 // targetFeed brings the registrations of targets into the registry. A
@@ -94,7 +94,7 @@
 	}
 	former, replaces := f.registry.Entry(entry.ID)
 	if replaces && (former.Start != entry.Start || former.Address != entry.Address) {
-		f.connections.Forget(former.Address)
+		f.connections.CloseIdle(former.Address)
 	}
 	if f.registry.Put(entry) {
 		f.log.Debug("target changed", "target", entry.ID, "service", entry.Service, "address", entry.Address,
@@ -114,7 +114,7 @@
 	if !f.registry.Has(id) {
 		return
 	}
-	back, ok := f.health.BackSince(platform.TopicTargets)
+	back, ok := f.health.RecoveredAt(platform.TopicTargets)
 	if !ok || time.Since(back) < returnTime {
 		f.lapsed[id] = true
 		return
@@ -137,7 +137,7 @@
 func (f *targetFeed) sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	back, ok := f.health.BackSince(platform.TopicTargets)
+	back, ok := f.health.RecoveredAt(platform.TopicTargets)
 	if !ok || now.Sub(back) < returnTime {
 		return
 	}
--- a/internal/exchange/causes_test.go
+++ b/internal/exchange/causes_test.go
@@ -30,7 +30,7 @@
 	p.sweep(now.Add(time.Minute))
 	second := get(now.Add(time.Minute))
 	p.put(second, 4*time.Second, now.Add(time.Minute))
-	p.Forget(s.address)
+	p.CloseIdle(s.address)
 	p.drop(get(time.Now()))
 	for why, want := range map[cause]int64{causeFirst: 1, causeBusy: 1, causeExpired: 1, causeClosed: 1} {
 		if got := opened(why); got != want {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -32,12 +32,12 @@
 	// ErrBroken tells that the connection broke, or carried something that is
 	// no answer, after the request may have been sent.
 	ErrBroken = errors.New("the connection to the target broke")
-	// ErrUnanswered tells, beside ErrBroken, that the connection ended before
+	// ErrNoResponse tells, beside ErrBroken, that the connection ended before
 	// the head of an answer was there.
-	ErrUnanswered = errors.New("the connection ended without an answer")
-	// ErrReused tells, beside ErrBroken, that the connection had carried a
+	ErrNoResponse = errors.New("the connection ended without an answer")
+	// ErrReusedConn tells, beside ErrBroken, that the connection had carried a
 	// request before: the target may have dropped it while it was idle.
-	ErrReused = errors.New("the connection was used before")
+	ErrReusedConn = errors.New("the connection was used before")
 )
 
 // Request is a request to a target.
@@ -125,11 +125,11 @@
 func (p *Pool) broken(c *conn, err error) error {
 	err = errors.Mark(err, ErrBroken)
 	if ended(err) {
-		err = errors.Mark(err, ErrUnanswered)
+		err = errors.Mark(err, ErrNoResponse)
 	}
 	if c.reused {
-		p.Forget(c.address)
-		err = errors.Mark(err, ErrReused)
+		p.CloseIdle(c.address)
+		err = errors.Mark(err, ErrReusedConn)
 	}
 	return err
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -173,8 +173,8 @@
 	p.at(address).inUse--
 }
 
-// Kept tells whether an idle connection to an address can be used.
-func (p *Pool) Kept(address string, now time.Time) bool {
+// HasIdle tells whether an idle connection to an address can be used.
+func (p *Pool) HasIdle(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := p.places[address]
@@ -184,8 +184,8 @@
 	return now.Before(at.idle[len(at.idle)-1].expires)
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at := p.places[address]; at != nil {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -57,15 +57,15 @@
 	// Retention is how long a program's state is kept after its last call;
 	// above 0 the route carries the turns of programs.
 	Retention time.Duration
-	// KeepsTurns tells that a turn carries its new input only and that the
+	// StoresTurns tells that a turn carries its new input only and that the
 	// conversation before it is kept here.
-	KeepsTurns bool
+	StoresTurns bool
 	// Anonymous requests are let in without a key, or with any.
 	Anonymous bool
 }
 
-// MayRepeat tells whether a request that may have run may be sent again.
-func (r *Route) MayRepeat() bool {
+// Retryable tells whether a request that may have run may be sent again.
+func (r *Route) Retryable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -47,8 +47,8 @@
 		{Kind: Repeatable}: true, {Kind: Once}: false, {Kind: Stream}: false, {Kind: Stream, Resumable: true}: true,
 	}
 	for r, want := range cases {
-		if r.MayRepeat() != want {
-			t.Errorf("%+v: %v", *r, r.MayRepeat())
+		if r.Retryable() != want {
+			t.Errorf("%+v: %v", *r, r.Retryable())
 		}
 	}
 }
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -13,14 +13,14 @@
 type Room interface {
 	// Admit decides on a request.
 	Admit(request overload.Request, now time.Time) policy.AdmissionVerdict
-	// Again and AgainAfterFailure tell whether a request may go to one more target,
+	// AllowRetry and AllowRetryAfterFailure tell whether a request may go to one more target,
 	// after a number of targets were full or after one failed.
-	Again(service string, refusals int, now time.Time) bool
-	AgainAfterFailure(service string, now time.Time) bool
+	AllowRetry(service string, refusals int, now time.Time) bool
+	AllowRetryAfterFailure(service string, now time.Time) bool
 	// RetryAfter is when a caller should come back whose request no target took.
-	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
-	// Served notes how long a request took.
-	Served(service string, took time.Duration)
+	RetryAfter(service string, timeLeft time.Duration, now time.Time) time.Duration
+	// RecordDuration notes how long a request took.
+	RecordDuration(service string, took time.Duration)
 	// Dump lists what is known of the services' room.
 	Dump(now time.Time) []overload.Dump
 }
@@ -31,12 +31,12 @@
 // mayBegin tells whether a turn may be a program's first: of a route that keeps
 // turns one that continues none.
 func (x *transfer) mayBegin() bool {
-	return x.isTurn() && x.call.LastEvent == "" && (!x.route.KeepsTurns || x.call.PreviousTurn == "")
+	return x.isTurn() && x.call.LastEvent == "" && (!x.route.StoresTurns || x.call.PreviousTurn == "")
 }
 
 // begins tells whether a turn with room in its budget is its program's first.
 func (x *transfer) begins(lease Lease) bool {
-	return x.mayBegin() && (x.route.KeepsTurns || lease.First())
+	return x.mayBegin() && (x.route.StoresTurns || lease.FirstTurn())
 }
 
 // hasRoom asks for room before anything is asked of others. First turns ask
@@ -53,7 +53,7 @@
 		return true
 	}
 	if x.permit != nil {
-		x.permit.GiveBack()
+		x.permit.Release()
 	}
 	return false
 }
@@ -77,13 +77,13 @@
 func (x *transfer) admitClass(class policy.AdmissionClass) bool {
 	asked := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.urgency(),
-		Call: x.call.Program != "" && !x.isTurn(), Use: x.use(), TimeLeft: time.Until(x.deadline),
+		IsCall: x.call.Program != "" && !x.isTurn(), Usage: x.use(), TimeLeft: time.Until(x.deadline),
 	}
 	verdict := x.server.room.Admit(asked, time.Now())
 	if verdict.Admit {
 		return true
 	}
-	x.detail = overload.Describe(asked, verdict)
+	x.detail = overload.DescribeRefusal(asked, verdict)
 	x.refuse(http.StatusServiceUnavailable, reasonNoRoom, verdict.RetryAfter)
 	return false
 }
@@ -106,10 +106,10 @@
 	if x.permit == nil {
 		return 0
 	}
-	return x.permit.Use()
+	return x.permit.Utilization()
 }
 
 // comeBack is when the caller should come back after no target took the request.
 func (x *transfer) comeBack() time.Duration {
-	return x.server.room.ComeBack(x.service, time.Until(x.deadline), time.Now())
+	return x.server.room.RetryAfter(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -35,12 +35,12 @@
 	}
 }
 
-func (f *fullRoom) Again(string, int, time.Time) bool        { return false }
-func (f *fullRoom) AgainAfterFailure(string, time.Time) bool { return false }
-func (f *fullRoom) Dump(time.Time) []overload.Dump           { return nil }
-func (f *fullRoom) Served(string, time.Duration)             {}
+func (f *fullRoom) AllowRetry(string, int, time.Time) bool        { return false }
+func (f *fullRoom) AllowRetryAfterFailure(string, time.Time) bool { return false }
+func (f *fullRoom) Dump(time.Time) []overload.Dump                { return nil }
+func (f *fullRoom) RecordDuration(string, time.Duration)          {}
 
-func (f *fullRoom) ComeBack(string, time.Duration, time.Time) time.Duration {
+func (f *fullRoom) RetryAfter(string, time.Duration, time.Time) time.Duration {
 	return 70 * time.Millisecond
 }
 
@@ -103,7 +103,7 @@
 		room := &fullRoom{refused: test.class}
 		w.server.room = room
 		got := w.do(test.request)
-		if got.status != 503 || len(room.asked) != 1 || room.asked[0].Class != test.class || room.asked[0].Call != test.call {
+		if got.status != 503 || len(room.asked) != 1 || room.asked[0].Class != test.class || room.asked[0].IsCall != test.call {
 			t.Errorf("%s: got %d, asked %+v", test.name, got.status, room.asked)
 		}
 	}
@@ -129,10 +129,10 @@
 	back int
 }
 
-func (n *nearLimit) Admit(context.Context, Entry) (Permit, error) { return n, nil }
-func (n *nearLimit) Again()                                       {}
-func (n *nearLimit) Use() float64                                 { return n.use }
-func (n *nearLimit) GiveBack()                                    { n.back++ }
+func (n *nearLimit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
+func (n *nearLimit) CountRerun()                                             {}
+func (n *nearLimit) Utilization() float64                                    { return n.use }
+func (n *nearLimit) Release()                                                { n.back++ }
 
 func TestAnOrganisationsUseCountsAndItsPermitIsGivenBack(t *testing.T) {
 	w, _ := withLimit(t)
@@ -152,7 +152,7 @@
 type fairRoom struct{ fullRoom }
 
 func (*fairRoom) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
-	return policy.AdmissionVerdict{Admit: r.Use <= policy.FairUsageThreshold, RetryAfter: time.Second}
+	return policy.AdmissionVerdict{Admit: r.Usage <= policy.FairUsageThreshold, RetryAfter: time.Second}
 }
 
 func TestAnOrganisationsRankGoesBeforeItsRoutes(t *testing.T) {
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -23,7 +23,7 @@
 // recallConversation puts the conversation before a kept turn in front of its
 // input. It returns false if the request has been answered.
 func (x *transfer) recallConversation() bool {
-	if !x.route.KeepsTurns || x.route.Kind != route.Stream {
+	if !x.route.StoresTurns || x.route.Kind != route.Stream {
 		return true
 	}
 	previous := x.call.PreviousTurn
@@ -42,7 +42,7 @@
 	}
 	before, err := x.server.kept.History(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
 	switch {
-	case errors.Is(err, ErrNoTurn):
+	case errors.Is(err, ErrTurnNotFound):
 		x.detail = "turn " + previous
 		x.refuse(http.StatusNotFound, reasonNoTurn, 0)
 		return false
@@ -54,7 +54,7 @@
 		x.refuse(http.StatusServiceUnavailable, reasonUncertain, x.server.retryAfter(retryBudget))
 		return false
 	}
-	if err := x.held.Hold(int64(len(before))); err != nil {
+	if err := x.held.Reserve(int64(len(before))); err != nil {
 		return x.refuseUnread(err)
 	}
 	x.body = append(before, x.body...)
@@ -66,7 +66,7 @@
 	if x.turn == nil {
 		return
 	}
-	x.held.Count(int64(len(e.bytes)))
+	x.held.ForceReserve(int64(len(e.bytes)))
 	x.turn.output.Write(e.data())
 	x.turn.output.WriteByte('\n')
 }
@@ -81,7 +81,7 @@
 		return false
 	}
 	x.settleOnce()
-	err := x.server.kept.StoreTurn(x.ctx, x.scoped(x.call.Program), EndedTurn{
+	err := x.server.kept.StoreTurn(x.ctx, x.scoped(x.call.Program), CompletedTurn{
 		ID: x.scoped(x.call.ID), Previous: x.scoped(x.call.PreviousTurn), Input: x.turn.input, Output: x.turn.output.Bytes(),
 		Retention: x.route.Retention,
 	})
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -24,7 +24,7 @@
 	// hold, if it is set, is what a turn waits for before it is durable.
 	hold    chan struct{}
 	keepErr error
-	kept    []EndedTurn
+	kept    []CompletedTurn
 }
 
 func (c *conversations) History(_ context.Context, _, turn string) ([]byte, error) {
@@ -35,12 +35,12 @@
 	}
 	text, ok := c.before[turn]
 	if !ok {
-		return nil, ErrNoTurn
+		return nil, ErrTurnNotFound
 	}
 	return []byte(text), nil
 }
 
-func (c *conversations) StoreTurn(ctx context.Context, _ string, turn EndedTurn) error {
+func (c *conversations) StoreTurn(ctx context.Context, _ string, turn CompletedTurn) error {
 	if c.hold != nil {
 		select {
 		case <-c.hold:
@@ -170,7 +170,7 @@
 		comeBack bool
 	}{
 		"unknown turn":   {header: []string{"Banyanglade-Previous-Turn", "nosuch"}, status: 404},
-		"uncertain turn": {err: ErrUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, comeBack: true},
+		"uncertain turn": {err: ErrTurnUncertain, header: []string{"Banyanglade-Previous-Turn", "id0"}, status: 503, comeBack: true},
 		"full store":     {full: true, status: 503, comeBack: true},
 		"no id":          {header: []string{"Banyanglade-Request-Id", ""}, status: 400},
 		"long id":        {header: []string{"Banyanglade-Request-Id", long}, status: 400},
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -49,7 +49,7 @@
 		return false
 	}
 	x.failedAt = target.Incarnation()
-	x.server.targets.Failed(target, time.Now())
+	x.server.targets.RecordFailure(target, time.Now())
 	return x.mayRepeat()
 }
 
@@ -66,10 +66,10 @@
 func (x *transfer) noteFailedTurn(target *targets.Target) {
 	now := time.Now()
 	x.failedAt = target.Incarnation()
-	x.server.targets.Failed(target, now)
-	if x.server.targets.Broke(target, now) {
+	x.server.targets.RecordFailure(target, now)
+	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
-		x.server.notices.TargetBroke()
+		x.server.notices.ReportTargetBreaks()
 	}
 }
 
@@ -110,15 +110,15 @@
 func (x *transfer) readAnswer(resp *exchange.Response) (body []byte, longer bool, err error) {
 	// An answer that is not held is passed on as it comes, so that it leaves to
 	// requests of programs under way what they cannot do without.
-	x.held.SetUnderWay(false)
+	x.held.SetInProgress(false)
 	expected := resp.Length
 	if expected > maxBuffered {
 		expected = 0
 	}
-	var short *memlimit.ShortError
+	var short *memlimit.LimitError
 	buffer, err := memlimit.NewBuffer(&x.held, expected)
 	if err == nil {
-		err = buffer.Fill(io.LimitReader(resp.Body, maxBuffered))
+		err = buffer.ReadAll(io.LimitReader(resp.Body, maxBuffered))
 	}
 	if errors.As(err, &short) {
 		return buffer.Bytes(), true, nil
@@ -226,7 +226,7 @@
 
 // endStream ends a stream that the target completed.
 func (x *transfer) endStream(target *targets.Target, resp *exchange.Response) bool {
-	x.server.targets.Succeeded(target, time.Now())
+	x.server.targets.RecordSuccess(target, time.Now())
 	x.failedAt = ""
 	if !x.headSent {
 		x.copyHead(resp, true, 0)
--- a/internal/serve/lengths.go
+++ b/internal/serve/lengths.go
@@ -20,7 +20,7 @@
 	net.Conn
 	// conflict tells that a head held both a length and chunks.
 	conflict atomic.Bool
-	memory   *memlimit.Bound
+	memory   *memlimit.Limiter
 }
 
 // Read reads from the caller.
@@ -62,13 +62,13 @@
 
 type connKey struct{}
 
-// WatchListener makes a listener for callers whose connections are looked at.
+// WrapListener makes a listener for callers whose connections are looked at.
 // ConnContext must be set in the http.Server that uses it.
-func (s *Server) WatchListener(l net.Listener) net.Listener { return watchListener{l, s.memory} }
+func (s *Server) WrapListener(l net.Listener) net.Listener { return watchListener{l, s.memory} }
 
 type watchListener struct {
 	net.Listener
-	memory *memlimit.Bound
+	memory *memlimit.Limiter
 }
 
 // Accept waits for a caller.
--- a/internal/serve/memory.go
+++ b/internal/serve/memory.go
@@ -29,7 +29,7 @@
 // false if the request has been answered.
 func (x *transfer) readBody() bool {
 	if x.ofProgramUnderWay() {
-		x.held.SetUnderWay(true)
+		x.held.SetInProgress(true)
 	}
 	limit := x.table.Limits.MaxBodyBytes
 	source := io.Reader(x.request.Body)
@@ -41,7 +41,7 @@
 		source = io.LimitReader(source, limit+1)
 	}
 	x.boundBodyTime(x.deadline)
-	err := x.held.Hold(requestBytes)
+	err := x.held.Reserve(requestBytes)
 	if err != nil {
 		return x.refuseUnread(err)
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return x.refuseUnread(err)
 	}
-	if err := body.Fill(source); err != nil {
+	if err := body.ReadAll(source); err != nil {
 		return x.refuseUnread(err)
 	}
 	x.boundBodyTime(time.Time{})
@@ -78,7 +78,7 @@
 // not be read or held. It returns false.
 func (x *transfer) refuseUnread(err error) bool {
 	x.detail = err.Error()
-	var short *memlimit.ShortError
+	var short *memlimit.LimitError
 	if errors.As(err, &short) {
 		x.refuse(http.StatusServiceUnavailable, reasonNoMemory, retryMemory)
 		return false
--- a/internal/serve/organisation.go
+++ b/internal/serve/organisation.go
@@ -77,8 +77,8 @@
 	if x.org == nil || !x.org.Limit.Limited() {
 		return true
 	}
-	permit, err := x.server.allowances.Admit(x.ctx, Entry{
-		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Rank: x.rank(),
+	permit, err := x.server.allowances.Admit(x.ctx, AllowanceRequest{
+		Organisation: x.org.Name, Limit: x.org.Limit, Version: x.table.Version, First: first, Priority: x.rank(),
 		Program: x.call.Program,
 	})
 	var over *OverLimitError
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -249,12 +249,12 @@
 // allowances is an Allowances whose verdict a test sets.
 type allowances struct {
 	err     error
-	entries []Entry
+	entries []AllowanceRequest
 	again   int
 	back    int
 }
 
-func (a *allowances) Admit(_ context.Context, entry Entry) (Permit, error) {
+func (a *allowances) Admit(_ context.Context, entry AllowanceRequest) (Permit, error) {
 	a.entries = append(a.entries, entry)
 	if a.err != nil {
 		return nil, a.err
@@ -264,9 +264,9 @@
 
 type countedPermit struct{ a *allowances }
 
-func (p countedPermit) Again()       { p.a.again++ }
-func (p countedPermit) Use() float64 { return 0 }
-func (p countedPermit) GiveBack()    { p.a.back++ }
+func (p countedPermit) CountRerun()          { p.a.again++ }
+func (p countedPermit) Utilization() float64 { return 0 }
+func (p countedPermit) Release()             { p.a.back++ }
 
 // withLimit makes a world with one organisation that has a limit.
 func withLimit(t *testing.T) (*world, *allowances) {
@@ -289,7 +289,7 @@
 func TestRequestsOverTheLimitDoNotRun(t *testing.T) {
 	cases := map[error]int{
 		&OverLimitError{RetryAfter: 250 * time.Millisecond}: http.StatusTooManyRequests,
-		ErrNoAllowance: http.StatusServiceUnavailable,
+		ErrLimitUnknown: http.StatusServiceUnavailable,
 	}
 	for verdict, want := range cases {
 		w, a := withLimit(t)
@@ -344,7 +344,7 @@
 	})
 	w.server.SetTable(route.NewTable(settings))
 	w.target("t1", "app", serveText("ok"))
-	a.err = ErrNoAllowance
+	a.err = ErrLimitUnknown
 	if got := w.do(w.request("GET", "/open/x", "")); got.status != http.StatusOK {
 		t.Errorf("got %d", got.status)
 	}
@@ -359,7 +359,7 @@
 	for _, priority := range []int{0, 1} {
 		found.Priority = &priority
 		w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
-		if got := a.entries[len(a.entries)-1].Rank; got != priority {
+		if got := a.entries[len(a.entries)-1].Priority; got != priority {
 			t.Errorf("rank %d, the organisation's priority is %d", got, priority)
 		}
 	}
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -54,29 +54,29 @@
 			return nil
 		}
 	}
-	want := targets.Want{
-		Service: x.service, Key: x.placementKey(), Last: x.lastOfProgram, Remembered: x.settle != nil,
+	want := targets.Criteria{
+		Service: x.service, Key: x.placementKey(), LastIncarnation: x.lastOfProgram, Sticky: x.settle != nil,
 		Exclude: x.tried, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
 		return x.server.targets.Pick(want, time.Now())
 	}
-	var why targets.Why
-	want.Why = &why
+	var why targets.Explanation
+	want.Explanation = &why
 	target := x.server.targets.Pick(want, time.Now())
 	x.logChoice(target, why)
 	return target
 }
 
 // logChoice tells why a target was chosen.
-func (x *transfer) logChoice(target *targets.Target, why targets.Why) {
-	if target == nil || !why.Known {
+func (x *transfer) logChoice(target *targets.Target, why targets.Explanation) {
+	if target == nil || !why.Estimated {
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.End, "fill", why.Fill, "slowness", why.Slowness,
+		"end", why.ExpectedEnd, "fill", why.Utilization, "slowness", why.Slowness,
 		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.Next, "next_end", why.NextEnd)
+		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpEnd)
 }
 
 // bytesPerToken is the usual length of a token of a conversation kept here, of
@@ -100,19 +100,19 @@
 	if slices.Contains(x.tried, last) {
 		return nil
 	}
-	return x.server.targets.PickSame(last)
+	return x.server.targets.PickIncarnation(last)
 }
 
 // forgetEnded drops the targets that have left from those that run the request.
 func (x *transfer) forgetEnded() {
-	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.Runs(incarnation) })
+	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.IsRegistered(incarnation) })
 }
 
 // send sends the request to a target and handles what comes back. It tells
 // whether another send may follow.
 func (x *transfer) send(target *targets.Target) bool {
 	if x.mayHaveRun && x.permit != nil {
-		x.permit.Again()
+		x.permit.CountRerun()
 	}
 	x.sends++
 	x.lastTarget = target.ID
@@ -141,7 +141,7 @@
 	}
 	defer func() { resp.Close(answer.KeepAlive) }()
 	if answer.Load != nil {
-		x.server.targets.Report(target, *answer.Load, time.Now())
+		x.server.targets.RecordLoad(target, *answer.Load, time.Now())
 	}
 	if answer.NotRun {
 		return x.refusedBy(target, resp)
@@ -186,7 +186,7 @@
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
-	return x.server.targets.Patience(x.service, x.route.Name, time.Now())
+	return x.server.targets.HedgeTimeout(x.service, x.route.Name, time.Now())
 }
 
 // gaveUpStraggler tells whether a send was given up for a second one, and counts
@@ -196,7 +196,7 @@
 		return false
 	}
 	now := time.Now()
-	x.server.targets.SentAgain(target, x.route.Name, now.Sub(sentAt), now)
+	x.server.targets.RecordHedge(target, x.route.Name, now.Sub(sentAt), now)
 	x.server.metrics.hurried.Inc(1)
 	return true
 }
@@ -230,18 +230,18 @@
 // noteFailure draws the conclusions from a send without an answer. A kept
 // connection that ended says nothing of its target.
 func (x *transfer) noteFailure(target *targets.Target, err error, sentAt time.Time) {
-	if errors.Is(err, exchange.ErrReused) && errors.Is(err, exchange.ErrUnanswered) {
+	if errors.Is(err, exchange.ErrReusedConn) && errors.Is(err, exchange.ErrNoResponse) {
 		return
 	}
 	now := time.Now()
-	x.server.targets.Failed(target, now)
-	ended := errors.Is(err, exchange.ErrUnanswered) && now.Sub(sentAt) < x.server.downWithin
+	x.server.targets.RecordFailure(target, now)
+	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.downWithin
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
-	if x.server.targets.Broke(target, now) {
+	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.TargetBroke()
+		x.server.notices.ReportTargetBreaks()
 	}
 }
 
@@ -258,7 +258,7 @@
 // target is asked again, on a new one.
 func (x *transfer) passOverUnanswered(target *targets.Target, err error) {
 	x.passOverSilent(target, err)
-	if errors.Is(err, exchange.ErrReused) {
+	if errors.Is(err, exchange.ErrReusedConn) {
 		return
 	}
 	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.broken, target.Incarnation()) {
@@ -289,7 +289,7 @@
 // mayRepeat tells whether the request may be sent once more after it may have
 // run; if not, it ends it.
 func (x *transfer) mayRepeat() bool {
-	if x.route.MayRepeat() && x.sends < maxSends && x.mayTryAgain() {
+	if x.route.Retryable() && x.sends < maxSends && x.mayTryAgain() {
 		return true
 	}
 	x.giveUp(reasonBroken)
@@ -300,7 +300,7 @@
 // send that this instance gave up itself, or a stream that its caller has a part
 // of, goes on in any case.
 func (x *transfer) mayTryAgain() bool {
-	return x.sendCtx.Err() != nil || x.headSent || x.server.room.AgainAfterFailure(x.service, time.Now())
+	return x.sendCtx.Err() != nil || x.headSent || x.server.room.AllowRetryAfterFailure(x.service, time.Now())
 }
 
 // maxSends bounds the sends of one request of any outcome.
@@ -316,9 +316,9 @@
 	x.refusals++
 	if resp.Status == http.StatusMisdirectedRequest {
 		// Another target has the address by now.
-		x.server.targets.Failed(target, time.Now())
+		x.server.targets.RecordFailure(target, time.Now())
 	}
-	if x.refusals < maxRefusals && x.server.room.Again(x.service, x.refusals, time.Now()) {
+	if x.refusals < maxRefusals && x.server.room.AllowRetry(x.service, x.refusals, time.Now()) {
 		return true
 	}
 	x.giveUp(reasonTargetsFull)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -204,7 +204,7 @@
 		t.Fatal(got.err)
 	}
 	w.front.Close() // the handler has returned
-	if len(w.budgets.asked) != 1 || w.budgets.asked[0].Most != 290 || w.budgets.asked[0].Budget != 900 {
+	if len(w.budgets.asked) != 1 || w.budgets.asked[0].MaxTokens != 290 || w.budgets.asked[0].Budget != 900 {
 		t.Errorf("asked for %+v", w.budgets.asked)
 	}
 	if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 60 {
@@ -213,7 +213,7 @@
 }
 
 func TestTurnWithoutRoomDoesNotRun(t *testing.T) {
-	for err, status := range map[error]int{ErrSpent: 402, ErrNoOwner: 503} {
+	for err, status := range map[error]int{ErrBudgetSpent: 402, ErrNoOwner: 503} {
 		w := newWorld(t)
 		tg := w.target("e1", "engine", serveEvents(6, never))
 		w.budgets.err = err
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -27,8 +27,8 @@
 	Program string
 	// Budget is the program's whole budget, Most the most that this turn
 	// generates; both in tokens.
-	Budget int
-	Most   int
+	Budget    int
+	MaxTokens int
 	// Retention is how long the program may still come back after its last
 	// turn.
 	Retention time.Duration
@@ -36,20 +36,20 @@
 
 // Lease is room in a program's budget.
 type Lease interface {
-	// Target ran the program's last turn and may have its prompt; empty if that
+	// LastTarget ran the program's last turn and may have its prompt; empty if that
 	// is not known.
-	Target() string
-	// First tells that no turn of the program has run yet, as far as is known.
-	First() bool
+	LastTarget() string
+	// FirstTurn tells that no turn of the program has run yet, as far as is known.
+	FirstTurn() bool
 	// Settle gives back what was not used and tells how the turn ended. It does
 	// not block.
-	Settle(end TurnEnd)
+	Settle(end TurnResult)
 }
 
-// TurnEnd is how a turn ended.
-type TurnEnd struct {
-	// Used is what the caller received, in tokens.
-	Used int
+// TurnResult is how a turn ended.
+type TurnResult struct {
+	// UsedTokens is what the caller received, in tokens.
+	UsedTokens int
 	// Target ran the turn, empty if none did.
 	Target string
 	// Failed tells that the target did not bring the turn to its end, so that
@@ -59,46 +59,46 @@
 
 // Budgets hands out room in programs' budgets.
 type Budgets interface {
-	// Reserve waits for room until the context ends. It returns ErrSpent or
+	// Reserve waits for room until the context ends. It returns ErrBudgetSpent or
 	// ErrNoOwner if there is none; then the turn must not run.
 	Reserve(ctx context.Context, turn Turn) (Lease, error)
 }
 
-// Entry is a request of an organisation that asks to be let in.
-type Entry struct {
+// AllowanceRequest is a request of an organisation that asks to be let in.
+type AllowanceRequest struct {
 	Organisation string
 	Limit        org.Limit
 	// Version is that of the settings which hold the limit.
 	Version int64
 	// First tells that it begins a program, Rank how urgent it is then; 0 is the
 	// most urgent.
-	First bool
-	Rank  int
+	First    bool
+	Priority int
 	// Program is empty for a request outside programs.
 	Program string
 }
 
 // Permit is a request that was let in.
 type Permit interface {
-	// Again tells that it runs once more.
-	Again()
-	// Use is what its organisation uses against its limit: 1 is at the limit, 0 is
+	// CountRerun tells that it runs once more.
+	CountRerun()
+	// Utilization is what its organisation uses against its limit: 1 is at the limit, 0 is
 	// unknown.
-	Use() float64
-	// GiveBack tells that it does not run. It has to be called before the request
+	Utilization() float64
+	// Release tells that it does not run. It has to be called before the request
 	// is sent, once at most, and does not block.
-	GiveBack()
+	Release()
 }
 
 // Allowances keep organisations within their limits.
 type Allowances interface {
 	// Admit lets a request in, waiting for word from others if needed. It returns
-	// an *OverLimitError or ErrNoAllowance if the request must not run.
-	Admit(ctx context.Context, entry Entry) (Permit, error)
+	// an *OverLimitError or ErrLimitUnknown if the request must not run.
+	Admit(ctx context.Context, entry AllowanceRequest) (Permit, error)
 }
 
-// EndedTurn is a turn that a target has completed.
-type EndedTurn struct {
+// CompletedTurn is a turn that a target has completed.
+type CompletedTurn struct {
 	// ID is that of the request, Previous that of the turn before it.
 	ID       string
 	Previous string
@@ -113,12 +113,12 @@
 // Conversations keeps the conversations of routes whose turns carry their new
 // input only.
 type Conversations interface {
-	// History returns what a conversation holds up to and with a turn, ErrNoTurn
-	// if there is no such turn, or ErrUncertain if that is not known.
+	// History returns what a conversation holds up to and with a turn, ErrTurnNotFound
+	// if there is no such turn, or ErrTurnUncertain if that is not known.
 	History(ctx context.Context, program, turn string) ([]byte, error)
 	// StoreTurn makes a turn durable. It returns once it is, or with the error of
 	// the context.
-	StoreTurn(ctx context.Context, program string, turn EndedTurn) error
+	StoreTurn(ctx context.Context, program string, turn CompletedTurn) error
 	// Accepts tells whether a turn that begins now can be kept before its caller
 	// leaves, which it does after a time.
 	Accepts(left time.Duration) bool
@@ -126,9 +126,9 @@
 
 // Notices tells other instances what this one learns of targets.
 type Notices interface {
-	// TargetBroke tells that a target broke a new connection at once. It does
+	// ReportTargetBreaks tells that a target broke a new connection at once. It does
 	// not block.
-	TargetBroke()
+	ReportTargetBreaks()
 }
 
 // Health tells whether the platform's store answers this instance.
@@ -141,8 +141,8 @@
 	SettingsAge() time.Duration
 }
 
-// Parts are what a Server works with.
-type Parts struct {
+// Config are what a Server works with.
+type Config struct {
 	Codec   call.Codec
 	Targets *targets.Registry
 	Pool    *exchange.Pool
@@ -153,11 +153,11 @@
 	Conversations Conversations
 	Notices       Notices
 	Health        Health
-	Currency      Currency
+	Freshness     Currency
 	// Memory bounds what is held for requests; nil for no bound.
-	Memory *memlimit.Bound
-	// Keys says what to do with keys while the settings are old.
-	Keys KeyPolicy
+	Memory *memlimit.Limiter
+	// KeyPolicy says what to do with keys while the settings are old.
+	KeyPolicy KeyPolicy
 	// Room decides who is let in; nil for a guard of the targets' loads.
 	Room  Room
 	Scope tally.Scope
@@ -175,7 +175,7 @@
 	notices    Notices
 	health     Health
 	currency   Currency
-	memory     *memlimit.Bound
+	memory     *memlimit.Limiter
 	keys       KeyPolicy
 	room       Room
 	log        *slog.Logger
@@ -189,13 +189,13 @@
 }
 
 // New makes a Server without settings: until SetTable it refuses all requests.
-func New(p Parts) *Server {
+func New(p Config) *Server {
 	if p.Room == nil {
 		p.Room = overload.New(p.Targets, p.Scope)
 	}
 	return &Server{
 		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, kept: p.Conversations,
-		notices: p.Notices, health: p.Health, currency: p.Currency, memory: p.Memory, keys: p.Keys, room: p.Room,
+		notices: p.Notices, health: p.Health, currency: p.Freshness, memory: p.Memory, keys: p.KeyPolicy, room: p.Room,
 		log: p.Log, metrics: newMetrics(p.Scope),
 		downWithin: downWithin,
 	}
@@ -207,8 +207,8 @@
 // Table is the version in force, nil if none is known.
 func (s *Server) Table() *route.Table { return s.table.Load() }
 
-// Room tells who is let in.
-func (s *Server) Room() Room { return s.room }
+// Admission tells who is let in.
+func (s *Server) Admission() Room { return s.room }
 
 // Drain makes each answer close its connection from now on.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -226,7 +226,7 @@
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.Open()}
+	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.NewAccount()}
 	defer x.held.Close()
 	x.run()
 	s.finish(x)
@@ -247,7 +247,7 @@
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
 	if x.reason == reasonServed {
-		s.room.Served(x.service, elapsed)
+		s.room.RecordDuration(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
 	if x.cut {
--- a/internal/serve/straggler_test.go
+++ b/internal/serve/straggler_test.go
@@ -25,10 +25,10 @@
 	for _, id := range []string{"a", "b"} {
 		w.target(id, "app", handle)
 	}
-	known := w.targets.Pick(targets.Want{Service: "app"}, time.Now())
-	w.targets.Report(known, call.Load{Slots: 4, Pace: 100}, time.Now())
+	known := w.targets.Pick(targets.Criteria{Service: "app"}, time.Now())
+	w.targets.RecordLoad(known, call.Load{Slots: 4, Pace: 100}, time.Now())
 	for range 200 {
-		w.targets.Answered(known, path, time.Millisecond, time.Now())
+		w.targets.RecordResponse(known, path, time.Millisecond, time.Now())
 	}
 	w.targets.End(known)
 	return w, &asked
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -13,9 +13,9 @@
 // another time than work, and an engine's speed is that between events.
 func (x *transfer) noteAnswer(target *targets.Target, status int) {
 	now := time.Now()
-	x.server.targets.Succeeded(target, now)
+	x.server.targets.RecordSuccess(target, now)
 	if x.route.Kind != route.Stream && status < http.StatusBadRequest {
-		x.server.targets.Answered(target, x.route.Name, now.Sub(x.sentAt), now)
+		x.server.targets.RecordResponse(target, x.route.Name, now.Sub(x.sentAt), now)
 	}
 }
 
@@ -46,7 +46,7 @@
 	if more {
 		return
 	}
-	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.since), now)
+	s.transfer.server.targets.RecordEventInterval(s.target, now.Sub(s.last)/time.Duration(s.since), now)
 	s.last, s.since = now, 0
 }
 
@@ -62,5 +62,5 @@
 	if s.target.Incarnation() != x.lastOfProgram {
 		sample.Uncached = int64(x.promptTokens())
 	}
-	x.server.targets.TurnEnded(s.target, sample)
+	x.server.targets.RecordTurn(s.target, sample)
 }
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -18,21 +18,21 @@
 
 // Errors of Budgets.
 var (
-	// ErrSpent tells that the program's budget has no room for the turn.
-	ErrSpent = errors.New("the program's budget is spent")
-	// ErrNoRoom tells that other turns of the program hold what is left of its
+	// ErrBudgetSpent tells that the program's budget has no room for the turn.
+	ErrBudgetSpent = errors.New("the program's budget is spent")
+	// ErrBudgetHeld tells that other turns of the program hold what is left of its
 	// budget for longer than a turn waits.
-	ErrNoRoom = errors.New("turns under way hold what is left of the program's budget")
-	// ErrStoreAway tells that the program needs a record that the store does
+	ErrBudgetHeld = errors.New("turns under way hold what is left of the program's budget")
+	// ErrStoreUnavailable tells that the program needs a record that the store does
 	// not take for now.
-	ErrStoreAway = errors.New("the program's budget needs a record that the store does not take")
+	ErrStoreUnavailable = errors.New("the program's budget needs a record that the store does not take")
 	// ErrNoOwner tells that nobody who hands out room can be reached.
 	ErrNoOwner = errors.New("no owner of the program's budget can be reached")
 )
 
-// ErrNoAllowance tells that nobody answers who could tell whether the
+// ErrLimitUnknown tells that nobody answers who could tell whether the
 // organisation's limit has room.
-var ErrNoAllowance = errors.New("nobody tells whether the organisation's limit has room")
+var ErrLimitUnknown = errors.New("nobody tells whether the organisation's limit has room")
 
 // OverLimitError tells that a request is over its organisation's limit.
 type OverLimitError struct {
@@ -41,22 +41,22 @@
 	Limit      org.Limit
 	// Coordinator refused it; it had Left requests to deal out, with Votes.
 	Coordinator structs.InstanceID
-	Left        float64
+	Remaining   float64
 	Votes       int
 }
 
 func (e *OverLimitError) Error() string {
 	return fmt.Sprintf("the organisation is over its limit of %g requests a second and %g on top: "+
 		"%s had %.1f left with %d votes, room is expected in %s",
-		e.Limit.PerSecond, e.Limit.Burst, e.Coordinator, e.Left, e.Votes, e.RetryAfter)
+		e.Limit.PerSecond, e.Limit.Burst, e.Coordinator, e.Remaining, e.Votes, e.RetryAfter)
 }
 
 // Errors of Conversations.
 var (
-	// ErrNoTurn tells that no turn has the id named.
-	ErrNoTurn = errors.New("there is no such turn")
-	// ErrUncertain tells that a turn was not found, though it may exist.
-	ErrUncertain = errors.New("whether there is such a turn is not known")
+	// ErrTurnNotFound tells that no turn has the id named.
+	ErrTurnNotFound = errors.New("there is no such turn")
+	// ErrTurnUncertain tells that a turn was not found, though it may exist.
+	ErrTurnUncertain = errors.New("whether there is such a turn is not known")
 )
 
 // defaultTokensPerEvent is taken where the settings do not say how many tokens
@@ -221,25 +221,25 @@
 	perEvent := x.tokensPerEvent()
 	most := (x.call.Turn.MaxTokens + perEvent - 1) / perEvent * perEvent
 	lease, err := x.server.budgets.Reserve(x.ctx, Turn{
-		Program: x.scoped(x.call.Program), Budget: x.call.Turn.Budget, Most: most, Retention: x.route.Retention,
+		Program: x.scoped(x.call.Program), Budget: x.call.Turn.Budget, MaxTokens: most, Retention: x.route.Retention,
 	})
 	switch {
-	case errors.Is(err, ErrSpent):
+	case errors.Is(err, ErrBudgetSpent):
 		x.refuse(http.StatusPaymentRequired, reasonBudgetSpent, 0)
 	case x.request.Context().Err() != nil:
 		if err == nil {
-			lease.Settle(TurnEnd{})
+			lease.Settle(TurnResult{})
 		}
 		x.reason = reasonCallerLeft
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrBudgetHeld):
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetHeld, retryBudget)
-	case errors.Is(err, ErrStoreAway):
+	case errors.Is(err, ErrStoreUnavailable):
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetRecord, retryOutage)
 	case err != nil:
 		x.detail = err.Error()
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetOwner, x.server.retryAfter(retryBudget))
 	default:
-		x.lastOfProgram = lease.Target()
+		x.lastOfProgram = lease.LastTarget()
 		x.settle = func() { lease.Settle(x.turnEnd(perEvent)) }
 		defer x.settleOnce()
 		begins := x.begins(lease)
@@ -250,8 +250,8 @@
 }
 
 // turnEnd is how the turn ended, as far as its target is concerned.
-func (x *transfer) turnEnd(perEvent int) TurnEnd {
-	end := TurnEnd{Used: x.delivered * perEvent}
+func (x *transfer) turnEnd(perEvent int) TurnResult {
+	end := TurnResult{UsedTokens: x.delivered * perEvent}
 	switch {
 	case x.failedAt != "":
 		end.Target, end.Failed = x.failedAt, true
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -39,7 +39,7 @@
 	// target is what leases name as the target of the program's last turn, ends
 	// what they were told.
 	target string
-	ends   []TurnEnd
+	ends   []TurnResult
 }
 
 func (b *budgets) Reserve(_ context.Context, turn Turn) (Lease, error) {
@@ -54,14 +54,14 @@
 
 type budgetLease struct{ b *budgets }
 
-func (l budgetLease) Target() string { return l.b.target }
+func (l budgetLease) LastTarget() string { return l.b.target }
 
-func (l budgetLease) First() bool { return l.b.target == "" }
+func (l budgetLease) FirstTurn() bool { return l.b.target == "" }
 
-func (l budgetLease) Settle(end TurnEnd) {
+func (l budgetLease) Settle(end TurnResult) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
-	l.b.settled = append(l.b.settled, end.Used)
+	l.b.settled = append(l.b.settled, end.UsedTokens)
 	l.b.ends = append(l.b.ends, end)
 }
 
@@ -81,8 +81,8 @@
 	notices atomic.Int64
 }
 
-// TargetBroke implements Notices.
-func (w *world) TargetBroke() { w.notices.Add(1) }
+// ReportTargetBreaks implements Notices.
+func (w *world) ReportTargetBreaks() { w.notices.Add(1) }
 
 // logBuffer keeps the log.
 type logBuffer struct {
@@ -118,7 +118,7 @@
 			{Name: "turns", Host: testHost, Prefix: "/turns/", Kind: route.Stream, Resumable: true, Splits: engine,
 				MaxTargets: 1, Timeout: 5 * time.Second, Affinity: true, Retention: time.Minute},
 			{Name: "kept", Host: testHost, Prefix: "/kept/", Kind: route.Stream, Resumable: true, Splits: engine,
-				MaxTargets: 1, Timeout: 5 * time.Second, Affinity: true, Retention: time.Minute, KeepsTurns: true},
+				MaxTargets: 1, Timeout: 5 * time.Second, Affinity: true, Retention: time.Minute, StoresTurns: true},
 			{Name: "fixed", Host: testHost, Prefix: "/fixed/", Kind: route.Stream, Splits: engine, MaxTargets: 1,
 				Timeout: 5 * time.Second},
 			{Name: "safe", Host: testHost, Prefix: "/safe/", Kind: route.Repeatable, Splits: app, MaxTargets: 2,
@@ -145,14 +145,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { pool.Run(ctx) })
-	w.server = New(Parts{
+	w.server = New(Config{
 		Codec: platform.Codec{}, Targets: w.targets, Pool: pool, Budgets: w.budgets, Conversations: w.conversations,
-		Notices: w, Health: &w.health, Currency: &w.currency,
+		Notices: w, Health: &w.health, Freshness: &w.currency,
 		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(w.log, nil)),
 	})
 	w.server.SetTable(route.NewTable(testRoutes()))
 	w.front = httptest.NewUnstartedServer(w.server)
-	w.front.Listener = w.server.WatchListener(w.front.Listener)
+	w.front.Listener = w.server.WrapListener(w.front.Listener)
 	w.front.Config.ConnContext = ConnContext
 	w.front.Config.ErrorLog = nil
 	w.front.Start()
