--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -11,44 +11,45 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// directPause is the time between two tries of an instance whose appends fail
-// while others make them: refused calls are priced.
-const directPause = 250 * time.Millisecond
+// directRetryInterval is the pause between direct attempts while this
+// instance's appends fail and others append for it. Refused calls are billed
+// too.
+const directRetryInterval = 250 * time.Millisecond
 
-// maxTries bounds the instances that try in one round.
-const maxTries = 3
+// maxAttempts bounds the instances that attempt an append in one round.
+const maxAttempts = 3
 
-// errNotKept tells that another instance could not append turns.
-var errNotKept = errors.New("the other instance did not append the turns")
+// errNotStored means that another instance could not append the turns.
+var errNotStored = errors.New("the other instance did not append the turns")
 
-// round tries by this instance or by the one that gathers the partition's turns
-// and, if that fails or takes too long, by others. It tells whether the turns
-// are kept.
-func (w *writing) round(ctx context.Context) (bool, error) {
+// runRound attempts the append directly or through the partition's indexer and,
+// if that fails or is slow, through other instances. It reports whether the
+// turns are stored.
+func (w *turnWrite) runRound(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &round{writing: w, results: make(chan tryResult, maxTries), begun: time.Now()}
-	if w.keeper.gathers(w.partition) && r.help(ctx) {
-		r.directBeside(ctx)
+	r := &attemptRound{write: w, results: make(chan attemptResult, maxAttempts), started: time.Now()}
+	if w.manager.appendsThroughOther(w.partition) && r.appendThroughHelper(ctx) {
+		r.probeDirect(ctx)
 	} else {
 		r.direct(ctx)
 	}
-	hedge := time.NewTimer(w.keeper.hedgeAfter())
+	hedge := time.NewTimer(w.manager.hedgeDelay())
 	defer hedge.Stop()
 	var failure error
-	for len(r.open) > 0 {
+	for len(r.inFlight) > 0 {
 		select {
 		case result := <-r.results:
-			delete(r.open, result.by)
+			delete(r.inFlight, result.by)
 			if result.err == nil {
-				w.keptBy = result.by
-				w.keeper.noteWinner(w.partition, result, r.open)
+				w.storedBy = result.by
+				w.manager.observeWinner(w.partition, result, r.inFlight)
 				return true, nil
 			}
 			failure = errors.Join(failure, result.err)
-			r.next(ctx)
+			r.retry(ctx)
 		case <-hedge.C:
-			if left := w.keeper.hedgeAfter() - time.Since(r.begun); left > 0 {
+			if left := w.manager.hedgeDelay() - time.Since(r.started); left > 0 {
 				hedge.Reset(left)
 				continue
 			}
@@ -58,335 +59,341 @@
 	return false, failure
 }
 
-// round is one round of tries of a writing.
-type round struct {
-	writing *writing
-	results chan tryResult
-	// open are the tries under way, by the instance that makes them, and when
-	// they began.
-	open  map[structs.InstanceID]time.Time
-	tries int
-	// directTried tells that this instance tried.
+// attemptRound is one round of append attempts for a turnWrite.
+type attemptRound struct {
+	write   *turnWrite
+	results chan attemptResult
+	// inFlight holds the start time of each attempt in progress, by the
+	// instance that makes it.
+	inFlight map[structs.InstanceID]time.Time
+	attempts int
+	// directTried is set once this instance has made an attempt itself.
 	directTried bool
-	begun       time.Time
+	started     time.Time
 }
 
-// tryResult is how one try ended, and by which instance.
-type tryResult struct {
+// attemptResult is the result of one attempt and the instance that made it.
+type attemptResult struct {
 	by structs.InstanceID
 	appendResult
 }
 
-// begin notes a try.
-func (r *round) begin(by structs.InstanceID) {
-	if r.open == nil {
-		r.open = make(map[structs.InstanceID]time.Time)
+func (r *attemptRound) recordAttempt(by structs.InstanceID) {
+	if r.inFlight == nil {
+		r.inFlight = make(map[structs.InstanceID]time.Time)
 	}
-	r.open[by] = time.Now()
-	r.tries++
+	r.inFlight[by] = time.Now()
+	r.attempts++
 }
 
-// direct tries by this instance.
-func (r *round) direct(ctx context.Context) {
-	w := r.writing
-	self := w.keeper.self.ID
+// direct starts an attempt by this instance.
+func (r *attemptRound) direct(ctx context.Context) {
+	w := r.write
+	self := w.manager.self.ID
 	r.directTried = true
-	r.begin(self)
+	r.recordAttempt(self)
 	go func() {
-		result := w.keeper.appendBatched(ctx, w.partition, w.turns, w.records)
-		r.results <- tryResult{self, result}
+		result := w.manager.appendBatched(ctx, w.partition, w.turns, w.records)
+		r.results <- attemptResult{self, result}
 	}()
 }
 
-// directBeside tries by this instance beside another one, to learn whether its
-// failing appends succeed again.
-func (r *round) directBeside(ctx context.Context) {
-	if r.writing.keeper.triesDirect() {
+// probeDirect starts a direct attempt alongside another instance's, to detect
+// when this instance's appends succeed again.
+func (r *attemptRound) probeDirect(ctx context.Context) {
+	if r.write.manager.shouldTryDirect() {
 		r.direct(ctx)
 	}
 }
 
-// hedge has another instance try beside one that takes long.
-func (r *round) hedge(ctx context.Context) {
-	k := r.writing.keeper
-	if begun, ok := r.open[k.self.ID]; ok {
-		k.tellHanging(begun)
+// hedge starts a second attempt through another instance while the first one is
+// slow.
+func (r *attemptRound) hedge(ctx context.Context) {
+	m := r.write.manager
+	if start, ok := r.inFlight[m.self.ID]; ok {
+		m.notifyHang(start)
 	}
-	if k.mayHedge() {
-		r.help(ctx)
+	if m.allowHedge() {
+		r.appendThroughHelper(ctx)
 	}
 }
 
-// next tries again after a failure: by another instance, else by this one. It
-// does not if the tries so far took as long as an append may: then the store is
-// silent, and a later round is as good.
-func (r *round) next(ctx context.Context) {
-	if r.spent() || r.help(ctx) || len(r.open) > 0 || r.directTried || r.tries >= maxTries {
+// retry starts another attempt after a failure, preferably through another
+// instance. It does nothing if the round has timed out: the store is then
+// unresponsive, and the next round retries.
+func (r *attemptRound) retry(ctx context.Context) {
+	if r.timedOut() || r.appendThroughHelper(ctx) || len(r.inFlight) > 0 || r.directTried || r.attempts >= maxAttempts {
 		return
 	}
 	r.direct(ctx)
 }
 
-// spent tells that the round took as long as an append may.
-func (r *round) spent() bool { return time.Since(r.begun) >= r.writing.keeper.patience() }
+// timedOut reports whether the round has lasted as long as an append may take.
+func (r *attemptRound) timedOut() bool {
+	return time.Since(r.started) >= r.write.manager.appendTimeout()
+}
 
-// help tries by another instance. It tells whether there is one.
-func (r *round) help(ctx context.Context) bool {
-	if r.tries >= maxTries {
+// appendThroughHelper starts an attempt through another instance. It returns
+// false if none is left to try.
+func (r *attemptRound) appendThroughHelper(ctx context.Context) bool {
+	if r.attempts >= maxAttempts {
 		return false
 	}
-	helper := r.writing.chooseHelper()
+	helper := r.write.chooseHelper()
 	if helper == "" {
 		return false
 	}
-	r.begin(helper)
+	r.recordAttempt(helper)
 	go func() {
-		took, slow, err := r.writing.appendBy(ctx, helper)
-		r.results <- tryResult{helper, appendResult{took, slow, err}}
+		took, slow, err := r.write.appendThrough(ctx, helper)
+		r.results <- attemptResult{helper, appendResult{took, slow, err}}
 	}()
 	return true
 }
 
-// gathers tells whether turns for a partition go to the instance that gathers
-// them, rather than by an append of this instance.
-func (k *Manager) gathers(p *partition) bool {
+// appendsThroughOther reports whether turns of a partition are sent to the
+// instance that batches them instead of being appended by this instance.
+func (m *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
-	k.mu.Lock()
-	gathers, failing := k.path.ShouldBatch(p.number, k.pendingAppends(), now), k.path.Failing()
-	k.mu.Unlock()
-	return gathers && (failing || k.indexOf(p, nil) != k.self.ID)
+	m.mu.Lock()
+	batched, failing := m.path.ShouldBatch(p.number, m.pendingAppends(), now), m.path.Failing()
+	m.mu.Unlock()
+	return batched && (failing || m.indexer(p, nil) != m.self.ID)
 }
 
-func (k *Manager) hedgeAfter() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.HedgeDelay(time.Now())
+func (m *Manager) hedgeDelay() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.HedgeDelay(time.Now())
 }
 
-// mayHedge takes a second try from the budget of second tries.
-func (k *Manager) mayHedge() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.hedges.Allow(1)
+// allowHedge takes one attempt from the hedging budget.
+func (m *Manager) allowHedge() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.hedges.Allow(1)
 }
 
-// triesDirect tells whether this instance, whose appends fail, should try by
-// itself beside another one: one turn after each pause does.
-func (k *Manager) triesDirect() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// shouldTryDirect reports whether this instance, whose appends fail, should
+// make an attempt itself. It returns true once per retry interval.
+func (m *Manager) shouldTryDirect() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	if !k.path.Failing() || now.Before(k.directAfter) {
+	if !m.path.Failing() || now.Before(m.nextDirectAttempt) {
 		return false
 	}
-	k.directAfter = now.Add(jittered(directPause))
+	m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
 	return true
 }
 
-// jittered is a time of up to d, so that instances do not try in step.
+// jittered returns a random duration between 3/4 d and d, so that instances do
+// not retry in step.
 func jittered(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/4)
 }
 
-// noteWinner learns from the try that was answered first: the others' ways are
-// bad, unless the store itself is slow.
-func (k *Manager) noteWinner(p *partition, winner tryResult, open map[structs.InstanceID]time.Time) {
+// observeWinner updates the health of the paths to the store after the first
+// successful attempt. Attempts that are still in flight mark their paths as
+// degraded, unless the store itself is slow.
+func (m *Manager) observeWinner(p *partition, winner attemptResult, inFlight map[structs.InstanceID]time.Time) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if winner.took == 0 {
-		return // an instance of an older version does not report the time
+		return // instances of older versions do not report the latency
 	}
-	if winner.by != k.self.ID {
-		k.path.Observe(winner.answer(), now)
+	if winner.by != m.self.ID {
+		m.path.Observe(winner.observation(), now)
 	}
-	for id, begun := range open {
-		if !k.path.PathDegraded(winner.answer(), now.Sub(begun)) {
+	for id, start := range inFlight {
+		if !m.path.PathDegraded(winner.observation(), now.Sub(start)) {
 			continue
 		}
-		if id != k.self.ID {
-			k.unableUntil[id] = now.Add(unableTime)
+		if id != m.self.ID {
+			m.unableUntil[id] = now.Add(unableTime)
 			continue
 		}
-		k.path.ObserveOutcome(false, now)
-		k.directAfter = now.Add(jittered(directPause))
-		p.appends.abandon(func(age time.Duration) bool { return k.path.PathDegraded(winner.answer(), age) }, now)
+		m.path.ObserveOutcome(false, now)
+		m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
+		p.appends.abandon(func(age time.Duration) bool { return m.path.PathDegraded(winner.observation(), age) }, now)
 	}
-	k.noteState(nil)
+	m.updateState(nil)
 }
 
-// noteAppend learns from an append of this instance. Its outcome is unknown if
-// the Keeper stopped.
-func (k *Manager) noteAppend(p *partition, result *appendResult) {
-	if k.ctx.Err() != nil {
+// observeAppend records the outcome of an append of this instance. The outcome
+// is unknown if the Manager has stopped.
+func (m *Manager) observeAppend(p *partition, result *appendResult) {
+	if m.ctx.Err() != nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	if result.err == nil {
-		answer := k.path.ObserveOwn(result.took, now)
-		result.slow = answer.Slow
-		p.appends.window.Observe(answer, k.path.ShortestSlow())
+		observed := m.path.ObserveOwn(result.took, now)
+		result.slow = observed.Slow
+		p.appends.window.Observe(observed, m.path.ShortestSlow())
 	}
 	switch {
 	case errors.Is(result.err, context.DeadlineExceeded):
-		k.path.ObserveTimeout(now)
+		m.path.ObserveTimeout(now)
 	case result.err != nil:
-		k.path.ObserveRefusal(now)
-	case k.path.ObserveOutcome(true, now):
-		k.tellBack()
+		m.path.ObserveRefusal(now)
+	case m.path.ObserveOutcome(true, now):
+		m.notifyRecovery()
 	}
-	k.noteState(result.err)
-	k.tellSlow(result.took, now)
+	m.updateState(result.err)
+	m.notifySlow(result.took, now)
 }
 
-// tellSlow tells others that the store is slow, if it is and nobody did so
-// lately. The mutex is held.
-func (k *Manager) tellSlow(took time.Duration, now time.Time) {
-	if k.path.ShouldNotifySlow(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
+// notifySlow notifies other instances that the store is slow, unless a recent
+// notice has done so. The caller must hold m.mu.
+func (m *Manager) notifySlow(took time.Duration, now time.Time) {
+	if m.path.ShouldNotifySlow(now) {
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
 	}
 }
 
-// tellBack tells others that the store takes appends again. The mutex is held.
-func (k *Manager) tellBack() {
-	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
+// notifyRecovery notifies other instances that the store accepts appends again.
+// The caller must hold m.mu.
+func (m *Manager) notifyRecovery() {
+	m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
 }
 
-// tellHanging tells others that an append of this instance hangs.
-func (k *Manager) tellHanging(since time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// notifyHang notifies other instances that an append of this instance hangs.
+func (m *Manager) notifyHang(since time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
-	if k.path.AppendHangs(since, now) && k.path.ShouldNotifyHang(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
+	if m.path.AppendHangs(since, now) && m.path.ShouldNotifyHang(now) {
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
 	}
 }
 
-// receiveNotice takes turns that others kept, and what they tell of the store.
-func (k *Manager) receiveNotice(m *structs.TurnsNotice) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// receiveNotice adds turns that another instance stored and applies its report
+// on the store.
+func (m *Manager) receiveNotice(msg *structs.TurnsNotice) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	switch {
-	case m.News == structs.StoreSlow:
-		k.path.ObserveNotice(m.Took, now)
-		k.noteState(nil)
-	case m.News == structs.StoreBack:
-		k.storeBack()
+	case msg.News == structs.StoreSlow:
+		m.path.ObserveNotice(msg.Took, now)
+		m.updateState(nil)
+	case msg.News == structs.StoreBack:
+		m.handleRecovery()
 	}
-	if len(m.Turns) > 0 {
-		k.add(m.Turns, m.Partition)
+	if len(msg.Turns) > 0 {
+		m.addTurnsLocked(msg.Turns, msg.Partition)
 	}
 }
 
-// storeBack has those that wait for the store try at once, also those whose
-// appends hang. The mutex is held.
-func (k *Manager) storeBack() {
+// handleRecovery retries waiting writes at once and abandons appends that hang.
+// The caller must hold m.mu.
+func (m *Manager) handleRecovery() {
 	now := time.Now()
-	k.path.ObserveOutcome(true, now)
-	k.noteState(nil)
-	for _, p := range k.partitions {
+	m.path.ObserveOutcome(true, now)
+	m.updateState(nil)
+	for _, p := range m.partitions {
 		p.appends.abandon(func(age time.Duration) bool {
-			return !k.path.Slow(now) && k.path.PathDegraded(policy.AppendResult{}, age)
+			return !m.path.Slow(now) && m.path.PathDegraded(policy.AppendResult{}, age)
 		}, now)
 	}
-	clear(k.unableUntil)
-	k.endOutage()
+	clear(m.unableUntil)
+	m.endOutage()
 }
 
-// noteState logs when the state of the access to the store changes. The mutex is
-// held.
-func (k *Manager) noteState(err error) {
-	state := k.path.State(time.Now())
-	if state == k.state {
+// updateState logs and records a change of this instance's access to the store.
+// The caller must hold m.mu.
+func (m *Manager) updateState(err error) {
+	state := m.path.State(time.Now())
+	if state == m.state {
 		return
 	}
-	attrs := []any{"before", k.state, "now", state, "typical_ms", k.path.TypicalLatency(time.Now()).Milliseconds()}
+	attrs := []any{"before", m.state, "now", state, "typical_ms", m.path.TypicalLatency(time.Now()).Milliseconds()}
 	if err != nil {
 		attrs = append(attrs, "error", err.Error())
 	}
-	k.state = state
-	k.metrics.setState(state)
+	m.state = state
+	m.metrics.setState(state)
 	if state == policy.StoreHealthy {
-		k.log.Info("turns can be appended again", attrs...)
+		m.log.Info("turns can be appended again", attrs...)
 		return
 	}
-	k.log.Warn("turns cannot be appended in time", attrs...)
+	m.log.Warn("turns cannot be appended in time", attrs...)
 }
 
-// chooseHelper chooses another instance to append the turns: the one that
-// gathers the partition's turns, or the next in its order that was not asked
-// yet.
-func (w *writing) chooseHelper() structs.InstanceID {
-	helper := w.keeper.indexOf(w.partition, append(w.helpers, w.keeper.self.ID))
+// chooseHelper returns the next instance to append the turns: the partition's
+// indexer, then others in rendezvous order. It returns "" if none is left.
+func (w *turnWrite) chooseHelper() structs.InstanceID {
+	helper := w.manager.indexer(w.partition, append(w.helpers, w.manager.self.ID))
 	if helper != "" {
 		w.helpers = append(w.helpers, helper)
 	}
 	return helper
 }
 
-// appendBy has another instance append the turns. It returns how long the store
-// took, and whether the other instance takes that for slow.
-func (w *writing) appendBy(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
-	answer := w.keeper.askWithin(ctx, helper, w.keeper.gatherPatience, func(number uint64) structs.Message {
+// appendThrough has another instance append the turns. It returns how long the
+// store took and whether the other instance considers that slow.
+func (w *turnWrite) appendThrough(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
+	msg := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
 		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
-	if reply, ok := answer.(*structs.KeepReply); ok && reply.Kept {
+	if reply, ok := msg.(*structs.KeepReply); ok && reply.Kept {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
-		w.keeper.setUnable(helper)
+		w.manager.markUnable(helper)
 	}
-	return 0, false, errNotKept
+	return 0, false, errNotStored
 }
 
-// patience is how long an append may take.
-func (k *Manager) patience() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.AppendTimeout(time.Now())
+// appendTimeout returns how long an append may take.
+func (m *Manager) appendTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.AppendTimeout(time.Now())
 }
 
-// gatherPatience is how long another instance may take to append turns.
-func (k *Manager) gatherPatience() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.path.BatchTimeout(time.Now())
+// batchTimeout returns how long another instance may take to append turns.
+func (m *Manager) batchTimeout() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.path.BatchTimeout(time.Now())
 }
 
-// receiveKeep appends turns for another instance.
-func (k *Manager) receiveKeep(from structs.InstanceID, m *structs.KeepRequest) {
-	if m.Partition < 0 || m.Partition >= len(k.partitions) {
-		k.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", m.Partition)
+// receiveAppendRequest appends turns for another instance.
+func (m *Manager) receiveAppendRequest(from structs.InstanceID, msg *structs.KeepRequest) {
+	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
+		m.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spawn(func() {
-		result := k.keepForOther(k.partitions[m.Partition], m.Turns)
-		k.peers.Send(from, &structs.KeepReply{Number: m.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.spawn(func() {
+		result := m.appendForPeer(m.partitions[msg.Partition], msg.Turns)
+		m.peers.Send(from, &structs.KeepReply{Number: msg.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
-// keepForOther appends turns of another instance, at once or not at all if this
-// instance's appends fail.
-func (k *Manager) keepForOther(p *partition, turns []structs.KeptTurn) appendResult {
-	k.mu.Lock()
-	failing := k.path.Failing()
-	k.mu.Unlock()
-	if failing && !k.triesDirect() {
-		return appendResult{err: errNotKept}
+// appendForPeer appends turns of another instance. While this instance's
+// appends fail it refuses, except for an occasional direct attempt.
+func (m *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
+	m.mu.Lock()
+	failing := m.path.Failing()
+	m.mu.Unlock()
+	if failing && !m.shouldTryDirect() {
+		return appendResult{err: errNotStored}
 	}
 	records, err := encodeTurns(turns)
 	if err != nil {
-		k.log.Error("turns of another instance not encoded", "error", err.Error())
+		m.log.Error("failed to encode turns of another instance", "error", err.Error())
 		return appendResult{err: err}
 	}
-	result := k.appendBatched(k.ctx, p, turns, records)
+	result := m.appendBatched(m.ctx, p, turns, records)
 	if result.err == nil {
-		k.learn(turns, p.number)
+		m.addTurns(turns, p.number)
 	}
 	return result
 }
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -16,144 +16,145 @@
 const (
 	// maxBatchRecords bounds the records of one append.
 	maxBatchRecords = 500
-	// defaultCallBytes bounds an append where the platform names no limit.
-	defaultCallBytes = 1 << 20
-	// recordOverhead is what the wire adds to a record besides key and value.
+	// defaultAppendBytes bounds the size of an append if the platform sets no
+	// limit.
+	defaultAppendBytes = 1 << 20
+	// recordOverhead is the encoded size of a record beyond its key and value,
+	// in bytes.
 	recordOverhead = 8
 )
 
-// appendQueue is what an instance appends to one partition: what comes while as
-// many appends are in flight as the store carries goes into the next one. That is
-// one, unless a slow store's answers only take long on their way. The Keeper's
-// mutex guards it.
+// appendQueue batches the appends of this instance to one partition. Requests
+// wait while the window is full and are batched into the next append. The
+// window is 1 unless a slow store's responses are delayed in transit. Guarded
+// by Manager.mu.
 type appendQueue struct {
-	waiting []*waitingTurns
-	// open are the appends in flight, the oldest first.
-	open   []*openAppend
-	window policy.AppendWindow
+	waiting []*appendRequest
+	// inFlight holds the appends in flight, oldest first.
+	inFlight []*inFlightAppend
+	window   policy.AppendWindow
 }
 
-// openAppend is an append in flight.
-type openAppend struct {
-	begun  time.Time
-	cancel context.CancelCauseFunc
+type inFlightAppend struct {
+	started time.Time
+	cancel  context.CancelCauseFunc
 }
 
-// abandon ends appends that have no answer for a time: they may take effect yet,
-// and those whose turns they hold try again.
-func (q *appendQueue) abandon(hang func(age time.Duration) bool, now time.Time) {
-	for _, f := range q.open {
-		if hang(now.Sub(f.begun)) {
-			f.cancel(context.DeadlineExceeded)
+// abandon cancels appends that hang, as decided by their age. They may still
+// take effect; the requests in them are retried.
+func (q *appendQueue) abandon(hangs func(age time.Duration) bool, now time.Time) {
+	for _, a := range q.inFlight {
+		if hangs(now.Sub(a.started)) {
+			a.cancel(context.DeadlineExceeded)
 		}
 	}
 }
 
-// waitingTurns are turns that must be appended together.
-type waitingTurns struct {
+// appendRequest is a set of turns that must be appended together.
+type appendRequest struct {
 	ctx     context.Context
 	turns   []structs.KeptTurn
 	records []platform.Record
 	bytes   int
-	// done gets the outcome; it has room for it.
+	// done receives the outcome. It is buffered.
 	done chan appendResult
 }
 
-// appendResult is how an append ended, and how long the store took for it.
+// appendResult is the outcome of an append and how long the store took for it.
 type appendResult struct {
 	took time.Duration
 	slow bool
 	err  error
 }
 
-// answer is what an append that succeeded tells of the store.
-func (r appendResult) answer() policy.AppendResult {
+// observation returns what a successful append shows about the store.
+func (r appendResult) observation() policy.AppendResult {
 	return policy.AppendResult{Took: r.took, Slow: r.slow}
 }
 
-// appendBatched appends turns together with all others that wait for the partition. If
-// the context ends first, the store may still get them.
-func (k *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
-	r := &waitingTurns{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
+// appendBatched appends turns, batched with other requests for the partition.
+// If the context ends first, the store may still receive them.
+func (m *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
+	r := &appendRequest{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	p.appends.waiting = append(p.appends.waiting, r)
-	k.startAppends(p)
-	k.mu.Unlock()
+	m.startAppends(p)
+	m.mu.Unlock()
 	select {
 	case result := <-r.done:
 		return result
 	case <-ctx.Done():
 		return appendResult{err: ctx.Err()}
-	case <-k.ctx.Done():
-		return appendResult{err: k.ctx.Err()}
+	case <-m.ctx.Done():
+		return appendResult{err: m.ctx.Err()}
 	}
 }
 
-// startAppends begins appends for those that wait, as far as the store carries
-// them. The mutex is held.
-func (k *Manager) startAppends(p *partition) {
-	l := &p.appends
-	for len(l.open) < l.window.Size() && !k.stopped {
-		batch := k.takeBatch(p)
+// startAppends starts appends for the waiting requests, up to the window's
+// size. The caller must hold m.mu.
+func (m *Manager) startAppends(p *partition) {
+	q := &p.appends
+	for len(q.inFlight) < q.window.Size() && !m.stopped {
+		batch := m.nextBatch(p)
 		if len(batch) == 0 {
 			return
 		}
-		f := &openAppend{begun: time.Now()}
+		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, f.cancel = context.WithCancelCause(k.ctx)
-		l.open = append(l.open, f)
-		k.spawn(func() { k.runAppend(ctx, p, f, batch) })
+		ctx, a.cancel = context.WithCancelCause(m.ctx)
+		q.inFlight = append(q.inFlight, a)
+		m.spawn(func() { m.runAppend(ctx, p, a, batch) })
 	}
 }
 
-// runAppend makes an append and hands its outcome to those whose turns it holds.
-func (k *Manager) runAppend(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) {
-	result := k.appendBatch(ctx, p, f, batch)
-	f.cancel(nil)
+// runAppend performs an append and delivers its outcome to the requests in it.
+func (m *Manager) runAppend(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) {
+	result := m.appendBatch(ctx, p, a, batch)
+	a.cancel(nil)
 	if errors.Is(result.err, platform.ErrRejected) && len(batch) > 1 {
-		k.appendOneByOne(p, batch)
+		m.appendOneByOne(p, batch)
 	} else {
 		for _, r := range batch {
 			r.done <- result
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p.appends.open = slices.DeleteFunc(p.appends.open, func(other *openAppend) bool { return other == f })
-	k.startAppends(p)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p.appends.inFlight = slices.DeleteFunc(p.appends.inFlight, func(other *inFlightAppend) bool { return other == a })
+	m.startAppends(p)
 }
 
-// appendOneByOne appends the turns of each alone, after the store rejected all of them
-// together: one that it rejects must not stop the others.
-func (k *Manager) appendOneByOne(p *partition, batch []*waitingTurns) {
+// appendOneByOne appends each request separately after the store rejected the
+// batch, so that one invalid request does not fail the others.
+func (m *Manager) appendOneByOne(p *partition, batch []*appendRequest) {
 	var last appendResult
 	for _, r := range batch {
 		if last.err != nil && !errors.Is(last.err, platform.ErrRejected) {
-			r.done <- last // the store is away: they try again
+			r.done <- last // the store is unavailable; the callers retry
 			continue
 		}
 		if r.ctx.Err() != nil {
 			continue
 		}
-		f := &openAppend{begun: time.Now()}
+		a := &inFlightAppend{started: time.Now()}
 		var ctx context.Context
-		ctx, f.cancel = context.WithCancelCause(k.ctx)
-		last = k.appendBatch(ctx, p, f, []*waitingTurns{r})
-		f.cancel(nil)
+		ctx, a.cancel = context.WithCancelCause(m.ctx)
+		last = m.appendBatch(ctx, p, a, []*appendRequest{r})
+		a.cancel(nil)
 		r.done <- last
 	}
 }
 
-// takeBatch takes those whose turns go into the next append, leaving out those whose
-// callers left. The mutex is held.
-func (k *Manager) takeBatch(p *partition) []*waitingTurns {
-	var batch []*waitingTurns
+// nextBatch removes the requests for the next append from the queue, discarding
+// those whose context has ended. The caller must hold m.mu.
+func (m *Manager) nextBatch(p *partition) []*appendRequest {
+	var batch []*appendRequest
 	records, bytes, taken := 0, 0, 0
 	for _, r := range p.appends.waiting {
-		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > k.callBytes
+		full := records+len(r.records) > maxBatchRecords || bytes+r.bytes > m.maxAppendBytes
 		if len(batch) > 0 && full {
 			break
 		}
@@ -165,36 +166,36 @@
 		records += len(r.records)
 		bytes += r.bytes
 	}
-	clear(p.appends.waiting[:taken]) // so that the turns can be collected
+	clear(p.appends.waiting[:taken]) // release the turns to the garbage collector
 	p.appends.waiting = p.appends.waiting[taken:]
 	return batch
 }
 
-// appendBatch makes one append and notes how it went.
-func (k *Manager) appendBatch(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) appendResult {
+// appendBatch performs one append and records its outcome.
+func (m *Manager) appendBatch(ctx context.Context, p *partition, a *inFlightAppend, batch []*appendRequest) appendResult {
 	var records []platform.Record
 	for _, r := range batch {
 		records = append(records, r.records...)
 	}
-	go k.endInTime(ctx, f)
-	_, err := k.store.Append(ctx, platform.Append{Topic: topic, Partition: p.number, Records: records})
+	go m.enforceTimeout(ctx, a)
+	_, err := m.store.Append(ctx, platform.Append{Topic: topic, Partition: p.number, Records: records})
 	if err != nil && ctx.Err() != nil {
 		err = errors.Wrap(context.Cause(ctx), "append turns")
 	}
-	result := appendResult{took: time.Since(f.begun), err: err}
-	k.noteAppend(p, &result)
-	k.metrics.appends.Inc(1)
-	k.metrics.batch.RecordValue(float64(len(records)))
+	result := appendResult{took: time.Since(a.started), err: err}
+	m.observeAppend(p, &result)
+	m.metrics.appends.Inc(1)
+	m.metrics.batchSize.RecordValue(float64(len(records)))
 	return result
 }
 
-// endInTime ends an append that takes longer than the store's state lets
-// expect, which may change meanwhile.
-func (k *Manager) endInTime(ctx context.Context, f *openAppend) {
+// enforceTimeout cancels an append that exceeds the append timeout, which may
+// change while the append runs.
+func (m *Manager) enforceTimeout(ctx context.Context, a *inFlightAppend) {
 	for {
-		left := k.patience() - time.Since(f.begun)
+		left := m.appendTimeout() - time.Since(a.started)
 		if left <= 0 {
-			f.cancel(context.DeadlineExceeded)
+			a.cancel(context.DeadlineExceeded)
 			return
 		}
 		if !delay.Sleep(ctx, left) {
@@ -203,12 +204,12 @@
 	}
 }
 
-// pendingAppends lists the appends in flight. The mutex is held.
-func (k *Manager) pendingAppends() []policy.PendingAppend {
+// pendingAppends lists the appends in flight. The caller must hold m.mu.
+func (m *Manager) pendingAppends() []policy.PendingAppend {
 	var pending []policy.PendingAppend
-	for _, p := range k.partitions {
-		for _, f := range p.appends.open {
-			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: f.begun})
+	for _, p := range m.partitions {
+		for _, a := range p.appends.inFlight {
+			pending = append(pending, policy.PendingAppend{Partition: p.number, Started: a.started})
 		}
 	}
 	return pending
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -18,28 +18,29 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// slowStore takes an append in a tenth of a second and rejects those with a
-// record whose key begins with "bad"; behind one whose key is "away" it refuses.
+// slowStore delays appends by 100 ms for each one in flight. It rejects those
+// with a record whose key begins with "bad", and fails all once a record with
+// the key "away" was appended alone.
 type slowStore struct {
 	Store
-	away    bool
-	mu      sync.Mutex
-	flying  int
-	appends [][]platform.Record
+	unavailable bool
+	mu          sync.Mutex
+	inFlight    int
+	appends     [][]platform.Record
 }
 
 func (s *slowStore) Append(_ context.Context, a platform.Append) (int64, error) {
 	s.mu.Lock()
-	s.flying++
-	together := s.flying
+	s.inFlight++
+	together := s.inFlight
 	s.appends = append(s.appends, a.Records)
 	s.mu.Unlock()
 	time.Sleep(time.Duration(together) * 100 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flying--
-	s.away = s.away || len(a.Records) == 1 && a.Records[0].Key == "away"
-	if s.away {
+	s.inFlight--
+	s.unavailable = s.unavailable || len(a.Records) == 1 && a.Records[0].Key == "away"
+	if s.unavailable {
 		return 0, platform.ErrBusy
 	}
 	for _, r := range a.Records {
@@ -50,27 +51,27 @@
 	return 0, nil
 }
 
-// nobody is the peers of an instance that is alone.
-type nobody struct{ Peers }
+// noPeers is the Peers of the only instance of a cluster.
+type noPeers struct{ Peers }
 
-func (nobody) Broadcast(structs.Message) {}
+func (noPeers) Broadcast(structs.Message) {}
 
-// appendAll has records of a size, one a caller, appended to one partition while an
-// append is in flight. It returns the callers' errors.
+// appendAll appends one record of the given size per key to one partition while
+// an append is in flight. It returns the error for each key.
 func appendAll(t *testing.T, store *slowStore, callBytes, size int, keys ...string) map[string]error {
 	outcome := make(map[string]error)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		k := New(ctx, Config{
-			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: nobody{},
+		m := New(ctx, Config{
+			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: noPeers{},
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
 		var work sync.WaitGroup
 		var mu sync.Mutex
 		for _, key := range append([]string{"first"}, keys...) {
 			work.Go(func() {
-				err := k.appendBatched(ctx, k.partitions[0], nil, []platform.Record{{Key: key, Value: make([]byte, size)}}).err
+				err := m.appendBatched(ctx, m.partitions[0], nil, []platform.Record{{Key: key, Value: make([]byte, size)}}).err
 				mu.Lock()
 				defer mu.Unlock()
 				outcome[key] = err
@@ -82,9 +83,9 @@
 	return outcome
 }
 
-// What comes while an append is in flight goes into the next one, within the
-// bytes that a call may have.
-func TestTurnsRideTogetherWithinTheBytesOfACall(t *testing.T) {
+// Records that arrive while an append is in flight are batched into the next
+// one, within the size limit of an append.
+func TestBatchesStayWithinMaxAppendBytes(t *testing.T) {
 	var keys []string
 	for i := range 10 {
 		keys = append(keys, fmt.Sprint("turn", i))
@@ -96,12 +97,12 @@
 		sizes = append(sizes, len(records))
 	}
 	if fmt.Sprint(sizes) != "[1 4 4 2]" {
-		t.Errorf("records an append: %v", sizes)
+		t.Errorf("records per append: got %v, want [1 4 4 2]", sizes)
 	}
 }
 
-// A record that the store rejects stops no other.
-func TestRejectedTurnStopsNoOther(t *testing.T) {
+// A record that the store rejects does not fail the others of its batch.
+func TestRejectedTurnDoesNotFailOthers(t *testing.T) {
 	for key, err := range appendAll(t, new(slowStore), 0, 10, "bad", "good", "better") {
 		if errors.Is(err, platform.ErrRejected) != (key == "bad") {
 			t.Errorf("%s: %v", key, err)
@@ -109,15 +110,15 @@
 	}
 }
 
-// A store that goes away while turns are appended one by one does not hold up the
-// partition for each of them.
-func TestTurnsApartStopWhenTheStoreIsAway(t *testing.T) {
+// If the store becomes unavailable while a batch is appended one by one, the
+// remaining requests fail at once.
+func TestSeparateAppendsStopWhenStoreIsUnavailable(t *testing.T) {
 	store := new(slowStore)
 	outcome := appendAll(t, store, 0, 10, "bad", "away", "c", "d", "e", "f")
 	if len(store.appends) != 4 {
-		t.Errorf("%d appends", len(store.appends))
+		t.Errorf("got %d appends, want 4", len(store.appends))
 	}
 	if !errors.Is(outcome["f"], platform.ErrBusy) {
-		t.Errorf("the last one got %v", outcome["f"])
+		t.Errorf("last request: got error %v, want ErrBusy", outcome["f"])
 	}
 }
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -8,24 +8,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxAsked is how many instances are asked for one partition, each after one
-// that could not read it.
-const maxAsked = 3
+// maxQueried bounds the instances queried for one partition. Each is tried
+// after the previous one could not read the partition.
+const maxQueried = 3
 
-// finding is what became of the search for a turn in one partition.
-type finding struct {
+// lookupResult is the result of looking up a turn in one partition.
+type lookupResult struct {
 	outcome structs.ConversationOutcome
 	turns   []structs.KeptTurn
-	// partition holds the turns, if they were found.
+	// partition holds the turns if they were found.
 	partition int
 }
 
-// verdict is what the findings of all partitions together say: the turn is
-// found if any partition holds it, and unknown only if every one was read.
-func verdict(findings []finding) structs.ConversationOutcome {
+// combineOutcomes combines the results of all partitions: the turn is found if
+// any partition holds it, and unknown only if every partition was read.
+func combineOutcomes(results []lookupResult) structs.ConversationOutcome {
 	outcome := structs.ConversationUnknown
-	for _, f := range findings {
-		switch f.outcome {
+	for _, r := range results {
+		switch r.outcome {
 		case structs.ConversationFound:
 			return structs.ConversationFound
 		case structs.ConversationUnknown:
@@ -36,41 +36,42 @@
 	return outcome
 }
 
-// History is what a conversation holds up to and with a turn. It returns
-// serve.ErrTurnNotFound if there is no such turn, serve.ErrTurnUncertain if that is not
-// known.
-func (k *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
-	if text, ok := k.text(turn); ok {
-		k.metrics.local.Inc(1)
+// History returns the text of a conversation up to and including a turn. It
+// returns serve.ErrTurnNotFound if the turn does not exist and serve.ErrTurnUncertain if
+// that could not be determined.
+func (m *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
+	if text, ok := m.conversationText(turn); ok {
+		m.metrics.local.Inc(1)
 		return text, nil
 	}
-	home := k.partitionOf(program)
-	found := k.find(ctx, home, turn)
-	k.metrics.asked.Inc(1)
+	home := m.partitionOf(program)
+	found := m.find(ctx, home, turn)
+	m.metrics.remote.Inc(1)
 	outcome := found.outcome
 	if outcome != structs.ConversationFound {
-		// The turn may be another program's, in any partition.
-		outcome = k.findElsewhere(ctx, home, found, turn)
+		// The turn may belong to another program, in any partition.
+		outcome = m.findElsewhere(ctx, home, found, turn)
 	}
-	if text, ok := k.text(turn); ok {
+	if text, ok := m.conversationText(turn); ok {
 		return text, nil
 	}
 	if outcome == structs.ConversationUnknown {
-		k.metrics.unknown.Inc(1)
-		k.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
+		m.metrics.unknown.Inc(1)
+		m.log.Info("no such turn", "turn", turn, "program", program, "partition", home.number)
 		return nil, serve.ErrTurnNotFound
 	}
-	k.metrics.uncertain.Inc(1)
-	k.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
+	m.metrics.uncertain.Inc(1)
+	m.log.Info("turn not found for now", "turn", turn, "program", program, "partition", home.number,
 		"home_outcome", int(found.outcome))
 	return nil, serve.ErrTurnUncertain
 }
 
-// text joins a turn and all before it, if this instance has them.
-func (k *Manager) text(id string) ([]byte, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	entries, ok := k.memory.chain(id, time.Now())
+// conversationText returns the text of a turn and its predecessors if all of
+// them are in memory.
+func (m *Manager) conversationText(id string) ([]byte, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entries, ok := m.memory.liveChain(id, time.Now())
 	if !ok {
 		return nil, false
 	}
@@ -86,123 +87,123 @@
 	return text, true
 }
 
-// find looks for a turn in one partition, at the instance that indexes it.
-func (k *Manager) find(ctx context.Context, p *partition, turn string) finding {
-	var passOver []structs.InstanceID
-	for range maxAsked {
-		id := k.indexOf(p, passOver)
+// find looks up a turn in one partition through its indexer.
+func (m *Manager) find(ctx context.Context, p *partition, turn string) lookupResult {
+	var exclude []structs.InstanceID
+	for range maxQueried {
+		id := m.indexer(p, exclude)
 		if id == "" {
 			break
 		}
-		found := k.findAt(ctx, id, p, turn)
+		found := m.findAt(ctx, id, p, turn)
 		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
 			return found
 		}
-		k.setUnable(id)
-		passOver = append(passOver, id)
+		m.markUnable(id)
+		exclude = append(exclude, id)
 	}
-	return finding{outcome: structs.ConversationUnread}
+	return lookupResult{outcome: structs.ConversationUnread}
 }
 
-// findAt looks for a turn at one instance and remembers what it finds.
-func (k *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) finding {
-	if id == k.self.ID {
-		return k.findHere(ctx, p, turn)
+// findAt looks up a turn at one instance and adds the turns found to memory.
+func (m *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) lookupResult {
+	if id == m.self.ID {
+		return m.findLocally(ctx, p, turn)
 	}
-	answer := k.ask(ctx, id, func(number uint64) structs.Message {
+	msg := m.query(ctx, id, func(number uint64) structs.Message {
 		return &structs.ConversationRequest{Number: number, Partition: p.number, Turn: turn}
 	})
-	reply, ok := answer.(*structs.ConversationReply)
+	reply, ok := msg.(*structs.ConversationReply)
 	if !ok {
-		return finding{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnread}
 	}
 	if reply.Outcome == structs.ConversationFound {
-		k.learn(reply.Turns, reply.Partition)
+		m.addTurns(reply.Turns, reply.Partition)
 	}
-	return finding{reply.Outcome, reply.Turns, reply.Partition}
+	return lookupResult{reply.Outcome, reply.Turns, reply.Partition}
 }
 
-// findHere looks for a turn in memory, then in the store.
-func (k *Manager) findHere(ctx context.Context, p *partition, turn string) finding {
-	if found, ok := k.findInMemory(turn); ok {
+// findLocally looks up a turn in memory, then in the store.
+func (m *Manager) findLocally(ctx context.Context, p *partition, turn string) lookupResult {
+	if found, ok := m.findInMemory(turn); ok {
 		return found
 	}
-	if err := k.catchUp(ctx, p); err != nil {
-		return finding{outcome: structs.ConversationUnread}
+	if err := m.catchUp(ctx, p); err != nil {
+		return lookupResult{outcome: structs.ConversationUnread}
 	}
-	if found, ok := k.findInMemory(turn); ok {
+	if found, ok := m.findInMemory(turn); ok {
 		return found
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.memory.find(turn, time.Now())
-	// A turn that another partition holds may be here without those before it:
-	// whoever indexes that partition has them.
-	if e != nil && e.in(p.number) || p.spoilt[turn] {
-		// A turn before it is missing or cannot be read, which the invariant
-		// rules out: the conversation exists, but not whole.
-		k.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
-		return finding{outcome: structs.ConversationUnread}
-	}
-	return finding{outcome: structs.ConversationUnknown}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	e := m.memory.find(turn, time.Now())
+	// A turn stored in another partition may be in memory without its
+	// predecessors, which are known to that partition's indexer.
+	if e != nil && e.storedIn(p.number) || p.corrupt[turn] {
+		// A predecessor is missing or cannot be decoded, which violates the
+		// package's invariant: the conversation exists but is incomplete.
+		m.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
+		return lookupResult{outcome: structs.ConversationUnread}
+	}
+	return lookupResult{outcome: structs.ConversationUnknown}
 }
 
-// findInMemory looks for a turn among those that this instance has.
-func (k *Manager) findInMemory(turn string) (finding, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	entries, ok := k.memory.chain(turn, time.Now())
+// findInMemory looks up a turn and its predecessors in memory.
+func (m *Manager) findInMemory(turn string) (lookupResult, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	entries, ok := m.memory.liveChain(turn, time.Now())
 	if !ok {
-		return finding{}, false
+		return lookupResult{}, false
 	}
 	newest := entries[len(entries)-1]
-	return finding{structs.ConversationFound, turnsOf(entries), newest.partitions[0]}, true
+	return lookupResult{structs.ConversationFound, turnsOf(entries), newest.partitions[0]}, true
 }
 
-// findElsewhere looks for a turn in all partitions but one, whose finding is
-// given.
-func (k *Manager) findElsewhere(
-	ctx context.Context, home *partition, found finding, turn string,
+// findElsewhere looks up a turn in all partitions but the home partition, whose
+// result is given.
+func (m *Manager) findElsewhere(
+	ctx context.Context, home *partition, homeResult lookupResult, turn string,
 ) structs.ConversationOutcome {
-	findings := make(chan finding, len(k.partitions))
-	for _, p := range k.partitions {
+	results := make(chan lookupResult, len(m.partitions))
+	for _, p := range m.partitions {
 		if p != home {
-			go func() { findings <- k.find(ctx, p, turn) }()
+			go func() { results <- m.find(ctx, p, turn) }()
 		}
 	}
-	all := []finding{found}
-	for range len(k.partitions) - 1 {
-		f := <-findings
+	all := []lookupResult{homeResult}
+	for range len(m.partitions) - 1 {
+		f := <-results
 		if f.outcome == structs.ConversationFound {
 			return f.outcome
 		}
 		all = append(all, f)
 	}
-	return verdict(all)
+	return combineOutcomes(all)
 }
 
-// receiveRequest answers another instance's question.
-func (k *Manager) receiveRequest(from structs.InstanceID, m *structs.ConversationRequest) {
-	if m.Partition < 0 || m.Partition >= len(k.partitions) {
-		k.log.Warn("question for an unknown partition ignored", "peer", from, "partition", m.Partition)
+// receiveRequest replies to another instance's lookup.
+func (m *Manager) receiveRequest(from structs.InstanceID, msg *structs.ConversationRequest) {
+	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
+		m.log.Warn("lookup in an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
 	}
-	p := k.partitions[m.Partition]
-	if found, ok := k.findInMemory(m.Turn); ok {
-		k.peers.Send(from, found.reply(m.Number))
+	p := m.partitions[msg.Partition]
+	if found, ok := m.findInMemory(msg.Turn); ok {
+		m.peers.Send(from, found.reply(msg.Number))
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spawn(func() {
-		ctx, cancel := context.WithTimeout(k.ctx, replyTimeout)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.spawn(func() {
+		ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 		defer cancel()
-		found := k.findHere(ctx, p, m.Turn)
-		k.peers.Send(from, found.reply(m.Number))
+		found := m.findLocally(ctx, p, msg.Turn)
+		m.peers.Send(from, found.reply(msg.Number))
 	})
 }
 
-func (f finding) reply(number uint64) *structs.ConversationReply {
+func (f lookupResult) reply(number uint64) *structs.ConversationReply {
 	return &structs.ConversationReply{
 		Number: number, Outcome: f.outcome, Turns: f.turns, Partition: f.partition,
 	}
--- a/internal/conversation/memory.go
+++ b/internal/conversation/memory.go
@@ -7,31 +7,31 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// entry is a turn that this instance has, and the partitions that hold it.
+// entry is a turn in memory and the partitions that hold it.
 type entry struct {
 	structs.KeptTurn
-	// partitions is nearly always one.
+	// partitions rarely has more than one element.
 	partitions []int
-	// until is when the turn and all that continue it can no longer be named,
-	// as far as this instance knows.
-	until time.Time
+	// expires is when neither the turn nor any known continuation of it can be
+	// referenced any more.
+	expires time.Time
 }
 
-// memory is the turns that this instance has. Every one of them is in the
-// store. It is a value without I/O; the Keeper's mutex guards it.
+// memory holds the turns known to this instance. All of them are in the store.
+// It does no I/O and is guarded by Manager.mu.
 type memory struct {
 	turns map[string]*entry
-	// bytes is the size of all inputs and outputs.
+	// bytes is the total size of inputs and outputs.
 	bytes int
 }
 
 func newMemory() memory { return memory{turns: make(map[string]*entry)} }
 
-// add takes a turn that a partition holds.
+// add adds a turn that a partition holds.
 func (m *memory) add(turn structs.KeptTurn, partition int, now time.Time) {
 	e, ok := m.turns[turn.ID]
 	if !ok {
-		e = &entry{KeptTurn: turn, until: expiry(turn, now)}
+		e = &entry{KeptTurn: turn, expires: expiry(turn, now)}
 		m.turns[turn.ID] = e
 		m.bytes += len(turn.Input) + len(turn.Output)
 	}
@@ -40,9 +40,8 @@
 	}
 }
 
-// expiry is when a turn can no longer be named if none continues it. The clock
-// of the instance that ran it may differ from this one's, so a turn is never
-// taken to have ended in the future.
+// expiry returns when a turn expires if none continues it. An end time in the
+// future, from an instance whose clock is ahead, counts as now.
 func expiry(turn structs.KeptTurn, now time.Time) time.Time {
 	ended := time.UnixMilli(turn.Ended)
 	if ended.After(now) {
@@ -51,36 +50,36 @@
 	return ended.Add(turn.Retention)
 }
 
-// namedMargin is how long beyond its retention a turn may still be named:
-// clocks of instances differ. It is well below dropMargin, so that a turn that
-// begins in time is kept before what it continues is dropped.
-const namedMargin = 15 * time.Second
+// referenceMargin is how long after its retention a turn may still be
+// referenced, to allow for clock differences. It is well below dropMargin, so
+// that a turn accepted in time is stored before its predecessors are dropped.
+const referenceMargin = 15 * time.Second
 
-// find is a turn that can still be named, nil if there is none.
+// find returns a turn that can still be referenced, or nil.
 func (m *memory) find(id string, now time.Time) *entry {
 	e := m.turns[id]
-	if e == nil || now.Sub(e.until) <= namedMargin {
+	if e == nil || now.Sub(e.expires) <= referenceMargin {
 		return e
 	}
-	// Turns that continue it may have come since it was added.
-	m.extend()
-	if now.Sub(e.until) > namedMargin {
+	// Continuations may have been added since expires was computed.
+	m.extendExpiry()
+	if now.Sub(e.expires) > referenceMargin {
 		return nil
 	}
 	return e
 }
 
-// chain is line for a turn that can still be named.
-func (m *memory) chain(id string, now time.Time) ([]*entry, bool) {
+// liveChain is chain restricted to turns that can still be referenced.
+func (m *memory) liveChain(id string, now time.Time) ([]*entry, bool) {
 	if m.find(id, now) == nil {
 		return nil, false
 	}
-	return m.line(id)
+	return m.chain(id)
 }
 
-// line lists a turn and all before it, the oldest first. It returns false if any
-// of them is missing, or if they form a cycle.
-func (m *memory) line(id string) ([]*entry, bool) {
+// chain returns a turn and its predecessors, oldest first. It returns false if
+// one of them is missing or they form a cycle.
+func (m *memory) chain(id string) ([]*entry, bool) {
 	var turns []*entry
 	for id != "" {
 		e, ok := m.turns[id]
@@ -94,31 +93,32 @@
 	return turns, len(turns) > 0
 }
 
-// in tells whether a partition is known to hold the turn.
-func (e *entry) in(partition int) bool { return slices.Contains(e.partitions, partition) }
+// storedIn reports whether a partition is known to hold the turn.
+func (e *entry) storedIn(partition int) bool { return slices.Contains(e.partitions, partition) }
 
-// extend makes every turn outlast all that continue it.
-func (m *memory) extend() {
+// extendExpiry extends the expiry of each turn to that of its latest
+// continuation.
+func (m *memory) extendExpiry() {
 	for _, e := range m.turns {
-		for before := m.turns[e.Previous]; before != nil && before.until.Before(e.until); before = m.turns[before.Previous] {
-			before.until = e.until
+		for before := m.turns[e.Previous]; before != nil && before.expires.Before(e.expires); before = m.turns[before.Previous] {
+			before.expires = e.expires
 		}
 	}
 }
 
-// expired lists the turns that could not be named for a time.
+// expired lists the turns that expired more than margin ago.
 func (m *memory) expired(now time.Time, margin time.Duration) []*entry {
-	m.extend()
+	m.extendExpiry()
 	var out []*entry
 	for _, e := range m.turns {
-		if now.Sub(e.until) > margin {
+		if now.Sub(e.expires) > margin {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// drop forgets a turn.
+// drop removes a turn.
 func (m *memory) drop(id string) {
 	e, ok := m.turns[id]
 	if !ok {
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -10,26 +10,26 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// outage tells whether turns can be kept at all. While they cannot, one of those
-// that wait tries on for all of them: tries of each would take all the calls that
-// the store allows. The mutex of the Keeper guards it.
+// outage tracks whether turns can be stored at all. During an outage one
+// waiting write retries on behalf of all, because retries of each would exhaust
+// the store's call limit. Guarded by Manager.mu.
 type outage struct {
-	// since is when the last round of tries failed after one had succeeded,
-	// zero if none has.
+	// since is when the outage began, zero outside an outage.
 	since time.Time
-	// whole tells that more than single partitions failed: its end is news to
-	// others, and all partitions may be tried again.
-	whole bool
-	// pause is the time until the next round.
-	pause time.Duration
-	// full tells that the store had no room in the last round, at tried.
-	full  bool
-	tried time.Time
-	// through is when a turn last began that is not expected to be kept.
-	through time.Time
-	// probing tells that somebody tries.
+	// storeWide is set if the outage is not limited to single partitions. Its
+	// end is then broadcast, and all partitions may be tried again.
+	storeWide bool
+	// retryDelay is the delay before the next round.
+	retryDelay time.Duration
+	// full is set if the store was out of space in the last round.
+	full      bool
+	lastRound time.Time
+	// lastProbeTurn is when a turn was last accepted although it is not
+	// expected to be stored.
+	lastProbeTurn time.Time
+	// probing is set while a write retries on behalf of all.
 	probing bool
-	// changed is closed and replaced when one of these changes.
+	// changed is closed and replaced when the state changes.
 	changed chan struct{}
 }
 
@@ -38,22 +38,22 @@
 	o.changed = make(chan struct{})
 }
 
-// awaitTry waits until the caller may try to keep its turn. It tells whether
-// the caller tries for others as well, who wait until endTry.
-func (k *Manager) awaitTry(ctx context.Context) (prober bool, err error) {
+// awaitAttempt waits until the caller may try to store its turn. prober is true
+// if the caller retries on behalf of all; the others then wait until endProbe.
+func (m *Manager) awaitAttempt(ctx context.Context) (prober bool, err error) {
 	for {
-		k.mu.Lock()
-		if k.outage.since.IsZero() {
-			k.mu.Unlock()
+		m.mu.Lock()
+		if m.outage.since.IsZero() {
+			m.mu.Unlock()
 			return false, nil
 		}
-		if !k.outage.probing {
-			k.outage.probing = true
-			k.mu.Unlock()
+		if !m.outage.probing {
+			m.outage.probing = true
+			m.mu.Unlock()
 			return true, nil
 		}
-		changed := k.outage.changed
-		k.mu.Unlock()
+		changed := m.outage.changed
+		m.mu.Unlock()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -62,11 +62,11 @@
 	}
 }
 
-// pauseTry waits before the next round of tries, unless the outage ends.
-func (k *Manager) pauseTry(ctx context.Context, wait time.Duration) {
-	k.mu.Lock()
-	ended, changed := k.outage.since.IsZero(), k.outage.changed
-	k.mu.Unlock()
+// waitBeforeRetry waits before the next round, unless the outage ends.
+func (m *Manager) waitBeforeRetry(ctx context.Context, wait time.Duration) {
+	m.mu.Lock()
+	ended, changed := m.outage.since.IsZero(), m.outage.changed
+	m.mu.Unlock()
 	if ended {
 		return
 	}
@@ -79,87 +79,89 @@
 	}
 }
 
-// endTry lets the next one try.
-func (k *Manager) endTry(prober bool) {
+// endProbe allows the next waiting write to retry.
+func (m *Manager) endProbe(prober bool) {
 	if !prober {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.outage.probing = false
-	k.outage.signal()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.outage.probing = false
+	m.outage.signal()
 }
 
 const (
-	// appendRetryFirst and appendRetryMost bound the pause between two rounds
-	// of tries; it doubles over an outage. Refused calls are priced.
-	appendRetryFirst = 20 * time.Millisecond
-	appendRetryMost  = 320 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay between rounds, which
+	// doubles during an outage. Refused calls are billed too.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 320 * time.Millisecond
 )
 
-// noteRound notes whether a round of tries over instances and partitions
-// failed, and logs when that changes. It returns the pause before the next one.
-func (k *Manager) noteRound(err error) time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	o := &k.outage
-	o.full, o.tried = errors.Is(err, platform.ErrFull), time.Now()
+// recordRound records the outcome of a round, logs the start and end of an
+// outage, and returns the delay before the next round.
+func (m *Manager) recordRound(err error) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := &m.outage
+	o.full, o.lastRound = errors.Is(err, platform.ErrFull), time.Now()
 	failing := !o.since.IsZero()
 	switch {
 	case err != nil && !failing:
-		o.since, o.pause = time.Now(), appendRetryFirst
-		o.whole = k.path.InOutage(o.since)
-		k.log.Warn("turns cannot be kept", "error", err.Error())
+		o.since, o.retryDelay = time.Now(), minRetryDelay
+		o.storeWide = m.path.InOutage(o.since)
+		m.log.Warn("turns cannot be kept", "error", err.Error())
 	case err != nil:
-		o.pause = min(2*o.pause, appendRetryMost)
+		o.retryDelay = min(2*o.retryDelay, maxRetryDelay)
 	case failing:
-		whole := o.whole
-		k.endOutage()
-		if whole {
-			k.tellBack()
+		storeWide := o.storeWide
+		m.endOutage()
+		if storeWide {
+			m.notifyRecovery()
 		}
 	}
-	return o.pause
+	return o.retryDelay
 }
 
-// endOutage has all that wait try again. The mutex is held.
-func (k *Manager) endOutage() {
-	o := &k.outage
+// endOutage ends the outage and wakes all waiting writes. The caller must hold
+// m.mu.
+func (m *Manager) endOutage() {
+	o := &m.outage
 	if o.since.IsZero() {
 		return
 	}
-	k.log.Info("turns can be kept again", "away_ms", time.Since(o.since).Milliseconds())
+	m.log.Info("turns can be kept again", "away_ms", time.Since(o.since).Milliseconds())
 	o.since = time.Time{}
-	if o.whole {
-		for _, p := range k.partitions {
-			p.awayUntil = time.Time{}
+	if o.storeWide {
+		for _, p := range m.partitions {
+			p.unavailableUntil = time.Time{}
 		}
 	}
 	o.signal()
 }
 
-// fullPause is the time between two turns that are let through while none is
-// expected to be kept, to find out whether that still is so.
-const fullPause = time.Second
+// fullProbeInterval is the time between two turns that are accepted during an
+// outage to detect its end.
+const fullProbeInterval = time.Second
 
-// Accepts tells whether a turn that begins now can be kept before its caller
-// leaves, as far as is known. While the store is full none can, for as long as
-// nobody makes room. While it is away turns are accepted if it is expected back
-// in time: their callers get the text as it comes, and the end once it is back.
-func (k *Manager) Accepts(left time.Duration) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	o := &k.outage
+// Accepts reports whether a turn that begins now is expected to be stored
+// before its caller's time left runs out. While the store is full no turn is
+// accepted, except for occasional probes. During other outages a turn is
+// accepted if the store is expected to recover in time: the caller receives the
+// text as it is generated, and the end once the turn is stored.
+func (m *Manager) Accepts(left time.Duration) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	o := &m.outage
 	now := time.Now()
 	if o.full {
-		return now.Sub(o.tried) > fullPause
+		return now.Sub(o.lastRound) > fullProbeInterval
 	}
 	if o.since.IsZero() || policy.AllowTurnDuringOutage(now.Sub(o.since), left) {
 		return true
 	}
-	if now.Sub(o.through) <= fullPause {
+	if now.Sub(o.lastProbeTurn) <= fullProbeInterval {
 		return false
 	}
-	o.through = now
+	o.lastProbeTurn = now
 	return true
 }
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -9,72 +9,72 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// pageTimeout bounds the read of one page of up to 1 MB: 100 ms on a link of
-// 100 Mbit/s, some hundred when the store is slow.
+// pageTimeout bounds the read of one page of up to 1 MB.
 const pageTimeout = 900 * time.Millisecond
 
-// partition is what this instance has read of one partition.
+// partition is the state of this instance's reads and appends of one partition.
 type partition struct {
 	number int
 
-	// The Keeper's mutex guards what follows.
+	// The following fields are guarded by Manager.mu.
 
-	// read tells that the partition was read once; all before the offset next
-	// is in memory.
+	// read is set once the partition was read; all records before the offset
+	// next are then in memory.
 	read bool
 	next int64
-	// reading tells that a read is under way; waiting are those who need one
-	// that begins after they came.
+	// reading is set while a read is in progress. waiting receives the result
+	// of a read that begins after they were added.
 	reading bool
 	waiting []chan error
-	// bytes is the size of the records read since history was last dropped.
+	// bytes is the size of the records read since the last trim.
 	bytes int
-	// spoilt are the keys whose records cannot be decoded.
-	spoilt map[string]bool
-	// awayUntil is how long the partition is tried last for appends.
-	awayUntil time.Time
-	appends   appendQueue
+	// corrupt holds the keys of records that cannot be decoded.
+	corrupt map[string]bool
+	// unavailableUntil is the time until which other partitions are preferred
+	// for appends.
+	unavailableUntil time.Time
+	appends          appendQueue
 }
 
 func newPartition(number int) *partition {
-	return &partition{number: number, spoilt: make(map[string]bool)}
+	return &partition{number: number, corrupt: make(map[string]bool)}
 }
 
-// catchUp reads a partition to its end, by a read that begins after the call.
-// Calls that come together share one.
-func (k *Manager) catchUp(ctx context.Context, p *partition) error {
+// catchUp reads a partition to its end by a read that begins after the call.
+// Concurrent calls share a read.
+func (m *Manager) catchUp(ctx context.Context, p *partition) error {
 	done := make(chan error, 1)
-	k.mu.Lock()
+	m.mu.Lock()
 	p.waiting = append(p.waiting, done)
-	if !p.reading && !k.stopped {
+	if !p.reading && !m.stopped {
 		p.reading = true
-		k.spawn(func() { k.readFor(p) })
+		m.spawn(func() { m.serveReads(p) })
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-k.ctx.Done():
-		return k.ctx.Err()
+	case <-m.ctx.Done():
+		return m.ctx.Err()
 	}
 }
 
-// readFor reads for those who wait, until nobody does.
-func (k *Manager) readFor(p *partition) {
+// serveReads reads the partition until no call waits for it.
+func (m *Manager) serveReads(p *partition) {
 	for {
-		k.mu.Lock()
+		m.mu.Lock()
 		waiting := p.waiting
 		p.waiting = nil
 		p.reading = len(waiting) > 0
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if len(waiting) == 0 {
 			return
 		}
-		err := k.readToEnd(p)
+		err := m.readToEnd(p)
 		if err != nil {
-			k.log.Warn("turns not read", "partition", p.number, "error", err.Error())
+			m.log.Warn("turns not read", "partition", p.number, "error", err.Error())
 		}
 		for _, done := range waiting {
 			done <- err
@@ -82,107 +82,108 @@
 	}
 }
 
-// readToEnd reads what a partition holds beyond what is in memory.
-func (k *Manager) readToEnd(p *partition) error {
-	k.mu.Lock()
+// readToEnd reads the records of a partition that are not in memory yet.
+func (m *Manager) readToEnd(p *partition) error {
+	m.mu.Lock()
 	read := p.read
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if read {
-		err := k.readOn(p)
+		err := m.readTail(p)
 		if !errors.Is(err, platform.ErrTrimmed) {
 			return err
 		}
 	}
-	if err := k.readNewest(p); err != nil {
+	if err := m.readNewest(p); err != nil {
 		return err
 	}
-	return k.readOn(p)
+	return m.readTail(p)
 }
 
 // readNewest reads the newest record of each key, page by page.
-func (k *Manager) readNewest(p *partition) error {
-	begun := time.Now()
+func (m *Manager) readNewest(p *partition) error {
+	start := time.Now()
 	after, next, records := "", int64(-1), 0
 	for {
-		page, more, err := k.newestPage(p, after)
+		page, more, err := m.newestPage(p, after)
 		if err != nil {
 			return err
 		}
 		if next < 0 {
-			// Reading on from the end of the first page misses no change made
+			// Resuming from the end of the first page includes changes made
 			// while later pages were read.
 			next = page.End
 		}
-		k.take(p, page.Records)
+		m.addRecords(p, page.Records)
 		records += len(page.Records)
 		if !more {
 			break
 		}
 		after = page.Records[len(page.Records)-1].Key
 	}
-	k.mu.Lock()
+	m.mu.Lock()
 	p.read, p.next = true, next
-	k.mu.Unlock()
-	k.metrics.loads.Inc(1)
-	k.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
-		"ms", time.Since(begun).Milliseconds())
+	m.mu.Unlock()
+	m.metrics.firstReads.Inc(1)
+	m.log.Info("turns read", "partition", p.number, "turns", records, "offset", next,
+		"ms", time.Since(start).Milliseconds())
 	return nil
 }
 
-func (k *Manager) newestPage(p *partition, after string) (platform.Newest, bool, error) {
-	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
+func (m *Manager) newestPage(p *partition, after string) (platform.Newest, bool, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, pageTimeout)
 	defer cancel()
-	return k.store.NewestPage(ctx, topic, p.number, after)
+	return m.store.NewestPage(ctx, topic, p.number, after)
 }
 
-// readOn reads the records behind what is in memory to the partition's end. It
-// returns platform.ErrTrimmed if some of them are no longer kept.
-func (k *Manager) readOn(p *partition) error {
+// readTail reads from the offset next to the partition's end. It returns
+// platform.ErrTrimmed if some of these records were trimmed.
+func (m *Manager) readTail(p *partition) error {
 	for {
-		k.mu.Lock()
+		m.mu.Lock()
 		from := p.next
-		k.mu.Unlock()
-		page, err := k.readPage(p, from)
+		m.mu.Unlock()
+		page, err := m.readPage(p, from)
 		if err != nil {
 			return err
 		}
-		k.take(p, page.Records)
-		k.mu.Lock()
+		m.addRecords(p, page.Records)
+		m.mu.Lock()
 		p.next = page.Next
-		k.mu.Unlock()
+		m.mu.Unlock()
 		if page.Next >= page.End {
 			return nil
 		}
 		if page.Next == from {
-			return errors.Newf("the read of partition %d stops at offset %d of %d", p.number, from, page.End)
+			return errors.Newf("read of partition %d made no progress at offset %d, end is %d", p.number, from, page.End)
 		}
 	}
 }
 
-func (k *Manager) readPage(p *partition, from int64) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
+func (m *Manager) readPage(p *partition, from int64) (platform.Page, error) {
+	ctx, cancel := context.WithTimeout(m.ctx, pageTimeout)
 	defer cancel()
-	return k.store.ReadPage(ctx, topic, p.number, from, 0)
+	return m.store.ReadPage(ctx, topic, p.number, from, 0)
 }
 
-// take adds the turns of records to memory. A record that cannot be decoded is
-// logged and passed over: its conversation is then not found whole.
-func (k *Manager) take(p *partition, records []platform.Record) {
+// addRecords adds the turns of records to memory. A record that cannot be
+// decoded is logged and skipped; lookups of its conversation are then
+// uncertain.
+func (m *Manager) addRecords(p *partition, records []platform.Record) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, r := range records {
 		p.bytes += len(r.Key) + len(r.Value)
 		if len(r.Value) == 0 {
-			continue // dropped after its retention
+			continue // deleted after its retention
 		}
 		turn, err := decodeTurn(r)
 		if err != nil {
-			p.spoilt[r.Key] = true
-			k.log.Error("record of a turn ignored", "partition", p.number, "offset", r.Offset, "error", err.Error())
+			p.corrupt[r.Key] = true
+			m.log.Error("record of a turn ignored", "partition", p.number, "offset", r.Offset, "error", err.Error())
 			continue
 		}
-		k.memory.add(turn, p.number, now)
+		m.memory.add(turn, p.number, now)
 	}
-	k.metrics.bytes.Update(float64(k.memory.bytes))
+	m.metrics.bytes.Update(float64(m.memory.bytes))
 }
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -11,88 +11,89 @@
 )
 
 func TestTurnsAreDroppedAfterTheirRetention(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		old := w.chainOf("p", "", 3)
-		long := w.chainOf("q", "", 2)
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		old := c.runTurns("p", "", 3)
+		long := c.runTurns("q", "", 2)
 		for range 8 {
 			time.Sleep(testRetention / 2)
-			long = w.chainOf("q", long, 1)
+			long = c.runTurns("q", long, 1)
 		}
-		w.mustRecall(w.all()[0], "q", long)
-		w.restartAll()
-		w.mustRecall(w.all()[0], "q", long)
-		if _, err := w.all()[0].keeper.History(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
-			t.Errorf("a turn long past its retention: %v", err)
+		c.mustLookUp(c.running()[0], "q", long)
+		c.restartAll()
+		c.mustLookUp(c.running()[0], "q", long)
+		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
+			t.Errorf("lookup of an expired turn: got error %v, want ErrNoTurn", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
-		for _, n := range w.all() {
-			if got := n.keeper.Dump().Turns; got != 0 {
-				t.Errorf("%s holds %d turns past their retention", n.ID, got)
+		for _, n := range c.running() {
+			if got := n.manager.Dump().Turns; got != 0 {
+				t.Errorf("%s holds %d expired turns", n.ID, got)
 			}
 		}
 		for part := range testPartitions {
-			list, err := w.Store.Newest(t.Context(), topic, part)
+			list, err := c.Store.Newest(t.Context(), topic, part)
 			if err != nil || len(list.Records) > 0 {
-				t.Errorf("partition %d holds %d turns past their retention, %v", part, len(list.Records), err)
+				t.Errorf("partition %d holds %d expired turns; error %v", part, len(list.Records), err)
 			}
 		}
 	})
 }
 
-// A turn that was named in time may end after the retention of the one before
-// it, in another partition.
-func TestTurnThatEndsAfterTheRetentionIsKeptWhole(t *testing.T) {
-	inWorld(t, 3, func(t *testing.T, w *world) {
-		n := w.all()[0]
-		first, second := w.programIn(0), w.programIn(1)
-		last := w.mustTurn(n, first, "")
-		w.mustRecall(n, second, last)
-		time.Sleep(testRetention + 2*namedMargin)
+// A turn accepted within the retention of its predecessor may end after it, in
+// another partition.
+func TestTurnEndingAfterRetentionIsStoredWithItsHistory(t *testing.T) {
+	runCluster(t, 3, func(t *testing.T, c *cluster) {
+		n := c.running()[0]
+		first, second := c.programIn(0), c.programIn(1)
+		last := c.mustTurn(n, first, "")
+		c.mustLookUp(n, second, last)
+		time.Sleep(testRetention + 2*referenceMargin)
 		end := serve.CompletedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
-		if err := n.keeper.StoreTurn(t.Context(), second, end); err != nil {
+		if err := n.manager.StoreTurn(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
-		list, err := w.Store.Newest(t.Context(), topic, 1)
+		list, err := c.Store.Newest(t.Context(), topic, 1)
 		if err != nil || len(list.Records) != 2 {
-			t.Errorf("its partition holds %d turns, %v", len(list.Records), err)
+			t.Errorf("partition 1 holds %d turns, want 2; error %v", len(list.Records), err)
 		}
 	})
 }
 
-// programIn finds a program of a partition.
-func (w *world) programIn(part int) string {
-	k := w.all()[0].keeper
+// programIn returns a program whose home is the given partition.
+func (c *cluster) programIn(part int) string {
+	m := c.running()[0].manager
 	for i := 0; ; i++ {
-		if program := fmt.Sprint("program", i); k.partitionOf(program).number == part {
+		if program := fmt.Sprint("program", i); m.partitionOf(program).number == part {
 			return program
 		}
 	}
 }
 
-// The beginning of a conversation that goes on in another partition is dropped
-// from its own. A later turn that comes back there must take it along again.
+// A conversation that continues in another partition has its beginning dropped
+// from the first one. A later turn in the first partition must store it there
+// again.
 func TestDroppedBeginningIsWrittenAgain(t *testing.T) {
-	inWorld(t, 4, func(t *testing.T, w *world) {
-		first := w.programIn(0)
-		index := w.index(first)
+	runCluster(t, 4, func(t *testing.T, c *cluster) {
+		first := c.programIn(0)
+		indexer := c.indexer(first)
 		second := first
-		for part := 1; w.index(second) == index; part++ {
-			second = w.programIn(part)
+		for part := 1; c.indexer(second) == indexer; part++ {
+			second = c.programIn(part)
 		}
-		writer := w.others(index, w.index(second))[0]
-		last := w.mustTurn(writer, first, "")
+		writer := c.others(indexer, c.indexer(second))[0]
+		last := c.mustTurn(writer, first, "")
 		for range 10 {
 			time.Sleep(testRetention / 2)
-			last = w.mustTurn(writer, second, last)
+			last = c.mustTurn(writer, second, last)
 		}
-		list, err := w.Store.Newest(t.Context(), topic, 0)
+		list, err := c.Store.Newest(t.Context(), topic, 0)
 		if err != nil || len(list.Records) > 0 {
-			t.Fatalf("the beginning was not dropped: %d records, %v", len(list.Records), err)
+			t.Fatalf("the beginning was not dropped: %d records, error %v", len(list.Records), err)
 		}
-		last = w.mustTurn(writer, first, last)
-		w.restartAll()
-		for _, n := range w.all() {
-			w.mustRecall(n, first, last)
+		last = c.mustTurn(writer, first, last)
+		c.restartAll()
+		for _, n := range c.running() {
+			c.mustLookUp(n, first, last)
 		}
 	})
 }
