--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -17,30 +17,30 @@
 	t.mu.Lock()
 	closed := t.closed
 	if !closed {
-		t.work.Add(1)
+		t.wg.Add(1)
 	}
 	t.mu.Unlock()
 	if closed {
 		http.Error(w, errClosed.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	defer t.work.Done()
+	defer t.wg.Done()
 	if err := t.checkTLS(r); err != nil {
-		t.refuse(r, err)
+		t.recordRefusal(r, err)
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
 	select {
 	case t.handshakes <- struct{}{}:
 	default:
-		t.refuse(r, errors.New("too many connections that are not authenticated"))
+		t.recordRefusal(r, errors.New("too many connections that are not authenticated"))
 		http.Error(w, "too many handshakes", http.StatusServiceUnavailable)
 		return
 	}
 	s, err := t.accept(w, r)
 	<-t.handshakes
 	if err != nil {
-		t.refuse(r, err)
+		t.recordRefusal(r, err)
 		return
 	}
 	t.runSession(s)
@@ -69,13 +69,13 @@
 	defer cancel()
 	remote, err := t.handshaker.accept(ctx, conn)
 	if err != nil {
-		_ = conn.Close(websocket.StatusPolicyViolation, closeReason(err))
+		_ = conn.Close(websocket.StatusPolicyViolation, truncateReason(err))
 		return nil, errors.Wrap(err, "handshake")
 	}
 	return newSession(t, remote, conn), nil
 }
 
-func (t *Transport) refuse(r *http.Request, err error) {
+func (t *Transport) recordRefusal(r *http.Request, err error) {
 	t.metrics.refused.Inc(1)
 	t.logger.Warn("peer connection refused", "remote", r.RemoteAddr, "error", err)
 }
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -9,7 +9,7 @@
 
 func BenchmarkFrame(b *testing.B) {
 	msg := new(structs.PermitRequest)
-	fill(reflect.ValueOf(msg).Elem())
+	setNonZero(reflect.ValueOf(msg).Elem())
 	b.ReportAllocs()
 	var size int
 	for b.Loop() {
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -16,17 +16,17 @@
 	DefaultHeartbeatInterval = 250 * time.Millisecond
 	DefaultWriteTimeout      = 3 * time.Second
 	DefaultCloseTimeout      = time.Second
-	DefaultMaxFrame          = 16 << 20
-	DefaultQueueFrames       = 8192
-	DefaultQueueBytes        = 64 << 20
+	DefaultMaxFrameBytes     = 16 << 20
+	DefaultMaxQueuedFrames   = 8192
+	DefaultMaxQueuedBytes    = 64 << 20
 	DefaultMaxHandshakes     = 64
 
 	// MinKeyBytes is the least length of the shared key.
 	MinKeyBytes = 16
 )
 
-// ErrConfig is the error of a Config that cannot be used.
-var ErrConfig = errors.New("invalid peer transport configuration")
+// ErrInvalidConfig is the error of a Config that cannot be used.
+var ErrInvalidConfig = errors.New("invalid peer transport configuration")
 
 // Config holds the settings of a Transport. Zero values of all but Self and
 // Key take the defaults above.
@@ -55,12 +55,12 @@
 	WriteTimeout time.Duration
 	// CloseTimeout bounds how long Close goes on sending what waits.
 	CloseTimeout time.Duration
-	// MaxFrame is the size of the largest frame, in bytes.
-	MaxFrame int
-	// QueueFrames and QueueBytes bound what waits to be written to one
+	// MaxFrameBytes is the size of the largest frame, in bytes.
+	MaxFrameBytes int
+	// MaxQueuedFrames and MaxQueuedBytes bound what waits to be written to one
 	// instance.
-	QueueFrames int
-	QueueBytes  int
+	MaxQueuedFrames int
+	MaxQueuedBytes  int
 	// MaxHandshakes bounds the connections that are not yet authenticated.
 	MaxHandshakes int
 }
@@ -71,22 +71,22 @@
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, DefaultHeartbeatInterval)
 	c.WriteTimeout = cmp.Or(c.WriteTimeout, DefaultWriteTimeout)
 	c.CloseTimeout = cmp.Or(c.CloseTimeout, DefaultCloseTimeout)
-	c.MaxFrame = cmp.Or(c.MaxFrame, DefaultMaxFrame)
-	c.QueueFrames = cmp.Or(c.QueueFrames, DefaultQueueFrames)
-	c.QueueBytes = cmp.Or(c.QueueBytes, DefaultQueueBytes)
+	c.MaxFrameBytes = cmp.Or(c.MaxFrameBytes, DefaultMaxFrameBytes)
+	c.MaxQueuedFrames = cmp.Or(c.MaxQueuedFrames, DefaultMaxQueuedFrames)
+	c.MaxQueuedBytes = cmp.Or(c.MaxQueuedBytes, DefaultMaxQueuedBytes)
 	c.MaxHandshakes = cmp.Or(c.MaxHandshakes, DefaultMaxHandshakes)
 	return c
 }
 
 func (c Config) validate() error {
 	if c.Self.ID == "" || c.Incarnation == "" {
-		return errors.Wrap(ErrConfig, "the instance id and incarnation are needed")
+		return errors.Wrap(ErrInvalidConfig, "the instance id and incarnation are needed")
 	}
 	if len(c.Key) == 0 && c.verifiesClients() {
 		return nil
 	}
 	if len(c.Key) < MinKeyBytes {
-		return errors.Wrapf(ErrConfig, "the shared key needs at least %d bytes", MinKeyBytes)
+		return errors.Wrapf(ErrInvalidConfig, "the shared key needs at least %d bytes", MinKeyBytes)
 	}
 	return nil
 }
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -29,14 +29,14 @@
 	return "ws://" + address + Route
 }
 
-// connect tells whether a link has a connection or is being dialed, and dials
+// ensureConnected tells whether a link has a connection or is being dialed, and dials
 // it if neither. It returns false if the address is unknown or the instance
 // could not be reached a moment ago. The mutex is held.
-func (t *Transport) connect(l *link) bool {
+func (t *Transport) ensureConnected(l *link) bool {
 	if l.current != nil || l.dialing {
 		return true
 	}
-	if l.address == "" || time.Now().Before(l.notBefore) {
+	if l.address == "" || time.Now().Before(l.nextDial) {
 		return false
 	}
 	address := l.address
@@ -48,7 +48,7 @@
 func (t *Transport) dialLink(l *link, address string) {
 	s, err := t.dial(l, address)
 	if err != nil {
-		t.dialFailed(l, err)
+		t.handleDialFailure(l, err)
 		return
 	}
 	s.dialed = true
@@ -71,12 +71,12 @@
 	return newSession(t, remote, conn), nil
 }
 
-// dialFailed drops what waits for the instance and tells the loop.
-func (t *Transport) dialFailed(l *link, err error) {
+// handleDialFailure drops what waits for the instance and tells the loop.
+func (t *Transport) handleDialFailure(l *link, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.dialing = false
-	l.notBefore = time.Now().Add(l.redial.NextBackOff())
+	l.nextDial = time.Now().Add(l.dialBackoff.NextBackOff())
 	t.metrics.dialsFailed.Inc(1)
 	if !l.unreachable {
 		t.logger.Warn("peer cannot be reached", "peer", l.id, "error", err)
@@ -85,19 +85,19 @@
 	if l.current != nil {
 		return
 	}
-	t.drop(l)
+	t.dropQueue(l)
 	t.liveness.down(l.id)
 }
 
 // runSession adopts a session, runs it, and cleans up after it.
 func (t *Transport) runSession(s *session) {
-	l := t.adopt(s)
+	l := t.registerSession(s)
 	if l == nil {
 		s.cancel(errClosed)
 		_ = s.conn.CloseNow()
 		return
 	}
-	defer t.running.Done()
+	defer t.activeSessions.Done()
 	err := s.run()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,6 +106,6 @@
 	}
 	delete(l.sessions, s)
 	if l.current == s {
-		t.breakLink(l, err)
+		t.disconnect(l, err)
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -32,9 +32,9 @@
 
 // Errors of a frame.
 var (
-	ErrVersion  = errors.New("peer speaks another protocol version")
-	ErrFrame    = errors.New("malformed frame")
-	ErrTooLarge = errors.New("frame is too large")
+	ErrVersionMismatch = errors.New("peer speaks another protocol version")
+	ErrMalformedFrame  = errors.New("malformed frame")
+	ErrFrameTooLarge   = errors.New("frame is too large")
 )
 
 var handle = newHandle()
@@ -63,8 +63,8 @@
 	return append(frame, encoded...), nil
 }
 
-// DecodeFrame decodes a frame that holds a message. It returns ErrVersion or
-// ErrFrame.
+// DecodeFrame decodes a frame that holds a message. It returns ErrVersionMismatch or
+// ErrMalformedFrame.
 func DecodeFrame(frame []byte) (structs.Message, error) {
 	kind, body, err := splitFrame(frame)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	msg := structs.NewMessage(kind)
 	if msg == nil {
-		return nil, errors.Wrapf(ErrFrame, "unknown message kind %d", kind)
+		return nil, errors.Wrapf(ErrMalformedFrame, "unknown message kind %d", kind)
 	}
 	if err := decodeBody(body, msg); err != nil {
 		return nil, errors.Wrapf(err, "message of kind %d", kind)
@@ -83,10 +83,10 @@
 // splitFrame checks the version and splits a frame into its kind and body.
 func splitFrame(frame []byte) (structs.MessageKind, []byte, error) {
 	if len(frame) < headerBytes {
-		return 0, nil, errors.Wrap(ErrFrame, "shorter than its header")
+		return 0, nil, errors.Wrap(ErrMalformedFrame, "shorter than its header")
 	}
 	if frame[0] != structs.ProtocolVersion {
-		return 0, nil, errors.Wrapf(ErrVersion, "version %d, wanted %d", frame[0], structs.ProtocolVersion)
+		return 0, nil, errors.Wrapf(ErrVersionMismatch, "version %d, wanted %d", frame[0], structs.ProtocolVersion)
 	}
 	return structs.MessageKind(frame[1]), frame[headerBytes:], nil
 }
@@ -96,22 +96,22 @@
 func decodeBody(body []byte, target any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = errors.Wrapf(ErrFrame, "decode %s: %v", reflect.TypeOf(target), r)
+			err = errors.Wrapf(ErrMalformedFrame, "decode %s: %v", reflect.TypeOf(target), r)
 		}
 	}()
 	decoder := codec.NewDecoderBytes(body, handle)
 	if err := decoder.Decode(target); err != nil {
-		return errors.Wrapf(ErrFrame, "decode: %v", err)
+		return errors.Wrapf(ErrMalformedFrame, "decode: %v", err)
 	}
 	if decoder.NumBytesRead() != len(body) {
-		return errors.Wrap(ErrFrame, "bytes after the body")
+		return errors.Wrap(ErrMalformedFrame, "bytes after the body")
 	}
 	return nil
 }
 
-// carriesCall tells whether a message carries a call's data; all others count
+// isCallData tells whether a message carries a call's data; all others count
 // as control traffic.
-func carriesCall(kind structs.MessageKind) bool {
+func isCallData(kind structs.MessageKind) bool {
 	switch kind {
 	case structs.KindSubmit, structs.KindCallChunk, structs.KindCallEnd:
 		return true
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -8,35 +8,35 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// allKinds is the number of message kinds tried.
-const allKinds = 256
+// numKinds is the number of message kinds tried.
+const numKinds = 256
 
-// fill sets every field of a value to something other than its zero.
-func fill(v reflect.Value) {
+// setNonZero sets every field of a value to something other than its zero.
+func setNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		setNonZero(v.Elem())
 	case reflect.Struct:
 		if v.Type() == reflect.TypeFor[time.Time]() {
 			v.Set(reflect.ValueOf(time.Date(2026, 3, 4, 5, 6, 7, 89_000, time.UTC)))
 			return
 		}
 		for i := range v.NumField() {
-			fill(v.Field(i))
+			setNonZero(v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0))
-		fill(v.Index(1))
+		setNonZero(v.Index(0))
+		setNonZero(v.Index(1))
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i))
+			setNonZero(v.Index(i))
 		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key)
-		fill(value)
+		setNonZero(key)
+		setNonZero(value)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.String:
@@ -52,15 +52,15 @@
 	}
 }
 
-func TestEveryMessageKeepsItsFields(t *testing.T) {
-	for kind := range allKinds {
+func TestMessagesRoundTrip(t *testing.T) {
+	for kind := range numKinds {
 		msg := structs.NewMessage(structs.MessageKind(kind))
 		if msg == nil {
 			continue
 		}
 		for _, filled := range []bool{false, true} {
 			if filled {
-				fill(reflect.ValueOf(msg).Elem())
+				setNonZero(reflect.ValueOf(msg).Elem())
 			}
 			got, err := DecodeFrame(mustEncode(t, msg))
 			if err != nil {
@@ -74,12 +74,12 @@
 }
 
 func FuzzDecodeFrame(f *testing.F) {
-	for kind := range allKinds {
+	for kind := range numKinds {
 		msg := structs.NewMessage(structs.MessageKind(kind))
 		if msg == nil {
 			continue
 		}
-		fill(reflect.ValueOf(msg).Elem())
+		setNonZero(reflect.ValueOf(msg).Elem())
 		frame, err := EncodeFrame(msg)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -10,13 +10,13 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// handshakeLimit bounds a frame of a side that is not authenticated, in bytes.
-const handshakeLimit = 4096
+// maxHandshakeFrameBytes bounds a frame of a side that is not authenticated, in bytes.
+const maxHandshakeFrameBytes = 4096
 
 // Errors of a handshake.
 var (
-	ErrKey      = errors.New("peer does not hold the shared key")
-	ErrIdentity = errors.New("peer is not the expected instance")
+	ErrKeyMismatch      = errors.New("peer does not hold the shared key")
+	ErrIdentityMismatch = errors.New("peer is not the expected instance")
 )
 
 // hello opens the handshake; To is the instance that the dialer wants.
@@ -50,7 +50,7 @@
 
 // dial runs the dialer's side and returns the identity of the other.
 func (h handshaker) dial(ctx context.Context, conn *websocket.Conn, to structs.InstanceID) (identity, error) {
-	conn.SetReadLimit(handshakeLimit)
+	conn.SetReadLimit(maxHandshakeFrameBytes)
 	self := h.identity()
 	if err := writeFrame(ctx, conn, kindHello, &hello{From: self, To: to}); err != nil {
 		return identity{}, err
@@ -60,13 +60,13 @@
 		return identity{}, err
 	}
 	if reply.From.ID != to {
-		return identity{}, errors.Wrapf(ErrIdentity, "%q answered for %q", reply.From.ID, to)
+		return identity{}, errors.Wrapf(ErrIdentityMismatch, "%q answered for %q", reply.From.ID, to)
 	}
-	if !hmac.Equal(reply.Proof, proof(h.key, labelAcceptor, self, reply.From)) {
-		return identity{}, ErrKey
+	if !hmac.Equal(reply.Proof, computeProof(h.key, labelAcceptor, self, reply.From)) {
+		return identity{}, ErrKeyMismatch
 	}
-	own := confirm{Proof: proof(h.key, labelDialer, self, reply.From)}
-	if err := writeFrame(ctx, conn, kindConfirm, &own); err != nil {
+	ownConfirm := confirm{Proof: computeProof(h.key, labelDialer, self, reply.From)}
+	if err := writeFrame(ctx, conn, kindConfirm, &ownConfirm); err != nil {
 		return identity{}, err
 	}
 	return reply.From, readFrame(ctx, conn, kindAccepted, &accepted{})
@@ -74,7 +74,7 @@
 
 // accept runs the acceptor's side and returns the identity of the other.
 func (h handshaker) accept(ctx context.Context, conn *websocket.Conn) (identity, error) {
-	conn.SetReadLimit(handshakeLimit)
+	conn.SetReadLimit(maxHandshakeFrameBytes)
 	var request hello
 	if err := readFrame(ctx, conn, kindHello, &request); err != nil {
 		return identity{}, err
@@ -83,29 +83,29 @@
 		return identity{}, err
 	}
 	self := h.identity()
-	reply := welcome{From: self, Proof: proof(h.key, labelAcceptor, request.From, self)}
+	reply := welcome{From: self, Proof: computeProof(h.key, labelAcceptor, request.From, self)}
 	if err := writeFrame(ctx, conn, kindWelcome, &reply); err != nil {
 		return identity{}, err
 	}
-	var theirs confirm
-	if err := readFrame(ctx, conn, kindConfirm, &theirs); err != nil {
+	var dialerConfirm confirm
+	if err := readFrame(ctx, conn, kindConfirm, &dialerConfirm); err != nil {
 		return identity{}, err
 	}
-	if !hmac.Equal(theirs.Proof, proof(h.key, labelDialer, request.From, self)) {
-		return identity{}, ErrKey
+	if !hmac.Equal(dialerConfirm.Proof, computeProof(h.key, labelDialer, request.From, self)) {
+		return identity{}, ErrKeyMismatch
 	}
 	return request.From, writeFrame(ctx, conn, kindAccepted, &accepted{})
 }
 
 func (h handshaker) checkHello(request hello) error {
 	if request.To != h.id {
-		return errors.Wrapf(ErrIdentity, "this is %q, not %q", h.id, request.To)
+		return errors.Wrapf(ErrIdentityMismatch, "this is %q, not %q", h.id, request.To)
 	}
 	if request.From.ID == "" || request.From.ID == h.id {
-		return errors.Wrapf(ErrIdentity, "peer calls itself %q", request.From.ID)
+		return errors.Wrapf(ErrIdentityMismatch, "peer calls itself %q", request.From.ID)
 	}
 	if len(request.From.Nonce) != nonceBytes {
-		return errors.Wrap(ErrFrame, "nonce of a wrong length")
+		return errors.Wrap(ErrMalformedFrame, "nonce of a wrong length")
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 		return err
 	}
 	if kind != want {
-		return errors.Wrapf(ErrFrame, "kind %d in the handshake, wanted %d", kind, want)
+		return errors.Wrapf(ErrMalformedFrame, "kind %d in the handshake, wanted %d", kind, want)
 	}
 	return decodeBody(encoded, body)
 }
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -19,7 +19,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -47,7 +47,7 @@
 	return b.Buffer.Write(p)
 }
 
-func (b *lockedBuffer) text() string {
+func (b *lockedBuffer) contents() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.String()
@@ -91,7 +91,7 @@
 // await returns the first event that match accepts and skips those before it.
 func (n *node) await(match func(structs.Event) bool) structs.Event {
 	n.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case event := <-n.events:
@@ -99,7 +99,7 @@
 				return event
 			}
 		case <-timeout:
-			n.t.Fatalf("no such event at %s; log:\n%s", n.cfg.Self.ID, n.logs.text())
+			n.t.Fatalf("no such event at %s; log:\n%s", n.cfg.Self.ID, n.logs.contents())
 		}
 	}
 }
@@ -127,64 +127,64 @@
 
 func (n *node) awaitCount(name string) {
 	n.t.Helper()
-	for deadline := time.Now().Add(patience); n.count(name) == 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); n.count(name) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			n.t.Fatalf("%s is 0; log:\n%s", name, n.logs.text())
+			n.t.Fatalf("%s is 0; log:\n%s", name, n.logs.contents())
 		}
 	}
 }
 
-// relay forwards TCP connections; each direction can be stopped.
-type relay struct {
-	listener          net.Listener
-	target            string
-	forward, backward atomic.Bool
-	work              sync.WaitGroup
+// tcpProxy forwards TCP connections; each direction can be stopped.
+type tcpProxy struct {
+	listener                  net.Listener
+	target                    string
+	dropForward, dropBackward atomic.Bool
+	work                      sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func newRelay(t *testing.T, target string) *relay {
+func newTCPProxy(t *testing.T, target string) *tcpProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{listener: listener, target: target}
-	r.work.Go(r.accept)
-	t.Cleanup(r.close)
-	return r
+	p := &tcpProxy{listener: listener, target: target}
+	p.work.Go(p.accept)
+	t.Cleanup(p.close)
+	return p
 }
 
-func (r *relay) address() string { return r.listener.Addr().String() }
+func (p *tcpProxy) address() string { return p.listener.Addr().String() }
 
-func (r *relay) accept() {
+func (p *tcpProxy) accept() {
 	for {
-		in, err := r.listener.Accept()
+		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", r.target)
+		out, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = in.Close()
 			continue
 		}
-		r.mu.Lock()
-		r.conns = append(r.conns, in, out)
-		r.mu.Unlock()
-		r.work.Go(func() { r.pipe(out, in, &r.forward) })
-		r.work.Go(func() { r.pipe(in, out, &r.backward) })
+		p.mu.Lock()
+		p.conns = append(p.conns, in, out)
+		p.mu.Unlock()
+		p.work.Go(func() { p.pipe(out, in, &p.dropForward) })
+		p.work.Go(func() { p.pipe(in, out, &p.dropBackward) })
 	}
 }
 
 // pipe copies until a connection closes. While stopped it drops what it reads,
 // as a network does whose packets are lost.
-func (r *relay) pipe(to, from net.Conn, stopped *atomic.Bool) {
+func (p *tcpProxy) pipe(to, from net.Conn, drop *atomic.Bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !stopped.Load() {
+		if n > 0 && !drop.Load() {
 			_, _ = to.Write(buffer[:n])
 		}
 		if err != nil {
@@ -194,18 +194,18 @@
 	}
 }
 
-func (r *relay) close() {
-	_ = r.listener.Close()
-	r.mu.Lock()
-	for _, conn := range r.conns {
+func (p *tcpProxy) close() {
+	_ = p.listener.Close()
+	p.mu.Lock()
+	for _, conn := range p.conns {
 		_ = conn.Close()
 	}
-	r.mu.Unlock()
-	r.work.Wait()
+	p.mu.Unlock()
+	p.work.Wait()
 }
 
-// deafListener accepts connections and never reads from them.
-func deafListener(t *testing.T) string {
+// unresponsiveListener accepts connections and never reads from them.
+func unresponsiveListener(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -215,10 +215,10 @@
 	return listener.Addr().String()
 }
 
-// rawPeer is a connection that speaks what the test wants.
-func rawPeer(t *testing.T, n *node) *websocket.Conn {
+// dialRaw is a connection that speaks what the test wants.
+func dialRaw(t *testing.T, n *node) *websocket.Conn {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	conn, _, err := websocket.Dial(ctx, "ws://"+n.address+Route, nil)
 	if err != nil {
@@ -228,10 +228,10 @@
 	return conn
 }
 
-// authenticated is a raw peer after a good handshake.
-func authenticated(t *testing.T, n *node, id structs.InstanceID) *websocket.Conn {
+// dialAuthenticated is a raw peer after a good handshake.
+func dialAuthenticated(t *testing.T, n *node, id structs.InstanceID) *websocket.Conn {
 	t.Helper()
-	conn := rawPeer(t, n)
+	conn := dialRaw(t, n)
 	h := handshaker{id: id, incarnation: "raw", key: testKey}
 	if _, err := h.dial(context.Background(), conn, n.cfg.Self.ID); err != nil {
 		t.Fatal(err)
@@ -249,7 +249,7 @@
 // awaitClosed waits until the other side closed a connection.
 func awaitClosed(t *testing.T, conn *websocket.Conn) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		if _, _, err := conn.Read(ctx); err != nil {
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -16,9 +16,9 @@
 
 const layoutFile = "testdata/layout.txt"
 
-// layout lists the structs of all messages, a line each: the name and the
+// messageLayout lists the structs of all messages, a line each: the name and the
 // fields in order. The first line is the protocol version.
-func layout() []string {
+func messageLayout() []string {
 	lines := []string{fmt.Sprint("version ", structs.ProtocolVersion)}
 	seen := make(map[reflect.Type]bool)
 	var visit func(reflect.Type)
@@ -41,7 +41,7 @@
 			visit(t.Field(i).Type)
 		}
 	}
-	for kind := range allKinds {
+	for kind := range numKinds {
 		if msg := structs.NewMessage(structs.MessageKind(kind)); msg != nil {
 			visit(reflect.TypeOf(msg).Elem())
 		}
@@ -51,8 +51,8 @@
 
 // A struct is an array on the wire: a field that is put between others, taken
 // away or changed is read as another by instances of the last release.
-func TestLayoutOnlyGrowsAtTheEnd(t *testing.T) {
-	now := layout()
+func TestMessageLayoutOnlyGrowsAtTheEnd(t *testing.T) {
+	now := messageLayout()
 	if *update {
 		if err := os.WriteFile(layoutFile, []byte(strings.Join(now, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestFieldsAtTheEndMayBeMissingOrUnknown(t *testing.T) {
+func TestTrailingFieldsMayBeMissingOrUnknown(t *testing.T) {
 	type short struct {
 		A int
 		B string
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,8 +10,8 @@
 
 // Waits between two dials to an instance that cannot be reached.
 const (
-	minRedial = 50 * time.Millisecond
-	maxRedial = time.Second
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = time.Second
 )
 
 // link is what the transport knows of one instance. The transport's mutex
@@ -31,43 +31,43 @@
 	unreachable bool
 	probing     bool
 	watched     bool
-	// lastHeard is when a heartbeat was answered, or when waiting for one
+	// lastHeartbeat is when a heartbeat was answered, or when waiting for one
 	// began.
-	lastHeard time.Time
-	redial    *backoff.ExponentialBackOff
-	// notBefore is the earliest time of the next dial.
-	notBefore time.Time
+	lastHeartbeat time.Time
+	dialBackoff   *backoff.ExponentialBackOff
+	// nextDial is the earliest time of the next dial.
+	nextDial time.Time
 }
 
 func (t *Transport) newLink(id structs.InstanceID) *link {
-	redial := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(minRedial),
-		backoff.WithMaxInterval(maxRedial),
+	dialBackoff := backoff.NewExponentialBackOff(
+		backoff.WithInitialInterval(minDialBackoff),
+		backoff.WithMaxInterval(maxDialBackoff),
 		backoff.WithMaxElapsedTime(0),
 	)
 	return &link{
-		id:       id,
-		queue:    t.newQueue(),
-		sessions: make(map[*session]struct{}),
-		redial:   redial,
+		id:          id,
+		queue:       t.newQueue(),
+		sessions:    make(map[*session]struct{}),
+		dialBackoff: dialBackoff,
 	}
 }
 
 func (t *Transport) newQueue() *sendQueue {
-	return newSendQueue(t.cfg.QueueFrames, t.cfg.QueueBytes)
+	return newSendQueue(t.cfg.MaxQueuedFrames, t.cfg.MaxQueuedBytes)
 }
 
-// linkTo finds or makes the link to an instance and refreshes its address. It
+// resolveLink finds or makes the link to an instance and refreshes its address. It
 // runs on the loop's goroutine with the mutex held.
-func (t *Transport) linkTo(id structs.InstanceID) *link {
-	l := t.findLink(id)
+func (t *Transport) resolveLink(id structs.InstanceID) *link {
+	l := t.getOrCreateLink(id)
 	if peer, ok := t.resolve(id); ok {
 		l.address = peer.Address
 	}
 	return l
 }
 
-func (t *Transport) findLink(id structs.InstanceID) *link {
+func (t *Transport) getOrCreateLink(id structs.InstanceID) *link {
 	l, ok := t.links[id]
 	if !ok {
 		l = t.newLink(id)
@@ -78,11 +78,11 @@
 
 // idle tells whether nothing is lost by forgetting the link.
 func (l *link) idle(now time.Time) bool {
-	return len(l.sessions) == 0 && !l.dialing && !l.probing && !l.watched && now.After(l.notBefore)
+	return len(l.sessions) == 0 && !l.dialing && !l.probing && !l.watched && now.After(l.nextDial)
 }
 
-// drop forgets the frames that wait.
-func (t *Transport) drop(l *link) {
+// dropQueue forgets the frames that wait.
+func (t *Transport) dropQueue(l *link) {
 	frames, _ := l.queue.size()
 	if frames > 0 {
 		t.metrics.framesLost.Inc(int64(frames))
@@ -90,57 +90,57 @@
 	l.queue = t.newQueue()
 }
 
-// breakLink ends all sessions of a link for a reason and posts PeerDown. The
+// disconnect ends all sessions of a link for a reason and posts PeerDown. The
 // mutex is held.
-func (t *Transport) breakLink(l *link, reason error) {
+func (t *Transport) disconnect(l *link, reason error) {
 	for s := range l.sessions {
 		s.cancel(reason)
 	}
 	clear(l.sessions)
 	l.current = nil
-	t.drop(l)
+	t.dropQueue(l)
 	t.liveness.down(l.id)
 	t.metrics.broken.Inc(1)
 	t.logger.Warn("peer connection broken", "peer", l.id, "error", reason)
 }
 
-// maxSessions bounds the connections to one instance.
-const maxSessions = 4
+// maxSessionsPerPeer bounds the connections to one instance.
+const maxSessionsPerPeer = 4
 
-// adopt takes an authenticated connection into the link of its instance. It
+// registerSession takes an authenticated connection into the link of its instance. It
 // returns nil if the transport is closed or there are too many connections.
-func (t *Transport) adopt(s *session) *link {
+func (t *Transport) registerSession(s *session) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return nil
 	}
-	l := t.findLink(s.remote.ID)
+	l := t.getOrCreateLink(s.remote.ID)
 	if s.dialed {
 		l.dialing = false
 	}
 	if old := l.current; old != nil && old.remote.Incarnation != s.remote.Incarnation {
-		t.breakLink(l, errReplaced)
+		t.disconnect(l, errNewIncarnation)
 	}
-	if len(l.sessions) >= maxSessions {
+	if len(l.sessions) >= maxSessionsPerPeer {
 		t.logger.Warn("too many connections to one peer", "peer", l.id)
 		t.startProbe(l)
 		return nil
 	}
-	t.running.Add(1)
+	t.activeSessions.Add(1)
 	l.sessions[s] = struct{}{}
 	if l.current == nil {
 		l.current = s
 		s.queue = l.queue
-		l.lastHeard = time.Now()
+		l.lastHeartbeat = time.Now()
 	} else {
 		s.queue = t.newQueue()
 		// The other side may have lost the present connection.
 		t.startProbe(l)
 	}
-	l.redial.Reset()
+	l.dialBackoff.Reset()
 	l.unreachable = false
-	l.notBefore = time.Time{}
+	l.nextDial = time.Time{}
 	t.liveness.up(l.id)
 	return l
 }
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -58,13 +58,13 @@
 			return
 		case <-l.wake:
 		}
-		for id, next := range l.take() {
+		for id, next := range l.takePending() {
 			l.post(ctx, id, next)
 		}
 	}
 }
 
-func (l *liveness) take() map[structs.InstanceID]pendingLiveness {
+func (l *liveness) takePending() map[structs.InstanceID]pendingLiveness {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.pending
--- a/internal/peer/monitor.go
+++ b/internal/peer/monitor.go
@@ -7,12 +7,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// jitterShare is the part of the heartbeat interval that jitter may add.
-const jitterShare = 5
+// jitterDivisor is the part of the heartbeat interval that jitter may add.
+const jitterDivisor = 5
 
-// pauseIntervals is the number of heartbeat intervals without a beat after
+// pauseFactor is the number of heartbeat intervals without a beat after
 // which this process itself must have been paused.
-const pauseIntervals = 2
+const pauseFactor = 2
 
 // setWatched replaces the set of watched instances and forgets links that are
 // not in use. The mutex is held.
@@ -24,13 +24,13 @@
 			continue
 		}
 		wanted[id] = true
-		l := t.linkTo(id)
+		l := t.resolveLink(id)
 		if l.watched {
 			continue
 		}
 		l.watched = true
-		l.lastHeard = now
-		if !t.connect(l) {
+		l.lastHeartbeat = now
+		if !t.ensureConnected(l) {
 			t.liveness.down(id)
 		}
 	}
@@ -42,9 +42,9 @@
 	}
 }
 
-// monitor sends heartbeats to the watched instances until the transport closes.
-func (t *Transport) monitor() {
-	timer := time.NewTimer(t.heartbeatWait())
+// runHeartbeats sends heartbeats to the watched instances until the transport closes.
+func (t *Transport) runHeartbeats() {
+	timer := time.NewTimer(t.nextHeartbeatInterval())
 	defer timer.Stop()
 	last := time.Now()
 	for {
@@ -54,21 +54,21 @@
 		case <-timer.C:
 		}
 		now := time.Now()
-		paused := now.Sub(last) > pauseIntervals*t.cfg.HeartbeatInterval
+		paused := now.Sub(last) > pauseFactor*t.cfg.HeartbeatInterval
 		last = now
-		t.beat(now, paused)
-		timer.Reset(t.heartbeatWait())
+		t.checkHeartbeats(now, paused)
+		timer.Reset(t.nextHeartbeatInterval())
 	}
 }
 
-func (t *Transport) heartbeatWait() time.Duration {
-	jitter := t.cfg.HeartbeatInterval / jitterShare
+func (t *Transport) nextHeartbeatInterval() time.Duration {
+	jitter := t.cfg.HeartbeatInterval / jitterDivisor
 	return t.cfg.HeartbeatInterval + rand.N(jitter+1)
 }
 
-// beat checks all watched instances. After a pause of this process the silence
+// checkHeartbeats checks all watched instances. After a pause of this process the silence
 // of others proves nothing.
-func (t *Transport) beat(now time.Time, paused bool) {
+func (t *Transport) checkHeartbeats(now time.Time, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range t.links {
@@ -76,33 +76,33 @@
 			continue
 		}
 		if paused {
-			l.lastHeard = now
+			l.lastHeartbeat = now
 		}
-		t.beatLink(l, now)
+		t.checkHeartbeat(l, now)
 	}
 }
 
-func (t *Transport) beatLink(l *link, now time.Time) {
+func (t *Transport) checkHeartbeat(l *link, now time.Time) {
 	if l.current == nil {
-		t.connect(l)
+		t.ensureConnected(l)
 		return
 	}
 	if l.current.delivering.Load() {
 		// The answer waits behind messages that this loop has not taken.
-		l.lastHeard = now
+		l.lastHeartbeat = now
 	}
-	if now.Sub(l.lastHeard) > t.cfg.PeerTimeout {
-		t.breakLink(l, errSilent)
+	if now.Sub(l.lastHeartbeat) > t.cfg.PeerTimeout {
+		t.disconnect(l, errHeartbeatTimeout)
 		return
 	}
 	l.current.ping()
 }
 
-// heard notes a heartbeat that came back.
-func (t *Transport) heard(s *session) {
+// recordHeartbeat notes a heartbeat that came back.
+func (t *Transport) recordHeartbeat(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if l := t.links[s.remote.ID]; l != nil && l.current == s {
-		l.lastHeard = time.Now()
+		l.lastHeartbeat = time.Now()
 	}
 }
--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -9,7 +9,7 @@
 		return
 	}
 	if l.current == nil {
-		if !t.connect(l) {
+		if !t.ensureConnected(l) {
 			t.liveness.down(l.id)
 		}
 		return
@@ -20,16 +20,16 @@
 
 // probe asks for a heartbeat over a session and reports the result.
 func (t *Transport) probe(l *link, s *session) {
-	answered := t.awaitHeartbeat(s)
+	alive := t.awaitHeartbeat(s)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.probing = false
 	switch {
 	case t.closed:
-	case answered:
+	case alive:
 		t.liveness.up(l.id)
 	case l.current == s:
-		t.breakLink(l, errSilent)
+		t.disconnect(l, errHeartbeatTimeout)
 	case l.current == nil:
 		t.liveness.down(l.id)
 	}
@@ -38,20 +38,20 @@
 // awaitHeartbeat tells whether a heartbeat came back within the liveness
 // timeout. A timeout that passed while this process was paused does not count.
 func (t *Transport) awaitHeartbeat(s *session) bool {
-	answered := s.ping()
+	pong := s.ping()
 	started := time.Now()
 	timer := time.NewTimer(t.cfg.PeerTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case <-answered:
+		case <-pong:
 			return true
 		case <-s.ctx.Done():
 			return false
 		case <-timer.C:
 		}
 		now := time.Now()
-		if now.Sub(started) <= pauseIntervals*t.cfg.PeerTimeout {
+		if now.Sub(started) <= pauseFactor*t.cfg.PeerTimeout {
 			return s.delivering.Load()
 		}
 		started = now
--- a/internal/peer/proof.go
+++ b/internal/peer/proof.go
@@ -32,9 +32,9 @@
 	return nonce
 }
 
-// proof is the HMAC-SHA256 by which the side named by label shows that it
+// computeProof is the HMAC-SHA256 by which the side named by label shows that it
 // holds the key, over the protocol version and both identities.
-func proof(key []byte, label string, dialer, acceptor identity) []byte {
+func computeProof(key []byte, label string, dialer, acceptor identity) []byte {
 	mac := hmac.New(sha256.New, key)
 	fields := [][]byte{
 		[]byte(label), {structs.ProtocolVersion},
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOverflow is the error of a send queue that is full.
-var ErrOverflow = errors.New("send queue is full")
+// ErrQueueFull is the error of a send queue that is full.
+var ErrQueueFull = errors.New("send queue is full")
 
 // maxUrgent bounds the heartbeats that wait to be written.
 const maxUrgent = 16
@@ -24,21 +24,21 @@
 	frames [][]byte
 	urgent [][]byte
 	bytes  int
-	// ended tells that no frame follows those that wait.
-	ended bool
+	// closed tells that no frame follows those that wait.
+	closed bool
 }
 
 func newSendQueue(maxFrames, maxBytes int) *sendQueue {
 	return &sendQueue{maxFrames: maxFrames, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// push adds a frame. It never blocks and returns ErrOverflow if there is no
+// push adds a frame. It never blocks and returns ErrQueueFull if there is no
 // room.
 func (q *sendQueue) push(frame []byte) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.frames) >= q.maxFrames || q.bytes+len(frame) > q.maxBytes {
-		return ErrOverflow
+		return ErrQueueFull
 	}
 	q.frames = append(q.frames, frame)
 	q.bytes += len(frame)
@@ -57,11 +57,11 @@
 	q.signal()
 }
 
-// end lets the connection close once all that waits is written.
-func (q *sendQueue) end() {
+// close lets the connection close once all that waits is written.
+func (q *sendQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ended = true
+	q.closed = true
 	q.signal()
 }
 
@@ -69,7 +69,7 @@
 func (q *sendQueue) drained() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ended && len(q.frames) == 0
+	return q.closed && len(q.frames) == 0
 }
 
 func (q *sendQueue) signal() {
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -16,10 +16,10 @@
 
 // Errors that end a session.
 var (
-	errClosed   = errors.New("transport closed")
-	errSilent   = errors.New("no heartbeat answer within the liveness timeout")
-	errReplaced = errors.New("instance connected again with a new incarnation")
-	errWrite    = errors.New("write failed or timed out")
+	errClosed           = errors.New("transport closed")
+	errHeartbeatTimeout = errors.New("no heartbeat answer within the liveness timeout")
+	errNewIncarnation   = errors.New("instance connected again with a new incarnation")
+	errWrite            = errors.New("write failed or timed out")
 )
 
 // session is one authenticated connection to an instance.
@@ -38,14 +38,14 @@
 	// delivering is true while a received message waits for room in the
 	// loop's queue.
 	delivering atomic.Bool
-	// lateness is used by the reader, but for its start; stamped is when the
+	// delay is used by the reader, but for its start; stamped is when the
 	// writer stamped last.
-	lateness lateness
-	stamped  time.Time
+	delay     delayEstimator
+	lastStamp time.Time
 
-	mu       sync.Mutex
-	lastPing uint64
-	waiting  map[uint64]chan struct{}
+	mu           sync.Mutex
+	lastPing     uint64
+	pendingPings map[uint64]chan struct{}
 }
 
 func newSession(t *Transport, remote identity, conn *websocket.Conn) *session {
@@ -53,14 +53,14 @@
 	return &session{
 		transport: t, remote: remote, conn: conn,
 		ctx: ctx, cancel: cancel,
-		lateness: lateness{started: time.Now()},
-		waiting:  make(map[uint64]chan struct{}),
+		delay:        delayEstimator{started: time.Now()},
+		pendingPings: make(map[uint64]chan struct{}),
 	}
 }
 
 // run reads and writes until the session ends and returns the reason.
 func (s *session) run() error {
-	s.conn.SetReadLimit(int64(s.transport.cfg.MaxFrame))
+	s.conn.SetReadLimit(int64(s.transport.cfg.MaxFrameBytes))
 	group, ctx := errgroup.WithContext(s.ctx)
 	group.Go(func() error { return s.readLoop(ctx) })
 	group.Go(func() error { return s.writeLoop(ctx) })
@@ -75,8 +75,8 @@
 
 // close closes the connection, telling the other side of a malformed frame.
 func (s *session) close(err error) {
-	if errors.Is(err, ErrVersion) || errors.Is(err, ErrFrame) {
-		_ = s.conn.Close(websocket.StatusPolicyViolation, closeReason(err))
+	if errors.Is(err, ErrVersionMismatch) || errors.Is(err, ErrMalformedFrame) {
+		_ = s.conn.Close(websocket.StatusPolicyViolation, truncateReason(err))
 	}
 	_ = s.conn.CloseNow()
 }
@@ -171,11 +171,11 @@
 	s.mu.Lock()
 	s.lastPing++
 	number := s.lastPing
-	answered := make(chan struct{})
-	s.waiting[number] = answered
+	pong := make(chan struct{})
+	s.pendingPings[number] = pong
 	s.mu.Unlock()
 	s.queue.pushUrgent(heartbeatFrame(kindPing, number))
-	return answered
+	return pong
 }
 
 func (s *session) receivePing(body []byte) error {
@@ -193,14 +193,14 @@
 		return err
 	}
 	s.mu.Lock()
-	for waiting, answered := range s.waiting {
-		if waiting <= number {
-			close(answered)
-			delete(s.waiting, waiting)
+	for pending, pong := range s.pendingPings {
+		if pending <= number {
+			close(pong)
+			delete(s.pendingPings, pending)
 		}
 	}
 	s.mu.Unlock()
-	s.transport.heard(s)
+	s.transport.recordHeartbeat(s)
 	return nil
 }
 
@@ -211,7 +211,7 @@
 func heartbeatNumber(body []byte) (uint64, error) {
 	number, size := binary.Uvarint(body)
 	if size <= 0 || size != len(body) {
-		return 0, errors.Wrap(ErrFrame, "heartbeat number")
+		return 0, errors.Wrap(ErrMalformedFrame, "heartbeat number")
 	}
 	return number, nil
 }
@@ -219,7 +219,7 @@
 // maxCloseReason is the longest reason of a WebSocket close frame, in bytes.
 const maxCloseReason = 120
 
-func closeReason(err error) string {
+func truncateReason(err error) string {
 	reason := err.Error()
 	return reason[:min(len(reason), maxCloseReason)]
 }
--- a/internal/peer/stale.go
+++ b/internal/peer/stale.go
@@ -18,30 +18,30 @@
 // so what such frames ask for must not be done.
 var errStale = errors.New("frames were longer on their way than the liveness timeout")
 
-// lateness measures how long frames are on their way, without comparing clocks.
+// delayEstimator measures how long frames are on their way, without comparing clocks.
 // The writer stamps the connection with the time since its own start of the
 // session; the reader subtracts that from its own time. The smallest difference
 // so far is taken for the offset of the two starts.
-type lateness struct {
-	started  time.Time
-	smallest time.Duration
+type delayEstimator struct {
+	started       time.Time
+	minDifference time.Duration
 }
 
-// take gives how much longer than the fastest stamp so far one was on its way.
-func (l *lateness) take(now time.Time, stamp time.Duration) time.Duration {
+// observe gives how much longer than the fastest stamp so far one was on its way.
+func (l *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
 	difference := now.Sub(l.started) - stamp
-	l.smallest = min(l.smallest, difference)
-	return difference - l.smallest
+	l.minDifference = min(l.minDifference, difference)
+	return difference - l.minDifference
 }
 
 // stamp gives the frame that stamps what is written next, nil if the last stamp
 // is new enough.
 func (s *session) stamp(now time.Time) []byte {
-	if now.Sub(s.stamped) < stampInterval {
+	if now.Sub(s.lastStamp) < stampInterval {
 		return nil
 	}
-	s.stamped = now
-	elapsed := uint64(max(now.Sub(s.lateness.started).Milliseconds(), 0))
+	s.lastStamp = now
+	elapsed := uint64(max(now.Sub(s.delay.started).Milliseconds(), 0))
 	return binary.AppendUvarint([]byte{structs.ProtocolVersion, byte(kindStamp)}, elapsed)
 }
 
@@ -51,9 +51,9 @@
 	if err != nil {
 		return err
 	}
-	late := s.lateness.take(time.Now(), time.Duration(elapsed)*time.Millisecond)
-	if late > s.transport.cfg.PeerTimeout {
-		return errors.Wrapf(errStale, "by %s", late)
+	delay := s.delay.observe(time.Now(), time.Duration(elapsed)*time.Millisecond)
+	if delay > s.transport.cfg.PeerTimeout {
+		return errors.Wrapf(errStale, "by %s", delay)
 	}
 	return nil
 }
--- a/internal/peer/stale_test.go
+++ b/internal/peer/stale_test.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestLatenessIsTheDelayBeyondTheFastest(t *testing.T) {
+func TestDelayIsRelativeToFastestStamp(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
-	l := lateness{started: start}
+	l := delayEstimator{started: start}
 	steps := []struct{ now, stamp, want time.Duration }{
 		{now: 0, stamp: 0, want: 0},
 		{now: 110, stamp: 100, want: 10},
@@ -21,18 +21,18 @@
 	}
 	for _, step := range steps {
 		now := start.Add(step.now * time.Millisecond)
-		got := l.take(now, step.stamp*time.Millisecond)
+		got := l.observe(now, step.stamp*time.Millisecond)
 		if got != step.want*time.Millisecond {
 			t.Fatalf("stamp %d at %d: late by %s, want %d ms", step.stamp, step.now, got, step.want)
 		}
 	}
 }
 
-// TestLateMessagesAreNotDelivered: a Submit that lay in a cut network until its
+// TestStaleMessagesAreNotDelivered: a Submit that lay in a cut network until its
 // gateway had handed the call to another owner.
-func TestLateMessagesAreNotDelivered(t *testing.T) {
+func TestStaleMessagesAreNotDelivered(t *testing.T) {
 	n := newNode(t, "a")
-	conn := authenticated(t, n, "b")
+	conn := dialAuthenticated(t, n, "b")
 	stamp := func(elapsed time.Duration) []byte {
 		frame := []byte{structs.ProtocolVersion, byte(kindStamp)}
 		return binary.AppendUvarint(frame, uint64(elapsed.Milliseconds()))
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -39,28 +39,28 @@
 	return s
 }
 
-// direction counts the traffic of one direction.
-type direction struct {
+// directionCounters counts the traffic of one direction.
+type directionCounters struct {
 	control, data, frames atomic.Uint64
 
 	controlBytes, dataBytes, frameCount tally.Counter
 }
 
-func newDirection(scope tally.Scope) *direction {
-	return &direction{
+func newDirectionCounters(scope tally.Scope) *directionCounters {
+	return &directionCounters{
 		controlBytes: scope.Counter("control_bytes"),
 		dataBytes:    scope.Counter("data_bytes"),
 		frameCount:   scope.Counter("frames"),
 	}
 }
 
-func (d *direction) count(kind structs.MessageKind, size int) {
+func (d *directionCounters) count(kind structs.MessageKind, size int) {
 	if kind != kindStamp {
 		// A stamp belongs to the frame behind it.
 		d.frames.Add(1)
 		d.frameCount.Inc(1)
 	}
-	if carriesCall(kind) {
+	if isCallData(kind) {
 		d.data.Add(uint64(size))
 		d.dataBytes.Inc(int64(size))
 		return
@@ -70,12 +70,12 @@
 }
 
 // traffic counts frames in both directions.
-type traffic struct{ out, in *direction }
+type traffic struct{ out, in *directionCounters }
 
 func newTraffic(scope tally.Scope) traffic {
 	return traffic{
-		out: newDirection(scope.SubScope("sent")),
-		in:  newDirection(scope.SubScope("received")),
+		out: newDirectionCounters(scope.SubScope("sent")),
+		in:  newDirectionCounters(scope.SubScope("received")),
 	}
 }
 
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -65,13 +65,13 @@
 	b.awaitCount("handshakes_refused")
 }
 
-func TestConfigWithoutAuthenticationIsRefused(t *testing.T) {
+func TestConfigWithoutAuthenticationIsRejected(t *testing.T) {
 	self := structs.Peer{ID: "a"}
 	for _, cfg := range []Config{
 		{Self: self, Incarnation: "i"}, {Self: self, Incarnation: "i", Key: []byte("short")},
 		{Self: self, Incarnation: "i", TLS: &tls.Config{}}, {Self: self, Key: testKey}, {Incarnation: "i", Key: testKey},
 	} {
-		if _, err := New(t.Context(), cfg, nil, nil, nil, nil); !errors.Is(err, ErrConfig) {
+		if _, err := New(t.Context(), cfg, nil, nil, nil, nil); !errors.Is(err, ErrInvalidConfig) {
 			t.Errorf("%+v: %v", cfg, err)
 		}
 	}
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -39,13 +39,13 @@
 	mu     sync.Mutex
 	closed bool
 	links  map[structs.InstanceID]*link
-	work   sync.WaitGroup
-	// running counts the sessions.
-	running sync.WaitGroup
+	wg     sync.WaitGroup
+	// activeSessions counts the sessions.
+	activeSessions sync.WaitGroup
 }
 
 // New makes a Transport that runs until Close or until the context ends. It
-// returns ErrConfig if the configuration cannot be used.
+// returns ErrInvalidConfig if the configuration cannot be used.
 func New(
 	ctx context.Context, cfg Config, post func(structs.Event) bool, resolve Resolver,
 	scope tally.Scope, logger *slog.Logger,
@@ -71,8 +71,8 @@
 		cancel:     cancel,
 		links:      make(map[structs.InstanceID]*link),
 	}
-	t.work.Go(func() { t.liveness.run(ctx) })
-	t.work.Go(t.monitor)
+	t.wg.Go(func() { t.liveness.run(ctx) })
+	t.wg.Go(t.runHeartbeats)
 	return t, nil
 }
 
@@ -80,34 +80,34 @@
 // CloseTimeout, then ends all connections and waits for the transport's
 // goroutines.
 func (t *Transport) Close() {
-	t.endQueues()
-	t.awaitSessions()
+	t.closeQueues()
+	t.waitForSessions()
 	t.cancel(errClosed)
-	t.work.Wait()
+	t.wg.Wait()
 	t.client.CloseIdleConnections()
 }
 
-func (t *Transport) endQueues() {
+func (t *Transport) closeQueues() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	for _, l := range t.links {
 		for s := range l.sessions {
-			s.queue.end()
+			s.queue.close()
 		}
 	}
 }
 
-func (t *Transport) awaitSessions() {
-	ended := make(chan struct{})
+func (t *Transport) waitForSessions() {
+	done := make(chan struct{})
 	go func() {
-		t.running.Wait()
-		close(ended)
+		t.activeSessions.Wait()
+		close(done)
 	}()
 	timer := time.NewTimer(t.cfg.CloseTimeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-done:
 	case <-timer.C:
 	}
 }
@@ -117,7 +117,7 @@
 	if t.closed {
 		return false
 	}
-	t.work.Go(f)
+	t.wg.Go(f)
 	return true
 }
 
@@ -126,8 +126,8 @@
 // PeerDown is posted.
 func (t *Transport) Send(to structs.InstanceID, msg structs.Message) {
 	frame, err := EncodeFrame(msg)
-	if err == nil && len(frame) > t.cfg.MaxFrame {
-		err = errors.Wrapf(ErrTooLarge, "%d bytes", len(frame))
+	if err == nil && len(frame) > t.cfg.MaxFrameBytes {
+		err = errors.Wrapf(ErrFrameTooLarge, "%d bytes", len(frame))
 	}
 	if err != nil {
 		t.metrics.framesInvalid.Inc(1)
@@ -137,26 +137,26 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.linkTo(to)
-	if !t.connect(l) {
+	l := t.resolveLink(to)
+	if !t.ensureConnected(l) {
 		t.metrics.framesLost.Inc(1)
 		t.liveness.down(to)
 		return
 	}
 	if err := l.queue.push(frame); err != nil {
 		t.metrics.framesLost.Inc(1)
-		t.breakLink(l, err)
+		t.disconnect(l, err)
 	}
 }
 
 // Broadcast sends a message to all instances that are connected.
 func (t *Transport) Broadcast(msg structs.Message) {
-	for _, id := range t.connected() {
+	for _, id := range t.connectedPeers() {
 		t.Send(id, msg)
 	}
 }
 
-func (t *Transport) connected() []structs.InstanceID {
+func (t *Transport) connectedPeers() []structs.InstanceID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []structs.InstanceID
@@ -173,7 +173,7 @@
 func (t *Transport) Probe(to structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.startProbe(t.linkTo(to))
+	t.startProbe(t.resolveLink(to))
 }
 
 // Watch sets the instances that get heartbeats.
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -16,12 +16,12 @@
 	return &structs.Withdraw{Request: structs.RequestID(fmt.Sprint(i))}
 }
 
-func quick(c *Config) {
+func shortTimeouts(c *Config) {
 	c.PeerTimeout = 300 * time.Millisecond
 	c.HeartbeatInterval = 50 * time.Millisecond
 }
 
-func TestMessagesInOrderBothWaysOverOneConnection(t *testing.T) {
+func TestMessagesKeepOrderInBothDirections(t *testing.T) {
 	a, b := newNode(t, "a"), newNode(t, "b")
 	a.peers.Store(structs.InstanceID("b"), b.address)
 	const messages = 500
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBothDialAtOnce(t *testing.T) {
+func TestSimultaneousDials(t *testing.T) {
 	a, b := newNode(t, "a"), newNode(t, "b")
 	a.peers.Store(structs.InstanceID("b"), b.address)
 	b.peers.Store(structs.InstanceID("a"), a.address)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestWrongKeyIsRefused(t *testing.T) {
+func TestWrongKeyIsRejected(t *testing.T) {
 	const secret = "another key that is long enough"
 	a := newNode(t, "a", func(c *Config) { c.Key = []byte(secret) })
 	b := newNode(t, "b")
@@ -66,17 +66,17 @@
 	a.Send("b", withdraw(0))
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 	b.awaitCount("handshakes_refused")
-	if text := a.logs.text() + b.logs.text(); !strings.Contains(text, ErrKey.Error()) || strings.Contains(text, secret) {
+	if text := a.logs.contents() + b.logs.contents(); !strings.Contains(text, ErrKeyMismatch.Error()) || strings.Contains(text, secret) {
 		t.Fatalf("log: %s", text)
 	}
 }
 
 func TestAcceptorChecksTheDialersProof(t *testing.T) {
 	b := newNode(t, "b")
-	conn := rawPeer(t, b)
+	conn := dialRaw(t, b)
 	self := identity{ID: "a", Incarnation: "raw", Nonce: newNonce()}
-	hi, _ := encodeBody(kindHello, &hello{From: self, To: "b"})
-	sendRaw(t, conn, hi)
+	helloFrame, _ := encodeBody(kindHello, &hello{From: self, To: "b"})
+	sendRaw(t, conn, helloFrame)
 	// The acceptor's own proof must not serve as the dialer's.
 	var reply welcome
 	if err := readFrame(t.Context(), conn, kindWelcome, &reply); err != nil {
@@ -84,22 +84,22 @@
 	}
 	reflected, _ := encodeBody(kindConfirm, &confirm{Proof: reply.Proof})
 	sendRaw(t, conn, reflected)
-	if err := awaitClosed(t, conn); !strings.Contains(err.Error(), ErrKey.Error()) {
+	if err := awaitClosed(t, conn); !strings.Contains(err.Error(), ErrKeyMismatch.Error()) {
 		t.Fatal(err)
 	}
 }
 
-func TestBadFramesAreRefused(t *testing.T) {
-	hi, _ := encodeBody(kindHello, &hello{From: identity{ID: "a", Nonce: newNonce()}, To: "b"})
-	old := append([]byte{structs.ProtocolVersion - 1}, hi[1:]...)
+func TestBadHandshakeFramesAreRejected(t *testing.T) {
+	helloFrame, _ := encodeBody(kindHello, &hello{From: identity{ID: "a", Nonce: newNonce()}, To: "b"})
+	old := append([]byte{structs.ProtocolVersion - 1}, helloFrame[1:]...)
 	other, _ := encodeBody(kindHello, &hello{From: identity{ID: "a", Nonce: newNonce()}, To: "c"})
 	for name, frame := range map[string][]byte{
 		"old version": old, "garbage": []byte("GET / HTTP/1.1"), "empty": {}, "other instance": other,
-		"oversized": make([]byte, handshakeLimit+1), "message before the handshake": {structs.ProtocolVersion, byte(structs.KindWithdraw), 0x80},
+		"oversized": make([]byte, maxHandshakeFrameBytes+1), "message before the handshake": {structs.ProtocolVersion, byte(structs.KindWithdraw), 0x80},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newNode(t, "b")
-			conn := rawPeer(t, b)
+			conn := dialRaw(t, b)
 			sendRaw(t, conn, frame)
 			_ = awaitClosed(t, conn)
 			b.awaitCount("handshakes_refused")
@@ -115,28 +115,28 @@
 		"oversized": make([]byte, 5000), "bad heartbeat": {structs.ProtocolVersion, byte(kindPing)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newNode(t, "b", func(c *Config) { c.MaxFrame = 4096 })
-			conn := authenticated(t, b, "a")
+			b := newNode(t, "b", func(c *Config) { c.MaxFrameBytes = 4096 })
+			conn := dialAuthenticated(t, b, "a")
 			sendRaw(t, conn, good)
 			b.awaitMessage("a")
 			sendRaw(t, conn, frame)
 			_ = awaitClosed(t, conn)
 			b.awaitEvent(structs.PeerDown{Peer: "a"})
-			sendRaw(t, authenticated(t, b, "c"), good)
+			sendRaw(t, dialAuthenticated(t, b, "c"), good)
 			b.awaitMessage("c")
 		})
 	}
 }
 
-func TestCutPeerIsNoticedAndFoundAgain(t *testing.T) {
-	for name, cut := range map[string]func(*relay, bool){
-		"both ways": func(r *relay, on bool) { r.forward.Store(on); r.backward.Store(on) },
-		"there":     func(r *relay, on bool) { r.forward.Store(on) },
-		"back":      func(r *relay, on bool) { r.backward.Store(on) },
+func TestPartitionedPeerIsDetectedAndReconnected(t *testing.T) {
+	for name, cut := range map[string]func(*tcpProxy, bool){
+		"both ways": func(r *tcpProxy, on bool) { r.dropForward.Store(on); r.dropBackward.Store(on) },
+		"there":     func(r *tcpProxy, on bool) { r.dropForward.Store(on) },
+		"back":      func(r *tcpProxy, on bool) { r.dropBackward.Store(on) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := newNode(t, "a", quick), newNode(t, "b", quick)
-			r := newRelay(t, b.address)
+			a, b := newNode(t, "a", shortTimeouts), newNode(t, "b", shortTimeouts)
+			r := newTCPProxy(t, b.address)
 			a.peers.Store(structs.InstanceID("b"), r.address())
 			a.Watch([]structs.InstanceID{"b"})
 			a.awaitEvent(structs.PeerUp{Peer: "b"})
@@ -148,13 +148,13 @@
 	}
 }
 
-func TestOneWayCutIsNoticedWhileMessagesArrive(t *testing.T) {
-	a, b := newNode(t, "a", quick), newNode(t, "b", quick)
-	r := newRelay(t, b.address)
+func TestOneWayPartitionIsDetectedWhileMessagesArrive(t *testing.T) {
+	a, b := newNode(t, "a", shortTimeouts), newNode(t, "b", shortTimeouts)
+	r := newTCPProxy(t, b.address)
 	a.peers.Store(structs.InstanceID("b"), r.address())
 	a.Watch([]structs.InstanceID{"b"})
 	a.awaitEvent(structs.PeerUp{Peer: "b"})
-	r.forward.Store(true)
+	r.dropForward.Store(true)
 	down := make(chan struct{})
 	go func() {
 		defer close(down)
@@ -170,9 +170,9 @@
 	}
 }
 
-func TestFrozenPeerIsNoticed(t *testing.T) {
-	b := newNode(t, "b", quick)
-	conn := authenticated(t, b, "a")
+func TestFrozenPeerIsDetected(t *testing.T) {
+	b := newNode(t, "b", shortTimeouts)
+	conn := dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
 	// The peer reads nothing from here on, though its connection stays open.
 	b.Watch([]structs.InstanceID{"a"})
@@ -180,21 +180,21 @@
 	_ = awaitClosed(t, conn)
 }
 
-func TestConnectionsOfOnePeerAreBounded(t *testing.T) {
+func TestSessionsPerPeerAreBounded(t *testing.T) {
 	b := newNode(t, "b")
-	for range maxSessions {
-		authenticated(t, b, "a")
+	for range maxSessionsPerPeer {
+		dialAuthenticated(t, b, "a")
 		b.awaitEvent(structs.PeerUp{Peer: "a"})
 	}
-	_ = awaitClosed(t, authenticated(t, b, "a"))
-	if n := b.Stats().Sessions; n != maxSessions {
+	_ = awaitClosed(t, dialAuthenticated(t, b, "a"))
+	if n := b.Stats().Sessions; n != maxSessionsPerPeer {
 		t.Fatalf("%d sessions", n)
 	}
 }
 
-func TestConnectionsBeforeTheHandshakeAreBounded(t *testing.T) {
-	b := newNode(t, "b", func(c *Config) { c.MaxHandshakes, c.PeerTimeout = 1, patience })
-	first := rawPeer(t, b)
+func TestPendingHandshakesAreBounded(t *testing.T) {
+	b := newNode(t, "b", func(c *Config) { c.MaxHandshakes, c.PeerTimeout = 1, testTimeout })
+	first := dialRaw(t, b)
 	_, reply, err := websocket.Dial(t.Context(), "ws://"+b.address+Route, nil)
 	if err == nil || reply.StatusCode != http.StatusServiceUnavailable {
 		t.Fatal(reply, err)
@@ -202,9 +202,9 @@
 	_ = first.CloseNow()
 }
 
-func TestUnansweringPeer(t *testing.T) {
-	a := newNode(t, "a", quick)
-	a.peers.Store(structs.InstanceID("b"), deafListener(t))
+func TestUnresponsivePeer(t *testing.T) {
+	a := newNode(t, "a", shortTimeouts)
+	a.peers.Store(structs.InstanceID("b"), unresponsiveListener(t))
 	a.Probe("b")
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 	a.Probe("nobody")
@@ -214,32 +214,32 @@
 }
 
 // A dial is given up long before a connected instance counts as silent.
-func TestDialIsBoundedByItsOwnTimeout(t *testing.T) {
+func TestDialTimeout(t *testing.T) {
 	a := newNode(t, "a", func(c *Config) {
 		c.PeerTimeout = time.Hour
 		c.DialTimeout = 50 * time.Millisecond
 	})
-	a.peers.Store(structs.InstanceID("b"), deafListener(t))
+	a.peers.Store(structs.InstanceID("b"), unresponsiveListener(t))
 	a.Send("b", withdraw(0))
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 }
 
-func TestProbeOfAnOpenConnection(t *testing.T) {
-	a, b := newNode(t, "a", quick), newNode(t, "b", quick)
-	r := newRelay(t, b.address)
+func TestProbeOverOpenConnection(t *testing.T) {
+	a, b := newNode(t, "a", shortTimeouts), newNode(t, "b", shortTimeouts)
+	r := newTCPProxy(t, b.address)
 	a.peers.Store(structs.InstanceID("b"), r.address())
 	for range 3 {
 		a.Probe("b")
 		a.awaitEvent(structs.PeerUp{Peer: "b"})
 	}
-	r.backward.Store(true)
+	r.dropBackward.Store(true)
 	a.Probe("b")
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 }
 
-func TestOverflowBreaksTheConnection(t *testing.T) {
-	a := newNode(t, "a", func(c *Config) { c.QueueFrames = 8 })
-	a.peers.Store(structs.InstanceID("b"), deafListener(t))
+func TestFullQueueBreaksConnection(t *testing.T) {
+	a := newNode(t, "a", func(c *Config) { c.MaxQueuedFrames = 8 })
+	a.peers.Store(structs.InstanceID("b"), unresponsiveListener(t))
 	for i := range 9 {
 		a.Send("b", withdraw(i))
 	}
@@ -249,15 +249,15 @@
 	}
 }
 
-func TestMessageAboveTheLimitIsReported(t *testing.T) {
-	a := newNode(t, "a", func(c *Config) { c.MaxFrame = 1024 })
+func TestOversizedMessageReportsPeerDown(t *testing.T) {
+	a := newNode(t, "a", func(c *Config) { c.MaxFrameBytes = 1024 })
 	a.Send("b", &structs.Submit{Call: &structs.Call{Body: make([]byte, 2048)}})
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 }
 
-func TestSlowReaderIsCutOff(t *testing.T) {
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	b := newNode(t, "b", func(c *Config) { c.WriteTimeout = 100 * time.Millisecond })
-	conn := authenticated(t, b, "a")
+	conn := dialAuthenticated(t, b, "a")
 	sendRaw(t, conn, mustEncode(t, withdraw(0)))
 	b.awaitMessage("a")
 	for range 16 {
@@ -268,9 +268,9 @@
 
 func TestRestartedPeerReplacesItsConnection(t *testing.T) {
 	b := newNode(t, "b")
-	first := authenticated(t, b, "a")
+	first := dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
-	second := rawPeer(t, b)
+	second := dialRaw(t, b)
 	h := handshaker{id: "a", incarnation: "second", key: testKey}
 	if _, err := h.dial(t.Context(), second, "b"); err != nil {
 		t.Fatal(err)
@@ -284,11 +284,11 @@
 	}
 }
 
-func TestFullLoopHoldsThePeerBack(t *testing.T) {
+func TestFullEventQueueAppliesBackpressure(t *testing.T) {
 	// Frames may be on their way as long as the test is willing to wait: on a
 	// busy machine they take longer than a short liveness timeout allows.
-	patient := func(c *Config) { c.PeerTimeout, c.HeartbeatInterval = patience, 50*time.Millisecond }
-	a, b := newNode(t, "a", patient), newNode(t, "b", patient)
+	longTimeout := func(c *Config) { c.PeerTimeout, c.HeartbeatInterval = testTimeout, 50*time.Millisecond }
+	a, b := newNode(t, "a", longTimeout), newNode(t, "b", longTimeout)
 	a.peers.Store(structs.InstanceID("b"), b.address)
 	messages := 2 * cap(b.events)
 	for i := range messages {
@@ -310,7 +310,7 @@
 	return frame
 }
 
-func TestCloseSendsWhatWaits(t *testing.T) {
+func TestCloseSendsQueuedMessages(t *testing.T) {
 	a, b := newNode(t, "a"), newNode(t, "b")
 	a.peers.Store(structs.InstanceID("b"), b.address)
 	a.Probe("b")
@@ -330,7 +330,7 @@
 
 func TestCloseDoesNotWaitForAFrozenPeer(t *testing.T) {
 	b := newNode(t, "b", func(c *Config) { c.CloseTimeout = 50 * time.Millisecond })
-	conn := authenticated(t, b, "a")
+	conn := dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
 	for range 16 {
 		b.Send("a", &structs.Submit{Call: &structs.Call{Body: make([]byte, 1<<20)}})
@@ -339,16 +339,16 @@
 	_ = awaitClosed(t, conn)
 }
 
-func TestOwnPauseIsNotTakenForSilence(t *testing.T) {
+func TestOwnPauseIsNotHeartbeatTimeout(t *testing.T) {
 	b := newNode(t, "b", func(c *Config) { c.PeerTimeout, c.HeartbeatInterval = time.Minute, time.Hour })
-	authenticated(t, b, "a")
+	dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
 	b.Watch([]structs.InstanceID{"a"})
 	resumed := time.Now().Add(time.Hour)
-	b.beat(resumed, true)
+	b.checkHeartbeats(resumed, true)
 	if b.Stats().Sessions != 1 {
 		t.Fatal("the connection was cut after a pause of this process")
 	}
-	b.beat(resumed.Add(2*time.Minute), false)
+	b.checkHeartbeats(resumed.Add(2*time.Minute), false)
 	b.awaitEvent(structs.PeerDown{Peer: "a"})
 }
