--- a/internal/eventsink/eventsink.go
+++ b/internal/eventsink/eventsink.go
@@ -15,8 +15,8 @@
 
 // Waits between two attempts to put an event into a full queue.
 const (
-	minWait = time.Millisecond
-	maxWait = 20 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 20 * time.Millisecond
 )
 
 // Sink posts events to the loop. It is safe for concurrent use.
@@ -47,12 +47,12 @@
 		return true
 	}
 	s.waited.Inc(1)
-	return s.retry(ctx, event)
+	return s.deliverWithBackoff(ctx, event)
 }
 
-func (s *Sink) retry(ctx context.Context, event structs.Event) bool {
-	wait := minWait
-	timer := time.NewTimer(wait)
+func (s *Sink) deliverWithBackoff(ctx context.Context, event structs.Event) bool {
+	backoff := minBackoff
+	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	for {
 		select {
@@ -63,8 +63,8 @@
 		if s.post(event) {
 			return true
 		}
-		wait = min(2*wait, maxWait)
-		timer.Reset(wait)
+		backoff = min(2*backoff, maxBackoff)
+		timer.Reset(backoff)
 	}
 }
 
--- a/internal/eventsink/eventsink_test.go
+++ b/internal/eventsink/eventsink_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestDeliverWaitsForRoom(t *testing.T) {
+func TestDeliverRetriesUntilAccepted(t *testing.T) {
 	attempts := 0
 	sink := New(func(structs.Event) bool {
 		attempts++
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestDeliverEndsWithTheContext(t *testing.T) {
+func TestDeliverStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	sink := New(func(structs.Event) bool {
 		cancel()
--- a/internal/instance/world_log_test.go
+++ b/internal/instance/cluster_log_test.go
@@ -9,28 +9,28 @@
 )
 
 // append carries out an append; its reply may be lost after it took effect.
-func (w *world) append(n *node, cmd structs.LogAppend) {
-	w.after(logDelay, func() {
-		if w.logDown {
+func (c *cluster) append(n *node, cmd structs.LogAppend) {
+	c.after(logDelay, func() {
+		if c.logDown {
 			n.deliver(structs.LogAppendFailed{ID: cmd.ID, Stream: cmd.Stream, Refused: true})
 			return
 		}
-		first := uint64(len(w.log[cmd.Stream]))
+		first := uint64(len(c.log[cmd.Stream]))
 		for i, data := range cmd.Records {
-			w.log[cmd.Stream] = append(w.log[cmd.Stream], wire.LogRecord{Offset: first + uint64(i), TimeMS: w.now.UnixMilli(), Data: data})
+			c.log[cmd.Stream] = append(c.log[cmd.Stream], wire.LogRecord{Offset: first + uint64(i), TimeMS: c.now.UnixMilli(), Data: data})
 		}
-		w.wakeTails(cmd.Stream)
-		if w.rng.Float64() < w.loseReplies {
-			w.after(time.Second, func() { n.deliver(structs.LogAppendFailed{ID: cmd.ID, Stream: cmd.Stream}) })
+		c.notifyTails(cmd.Stream)
+		if c.rng.Float64() < c.replyLossRate {
+			c.after(time.Second, func() { n.deliver(structs.LogAppendFailed{ID: cmd.ID, Stream: cmd.Stream}) })
 			return
 		}
-		w.after(logDelay, func() { n.deliver(structs.LogAppended{ID: cmd.ID, Stream: cmd.Stream, First: first}) })
+		c.after(logDelay, func() { n.deliver(structs.LogAppended{ID: cmd.ID, Stream: cmd.Stream, First: first}) })
 	})
 }
 
-func (w *world) wakeTails(stream string) {
-	for _, id := range w.ids {
-		n := w.nodes[id]
+func (c *cluster) notifyTails(stream string) {
+	for _, id := range c.ids {
+		n := c.nodes[id]
 		if from, ok := n.tails[stream]; ok {
 			n.tail(stream, from, false)
 		}
@@ -40,24 +40,24 @@
 // tail reads a stream from an offset and goes on; the first answer comes at
 // once, also when it is empty.
 func (n *node) tail(stream string, from uint64, first bool) {
-	w := n.w
+	c := n.cluster
 	n.tails[stream] = from
 	n.generation[stream]++
 	generation := n.generation[stream]
-	w.after(logDelay+w.readDelay[n.id], func() {
+	c.after(logDelay+c.readDelay[n.id], func() {
 		if n.dead || n.generation[stream] != generation {
 			return
 		}
-		if w.logDown {
+		if c.logDown {
 			n.deliver(structs.LogReadFailed{Stream: stream})
-			w.after(500*time.Millisecond, func() {
+			c.after(500*time.Millisecond, func() {
 				if n.generation[stream] == generation {
 					n.tail(stream, from, true)
 				}
 			})
 			return
 		}
-		all := w.log[stream]
+		all := c.log[stream]
 		end := uint64(len(all))
 		if end > from || first {
 			records := slices.Clone(all[min(from, end):])
@@ -65,7 +65,7 @@
 			n.deliver(structs.LogRead{Stream: stream, From: from, Records: records, Next: max(end, from), End: end})
 		}
 		if generation == n.generation[stream] {
-			w.after(pollEvery, func() {
+			c.after(pollInterval, func() {
 				if at, ok := n.tails[stream]; ok && generation == n.generation[stream] {
 					n.tail(stream, at, true)
 				}
--- a/internal/instance/world_targets_test.go
+++ b/internal/instance/cluster_targets_test.go
@@ -11,54 +11,54 @@
 )
 
 func (n *node) pollMembers() {
-	w := n.w
-	if n.dead || w.nodes[n.id] != n {
+	c := n.cluster
+	if n.dead || c.nodes[n.id] != n {
 		return
 	}
-	w.version++
-	list := wire.MemberList{Version: w.version}
-	for _, id := range w.ids {
-		list.Members = append(list.Members, wire.Member{ID: string(id), Role: wire.MemberRoleInstance, State: wire.MemberStateLive, Region: string(w.regionOf(id))})
+	c.version++
+	list := wire.MemberList{Version: c.version}
+	for _, id := range c.ids {
+		list.Members = append(list.Members, wire.Member{ID: string(id), Role: wire.MemberRoleInstance, State: wire.MemberStateLive, Region: string(c.regionOf(id))})
 	}
 	for _, service := range []string{chatService, filingService} {
 		for i := range 2 {
 			list.Members = append(list.Members, wire.Member{
-				ID: fmt.Sprintf("%s-%d-%s", service, i, w.regionOf(n.id)), Role: wire.MemberRoleTarget, State: wire.MemberStateLive,
-				Region: string(w.regionOf(n.id)), Service: service,
+				ID: fmt.Sprintf("%s-%d-%s", service, i, c.regionOf(n.id)), Role: wire.MemberRoleTarget, State: wire.MemberStateLive,
+				Region: string(c.regionOf(n.id)), Service: service,
 			})
 		}
 	}
 	n.deliver(structs.MembersListed{List: list})
-	w.after(pollEvery, n.pollMembers)
+	c.after(pollInterval, n.pollMembers)
 }
 
 // startRun is the target adapter and the target: it sends once, if it is not
 // too late, and answers.
-func (w *world) startRun(n *node, cmd structs.StartRun) {
+func (c *cluster) startRun(n *node, cmd structs.StartRun) {
 	end := structs.RunEnded{Run: cmd.Run, Target: cmd.Target.ID, Took: 5 * time.Millisecond}
 	if n.dead {
 		return
 	}
-	if n.paused || (!cmd.NotAfter.IsZero() && w.now.After(cmd.NotAfter)) {
+	if n.paused || (!cmd.NotAfter.IsZero() && c.now.After(cmd.NotAfter)) {
 		end.Failure = structs.RunNotSent
 		n.deliver(end)
 		return
 	}
-	w.sends = append(w.sends, sent{at: w.now, call: cmd.Call, run: cmd.Run})
-	w.note("send %s %s from %s", cmd.Call.Program, cmd.Call.Key, n.id)
-	end.Outcome = structs.Outcome{Kind: structs.OutcomeAnswered, Status: 200, Text: answerOf(cmd.Call)}
+	c.sends = append(c.sends, targetSend{at: c.now, call: cmd.Call, run: cmd.Run})
+	c.logf("send %s %s from %s", cmd.Call.Program, cmd.Call.Key, n.id)
+	end.Outcome = structs.Outcome{Kind: structs.OutcomeAnswered, Status: 200, Text: responseTo(cmd.Call)}
 	if cmd.Call.Kind == structs.CallPlain {
-		end.Outcome.Body, end.Outcome.Text = []byte(answerOf(cmd.Call)), ""
+		end.Outcome.Body, end.Outcome.Text = []byte(responseTo(cmd.Call)), ""
 	}
-	w.after(5*time.Millisecond+w.delay(400*time.Millisecond), func() { n.deliver(end) })
+	c.after(5*time.Millisecond+c.randomDelay(400*time.Millisecond), func() { n.deliver(end) })
 }
 
-func answerOf(call *structs.Call) string {
+func responseTo(call *structs.Call) string {
 	return fmt.Sprintf("%s/%s/%x", call.Program, call.Key, call.Digest[:4])
 }
 
 // configure publishes the services through the first instance.
-func (w *world) configure() {
+func (c *cluster) configure() {
 	values := map[string]any{
 		"services/model/kind": "engine", "services/filing/kind": "plain", "services/filing/timeout": "1s",
 		"teams/harbour/idempotency_window": "1h",
@@ -68,11 +68,11 @@
 		value, _ := json.Marshal(values[path])
 		changes = append(changes, structs.SettingChange{Path: path, Value: value, ChangeID: "change-" + path, Author: "test"})
 	}
-	w.nodes[w.ids[0]].deliver(structs.SettingsPropose{Request: "configure", Changes: changes, Deadline: w.now.Add(time.Minute)})
-	w.run(2 * time.Second)
-	for _, id := range w.ids {
-		if _, ok := w.nodes[id].core.Tree().Service(chatService); !ok {
-			w.t.Fatalf("%s does not know the services", id)
+	c.nodes[c.ids[0]].deliver(structs.SettingsPropose{Request: "configure", Changes: changes, Deadline: c.now.Add(time.Minute)})
+	c.runFor(2 * time.Second)
+	for _, id := range c.ids {
+		if _, ok := c.nodes[id].core.Tree().Service(chatService); !ok {
+			c.t.Fatalf("%s does not know the services", id)
 		}
 	}
 }
--- a/internal/instance/dump.go
+++ b/internal/instance/dump.go
@@ -45,7 +45,7 @@
 
 func (i *Instance) dumpPeers() []PeerState {
 	watched := map[structs.InstanceID]bool{}
-	for _, id := range i.interest.watched {
+	for _, id := range i.pendingReplies.watched {
 		watched[id] = true
 	}
 	var peers []PeerState
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -17,28 +17,28 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxRounds bounds the rounds of one tick in which components of the instance
+// maxTickRounds bounds the rounds of one tick in which components of the instance
 // answer each other. More rounds mean that two of them disagree for good.
-const maxRounds = 64
+const maxTickRounds = 64
 
 // Instance is the core of one instance.
 type Instance struct {
-	cfg      structs.InstanceConfig
-	view     *members.View
-	gateway  *gateway.Gateway
-	owner    *owner.Owner
-	dispatch *dispatch.Dispatcher
-	orders   *orders.Controller
-	tree     *settings.Tree
-	proposer *settings.Proposer
-	interest *interest
+	cfg            structs.InstanceConfig
+	view           *members.View
+	gateway        *gateway.Gateway
+	owner          *owner.Owner
+	dispatch       *dispatch.Dispatcher
+	orders         *orders.Controller
+	tree           *settings.Tree
+	proposer       *settings.Proposer
+	pendingReplies *pendingReplies
 
-	ready      readiness
-	draining   bool
-	drainUntil time.Time
-	drainDone  bool
-	// out collects the commands of the present tick.
-	out []structs.Command
+	ready     readiness
+	draining  bool
+	drainAt   time.Time
+	drainDone bool
+	// commands collects the commands of the present tick.
+	commands []structs.Command
 }
 
 // New returns the core of an instance that knows nothing yet. Its first tick
@@ -47,15 +47,15 @@
 	view := members.New(cfg.Self)
 	tree := settings.NewTree()
 	return &Instance{
-		cfg:      cfg,
-		view:     view,
-		gateway:  gateway.New(cfg, view),
-		owner:    owner.New(cfg, view, tree),
-		dispatch: dispatch.New(cfg, view, tree),
-		orders:   orders.New(cfg, view, tree),
-		tree:     tree,
-		proposer: settings.NewProposer(cfg, tree, view),
-		interest: newInterest(cfg.Self.ID),
+		cfg:            cfg,
+		view:           view,
+		gateway:        gateway.New(cfg, view),
+		owner:          owner.New(cfg, view, tree),
+		dispatch:       dispatch.New(cfg, view, tree),
+		orders:         orders.New(cfg, view, tree),
+		tree:           tree,
+		proposer:       settings.NewProposer(cfg, tree, view),
+		pendingReplies: newPendingReplies(cfg.Self.ID),
 	}
 }
 
@@ -71,23 +71,23 @@
 // Tick takes in events that happened by now and gives the commands that follow.
 // Messages of the instance to itself are delivered within the tick.
 func (i *Instance) Tick(now time.Time, events []structs.Event) []structs.Command {
-	i.out = nil
+	i.commands = nil
 	round := events
 	for n := 0; n == 0 || len(round) > 0; n++ {
-		if n == maxRounds {
+		if n == maxTickRounds {
 			panic("invariant broken: the instance's components do not come to rest in one tick")
 		}
-		round = i.round(now, round)
+		round = i.runRound(now, round)
 	}
-	i.watch()
+	i.updateWatched()
 	i.checkReady()
 	i.checkDrained(now)
-	return i.out
+	return i.commands
 }
 
-// round runs each component once and returns the events that the components
+// runRound runs each component once and returns the events that the components
 // have for each other.
-func (i *Instance) round(now time.Time, events []structs.Event) []structs.Event {
+func (i *Instance) runRound(now time.Time, events []structs.Event) []structs.Event {
 	in := i.route(now, events)
 	var cmds []structs.Command
 	// The view goes first: the others decide by it.
@@ -97,7 +97,7 @@
 	cmds = append(cmds, i.owner.Tick(now, in.owner)...)
 	cmds = append(cmds, i.dispatch.Tick(now, in.dispatch)...)
 	cmds = append(cmds, i.orders.Tick(now, in.orders)...)
-	cmds = append(cmds, in.replies...)
+	cmds = append(cmds, in.commands...)
 	return i.collect(cmds)
 }
 
@@ -108,15 +108,15 @@
 	for _, cmd := range cmds {
 		send, ok := cmd.(structs.SendPeer)
 		if !ok {
-			i.out = append(i.out, cmd)
+			i.commands = append(i.commands, cmd)
 			continue
 		}
 		if send.To == i.cfg.Self.ID {
 			local = append(local, structs.PeerMessage{From: send.To, Msg: send.Msg})
 			continue
 		}
-		i.interest.sent(send.To, send.Msg)
-		i.out = append(i.out, cmd)
+		i.pendingReplies.recordSent(send.To, send.Msg)
+		i.commands = append(i.commands, cmd)
 	}
 	return local
 }
@@ -126,7 +126,7 @@
 	var next time.Time
 	for _, at := range []time.Time{
 		i.view.NextWake(), i.proposer.NextWake(), i.gateway.NextWake(),
-		i.owner.NextWake(), i.dispatch.NextWake(), i.orders.NextWake(), i.drainWake(),
+		i.owner.NextWake(), i.dispatch.NextWake(), i.orders.NextWake(), i.drainTime(),
 	} {
 		if next.IsZero() || (!at.IsZero() && at.Before(next)) {
 			next = at
@@ -135,15 +135,15 @@
 	return next
 }
 
-func (i *Instance) watch() {
-	if cmd, changed := i.interest.watch(); changed {
-		i.out = append(i.out, cmd)
+func (i *Instance) updateWatched() {
+	if cmd, changed := i.pendingReplies.watchCommand(); changed {
+		i.commands = append(i.commands, cmd)
 	}
 }
 
-func (i *Instance) drainWake() time.Time {
+func (i *Instance) drainTime() time.Time {
 	if !i.draining || i.drainDone {
 		return time.Time{}
 	}
-	return i.drainUntil
+	return i.drainAt
 }
--- a/internal/instance/instance_bench_test.go
+++ b/internal/instance/instance_bench_test.go
@@ -9,40 +9,40 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// heldPrograms are the numbers of programs that an instance holds: the share of
+// programCounts are the numbers of programs that an instance holds: the share of
 // one of 70 owners of the letter's 26,000, round numbers, and all in one.
-var heldPrograms = []int{100, 26_000 / 70, 1000, 10_000, 26_000}
+var programCounts = []int{100, 26_000 / 70, 1000, 10_000, 26_000}
 
 // BenchmarkCall is one streamed chat call of 20 tokens through all roles of one
 // instance, from the caller's request to the end of its answer.
 func BenchmarkCall(b *testing.B) {
-	for _, programs := range heldPrograms {
+	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
-			w := newBenchWorld(b)
-			ids := w.openPrograms(programs)
-			ticks := w.ticks
+			h := newBenchHarness(b)
+			ids := h.openPrograms(programs)
+			ticks := h.ticks
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
-				w.call(ids[n%len(ids)], 2+n/len(ids))
+				h.call(ids[n%len(ids)], 2+n/len(ids))
 			}
 			b.StopTimer()
-			b.ReportMetric(float64(w.ticks-ticks)/float64(b.N), "ticks/op")
+			b.ReportMetric(float64(h.ticks-ticks)/float64(b.N), "ticks/op")
 		})
 	}
 }
 
 // BenchmarkIdleTick is a tick without events.
 func BenchmarkIdleTick(b *testing.B) {
-	for _, programs := range heldPrograms {
+	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
-			w := newBenchWorld(b)
-			w.openPrograms(programs)
+			h := newBenchHarness(b)
+			h.openPrograms(programs)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				w.core.Tick(w.now, nil)
-				w.core.NextWake()
+				h.core.Tick(h.now, nil)
+				h.core.NextWake()
 			}
 		})
 	}
@@ -53,20 +53,20 @@
 func BenchmarkToken(b *testing.B) {
 	for _, running := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("running=%d", running), func(b *testing.B) {
-			w := newBenchWorld(b)
-			w.hold = true
-			ids := w.openPrograms(running)
+			h := newBenchHarness(b)
+			h.holdRuns = true
+			ids := h.openPrograms(running)
 			for _, id := range ids {
-				w.submit(id, 2)
+				h.submit(id, 2)
 			}
-			w.settleUntil(func() bool { return len(w.running) == running })
-			run := w.running[0].Run
+			h.settleUntil(func() bool { return len(h.running) == running })
+			run := h.running[0].Run
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
 				chunk := structs.Chunk{First: n, Texts: []string{" word"}}
-				w.post(structs.RunChunk{Run: run, Chunk: chunk})
-				w.settle()
+				h.post(structs.RunChunk{Run: run, Chunk: chunk})
+				h.settle()
 			}
 		})
 	}
@@ -75,15 +75,15 @@
 // BenchmarkProgramMemory gives the memory that programs take which made one
 // call and pause.
 func BenchmarkProgramMemory(b *testing.B) {
-	for _, programs := range heldPrograms {
+	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
 			for range b.N {
-				w := newBenchWorld(b)
+				h := newBenchHarness(b)
 				before := heapBytes()
-				w.openPrograms(programs)
-				w.forgetLog()
+				h.openPrograms(programs)
+				h.clearLog()
 				b.ReportMetric(float64(heapBytes()-before)/float64(programs), "B/program")
-				runtime.KeepAlive(w)
+				runtime.KeepAlive(h)
 			}
 		})
 	}
@@ -94,19 +94,19 @@
 func BenchmarkTurnMemory(b *testing.B) {
 	const programs, turns = 100, 50
 	for range b.N {
-		w := newBenchWorld(b)
-		ids := w.openPrograms(programs)
-		w.forgetLog()
+		h := newBenchHarness(b)
+		ids := h.openPrograms(programs)
+		h.clearLog()
 		before := heapBytes()
 		for turn := range turns {
 			for _, id := range ids {
-				w.call(id, 2+turn)
+				h.call(id, 2+turn)
 			}
 		}
-		w.advance(time.Second)
-		w.forgetLog()
+		h.advance(time.Second)
+		h.clearLog()
 		b.ReportMetric(float64(heapBytes()-before)/(programs*turns), "B/call-held")
-		runtime.KeepAlive(w)
+		runtime.KeepAlive(h)
 	}
 }
 
--- a/internal/instance/life.go
+++ b/internal/instance/lifecycle.go
@@ -9,8 +9,8 @@
 // ReasonDraining is the reason of a Ready command while the instance drains.
 const ReasonDraining = "draining"
 
-// retryAfterStart is what callers are told while the instance starts or drains.
-const retryAfterStart = time.Second
+// notReadyRetryAfter is what callers are told while the instance starts or drains.
+const notReadyRetryAfter = time.Second
 
 // readiness is whether the instance takes traffic, as last reported.
 type readiness struct {
@@ -25,7 +25,7 @@
 func (i *Instance) admit(now time.Time, in *inputs, ev structs.Event) {
 	reason := structs.ReasonNone
 	switch {
-	case i.draining && !now.Before(i.drainUntil):
+	case i.draining && !now.Before(i.drainAt):
 		reason = structs.ReasonDraining
 	case !i.draining && !i.ready.ready:
 		reason = structs.ReasonStarting
@@ -36,10 +36,10 @@
 	}
 	switch ev := ev.(type) {
 	case structs.CallerSubmit:
-		in.replies = append(in.replies, structs.ReplyEnd{Request: ev.Request, Outcome: ev.Call.Refusal(reason, retryAfterStart)})
+		in.commands = append(in.commands, structs.ReplyEnd{Request: ev.Request, Outcome: ev.Call.Refusal(reason, notReadyRetryAfter)})
 	case structs.CallerProgram:
-		out := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfterStart}
-		in.replies = append(in.replies, structs.ReplyProgram{Request: ev.Request, Outcome: out})
+		out := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: notReadyRetryAfter}
+		in.commands = append(in.commands, structs.ReplyProgram{Request: ev.Request, Outcome: out})
 	}
 }
 
@@ -47,20 +47,20 @@
 // it has caught up with the settings and seen a membership list: with older
 // settings it would bring back values that were replaced.
 func (i *Instance) checkReady() {
-	now := readiness{reported: true, ready: true}
+	current := readiness{reported: true, ready: true}
 	switch {
 	case i.draining:
-		now = readiness{reported: true, reason: ReasonDraining}
+		current = readiness{reported: true, reason: ReasonDraining}
 	case !i.proposer.CaughtUp():
-		now = readiness{reported: true, reason: "settings not caught up"}
+		current = readiness{reported: true, reason: "settings not caught up"}
 	case !i.view.Listed():
-		now = readiness{reported: true, reason: "no membership list yet"}
+		current = readiness{reported: true, reason: "no membership list yet"}
 	}
-	if now == i.ready {
+	if current == i.ready {
 		return
 	}
-	i.ready = now
-	i.out = append(i.out, structs.Ready{Ready: now.ready, Reason: now.reason})
+	i.ready = current
+	i.commands = append(i.commands, structs.Ready{Ready: current.ready, Reason: current.reason})
 }
 
 // startDrain tells the peers, so that they send no new work, and lets what is
@@ -70,23 +70,23 @@
 		return
 	}
 	i.draining = true
-	i.drainUntil = now.Add(i.cfg.DrainDelay)
-	in.all(ev)
+	i.drainAt = now.Add(i.cfg.DrainDelay)
+	in.broadcast(ev)
 	for _, p := range i.view.Peers() {
 		if p.ID == i.cfg.Self.ID {
 			continue
 		}
-		in.replies = append(in.replies, structs.SendPeer{To: p.ID, Msg: &structs.Leaving{}})
+		in.commands = append(in.commands, structs.SendPeer{To: p.ID, Msg: &structs.Leaving{}})
 	}
 }
 
 func (i *Instance) checkDrained(now time.Time) {
-	if !i.draining || i.drainDone || now.Before(i.drainUntil) {
+	if !i.draining || i.drainDone || now.Before(i.drainAt) {
 		return
 	}
 	if i.gateway.InFlight() > 0 || i.owner.InFlight() > 0 || i.dispatch.Waiting() > 0 {
 		return
 	}
 	i.drainDone = true
-	i.out = append(i.out, structs.DrainDone{})
+	i.commands = append(i.commands, structs.DrainDone{})
 }
--- a/internal/instance/route.go
+++ b/internal/instance/route.go
@@ -14,10 +14,10 @@
 	owner    []structs.Event
 	dispatch []structs.Event
 	orders   []structs.Event
-	replies  []structs.Command
+	commands []structs.Command
 }
 
-func (in *inputs) all(ev structs.Event) {
+func (in *inputs) broadcast(ev structs.Event) {
 	in.view = append(in.view, ev)
 	in.settings = append(in.settings, ev)
 	in.gateway = append(in.gateway, ev)
@@ -30,12 +30,12 @@
 func (i *Instance) route(now time.Time, events []structs.Event) inputs {
 	var in inputs
 	for _, ev := range events {
-		i.routeOne(now, &in, ev)
+		i.routeEvent(now, &in, ev)
 	}
 	return in
 }
 
-func (i *Instance) routeOne(now time.Time, in *inputs, ev structs.Event) {
+func (i *Instance) routeEvent(now time.Time, in *inputs, ev structs.Event) {
 	switch ev := ev.(type) {
 	case structs.CallerSubmit, structs.CallerProgram:
 		i.admit(now, in, ev)
@@ -46,20 +46,20 @@
 	case structs.DrainStart:
 		i.startDrain(now, in, ev)
 	case structs.PeerDown:
-		i.interest.down(ev.Peer)
-		in.all(ev)
+		i.pendingReplies.removePeer(ev.Peer)
+		in.broadcast(ev)
 	case structs.PeerUp, structs.MembersListed:
-		in.all(ev)
+		in.broadcast(ev)
 	case structs.PeerMessage:
 		i.routeMessage(in, ev)
 	case structs.LogAppended:
-		in.log(ev.Stream, ev)
+		in.routeLogEvent(ev.Stream, ev)
 	case structs.LogAppendFailed:
-		in.log(ev.Stream, ev)
+		in.routeLogEvent(ev.Stream, ev)
 	case structs.LogRead:
-		in.log(ev.Stream, ev)
+		in.routeLogEvent(ev.Stream, ev)
 	case structs.LogReadFailed:
-		in.log(ev.Stream, ev)
+		in.routeLogEvent(ev.Stream, ev)
 	case structs.RunChunk, structs.RunEnded, structs.OutcomeAsked:
 		in.owner = append(in.owner, ev)
 	case structs.CacheReleased:
@@ -72,7 +72,7 @@
 	}
 }
 
-func (in *inputs) log(stream string, ev structs.Event) {
+func (in *inputs) routeLogEvent(stream string, ev structs.Event) {
 	if stream == structs.SettingsStream {
 		in.settings = append(in.settings, ev)
 		return
@@ -86,16 +86,16 @@
 
 // routeMessage gives a peer's message to the role that it is for.
 func (i *Instance) routeMessage(in *inputs, ev structs.PeerMessage) {
-	i.interest.received(ev.From, ev.Msg)
+	i.pendingReplies.recordReceived(ev.From, ev.Msg)
 	switch msg := ev.Msg.(type) {
 	case *structs.Leaving:
-		in.all(ev)
+		in.broadcast(ev)
 	case *structs.SubmitAccepted, *structs.CallChunk, *structs.CallEnd, *structs.NotOwner,
 		*structs.ProgramReply, *structs.ProgramsReply, *structs.AppliedReply:
 		in.gateway = append(in.gateway, ev)
 	case *structs.ProgramsRequest:
 		reply := &structs.ProgramsReply{Request: msg.Request, Programs: i.owner.Programs(msg.Team, msg.Limit)}
-		in.replies = append(in.replies, structs.SendPeer{To: ev.From, Msg: reply})
+		in.commands = append(in.commands, structs.SendPeer{To: ev.From, Msg: reply})
 	case *structs.PermitRequest, *structs.PermitCancel, *structs.PermitFinish, *structs.ProgramGone:
 		in.dispatch = append(in.dispatch, ev)
 	case *structs.SettingsRequest, *structs.SettingsState, *structs.AppliedRequest:
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// queueBytes bounds what waits to be written: about a thousand lines.
-	queueBytes = 256 << 10
+	// maxQueuedBytes bounds what waits to be written: about a thousand lines.
+	maxQueuedBytes = 256 << 10
 	// writeInterval is how long lines are gathered before one write, which
 	// costs a system call.
 	writeInterval = 50 * time.Millisecond
@@ -23,13 +23,13 @@
 type Writer struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	waiting bytes.Buffer
-	dropped int64
-	total   int64
-	wake    chan struct{}
-	done    chan struct{}
-	closed  bool
+	mu              sync.Mutex
+	queued          bytes.Buffer
+	unreportedDrops int64
+	totalDrops      int64
+	wake            chan struct{}
+	done            chan struct{}
+	closed          bool
 }
 
 // New starts a Writer in front of out. Close must be called.
@@ -42,13 +42,13 @@
 // Write queues one line, or drops it if the queue is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if w.closed || w.waiting.Len()+len(line) > queueBytes {
-		w.dropped++
-		w.total++
+	if w.closed || w.queued.Len()+len(line) > maxQueuedBytes {
+		w.unreportedDrops++
+		w.totalDrops++
 		w.mu.Unlock()
 		return len(line), nil
 	}
-	w.waiting.Write(line)
+	w.queued.Write(line)
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -61,7 +61,7 @@
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.totalDrops
 }
 
 // Close writes what waits, bounded by a second if the reader stalls.
@@ -91,10 +91,10 @@
 // else to report it.
 func (w *Writer) flush() {
 	w.mu.Lock()
-	lines := bytes.Clone(w.waiting.Bytes())
-	w.waiting.Reset()
-	dropped := w.dropped
-	w.dropped = 0
+	lines := bytes.Clone(w.queued.Bytes())
+	w.queued.Reset()
+	dropped := w.unreportedDrops
+	w.unreportedDrops = 0
 	w.mu.Unlock()
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped)
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// stalled is a reader that takes nothing until it is released.
-type stalled struct {
+// stalledWriter is a reader that takes nothing until it is released.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	b       bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 }
 
 func TestLinesAreWrittenInOrder(t *testing.T) {
-	out := &stalled{release: make(chan struct{})}
+	out := &stalledWriter{release: make(chan struct{})}
 	close(out.release)
 	w := New(out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
@@ -36,11 +36,11 @@
 	}
 }
 
-func TestStalledReaderCostsLinesAndHoldsNobodyBack(t *testing.T) {
-	out := &stalled{release: make(chan struct{})}
+func TestStalledWriterDropsLinesWithoutBlocking(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
 	w := New(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	const lines = 3 * queueBytes / 1024
+	const lines = 3 * maxQueuedBytes / 1024
 	for range lines {
 		if _, err := w.Write(line); err != nil {
 			t.Fatal(err)
