--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -8,7 +8,8 @@
 	"github.com/coder/websocket"
 )
 
-// Handler returns the handler of the peer listener, to be mounted at Route.
+// Handler returns the HTTP handler that accepts peer connections. Mount it at
+// Route.
 func (t *Transport) Handler() http.Handler {
 	return http.HandlerFunc(t.serve)
 }
@@ -33,8 +34,8 @@
 	select {
 	case t.handshakes <- struct{}{}:
 	default:
-		t.recordRefusal(r, errors.New("too many connections that are not authenticated"))
-		http.Error(w, "too many handshakes", http.StatusServiceUnavailable)
+		t.recordRefusal(r, errors.New("too many pending handshakes"))
+		http.Error(w, "too many pending handshakes", http.StatusServiceUnavailable)
 		return
 	}
 	s, err := t.accept(w, r)
@@ -46,19 +47,19 @@
 	t.runSession(s)
 }
 
-// checkTLS checks that the dialer showed a verified certificate where TLS alone
-// authenticates it.
+// checkTLS requires a verified client certificate if there is no shared key.
 func (t *Transport) checkTLS(r *http.Request) error {
 	if len(t.cfg.Key) > 0 {
 		return nil
 	}
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
-		return errors.New("a verified client certificate is needed")
+		return errors.New("no verified client certificate; one is required without a shared key")
 	}
 	return nil
 }
 
-// accept upgrades the connection and runs the handshake.
+// accept upgrades the request to a WebSocket connection and runs the
+// handshake.
 func (t *Transport) accept(w http.ResponseWriter, r *http.Request) (*session, error) {
 	options := websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled}
 	conn, err := websocket.Accept(w, r, &options)
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Defaults of a Config.
+// Defaults for the zero fields of a Config.
 const (
 	DefaultPeerTimeout       = time.Second
 	DefaultHeartbeatInterval = 250 * time.Millisecond
@@ -21,47 +21,46 @@
 	DefaultMaxQueuedBytes    = 64 << 20
 	DefaultMaxHandshakes     = 64
 
-	// MinKeyBytes is the least length of the shared key.
+	// MinKeyBytes is the minimum length of the shared key.
 	MinKeyBytes = 16
 )
 
-// ErrInvalidConfig is the error of a Config that cannot be used.
+// ErrInvalidConfig is returned by New for an unusable Config.
 var ErrInvalidConfig = errors.New("invalid peer transport configuration")
 
-// Config holds the settings of a Transport. Zero values of all but Self and
-// Key take the defaults above.
+// Config configures a Transport. Zero fields take the defaults above, except
+// for Self, Incarnation, Key and TLS.
 type Config struct {
 	// Self is this instance.
 	Self structs.Peer
-	// Incarnation is unique for each start of the process.
+	// Incarnation identifies one start of the process. It must be unique.
 	Incarnation string
-	// Key is the secret that all instances share, at least MinKeyBytes long.
-	// It may be empty only if TLS demands verified client certificates.
+	// Key is the secret shared by all instances, at least MinKeyBytes long. It
+	// may be empty only if TLS requires verified client certificates.
 	Key []byte
-	// TLS is used to dial; nil dials plain TCP. The listener that serves the
+	// TLS configures dials; nil means plain TCP. The listener that serves the
 	// Handler must use the same configuration.
 	TLS *tls.Config
-	// PeerTimeout is the liveness timeout of a watched instance, and bounds a
-	// probe.
+	// PeerTimeout is the liveness timeout of watched instances and the timeout
+	// of probes and accepted handshakes.
 	PeerTimeout time.Duration
-	// DialTimeout bounds a dial with its handshake; its default is PeerTimeout.
-	// An instance that was never reached is more likely gone than one that
-	// answered before.
+	// DialTimeout bounds a dial including its handshake; 0 means PeerTimeout.
+	// It may be shorter than PeerTimeout because an instance without an open
+	// connection is more likely to be down.
 	DialTimeout time.Duration
-	// HeartbeatInterval is the time between two pings; a jitter of up to a
-	// fifth is added.
+	// HeartbeatInterval is the time between pings, before jitter.
 	HeartbeatInterval time.Duration
-	// WriteTimeout bounds the write of one frame to a slow reader.
+	// WriteTimeout bounds the write of one frame.
 	WriteTimeout time.Duration
-	// CloseTimeout bounds how long Close goes on sending what waits.
+	// CloseTimeout bounds how long Close waits for queued frames to be sent.
 	CloseTimeout time.Duration
-	// MaxFrameBytes is the size of the largest frame, in bytes.
+	// MaxFrameBytes is the maximum size of a frame.
 	MaxFrameBytes int
-	// MaxQueuedFrames and MaxQueuedBytes bound what waits to be written to one
-	// instance.
+	// MaxQueuedFrames and MaxQueuedBytes bound the send queue of one instance.
 	MaxQueuedFrames int
 	MaxQueuedBytes  int
-	// MaxHandshakes bounds the connections that are not yet authenticated.
+	// MaxHandshakes bounds the accepted connections that are not authenticated
+	// yet.
 	MaxHandshakes int
 }
 
@@ -80,18 +79,18 @@
 
 func (c Config) validate() error {
 	if c.Self.ID == "" || c.Incarnation == "" {
-		return errors.Wrap(ErrInvalidConfig, "the instance id and incarnation are needed")
+		return errors.Wrap(ErrInvalidConfig, "the instance id and incarnation are required")
 	}
 	if len(c.Key) == 0 && c.verifiesClients() {
 		return nil
 	}
 	if len(c.Key) < MinKeyBytes {
-		return errors.Wrapf(ErrInvalidConfig, "the shared key needs at least %d bytes", MinKeyBytes)
+		return errors.Wrapf(ErrInvalidConfig, "the shared key is shorter than %d bytes", MinKeyBytes)
 	}
 	return nil
 }
 
-// verifiesClients tells whether TLS alone authenticates the other side.
+// verifiesClients reports whether TLS authenticates the dialer.
 func (c Config) verifiesClients() bool {
 	return c.TLS != nil && c.TLS.ClientAuth == tls.RequireAndVerifyClientCert
 }
--- a/internal/peer/delay.go
+++ b/internal/peer/delay.go
@@ -9,33 +9,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// stampInterval is the least time between two stamps of one connection.
+// stampInterval is the minimum time between two stamps on one connection.
 const stampInterval = 50 * time.Millisecond
 
-// errStale ends a connection whose frames lay longer than the liveness timeout
-// on their way: in a cut network, or in the socket buffer of a paused process.
-// By then the sender has given this instance up and handed its work to another,
-// so what such frames ask for must not be done.
-var errStale = errors.New("frames were longer on their way than the liveness timeout")
+// errStale ends a connection whose frames were delayed for longer than the
+// liveness timeout, by a network partition or in the socket buffer of a paused
+// process. The sender has reassigned the work by then, so these frames must not
+// be processed.
+var errStale = errors.New("frames were delayed for longer than the liveness timeout")
 
-// delayEstimator measures how long frames are on their way, without comparing clocks.
-// The writer stamps the connection with the time since its own start of the
-// session; the reader subtracts that from its own time. The smallest difference
-// so far is taken for the offset of the two starts.
+// delayEstimator estimates the transit delay of frames without comparing clocks.
+// The writer sends stamps with the time since its own start of the session, and
+// the reader subtracts them from the time since its own. The smallest difference
+// so far is taken as the offset between the two starts.
 type delayEstimator struct {
 	started       time.Time
 	minDifference time.Duration
 }
 
-// observe gives how much longer than the fastest stamp so far one was on its way.
+// observe returns the delay of a stamp relative to the fastest stamp so far.
 func (l *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
 	difference := now.Sub(l.started) - stamp
 	l.minDifference = min(l.minDifference, difference)
 	return difference - l.minDifference
 }
 
-// stamp gives the frame that stamps what is written next, nil if the last stamp
-// is new enough.
+// stamp returns the stamp frame to write before the next frame, or nil if the
+// last stamp is recent enough.
 func (s *session) stamp(now time.Time) []byte {
 	if now.Sub(s.lastStamp) < stampInterval {
 		return nil
@@ -45,7 +45,7 @@
 	return binary.AppendUvarint([]byte{structs.ProtocolVersion, byte(kindStamp)}, elapsed)
 }
 
-// receiveStamp returns errStale if what follows was too long on its way.
+// receiveStamp returns errStale if the frames after the stamp are stale.
 func (s *session) receiveStamp(body []byte) error {
 	elapsed, err := heartbeatNumber(body)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 	delay := s.delay.observe(time.Now(), time.Duration(elapsed)*time.Millisecond)
 	if delay > s.transport.cfg.PeerTimeout {
-		return errors.Wrapf(errStale, "by %s", delay)
+		return errors.Wrapf(errStale, "delay %s", delay)
 	}
 	return nil
 }
--- a/internal/peer/delay_test.go
+++ b/internal/peer/delay_test.go
@@ -23,13 +23,13 @@
 		now := start.Add(step.now * time.Millisecond)
 		got := l.observe(now, step.stamp*time.Millisecond)
 		if got != step.want*time.Millisecond {
-			t.Fatalf("stamp %d at %d: late by %s, want %d ms", step.stamp, step.now, got, step.want)
+			t.Fatalf("stamp %d at %d: delay %s, want %d ms", step.stamp, step.now, got, step.want)
 		}
 	}
 }
 
-// TestStaleMessagesAreNotDelivered: a Submit that lay in a cut network until its
-// gateway had handed the call to another owner.
+// A message delayed by a partition must not be delivered after its sender has
+// reassigned the work.
 func TestStaleMessagesAreNotDelivered(t *testing.T) {
 	n := newNode(t, "a")
 	conn := dialAuthenticated(t, n, "b")
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/netopt"
 )
 
-// Route is the path of the peer listener that Handler serves.
+// Route is the HTTP path of peer connections.
 const Route = "/peer"
 
 func newDialClient(cfg Config) *http.Client {
@@ -29,9 +29,9 @@
 	return "ws://" + address + Route
 }
 
-// ensureConnected tells whether a link has a connection or is being dialed, and dials
-// it if neither. It returns false if the address is unknown or the instance
-// could not be reached a moment ago. The mutex is held.
+// ensureConnected dials the instance unless there is a connection or a dial in
+// progress. It returns false if the address is unknown or the dial backoff has
+// not expired. t.mu must be held.
 func (t *Transport) ensureConnected(l *link) bool {
 	if l.current != nil || l.dialing {
 		return true
@@ -71,7 +71,8 @@
 	return newSession(t, remote, conn), nil
 }
 
-// handleDialFailure drops what waits for the instance and tells the loop.
+// handleDialFailure starts the dial backoff and, unless the instance connected
+// in the meantime, drops its queued frames and reports it down.
 func (t *Transport) handleDialFailure(l *link, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +90,7 @@
 	t.liveness.down(l.id)
 }
 
-// runSession adopts a session, runs it, and cleans up after it.
+// runSession registers a session, runs it until it ends and removes it.
 func (t *Transport) runSession(s *session) {
 	l := t.registerSession(s)
 	if l == nil {
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -2,29 +2,28 @@
 //
 // # Connections
 //
-// A connection is opened by whichever instance has something to send first,
-// and both use it in both directions. If two instances dial each other at the
-// same moment, both connections stay: each side goes on writing to the one it
-// took first, so that the messages of one side stay in order. When the
-// connection that a side writes to breaks, the side closes the others to that
-// instance too and posts PeerDown: messages may have been lost.
+// The first instance with a message to send dials, and both sides use the
+// connection in both directions. If two instances dial each other at the same
+// time, both connections stay open: each side keeps sending on the one that it
+// registered first, so that its messages stay in order. When the connection that
+// a side sends on breaks, the side closes all its connections to that instance
+// and posts PeerDown, because messages may have been lost.
 //
 // # Frames
 //
 // Each WebSocket message is one frame: a version byte, a kind byte and a CBOR
-// body. Structs are CBOR arrays in the order of their fields, so a field may
-// be added only at the end of a struct unless structs.ProtocolVersion grows.
+// body. Structs are encoded as arrays in field order, so fields may only be
+// appended to a struct unless structs.ProtocolVersion is raised.
 //
 // # Authentication
 //
-// Both sides prove with HMAC-SHA256 over both nonces and identities that they
-// hold the shared key, the accepting side first. The key is never sent or
-// logged. The frames after the handshake are neither encrypted nor
-// authenticated one by one: on a network that others can write to, use mutual
-// TLS as well.
+// Both sides prove that they hold the shared key by an HMAC-SHA256 over both
+// nonces and identities, the acceptor first. The key is never sent or logged.
+// Frames after the handshake are neither encrypted nor authenticated
+// individually; use mutual TLS as well on untrusted networks.
 //
 // # Liveness
 //
-// Only watched instances get heartbeats: a ping that must come back within the
-// liveness timeout. An idle connection to any other instance costs no traffic.
+// Only watched instances are sent pings, which must be answered within the
+// liveness timeout. Idle connections to other instances carry no traffic.
 package peer
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Kinds of the transport's own frames. Lower numbers are structs.MessageKind.
+// Kinds of the transport's own frames, above those of the messages in structs.
 const (
 	kindHello    structs.MessageKind = 240
 	kindWelcome  structs.MessageKind = 241
@@ -21,18 +21,18 @@
 )
 
 const (
-	// headerBytes is the length of a frame before its body.
+	// headerBytes is the length of the version and kind bytes.
 	headerBytes = 2
-	// maxDepth bounds the nesting of a body; the messages nest less deep.
+	// maxDepth bounds the nesting of a body.
 	maxDepth = 16
-	// maxInitLen bounds the elements allocated ahead for a collection on the
-	// word of its length field.
+	// maxInitLen bounds the elements preallocated for a collection, because its
+	// length field is not trusted.
 	maxInitLen = 1024
 )
 
-// Errors of a frame.
+// Errors of encoding, decoding and sending frames.
 var (
-	ErrVersionMismatch = errors.New("peer speaks another protocol version")
+	ErrVersionMismatch = errors.New("protocol version mismatch")
 	ErrMalformedFrame  = errors.New("malformed frame")
 	ErrFrameTooLarge   = errors.New("frame is too large")
 )
@@ -40,7 +40,7 @@
 var handle = newHandle()
 
 func newHandle() *codec.CborHandle {
-	// The codec keeps microseconds of a time.
+	// RFC 3339 times are encoded with microsecond precision.
 	h := &codec.CborHandle{TimeRFC3339: true}
 	h.StructToArray = true
 	h.MaxDepth = maxDepth
@@ -63,8 +63,8 @@
 	return append(frame, encoded...), nil
 }
 
-// DecodeFrame decodes a frame that holds a message. It returns ErrVersionMismatch or
-// ErrMalformedFrame.
+// DecodeFrame decodes a message. It returns ErrVersionMismatch or
+// ErrMalformedFrame if the frame is invalid.
 func DecodeFrame(frame []byte) (structs.Message, error) {
 	kind, body, err := splitFrame(frame)
 	if err != nil {
@@ -83,16 +83,16 @@
 // splitFrame checks the version and splits a frame into its kind and body.
 func splitFrame(frame []byte) (structs.MessageKind, []byte, error) {
 	if len(frame) < headerBytes {
-		return 0, nil, errors.Wrap(ErrMalformedFrame, "shorter than its header")
+		return 0, nil, errors.Wrap(ErrMalformedFrame, "frame is shorter than the header")
 	}
 	if frame[0] != structs.ProtocolVersion {
-		return 0, nil, errors.Wrapf(ErrVersionMismatch, "version %d, wanted %d", frame[0], structs.ProtocolVersion)
+		return 0, nil, errors.Wrapf(ErrVersionMismatch, "got version %d, expected %d", frame[0], structs.ProtocolVersion)
 	}
 	return structs.MessageKind(frame[1]), frame[headerBytes:], nil
 }
 
-// decodeBody decodes a body into the struct that target points to. A body must
-// be an array, as every struct is encoded.
+// decodeBody decodes a body into the struct that target points to. Structs are
+// encoded as arrays.
 func decodeBody(body []byte, target any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// isCallData tells whether a message carries a call's data; all others count
-// as control traffic.
+// isCallData reports whether a frame carries the data of a call. All others
+// count as control traffic.
 func isCallData(kind structs.MessageKind) bool {
 	switch kind {
 	case structs.KindSubmit, structs.KindCallChunk, structs.KindCallEnd:
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -8,10 +8,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// numKinds is the number of message kinds tried.
+// numKinds is the number of possible message kinds.
 const numKinds = 256
 
-// setNonZero sets every field of a value to something other than its zero.
+// setNonZero sets every field of a value to a nonzero value.
 func setNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -10,22 +10,22 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxHandshakeFrameBytes bounds a frame of a side that is not authenticated, in bytes.
+// maxHandshakeFrameBytes bounds frames from an unauthenticated peer.
 const maxHandshakeFrameBytes = 4096
 
-// Errors of a handshake.
+// Handshake errors.
 var (
 	ErrKeyMismatch      = errors.New("peer does not hold the shared key")
 	ErrIdentityMismatch = errors.New("peer is not the expected instance")
 )
 
-// hello opens the handshake; To is the instance that the dialer wants.
+// hello starts the handshake. To is the instance that the dialer expects.
 type hello struct {
 	From identity
 	To   structs.InstanceID
 }
 
-// welcome answers a hello with the acceptor's proof.
+// welcome is the reply to hello and carries the acceptor's proof.
 type welcome struct {
 	From  identity
 	Proof []byte
@@ -34,7 +34,7 @@
 // confirm carries the dialer's proof.
 type confirm struct{ Proof []byte }
 
-// accepted ends the handshake.
+// accepted completes the handshake.
 type accepted struct{}
 
 // handshaker runs handshakes with the identity and key of this instance.
@@ -48,7 +48,7 @@
 	return identity{ID: h.id, Incarnation: h.incarnation, Nonce: newNonce()}
 }
 
-// dial runs the dialer's side and returns the identity of the other.
+// dial runs the dialer's side and returns the identity of the acceptor.
 func (h handshaker) dial(ctx context.Context, conn *websocket.Conn, to structs.InstanceID) (identity, error) {
 	conn.SetReadLimit(maxHandshakeFrameBytes)
 	self := h.identity()
@@ -60,7 +60,7 @@
 		return identity{}, err
 	}
 	if reply.From.ID != to {
-		return identity{}, errors.Wrapf(ErrIdentityMismatch, "%q answered for %q", reply.From.ID, to)
+		return identity{}, errors.Wrapf(ErrIdentityMismatch, "got a reply from %q, expected %q", reply.From.ID, to)
 	}
 	if !hmac.Equal(reply.Proof, computeProof(h.key, labelAcceptor, self, reply.From)) {
 		return identity{}, ErrKeyMismatch
@@ -72,7 +72,7 @@
 	return reply.From, readFrame(ctx, conn, kindAccepted, &accepted{})
 }
 
-// accept runs the acceptor's side and returns the identity of the other.
+// accept runs the acceptor's side and returns the identity of the dialer.
 func (h handshaker) accept(ctx context.Context, conn *websocket.Conn) (identity, error) {
 	conn.SetReadLimit(maxHandshakeFrameBytes)
 	var request hello
@@ -99,13 +99,13 @@
 
 func (h handshaker) checkHello(request hello) error {
 	if request.To != h.id {
-		return errors.Wrapf(ErrIdentityMismatch, "this is %q, not %q", h.id, request.To)
+		return errors.Wrapf(ErrIdentityMismatch, "this instance is %q, the peer expected %q", h.id, request.To)
 	}
 	if request.From.ID == "" || request.From.ID == h.id {
-		return errors.Wrapf(ErrIdentityMismatch, "peer calls itself %q", request.From.ID)
+		return errors.Wrapf(ErrIdentityMismatch, "invalid peer id %q", request.From.ID)
 	}
 	if len(request.From.Nonce) != nonceBytes {
-		return errors.Wrap(ErrMalformedFrame, "nonce of a wrong length")
+		return errors.Wrap(ErrMalformedFrame, "nonce has the wrong length")
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 		return err
 	}
 	if kind != want {
-		return errors.Wrapf(ErrMalformedFrame, "kind %d in the handshake, wanted %d", kind, want)
+		return errors.Wrapf(ErrMalformedFrame, "got a frame of kind %d in the handshake, expected %d", kind, want)
 	}
 	return decodeBody(encoded, body)
 }
--- a/internal/peer/harness_test.go
+++ b/internal/peer/harness_test.go
@@ -25,7 +25,7 @@
 
 var testKey = []byte("a test key that is long enough")
 
-// node is a Transport with its listener and what it posted.
+// node is a Transport with its listener and the events that it posted.
 type node struct {
 	*Transport
 	t       *testing.T
@@ -88,7 +88,7 @@
 	return structs.Peer{ID: id, Address: address.(string)}, true
 }
 
-// await returns the first event that match accepts and skips those before it.
+// await returns the first event that match accepts and discards those before it.
 func (n *node) await(match func(structs.Event) bool) structs.Event {
 	n.t.Helper()
 	timeout := time.After(testTimeout)
@@ -99,7 +99,7 @@
 				return event
 			}
 		case <-timeout:
-			n.t.Fatalf("no such event at %s; log:\n%s", n.cfg.Self.ID, n.logs.contents())
+			n.t.Fatalf("timed out waiting for an event at %s; log:\n%s", n.cfg.Self.ID, n.logs.contents())
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// tcpProxy forwards TCP connections; each direction can be stopped.
+// tcpProxy forwards TCP connections and can drop the traffic of either direction.
 type tcpProxy struct {
 	listener                  net.Listener
 	target                    string
@@ -178,8 +178,8 @@
 	}
 }
 
-// pipe copies until a connection closes. While stopped it drops what it reads,
-// as a network does whose packets are lost.
+// pipe copies until a connection closes. While drop is set it discards the data,
+// like a network partition.
 func (p *tcpProxy) pipe(to, from net.Conn, drop *atomic.Bool) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -204,7 +204,8 @@
 	p.work.Wait()
 }
 
-// unresponsiveListener accepts connections and never reads from them.
+// unresponsiveListener returns the address of a listener that accepts
+// connections and never reads from them.
 func unresponsiveListener(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -215,7 +216,7 @@
 	return listener.Addr().String()
 }
 
-// dialRaw is a connection that speaks what the test wants.
+// dialRaw opens a WebSocket connection on which the test sends its own frames.
 func dialRaw(t *testing.T, n *node) *websocket.Conn {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -228,7 +229,7 @@
 	return conn
 }
 
-// dialAuthenticated is a raw peer after a good handshake.
+// dialAuthenticated opens a raw connection and completes the handshake.
 func dialAuthenticated(t *testing.T, n *node, id structs.InstanceID) *websocket.Conn {
 	t.Helper()
 	conn := dialRaw(t, n)
@@ -246,7 +247,7 @@
 	}
 }
 
-// awaitClosed waits until the other side closed a connection.
+// awaitClosed waits until the connection is closed and returns the read error.
 func awaitClosed(t *testing.T, conn *websocket.Conn) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -254,7 +255,7 @@
 	for {
 		if _, _, err := conn.Read(ctx); err != nil {
 			if ctx.Err() != nil {
-				t.Fatal("the connection stayed open")
+				t.Fatal("the connection was not closed")
 			}
 			return err
 		}
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -7,15 +7,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// jitterDivisor is the part of the heartbeat interval that jitter may add.
+// jitterDivisor bounds the jitter to 1/jitterDivisor of the heartbeat interval.
 const jitterDivisor = 5
 
-// pauseFactor is the number of heartbeat intervals without a beat after
-// which this process itself must have been paused.
+// pauseFactor is how many times longer than expected a timer may take before
+// this process is assumed to have been paused.
 const pauseFactor = 2
 
-// setWatched replaces the set of watched instances and forgets links that are
-// not in use. The mutex is held.
+// setWatched replaces the set of watched instances and removes idle links. t.mu
+// must be held.
 func (t *Transport) setWatched(peers []structs.InstanceID) {
 	now := time.Now()
 	wanted := make(map[structs.InstanceID]bool, len(peers))
@@ -42,7 +42,8 @@
 	}
 }
 
-// runHeartbeats sends heartbeats to the watched instances until the transport closes.
+// runHeartbeats checks the watched instances periodically until the transport
+// closes.
 func (t *Transport) runHeartbeats() {
 	timer := time.NewTimer(t.nextHeartbeatInterval())
 	defer timer.Stop()
@@ -66,8 +67,8 @@
 	return t.cfg.HeartbeatInterval + rand.N(jitter+1)
 }
 
-// checkHeartbeats checks all watched instances. After a pause of this process the silence
-// of others proves nothing.
+// checkHeartbeats checks all watched instances. After a pause of this process
+// missing heartbeats do not count, since none were received in the meantime.
 func (t *Transport) checkHeartbeats(now time.Time, paused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +89,7 @@
 		return
 	}
 	if l.current.delivering.Load() {
-		// The answer waits behind messages that this loop has not taken.
+		// The pong may be behind messages that the event loop has not accepted.
 		l.lastHeartbeat = now
 	}
 	if now.Sub(l.lastHeartbeat) > t.cfg.PeerTimeout {
@@ -98,7 +99,7 @@
 	l.current.ping()
 }
 
-// recordHeartbeat notes a heartbeat that came back.
+// recordHeartbeat records a pong received on a session.
 func (t *Transport) recordHeartbeat(s *session) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -16,8 +16,8 @@
 
 const layoutFile = "testdata/layout.txt"
 
-// messageLayout lists the structs of all messages, a line each: the name and the
-// fields in order. The first line is the protocol version.
+// messageLayout returns the protocol version, followed by one line for each
+// struct in the messages: its name and its fields in order.
 func messageLayout() []string {
 	lines := []string{fmt.Sprint("version ", structs.ProtocolVersion)}
 	seen := make(map[reflect.Type]bool)
@@ -49,8 +49,8 @@
 	return lines
 }
 
-// A struct is an array on the wire: a field that is put between others, taken
-// away or changed is read as another by instances of the last release.
+// Structs are encoded as arrays. Instances of the previous release would decode
+// inserted, removed or changed fields as other fields.
 func TestMessageLayoutOnlyGrowsAtTheEnd(t *testing.T) {
 	now := messageLayout()
 	if *update {
@@ -69,7 +69,7 @@
 	for line := range strings.Lines(string(stored)) {
 		name := strings.Fields(line)[0]
 		if !strings.HasPrefix(known[name]+" ", strings.TrimSuffix(line, "\n")+" ") {
-			t.Errorf("%s was\n%swhich must stay in front. Move new fields to the end, or raise structs.ProtocolVersion "+
+			t.Errorf("layout of %s changed from\n%sAppend new fields at the end, or raise structs.ProtocolVersion "+
 				"and run: go test ./internal/peer -run Layout -update", name, line)
 		}
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -8,34 +8,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Waits between two dials to an instance that cannot be reached.
+// Bounds of the backoff between dials to an unreachable instance.
 const (
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = time.Second
 )
 
-// link is what the transport knows of one instance. The transport's mutex
-// guards it.
+// link is the connection state of one instance. It is guarded by the mutex of
+// the Transport.
 type link struct {
 	id structs.InstanceID
-	// address is where the instance was last resolved to, empty if unknown.
+	// address is the last resolved address, empty if unknown.
 	address string
-	// queue holds the frames for current, or for the connection that is
-	// being dialed.
+	// queue holds the frames for current or for the dial in progress.
 	queue *sendQueue
-	// current is the session written to, nil if none.
+	// current is the session that messages are sent on, nil if there is none.
 	current  *session
 	sessions map[*session]struct{}
 	dialing  bool
-	// unreachable tells that the last dial failed.
+	// unreachable is true if the last dial failed.
 	unreachable bool
 	probing     bool
 	watched     bool
-	// lastHeartbeat is when a heartbeat was answered, or when waiting for one
-	// began.
+	// lastHeartbeat is when the last pong was received, or when monitoring
+	// started or resumed.
 	lastHeartbeat time.Time
 	dialBackoff   *backoff.ExponentialBackOff
-	// nextDial is the earliest time of the next dial.
+	// nextDial is when the dial backoff expires.
 	nextDial time.Time
 }
 
@@ -57,8 +56,8 @@
 	return newSendQueue(t.cfg.MaxQueuedFrames, t.cfg.MaxQueuedBytes)
 }
 
-// resolveLink finds or makes the link to an instance and refreshes its address. It
-// runs on the loop's goroutine with the mutex held.
+// resolveLink returns the link to an instance with its current address. It must
+// be called on the event loop's goroutine with t.mu held.
 func (t *Transport) resolveLink(id structs.InstanceID) *link {
 	l := t.getOrCreateLink(id)
 	if peer, ok := t.resolve(id); ok {
@@ -76,12 +75,12 @@
 	return l
 }
 
-// idle tells whether nothing is lost by forgetting the link.
+// idle reports whether the link can be removed without losing state.
 func (l *link) idle(now time.Time) bool {
 	return len(l.sessions) == 0 && !l.dialing && !l.probing && !l.watched && now.After(l.nextDial)
 }
 
-// dropQueue forgets the frames that wait.
+// dropQueue discards the queued frames and counts them as lost.
 func (t *Transport) dropQueue(l *link) {
 	frames, _ := l.queue.size()
 	if frames > 0 {
@@ -90,8 +89,8 @@
 	l.queue = t.newQueue()
 }
 
-// disconnect ends all sessions of a link for a reason and posts PeerDown. The
-// mutex is held.
+// disconnect closes all sessions of a link and posts PeerDown. t.mu must be
+// held.
 func (t *Transport) disconnect(l *link, reason error) {
 	for s := range l.sessions {
 		s.cancel(reason)
@@ -104,11 +103,11 @@
 	t.logger.Warn("peer connection broken", "peer", l.id, "error", reason)
 }
 
-// maxSessionsPerPeer bounds the connections to one instance.
+// maxSessionsPerPeer bounds the connections to one instance in both directions.
 const maxSessionsPerPeer = 4
 
-// registerSession takes an authenticated connection into the link of its instance. It
-// returns nil if the transport is closed or there are too many connections.
+// registerSession adds an authenticated session to the link of its instance. It
+// returns nil if the transport is closed or there are too many sessions.
 func (t *Transport) registerSession(s *session) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +122,7 @@
 		t.disconnect(l, errNewIncarnation)
 	}
 	if len(l.sessions) >= maxSessionsPerPeer {
-		t.logger.Warn("too many connections to one peer", "peer", l.id)
+		t.logger.Warn("too many connections to peer", "peer", l.id)
 		t.startProbe(l)
 		return nil
 	}
@@ -135,7 +134,7 @@
 		l.lastHeartbeat = time.Now()
 	} else {
 		s.queue = t.newQueue()
-		// The other side may have lost the present connection.
+		// The peer may have dialed because it lost the current session.
 		t.startProbe(l)
 	}
 	l.dialBackoff.Reset()
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// liveness posts PeerUp and PeerDown in order, without blocking those who
-// report them. What waits for one instance is at most a down and an up after
-// it: a later down covers what came before.
+// liveness posts PeerUp and PeerDown events in order without blocking the
+// callers of up and down. At most one PeerDown followed by one PeerUp is pending
+// for each instance; a new PeerDown replaces both.
 type liveness struct {
 	sink *eventsink.Sink
 	wake chan struct{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// run posts until the context ends.
+// run posts pending events until the context ends.
 func (l *liveness) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// startProbe probes a link unless a probe is under way. Without a connection,
-// dialing one gives the answer. The mutex is held.
+// startProbe probes an instance unless a probe is in progress. If there is no
+// connection, the result of a dial serves as the result of the probe. t.mu must
+// be held.
 func (t *Transport) startProbe(l *link) {
 	if l.probing {
 		return
@@ -18,7 +19,7 @@
 	l.probing = t.spawn(func() { t.probe(l, s) })
 }
 
-// probe asks for a heartbeat over a session and reports the result.
+// probe waits for a heartbeat on a session and reports the result.
 func (t *Transport) probe(l *link, s *session) {
 	alive := t.awaitHeartbeat(s)
 	t.mu.Lock()
@@ -35,8 +36,8 @@
 	}
 }
 
-// awaitHeartbeat tells whether a heartbeat came back within the liveness
-// timeout. A timeout that passed while this process was paused does not count.
+// awaitHeartbeat sends a ping and reports whether its pong was received within
+// the liveness timeout. The timeout restarts if this process was paused.
 func (t *Transport) awaitHeartbeat(s *session) bool {
 	pong := s.ping()
 	started := time.Now()
--- a/internal/peer/proof.go
+++ b/internal/peer/proof.go
@@ -9,16 +9,16 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// nonceBytes is the length of a nonce.
 const nonceBytes = 32
 
-// The labels keep the proof of one side from serving as the other's.
+// The labels separate the proofs of the two sides, so that neither can be
+// reflected as the other.
 const (
 	labelAcceptor = "banyanglade peer acceptor"
 	labelDialer   = "banyanglade peer dialer"
 )
 
-// identity names one side of a handshake.
+// identity identifies one side of a handshake.
 type identity struct {
 	ID          structs.InstanceID
 	Incarnation string
@@ -27,13 +27,13 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	// rand.Read never returns an error; it stops the process instead.
+	// rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(nonce)
 	return nonce
 }
 
-// computeProof is the HMAC-SHA256 by which the side named by label shows that it
-// holds the key, over the protocol version and both identities.
+// computeProof returns the HMAC-SHA256 with which the side named by label proves
+// that it holds the key. It covers the protocol version and both identities.
 func computeProof(key []byte, label string, dialer, acceptor identity) []byte {
 	mac := hmac.New(sha256.New, key)
 	fields := [][]byte{
@@ -42,8 +42,7 @@
 		[]byte(acceptor.ID), []byte(acceptor.Incarnation), acceptor.Nonce,
 	}
 	for _, field := range fields {
-		// Each field has its length in front: no two lists of fields give
-		// the same bytes.
+		// The length prefix makes the encoding of the fields unambiguous.
 		_, _ = mac.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 		_, _ = mac.Write(field)
 	}
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,25 +6,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrQueueFull is the error of a send queue that is full.
+// ErrQueueFull is returned when the send queue of an instance is full.
 var ErrQueueFull = errors.New("send queue is full")
 
-// maxUrgent bounds the heartbeats that wait to be written.
+// maxUrgent bounds the queued heartbeats.
 const maxUrgent = 16
 
-// sendQueue holds the frames that wait to be written to one instance, bounded
-// by count and bytes. Heartbeats go before other frames.
+// sendQueue queues the frames for one instance, bounded by count and bytes.
+// Heartbeats take precedence over other frames.
 type sendQueue struct {
 	maxFrames int
 	maxBytes  int
-	// wake holds a token while frames wait.
+	// wake holds a token if there may be frames to write.
 	wake chan struct{}
 
 	mu     sync.Mutex
 	frames [][]byte
 	urgent [][]byte
 	bytes  int
-	// closed tells that no frame follows those that wait.
+	// closed is true if the connection ends after the queued frames.
 	closed bool
 }
 
@@ -32,8 +32,8 @@
 	return &sendQueue{maxFrames: maxFrames, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// push adds a frame. It never blocks and returns ErrQueueFull if there is no
-// room.
+// push adds a frame without blocking. It returns ErrQueueFull if a bound would
+// be exceeded.
 func (q *sendQueue) push(frame []byte) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// pushUrgent adds a heartbeat; one too many is dropped.
+// pushUrgent adds a heartbeat, or drops it if too many are queued.
 func (q *sendQueue) pushUrgent(frame []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +57,8 @@
 	q.signal()
 }
 
-// close lets the connection close once all that waits is written.
+// close marks the end of the queue: the writer closes the connection once all
+// queued frames are written.
 func (q *sendQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,7 +66,7 @@
 	q.signal()
 }
 
-// drained tells whether the queue was ended and nothing waits.
+// drained reports whether the queue is closed and has no frames left.
 func (q *sendQueue) drained() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,7 +80,8 @@
 	}
 }
 
-// pop removes the next frame, heartbeats first; nil if none waits.
+// pop removes and returns the next frame, heartbeats first, or nil if the queue
+// is empty.
 func (q *sendQueue) pop() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,7 +100,8 @@
 	return frame
 }
 
-// size returns the number of waiting frames and their bytes.
+// size returns the number of queued frames and their total size, without
+// heartbeats.
 func (q *sendQueue) size() (frames, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -17,8 +17,8 @@
 // Errors that end a session.
 var (
 	errClosed           = errors.New("transport closed")
-	errHeartbeatTimeout = errors.New("no heartbeat answer within the liveness timeout")
-	errNewIncarnation   = errors.New("instance connected again with a new incarnation")
+	errHeartbeatTimeout = errors.New("no heartbeat received within the liveness timeout")
+	errNewIncarnation   = errors.New("instance reconnected with a new incarnation")
 	errWrite            = errors.New("write failed or timed out")
 )
 
@@ -27,15 +27,14 @@
 	transport *Transport
 	remote    identity
 	conn      *websocket.Conn
-	// dialed tells that this instance opened the connection.
+	// dialed is true if this instance opened the connection.
 	dialed bool
-	// queue holds the frames to write; it is set when a link adopts the
-	// session.
+	// queue holds the frames to write. It is set by registerSession.
 	queue *sendQueue
-	// ctx ends when the session must; its cause is the reason.
+	// ctx is cancelled to end the session, with the reason as its cause.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// delivering is true while a received message waits for room in the
+	// delivering is true while a received message waits for space in the event
 	// loop's queue.
 	delivering atomic.Bool
 	// delay is used by the reader, but for its start; stamped is when the
@@ -58,7 +57,7 @@
 	}
 }
 
-// run reads and writes until the session ends and returns the reason.
+// run reads and writes frames until the session ends, and returns the reason.
 func (s *session) run() error {
 	s.conn.SetReadLimit(int64(s.transport.cfg.MaxFrameBytes))
 	group, ctx := errgroup.WithContext(s.ctx)
@@ -73,7 +72,8 @@
 	return err
 }
 
-// close closes the connection, telling the other side of a malformed frame.
+// close closes the connection, with a close frame if the peer sent an invalid
+// frame.
 func (s *session) close(err error) {
 	if errors.Is(err, ErrVersionMismatch) || errors.Is(err, ErrMalformedFrame) {
 		_ = s.conn.Close(websocket.StatusPolicyViolation, truncateReason(err))
@@ -143,7 +143,7 @@
 		s.transport.traffic.sent(structs.MessageKind(frame[1]), len(frame))
 	}
 	if s.queue.drained() {
-		// The closing handshake makes sure that the frames have arrived.
+		// The closing handshake ensures that the peer has read all frames.
 		_ = s.conn.Close(websocket.StatusGoingAway, errClosed.Error())
 		return errClosed
 	}
@@ -165,8 +165,8 @@
 	return s.conn.Write(ctx, websocket.MessageBinary, frame)
 }
 
-// ping sends a heartbeat and returns a channel that is closed when it came
-// back.
+// ping sends a heartbeat and returns a channel that is closed when the pong is
+// received.
 func (s *session) ping() <-chan struct{} {
 	s.mu.Lock()
 	s.lastPing++
@@ -211,12 +211,12 @@
 func heartbeatNumber(body []byte) (uint64, error) {
 	number, size := binary.Uvarint(body)
 	if size <= 0 || size != len(body) {
-		return 0, errors.Wrap(ErrMalformedFrame, "heartbeat number")
+		return 0, errors.Wrap(ErrMalformedFrame, "invalid heartbeat number")
 	}
 	return number, nil
 }
 
-// maxCloseReason is the longest reason of a WebSocket close frame, in bytes.
+// maxCloseReason bounds the reason of a WebSocket close frame, in bytes.
 const maxCloseReason = 120
 
 func truncateReason(err error) string {
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Stats counts the traffic between this instance and its peers since the
-// start. Control is heartbeats and all messages that do not carry a call. Bytes
-// are those of the frames, without the headers of WebSocket, TLS, TCP and IP.
+// Stats counts the traffic between this instance and its peers since the start.
+// Control bytes are heartbeats and all messages without call data. Bytes do not
+// include the headers of WebSocket and the layers below.
 type Stats struct {
 	ControlBytesSent     uint64
 	ControlBytesReceived uint64
@@ -18,14 +18,14 @@
 	DataBytesReceived    uint64
 	FramesSent           uint64
 	FramesReceived       uint64
-	// Sessions is the number of open connections, QueuedFrames and
-	// QueuedBytes what waits to be written to all instances.
+	// Sessions is the number of open connections. QueuedFrames and QueuedBytes
+	// are the totals of all send queues.
 	Sessions     int
 	QueuedFrames int
 	QueuedBytes  int
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (t *Transport) Stats() Stats {
 	s := t.traffic.stats()
 	t.mu.Lock()
@@ -39,7 +39,7 @@
 	return s
 }
 
-// directionCounters counts the traffic of one direction.
+// directionCounters counts the frames of one direction.
 type directionCounters struct {
 	control, data, frames atomic.Uint64
 
@@ -56,7 +56,7 @@
 
 func (d *directionCounters) count(kind structs.MessageKind, size int) {
 	if kind != kindStamp {
-		// A stamp belongs to the frame behind it.
+		// A stamp is counted as part of the next frame.
 		d.frames.Add(1)
 		d.frameCount.Inc(1)
 	}
@@ -69,7 +69,7 @@
 	d.controlBytes.Inc(int64(size))
 }
 
-// traffic counts frames in both directions.
+// traffic counts the frames of both directions.
 type traffic struct{ out, in *directionCounters }
 
 func newTraffic(scope tally.Scope) traffic {
@@ -93,7 +93,7 @@
 	}
 }
 
-// metrics counts what goes wrong.
+// metrics counts failures.
 type metrics struct {
 	refused       tally.Counter
 	dialsFailed   tally.Counter
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -17,8 +17,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// mutualTLS gives a configuration whose certificate its own pool trusts, in
-// both directions.
+// mutualTLS returns a configuration with a self-signed certificate that both
+// sides trust.
 func mutualTLS(t *testing.T) *tls.Config {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
@@ -57,7 +57,7 @@
 	a.peers.Store(structs.InstanceID("b"), strings.TrimPrefix(listener.URL, "https://"))
 	a.Send("b", withdraw(1))
 	b.awaitMessage("a")
-	// The plain listener of the same instance lets nobody in.
+	// Connections without TLS are rejected.
 	c := newNode(t, "c", func(c *Config) { c.Key = testKey })
 	c.peers.Store(structs.InstanceID("b"), b.address)
 	c.Send("b", withdraw(1))
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -14,12 +14,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Resolver finds an instance in the membership. The transport calls it only
-// from within Send, Probe and Watch, thus on the goroutine of their caller.
+// Resolver looks up an instance in the membership. It is called only from Send,
+// Broadcast, Probe and Watch, on the goroutine of their caller.
 type Resolver func(structs.InstanceID) (structs.Peer, bool)
 
-// Transport carries out SendPeer, ProbePeer and WatchPeers and posts
-// PeerMessage, PeerUp and PeerDown. Its methods never block, but for Close.
+// Transport executes the commands SendPeer, ProbePeer and WatchPeers and posts
+// the events PeerMessage, PeerUp and PeerDown. Only Close blocks.
 type Transport struct {
 	cfg        Config
 	handshaker handshaker
@@ -30,7 +30,7 @@
 	logger     *slog.Logger
 	traffic    traffic
 	metrics    metrics
-	// handshakes holds a token for each connection not yet authenticated.
+	// handshakes is a semaphore for the connections being accepted.
 	handshakes chan struct{}
 
 	ctx    context.Context
@@ -40,12 +40,12 @@
 	closed bool
 	links  map[structs.InstanceID]*link
 	wg     sync.WaitGroup
-	// activeSessions counts the sessions.
+	// activeSessions tracks the running sessions; Close waits for them first.
 	activeSessions sync.WaitGroup
 }
 
-// New makes a Transport that runs until Close or until the context ends. It
-// returns ErrInvalidConfig if the configuration cannot be used.
+// New starts a Transport that runs until Close is called or the context ends.
+// It returns ErrInvalidConfig if the configuration is invalid.
 func New(
 	ctx context.Context, cfg Config, post func(structs.Event) bool, resolve Resolver,
 	scope tally.Scope, logger *slog.Logger,
@@ -76,9 +76,8 @@
 	return t, nil
 }
 
-// Close sends what waits for instances that are connected, bounded by
-// CloseTimeout, then ends all connections and waits for the transport's
-// goroutines.
+// Close sends the queued frames of connected instances within CloseTimeout, then
+// closes all connections and waits for the transport's goroutines.
 func (t *Transport) Close() {
 	t.closeQueues()
 	t.waitForSessions()
@@ -112,7 +111,8 @@
 	}
 }
 
-// spawn runs f on a goroutine that Close waits for. The mutex is held.
+// spawn runs f on a goroutine that Close waits for. It returns false if the
+// transport is closed. t.mu must be held.
 func (t *Transport) spawn(f func()) bool {
 	if t.closed {
 		return false
@@ -121,9 +121,9 @@
 	return true
 }
 
-// Send sends a message to an instance, dialing it if there is no connection.
-// If the message cannot be queued or the connection breaks, it is lost and
-// PeerDown is posted.
+// Send queues a message to an instance and dials the instance if there is no
+// connection. If the message cannot be queued or the connection breaks, the
+// message is lost and PeerDown is posted.
 func (t *Transport) Send(to structs.InstanceID, msg structs.Message) {
 	frame, err := EncodeFrame(msg)
 	if err == nil && len(frame) > t.cfg.MaxFrameBytes {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Broadcast sends a message to all instances that are connected.
+// Broadcast sends a message to all connected instances.
 func (t *Transport) Broadcast(msg structs.Message) {
 	for _, id := range t.connectedPeers() {
 		t.Send(id, msg)
@@ -168,15 +168,15 @@
 	return ids
 }
 
-// Probe asks an instance for a heartbeat. The answer is PeerUp or, after the
-// liveness timeout at the latest, PeerDown.
+// Probe checks whether an instance is reachable. It posts PeerUp or, within the
+// liveness timeout, PeerDown.
 func (t *Transport) Probe(to structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.startProbe(t.resolveLink(to))
 }
 
-// Watch sets the instances that get heartbeats.
+// Watch replaces the set of instances that are sent heartbeats.
 func (t *Transport) Watch(peers []structs.InstanceID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -33,7 +33,7 @@
 			t.Fatalf("got %v, wanted message %d", got, i)
 		}
 	}
-	// The membership does not show a to b yet.
+	// b cannot resolve a and must reuse the connection.
 	b.Send("a", withdraw(0))
 	a.awaitMessage("b")
 	if s := a.Stats(); s.Sessions != 1 || s.DataBytesSent != 0 || s.ControlBytesSent == 0 || s.FramesSent != messages {
@@ -77,7 +77,7 @@
 	self := identity{ID: "a", Incarnation: "raw", Nonce: newNonce()}
 	helloFrame, _ := encodeBody(kindHello, &hello{From: self, To: "b"})
 	sendRaw(t, conn, helloFrame)
-	// The acceptor's own proof must not serve as the dialer's.
+	// Reflect the acceptor's own proof.
 	var reply welcome
 	if err := readFrame(t.Context(), conn, kindWelcome, &reply); err != nil {
 		t.Fatal(err)
@@ -130,9 +130,9 @@
 
 func TestPartitionedPeerIsDetectedAndReconnected(t *testing.T) {
 	for name, cut := range map[string]func(*tcpProxy, bool){
-		"both ways": func(r *tcpProxy, on bool) { r.dropForward.Store(on); r.dropBackward.Store(on) },
-		"there":     func(r *tcpProxy, on bool) { r.dropForward.Store(on) },
-		"back":      func(r *tcpProxy, on bool) { r.dropBackward.Store(on) },
+		"both directions": func(r *tcpProxy, on bool) { r.dropForward.Store(on); r.dropBackward.Store(on) },
+		"forward":         func(r *tcpProxy, on bool) { r.dropForward.Store(on) },
+		"backward":        func(r *tcpProxy, on bool) { r.dropBackward.Store(on) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := newNode(t, "a", shortTimeouts), newNode(t, "b", shortTimeouts)
@@ -174,7 +174,7 @@
 	b := newNode(t, "b", shortTimeouts)
 	conn := dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
-	// The peer reads nothing from here on, though its connection stays open.
+	// The peer no longer reads, but its connection stays open.
 	b.Watch([]structs.InstanceID{"a"})
 	b.awaitEvent(structs.PeerDown{Peer: "a"})
 	_ = awaitClosed(t, conn)
@@ -188,7 +188,7 @@
 	}
 	_ = awaitClosed(t, dialAuthenticated(t, b, "a"))
 	if n := b.Stats().Sessions; n != maxSessionsPerPeer {
-		t.Fatalf("%d sessions", n)
+		t.Fatalf("got %d sessions", n)
 	}
 }
 
@@ -213,7 +213,7 @@
 	a.awaitEvent(structs.PeerDown{Peer: "nobody"})
 }
 
-// A dial is given up long before a connected instance counts as silent.
+// DialTimeout applies to dials even if PeerTimeout is longer.
 func TestDialTimeout(t *testing.T) {
 	a := newNode(t, "a", func(c *Config) {
 		c.PeerTimeout = time.Hour
@@ -245,7 +245,7 @@
 	}
 	a.awaitEvent(structs.PeerDown{Peer: "b"})
 	if a.count("frames_lost") != 9 {
-		t.Fatalf("%d frames counted as lost", a.count("frames_lost"))
+		t.Fatalf("got frames_lost %d, wanted 9", a.count("frames_lost"))
 	}
 }
 
@@ -285,8 +285,7 @@
 }
 
 func TestFullEventQueueAppliesBackpressure(t *testing.T) {
-	// Frames may be on their way as long as the test is willing to wait: on a
-	// busy machine they take longer than a short liveness timeout allows.
+	// On a busy machine the delay of frames exceeds a short liveness timeout.
 	longTimeout := func(c *Config) { c.PeerTimeout, c.HeartbeatInterval = testTimeout, 50*time.Millisecond }
 	a, b := newNode(t, "a", longTimeout), newNode(t, "b", longTimeout)
 	a.peers.Store(structs.InstanceID("b"), b.address)
@@ -347,7 +346,7 @@
 	resumed := time.Now().Add(time.Hour)
 	b.checkHeartbeats(resumed, true)
 	if b.Stats().Sessions != 1 {
-		t.Fatal("the connection was cut after a pause of this process")
+		t.Fatal("the connection was closed after a pause of this process")
 	}
 	b.checkHeartbeats(resumed.Add(2*time.Minute), false)
 	b.awaitEvent(structs.PeerDown{Peer: "a"})
