--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -24,8 +24,8 @@
 	frames [][]byte
 	urgent [][]byte
 	bytes  int
-	// closed is true if the connection ends after the queued frames.
-	closed bool
+	// finished is true if the connection ends after the queued frames.
+	finished bool
 }
 
 func newSendQueue(maxFrames, maxBytes int) *sendQueue {
@@ -57,20 +57,20 @@
 	q.signal()
 }
 
-// close marks the end of the queue: the writer closes the connection once all
+// finish marks the end of the queue: the writer closes the connection once all
 // queued frames are written.
-func (q *sendQueue) close() {
+func (q *sendQueue) finish() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.closed = true
+	q.finished = true
 	q.signal()
 }
 
-// drained reports whether the queue is closed and has no frames left.
+// drained reports whether the queue is finished and has no frames left.
 func (q *sendQueue) drained() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.closed && len(q.frames) == 0
+	return q.finished && len(q.frames) == 0
 }
 
 func (q *sendQueue) signal() {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -79,20 +79,20 @@
 // Close sends the queued frames of connected instances within CloseTimeout, then
 // closes all connections and waits for the transport's goroutines.
 func (t *Transport) Close() {
-	t.closeQueues()
+	t.finishQueues()
 	t.waitForSessions()
 	t.cancel(errClosed)
 	t.wg.Wait()
 	t.client.CloseIdleConnections()
 }
 
-func (t *Transport) closeQueues() {
+func (t *Transport) finishQueues() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	for _, l := range t.links {
 		for s := range l.sessions {
-			s.queue.close()
+			s.queue.finish()
 		}
 	}
 }
