--- a/internal/eventsink/eventsink.go
+++ b/internal/eventsink/eventsink.go
@@ -1,7 +1,6 @@
-// Package eventsink hands the events of an adapter to the loop of the
-// instance. The loop's queue is bounded: an event that must not be lost waits
-// for room, which holds its producer back; any other event is dropped and
-// counted.
+// Package eventsink posts the events of adapters to the event loop of the
+// instance. If the loop's bounded queue is full, an event that must not be lost
+// blocks its producer, and any other event is dropped and counted.
 package eventsink
 
 import (
@@ -13,21 +12,21 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Waits between two attempts to put an event into a full queue.
+// Bounds of the backoff between attempts to post to a full queue.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 20 * time.Millisecond
 )
 
-// Sink posts events to the loop. It is safe for concurrent use.
+// Sink posts events to the event loop. It is safe for concurrent use.
 type Sink struct {
 	post    func(structs.Event) bool
 	dropped tally.Counter
 	waited  tally.Counter
 }
 
-// New makes a Sink. The function post tries to put an event into the loop's
-// queue without blocking; false means that the queue is full or the loop has
+// New returns a Sink. The post function must add an event to the loop's queue
+// without blocking, and return false if the queue is full or the loop has
 // stopped.
 func New(post func(structs.Event) bool, scope tally.Scope) *Sink {
 	return &Sink{
@@ -38,7 +37,7 @@
 }
 
 // Deliver posts an event that must not be lost. It blocks while the queue is
-// full and returns false only if the context ended first.
+// full, and returns false only if the context ends first.
 func (s *Sink) Deliver(ctx context.Context, event structs.Event) bool {
 	if ctx.Err() != nil {
 		return false
@@ -68,8 +67,8 @@
 	}
 }
 
-// Offer posts an event that may be lost. It never blocks and tells whether the
-// event was taken.
+// Offer posts an event that may be dropped. It never blocks, and reports whether
+// the event was posted.
 func (s *Sink) Offer(event structs.Event) bool {
 	if s.post(event) {
 		return true
--- a/internal/eventsink/eventsink_test.go
+++ b/internal/eventsink/eventsink_test.go
@@ -31,7 +31,7 @@
 	}, tally.NoopScope)
 	for range 2 {
 		if sink.Deliver(ctx, structs.DrainStart{}) {
-			t.Fatal("taken by a full queue")
+			t.Fatal("delivered to a full queue")
 		}
 	}
 }
@@ -40,6 +40,6 @@
 	scope := tally.NewTestScope("", nil)
 	sink := New(func(structs.Event) bool { return false }, scope)
 	if sink.Offer(structs.DrainStart{}) || scope.Snapshot().Counters()["events_dropped+"].Value() != 1 {
-		t.Fatal("not dropped or not counted")
+		t.Fatal("event not dropped or drop not counted")
 	}
 }
--- a/internal/instance/bench_harness_test.go
+++ b/internal/instance/bench_harness_test.go
@@ -16,27 +16,28 @@
 	benchService structs.ServiceName = "model"
 	benchTokens                      = 20
 	benchTargets                     = 20
-	// callInterval is the virtual time between two calls.
+	// callInterval is the virtual time between calls.
 	callInterval = 10 * time.Millisecond
 )
 
-// benchHarness drives one instance by values: a log that keeps nothing it has
-// delivered, engines that answer at once, and a virtual clock.
+// benchHarness runs one instance with a virtual clock, a log that discards
+// delivered records, and engines that respond at once.
 type benchHarness struct {
 	b      testing.TB
 	core   *Instance
 	now    time.Time
 	events []structs.Event
 	ticks  int
-	// streamEnds and tails are the end and the next offset read of each stream.
+	// streamEnds and readOffsets hold the end and the next read offset of each
+	// stream.
 	streamEnds, readOffsets map[string]uint64
 	records                 map[string][]wire.LogRecord
-	// holdRuns leaves calls running at the engines once programs are open.
+	// holdRuns keeps calls running at the engines once the programs are open.
 	holdRuns bool
 	opened   bool
 	running  []structs.StartRun
 	requests int
-	// answered counts the calls that ended with an answer.
+	// answered counts the calls with the outcome answered.
 	answered int
 	program  structs.ProgramID
 }
@@ -85,13 +86,13 @@
 	h.post(structs.SettingsPropose{Request: "settings", Changes: changes, Deadline: h.now.Add(time.Minute)})
 	h.settle()
 	if _, ok := h.core.Tree().Service(benchService); !ok {
-		h.b.Fatal("the settings are not in force")
+		h.b.Fatal("the settings were not applied")
 	}
 }
 
 func (h *benchHarness) post(ev structs.Event) { h.events = append(h.events, ev) }
 
-// settle ticks until nothing is left to do at the present time.
+// settle ticks until there is nothing left to do at the current time.
 func (h *benchHarness) settle() {
 	for {
 		wake := h.core.NextWake()
@@ -107,7 +108,7 @@
 	}
 }
 
-// advance lets virtual time pass, timer by timer.
+// advance moves the virtual clock forward, from timer to timer.
 func (h *benchHarness) advance(d time.Duration) {
 	end := h.now.Add(d)
 	for {
@@ -145,7 +146,7 @@
 	}
 }
 
-// append keeps the records until the stream's tail has delivered them.
+// append stores the records until they are read.
 func (h *benchHarness) append(c structs.LogAppend) {
 	first := h.streamEnds[c.Stream]
 	for i, data := range c.Records {
@@ -160,7 +161,7 @@
 	}
 }
 
-// tail delivers what is retained from an offset on.
+// tail delivers the stored records from an offset on.
 func (h *benchHarness) tail(stream string, from uint64) {
 	var records []wire.LogRecord
 	for _, r := range h.records[stream] {
@@ -170,7 +171,7 @@
 	}
 	end := h.streamEnds[stream]
 	if from+uint64(len(records)) != end {
-		h.b.Fatalf("%s: read from %d, which is not kept", stream, from)
+		h.b.Fatalf("%s: read from offset %d, which was discarded", stream, from)
 	}
 	h.post(structs.LogRead{Stream: stream, From: from, Records: records, Next: end, End: end})
 	h.readOffsets[stream] = end
@@ -179,11 +180,11 @@
 	}
 }
 
-// clearLog drops what the log keeps, so that it does not count as memory of
+// clearLog discards the stored records, so that they do not count as memory of
 // the instance.
 func (h *benchHarness) clearLog() { h.records = make(map[string][]wire.LogRecord) }
 
-// start answers a run at once, a token a chunk.
+// start completes a run at once with one token per chunk.
 func (h *benchHarness) start(c structs.StartRun) {
 	if h.holdRuns && h.opened {
 		h.running = append(h.running, c)
@@ -200,7 +201,7 @@
 
 const benchText = " word word word word word word word word word word word word word word word word word word word word"
 
-// openPrograms opens programs and makes one call in each, which then pause.
+// openPrograms opens programs, makes one call in each and leaves them idle.
 func (h *benchHarness) openPrograms(count int) []structs.ProgramID {
 	var ids []structs.ProgramID
 	for range count {
@@ -227,7 +228,7 @@
 	return structs.NewProgramID(benchRegion, h.now, random)
 }
 
-// call makes one call and waits for its answer.
+// call makes one call and waits for its response.
 func (h *benchHarness) call(program structs.ProgramID, number int) {
 	done := h.answered + 1
 	h.submit(program, number)
@@ -235,14 +236,14 @@
 	h.advance(callInterval)
 }
 
-// settleUntil lets virtual time pass until a condition holds.
+// settleUntil moves the virtual clock forward until a condition holds.
 func (h *benchHarness) settleUntil(condition func() bool) {
 	const limit = 10 * time.Second
 	end := h.now.Add(limit)
 	for h.settle(); !condition(); h.settle() {
 		wake := h.core.NextWake()
 		if wake.IsZero() || wake.After(end) {
-			h.b.Fatal("nothing more happens")
+			h.b.Fatal("timed out: no timer before the limit")
 		}
 		h.now = wake
 	}
--- a/internal/instance/cluster_log_test.go
+++ b/internal/instance/cluster_log_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// append carries out an append; its reply may be lost after it took effect.
+// append executes an append. Its reply may be lost after it took effect.
 func (c *cluster) append(n *node, cmd structs.LogAppend) {
 	c.after(logDelay, func() {
 		if c.logDown {
@@ -37,8 +37,8 @@
 	}
 }
 
-// tail reads a stream from an offset and goes on; the first answer comes at
-// once, also when it is empty.
+// tail reads a stream continuously from an offset. The first read returns at
+// once even if it is empty.
 func (n *node) tail(stream string, from uint64, first bool) {
 	c := n.cluster
 	n.tails[stream] = from
--- a/internal/instance/cluster_targets_test.go
+++ b/internal/instance/cluster_targets_test.go
@@ -32,8 +32,8 @@
 	c.after(pollInterval, n.pollMembers)
 }
 
-// startRun is the target adapter and the target: it sends once, if it is not
-// too late, and answers.
+// startRun simulates the target adapter and the target: it sends the call unless
+// its NotAfter has passed, and responds.
 func (c *cluster) startRun(n *node, cmd structs.StartRun) {
 	end := structs.RunEnded{Run: cmd.Run, Target: cmd.Target.ID, Took: 5 * time.Millisecond}
 	if n.dead {
@@ -72,7 +72,7 @@
 	c.runFor(2 * time.Second)
 	for _, id := range c.ids {
 		if _, ok := c.nodes[id].core.Tree().Service(chatService); !ok {
-			c.t.Fatalf("%s does not know the services", id)
+			c.t.Fatalf("%s has not applied the services", id)
 		}
 	}
 }
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -12,8 +12,6 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// The world drives whole instances by values with a virtual clock: a log, a
-// membership list, targets and a network that delays, loses and cuts.
 const (
 	testRegion            = structs.Region("lakes")
 	netDelay              = time.Millisecond
@@ -24,6 +22,8 @@
 
 var testStart = time.Unix(1_700_000_000, 0)
 
+// cluster simulates instances with a virtual clock, a log, a membership list,
+// targets and a network that delays, drops and partitions.
 type cluster struct {
 	t        testing.TB
 	rng      *rand.Rand
@@ -32,15 +32,16 @@
 	sequence int
 	nodes    map[structs.InstanceID]*node
 	ids      []structs.InstanceID
-	// regions holds the region of instances that are not in testRegion.
+	// regions holds the regions of the instances outside testRegion.
 	regions map[structs.InstanceID]structs.Region
 	log     map[string][]wire.LogRecord
-	// logDown, replyLossRate and appendDelay are the log's faults.
+	// logDown makes the log unavailable. replyLossRate is the probability that
+	// the reply of an append is lost.
 	logDown       bool
 	replyLossRate float64
-	// sendDelay is the longest time from a StartRun to the send.
+	// sendDelay is the maximum time from a StartRun to the send.
 	sendDelay time.Duration
-	// readDelay is the time that an instance's reads of the log take more.
+	// readDelay is the additional delay of an instance's log reads.
 	readDelay map[structs.InstanceID]time.Duration
 	cutLinks  map[[2]structs.InstanceID]bool
 	sends     []targetSend
@@ -49,14 +50,14 @@
 	version   uint64
 }
 
-// targetSend is one request that reached a target.
+// targetSend is a request received by a target.
 type targetSend struct {
 	at   time.Time
 	call *structs.Call
 	run  structs.RunID
 }
 
-// node is one life of an instance.
+// node is one incarnation of an instance.
 type node struct {
 	cluster     *cluster
 	id          structs.InstanceID
@@ -66,7 +67,7 @@
 	dead        bool
 	waiting     []structs.Event
 	tails       map[string]uint64
-	// generation invalidates older polls of a stream.
+	// generation invalidates previous polls of a stream.
 	generation map[string]int
 	watched    []structs.InstanceID
 	wakeAt     time.Time
@@ -184,8 +185,8 @@
 	})
 }
 
-// notifyDown posts PeerDown to those that watch an instance that still does not
-// answer.
+// notifyDown posts PeerDown to the instances that watch an instance which they
+// still cannot reach.
 func (c *cluster) notifyDown(id structs.InstanceID) {
 	for _, other := range c.ids {
 		n := c.nodes[other]
@@ -290,8 +291,8 @@
 	}
 }
 
-// send delivers a message unless the receiver is dead or the link is cut; a
-// paused receiver finds it when it goes on.
+// send delivers a message unless the receiver is dead or the link is cut. A
+// paused receiver gets it when it resumes.
 func (c *cluster) send(from, to structs.InstanceID, msg structs.Message) {
 	incarnation := c.nodes[to].incarnation
 	c.after(netDelay, func() {
--- a/internal/instance/dump.go
+++ b/internal/instance/dump.go
@@ -2,7 +2,8 @@
 
 import "github.com/banyanglade/banyanglade/internal/structs"
 
-// State is the state dump of an instance. It holds no keys and no bodies.
+// State is the state dump of an instance. It contains no secrets and no request
+// or response bodies.
 type State struct {
 	Instance     structs.Peer
 	Incarnation  string
@@ -18,14 +19,14 @@
 	Settings     any
 }
 
-// PeerState is one peer in the dump.
+// PeerState is the state of one peer in a State.
 type PeerState struct {
 	structs.Peer
 	Suspected bool
 	Watched   bool
 }
 
-// Dump gives the state of all components.
+// Dump returns the state of all components.
 func (i *Instance) Dump() State {
 	return State{
 		Instance:     i.view.Self(),
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -11,19 +11,20 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// requestTimeout is how long a caller waits before it asks elsewhere: less than the
-// deadline that it gives, as when its own connection breaks.
+// requestTimeout is how long a caller waits before it retries at another
+// instance. It is shorter than the deadline of the request, as if the caller's
+// connection broke.
 const requestTimeout = 4 * time.Second
 
-// agent is one caller: it runs a program of numbered calls, each at some
-// instance, and asks elsewhere with the same key until the call is done.
+// agent is a caller that runs a program of numbered calls, each at a random
+// instance, and retries with the same key until the call completes.
 type agent struct {
 	cluster *cluster
 	program structs.ProgramID
 	calls   uint64
 	number  uint64
 	attempt int
-	// unknownOutcomes counts the unknown outcomes of the present call.
+	// unknownOutcomes counts the unknown outcomes of the current call.
 	unknownOutcomes int
 	history         []structs.ChainDigest
 	done            bool
@@ -36,8 +37,8 @@
 	return a
 }
 
-// sendRequest posts a request at a random living instance; a lost connection or no
-// answer in time leads to f with an unknown outcome.
+// sendRequest posts a request at a random live instance and passes the outcome
+// to handle: an unknown outcome if there is none within requestTimeout.
 func (a *agent) sendRequest(post func(structs.RequestID) structs.Event, handle func(structs.Outcome)) {
 	c := a.cluster
 	n := c.nodes[c.ids[c.rng.IntN(len(c.ids))]]
@@ -82,7 +83,8 @@
 	a.submit()
 }
 
-// currentCall makes the present call: every third is a filing.
+// currentCall builds the current call. Every third one is a filing, which must
+// not be repeated.
 func (a *agent) currentCall() *structs.Call {
 	c := &structs.Call{
 		Program: a.program, Team: testTeam, Number: a.number, Key: fmt.Sprintf("k%d", a.number),
@@ -147,8 +149,8 @@
 	return n
 }
 
-// checkSends checks what the targets saw: a filing at most once, and the calls
-// of a lane in their order.
+// checkSends checks the sends to the targets: filings at most once, and the
+// calls of a lane in order.
 func (c *cluster) checkSends() {
 	filings := map[string]int{}
 	highest := map[structs.ProgramID]uint64{}
@@ -167,7 +169,7 @@
 	}
 }
 
-// injectFault brings about one random fault.
+// injectFault starts a random fault.
 func (c *cluster) injectFault() {
 	id := c.ids[c.rng.IntN(len(c.ids))]
 	other := c.ids[c.rng.IntN(len(c.ids))]
@@ -187,7 +189,7 @@
 		c.logDown = true
 		c.after(length, func() { c.logf("log up"); c.logDown = false })
 	case 3:
-		c.logf("lost replies for %s", length)
+		c.logf("lose replies for %s", length)
 		c.replyLossRate = 0.5
 		c.after(length, func() { c.replyLossRate = 0 })
 	case 4:
@@ -219,18 +221,18 @@
 		c.runFor(time.Duration(100+c.rng.IntN(2500)) * time.Millisecond)
 		c.injectFault()
 	}
-	// Faults cease: every program must come to its end.
+	// Once the faults end, every program must complete.
 	c.runFor(4 * time.Minute)
 	c.checkSends()
 	for _, a := range agents {
 		if !a.done {
-			c.fatalf("seed %d: program %s stands at call %d", seed, a.program, a.number)
+			c.fatalf("seed %d: program %s is stuck at call %d", seed, a.program, a.number)
 		}
 	}
 }
 
-// TestRandomFaults runs random schedules of faults over three whole instances.
-// INSTANCE_SEED replays one; INSTANCE_RUNS sets their number.
+// TestRandomFaults runs random fault schedules over three instances.
+// INSTANCE_SEED replays one seed, INSTANCE_RUNS sets the number of seeds.
 func TestRandomFaults(t *testing.T) {
 	if text := os.Getenv("INSTANCE_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
--- a/internal/instance/gauges.go
+++ b/internal/instance/gauges.go
@@ -5,19 +5,19 @@
 	"github.com/banyanglade/banyanglade/internal/owner"
 )
 
-// Gauges are the sizes of the core's tables, for metrics.
+// Gauges holds the sizes of the core's tables, for metrics.
 type Gauges struct {
-	// Callers wait for an answer of this instance.
+	// Callers is the number of callers waiting for a response.
 	Callers    int
 	Owner      owner.Gauges
 	Dispatcher dispatch.Gauges
-	// Suspected peers do not answer.
+	// Suspected is the number of peers that do not respond.
 	Suspected int
-	// SettingsNext is the settings offset applied.
+	// SettingsNext is the offset of the next settings record to apply.
 	SettingsNext uint64
 }
 
-// Gauges gives the sizes of the core's tables.
+// Gauges returns the current sizes of the core's tables.
 func (i *Instance) Gauges() Gauges {
 	g := Gauges{
 		Callers: i.gateway.InFlight(), Owner: i.owner.Gauges(), Dispatcher: i.dispatch.Gauges(),
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,8 +1,8 @@
-// Package instance composes the pure core of one instance: membership view,
-// gateway, owner, dispatcher and settings. One call of Tick takes in events and
-// gives commands; there is no I/O, clock or goroutine inside, so that a test
-// can drive many instances from one process with a virtual clock. A restart is
-// a new value.
+// Package instance implements the core of an instance as a state machine: the
+// membership view, gateway, owner, dispatcher, orders and settings. Tick consumes
+// events and returns commands. The core does no I/O, reads no clock and starts no
+// goroutines, so tests can run many instances in one process with a virtual
+// clock.
 package instance
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxTickRounds bounds the rounds of one tick in which components of the instance
-// answer each other. More rounds mean that two of them disagree for good.
+// maxTickRounds bounds the rounds in which the components exchange messages
+// within one tick, to detect components that reply to each other endlessly.
 const maxTickRounds = 64
 
 // Instance is the core of one instance.
@@ -37,12 +37,12 @@
 	draining  bool
 	drainAt   time.Time
 	drainDone bool
-	// commands collects the commands of the present tick.
+	// commands collects the commands of the current tick.
 	commands []structs.Command
 }
 
-// New returns the core of an instance that knows nothing yet. Its first tick
-// starts the catch-up with the settings stream.
+// New returns the core of an instance. Its first tick starts reading the
+// settings stream.
 func New(cfg structs.InstanceConfig) *Instance {
 	view := members.New(cfg.Self)
 	tree := settings.NewTree()
@@ -59,23 +59,23 @@
 	}
 }
 
-// Tree is the settings tree; it changes only in Tick.
+// Tree returns the settings tree. It changes only in Tick.
 func (i *Instance) Tree() *settings.Tree { return i.tree }
 
-// Peers lists the known instances; the slice is not changed later. The number
-// grows with each change of it.
+// Peers returns the known instances and the generation of the list, which grows
+// with each change. The slice is never modified.
 func (i *Instance) Peers() ([]structs.Peer, uint64) {
 	return i.view.Peers(), i.view.Generation()
 }
 
-// Tick takes in events that happened by now and gives the commands that follow.
+// Tick processes the events up to now and returns the resulting commands.
 // Messages of the instance to itself are delivered within the tick.
 func (i *Instance) Tick(now time.Time, events []structs.Event) []structs.Command {
 	i.commands = nil
 	round := events
 	for n := 0; n == 0 || len(round) > 0; n++ {
 		if n == maxTickRounds {
-			panic("invariant broken: the instance's components do not come to rest in one tick")
+			panic("invariant violated: the components of the instance did not settle within one tick")
 		}
 		round = i.runRound(now, round)
 	}
@@ -85,12 +85,12 @@
 	return i.commands
 }
 
-// runRound runs each component once and returns the events that the components
-// have for each other.
+// runRound ticks each component once and returns the messages among them as
+// events.
 func (i *Instance) runRound(now time.Time, events []structs.Event) []structs.Event {
 	in := i.route(now, events)
 	var cmds []structs.Command
-	// The view goes first: the others decide by it.
+	// The view goes first, since the others depend on it.
 	cmds = append(cmds, i.view.Tick(now, in.view)...)
 	cmds = append(cmds, i.proposer.Tick(now, in.settings)...)
 	cmds = append(cmds, i.gateway.Tick(now, in.gateway)...)
@@ -101,8 +101,8 @@
 	return i.collect(cmds)
 }
 
-// collect keeps commands for the adapters and turns messages to this instance
-// into events.
+// collect appends the commands for the adapters to i.commands and returns the
+// messages to this instance as events.
 func (i *Instance) collect(cmds []structs.Command) []structs.Event {
 	var local []structs.Event
 	for _, cmd := range cmds {
@@ -121,7 +121,7 @@
 	return local
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if there is none.
 func (i *Instance) NextWake() time.Time {
 	var next time.Time
 	for _, at := range []time.Time{
--- a/internal/instance/instance_bench_test.go
+++ b/internal/instance/instance_bench_test.go
@@ -9,12 +9,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// programCounts are the numbers of programs that an instance holds: the share of
-// one of 70 owners of the letter's 26,000, round numbers, and all in one.
+// programCounts are the numbers of programs held by an instance. 26,000 are the
+// programs of a whole deployment, and 26,000/70 those of one of its 70 owners.
 var programCounts = []int{100, 26_000 / 70, 1000, 10_000, 26_000}
 
-// BenchmarkCall is one streamed chat call of 20 tokens through all roles of one
-// instance, from the caller's request to the end of its answer.
+// BenchmarkCall measures a streamed chat call of 20 tokens through all roles of
+// one instance, from the request to the end of the response.
 func BenchmarkCall(b *testing.B) {
 	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkIdleTick is a tick without events.
+// BenchmarkIdleTick measures a tick without events.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkToken is one token of a streamed answer from the engine to the
-// caller, beside calls that run at the same time.
+// BenchmarkToken measures the delivery of one streamed token from the engine to
+// the caller while other calls are running.
 func BenchmarkToken(b *testing.B) {
 	for _, running := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("running=%d", running), func(b *testing.B) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkProgramMemory gives the memory that programs take which made one
-// call and pause.
+// BenchmarkProgramMemory measures the memory of idle programs that made one
+// call.
 func BenchmarkProgramMemory(b *testing.B) {
 	for _, programs := range programCounts {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkTurnMemory gives the memory of each further call that a program has
-// made within the idempotency window.
+// BenchmarkTurnMemory measures the memory of each further call of a program
+// within the idempotency window.
 func BenchmarkTurnMemory(b *testing.B) {
 	const programs, turns = 100, 50
 	for range b.N {
--- a/internal/instance/lifecycle.go
+++ b/internal/instance/lifecycle.go
@@ -6,22 +6,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ReasonDraining is the reason of a Ready command while the instance drains.
+// ReasonDraining is the reason in the Ready command of a draining instance.
 const ReasonDraining = "draining"
 
-// notReadyRetryAfter is what callers are told while the instance starts or drains.
+// notReadyRetryAfter is the RetryAfter of requests rejected while the instance
+// starts or drains.
 const notReadyRetryAfter = time.Second
 
-// readiness is whether the instance takes traffic, as last reported.
+// readiness is the last reported readiness of the instance.
 type readiness struct {
 	reported bool
 	ready    bool
 	reason   string
 }
 
-// admit lets a caller's request in, or refuses it as not run while the
-// instance starts or has drained. In the first moments of a drain the gateway
-// still relays to other owners: the balancer has not noticed yet.
+// admit passes a caller's request to the gateway, or rejects it as not run while
+// the instance starts or after the drain delay. During the drain delay requests
+// are still relayed, because the load balancer may not have removed the
+// instance yet.
 func (i *Instance) admit(now time.Time, in *inputs, ev structs.Event) {
 	reason := structs.ReasonNone
 	switch {
@@ -43,9 +45,9 @@
 	}
 }
 
-// checkReady reports a change of readiness. An instance takes no traffic before
-// it has caught up with the settings and seen a membership list: with older
-// settings it would bring back values that were replaced.
+// checkReady reports a change of readiness. An instance accepts no traffic until
+// it has caught up with the settings stream and received a membership list;
+// otherwise it could act on settings that have been replaced.
 func (i *Instance) checkReady() {
 	current := readiness{reported: true, ready: true}
 	switch {
@@ -63,8 +65,8 @@
 	i.commands = append(i.commands, structs.Ready{Ready: current.ready, Reason: current.reason})
 }
 
-// startDrain tells the peers, so that they send no new work, and lets what is
-// in flight end.
+// startDrain announces the drain to the peers, so that they send no new work.
+// Work in flight completes.
 func (i *Instance) startDrain(now time.Time, in *inputs, ev structs.Event) {
 	if i.draining {
 		return
--- a/internal/instance/pending_replies.go
+++ b/internal/instance/pending_replies.go
@@ -6,9 +6,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pendingReplies is the table of the peers that owe this instance an answer. Only
-// these get heartbeats: an idle pair of instances exchanges nothing, so that
-// the control traffic follows the load and not the square of the instances.
+// pendingReplies tracks the peers from which this instance expects a reply. Only
+// these are sent heartbeats, so that control traffic grows with the load and not
+// with the square of the number of instances.
 type pendingReplies struct {
 	self    structs.InstanceID
 	keys    map[structs.InstanceID]map[string]bool
@@ -19,7 +19,8 @@
 	return &pendingReplies{self: self, keys: map[structs.InstanceID]map[string]bool{}}
 }
 
-// recordSent notes a message that the peer owes an answer to.
+// recordSent records a sent message that the peer must reply to, or that ends
+// the wait for a reply.
 func (p *pendingReplies) recordSent(to structs.InstanceID, msg structs.Message) {
 	switch msg := msg.(type) {
 	case *structs.Submit:
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordReceived notes a message that settles what the peer owed.
+// recordReceived records a message that completes a pending reply.
 func (p *pendingReplies) recordReceived(from structs.InstanceID, msg structs.Message) {
 	if from == p.self {
 		return
@@ -70,7 +71,8 @@
 	}
 }
 
-// removePeer forgets what a lost peer owed: the components ask another.
+// removePeer removes all pending replies of an unreachable peer. The components
+// retry elsewhere.
 func (p *pendingReplies) removePeer(peer structs.InstanceID) { delete(p.keys, peer) }
 
 func (p *pendingReplies) add(peer structs.InstanceID, key string) {
@@ -87,7 +89,8 @@
 	}
 }
 
-// watchCommand gives the command that names the peers to watch, if they changed.
+// watchCommand returns the command to update the watched peers and true, if they
+// changed.
 func (p *pendingReplies) watchCommand() (structs.WatchPeers, bool) {
 	peers := make([]structs.InstanceID, 0, len(p.keys))
 	for id := range p.keys {
--- a/internal/instance/regions_test.go
+++ b/internal/instance/regions_test.go
@@ -9,12 +9,13 @@
 
 const otherRegion = structs.Region("coast")
 
-// newTwoRegionCluster has two instances in one region and two in another.
+// newTwoRegionCluster returns a cluster with two instances in each of two
+// regions.
 func newTwoRegionCluster(t *testing.T) *cluster {
 	return newClusterInRegions(t, 1, 4, map[structs.InstanceID]structs.Region{"i3": otherRegion, "i4": otherRegion})
 }
 
-// openAt opens a program of a region through an instance.
+// openAt opens a program of a region at an instance.
 func (c *cluster) openAt(id structs.InstanceID, region structs.Region, n byte) structs.ProgramID {
 	program := structs.NewProgramID(region, c.now, [10]byte{n})
 	out := c.requestAt(id, func(request structs.RequestID) structs.Event {
@@ -26,7 +27,8 @@
 	return program
 }
 
-// requestAt posts a request at an instance and runs the world until the answer.
+// requestAt posts a request at an instance and runs the cluster until the
+// outcome.
 func (c *cluster) requestAt(id structs.InstanceID, post func(structs.RequestID) structs.Event) structs.Outcome {
 	c.sequence++
 	request := structs.RequestID(string(id) + "/" + c.now.Format(time.RFC3339Nano))
@@ -39,7 +41,7 @@
 		}
 		c.runFor(100 * time.Millisecond)
 	}
-	c.t.Fatalf("no answer of %s", id)
+	c.t.Fatalf("no response from %s", id)
 	return structs.Outcome{}
 }
 
@@ -60,8 +62,8 @@
 	}
 }
 
-// TestPartitionedRegionsKeepServing: each region serves its own programs; a call
-// of the other region's is refused with a time to come back.
+// During a partition each region serves its own programs and rejects calls of
+// the other region's programs with a RetryAfter delay.
 func TestPartitionedRegionsKeepServing(t *testing.T) {
 	c := newTwoRegionCluster(t)
 	near, far := c.openAt("i1", testRegion, 1), c.openAt("i3", otherRegion, 2)
@@ -80,11 +82,11 @@
 	}
 	out := c.chatAt("i3", near, 2)
 	if out.Kind == structs.OutcomeAnswered || out.RetryAfter == 0 {
-		t.Fatalf("across the cut: %+v", out)
+		t.Fatalf("during the partition: %+v", out)
 	}
 	c.cutLinks = map[[2]structs.InstanceID]bool{}
 	c.runFor(5 * time.Second)
 	if out := c.chatAt("i3", near, 2); out.Kind != structs.OutcomeAnswered {
-		t.Fatalf("after the cut: %+v", out)
+		t.Fatalf("after the partition: %+v", out)
 	}
 }
--- a/internal/instance/route.go
+++ b/internal/instance/route.go
@@ -6,7 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// inputs are the events of one round by component.
+// inputs holds the events of one round by component, and the commands that
+// routing itself produced.
 type inputs struct {
 	view     []structs.Event
 	settings []structs.Event
@@ -26,7 +27,7 @@
 	in.orders = append(in.orders, ev)
 }
 
-// route gives each event to the components that it concerns.
+// route assigns the events to the components.
 func (i *Instance) route(now time.Time, events []structs.Event) inputs {
 	var in inputs
 	for _, ev := range events {
@@ -84,7 +85,7 @@
 	in.owner = append(in.owner, ev)
 }
 
-// routeMessage gives a peer's message to the role that it is for.
+// routeMessage assigns a peer message to the component that handles it.
 func (i *Instance) routeMessage(in *inputs, ev structs.PeerMessage) {
 	i.pendingReplies.recordReceived(ev.From, ev.Msg)
 	switch msg := ev.Msg.(type) {
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,6 +1,6 @@
-// Package logqueue makes a log that never holds its callers back: lines go
-// through a bounded queue to one writer. Lines that find the queue full are
-// dropped and counted, and the next line written says how many.
+// Package logqueue provides a non-blocking log writer. Lines pass through a
+// bounded queue to one goroutine that writes them. Lines are dropped while the
+// queue is full, and the next write reports their number.
 package logqueue
 
 import (
@@ -12,10 +12,10 @@
 )
 
 const (
-	// maxQueuedBytes bounds what waits to be written: about a thousand lines.
+	// maxQueuedBytes bounds the queue, to about a thousand lines.
 	maxQueuedBytes = 256 << 10
-	// writeInterval is how long lines are gathered before one write, which
-	// costs a system call.
+	// writeInterval is how long lines are batched into one write, to save system
+	// calls.
 	writeInterval = 50 * time.Millisecond
 )
 
@@ -32,14 +32,15 @@
 	closed          bool
 }
 
-// New starts a Writer in front of out. Close must be called.
+// New starts a Writer that writes to out. Close must be called.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line, or drops it if the queue is full.
+// Write queues one line, or drops it if the queue is full. It never returns an
+// error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.closed || w.queued.Len()+len(line) > maxQueuedBytes {
@@ -57,14 +58,14 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.totalDrops
 }
 
-// Close writes what waits, bounded by a second if the reader stalls.
+// Close writes the queued lines. It waits at most one second if out blocks.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -87,8 +88,8 @@
 	w.flush()
 }
 
-// flush writes what waits. A failed write is not repeated: there is nowhere
-// else to report it.
+// flush writes the queued lines. A failed write is ignored, since there is no
+// other place to report it.
 func (w *Writer) flush() {
 	w.mu.Lock()
 	lines := bytes.Clone(w.queued.Bytes())
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// stalledWriter is a reader that takes nothing until it is released.
+// stalledWriter is a writer that blocks until it is released.
 type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -53,6 +53,6 @@
 	close(out.release)
 	w.Close()
 	if !strings.Contains(out.b.String(), `"log lines dropped","count":`) {
-		t.Error("nothing says that lines were dropped")
+		t.Error("the output does not report the dropped lines")
 	}
 }
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -52,9 +52,9 @@
 // Structs are encoded as arrays. Instances of the previous release would decode
 // inserted, removed or changed fields as other fields.
 func TestMessageLayoutOnlyGrowsAtTheEnd(t *testing.T) {
-	now := messageLayout()
+	current := messageLayout()
 	if *update {
-		if err := os.WriteFile(layoutFile, []byte(strings.Join(now, "\n")+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(layoutFile, []byte(strings.Join(current, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	known := make(map[string]string)
-	for _, line := range now {
+	for _, line := range current {
 		known[strings.Fields(line)[0]] = line
 	}
 	for line := range strings.Lines(string(stored)) {
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestBadFramesAfterTheHandshake(t *testing.T) {
+func TestBadFramesCloseConnection(t *testing.T) {
 	good, _ := EncodeFrame(withdraw(1))
 	for name, frame := range map[string][]byte{
 		"old version": append([]byte{structs.ProtocolVersion - 1}, good[1:]...), "unknown kind": {structs.ProtocolVersion, 200, 0x80},
@@ -327,7 +327,7 @@
 	b.awaitEvent(structs.PeerDown{Peer: "a"})
 }
 
-func TestCloseDoesNotWaitForAFrozenPeer(t *testing.T) {
+func TestCloseIsBoundedWithFrozenPeer(t *testing.T) {
 	b := newNode(t, "b", func(c *Config) { c.CloseTimeout = 50 * time.Millisecond })
 	conn := dialAuthenticated(t, b, "a")
 	b.awaitEvent(structs.PeerUp{Peer: "a"})
