--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -75,9 +75,9 @@
 	d.byMachine[machine] = p
 }
 
-// Learn adds an instance that something else than the list names, unless a later
+// Discover adds an instance that something else than the list names, unless a later
 // start on its machine is listed.
-func (d *Directory) Learn(id structs.InstanceID, address string) {
+func (d *Directory) Discover(id structs.InstanceID, address string) {
 	machine := MachineOf(id)
 	if machine == MachineOf(d.self.ID) || address == "" {
 		return
@@ -136,8 +136,8 @@
 	return ok && p.ID != id
 }
 
-// SetSilent notes whether an instance answers.
-func (d *Directory) SetSilent(id structs.InstanceID, silent bool) {
+// SetUnresponsive notes whether an instance answers.
+func (d *Directory) SetUnresponsive(id structs.InstanceID, silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.silent[id] == silent {
@@ -170,9 +170,9 @@
 	return d.byMachine[MachineOf(id)].ID == id && !d.silent[id]
 }
 
-// Doubted tells whether an instance is listed but did not answer when it was
+// Suspected tells whether an instance is listed but did not answer when it was
 // last asked.
-func (d *Directory) Doubted(id structs.InstanceID) bool {
+func (d *Directory) Suspected(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.byMachine[MachineOf(id)].ID == id && d.silent[id]
@@ -209,11 +209,11 @@
 
 // First is the first of Ranked, empty if there is none.
 func (d *Directory) First(key string) structs.InstanceID {
-	return d.FirstBut(key, func(structs.InstanceID) bool { return false })
+	return d.FirstExcept(key, func(structs.InstanceID) bool { return false })
 }
 
-// FirstBut is the first of Ranked that is not excluded, empty if there is none.
-func (d *Directory) FirstBut(key string, excluded func(structs.InstanceID) bool) structs.InstanceID {
+// FirstExcept is the first of Ranked that is not excluded, empty if there is none.
+func (d *Directory) FirstExcept(key string, excluded func(structs.InstanceID) bool) structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var first candidate
@@ -229,9 +229,9 @@
 	return first.ID
 }
 
-// Listed lists the first instances by rendezvous hashing of a key, whether they
+// TopN lists the first instances by rendezvous hashing of a key, whether they
 // answer or not.
-func (d *Directory) Listed(key string, most int) []structs.InstanceID {
+func (d *Directory) TopN(key string, most int) []structs.InstanceID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	all := make([]candidate, 0, len(d.byMachine))
@@ -244,8 +244,8 @@
 // candidate is an instance with the score of its machine for a key.
 type candidate = rendezvous.Candidate[structs.InstanceID]
 
-// RankOf is the place that an instance has among those of Ranked, from 0.
-func (d *Directory) RankOf(key string, id structs.InstanceID) int {
+// Rank is the place that an instance has among those of Ranked, from 0.
+func (d *Directory) Rank(key string, id structs.InstanceID) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	own := rendezvous.Score(key, MachineOf(id))
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -17,7 +17,7 @@
 	if d.Ended(old.ID) || !d.Usable(old.ID) {
 		t.Error("the first start counts as ended")
 	}
-	d.SetSilent(old.ID, true)
+	d.SetUnresponsive(old.ID, true)
 	d.Put(next)
 	if !d.Ended(old.ID) || d.Usable(old.ID) || !d.Usable(next.ID) {
 		t.Error("the second start did not replace the first")
@@ -42,13 +42,13 @@
 		before[key] = d.Ranked(key)[0]
 	}
 	gone := peerAt("b", "1").ID
-	d.SetSilent(gone, true)
+	d.SetUnresponsive(gone, true)
 	for _, key := range keys {
 		if first := d.Ranked(key)[0]; before[key] != gone && first != before[key] {
 			t.Errorf("%s moved from %s to %s", key, before[key], first)
 		}
 	}
-	d.SetSilent(gone, false)
+	d.SetUnresponsive(gone, false)
 	d.SetLeaving(gone)
 	for _, key := range keys {
 		if d.Ranked(key)[0] == gone {
--- a/internal/edge/copies.go
+++ b/internal/edge/copies.go
@@ -79,7 +79,7 @@
 // writeCopy writes a topic's copy if the topic has changed since the last one.
 func (e *edge) writeCopy(ctx context.Context, topic *feed.Topic, partition int, written map[copyKey]writtenCopy) {
 	key := copyKey{partition, topic.Name}
-	changed, now := topic.Changed(), time.Now()
+	changed, now := topic.LastChanged(), time.Now()
 	last, ok := written[key]
 	if changed < 0 || (ok && (last.changed == changed || !last.due(now))) {
 		return
@@ -104,7 +104,7 @@
 
 // encodeCopy makes the value of a copy's record.
 func (e *edge) encodeCopy(topic *feed.Topic, now time.Time) ([]byte, error) {
-	given, err := topic.Copy(feed.Unread, now)
+	given, err := topic.Copy(feed.FromStart, now)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 // wherever that is.
 func (e *edge) readCopies(ctx context.Context) {
 	found := make([]map[string]feed.Copy, 0, copiesRead)
-	for ctx.Err() == nil && !(e.server.Table() != nil && e.targets.Known()) {
+	for ctx.Err() == nil && !(e.server.Table() != nil && e.targets.Loaded()) {
 		if !e.health.OK() && e.relay.MayReadCopies() {
 			if copies := e.readCopy(ctx, rand.IntN(e.machine.Store.Partitions)); len(copies) > 0 {
 				found = append(found, copies)
@@ -167,7 +167,7 @@
 		if !ok {
 			continue
 		}
-		taken, err := topic.Take(given, time.Now())
+		taken, err := topic.MergeCopy(given, time.Now())
 		if err != nil {
 			e.log.Error("copy ignored", "topic", topic.Name, "error", err.Error())
 			continue
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -120,12 +120,12 @@
 
 func (l *listing) known() bool {
 	topic := l.topic.Load()
-	return topic != nil && topic.Known()
+	return topic != nil && topic.Loaded()
 }
 
 func newServer(
-	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Keeper, conversations *conversation.Keeper,
+	machine platform.Machine, currency *settingsCurrency, allowances *allowance.Manager,
+	registry *targets.Registry, pool *exchange.Pool, keeper *budget.Manager, conversations *conversation.Manager,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Config{
@@ -153,10 +153,10 @@
 
 	directory *directory.Directory
 	transport *peer.Transport
-	keeper    *budget.Keeper
+	keeper    *budget.Manager
 	// conversations keeps those of routes whose turns carry their input only.
-	conversations *conversation.Keeper
-	allowances    *allowance.Keeper
+	conversations *conversation.Manager
+	allowances    *allowance.Manager
 
 	settings  *feed.Topic
 	targets   *feed.Topic
@@ -174,8 +174,8 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, incoming *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, keeper *budget.Keeper, conversations *conversation.Keeper,
-	currency *settingsCurrency, instances *listing, allowances *allowance.Keeper,
+	dir *directory.Directory, transport *peer.Transport, keeper *budget.Manager, conversations *conversation.Manager,
+	currency *settingsCurrency, instances *listing, allowances *allowance.Manager,
 ) *edge {
 	e := &edge{
 		machine: machine, log: log, reporter: reporter, store: store, health: health,
@@ -195,17 +195,17 @@
 // newRelay makes what keeps the topics up to date.
 func (e *edge) newRelay() *relay.Node {
 	m := e.machine
-	return relay.New(relay.Parts{
-		Self:  relay.Entry{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
-		Power: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
-		Topics: []relay.Followed{
+	return relay.New(relay.Config{
+		Self:     relay.Holder{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
+		CPUShare: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
+		Topics: []relay.FollowedTopic{
 			{Topic: e.settings, Wait: waitWithin(m.ConfigDelay), Bounded: true},
 			{Topic: e.targets, Wait: waitWithin(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
 			{Topic: e.instances, Wait: instancesWait, Pause: instancesPause},
 		},
-		Bound:  leastBound(m.ConfigDelay, m.DrainDelay),
-		Direct: func() bool { return e.keepsTurns.Load() || e.keeper.Owns() },
-		Others: e.otherAddresses, Health: e.health, Log: e.log,
+		MaxStaleness:  leastBound(m.ConfigDelay, m.DrainDelay),
+		WritesToStore: func() bool { return e.keepsTurns.Load() || e.keeper.OwnsPartitions() },
+		PeerAddresses: e.otherAddresses, Health: e.health, Log: e.log,
 	})
 }
 
@@ -317,5 +317,5 @@
 // ready tells whether callers can be served: settings and targets are known
 // and the instance does not drain.
 func (e *edge) ready() bool {
-	return e.server.Table() != nil && e.targets.Known() && !e.server.Draining()
+	return e.server.Table() != nil && e.targets.Loaded() && !e.server.Draining()
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -261,7 +261,7 @@
 	<-first.done
 	d.seeds = nil
 	d.store.Set(metastore.Fault{Status: 503, Topics: []string{
-		platform.TopicOperator, platform.TopicTargets, relay.Topic, topicInstances,
+		platform.TopicOperator, platform.TopicTargets, relay.SlotsTopic, topicInstances,
 	}})
 	second := d.start("b")
 	eventually(t, "ready from copies", second.ready)
--- a/internal/edge/exchange.go
+++ b/internal/edge/exchange.go
@@ -53,7 +53,7 @@
 		c.String(http.StatusBadRequest, "%s", err.Error())
 		return
 	}
-	answer, err := e.relay.Answer(c.Request.Context(), question)
+	answer, err := e.relay.HandleQuery(c.Request.Context(), question)
 	if err != nil {
 		e.log.Debug("question for topics not answered", "error", err.Error())
 		c.Status(http.StatusServiceUnavailable)
@@ -68,36 +68,36 @@
 	c.Data(http.StatusOK, "application/cbor", body)
 }
 
-func encodeQuestion(q relay.Question) url.Values {
+func encodeQuestion(q relay.Query) url.Values {
 	query := url.Values{waitField: {strconv.FormatInt(q.Wait.Milliseconds(), 10)}}
-	if q.Relay != "" {
-		query.Set(relayField, q.Relay)
+	if q.RelayAddress != "" {
+		query.Set(relayField, q.RelayAddress)
 	}
-	for topic, from := range q.From {
+	for topic, from := range q.Offsets {
 		query.Set(topic, strconv.FormatInt(from, 10))
 	}
 	return query
 }
 
-func decodeQuestion(query url.Values) (relay.Question, error) {
-	q := relay.Question{From: make(map[string]int64, len(query))}
+func decodeQuestion(query url.Values) (relay.Query, error) {
+	q := relay.Query{Offsets: make(map[string]int64, len(query))}
 	for field := range query {
 		if field == relayField {
 			if _, err := netip.ParseAddrPort(query.Get(field)); err != nil {
-				return relay.Question{}, errors.Wrap(err, relayField)
+				return relay.Query{}, errors.Wrap(err, relayField)
 			}
-			q.Relay = query.Get(field)
+			q.RelayAddress = query.Get(field)
 			continue
 		}
 		value, err := strconv.ParseInt(query.Get(field), 10, 64)
-		if err != nil || value < feed.Unread {
-			return relay.Question{}, errors.Newf("%s: %q: expected a whole number", field, query.Get(field))
+		if err != nil || value < feed.FromStart {
+			return relay.Query{}, errors.Newf("%s: %q: expected a whole number", field, query.Get(field))
 		}
 		if field == waitField {
 			q.Wait = min(time.Duration(max(value, 0))*time.Millisecond, longestAnswerWait)
 			continue
 		}
-		q.From[field] = value
+		q.Offsets[field] = value
 	}
 	return q, nil
 }
@@ -115,30 +115,30 @@
 
 // Ask implements relay.Peers. An answer may take long as long as bytes come: many
 // ask a relay at once when all start.
-func (t *topicsClient) Ask(ctx context.Context, address string, q relay.Question) (relay.Answer, error) {
+func (t *topicsClient) Ask(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(q.Wait+q.Silence, cancel)
+	silence := time.AfterFunc(q.Wait+q.ReplyTimeout, cancel)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+topicsPath+"?"+encodeQuestion(q).Encode(), nil)
 	if err != nil {
-		return relay.Answer{}, errors.Wrap(err, "make the question")
+		return relay.Reply{}, errors.Wrap(err, "make the question")
 	}
 	resp, err := t.client.Do(req)
 	if err != nil {
-		return relay.Answer{}, errors.Wrap(err, "ask")
+		return relay.Reply{}, errors.Wrap(err, "ask")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return relay.Answer{}, errors.Newf("status %d", resp.StatusCode)
+		return relay.Reply{}, errors.Newf("status %d", resp.StatusCode)
 	}
 	body, err := io.ReadAll(&heardReader{http.MaxBytesReader(nil, resp.Body, maxAnswerBytes), silence})
 	if err != nil {
-		return relay.Answer{}, errors.Wrap(err, "read the answer")
+		return relay.Reply{}, errors.Wrap(err, "read the answer")
 	}
-	var answer relay.Answer
+	var answer relay.Reply
 	if err := codec.NewDecoderBytes(body, answerCodec).Decode(&answer); err != nil {
-		return relay.Answer{}, errors.Wrap(err, "decode")
+		return relay.Reply{}, errors.Wrap(err, "decode")
 	}
 	return answer, nil
 }
--- a/internal/edge/exchange_test.go
+++ b/internal/edge/exchange_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestQuestionForTopicsComesBack(t *testing.T) {
-	asked := relay.Question{From: map[string]int64{"keyed.a": 7, "keyed.b": feed.Unread}, Wait: 2 * time.Second, Relay: "10.0.0.1:80"}
+	asked := relay.Query{Offsets: map[string]int64{"keyed.a": 7, "keyed.b": feed.FromStart}, Wait: 2 * time.Second, RelayAddress: "10.0.0.1:80"}
 	got, err := decodeQuestion(encodeQuestion(asked))
 	if err != nil || !reflect.DeepEqual(got, asked) {
 		t.Errorf("got %+v, %v", got, err)
--- a/internal/edge/instances.go
+++ b/internal/edge/instances.go
@@ -134,7 +134,7 @@
 			return
 		}
 		e.log.Debug("instance not registered yet", "error", err.Error())
-		returned := e.health.Returned()
+		returned := e.health.Recovered()
 		timer := time.NewTimer(wait/2 + rand.N(wait))
 		select {
 		case <-ctx.Done():
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -23,9 +23,9 @@
 // receiver passes the transport's events on to the keepers, which are made
 // after the transport.
 type receiver struct {
-	keeper        *budget.Keeper
-	conversations *conversation.Keeper
-	allowances    *allowance.Keeper
+	keeper        *budget.Manager
+	conversations *conversation.Manager
+	allowances    *allowance.Manager
 }
 
 // post takes one event. Events before the keepers are there are lost, like
@@ -64,8 +64,8 @@
 	life lifetime, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, registry *targets.Registry, health *feed.Health, instances *listing, r *receiver,
 	scope tally.Scope, log *slog.Logger,
-) *budget.Keeper {
-	r.keeper = budget.New(life, budget.Parts{
+) *budget.Manager {
+	r.keeper = budget.New(life, budget.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, Breaks: registry, Loads: registry,
 		Health: health, Listed: instances.known, Scope: scope, Log: log,
 	})
@@ -75,8 +75,8 @@
 func newConversations(
 	life lifetime, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, health *feed.Health, r *receiver, scope tally.Scope, log *slog.Logger,
-) *conversation.Keeper {
-	r.conversations = conversation.New(life, conversation.Parts{
+) *conversation.Manager {
+	r.conversations = conversation.New(life, conversation.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
 		Store: store, Peers: transport, Health: health, Scope: scope, Log: log,
 	})
@@ -86,9 +86,9 @@
 func newAllowances(
 	machine platform.Machine, dir *directory.Directory, transport *peer.Transport, instances *listing, r *receiver,
 	scope tally.Scope, log *slog.Logger,
-) *allowance.Keeper {
+) *allowance.Manager {
 	quota := machine.Quota
-	r.allowances = allowance.New(allowance.Parts{
+	r.allowances = allowance.New(allowance.Config{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
 		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Over, Slack: quota.Slack},
 		Peers:     transport, Listed: instances.known, Scope: scope, Log: log,
--- a/internal/edge/take_bench_test.go
+++ b/internal/edge/take_bench_test.go
@@ -28,7 +28,7 @@
 	}
 	giver := feed.NewTopic("t", func(platform.Record) {})
 	giver.Replace(platform.Newest{Records: records, End: n})
-	given, err := giver.Copy(feed.Unread, time.Now())
+	given, err := giver.Copy(feed.FromStart, time.Now())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		registry := targets.NewRegistry("dc1", exchange.NewPool(tally.NoopScope))
 		f := newTargetFeed(registry, new(forgotten), feed.NewHealth(), tally.NoopScope, slog.New(slog.DiscardHandler))
 		topic := feed.NewHeartbeatTopic("t", platform.RepeatsTarget, f.apply)
-		if _, err := topic.Take(given, time.Now()); err != nil {
+		if _, err := topic.MergeCopy(given, time.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/edge/targetfeed.go
+++ b/internal/edge/targetfeed.go
@@ -114,7 +114,7 @@
 	if !f.registry.Has(id) {
 		return
 	}
-	back, ok := f.health.BackSince(platform.TopicTargets)
+	back, ok := f.health.RecoveredAt(platform.TopicTargets)
 	if !ok || time.Since(back) < returnTime {
 		f.lapsed[id] = true
 		return
@@ -137,7 +137,7 @@
 func (f *targetFeed) sweep(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	back, ok := f.health.BackSince(platform.TopicTargets)
+	back, ok := f.health.RecoveredAt(platform.TopicTargets)
 	if !ok || now.Sub(back) < returnTime {
 		return
 	}
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -83,7 +83,7 @@
 
 // pick takes the target, nil if there is none to use.
 func (w *feedWorld) pick() *targets.Target {
-	return w.registry.Pick(targets.Want{Service: "s"}, time.Now())
+	return w.registry.Pick(targets.Criteria{Service: "s"}, time.Now())
 }
 
 func (w *feedWorld) refused(cause string) int64 {
@@ -199,13 +199,13 @@
 	inFeedWorld(t, func(w *feedWorld) {
 		w.put(1, entryOf(1000, "ready"))
 		former := w.pick()
-		w.registry.Failed(former, time.Now())
+		w.registry.RecordFailure(former, time.Now())
 		w.put(2, entryOf(2000, "ready"))
 		next := w.pick()
 		if next == former || next.Incarnation() == former.Incarnation() || next.ID != former.ID {
 			t.Error("the later start is taken for the former")
 		}
-		if w.registry.Runs(former.Incarnation()) || w.registry.PickSame(former.Incarnation()) != nil {
+		if w.registry.IsRegistered(former.Incarnation()) || w.registry.PickIncarnation(former.Incarnation()) != nil {
 			t.Error("the former start still counts as running")
 		}
 		if got := []string(w.connections); !slices.Contains(got, "10.0.0.1:80") {
--- a/internal/feed/copy.go
+++ b/internal/feed/copy.go
@@ -84,11 +84,11 @@
 		}
 		return whole, nil
 	}
-	packed, err := pack(t.since(Unread))
+	packed, err := pack(t.since(FromStart))
 	if err != nil {
 		return Copy{}, err
 	}
-	t.packs.whole = Copy{Whole: t.known, From: Unread, Next: t.next, Packed: packed, AgeMs: t.ageMs(now)}
+	t.packs.whole = Copy{Whole: t.known, From: FromStart, Next: t.next, Packed: packed, AgeMs: t.ageMs(now)}
 	t.packs.wholeAt = now
 	return t.packs.whole, nil
 }
@@ -112,9 +112,9 @@
 	return records
 }
 
-// Take merges a copy that was asked for at a time, from at most Next on. It returns
+// MergeCopy merges a copy that was asked for at a time, from at most Next on. It returns
 // how many records changed something.
-func (t *Topic) Take(c Copy, asked time.Time) (int, error) {
+func (t *Topic) MergeCopy(c Copy, asked time.Time) (int, error) {
 	records, err := unpack(c.Packed)
 	if err != nil {
 		return 0, err
--- a/internal/feed/copy_test.go
+++ b/internal/feed/copy_test.go
@@ -32,7 +32,7 @@
 // encoded is a whole copy of a topic.
 func encoded(t testing.TB, topic *Topic) []byte {
 	t.Helper()
-	given, err := topic.Copy(Unread, time.Now())
+	given, err := topic.Copy(FromStart, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -58,8 +58,8 @@
 	begun time.Time
 }
 
-// Unread is the offset from which a topic is read whose content is not known.
-const Unread = int64(-1)
+// FromStart is the offset from which a topic is read whose content is not known.
+const FromStart = int64(-1)
 
 // mostCatchUps bounds how often in a row another instance's copy is taken that ends
 // before what the store still holds.
@@ -71,13 +71,13 @@
 	failures := 0
 	catchUps := 0
 	for ctx.Err() == nil {
-		if from == Unread && catchUps < mostCatchUps && f.CatchUp != nil {
+		if from == FromStart && catchUps < mostCatchUps && f.CatchUp != nil {
 			catchUps++
 			if f.CatchUp(ctx) {
 				from = f.begin()
 			}
 		}
-		returned := f.Health.Returned()
+		returned := f.Health.Recovered()
 		next, err := f.stepUnless(ctx, returned, from, failures > 0)
 		if ctx.Err() != nil {
 			return
@@ -86,7 +86,7 @@
 			continue
 		}
 		if errors.Is(err, platform.ErrTrimmed) {
-			from = Unread
+			from = FromStart
 			continue
 		}
 		f.Health.note(f.Topic.Name, err, time.Now(), f.Log)
@@ -110,10 +110,10 @@
 }
 
 func (f *Follower) begin() int64 {
-	if !f.Topic.Known() {
-		return Unread
+	if !f.Topic.Loaded() {
+		return FromStart
 	}
-	return f.Topic.Next()
+	return f.Topic.NextOffset()
 }
 
 // retryPause is the time until the next try after some failures. Topics that fail
@@ -186,7 +186,7 @@
 		started := time.Now()
 		page, more, err := f.readPage(ctx)
 		if err != nil {
-			return Unread, err
+			return FromStart, err
 		}
 		if f.after == "" {
 			// Reading on from the end of the first page misses no change made while
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -195,7 +195,7 @@
 		time.Sleep(2 * time.Second)
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		if !topic.Known() || len(store.asked) != 3 {
+		if !topic.Loaded() || len(store.asked) != 3 {
 			t.Errorf("pages asked behind %q", store.asked)
 		}
 	})
--- a/internal/feed/health.go
+++ b/internal/feed/health.go
@@ -58,9 +58,9 @@
 // others: single refusals among answers are no outage.
 const leastOutage = 300 * time.Millisecond
 
-// Returned is closed when a topic is next read again after an outage: what else
+// Recovered is closed when a topic is next read again after an outage: what else
 // failed, or hangs on a connection that is cut, is worth another try then.
-func (h *Health) Returned() <-chan struct{} {
+func (h *Health) Recovered() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.returned
@@ -78,18 +78,18 @@
 	return h.tries.Sub(now)
 }
 
-// BackSince is when a topic was last read again after a failure, and false if
+// RecoveredAt is when a topic was last read again after a failure, and false if
 // its reads fail now.
-func (h *Health) BackSince(topic string) (time.Time, bool) {
+func (h *Health) RecoveredAt(topic string) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, failing := h.failing[topic]
 	return h.back[topic], !failing
 }
 
-// Hear takes what another instance says of the store: that nobody whom it asks could
+// SetFailing takes what another instance says of the store: that nobody whom it asks could
 // read a topic lately, or that somebody can.
-func (h *Health) Hear(topic string, failing bool, now time.Time) {
+func (h *Health) SetFailing(topic string, failing bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, before := h.failing[topic]
--- a/internal/feed/topic.go
+++ b/internal/feed/topic.go
@@ -106,8 +106,8 @@
 	t.moved = make(chan struct{})
 }
 
-// Moved is closed when the content next changes or is confirmed.
-func (t *Topic) Moved() <-chan struct{} {
+// Updated is closed when the content next changes or is confirmed.
+func (t *Topic) Updated() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.moved
@@ -159,23 +159,23 @@
 	}
 }
 
-// Known tells whether the whole content was read at least once, or taken from
+// Loaded tells whether the whole content was read at least once, or taken from
 // another instance.
-func (t *Topic) Known() bool {
+func (t *Topic) Loaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.known
 }
 
-// Next is the offset to read on from.
-func (t *Topic) Next() int64 {
+// NextOffset is the offset to read on from.
+func (t *Topic) NextOffset() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.next
 }
 
-// Changed is the highest offset at which a content began, -1 while nothing is known.
-func (t *Topic) Changed() int64 {
+// LastChanged is the highest offset at which a content began, -1 while nothing is known.
+func (t *Topic) LastChanged() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -29,7 +29,7 @@
 			topic.Merge([]platform.Record{record("k", "v", offset)})
 			highest = max(highest, offset)
 		}
-		return grows && last == highest && topic.Changed() == highest
+		return grows && last == highest && topic.LastChanged() == highest
 	}, gen.SliceOf(gen.Int64Range(0, 50))))
 	properties.TestingRun(t)
 }
@@ -42,7 +42,7 @@
 	if applied["gone"] != "" || applied["kept"] != "3" || applied["newer"] != "9" {
 		t.Errorf("got %v", applied)
 	}
-	if !topic.Known() {
+	if !topic.Loaded() {
 		t.Error("the topic was read whole")
 	}
 }
@@ -51,8 +51,8 @@
 	topic := NewTopic("t", func(platform.Record) {})
 	topic.Merge([]platform.Record{record("a", "1", 1), record("b", "2", 2), record("a", "", 3)})
 	records := topic.since(3)
-	if len(records) != 1 || records[0].Key != "a" || len(records[0].Value) != 0 || topic.Changed() != 3 {
-		t.Errorf("got %+v, %d", records, topic.Changed())
+	if len(records) != 1 || records[0].Key != "a" || len(records[0].Value) != 0 || topic.LastChanged() != 3 {
+		t.Errorf("got %+v, %d", records, topic.LastChanged())
 	}
 }
 
@@ -78,15 +78,15 @@
 	applied := 0
 	topic := NewHeartbeatTopic("t", sameKind, func(platform.Record) { applied++ })
 	topic.Merge([]platform.Record{record("k", "a1", 1), record("k", "a2", 5), record("k", "a3", 9)})
-	if applied != 1 || topic.Changed() != 1 {
-		t.Errorf("applied %d times, changed at %d", applied, topic.Changed())
+	if applied != 1 || topic.LastChanged() != 1 {
+		t.Errorf("applied %d times, changed at %d", applied, topic.LastChanged())
 	}
 	if taken := topic.Merge([]platform.Record{record("k", "b1", 7)}); taken != 0 {
 		t.Error("an older record was taken")
 	}
 	topic.Merge([]platform.Record{record("k", "b1", 11)})
-	if applied != 2 || topic.Changed() != 11 {
-		t.Errorf("applied %d times, changed at %d", applied, topic.Changed())
+	if applied != 2 || topic.LastChanged() != 11 {
+		t.Errorf("applied %d times, changed at %d", applied, topic.LastChanged())
 	}
 }
 
@@ -97,23 +97,23 @@
 	pass(t, giver, receiver)
 	giver.Replace(platform.Newest{Records: []platform.Record{record("b", "1", 2)}, End: 8})
 	pass(t, giver, receiver)
-	if r := receiver.newest["a"]; len(r.Value) != 0 || receiver.Next() != 8 {
-		t.Errorf("the receiver holds %+v, next %d", r, receiver.Next())
+	if r := receiver.newest["a"]; len(r.Value) != 0 || receiver.NextOffset() != 8 {
+		t.Errorf("the receiver holds %+v, next %d", r, receiver.NextOffset())
 	}
 }
 
 // pass gives a receiver what it lacks.
 func pass(t *testing.T, giver, receiver *Topic) {
 	t.Helper()
-	from := Unread
-	if receiver.Known() {
-		from = receiver.Next()
+	from := FromStart
+	if receiver.Loaded() {
+		from = receiver.NextOffset()
 	}
 	given, err := giver.Copy(from, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := receiver.Take(given, time.Now()); err != nil {
+	if _, err := receiver.MergeCopy(given, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -162,11 +162,11 @@
 
 // readSome reads a history on from where a topic ends.
 func readSome(topic *Topic, history []platform.Record, most int) {
-	if !topic.Known() {
+	if !topic.Loaded() {
 		topic.Replace(newestOf(history))
 		return
 	}
-	from := topic.Next()
+	from := topic.NextOffset()
 	to := min(from+int64(most), int64(len(history)))
 	topic.advance(history[from:to], to)
 }
@@ -207,16 +207,16 @@
 	giver := NewTopic("t", func(platform.Record) {})
 	giver.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1)}, End: 2})
 	now := time.Now()
-	first, err := giver.Copy(Unread, now)
+	first, err := giver.Copy(FromStart, now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	giver.Merge([]platform.Record{record("b", "1", 3)})
-	second, err := giver.Copy(Unread, now.Add(wholeCopyLife/2))
+	second, err := giver.Copy(FromStart, now.Add(wholeCopyLife/2))
 	if err != nil || &first.Packed[0] != &second.Packed[0] {
 		t.Errorf("made anew: %v", err)
 	}
-	third, err := giver.Copy(Unread, now.Add(2*wholeCopyLife))
+	third, err := giver.Copy(FromStart, now.Add(2*wholeCopyLife))
 	if err != nil || &first.Packed[0] == &third.Packed[0] {
 		t.Errorf("not made anew: %v", err)
 	}
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -9,22 +9,22 @@
 	"github.com/banyanglade/banyanglade/internal/feed"
 )
 
-// Question asks an instance for what is new in some topics.
-type Question struct {
-	// From is the offset for each topic that the copy has to begin at, feed.Unread for
+// Query asks an instance for what is new in some topics.
+type Query struct {
+	// Offsets is the offset for each topic that the copy has to begin at, feed.Unread for
 	// all of a topic that is not known.
-	From map[string]int64
+	Offsets map[string]int64
 	// Wait is how long the answer may wait for news.
 	Wait time.Duration
-	// Relay is the address of the sender if it reads the topics from the store.
-	Relay string
-	// Silence is how long the answer may take beyond that before the instance counts
+	// RelayAddress is the address of the sender if it reads the topics from the store.
+	RelayAddress string
+	// ReplyTimeout is how long the answer may take beyond that before the instance counts
 	// as silent; it is not sent.
-	Silence time.Duration
+	ReplyTimeout time.Duration
 }
 
-// Answer is what an instance knows.
-type Answer struct {
+// Reply is what an instance knows.
+type Reply struct {
 	// Relay tells that the instance reads the topics from the store.
 	Relay bool
 	// HeldMs is how long the question waited at the instance, in milliseconds.
@@ -39,13 +39,13 @@
 	Failing bool
 }
 
-// Answer answers another instance once there is news for it or its wait is over. News
+// HandleQuery answers another instance once there is news for it or its wait is over. News
 // of a topic that is read with pauses wait as long as such a pause for more: answers
 // then follow time and not the number of changes.
-func (n *Node) Answer(ctx context.Context, q Question) (Answer, error) {
+func (n *Node) HandleQuery(ctx context.Context, q Query) (Reply, error) {
 	begun := time.Now()
-	if q.Relay != "" {
-		n.hint.Store(&q.Relay)
+	if q.RelayAddress != "" {
+		n.hint.Store(&q.RelayAddress)
 	}
 	if q.Wait > 0 {
 		n.followedAt.Store(&begun)
@@ -68,7 +68,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Answer{}, errors.Wrap(ctx.Err(), "wait for news")
+			return Reply{}, errors.Wrap(ctx.Err(), "wait for news")
 		case <-timer.C:
 			over = true
 		case <-gathered:
@@ -86,9 +86,9 @@
 // moved are closed when topics next move; nil where there are fewer topics.
 func (n *Node) moved() [movedTopics]<-chan struct{} {
 	var channels [movedTopics]<-chan struct{}
-	channels[0] = n.slots.Moved()
+	channels[0] = n.slots.Updated()
 	for i, f := range n.Topics {
-		channels[i+1] = f.Topic.Moved()
+		channels[i+1] = f.Topic.Updated()
 	}
 	return channels
 }
@@ -103,31 +103,31 @@
 
 // hasNews tells whether a question can be answered with records that its sender lacks,
 // and how long they may wait for more.
-func (n *Node) hasNews(q Question) (news bool, after time.Duration) {
+func (n *Node) hasNews(q Query) (news bool, after time.Duration) {
 	after = q.Wait
-	look := func(f Followed) {
-		from, asked := q.From[f.Topic.Name]
+	look := func(f FollowedTopic) {
+		from, asked := q.Offsets[f.Topic.Name]
 		switch {
 		case !asked:
-		case from < 0 && f.Topic.Known():
+		case from < 0 && f.Topic.Loaded():
 			news, after = true, 0
-		case from >= 0 && f.Topic.Changed() >= from:
+		case from >= 0 && f.Topic.LastChanged() >= from:
 			news, after = true, min(after, f.Pause)
 		}
 	}
-	look(Followed{Topic: n.slots})
+	look(FollowedTopic{Topic: n.slots})
 	for _, f := range n.Topics {
 		look(f)
 	}
 	return news, after
 }
 
-func (n *Node) answer(q Question, begun time.Time) (Answer, error) {
+func (n *Node) answer(q Query, begun time.Time) (Reply, error) {
 	now := time.Now()
-	answer := Answer{Relay: n.reading.Load(), HeldMs: now.Sub(begun).Milliseconds(), Topics: make(map[string]Given)}
+	answer := Reply{Relay: n.reading.Load(), HeldMs: now.Sub(begun).Milliseconds(), Topics: make(map[string]Given)}
 	var failure error
 	n.each(func(t *feed.Topic) {
-		from, asked := q.From[t.Name]
+		from, asked := q.Offsets[t.Name]
 		if !asked {
 			return
 		}
@@ -136,7 +136,7 @@
 			failure = err
 			return
 		}
-		_, answers := n.Health.BackSince(t.Name)
+		_, answers := n.Health.RecoveredAt(t.Name)
 		answer.Topics[t.Name] = Given{Copy: c, Failing: !answers}
 	})
 	return answer, failure
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -13,8 +13,8 @@
 	// Ages are how long ago each topic was last known to be the newest, in seconds.
 	Ages map[string]float64 `json:"ages"`
 	// Slots are the relays that it knows, Silent those that did not answer it.
-	Slots  map[string]Entry `json:"slots"`
-	Silent []string         `json:"silent,omitempty"`
+	Slots  map[string]Holder `json:"slots"`
+	Silent []string          `json:"silent,omitempty"`
 }
 
 // Dump tells how this instance keeps its topics.
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -56,10 +56,10 @@
 }
 
 func (n *Node) power() float64 {
-	if n.Power <= 0 {
+	if n.CPUShare <= 0 {
 		return 1
 	}
-	return min(max(n.Power, leastPower), 1)
+	return min(max(n.CPUShare, leastPower), 1)
 }
 
 // setReadAlone draws when the topics are read without knowing the slots.
@@ -79,7 +79,7 @@
 // slotsAlone tells whether the store has served other topics for a while and not the
 // slots.
 func (n *Node) slotsAlone(ctx context.Context) bool {
-	if n.slots.Known() || time.Now().Before(n.readAlone) {
+	if n.slots.Loaded() || time.Now().Before(n.readAlone) {
 		return false
 	}
 	n.readAlone = time.Now().Add(aloneInterval)
@@ -95,15 +95,15 @@
 
 // learnSlots reads the slots once, from the store or from a seed.
 func (n *Node) learnSlots(ctx context.Context) {
-	returned := n.Health.Returned()
+	returned := n.Health.Recovered()
 	_, err := n.readSlots(ctx)
-	n.Health.Hear(Topic, err != nil, time.Now())
+	n.Health.SetFailing(SlotsTopic, err != nil, time.Now())
 	if err == nil {
 		return
 	}
 	n.Log.Debug("slots not read", "error", err.Error())
 	n.askAnyone(ctx, n.times.poll)
-	if n.slots.Known() {
+	if n.slots.Loaded() {
 		return
 	}
 	wait := min(learnFirst<<min(n.learning, 8), learnMost)
@@ -121,10 +121,10 @@
 func (n *Node) readSlots(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	list, more, err := n.Store.NewestPage(ctx, Topic, 0, "")
+	list, more, err := n.Store.NewestPage(ctx, SlotsTopic, 0, "")
 	for err == nil && more {
 		var page platform.Newest
-		page, more, err = n.Store.NewestPage(ctx, Topic, 0, list.Records[len(list.Records)-1].Key)
+		page, more, err = n.Store.NewestPage(ctx, SlotsTopic, 0, list.Records[len(list.Records)-1].Key)
 		list.Records = append(list.Records, page.Records...)
 	}
 	if err != nil {
@@ -180,7 +180,7 @@
 }
 
 // followFrom asks one relay.
-func (n *Node) followFrom(ctx context.Context, source Entry) {
+func (n *Node) followFrom(ctx context.Context, source Holder) {
 	n.source.Store(&source.Address)
 	err := n.askAll(ctx, source.Address, n.times.poll)
 	if ctx.Err() != nil {
@@ -208,10 +208,10 @@
 
 // nextSource is the relay to ask: the first one that is in order, or the one that was
 // stale the longest time ago. It returns false if none may be asked now.
-func (n *Node) nextSource(now time.Time) (Entry, bool) {
+func (n *Node) nextSource(now time.Time) (Holder, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var stale Entry
+	var stale Holder
 	for _, e := range n.table.sources(n.Self) {
 		f := n.failures[e.Address]
 		if now.After(f.until) {
@@ -298,7 +298,7 @@
 	call, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	record := platform.Record{Key: key, Value: value}
-	record.Offset, err = n.Store.Append(call, platform.Append{Topic: Topic, At: &end, Records: []platform.Record{record}})
+	record.Offset, err = n.Store.Append(call, platform.Append{Topic: SlotsTopic, At: &end, Records: []platform.Record{record}})
 	if err != nil {
 		return errors.Wrapf(err, "take slot %s", key)
 	}
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -24,11 +24,11 @@
 
 // Peers ask other instances.
 type Peers interface {
-	Ask(ctx context.Context, address string, q Question) (Answer, error)
+	Ask(ctx context.Context, address string, q Query) (Reply, error)
 }
 
-// Followed is a topic that relays read and pass on.
-type Followed struct {
+// FollowedTopic is a topic that relays read and pass on.
+type FollowedTopic struct {
 	Topic *feed.Topic
 	// Wait is how long a read waits at the store for a record, Pause the time
 	// between two reads.
@@ -41,32 +41,32 @@
 	Large bool
 }
 
-// Parts are what a Node works with.
-type Parts struct {
-	Self Entry
-	// Power is what the machine can do, 1 for a whole core.
-	Power float64
+// Config are what a Node works with.
+type Config struct {
+	Self Holder
+	// CPUShare is what the machine can do, 1 for a whole core.
+	CPUShare float64
 	// Seeds are addresses of other instances, which may be stale.
 	Seeds []string
 	Store Store
 	Peers Peers
 	// Topics are passed on; a reader is told at once when the first of them was
 	// confirmed.
-	Topics []Followed
-	// Bound is the time within which all have to know what changed; 0 for none.
-	Bound time.Duration
-	// Direct tells that this instance writes to the store and has to notice by itself
+	Topics []FollowedTopic
+	// MaxStaleness is the time within which all have to know what changed; 0 for none.
+	MaxStaleness time.Duration
+	// WritesToStore tells that this instance writes to the store and has to notice by itself
 	// whether the store answers.
-	Direct func() bool
-	// Others lists the addresses of other instances.
-	Others func() []string
-	Health *feed.Health
-	Log    *slog.Logger
+	WritesToStore func() bool
+	// PeerAddresses lists the addresses of other instances.
+	PeerAddresses func() []string
+	Health        *feed.Health
+	Log           *slog.Logger
 }
 
 // Node keeps the topics of an instance up to date, as a relay or from relays.
 type Node struct {
-	Parts
+	Config
 	// slots is the topic of the slots.
 	slots *feed.Topic
 	// readAlone is when the topics may be read without knowing the slots, learning
@@ -104,9 +104,9 @@
 }
 
 // New makes a Node. Run has to be called once.
-func New(parts Parts) *Node {
-	n := &Node{Parts: parts, table: make(table), failures: make(map[string]failure), times: timesWithin(parts.Bound)}
-	n.slots = feed.NewTopic(Topic, n.applySlot)
+func New(parts Config) *Node {
+	n := &Node{Config: parts, table: make(table), failures: make(map[string]failure), times: timesWithin(parts.MaxStaleness)}
+	n.slots = feed.NewTopic(SlotsTopic, n.applySlot)
 	n.claimPause = n.drawClaimPause()
 	n.copiesAfter = time.Now()
 	if !n.isSeed() {
@@ -139,7 +139,7 @@
 // elsewhere: as a relay, or while the store does not give the slots. Then the seeds
 // begin, which the others ask, and those follow one by one.
 func (n *Node) MayReadCopies() bool {
-	return n.reading.Load() || (!n.slots.Known() && time.Now().After(n.copiesAfter))
+	return n.reading.Load() || (!n.slots.Loaded() && time.Now().After(n.copiesAfter))
 }
 
 const (
@@ -168,11 +168,11 @@
 		switch {
 		case n.holdsSlot():
 			n.read(ctx, func() bool { return !n.holdsSlot() })
-		case !n.slots.Known():
+		case !n.slots.Loaded():
 			n.learnSlots(ctx)
 			if n.slotsAlone(ctx) {
 				n.Log.Warn("topics are read without knowing the relays")
-				n.read(ctx, n.slots.Known)
+				n.read(ctx, n.slots.Loaded)
 			}
 		default:
 			n.followWhile(ctx)
@@ -196,7 +196,7 @@
 	for _, f := range n.Topics {
 		work.Go(func() { n.followStore(ctx, f) })
 	}
-	work.Go(func() { n.followStore(ctx, Followed{Topic: n.slots, Wait: slotsWait}) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: slotsWait}) })
 	work.Go(func() { n.askWhileFailing(ctx) })
 	work.Go(func() { n.greetSeeds(ctx) })
 	n.reading.Store(true)
@@ -210,7 +210,7 @@
 	work.Wait()
 }
 
-func (n *Node) followStore(ctx context.Context, f Followed) {
+func (n *Node) followStore(ctx context.Context, f FollowedTopic) {
 	follower := feed.Follower{
 		Store: n.Store, Topic: f.Topic, Wait: f.Wait, Pause: f.Pause, Health: n.Health, Log: n.Log,
 	}
@@ -227,8 +227,8 @@
 // itself whether the store answers.
 func (n *Node) watchStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		if n.Direct() && !n.reading.Load() && n.slots.Known() {
-			n.watchWhile(ctx, func() bool { return n.Direct() && !n.reading.Load() })
+		if n.WritesToStore() && !n.reading.Load() && n.slots.Loaded() {
+			n.watchWhile(ctx, func() bool { return n.WritesToStore() && !n.reading.Load() })
 		}
 		delay.Sleep(ctx, directInterval)
 	}
@@ -237,7 +237,7 @@
 func (n *Node) watchWhile(ctx context.Context, holds func() bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	work.Go(func() { n.followStore(ctx, Followed{Topic: n.slots, Wait: directWait}) })
+	work.Go(func() { n.followStore(ctx, FollowedTopic{Topic: n.slots, Wait: directWait}) })
 	for ctx.Err() == nil && holds() {
 		delay.Sleep(ctx, directInterval)
 	}
@@ -255,13 +255,13 @@
 
 // catchUp takes a topic from a relay with an earlier slot. It tells whether there
 // was more to take than is known.
-func (n *Node) catchUp(ctx context.Context, f Followed) bool {
+func (n *Node) catchUp(ctx context.Context, f FollowedTopic) bool {
 	n.mu.Lock()
 	number, _ := n.table.held(n.Self)
 	earlier := n.table.earlier(n.Self.DataCentre, number)
 	n.mu.Unlock()
-	before, wait := f.Topic.Next(), catchUpFirst
-	if f.Topic.Known() {
+	before, wait := f.Topic.NextOffset(), catchUpFirst
+	if f.Topic.Loaded() {
 		wait = f.Pause + catchUpAgain
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -272,7 +272,7 @@
 				n.Log.Debug("relay gave no copy", "address", e.Address, "topic", f.Topic.Name, "error", err.Error())
 				break
 			}
-			if f.Topic.Known() && f.Topic.Next() > before {
+			if f.Topic.Loaded() && f.Topic.NextOffset() > before {
 				return true
 			}
 		}
@@ -327,7 +327,7 @@
 		addresses = append(addresses, e.Address)
 	}
 	if len(addresses) == 0 || rand.IntN(2) == 0 {
-		addresses = append(addresses[:0], n.Others()...)
+		addresses = append(addresses[:0], n.PeerAddresses()...)
 	}
 	if len(addresses) == 0 {
 		addresses = n.otherSeeds()
@@ -369,17 +369,17 @@
 // ask asks an instance for what is new in topics. It returns errNoRelay, with the
 // answer taken, if the instance is no relay.
 func (n *Node) ask(ctx context.Context, address string, wait time.Duration, topics ...*feed.Topic) error {
-	q := Question{From: make(map[string]int64, len(topics)), Wait: wait, Silence: n.times.silence}
+	q := Query{Offsets: make(map[string]int64, len(topics)), Wait: wait, ReplyTimeout: n.times.silence}
 	for _, t := range topics {
-		if t.Known() {
-			q.From[t.Name] = t.Next()
+		if t.Loaded() {
+			q.Offsets[t.Name] = t.NextOffset()
 			continue
 		}
 		// A whole topic takes a relay a while that many ask at once.
-		q.From[t.Name], q.Silence = feed.Unread, wholeSilence
+		q.Offsets[t.Name], q.ReplyTimeout = feed.FromStart, wholeSilence
 	}
 	if n.reading.Load() {
-		q.Relay = n.Self.Address
+		q.RelayAddress = n.Self.Address
 	}
 	asked := time.Now()
 	answer, err := n.Peers.Ask(ctx, address, q)
@@ -392,12 +392,12 @@
 		if !ok {
 			continue
 		}
-		taken, err := t.Take(given.Copy, answered)
+		taken, err := t.MergeCopy(given.Copy, answered)
 		if err != nil {
 			return errors.Wrapf(err, "topic %s of %s", t.Name, address)
 		}
 		if taken > 0 {
-			n.Log.Info("records taken from a copy", "topic", t.Name, "records", taken, "next", t.Next(), "source", address)
+			n.Log.Info("records taken from a copy", "topic", t.Name, "records", taken, "next", t.NextOffset(), "source", address)
 		}
 		n.hear(t, given)
 	}
@@ -412,11 +412,11 @@
 // fresh all the same is refused alone, and has it from others: that is no outage, in
 // which registrations lapse.
 func (n *Node) hear(t *feed.Topic, given Given) {
-	if !given.Whole || n.reading.Load() || (t == n.slots && n.Direct()) {
+	if !given.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
 		return
 	}
 	fresh := given.AgeMs >= 0 && given.AgeMs <= n.times.stale.Milliseconds()
-	n.Health.Hear(t.Name, given.Failing && !fresh, time.Now())
+	n.Health.SetFailing(t.Name, given.Failing && !fresh, time.Now())
 }
 
 // entries is a copy of who holds the slots.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -215,32 +215,32 @@
 func TestRefusalOfARelayIsNoOutageForItsFollowers(t *testing.T) {
 	topic := feed.NewTopic(targetsTopic, func(platform.Record) {})
 	health := feed.NewHealth()
-	n := New(Parts{
-		Health: health, Bound: testBound, Direct: func() bool { return false },
-		Topics: []Followed{{Topic: topic, Bounded: true}}, Log: slog.New(slog.DiscardHandler),
+	n := New(Config{
+		Health: health, MaxStaleness: testBound, WritesToStore: func() bool { return false },
+		Topics: []FollowedTopic{{Topic: topic, Bounded: true}}, Log: slog.New(slog.DiscardHandler),
 	})
 	given := func(failing bool, age time.Duration) {
 		n.hear(topic, Given{Copy: feed.Copy{Whole: true, AgeMs: age.Milliseconds()}, Failing: failing})
 	}
 	given(true, testBound/4)
 	given(false, testBound/4)
-	if back, ok := health.BackSince(targetsTopic); !ok || !back.IsZero() {
+	if back, ok := health.RecoveredAt(targetsTopic); !ok || !back.IsZero() {
 		t.Errorf("an outage ended at %s", back)
 	}
 	given(true, testBound)
-	if _, ok := health.BackSince(targetsTopic); ok {
+	if _, ok := health.RecoveredAt(targetsTopic); ok {
 		t.Error("no outage although nobody knows anything new")
 	}
 	given(false, testBound/4)
-	if back, ok := health.BackSince(targetsTopic); !ok || time.Since(back) > time.Minute {
+	if back, ok := health.RecoveredAt(targetsTopic); !ok || time.Since(back) > time.Minute {
 		t.Errorf("the outage ended at %s", back)
 	}
 }
 
 // What no instance can have written names no holder, and leaves the slot free.
 func TestSlotOfAnotherWriterNamesNobody(t *testing.T) {
-	self := Entry{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
-	n := New(Parts{Self: self, Log: slog.New(slog.DiscardHandler)})
+	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
+	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
 	good := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
 	n.applySlot(platform.Record{Key: "dc/0", Value: []byte(good)})
 	if key, _ := n.table.free(self); key != "dc/1" {
@@ -274,13 +274,13 @@
 	slots := make(table)
 	for _, dc := range []string{"a", "b"} {
 		for i := range SlotsPerDataCentre {
-			slots[slot(dc, i)] = Entry{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
+			slots[slot(dc, i)] = Holder{Machine: fmt.Sprint(dc, i), Address: "10.0.0.1:80", DataCentre: dc}
 		}
 	}
 	first := make(map[string]int)
 	const instances = 1000
 	for i := range instances {
-		sources := slots.sources(Entry{Machine: fmt.Sprint("m", i), DataCentre: "a"})
+		sources := slots.sources(Holder{Machine: fmt.Sprint("m", i), DataCentre: "a"})
 		first[sources[0].Machine]++
 		for at, e := range sources {
 			if (e.DataCentre == "a") != (at < SlotsPerDataCentre) {
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -14,15 +14,15 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// Topic holds a record for each slot.
-const Topic = platform.KeyedPrefix + "relays"
+// SlotsTopic holds a record for each slot.
+const SlotsTopic = platform.KeyedPrefix + "relays"
 
 // SlotsPerDataCentre is the number of relays of a data centre: with one lost and
 // one cut off from the store two share its instances.
 const SlotsPerDataCentre = 4
 
-// Entry is the holder of a slot.
-type Entry struct {
+// Holder is the holder of a slot.
+type Holder struct {
 	Machine    string `json:"machine"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
@@ -35,26 +35,26 @@
 
 // decodeEntry reads the record of a slot. One that is of another data centre or has
 // no address was not written by an instance.
-func decodeEntry(r platform.Record) (Entry, error) {
-	var e Entry
+func decodeEntry(r platform.Record) (Holder, error) {
+	var e Holder
 	if err := json.Unmarshal(r.Value, &e); err != nil {
-		return Entry{}, errors.Wrap(err, "decode the holder of a slot")
+		return Holder{}, errors.Wrap(err, "decode the holder of a slot")
 	}
 	if !strings.HasPrefix(r.Key, e.DataCentre+"/") || e.Machine == "" {
-		return Entry{}, errors.Newf("slot %q names machine %q of data centre %q", r.Key, e.Machine, e.DataCentre)
+		return Holder{}, errors.Newf("slot %q names machine %q of data centre %q", r.Key, e.Machine, e.DataCentre)
 	}
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
-		return Entry{}, errors.Wrap(err, "address")
+		return Holder{}, errors.Wrap(err, "address")
 	}
 	return e, nil
 }
 
 // table is who holds the slots.
-type table map[string]Entry
+type table map[string]Holder
 
 // held is the number of the slot that an instance holds in its data centre, false
 // if it holds none.
-func (t table) held(self Entry) (int, bool) {
+func (t table) held(self Holder) (int, bool) {
 	for number := range SlotsPerDataCentre {
 		if t[slot(self.DataCentre, number)] == self {
 			return number, true
@@ -65,7 +65,7 @@
 
 // free is the first slot of a data centre that nobody holds, or that names the
 // machine with an address that it no longer has.
-func (t table) free(self Entry) (string, bool) {
+func (t table) free(self Holder) (string, bool) {
 	for number := range SlotsPerDataCentre {
 		key := slot(self.DataCentre, number)
 		if holder, ok := t[key]; !ok || holder.Machine == self.Machine {
@@ -77,9 +77,9 @@
 
 // sources lists the other relays in the order in which an instance asks them: those
 // of its data centre first, in an order that spreads the instances evenly.
-func (t table) sources(self Entry) []Entry {
+func (t table) sources(self Holder) []Holder {
 	type candidate struct {
-		Entry
+		Holder
 		score uint64
 	}
 	var all []candidate
@@ -93,9 +93,9 @@
 			compareBool(b.DataCentre == self.DataCentre, a.DataCentre == self.DataCentre),
 			cmp.Compare(b.score, a.score), cmp.Compare(a.Machine, b.Machine))
 	})
-	entries := make([]Entry, len(all))
+	entries := make([]Holder, len(all))
 	for i, c := range all {
-		entries[i] = c.Entry
+		entries[i] = c.Holder
 	}
 	return entries
 }
@@ -112,8 +112,8 @@
 }
 
 // earlier lists the holders of the slots of a data centre before a number.
-func (t table) earlier(dataCentre string, number int) []Entry {
-	var entries []Entry
+func (t table) earlier(dataCentre string, number int) []Holder {
+	var entries []Holder
 	for i := range number {
 		if e, ok := t[slot(dataCentre, i)]; ok {
 			entries = append(entries, e)
--- a/internal/relay/times.go
+++ b/internal/relay/times.go
@@ -55,7 +55,7 @@
 // knows are older than they are at a relay whose reads are in order.
 func (n *Node) staleTopics(now time.Time) bool {
 	for _, f := range n.Topics {
-		if f.Bounded && f.Topic.Known() && f.Topic.Age(now) > n.times.stale {
+		if f.Bounded && f.Topic.Loaded() && f.Topic.Age(now) > n.times.stale {
 			return true
 		}
 	}
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -253,18 +253,18 @@
 var errUnreachable = errors.New("nobody listens")
 
 // Ask implements Peers.
-func (f *fleet) Ask(ctx context.Context, address string, q Question) (Answer, error) {
+func (f *fleet) Ask(ctx context.Context, address string, q Query) (Reply, error) {
 	f.mu.Lock()
 	n := f.nodes[address]
 	f.mu.Unlock()
 	if !delay.Sleep(ctx, time.Millisecond) || n == nil {
-		return Answer{}, errUnreachable
+		return Reply{}, errUnreachable
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Wait+q.Silence)
+	ctx, cancel := context.WithTimeout(ctx, q.Wait+q.ReplyTimeout)
 	defer cancel()
 	if n.frozen.Load() {
 		<-ctx.Done()
-		return Answer{}, ctx.Err()
+		return Reply{}, ctx.Err()
 	}
 	go func() {
 		select {
@@ -273,7 +273,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	return n.Answer(ctx, q)
+	return n.HandleQuery(ctx, q)
 }
 
 func inFleet(t *testing.T, dataCentres int, fault storeFault, body func(f *fleet)) {
@@ -308,21 +308,21 @@
 	}
 	ctx, cancel := context.WithCancel(f.t.Context())
 	n := &testNode{fleet: f, stop: cancel, done: make(chan struct{})}
-	var followed []Followed
+	var followed []FollowedTopic
 	for _, name := range []string{settingsTopic, targetsTopic, instancesTopic} {
 		topic := feed.NewTopic(name, func(platform.Record) {})
 		n.topics = append(n.topics, topic)
-		followed = append(followed, Followed{
+		followed = append(followed, FollowedTopic{
 			Topic: topic, Wait: testWait, Large: name == targetsTopic, Bounded: name != instancesTopic,
 		})
 	}
 	followed[1].Pause, followed[2].Pause = time.Second, 300*time.Millisecond
-	n.Node = New(Parts{
-		Self:  Entry{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%f.dataCentres)},
-		Power: power, Seeds: f.seeds, Topics: followed, Peers: f,
-		Store:  reachedStore{f.store, refused, &n.storeSilent},
-		Bound:  testBound,
-		Direct: func() bool { return false }, Others: func() []string { return nil },
+	n.Node = New(Config{
+		Self:     Holder{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%f.dataCentres)},
+		CPUShare: power, Seeds: f.seeds, Topics: followed, Peers: f,
+		Store:         reachedStore{f.store, refused, &n.storeSilent},
+		MaxStaleness:  testBound,
+		WritesToStore: func() bool { return false }, PeerAddresses: func() []string { return nil },
 		Health: feed.NewHealth(), Log: slog.New(slog.DiscardHandler),
 	})
 	f.mu.Lock()
@@ -358,7 +358,7 @@
 			f.store.mu.Lock()
 			end := int64(len(f.store.records[topic.Name]))
 			f.store.mu.Unlock()
-			if !topic.Known() || topic.Next() < end {
+			if !topic.Loaded() || topic.NextOffset() < end {
 				lacking++
 				break
 			}
