--- a/internal/eventsink/eventsink_test.go
+++ b/internal/eventsink/eventsink_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestDeliverWaitsForRoom(t *testing.T) {
+func TestDeliverRetriesUntilAccepted(t *testing.T) {
 	attempts := 0
 	sink := New(func(structs.Event) bool {
 		attempts++
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestDeliverEndsWithTheContext(t *testing.T) {
+func TestDeliverStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	sink := New(func(structs.Event) bool {
 		cancel()
@@ -31,7 +31,7 @@
 	}, tally.NoopScope)
 	for range 2 {
 		if sink.Deliver(ctx, structs.DrainStart{}) {
-			t.Fatal("taken by a full queue")
+			t.Fatal("delivered to a full queue")
 		}
 	}
 }
@@ -40,6 +40,6 @@
 	scope := tally.NewTestScope("", nil)
 	sink := New(func(structs.Event) bool { return false }, scope)
 	if sink.Offer(structs.DrainStart{}) || scope.Snapshot().Counters()["events_dropped+"].Value() != 1 {
-		t.Fatal("not dropped or not counted")
+		t.Fatal("event not dropped or drop not counted")
 	}
 }
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -8,7 +8,8 @@
 	"github.com/coder/websocket"
 )
 
-// Handler returns the handler of the peer listener, to be mounted at Route.
+// Handler returns the HTTP handler that accepts peer connections. Mount it at
+// Route.
 func (t *Transport) Handler() http.Handler {
 	return http.HandlerFunc(t.serve)
 }
@@ -17,48 +18,48 @@
 	t.mu.Lock()
 	closed := t.closed
 	if !closed {
-		t.work.Add(1)
+		t.wg.Add(1)
 	}
 	t.mu.Unlock()
 	if closed {
 		http.Error(w, errClosed.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	defer t.work.Done()
+	defer t.wg.Done()
 	if err := t.checkTLS(r); err != nil {
-		t.refuse(r, err)
+		t.recordRefusal(r, err)
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
 	select {
 	case t.handshakes <- struct{}{}:
 	default:
-		t.refuse(r, errors.New("too many connections that are not authenticated"))
-		http.Error(w, "too many handshakes", http.StatusServiceUnavailable)
+		t.recordRefusal(r, errors.New("too many pending handshakes"))
+		http.Error(w, "too many pending handshakes", http.StatusServiceUnavailable)
 		return
 	}
 	s, err := t.accept(w, r)
 	<-t.handshakes
 	if err != nil {
-		t.refuse(r, err)
+		t.recordRefusal(r, err)
 		return
 	}
 	t.runSession(s)
 }
 
-// checkTLS checks that the dialer showed a verified certificate where TLS alone
-// authenticates it.
+// checkTLS requires a verified client certificate if there is no shared key.
 func (t *Transport) checkTLS(r *http.Request) error {
 	if len(t.cfg.Key) > 0 {
 		return nil
 	}
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
-		return errors.New("a verified client certificate is needed")
+		return errors.New("no verified client certificate; one is required without a shared key")
 	}
 	return nil
 }
 
-// accept upgrades the connection and runs the handshake.
+// accept upgrades the request to a WebSocket connection and runs the
+// handshake.
 func (t *Transport) accept(w http.ResponseWriter, r *http.Request) (*session, error) {
 	options := websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled}
 	conn, err := websocket.Accept(w, r, &options)
@@ -69,13 +70,13 @@
 	defer cancel()
 	remote, err := t.handshaker.accept(ctx, conn)
 	if err != nil {
-		_ = conn.Close(websocket.StatusPolicyViolation, closeReason(err))
+		_ = conn.Close(websocket.StatusPolicyViolation, truncateReason(err))
 		return nil, errors.Wrap(err, "handshake")
 	}
 	return newSession(t, remote, conn), nil
 }
 
-func (t *Transport) refuse(r *http.Request, err error) {
+func (t *Transport) recordRefusal(r *http.Request, err error) {
 	t.metrics.refused.Inc(1)
 	t.logger.Warn("peer connection refused", "remote", r.RemoteAddr, "error", err)
 }
--- a/internal/peer/layout_test.go
+++ b/internal/peer/layout_test.go
@@ -16,9 +16,9 @@
 
 const layoutFile = "testdata/layout.txt"
 
-// layout lists the structs of all messages, a line each: the name and the
-// fields in order. The first line is the protocol version.
-func layout() []string {
+// messageLayout returns the protocol version, followed by one line for each
+// struct in the messages: its name and its fields in order.
+func messageLayout() []string {
 	lines := []string{fmt.Sprint("version ", structs.ProtocolVersion)}
 	seen := make(map[reflect.Type]bool)
 	var visit func(reflect.Type)
@@ -41,7 +41,7 @@
 			visit(t.Field(i).Type)
 		}
 	}
-	for kind := range allKinds {
+	for kind := range numKinds {
 		if msg := structs.NewMessage(structs.MessageKind(kind)); msg != nil {
 			visit(reflect.TypeOf(msg).Elem())
 		}
@@ -49,12 +49,12 @@
 	return lines
 }
 
-// A struct is an array on the wire: a field that is put between others, taken
-// away or changed is read as another by instances of the last release.
-func TestLayoutOnlyGrowsAtTheEnd(t *testing.T) {
-	now := layout()
+// Structs are encoded as arrays. Instances of the previous release would decode
+// inserted, removed or changed fields as other fields.
+func TestMessageLayoutOnlyGrowsAtTheEnd(t *testing.T) {
+	current := messageLayout()
 	if *update {
-		if err := os.WriteFile(layoutFile, []byte(strings.Join(now, "\n")+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(layoutFile, []byte(strings.Join(current, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,19 +63,19 @@
 		t.Fatal(err)
 	}
 	known := make(map[string]string)
-	for _, line := range now {
+	for _, line := range current {
 		known[strings.Fields(line)[0]] = line
 	}
 	for line := range strings.Lines(string(stored)) {
 		name := strings.Fields(line)[0]
 		if !strings.HasPrefix(known[name]+" ", strings.TrimSuffix(line, "\n")+" ") {
-			t.Errorf("%s was\n%swhich must stay in front. Move new fields to the end, or raise structs.ProtocolVersion "+
+			t.Errorf("layout of %s changed from\n%sAppend new fields at the end, or raise structs.ProtocolVersion "+
 				"and run: go test ./internal/peer -run Layout -update", name, line)
 		}
 	}
 }
 
-func TestFieldsAtTheEndMayBeMissingOrUnknown(t *testing.T) {
+func TestTrailingFieldsMayBeMissingOrUnknown(t *testing.T) {
 	type short struct {
 		A int
 		B string
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -8,66 +8,65 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Waits between two dials to an instance that cannot be reached.
+// Bounds of the backoff between dials to an unreachable instance.
 const (
-	minRedial = 50 * time.Millisecond
-	maxRedial = time.Second
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = time.Second
 )
 
-// link is what the transport knows of one instance. The transport's mutex
-// guards it.
+// link is the connection state of one instance. It is guarded by the mutex of
+// the Transport.
 type link struct {
 	id structs.InstanceID
-	// address is where the instance was last resolved to, empty if unknown.
+	// address is the last resolved address, empty if unknown.
 	address string
-	// queue holds the frames for current, or for the connection that is
-	// being dialed.
+	// queue holds the frames for current or for the dial in progress.
 	queue *sendQueue
-	// current is the session written to, nil if none.
+	// current is the session that messages are sent on, nil if there is none.
 	current  *session
 	sessions map[*session]struct{}
 	dialing  bool
-	// unreachable tells that the last dial failed.
+	// unreachable is true if the last dial failed.
 	unreachable bool
 	probing     bool
 	watched     bool
-	// lastHeard is when a heartbeat was answered, or when waiting for one
-	// began.
-	lastHeard time.Time
-	redial    *backoff.ExponentialBackOff
-	// notBefore is the earliest time of the next dial.
-	notBefore time.Time
+	// lastHeartbeat is when the last pong was received, or when monitoring
+	// started or resumed.
+	lastHeartbeat time.Time
+	dialBackoff   *backoff.ExponentialBackOff
+	// nextDial is when the dial backoff expires.
+	nextDial time.Time
 }
 
 func (t *Transport) newLink(id structs.InstanceID) *link {
-	redial := backoff.NewExponentialBackOff(
-		backoff.WithInitialInterval(minRedial),
-		backoff.WithMaxInterval(maxRedial),
+	dialBackoff := backoff.NewExponentialBackOff(
+		backoff.WithInitialInterval(minDialBackoff),
+		backoff.WithMaxInterval(maxDialBackoff),
 		backoff.WithMaxElapsedTime(0),
 	)
 	return &link{
-		id:       id,
-		queue:    t.newQueue(),
-		sessions: make(map[*session]struct{}),
-		redial:   redial,
+		id:          id,
+		queue:       t.newQueue(),
+		sessions:    make(map[*session]struct{}),
+		dialBackoff: dialBackoff,
 	}
 }
 
 func (t *Transport) newQueue() *sendQueue {
-	return newSendQueue(t.cfg.QueueFrames, t.cfg.QueueBytes)
+	return newSendQueue(t.cfg.MaxQueuedFrames, t.cfg.MaxQueuedBytes)
 }
 
-// linkTo finds or makes the link to an instance and refreshes its address. It
-// runs on the loop's goroutine with the mutex held.
-func (t *Transport) linkTo(id structs.InstanceID) *link {
-	l := t.findLink(id)
+// resolveLink returns the link to an instance with its current address. It must
+// be called on the event loop's goroutine with t.mu held.
+func (t *Transport) resolveLink(id structs.InstanceID) *link {
+	l := t.getOrCreateLink(id)
 	if peer, ok := t.resolve(id); ok {
 		l.address = peer.Address
 	}
 	return l
 }
 
-func (t *Transport) findLink(id structs.InstanceID) *link {
+func (t *Transport) getOrCreateLink(id structs.InstanceID) *link {
 	l, ok := t.links[id]
 	if !ok {
 		l = t.newLink(id)
@@ -76,13 +75,13 @@
 	return l
 }
 
-// idle tells whether nothing is lost by forgetting the link.
+// idle reports whether the link can be removed without losing state.
 func (l *link) idle(now time.Time) bool {
-	return len(l.sessions) == 0 && !l.dialing && !l.probing && !l.watched && now.After(l.notBefore)
+	return len(l.sessions) == 0 && !l.dialing && !l.probing && !l.watched && now.After(l.nextDial)
 }
 
-// drop forgets the frames that wait.
-func (t *Transport) drop(l *link) {
+// dropQueue discards the queued frames and counts them as lost.
+func (t *Transport) dropQueue(l *link) {
 	frames, _ := l.queue.size()
 	if frames > 0 {
 		t.metrics.framesLost.Inc(int64(frames))
@@ -90,57 +89,57 @@
 	l.queue = t.newQueue()
 }
 
-// breakLink ends all sessions of a link for a reason and posts PeerDown. The
-// mutex is held.
-func (t *Transport) breakLink(l *link, reason error) {
+// disconnect closes all sessions of a link and posts PeerDown. t.mu must be
+// held.
+func (t *Transport) disconnect(l *link, reason error) {
 	for s := range l.sessions {
 		s.cancel(reason)
 	}
 	clear(l.sessions)
 	l.current = nil
-	t.drop(l)
+	t.dropQueue(l)
 	t.liveness.down(l.id)
 	t.metrics.broken.Inc(1)
 	t.logger.Warn("peer connection broken", "peer", l.id, "error", reason)
 }
 
-// maxSessions bounds the connections to one instance.
-const maxSessions = 4
+// maxSessionsPerPeer bounds the connections to one instance in both directions.
+const maxSessionsPerPeer = 4
 
-// adopt takes an authenticated connection into the link of its instance. It
-// returns nil if the transport is closed or there are too many connections.
-func (t *Transport) adopt(s *session) *link {
+// registerSession adds an authenticated session to the link of its instance. It
+// returns nil if the transport is closed or there are too many sessions.
+func (t *Transport) registerSession(s *session) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
 		return nil
 	}
-	l := t.findLink(s.remote.ID)
+	l := t.getOrCreateLink(s.remote.ID)
 	if s.dialed {
 		l.dialing = false
 	}
 	if old := l.current; old != nil && old.remote.Incarnation != s.remote.Incarnation {
-		t.breakLink(l, errReplaced)
+		t.disconnect(l, errNewIncarnation)
 	}
-	if len(l.sessions) >= maxSessions {
-		t.logger.Warn("too many connections to one peer", "peer", l.id)
+	if len(l.sessions) >= maxSessionsPerPeer {
+		t.logger.Warn("too many connections to peer", "peer", l.id)
 		t.startProbe(l)
 		return nil
 	}
-	t.running.Add(1)
+	t.activeSessions.Add(1)
 	l.sessions[s] = struct{}{}
 	if l.current == nil {
 		l.current = s
 		s.queue = l.queue
-		l.lastHeard = time.Now()
+		l.lastHeartbeat = time.Now()
 	} else {
 		s.queue = t.newQueue()
-		// The other side may have lost the present connection.
+		// The peer may have dialed because it lost the current session.
 		t.startProbe(l)
 	}
-	l.redial.Reset()
+	l.dialBackoff.Reset()
 	l.unreachable = false
-	l.notBefore = time.Time{}
+	l.nextDial = time.Time{}
 	t.liveness.up(l.id)
 	return l
 }
--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// startProbe probes a link unless a probe is under way. Without a connection,
-// dialing one gives the answer. The mutex is held.
+// startProbe probes an instance unless a probe is in progress. If there is no
+// connection, the result of a dial serves as the result of the probe. t.mu must
+// be held.
 func (t *Transport) startProbe(l *link) {
 	if l.probing {
 		return
 	}
 	if l.current == nil {
-		if !t.connect(l) {
+		if !t.ensureConnected(l) {
 			t.liveness.down(l.id)
 		}
 		return
@@ -18,40 +19,40 @@
 	l.probing = t.spawn(func() { t.probe(l, s) })
 }
 
-// probe asks for a heartbeat over a session and reports the result.
+// probe waits for a heartbeat on a session and reports the result.
 func (t *Transport) probe(l *link, s *session) {
-	answered := t.awaitHeartbeat(s)
+	alive := t.awaitHeartbeat(s)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.probing = false
 	switch {
 	case t.closed:
-	case answered:
+	case alive:
 		t.liveness.up(l.id)
 	case l.current == s:
-		t.breakLink(l, errSilent)
+		t.disconnect(l, errHeartbeatTimeout)
 	case l.current == nil:
 		t.liveness.down(l.id)
 	}
 }
 
-// awaitHeartbeat tells whether a heartbeat came back within the liveness
-// timeout. A timeout that passed while this process was paused does not count.
+// awaitHeartbeat sends a ping and reports whether its pong was received within
+// the liveness timeout. The timeout restarts if this process was paused.
 func (t *Transport) awaitHeartbeat(s *session) bool {
-	answered := s.ping()
+	pong := s.ping()
 	started := time.Now()
 	timer := time.NewTimer(t.cfg.PeerTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case <-answered:
+		case <-pong:
 			return true
 		case <-s.ctx.Done():
 			return false
 		case <-timer.C:
 		}
 		now := time.Now()
-		if now.Sub(started) <= pauseIntervals*t.cfg.PeerTimeout {
+		if now.Sub(started) <= pauseFactor*t.cfg.PeerTimeout {
 			return s.delivering.Load()
 		}
 		started = now
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,39 +6,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOverflow is the error of a send queue that is full.
-var ErrOverflow = errors.New("send queue is full")
+// ErrQueueFull is returned when the send queue of an instance is full.
+var ErrQueueFull = errors.New("send queue is full")
 
-// maxUrgent bounds the heartbeats that wait to be written.
+// maxUrgent bounds the queued heartbeats.
 const maxUrgent = 16
 
-// sendQueue holds the frames that wait to be written to one instance, bounded
-// by count and bytes. Heartbeats go before other frames.
+// sendQueue queues the frames for one instance, bounded by count and bytes.
+// Heartbeats take precedence over other frames.
 type sendQueue struct {
 	maxFrames int
 	maxBytes  int
-	// wake holds a token while frames wait.
+	// wake holds a token if there may be frames to write.
 	wake chan struct{}
 
 	mu     sync.Mutex
 	frames [][]byte
 	urgent [][]byte
 	bytes  int
-	// ended tells that no frame follows those that wait.
-	ended bool
+	// finished is true if the connection ends after the queued frames.
+	finished bool
 }
 
 func newSendQueue(maxFrames, maxBytes int) *sendQueue {
 	return &sendQueue{maxFrames: maxFrames, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 }
 
-// push adds a frame. It never blocks and returns ErrOverflow if there is no
-// room.
+// push adds a frame without blocking. It returns ErrQueueFull if a bound would
+// be exceeded.
 func (q *sendQueue) push(frame []byte) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.frames) >= q.maxFrames || q.bytes+len(frame) > q.maxBytes {
-		return ErrOverflow
+		return ErrQueueFull
 	}
 	q.frames = append(q.frames, frame)
 	q.bytes += len(frame)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// pushUrgent adds a heartbeat; one too many is dropped.
+// pushUrgent adds a heartbeat, or drops it if too many are queued.
 func (q *sendQueue) pushUrgent(frame []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,19 +57,20 @@
 	q.signal()
 }
 
-// end lets the connection close once all that waits is written.
-func (q *sendQueue) end() {
+// finish marks the end of the queue: the writer closes the connection once all
+// queued frames are written.
+func (q *sendQueue) finish() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.ended = true
+	q.finished = true
 	q.signal()
 }
 
-// drained tells whether the queue was ended and nothing waits.
+// drained reports whether the queue is finished and has no frames left.
 func (q *sendQueue) drained() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ended && len(q.frames) == 0
+	return q.finished && len(q.frames) == 0
 }
 
 func (q *sendQueue) signal() {
@@ -79,7 +80,8 @@
 	}
 }
 
-// pop removes the next frame, heartbeats first; nil if none waits.
+// pop removes and returns the next frame, heartbeats first, or nil if the queue
+// is empty.
 func (q *sendQueue) pop() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,7 +100,8 @@
 	return frame
 }
 
-// size returns the number of waiting frames and their bytes.
+// size returns the number of queued frames and their total size, without
+// heartbeats.
 func (q *sendQueue) size() (frames, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Stats counts the traffic between this instance and its peers since the
-// start. Control is heartbeats and all messages that do not carry a call. Bytes
-// are those of the frames, without the headers of WebSocket, TLS, TCP and IP.
+// Stats counts the traffic between this instance and its peers since the start.
+// Control bytes are heartbeats and all messages without call data. Bytes do not
+// include the headers of WebSocket and the layers below.
 type Stats struct {
 	ControlBytesSent     uint64
 	ControlBytesReceived uint64
@@ -18,14 +18,14 @@
 	DataBytesReceived    uint64
 	FramesSent           uint64
 	FramesReceived       uint64
-	// Sessions is the number of open connections, QueuedFrames and
-	// QueuedBytes what waits to be written to all instances.
+	// Sessions is the number of open connections. QueuedFrames and QueuedBytes
+	// are the totals of all send queues.
 	Sessions     int
 	QueuedFrames int
 	QueuedBytes  int
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (t *Transport) Stats() Stats {
 	s := t.traffic.stats()
 	t.mu.Lock()
@@ -39,28 +39,28 @@
 	return s
 }
 
-// direction counts the traffic of one direction.
-type direction struct {
+// directionCounters counts the frames of one direction.
+type directionCounters struct {
 	control, data, frames atomic.Uint64
 
 	controlBytes, dataBytes, frameCount tally.Counter
 }
 
-func newDirection(scope tally.Scope) *direction {
-	return &direction{
+func newDirectionCounters(scope tally.Scope) *directionCounters {
+	return &directionCounters{
 		controlBytes: scope.Counter("control_bytes"),
 		dataBytes:    scope.Counter("data_bytes"),
 		frameCount:   scope.Counter("frames"),
 	}
 }
 
-func (d *direction) count(kind structs.MessageKind, size int) {
+func (d *directionCounters) count(kind structs.MessageKind, size int) {
 	if kind != kindStamp {
-		// A stamp belongs to the frame behind it.
+		// A stamp is counted as part of the next frame.
 		d.frames.Add(1)
 		d.frameCount.Inc(1)
 	}
-	if carriesCall(kind) {
+	if isCallData(kind) {
 		d.data.Add(uint64(size))
 		d.dataBytes.Inc(int64(size))
 		return
@@ -69,13 +69,13 @@
 	d.controlBytes.Inc(int64(size))
 }
 
-// traffic counts frames in both directions.
-type traffic struct{ out, in *direction }
+// traffic counts the frames of both directions.
+type traffic struct{ out, in *directionCounters }
 
 func newTraffic(scope tally.Scope) traffic {
 	return traffic{
-		out: newDirection(scope.SubScope("sent")),
-		in:  newDirection(scope.SubScope("received")),
+		out: newDirectionCounters(scope.SubScope("sent")),
+		in:  newDirectionCounters(scope.SubScope("received")),
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// metrics counts what goes wrong.
+// metrics counts failures.
 type metrics struct {
 	refused       tally.Counter
 	dialsFailed   tally.Counter
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -17,8 +17,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// mutualTLS gives a configuration whose certificate its own pool trusts, in
-// both directions.
+// mutualTLS returns a configuration with a self-signed certificate that both
+// sides trust.
 func mutualTLS(t *testing.T) *tls.Config {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
@@ -57,7 +57,7 @@
 	a.peers.Store(structs.InstanceID("b"), strings.TrimPrefix(listener.URL, "https://"))
 	a.Send("b", withdraw(1))
 	b.awaitMessage("a")
-	// The plain listener of the same instance lets nobody in.
+	// Connections without TLS are rejected.
 	c := newNode(t, "c", func(c *Config) { c.Key = testKey })
 	c.peers.Store(structs.InstanceID("b"), b.address)
 	c.Send("b", withdraw(1))
@@ -65,13 +65,13 @@
 	b.awaitCount("handshakes_refused")
 }
 
-func TestConfigWithoutAuthenticationIsRefused(t *testing.T) {
+func TestConfigWithoutAuthenticationIsRejected(t *testing.T) {
 	self := structs.Peer{ID: "a"}
 	for _, cfg := range []Config{
 		{Self: self, Incarnation: "i"}, {Self: self, Incarnation: "i", Key: []byte("short")},
 		{Self: self, Incarnation: "i", TLS: &tls.Config{}}, {Self: self, Key: testKey}, {Incarnation: "i", Key: testKey},
 	} {
-		if _, err := New(t.Context(), cfg, nil, nil, nil, nil); !errors.Is(err, ErrConfig) {
+		if _, err := New(t.Context(), cfg, nil, nil, nil, nil); !errors.Is(err, ErrInvalidConfig) {
 			t.Errorf("%+v: %v", cfg, err)
 		}
 	}
