--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -240,7 +240,7 @@
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	_, err := k.store.Append(ctx, platform.Append{
-		Topic: topic, Partition: p.number, At: &end,
+		Topic: topic, Partition: p.number, ExpectedEnd: &end,
 		Records: []platform.Record{{Key: ownerKey, Value: encode(claim)}},
 		Writer:  &platform.Writer{Name: writerName, Epoch: claim.Epoch, Sequence: sequence},
 	})
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -90,11 +90,11 @@
 // Codec translates between HTTP headers and the types of this package. The
 // platform's adapter implements it.
 type Codec interface {
-	// Request decodes the header of a caller's request. The error says which
+	// DecodeRequest decodes the header of a caller's request. The error says which
 	// field is malformed.
-	Request(header http.Header) (Request, error)
-	// Outgoing makes the header of a request to a target from the caller's.
-	Outgoing(header http.Header, send Send) http.Header
-	// Answer decodes the head of a target's answer.
-	Answer(status int, header http.Header) Answer
+	DecodeRequest(header http.Header) (Request, error)
+	// TargetHeader makes the header of a request to a target from the caller's.
+	TargetHeader(header http.Header, send Send) http.Header
+	// DecodeResponse decodes the head of a target's answer.
+	DecodeResponse(status int, header http.Header) Answer
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -29,8 +29,8 @@
 	order int
 }
 
-// Story is what the logs say of a request or program.
-type Story struct {
+// Timeline is what the logs say of a request or program.
+type Timeline struct {
 	id    string
 	lines []line
 	// dropped counts the log lines that instances say they dropped.
@@ -39,8 +39,8 @@
 
 // Read gathers the lines that name an id, of a request or a program, from logs.
 // Text before the JSON of a line is skipped, since log collectors add some.
-func Read(id string, logs ...io.Reader) (*Story, error) {
-	s := &Story{id: id}
+func Read(id string, logs ...io.Reader) (*Timeline, error) {
+	s := &Timeline{id: id}
 	for _, r := range logs {
 		if err := s.read(r); err != nil {
 			return nil, err
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-func (s *Story) read(r io.Reader) error {
+func (s *Timeline) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -68,7 +68,7 @@
 
 // take keeps a line if it concerns the id. Lines that are not JSON are skipped:
 // logs hold other programs' lines too.
-func (s *Story) take(text []byte) {
+func (s *Timeline) take(text []byte) {
 	concerns := bytes.Contains(text, []byte(s.id))
 	if !concerns && !bytes.Contains(text, []byte("log lines dropped")) {
 		return
@@ -100,7 +100,7 @@
 }
 
 // Write prints the story in order of time, with the cause at its end.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, l := range s.lines {
 		fmt.Fprintf(&b, "%s  %-24s %s%s\n", l.at.Format("15:04:05.000"), l.instance, l.message, formatFields(l.fields))
@@ -126,7 +126,7 @@
 }
 
 // Cause is the end of the story in a sentence.
-func (s *Story) Cause() string {
+func (s *Timeline) Cause() string {
 	if len(s.lines) == 0 {
 		return s.missing()
 	}
@@ -142,7 +142,7 @@
 	return "Cause: " + explained + "."
 }
 
-func (s *Story) missing() string {
+func (s *Timeline) missing() string {
 	text := "No line names " + s.id + ". A request that is served as usual has a line at level DEBUG only."
 	if s.dropped > 0 {
 		text += fmt.Sprintf(" %d lines were dropped.", s.dropped)
@@ -152,7 +152,7 @@
 
 // lastEnd is the last line that says how a request ended badly, or the last of
 // any that ended.
-func (s *Story) lastEnd() *line {
+func (s *Timeline) lastEnd() *line {
 	for i := len(s.lines) - 1; i >= 0; i-- {
 		if s.lines[i].message == "request ended" {
 			return &s.lines[i]
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -29,7 +29,7 @@
 func (r *Runner) readChat(one *run, reply *http.Response) result {
 	switch status := reply.StatusCode; {
 	case status == http.StatusOK:
-		s := newChatStream(0, 0, r.cfg.MaxAnswer)
+		s := newChatStream(0, 0, r.cfg.MaxResponseBytes)
 		return s.end(one, r.follow(one, reply.Body, s))
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
@@ -88,7 +88,7 @@
 	if errors.Is(err, io.EOF) && s.finish != "" {
 		return result{outcome: s.outcome()}
 	}
-	if errors.Is(err, ErrAnswerTooLarge) {
+	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
 			failure: structs.RunBroken, detail: err.Error(),
 			outcome: structs.Outcome{Reason: structs.ReasonTooLarge},
@@ -175,7 +175,7 @@
 	s.push(delta.Content)
 	s.blanks = 0
 	if len(s.text) > int(s.limit) {
-		return ErrAnswerTooLarge
+		return ErrResponseTooLarge
 	}
 	return s.addTools(delta.ToolCalls)
 }
--- a/internal/target/config.go
+++ b/internal/target/config.go
@@ -8,15 +8,15 @@
 
 // Defaults of a Config.
 const (
-	DefaultRunTimeout     = time.Minute
-	DefaultControlTimeout = time.Second
-	DefaultLoadInterval   = 500 * time.Millisecond
-	DefaultHealthInterval = time.Second
-	DefaultMaxRuns        = 4096
-	DefaultMaxReleases    = 32
-	DefaultMaxAnswer      = 16 << 20
-	DefaultCancelRetries  = 4
-	DefaultCancelBackoff  = 50 * time.Millisecond
+	DefaultRunTimeout       = time.Minute
+	DefaultControlTimeout   = time.Second
+	DefaultLoadInterval     = 500 * time.Millisecond
+	DefaultHealthInterval   = time.Second
+	DefaultMaxRuns          = 4096
+	DefaultMaxReleases      = 32
+	DefaultMaxResponseBytes = 16 << 20
+	DefaultCancelRetries    = 4
+	DefaultCancelBackoff    = 50 * time.Millisecond
 )
 
 // Config holds the settings of a Runner. Zero values take the defaults above.
@@ -38,8 +38,8 @@
 	MaxRuns int
 	// MaxReleases bounds the cache releases in flight; others wait.
 	MaxReleases int
-	// MaxAnswer bounds an answer, in bytes.
-	MaxAnswer int64
+	// MaxResponseBytes bounds an answer, in bytes.
+	MaxResponseBytes int64
 	// CancelRetries is how often a failed cancel is repeated, and
 	// CancelBackoff the first wait.
 	CancelRetries uint64
@@ -55,7 +55,7 @@
 	c.HealthInterval = cmp.Or(c.HealthInterval, DefaultHealthInterval)
 	c.MaxRuns = cmp.Or(c.MaxRuns, DefaultMaxRuns)
 	c.MaxReleases = cmp.Or(c.MaxReleases, DefaultMaxReleases)
-	c.MaxAnswer = cmp.Or(c.MaxAnswer, DefaultMaxAnswer)
+	c.MaxResponseBytes = cmp.Or(c.MaxResponseBytes, DefaultMaxResponseBytes)
 	c.CancelRetries = cmp.Or(c.CancelRetries, DefaultCancelRetries)
 	c.CancelBackoff = cmp.Or(c.CancelBackoff, DefaultCancelBackoff)
 	if c.Now == nil {
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -29,7 +29,7 @@
 		return 0, nil, err
 	}
 	defer closeBody(reply.Body)
-	body, err = readBounded(reply.Body, r.cfg.MaxAnswer)
+	body, err = readBounded(reply.Body, r.cfg.MaxResponseBytes)
 	return reply.StatusCode, body, err
 }
 
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -10,8 +10,8 @@
 
 // Errors of a gate.
 var (
-	// ErrNotAfter is the error of a request that came too late to be sent.
-	ErrNotAfter = errors.New("the time to send the request has passed")
+	// ErrNotAfterPassed is the error of a request that came too late to be sent.
+	ErrNotAfterPassed = errors.New("the time to send the request has passed")
 	// errShut is the error of a write after the run was given up or was
 	// written to another connection.
 	errShut = errors.New("the request must not be sent any more")
@@ -50,7 +50,7 @@
 	now := g.now()
 	if !g.notAfter.IsZero() && now.After(g.notAfter) {
 		g.expired = true
-		return ErrNotAfter
+		return ErrNotAfterPassed
 	}
 	g.conn = conn
 	g.sentAt = now
--- a/internal/target/request.go
+++ b/internal/target/request.go
@@ -17,8 +17,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// ErrRequest is the error of a call that cannot be made into a request.
-var ErrRequest = errors.New("call cannot be sent")
+// ErrInvalidRequest is the error of a call that cannot be made into a request.
+var ErrInvalidRequest = errors.New("call cannot be sent")
 
 // methods lists the methods that a plain call may use.
 var methods = []string{
@@ -59,14 +59,14 @@
 func streamingBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
-		return nil, errors.Wrap(ErrRequest, "the body of a chat completion must be a JSON object")
+		return nil, errors.Wrap(ErrInvalidRequest, "the body of a chat completion must be a JSON object")
 	}
 	fields["stream"] = json.RawMessage("true")
 	var streaming bytes.Buffer
 	encoder := json.NewEncoder(&streaming)
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(fields); err != nil {
-		return nil, errors.Mark(err, ErrRequest)
+		return nil, errors.Mark(err, ErrInvalidRequest)
 	}
 	return streaming.Bytes(), nil
 }
@@ -74,11 +74,11 @@
 func newPlainRequest(ctx context.Context, command structs.StartRun) (*http.Request, error) {
 	call := command.Call
 	if !slices.Contains(methods, call.Method) {
-		return nil, errors.Wrapf(ErrRequest, "method %q is not allowed", call.Method)
+		return nil, errors.Wrapf(ErrInvalidRequest, "method %q is not allowed", call.Method)
 	}
 	path, err := url.ParseRequestURI(call.Path)
 	if err != nil || !strings.HasPrefix(call.Path, "/") || strings.HasPrefix(call.Path, "//") {
-		return nil, errors.Wrap(ErrRequest, "the path must begin with one / and be a valid request path")
+		return nil, errors.Wrap(ErrInvalidRequest, "the path must begin with one / and be a valid request path")
 	}
 	request, err := newSendOnce(ctx, call.Method, joinURL(command.Target.Address, path.RequestURI()), call.Body)
 	if err != nil {
@@ -99,7 +99,7 @@
 func newSendOnce(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return nil, errors.Mark(err, ErrRequest)
+		return nil, errors.Mark(err, ErrInvalidRequest)
 	}
 	request.ContentLength = int64(len(body))
 	request.Header.Set("User-Agent", userAgent)
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -25,10 +25,10 @@
 }
 
 func (r *Runner) resume(one *run, command structs.ResumeRun) result {
-	s := newChatStream(command.From, command.From, r.cfg.MaxAnswer)
+	s := newChatStream(command.From, command.From, r.cfg.MaxResponseBytes)
 	err := r.attach(one, command, s)
 	if errors.Is(err, errToolsCut) {
-		s = newChatStream(0, s.next, r.cfg.MaxAnswer)
+		s = newChatStream(0, s.next, r.cfg.MaxResponseBytes)
 		err = r.attach(one, command, s)
 	}
 	return s.end(one, err)
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -60,7 +60,7 @@
 
 func (r *run) notSentDetail(detail string) string {
 	if r.gate.late() {
-		return ErrNotAfter.Error()
+		return ErrNotAfterPassed.Error()
 	}
 	if cause := context.Cause(r.ctx); cause != nil {
 		return cause.Error()
--- a/internal/target/run_test.go
+++ b/internal/target/run_test.go
@@ -118,7 +118,7 @@
 			c.Call.Path, c.NotAfter = "/late", time.Now().Add(-time.Nanosecond)
 		}))
 		ended := next[structs.RunEnded](f)
-		if ended.Failure != structs.RunNotSent || ended.Detail != ErrNotAfter.Error() || len(f.requests("/late")) != 0 {
+		if ended.Failure != structs.RunNotSent || ended.Detail != ErrNotAfterPassed.Error() || len(f.requests("/late")) != 0 {
 			t.Fatalf("%+v, requests %v", ended, f.requests("/late"))
 		}
 		f.StartRun(f.plain("r", func(c *structs.StartRun) { c.NotAfter = time.Now().Add(time.Hour) }))
@@ -249,7 +249,7 @@
 			return
 		}
 		_, _ = w.Write(bytes.Repeat([]byte("x"), 200))
-	}, func(c *Config) { c.MaxAnswer = 100 })
+	}, func(c *Config) { c.MaxResponseBytes = 100 })
 	for _, command := range []structs.StartRun{f.plain("r"), f.chat("r")} {
 		f.StartRun(command)
 		ended := next[structs.RunEnded](f)
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -11,8 +11,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ErrAnswerTooLarge is the error of an answer above the limit.
-var ErrAnswerTooLarge = errors.New("answer of the target is too large")
+// ErrResponseTooLarge is the error of an answer above the limit.
+var ErrResponseTooLarge = errors.New("answer of the target is too large")
 
 // StartRun sends a call to a target, once. Its end comes as RunEnded.
 func (r *Runner) StartRun(command structs.StartRun) {
@@ -44,8 +44,8 @@
 
 // readPlain reads the answer of a tool or plain service.
 func (r *Runner) readPlain(one *run, reply *http.Response) result {
-	body, err := readBounded(reply.Body, r.cfg.MaxAnswer)
-	if errors.Is(err, ErrAnswerTooLarge) {
+	body, err := readBounded(reply.Body, r.cfg.MaxResponseBytes)
+	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
 			failure: structs.RunBroken, detail: err.Error(),
 			outcome: structs.Outcome{Reason: structs.ReasonTooLarge},
@@ -88,14 +88,14 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// readBounded reads a body; one above the limit is ErrAnswerTooLarge.
+// readBounded reads a body; one above the limit is ErrResponseTooLarge.
 func readBounded(body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, ErrAnswerTooLarge
+		return nil, ErrResponseTooLarge
 	}
 	return data, nil
 }
