--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,8 +25,8 @@
 	instance string
 	message  string
 	fields   map[string]any
-	// order is the line's place in the input, for equal times.
-	order int
+	// position is the line's place in the input, for equal times.
+	position int
 }
 
 // Timeline is what the logs say of a request or program.
@@ -48,7 +48,7 @@
 	}
 	// Instances' clocks differ by little; lines of one instance keep their
 	// order, as times of one clock grow.
-	slices.SortStableFunc(s.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.order, b.order)) })
+	slices.SortStableFunc(s.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.position, b.position)) })
 	return s, nil
 }
 
@@ -61,40 +61,40 @@
 		if start < 0 {
 			continue
 		}
-		s.take(text[start:])
+		s.addLine(text[start:])
 	}
 	return errors.Wrap(scanner.Err(), "read the log")
 }
 
-// take keeps a line if it concerns the id. Lines that are not JSON are skipped:
+// addLine keeps a line if it concerns the id. Lines that are not JSON are skipped:
 // logs hold other programs' lines too.
-func (s *Timeline) take(text []byte) {
-	concerns := bytes.Contains(text, []byte(s.id))
-	if !concerns && !bytes.Contains(text, []byte("log lines dropped")) {
+func (s *Timeline) addLine(text []byte) {
+	matches := bytes.Contains(text, []byte(s.id))
+	if !matches && !bytes.Contains(text, []byte("log lines dropped")) {
 		return
 	}
 	fields := make(map[string]any)
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return
 	}
-	if !concerns {
+	if !matches {
 		count, _ := fields["count"].(float64)
 		s.dropped += int(count)
 		return
 	}
-	l := line{message: textOf(fields["msg"]), instance: textOf(fields["instance"]), fields: fields, order: len(s.lines)}
-	at, err := time.Parse(time.RFC3339Nano, textOf(fields["time"]))
+	l := line{message: stringField(fields["msg"]), instance: stringField(fields["instance"]), fields: fields, position: len(s.lines)}
+	at, err := time.Parse(time.RFC3339Nano, stringField(fields["time"]))
 	if err == nil {
 		l.at = at
 	}
-	for _, shown := range []string{"time", "msg", "instance", "level"} {
-		delete(fields, shown)
+	for _, name := range []string{"time", "msg", "instance", "level"} {
+		delete(fields, name)
 	}
 	s.lines = append(s.lines, l)
 }
 
-// textOf is a field as text, empty if it is none.
-func textOf(v any) string {
+// stringField is a field as text, empty if it is none.
+func stringField(v any) string {
 	s, _ := v.(string)
 	return s
 }
@@ -128,13 +128,13 @@
 // Cause is the end of the story in a sentence.
 func (s *Timeline) Cause() string {
 	if len(s.lines) == 0 {
-		return s.missing()
+		return s.noMatch()
 	}
 	last := s.lastEnd()
 	if last == nil {
 		return "No line says how it ended: the instance may have ended first, or its answer was served as usual."
 	}
-	reason := textOf(last.fields["reason"])
+	reason := stringField(last.fields["reason"])
 	explained, ok := causes[reason]
 	if !ok {
 		explained = "it ended with reason " + reason
@@ -142,7 +142,7 @@
 	return "Cause: " + explained + "."
 }
 
-func (s *Timeline) missing() string {
+func (s *Timeline) noMatch() string {
 	text := "No line names " + s.id + ". A request that is served as usual has a line at level DEBUG only."
 	if s.dropped > 0 {
 		text += fmt.Sprintf(" %d lines were dropped.", s.dropped)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,7 +14,7 @@
 const logB = `{"time":"2026-08-03T15:19:37.200Z","level":"INFO","msg":"budget spent","instance":"m2","program":"p1","budget":900,"used":880,"charged":true}
 `
 
-func TestStoryOfAProgramAcrossInstances(t *testing.T) {
+func TestTimelineOfAProgramAcrossInstances(t *testing.T) {
 	s, err := Read("p1", strings.NewReader(logA), strings.NewReader(logB))
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestMissingStorySaysWhatIsMissing(t *testing.T) {
+func TestEmptyTimelineNamesTheID(t *testing.T) {
 	s, err := Read("unknown", strings.NewReader(logA))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -21,22 +21,22 @@
 	maxPieces = 256
 )
 
-// errUnfinished is the error of a chat stream that ends without a finish
+// errNoFinishReason is the error of a chat stream that ends without a finish
 // reason.
-var errUnfinished = errors.New("chat stream ended without a finish reason")
+var errNoFinishReason = errors.New("chat stream ended without a finish reason")
 
 // readChat reads the answer of an engine to a chat completion.
 func (r *Runner) readChat(one *run, reply *http.Response) result {
 	switch status := reply.StatusCode; {
 	case status == http.StatusOK:
 		s := newChatStream(0, 0, r.cfg.MaxResponseBytes)
-		return s.end(one, r.follow(one, reply.Body, s))
+		return s.result(one, r.follow(one, reply.Body, s))
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
-	case refusesRun(status):
+	case isRefusalStatus(status):
 		return result{failure: structs.RunNotSent, detail: "the engine refused the call: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
-		return r.readPlain(one, reply)
+		return r.readResponse(one, reply)
 	}
 	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(reply.StatusCode)}
 }
@@ -69,7 +69,7 @@
 // flush posts the pieces that were read since the last flush. It returns false
 // if the run ended first.
 func (r *Runner) flush(one *run, s *chatStream) bool {
-	chunk, ok := s.take()
+	chunk, ok := s.takePending()
 	if !ok {
 		return true
 	}
@@ -80,8 +80,8 @@
 	return r.sink.Deliver(one.ctx, structs.RunChunk{Run: one.id, Chunk: chunk})
 }
 
-// end makes the result of a stream that an error or its end stopped.
-func (s *chatStream) end(one *run, err error) result {
+// result makes the result of a stream that an error or its end stopped.
+func (s *chatStream) result(one *run, err error) result {
 	if s.finish == finishCancelled {
 		return result{failure: structs.RunCancelled, detail: "the engine says that the run was cancelled"}
 	}
@@ -95,36 +95,36 @@
 		}
 	}
 	if errors.Is(err, io.EOF) {
-		err = errUnfinished
+		err = errNoFinishReason
 	}
 	return one.failed(err)
 }
 
-// errToolsCut is the error of a stream that was resumed behind its first piece
+// errPartialToolCalls is the error of a stream that was resumed behind its first piece
 // and has tool calls: their beginning may lie before that piece.
-var errToolsCut = errors.New("tool calls in a stream that was resumed behind its first piece")
+var errPartialToolCalls = errors.New("tool calls in a stream that was resumed behind its first piece")
 
 // chatStream puts the pieces of a chat answer together, from index from on.
 // Those from index post on are given out.
 type chatStream struct {
-	from, post int
-	next       int
-	// blanks is the number of chunks without content that were seen from
+	from, deliverFrom int
+	next              int
+	// emptyChunks is the number of chunks without content that were seen from
 	// index next on. They count as empty pieces only if content follows at a
 	// higher index.
-	blanks  int
-	pending structs.Chunk
-	text    []byte
-	limit   int64
-	tools   toolCalls
-	finish  string
-	usage   wire.Usage
+	emptyChunks int
+	pending     structs.Chunk
+	text        []byte
+	limit       int64
+	tools       toolCalls
+	finish      string
+	usage       wire.Usage
 }
 
-func newChatStream(from, post int, limit int64) *chatStream {
+func newChatStream(from, deliverFrom int, limit int64) *chatStream {
 	return &chatStream{
-		from: from, post: post, next: from, limit: limit,
-		pending: structs.Chunk{First: post},
+		from: from, deliverFrom: deliverFrom, next: from, limit: limit,
+		pending: structs.Chunk{First: deliverFrom},
 	}
 }
 
@@ -155,25 +155,25 @@
 func (s *chatStream) addPiece(index int, choice wire.ChatChoice) error {
 	delta := choice.Delta
 	if delta == nil || (delta.Content == "" && len(delta.ToolCalls) == 0) {
-		if index == s.next+s.blanks && choice.FinishReason == nil {
-			s.blanks++
+		if index == s.next+s.emptyChunks && choice.FinishReason == nil {
+			s.emptyChunks++
 		}
 		return nil
 	}
 	if index < s.next {
 		return nil
 	}
-	if index > s.next+s.blanks {
+	if index > s.next+s.emptyChunks {
 		return errors.Newf("chat stream has a gap: piece %d where %d was due", index, s.next)
 	}
 	if s.from > 0 && len(delta.ToolCalls) > 0 {
-		return errToolsCut
+		return errPartialToolCalls
 	}
 	for s.next < index {
 		s.push("")
 	}
 	s.push(delta.Content)
-	s.blanks = 0
+	s.emptyChunks = 0
 	if len(s.text) > int(s.limit) {
 		return ErrResponseTooLarge
 	}
@@ -181,7 +181,7 @@
 }
 
 func (s *chatStream) push(text string) {
-	if s.next >= s.post {
+	if s.next >= s.deliverFrom {
 		s.pending.Texts = append(s.pending.Texts, text)
 	}
 	s.text = append(s.text, text...)
@@ -203,10 +203,10 @@
 	return len(s.pending.Texts) >= maxPieces || len(s.pending.ToolCalls) > 0
 }
 
-// take gives the pending pieces, false if there are none.
-func (s *chatStream) take() (structs.Chunk, bool) {
+// takePending gives the pending pieces, false if there are none.
+func (s *chatStream) takePending() (structs.Chunk, bool) {
 	chunk := s.pending
-	s.pending = structs.Chunk{First: max(s.next, s.post)}
+	s.pending = structs.Chunk{First: max(s.next, s.deliverFrom)}
 	return chunk, len(chunk.Texts) > 0
 }
 
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -84,7 +84,7 @@
 func withGate(ctx context.Context, g *gate) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			gated, ok := findGated(info.Conn)
+			gated, ok := unwrapGatedConn(info.Conn)
 			if !ok {
 				panic(errors.AssertionFailedf("connection of type %T without a gate", info.Conn))
 			}
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -62,11 +62,11 @@
 		return err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	status, answer, err := r.do(request)
+	status, responseBody, err := r.do(request)
 	if err != nil {
 		return err
 	}
-	return decodeOK(status, answer, reply)
+	return decodeOK(status, responseBody, reply)
 }
 
 func decodeOK(status int, body []byte, target any) error {
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestCacheEventsThatTheLoopDoesNotTakeAreAGap(t *testing.T) {
+func TestDroppedCacheEventsAreAGap(t *testing.T) {
 	f := newFake(t, nil)
 	w := &watch{runner: f.Runner, target: f.target(engineService)}
 	for range cap(f.events) {
@@ -143,13 +143,13 @@
 	}
 }
 
-func TestRestartCheckAsksForTheLastEvent(t *testing.T) {
+func TestRestartCheckRequestsTheLastEvent(t *testing.T) {
 	w := &watch{from: 5}
-	asked := make(map[uint64]int)
+	requested := make(map[uint64]int)
 	for range 2 * restartCheckPolls {
-		asked[w.askFrom()]++
+		requested[w.requestFrom()]++
 	}
-	if asked[4] != 2 || asked[5] != 2*restartCheckPolls-2 {
-		t.Fatal(asked)
+	if requested[4] != 2 || requested[5] != 2*restartCheckPolls-2 {
+		t.Fatal(requested)
 	}
 }
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -12,9 +12,9 @@
 var (
 	// ErrNotAfterPassed is the error of a request that came too late to be sent.
 	ErrNotAfterPassed = errors.New("the time to send the request has passed")
-	// errShut is the error of a write after the run was given up or was
+	// errGateClosed is the error of a write after the run was given up or was
 	// written to another connection.
-	errShut = errors.New("the request must not be sent any more")
+	errGateClosed = errors.New("the request must not be sent any more")
 )
 
 // gate lets the bytes of one request pass to one connection.
@@ -25,7 +25,7 @@
 	mu      sync.Mutex
 	conn    *gatedConn
 	sentAt  time.Time
-	isShut  bool
+	closed  bool
 	expired bool
 }
 
@@ -40,12 +40,12 @@
 	defer g.mu.Unlock()
 	if g.conn != nil {
 		if g.conn != conn {
-			return errShut
+			return errGateClosed
 		}
 		return nil
 	}
-	if g.isShut {
-		return errShut
+	if g.closed {
+		return errGateClosed
 	}
 	now := g.now()
 	if !g.notAfter.IsZero() && now.After(g.notAfter) {
@@ -57,16 +57,16 @@
 	return nil
 }
 
-// shut forbids a send from now on and tells whether there was one, and when.
-func (g *gate) shut() (sentAt time.Time, sent bool) {
+// close forbids a send from now on and tells whether there was one, and when.
+func (g *gate) close() (sentAt time.Time, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.isShut = true
+	g.closed = true
 	return g.sentAt, g.conn != nil
 }
 
-// late tells whether the send was refused because of NotAfter.
-func (g *gate) late() bool {
+// isExpired tells whether the send was refused because of NotAfter.
+func (g *gate) isExpired() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.expired
@@ -101,8 +101,8 @@
 	return c.Conn.Write(data)
 }
 
-// findGated gives the gatedConn below a connection of the HTTP transport.
-func findGated(conn net.Conn) (*gatedConn, bool) {
+// unwrapGatedConn gives the gatedConn below a connection of the HTTP transport.
+func unwrapGatedConn(conn net.Conn) (*gatedConn, bool) {
 	if gated, ok := conn.(*gatedConn); ok {
 		return gated, true
 	}
@@ -110,7 +110,7 @@
 	if !ok {
 		return nil, false
 	}
-	return findGated(layered.NetConn())
+	return unwrapGatedConn(layered.NetConn())
 }
 
 // sentTime gives the time of the send, false if there was none yet.
--- a/internal/target/harness_test.go
+++ b/internal/target/harness_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	patience      = 20 * time.Second
+	testTimeout   = 20 * time.Second
 	engineService = structs.ServiceName("mark-agents")
 	plainService  = structs.ServiceName("filing-desk")
 )
@@ -61,12 +61,12 @@
 	for _, change := range edit {
 		change(&cfg)
 	}
-	f.Runner = New(context.Background(), cfg, kindOf, f.post, tally.NoopScope, slog.New(slog.DiscardHandler))
+	f.Runner = New(context.Background(), cfg, serviceKind, f.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	t.Cleanup(f.Close)
 	return f
 }
 
-func kindOf(service structs.ServiceName) (structs.ServiceKind, bool) {
+func serviceKind(service structs.ServiceName) (structs.ServiceKind, bool) {
 	if service == engineService {
 		return structs.ServiceEngine, true
 	}
@@ -89,7 +89,7 @@
 // next returns the next event of a type and skips others.
 func next[E structs.Event](f *fake) E {
 	f.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case event := <-f.events:
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -74,7 +74,7 @@
 
 // notSent shuts the gate and tells whether the request never passed it.
 func notSent(g *gate) bool {
-	_, sent := g.shut()
+	_, sent := g.close()
 	return !sent
 }
 
--- a/internal/target/orders_test.go
+++ b/internal/target/orders_test.go
@@ -22,7 +22,7 @@
 		http.StatusTooManyRequests: structs.OrderFailed, http.StatusInternalServerError: structs.OrderFailed,
 	} {
 		order := wire.Order{Kind: wire.OrderLoadModel, Value: "m", Fencing: status}
-		f.SendOrder(structs.SendOrder{ID: 4, Target: f.target(engineService), Order: order, NotAfter: now.Add(patience)})
+		f.SendOrder(structs.SendOrder{ID: 4, Target: f.target(engineService), Order: order, NotAfter: now.Add(testTimeout)})
 		if got := next[structs.OrderSent](f); got.ID != 4 || got.Target != "t1" || got.Result != want {
 			t.Errorf("%d: %+v", status, got)
 		}
@@ -36,14 +36,14 @@
 		t.Errorf("late: %+v", got)
 	}
 	f.server.Close()
-	f.SendOrder(structs.SendOrder{ID: 6, Target: f.target(engineService), NotAfter: now.Add(patience)})
+	f.SendOrder(structs.SendOrder{ID: 6, Target: f.target(engineService), NotAfter: now.Add(testTimeout)})
 	if got := next[structs.OrderSent](f); got.Result != structs.OrderNotSent {
 		t.Errorf("no connection: %+v", got)
 	}
 }
 
 // An order whose answer is lost may have taken effect.
-func TestSendOrderWithoutAnAnswer(t *testing.T) {
+func TestSendOrderWithoutResponse(t *testing.T) {
 	f := newFake(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	f.SendOrder(structs.SendOrder{ID: 1, Target: f.target(engineService)})
 	if got := next[structs.OrderSent](f); got.Result != structs.OrderFailed || len(f.requests(wire.OrdersRoute)) != 1 {
--- a/internal/target/quiet_test.go
+++ b/internal/target/quiet_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-func TestQuietEnginesArePolledLessOften(t *testing.T) {
+func TestIdleEnginesArePolledLessOften(t *testing.T) {
 	cfg := Config{LoadInterval: 500 * time.Millisecond}.withDefaults()
-	w := &watch{runner: &Runner{cfg: cfg}, engine: true, quiet: 1}
+	w := &watch{runner: &Runner{cfg: cfg}, engine: true, idleFactor: 1}
 	for _, step := range []struct {
 		quiet bool
 		want  time.Duration
@@ -15,9 +15,9 @@
 		{true, time.Second}, {true, 2 * time.Second}, {true, 4 * time.Second}, {true, 4 * time.Second},
 		{false, 500 * time.Millisecond}, {true, time.Second},
 	} {
-		w.noteQuiet(step.quiet)
+		w.updateIdleFactor(step.quiet)
 		got := w.wait()
-		if got < step.want-step.want/jitterShare || got > step.want+step.want/jitterShare {
+		if got < step.want-step.want/jitterDivisor || got > step.want+step.want/jitterDivisor {
 			t.Fatalf("quiet %v: %s, want about %s", step.quiet, got, step.want)
 		}
 	}
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -27,11 +27,11 @@
 func (r *Runner) resume(one *run, command structs.ResumeRun) result {
 	s := newChatStream(command.From, command.From, r.cfg.MaxResponseBytes)
 	err := r.attach(one, command, s)
-	if errors.Is(err, errToolsCut) {
+	if errors.Is(err, errPartialToolCalls) {
 		s = newChatStream(0, s.next, r.cfg.MaxResponseBytes)
 		err = r.attach(one, command, s)
 	}
-	return s.end(one, err)
+	return s.result(one, err)
 }
 
 // attach reads a stream of an engine from the stream's first index on.
@@ -89,13 +89,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spawn(func() {
-		asked := r.askOutcome(command)
-		r.sink.Deliver(r.ctx, asked)
+		event := r.askOutcome(command)
+		r.sink.Deliver(r.ctx, event)
 	})
 }
 
 func (r *Runner) askOutcome(command structs.AskOutcome) structs.OutcomeAsked {
-	asked := structs.OutcomeAsked{Run: command.Run}
+	event := structs.OutcomeAsked{Run: command.Run}
 	ctx, cancel := context.WithTimeout(r.ctx, r.cfg.ControlTimeout)
 	defer cancel()
 	sent := structs.Call{Program: command.Program, Key: command.Key}
@@ -104,18 +104,18 @@
 	status, body, err := r.get(ctx, address)
 	if err != nil {
 		r.logger.Warn("outcome cannot be asked", "run", command.Run, "target", command.Target.ID, "error", err)
-		return asked
+		return event
 	}
 	if status == http.StatusNotFound {
-		asked.Reached = true
-		return asked
+		event.Reached = true
+		return event
 	}
 	var reply wire.OutcomeReply
 	if status != http.StatusOK || json.Unmarshal(body, &reply) != nil || reply.Status == 0 {
 		r.logger.Warn("unusable answer about an outcome", "run", command.Run, "target", command.Target.ID, "status", status)
-		return asked
+		return event
 	}
-	asked.Reached, asked.Found = true, true
-	asked.Outcome = plainAnswer(reply.Status, reply.ContentType, reply.Body)
-	return asked
+	event.Reached, event.Found = true, true
+	event.Outcome = responseOutcome(reply.Status, reply.ContentType, reply.Body)
+	return event
 }
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -45,7 +45,7 @@
 func (r *run) failed(err error) result {
 	detail := err.Error()
 	if r.gate != nil {
-		if _, sent := r.gate.shut(); !sent {
+		if _, sent := r.gate.close(); !sent {
 			return result{failure: structs.RunNotSent, detail: r.notSentDetail(detail)}
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 func (r *run) notSentDetail(detail string) string {
-	if r.gate.late() {
+	if r.gate.isExpired() {
 		return ErrNotAfterPassed.Error()
 	}
 	if cause := context.Cause(r.ctx); cause != nil {
@@ -84,7 +84,7 @@
 	timeout = cmp.Or(timeout, r.cfg.RunTimeout)
 	one := &run{id: id, target: target, gate: g, started: r.cfg.Now()}
 	if len(r.runs) >= r.cfg.MaxRuns {
-		r.spawn(func() { r.post(one, one.refused()) })
+		r.spawn(func() { r.deliverEnd(one, one.rejected()) })
 		return
 	}
 	one.ctx, one.cancel = context.WithCancelCause(r.ctx)
@@ -93,12 +93,12 @@
 	r.spawn(func() { r.execute(one, timeout, execute) })
 }
 
-// refused is the result of a run that was one too many.
-func (r *run) refused() result {
+// rejected is the result of a run that was one too many.
+func (r *run) rejected() result {
 	if r.gate == nil {
-		return result{failure: structs.RunBroken, detail: errTooMany.Error()}
+		return result{failure: structs.RunBroken, detail: errTooManyRuns.Error()}
 	}
-	return result{failure: structs.RunNotSent, detail: errTooMany.Error()}
+	return result{failure: structs.RunNotSent, detail: errTooManyRuns.Error()}
 }
 
 func (r *Runner) execute(one *run, timeout time.Duration, execute func(*run) result) {
@@ -110,11 +110,11 @@
 	r.mu.Lock()
 	delete(r.runs, one.id)
 	r.mu.Unlock()
-	r.post(one, ended)
+	r.deliverEnd(one, ended)
 }
 
-// post reports the end of a run.
-func (r *Runner) post(one *run, ended result) {
+// deliverEnd reports the end of a run.
+func (r *Runner) deliverEnd(one *run, ended result) {
 	took := r.cfg.Now().Sub(one.sentAt())
 	r.metrics.runsEnded[ended.failure].Inc(1)
 	r.metrics.took.Record(took)
--- a/internal/target/run_test.go
+++ b/internal/target/run_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-func TestShutGateAdmitsNothing(t *testing.T) {
+func TestClosedGateAdmitsNothing(t *testing.T) {
 	g := newGate(time.Time{}, time.Now)
-	if _, sent := g.shut(); sent {
+	if _, sent := g.close(); sent {
 		t.Fatal("sent")
 	}
 	if err := g.admit(new(gatedConn)); err == nil {
@@ -145,7 +145,7 @@
 	if g.admit(new(gatedConn)) == nil {
 		t.Fatal("a second connection is admitted")
 	}
-	if _, sent := g.shut(); !sent {
+	if _, sent := g.close(); !sent {
 		t.Fatal("not sent")
 	}
 }
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestTooLargeAnswers(t *testing.T) {
+func TestTooLargeResponses(t *testing.T) {
 	f := newFake(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == wire.ChatRoute {
 			write(w, piece(0, strings.Repeat("x", 200))+finish(1, "stop"))
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestRunInFlightIsNotBegunAgain(t *testing.T) {
+func TestRunInFlightIsNotStartedAgain(t *testing.T) {
 	proceed := make(chan struct{})
 	f := newFake(t, func(http.ResponseWriter, *http.Request) { <-proceed }, func(c *Config) { c.MaxRuns = 1 })
 	f.StartRun(f.plain("r"))
--- a/internal/target/runner.go
+++ b/internal/target/runner.go
@@ -14,9 +14,9 @@
 
 // Causes that end the context of a run.
 var (
-	errTimeout   = errors.New("timeout of the run")
-	errCancelled = errors.New("run cancelled")
-	errTooMany   = errors.New("too many runs in flight")
+	errTimeout     = errors.New("timeout of the run")
+	errCancelled   = errors.New("run cancelled")
+	errTooManyRuns = errors.New("too many runs in flight")
 )
 
 // KindResolver gives the kind of a service from the settings, false if they
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -39,11 +39,11 @@
 	if command.Call.Kind == structs.CallChat {
 		return r.readChat(one, reply)
 	}
-	return r.readPlain(one, reply)
+	return r.readResponse(one, reply)
 }
 
-// readPlain reads the answer of a tool or plain service.
-func (r *Runner) readPlain(one *run, reply *http.Response) result {
+// readResponse reads the answer of a tool or plain service.
+func (r *Runner) readResponse(one *run, reply *http.Response) result {
 	body, err := readBounded(reply.Body, r.cfg.MaxResponseBytes)
 	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
@@ -54,22 +54,22 @@
 	if err != nil {
 		return one.failed(err)
 	}
-	if saysNotRun(reply, body) {
+	if reportsNotRun(reply, body) {
 		return result{failure: structs.RunNotSent, detail: "the target says that it did not run the request"}
 	}
-	return result{outcome: plainAnswer(reply.StatusCode, reply.Header.Get("Content-Type"), body)}
+	return result{outcome: responseOutcome(reply.StatusCode, reply.Header.Get("Content-Type"), body)}
 }
 
-func plainAnswer(status int, contentType string, body []byte) structs.Outcome {
+func responseOutcome(status int, contentType string, body []byte) structs.Outcome {
 	return structs.Outcome{
 		Kind: structs.OutcomeAnswered, Status: status, ContentType: contentType, Body: body,
 	}
 }
 
-// saysNotRun tells whether a service refused a request before running it. Only
+// reportsNotRun tells whether a service refused a request before running it. Only
 // a problem document that says so counts.
-func saysNotRun(reply *http.Response, body []byte) bool {
-	if !refusesRun(reply.StatusCode) {
+func reportsNotRun(reply *http.Response, body []byte) bool {
+	if !isRefusalStatus(reply.StatusCode) {
 		return false
 	}
 	mediaType, _, err := mime.ParseMediaType(reply.Header.Get("Content-Type"))
@@ -82,9 +82,9 @@
 	return json.Unmarshal(body, &problem) == nil && problem.Outcome == "not-run"
 }
 
-// refusesRun tells whether a status is that of a refusal for overload or
+// isRefusalStatus tells whether a status is that of a refusal for overload or
 // unavailability.
-func refusesRun(status int) bool {
+func isRefusalStatus(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
--- a/internal/target/stream_test.go
+++ b/internal/target/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-func TestCutStreamIsResumedWithoutGap(t *testing.T) {
+func TestInterruptedStreamIsResumedWithoutGap(t *testing.T) {
 	const pieces = 20
 	f := newFake(t, func(w http.ResponseWriter, r *http.Request) {
 		from, cut := 0, pieces/2
@@ -165,7 +165,7 @@
 			if err != nil || s.add(data) != nil {
 				return
 			}
-			if chunk, ok := s.take(); ok {
+			if chunk, ok := s.takePending(); ok {
 				if chunk.First != next {
 					t.Fatalf("chunk from %d, wanted %d", chunk.First, next)
 				}
@@ -201,7 +201,7 @@
 }
 
 // The owner puts the text of a resumed run together from the pieces.
-func TestResumedRunWithoutAllPiecesIsNoAnswer(t *testing.T) {
+func TestResumedRunWithoutAllPiecesFails(t *testing.T) {
 	proceed := make(chan struct{})
 	f := newFake(t, func(w http.ResponseWriter, _ *http.Request) {
 		write(w, piece(0, "a"))
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -17,12 +17,12 @@
 // engine counts its cache events anew.
 const restartCheckPolls = 16
 
-// maxQuietFactor bounds the growth of an engine's poll interval while it has
+// maxIdleFactor bounds the growth of an engine's poll interval while it has
 // nothing to tell.
-const maxQuietFactor = 8
+const maxIdleFactor = 8
 
-// jitterShare is the part of a poll interval that jitter may add or take away.
-const jitterShare = 10
+// jitterDivisor is the part of a poll interval that jitter may add or take away.
+const jitterDivisor = 10
 
 // watch polls one target.
 type watch struct {
@@ -33,12 +33,12 @@
 	// from is the sequence of the next cache event. lost tells that events
 	// before it were lost since the last TargetCache.
 	from uint64
-	lost bool
-	// polls counts the polls since the last restart check; see askFrom.
+	gap  bool
+	// polls counts the polls since the last restart check; see requestFrom.
 	polls int
-	// quiet is the factor of the poll interval: it doubles with each poll that
+	// idleFactor is the factor of the poll interval: it doubles with each poll that
 	// shows an engine without work and without cache events.
-	quiet int
+	idleFactor int
 }
 
 // WatchTargets sets the targets that are polled. Engines report their load and
@@ -72,7 +72,7 @@
 		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	w := &watch{runner: r, target: target, engine: engine, cancel: cancel, quiet: 1}
+	w := &watch{runner: r, target: target, engine: engine, cancel: cancel, idleFactor: 1}
 	r.watches[target.ID] = w
 	r.spawn(func() { w.run(ctx) })
 }
@@ -95,20 +95,20 @@
 func (w *watch) wait() time.Duration {
 	interval := w.runner.cfg.HealthInterval
 	if w.engine {
-		interval = time.Duration(w.quiet) * w.runner.cfg.LoadInterval
+		interval = time.Duration(w.idleFactor) * w.runner.cfg.LoadInterval
 	}
-	jitter := interval / jitterShare
+	jitter := interval / jitterDivisor
 	return interval - jitter + rand.N(2*jitter+1)
 }
 
-// noteQuiet slows the polls of an engine that has nothing to tell down, and
+// updateIdleFactor slows the polls of an engine that has nothing to tell down, and
 // speeds them up at once when it has.
-func (w *watch) noteQuiet(quiet bool) {
-	if !quiet {
-		w.quiet = 1
+func (w *watch) updateIdleFactor(idle bool) {
+	if !idle {
+		w.idleFactor = 1
 		return
 	}
-	w.quiet = min(2*w.quiet, maxQuietFactor)
+	w.idleFactor = min(2*w.idleFactor, maxIdleFactor)
 }
 
 func (w *watch) poll(ctx context.Context) {
@@ -121,7 +121,7 @@
 	}
 	w.runner.metrics.pollsFailed.Inc(1)
 	w.polls = restartCheckPolls
-	w.quiet = 1
+	w.idleFactor = 1
 	w.runner.sink.Offer(structs.TargetUnreachable{Target: w.target.ID})
 }
 
@@ -151,19 +151,19 @@
 	}
 	w.runner.sink.Offer(structs.TargetLoad{Target: w.target.ID, Load: load})
 	var page wire.CacheEvents
-	address := joinURL(w.target.Address, wire.CacheEventsRoute) + "?from=" + strconv.FormatUint(w.askFrom(), 10)
+	address := joinURL(w.target.Address, wire.CacheEventsRoute) + "?from=" + strconv.FormatUint(w.requestFrom(), 10)
 	if err := w.runner.getJSON(ctx, address, &page); err != nil {
 		return err
 	}
-	w.noteQuiet(load.Running+load.Waiting == 0 && len(page.Events) == 0)
+	w.updateIdleFactor(load.Running+load.Waiting == 0 && len(page.Events) == 0)
 	w.report(page)
 	return nil
 }
 
-// askFrom gives the sequence to ask for. After a failed poll, and every so often,
+// requestFrom gives the sequence to ask for. After a failed poll, and every so often,
 // it is that of the last event known: an engine that was restarted and has fewer
 // events does not know it.
-func (w *watch) askFrom() uint64 {
+func (w *watch) requestFrom() uint64 {
 	w.polls++
 	if w.from == 0 || w.polls < restartCheckPolls {
 		return w.from
@@ -177,27 +177,27 @@
 func (w *watch) report(page wire.CacheEvents) {
 	if page.Next < w.from {
 		// The engine counts anew: it was restarted.
-		w.from, w.lost = 0, true
+		w.from, w.gap = 0, true
 		return
 	}
-	var fresh []wire.CacheEvent
+	var newEvents []wire.CacheEvent
 	for _, event := range page.Events {
 		if event.Sequence < w.from {
 			continue
 		}
-		w.lost = w.lost || event.Sequence > w.from
-		fresh = append(fresh, event)
+		w.gap = w.gap || event.Sequence > w.from
+		newEvents = append(newEvents, event)
 		w.from = event.Sequence + 1
 	}
 	if page.Next > w.from {
-		w.from, w.lost = page.Next, true
+		w.from, w.gap = page.Next, true
 	}
-	if len(fresh) == 0 && !w.lost {
+	if len(newEvents) == 0 && !w.gap {
 		return
 	}
-	if w.lost {
+	if w.gap {
 		w.runner.metrics.cacheGaps.Inc(1)
 	}
-	taken := w.runner.sink.Offer(structs.TargetCache{Target: w.target.ID, Gap: w.lost, Events: fresh})
-	w.lost = !taken
+	delivered := w.runner.sink.Offer(structs.TargetCache{Target: w.target.ID, Gap: w.gap, Events: newEvents})
+	w.gap = !delivered
 }
