--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -26,24 +26,24 @@
 var errNoFinishReason = errors.New("chat stream ended without a finish reason")
 
 // readChat reads the answer of an engine to a chat completion.
-func (r *Runner) readChat(one *run, reply *http.Response) result {
+func (r *Runner) readChat(run *activeRun, reply *http.Response) result {
 	switch status := reply.StatusCode; {
 	case status == http.StatusOK:
 		s := newChatStream(0, 0, r.cfg.MaxResponseBytes)
-		return s.result(one, r.follow(one, reply.Body, s))
+		return s.result(run, r.follow(run, reply.Body, s))
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
 	case isRefusalStatus(status):
 		return result{failure: structs.RunNotSent, detail: "the engine refused the call: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
-		return r.readResponse(one, reply)
+		return r.readResponse(run, reply)
 	}
 	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(reply.StatusCode)}
 }
 
 // follow reads a chat stream to its end, posts the pieces as they come and
 // returns what ended it: io.EOF, or an error.
-func (r *Runner) follow(one *run, body io.Reader, s *chatStream) error {
+func (r *Runner) follow(run *activeRun, body io.Reader, s *chatStream) error {
 	events := newEventReader(body)
 	for {
 		data, err := events.next()
@@ -54,11 +54,11 @@
 		}
 		posted := true
 		if err != nil || s.mustFlush() || !events.ready() {
-			posted = r.flush(one, s)
+			posted = r.flush(run, s)
 		}
-		if !posted && one.gate == nil {
+		if !posted && run.gate == nil {
 			// The owner needs each piece of a resumed run.
-			return context.Cause(one.ctx)
+			return context.Cause(run.ctx)
 		}
 		if err != nil {
 			return err
@@ -68,20 +68,20 @@
 
 // flush posts the pieces that were read since the last flush. It returns false
 // if the run ended first.
-func (r *Runner) flush(one *run, s *chatStream) bool {
+func (r *Runner) flush(run *activeRun, s *chatStream) bool {
 	chunk, ok := s.takePending()
 	if !ok {
 		return true
 	}
-	if one.firstToken == 0 {
-		one.firstToken = r.cfg.Now().Sub(one.sentAt())
-		r.metrics.firstToken.Record(one.firstToken)
+	if run.firstToken == 0 {
+		run.firstToken = r.cfg.Now().Sub(run.sentAt())
+		r.metrics.firstToken.Record(run.firstToken)
 	}
-	return r.sink.Deliver(one.ctx, structs.RunChunk{Run: one.id, Chunk: chunk})
+	return r.sink.Deliver(run.ctx, structs.RunChunk{Run: run.id, Chunk: chunk})
 }
 
 // result makes the result of a stream that an error or its end stopped.
-func (s *chatStream) result(one *run, err error) result {
+func (s *chatStream) result(run *activeRun, err error) result {
 	if s.finish == finishCancelled {
 		return result{failure: structs.RunCancelled, detail: "the engine says that the run was cancelled"}
 	}
@@ -97,7 +97,7 @@
 	if errors.Is(err, io.EOF) {
 		err = errNoFinishReason
 	}
-	return one.failed(err)
+	return run.failed(err)
 }
 
 // errPartialToolCalls is the error of a stream that was resumed behind its first piece
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -19,25 +19,25 @@
 // stream is read again from its first piece, so that the outcome holds them
 // whole, and only the pieces from the index on are posted.
 func (r *Runner) ResumeRun(command structs.ResumeRun) {
-	r.begin(command.Run, command.Target.ID, command.Timeout, nil, func(one *run) result {
-		return r.resume(one, command)
+	r.begin(command.Run, command.Target.ID, command.Timeout, nil, func(run *activeRun) result {
+		return r.resume(run, command)
 	})
 }
 
-func (r *Runner) resume(one *run, command structs.ResumeRun) result {
+func (r *Runner) resume(run *activeRun, command structs.ResumeRun) result {
 	s := newChatStream(command.From, command.From, r.cfg.MaxResponseBytes)
-	err := r.attach(one, command, s)
+	err := r.attach(run, command, s)
 	if errors.Is(err, errPartialToolCalls) {
 		s = newChatStream(0, s.next, r.cfg.MaxResponseBytes)
-		err = r.attach(one, command, s)
+		err = r.attach(run, command, s)
 	}
-	return s.result(one, err)
+	return s.result(run, err)
 }
 
 // attach reads a stream of an engine from the stream's first index on.
-func (r *Runner) attach(one *run, command structs.ResumeRun, s *chatStream) error {
+func (r *Runner) attach(run *activeRun, command structs.ResumeRun, s *chatStream) error {
 	address := streamURL(command.Target, command.Run) + "?from=" + strconv.Itoa(s.from)
-	request, err := http.NewRequestWithContext(one.ctx, http.MethodGet, address, nil)
+	request, err := http.NewRequestWithContext(run.ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if reply.StatusCode != http.StatusOK {
 		return errors.Newf("the engine cannot resume the stream: %s", http.StatusText(reply.StatusCode))
 	}
-	return r.follow(one, reply.Body, s)
+	return r.follow(run, reply.Body, s)
 }
 
 func streamURL(target structs.Target, id structs.RunID) string {
@@ -62,8 +62,8 @@
 	engine := r.isEngine(command.Target)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if one := r.runs[command.Run]; one != nil {
-		one.cancel(errCancelled)
+	if run := r.runs[command.Run]; run != nil {
+		run.cancel(errCancelled)
 	}
 	if engine {
 		r.spawn(func() { r.cancelStream(command) })
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -10,8 +10,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// run is one run in flight.
-type run struct {
+// activeRun is one run in flight.
+type activeRun struct {
 	id     structs.RunID
 	target structs.TargetID
 	ctx    context.Context
@@ -24,7 +24,7 @@
 }
 
 // sentAt is when the request was sent, or when the run started.
-func (r *run) sentAt() time.Time {
+func (r *activeRun) sentAt() time.Time {
 	if r.gate == nil {
 		return r.started
 	}
@@ -42,7 +42,7 @@
 }
 
 // failed makes the result of a run that an error ended.
-func (r *run) failed(err error) result {
+func (r *activeRun) failed(err error) result {
 	detail := err.Error()
 	if r.gate != nil {
 		if _, sent := r.gate.close(); !sent {
@@ -58,7 +58,7 @@
 	return result{failure: structs.RunBroken, detail: detail}
 }
 
-func (r *run) notSentDetail(detail string) string {
+func (r *activeRun) notSentDetail(detail string) string {
 	if r.gate.isExpired() {
 		return ErrNotAfterPassed.Error()
 	}
@@ -70,7 +70,7 @@
 
 // begin registers a run and executes it. A run that is in flight already is not
 // begun again.
-func (r *Runner) begin(id structs.RunID, target structs.TargetID, timeout time.Duration, g *gate, execute func(*run) result) {
+func (r *Runner) begin(id structs.RunID, target structs.TargetID, timeout time.Duration, g *gate, execute func(*activeRun) result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -82,49 +82,49 @@
 		return
 	}
 	timeout = cmp.Or(timeout, r.cfg.RunTimeout)
-	one := &run{id: id, target: target, gate: g, started: r.cfg.Now()}
+	run := &activeRun{id: id, target: target, gate: g, started: r.cfg.Now()}
 	if len(r.runs) >= r.cfg.MaxRuns {
-		r.spawn(func() { r.deliverEnd(one, one.rejected()) })
+		r.spawn(func() { r.deliverEnd(run, run.rejected()) })
 		return
 	}
-	one.ctx, one.cancel = context.WithCancelCause(r.ctx)
-	r.runs[id] = one
+	run.ctx, run.cancel = context.WithCancelCause(r.ctx)
+	r.runs[id] = run
 	r.metrics.runsStarted.Inc(1)
-	r.spawn(func() { r.execute(one, timeout, execute) })
+	r.spawn(func() { r.execute(run, timeout, execute) })
 }
 
 // rejected is the result of a run that was one too many.
-func (r *run) rejected() result {
+func (r *activeRun) rejected() result {
 	if r.gate == nil {
 		return result{failure: structs.RunBroken, detail: errTooManyRuns.Error()}
 	}
 	return result{failure: structs.RunNotSent, detail: errTooManyRuns.Error()}
 }
 
-func (r *Runner) execute(one *run, timeout time.Duration, execute func(*run) result) {
-	ctx, stop := context.WithTimeoutCause(one.ctx, timeout, errTimeout)
+func (r *Runner) execute(run *activeRun, timeout time.Duration, execute func(*activeRun) result) {
+	ctx, stop := context.WithTimeoutCause(run.ctx, timeout, errTimeout)
 	defer stop()
-	one.ctx = ctx
-	ended := execute(one)
-	one.cancel(nil)
+	run.ctx = ctx
+	ended := execute(run)
+	run.cancel(nil)
 	r.mu.Lock()
-	delete(r.runs, one.id)
+	delete(r.runs, run.id)
 	r.mu.Unlock()
-	r.deliverEnd(one, ended)
+	r.deliverEnd(run, ended)
 }
 
 // deliverEnd reports the end of a run.
-func (r *Runner) deliverEnd(one *run, ended result) {
-	took := r.cfg.Now().Sub(one.sentAt())
+func (r *Runner) deliverEnd(run *activeRun, ended result) {
+	took := r.cfg.Now().Sub(run.sentAt())
 	r.metrics.runsEnded[ended.failure].Inc(1)
 	r.metrics.took.Record(took)
 	if ended.failure != structs.RunOK {
-		r.logger.Warn("run failed", "run", one.id, "target", one.target,
+		r.logger.Warn("run failed", "run", run.id, "target", run.target,
 			"failure", failureNames[ended.failure], "detail", ended.detail)
 	}
 	r.sink.Deliver(r.ctx, structs.RunEnded{
-		Run: one.id, Target: one.target, Failure: ended.failure,
+		Run: run.id, Target: run.target, Failure: ended.failure,
 		Outcome: ended.outcome, Detail: ended.detail,
-		Took: took, FirstToken: one.firstToken,
+		Took: took, FirstToken: run.firstToken,
 	})
 }
--- a/internal/target/runner.go
+++ b/internal/target/runner.go
@@ -42,7 +42,7 @@
 
 	mu        sync.Mutex
 	closed    bool
-	runs      map[structs.RunID]*run
+	runs      map[structs.RunID]*activeRun
 	releasing map[releaseKey]struct{}
 	watches   map[structs.TargetID]*watch
 }
@@ -99,7 +99,7 @@
 		releases:  make(chan struct{}, cfg.MaxReleases),
 		ctx:       ctx,
 		cancel:    cancel,
-		runs:      make(map[structs.RunID]*run),
+		runs:      make(map[structs.RunID]*activeRun),
 		releasing: make(map[releaseKey]struct{}),
 		watches:   make(map[structs.TargetID]*watch),
 	}
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -17,15 +17,15 @@
 // StartRun sends a call to a target, once. Its end comes as RunEnded.
 func (r *Runner) StartRun(command structs.StartRun) {
 	g := newGate(command.NotAfter, r.cfg.Now)
-	r.begin(command.Run, command.Target.ID, command.Timeout, g, func(one *run) result {
-		return r.runCall(one, command)
+	r.begin(command.Run, command.Target.ID, command.Timeout, g, func(run *activeRun) result {
+		return r.runCall(run, command)
 	})
 }
 
-func (r *Runner) runCall(one *run, command structs.StartRun) result {
-	request, err := newRunRequest(withGate(one.ctx, one.gate), command)
+func (r *Runner) runCall(run *activeRun, command structs.StartRun) result {
+	request, err := newRunRequest(withGate(run.ctx, run.gate), command)
 	if err != nil {
-		return one.failed(err)
+		return run.failed(err)
 	}
 	client := r.clients.repeatable
 	if command.Call.NotRepeatable {
@@ -33,17 +33,17 @@
 	}
 	reply, err := client.Do(request)
 	if err != nil {
-		return one.failed(err)
+		return run.failed(err)
 	}
 	defer closeBody(reply.Body)
 	if command.Call.Kind == structs.CallChat {
-		return r.readChat(one, reply)
+		return r.readChat(run, reply)
 	}
-	return r.readResponse(one, reply)
+	return r.readResponse(run, reply)
 }
 
 // readResponse reads the answer of a tool or plain service.
-func (r *Runner) readResponse(one *run, reply *http.Response) result {
+func (r *Runner) readResponse(run *activeRun, reply *http.Response) result {
 	body, err := readBounded(reply.Body, r.cfg.MaxResponseBytes)
 	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
@@ -52,7 +52,7 @@
 		}
 	}
 	if err != nil {
-		return one.failed(err)
+		return run.failed(err)
 	}
 	if reportsNotRun(reply, body) {
 		return result{failure: structs.RunNotSent, detail: "the target says that it did not run the request"}
