--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -17,15 +17,13 @@
 	endOfStream = "[DONE]"
 	// finishCancelled is the finish reason of a stream that was cancelled.
 	finishCancelled = "cancelled"
-	// maxPieces bounds the pieces of one RunChunk.
+	// maxPieces is the maximum number of pieces in a RunChunk.
 	maxPieces = 256
 )
 
-// errNoFinishReason is the error of a chat stream that ends without a finish
-// reason.
 var errNoFinishReason = errors.New("chat stream ended without a finish reason")
 
-// readChat reads the answer of an engine to a chat completion.
+// readChat reads an engine's response to a chat completion.
 func (r *Runner) readChat(run *activeRun, reply *http.Response) result {
 	switch status := reply.StatusCode; {
 	case status == http.StatusOK:
@@ -34,15 +32,15 @@
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
 	case isRefusalStatus(status):
-		return result{failure: structs.RunNotSent, detail: "the engine refused the call: " + http.StatusText(status)}
+		return result{failure: structs.RunNotSent, detail: "the engine refused the request: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
 		return r.readResponse(run, reply)
 	}
 	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(reply.StatusCode)}
 }
 
-// follow reads a chat stream to its end, posts the pieces as they come and
-// returns what ended it: io.EOF, or an error.
+// follow reads a chat stream to its end and delivers the pieces as they arrive.
+// It returns io.EOF at the end of the stream, else the error that ended it.
 func (r *Runner) follow(run *activeRun, body io.Reader, s *chatStream) error {
 	events := newEventReader(body)
 	for {
@@ -52,12 +50,12 @@
 		} else if err == nil {
 			err = io.EOF
 		}
-		posted := true
+		delivered := true
 		if err != nil || s.mustFlush() || !events.ready() {
-			posted = r.flush(run, s)
+			delivered = r.flush(run, s)
 		}
-		if !posted && run.gate == nil {
-			// The owner needs each piece of a resumed run.
+		if !delivered && run.gate == nil {
+			// The owner assembles a resumed run from its pieces and needs all of them.
 			return context.Cause(run.ctx)
 		}
 		if err != nil {
@@ -66,8 +64,7 @@
 	}
 }
 
-// flush posts the pieces that were read since the last flush. It returns false
-// if the run ended first.
+// flush delivers the pending pieces. It returns false if the run ended first.
 func (r *Runner) flush(run *activeRun, s *chatStream) bool {
 	chunk, ok := s.takePending()
 	if !ok {
@@ -80,10 +77,10 @@
 	return r.sink.Deliver(run.ctx, structs.RunChunk{Run: run.id, Chunk: chunk})
 }
 
-// result makes the result of a stream that an error or its end stopped.
+// result returns the result of a stream that ended with err, io.EOF for its end.
 func (s *chatStream) result(run *activeRun, err error) result {
 	if s.finish == finishCancelled {
-		return result{failure: structs.RunCancelled, detail: "the engine says that the run was cancelled"}
+		return result{failure: structs.RunCancelled, detail: "the engine reports that the run was cancelled"}
 	}
 	if errors.Is(err, io.EOF) && s.finish != "" {
 		return result{outcome: s.outcome()}
@@ -100,18 +97,18 @@
 	return run.failed(err)
 }
 
-// errPartialToolCalls is the error of a stream that was resumed behind its first piece
-// and has tool calls: their beginning may lie before that piece.
-var errPartialToolCalls = errors.New("tool calls in a stream that was resumed behind its first piece")
+// errPartialToolCalls is returned for tool calls in a stream that was not read from
+// its first piece: their beginning may be missing.
+var errPartialToolCalls = errors.New("tool calls in a stream that was resumed after its first piece")
 
-// chatStream puts the pieces of a chat answer together, from index from on.
-// Those from index post on are given out.
+// chatStream assembles the pieces of a chat response from index from on. Those
+// from index deliverFrom on are delivered.
 type chatStream struct {
 	from, deliverFrom int
 	next              int
-	// emptyChunks is the number of chunks without content that were seen from
-	// index next on. They count as empty pieces only if content follows at a
-	// higher index.
+	// emptyChunks is the number of consecutive chunks without content from index
+	// next on. They count as empty pieces only if content follows at a higher
+	// index.
 	emptyChunks int
 	pending     structs.Chunk
 	text        []byte
@@ -128,11 +125,11 @@
 	}
 }
 
-// add takes one event of the stream.
+// add processes the data of one event.
 func (s *chatStream) add(data []byte) error {
 	var chunk wire.ChatChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return errors.Wrap(err, "chat chunk")
+		return errors.Wrap(err, "decode a chat chunk")
 	}
 	if chunk.Usage != nil {
 		s.usage = *chunk.Usage
@@ -150,8 +147,8 @@
 	return nil
 }
 
-// addPiece adds the piece of a chunk if it has one. A piece seen before is
-// dropped, one that leaves a gap is an error.
+// addPiece adds the piece of a chunk, if it has one. It ignores a duplicate and
+// returns an error for a gap.
 func (s *chatStream) addPiece(index int, choice wire.ChatChoice) error {
 	delta := choice.Delta
 	if delta == nil || (delta.Content == "" && len(delta.ToolCalls) == 0) {
@@ -164,7 +161,7 @@
 		return nil
 	}
 	if index > s.next+s.emptyChunks {
-		return errors.Newf("chat stream has a gap: piece %d where %d was due", index, s.next)
+		return errors.Newf("gap in the chat stream: got piece %d, expected %d", index, s.next)
 	}
 	if s.from > 0 && len(delta.ToolCalls) > 0 {
 		return errPartialToolCalls
@@ -198,12 +195,14 @@
 	return s.tools.merge(delta)
 }
 
-// mustFlush tells whether no further piece may join the pending ones.
+// mustFlush reports whether the pending pieces must be delivered before the next one
+// is added.
 func (s *chatStream) mustFlush() bool {
 	return len(s.pending.Texts) >= maxPieces || len(s.pending.ToolCalls) > 0
 }
 
-// takePending gives the pending pieces, false if there are none.
+// takePending returns and clears the pending pieces. It returns false if there are
+// none.
 func (s *chatStream) takePending() (structs.Chunk, bool) {
 	chunk := s.pending
 	s.pending = structs.Chunk{First: max(s.next, s.deliverFrom)}
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -22,8 +22,8 @@
 
 // clients are the HTTP clients of a Runner.
 type clients struct {
-	// repeatable sends the runs of repeatable calls, single those of
-	// not-repeatable ones, each on a connection of its own. Both are gated.
+	// repeatable sends the runs of repeatable calls. single sends those of
+	// not-repeatable ones, each on a new connection. Both are gated.
 	repeatable *http.Client
 	single     *http.Client
 	// control sends all other requests.
@@ -56,8 +56,8 @@
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// newTransport makes a transport for HTTP/1.1 only, where a connection serves
-// one request at a time.
+// newTransport returns a transport limited to HTTP/1.1, where a connection serves
+// one request at a time, as the gate requires.
 func newTransport(cfg Config, dial dialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -72,7 +72,7 @@
 	}
 }
 
-// newClient makes a client that takes a redirect for an answer.
+// newClient returns a client that does not follow redirects.
 func newClient(transport *http.Transport) *http.Client {
 	return &http.Client{
 		Transport:     transport,
@@ -80,7 +80,7 @@
 	}
 }
 
-// withGate binds the gate to the connection that a request gets.
+// withGate binds the gate to the connection that the request is assigned.
 func withGate(ctx context.Context, g *gate) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -93,8 +93,8 @@
 	})
 }
 
-// drainLimit is how much of an unread body is read so that the connection can
-// be used again, in bytes.
+// drainLimit is the number of unread body bytes to discard so that the connection
+// can be reused.
 const drainLimit = 64 << 10
 
 func closeBody(body io.ReadCloser) {
--- a/internal/target/config.go
+++ b/internal/target/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults of a Config.
+// Default values of the fields of Config.
 const (
 	DefaultRunTimeout       = time.Minute
 	DefaultControlTimeout   = time.Second
@@ -19,32 +19,32 @@
 	DefaultCancelBackoff    = 50 * time.Millisecond
 )
 
-// Config holds the settings of a Runner. Zero values take the defaults above.
+// Config holds the settings of a Runner. Zero fields take the default values.
 type Config struct {
-	// TLS is used for targets with an https address; nil takes the system's
+	// TLS is used for targets with an https address; nil selects the system's
 	// certificate authorities.
 	TLS *tls.Config
-	// RunTimeout bounds a run whose command gives no timeout.
+	// RunTimeout applies to a run whose command has no timeout.
 	RunTimeout time.Duration
-	// ControlTimeout bounds a dial, and each request that is not a run.
+	// ControlTimeout applies to a dial, and to each request that is not a run.
 	ControlTimeout time.Duration
-	// LoadInterval is the time between two polls of an engine's load and
-	// cache events, HealthInterval between two health checks of another
-	// target. An engine without work and events is polled up to eight times
-	// less often. Jitter changes both by up to a tenth.
+	// LoadInterval is the interval between polls of an engine's load and cache
+	// events. It grows by a factor of up to maxIdleFactor while the engine is
+	// idle. HealthInterval is the interval between health checks of other
+	// targets. Jitter is applied to both.
 	LoadInterval   time.Duration
 	HealthInterval time.Duration
-	// MaxRuns bounds the runs in flight; one more is RunNotSent.
+	// MaxRuns is the maximum number of runs in flight. Further runs are refused.
 	MaxRuns int
-	// MaxReleases bounds the cache releases in flight; others wait.
+	// MaxReleases is the maximum number of cache releases in flight. Others wait.
 	MaxReleases int
-	// MaxResponseBytes bounds an answer, in bytes.
+	// MaxResponseBytes is the size limit of a response.
 	MaxResponseBytes int64
-	// CancelRetries is how often a failed cancel is repeated, and
-	// CancelBackoff the first wait.
+	// CancelRetries is the maximum number of retries of a failed cancel, and
+	// CancelBackoff the delay before the first one.
 	CancelRetries uint64
 	CancelBackoff time.Duration
-	// Now is the clock of NotAfter; nil is time.Now.
+	// Now returns the current time; nil selects time.Now.
 	Now func() time.Time
 }
 
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -13,7 +13,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// get makes a GET request and returns the status and the bounded body.
+// get sends a GET request and returns the status and the body.
 func (r *Runner) get(ctx context.Context, address string) (status int, body []byte, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return reply.StatusCode, body, err
 }
 
-// getJSON makes a GET request and decodes the answer, which must be 200.
+// getJSON sends a GET request and decodes the response, which must have status 200.
 func (r *Runner) getJSON(ctx context.Context, address string, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.ControlTimeout)
 	defer cancel()
@@ -44,8 +44,8 @@
 	return decodeOK(status, body, target)
 }
 
-// postJSON posts a value, nil for no body, and decodes the answer, which must
-// be 200, into reply unless that is nil.
+// postJSON posts value, nil for no body, and decodes the response, which must have
+// status 200, into reply unless that is nil.
 func (r *Runner) postJSON(address string, value, reply any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, r.cfg.ControlTimeout)
 	defer cancel()
@@ -79,14 +79,14 @@
 	return json.Unmarshal(body, target)
 }
 
-// releaseKey names a cache release in flight.
+// releaseKey identifies a cache release in flight.
 type releaseKey struct {
 	target  structs.TargetID
 	program structs.ProgramID
 }
 
-// ReleaseCache asks a target to drop a program's cache. The answer is
-// CacheReleased; a second command while the first is in flight shares it.
+// ReleaseCache requests a target to drop a program's cache and delivers the result
+// as CacheReleased. A command while the same release is in flight is ignored.
 func (r *Runner) ReleaseCache(command structs.ReleaseCache) {
 	key := releaseKey{target: command.Target.ID, program: command.Program}
 	r.mu.Lock()
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -111,7 +111,7 @@
 		{wire.CacheEvents{Events: cacheEvents(1, 3), Next: 4}, &structs.TargetCache{Gap: true, Events: cacheEvents(3)}},
 		{wire.CacheEvents{Events: cacheEvents(4), Next: 5}, &structs.TargetCache{Events: cacheEvents(4)}},
 		{wire.CacheEvents{Next: 7}, &structs.TargetCache{Gap: true}},
-		// The engine was restarted: it does not know the sequence.
+		// The engine was restarted: its sequence is lower.
 		{wire.CacheEvents{Next: 6}, nil},
 		{wire.CacheEvents{Events: cacheEvents(0), Next: 1}, &structs.TargetCache{Gap: true, Events: cacheEvents(0)}},
 	} {
@@ -124,7 +124,7 @@
 		default:
 		}
 		if !reflect.DeepEqual(got, c.want) {
-			t.Fatalf("page %d: got %+v, wanted %+v", i, got, c.want)
+			t.Fatalf("page %d: got %+v, want %+v", i, got, c.want)
 		}
 	}
 }
--- a/internal/target/doc.go
+++ b/internal/target/doc.go
@@ -1,29 +1,28 @@
-// Package target carries out the core's commands towards targets: model
-// engines, tool services and plain services. It holds no policy.
+// Package target executes the core's commands on targets: model engines, tool
+// services and plain services. It contains no policy.
 //
-// # One send
+// # At-most-once send
 //
-// StartRun sends its request once. The HTTP transport must not repeat it, so
-// the request's body cannot be rewound, and a gate at the connection lets the
-// bytes of one request pass to one connection only. The gate also checks
-// NotAfter directly before the first byte is written, and it is what tells
-// RunNotSent (no byte was written) from the failures after which the call may
-// have run. A not-repeatable call uses a connection of its own: on a connection
-// that was used before, the target's closing it looks like a lost answer.
+// StartRun sends its request at most once. To keep the HTTP transport from
+// retrying, the request's body cannot be rewound, and a gate lets the bytes of a
+// request pass to a single connection only. The gate also checks NotAfter directly
+// before the first byte is written, and distinguishes RunNotSent (no byte was
+// written) from the failures after which the call may have run. A not-repeatable
+// call uses a new connection: on a reused one, a connection that the target closed
+// while idle is indistinguishable from a lost response.
 //
-// A pause of the process between the check of NotAfter and the system call that
-// writes cannot be excluded: NotAfter bounds when a request is sent as long as
-// the process runs, and nothing that must be safe may rest on it.
+// The process may be paused between the check of NotAfter and the write, so
+// NotAfter is best effort and safety must not depend on it.
 //
-// # How a failure is classified
+// # Classification of failures
 //
 //   - No byte of the request was written: RunNotSent.
-//   - A model engine answers 429 or 503: RunNotSent. Other 4xx are answers, but
-//     for 409, which is RunFenced. Any other status is RunBroken.
-//   - A tool or plain service answers with any status: RunOK, the status is its
-//     answer. Only an application/problem+json with the member "outcome" of
-//     value "not-run" and a status of 429 or 503 is RunNotSent.
-//   - After a send: RunCancelled if CancelRun ended it, RunTimeout if the
-//     timeout passed, else RunBroken.
+//   - A model engine responds with 429 or 503: RunNotSent; with 409: RunFenced;
+//     with another 4xx: RunOK. Any status but these and 200 is RunBroken.
+//   - A tool or plain service responds with any status: RunOK. The exception is
+//     an application/problem+json with status 429 or 503 and the member "outcome"
+//     set to "not-run", which is RunNotSent.
+//   - After the send: RunCancelled if CancelRun ended the run, RunTimeout if its
+//     timeout expired, else RunBroken.
 //   - A ResumeRun never ends as RunNotSent, since the run itself was sent.
 package target
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -10,14 +10,15 @@
 
 // Errors of a gate.
 var (
-	// ErrNotAfterPassed is the error of a request that came too late to be sent.
+	// ErrNotAfterPassed is returned for a request that was not sent before its
+	// NotAfter.
 	ErrNotAfterPassed = errors.New("the time to send the request has passed")
-	// errGateClosed is the error of a write after the run was given up or was
-	// written to another connection.
-	errGateClosed = errors.New("the request must not be sent any more")
+	// errGateClosed is returned for a write after the run ended, or after the
+	// request was written to another connection.
+	errGateClosed = errors.New("the request can no longer be sent")
 )
 
-// gate lets the bytes of one request pass to one connection.
+// gate lets the bytes of a request pass to a single connection.
 type gate struct {
 	now      func() time.Time
 	notAfter time.Time
@@ -33,8 +34,8 @@
 	return &gate{now: now, notAfter: notAfter}
 }
 
-// admit decides on a write to a connection. The first write of the request is
-// the send.
+// admit returns nil if the request may be written to conn. The first admitted
+// write counts as the send.
 func (g *gate) admit(conn *gatedConn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// close forbids a send from now on and tells whether there was one, and when.
+// close prevents a later send and reports whether the request was sent, and when.
 func (g *gate) close() (sentAt time.Time, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,15 +66,15 @@
 	return g.sentAt, g.conn != nil
 }
 
-// isExpired tells whether the send was refused because of NotAfter.
+// isExpired reports whether the send was refused because NotAfter had passed.
 func (g *gate) isExpired() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.expired
 }
 
-// gatedConn is a connection whose writes pass the gate of the request that uses
-// it.
+// gatedConn is a connection whose writes are checked by the gate of the request
+// that uses it.
 type gatedConn struct {
 	net.Conn
 
@@ -81,7 +82,7 @@
 	gate *gate
 }
 
-// bind sets the gate for the writes that follow.
+// bind sets the gate for subsequent writes.
 func (c *gatedConn) bind(g *gate) {
 	c.mu.Lock()
 	c.gate = g
@@ -101,19 +102,20 @@
 	return c.Conn.Write(data)
 }
 
-// unwrapGatedConn gives the gatedConn below a connection of the HTTP transport.
+// unwrapGatedConn returns the gatedConn that a connection of the HTTP transport
+// wraps.
 func unwrapGatedConn(conn net.Conn) (*gatedConn, bool) {
 	if gated, ok := conn.(*gatedConn); ok {
 		return gated, true
 	}
-	layered, ok := conn.(interface{ NetConn() net.Conn })
+	wrapper, ok := conn.(interface{ NetConn() net.Conn })
 	if !ok {
 		return nil, false
 	}
-	return unwrapGatedConn(layered.NetConn())
+	return unwrapGatedConn(wrapper.NetConn())
 }
 
-// sentTime gives the time of the send, false if there was none yet.
+// sentTime returns the time of the send, and false if the request was not sent.
 func (g *gate) sentTime() (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/target/harness_test.go
+++ b/internal/target/harness_test.go
@@ -28,13 +28,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// seenRequest is a request that reached a fake target.
+// seenRequest is a request received by a fake target.
 type seenRequest struct {
 	method, uri, body string
 	header            http.Header
 }
 
-// fake is a target whose answers the test gives, and a Runner that calls it.
+// fake is a target whose handler the test provides, and a Runner that uses it.
 type fake struct {
 	*Runner
 	t      *testing.T
@@ -86,7 +86,7 @@
 	return structs.Target{ID: "t1", Service: service, Address: f.server.URL}
 }
 
-// next returns the next event of a type and skips others.
+// next returns the next event of type E and skips others.
 func next[E structs.Event](f *fake) E {
 	f.t.Helper()
 	timeout := time.After(testTimeout)
@@ -102,7 +102,7 @@
 	}
 }
 
-// requests returns the requests seen whose URI begins with prefix.
+// requests returns the received requests whose URI begins with prefix.
 func (f *fake) requests(prefix string) []seenRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,12 +140,12 @@
 	return command
 }
 
-// piece is a server-sent event with one token.
+// piece returns a server-sent event with one token.
 func piece(index int, text string) string {
 	return event(wire.ChatChunk{Index: index, Choices: []wire.ChatChoice{{Delta: &wire.ChatMessage{Content: text}}}})
 }
 
-// finish is the last event of a stream.
+// finish returns the last events of a stream.
 func finish(index int, reason string) string {
 	return event(wire.ChatChunk{
 		Index: index, Choices: []wire.ChatChoice{{Delta: &wire.ChatMessage{}, FinishReason: &reason}},
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -12,11 +12,9 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// errMalformedState is the error of an answer without a state under orders.
-var errMalformedState = errors.New("the answer is not a state under orders")
+var errMalformedState = errors.New("the response is not an order state: it has no fencing number")
 
-// ReadOrders asks an engine for its state under orders. The answer is
-// OrdersRead.
+// ReadOrders requests the order state of an engine and delivers it as OrdersRead.
 func (r *Runner) ReadOrders(command structs.ReadOrders) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,8 +29,8 @@
 	})
 }
 
-// orderState reads an engine's state. An answer without the fencing number is
-// that of something else than an engine, and must not count as an empty state.
+// orderState reads an engine's order state. A response without a fencing number
+// does not come from an engine and must not be taken for an empty state.
 func (r *Runner) orderState(target structs.Target) (wire.OrderState, error) {
 	var reply struct {
 		wire.OrderState
@@ -48,9 +46,9 @@
 	return reply.OrderState, nil
 }
 
-// SendOrder sends an order to an engine, once and on a connection of its own.
-// The answer is OrderSent. The gate compares NotAfter with the clock directly
-// before the write.
+// SendOrder sends an order to an engine, at most once and on a new connection, and
+// delivers the result as OrderSent. The gate checks NotAfter directly before the
+// write.
 func (r *Runner) SendOrder(command structs.SendOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +70,7 @@
 	})
 }
 
-// notSent shuts the gate and tells whether the request never passed it.
+// notSent closes the gate and reports whether the request was not sent.
 func notSent(g *gate) bool {
 	_, sent := g.close()
 	return !sent
--- a/internal/target/orders_test.go
+++ b/internal/target/orders_test.go
@@ -33,7 +33,7 @@
 	}
 	f.SendOrder(structs.SendOrder{ID: 5, Target: f.target(engineService), NotAfter: now.Add(-time.Nanosecond)})
 	if got := next[structs.OrderSent](f); got.Result != structs.OrderNotSent || len(f.requests(wire.OrdersRoute)) != 4 {
-		t.Errorf("late: %+v", got)
+		t.Errorf("after NotAfter: %+v", got)
 	}
 	f.server.Close()
 	f.SendOrder(structs.SendOrder{ID: 6, Target: f.target(engineService), NotAfter: now.Add(testTimeout)})
@@ -42,7 +42,7 @@
 	}
 }
 
-// An order whose answer is lost may have taken effect.
+// An order whose response is lost may have taken effect.
 func TestSendOrderWithoutResponse(t *testing.T) {
 	f := newFake(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	f.SendOrder(structs.SendOrder{ID: 1, Target: f.target(engineService)})
@@ -53,15 +53,15 @@
 
 func TestReadOrders(t *testing.T) {
 	state := wire.OrderState{Model: "m", Role: "decode", Fencing: 3, ChecksFencing: true}
-	answer, _ := json.Marshal(state)
-	f := newFake(t, func(w http.ResponseWriter, _ *http.Request) { write(w, string(answer)) })
+	response, _ := json.Marshal(state)
+	f := newFake(t, func(w http.ResponseWriter, _ *http.Request) { write(w, string(response)) })
 	f.ReadOrders(structs.ReadOrders{ID: 7, Target: f.target(engineService)})
 	if got := next[structs.OrdersRead](f); got != (structs.OrdersRead{ID: 7, Target: "t1", Reached: true, State: state}) {
 		t.Errorf("%+v", got)
 	}
-	answer = []byte(`{}`)
+	response = []byte(`{}`)
 	f.ReadOrders(structs.ReadOrders{ID: 8, Target: f.target(engineService)})
 	if got := next[structs.OrdersRead](f); got.Reached || got.Detail == "" {
-		t.Errorf("an answer that is no state: %+v", got)
+		t.Errorf("response without a fencing number: %+v", got)
 	}
 }
--- a/internal/target/request.go
+++ b/internal/target/request.go
@@ -17,16 +17,15 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// ErrInvalidRequest is the error of a call that cannot be made into a request.
-var ErrInvalidRequest = errors.New("call cannot be sent")
+// ErrInvalidRequest is returned for a call that cannot be encoded as a request.
+var ErrInvalidRequest = errors.New("invalid call")
 
-// methods lists the methods that a plain call may use.
+// methods lists the methods allowed for plain calls.
 var methods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// newRunRequest makes the request of a run.
 func newRunRequest(ctx context.Context, command structs.StartRun) (*http.Request, error) {
 	if command.Call.Kind == structs.CallChat {
 		return newChatRequest(ctx, command)
@@ -54,8 +53,8 @@
 	return request, nil
 }
 
-// streamingBody sets "stream" to true in the body of a chat completion and
-// keeps all else.
+// streamingBody sets "stream" to true in the body of a chat completion and leaves
+// the other fields unchanged.
 func streamingBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
@@ -78,7 +77,7 @@
 	}
 	path, err := url.ParseRequestURI(call.Path)
 	if err != nil || !strings.HasPrefix(call.Path, "/") || strings.HasPrefix(call.Path, "//") {
-		return nil, errors.Wrap(ErrInvalidRequest, "the path must begin with one / and be a valid request path")
+		return nil, errors.Wrap(ErrInvalidRequest, "the path must begin with a single / and be a valid request path")
 	}
 	request, err := newSendOnce(ctx, call.Method, joinURL(command.Target.Address, path.RequestURI()), call.Body)
 	if err != nil {
@@ -94,8 +93,8 @@
 	return request, nil
 }
 
-// newSendOnce makes a request that the HTTP transport cannot send again: its
-// body is never nil and cannot be rewound.
+// newSendOnce returns a request that the HTTP transport cannot resend, since its
+// body is not nil and cannot be rewound.
 func newSendOnce(ctx context.Context, method, address string, body []byte) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -14,10 +14,10 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// ResumeRun attaches to a chat stream from a piece index on. The text of the
-// outcome begins at that piece, unless the answer has tool calls: then the
-// stream is read again from its first piece, so that the outcome holds them
-// whole, and only the pieces from the index on are posted.
+// ResumeRun attaches to a chat stream at a piece index. The text of the outcome
+// starts at that piece. If the response has tool calls, the stream is read from its
+// first piece instead, so that the outcome contains the complete calls, and only
+// the pieces from the index on are delivered.
 func (r *Runner) ResumeRun(command structs.ResumeRun) {
 	r.begin(command.Run, command.Target.ID, command.Timeout, nil, func(run *activeRun) result {
 		return r.resume(run, command)
@@ -34,7 +34,7 @@
 	return s.result(run, err)
 }
 
-// attach reads a stream of an engine from the stream's first index on.
+// attach reads a run's stream from index s.from on.
 func (r *Runner) attach(run *activeRun, command structs.ResumeRun, s *chatStream) error {
 	address := streamURL(command.Target, command.Run) + "?from=" + strconv.Itoa(s.from)
 	request, err := http.NewRequestWithContext(run.ctx, http.MethodGet, address, nil)
@@ -47,7 +47,7 @@
 	}
 	defer closeBody(reply.Body)
 	if reply.StatusCode != http.StatusOK {
-		return errors.Newf("the engine cannot resume the stream: %s", http.StatusText(reply.StatusCode))
+		return errors.Newf("the engine did not resume the stream: %s", http.StatusText(reply.StatusCode))
 	}
 	return r.follow(run, reply.Body, s)
 }
@@ -56,8 +56,8 @@
 	return joinURL(target.Address, wire.StreamsRoute) + "/" + url.PathEscape(string(id))
 }
 
-// CancelRun ends a run. If the run is in flight here, its RunEnded follows. An
-// engine is told to stop the stream; a failed order is repeated a few times.
+// CancelRun ends a run. If the run is in flight here, its RunEnded follows. For an
+// engine it also cancels the stream there, with up to Config.CancelRetries retries.
 func (r *Runner) CancelRun(command structs.CancelRun) {
 	engine := r.isEngine(command.Target)
 	r.mu.Lock()
@@ -72,8 +72,8 @@
 
 func (r *Runner) cancelStream(command structs.CancelRun) {
 	address := streamURL(command.Target, command.Run) + "/cancel"
-	waits := backoff.NewExponentialBackOff(backoff.WithInitialInterval(r.cfg.CancelBackoff))
-	limited := backoff.WithMaxRetries(waits, r.cfg.CancelRetries)
+	policy := backoff.NewExponentialBackOff(backoff.WithInitialInterval(r.cfg.CancelBackoff))
+	limited := backoff.WithMaxRetries(policy, r.cfg.CancelRetries)
 	err := backoff.Retry(func() error {
 		return r.postJSON(address, nil, nil)
 	}, backoff.WithContext(limited, r.ctx))
@@ -83,8 +83,8 @@
 	}
 }
 
-// AskOutcome asks a target whether it ran the request with a program's key, in
-// the form that StartRun sends. The answer is OutcomeAsked.
+// AskOutcome queries a target for the outcome of the request that StartRun sent with
+// a program's idempotency key, and delivers the result as OutcomeAsked.
 func (r *Runner) AskOutcome(command structs.AskOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 	address := joinURL(command.Target.Address, wire.OutcomesRoute) + "/" + url.PathEscape(key)
 	status, body, err := r.get(ctx, address)
 	if err != nil {
-		r.logger.Warn("outcome cannot be asked", "run", command.Run, "target", command.Target.ID, "error", err)
+		r.logger.Warn("outcome query failed", "run", command.Run, "target", command.Target.ID, "error", err)
 		return event
 	}
 	if status == http.StatusNotFound {
@@ -112,7 +112,7 @@
 	}
 	var reply wire.OutcomeReply
 	if status != http.StatusOK || json.Unmarshal(body, &reply) != nil || reply.Status == 0 {
-		r.logger.Warn("unusable answer about an outcome", "run", command.Run, "target", command.Target.ID, "status", status)
+		r.logger.Warn("invalid response to an outcome query", "run", command.Run, "target", command.Target.ID, "status", status)
 		return event
 	}
 	event.Reached, event.Found = true, true
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -10,20 +10,20 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// activeRun is one run in flight.
+// activeRun is a run in flight.
 type activeRun struct {
 	id     structs.RunID
 	target structs.TargetID
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// gate guards the send; it is nil for a resumed run.
+	// gate guards the send. It is nil for a resumed run.
 	gate    *gate
 	started time.Time
-	// firstToken is the time from the send to the first piece.
+	// firstToken is the time from the send to the first piece, 0 before that.
 	firstToken time.Duration
 }
 
-// sentAt is when the request was sent, or when the run started.
+// sentAt returns the time when the request was sent, or else when the run started.
 func (r *activeRun) sentAt() time.Time {
 	if r.gate == nil {
 		return r.started
@@ -34,14 +34,14 @@
 	return r.started
 }
 
-// result is how a run ended.
+// result is the result of a run.
 type result struct {
 	failure structs.RunFailure
 	outcome structs.Outcome
 	detail  string
 }
 
-// failed makes the result of a run that an error ended.
+// failed returns the result of a run that ended with an error.
 func (r *activeRun) failed(err error) result {
 	detail := err.Error()
 	if r.gate != nil {
@@ -68,8 +68,8 @@
 	return detail
 }
 
-// begin registers a run and executes it. A run that is in flight already is not
-// begun again.
+// begin registers a run and executes it on a new goroutine. It ignores a run that
+// is already in flight.
 func (r *Runner) begin(id structs.RunID, target structs.TargetID, timeout time.Duration, g *gate, execute func(*activeRun) result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 	if _, running := r.runs[id]; running {
 		r.metrics.runsDuplicate.Inc(1)
-		r.logger.Error("run is in flight already", "run", id, "target", target)
+		r.logger.Error("run already in flight", "run", id, "target", target)
 		return
 	}
 	timeout = cmp.Or(timeout, r.cfg.RunTimeout)
@@ -93,7 +93,7 @@
 	r.spawn(func() { r.execute(run, timeout, execute) })
 }
 
-// rejected is the result of a run that was one too many.
+// rejected returns the result of a run that exceeds Config.MaxRuns.
 func (r *activeRun) rejected() result {
 	if r.gate == nil {
 		return result{failure: structs.RunBroken, detail: errTooManyRuns.Error()}
@@ -113,7 +113,7 @@
 	r.deliverEnd(run, ended)
 }
 
-// deliverEnd reports the end of a run.
+// deliverEnd records and delivers the end of a run.
 func (r *Runner) deliverEnd(run *activeRun, ended result) {
 	took := r.cfg.Now().Sub(run.sentAt())
 	r.metrics.runsEnded[ended.failure].Inc(1)
--- a/internal/target/run_test.go
+++ b/internal/target/run_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A server that closes a connection that was used before makes the standard
-// transport repeat a request that it takes for idempotent.
+// The standard transport resends an idempotent request when the server closes a
+// reused connection.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		for _, body := range []string{"", "body"} {
@@ -134,7 +134,7 @@
 		t.Fatal("sent")
 	}
 	if err := g.admit(new(gatedConn)); err == nil {
-		t.Fatal("a write after the run was given up")
+		t.Fatal("a write was admitted after the gate was closed")
 	}
 	g, conn := newGate(time.Time{}, time.Now), new(gatedConn)
 	for range 2 {
@@ -143,7 +143,7 @@
 		}
 	}
 	if g.admit(new(gatedConn)) == nil {
-		t.Fatal("a second connection is admitted")
+		t.Fatal("a second connection was admitted")
 	}
 	if _, sent := g.close(); !sent {
 		t.Fatal("not sent")
--- a/internal/target/runner.go
+++ b/internal/target/runner.go
@@ -12,20 +12,19 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Causes that end the context of a run.
+// Causes of the end of a run.
 var (
-	errTimeout     = errors.New("timeout of the run")
+	errTimeout     = errors.New("run timed out")
 	errCancelled   = errors.New("run cancelled")
 	errTooManyRuns = errors.New("too many runs in flight")
 )
 
-// KindResolver gives the kind of a service from the settings, false if they
-// name none such. The Runner calls it only from within its methods, thus on the
-// goroutine of their caller.
+// KindResolver returns the kind of a service, and false if the settings have no such
+// service. The Runner calls it only within its methods, on their caller's goroutine.
 type KindResolver func(structs.ServiceName) (structs.ServiceKind, bool)
 
-// Runner carries out StartRun, ResumeRun, CancelRun, AskOutcome, ReleaseCache
-// and WatchTargets. Its methods never block, but for Close.
+// Runner executes the commands for targets and posts their results as events. Its
+// methods, except for Close, do not block.
 type Runner struct {
 	cfg     Config
 	kind    KindResolver
@@ -33,7 +32,7 @@
 	logger  *slog.Logger
 	clients clients
 	metrics metrics
-	// releases holds a token for each cache release in flight.
+	// releases is a semaphore that limits the cache releases in flight.
 	releases chan struct{}
 
 	ctx    context.Context
@@ -82,7 +81,8 @@
 	structs.RunTimeout: "timeout", structs.RunCancelled: "cancelled", structs.RunFenced: "fenced",
 }
 
-// New makes a Runner that runs until Close or until the context ends.
+// New returns a Runner that works until Close is called or ctx ends. Events are
+// passed to post, which returns false if it could not accept one.
 func New(
 	ctx context.Context, cfg Config, kind KindResolver, post func(structs.Event) bool,
 	scope tally.Scope, logger *slog.Logger,
@@ -105,7 +105,8 @@
 	}
 }
 
-// Close ends all runs without their events and waits for the goroutines.
+// Close ends all runs without delivering their events and waits for all
+// goroutines.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -115,14 +116,14 @@
 	r.clients.close()
 }
 
-// spawn runs f on a goroutine that Close waits for. The mutex is held.
+// spawn runs f on a goroutine that Close waits for. The caller holds mu.
 func (r *Runner) spawn(f func()) {
 	if !r.closed {
 		r.work.Go(f)
 	}
 }
 
-// isEngine tells whether a target is a model engine.
+// isEngine reports whether a target is a model engine.
 func (r *Runner) isEngine(target structs.Target) bool {
 	kind, known := r.kind(target.Service)
 	return known && kind == structs.ServiceEngine
--- a/internal/target/sse.go
+++ b/internal/target/sse.go
@@ -10,11 +10,10 @@
 
 const (
 	sseBuffer = 16 << 10
-	// maxEvent bounds one server-sent event, in bytes.
+	// maxEvent is the size limit of a server-sent event, in bytes.
 	maxEvent = 4 << 20
 )
 
-// errEventTooLarge is the error of a server-sent event above the limit.
 var errEventTooLarge = errors.New("server-sent event is too large")
 
 // eventReader reads the data of server-sent events.
@@ -24,8 +23,8 @@
 	return &eventReader{buffered: bufio.NewReaderSize(body, sseBuffer)}
 }
 
-// next returns the data of the next event that has any. At the end of the body
-// it returns io.EOF; an event cut short is dropped.
+// next returns the data of the next event that has data. At the end of the body it
+// returns io.EOF and drops an incomplete event.
 func (r *eventReader) next() ([]byte, error) {
 	var data []byte
 	for {
@@ -50,7 +49,7 @@
 	}
 }
 
-// line returns a line without its end.
+// line returns the next line without its line break.
 func (r *eventReader) line() ([]byte, error) {
 	var line []byte
 	for {
@@ -68,8 +67,8 @@
 	}
 }
 
-// ready tells whether a whole event has arrived already.
+// ready reports whether a complete event is buffered.
 func (r *eventReader) ready() bool {
-	waiting, _ := r.buffered.Peek(r.buffered.Buffered())
-	return bytes.Contains(waiting, []byte("\n\n")) || bytes.Contains(waiting, []byte("\n\r\n"))
+	pending, _ := r.buffered.Peek(r.buffered.Buffered())
+	return bytes.Contains(pending, []byte("\n\n")) || bytes.Contains(pending, []byte("\n\r\n"))
 }
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -11,10 +11,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ErrResponseTooLarge is the error of an answer above the limit.
-var ErrResponseTooLarge = errors.New("answer of the target is too large")
+// ErrResponseTooLarge is returned for a response above Config.MaxResponseBytes.
+var ErrResponseTooLarge = errors.New("response of the target is too large")
 
-// StartRun sends a call to a target, once. Its end comes as RunEnded.
+// StartRun sends a call to a target, at most once, and delivers the result as
+// RunEnded.
 func (r *Runner) StartRun(command structs.StartRun) {
 	g := newGate(command.NotAfter, r.cfg.Now)
 	r.begin(command.Run, command.Target.ID, command.Timeout, g, func(run *activeRun) result {
@@ -42,7 +43,7 @@
 	return r.readResponse(run, reply)
 }
 
-// readResponse reads the answer of a tool or plain service.
+// readResponse reads a response that is not a stream.
 func (r *Runner) readResponse(run *activeRun, reply *http.Response) result {
 	body, err := readBounded(reply.Body, r.cfg.MaxResponseBytes)
 	if errors.Is(err, ErrResponseTooLarge) {
@@ -55,7 +56,7 @@
 		return run.failed(err)
 	}
 	if reportsNotRun(reply, body) {
-		return result{failure: structs.RunNotSent, detail: "the target says that it did not run the request"}
+		return result{failure: structs.RunNotSent, detail: "the target reports that it did not run the request"}
 	}
 	return result{outcome: responseOutcome(reply.StatusCode, reply.Header.Get("Content-Type"), body)}
 }
@@ -66,8 +67,8 @@
 	}
 }
 
-// reportsNotRun tells whether a service refused a request before running it. Only
-// a problem document that says so counts.
+// reportsNotRun reports whether a service refused a request before running it, which
+// requires a problem document with that outcome.
 func reportsNotRun(reply *http.Response, body []byte) bool {
 	if !isRefusalStatus(reply.StatusCode) {
 		return false
@@ -82,13 +83,12 @@
 	return json.Unmarshal(body, &problem) == nil && problem.Outcome == "not-run"
 }
 
-// isRefusalStatus tells whether a status is that of a refusal for overload or
-// unavailability.
+// isRefusalStatus reports whether a status indicates overload or unavailability.
 func isRefusalStatus(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// readBounded reads a body; one above the limit is ErrResponseTooLarge.
+// readBounded reads a body. It returns ErrResponseTooLarge if that exceeds limit.
 func readBounded(body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
--- a/internal/target/stream_test.go
+++ b/internal/target/stream_test.go
@@ -28,22 +28,22 @@
 		write(w, finish(pieces, "length"))
 	})
 	f.StartRun(f.chat("r"))
-	had := 0
-	for had < pieces/2 {
-		had = next[structs.RunChunk](f).Chunk.Next()
+	received := 0
+	for received < pieces/2 {
+		received = next[structs.RunChunk](f).Chunk.Next()
 	}
 	if ended := next[structs.RunEnded](f); ended.Failure != structs.RunBroken {
 		t.Fatalf("%+v", ended)
 	}
-	f.ResumeRun(structs.ResumeRun{Run: "r", Target: f.target(engineService), From: had})
+	f.ResumeRun(structs.ResumeRun{Run: "r", Target: f.target(engineService), From: received})
 	var text strings.Builder
-	for had < pieces {
+	for received < pieces {
 		chunk := next[structs.RunChunk](f).Chunk
-		if chunk.First != had {
-			t.Fatalf("chunk from %d, wanted %d", chunk.First, had)
+		if chunk.First != received {
+			t.Fatalf("chunk from %d, want %d", chunk.First, received)
 		}
 		text.WriteString(strings.Join(chunk.Texts, ""))
-		had = chunk.Next()
+		received = chunk.Next()
 	}
 	ended := next[structs.RunEnded](f)
 	if ended.Failure != structs.RunOK || ended.Outcome.Text != text.String() || !strings.HasPrefix(text.String(), "10 11 ") {
@@ -167,7 +167,7 @@
 			}
 			if chunk, ok := s.takePending(); ok {
 				if chunk.First != next {
-					t.Fatalf("chunk from %d, wanted %d", chunk.First, next)
+					t.Fatalf("chunk from %d, want %d", chunk.First, next)
 				}
 				next = chunk.Next()
 			}
@@ -200,7 +200,8 @@
 	}
 }
 
-// The owner puts the text of a resumed run together from the pieces.
+// The owner assembles the text of a resumed run from the pieces, so a run whose pieces
+// were not all delivered must not succeed.
 func TestResumedRunWithoutAllPiecesFails(t *testing.T) {
 	proceed := make(chan struct{})
 	f := newFake(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/target/toolcalls.go
+++ b/internal/target/toolcalls.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxToolCalls bounds the tool calls of one answer.
+// maxToolCalls is the maximum number of tool calls in a response.
 const maxToolCalls = 1024
 
-// toolCall is a tool call of a chat answer, or a delta of one.
+// toolCall is a tool call of a chat response, or a delta of one.
 type toolCall struct {
 	Index    *int         `json:"index,omitempty"`
 	ID       string       `json:"id,omitempty"`
@@ -22,15 +22,15 @@
 	Arguments string `json:"arguments"`
 }
 
-// toolCalls puts the deltas of tool calls together.
+// toolCalls assembles tool calls from their deltas.
 type toolCalls struct{ calls []toolCall }
 
-// merge adds an array of deltas. Each belongs to the call of its index; one
-// without an index is a call of its own.
+// merge adds an encoded array of deltas. Each belongs to the call with its index;
+// one without an index starts a new call.
 func (t *toolCalls) merge(encoded []byte) error {
 	var deltas []toolCall
 	if err := json.Unmarshal(encoded, &deltas); err != nil {
-		return errors.Wrap(err, "tool call delta")
+		return errors.Wrap(err, "decode tool call deltas")
 	}
 	for _, delta := range deltas {
 		if err := t.mergeOne(delta); err != nil {
@@ -46,7 +46,7 @@
 		index = *delta.Index
 	}
 	if index < 0 || index > len(t.calls) || index >= maxToolCalls {
-		return errors.Newf("tool call delta with index %d after %d calls", index, len(t.calls))
+		return errors.Newf("tool call delta has index %d after %d calls", index, len(t.calls))
 	}
 	if index == len(t.calls) {
 		t.calls = append(t.calls, toolCall{})
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// encode gives the calls as a JSON array, nil if there are none.
+// encode returns the calls as a JSON array, nil if there are none.
 func (t *toolCalls) encode() []byte {
 	if len(t.calls) == 0 {
 		return nil
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -13,15 +13,14 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// restartCheckPolls is the number of polls after which a watch checks whether the
-// engine counts its cache events anew.
+// restartCheckPolls is the number of polls between checks for a restart of the
+// engine, which resets the sequence of its cache events.
 const restartCheckPolls = 16
 
-// maxIdleFactor bounds the growth of an engine's poll interval while it has
-// nothing to tell.
+// maxIdleFactor bounds the growth of the poll interval of an idle engine.
 const maxIdleFactor = 8
 
-// jitterDivisor is the part of a poll interval that jitter may add or take away.
+// jitterDivisor sets the jitter of a poll interval: plus or minus 1/jitterDivisor.
 const jitterDivisor = 10
 
 // watch polls one target.
@@ -30,20 +29,20 @@
 	target structs.Target
 	engine bool
 	cancel context.CancelFunc
-	// from is the sequence of the next cache event. lost tells that events
-	// before it were lost since the last TargetCache.
+	// from is the sequence of the next cache event. gap indicates that events
+	// before it were missed since the last TargetCache.
 	from uint64
 	gap  bool
-	// polls counts the polls since the last restart check; see requestFrom.
+	// polls is the number of polls since the last restart check.
 	polls int
-	// idleFactor is the factor of the poll interval: it doubles with each poll that
-	// shows an engine without work and without cache events.
+	// idleFactor multiplies the poll interval. It doubles with each poll that finds
+	// the engine without work and without new cache events.
 	idleFactor int
 }
 
 // WatchTargets sets the targets that are polled. Engines report their load and
-// cache events. For others a TargetLoad without figures tells that the health
-// check passed.
+// cache events. For other targets a TargetLoad without values indicates that the
+// health check passed.
 func (r *Runner) WatchTargets(command structs.WatchTargets) {
 	engines := make(map[structs.TargetID]bool, len(command.Targets))
 	for _, target := range command.Targets {
@@ -62,8 +61,8 @@
 	}
 }
 
-// startWatch polls a target unless it is polled at that address already. The
-// mutex is held.
+// startWatch starts polling a target unless it is already polled at that address.
+// The caller holds mu.
 func (r *Runner) startWatch(target structs.Target, engine bool) {
 	if old := r.watches[target.ID]; old != nil {
 		if old.target.Address == target.Address && old.engine == engine {
@@ -101,8 +100,8 @@
 	return interval - jitter + rand.N(2*jitter+1)
 }
 
-// updateIdleFactor slows the polls of an engine that has nothing to tell down, and
-// speeds them up at once when it has.
+// updateIdleFactor doubles the poll interval of an idle engine and resets that of a
+// busy one.
 func (w *watch) updateIdleFactor(idle bool) {
 	if !idle {
 		w.idleFactor = 1
@@ -125,8 +124,8 @@
 	w.runner.sink.Offer(structs.TargetUnreachable{Target: w.target.ID})
 }
 
-// pollHealth checks a target that is not an engine. Any answer below 500 shows
-// that it is there.
+// pollHealth checks a target that is not an engine. Any status below 500 counts as
+// healthy.
 func (w *watch) pollHealth(ctx context.Context) error {
 	if w.engine {
 		return nil
@@ -160,9 +159,9 @@
 	return nil
 }
 
-// requestFrom gives the sequence to ask for. After a failed poll, and every so often,
-// it is that of the last event known: an engine that was restarted and has fewer
-// events does not know it.
+// requestFrom returns the sequence to request events from. After a failed poll and
+// every restartCheckPolls polls it is that of the last known event, which reveals a
+// restarted engine that has fewer events.
 func (w *watch) requestFrom() uint64 {
 	w.polls++
 	if w.from == 0 || w.polls < restartCheckPolls {
@@ -172,11 +171,11 @@
 	return w.from - 1
 }
 
-// report posts the events that are new. Events that were lost, at the engine or
-// here, show as a gap before the next ones.
+// report posts the new events. Events that were dropped by the engine or by the
+// event queue are reported as a gap before the next ones.
 func (w *watch) report(page wire.CacheEvents) {
 	if page.Next < w.from {
-		// The engine counts anew: it was restarted.
+		// The engine was restarted.
 		w.from, w.gap = 0, true
 		return
 	}
