--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells the story of one request or program from the log lines
+// Package explain reconstructs what happened to a request or program from the logs
 // of any number of instances.
 package explain
 
@@ -16,29 +16,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the size limit of a log line, in bytes.
 const maxLine = 1 << 20
 
-// line is a log line that concerns what is asked for.
+// line is a log line that contains the id.
 type line struct {
 	at       time.Time
 	instance string
 	message  string
 	fields   map[string]any
-	// position is the line's place in the input, for equal times.
+	// position is the index of the line in the input, which orders lines of equal
+	// time.
 	position int
 }
 
-// Timeline is what the logs say of a request or program.
+// Timeline holds the log lines of a request or program in order of time.
 type Timeline struct {
 	id    string
 	lines []line
-	// dropped counts the log lines that instances say they dropped.
+	// dropped is the number of log lines that instances report as dropped.
 	dropped int
 }
 
-// Read gathers the lines that name an id, of a request or a program, from logs.
-// Text before the JSON of a line is skipped, since log collectors add some.
+// Read collects the lines that contain the id of a request or program from logs. It
+// skips text before the JSON of a line, which log collectors may add.
 func Read(id string, logs ...io.Reader) (*Timeline, error) {
 	s := &Timeline{id: id}
 	for _, r := range logs {
@@ -46,8 +47,8 @@
 			return nil, err
 		}
 	}
-	// Instances' clocks differ by little; lines of one instance keep their
-	// order, as times of one clock grow.
+	// Lines of one instance keep their order. Those of several may be misordered
+	// by the difference of the instances' clocks.
 	slices.SortStableFunc(s.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.position, b.position)) })
 	return s, nil
 }
@@ -66,8 +67,8 @@
 	return errors.Wrap(scanner.Err(), "read the log")
 }
 
-// addLine keeps a line if it concerns the id. Lines that are not JSON are skipped:
-// logs hold other programs' lines too.
+// addLine adds a line if it contains the id. It skips lines that are not JSON, since
+// logs may contain those of other programs.
 func (s *Timeline) addLine(text []byte) {
 	matches := bytes.Contains(text, []byte(s.id))
 	if !matches && !bytes.Contains(text, []byte("log lines dropped")) {
@@ -93,13 +94,13 @@
 	s.lines = append(s.lines, l)
 }
 
-// stringField is a field as text, empty if it is none.
+// stringField returns v if it is a string, else the empty string.
 func stringField(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-// Write prints the story in order of time, with the cause at its end.
+// Write prints the lines in order of time, followed by the cause.
 func (s *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, l := range s.lines {
@@ -125,14 +126,14 @@
 	return b.String()
 }
 
-// Cause is the end of the story in a sentence.
+// Cause returns a sentence that explains how the request ended.
 func (s *Timeline) Cause() string {
 	if len(s.lines) == 0 {
 		return s.noMatch()
 	}
 	last := s.lastEnd()
 	if last == nil {
-		return "No line says how it ended: the instance may have ended first, or its answer was served as usual."
+		return "No line reports how it ended: the instance may have ended before, or the request was served normally."
 	}
 	reason := stringField(last.fields["reason"])
 	explained, ok := causes[reason]
@@ -143,15 +144,15 @@
 }
 
 func (s *Timeline) noMatch() string {
-	text := "No line names " + s.id + ". A request that is served as usual has a line at level DEBUG only."
+	text := "No line names " + s.id + ". A request that is served normally is logged at level DEBUG only."
 	if s.dropped > 0 {
 		text += fmt.Sprintf(" %d lines were dropped.", s.dropped)
 	}
 	return text
 }
 
-// lastEnd is the last line that says how a request ended badly, or the last of
-// any that ended.
+// lastEnd returns the last line that reports the end of a request, nil if there is
+// none.
 func (s *Timeline) lastEnd() *line {
 	for i := len(s.lines) - 1; i >= 0; i-- {
 		if s.lines[i].message == "request ended" {
@@ -161,34 +162,34 @@
 	return nil
 }
 
-// causes explains the reasons of internal/serve.
+// causes describes the reasons that internal/serve logs.
 var causes = map[string]string{
 	"served":                         "it was served",
-	"target_answered_failure":        "the target itself answered with a failure, which was passed on",
-	"malformed":                      "the request was malformed; the field detail says how",
-	"body_too_large":                 "the body was longer than the operator's limit",
-	"no_settings_yet":                "the instance had no settings: it had just started and read them from neither the store nor another instance",
+	"target_answered_failure":        "the target responded with a failure, which was forwarded to the caller",
+	"malformed":                      "the request was malformed; see the field detail",
+	"body_too_large":                 "the body exceeded the operator's limit",
+	"no_settings_yet":                "the instance had no settings: it had just started and had not yet read them from the store or another instance",
 	"no_route":                       "no route of the settings version matches the host and path",
-	"settings_not_current":           "the settings have no route for the host and path, and the instance had not heard for too long which settings are in force; the field detail has their age",
-	"unknown_key":                    "no organisation of the settings version holds the key, or the request carries none or more than one",
-	"keys_not_current":               "the instance had not heard for too long which keys are in force; the field detail has the age of its settings",
-	"over_organisation_limit":        "its organisation was over its limit; the field detail names the limit, the instance that deals it out and what that had left",
-	"organisation_limit_not_known":   "no instance that deals out its organisation's limit answered in time; see \"allowances coordinated here\" lines",
-	"no_target":                      "no target of the service was registered, or each was tried",
-	"targets_refused":                "each target that was asked was full",
-	"no_room":                        "the services that it needs had no room for it; the detail names the pool, its load and when to come back",
-	"budget_spent":                   "the program's budget had no room; the line \"budget spent\" of the owner has the figures, and \"charged\" tells whether a loss of accounts was counted",
-	"budget_owner_unreachable":       "no owner of the program's budget could be reached; see \"partition\" lines around that time",
-	"budget_record_not_written":      "the program needed a record that the store did not take; see \"store lost\" and \"partition not claimed\" lines",
-	"budget_held_by_turns_under_way": "other turns of the program held what was left of its budget for longer than a turn waits",
-	"no_such_turn":                   "the turn that it continues does not exist or is past its retention; the line \"no such turn\" tells that every partition was read to its end",
-	"conversation_not_read":          "the turn that it continues was not found, and not every partition could be read; see \"turn not found for now\" and \"turns not read\" lines",
-	"turn_not_kept":                  "its turn could not be written to the store, or the store was known to be full, or away for longer than the caller would wait, before it began; see \"turns cannot be kept\" lines",
-	"timed_out":                      "the time left or the route's timeout was over while a target worked on it",
-	"timed_out_before_send":          "the time left was over before a target could be reached",
-	"target_broke_off":               "the target broke off and the request may not be repeated",
-	"stream_cut":                     "the stream broke midway and could not go on; the field detail says at what",
-	"caller_left":                    "the caller left before the answer was whole",
-	"caller_reads_nothing":           "the caller read nothing of its answer for seconds; the field detail tells for how long",
-	"memory_short":                   "the instance had no memory left for it, nothing ran; the field detail has the bytes asked for and held",
+	"settings_not_current":           "the settings have no route for the host and path, and the instance had not confirmed for too long that they are current; the field detail has their age",
+	"unknown_key":                    "the key belongs to no organisation of the settings version, or the request has no key or several",
+	"keys_not_current":               "the instance had not confirmed for too long that its keys are current; the field detail has the age of its settings",
+	"over_organisation_limit":        "its organisation exceeded its limit; the field detail has the limit, the instance that allocates it and the remaining allowance",
+	"organisation_limit_not_known":   "no instance that allocates its organisation's limit replied in time; see \"allowances coordinated here\" lines",
+	"no_target":                      "no target of the service was registered, or all were tried",
+	"targets_refused":                "all targets that were tried were at capacity",
+	"no_room":                        "the services that it needs had no capacity; the field detail has the pool, its load and the retry delay",
+	"budget_spent":                   "the turn exceeded the program's remaining budget; the owner's line \"budget spent\" has the token counts, and its field \"charged\" reports whether a loss of accounts was charged",
+	"budget_owner_unreachable":       "no owner of the program's budget was reachable; see \"partition\" lines around that time",
+	"budget_record_not_written":      "the program needed a record that the store did not accept; see \"store lost\" and \"partition not claimed\" lines",
+	"budget_held_by_turns_under_way": "other turns of the program held its remaining budget for longer than a turn waits",
+	"no_such_turn":                   "its previous turn does not exist or its retention has passed; the line \"no such turn\" confirms that every partition was read to its end",
+	"conversation_not_read":          "its previous turn was not found, and not every partition could be read; see \"turn not found for now\" and \"turns not read\" lines",
+	"turn_not_kept":                  "its turn could not be written to the store, or the store was known before the turn to be full, or unavailable for longer than the caller would wait; see \"turns cannot be kept\" lines",
+	"timed_out":                      "the time left or the route's timeout expired while a target worked on it",
+	"timed_out_before_send":          "the time left expired before a target could be reached",
+	"target_broke_off":               "the target did not complete its response and the request may not be repeated",
+	"stream_cut":                     "the stream was interrupted and could not be resumed; see the field detail",
+	"caller_left":                    "the caller disconnected before the response was complete",
+	"caller_reads_nothing":           "the caller stopped reading the response; the field detail has the duration",
+	"memory_short":                   "the instance had no memory left for it and nothing ran; the field detail has the bytes requested and held",
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -25,7 +25,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[0], "m2") || !strings.Contains(lines[0], "used=880") ||
-		!strings.Contains(lines[1], "reason=budget_spent") || !strings.Contains(lines[2], "had no room") {
+		!strings.Contains(lines[1], "reason=budget_spent") || !strings.Contains(lines[2], "exceeded the program's remaining budget") {
 		t.Errorf("got\n%s", b.String())
 	}
 }
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -13,9 +13,9 @@
 	// ErrNotAfterPassed is returned for a request that was not sent before its
 	// NotAfter.
 	ErrNotAfterPassed = errors.New("the time to send the request has passed")
-	// errGateClosed is returned for a write after the run ended, or after the
+	// errNotAdmitted is returned for a write after the run ended, or after the
 	// request was written to another connection.
-	errGateClosed = errors.New("the request can no longer be sent")
+	errNotAdmitted = errors.New("the request can no longer be sent")
 )
 
 // gate lets the bytes of a request pass to a single connection.
@@ -26,7 +26,7 @@
 	mu      sync.Mutex
 	conn    *gatedConn
 	sentAt  time.Time
-	closed  bool
+	revoked bool
 	expired bool
 }
 
@@ -41,12 +41,12 @@
 	defer g.mu.Unlock()
 	if g.conn != nil {
 		if g.conn != conn {
-			return errGateClosed
+			return errNotAdmitted
 		}
 		return nil
 	}
-	if g.closed {
-		return errGateClosed
+	if g.revoked {
+		return errNotAdmitted
 	}
 	now := g.now()
 	if !g.notAfter.IsZero() && now.After(g.notAfter) {
@@ -58,11 +58,11 @@
 	return nil
 }
 
-// close prevents a later send and reports whether the request was sent, and when.
-func (g *gate) close() (sentAt time.Time, sent bool) {
+// revoke prevents any later send and reports whether the request was sent, and when.
+func (g *gate) revoke() (sentAt time.Time, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = true
+	g.revoked = true
 	return g.sentAt, g.conn != nil
 }
 
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -70,9 +70,9 @@
 	})
 }
 
-// notSent closes the gate and reports whether the request was not sent.
+// notSent revokes the gate and reports whether the request was not sent.
 func notSent(g *gate) bool {
-	_, sent := g.close()
+	_, sent := g.revoke()
 	return !sent
 }
 
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -45,7 +45,7 @@
 func (r *activeRun) failed(err error) result {
 	detail := err.Error()
 	if r.gate != nil {
-		if _, sent := r.gate.close(); !sent {
+		if _, sent := r.gate.revoke(); !sent {
 			return result{failure: structs.RunNotSent, detail: r.notSentDetail(detail)}
 		}
 	}
--- a/internal/target/run_test.go
+++ b/internal/target/run_test.go
@@ -128,13 +128,13 @@
 	}
 }
 
-func TestClosedGateAdmitsNothing(t *testing.T) {
+func TestRevokedGateAdmitsNothing(t *testing.T) {
 	g := newGate(time.Time{}, time.Now)
-	if _, sent := g.close(); sent {
+	if _, sent := g.revoke(); sent {
 		t.Fatal("sent")
 	}
 	if err := g.admit(new(gatedConn)); err == nil {
-		t.Fatal("a write was admitted after the gate was closed")
+		t.Fatal("a write was admitted after the gate was revoked")
 	}
 	g, conn := newGate(time.Time{}, time.Now), new(gatedConn)
 	for range 2 {
@@ -145,7 +145,7 @@
 	if g.admit(new(gatedConn)) == nil {
 		t.Fatal("a second connection was admitted")
 	}
-	if _, sent := g.close(); !sent {
+	if _, sent := g.revoke(); !sent {
 		t.Fatal("not sent")
 	}
 }
