--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -41,19 +41,19 @@
 // Read collects the lines that contain the id of a request or program from logs. It
 // skips text before the JSON of a line, which log collectors may add.
 func Read(id string, logs ...io.Reader) (*Timeline, error) {
-	s := &Timeline{id: id}
+	t := &Timeline{id: id}
 	for _, r := range logs {
-		if err := s.read(r); err != nil {
+		if err := t.read(r); err != nil {
 			return nil, err
 		}
 	}
 	// Lines of one instance keep their order. Those of several may be misordered
 	// by the difference of the instances' clocks.
-	slices.SortStableFunc(s.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.position, b.position)) })
-	return s, nil
+	slices.SortStableFunc(t.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.position, b.position)) })
+	return t, nil
 }
 
-func (s *Timeline) read(r io.Reader) error {
+func (t *Timeline) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -62,15 +62,15 @@
 		if start < 0 {
 			continue
 		}
-		s.addLine(text[start:])
+		t.addLine(text[start:])
 	}
 	return errors.Wrap(scanner.Err(), "read the log")
 }
 
 // addLine adds a line if it contains the id. It skips lines that are not JSON, since
 // logs may contain those of other programs.
-func (s *Timeline) addLine(text []byte) {
-	matches := bytes.Contains(text, []byte(s.id))
+func (t *Timeline) addLine(text []byte) {
+	matches := bytes.Contains(text, []byte(t.id))
 	if !matches && !bytes.Contains(text, []byte("log lines dropped")) {
 		return
 	}
@@ -80,10 +80,10 @@
 	}
 	if !matches {
 		count, _ := fields["count"].(float64)
-		s.dropped += int(count)
+		t.dropped += int(count)
 		return
 	}
-	l := line{message: stringField(fields["msg"]), instance: stringField(fields["instance"]), fields: fields, position: len(s.lines)}
+	l := line{message: stringField(fields["msg"]), instance: stringField(fields["instance"]), fields: fields, position: len(t.lines)}
 	at, err := time.Parse(time.RFC3339Nano, stringField(fields["time"]))
 	if err == nil {
 		l.at = at
@@ -91,7 +91,7 @@
 	for _, name := range []string{"time", "msg", "instance", "level"} {
 		delete(fields, name)
 	}
-	s.lines = append(s.lines, l)
+	t.lines = append(t.lines, l)
 }
 
 // stringField returns v if it is a string, else the empty string.
@@ -101,12 +101,12 @@
 }
 
 // Write prints the lines in order of time, followed by the cause.
-func (s *Timeline) Write(w io.Writer) error {
+func (t *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		fmt.Fprintf(&b, "%s  %-24s %s%s\n", l.at.Format("15:04:05.000"), l.instance, l.message, formatFields(l.fields))
 	}
-	fmt.Fprintln(&b, s.Cause())
+	fmt.Fprintln(&b, t.Cause())
 	_, err := io.WriteString(w, b.String())
 	return err
 }
@@ -127,11 +127,11 @@
 }
 
 // Cause returns a sentence that explains how the request ended.
-func (s *Timeline) Cause() string {
-	if len(s.lines) == 0 {
-		return s.noMatch()
+func (t *Timeline) Cause() string {
+	if len(t.lines) == 0 {
+		return t.noMatch()
 	}
-	last := s.lastEnd()
+	last := t.lastEnd()
 	if last == nil {
 		return "No line reports how it ended: the instance may have ended before, or the request was served normally."
 	}
@@ -143,20 +143,20 @@
 	return "Cause: " + explained + "."
 }
 
-func (s *Timeline) noMatch() string {
-	text := "No line names " + s.id + ". A request that is served normally is logged at level DEBUG only."
-	if s.dropped > 0 {
-		text += fmt.Sprintf(" %d lines were dropped.", s.dropped)
+func (t *Timeline) noMatch() string {
+	text := "No line names " + t.id + ". A request that is served normally is logged at level DEBUG only."
+	if t.dropped > 0 {
+		text += fmt.Sprintf(" %d lines were dropped.", t.dropped)
 	}
 	return text
 }
 
 // lastEnd returns the last line that reports the end of a request, nil if there is
 // none.
-func (s *Timeline) lastEnd() *line {
-	for i := len(s.lines) - 1; i >= 0; i-- {
-		if s.lines[i].message == "request ended" {
-			return &s.lines[i]
+func (t *Timeline) lastEnd() *line {
+	for i := len(t.lines) - 1; i >= 0; i-- {
+		if t.lines[i].message == "request ended" {
+			return &t.lines[i]
 		}
 	}
 	return nil
