--- a/internal/allowance/dump.go
+++ b/internal/allowance/dump.go
@@ -39,7 +39,7 @@
 }
 
 // Dump tells the state.
-func (k *Keeper) Dump() Dump {
+func (k *Manager) Dump() Dump {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
--- a/internal/allowance/keeper.go
+++ b/internal/allowance/keeper.go
@@ -45,8 +45,8 @@
 	Probe(to structs.InstanceID)
 }
 
-// Parts are what a Keeper works with.
-type Parts struct {
+// Config are what a Keeper works with.
+type Config struct {
 	Directory *directory.Directory
 	// Slots is the number of slots, of which maxSlots are used at most, Key the key
 	// of a slot's rendezvous hash. Slots that share the keys of the budgets'
@@ -62,10 +62,10 @@
 	Log    *slog.Logger
 }
 
-// Keeper lets requests in within their organisations' limits. It is safe for
+// Manager lets requests in within their organisations' limits. It is safe for
 // concurrent use.
-type Keeper struct {
-	Parts
+type Manager struct {
+	Config
 	self    structs.InstanceID
 	metrics metrics
 
@@ -98,10 +98,10 @@
 }
 
 // New makes a Keeper.
-func New(parts Parts) *Keeper {
+func New(parts Config) *Manager {
 	parts.Slots = min(parts.Slots, maxSlots)
-	k := &Keeper{
-		Parts: parts, self: parts.Directory.Self().ID, metrics: newMetrics(parts.Scope),
+	k := &Manager{
+		Config: parts, self: parts.Directory.Self().ID, metrics: newMetrics(parts.Scope),
 		voter: newVoter(parts.Slots, parts.Tolerance.Window, time.Now()),
 		lines: make(map[string]*line), pending: make(map[uint64]sentAsk),
 		requests: make(map[uint64]sentRequest), doubted: make(map[structs.InstanceID]time.Time),
@@ -114,14 +114,14 @@
 
 // SetActive tells whether any organisation has a limit. Without one no messages
 // are sent.
-func (k *Keeper) SetActive(active bool) {
+func (k *Manager) SetActive(active bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.active = active
 }
 
 // Run collects votes until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 	for {
@@ -138,7 +138,7 @@
 
 // Leave gives up what this instance coordinates. It has to be called before
 // others are told that this instance leaves: they lend their votes anew then.
-func (k *Keeper) Leave() {
+func (k *Manager) Leave() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leaving = true
@@ -149,14 +149,14 @@
 }
 
 // slotOf is the slot of an organisation.
-func (k *Keeper) slotOf(organisation string) int {
+func (k *Manager) slotOf(organisation string) int {
 	return int(xxhash.Sum64String(organisation) % uint64(len(k.slots)))
 }
 
 // Admit lets a request in or tells why not: with a *serve.OverLimitError,
 // serve.ErrLimitUnknown if nobody who could tell answers, or the error of the
 // context.
-func (k *Keeper) Admit(ctx context.Context, entry serve.AllowanceRequest) (serve.Permit, error) {
+func (k *Manager) Admit(ctx context.Context, entry serve.AllowanceRequest) (serve.Permit, error) {
 	if !entry.Limit.Limited() {
 		return noPermit{}, nil
 	}
@@ -182,7 +182,7 @@
 }
 
 // await waits for the verdict on a request.
-func (k *Keeper) await(ctx context.Context, l *line, w *waiter) (serve.Permit, error) {
+func (k *Manager) await(ctx context.Context, l *line, w *waiter) (serve.Permit, error) {
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	var err error
@@ -204,7 +204,7 @@
 	return nil, err
 }
 
-func (k *Keeper) conclude(l *line, w *waiter, got verdict) (serve.Permit, error) {
+func (k *Manager) conclude(l *line, w *waiter, got verdict) (serve.Permit, error) {
 	if got.admitted {
 		k.metrics.admitted.Inc(1)
 		return permit{keeper: k, line: l, first: w.first}, nil
@@ -221,7 +221,7 @@
 
 // lineOf is what waits of an organisation, under its newest limit. The mutex is
 // held.
-func (k *Keeper) lineOf(entry serve.AllowanceRequest) *line {
+func (k *Manager) lineOf(entry serve.AllowanceRequest) *line {
 	l := k.lines[entry.Organisation]
 	if l == nil {
 		l = &line{organisation: entry.Organisation}
@@ -235,7 +235,7 @@
 
 // startAsk asks the coordinator of an organisation, unless an ask is under way.
 // The mutex is held.
-func (k *Keeper) startAsk(l *line, now time.Time) {
+func (k *Manager) startAsk(l *line, now time.Time) {
 	if l.asking != 0 {
 		return
 	}
@@ -258,7 +258,7 @@
 
 // unanswered asks anew after an ask that got no answer in time. What a later
 // answer grants is used by nobody.
-func (k *Keeper) unanswered(number uint64) {
+func (k *Manager) unanswered(number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	sent, ok := k.pending[number]
@@ -270,7 +270,7 @@
 }
 
 // askAnew gives an ask up and asks again if requests wait. The mutex is held.
-func (k *Keeper) askAnew(number uint64, sent sentAsk) {
+func (k *Manager) askAnew(number uint64, sent sentAsk) {
 	delete(k.pending, number)
 	sent.line.asking, sent.line.asked = 0, nil
 	k.askForWaiting(sent.line)
@@ -278,14 +278,14 @@
 
 // askForWaiting asks again if requests wait, or permits are to be given back. The
 // mutex is held.
-func (k *Keeper) askForWaiting(l *line) {
+func (k *Manager) askForWaiting(l *line) {
 	if len(l.waiting) > 0 || l.returned > 0 || l.returnedStarts > 0 {
 		k.startAsk(l, time.Now())
 	}
 }
 
 // settle takes an answer. The mutex is held.
-func (k *Keeper) settle(reply *structs.AllowanceReply, now time.Time) {
+func (k *Manager) settle(reply *structs.AllowanceReply, now time.Time) {
 	sent, ok := k.pending[reply.Number]
 	if !ok {
 		return
@@ -313,7 +313,7 @@
 }
 
 // serveAsk answers an ask as the coordinator. The mutex is held.
-func (k *Keeper) serveAsk(ask *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
+func (k *Manager) serveAsk(ask *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
 	if ask.Slot < 0 || ask.Slot >= len(k.slots) || !(org.Limit{PerSecond: ask.PerSecond}).Limited() {
 		return &structs.AllowanceReply{Number: ask.Number, Outcome: structs.AllowanceNoShare}
 	}
@@ -328,7 +328,7 @@
 // since others took this one for it. After a loss of all instances the list holds
 // some that are gone for good, and nothing else would tell this one so: a slot had
 // no coordinator for 7 s.
-func (k *Keeper) confirmFirst(slot int) {
+func (k *Manager) confirmFirst(slot int) {
 	if first := k.Directory.First(k.Key(slot)); first != "" && first != k.self {
 		k.Peers.Probe(first)
 	}
@@ -345,7 +345,7 @@
 
 // Receive handles an event of the transport between instances. The directory
 // must know of it before.
-func (k *Keeper) Receive(event structs.Event) {
+func (k *Manager) Receive(event structs.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -358,7 +358,7 @@
 	}
 }
 
-func (k *Keeper) receiveMessage(from structs.InstanceID, msg structs.Message, now time.Time) {
+func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message, now time.Time) {
 	switch m := msg.(type) {
 	case *structs.AllowanceAsk:
 		k.Peers.Send(from, k.serveAsk(m, now))
@@ -382,7 +382,7 @@
 
 // askElsewhere asks anew what was asked of an instance that does not answer. The
 // mutex is held.
-func (k *Keeper) askElsewhere(id structs.InstanceID) {
+func (k *Manager) askElsewhere(id structs.InstanceID) {
 	for number, sent := range k.pending {
 		if sent.to == id {
 			k.askAnew(number, sent)
--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -4,29 +4,29 @@
 
 // permit is a request that was let in.
 type permit struct {
-	keeper *Keeper
+	keeper *Manager
 	line   *line
 	// first tells that it begins a program.
 	first bool
 }
 
-// Again counts one more run of the request.
-func (p permit) Again() {
+// CountRerun counts one more run of the request.
+func (p permit) CountRerun() {
 	p.keeper.mu.Lock()
 	defer p.keeper.mu.Unlock()
 	p.line.debt++
 }
 
-// Use implements serve.Permit.
-func (p permit) Use() float64 {
+// Utilization implements serve.Permit.
+func (p permit) Utilization() float64 {
 	p.keeper.mu.Lock()
 	defer p.keeper.mu.Unlock()
 	return p.line.told.now(time.Now())
 }
 
-// GiveBack implements serve.Permit. It is told at once: what came back later
+// Release implements serve.Permit. It is told at once: what came back later
 // would count for a window in which it was not dealt out.
-func (p permit) GiveBack() {
+func (p permit) Release() {
 	p.keeper.mu.Lock()
 	defer p.keeper.mu.Unlock()
 	if p.first {
@@ -41,6 +41,6 @@
 // noPermit is that of a request without a limit.
 type noPermit struct{}
 
-func (noPermit) Again()       {}
-func (noPermit) Use() float64 { return 0 }
-func (noPermit) GiveBack()    {}
+func (noPermit) CountRerun()          {}
+func (noPermit) Utilization() float64 { return 0 }
+func (noPermit) Release()             {}
--- a/internal/allowance/use_test.go
+++ b/internal/allowance/use_test.go
@@ -35,11 +35,11 @@
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			permits[name], uses[name] = permit, permit.Use()
+			permits[name], uses[name] = permit, permit.Utilization()
 		}
 		// The load has ended, so no answer comes any more.
 		time.Sleep(30 * time.Second)
-		if stale := permits["hot"].Use(); stale != 0 {
+		if stale := permits["hot"].Utilization(); stale != 0 {
 			t.Errorf("a use of %g is told for longer than %s", stale, useLife)
 		}
 		w.Stop()
@@ -67,7 +67,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			permit.GiveBack()
+			permit.Release()
 			time.Sleep(20 * time.Millisecond)
 		}
 		after := w.left("o", limit)
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -8,7 +8,7 @@
 
 // renew asks the voters of the slots for which this instance ranks first. The
 // mutex is held.
-func (k *Keeper) renew(now time.Time) {
+func (k *Manager) renew(now time.Time) {
 	if !k.active || k.leaving || !k.Listed() {
 		return
 	}
@@ -28,7 +28,7 @@
 }
 
 // forgetRequests drops requests whose votes would not count any more.
-func (k *Keeper) forgetRequests(now time.Time) {
+func (k *Manager) forgetRequests(now time.Time) {
 	for number, sent := range k.requests {
 		if now.Sub(sent.at) > voteLife {
 			delete(k.requests, number)
@@ -37,7 +37,7 @@
 }
 
 // requestVote asks one voter. The mutex is held.
-func (k *Keeper) requestVote(s *slot, voter structs.InstanceID, now time.Time) {
+func (k *Manager) requestVote(s *slot, voter structs.InstanceID, now time.Time) {
 	switch {
 	case voter == k.self || k.Directory.Usable(voter):
 		delete(k.doubted, voter)
@@ -59,7 +59,7 @@
 }
 
 // lend answers a request for this instance's vote. The mutex is held.
-func (k *Keeper) lend(m *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
+func (k *Manager) lend(m *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
 	if m.Slot < 0 || m.Slot >= len(k.slots) || !k.Listed() {
 		return nil, false
 	}
@@ -69,7 +69,7 @@
 }
 
 // takeVote takes the answer to a request for a vote. The mutex is held.
-func (k *Keeper) takeVote(reply *structs.VoteReply, now time.Time) {
+func (k *Manager) takeVote(reply *structs.VoteReply, now time.Time) {
 	sent, ok := k.requests[reply.Number]
 	delete(k.requests, reply.Number)
 	if !ok || !reply.Granted || k.leaving {
--- a/internal/allowance/world_test.go
+++ b/internal/allowance/world_test.go
@@ -45,14 +45,14 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 }
 
 // peers is the transport of a node.
 type peers struct {
 	*simnet.Node
 	world  *world
-	keeper *Keeper
+	keeper *Manager
 }
 
 // Send sends a message; a request for a vote is granted at once in a world whose
@@ -79,7 +79,7 @@
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	link := &peers{Node: sim, world: w}
-	n.keeper = New(Parts{
+	n.keeper = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
 		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
@@ -124,7 +124,7 @@
 	case nil:
 		w.let++
 		if w.unused && w.let%3 == 0 {
-			permit.GiveBack()
+			permit.Release()
 			return true
 		}
 		w.admitted[name] = append(w.admitted[name], time.Now())
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -34,7 +34,7 @@
 )
 
 // startClaim claims a partition in the background. The mutex is held.
-func (k *Keeper) startClaim(p *partition) {
+func (k *Manager) startClaim(p *partition) {
 	if p.claiming || k.leaving.Load() || time.Now().Before(p.claimAfter) {
 		return
 	}
@@ -43,7 +43,7 @@
 }
 
 // claim claims a partition and answers the asks that wait for it.
-func (k *Keeper) claim(p *partition) {
+func (k *Manager) claim(p *partition) {
 	k.mu.Lock()
 	former := p.owner
 	k.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // tryClaim claims a partition, unless a usable instance owns it.
-func (k *Keeper) tryClaim(p *partition) error {
+func (k *Manager) tryClaim(p *partition) error {
 	var err error
 	for range claimAttempts {
 		var done bool
@@ -104,7 +104,7 @@
 
 // claimOnce reads the partition and claims it if nobody else has. It returns
 // true if the partition has an owner now.
-func (k *Keeper) claimOnce(p *partition) (bool, error) {
+func (k *Manager) claimOnce(p *partition) (bool, error) {
 	now, err := k.read(p)
 	if err != nil {
 		return false, errors.Mark(err, errUnread)
@@ -134,14 +134,14 @@
 }
 
 // storeContext bounds one call to the store.
-func (k *Keeper) storeContext() (context.Context, context.CancelFunc) {
+func (k *Manager) storeContext() (context.Context, context.CancelFunc) {
 	if k.health.OK() {
 		return context.WithTimeout(k.ctx, storeTimeout)
 	}
 	return context.WithTimeout(k.ctx, doubtTimeout)
 }
 
-func (k *Keeper) read(p *partition) (content, error) {
+func (k *Manager) read(p *partition) (content, error) {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	list, err := k.store.Newest(ctx, topic, p.number)
@@ -159,7 +159,7 @@
 // confirm asks an owner that did not answer before once more before its partition
 // is claimed: an instance that was paused finds all connections broken when it
 // wakes, and must not take the others' partitions, whose accounts would be lost.
-func (k *Keeper) confirm(owner structs.InstanceID) {
+func (k *Manager) confirm(owner structs.InstanceID) {
 	if !k.directory.Suspected(owner) {
 		return
 	}
@@ -178,7 +178,7 @@
 }
 
 // confirmed ends the waits for word of an instance. The mutex is held.
-func (k *Keeper) confirmed(id structs.InstanceID) {
+func (k *Manager) confirmed(id structs.InstanceID) {
 	for _, heard := range k.confirms[id] {
 		heard <- struct{}{}
 	}
@@ -187,7 +187,7 @@
 
 // adopt takes the owner in the store for the present one if it is usable, or
 // if it is this instance already. It tells whether that is so.
-func (k *Keeper) adopt(p *partition, owner *ownerRecord) bool {
+func (k *Manager) adopt(p *partition, owner *ownerRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if owner.Owner == k.self.ID {
@@ -211,7 +211,7 @@
 
 // continues tells whether this instance has the exact accounts of the owner in
 // the store.
-func (k *Keeper) continues(p *partition, owner *ownerRecord) bool {
+func (k *Manager) continues(p *partition, owner *ownerRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return p.own != nil && owner != nil && p.own.epoch == owner.Epoch
@@ -220,7 +220,7 @@
 // lossesOf is how many owners before a claim of this instance may have handed out
 // their slice. An owner that never learned of its claim handed out nothing: the
 // claim took effect without an answer.
-func (k *Keeper) lossesOf(p *partition, owner *ownerRecord, clean bool) int {
+func (k *Manager) lossesOf(p *partition, owner *ownerRecord, clean bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
@@ -236,7 +236,7 @@
 	return owner.losses() + 1
 }
 
-func (k *Keeper) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
+func (k *Manager) appendClaim(p *partition, claim ownerRecord, sequence, end int64) error {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	_, err := k.store.Append(ctx, platform.Append{
@@ -248,7 +248,7 @@
 }
 
 // install makes this instance the owner after its claim was appended.
-func (k *Keeper) install(p *partition, claim ownerRecord, sequence int64, now content, clean bool) error {
+func (k *Manager) install(p *partition, claim ownerRecord, sequence int64, now content, clean bool) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if clean && (p.own == nil || now.owner == nil || p.own.epoch != now.owner.Epoch) {
@@ -279,7 +279,7 @@
 
 // restore makes accounts of the records that an owner left; those without a
 // record are lost.
-func (k *Keeper) restore(own *ownership, now content) {
+func (k *Manager) restore(own *ownership, now content) {
 	for program, record := range now.programs {
 		own.accounts[program] = restored(program, record, own.losses, lostRetention, time.Now())
 	}
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -15,7 +15,7 @@
 
 // Leave hands all partitions over to other instances. The Keeper goes on
 // asking other owners for this instance's turns.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Manager) Leave(ctx context.Context) {
 	k.leaving.Store(true)
 	k.directory.SetLeaving(k.self.ID)
 	k.tellLeaving()
@@ -28,7 +28,7 @@
 // it leaves. An instance that is not told and asks is sent on. To tell all would take
 // a connection to each: a small machine needs its grace period for that where there
 // are hundreds.
-func (k *Keeper) tellLeaving() {
+func (k *Manager) tellLeaving() {
 	k.peers.Broadcast(new(structs.Leaving))
 	for _, id := range k.successors() {
 		k.peers.Send(id, new(structs.Leaving))
@@ -36,7 +36,7 @@
 }
 
 // successors lists the instances that would claim the partitions of this one.
-func (k *Keeper) successors() []structs.InstanceID {
+func (k *Manager) successors() []structs.InstanceID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var successors []structs.InstanceID
@@ -56,7 +56,7 @@
 // handOver gives a partition to the first instance that takes it. Only an
 // explicit refusal lets the next one be asked: an answer that does not come
 // may mean that the first has the partition.
-func (k *Keeper) handOver(ctx context.Context, p *partition) {
+func (k *Manager) handOver(ctx context.Context, p *partition) {
 	for _, successor := range k.directory.Ranked(p.key()) {
 		if successor == k.self.ID {
 			continue
@@ -70,7 +70,7 @@
 
 // relieve hands the partitions over while the store refuses this instance, if
 // another one reaches it: an owner has to write records.
-func (k *Keeper) relieve(ctx context.Context) {
+func (k *Manager) relieve(ctx context.Context) {
 	for _, p := range k.partitions {
 		k.mu.Lock()
 		owned := p.own != nil
@@ -88,7 +88,7 @@
 
 // findSuccessor asks one instance, another one each time, whether it would take
 // a partition.
-func (k *Keeper) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
+func (k *Manager) findSuccessor(ctx context.Context, p *partition) (structs.InstanceID, bool) {
 	others := k.directory.Others()
 	if len(others) == 0 {
 		return "", false
@@ -106,7 +106,7 @@
 
 // handOverTo gives a partition to one instance. It returns whether that has
 // taken it, and whether this is known.
-func (k *Keeper) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (taken, known bool) {
+func (k *Manager) handOverTo(ctx context.Context, p *partition, successor structs.InstanceID) (taken, known bool) {
 	k.mu.Lock()
 	own := p.own
 	if own == nil {
@@ -138,7 +138,7 @@
 
 // exportPartition makes the message that hands a partition over. The mutex is
 // held.
-func (k *Keeper) exportPartition(p *partition) *structs.PartitionHandover {
+func (k *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
 		Number: k.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.losses,
@@ -152,7 +152,7 @@
 	return message
 }
 
-func (k *Keeper) awaitHandover(ctx context.Context, number uint64, answers chan bool) (taken, known bool) {
+func (k *Manager) awaitHandover(ctx context.Context, number uint64, answers chan bool) (taken, known bool) {
 	timer := time.NewTimer(handoverTimeout)
 	defer timer.Stop()
 	defer func() {
@@ -170,7 +170,7 @@
 }
 
 // takeBack resumes an ownership that the successor has refused.
-func (k *Keeper) takeBack(p *partition, own *ownership) {
+func (k *Manager) takeBack(p *partition, own *ownership) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != nil || p.epoch > own.epoch {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (k *Keeper) receiveHandoverReply(m *structs.HandoverReply) {
+func (k *Manager) receiveHandoverReply(m *structs.HandoverReply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if answers, ok := k.handovers[m.Number]; ok {
@@ -194,7 +194,7 @@
 
 // receiveHandover takes a partition over, unless this instance leaves or knows
 // of a newer owner.
-func (k *Keeper) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
+func (k *Manager) receiveHandover(from structs.InstanceID, m *structs.PartitionHandover) {
 	if m.Offer {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -214,7 +214,7 @@
 
 // answerOffer tells whether this instance would take a partition over: whether the
 // store serves it the partition. What others say of the store is no sign of that.
-func (k *Keeper) answerOffer(from structs.InstanceID, m *structs.PartitionHandover) {
+func (k *Manager) answerOffer(from structs.InstanceID, m *structs.PartitionHandover) {
 	would := !k.leaving.Load() && k.health.OK() && m.Partition >= 0 && m.Partition < len(k.partitions)
 	if would {
 		_, err := k.read(k.partitions[m.Partition])
@@ -223,7 +223,7 @@
 	k.peers.Send(from, &structs.HandoverReply{Number: m.Number, Accepted: would})
 }
 
-func (k *Keeper) takeOver(from structs.InstanceID, m *structs.PartitionHandover) bool {
+func (k *Manager) takeOver(from structs.InstanceID, m *structs.PartitionHandover) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.leaving.Load() || m.Partition < 0 || m.Partition >= len(k.partitions) {
--- a/internal/budget/keeper.go
+++ b/internal/budget/keeper.go
@@ -37,20 +37,20 @@
 // their replies, which reach all instances that serve programs.
 type Breaks interface {
 	Breaks(now time.Time) []structs.TargetBreak
-	Hear(breaks []structs.TargetBreak, now time.Time)
+	MergeBreaks(breaks []structs.TargetBreak, now time.Time)
 }
 
 // Loads are the reports of targets' loads, which instances share with their
 // requests for room and the replies to them.
 type Loads interface {
-	// OwnLoads are the newest reports that targets gave this instance.
-	OwnLoads(now time.Time) []structs.TargetReport
-	// Loads are new reports that this instance knows, whoever heard them.
-	Loads(now time.Time) []structs.TargetReport
-	HearLoads(loads []structs.TargetReport, now time.Time)
+	// OwnLoadReports are the newest reports that targets gave this instance.
+	OwnLoadReports(now time.Time) []structs.TargetReport
+	// LoadReports are new reports that this instance knows, whoever heard them.
+	LoadReports(now time.Time) []structs.TargetReport
+	MergeLoadReports(loads []structs.TargetReport, now time.Time)
 	// PoolReports tell what this instance knows of whole services.
 	PoolReports(now time.Time) []structs.PoolReport
-	HearPools(pools []structs.PoolReport, now time.Time)
+	MergePoolReports(pools []structs.PoolReport, now time.Time)
 }
 
 // Health tells whether the store answers all that this instance reads. It may
@@ -58,10 +58,10 @@
 // partition can do is found out by trying; the tries are shorter meanwhile.
 type Health interface{ OK() bool }
 
-// Keeper hands out room in programs' budgets: for the partitions that this
+// Manager hands out room in programs' budgets: for the partitions that this
 // instance owns by itself, for the others through their owners. It is safe for
 // concurrent use.
-type Keeper struct {
+type Manager struct {
 	self      structs.Peer
 	directory *directory.Directory
 	store     Store
@@ -118,8 +118,8 @@
 	reply   func(answer)
 }
 
-// Parts are what a Keeper works with.
-type Parts struct {
+// Config are what a Keeper works with.
+type Config struct {
 	Directory *directory.Directory
 	// Partitions is the number of the topic's partitions.
 	Partitions int
@@ -135,8 +135,8 @@
 }
 
 // New makes a Keeper that works until the context ends.
-func New(ctx context.Context, parts Parts) *Keeper {
-	k := &Keeper{
+func New(ctx context.Context, parts Config) *Manager {
+	k := &Manager{
 		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
 		breaks: parts.Breaks, loads: parts.Loads, health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), ctx: ctx,
 		listed: parts.Listed, started: time.Now(),
@@ -151,7 +151,7 @@
 }
 
 // partitionOf is the partition of a program.
-func (k *Keeper) partitionOf(program string) *partition {
+func (k *Manager) partitionOf(program string) *partition {
 	return k.partitions[xxhash.Sum64String(program)%uint64(len(k.partitions))]
 }
 
@@ -163,14 +163,14 @@
 
 // spawn works in the background, unless the Keeper has stopped. The mutex is
 // held.
-func (k *Keeper) spawn(work func()) {
+func (k *Manager) spawn(work func()) {
 	if !k.stopped {
 		k.work.Go(work)
 	}
 }
 
 // stop waits for what works in the background.
-func (k *Keeper) stop() {
+func (k *Manager) stop() {
 	k.mu.Lock()
 	k.stopped = true
 	k.mu.Unlock()
@@ -178,13 +178,13 @@
 }
 
 // nextNumber numbers leases and handovers. The mutex is held.
-func (k *Keeper) nextNumber() uint64 {
+func (k *Manager) nextNumber() uint64 {
 	k.number++
 	return k.number
 }
 
 // Receive handles an event of the transport between instances.
-func (k *Keeper) Receive(event structs.Event) {
+func (k *Manager) Receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerMessage:
 		k.receiveMessage(e.From, e.Msg)
@@ -195,7 +195,7 @@
 	}
 }
 
-func (k *Keeper) receiveMessage(from structs.InstanceID, msg structs.Message) {
+func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.RoomRequest:
 		k.receiveRequest(from, *m)
@@ -210,7 +210,7 @@
 	case *structs.HandoverReply:
 		k.receiveHandoverReply(m)
 	case *structs.TargetNotice:
-		k.breaks.Hear(m.Breaks, time.Now())
+		k.breaks.MergeBreaks(m.Breaks, time.Now())
 	case *structs.Leaving:
 		k.directory.SetLeaving(from)
 	default:
@@ -232,7 +232,7 @@
 const claimInterval = 1500 * time.Millisecond
 
 // Run keeps the partitions until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
 	relief := time.NewTicker(reliefInterval)
@@ -258,7 +258,7 @@
 
 // claimVacant claims the partitions that were handed to this instance, and
 // those without a known usable owner for which it ranks first.
-func (k *Keeper) claimVacant() {
+func (k *Manager) claimVacant() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.watchChanged()
@@ -274,7 +274,7 @@
 
 // firstChoice is the instance that should own a partition, empty if there is
 // none.
-func (k *Keeper) firstChoice(p *partition) structs.InstanceID {
+func (k *Manager) firstChoice(p *partition) structs.InstanceID {
 	return k.directory.First(p.key())
 }
 
@@ -284,13 +284,13 @@
 const listPatience = 500 * time.Millisecond
 
 // knowsOthers tells whether the list of instances is known.
-func (k *Keeper) knowsOthers() bool { return k.listed == nil || k.listed() }
+func (k *Manager) knowsOthers() bool { return k.listed == nil || k.listed() }
 
 // mayClaim tells whether this instance may claim a partition that it is asked for.
-func (k *Keeper) mayClaim() bool { return k.knowsOthers() || time.Since(k.started) > listPatience }
+func (k *Manager) mayClaim() bool { return k.knowsOthers() || time.Since(k.started) > listPatience }
 
-// Owns tells whether this instance owns a partition.
-func (k *Keeper) Owns() bool {
+// OwnsPartitions tells whether this instance owns a partition.
+func (k *Manager) OwnsPartitions() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.ContainsFunc(k.partitions, func(p *partition) bool { return p.own != nil })
@@ -298,12 +298,12 @@
 
 // ownerUsable tells whether another instance is known to own the partition and
 // answers.
-func (k *Keeper) ownerUsable(p *partition) bool {
+func (k *Manager) ownerUsable(p *partition) bool {
 	return p.owner != "" && p.owner != k.self.ID && k.directory.Usable(p.owner)
 }
 
 // sweep forgets programs that cannot come back.
-func (k *Keeper) sweep(now time.Time) {
+func (k *Manager) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, p := range k.partitions {
--- a/internal/budget/keeper_test.go
+++ b/internal/budget/keeper_test.go
@@ -383,8 +383,8 @@
 		}
 		first := w.all()[0]
 		runAll(first)
-		first.breaks.Hear([]structs.TargetBreak{{Target: "down"}}, time.Now())
-		first.keeper.TargetBroke()
+		first.breaks.MergeBreaks([]structs.TargetBreak{{Target: "down"}}, time.Now())
+		first.keeper.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range w.all() {
 			runAll(n)
@@ -470,7 +470,7 @@
 			return lease
 		}
 		first := reserve(w.all()[0])
-		if got := first.Target(); got != "" {
+		if got := first.LastTarget(); got != "" {
 			t.Errorf("a new program's target is %q", got)
 		}
 		first.Settle(serve.TurnResult{UsedTokens: 10, Target: "engine1"})
@@ -479,7 +479,7 @@
 		w.Kill(owner.Node)
 		for _, n := range w.all() {
 			lease := reserve(n)
-			if got := lease.Target(); got != "engine1" {
+			if got := lease.LastTarget(); got != "engine1" {
 				t.Errorf("%s is told %q", n.ID, got)
 			}
 			lease.Settle(serve.TurnResult{}) // ran nowhere
@@ -489,12 +489,12 @@
 		reserve(n).Settle(serve.TurnResult{Target: "engine2", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
 		last := reserve(n)
-		if got := last.Target(); got != "engine1" {
+		if got := last.LastTarget(); got != "engine1" {
 			t.Errorf("after another one's failure: %q", got)
 		}
 		last.Settle(serve.TurnResult{Target: "engine1", Failed: true})
 		time.Sleep(2 * simnet.LinkTime)
-		if got := reserve(n).Target(); got != "" {
+		if got := reserve(n).LastTarget(); got != "" {
 			t.Errorf("a target that failed the program is remembered: %q", got)
 		}
 	})
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -33,7 +33,7 @@
 			id := directory.InstanceID(fmt.Sprint("m", i), "1")
 			dir.Put(structs.Peer{ID: id, Address: "10.0.0.1:1"})
 		}
-		k := New(t.Context(), Parts{
+		k := New(t.Context(), Config{
 			Directory: dir, Partitions: 24, Store: simnet.New().Store, Peers: peers, Breaks: new(breakList), Loads: new(breakList),
 			Health: new(simnet.Node), Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
--- a/internal/budget/notices.go
+++ b/internal/budget/notices.go
@@ -6,9 +6,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// TargetBroke tells the owners of partitions which targets broke connections.
+// ReportTargetBreaks tells the owners of partitions which targets broke connections.
 // They pass it on with their replies. It implements serve.Notices.
-func (k *Keeper) TargetBroke() {
+func (k *Manager) ReportTargetBreaks() {
 	notice := &structs.TargetNotice{Breaks: k.breaks.Breaks(time.Now())}
 	for _, owner := range k.otherOwners() {
 		k.peers.Send(owner, notice)
@@ -16,7 +16,7 @@
 }
 
 // otherOwners lists the other instances that own partitions and answer.
-func (k *Keeper) otherOwners() []structs.InstanceID {
+func (k *Manager) otherOwners() []structs.InstanceID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var owners []structs.InstanceID
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -56,7 +56,7 @@
 }
 
 // admit takes a request for room at the owner. The mutex is held.
-func (k *Keeper) admit(p *partition, r structs.RoomRequest, reply func(answer)) {
+func (k *Manager) admit(p *partition, r structs.RoomRequest, reply func(answer)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
 		a = newAccount(r.Program, r.Budget, r.Most, p.own.lossesOfNew())
@@ -71,7 +71,7 @@
 
 // serveAsks answers the asks of an account, in order, as far as it can now.
 // The mutex is held.
-func (k *Keeper) serveAsks(p *partition, a *account) {
+func (k *Manager) serveAsks(p *partition, a *account) {
 	for len(a.asks) > 0 {
 		next := a.asks[0]
 		switch a.judge(next.most) {
@@ -102,7 +102,7 @@
 // unwritable tells that the store has not taken the last write to a partition
 // that this instance owns, so that a turn need not wait for the next one: an
 // outage lasts for seconds. The mutex is held.
-func (k *Keeper) unwritable(p *partition) bool {
+func (k *Manager) unwritable(p *partition) bool {
 	if p.own.claimed {
 		return p.own.failing && !k.health.OK()
 	}
@@ -110,7 +110,7 @@
 }
 
 // refuseAsks answers all asks of an account alike. The mutex is held.
-func (k *Keeper) refuseAsks(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
+func (k *Manager) refuseAsks(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
 	for _, waiting := range a.asks {
 		if outcome == structs.RoomNoRecord {
 			k.metrics.unavailable.Inc(1)
@@ -121,7 +121,7 @@
 }
 
 // receiveSettle ends a lease, or passes the message on to the newest owner.
-func (k *Keeper) receiveSettle(m *structs.RoomSettle) {
+func (k *Manager) receiveSettle(m *structs.RoomSettle) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if m.Partition < 0 || m.Partition >= len(k.partitions) {
@@ -138,7 +138,7 @@
 }
 
 // settle ends a lease at the owner. The mutex is held.
-func (k *Keeper) settle(p *partition, m *structs.RoomSettle) {
+func (k *Manager) settle(p *partition, m *structs.RoomSettle) {
 	a, ok := p.own.accounts[m.Program]
 	if !ok || !a.settle(m.Lease, m.Used) {
 		return
@@ -150,7 +150,7 @@
 
 // loseHolder counts the leases of an instance that is gone as used. The mutex
 // is held.
-func (k *Keeper) loseHolder(p *partition, holder structs.InstanceID) {
+func (k *Manager) loseHolder(p *partition, holder structs.InstanceID) {
 	for _, a := range p.own.accounts {
 		if a.loseHolder(holder) {
 			k.serveAsks(p, a)
@@ -160,7 +160,7 @@
 
 // sweepAccounts forgets the accounts of programs that cannot come back. The
 // mutex is held.
-func (k *Keeper) sweepAccounts(p *partition, now time.Time) {
+func (k *Manager) sweepAccounts(p *partition, now time.Time) {
 	k.endLoss(p, now)
 	for name, a := range p.own.accounts {
 		if a.idle(now) && !p.own.dirty[a] {
@@ -173,7 +173,7 @@
 // forgetLosses has the partition claimed anew without losses, once no program is
 // left that may have used the slice of an owner behind one. Else a partition had
 // no slices left after as many losses as there are slices. The mutex is held.
-func (k *Keeper) forgetLosses(p *partition) {
+func (k *Manager) forgetLosses(p *partition) {
 	if p.own.loss != nil || p.own.losses == 0 || !p.own.claimed {
 		return
 	}
@@ -189,7 +189,7 @@
 // endLoss ends the charge for a loss once no program that the lost accounts
 // held can come back, and the owner that had them is known to have ended: until
 // then it might still hand out room without a record. The mutex is held.
-func (k *Keeper) endLoss(p *partition, now time.Time) {
+func (k *Manager) endLoss(p *partition, now time.Time) {
 	l := p.own.loss
 	if l == nil || !k.directory.Ended(l.owner) {
 		return
@@ -210,7 +210,7 @@
 }
 
 // dropOwnership ends this instance's ownership. The mutex is held.
-func (k *Keeper) dropOwnership(p *partition, owner structs.InstanceID, why string) {
+func (k *Manager) dropOwnership(p *partition, owner structs.InstanceID, why string) {
 	own := p.own
 	p.own = nil
 	k.log.Warn("partition lost", "partition", p.number, "epoch", own.epoch, "owner", owner, "reason", why)
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -10,7 +10,7 @@
 // What instances tell each other of who owns a partition, and who watches whom.
 
 // peerUp notes that an instance answers, and tells it what this one owns.
-func (k *Keeper) peerUp(id structs.InstanceID) {
+func (k *Manager) peerUp(id structs.InstanceID) {
 	k.directory.SetUnresponsive(id, false)
 	k.mu.Lock()
 	k.confirmed(id)
@@ -23,7 +23,7 @@
 }
 
 // ownNotice lists what this instance owns. The mutex is held.
-func (k *Keeper) ownNotice() *structs.OwnerNotice {
+func (k *Manager) ownNotice() *structs.OwnerNotice {
 	notice := new(structs.OwnerNotice)
 	for _, p := range k.partitions {
 		if p.own != nil {
@@ -36,7 +36,7 @@
 // peerDown notes that an instance does not answer: its turns count at their
 // most, its partitions get another owner, and what was asked of it is asked
 // again elsewhere.
-func (k *Keeper) peerDown(id structs.InstanceID) {
+func (k *Manager) peerDown(id structs.InstanceID) {
 	k.directory.SetUnresponsive(id, true)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +59,7 @@
 }
 
 // receiveNotice takes over who owns partitions.
-func (k *Keeper) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
+func (k *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, owned := range notice.Owned {
@@ -81,7 +81,7 @@
 }
 
 // setOwner notes who owns a partition. The mutex is held.
-func (k *Keeper) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
+func (k *Manager) setOwner(p *partition, owner structs.InstanceID, epoch int64) {
 	changed := p.owner != owner
 	p.owner, p.epoch = owner, max(p.epoch, epoch)
 	if changed {
@@ -92,7 +92,7 @@
 // redirect ends the requests that wait for an answer of a former owner, which may
 // be silent, once the new one has told that it claimed the partition. Room that a
 // late answer grants is given back. The mutex is held.
-func (k *Keeper) redirect(p *partition) {
+func (k *Manager) redirect(p *partition) {
 	for lease, pending := range k.pending {
 		if pending.request.Partition == p.number && pending.asked != p.owner {
 			delete(k.pending, lease)
@@ -110,7 +110,7 @@
 // watchOwners has the other owners watched whose partitions this instance would
 // claim, so that a silent one is noticed before a turn waits for it, and those that
 // did not answer, so that their return is noticed. The mutex is held.
-func (k *Keeper) watchOwners() {
+func (k *Manager) watchOwners() {
 	k.watchedAt = k.directory.Version()
 	var watched []structs.InstanceID
 	for _, p := range k.partitions {
@@ -126,7 +126,7 @@
 
 // watchChanged looks again whom to watch if the list of instances has changed: it takes
 // a look at each instance for each partition. The mutex is held.
-func (k *Keeper) watchChanged() {
+func (k *Manager) watchChanged() {
 	if k.directory.Version() != k.watchedAt {
 		k.watchOwners()
 	}
@@ -134,7 +134,7 @@
 
 // rewatch looks again whom to watch after an instance went silent or came back, if
 // it owns a partition. The mutex is held.
-func (k *Keeper) rewatch(id structs.InstanceID) {
+func (k *Manager) rewatch(id structs.InstanceID) {
 	for _, p := range k.partitions {
 		if p.owner == id {
 			k.watchOwners()
@@ -151,7 +151,7 @@
 // announce tells others what this instance owns: those that are connected and, if they
 // may wait for a silent former owner, others too. When all instances start together
 // nobody waits.
-func (k *Keeper) announce(former structs.InstanceID) {
+func (k *Manager) announce(former structs.InstanceID) {
 	k.mu.Lock()
 	notice := k.ownNotice()
 	k.mu.Unlock()
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -51,17 +51,17 @@
 
 // heldRoom is room that a turn of this instance holds.
 type heldRoom struct {
-	keeper  *Keeper
+	keeper  *Manager
 	request structs.RoomRequest
 	target  string
 	first   bool
 }
 
-// Target ran the program's last turn, empty if unknown.
-func (h heldRoom) Target() string { return h.target }
+// LastTarget ran the program's last turn, empty if unknown.
+func (h heldRoom) LastTarget() string { return h.target }
 
-// First tells that no turn of the program has run yet, as far as its owner knows.
-func (h heldRoom) First() bool { return h.first }
+// FirstTurn tells that no turn of the program has run yet, as far as its owner knows.
+func (h heldRoom) FirstTurn() bool { return h.first }
 
 // Settle gives back what was not used and tells how the turn ended.
 func (h heldRoom) Settle(end serve.TurnResult) {
@@ -75,7 +75,7 @@
 // has none, serve.ErrBudgetHeld if turns under way hold what is left,
 // serve.ErrStoreUnavailable if a record is needed that the store does not take,
 // serve.ErrNoOwner if no owner is found, or the error of the context.
-func (k *Keeper) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+func (k *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, roomPatience)
 	defer cancel()
 	lease, err := k.reserve(wait, turn)
@@ -86,7 +86,7 @@
 }
 
 // reserve waits for room until the context ends.
-func (k *Keeper) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
+func (k *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := k.partitionOf(turn.Program)
 	request := structs.RoomRequest{
 		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.MaxTokens, Retention: turn.Retention,
@@ -120,13 +120,13 @@
 
 // isolated tells that neither the store nor any other instance answers, so that
 // an owner will not be found soon.
-func (k *Keeper) isolated() bool {
+func (k *Manager) isolated() bool {
 	return !k.health.OK() && len(k.directory.Others()) == 0
 }
 
 // search finds the owner of a partition for one turn.
 type search struct {
-	keeper    *Keeper
+	keeper    *Manager
 	partition *partition
 	// unable are the instances that could neither hand out room nor claim.
 	unable []structs.InstanceID
@@ -157,7 +157,7 @@
 	}
 	if asked != k.self.ID {
 		message := *request
-		message.Loads = k.loads.OwnLoads(time.Now())
+		message.Loads = k.loads.OwnLoadReports(time.Now())
 		k.peers.Send(asked, &message)
 	}
 	return s.await(ctx, request, asked, answers)
@@ -226,7 +226,7 @@
 }
 
 // learnOwner takes another instance's word on who owns a partition.
-func (k *Keeper) learnOwner(p *partition, owner structs.InstanceID) {
+func (k *Manager) learnOwner(p *partition, owner structs.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if owner != "" && owner != k.self.ID && p.own == nil {
@@ -236,7 +236,7 @@
 
 // abandon withdraws a request whose turn is no longer wanted; room that it was
 // or will be given goes back.
-func (k *Keeper) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan answer) {
+func (k *Manager) abandon(request *structs.RoomRequest, asked structs.InstanceID, answers chan answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.pending, request.Lease)
@@ -255,10 +255,10 @@
 }
 
 // receiveReply takes the answer of another owner.
-func (k *Keeper) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
-	k.breaks.Hear(m.Breaks, time.Now())
-	k.loads.HearLoads(m.Loads, time.Now())
-	k.loads.HearPools(m.Pools, time.Now())
+func (k *Manager) receiveReply(from structs.InstanceID, m *structs.RoomReply) {
+	k.breaks.MergeBreaks(m.Breaks, time.Now())
+	k.loads.MergeLoadReports(m.Loads, time.Now())
+	k.loads.MergePoolReports(m.Pools, time.Now())
 	k.mu.Lock()
 	pending, ok := k.pending[m.Lease]
 	delete(k.pending, m.Lease)
@@ -273,19 +273,19 @@
 }
 
 // receiveRequest takes another instance's request for room.
-func (k *Keeper) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
+func (k *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
 	if r.Partition < 0 || r.Partition >= len(k.partitions) {
 		k.log.Warn("request for an unknown partition ignored", "peer", from, "partition", r.Partition)
 		return
 	}
-	k.loads.HearLoads(r.Loads, time.Now())
+	k.loads.MergeLoadReports(r.Loads, time.Now())
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.request(k.partitions[r.Partition], r, func(got answer) {
 		k.peers.Send(from, &structs.RoomReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
 			Breaks: k.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
-			Loads: k.loads.Loads(time.Now()), Pools: k.loads.PoolReports(time.Now()),
+			Loads: k.loads.LoadReports(time.Now()), Pools: k.loads.PoolReports(time.Now()),
 		})
 	})
 }
@@ -293,7 +293,7 @@
 // request hands out room if this instance owns the partition, names the owner
 // if another does, and claims the partition if nobody usable does. The mutex
 // is held.
-func (k *Keeper) request(p *partition, r structs.RoomRequest, reply func(answer)) {
+func (k *Manager) request(p *partition, r structs.RoomRequest, reply func(answer)) {
 	if r.Named && p.own == nil {
 		// A claim of this instance took effect without an answer, or somebody
 		// is mistaken: the store tells.
--- a/internal/budget/world_test.go
+++ b/internal/budget/world_test.go
@@ -34,7 +34,7 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 	breaks breakList
 }
 
@@ -54,14 +54,14 @@
 	return breaks
 }
 
-// Loads, OwnLoads and HearLoads make it a Loads that holds none.
-func (b *breakList) Loads(time.Time) []structs.TargetReport      { return nil }
-func (b *breakList) OwnLoads(time.Time) []structs.TargetReport   { return nil }
-func (b *breakList) PoolReports(time.Time) []structs.PoolReport  { return nil }
-func (b *breakList) HearPools([]structs.PoolReport, time.Time)   {}
-func (b *breakList) HearLoads([]structs.TargetReport, time.Time) {}
+// LoadReports, OwnLoadReports and MergeLoadReports make it a Loads that holds none.
+func (b *breakList) LoadReports(time.Time) []structs.TargetReport       { return nil }
+func (b *breakList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
+func (b *breakList) PoolReports(time.Time) []structs.PoolReport         { return nil }
+func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
+func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) Hear(breaks []structs.TargetBreak, _ time.Time) {
+func (b *breakList) MergeBreaks(breaks []structs.TargetBreak, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, heard := range breaks {
@@ -84,7 +84,7 @@
 // run starts a life of an instance.
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Parts{
+	n.keeper = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
 		Health: sim, Listed: w.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -25,7 +25,7 @@
 )
 
 // startWrite has an account's record written. The mutex is held.
-func (k *Keeper) startWrite(p *partition, a *account) {
+func (k *Manager) startWrite(p *partition, a *account) {
 	own := p.own
 	own.dirty[a] = true
 	if !own.claimed {
@@ -49,7 +49,7 @@
 
 // takeBatch gathers the records to be written. It returns nil and ends the
 // writing if there are none, or if the ownership has ended.
-func (k *Keeper) takeBatch(p *partition, own *ownership) *batch {
+func (k *Manager) takeBatch(p *partition, own *ownership) *batch {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != own || len(own.dirty) == 0 {
@@ -84,7 +84,7 @@
 }
 
 // write appends batches until there is nothing to write.
-func (k *Keeper) write(p *partition, own *ownership) {
+func (k *Manager) write(p *partition, own *ownership) {
 	for {
 		b := k.takeBatch(p, own)
 		if b == nil {
@@ -100,7 +100,7 @@
 
 // appendBatch appends a batch and repeats it until its outcome is known. The
 // sequence number makes the repeats take effect once.
-func (k *Keeper) appendBatch(p *partition, own *ownership, b *batch) error {
+func (k *Manager) appendBatch(p *partition, own *ownership, b *batch) error {
 	started := time.Now()
 	wait := writeRetryFirst
 	for {
@@ -117,7 +117,7 @@
 }
 
 // appendOnce makes one try of an append.
-func (k *Keeper) appendOnce(p *partition, b *batch) error {
+func (k *Manager) appendOnce(p *partition, b *batch) error {
 	ctx, cancel := k.storeContext()
 	defer cancel()
 	_, err := k.store.Append(ctx, platform.Append{
@@ -138,7 +138,7 @@
 }
 
 // patience is how long turns wait for a record.
-func (k *Keeper) patience() time.Duration {
+func (k *Manager) patience() time.Duration {
 	if k.health.OK() {
 		return storePatience
 	}
@@ -147,7 +147,7 @@
 
 // noteFailing notes that records cannot be written for now and refuses the
 // turns that wait for them. It returns false if the ownership has ended.
-func (k *Keeper) noteFailing(p *partition, own *ownership) bool {
+func (k *Manager) noteFailing(p *partition, own *ownership) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p.own != own {
@@ -161,7 +161,7 @@
 // refuseWaiting refuses the turns that wait for a record of a partition. Those
 // that may get room from other turns of their program wait on. The mutex is
 // held.
-func (k *Keeper) refuseWaiting(p *partition) {
+func (k *Manager) refuseWaiting(p *partition) {
 	if p.own == nil {
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // written raises the limits that a batch has recorded.
-func (k *Keeper) written(p *partition, own *ownership, b *batch) {
+func (k *Manager) written(p *partition, own *ownership, b *batch) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.metrics.records.Inc(int64(len(b.accounts)))
@@ -192,7 +192,7 @@
 
 // giveUpWriting ends the ownership: another instance has claimed the
 // partition, or the store's state is not the one expected.
-func (k *Keeper) giveUpWriting(p *partition, own *ownership, err error) {
+func (k *Manager) giveUpWriting(p *partition, own *ownership, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	own.writing = false
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -126,8 +126,8 @@
 }
 
 func newServer(
-	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Keeper,
-	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Keeper, conversations *conversation.Keeper,
+	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Manager,
+	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Manager, conversations *conversation.Manager,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Config{
@@ -155,11 +155,11 @@
 
 	directory *directory.Directory
 	transport *peer.Transport
-	budgets   *budget.Keeper
+	budgets   *budget.Manager
 	// conversations holds the conversations of routes whose turns carry only their own
 	// input.
-	conversations *conversation.Keeper
-	allowances    *allowance.Keeper
+	conversations *conversation.Manager
+	allowances    *allowance.Manager
 
 	settings  *feed.Topic
 	targets   *feed.Topic
@@ -178,8 +178,8 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, targetFeed *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, budgets *budget.Keeper, conversations *conversation.Keeper,
-	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Keeper,
+	dir *directory.Directory, transport *peer.Transport, budgets *budget.Manager, conversations *conversation.Manager,
+	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Manager,
 ) *edge {
 	e := &edge{
 		machine: machine, log: log, reporter: reporter, store: store, health: health,
@@ -208,7 +208,7 @@
 			{Topic: e.instances, Wait: instancesWait, Pause: instancesPause},
 		},
 		MaxStaleness:  minBound(m.ConfigDelay, m.DrainDelay),
-		WritesToStore: func() bool { return e.storesTurns.Load() || e.budgets.Owns() },
+		WritesToStore: func() bool { return e.storesTurns.Load() || e.budgets.OwnsPartitions() },
 		PeerAddresses: e.otherAddresses, Health: e.health, Log: e.log,
 	})
 }
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -23,9 +23,9 @@
 // eventRouter passes events of the transport on to their receivers, which are built after
 // the transport.
 type eventRouter struct {
-	budgets       *budget.Keeper
-	conversations *conversation.Keeper
-	allowances    *allowance.Keeper
+	budgets       *budget.Manager
+	conversations *conversation.Manager
+	allowances    *allowance.Manager
 }
 
 // dispatch routes one event. Events that arrive before the receivers are set are dropped,
@@ -64,8 +64,8 @@
 	background backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, registry *targets.Registry, health *feed.Health, instances *instanceList, r *eventRouter,
 	scope tally.Scope, log *slog.Logger,
-) *budget.Keeper {
-	r.budgets = budget.New(background, budget.Parts{
+) *budget.Manager {
+	r.budgets = budget.New(background, budget.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, Breaks: registry, Loads: registry,
 		Health: health, Listed: instances.loaded, Scope: scope, Log: log,
 	})
@@ -75,8 +75,8 @@
 func newConversations(
 	background backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, health *feed.Health, r *eventRouter, scope tally.Scope, log *slog.Logger,
-) *conversation.Keeper {
-	r.conversations = conversation.New(background, conversation.Parts{
+) *conversation.Manager {
+	r.conversations = conversation.New(background, conversation.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
 		Store: store, Peers: transport, Health: health, Scope: scope, Log: log,
 	})
@@ -86,9 +86,9 @@
 func newAllowances(
 	machine platform.Machine, dir *directory.Directory, transport *peer.Transport, instances *instanceList, r *eventRouter,
 	scope tally.Scope, log *slog.Logger,
-) *allowance.Keeper {
+) *allowance.Manager {
 	quota := machine.Quota
-	r.allowances = allowance.New(allowance.Parts{
+	r.allowances = allowance.New(allowance.Config{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
 		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Fraction, Slack: quota.Requests},
 		Peers:     transport, Listed: instances.loaded, Scope: scope, Log: log,
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -53,9 +53,9 @@
 
 type fakeLease struct{ b *fakeBudgets }
 
-func (l fakeLease) Target() string { return l.b.target }
+func (l fakeLease) LastTarget() string { return l.b.target }
 
-func (l fakeLease) First() bool { return l.b.target == "" }
+func (l fakeLease) FirstTurn() bool { return l.b.target == "" }
 
 func (l fakeLease) Settle(end TurnResult) {
 	l.b.mu.Lock()
@@ -76,12 +76,12 @@
 	health        fakeHealth
 	currency      fakeFreshness
 	log           *logBuffer
-	// notices counts the calls of TargetBroke.
+	// notices counts the calls of ReportTargetBreaks.
 	notices atomic.Int64
 }
 
-// TargetBroke implements Notices.
-func (w *harness) TargetBroke() { w.notices.Add(1) }
+// ReportTargetBreaks implements Notices.
+func (w *harness) ReportTargetBreaks() { w.notices.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -265,9 +265,9 @@
 
 type countedPermit struct{ a *fakeAllowances }
 
-func (p countedPermit) Again()       { p.a.again++ }
-func (p countedPermit) Use() float64 { return 0 }
-func (p countedPermit) GiveBack()    { p.a.returned++ }
+func (p countedPermit) CountRerun()          { p.a.again++ }
+func (p countedPermit) Utilization() float64 { return 0 }
+func (p countedPermit) Release()             { p.a.returned++ }
 
 // withLimit returns a harness with one organisation that has a limit.
 func withLimit(t *testing.T) (*harness, *fakeAllowances) {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -36,11 +36,11 @@
 
 // Lease is a reservation in a program's budget.
 type Lease interface {
-	// Target returns the target that ran the program's last turn and may hold its
+	// LastTarget returns the target that ran the program's last turn and may hold its
 	// prompt in its cache, empty if unknown.
-	Target() string
-	// First reports whether no turn of the program is known to have run yet.
-	First() bool
+	LastTarget() string
+	// FirstTurn reports whether no turn of the program is known to have run yet.
+	FirstTurn() bool
 	// Settle returns the unused tokens and reports how the turn ended. It does not
 	// block.
 	Settle(end TurnResult)
@@ -81,14 +81,14 @@
 
 // Permit represents a request that was admitted within its organisation's limit.
 type Permit interface {
-	// Again counts the request once more: it is sent again after it may have run.
-	Again()
-	// Use returns the utilization of the organisation's limit: 1 is at the limit, 0 is
+	// CountRerun counts the request once more: it is sent again after it may have run.
+	CountRerun()
+	// Utilization returns the utilization of the organisation's limit: 1 is at the limit, 0 is
 	// unknown.
-	Use() float64
-	// GiveBack returns the permit of a request that is not sent. It may be called once,
+	Utilization() float64
+	// Release returns the permit of a request that is not sent. It may be called once,
 	// before the request is sent, and does not block.
-	GiveBack()
+	Release()
 }
 
 // Allowances enforces the limits of organisations.
@@ -114,13 +114,13 @@
 // Conversations stores the conversations of routes whose turns carry their new input
 // only.
 type Conversations interface {
-	// Before returns the conversation up to and including a turn. It returns
+	// History returns the conversation up to and including a turn. It returns
 	// ErrTurnNotFound if there is no such turn and ErrTurnUncertain if its existence
 	// could not be determined.
-	Before(ctx context.Context, program, turn string) ([]byte, error)
-	// Keep makes a turn durable. It returns once the turn is durable, or with the error
+	History(ctx context.Context, program, turn string) ([]byte, error)
+	// StoreTurn makes a turn durable. It returns once the turn is durable, or with the error
 	// of the context.
-	Keep(ctx context.Context, program string, turn CompletedTurn) error
+	StoreTurn(ctx context.Context, program string, turn CompletedTurn) error
 	// Accepts reports whether a turn that begins now is expected to be stored within
 	// the time left.
 	Accepts(left time.Duration) bool
@@ -128,9 +128,9 @@
 
 // Notices notifies other instances of failing targets.
 type Notices interface {
-	// TargetBroke reports that a target broke a new connection or failed a turn. It
+	// ReportTargetBreaks reports that a target broke a new connection or failed a turn. It
 	// does not block.
-	TargetBroke()
+	ReportTargetBreaks()
 }
 
 // Health reports whether the platform's store is available to this instance.
@@ -157,7 +157,7 @@
 	Health        Health
 	Freshness     Freshness
 	// Memory bounds the memory held for requests; nil means no bound.
-	Memory *memlimit.Bound
+	Memory *memlimit.Limiter
 	// KeyPolicy defines how keys are treated while the settings are old.
 	KeyPolicy KeyPolicy
 	// Admission decides which requests are admitted under load; nil selects
@@ -178,7 +178,7 @@
 	notices       Notices
 	health        Health
 	freshness     Freshness
-	memory        *memlimit.Bound
+	memory        *memlimit.Limiter
 	keyPolicy     KeyPolicy
 	admission     Admission
 	log           *slog.Logger
@@ -231,7 +231,7 @@
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.Open()}
+	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.NewAccount()}
 	defer x.held.Close()
 	x.run()
 	s.finish(x)
@@ -252,7 +252,7 @@
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
 	if x.reason == reasonServed {
-		s.admission.Served(x.service, elapsed)
+		s.admission.RecordDuration(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
 	if x.abort {
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -242,7 +242,7 @@
 		x.detail = err.Error()
 		x.refuse(http.StatusServiceUnavailable, reasonBudgetOwner, x.server.retryAfter(retryBudget))
 	default:
-		x.programTarget = lease.Target()
+		x.programTarget = lease.LastTarget()
 		x.settle = func() { lease.Settle(x.turnEnd(perEvent)) }
 		defer x.settleOnce()
 		first := x.startsProgram(lease)
