--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells the story of one request or program from the log lines
+// Package explain reconstructs what happened to a request or program from the logs
 // of any number of instances.
 package explain
 
@@ -16,43 +16,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds a log line, in bytes.
+// maxLine is the size limit of a log line, in bytes.
 const maxLine = 1 << 20
 
-// line is a log line that concerns what is asked for.
+// line is a log line that contains the id.
 type line struct {
 	at       time.Time
 	instance string
 	message  string
 	fields   map[string]any
-	// order is the line's place in the input, for equal times.
-	order int
+	// position is the index of the line in the input, which orders lines of equal
+	// time.
+	position int
 }
 
-// Story is what the logs say of a request or program.
-type Story struct {
+// Timeline holds the log lines of a request or program in order of time.
+type Timeline struct {
 	id    string
 	lines []line
-	// dropped counts the log lines that instances say they dropped.
+	// dropped is the number of log lines that instances report as dropped.
 	dropped int
 }
 
-// Read gathers the lines that name an id, of a request or a program, from logs.
-// Text before the JSON of a line is skipped, since log collectors add some.
-func Read(id string, logs ...io.Reader) (*Story, error) {
-	s := &Story{id: id}
+// Read collects the lines that contain the id of a request or program from logs. It
+// skips text before the JSON of a line, which log collectors may add.
+func Read(id string, logs ...io.Reader) (*Timeline, error) {
+	t := &Timeline{id: id}
 	for _, r := range logs {
-		if err := s.read(r); err != nil {
+		if err := t.read(r); err != nil {
 			return nil, err
 		}
 	}
-	// Instances' clocks differ by little; lines of one instance keep their
-	// order, as times of one clock grow.
-	slices.SortStableFunc(s.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.order, b.order)) })
-	return s, nil
+	// Lines of one instance keep their order. Those of several may be misordered
+	// by the difference of the instances' clocks.
+	slices.SortStableFunc(t.lines, func(a, b line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.position, b.position)) })
+	return t, nil
 }
 
-func (s *Story) read(r io.Reader) error {
+func (t *Timeline) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -61,51 +62,51 @@
 		if start < 0 {
 			continue
 		}
-		s.take(text[start:])
+		t.addLine(text[start:])
 	}
 	return errors.Wrap(scanner.Err(), "read the log")
 }
 
-// take keeps a line if it concerns the id. Lines that are not JSON are skipped:
-// logs hold other programs' lines too.
-func (s *Story) take(text []byte) {
-	concerns := bytes.Contains(text, []byte(s.id))
-	if !concerns && !bytes.Contains(text, []byte("log lines dropped")) {
+// addLine adds a line if it contains the id. It skips lines that are not JSON, since
+// logs may contain those of other programs.
+func (t *Timeline) addLine(text []byte) {
+	matches := bytes.Contains(text, []byte(t.id))
+	if !matches && !bytes.Contains(text, []byte("log lines dropped")) {
 		return
 	}
 	fields := make(map[string]any)
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return
 	}
-	if !concerns {
+	if !matches {
 		count, _ := fields["count"].(float64)
-		s.dropped += int(count)
+		t.dropped += int(count)
 		return
 	}
-	l := line{message: textOf(fields["msg"]), instance: textOf(fields["instance"]), fields: fields, order: len(s.lines)}
-	at, err := time.Parse(time.RFC3339Nano, textOf(fields["time"]))
+	l := line{message: stringField(fields["msg"]), instance: stringField(fields["instance"]), fields: fields, position: len(t.lines)}
+	at, err := time.Parse(time.RFC3339Nano, stringField(fields["time"]))
 	if err == nil {
 		l.at = at
 	}
-	for _, shown := range []string{"time", "msg", "instance", "level"} {
-		delete(fields, shown)
+	for _, name := range []string{"time", "msg", "instance", "level"} {
+		delete(fields, name)
 	}
-	s.lines = append(s.lines, l)
+	t.lines = append(t.lines, l)
 }
 
-// textOf is a field as text, empty if it is none.
-func textOf(v any) string {
+// stringField returns v if it is a string, else the empty string.
+func stringField(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-// Write prints the story in order of time, with the cause at its end.
-func (s *Story) Write(w io.Writer) error {
+// Write prints the lines in order of time, followed by the cause.
+func (t *Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		fmt.Fprintf(&b, "%s  %-24s %s%s\n", l.at.Format("15:04:05.000"), l.instance, l.message, formatFields(l.fields))
 	}
-	fmt.Fprintln(&b, s.Cause())
+	fmt.Fprintln(&b, t.Cause())
 	_, err := io.WriteString(w, b.String())
 	return err
 }
@@ -125,16 +126,16 @@
 	return b.String()
 }
 
-// Cause is the end of the story in a sentence.
-func (s *Story) Cause() string {
-	if len(s.lines) == 0 {
-		return s.missing()
+// Cause returns a sentence that explains how the request ended.
+func (t *Timeline) Cause() string {
+	if len(t.lines) == 0 {
+		return t.noMatch()
 	}
-	last := s.lastEnd()
+	last := t.lastEnd()
 	if last == nil {
-		return "No line says how it ended: the instance may have ended first, or its answer was served as usual."
+		return "No line reports how it ended: the instance may have ended before, or the request was served normally."
 	}
-	reason := textOf(last.fields["reason"])
+	reason := stringField(last.fields["reason"])
 	explained, ok := causes[reason]
 	if !ok {
 		explained = "it ended with reason " + reason
@@ -142,53 +143,53 @@
 	return "Cause: " + explained + "."
 }
 
-func (s *Story) missing() string {
-	text := "No line names " + s.id + ". A request that is served as usual has a line at level DEBUG only."
-	if s.dropped > 0 {
-		text += fmt.Sprintf(" %d lines were dropped.", s.dropped)
+func (t *Timeline) noMatch() string {
+	text := "No line names " + t.id + ". A request that is served normally is logged at level DEBUG only."
+	if t.dropped > 0 {
+		text += fmt.Sprintf(" %d lines were dropped.", t.dropped)
 	}
 	return text
 }
 
-// lastEnd is the last line that says how a request ended badly, or the last of
-// any that ended.
-func (s *Story) lastEnd() *line {
-	for i := len(s.lines) - 1; i >= 0; i-- {
-		if s.lines[i].message == "request ended" {
-			return &s.lines[i]
+// lastEnd returns the last line that reports the end of a request, nil if there is
+// none.
+func (t *Timeline) lastEnd() *line {
+	for i := len(t.lines) - 1; i >= 0; i-- {
+		if t.lines[i].message == "request ended" {
+			return &t.lines[i]
 		}
 	}
 	return nil
 }
 
-// causes explains the reasons of internal/serve.
+// causes describes the reasons that internal/serve logs.
 var causes = map[string]string{
 	"served":                         "it was served",
-	"target_answered_failure":        "the target itself answered with a failure, which was passed on",
-	"malformed":                      "the request was malformed; the field detail says how",
-	"body_too_large":                 "the body was longer than the operator's limit",
-	"no_settings_yet":                "the instance had no settings: it had just started and read them from neither the store nor another instance",
+	"target_answered_failure":        "the target responded with a failure, which was forwarded to the caller",
+	"malformed":                      "the request was malformed; see the field detail",
+	"body_too_large":                 "the body exceeded the operator's limit",
+	"no_settings_yet":                "the instance had no settings: it had just started and had not yet read them from the store or another instance",
 	"no_route":                       "no route of the settings version matches the host and path",
-	"settings_not_current":           "the settings have no route for the host and path, and the instance had not heard for too long which settings are in force; the field detail has their age",
-	"unknown_key":                    "no organisation of the settings version holds the key, or the request carries none or more than one",
-	"keys_not_current":               "the instance had not heard for too long which keys are in force; the field detail has the age of its settings",
-	"over_organisation_limit":        "its organisation was over its limit; the field detail names the limit, the instance that deals it out and what that had left",
-	"organisation_limit_not_known":   "no instance that deals out its organisation's limit answered in time; see \"allowances coordinated here\" lines",
-	"no_target":                      "no target of the service was registered, or each was tried",
-	"targets_refused":                "each target that was asked was full",
-	"no_room":                        "the services that it needs had no room for it; the detail names the pool, its load and when to come back",
-	"budget_spent":                   "the program's budget had no room; the line \"budget spent\" of the owner has the figures, and \"charged\" tells whether a loss of accounts was counted",
-	"budget_owner_unreachable":       "no owner of the program's budget could be reached; see \"partition\" lines around that time",
-	"budget_record_not_written":      "the program needed a record that the store did not take; see \"store lost\" and \"partition not claimed\" lines",
-	"budget_held_by_turns_under_way": "other turns of the program held what was left of its budget for longer than a turn waits",
-	"no_such_turn":                   "the turn that it continues does not exist or is past its retention; the line \"no such turn\" tells that every partition was read to its end",
-	"conversation_not_read":          "the turn that it continues was not found, and not every partition could be read; see \"turn not found for now\" and \"turns not read\" lines",
-	"turn_not_kept":                  "its turn could not be written to the store, or the store was known to be full, or away for longer than the caller would wait, before it began; see \"turns cannot be kept\" lines",
-	"timed_out":                      "the time left or the route's timeout was over while a target worked on it",
-	"timed_out_before_send":          "the time left was over before a target could be reached",
-	"target_broke_off":               "the target broke off and the request may not be repeated",
-	"stream_cut":                     "the stream broke midway and could not go on; the field detail says at what",
-	"caller_left":                    "the caller left before the answer was whole",
-	"caller_reads_nothing":           "the caller read nothing of its answer for seconds; the field detail tells for how long",
-	"memory_short":                   "the instance had no memory left for it, nothing ran; the field detail has the bytes asked for and held",
+	"settings_not_current":           "the settings have no route for the host and path, and the instance had not confirmed for too long that they are current; the field detail has their age",
+	"unknown_key":                    "the key belongs to no organisation of the settings version, or the request has no key or several",
+	"keys_not_current":               "the instance had not confirmed for too long that its keys are current; the field detail has the age of its settings",
+	"over_organisation_limit":        "its organisation exceeded its limit; the field detail has the limit, the instance that allocates it and the remaining allowance",
+	"organisation_limit_not_known":   "no instance that allocates its organisation's limit replied in time; see \"allowances coordinated here\" lines",
+	"no_target":                      "no target of the service was registered, or all were tried",
+	"targets_refused":                "all targets that were tried were at capacity",
+	"no_room":                        "the services that it needs had no capacity; the field detail has the pool, its load and the retry delay",
+	"budget_spent":                   "the turn exceeded the program's remaining budget; the owner's line \"budget spent\" has the token counts, and its field \"charged\" reports whether a loss of accounts was charged",
+	"budget_owner_unreachable":       "no owner of the program's budget was reachable; see \"partition\" lines around that time",
+	"budget_record_not_written":      "the program needed a record that the store did not accept; see \"store lost\" and \"partition not claimed\" lines",
+	"budget_held_by_turns_under_way": "other turns of the program held its remaining budget for longer than a turn waits",
+	"no_such_turn":                   "its previous turn does not exist or its retention has passed; the line \"no such turn\" confirms that every partition was read to its end",
+	"conversation_not_read":          "its previous turn was not found, and not every partition could be read; see \"turn not found for now\" and \"turns not read\" lines",
+	"turn_not_kept":                  "its turn could not be written to the store, or the store was known before the turn to be full, or unavailable for longer than the caller would wait; see \"turns cannot be kept\" lines",
+	"timed_out":                      "the time left or the route's timeout expired while a target worked on it",
+	"timed_out_before_send":          "the time left expired before a target could be reached",
+	"target_broke_off":               "the target did not complete its response and the request may not be repeated",
+	"stream_cut":                     "the stream was interrupted and could not be resumed; see the field detail",
+	"caller_left":                    "the caller disconnected before the response was complete",
+	"caller_reads_nothing":           "the caller stopped reading the response; the field detail has the duration",
+	"memory_short":                   "the instance had no memory left for it and nothing ran; the field detail has the bytes requested and held",
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,7 +14,7 @@
 const logB = `{"time":"2026-08-03T15:19:37.200Z","level":"INFO","msg":"budget spent","instance":"m2","program":"p1","budget":900,"used":880,"charged":true}
 `
 
-func TestStoryOfAProgramAcrossInstances(t *testing.T) {
+func TestTimelineOfAProgramAcrossInstances(t *testing.T) {
 	s, err := Read("p1", strings.NewReader(logA), strings.NewReader(logB))
 	if err != nil {
 		t.Fatal(err)
@@ -25,12 +25,12 @@
 	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[0], "m2") || !strings.Contains(lines[0], "used=880") ||
-		!strings.Contains(lines[1], "reason=budget_spent") || !strings.Contains(lines[2], "had no room") {
+		!strings.Contains(lines[1], "reason=budget_spent") || !strings.Contains(lines[2], "exceeded the program's remaining budget") {
 		t.Errorf("got\n%s", b.String())
 	}
 }
 
-func TestMissingStorySaysWhatIsMissing(t *testing.T) {
+func TestEmptyTimelineNamesTheID(t *testing.T) {
 	s, err := Read("unknown", strings.NewReader(logA))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -17,33 +17,31 @@
 	endOfStream = "[DONE]"
 	// finishCancelled is the finish reason of a stream that was cancelled.
 	finishCancelled = "cancelled"
-	// maxPieces bounds the pieces of one RunChunk.
+	// maxPieces is the maximum number of pieces in a RunChunk.
 	maxPieces = 256
 )
 
-// errUnfinished is the error of a chat stream that ends without a finish
-// reason.
-var errUnfinished = errors.New("chat stream ended without a finish reason")
+var errNoFinishReason = errors.New("chat stream ended without a finish reason")
 
-// readChat reads the answer of an engine to a chat completion.
-func (r *Runner) readChat(one *run, reply *http.Response) result {
+// readChat reads an engine's response to a chat completion.
+func (r *Runner) readChat(run *activeRun, reply *http.Response) result {
 	switch status := reply.StatusCode; {
 	case status == http.StatusOK:
-		s := newChatStream(0, 0, r.cfg.MaxAnswer)
-		return s.end(one, r.follow(one, reply.Body, s))
+		s := newChatStream(0, 0, r.cfg.MaxResponseBytes)
+		return s.result(run, r.follow(run, reply.Body, s))
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
-	case refusesRun(status):
-		return result{failure: structs.RunNotSent, detail: "the engine refused the call: " + http.StatusText(status)}
+	case isRefusalStatus(status):
+		return result{failure: structs.RunNotSent, detail: "the engine refused the request: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
-		return r.readPlain(one, reply)
+		return r.readResponse(run, reply)
 	}
 	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(reply.StatusCode)}
 }
 
-// follow reads a chat stream to its end, posts the pieces as they come and
-// returns what ended it: io.EOF, or an error.
-func (r *Runner) follow(one *run, body io.Reader, s *chatStream) error {
+// follow reads a chat stream to its end and delivers the pieces as they arrive.
+// It returns io.EOF at the end of the stream, else the error that ended it.
+func (r *Runner) follow(run *activeRun, body io.Reader, s *chatStream) error {
 	events := newEventReader(body)
 	for {
 		data, err := events.next()
@@ -52,13 +50,13 @@
 		} else if err == nil {
 			err = io.EOF
 		}
-		posted := true
+		delivered := true
 		if err != nil || s.mustFlush() || !events.ready() {
-			posted = r.flush(one, s)
+			delivered = r.flush(run, s)
 		}
-		if !posted && one.gate == nil {
-			// The owner needs each piece of a resumed run.
-			return context.Cause(one.ctx)
+		if !delivered && run.gate == nil {
+			// The owner assembles a resumed run from its pieces and needs all of them.
+			return context.Cause(run.ctx)
 		}
 		if err != nil {
 			return err
@@ -66,73 +64,72 @@
 	}
 }
 
-// flush posts the pieces that were read since the last flush. It returns false
-// if the run ended first.
-func (r *Runner) flush(one *run, s *chatStream) bool {
-	chunk, ok := s.take()
+// flush delivers the pending pieces. It returns false if the run ended first.
+func (r *Runner) flush(run *activeRun, s *chatStream) bool {
+	chunk, ok := s.takePending()
 	if !ok {
 		return true
 	}
-	if one.firstToken == 0 {
-		one.firstToken = r.cfg.Now().Sub(one.sentAt())
-		r.metrics.firstToken.Record(one.firstToken)
+	if run.firstToken == 0 {
+		run.firstToken = r.cfg.Now().Sub(run.sentAt())
+		r.metrics.firstToken.Record(run.firstToken)
 	}
-	return r.sink.Deliver(one.ctx, structs.RunChunk{Run: one.id, Chunk: chunk})
+	return r.sink.Deliver(run.ctx, structs.RunChunk{Run: run.id, Chunk: chunk})
 }
 
-// end makes the result of a stream that an error or its end stopped.
-func (s *chatStream) end(one *run, err error) result {
+// result returns the result of a stream that ended with err, io.EOF for its end.
+func (s *chatStream) result(run *activeRun, err error) result {
 	if s.finish == finishCancelled {
-		return result{failure: structs.RunCancelled, detail: "the engine says that the run was cancelled"}
+		return result{failure: structs.RunCancelled, detail: "the engine reports that the run was cancelled"}
 	}
 	if errors.Is(err, io.EOF) && s.finish != "" {
 		return result{outcome: s.outcome()}
 	}
-	if errors.Is(err, ErrAnswerTooLarge) {
+	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
 			failure: structs.RunBroken, detail: err.Error(),
 			outcome: structs.Outcome{Reason: structs.ReasonTooLarge},
 		}
 	}
 	if errors.Is(err, io.EOF) {
-		err = errUnfinished
+		err = errNoFinishReason
 	}
-	return one.failed(err)
+	return run.failed(err)
 }
 
-// errToolsCut is the error of a stream that was resumed behind its first piece
-// and has tool calls: their beginning may lie before that piece.
-var errToolsCut = errors.New("tool calls in a stream that was resumed behind its first piece")
+// errPartialToolCalls is returned for tool calls in a stream that was not read from
+// its first piece: their beginning may be missing.
+var errPartialToolCalls = errors.New("tool calls in a stream that was resumed after its first piece")
 
-// chatStream puts the pieces of a chat answer together, from index from on.
-// Those from index post on are given out.
+// chatStream assembles the pieces of a chat response from index from on. Those
+// from index deliverFrom on are delivered.
 type chatStream struct {
-	from, post int
-	next       int
-	// blanks is the number of chunks without content that were seen from
-	// index next on. They count as empty pieces only if content follows at a
-	// higher index.
-	blanks  int
-	pending structs.Chunk
-	text    []byte
-	limit   int64
-	tools   toolCalls
-	finish  string
-	usage   wire.Usage
+	from, deliverFrom int
+	next              int
+	// emptyChunks is the number of consecutive chunks without content from index
+	// next on. They count as empty pieces only if content follows at a higher
+	// index.
+	emptyChunks int
+	pending     structs.Chunk
+	text        []byte
+	limit       int64
+	tools       toolCalls
+	finish      string
+	usage       wire.Usage
 }
 
-func newChatStream(from, post int, limit int64) *chatStream {
+func newChatStream(from, deliverFrom int, limit int64) *chatStream {
 	return &chatStream{
-		from: from, post: post, next: from, limit: limit,
-		pending: structs.Chunk{First: post},
+		from: from, deliverFrom: deliverFrom, next: from, limit: limit,
+		pending: structs.Chunk{First: deliverFrom},
 	}
 }
 
-// add takes one event of the stream.
+// add processes the data of one event.
 func (s *chatStream) add(data []byte) error {
 	var chunk wire.ChatChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return errors.Wrap(err, "chat chunk")
+		return errors.Wrap(err, "decode a chat chunk")
 	}
 	if chunk.Usage != nil {
 		s.usage = *chunk.Usage
@@ -150,38 +147,38 @@
 	return nil
 }
 
-// addPiece adds the piece of a chunk if it has one. A piece seen before is
-// dropped, one that leaves a gap is an error.
+// addPiece adds the piece of a chunk, if it has one. It ignores a duplicate and
+// returns an error for a gap.
 func (s *chatStream) addPiece(index int, choice wire.ChatChoice) error {
 	delta := choice.Delta
 	if delta == nil || (delta.Content == "" && len(delta.ToolCalls) == 0) {
-		if index == s.next+s.blanks && choice.FinishReason == nil {
-			s.blanks++
+		if index == s.next+s.emptyChunks && choice.FinishReason == nil {
+			s.emptyChunks++
 		}
 		return nil
 	}
 	if index < s.next {
 		return nil
 	}
-	if index > s.next+s.blanks {
-		return errors.Newf("chat stream has a gap: piece %d where %d was due", index, s.next)
+	if index > s.next+s.emptyChunks {
+		return errors.Newf("gap in the chat stream: got piece %d, expected %d", index, s.next)
 	}
 	if s.from > 0 && len(delta.ToolCalls) > 0 {
-		return errToolsCut
+		return errPartialToolCalls
 	}
 	for s.next < index {
 		s.push("")
 	}
 	s.push(delta.Content)
-	s.blanks = 0
+	s.emptyChunks = 0
 	if len(s.text) > int(s.limit) {
-		return ErrAnswerTooLarge
+		return ErrResponseTooLarge
 	}
 	return s.addTools(delta.ToolCalls)
 }
 
 func (s *chatStream) push(text string) {
-	if s.next >= s.post {
+	if s.next >= s.deliverFrom {
 		s.pending.Texts = append(s.pending.Texts, text)
 	}
 	s.text = append(s.text, text...)
@@ -198,15 +195,17 @@
 	return s.tools.merge(delta)
 }
 
-// mustFlush tells whether no further piece may join the pending ones.
+// mustFlush reports whether the pending pieces must be delivered before the next one
+// is added.
 func (s *chatStream) mustFlush() bool {
 	return len(s.pending.Texts) >= maxPieces || len(s.pending.ToolCalls) > 0
 }
 
-// take gives the pending pieces, false if there are none.
-func (s *chatStream) take() (structs.Chunk, bool) {
+// takePending returns and clears the pending pieces. It returns false if there are
+// none.
+func (s *chatStream) takePending() (structs.Chunk, bool) {
 	chunk := s.pending
-	s.pending = structs.Chunk{First: max(s.next, s.post)}
+	s.pending = structs.Chunk{First: max(s.next, s.deliverFrom)}
 	return chunk, len(chunk.Texts) > 0
 }
 
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -111,7 +111,7 @@
 		{wire.CacheEvents{Events: cacheEvents(1, 3), Next: 4}, &structs.TargetCache{Gap: true, Events: cacheEvents(3)}},
 		{wire.CacheEvents{Events: cacheEvents(4), Next: 5}, &structs.TargetCache{Events: cacheEvents(4)}},
 		{wire.CacheEvents{Next: 7}, &structs.TargetCache{Gap: true}},
-		// The engine was restarted: it does not know the sequence.
+		// The engine was restarted: its sequence is lower.
 		{wire.CacheEvents{Next: 6}, nil},
 		{wire.CacheEvents{Events: cacheEvents(0), Next: 1}, &structs.TargetCache{Gap: true, Events: cacheEvents(0)}},
 	} {
@@ -124,12 +124,12 @@
 		default:
 		}
 		if !reflect.DeepEqual(got, c.want) {
-			t.Fatalf("page %d: got %+v, wanted %+v", i, got, c.want)
+			t.Fatalf("page %d: got %+v, want %+v", i, got, c.want)
 		}
 	}
 }
 
-func TestCacheEventsThatTheLoopDoesNotTakeAreAGap(t *testing.T) {
+func TestDroppedCacheEventsAreAGap(t *testing.T) {
 	f := newFake(t, nil)
 	w := &watch{runner: f.Runner, target: f.target(engineService)}
 	for range cap(f.events) {
@@ -143,13 +143,13 @@
 	}
 }
 
-func TestRestartCheckAsksForTheLastEvent(t *testing.T) {
+func TestRestartCheckRequestsTheLastEvent(t *testing.T) {
 	w := &watch{from: 5}
-	asked := make(map[uint64]int)
+	requested := make(map[uint64]int)
 	for range 2 * restartCheckPolls {
-		asked[w.askFrom()]++
+		requested[w.requestFrom()]++
 	}
-	if asked[4] != 2 || asked[5] != 2*restartCheckPolls-2 {
-		t.Fatal(asked)
+	if requested[4] != 2 || requested[5] != 2*restartCheckPolls-2 {
+		t.Fatal(requested)
 	}
 }
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -10,14 +10,15 @@
 
 // Errors of a gate.
 var (
-	// ErrNotAfter is the error of a request that came too late to be sent.
-	ErrNotAfter = errors.New("the time to send the request has passed")
-	// errShut is the error of a write after the run was given up or was
-	// written to another connection.
-	errShut = errors.New("the request must not be sent any more")
+	// ErrNotAfterPassed is returned for a request that was not sent before its
+	// NotAfter.
+	ErrNotAfterPassed = errors.New("the time to send the request has passed")
+	// errNotAdmitted is returned for a write after the run ended, or after the
+	// request was written to another connection.
+	errNotAdmitted = errors.New("the request can no longer be sent")
 )
 
-// gate lets the bytes of one request pass to one connection.
+// gate lets the bytes of a request pass to a single connection.
 type gate struct {
 	now      func() time.Time
 	notAfter time.Time
@@ -25,7 +26,7 @@
 	mu      sync.Mutex
 	conn    *gatedConn
 	sentAt  time.Time
-	isShut  bool
+	revoked bool
 	expired bool
 }
 
@@ -33,47 +34,47 @@
 	return &gate{now: now, notAfter: notAfter}
 }
 
-// admit decides on a write to a connection. The first write of the request is
-// the send.
+// admit returns nil if the request may be written to conn. The first admitted
+// write counts as the send.
 func (g *gate) admit(conn *gatedConn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.conn != nil {
 		if g.conn != conn {
-			return errShut
+			return errNotAdmitted
 		}
 		return nil
 	}
-	if g.isShut {
-		return errShut
+	if g.revoked {
+		return errNotAdmitted
 	}
 	now := g.now()
 	if !g.notAfter.IsZero() && now.After(g.notAfter) {
 		g.expired = true
-		return ErrNotAfter
+		return ErrNotAfterPassed
 	}
 	g.conn = conn
 	g.sentAt = now
 	return nil
 }
 
-// shut forbids a send from now on and tells whether there was one, and when.
-func (g *gate) shut() (sentAt time.Time, sent bool) {
+// revoke prevents any later send and reports whether the request was sent, and when.
+func (g *gate) revoke() (sentAt time.Time, sent bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.isShut = true
+	g.revoked = true
 	return g.sentAt, g.conn != nil
 }
 
-// late tells whether the send was refused because of NotAfter.
-func (g *gate) late() bool {
+// isExpired reports whether the send was refused because NotAfter had passed.
+func (g *gate) isExpired() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.expired
 }
 
-// gatedConn is a connection whose writes pass the gate of the request that uses
-// it.
+// gatedConn is a connection whose writes are checked by the gate of the request
+// that uses it.
 type gatedConn struct {
 	net.Conn
 
@@ -81,7 +82,7 @@
 	gate *gate
 }
 
-// bind sets the gate for the writes that follow.
+// bind sets the gate for subsequent writes.
 func (c *gatedConn) bind(g *gate) {
 	c.mu.Lock()
 	c.gate = g
@@ -101,19 +102,20 @@
 	return c.Conn.Write(data)
 }
 
-// findGated gives the gatedConn below a connection of the HTTP transport.
-func findGated(conn net.Conn) (*gatedConn, bool) {
+// unwrapGatedConn returns the gatedConn that a connection of the HTTP transport
+// wraps.
+func unwrapGatedConn(conn net.Conn) (*gatedConn, bool) {
 	if gated, ok := conn.(*gatedConn); ok {
 		return gated, true
 	}
-	layered, ok := conn.(interface{ NetConn() net.Conn })
+	wrapper, ok := conn.(interface{ NetConn() net.Conn })
 	if !ok {
 		return nil, false
 	}
-	return findGated(layered.NetConn())
+	return unwrapGatedConn(wrapper.NetConn())
 }
 
-// sentTime gives the time of the send, false if there was none yet.
+// sentTime returns the time of the send, and false if the request was not sent.
 func (g *gate) sentTime() (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/target/harness_test.go
+++ b/internal/target/harness_test.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	patience      = 20 * time.Second
+	testTimeout   = 20 * time.Second
 	engineService = structs.ServiceName("mark-agents")
 	plainService  = structs.ServiceName("filing-desk")
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// seenRequest is a request that reached a fake target.
+// seenRequest is a request received by a fake target.
 type seenRequest struct {
 	method, uri, body string
 	header            http.Header
 }
 
-// fake is a target whose answers the test gives, and a Runner that calls it.
+// fake is a target whose handler the test provides, and a Runner that uses it.
 type fake struct {
 	*Runner
 	t      *testing.T
@@ -61,12 +61,12 @@
 	for _, change := range edit {
 		change(&cfg)
 	}
-	f.Runner = New(context.Background(), cfg, kindOf, f.post, tally.NoopScope, slog.New(slog.DiscardHandler))
+	f.Runner = New(context.Background(), cfg, serviceKind, f.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	t.Cleanup(f.Close)
 	return f
 }
 
-func kindOf(service structs.ServiceName) (structs.ServiceKind, bool) {
+func serviceKind(service structs.ServiceName) (structs.ServiceKind, bool) {
 	if service == engineService {
 		return structs.ServiceEngine, true
 	}
@@ -86,10 +86,10 @@
 	return structs.Target{ID: "t1", Service: service, Address: f.server.URL}
 }
 
-// next returns the next event of a type and skips others.
+// next returns the next event of type E and skips others.
 func next[E structs.Event](f *fake) E {
 	f.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case event := <-f.events:
@@ -102,7 +102,7 @@
 	}
 }
 
-// requests returns the requests seen whose URI begins with prefix.
+// requests returns the received requests whose URI begins with prefix.
 func (f *fake) requests(prefix string) []seenRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,12 +140,12 @@
 	return command
 }
 
-// piece is a server-sent event with one token.
+// piece returns a server-sent event with one token.
 func piece(index int, text string) string {
 	return event(wire.ChatChunk{Index: index, Choices: []wire.ChatChoice{{Delta: &wire.ChatMessage{Content: text}}}})
 }
 
-// finish is the last event of a stream.
+// finish returns the last events of a stream.
 func finish(index int, reason string) string {
 	return event(wire.ChatChunk{
 		Index: index, Choices: []wire.ChatChoice{{Delta: &wire.ChatMessage{}, FinishReason: &reason}},
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -10,21 +10,21 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// run is one run in flight.
-type run struct {
+// activeRun is a run in flight.
+type activeRun struct {
 	id     structs.RunID
 	target structs.TargetID
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// gate guards the send; it is nil for a resumed run.
+	// gate guards the send. It is nil for a resumed run.
 	gate    *gate
 	started time.Time
-	// firstToken is the time from the send to the first piece.
+	// firstToken is the time from the send to the first piece, 0 before that.
 	firstToken time.Duration
 }
 
-// sentAt is when the request was sent, or when the run started.
-func (r *run) sentAt() time.Time {
+// sentAt returns the time when the request was sent, or else when the run started.
+func (r *activeRun) sentAt() time.Time {
 	if r.gate == nil {
 		return r.started
 	}
@@ -34,18 +34,18 @@
 	return r.started
 }
 
-// result is how a run ended.
+// result is the result of a run.
 type result struct {
 	failure structs.RunFailure
 	outcome structs.Outcome
 	detail  string
 }
 
-// failed makes the result of a run that an error ended.
-func (r *run) failed(err error) result {
+// failed returns the result of a run that ended with an error.
+func (r *activeRun) failed(err error) result {
 	detail := err.Error()
 	if r.gate != nil {
-		if _, sent := r.gate.shut(); !sent {
+		if _, sent := r.gate.revoke(); !sent {
 			return result{failure: structs.RunNotSent, detail: r.notSentDetail(detail)}
 		}
 	}
@@ -58,9 +58,9 @@
 	return result{failure: structs.RunBroken, detail: detail}
 }
 
-func (r *run) notSentDetail(detail string) string {
-	if r.gate.late() {
-		return ErrNotAfter.Error()
+func (r *activeRun) notSentDetail(detail string) string {
+	if r.gate.isExpired() {
+		return ErrNotAfterPassed.Error()
 	}
 	if cause := context.Cause(r.ctx); cause != nil {
 		return cause.Error()
@@ -68,9 +68,9 @@
 	return detail
 }
 
-// begin registers a run and executes it. A run that is in flight already is not
-// begun again.
-func (r *Runner) begin(id structs.RunID, target structs.TargetID, timeout time.Duration, g *gate, execute func(*run) result) {
+// begin registers a run and executes it on a new goroutine. It ignores a run that
+// is already in flight.
+func (r *Runner) begin(id structs.RunID, target structs.TargetID, timeout time.Duration, g *gate, execute func(*activeRun) result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -78,53 +78,53 @@
 	}
 	if _, running := r.runs[id]; running {
 		r.metrics.runsDuplicate.Inc(1)
-		r.logger.Error("run is in flight already", "run", id, "target", target)
+		r.logger.Error("run already in flight", "run", id, "target", target)
 		return
 	}
 	timeout = cmp.Or(timeout, r.cfg.RunTimeout)
-	one := &run{id: id, target: target, gate: g, started: r.cfg.Now()}
+	run := &activeRun{id: id, target: target, gate: g, started: r.cfg.Now()}
 	if len(r.runs) >= r.cfg.MaxRuns {
-		r.spawn(func() { r.post(one, one.refused()) })
+		r.spawn(func() { r.deliverEnd(run, run.rejected()) })
 		return
 	}
-	one.ctx, one.cancel = context.WithCancelCause(r.ctx)
-	r.runs[id] = one
+	run.ctx, run.cancel = context.WithCancelCause(r.ctx)
+	r.runs[id] = run
 	r.metrics.runsStarted.Inc(1)
-	r.spawn(func() { r.execute(one, timeout, execute) })
+	r.spawn(func() { r.execute(run, timeout, execute) })
 }
 
-// refused is the result of a run that was one too many.
-func (r *run) refused() result {
+// rejected returns the result of a run that exceeds Config.MaxRuns.
+func (r *activeRun) rejected() result {
 	if r.gate == nil {
-		return result{failure: structs.RunBroken, detail: errTooMany.Error()}
+		return result{failure: structs.RunBroken, detail: errTooManyRuns.Error()}
 	}
-	return result{failure: structs.RunNotSent, detail: errTooMany.Error()}
+	return result{failure: structs.RunNotSent, detail: errTooManyRuns.Error()}
 }
 
-func (r *Runner) execute(one *run, timeout time.Duration, execute func(*run) result) {
-	ctx, stop := context.WithTimeoutCause(one.ctx, timeout, errTimeout)
+func (r *Runner) execute(run *activeRun, timeout time.Duration, execute func(*activeRun) result) {
+	ctx, stop := context.WithTimeoutCause(run.ctx, timeout, errTimeout)
 	defer stop()
-	one.ctx = ctx
-	ended := execute(one)
-	one.cancel(nil)
+	run.ctx = ctx
+	ended := execute(run)
+	run.cancel(nil)
 	r.mu.Lock()
-	delete(r.runs, one.id)
+	delete(r.runs, run.id)
 	r.mu.Unlock()
-	r.post(one, ended)
+	r.deliverEnd(run, ended)
 }
 
-// post reports the end of a run.
-func (r *Runner) post(one *run, ended result) {
-	took := r.cfg.Now().Sub(one.sentAt())
+// deliverEnd records and delivers the end of a run.
+func (r *Runner) deliverEnd(run *activeRun, ended result) {
+	took := r.cfg.Now().Sub(run.sentAt())
 	r.metrics.runsEnded[ended.failure].Inc(1)
 	r.metrics.took.Record(took)
 	if ended.failure != structs.RunOK {
-		r.logger.Warn("run failed", "run", one.id, "target", one.target,
+		r.logger.Warn("run failed", "run", run.id, "target", run.target,
 			"failure", failureNames[ended.failure], "detail", ended.detail)
 	}
 	r.sink.Deliver(r.ctx, structs.RunEnded{
-		Run: one.id, Target: one.target, Failure: ended.failure,
+		Run: run.id, Target: run.target, Failure: ended.failure,
 		Outcome: ended.outcome, Detail: ended.detail,
-		Took: took, FirstToken: one.firstToken,
+		Took: took, FirstToken: run.firstToken,
 	})
 }
--- a/internal/target/run_test.go
+++ b/internal/target/run_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// A server that closes a connection that was used before makes the standard
-// transport repeat a request that it takes for idempotent.
+// The standard transport resends an idempotent request when the server closes a
+// reused connection.
 func TestRequestIsNeverSentTwice(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		for _, body := range []string{"", "body"} {
@@ -118,7 +118,7 @@
 			c.Call.Path, c.NotAfter = "/late", time.Now().Add(-time.Nanosecond)
 		}))
 		ended := next[structs.RunEnded](f)
-		if ended.Failure != structs.RunNotSent || ended.Detail != ErrNotAfter.Error() || len(f.requests("/late")) != 0 {
+		if ended.Failure != structs.RunNotSent || ended.Detail != ErrNotAfterPassed.Error() || len(f.requests("/late")) != 0 {
 			t.Fatalf("%+v, requests %v", ended, f.requests("/late"))
 		}
 		f.StartRun(f.plain("r", func(c *structs.StartRun) { c.NotAfter = time.Now().Add(time.Hour) }))
@@ -128,13 +128,13 @@
 	}
 }
 
-func TestShutGateAdmitsNothing(t *testing.T) {
+func TestRevokedGateAdmitsNothing(t *testing.T) {
 	g := newGate(time.Time{}, time.Now)
-	if _, sent := g.shut(); sent {
+	if _, sent := g.revoke(); sent {
 		t.Fatal("sent")
 	}
 	if err := g.admit(new(gatedConn)); err == nil {
-		t.Fatal("a write after the run was given up")
+		t.Fatal("a write was admitted after the gate was revoked")
 	}
 	g, conn := newGate(time.Time{}, time.Now), new(gatedConn)
 	for range 2 {
@@ -143,9 +143,9 @@
 		}
 	}
 	if g.admit(new(gatedConn)) == nil {
-		t.Fatal("a second connection is admitted")
+		t.Fatal("a second connection was admitted")
 	}
-	if _, sent := g.shut(); !sent {
+	if _, sent := g.revoke(); !sent {
 		t.Fatal("not sent")
 	}
 }
@@ -242,14 +242,14 @@
 	}
 }
 
-func TestTooLargeAnswers(t *testing.T) {
+func TestTooLargeResponses(t *testing.T) {
 	f := newFake(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == wire.ChatRoute {
 			write(w, piece(0, strings.Repeat("x", 200))+finish(1, "stop"))
 			return
 		}
 		_, _ = w.Write(bytes.Repeat([]byte("x"), 200))
-	}, func(c *Config) { c.MaxAnswer = 100 })
+	}, func(c *Config) { c.MaxResponseBytes = 100 })
 	for _, command := range []structs.StartRun{f.plain("r"), f.chat("r")} {
 		f.StartRun(command)
 		ended := next[structs.RunEnded](f)
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestRunInFlightIsNotBegunAgain(t *testing.T) {
+func TestRunInFlightIsNotStartedAgain(t *testing.T) {
 	proceed := make(chan struct{})
 	f := newFake(t, func(http.ResponseWriter, *http.Request) { <-proceed }, func(c *Config) { c.MaxRuns = 1 })
 	f.StartRun(f.plain("r"))
--- a/internal/target/watch.go
+++ b/internal/target/watch.go
@@ -13,16 +13,15 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// restartCheckPolls is the number of polls after which a watch checks whether the
-// engine counts its cache events anew.
+// restartCheckPolls is the number of polls between checks for a restart of the
+// engine, which resets the sequence of its cache events.
 const restartCheckPolls = 16
 
-// maxQuietFactor bounds the growth of an engine's poll interval while it has
-// nothing to tell.
-const maxQuietFactor = 8
+// maxIdleFactor bounds the growth of the poll interval of an idle engine.
+const maxIdleFactor = 8
 
-// jitterShare is the part of a poll interval that jitter may add or take away.
-const jitterShare = 10
+// jitterDivisor sets the jitter of a poll interval: plus or minus 1/jitterDivisor.
+const jitterDivisor = 10
 
 // watch polls one target.
 type watch struct {
@@ -30,20 +29,20 @@
 	target structs.Target
 	engine bool
 	cancel context.CancelFunc
-	// from is the sequence of the next cache event. lost tells that events
-	// before it were lost since the last TargetCache.
+	// from is the sequence of the next cache event. gap indicates that events
+	// before it were missed since the last TargetCache.
 	from uint64
-	lost bool
-	// polls counts the polls since the last restart check; see askFrom.
+	gap  bool
+	// polls is the number of polls since the last restart check.
 	polls int
-	// quiet is the factor of the poll interval: it doubles with each poll that
-	// shows an engine without work and without cache events.
-	quiet int
+	// idleFactor multiplies the poll interval. It doubles with each poll that finds
+	// the engine without work and without new cache events.
+	idleFactor int
 }
 
 // WatchTargets sets the targets that are polled. Engines report their load and
-// cache events. For others a TargetLoad without figures tells that the health
-// check passed.
+// cache events. For other targets a TargetLoad without values indicates that the
+// health check passed.
 func (r *Runner) WatchTargets(command structs.WatchTargets) {
 	engines := make(map[structs.TargetID]bool, len(command.Targets))
 	for _, target := range command.Targets {
@@ -62,8 +61,8 @@
 	}
 }
 
-// startWatch polls a target unless it is polled at that address already. The
-// mutex is held.
+// startWatch starts polling a target unless it is already polled at that address.
+// The caller holds mu.
 func (r *Runner) startWatch(target structs.Target, engine bool) {
 	if old := r.watches[target.ID]; old != nil {
 		if old.target.Address == target.Address && old.engine == engine {
@@ -72,7 +71,7 @@
 		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	w := &watch{runner: r, target: target, engine: engine, cancel: cancel, quiet: 1}
+	w := &watch{runner: r, target: target, engine: engine, cancel: cancel, idleFactor: 1}
 	r.watches[target.ID] = w
 	r.spawn(func() { w.run(ctx) })
 }
@@ -95,20 +94,20 @@
 func (w *watch) wait() time.Duration {
 	interval := w.runner.cfg.HealthInterval
 	if w.engine {
-		interval = time.Duration(w.quiet) * w.runner.cfg.LoadInterval
+		interval = time.Duration(w.idleFactor) * w.runner.cfg.LoadInterval
 	}
-	jitter := interval / jitterShare
+	jitter := interval / jitterDivisor
 	return interval - jitter + rand.N(2*jitter+1)
 }
 
-// noteQuiet slows the polls of an engine that has nothing to tell down, and
-// speeds them up at once when it has.
-func (w *watch) noteQuiet(quiet bool) {
-	if !quiet {
-		w.quiet = 1
+// updateIdleFactor doubles the poll interval of an idle engine and resets that of a
+// busy one.
+func (w *watch) updateIdleFactor(idle bool) {
+	if !idle {
+		w.idleFactor = 1
 		return
 	}
-	w.quiet = min(2*w.quiet, maxQuietFactor)
+	w.idleFactor = min(2*w.idleFactor, maxIdleFactor)
 }
 
 func (w *watch) poll(ctx context.Context) {
@@ -121,12 +120,12 @@
 	}
 	w.runner.metrics.pollsFailed.Inc(1)
 	w.polls = restartCheckPolls
-	w.quiet = 1
+	w.idleFactor = 1
 	w.runner.sink.Offer(structs.TargetUnreachable{Target: w.target.ID})
 }
 
-// pollHealth checks a target that is not an engine. Any answer below 500 shows
-// that it is there.
+// pollHealth checks a target that is not an engine. Any status below 500 counts as
+// healthy.
 func (w *watch) pollHealth(ctx context.Context) error {
 	if w.engine {
 		return nil
@@ -151,19 +150,19 @@
 	}
 	w.runner.sink.Offer(structs.TargetLoad{Target: w.target.ID, Load: load})
 	var page wire.CacheEvents
-	address := joinURL(w.target.Address, wire.CacheEventsRoute) + "?from=" + strconv.FormatUint(w.askFrom(), 10)
+	address := joinURL(w.target.Address, wire.CacheEventsRoute) + "?from=" + strconv.FormatUint(w.requestFrom(), 10)
 	if err := w.runner.getJSON(ctx, address, &page); err != nil {
 		return err
 	}
-	w.noteQuiet(load.Running+load.Waiting == 0 && len(page.Events) == 0)
+	w.updateIdleFactor(load.Running+load.Waiting == 0 && len(page.Events) == 0)
 	w.report(page)
 	return nil
 }
 
-// askFrom gives the sequence to ask for. After a failed poll, and every so often,
-// it is that of the last event known: an engine that was restarted and has fewer
-// events does not know it.
-func (w *watch) askFrom() uint64 {
+// requestFrom returns the sequence to request events from. After a failed poll and
+// every restartCheckPolls polls it is that of the last known event, which reveals a
+// restarted engine that has fewer events.
+func (w *watch) requestFrom() uint64 {
 	w.polls++
 	if w.from == 0 || w.polls < restartCheckPolls {
 		return w.from
@@ -172,32 +171,32 @@
 	return w.from - 1
 }
 
-// report posts the events that are new. Events that were lost, at the engine or
-// here, show as a gap before the next ones.
+// report posts the new events. Events that were dropped by the engine or by the
+// event queue are reported as a gap before the next ones.
 func (w *watch) report(page wire.CacheEvents) {
 	if page.Next < w.from {
-		// The engine counts anew: it was restarted.
-		w.from, w.lost = 0, true
+		// The engine was restarted.
+		w.from, w.gap = 0, true
 		return
 	}
-	var fresh []wire.CacheEvent
+	var newEvents []wire.CacheEvent
 	for _, event := range page.Events {
 		if event.Sequence < w.from {
 			continue
 		}
-		w.lost = w.lost || event.Sequence > w.from
-		fresh = append(fresh, event)
+		w.gap = w.gap || event.Sequence > w.from
+		newEvents = append(newEvents, event)
 		w.from = event.Sequence + 1
 	}
 	if page.Next > w.from {
-		w.from, w.lost = page.Next, true
+		w.from, w.gap = page.Next, true
 	}
-	if len(fresh) == 0 && !w.lost {
+	if len(newEvents) == 0 && !w.gap {
 		return
 	}
-	if w.lost {
+	if w.gap {
 		w.runner.metrics.cacheGaps.Inc(1)
 	}
-	taken := w.runner.sink.Offer(structs.TargetCache{Target: w.target.ID, Gap: w.lost, Events: fresh})
-	w.lost = !taken
+	delivered := w.runner.sink.Offer(structs.TargetCache{Target: w.target.ID, Gap: w.gap, Events: newEvents})
+	w.gap = !delivered
 }
