--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -245,13 +245,13 @@
 // lately. The mutex is held.
 func (k *Keeper) tellSlow(took time.Duration, now time.Time) {
 	if k.path.ShouldNotifySlow(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
+		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, StoreEvent: structs.StoreSlow}) })
 	}
 }
 
 // tellBack tells others that the store takes appends again. The mutex is held.
 func (k *Keeper) tellBack() {
-	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
+	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreRecovered}) })
 }
 
 // tellHanging tells others that an append of this instance hangs.
@@ -260,7 +260,7 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	if k.path.AppendHangs(since, now) && k.path.ShouldNotifyHang(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
+		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreSlow}) })
 	}
 }
 
@@ -270,10 +270,10 @@
 	defer k.mu.Unlock()
 	now := time.Now()
 	switch {
-	case m.News == structs.StoreSlow:
+	case m.StoreEvent == structs.StoreSlow:
 		k.path.ObserveNotice(m.Took, now)
 		k.noteState(nil)
-	case m.News == structs.StoreBack:
+	case m.StoreEvent == structs.StoreRecovered:
 		k.storeBack()
 	}
 	if len(m.Turns) > 0 {
@@ -331,9 +331,9 @@
 // took, and whether the other instance takes that for slow.
 func (w *writing) appendBy(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
 	answer := w.keeper.askWithin(ctx, helper, w.keeper.gatherPatience, func(number uint64) structs.Message {
-		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
+		return &structs.StoreTurnsRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
-	if reply, ok := answer.(*structs.KeepReply); ok && reply.Kept {
+	if reply, ok := answer.(*structs.StoreTurnsReply); ok && reply.Stored {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
@@ -357,7 +357,7 @@
 }
 
 // receiveKeep appends turns for another instance.
-func (k *Keeper) receiveKeep(from structs.InstanceID, m *structs.KeepRequest) {
+func (k *Keeper) receiveKeep(from structs.InstanceID, m *structs.StoreTurnsRequest) {
 	if m.Partition < 0 || m.Partition >= len(k.partitions) {
 		k.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", m.Partition)
 		return
@@ -366,13 +366,13 @@
 	defer k.mu.Unlock()
 	k.spawn(func() {
 		result := k.keepForOther(k.partitions[m.Partition], m.Turns)
-		k.peers.Send(from, &structs.KeepReply{Number: m.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
+		k.peers.Send(from, &structs.StoreTurnsReply{Number: m.Number, Stored: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
 // keepForOther appends turns of another instance, at once or not at all if this
 // instance's appends fail.
-func (k *Keeper) keepForOther(p *partition, turns []structs.KeptTurn) appendResult {
+func (k *Keeper) keepForOther(p *partition, turns []structs.StoredTurn) appendResult {
 	k.mu.Lock()
 	failing := k.path.Failing()
 	k.mu.Unlock()
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -52,7 +52,7 @@
 // waitingTurns are turns that must be appended together.
 type waitingTurns struct {
 	ctx     context.Context
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	records []platform.Record
 	bytes   int
 	// done gets the outcome; it has room for it.
@@ -73,7 +73,7 @@
 
 // appendBatched appends turns together with all others that wait for the partition. If
 // the context ends first, the store may still get them.
-func (k *Keeper) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
+func (k *Keeper) appendBatched(ctx context.Context, p *partition, turns []structs.StoredTurn, records []platform.Record) appendResult {
 	r := &waitingTurns{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -26,7 +26,7 @@
 // the error of the context; the store may then still get it.
 func (k *Keeper) Keep(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := k.partitionOf(program)
-	w := &writing{keeper: k, home: home, turn: structs.KeptTurn{
+	w := &writing{keeper: k, home: home, turn: structs.StoredTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
 		Ended: time.Now().UnixMilli(), Retention: turn.Retention,
 	}}
@@ -48,7 +48,7 @@
 
 // absent lists the turns of a conversation that a partition does not hold yet,
 // since they are another program's or were kept while it was away.
-func (k *Keeper) absent(p *partition, turn string) []structs.KeptTurn {
+func (k *Keeper) absent(p *partition, turn string) []structs.StoredTurn {
 	if turn == "" {
 		return nil
 	}
@@ -65,15 +65,15 @@
 // lacking lists the turns of a conversation that a partition may lack. A turn is
 // kept there for its retention, and as long as it has any that continues it
 // there; the index of the partition may have dropped it after that.
-func lacking(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
-	var turns []structs.KeptTurn
+func lacking(entries []*entry, partition int, now time.Time) []structs.StoredTurn {
+	var turns []structs.StoredTurn
 	continued := false
 	for _, e := range slices.Backward(entries) {
-		if e.in(partition) && (continued || now.Before(expiry(e.KeptTurn, now))) {
+		if e.in(partition) && (continued || now.Before(expiry(e.StoredTurn, now))) {
 			continued = true
 			continue
 		}
-		turns = append(turns, e.KeptTurn)
+		turns = append(turns, e.StoredTurn)
 	}
 	slices.Reverse(turns)
 	return turns
@@ -84,12 +84,12 @@
 	keeper *Keeper
 	// home is the partition of the turn's program.
 	home *partition
-	turn structs.KeptTurn
+	turn structs.StoredTurn
 
 	// partition is where the turn is written now, with turns and records: the
 	// turn and those before it that the partition lacks.
 	partition *partition
-	turns     []structs.KeptTurn
+	turns     []structs.StoredTurn
 	records   []platform.Record
 	// helpers are the instances that were asked to append them since askedAnew.
 	helpers   []structs.InstanceID
--- a/internal/conversation/keeper.go
+++ b/internal/conversation/keeper.go
@@ -165,9 +165,9 @@
 		k.answered(from, m.Number, m)
 	case *structs.TurnsNotice:
 		k.receiveNotice(m)
-	case *structs.KeepRequest:
+	case *structs.StoreTurnsRequest:
 		k.receiveKeep(from, m)
-	case *structs.KeepReply:
+	case *structs.StoreTurnsReply:
 		k.answered(from, m.Number, m)
 	}
 }
@@ -176,21 +176,21 @@
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
 	case structs.KindConversationRequest, structs.KindConversationReply, structs.KindTurnsNotice,
-		structs.KindKeepRequest, structs.KindKeepReply:
+		structs.KindStoreTurnsRequest, structs.KindStoreTurnsReply:
 		return true
 	}
 	return false
 }
 
 // learn takes turns that a partition of the store holds.
-func (k *Keeper) learn(turns []structs.KeptTurn, partition int) {
+func (k *Keeper) learn(turns []structs.StoredTurn, partition int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.add(turns, partition)
 }
 
 // add is learn with the mutex held.
-func (k *Keeper) add(turns []structs.KeptTurn, partition int) {
+func (k *Keeper) add(turns []structs.StoredTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
 		k.memory.add(turn, partition, now)
@@ -200,10 +200,10 @@
 }
 
 // turnsOf copies the turns out of entries.
-func turnsOf(entries []*entry) []structs.KeptTurn {
-	turns := make([]structs.KeptTurn, len(entries))
+func turnsOf(entries []*entry) []structs.StoredTurn {
+	turns := make([]structs.StoredTurn, len(entries))
 	for i, e := range entries {
-		turns[i] = e.KeptTurn
+		turns[i] = e.StoredTurn
 	}
 	return turns
 }
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -15,7 +15,7 @@
 // finding is what became of the search for a turn in one partition.
 type finding struct {
 	outcome structs.ConversationOutcome
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	// partition holds the turns, if they were found.
 	partition int
 }
@@ -30,7 +30,7 @@
 			return structs.ConversationFound
 		case structs.ConversationUnknown:
 		default:
-			outcome = structs.ConversationUnread
+			outcome = structs.ConversationUnreadable
 		}
 	}
 	return outcome
@@ -95,13 +95,13 @@
 			break
 		}
 		found := k.findAt(ctx, id, p, turn)
-		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
+		if found.outcome != structs.ConversationUnreadable || ctx.Err() != nil {
 			return found
 		}
 		k.setUnable(id)
 		passOver = append(passOver, id)
 	}
-	return finding{outcome: structs.ConversationUnread}
+	return finding{outcome: structs.ConversationUnreadable}
 }
 
 // findAt looks for a turn at one instance and remembers what it finds.
@@ -114,7 +114,7 @@
 	})
 	reply, ok := answer.(*structs.ConversationReply)
 	if !ok {
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	if reply.Outcome == structs.ConversationFound {
 		k.learn(reply.Turns, reply.Partition)
@@ -128,7 +128,7 @@
 		return found
 	}
 	if err := k.catchUp(ctx, p); err != nil {
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	if found, ok := k.findInMemory(turn); ok {
 		return found
@@ -142,7 +142,7 @@
 		// A turn before it is missing or cannot be read, which the invariant
 		// rules out: the conversation exists, but not whole.
 		k.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	return finding{outcome: structs.ConversationUnknown}
 }
--- a/internal/httpapi/chat_test.go
+++ b/internal/httpapi/chat_test.go
@@ -56,7 +56,7 @@
 	if call.Program != program || call.Lane != "sub" || call.Number != 7 || call.Key != "sub/7" || call.Single {
 		t.Errorf("identity %+v", call)
 	}
-	if !call.NotRepeatable || !call.Fork || !call.Fresh || call.Fee != 12 || call.Team != "lakeshore/clearance" {
+	if !call.NotRepeatable || !call.Fork || !call.FirstDelivery || call.Fee != 12 || call.Team != "lakeshore/clearance" {
 		t.Errorf("marks %+v", call)
 	}
 	if call.PromptTokens != 4 || call.MaxTokens != 1024 || call.SharedTokens != 2 || len(call.History) != 2 {
@@ -129,7 +129,7 @@
 				}
 				outcome := answered
 				outcome.Replayed = chunks == nil
-				return append(commands, structs.ReplyEnd{Request: submit.Request, Outcome: outcome})
+				return append(commands, structs.ReplyOutcome{Request: submit.Request, Outcome: outcome})
 			}
 			response, err := http.DefaultClient.Do(f.request(http.MethodPost, chatRoute, streamBody))
 			if err != nil {
@@ -174,7 +174,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.api.Deliver(structs.ReplyEnd{Request: structs.RequestID(response.Header.Get(HeaderRequest)), Outcome: outcome})
+			f.api.Deliver(structs.ReplyOutcome{Request: structs.RequestID(response.Header.Get(HeaderRequest)), Outcome: outcome})
 			events := readEvents(t, response)
 			if len(events) != 3 || events[1] != "event: error" {
 				t.Fatalf("events %q", events)
@@ -257,7 +257,7 @@
 		return []structs.Command{
 			structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"a"}}},
 			structs.ReplyChunk{Request: id, Chunk: structs.Chunk{First: 1, Texts: []string{outcome.Text[1:]}}},
-			structs.ReplyEnd{Request: id, Outcome: outcome},
+			structs.ReplyOutcome{Request: id, Outcome: outcome},
 		}
 	}
 	response, body := f.do(http.MethodPost, chatRoute, streamBody)
--- a/internal/settings/exchange.go
+++ b/internal/settings/exchange.go
@@ -37,7 +37,7 @@
 func (p *Proposer) handlePeer(ev structs.PeerMessage) {
 	switch msg := ev.Msg.(type) {
 	case *structs.SettingsRequest:
-		p.emit(structs.SendPeer{To: ev.From, Msg: p.stateFor(msg.Have)})
+		p.emit(structs.SendPeer{To: ev.From, Msg: p.stateFor(msg.Next)})
 	case *structs.SettingsState:
 		p.peerState(ev.From, msg)
 	case *structs.AppliedRequest:
@@ -124,6 +124,6 @@
 		to := others[x.turn%len(others)]
 		x.turn++
 		x.asked[to] = true
-		p.emit(structs.SendPeer{To: to, Msg: &structs.SettingsRequest{Have: p.tree.Next()}})
+		p.emit(structs.SendPeer{To: to, Msg: &structs.SettingsRequest{Next: p.tree.Next()}})
 	}
 }
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -9,10 +9,10 @@
 )
 
 // word is another instance's word on targets.
-func word(age time.Duration, ids ...string) []structs.TargetBreak {
-	var breaks []structs.TargetBreak
+func word(age time.Duration, ids ...string) []structs.TargetFailure {
+	var breaks []structs.TargetFailure
 	for _, id := range ids {
-		breaks = append(breaks, structs.TargetBreak{Target: id, Age: age})
+		breaks = append(breaks, structs.TargetFailure{Target: id, Age: age})
 	}
 	return breaks
 }
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Fill: int(pool.Fill / fillUnit), Known: pool.Known, Age: pool.Age,
+			Service: xxhash.Sum64String(service), Utilization: int(pool.Fill / fillUnit), Reporting: pool.Known, Age: pool.Age,
 		})
 	}
 	return reports
@@ -123,15 +123,15 @@
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.heard) > toldAge })
 	for _, p := range reports {
-		if p.Fill < 0 || p.Known <= 0 {
+		if p.Utilization < 0 || p.Reporting <= 0 {
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.known > p.Known && now.Sub(before.heard) < toldAge/2 {
+		if ok && before.known > p.Reporting && now.Sub(before.heard) < toldAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			fill: float64(p.Fill) * fillUnit, known: p.Known, at: now.Add(-max(p.Age, 0)), heard: now,
+			fill: float64(p.Utilization) * fillUnit, known: p.Reporting, at: now.Add(-max(p.Age, 0)), heard: now,
 		}
 	}
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -237,17 +237,17 @@
 // report is what others are told of a target.
 func (t *Target) report(u usual, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
-		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
+		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Slowdown: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
 	if told := t.speed.AdvertisedMean(u.speed, t.says(u)); told > 0 {
-		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
+		report.UnitTime, report.UnitTimeAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
 
 // hearSpeed takes what another instance learned of a target. The mutex is held.
 func (r *Registry) hearSpeed(t *Target, report structs.TargetReport, now time.Time) {
-	if report.Speed > 0 {
-		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
+	if report.UnitTime > 0 {
+		t.speed.MergeRemote(float64(report.UnitTime)*speedUnit, now.Add(-max(report.UnitTimeAge, 0)))
 	}
 }
