--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -197,7 +197,7 @@
 	}
 	for id, l := range a.leases {
 		if !l.holderDown {
-			out.Leases = append(out.Leases, structs.Lease{Lease: id, Tokens: l.tokens})
+			out.Leases = append(out.Leases, structs.Lease{ID: id, Tokens: l.tokens})
 		}
 	}
 	return out
@@ -221,7 +221,7 @@
 		leases: make(map[structs.LeaseID]lease, len(in.Leases)),
 	}
 	for _, l := range in.Leases {
-		a.leases[l.Lease] = lease{tokens: l.Tokens}
+		a.leases[l.ID] = lease{tokens: l.Tokens}
 		a.leased += l.Tokens
 	}
 	return a
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 	r := &rig{t: t, view: view, g: New(cfg, view)}
 	r.tick(start, structs.CallerSubmit{
 		Request: request, Deadline: start.Add(time.Minute),
-		Call: &structs.Call{Program: structs.NewProgramID("r", start, [10]byte{1}), Kind: structs.CallChat, Stream: true, FirstDelivery: true},
+		Call: &structs.Call{Program: structs.NewProgramID("r", start, [10]byte{1}), Kind: structs.CallChat, Stream: true, Fresh: true},
 	})
 	return r
 }
--- a/internal/httpapi/call.go
+++ b/internal/httpapi/call.go
@@ -27,7 +27,7 @@
 		Key: callKey(h), Service: service.Name,
 		NotRepeatable: h.notRepeatable || service.NotRepeatable,
 		Single:        h.program == "", Fork: h.fork, Fee: h.fee,
-		FirstDelivery: h.fresh || callKey(h) == "",
+		Fresh: h.fresh || callKey(h) == "",
 	}
 	if call.Single {
 		call.Program, problem = s.singleProgram(call, policy, now)
--- a/internal/httpapi/chat_test.go
+++ b/internal/httpapi/chat_test.go
@@ -56,7 +56,7 @@
 	if call.Program != program || call.Lane != "sub" || call.Number != 7 || call.Key != "sub/7" || call.Single {
 		t.Errorf("identity %+v", call)
 	}
-	if !call.NotRepeatable || !call.Fork || !call.FirstDelivery || call.Fee != 12 || call.Team != "lakeshore/clearance" {
+	if !call.NotRepeatable || !call.Fork || !call.Fresh || call.Fee != 12 || call.Team != "lakeshore/clearance" {
 		t.Errorf("marks %+v", call)
 	}
 	if call.PromptTokens != 4 || call.MaxTokens != 1024 || call.SharedTokens != 2 || len(call.History) != 2 {
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -87,7 +87,7 @@
 	c := &structs.Call{
 		Program: a.program, Team: testTeam, Number: a.number, Key: fmt.Sprintf("k%d", a.number),
 		Service: chatService, Kind: structs.CallChat, Digest: structs.Digest{byte(a.number)},
-		PromptTokens: 100, MaxTokens: 100, FirstDelivery: a.unknown == 0,
+		PromptTokens: 100, MaxTokens: 100, Fresh: a.unknown == 0,
 		History: append(append([]structs.ChainDigest{}, a.history...), structs.ChainDigest{byte(2*a.number - 1)}),
 	}
 	if a.number%3 == 0 {
--- a/internal/owner/idle_test.go
+++ b/internal/owner/idle_test.go
@@ -14,7 +14,7 @@
 	w.policy.IdleTimeout = 5 * time.Second
 	id := w.program(1)
 	filing := testCall(id, 1, true)
-	filing.FirstDelivery = true
+	filing.Fresh = true
 	w.logDown = true
 	w.run(3 * time.Second)
 	refused := w.submit(filing, time.Minute)
@@ -35,7 +35,7 @@
 	id := w.program(1)
 	for range 4 {
 		unknown := testCall(id, 1, false)
-		unknown.Service, unknown.FirstDelivery = "no-such-service", true
+		unknown.Service, unknown.Fresh = "no-such-service", true
 		refused := w.submit(unknown, time.Minute)
 		w.run(3 * time.Second)
 		w.want(refused, structs.OutcomeNotRun, structs.ReasonUnknownService)
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -190,7 +190,7 @@
 	spec.Lane = c.lane
 	spec.Key = fmt.Sprintf("%s-%d", c.lane, c.number)
 	spec.Stream = c.number%3 == 0
-	spec.FirstDelivery = c.fresh
+	spec.Fresh = c.fresh
 	return spec
 }
 
--- a/internal/owner/resubmit_test.go
+++ b/internal/owner/resubmit_test.go
@@ -54,7 +54,7 @@
 }
 
 func firstAttempt(c *structs.Call) *structs.Call {
-	c.FirstDelivery = true
+	c.Fresh = true
 	return c
 }
 
--- a/internal/owner/verify.go
+++ b/internal/owner/verify.go
@@ -62,7 +62,7 @@
 	}
 	service, _ := s.o.settings.Service(m.Call.Service)
 	notRepeatable := m.Call.NotRepeatable || service.NotRepeatable
-	return !s.trusted() || notRepeatable && !m.Call.FirstDelivery
+	return !s.trusted() || notRepeatable && !m.Call.Fresh
 }
 
 // proof is what waits for the proof that the shard is owned since a time.
--- a/internal/settings/catchup.go
+++ b/internal/settings/catchup.go
@@ -21,8 +21,8 @@
 	source string
 	// target is the end of the stream seen first; reading through it ends
 	// the catch-up.
-	target   uint64
-	targeted bool
+	target    uint64
+	hasTarget bool
 	// next is the offset that the reader is at.
 	next uint64
 	// logDown tells that the last read failed.
@@ -32,21 +32,21 @@
 	// on top of a snapshot.
 	gap      bool
 	gapStart uint64
-	held     []wire.LogRecord
-	// behind tells that the log ends before the tree's offset, which only a
+	buffered []wire.LogRecord
+	// logBehind tells that the log ends before the tree's offset, which only a
 	// log that lost records does.
-	behind bool
+	logBehind bool
 }
 
 // stuck tells that the log cannot bring the tree up to date for now: it is down,
 // or it has been read to its end and the gap is still there.
 func (c *catchUp) stuck() bool {
-	return c.logDown || c.gap && c.targeted && c.next >= c.target
+	return c.logDown || c.gap && c.hasTarget && c.next >= c.target
 }
 
-// lost tells that no settings are left: the log dropped its first records, holds
+// settingsLost tells that no settings are left: the log dropped its first records, holds
 // no snapshot, and this instance has no state of its own.
-func (p *Proposer) lost() bool {
+func (p *Proposer) settingsLost() bool {
 	c := &p.catchUp
 	return c.gap && !c.done && !c.logDown && c.stuck() && p.tree.Next() == 0
 }
@@ -60,10 +60,10 @@
 func (p *Proposer) logRead(ev structs.LogRead) {
 	c := &p.catchUp
 	c.logDown = false
-	if !c.targeted {
-		c.targeted, c.target = true, ev.End
+	if !c.hasTarget {
+		c.hasTarget, c.target = true, ev.End
 	}
-	c.behind = ev.End < p.tree.Next()
+	c.logBehind = ev.End < p.tree.Next()
 	for _, rec := range ev.Records {
 		if rec.Offset < c.next {
 			continue
@@ -74,44 +74,44 @@
 			return
 		}
 		c.next = rec.Offset + 1
-		p.take(rec)
+		p.applyOrBuffer(rec)
 	}
 	p.checkCaughtUp()
 }
 
 func (p *Proposer) checkCaughtUp() {
 	c := &p.catchUp
-	if !c.done && !c.gap && c.targeted && p.tree.Next() >= c.target {
+	if !c.done && !c.gap && c.hasTarget && p.tree.Next() >= c.target {
 		c.done, c.source = true, sourceLog
 	}
 }
 
-// take applies a record, or holds it while the tree has a gap.
-func (p *Proposer) take(rec wire.LogRecord) {
+// applyOrBuffer applies a record, or holds it while the tree has a gap.
+func (p *Proposer) applyOrBuffer(rec wire.LogRecord) {
 	r, err := decodeRecord(rec.Data)
 	isSnapshot := err == nil && r.Snapshot != nil
 	if isSnapshot {
-		p.checkpoint.seen(p.recordTime(rec))
+		p.checkpoint.observeSnapshot(p.recordTime(rec))
 	}
 	c := &p.catchUp
 	if !c.gap {
-		p.checkpoint.count(p.recordTime(rec), isSnapshot)
+		p.checkpoint.observeRecord(p.recordTime(rec), isSnapshot)
 		p.tree.applyRecord(rec.Offset, r, err)
 		return
 	}
-	c.hold(rec)
+	c.buffer(rec)
 	if isSnapshot && r.Snapshot.Next >= c.gapStart && r.Snapshot.Next <= rec.Offset {
 		p.tree.restore(r.Snapshot)
 		p.closeGap()
 	}
 }
 
-// hold keeps a record for after the gap. Dropping the oldest widens the gap.
-func (c *catchUp) hold(rec wire.LogRecord) {
-	c.held = append(c.held, rec)
-	if len(c.held) > maxGapRecords {
-		c.held = c.held[1:]
-		c.gapStart = c.held[0].Offset
+// buffer keeps a record for after the gap. Dropping the oldest widens the gap.
+func (c *catchUp) buffer(rec wire.LogRecord) {
+	c.buffered = append(c.buffered, rec)
+	if len(c.buffered) > maxGapRecords {
+		c.buffered = c.buffered[1:]
+		c.gapStart = c.buffered[0].Offset
 	}
 }
 
@@ -121,9 +121,9 @@
 	if !c.gap || p.tree.Next() < c.gapStart {
 		return
 	}
-	held := c.held
-	c.gap, c.held = false, nil
-	for _, rec := range held {
+	buffered := c.buffered
+	c.gap, c.buffered = false, nil
+	for _, rec := range buffered {
 		p.tree.Apply(rec.Offset, rec.Data)
 	}
 }
@@ -136,27 +136,27 @@
 	}
 	c.logDown = false
 	if ev.First > p.tree.Next() {
-		c.gap, c.gapStart, c.held = true, ev.First, nil
+		c.gap, c.gapStart, c.buffered = true, ev.First, nil
 		p.tail(ev.First)
 		return
 	}
 	p.tail(p.tree.Next())
 }
 
-// takeState takes over a peer's state if it is newer.
-func (p *Proposer) takeState(state []byte) {
-	took, err := p.tree.Restore(state)
+// restoreState takes over a peer's state if it is newer.
+func (p *Proposer) restoreState(state []byte) {
+	restored, err := p.tree.Restore(state)
 	if err != nil {
 		p.exchange.malformed++
 		return
 	}
-	if !took {
+	if !restored {
 		return
 	}
-	p.checkpoint.restored(p.now, p.retention())
+	p.checkpoint.restoredFromPeer(p.now, p.retention())
 	p.closeGap()
 	if p.tree.Next() > p.catchUp.next {
-		p.catchUp.held = nil
+		p.catchUp.buffered = nil
 		p.tail(p.tree.Next())
 	}
 	p.checkCaughtUp()
--- a/internal/settings/checkpoint.go
+++ b/internal/settings/checkpoint.go
@@ -16,11 +16,11 @@
 	takeoversPerRetention = 64
 	// maxTakeovers bounds that delay.
 	maxTakeovers = 16
-	// maxRecordsBetween is the number of records after which a snapshot is
+	// maxRecordsBetweenSnapshots is the number of records after which a snapshot is
 	// written whatever the time, to bound the catch-up of a new instance.
-	maxRecordsBetween = 512
-	// takeoverByCount is the delay between instances in that case.
-	takeoverByCount = 2 * time.Second
+	maxRecordsBetweenSnapshots = 512
+	// recordCountTakeoverDelay is the delay between instances in that case.
+	recordCountTakeoverDelay = 2 * time.Second
 	// checkpointRetryMin and checkpointRetryMax bound the wait after a
 	// failed write.
 	checkpointRetryMin = time.Second
@@ -33,24 +33,24 @@
 	// oldest is the time of the last snapshot on the log, or else of the
 	// first record; zero if there is neither.
 	oldest time.Time
-	// records counts the records since, and crowdedAt is when they became
+	// records counts the records since, and maxRecordsAt is when they became
 	// too many.
-	records   int
-	crowdedAt time.Time
-	inFlight  structs.AppendID
-	retryAt   time.Time
-	wake      time.Time
-	written   uint64
+	records      int
+	maxRecordsAt time.Time
+	inFlight     structs.AppendID
+	retryAt      time.Time
+	wakeAt       time.Time
+	written      uint64
 }
 
-// seen notes a snapshot on the log.
-func (c *checkpoint) seen(at time.Time) {
+// observeSnapshot notes a snapshot on the log.
+func (c *checkpoint) observeSnapshot(at time.Time) {
 	c.oldest, c.records = at, 0
-	c.crowdedAt, c.retryAt = time.Time{}, time.Time{}
+	c.maxRecordsAt, c.retryAt = time.Time{}, time.Time{}
 }
 
-// count notes a record on the log.
-func (c *checkpoint) count(at time.Time, isSnapshot bool) {
+// observeRecord notes a record on the log.
+func (c *checkpoint) observeRecord(at time.Time, isSnapshot bool) {
 	if isSnapshot {
 		return
 	}
@@ -58,27 +58,27 @@
 		c.oldest = at
 	}
 	c.records++
-	if c.records == maxRecordsBetween {
-		c.crowdedAt = at
+	if c.records == maxRecordsBetweenSnapshots {
+		c.maxRecordsAt = at
 	}
 }
 
-// restored notes a state from a peer. How old the last snapshot on the log is
+// restoredFromPeer notes a state from a peer. How old the last snapshot on the log is
 // is not known then, so one is due at once.
-func (c *checkpoint) restored(now time.Time, retention time.Duration) {
+func (c *checkpoint) restoredFromPeer(now time.Time, retention time.Duration) {
 	if c.oldest.IsZero() {
 		c.oldest = now.Add(-retention / snapshotsPerRetention)
 	}
 }
 
-// failed notes a failed write.
-func (c *checkpoint) failed(now time.Time, retention time.Duration) {
+// writeFailed notes a failed write.
+func (c *checkpoint) writeFailed(now time.Time, retention time.Duration) {
 	c.inFlight = 0
-	c.pause(now, retention)
+	c.backOff(now, retention)
 }
 
-// pause puts off the next write.
-func (c *checkpoint) pause(now time.Time, retention time.Duration) {
+// backOff puts off the next write.
+func (c *checkpoint) backOff(now time.Time, retention time.Duration) {
 	wait := retention / takeoversPerRetention
 	c.retryAt = now.Add(min(max(wait, checkpointRetryMin), checkpointRetryMax))
 }
@@ -91,8 +91,8 @@
 	rank = min(rank, maxTakeovers)
 	later := time.Duration(rank) * (retention / takeoversPerRetention)
 	due := c.oldest.Add(retention/snapshotsPerRetention + later)
-	if !c.crowdedAt.IsZero() {
-		due = earliest(due, c.crowdedAt.Add(time.Duration(rank)*takeoverByCount))
+	if !c.maxRecordsAt.IsZero() {
+		due = earliest(due, c.maxRecordsAt.Add(time.Duration(rank)*recordCountTakeoverDelay))
 	}
 	if due.Before(c.retryAt) {
 		return c.retryAt
@@ -101,9 +101,9 @@
 }
 
 func (p *Proposer) advanceCheckpoint() {
-	c, up := &p.checkpoint, &p.catchUp
-	c.wake = time.Time{}
-	if !up.done || up.gap || up.logDown || up.behind || c.inFlight != 0 {
+	c, catchUp := &p.checkpoint, &p.catchUp
+	c.wakeAt = time.Time{}
+	if !catchUp.done || catchUp.gap || catchUp.logDown || catchUp.logBehind || c.inFlight != 0 {
 		return
 	}
 	first := c.due(0, p.retention())
@@ -111,24 +111,24 @@
 		return
 	}
 	if p.now.Before(first) {
-		c.wake = first
+		c.wakeAt = first
 		return
 	}
 	own := c.due(p.rank(), p.retention())
 	if p.now.Before(own) {
-		c.wake = own
+		c.wakeAt = own
 		return
 	}
 	data, err := p.tree.Snapshot()
 	if err != nil {
-		c.failed(p.now, p.retention())
+		c.writeFailed(p.now, p.retention())
 		return
 	}
 	c.inFlight = p.append(data)
 	c.written++
 	// Reading the snapshot back moves the due time; until then it is not
 	// written again.
-	c.pause(p.now, p.retention())
+	c.backOff(p.now, p.retention())
 }
 
 // rank counts the live instances with a lower id.
--- a/internal/settings/credential.go
+++ b/internal/settings/credential.go
@@ -29,7 +29,7 @@
 
 const (
 	credentialExpected = `{"role": "caller" or "operator", "sha256": 64 hex digits (the SHA-256 of the key)}`
-	shownHexDigits     = 8
+	displayedHexDigits = 8
 	hiddenValue        = `"(hidden)"`
 )
 
@@ -79,10 +79,10 @@
 // redactCredential shows the role and the first digits of the hash only.
 func redactCredential(value []byte) []byte {
 	var credential credentialValue
-	if json.Unmarshal(value, &credential) != nil || len(credential.SHA256) < shownHexDigits {
+	if json.Unmarshal(value, &credential) != nil || len(credential.SHA256) < displayedHexDigits {
 		return []byte(hiddenValue)
 	}
-	credential.SHA256 = credential.SHA256[:shownHexDigits] + "..."
+	credential.SHA256 = credential.SHA256[:displayedHexDigits] + "..."
 	shown, err := json.Marshal(credential)
 	if err != nil {
 		return []byte(hiddenValue)
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -43,12 +43,12 @@
 	listing, _ := p.tree.Listing("")
 	d := Dump{
 		CaughtUp: c.done, Source: c.source, Next: p.tree.Next(), Skipped: p.tree.Skipped(),
-		LogDown: c.logDown, Gap: c.gap, Lost: p.lost(), LogBehind: c.behind,
+		LogDown: c.logDown, Gap: c.gap, Lost: p.settingsLost(), LogBehind: c.logBehind,
 		LastSnapshot: p.checkpoint.oldest, SnapshotsWritten: p.checkpoint.written,
 		MalformedStates: p.exchange.malformed, Pending: []DumpProposal{}, Entries: listing.Entries,
 	}
-	for id, w := range p.pending {
-		d.Pending = append(d.Pending, DumpProposal{ChangeID: id, Deadline: w.deadline, OnLog: w.onLog, Waiting: len(w.requests)})
+	for id, pending := range p.pending {
+		d.Pending = append(d.Pending, DumpProposal{ChangeID: id, Deadline: pending.deadline, OnLog: pending.onLog, Waiting: len(pending.requests)})
 	}
 	slices.SortFunc(d.Pending, func(a, b DumpProposal) int { return strings.Compare(a.ChangeID, b.ChangeID) })
 	return d
--- a/internal/settings/fakes_test.go
+++ b/internal/settings/fakes_test.go
@@ -30,12 +30,12 @@
 	appendReplyLost
 	appendLost
 	appendRefused
-	appendSilent // took effect, but no answer of any kind comes
+	appendUnanswered // took effect, but no answer of any kind comes
 )
 
-// fakeWorld drives instances' proposers over one fake log, on a virtual clock.
+// fakeCluster drives instances' proposers over one fake log, on a virtual clock.
 // Reads are explicit: read delivers what a tail would.
-type fakeWorld struct {
+type fakeCluster struct {
 	t       *testing.T
 	now     time.Time
 	records []wire.LogRecord
@@ -46,8 +46,8 @@
 	nodes   map[structs.InstanceID]*fakeNode
 	order   []structs.InstanceID
 	members *fakeMembers
-	// cut are instances whose messages to others are lost.
-	cut map[structs.InstanceID]bool
+	// partitioned are instances whose messages to others are lost.
+	partitioned map[structs.InstanceID]bool
 }
 
 type fakeNode struct {
@@ -59,73 +59,73 @@
 	appends int
 }
 
-func newWorld(t *testing.T) *fakeWorld {
-	return &fakeWorld{
+func newCluster(t *testing.T) *fakeCluster {
+	return &fakeCluster{
 		t: t, now: testStart, nodes: make(map[structs.InstanceID]*fakeNode),
-		members: &fakeMembers{suspected: make(map[structs.InstanceID]bool)},
-		cut:     make(map[structs.InstanceID]bool),
+		members:     &fakeMembers{suspected: make(map[structs.InstanceID]bool)},
+		partitioned: make(map[structs.InstanceID]bool),
 	}
 }
 
 // start makes an instance and gives it its first tick.
-func (w *fakeWorld) start(id structs.InstanceID) *fakeNode {
+func (cluster *fakeCluster) start(id structs.InstanceID) *fakeNode {
 	peer := structs.Peer{ID: id}
 	cfg := structs.DefaultInstanceConfig(peer, "1")
 	n := &fakeNode{
-		Proposer: NewProposer(cfg, NewTree(), w.members), id: id,
+		Proposer: NewProposer(cfg, NewTree(), cluster.members), id: id,
 		replies: make(map[structs.RequestID]structs.SettingsResult),
 	}
-	if _, known := w.nodes[id]; !known {
-		w.members.peers = append(w.members.peers, peer)
-		w.order = append(w.order, id)
+	if _, known := cluster.nodes[id]; !known {
+		cluster.members.peers = append(cluster.members.peers, peer)
+		cluster.order = append(cluster.order, id)
 	}
-	w.nodes[id] = n
-	w.tick(n)
+	cluster.nodes[id] = n
+	cluster.tick(n)
 	return n
 }
 
 // tick gives a node its waiting events and carries out its commands.
-func (w *fakeWorld) tick(n *fakeNode, events ...structs.Event) {
+func (cluster *fakeCluster) tick(n *fakeNode, events ...structs.Event) {
 	queue := append(n.queue, events...)
 	n.queue = nil
-	for _, cmd := range n.Tick(w.now, queue) {
-		w.carry(n, cmd)
+	for _, cmd := range n.Tick(cluster.now, queue) {
+		cluster.execute(n, cmd)
 	}
 }
 
-func (w *fakeWorld) carry(n *fakeNode, cmd structs.Command) {
+func (cluster *fakeCluster) execute(n *fakeNode, cmd structs.Command) {
 	switch cmd := cmd.(type) {
 	case structs.LogTail:
 		n.from = cmd.From
 	case structs.LogAppend:
 		n.appends++
-		w.append(n, cmd)
+		cluster.append(n, cmd)
 	case structs.SendPeer:
-		if to := w.nodes[cmd.To]; to != nil && !w.cut[n.id] && !w.cut[cmd.To] {
+		if to := cluster.nodes[cmd.To]; to != nil && !cluster.partitioned[n.id] && !cluster.partitioned[cmd.To] {
 			to.queue = append(to.queue, structs.PeerMessage{From: n.id, Msg: cmd.Msg})
 		}
 	case structs.ReplySettings:
 		if old, twice := n.replies[cmd.Request]; twice {
-			w.t.Errorf("%s answered twice: %v, %v", cmd.Request, old, cmd.Result)
+			cluster.t.Errorf("%s answered twice: %v, %v", cmd.Request, old, cmd.Result)
 		}
 		n.replies[cmd.Request] = cmd.Result
 	}
 }
 
-func (w *fakeWorld) append(n *fakeNode, cmd structs.LogAppend) {
+func (cluster *fakeCluster) append(n *fakeNode, cmd structs.LogAppend) {
 	if cmd.ID&appendIDBit == 0 || cmd.Stream != structs.SettingsStream {
-		w.t.Errorf("append %x to %s", cmd.ID, cmd.Stream)
+		cluster.t.Errorf("append %x to %s", cmd.ID, cmd.Stream)
 	}
 	fault := appendOK
-	if len(w.faults) > 0 {
-		fault, w.faults = w.faults[0], w.faults[1:]
+	if len(cluster.faults) > 0 {
+		fault, cluster.faults = cluster.faults[0], cluster.faults[1:]
 	}
-	if w.down {
+	if cluster.down {
 		fault = appendRefused
 	}
-	first := w.end
-	if fault == appendOK || fault == appendReplyLost || fault == appendSilent {
-		w.store(cmd.Records...)
+	first := cluster.end
+	if fault == appendOK || fault == appendReplyLost || fault == appendUnanswered {
+		cluster.store(cmd.Records...)
 	}
 	switch fault {
 	case appendOK:
@@ -137,60 +137,60 @@
 	}
 }
 
-func (w *fakeWorld) store(records ...[]byte) {
+func (cluster *fakeCluster) store(records ...[]byte) {
 	for _, data := range records {
-		w.records = append(w.records, wire.LogRecord{Offset: w.end, TimeMS: w.now.UnixMilli(), Data: data})
-		w.end++
+		cluster.records = append(cluster.records, wire.LogRecord{Offset: cluster.end, TimeMS: cluster.now.UnixMilli(), Data: data})
+		cluster.end++
 	}
 }
 
 // expire drops the records below an offset.
-func (w *fakeWorld) expire(first uint64) {
-	for len(w.records) > 0 && w.records[0].Offset < first {
-		w.records = w.records[1:]
+func (cluster *fakeCluster) expire(first uint64) {
+	for len(cluster.records) > 0 && cluster.records[0].Offset < first {
+		cluster.records = cluster.records[1:]
 	}
-	w.first = first
+	cluster.first = first
 }
 
 // read gives a node what its tail sees now.
-func (w *fakeWorld) read(n *fakeNode) {
+func (cluster *fakeCluster) read(n *fakeNode) {
 	stream := structs.SettingsStream
 	switch {
-	case w.down:
-		w.tick(n, structs.LogReadFailed{Stream: stream})
-	case n.from < w.first:
-		w.tick(n, structs.LogReadFailed{Stream: stream, Truncated: true, First: w.first})
+	case cluster.down:
+		cluster.tick(n, structs.LogReadFailed{Stream: stream})
+	case n.from < cluster.first:
+		cluster.tick(n, structs.LogReadFailed{Stream: stream, Truncated: true, First: cluster.first})
 	default:
-		ev := structs.LogRead{Stream: stream, From: n.from, Next: w.end, End: w.end}
-		for _, rec := range w.records {
+		ev := structs.LogRead{Stream: stream, From: n.from, Next: cluster.end, End: cluster.end}
+		for _, rec := range cluster.records {
 			if rec.Offset >= n.from {
 				ev.Records = append(ev.Records, rec)
 			}
 		}
-		n.from = max(n.from, w.end)
-		w.tick(n, ev)
+		n.from = max(n.from, cluster.end)
+		cluster.tick(n, ev)
 	}
 }
 
 // settle reads and delivers until nothing moves, without passing time.
-func (w *fakeWorld) settle() {
+func (cluster *fakeCluster) settle() {
 	const rounds = 8
 	for range rounds {
-		for _, id := range w.order {
-			w.read(w.nodes[id])
+		for _, id := range cluster.order {
+			cluster.read(cluster.nodes[id])
 		}
 	}
 }
 
-// pass advances the clock in steps and settles at each.
-func (w *fakeWorld) pass(d, step time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(step)
-		w.settle()
+// advance advances the clock in steps and settles at each.
+func (cluster *fakeCluster) advance(d, step time.Duration) {
+	for end := cluster.now.Add(d); cluster.now.Before(end); {
+		cluster.now = cluster.now.Add(step)
+		cluster.settle()
 	}
 }
 
-func (w *fakeWorld) propose(n *fakeNode, request structs.RequestID, changes ...structs.SettingChange) {
+func (cluster *fakeCluster) propose(n *fakeNode, request structs.RequestID, changes ...structs.SettingChange) {
 	for i := range changes {
 		if changes[i].ChangeID == "" {
 			changes[i].ChangeID = "id-" + string(request)
@@ -199,7 +199,7 @@
 			changes[i].Author = string(n.id)
 		}
 	}
-	w.tick(n, structs.SettingsPropose{Request: request, Changes: changes, Deadline: w.now.Add(10 * time.Second)})
+	cluster.tick(n, structs.SettingsPropose{Request: request, Changes: changes, Deadline: cluster.now.Add(10 * time.Second)})
 }
 
 func priority(team string, base uint64, value int) structs.SettingChange {
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -43,7 +43,7 @@
 // newField makes the field of a key stored at the place that at gives. The
 // limit combines the ancestors' value with the key's own; nil lets the key's
 // own value replace the ancestors'.
-func newField[T, V any](name string, kind valueType[V], at func(*T) *V, limit func(above, own V) V) field[T] {
+func newField[T, V any](name string, kind valueType[V], pointer func(*T) *V, combine func(inherited, own V) V) field[T] {
 	return field[T]{
 		name:     name,
 		expected: kind.expected,
@@ -55,16 +55,16 @@
 			data, err := json.Marshal(kind.encode(v))
 			return data, err == nil
 		},
-		set: func(target *T, raw any, below bool) bool {
+		set: func(target *T, raw any, hasInherited bool) bool {
 			v, ok := kind.decode(raw)
 			if !ok {
 				return false
 			}
-			place := at(target)
-			if below && limit != nil {
-				v = limit(*place, v)
+			destination := pointer(target)
+			if hasInherited && combine != nil {
+				v = combine(*destination, v)
 			}
-			*place = v
+			*destination = v
 			return true
 		},
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -123,7 +123,7 @@
 		at := joinPath(path, key.Value)
 		switch {
 		case key.Kind != yaml.ScalarNode || !validSegment(key.Value):
-			p.refuse(key.Line, clip(at), "malformed key", "a-z, 0-9, '.', '_', '-', starting with a letter or digit")
+			p.refuse(key.Line, truncate(at), "malformed key", "a-z, 0-9, '.', '_', '-', starting with a letter or digit")
 		case seen[key.Value]:
 			p.refuse(key.Line, at, "the key stands twice", "one value for each key")
 		default:
@@ -138,7 +138,7 @@
 func (p *fileParser) mapping(node *yaml.Node, path string) {
 	const maxDepth = MaxTeamDepth + 4
 	if strings.Count(path, "/") > maxDepth {
-		p.refuse(node.Line, clip(path), "nested too deep", fmt.Sprintf("at most %d levels", maxDepth))
+		p.refuse(node.Line, truncate(path), "nested too deep", fmt.Sprintf("at most %d levels", maxDepth))
 		return
 	}
 	p.eachKey(node, path, func(key string, line int, value *yaml.Node) {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -39,7 +39,7 @@
 	for _, segment := range strings.Split(path, "/") {
 		if !validSegment(segment) {
 			return errors.Wrapf(ErrPath, "segment %q: want 1 to %d of a-z, 0-9, '.', '_', '-', starting with a letter or digit",
-				clip(segment), MaxSegmentBytes)
+				truncate(segment), MaxSegmentBytes)
 		}
 	}
 	return nil
@@ -132,8 +132,8 @@
 	return teamsArea + "/" + string(team) + "/" + key
 }
 
-// ancestry lists a team and the teams above it, from the root "" down.
-func ancestry(team structs.Team) []structs.Team {
+// ancestors lists a team and the teams above it, from the root "" down.
+func ancestors(team structs.Team) []structs.Team {
 	chain := []structs.Team{""}
 	if team == "" {
 		return chain
@@ -176,11 +176,11 @@
 	return MayChange(team, path) || strings.HasPrefix(path, servicesArea+"/")
 }
 
-// clip shortens a text of unknown origin for a message.
-func clip(text string) string {
-	const most = 80
-	if len(text) <= most {
+// truncate shortens a text of unknown origin for a message.
+func truncate(text string) string {
+	const maxBytes = 80
+	if len(text) <= maxBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:most], "") + "..."
+	return strings.ToValidUTF8(text[:maxBytes], "") + "..."
 }
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -26,45 +26,45 @@
 }
 
 func runSchedule(t *testing.T, steps []int) bool {
-	w := newWorld(t)
+	cluster := newCluster(t)
 	ids := []structs.InstanceID{"a", "b", "c"}
 	for _, id := range ids {
-		w.start(id)
+		cluster.start(id)
 	}
 	checker := newChecker()
 	for i, step := range steps {
-		n := w.nodes[ids[step%len(ids)]]
-		scheduleStep(w, n, i, step/len(ids))
-		if !checker.check(t, w) {
+		n := cluster.nodes[ids[step%len(ids)]]
+		scheduleStep(cluster, n, i, step/len(ids))
+		if !checker.check(t, cluster) {
 			return false
 		}
 	}
-	w.down, w.faults = false, nil
-	w.pass(15*time.Second, time.Second)
-	return checker.check(t, w) && checker.final(t, w)
+	cluster.down, cluster.faults = false, nil
+	cluster.advance(15*time.Second, time.Second)
+	return checker.check(t, cluster) && checker.checkFinal(t, cluster)
 }
 
-func scheduleStep(w *fakeWorld, n *fakeNode, i, step int) {
+func scheduleStep(cluster *fakeCluster, n *fakeNode, i, step int) {
 	action, argument := step%9, step/9
 	switch action {
 	case 0, 1, 2:
 		team := []string{"x", "y"}[argument%2]
 		base := n.tree.Version("teams/" + team + "/priority")
-		w.propose(n, structs.RequestID(fmt.Sprintf("%d", i)), priority(team, base, argument%100))
+		cluster.propose(n, structs.RequestID(fmt.Sprintf("%d", i)), priority(team, base, argument%100))
 	case 3, 4:
-		w.read(n)
+		cluster.read(n)
 	case 5:
-		w.faults = append(w.faults, appendFault(argument%5))
+		cluster.faults = append(cluster.faults, appendFault(argument%5))
 	case 6:
-		w.down = argument%2 == 0
+		cluster.down = argument%2 == 0
 	case 7:
-		w.now = w.now.Add(time.Duration(argument%4) * time.Second)
-		w.tick(n)
+		cluster.now = cluster.now.Add(time.Duration(argument%4) * time.Second)
+		cluster.tick(n)
 	case 8:
 		if argument%4 == 0 {
-			w.start(n.id)
+			cluster.start(n.id)
 		} else {
-			w.tick(n)
+			cluster.tick(n)
 		}
 	}
 }
@@ -83,12 +83,12 @@
 	}
 }
 
-func (c *checker) check(t *testing.T, w *fakeWorld) bool {
-	for _, n := range w.nodes {
+func (c *checker) check(t *testing.T, cluster *fakeCluster) bool {
+	for _, n := range cluster.nodes {
 		if c.versions[n] == nil {
 			c.versions[n] = make(map[string]uint64)
 		}
-		for _, e := range listed(n.tree) {
+		for _, e := range entries(n.tree) {
 			key := fmt.Sprintf("%s@%d", e.Path, e.Version)
 			if old, ok := c.values[key]; ok && old != string(e.Value) {
 				t.Logf("%s is %s and %s", key, old, e.Value)
@@ -108,20 +108,20 @@
 	return true
 }
 
-// final compares the answers with the log itself.
-func (c *checker) final(t *testing.T, w *fakeWorld) bool {
-	truth := NewTree()
-	for _, rec := range w.records {
-		truth.Apply(rec.Offset, rec.Data)
+// checkFinal compares the answers with the log itself.
+func (c *checker) checkFinal(t *testing.T, cluster *fakeCluster) bool {
+	expected := NewTree()
+	for _, rec := range cluster.records {
+		expected.Apply(rec.Offset, rec.Data)
 	}
-	for _, n := range w.nodes {
-		if !n.CaughtUp() || fmt.Sprint(listed(n.tree)) != fmt.Sprint(listed(truth)) {
+	for _, n := range cluster.nodes {
+		if !n.CaughtUp() || fmt.Sprint(entries(n.tree)) != fmt.Sprint(entries(expected)) {
 			t.Logf("%s differs from the log", n.id)
 			return false
 		}
 	}
 	for id, result := range c.results {
-		outcome, onLog := truth.Outcome(id)
+		outcome, onLog := expected.Outcome(id)
 		accepted := onLog && outcome.Accepted
 		wrong := result.Status == structs.SettingsAccepted && !accepted ||
 			result.Status == structs.SettingsLost && accepted ||
--- a/internal/settings/proposal.go
+++ b/internal/settings/proposal.go
@@ -14,9 +14,9 @@
 	maxPending = 256
 	// defaultProposalTimeout holds for a proposal without a deadline.
 	defaultProposalTimeout = 10 * time.Second
-	// proposalRetryEvery is the time between a failed append and the next
+	// proposalRetryInterval is the time between a failed append and the next
 	// try. A try again is safe: the change id lets only one take effect.
-	proposalRetryEvery = time.Second
+	proposalRetryInterval = time.Second
 )
 
 // proposal is a record on its way to the log and back.
@@ -36,7 +36,7 @@
 }
 
 func (p *Proposer) propose(ev structs.SettingsPropose) {
-	if result, refused := p.refusal(ev.Changes); refused {
+	if result, refused := p.checkRequest(ev.Changes); refused {
 		p.reply(ev.Request, result)
 		return
 	}
@@ -46,31 +46,31 @@
 		p.reply(ev.Request, result)
 		return
 	}
-	if waiting := p.pending[changes[0].ChangeID]; waiting != nil {
-		p.join(waiting, digest, ev.Request)
+	if pending := p.pending[changes[0].ChangeID]; pending != nil {
+		p.attach(pending, digest, ev.Request)
 		return
 	}
-	if result, refused := p.refusalByTree(ev.Changes); refused {
+	if result, refused := p.checkAgainstTree(ev.Changes); refused {
 		p.reply(ev.Request, result)
 		return
 	}
 	p.publish(ev, changes, digest)
 }
 
-// refusal refuses what is wrong in itself or cannot be judged now.
-func (p *Proposer) refusal(changes []structs.SettingChange) (structs.SettingsResult, bool) {
+// checkRequest refuses what is wrong in itself or cannot be judged now.
+func (p *Proposer) checkRequest(changes []structs.SettingChange) (structs.SettingsResult, bool) {
 	if found := Validate(changes); len(found) > 0 {
-		return invalid(found), true
+		return invalidResult(found), true
 	}
 	switch {
-	case p.lost():
+	case p.settingsLost():
 		return structs.SettingsResult{}, false
 	case !p.catchUp.done:
-		return notPublished("this instance has not caught up with the settings"), true
+		return notPublishedResult("this instance has not caught up with the settings"), true
 	case p.catchUp.gap:
-		return notPublished("this instance lacks settings that the log no longer retains"), true
-	case p.catchUp.behind:
-		return notPublished("the log ends before the settings that this instance has applied"), true
+		return notPublishedResult("this instance lacks settings that the log no longer retains"), true
+	case p.catchUp.logBehind:
+		return notPublishedResult("the log ends before the settings that this instance has applied"), true
 	}
 	return structs.SettingsResult{}, false
 }
@@ -83,35 +83,35 @@
 			continue
 		}
 		if outcome.Digest != digest {
-			return reusedID(change), true
+			return reusedIDResult(change), true
 		}
-		return resultOf(outcome), true
+		return resultFor(outcome), true
 	}
 	return structs.SettingsResult{}, false
 }
 
-// join lets a repeated request wait for the same record.
-func (p *Proposer) join(waiting *proposal, digest uint64, request structs.RequestID) {
-	if waiting.digest != digest {
-		p.reply(request, reusedID(recordChange{ChangeID: waiting.id}))
+// attach lets a repeated request wait for the same record.
+func (p *Proposer) attach(pending *proposal, digest uint64, request structs.RequestID) {
+	if pending.digest != digest {
+		p.reply(request, reusedIDResult(recordChange{ChangeID: pending.id}))
 		return
 	}
-	waiting.requests = append(waiting.requests, request)
+	pending.requests = append(pending.requests, request)
 }
 
-// refusalByTree refuses what the present tree does not allow. A stale base has
+// checkAgainstTree refuses what the present tree does not allow. A stale base has
 // lost for good, since versions only grow.
-func (p *Proposer) refusalByTree(changes []structs.SettingChange) (structs.SettingsResult, bool) {
+func (p *Proposer) checkAgainstTree(changes []structs.SettingChange) (structs.SettingsResult, bool) {
 	for _, change := range changes {
 		if entry, _ := p.tree.Get(change.Path); entry.Version > change.Base {
 			return lostResult(change.Path, entry.Version, entry.Author), true
 		}
 	}
 	if found := p.tree.Validate(changes); len(found) > 0 {
-		return invalid(found), true
+		return invalidResult(found), true
 	}
 	if len(p.pending) >= maxPending {
-		return notPublished("too many changes wait for the log"), true
+		return notPublishedResult("too many changes wait for the log"), true
 	}
 	return structs.SettingsResult{}, false
 }
@@ -133,14 +133,14 @@
 func (p *Proposer) publish(ev structs.SettingsPropose, changes []recordChange, digest uint64) {
 	data, err := encodeRecord(record{Changes: changes})
 	if err != nil {
-		p.reply(ev.Request, notPublished("the change could not be encoded"))
+		p.reply(ev.Request, notPublishedResult("the change could not be encoded"))
 		return
 	}
 	records := [][]byte{data}
-	if p.lost() {
+	if p.settingsLost() {
 		empty, err := encodeRecord(record{Snapshot: &snapshot{Next: p.catchUp.next}})
 		if err != nil {
-			p.reply(ev.Request, notPublished("the snapshot could not be encoded"))
+			p.reply(ev.Request, notPublishedResult("the snapshot could not be encoded"))
 			return
 		}
 		records = [][]byte{empty, data}
@@ -157,8 +157,8 @@
 	p.pending[added.id] = added
 }
 
-// waiting lists the proposals in order of id, so that a run can be repeated.
-func (p *Proposer) waiting() []*proposal {
+// pendingInOrder lists the proposals in order of id, so that a run can be repeated.
+func (p *Proposer) pendingInOrder() []*proposal {
 	if len(p.pending) == 0 {
 		return nil
 	}
@@ -170,63 +170,63 @@
 }
 
 func (p *Proposer) proposalOf(id structs.AppendID) *proposal {
-	for _, waiting := range p.pending {
-		if waiting.inFlight == id && id != 0 {
-			return waiting
+	for _, pending := range p.pending {
+		if pending.inFlight == id && id != 0 {
+			return pending
 		}
 	}
 	return nil
 }
 
-func (w *proposal) appended() {
-	w.inFlight, w.onLog, w.retryAt = 0, true, time.Time{}
+func (pending *proposal) appended() {
+	pending.inFlight, pending.onLog, pending.retryAt = 0, true, time.Time{}
 }
 
 // proposalFailed decides after a failed append. Only if every try was certainly
 // refused is the change certainly not published.
-func (p *Proposer) proposalFailed(w *proposal, refused bool) {
-	w.inFlight = 0
-	if refused && !w.uncertain {
-		p.finish(w, notPublished("the log refused the record"))
+func (p *Proposer) proposalFailed(pending *proposal, refused bool) {
+	pending.inFlight = 0
+	if refused && !pending.uncertain {
+		p.complete(pending, notPublishedResult("the log refused the record"))
 		return
 	}
-	w.uncertain = true
-	w.retryAt = p.now.Add(proposalRetryEvery)
+	pending.uncertain = true
+	pending.retryAt = p.now.Add(proposalRetryInterval)
 }
 
-// answerApplied answers the proposals whose record the tree has applied.
-func (p *Proposer) answerApplied() {
-	for _, waiting := range p.waiting() {
-		outcome, ok := p.tree.Outcome(waiting.id)
+// replyToApplied answers the proposals whose record the tree has applied.
+func (p *Proposer) replyToApplied() {
+	for _, pending := range p.pendingInOrder() {
+		outcome, ok := p.tree.Outcome(pending.id)
 		if !ok {
 			continue
 		}
-		if outcome.Digest != waiting.digest {
-			p.finish(waiting, reusedID(recordChange{ChangeID: waiting.id}))
+		if outcome.Digest != pending.digest {
+			p.complete(pending, reusedIDResult(recordChange{ChangeID: pending.id}))
 			continue
 		}
-		p.finish(waiting, resultOf(outcome))
+		p.complete(pending, resultFor(outcome))
 	}
 }
 
 // advancePending tries appends again and gives up at the deadline.
 func (p *Proposer) advancePending() {
-	for _, waiting := range p.waiting() {
-		if !p.now.Before(waiting.deadline) {
-			p.finish(waiting, structs.SettingsResult{Status: structs.SettingsUnknown,
+	for _, pending := range p.pendingInOrder() {
+		if !p.now.Before(pending.deadline) {
+			p.complete(pending, structs.SettingsResult{Status: structs.SettingsUnknown,
 				Detail: "the change could not be read back in time; it may still come into force"})
 			continue
 		}
-		if !waiting.retryAt.IsZero() && !p.now.Before(waiting.retryAt) {
-			waiting.retryAt = time.Time{}
-			waiting.inFlight = p.append(waiting.records...)
+		if !pending.retryAt.IsZero() && !p.now.Before(pending.retryAt) {
+			pending.retryAt = time.Time{}
+			pending.inFlight = p.append(pending.records...)
 		}
 	}
 }
 
-func (p *Proposer) finish(w *proposal, result structs.SettingsResult) {
-	delete(p.pending, w.id)
-	for _, request := range w.requests {
+func (p *Proposer) complete(pending *proposal, result structs.SettingsResult) {
+	delete(p.pending, pending.id)
+	for _, request := range pending.requests {
 		p.reply(request, result)
 	}
 }
@@ -235,7 +235,7 @@
 	p.emit(structs.ReplySettings{Request: request, Result: result})
 }
 
-func resultOf(outcome Outcome) structs.SettingsResult {
+func resultFor(outcome Outcome) structs.SettingsResult {
 	if outcome.Accepted {
 		return structs.SettingsResult{
 			Status: structs.SettingsAccepted, Path: outcome.Path, Version: outcome.Version,
@@ -261,7 +261,7 @@
 	}
 }
 
-func invalid(found []*ValidationError) structs.SettingsResult {
+func invalidResult(found []*ValidationError) structs.SettingsResult {
 	first := found[0]
 	detail := first.Detail
 	if first.Value != "" {
@@ -275,13 +275,13 @@
 	}
 }
 
-func reusedID(change recordChange) structs.SettingsResult {
+func reusedIDResult(change recordChange) structs.SettingsResult {
 	return structs.SettingsResult{
 		Status: structs.SettingsInvalid, Path: change.Path, Expected: "a unique change id",
 		Detail: fmt.Sprintf("the change id %q was used for another change", change.ChangeID),
 	}
 }
 
-func notPublished(detail string) structs.SettingsResult {
+func notPublishedResult(detail string) structs.SettingsResult {
 	return structs.SettingsResult{Status: structs.SettingsNotPublished, Detail: detail}
 }
--- a/internal/settings/proposer.go
+++ b/internal/settings/proposer.go
@@ -51,7 +51,7 @@
 	for _, ev := range events {
 		p.handle(ev)
 	}
-	p.answerApplied()
+	p.replyToApplied()
 	p.advancePending()
 	p.advanceExchange()
 	p.advanceCheckpoint()
@@ -75,7 +75,7 @@
 	case structs.LogAppendFailed:
 		p.appendFailed(ev.ID, ev.Refused)
 	case structs.PeerMessage:
-		p.handlePeer(ev)
+		p.receiveMessage(ev)
 	}
 }
 
@@ -90,7 +90,7 @@
 
 func (p *Proposer) appendFailed(id structs.AppendID, refused bool) {
 	if id == p.checkpoint.inFlight {
-		p.checkpoint.failed(p.now, p.retention())
+		p.checkpoint.writeFailed(p.now, p.retention())
 	}
 	if proposal := p.proposalOf(id); proposal != nil {
 		p.proposalFailed(proposal, refused)
@@ -116,7 +116,7 @@
 
 // NextWake gives the time of the earliest timer, zero if there is none.
 func (p *Proposer) NextWake() time.Time {
-	next := earliest(p.exchange.wake, p.checkpoint.wake)
+	next := earliest(p.exchange.wakeAt, p.checkpoint.wakeAt)
 	for _, proposal := range p.pending {
 		next = earliest(next, earliest(proposal.deadline, proposal.retryAt))
 	}
--- a/internal/settings/resolve.go
+++ b/internal/settings/resolve.go
@@ -82,7 +82,7 @@
 	s := structs.DefaultService(name, "")
 	for _, f := range serviceFields.fields {
 		path := servicesArea + "/" + string(name) + "/" + f.name
-		if raw, ok := decodeJSON(t.entries[path].valueOrNone()); ok {
+		if raw, ok := decodeJSON(t.entries[path].valueOrNil()); ok {
 			f.set(&s, raw, false)
 		}
 	}
@@ -136,9 +136,9 @@
 func (t *Tree) resolvePolicy(team structs.Team) structs.Policy {
 	p := structs.DefaultPolicy()
 	set := make(map[string]bool)
-	for _, at := range ancestry(team) {
+	for _, at := range ancestors(team) {
 		for _, f := range policyFields.fields {
-			raw, ok := decodeJSON(t.entries[teamKeyPath(at, f.name)].valueOrNone())
+			raw, ok := decodeJSON(t.entries[teamKeyPath(at, f.name)].valueOrNil())
 			if ok && f.set(&p, raw, set[f.name]) {
 				set[f.name] = true
 			}
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -18,19 +18,19 @@
 	maxOrderBytes = 200
 )
 
-// notAbove is the limit of a key that a team may lower but not raise over its
+// atMostInherited is the limit of a key that a team may lower but not raise over its
 // ancestors.
-func notAbove[V cmp.Ordered](above, own V) V { return min(above, own) }
+func atMostInherited[V cmp.Ordered](inherited, own V) V { return min(inherited, own) }
 
-// notBelow is the limit of a key that a team may raise but not lower.
-func notBelow[V cmp.Ordered](above, own V) V { return max(above, own) }
+// atLeastInherited is the limit of a key that a team may raise but not lower.
+func atLeastInherited[V cmp.Ordered](inherited, own V) V { return max(inherited, own) }
 
-// tightest is the limit of a bound where 0 means none.
-func tightest(above, own int64) int64 {
-	if above == 0 || own == 0 {
-		return max(above, own)
+// tighterBound is the limit of a bound where 0 means none.
+func tighterBound(inherited, own int64) int64 {
+	if inherited == 0 || own == 0 {
+		return max(inherited, own)
 	}
-	return min(above, own)
+	return min(inherited, own)
 }
 
 type (
@@ -40,22 +40,22 @@
 
 // policyFields is the schema of a team's keys.
 var policyFields = newFieldTable(
-	newField("priority", integerType(0, 100), func(p *policy) *int { return &p.Priority }, notBelow[int]),
-	newField("weight", numberType(0.01, 1000), func(p *policy) *float64 { return &p.Weight }, notAbove[float64]),
+	newField("priority", integerType(0, 100), func(p *policy) *int { return &p.Priority }, atLeastInherited[int]),
+	newField("weight", numberType(0.01, 1000), func(p *policy) *float64 { return &p.Weight }, atMostInherited[float64]),
 	newField("deadline", durationType(0, maxDuration), func(p *policy) *time.Duration { return &p.Deadline }, nil),
 	newField("call_timeout", durationType(minTimeout, maxDuration), func(p *policy) *time.Duration { return &p.CallTimeout }, nil),
-	newField("program_tokens", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramTokens }, tightest),
-	newField("program_fees", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramFees }, tightest),
-	newField("program_turns", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramTurns }, tightest),
-	newField("team_tokens", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.TeamTokens }, tightest),
-	newField("team_fees", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.TeamFees }, tightest),
+	newField("program_tokens", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramTokens }, tighterBound),
+	newField("program_fees", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramFees }, tighterBound),
+	newField("program_turns", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.ProgramTurns }, tighterBound),
+	newField("team_tokens", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.TeamTokens }, tighterBound),
+	newField("team_fees", integerType[int64](0, maxTokens), func(p *policy) *int64 { return &p.TeamFees }, tighterBound),
 	newField("chunk_tokens", integerType[int64](1, maxTokens), func(p *policy) *int64 { return &p.ChunkTokens }, nil),
 	newField("idle_timeout", durationType(time.Second, maxDuration), func(p *policy) *time.Duration { return &p.IdleTimeout }, nil),
 	newField("loop_repeats", integerType(0, maxCount), func(p *policy) *int { return &p.LoopRepeats }, nil),
 	newField("gap_timeout", durationType(minTimeout, maxDuration), func(p *policy) *time.Duration { return &p.GapTimeout }, nil),
 	newField("idempotency_window", durationType(time.Second, maxDuration), func(p *policy) *time.Duration { return &p.IdempotencyWindow }, nil),
-	newField("max_queued", integerType(1, maxCount), func(p *policy) *int { return &p.MaxQueued }, notAbove[int]),
-	newField("retries", integerType(0, 10), func(p *policy) *int { return &p.Retries }, notAbove[int]),
+	newField("max_queued", integerType(1, maxCount), func(p *policy) *int { return &p.MaxQueued }, atMostInherited[int]),
+	newField("retries", integerType(0, 10), func(p *policy) *int { return &p.Retries }, atMostInherited[int]),
 )
 
 // kindKey is the key that makes a service exist.
--- a/internal/settings/show.go
+++ b/internal/settings/show.go
@@ -54,7 +54,7 @@
 	if !ok {
 		return Entry{}, false
 	}
-	return e.shown(path), true
+	return e.listing(path), true
 }
 
 // Listing gives a path and all below it, removed ones included, in order of
@@ -65,7 +65,7 @@
 	list := Listing{Next: t.next, Entries: []Entry{}}
 	for at, e := range t.entries {
 		if within(path, at) {
-			list.Entries = append(list.Entries, e.shown(at))
+			list.Entries = append(list.Entries, e.listing(at))
 		}
 	}
 	slices.SortFunc(list.Entries, func(a, b Entry) int { return strings.Compare(a.Path, b.Path) })
@@ -83,7 +83,7 @@
 			continue
 		}
 		for _, h := range e.History {
-			list.Changes = append(list.Changes, h.shown(at))
+			list.Changes = append(list.Changes, h.listing(at))
 		}
 	}
 	slices.SortFunc(list.Changes, func(a, b PastChange) int {
@@ -107,7 +107,7 @@
 	return root == "" || path == root || strings.HasPrefix(path, root+"/")
 }
 
-func (e *entry) shown(path string) Entry {
+func (e *entry) listing(path string) Entry {
 	shown := Entry{Path: path, Version: e.Version, Author: e.Author, Time: wallTime(e.TimeMS)}
 	if len(e.Value) == 0 {
 		shown.Removed = true
@@ -117,7 +117,7 @@
 	return shown
 }
 
-func (h HistoryEntry) shown(path string) PastChange {
+func (h HistoryEntry) listing(path string) PastChange {
 	return PastChange{
 		Path: path, Version: h.Version, Author: h.Author, Time: wallTime(h.TimeMS),
 		Value: redact(path, h.Value), Removed: len(h.Value) == 0,
--- a/internal/settings/suggest.go
+++ b/internal/settings/suggest.go
@@ -3,9 +3,9 @@
 // maxSuggestDistance is the largest edit distance of a suggestion.
 const maxSuggestDistance = 3
 
-// nearest finds the known name that differs least from a given one, false if
+// closestName finds the known name that differs least from a given one, false if
 // none is near.
-func nearest(name string, known []string) (string, bool) {
+func closestName(name string, known []string) (string, bool) {
 	if len(name) > MaxSegmentBytes {
 		return "", false
 	}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -36,14 +36,14 @@
 	History []HistoryEntry `codec:"h,omitempty"`
 }
 
-func (e *entry) valueOrNone() []byte {
+func (e *entry) valueOrNil() []byte {
 	if e == nil {
 		return nil
 	}
 	return e.Value
 }
 
-func (e *entry) versionOrNone() uint64 {
+func (e *entry) versionOrZero() uint64 {
 	if e == nil {
 		return 0
 	}
@@ -99,7 +99,7 @@
 func (t *Tree) Version(path string) uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.entries[path].versionOrNone()
+	return t.entries[path].versionOrZero()
 }
 
 // Apply applies the record at an offset. Offsets below Next were applied before
@@ -130,27 +130,27 @@
 
 // applyChanges applies all changes of a record or none.
 func (t *Tree) applyChanges(offset uint64, changes []recordChange) {
-	outcome := t.judge(offset, changes)
-	t.remember(changes, outcome)
+	outcome := t.evaluate(offset, changes)
+	t.recordOutcome(changes, outcome)
 	if !outcome.Accepted {
 		return
 	}
 	for _, change := range changes {
-		t.store(offset, change)
+		t.applyChange(offset, change)
 	}
 	t.view = nil
 }
 
-// judge decides whether a record takes effect.
-func (t *Tree) judge(offset uint64, changes []recordChange) Outcome {
+// evaluate decides whether a record takes effect.
+func (t *Tree) evaluate(offset uint64, changes []recordChange) Outcome {
 	digest := changesDigest(changes)
 	for _, change := range changes {
 		_, seen := t.outcomes[change.ChangeID]
-		if seen || t.entries[change.Path].versionOrNone() != change.Base {
-			return t.lost(offset, change.Path, digest)
+		if seen || t.entries[change.Path].versionOrZero() != change.Base {
+			return t.conflictOutcome(offset, change.Path, digest)
 		}
 	}
-	paths, size := t.sizeAfter(plainChanges(changes))
+	paths, size := t.sizeAfter(settingChanges(changes))
 	if paths > MaxPaths || size > MaxTreeBytes {
 		t.skipped++
 		return Outcome{TooLarge: true, Offset: offset, Path: changes[0].Path, Digest: digest}
@@ -160,16 +160,16 @@
 		Winner: first.Author, Digest: digest}
 }
 
-// lost is the outcome of a record that lost a path to its present version.
-func (t *Tree) lost(offset uint64, path string, digest uint64) Outcome {
+// conflictOutcome is the outcome of a record that lost a path to its present version.
+func (t *Tree) conflictOutcome(offset uint64, path string, digest uint64) Outcome {
 	outcome := Outcome{Offset: offset, Path: path, Digest: digest}
-	if present := t.entries[path]; present != nil {
-		outcome.Version, outcome.Winner = present.Version, present.Author
+	if current := t.entries[path]; current != nil {
+		outcome.Version, outcome.Winner = current.Version, current.Author
 	}
 	return outcome
 }
 
-func (t *Tree) store(offset uint64, change recordChange) {
+func (t *Tree) applyChange(offset uint64, change recordChange) {
 	e := t.entries[change.Path]
 	if e == nil {
 		e = new(entry)
@@ -182,9 +182,9 @@
 	e.addHistory(HistoryEntry{Version: e.Version, Author: e.Author, TimeMS: e.TimeMS, Value: e.Value})
 }
 
-// remember keeps the outcome under each change id of the record. The first
+// recordOutcome keeps the outcome under each change id of the record. The first
 // outcome of an id stays.
-func (t *Tree) remember(changes []recordChange, outcome Outcome) {
+func (t *Tree) recordOutcome(changes []recordChange, outcome Outcome) {
 	for _, change := range changes {
 		if _, seen := t.outcomes[change.ChangeID]; seen {
 			continue
@@ -202,17 +202,17 @@
 func (t *Tree) sizeAfter(changes []structs.SettingChange) (paths, size int) {
 	paths, size = len(t.entries), t.size
 	for _, change := range changes {
-		present := t.entries[change.Path]
-		if present == nil {
+		current := t.entries[change.Path]
+		if current == nil {
 			paths++
 			size += len(change.Path)
 		}
-		size += len(change.Value) - len(present.valueOrNone())
+		size += len(change.Value) - len(current.valueOrNil())
 	}
 	return paths, size
 }
 
-func plainChanges(changes []recordChange) []structs.SettingChange {
+func settingChanges(changes []recordChange) []structs.SettingChange {
 	list := make([]structs.SettingChange, len(changes))
 	for i, c := range changes {
 		list[i] = structs.SettingChange{Path: c.Path, Base: c.Base, Value: c.Value, ChangeID: c.ChangeID, Author: c.Author}
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -32,12 +32,12 @@
 	return data
 }
 
-func listed(tree *Tree) []Entry {
+func entries(tree *Tree) []Entry {
 	list, _ := tree.Listing("")
 	return list.Entries
 }
 
-func past(tree *Tree, path string) []PastChange {
+func history(tree *Tree, path string) []PastChange {
 	list, _ := tree.HistoryListing(path)
 	return list.Changes
 }
@@ -139,10 +139,10 @@
 // of it arrives after the path reached that version.
 func TestLostRecordStaysLostAsDuplicate(t *testing.T) {
 	tree := NewTree()
-	late := encode(t, record{Changes: []recordChange{change("teams/a/priority", 2, "9")}})
-	tree.Apply(0, late)
+	rejected := encode(t, record{Changes: []recordChange{change("teams/a/priority", 2, "9")}})
+	tree.Apply(0, rejected)
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 0, "1")}}))
-	tree.Apply(2, late)
+	tree.Apply(2, rejected)
 	if entry, _ := tree.Get("teams/a/priority"); string(entry.Value) != "1" {
 		t.Fatalf("a duplicate of a lost record won: %s", entry.Value)
 	}
@@ -164,7 +164,7 @@
 		path := fmt.Sprintf("teams/t%d/priority", i)
 		tree.Apply(uint64(i), encode(t, record{Changes: []recordChange{change(path, 0, "1")}}))
 	}
-	if got := len(listed(tree)); got != MaxPaths {
+	if got := len(entries(tree)); got != MaxPaths {
 		t.Fatalf("%d paths", got)
 	}
 	refused := tree.Validate([]structs.SettingChange{{Path: "teams/x/priority", Value: []byte("1"), ChangeID: "x"}})
@@ -182,9 +182,9 @@
 	for i := range uint64(HistoryLength + 5) {
 		tree.Apply(i, encode(t, record{Changes: []recordChange{change("teams/a/max_queued", i, fmt.Sprint(i+1))}}))
 	}
-	history := past(tree, "teams/a/max_queued")
-	if len(history) != HistoryLength || history[0].Version != HistoryLength+5 || string(history[0].Value) != "37" {
-		t.Fatalf("%d entries, first %+v", len(history), history[0])
+	changes := history(tree, "teams/a/max_queued")
+	if len(changes) != HistoryLength || changes[0].Version != HistoryLength+5 || string(changes[0].Value) != "37" {
+		t.Fatalf("%d entries, first %+v", len(changes), changes[0])
 	}
 }
 
@@ -194,7 +194,7 @@
 	paths := []string{"teams/a/priority", "teams/b/priority", "services/s/kind"}
 	properties := gopter.NewProperties(nil)
 	properties.Property("versions only grow and a restored tree agrees", prop.ForAll(
-		func(steps []int, cut int) bool {
+		func(steps []int, restoreAt int) bool {
 			tree, restored := NewTree(), NewTree()
 			for i, step := range steps {
 				path := paths[step%len(paths)]
@@ -205,10 +205,10 @@
 				data := encode(t, record{Changes: []recordChange{change(path, base, fmt.Sprint(step%4))}})
 				before := versions(tree, paths)
 				tree.Apply(uint64(i), data)
-				if i == cut {
+				if i == restoreAt {
 					snapshot, _ := tree.Snapshot()
 					_, _ = restored.Restore(snapshot)
-				} else if i > cut {
+				} else if i > restoreAt {
 					restored.Apply(uint64(i), data)
 				}
 				for j, v := range versions(tree, paths) {
@@ -217,7 +217,7 @@
 					}
 				}
 			}
-			return len(steps) <= cut || fmt.Sprint(listed(tree)) == fmt.Sprint(listed(restored))
+			return len(steps) <= restoreAt || fmt.Sprint(entries(tree)) == fmt.Sprint(entries(restored))
 		},
 		gen.SliceOf(gen.IntRange(0, 59)), gen.IntRange(0, 20),
 	))
@@ -232,7 +232,7 @@
 	return list
 }
 
-func TestRestoreNeverGoesBack(t *testing.T) {
+func TestRestoreIgnoresOlderSnapshot(t *testing.T) {
 	tree := treeOf(t, map[string]string{"teams/a/priority": "1"})
 	old, _ := tree.Snapshot()
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 1, "2")}}))
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -41,7 +41,7 @@
 	seen := make(map[string]bool, len(changes))
 	for _, change := range changes {
 		if seen[change.Path] {
-			found = append(found, &ValidationError{Path: clip(change.Path), Detail: "the path is changed twice",
+			found = append(found, &ValidationError{Path: truncate(change.Path), Detail: "the path is changed twice",
 				Expected: "one change of a path"})
 		}
 		seen[change.Path] = true
@@ -54,11 +54,11 @@
 
 func validateChange(change structs.SettingChange) *ValidationError {
 	if change.ChangeID == "" || len(change.ChangeID) > MaxChangeIDBytes {
-		return &ValidationError{Path: clip(change.Path), Detail: "bad change id",
+		return &ValidationError{Path: truncate(change.Path), Detail: "bad change id",
 			Expected: fmt.Sprintf("a unique id of 1 to %d bytes", MaxChangeIDBytes)}
 	}
 	if len(change.Author) > MaxChangeIDBytes {
-		return &ValidationError{Path: clip(change.Path), Detail: "author too long",
+		return &ValidationError{Path: truncate(change.Path), Detail: "author too long",
 			Expected: fmt.Sprintf("at most %d bytes", MaxChangeIDBytes)}
 	}
 	_, err := canonicalValue(change.Path, change.Value)
@@ -69,7 +69,7 @@
 func canonicalValue(path string, value []byte) ([]byte, *ValidationError) {
 	loc, err := parsePath(path)
 	if err != nil {
-		return nil, &ValidationError{Path: clip(path), Detail: err.Error()}
+		return nil, &ValidationError{Path: truncate(path), Detail: err.Error()}
 	}
 	expected, canonical, refused := lookupKey(path, loc)
 	if refused != nil {
@@ -78,19 +78,19 @@
 	if len(value) == 0 {
 		return nil, nil
 	}
-	wrong := &ValidationError{Path: path, Value: shownValue(loc, value), Detail: "wrong value", Expected: expected}
+	invalid := &ValidationError{Path: path, Value: displayValue(loc, value), Detail: "wrong value", Expected: expected}
 	if len(value) > MaxValueBytes {
-		wrong.Detail = fmt.Sprintf("value longer than %d bytes", MaxValueBytes)
-		return nil, wrong
+		invalid.Detail = fmt.Sprintf("value longer than %d bytes", MaxValueBytes)
+		return nil, invalid
 	}
 	raw, ok := decodeJSON(value)
 	if !ok {
-		wrong.Detail = "not a JSON value"
-		return nil, wrong
+		invalid.Detail = "not a JSON value"
+		return nil, invalid
 	}
 	data, ok := canonical(raw)
 	if !ok {
-		return nil, wrong
+		return nil, invalid
 	}
 	return data, nil
 }
@@ -125,17 +125,17 @@
 	return data, err == nil
 }
 
-// shownValue is a refused value as a message may show it.
-func shownValue(loc location, value []byte) string {
+// displayValue is a refused value as a message may show it.
+func displayValue(loc location, value []byte) string {
 	if loc.Credential != "" {
 		return ""
 	}
-	return clip(string(value))
+	return truncate(string(value))
 }
 
 func unknownKey(path, key string, known []string) *ValidationError {
 	detail := fmt.Sprintf("unknown key %q", key)
-	if near, ok := nearest(key, known); ok {
+	if near, ok := closestName(key, known); ok {
 		detail += fmt.Sprintf(", did you mean %q?", near)
 	}
 	return &ValidationError{Path: path, Detail: detail, Expected: "one of " + strings.Join(known, ", ")}
@@ -171,7 +171,7 @@
 		kindPath := servicesArea + "/" + string(loc.Service) + "/" + kindKey
 		has, changed := after[kindPath]
 		if !changed {
-			has = len(t.entries[kindPath].valueOrNone()) > 0
+			has = len(t.entries[kindPath].valueOrNil()) > 0
 		}
 		if !has {
 			found = append(found, &ValidationError{Path: change.Path, Detail: "the service has no kind",
--- a/internal/settings/validate_test.go
+++ b/internal/settings/validate_test.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestValidateTellsPathValueAndExpected(t *testing.T) {
+func TestValidateReportsPathValueAndExpected(t *testing.T) {
 	hash := strings.Repeat("a", 64)
 	cases := []struct{ path, value, want string }{
 		{"teams/a/priority", `-1`, "whole number from 0 to 100"},
@@ -40,7 +40,7 @@
 	for _, c := range cases {
 		found := Validate([]structs.SettingChange{{Path: c.path, Value: []byte(c.value), ChangeID: "id"}})
 		if len(found) != 1 || !strings.Contains(found[0].Error(), c.want) {
-			t.Errorf("%s = %s: got %v, want %q", c.path, clip(c.value), found, c.want)
+			t.Errorf("%s = %s: got %v, want %q", c.path, truncate(c.value), found, c.want)
 			continue
 		}
 		if strings.Contains(found[0].Error(), "secret") || strings.Contains(found[0].Error(), hash) {
@@ -129,7 +129,7 @@
 	if _, ok := tree.Authenticate("other"); ok {
 		t.Fatal("a wrong key is accepted")
 	}
-	shown := fmt.Sprintf("%s %s", listed(tree)[0].Value, past(tree, "teams/lakeshore/credentials/ada")[0].Value)
+	shown := fmt.Sprintf("%s %s", entries(tree)[0].Value, history(tree, "teams/lakeshore/credentials/ada")[0].Value)
 	if strings.Contains(shown, hash) || !strings.Contains(shown, hash[:8]+"...") {
 		t.Fatalf("shown: %s", shown)
 	}
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -35,30 +35,30 @@
 	encode func(V) any
 }
 
-func plain[V any](v V) any { return v }
+func identity[V any](v V) any { return v }
 
-func integerType[N ~int | ~int64](least, most N) valueType[N] {
+func integerType[N ~int | ~int64](minValue, maxValue N) valueType[N] {
 	decode := func(raw any) (N, bool) {
 		number, ok := raw.(json.Number)
 		if !ok {
 			return 0, false
 		}
 		n, err := number.Int64()
-		return N(n), err == nil && n >= int64(least) && n <= int64(most)
+		return N(n), err == nil && n >= int64(minValue) && n <= int64(maxValue)
 	}
-	return valueType[N]{fmt.Sprintf("a whole number from %d to %d", least, most), decode, plain[N]}
+	return valueType[N]{fmt.Sprintf("a whole number from %d to %d", minValue, maxValue), decode, identity[N]}
 }
 
-func numberType(least, most float64) valueType[float64] {
+func numberType(minValue, maxValue float64) valueType[float64] {
 	decode := func(raw any) (float64, bool) {
 		number, ok := raw.(json.Number)
 		if !ok {
 			return 0, false
 		}
 		n, err := number.Float64()
-		return n, err == nil && n >= least && n <= most
+		return n, err == nil && n >= minValue && n <= maxValue
 	}
-	return valueType[float64]{fmt.Sprintf("a number from %g to %g", least, most), decode, plain[float64]}
+	return valueType[float64]{fmt.Sprintf("a number from %g to %g", minValue, maxValue), decode, identity[float64]}
 }
 
 func booleanType() valueType[bool] {
@@ -66,7 +66,7 @@
 		b, ok := raw.(bool)
 		return b, ok
 	}
-	return valueType[bool]{"true or false", decode, plain[bool]}
+	return valueType[bool]{"true or false", decode, identity[bool]}
 }
 
 func choiceType[S ~string](choices ...S) valueType[S] {
@@ -78,29 +78,29 @@
 		s, ok := raw.(string)
 		return S(s), ok && slices.Contains(choices, S(s))
 	}
-	return valueType[S]{"one of " + strings.Join(names, ", "), decode, plain[S]}
+	return valueType[S]{"one of " + strings.Join(names, ", "), decode, identity[S]}
 }
 
 // textType is the type of a name that is passed on as it is.
-func textType(most int) valueType[string] {
+func textType(maxBytes int) valueType[string] {
 	decode := func(raw any) (string, bool) {
 		s, ok := raw.(string)
 		printable := strings.IndexFunc(s, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
-		return s, ok && s != "" && len(s) <= most && utf8.ValidString(s) && printable
+		return s, ok && s != "" && len(s) <= maxBytes && utf8.ValidString(s) && printable
 	}
-	return valueType[string]{fmt.Sprintf("a printable text of 1 to %d bytes", most), decode, plain[string]}
+	return valueType[string]{fmt.Sprintf("a printable text of 1 to %d bytes", maxBytes), decode, identity[string]}
 }
 
-func durationType(least, most time.Duration) valueType[time.Duration] {
+func durationType(minValue, maxValue time.Duration) valueType[time.Duration] {
 	decode := func(raw any) (time.Duration, bool) {
 		s, ok := raw.(string)
 		if !ok {
 			return 0, false
 		}
 		d, err := time.ParseDuration(s)
-		return d, err == nil && d >= least && d <= most
+		return d, err == nil && d >= minValue && d <= maxValue
 	}
 	encode := func(d time.Duration) any { return d.String() }
-	expected := fmt.Sprintf(`a duration from "%s" to "%s", such as "30s"`, least, most)
+	expected := fmt.Sprintf(`a duration from "%s" to "%s", such as "30s"`, minValue, maxValue)
 	return valueType[time.Duration]{expected, decode, encode}
 }
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -40,10 +40,10 @@
 	// Single marks a call made without a program: the program is closed
 	// when the call ends.
 	Single bool
-	// FirstDelivery tells that no earlier delivery of the key can have run:
+	// Fresh tells that no earlier delivery of the key can have run:
 	// the call has no key of the caller's, or the caller declares that there
 	// was none or that each was refused as not run.
-	FirstDelivery bool
+	Fresh bool
 	// Fork allows the call's messages to leave the lane's known history, as
 	// when an agent compacts its context.
 	Fork   bool
@@ -199,7 +199,7 @@
 // Refusal is the outcome of a call that is refused without looking up earlier
 // deliveries of its key: "not run" would be a guess unless there was none.
 func (c *Call) Refusal(reason Reason, after time.Duration) Outcome {
-	if c.FirstDelivery {
+	if c.Fresh {
 		return Outcome{Kind: OutcomeNotRun, Reason: reason, RetryAfter: after}
 	}
 	return Outcome{
--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -312,11 +312,11 @@
 // NewMessage makes an empty message of a kind for a decoder, nil if the kind
 // is unknown.
 func NewMessage(kind MessageKind) Message {
-	make, ok := messageTypes[kind]
+	newMessage, ok := messageTypes[kind]
 	if !ok {
 		return nil
 	}
-	return make()
+	return newMessage()
 }
 
 var messageTypes = map[MessageKind]func() Message{
--- a/internal/structs/room.go
+++ b/internal/structs/reservation.go
@@ -145,7 +145,7 @@
 
 // Lease is a lease with the room that it holds.
 type Lease struct {
-	Lease  LeaseID
+	ID     LeaseID
 	Tokens int
 }
 
