--- a/internal/allowance/bucket.go
+++ b/internal/allowance/bucket.go
@@ -80,7 +80,7 @@
 
 // allocate replies to a request.
 func (b *bucket) allocate(request *structs.AllowanceRequest, now time.Time) *structs.AllowanceReply {
-	b.level -= float64(max(request.UnrequestedRuns, 0))
+	b.level -= float64(max(request.Reruns, 0))
 	b.release(max(request.Returned, 0), max(request.ReturnedFirstTurns, 0), now)
 	reply := new(structs.AllowanceReply)
 	reply.Granted = b.take(request.Requests, 0)
@@ -105,7 +105,7 @@
 
 // recordUsage counts allocated requests and reruns.
 func (b *bucket) recordUsage(request *structs.AllowanceRequest, reply *structs.AllowanceReply, now time.Time) {
-	used := reply.Granted + max(request.UnrequestedRuns, 0)
+	used := reply.Granted + max(request.Reruns, 0)
 	for _, n := range reply.FirstTurns {
 		used += n
 	}
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -65,7 +65,7 @@
 func (q *queue) newRequest(number uint64, slot int) *structs.AllowanceRequest {
 	request := &structs.AllowanceRequest{
 		Number: number, Slot: slot, Organisation: q.organisation,
-		PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Version: q.version, UnrequestedRuns: q.reruns,
+		PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Version: q.version, Reruns: q.reruns,
 		Returned: q.returned, ReturnedFirstTurns: q.returnedStarts,
 	}
 	q.reruns, q.returned, q.returnedStarts = 0, 0, 0
--- a/internal/structs/allowance.go
+++ b/internal/structs/allowance.go
@@ -10,46 +10,47 @@
 	KindVoteReply        MessageKind = 42
 )
 
-// AllowanceRequest asks the coordinator of an organisation for requests that the
-// sender may let run.
+// AllowanceRequest asks the coordinator of an organisation for permits to run
+// requests.
 type AllowanceRequest struct {
 	Number       uint64
 	Slot         int
 	Organisation string
-	// PerSecond and Burst are the limit that the sender knows, Version that of
-	// the settings it comes from.
+	// PerSecond and Burst are the limit known to the sender, Version the version of
+	// its settings.
 	PerSecond float64
 	Burst     float64
 	Version   int64
-	// Requests is the number of requests of programs under way, or of none, that
-	// wait for the answer.
+	// Requests is the number of waiting requests that belong to a program in progress
+	// or to no program.
 	Requests int
-	// FirstTurns are the first turns that wait, by rank.
+	// FirstTurns counts the waiting first turns by rank.
 	FirstTurns [AllowanceRanks]int
-	// UnrequestedRuns is the number of runs since the last ask that were not asked for:
-	// requests that ran a second time.
-	UnrequestedRuns int
-	// FirstTurnPrograms names the programs of Starts, in the order in which they are let in,
-	// and Calls those of Want that were not named before; by hashes, 0 for none.
+	// Reruns is the number of requests that ran a second time, without a permit of
+	// their own, since the last AllowanceRequest.
+	Reruns int
+	// FirstTurnPrograms holds the hashes of the programs of FirstTurns in order of
+	// admission. RequestPrograms holds those of Requests that were not reported
+	// before. The hash is 0 for a request without a program.
 	FirstTurnPrograms [AllowanceRanks][]uint64
 	RequestPrograms   []uint64
-	// Returned is the number of requests that were let in since the last ask and
-	// did not run, ReturnedFirstTurns that of first turns.
+	// Returned and ReturnedFirstTurns count the requests and first turns that were
+	// admitted since the last AllowanceRequest but did not run.
 	Returned           int
 	ReturnedFirstTurns int
 }
 
-// AllowanceRanks is the number of ranks of first turns: the operator's most
-// urgent ones, and all others.
+// AllowanceRanks is the number of ranks of first turns: the operator's highest
+// priority, and all others.
 const AllowanceRanks = 2
 
-// AllowanceOutcome is how an ask ended.
+// AllowanceOutcome is the result of an AllowanceRequest.
 type AllowanceOutcome uint8
 
 // Outcomes of an AllowanceRequest.
 const (
-	// AllowanceAllocated: what the reply holds may run, what it lacks is over the
-	// limit.
+	// AllowanceAllocated: the permits in the reply may be used; what is missing
+	// exceeds the limit.
 	AllowanceAllocated AllowanceOutcome = 1
 	// AllowanceNotCoordinator: the receiver does not coordinate the organisation.
 	AllowanceNotCoordinator AllowanceOutcome = 2
@@ -62,18 +63,18 @@
 	// Granted of the requests that wait, and Starts of the first turns, may run.
 	Granted    int
 	FirstTurns [AllowanceRanks]int
-	// RetryAfter is when there should be room for what was not granted.
+	// RetryAfter is the delay after which what was not granted may be available.
 	RetryAfter time.Duration
-	// Remaining is what the coordinator has left to deal out, in requests, with Votes of
-	// the slot's voters.
+	// Remaining is the number of requests that the coordinator can still allocate,
+	// Votes the number of votes that it holds for the slot.
 	Remaining float64
 	Votes     int
-	// Utilization is what the coordinator dealt out over the last second or two against
-	// the limit: 1 is at the limit, 0 is unknown.
+	// Utilization is the recently allocated rate as a fraction of the limit; 0 if
+	// unknown.
 	Utilization float64
 }
 
-// VoteRequest asks for the receiver's part of the allowances of a slot.
+// VoteRequest asks for a lease of the receiver's part of the allowances of a slot.
 type VoteRequest struct {
 	Number uint64
 	Slot   int
@@ -82,17 +83,18 @@
 // VoteReply answers a VoteRequest.
 type VoteReply struct {
 	Number uint64
-	// Granted tells that the sender lends its part to nobody else until a vote's
-	// lifetime from now.
+	// Granted reports that the sender leases its part to no other instance until the
+	// lease expires.
 	Granted bool
-	// Restarted tells that an earlier start of the sender may still lend it.
+	// Restarted reports that a lease granted by an earlier incarnation of the sender
+	// may still be in force.
 	Restarted bool
-	// Reassigned tells that the sender lent it to another one before, or to none, and
-	// that this did not happen twice within a window.
+	// Reassigned reports that the part was leased to another instance or to none
+	// before. It is set at most once within a window.
 	Reassigned bool
 }
 
-// Kind tags of the messages.
+// Kind implementations of the messages.
 func (*AllowanceRequest) Kind() MessageKind { return KindAllowanceRequest }
 func (*AllowanceReply) Kind() MessageKind   { return KindAllowanceReply }
 func (*VoteRequest) Kind() MessageKind      { return KindVoteRequest }
--- a/internal/structs/conversation.go
+++ b/internal/structs/conversation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kinds of the messages about the conversations that the system keeps.
+// Kinds of the messages about stored conversations.
 const (
 	KindConversationRequest MessageKind = 34
 	KindConversationReply   MessageKind = 35
@@ -11,38 +11,38 @@
 	KindStoreTurnsReply     MessageKind = 38
 )
 
-// StoredTurn is one turn of a conversation. It never changes.
+// StoredTurn is one turn of a conversation. It is immutable.
 type StoredTurn struct {
-	// ID is that of the request which ran the turn, Previous that of the turn
+	// ID is the id of the request that ran the turn. Previous is the id of the turn
 	// before it, empty at the start of a conversation.
 	ID       string
 	Previous string
 	Input    []byte
-	// Output is what the turn adds to the conversation behind its input: the
-	// data of each event, each with a line feed.
+	// Output is what the turn adds to the conversation after its input: the data of
+	// each event, followed by a line feed.
 	Output []byte
-	// Ended is when the turn ended, in milliseconds since 1970 by the clock of
-	// the instance that ran it.
+	// Ended is the end of the turn in Unix milliseconds, by the clock of the instance
+	// that ran it.
 	Ended int64
-	// Retention is how long it may be named after its end.
+	// Retention is how long after its end the turn can be continued.
 	Retention time.Duration
 }
 
-// ConversationOutcome is what an instance knows of a turn.
+// ConversationOutcome is the result of a ConversationRequest.
 type ConversationOutcome uint8
 
 // Outcomes of a ConversationRequest.
 const (
-	// ConversationFound: the reply holds the turn and all before it.
+	// ConversationFound: the reply holds the turn and all turns before it.
 	ConversationFound ConversationOutcome = 1
-	// ConversationUnknown: the partition was read to its end after the request
-	// came, and the turn is not in it.
+	// ConversationUnknown: the partition was read to its end after the request arrived
+	// and does not hold the turn.
 	ConversationUnknown ConversationOutcome = 2
 	// ConversationUnreadable: the partition could not be read.
 	ConversationUnreadable ConversationOutcome = 3
 )
 
-// ConversationRequest asks for a turn of a partition with all before it.
+// ConversationRequest asks for a turn of a partition and all turns before it.
 type ConversationRequest struct {
 	Number    uint64
 	Partition int
@@ -53,38 +53,37 @@
 type ConversationReply struct {
 	Number  uint64
 	Outcome ConversationOutcome
-	// Turns are the oldest first.
+	// Turns are ordered from oldest to newest.
 	Turns []StoredTurn
-	// Partition holds them.
+	// Partition is the partition that holds the turns.
 	Partition int
 }
 
-// TurnsNotice tells the instance that indexes a partition of turns that the
-// store holds.
+// TurnsNotice informs the instance that indexes a partition of newly stored turns.
 type TurnsNotice struct {
 	Partition int
 	Turns     []StoredTurn
-	// Took is how long the store took for an append with StoreSlow, 0 if one
-	// hangs.
+	// Took is the duration of the append reported by StoreSlow, 0 if the append has
+	// not returned.
 	Took time.Duration
-	// StoreEvent is what the sender has found out about the store. A notice may hold
-	// nothing else.
+	// StoreEvent is a change of the store's state that the sender observed; a notice
+	// may carry nothing else.
 	StoreEvent StoreEvent
 }
 
-// StoreEvent is what an instance tells others about the store.
+// StoreEvent is a change of the store's state.
 type StoreEvent uint8
 
-// Kinds of news.
+// Store events.
 const (
-	// StoreSlow means that the store takes long for appends.
+	// StoreSlow means that appends to the store are slow.
 	StoreSlow StoreEvent = iota + 1
-	// StoreRecovered means that it takes appends again after it took none.
+	// StoreRecovered means that the store accepts appends again after a failure.
 	StoreRecovered
 )
 
-// StoreTurnsRequest asks an instance to append turns to the store for one that does
-// not reach it.
+// StoreTurnsRequest asks an instance to append turns on behalf of one that cannot
+// reach the store.
 type StoreTurnsRequest struct {
 	Number    uint64
 	Partition int
@@ -94,15 +93,16 @@
 // StoreTurnsReply answers a StoreTurnsRequest.
 type StoreTurnsReply struct {
 	Number uint64
-	// Stored tells that the store holds the turns; if not, it may still.
+	// Stored reports that the store holds the turns. If false, it may hold them
+	// nevertheless.
 	Stored bool
-	// Took is how long the store took for the append, 0 if it is unknown. Slow
-	// tells that this is long for the instance that made it.
+	// Took is the duration of the append, 0 if unknown. Slow reports that this exceeds
+	// what is typical for the instance that appended.
 	Took time.Duration
 	Slow bool
 }
 
-// Kind tags of the messages.
+// Kind implementations of the messages.
 func (*ConversationRequest) Kind() MessageKind { return KindConversationRequest }
 func (*ConversationReply) Kind() MessageKind   { return KindConversationReply }
 func (*TurnsNotice) Kind() MessageKind         { return KindTurnsNotice }
--- a/internal/structs/reservation.go
+++ b/internal/structs/reservation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kinds of the messages about room in programs' budgets.
+// Kinds of the messages about reservations from programs' budgets.
 const (
 	KindReservationRequest MessageKind = 27
 	KindReservationReply   MessageKind = 28
@@ -12,48 +12,49 @@
 	KindHandoverReply      MessageKind = 32
 )
 
-// ReservationOutcome is how a request for room ended.
+// ReservationOutcome is the result of a ReservationRequest.
 type ReservationOutcome uint8
 
-// Outcomes of a request for room.
+// Outcomes of a ReservationRequest.
 const (
 	// ReservationGranted: the turn may run.
 	ReservationGranted ReservationOutcome = 1
-	// ReservationOverBudget: the budget has no room for the turn.
+	// ReservationOverBudget: the remaining budget is too small for the turn.
 	ReservationOverBudget ReservationOutcome = 2
 	// ReservationNotOwner: the receiver does not own the partition.
 	ReservationNotOwner ReservationOutcome = 3
-	// ReservationUnavailable: the receiver can neither hand out room nor claim the
-	// partition, since it does not reach the store.
+	// ReservationUnavailable: the receiver can neither reserve tokens nor claim the
+	// partition, because the store is unavailable.
 	ReservationUnavailable ReservationOutcome = 4
 	// ReservationNotRecorded: the owner cannot write the record that the turn needs,
-	// since it does not reach the store.
+	// because the store is unavailable.
 	ReservationNotRecorded ReservationOutcome = 5
 )
 
-// LeaseID names room that was handed out: the instance that runs the turn
-// and its number for it.
+// LeaseID identifies a reservation: the instance that runs the turn and the number
+// that it chose.
 type LeaseID struct {
 	Holder InstanceID
 	Number uint64
 }
 
-// ReservationRequest asks the owner of a partition of programs for room for a turn.
+// ReservationRequest asks the owner of a partition of programs to reserve tokens for a
+// turn.
 type ReservationRequest struct {
 	Lease     LeaseID
 	Partition int
 	Program   string
-	// Budget is the program's whole budget, Most the most that the turn
-	// generates, in tokens.
+	// Budget is the program's whole budget and MaxTokens the maximum that the turn may
+	// generate, in tokens.
 	Budget    int
 	MaxTokens int
-	// Retention is how long the program may come back after its last turn.
+	// Retention is how long after its last turn the program may continue.
 	Retention time.Duration
-	// Suspect is an owner that did not answer the sender, empty for none.
+	// Suspect is an owner that did not reply to the sender, empty if none.
 	Suspect InstanceID
-	// Redirected tells that another instance named the receiver as the owner.
+	// Redirected reports that another instance named the receiver as the owner.
 	Redirected bool
-	// Loads are the newest reports that targets gave the sender.
+	// Loads are the latest load reports that targets sent to the sender.
 	Loads []TargetReport
 }
 
@@ -61,101 +62,101 @@
 type ReservationReply struct {
 	Lease   LeaseID
 	Outcome ReservationOutcome
-	// Owner is a better one to ask with ReservationNotOwner, empty if unknown.
+	// Owner is the owner to ask instead after ReservationNotOwner, empty if unknown.
 	Owner InstanceID
-	// Partition and Program are those of the request, so that room that is no
-	// longer wanted can be given back.
+	// Partition and Program are copied from the request, so that a reservation that is
+	// no longer needed can be released.
 	Partition int
 	Program   string
-	// Failures are targets that broke connections lately, as the owner knows.
+	// Failures are recent connection failures of targets known to the owner.
 	Failures []TargetFailure
-	// LastTarget ran the program's last turn, as far as the owner knows; empty if it
-	// does not.
+	// LastTarget is the target that ran the program's last turn, empty if unknown.
 	LastTarget string
-	// FirstTurn tells that the owner knows of no turn of the program before this one.
+	// FirstTurn reports that the owner knows of no earlier turn of the program.
 	FirstTurn bool
-	// Loads are new reports of targets' loads that the owner knows of, Pools what
-	// it knows of whole services.
+	// Loads are new load reports of targets, Pools aggregated reports of services.
 	Loads []TargetReport
 	Pools []PoolReport
 }
 
-// ReservationSettle ends a lease: what was not used is free again.
+// ReservationSettle ends a lease and releases the tokens that were not used.
 type ReservationSettle struct {
 	Lease     LeaseID
 	Partition int
 	Program   string
 	Used      int
-	// Target ran the turn, empty if none did.
+	// Target is the target that ran the turn, empty if none did.
 	Target string
-	// Failed tells that the target did not bring the turn to its end.
+	// Failed reports that the target did not complete the turn.
 	Failed bool
 }
 
-// OwnerNotice tells which partitions the sender owns, with the epoch of the
-// last claim in the store that its ownership goes back to.
+// OwnerNotice advertises the partitions that the sender owns.
 type OwnerNotice struct {
 	Owned []OwnedPartition
 }
 
-// OwnedPartition is a partition with its owner's epoch.
+// OwnedPartition is a partition and the epoch of the claim in the store from which its
+// ownership derives.
 type OwnedPartition struct {
 	Partition int
 	Epoch     int64
 }
 
-// PartitionHandover gives a partition with all its accounts to the receiver.
-// The sender hands out no more room from the moment it is sent.
+// PartitionHandover transfers a partition with all its accounts to the receiver. The
+// sender makes no reservations after sending it.
 type PartitionHandover struct {
 	Number    uint64
 	Partition int
 	Epoch     int64
-	// CrashedOwner is the owner whose accounts were lost, empty for none, and SinceCrash
-	// the time since then.
+	// CrashedOwner is the owner that ended without a handover, empty if none did, and
+	// SinceCrash the time since then.
 	CrashedOwner InstanceID
 	SinceCrash   time.Duration
 	Accounts     []BudgetAccount
-	// Offer asks whether the receiver would take the partition, without giving
+	// Offer asks whether the receiver would accept the partition without transferring
 	// it.
 	Offer bool
-	// Crashes is how many slices of budgets earlier owners may have handed out.
+	// Crashes is the number of owners whose accounts were lost in a crash. Each may
+	// have reserved a slice of any program's budget.
 	Crashes int
 }
 
-// BudgetAccount is what an owner knows of one program's budget, in tokens.
+// BudgetAccount is the owner's record of one program's budget, in tokens.
 type BudgetAccount struct {
 	Program string
 	Budget  int
 	MaxTurn int
-	// AfterCrash tells that Losses is above 0; instances of before send it alone.
+	// AfterCrash reports that Crashes is greater than 0; older versions send no
+	// Crashes.
 	AfterCrash bool
 	Used       int
 	Limit      int
-	// Recorded tells that the store holds a record of the program.
+	// Recorded reports that the store holds a record of the program.
 	Recorded  bool
 	Retention time.Duration
 	// Idle is the time since the program's last turn.
 	Idle   time.Duration
 	Leases []Lease
-	// LastTarget ran the program's last turn, empty if unknown.
+	// LastTarget is the target that ran the program's last turn, empty if unknown.
 	LastTarget string
-	// Crashes is how many owners' accounts were lost before the account was made.
+	// Crashes is the number of owners that had crashed before the account was created.
 	Crashes int
 }
 
-// Lease is a lease with the room that it holds.
+// Lease is a reservation and the number of tokens that it holds.
 type Lease struct {
 	ID     LeaseID
 	Tokens int
 }
 
-// HandoverReply tells whether the receiver took a partition over.
+// HandoverReply reports whether the receiver accepted a partition.
 type HandoverReply struct {
 	Number   uint64
 	Accepted bool
 }
 
-// Kind tags of the messages.
+// Kind implementations of the messages.
 func (*ReservationRequest) Kind() MessageKind { return KindReservationRequest }
 func (*ReservationReply) Kind() MessageKind   { return KindReservationReply }
 func (*ReservationSettle) Kind() MessageKind  { return KindReservationSettle }
--- a/internal/structs/targetfailure.go
+++ b/internal/structs/targetfailure.go
@@ -5,20 +5,20 @@
 // KindTargetFailureNotice is the kind of a TargetFailureNotice.
 const KindTargetFailureNotice MessageKind = 33
 
-// TargetFailure tells that a target broke a new connection at once, as one does
-// that is down.
+// TargetFailure reports that a target closed a new connection immediately, as a target
+// that is down does.
 type TargetFailure struct {
-	// Target names one start of the target.
+	// Target identifies one incarnation of the target.
 	Target string
-	// Age is the time since then.
+	// Age is the time since the failure.
 	Age time.Duration
 }
 
-// TargetFailureNotice tells another instance of targets that broke connections. Owners
-// of budgets pass it on with their replies.
+// TargetFailureNotice informs another instance of connection failures. Owners of
+// budgets pass them on with their replies.
 type TargetFailureNotice struct {
 	Failures []TargetFailure
 }
 
-// Kind is the message's tag.
+// Kind implements Message.
 func (*TargetFailureNotice) Kind() MessageKind { return KindTargetFailureNotice }
