--- a/internal/structs/allowance.go
+++ b/internal/structs/allowance.go
@@ -56,11 +56,12 @@
 	AllowanceNotCoordinator AllowanceOutcome = 2
 )
 
-// AllowanceReply answers an AllowanceRequest.
+// AllowanceReply replies to an AllowanceRequest.
 type AllowanceReply struct {
 	Number  uint64
 	Outcome AllowanceOutcome
-	// Granted of the requests that wait, and Starts of the first turns, may run.
+	// Granted is the number of requests, and FirstTurns that of first turns by rank,
+	// that may run.
 	Granted    int
 	FirstTurns [AllowanceRanks]int
 	// RetryAfter is the delay after which what was not granted may be available.
@@ -80,7 +81,7 @@
 	Slot   int
 }
 
-// VoteReply answers a VoteRequest.
+// VoteReply replies to a VoteRequest.
 type VoteReply struct {
 	Number uint64
 	// Granted reports that the sender leases its part to no other instance until the
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CallKind tells how a call is run.
+// CallKind is the way a call is executed.
 type CallKind uint8
 
 // Kinds of calls.
@@ -13,44 +13,44 @@
 	CallPlain
 )
 
-// Digest is the SHA-256 of a request, for idempotency checks.
+// Digest is the SHA-256 of a request. Idempotency checks compare it.
 type Digest [32]byte
 
-// ChainDigest is the running digest of a conversation after one message.
+// ChainDigest is the cumulative digest of a conversation up to and including one
+// message.
 type ChainDigest [16]byte
 
-// Call is one call of a program as a gateway received it.
+// Call is one call of a program as received by a gateway.
 type Call struct {
 	Program ProgramID
 	Team    Team
 	Lane    Lane
-	// Number is the caller's number of the call within its lane, from 1; 0
-	// if the caller gave none, then calls of a lane run in order of arrival.
+	// Number is the caller's sequence number of the call within its lane, from 1. If
+	// it is 0, calls of the lane run in order of arrival.
 	Number uint64
-	// Key is the idempotency key, unique within the program. The gateway
-	// fills it from lane and number if the caller gave none; it is empty
-	// only if the caller gave neither.
+	// Key is the idempotency key, unique within the program. If the caller gave none,
+	// the gateway derives it from lane and number; it is empty only without those too.
 	Key     string
 	Service ServiceName
 	Kind    CallKind
 	// NotRepeatable marks a call that runs at most once.
 	NotRepeatable bool
-	// Stream asks for the answer in chunks as it is made.
+	// Stream requests the response in chunks as it is generated.
 	Stream bool
 	// Single marks a call made without a program: the program is closed
 	// when the call ends.
 	Single bool
-	// Fresh tells that no earlier delivery of the key can have run:
-	// the call has no key of the caller's, or the caller declares that there
-	// was none or that each was refused as not run.
+	// Fresh reports that no earlier delivery of the key can have run: either the
+	// caller gave no key, or it declared that there was no earlier delivery or that
+	// each was refused as not run.
 	Fresh bool
-	// Fork allows the call's messages to leave the lane's known history, as
-	// when an agent compacts its context.
+	// Fork allows the call's messages to diverge from the known history of the lane,
+	// as when an agent compacts its context.
 	Fork   bool
 	Digest Digest
 
-	// Method, Path, ContentType and Body are what is sent to the target.
-	// For CallChat the body is a wire.ChatRequest.
+	// Method, Path, ContentType and Body are sent to the target. For CallChat the body
+	// is a wire.ChatRequest.
 	Method      string
 	Path        string
 	ContentType string
@@ -58,20 +58,20 @@
 
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int64
-	// MaxTokens bounds the tokens of the answer.
+	// MaxTokens is the maximum number of tokens of the response.
 	MaxTokens int64
-	// SharedKey and SharedTokens name the prefix that programs share (the
-	// system message) and its estimated length.
+	// SharedKey identifies the prefix that programs share (the system message) and
+	// SharedTokens is its estimated length.
 	SharedKey    string
 	SharedTokens int64
-	// History is the digest chain of the messages, one entry a message.
+	// History is the digest chain of the messages, one entry per message.
 	History []ChainDigest
-	// Fee is the cost of the call in the team's currency units, as the
-	// caller declared it.
+	// Fee is the cost of the call in the team's currency units, as declared by the
+	// caller.
 	Fee int64
 }
 
-// Usage is what a call consumed.
+// Usage is the consumption of a call.
 type Usage struct {
 	PromptTokens     int64
 	CachedTokens     int64
@@ -79,15 +79,15 @@
 	Fee              int64
 }
 
-// Tokens is what the call counts against a token budget.
+// Tokens returns the number of tokens charged to a token budget.
 func (u Usage) Tokens() int64 { return u.PromptTokens + u.CompletionTokens }
 
-// OutcomeKind tells what became of a call. Outcomes are values, not errors.
+// OutcomeKind classifies the result of a call. Outcomes are values, not errors.
 type OutcomeKind uint8
 
 // Kinds of outcomes.
 const (
-	// OutcomeAnswered: the call ran and this is its whole answer.
+	// OutcomeAnswered: the call ran and the outcome holds its whole response.
 	OutcomeAnswered OutcomeKind = iota + 1
 	// OutcomeNotRun: the call did not run and will not.
 	OutcomeNotRun
@@ -95,8 +95,8 @@
 	OutcomeUnknown
 )
 
-// Reason tells why a call has its outcome. It is the last segment of the
-// problem type that callers see.
+// Reason is why a call has its outcome: the last segment of the problem type that
+// callers receive.
 type Reason string
 
 // Reasons of OutcomeNotRun and OutcomeUnknown.
@@ -130,39 +130,39 @@
 	ReasonForbidden        Reason = "forbidden"
 )
 
-// Outcome is the final word on a call.
+// Outcome is the final result of a call.
 type Outcome struct {
 	Kind   OutcomeKind
 	Reason Reason
-	// Detail is a sentence for the caller; it holds no secrets.
+	// Detail is a sentence for the caller. It contains no secrets.
 	Detail string
-	// RetryAfter tells when to ask again; 0 if it does not help.
+	// RetryAfter is the delay before a retry; 0 if a retry is of no use.
 	RetryAfter time.Duration
-	// Status, ContentType and Body are the answer of a CallPlain.
+	// Status, ContentType and Body are the response to a CallPlain.
 	Status      int
 	ContentType string
 	Body        []byte
-	// Text, ToolCalls and Finish are the answer of a CallChat.
+	// Text, ToolCalls and Finish are the response to a CallChat.
 	Text      string
 	ToolCalls []byte
 	Finish    string
 	Usage     Usage
-	// Replayed marks an answer given again from an idempotency record.
+	// Replayed marks a response taken from an idempotency record.
 	Replayed bool
 }
 
-// Chunk is a part of a streamed answer: the pieces from index First on.
+// Chunk is a part of a streamed response: the pieces from index First on.
 type Chunk struct {
 	First int
 	Texts []string
-	// ToolCalls is the undecoded tool call delta, if any.
+	// ToolCalls is the undecoded tool call delta, nil if none.
 	ToolCalls []byte
 }
 
-// Next is the index after the chunk's last piece.
+// Next returns the index after the chunk's last piece.
 func (c Chunk) Next() int { return c.First + len(c.Texts) }
 
-// ProgramState tells where a program stands.
+// ProgramState is the lifecycle state of a program.
 type ProgramState string
 
 // States of a program.
@@ -172,7 +172,7 @@
 	ProgramClosed ProgramState = "closed"
 )
 
-// ProgramInfo is a program as operators and callers see it.
+// ProgramInfo is the description of a program for operators and callers.
 type ProgramInfo struct {
 	ID      ProgramID
 	Team    Team
@@ -192,24 +192,24 @@
 	FeesHeld    int64
 	FeeLimit    int64
 	Lanes       map[Lane]uint64
-	// Targets lists the targets that may hold cache of the program.
+	// Targets are the targets that may hold cache of the program.
 	Targets []TargetID
 }
 
-// Refusal is the outcome of a call that is refused without looking up earlier
-// deliveries of its key: "not run" would be a guess unless there was none.
+// Refusal returns the outcome of a call that is refused without a lookup of earlier
+// deliveries of its key. It is OutcomeNotRun only if there can be none.
 func (c *Call) Refusal(reason Reason, after time.Duration) Outcome {
 	if c.Fresh {
 		return Outcome{Kind: OutcomeNotRun, Reason: reason, RetryAfter: after}
 	}
 	return Outcome{
 		Kind: OutcomeUnknown, Reason: reason, RetryAfter: after,
-		Detail: "This delivery did not run, but earlier ones of the key could not be looked up; ask again with the same key.",
+		Detail: "This delivery did not run, but earlier ones with the key could not be looked up; retry with the same key.",
 	}
 }
 
-// TargetKey is the idempotency key of the call at its target: the call's Key
-// made unique over all programs, empty if Key is.
+// TargetKey returns the idempotency key sent to the target: Key made unique across
+// programs, empty if Key is empty.
 func (c *Call) TargetKey() string {
 	if c.Key == "" {
 		return ""
--- a/internal/structs/commands.go
+++ b/internal/structs/commands.go
@@ -6,97 +6,97 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Command is an output of the core, carried out by an adapter.
+// Command is an output of the core, executed by an adapter.
 type Command interface{ command() }
 
-// ReplyChunk gives a caller of this instance a part of its streamed answer.
+// ReplyChunk sends a caller of this instance a part of its streamed response.
 type ReplyChunk struct {
 	Request RequestID
 	Chunk   Chunk
 }
 
-// ReplyOutcome gives a caller of this instance its outcome. It is sent exactly
-// once for each CallerSubmit.
+// ReplyOutcome sends a caller of this instance its outcome, exactly once for each
+// CallerSubmit.
 type ReplyOutcome struct {
 	Request RequestID
 	Outcome Outcome
 }
 
-// ReplyProgram answers a CallerProgram. Outcome.Kind is OutcomeAnswered if
-// Info holds the program.
+// ReplyProgram replies to a CallerProgram. Outcome.Kind is OutcomeAnswered if Info
+// holds the program.
 type ReplyProgram struct {
 	Request RequestID
 	Outcome Outcome
 	Info    ProgramInfo
 }
 
-// ReplyPrograms answers a CallerPrograms. Missing lists the instances that did
-// not answer.
+// ReplyPrograms replies to a CallerPrograms. Missing lists the instances that did not
+// reply.
 type ReplyPrograms struct {
 	Request  RequestID
 	Programs []ProgramInfo
 	Missing  []InstanceID
 }
 
-// ReplySettings answers a SettingsPropose.
+// ReplySettings replies to a SettingsPropose.
 type ReplySettings struct {
 	Request RequestID
 	Result  SettingsResult
 }
 
-// ReplyApplied answers a SettingsApplied.
+// ReplyApplied replies to a SettingsApplied.
 type ReplyApplied struct {
 	Request RequestID
 	Applied map[InstanceID]uint64
 	Missing []InstanceID
 }
 
-// SendPeer sends a message to another instance. Delivery is at most once and
-// in order for one connection; PeerDown tells of a break.
+// SendPeer sends a message to another instance. Delivery is at most once and in order
+// within one connection; PeerDown reports a broken connection.
 type SendPeer struct {
 	To  InstanceID
 	Msg Message
 }
 
-// ProbePeer asks for a heartbeat; the answer is PeerUp or PeerDown.
+// ProbePeer requests a heartbeat. It results in PeerUp or PeerDown.
 type ProbePeer struct{ To InstanceID }
 
-// WatchPeers lists the instances whose liveness matters now; the adapter
-// sends heartbeats to just these and reports PeerDown on a missed one.
+// WatchPeers lists the instances whose liveness is needed now. The adapter sends
+// heartbeats only to these and reports PeerDown when one is missed.
 type WatchPeers struct{ Peers []InstanceID }
 
-// LogAppend appends records atomically to a stream. The answer is LogAppended
-// or LogAppendFailed; the adapter does not retry.
+// LogAppend appends records atomically to a stream. It results in LogAppended or
+// LogAppendFailed; the adapter does not retry.
 type LogAppend struct {
 	ID      AppendID
 	Stream  string
 	Records [][]byte
 }
 
-// LogTail starts reading a stream from an offset and goes on; a second LogTail
-// of the stream moves the offset.
+// LogTail starts following a stream from an offset. Another LogTail of the stream
+// moves the offset.
 type LogTail struct {
 	Stream string
 	From   uint64
 }
 
-// LogTailEnd starts reading a stream at its newest record (or at its end if it
-// is empty), and goes on.
+// LogTailEnd starts following a stream from its newest record, or from its end if it
+// is empty.
 type LogTailEnd struct{ Stream string }
 
-// LogStop stops reading a stream.
+// LogStop stops following a stream.
 type LogStop struct{ Stream string }
 
-// StartRun sends a call to a target. The adapter sends it once and never
-// retries. Chunks and the end come back as RunChunk and RunEnded.
+// StartRun sends a call to a target. The adapter sends it once and never retries. It
+// results in RunChunk and RunEnded events.
 type StartRun struct {
 	Run     RunID
 	Target  Target
 	Call    *Call
 	Fencing uint64
 	Timeout time.Duration
-	// NotAfter is the time after which the adapter must not send the
-	// request any more but report RunNotSent; zero for none.
+	// NotAfter is the time after which the adapter must not send the request but
+	// report RunNotSent; zero if there is no limit.
 	NotAfter time.Time
 }
 
@@ -114,34 +114,32 @@
 	Target Target
 }
 
-// QueryOutcome asks a target whether it ran a request with that key.
+// QueryOutcome asks a target whether it ran the request with a key.
 type QueryOutcome struct {
 	Run    RunID
 	Target Target
-	// Program scopes Key, as in StartRun's Call.
+	// Program is the scope of Key, as in the Call of StartRun.
 	Program ProgramID
 	Key     string
 }
 
-// WatchTargets lists the targets whose load and cache events are wanted.
+// WatchTargets lists the targets whose load and cache events are needed.
 type WatchTargets struct{ Targets []Target }
 
-// ReleaseCache asks a target to drop a program's cache; the answer is
-// CacheReleased.
+// ReleaseCache asks a target to drop a program's cache. It results in CacheReleased.
 type ReleaseCache struct {
 	Target  Target
 	Program ProgramID
 }
 
-// ReadOrders asks a target for its state under orders; the answer is
-// OrdersRead.
+// ReadOrders asks a target for its order state. It results in OrdersRead.
 type ReadOrders struct {
 	ID     OrderID
 	Target Target
 }
 
-// SendOrder sends an order to a target; the answer is OrderSent. The adapter
-// sends it once and never retries. It must not send the order after NotAfter.
+// SendOrder sends an order to a target. It results in OrderSent. The adapter sends it
+// once, never retries, and must not send it after NotAfter.
 type SendOrder struct {
 	ID       OrderID
 	Target   Target
@@ -149,14 +147,14 @@
 	NotAfter time.Time
 }
 
-// Ready tells whether this instance may take traffic (see readiness).
+// Ready reports whether this instance may receive traffic.
 type Ready struct {
 	Ready  bool
 	Reason string
 }
 
-// Note is a line for the log: what happened to a shard, a program or a call that
-// operators may have to explain later. Empty fields are left out.
+// Note is a log line about a shard, a program or a call, for operators. Empty fields
+// are omitted.
 type Note struct {
 	Message string
 	Shard   ShardRef
@@ -168,11 +166,11 @@
 	Run     RunID
 	Target  TargetID
 	Reason  Reason
-	// Other is the instance concerned, if it is another.
+	// Other is the other instance involved, empty if none.
 	Other InstanceID
 }
 
-// DrainDone tells that nothing is in flight any more.
+// DrainDone reports that nothing is in flight any more.
 type DrainDone struct{}
 
 func (ReplyChunk) command()    {}
--- a/internal/structs/conversation.go
+++ b/internal/structs/conversation.go
@@ -49,7 +49,7 @@
 	Turn      string
 }
 
-// ConversationReply answers a ConversationRequest.
+// ConversationReply replies to a ConversationRequest.
 type ConversationReply struct {
 	Number  uint64
 	Outcome ConversationOutcome
@@ -90,7 +90,7 @@
 	Turns     []StoredTurn
 }
 
-// StoreTurnsReply answers a StoreTurnsRequest.
+// StoreTurnsReply replies to a StoreTurnsRequest.
 type StoreTurnsReply struct {
 	Number uint64
 	// Stored reports that the store holds the turns. If false, it may hold them
--- a/internal/structs/events.go
+++ b/internal/structs/events.go
@@ -9,15 +9,15 @@
 // Event is an input of the core.
 type Event interface{ event() }
 
-// CallerSubmit is a call from a caller of this instance. Deadline is when the
-// caller must have its final answer.
+// CallerSubmit is a call from a caller of this instance. Deadline is when the caller
+// must have its final response.
 type CallerSubmit struct {
 	Request  RequestID
 	Call     *Call
 	Deadline time.Time
 }
 
-// CallerDisconnected tells that a caller closed its connection.
+// CallerDisconnected reports that a caller closed its connection.
 type CallerDisconnected struct{ Request RequestID }
 
 // CallerProgram is a caller's or operator's request about one program.
@@ -38,7 +38,7 @@
 	Deadline time.Time
 }
 
-// SettingsPropose asks for a change of the settings tree.
+// SettingsPropose proposes changes of the settings tree.
 type SettingsPropose struct {
 	Request  RequestID
 	Changes  []SettingChange
@@ -54,36 +54,36 @@
 // DrainStart begins the graceful shutdown of this instance.
 type DrainStart struct{}
 
-// PeerMessage is a message of another instance.
+// PeerMessage is a message from another instance.
 type PeerMessage struct {
 	From InstanceID
 	Msg  Message
 }
 
-// PeerUp tells that an instance answered: a heartbeat or a new connection.
+// PeerUp reports a heartbeat of an instance or a new connection to it.
 type PeerUp struct{ Peer InstanceID }
 
-// PeerDown tells that an instance did not answer for the liveness timeout or
-// that its connection broke. Messages sent to it may be lost.
+// PeerDown reports that an instance exceeded the liveness timeout or that its
+// connection broke. Messages sent to it may be lost.
 type PeerDown struct{ Peer InstanceID }
 
-// LogAppended tells that an append took effect at offset First.
+// LogAppended reports that an append took effect at offset First.
 type LogAppended struct {
 	ID     AppendID
 	Stream string
 	First  uint64
 }
 
-// LogAppendFailed tells that an append failed. If Refused, it certainly took
-// no effect; else it may have.
+// LogAppendFailed reports a failed append. If Refused, it certainly took no effect;
+// otherwise it may have.
 type LogAppendFailed struct {
 	ID      AppendID
 	Stream  string
 	Refused bool
 }
 
-// LogRead carries records of a tailed stream, in offset order without gaps
-// from From. An empty read reports the end and proves the log reachable.
+// LogRead carries records of a followed stream, in offset order without gaps from
+// From. An empty read reports the end and proves that the log is reachable.
 type LogRead struct {
 	Stream  string
 	From    uint64
@@ -92,8 +92,8 @@
 	End     uint64
 }
 
-// LogReadFailed tells that a read failed; the adapter tries again by itself.
-// If Truncated, the log no longer retains the offset and First is the oldest.
+// LogReadFailed reports a failed read; the adapter retries by itself. If Truncated,
+// the log no longer retains the offset and First is the oldest retained one.
 type LogReadFailed struct {
 	Stream    string
 	Truncated bool
@@ -103,25 +103,25 @@
 // MembersListed carries the membership list.
 type MembersListed struct{ List wire.MemberList }
 
-// RunChunk carries pieces of a chat answer from index Chunk.First on.
+// RunChunk carries pieces of a chat response from index Chunk.First on.
 type RunChunk struct {
 	Run   RunID
 	Chunk Chunk
 }
 
-// RunFailure tells how a run failed.
+// RunFailure classifies the failure of a run.
 type RunFailure uint8
 
 // Kinds of run failures.
 const (
 	RunOK RunFailure = iota
-	// RunNotSent: the request certainly did not reach the target's work (no
-	// connection, or a refusal before running).
+	// RunNotSent: the request certainly did not start at the target (no connection, or
+	// refused before running).
 	RunNotSent
 	// RunBroken: the connection broke or the target failed after the
 	// request may have run.
 	RunBroken
-	// RunTimeout: the run's timeout passed.
+	// RunTimeout: the run exceeded its timeout.
 	RunTimeout
 	// RunCancelled: CancelRun ended it.
 	RunCancelled
@@ -129,22 +129,21 @@
 	RunFenced
 )
 
-// RunEnded tells that a run ended. Outcome holds the answer if Failure is
-// RunOK; an HTTP status of the target is an answer too.
+// RunEnded reports the end of a run. Outcome holds the response if Failure is RunOK,
+// whatever its HTTP status.
 type RunEnded struct {
 	Run     RunID
 	Target  TargetID
 	Failure RunFailure
 	Outcome Outcome
 	Detail  string
-	// Took is the time at the target; FirstToken the time to the first
-	// chunk.
+	// Took is the time at the target and FirstToken the time to the first chunk.
 	Took       time.Duration
 	FirstToken time.Duration
 }
 
-// OutcomeQueried answers QueryOutcome: Found tells that the target ran the
-// request and Outcome is its answer; Reached is false if it could not be asked.
+// OutcomeQueried replies to QueryOutcome. Reached reports whether the target could be
+// queried, Found whether it ran the request; Outcome is then its response.
 type OutcomeQueried struct {
 	Run     RunID
 	Reached bool
@@ -158,26 +157,26 @@
 	Load   wire.EngineLoad
 }
 
-// TargetUnreachable tells that a watched target did not answer.
+// TargetUnreachable reports that a watched target did not respond.
 type TargetUnreachable struct{ Target TargetID }
 
-// TargetCache carries cache events of a watched target. Gap tells that events
-// before these were lost.
+// TargetCache carries cache events of a watched target. Gap reports that events before
+// these were lost.
 type TargetCache struct {
 	Target TargetID
 	Gap    bool
 	Events []wire.CacheEvent
 }
 
-// CacheReleased answers ReleaseCache. Done is true once the target confirmed
-// that it holds nothing of the program.
+// CacheReleased replies to ReleaseCache. Done reports that the target holds nothing of
+// the program any more.
 type CacheReleased struct {
 	Target  TargetID
 	Program ProgramID
 	Done    bool
 }
 
-// OrderResult tells what became of an order.
+// OrderResult is the result of an order.
 type OrderResult uint8
 
 // Results of an order.
@@ -186,13 +185,13 @@
 	OrderAccepted OrderResult = iota + 1
 	// OrderFenced: the target refused the fencing number and did nothing.
 	OrderFenced
-	// OrderFailed: the target may or may not have taken the order.
+	// OrderFailed: the target may or may not have accepted the order.
 	OrderFailed
 	// OrderNotSent: the order was not sent and will not be.
 	OrderNotSent
 )
 
-// OrderSent answers SendOrder. Detail is for operators.
+// OrderSent replies to SendOrder. Detail is for operators.
 type OrderSent struct {
 	ID     OrderID
 	Target TargetID
@@ -200,7 +199,7 @@
 	Detail string
 }
 
-// OrdersRead answers ReadOrders. State holds the target's state if Reached.
+// OrdersRead replies to ReadOrders. State holds the target's state if Reached.
 type OrdersRead struct {
 	ID      OrderID
 	Target  TargetID
--- a/internal/structs/ids.go
+++ b/internal/structs/ids.go
@@ -12,7 +12,7 @@
 
 // Identifiers of the entities.
 type (
-	// InstanceID names one instance of banyanglade, from its settings.
+	// InstanceID names an instance, as configured.
 	InstanceID string
 	// Region names a group of data centres that share one set of shards.
 	Region string
@@ -33,25 +33,25 @@
 	Lane string
 	// ShardID numbers a shard of programs within a region, from 0.
 	ShardID uint16
-	// Epoch numbers the owners of a shard, from 1. The log decides it.
+	// Epoch numbers the owners of a shard, from 1. The log assigns it.
 	Epoch uint64
-	// RequestID names one request of a caller at one gateway. It is unique
-	// over all gateways and restarts.
+	// RequestID names one request of a caller at one gateway. It is unique across
+	// gateways and restarts.
 	RequestID string
-	// RunID names one attempt to run a call at a target. It is unique over
-	// all owners and restarts and serves as the stream id at engines.
+	// RunID names one attempt to run a call at a target. It is unique across owners
+	// and restarts and is the stream id at engines.
 	RunID string
-	// AppendID names one append that a component asked for.
+	// AppendID names one append requested by a component.
 	AppendID uint64
 	// OrderID names one SendOrder or ReadOrders of this instance.
 	OrderID uint64
 )
 
-// ErrProgramID is the error of a malformed program identifier.
+// ErrProgramID is returned for a malformed program identifier.
 var ErrProgramID = errors.New("malformed program id")
 
-// NewProgramID makes a program identifier from the region, the creation time
-// and 10 random bytes given by the caller.
+// NewProgramID returns a program identifier for the region, the creation time and 10
+// random bytes.
 func NewProgramID(region Region, created time.Time, random [10]byte) ProgramID {
 	var id ulid.ULID
 	// SetTime fails only after the year 10889.
@@ -74,18 +74,18 @@
 	return Region(p[:cut]), ulid.Time(id.Time()), nil
 }
 
-// ShardOf gives the shard of a program among count shards of its region.
+// ShardOf returns the shard of a program among the count shards of its region.
 func ShardOf(p ProgramID, count int) ShardID {
 	return ShardID(xxhash.Sum64String(string(p)) % uint64(count))
 }
 
-// ShardRef names a shard among all regions.
+// ShardRef identifies a shard across regions.
 type ShardRef struct {
 	Region Region
 	Shard  ShardID
 }
 
-// Stream gives the name of the shard's journal stream in the log.
+// Stream returns the name of the shard's journal stream in the log.
 func (s ShardRef) Stream() string {
 	return "shard." + string(s.Region) + "." + strconv.Itoa(int(s.Shard))
 }
@@ -93,19 +93,19 @@
 // SettingsStream is the log stream of the settings tree.
 const SettingsStream = "settings"
 
-// PoolID names the targets of one service in one region; one dispatcher at a
-// time queues for them.
+// PoolID identifies the targets of one service in one region. One dispatcher at a time
+// queues calls for them.
 type PoolID struct {
 	Service ServiceName
 	Region  Region
 }
 
-// poolStreamPrefix begins the names of the log streams of pools.
+// poolStreamPrefix is the prefix of the names of pools' log streams.
 const poolStreamPrefix = "pool."
 
-// Stream gives the name of the log stream that decides who gives orders to the
-// pool's targets. Names of streams have no underscore; a hash keeps the names of
-// two services apart that differ by it.
+// Stream returns the name of the log stream that elects the controller of the pool's
+// targets. Stream names cannot contain an underscore; a hash distinguishes services
+// whose names differ only by it.
 func (p PoolID) Stream() string {
 	service := string(p.Service)
 	if strings.Contains(service, "_") {
@@ -115,17 +115,16 @@
 	return poolStreamPrefix + string(p.Region) + "." + service
 }
 
-// IsPoolStream tells whether a log stream is that of a pool.
+// IsPoolStream reports whether a log stream belongs to a pool.
 func IsPoolStream(stream string) bool { return strings.HasPrefix(stream, poolStreamPrefix) }
 
-// CallRef names a call at its owner.
+// CallRef identifies a call at its owner.
 type CallRef struct {
 	Program ProgramID
 	Run     RunID
 }
 
-// Contains tells whether team t reaches path other: its own or one below it.
-// The empty team reaches all.
+// Contains reports whether other is t or below it. The empty team contains all.
 func (t Team) Contains(other Team) bool {
 	if t == "" || t == other {
 		return true
--- a/internal/structs/members.go
+++ b/internal/structs/members.go
@@ -16,30 +16,30 @@
 	ID         InstanceID
 	Region     Region
 	DataCentre DataCentre
-	// Address is the peer address, IP:port.
+	// Address is the address for other instances, IP:port.
 	Address string
 	Leaving bool
 }
 
-// Members is the view of the membership that decides what is fast, never what
-// is safe.
+// Members is the view of the membership. It may be stale: correctness must not depend
+// on it.
 type Members interface {
-	// Self is this instance.
+	// Self returns this instance.
 	Self() Peer
-	// Peer finds an instance by id.
+	// Peer returns an instance by id.
 	Peer(id InstanceID) (Peer, bool)
-	// Peers lists the instances in order of id, this one included.
+	// Peers returns all instances ordered by id, including this one.
 	Peers() []Peer
-	// Suspected tells whether the instance does not answer.
+	// Suspected reports whether the instance is unresponsive.
 	Suspected(id InstanceID) bool
-	// OwnerOf gives the instance that should own a shard: the first by
-	// rendezvous hashing that is live, not leaving and not suspected. False
-	// if there is none.
+	// OwnerOf returns the instance that should own a shard: the first in rendezvous
+	// order that is live, not leaving and not suspected. It returns false if there is
+	// none.
 	OwnerOf(shard ShardRef) (InstanceID, bool)
-	// Ranked lists all candidates of a shard, best first.
+	// Ranked returns all candidates for a shard, best first.
 	Ranked(shard ShardRef) []InstanceID
-	// DispatcherOf gives the instance that should queue for a pool.
+	// DispatcherOf returns the instance that should dispatch for a pool.
 	DispatcherOf(pool PoolID) (InstanceID, bool)
-	// Targets lists a service's targets in order of id.
+	// Targets returns the targets of a service ordered by id.
 	Targets(service ServiceName) []Target
 }
--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ProtocolVersion is the version of the messages between instances. A peer
-// that speaks another is refused at the handshake.
+// ProtocolVersion is the version of the messages between instances. The handshake
+// refuses a peer with another version.
 const ProtocolVersion = 1
 
-// MessageKind tags a message on the wire.
+// MessageKind is the tag of a message on the wire.
 type MessageKind uint8
 
 // Message is a message between instances.
@@ -46,47 +46,47 @@
 type Submit struct {
 	Request RequestID
 	Call    *Call
-	// Remaining is the time to the caller's deadline at the sending.
+	// Remaining is the time to the caller's deadline at the time of sending.
 	Remaining time.Duration
-	// NextPiece is the index of the first chunk piece that the gateway lacks:
-	// greater than 0 when it submits again after an owner was lost.
+	// NextPiece is the index of the first piece that the gateway lacks. It is greater
+	// than 0 when the gateway submits again after the owner crashed.
 	NextPiece int
-	// ReceivedRun is CallChunk.Run of the pieces that the gateway has; pieces of
+	// ReceivedRun is CallChunk.Run of the pieces that the gateway has. Pieces of
 	// another run must not follow them.
 	ReceivedRun RunID
-	// Suspects are instances that the gateway finds unreachable.
+	// Suspects are the instances that the gateway cannot reach.
 	Suspects []InstanceID
-	// Resubmitted tells that the gateway handed this request to another
-	// owner before and has no outcome of it: that owner may have run it, so
-	// an owner that does not run it must not answer "not run".
+	// Resubmitted reports that the gateway submitted this request to another owner
+	// before and received no outcome. That owner may have run it, so an owner that
+	// does not run it must not reply OutcomeNotRun.
 	Resubmitted bool
 }
 
-// Withdraw tells the owner that the caller is gone.
+// Withdraw informs the owner that the caller disconnected.
 type Withdraw struct{ Request RequestID }
 
-// SubmitAccepted tells the gateway that the owner has the call.
+// SubmitAccepted informs the gateway that the owner has the call.
 type SubmitAccepted struct{ Request RequestID }
 
-// CallChunk carries a part of a streamed answer to the gateway.
+// CallChunk carries a part of a streamed response to the gateway.
 type CallChunk struct {
 	Request RequestID
-	// Run is the run that made the pieces.
+	// Run is the run that generated the pieces.
 	Run   RunID
 	Chunk Chunk
 }
 
-// CallEnd carries the outcome to the gateway. Text of a streamed chat answer
-// is whole here too; the gateway takes from it what it lacks.
+// CallEnd carries the outcome to the gateway. It includes the whole text of a streamed
+// response, from which the gateway takes what it lacks.
 type CallEnd struct {
 	Request RequestID
-	// Run is the run that made the answer, empty if none did.
+	// Run is the run that generated the response, empty if none did.
 	Run     RunID
 	Outcome Outcome
 }
 
-// NotOwner tells the gateway that the receiver does not own the shard and did
-// not take the call; Owner is a better one if known.
+// NotOwner informs the gateway that the receiver does not own the shard and did not
+// accept the call. Owner is the owner to try instead, empty if unknown.
 type NotOwner struct {
 	Request RequestID
 	Owner   InstanceID
@@ -103,54 +103,54 @@
 	ProgramCancel ProgramOp = "cancel"
 )
 
-// ProgramRequest asks a program's owner for an operation.
+// ProgramRequest asks a program's owner to perform an operation.
 type ProgramRequest struct {
 	Request   RequestID
 	Op        ProgramOp
 	Program   ProgramID
 	Team      Team
 	Remaining time.Duration
-	// Suspects are instances that the gateway finds unreachable.
+	// Suspects are the instances that the gateway cannot reach.
 	Suspects []InstanceID
 }
 
-// ProgramReply answers a ProgramRequest.
+// ProgramReply replies to a ProgramRequest.
 type ProgramReply struct {
 	Request RequestID
 	Outcome Outcome
 	Info    ProgramInfo
 }
 
-// ProgramsRequest asks an instance for the programs it owns under a team path.
+// ProgramsRequest asks an instance for the programs that it owns under a team path.
 type ProgramsRequest struct {
 	Request RequestID
 	Team    Team
 	Limit   int
 }
 
-// ProgramsReply answers a ProgramsRequest.
+// ProgramsReply replies to a ProgramsRequest.
 type ProgramsReply struct {
 	Request  RequestID
 	Programs []ProgramInfo
 }
 
-// CacheHint tells how much of a program's prefix a target held last.
+// CacheHint is the length of a program's prefix that a target held last.
 type CacheHint struct {
 	Target TargetID
 	Tokens int64
 }
 
-// PermitRequest asks a pool's dispatcher for a place to run a call. Sent again
-// with the same Run it is idempotent. With Running set it registers a call
-// that already runs at that target, after a change of dispatcher.
+// PermitRequest asks a pool's dispatcher for a permit to run a call. It is idempotent
+// by Run. With Running set it registers a call that already runs at that target, after
+// a change of dispatcher.
 type PermitRequest struct {
 	Pool     PoolID
 	Ref      CallRef
 	Team     Team
 	Priority int
 	Weight   float64
-	// Served is the program's attained service, Age its time since creation
-	// and Slack the time to its deadline (0 and HasDeadline false if none).
+	// Served is the program's attained service, Age the time since its creation and
+	// Slack the time to its deadline (0 with HasDeadline false if it has none).
 	Served      time.Duration
 	Age         time.Duration
 	Slack       time.Duration
@@ -170,17 +170,17 @@
 	Running       TargetID
 }
 
-// PermitQueued tells the owner that the dispatcher has the request.
+// PermitQueued informs the owner that the dispatcher has the request.
 type PermitQueued struct{ Ref CallRef }
 
-// PermitGrant lets the owner run the call at the target now.
+// PermitGrant allows the owner to run the call at the target now.
 type PermitGrant struct {
 	Pool   PoolID
 	Ref    CallRef
 	Target Target
 }
 
-// PermitRefuse tells that the dispatcher will not place the call.
+// PermitRefuse reports that the dispatcher will not place the call.
 type PermitRefuse struct {
 	Pool       PoolID
 	Ref        CallRef
@@ -188,7 +188,7 @@
 	RetryAfter time.Duration
 }
 
-// PermitCancel takes a request back: it waits no more and was not sent.
+// PermitCancel withdraws a request: the call was not sent and no longer waits.
 type PermitCancel struct {
 	Pool PoolID
 	Ref  CallRef
@@ -204,20 +204,21 @@
 	Took    time.Duration
 	// FirstToken is the time to the first piece.
 	FirstToken time.Duration
-	// CacheTokens is the prefix that the target holds for the program now.
+	// CacheTokens is the length of the prefix that the target now holds for the
+	// program.
 	CacheTokens int64
-	// Pausing tells that the program went into a tool pause.
+	// Pausing reports that the program started a tool pause.
 	Pausing bool
 }
 
-// ProgramEnded tells a pool's dispatcher that a program ended.
+// ProgramEnded informs a pool's dispatcher that a program ended.
 type ProgramEnded struct {
 	Pool    PoolID
 	Program ProgramID
 }
 
-// BudgetRequest asks the ledger's owner (of a team path) for a chunk. Grant is
-// unique and makes the request idempotent.
+// BudgetRequest asks the owner of a team path's ledger for a chunk. Grant is unique
+// and makes the request idempotent.
 type BudgetRequest struct {
 	Team    Team
 	Account ShardRef
@@ -226,8 +227,8 @@
 	Fees    int64
 }
 
-// BudgetGrant answers a BudgetRequest; it may give less than was asked. Refused
-// tells that nothing is left.
+// BudgetGrant replies to a BudgetRequest. It may grant less than was requested.
+// Refused reports that nothing is left.
 type BudgetGrant struct {
 	Team    Team
 	Account ShardRef
@@ -237,7 +238,7 @@
 	Refused bool
 }
 
-// BudgetReturn gives back what was left of a grant.
+// BudgetReturn returns the unused rest of a grant.
 type BudgetReturn struct {
 	Team    Team
 	Account ShardRef
@@ -246,8 +247,8 @@
 	Fees    int64
 }
 
-// SuccessorHandoff gives the named successor of a shard the record that allows
-// it to serve repeatable calls within a chunk while the log is down.
+// SuccessorHandoff gives the designated successor of a shard the record that allows it
+// to serve repeatable calls within a chunk while the log is unavailable.
 type SuccessorHandoff struct {
 	Shard  ShardRef
 	Epoch  Epoch
@@ -257,31 +258,31 @@
 	State []byte
 }
 
-// SettingsRequest asks a peer for its settings state. Have is the offset that
-// the sender has applied up to; a peer without a newer state sends none.
+// SettingsRequest asks a peer for its settings state. Next is the offset up to which
+// the sender has applied records; a peer without a newer state sends none.
 type SettingsRequest struct{ Next uint64 }
 
-// SettingsState is a peer's settings state, applied up to Next; 0 if the peer has
-// not caught up itself. State is empty if it is not newer than was asked.
+// SettingsState is a peer's settings state, applied up to Next, which is 0 if the peer
+// has not caught up itself. State is empty if it is not newer than requested.
 type SettingsState struct {
 	Next  uint64
 	State []byte
 }
 
-// AppliedRequest asks which settings offset is applied.
+// AppliedRequest asks for the applied settings offset.
 type AppliedRequest struct{ Request RequestID }
 
-// AppliedReply answers it.
+// AppliedReply replies to an AppliedRequest.
 type AppliedReply struct {
 	Request RequestID
 	Next    uint64
 }
 
-// Leaving tells a peer that the sender drains: it takes no new work. It comes
-// ahead of the lagging membership list.
+// Leaving informs a peer that the sender drains and accepts no new work, before the
+// membership list shows it.
 type Leaving struct{}
 
-// Kind tags of the messages.
+// Kind implementations of the messages.
 func (*Submit) Kind() MessageKind           { return KindSubmit }
 func (*Withdraw) Kind() MessageKind         { return KindWithdraw }
 func (*SubmitAccepted) Kind() MessageKind   { return KindSubmitAccepted }
@@ -309,8 +310,8 @@
 func (*AppliedReply) Kind() MessageKind     { return KindAppliedReply }
 func (*Leaving) Kind() MessageKind          { return KindLeaving }
 
-// NewMessage makes an empty message of a kind for a decoder, nil if the kind
-// is unknown.
+// NewMessage returns an empty message of a kind to decode into, nil if the kind is
+// unknown.
 func NewMessage(kind MessageKind) Message {
 	newMessage, ok := messageTypes[kind]
 	if !ok {
--- a/internal/structs/policy.go
+++ b/internal/structs/policy.go
@@ -4,42 +4,40 @@
 
 // Policy is the effective policy of one team path, after inheritance.
 type Policy struct {
-	// Priority orders classes: 0 goes first. Clearance searches before
-	// status lookups is two paths with two priorities.
+	// Priority is the class of the team's calls; 0 is served first.
 	Priority int
 	// Weight is the team's share within a class, greater than 0.
 	Weight float64
-	// Deadline is the wanted latency of a whole program; 0 for none.
+	// Deadline is the target latency of a whole program; 0 if unset.
 	Deadline time.Duration
-	// CallTimeout bounds one call from its arrival to its answer.
+	// CallTimeout bounds one call from its arrival to its response.
 	CallTimeout time.Duration
-	// ProgramTokens, ProgramFees and ProgramTurns bound one program; 0 for
-	// no bound.
+	// ProgramTokens, ProgramFees and ProgramTurns limit one program; 0 means no limit.
 	ProgramTokens int64
 	ProgramFees   int64
 	ProgramTurns  int64
-	// TeamTokens and TeamFees bound all programs of the path over its life;
-	// 0 for no bound.
+	// TeamTokens and TeamFees limit all programs of the path over its lifetime; 0
+	// means no limit.
 	TeamTokens int64
 	TeamFees   int64
 	// ChunkTokens is the size of a budget reservation.
 	ChunkTokens int64
-	// IdleTimeout closes a program that has no call for that long.
+	// IdleTimeout closes a program without calls for that long.
 	IdleTimeout time.Duration
-	// LoopRepeats closes a program that sends the same request that many
-	// times in a row; 0 switches the check off.
+	// LoopRepeats closes a program that sends the same request that many times in a
+	// row; 0 disables the check.
 	LoopRepeats int
 	// GapTimeout bounds the wait for a missing call number.
 	GapTimeout time.Duration
-	// IdempotencyWindow is how long answers are kept for replay.
+	// IdempotencyWindow is how long responses are stored for replay.
 	IdempotencyWindow time.Duration
-	// MaxQueued bounds a team's waiting calls in one pool.
+	// MaxQueued limits a team's waiting calls in one pool.
 	MaxQueued int
-	// Retries bounds the further attempts of a repeatable call.
+	// Retries limits the retries of a repeatable call.
 	Retries int
 }
 
-// ServiceKind tells what a service's targets are.
+// ServiceKind is the kind of a service's targets.
 type ServiceKind string
 
 // Kinds of services.
@@ -49,82 +47,83 @@
 	ServicePlain  ServiceKind = "plain"
 )
 
-// Service is the effective setting of a service.
+// Service is the effective configuration of a service.
 type Service struct {
 	Name ServiceName
 	Kind ServiceKind
-	// Slots is the number of calls that a target runs at once.
+	// Slots is the number of calls that a target runs concurrently.
 	Slots int
-	// CacheTokens is the prefix cache of one target, in tokens.
+	// CacheTokens is the size of one target's prefix cache, in tokens.
 	CacheTokens int64
-	// ChecksFencing tells whether targets refuse old fencing numbers.
+	// ChecksFencing reports whether targets refuse old fencing numbers.
 	ChecksFencing bool
-	// AskByKey tells whether targets can be asked for an outcome by
-	// idempotency key.
+	// AskByKey reports whether targets can be queried for an outcome by idempotency
+	// key.
 	AskByKey bool
 	// NotRepeatable marks every call of the service not repeatable.
 	NotRepeatable bool
 	// Timeout bounds one run at a target.
 	Timeout time.Duration
-	// QueueLimit bounds the waiting calls of a pool.
+	// QueueLimit limits the waiting calls of a pool.
 	QueueLimit int
-	// Rules choose the decisions of the pool.
+	// Rules select the scheduling rules of the pool.
 	Rules Rules
-	// Orders is what the service's engines shall have loaded.
+	// Orders is what the service's engines should have loaded.
 	Orders Orders
 }
 
-// Orders is the desired state of a service's engines. An empty text means that
-// no order is given for it.
+// Orders is the desired state of a service's engines. An empty string leaves the
+// engine's state as it is.
 type Orders struct {
 	Model   string
 	Adapter string
 	Version string
 	Role    string
-	// Parallel is how many targets of a pool may change at once, at least 1.
+	// Parallel is the maximum number of targets of a pool that change at once, at
+	// least 1.
 	Parallel int
-	// Interval is the least time between two orders of a pool that load from
-	// the weight store.
+	// Interval is the minimum time between two orders of a pool that load from the
+	// weight store.
 	Interval time.Duration
 }
 
-// IsSet tells whether any order is to be given.
+// IsSet reports whether any order is configured.
 func (o Orders) IsSet() bool {
 	return o.Model != "" || o.Adapter != "" || o.Version != "" || o.Role != ""
 }
 
-// Rules choose each decision of a dispatcher by name, so that each can be
-// swapped or switched off alone.
+// Rules select each decision of a dispatcher by name, so that each can be replaced or
+// disabled independently.
 type Rules struct {
 	// Order: "fcfs", "las" (least attained service of the program), "slack"
 	// (least slack to the program's deadline), "hybrid".
 	Order string
-	// Classes puts lower Priority first; off treats all alike.
+	// Classes serves lower Priority first; if false, all calls are treated alike.
 	Classes bool
-	// Aging raises a waiting call's rank by its wait; 0 is off. It is the
-	// wait that equals one unit of attained service.
+	// Aging raises a waiting call's rank by its wait; it is the wait that equals one
+	// unit of attained service. 0 disables it.
 	Aging float64
-	// FairShare weighs teams within a class.
+	// FairShare weights teams within a class.
 	FairShare bool
 	// Placement: "round-robin", "least-loaded", "affinity", "cost".
 	Placement string
-	// EvictionTerm adds the cost of what a placement evicts to "cost".
+	// EvictionTerm adds the cost of evicted cache to the placement "cost".
 	EvictionTerm bool
-	// LateBinding keeps calls in the dispatcher's queue until a slot is
-	// free; off passes them on at once.
+	// LateBinding holds calls in the dispatcher's queue until a slot is free; if
+	// false, they are sent to targets immediately.
 	LateBinding bool
-	// Retention: "none", "worth" (hold cache over tool pauses by expected
-	// worth), "all".
+	// Retention: "none", "worth" (hold cache over tool pauses by expected benefit),
+	// "all".
 	Retention string
-	// ReleaseGone releases the cache of programs that are gone.
+	// ReleaseGone releases the cache of programs that ended.
 	ReleaseGone bool
-	// Admission refuses calls whose wait cannot meet their deadline.
+	// Admission refuses calls that would miss their deadline while waiting.
 	Admission bool
-	// Ejection takes slow or failing targets out for a while.
+	// Ejection temporarily excludes slow or failing targets.
 	Ejection bool
 }
 
-// DefaultRules is the rule set used where settings are silent.
+// DefaultRules returns the rules used where the settings have none.
 func DefaultRules() Rules {
 	return Rules{
 		Order: "hybrid", Classes: true, Aging: 1, FairShare: true,
@@ -133,7 +132,7 @@
 	}
 }
 
-// DefaultPolicy is the policy used where settings are silent.
+// DefaultPolicy returns the policy used where the settings have none.
 func DefaultPolicy() Policy {
 	return Policy{
 		Priority: 5, Weight: 1, CallTimeout: 2 * time.Minute,
@@ -143,7 +142,8 @@
 	}
 }
 
-// DefaultService is the service setting used where settings are silent.
+// DefaultService returns a service with the defaults used where the settings have
+// none.
 func DefaultService(name ServiceName, kind ServiceKind) Service {
 	return Service{
 		Name: name, Kind: kind, Slots: 16, CacheTokens: 200_000,
@@ -152,13 +152,13 @@
 	}
 }
 
-// Settings is the settings tree as the core reads it. Implementations are
-// immutable snapshots or change only between ticks.
+// Settings is the settings tree as read by the core. Implementations are immutable
+// snapshots or change only between ticks.
 type Settings interface {
-	// Policy gives the effective policy of a team path.
+	// Policy returns the effective policy of a team path.
 	Policy(team Team) Policy
-	// Service gives a service, false if settings name none such.
+	// Service returns a service, false if the settings have none of that name.
 	Service(name ServiceName) (Service, bool)
-	// Services lists the services by name.
+	// Services returns the services ordered by name.
 	Services() []Service
 }
--- a/internal/structs/reservation.go
+++ b/internal/structs/reservation.go
@@ -58,7 +58,7 @@
 	Loads []TargetReport
 }
 
-// ReservationReply answers a ReservationRequest.
+// ReservationReply replies to a ReservationRequest.
 type ReservationReply struct {
 	Lease   LeaseID
 	Outcome ReservationOutcome
@@ -126,6 +126,7 @@
 type BudgetAccount struct {
 	Program string
 	Budget  int
+	// MaxTurn is the maximum number of tokens that any turn so far may generate.
 	MaxTurn int
 	// AfterCrash reports that Crashes is greater than 0; older versions send no
 	// Crashes.
