--- a/internal/settings/catchup.go
+++ b/internal/settings/catchup.go
@@ -5,53 +5,53 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// maxGapRecords bounds the records held while the tree has a gap.
+// maxGapRecords is the maximum number of records buffered while the tree has a gap.
 const maxGapRecords = 4096
 
-// Sources of the state that an instance started with.
+// Sources of the state with which an instance caught up.
 const (
 	sourceLog  = "log"
 	sourcePeer = "peer"
 )
 
-// catchUp follows the settings stream.
+// catchUp is the progress of following the settings stream.
 type catchUp struct {
-	// done is set once, by which source.
+	// done is set once the tree has caught up, source is where the state came from.
 	done   bool
 	source string
-	// target is the end of the stream seen first; reading through it ends
-	// the catch-up.
+	// target is the end of the stream at the first read. The catch-up is complete when
+	// records up to it are applied.
 	target    uint64
 	hasTarget bool
-	// next is the offset that the reader is at.
+	// next is the offset of the reader.
 	next uint64
-	// logDown tells that the last read failed.
+	// logDown reports that the last read failed.
 	logDown bool
-	// gap tells that records between the tree's offset and gapStart are no
-	// longer retained. held are the records from gapStart on, to be applied
-	// on top of a snapshot.
+	// gap reports that records between the tree's offset and gapStart are no longer
+	// retained. buffered are the records from gapStart on, to be applied after a
+	// snapshot.
 	gap      bool
 	gapStart uint64
 	buffered []wire.LogRecord
-	// logBehind tells that the log ends before the tree's offset, which only a
-	// log that lost records does.
+	// logBehind reports that the log ends before the tree's offset, which means that
+	// the log lost records.
 	logBehind bool
 }
 
-// stuck tells that the log cannot bring the tree up to date for now: it is down,
-// or it has been read to its end and the gap is still there.
+// stuck reports whether the log cannot bring the tree up to date for now: it is
+// unavailable, or it was read to its end and the gap remains.
 func (c *catchUp) stuck() bool {
 	return c.logDown || c.gap && c.hasTarget && c.next >= c.target
 }
 
-// settingsLost tells that no settings are left: the log dropped its first records, holds
-// no snapshot, and this instance has no state of its own.
+// settingsLost reports whether no settings are left: the log dropped its first records
+// and holds no snapshot, and this instance has no state of its own.
 func (p *Proposer) settingsLost() bool {
 	c := &p.catchUp
 	return c.gap && !c.done && !c.logDown && c.stuck() && p.tree.Next() == 0
 }
 
-// tail starts or moves the reading of the stream.
+// tail starts reading the stream or moves the reader.
 func (p *Proposer) tail(from uint64) {
 	p.catchUp.next = from
 	p.emit(structs.LogTail{Stream: structs.SettingsStream, From: from})
@@ -69,7 +69,7 @@
 			continue
 		}
 		if rec.Offset > c.next {
-			// The reader left records out: read them.
+			// The reader skipped records: read from the missing offset.
 			p.tail(c.next)
 			return
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-// applyOrBuffer applies a record, or holds it while the tree has a gap.
+// applyOrBuffer applies a record, or buffers it while the tree has a gap.
 func (p *Proposer) applyOrBuffer(rec wire.LogRecord) {
 	r, err := decodeRecord(rec.Data)
 	isSnapshot := err == nil && r.Snapshot != nil
@@ -106,7 +106,8 @@
 	}
 }
 
-// buffer keeps a record for after the gap. Dropping the oldest widens the gap.
+// buffer stores a record until the gap is closed. Dropping the oldest record widens
+// the gap.
 func (c *catchUp) buffer(rec wire.LogRecord) {
 	c.buffered = append(c.buffered, rec)
 	if len(c.buffered) > maxGapRecords {
@@ -115,7 +116,7 @@
 	}
 }
 
-// closeGap applies the held records if the tree now reaches them.
+// closeGap applies the buffered records if the tree has reached them.
 func (p *Proposer) closeGap() {
 	c := &p.catchUp
 	if !c.gap || p.tree.Next() < c.gapStart {
@@ -143,7 +144,7 @@
 	p.tail(p.tree.Next())
 }
 
-// restoreState takes over a peer's state if it is newer.
+// restoreState replaces the tree's state by a peer's if that is newer.
 func (p *Proposer) restoreState(state []byte) {
 	restored, err := p.tree.Restore(state)
 	if err != nil {
--- a/internal/settings/checkpoint.go
+++ b/internal/settings/checkpoint.go
@@ -7,34 +7,32 @@
 )
 
 const (
-	// snapshotsPerRetention is how many snapshots are written in the time
-	// that the log keeps one.
+	// snapshotsPerRetention is the number of snapshots written within the log's
+	// retention.
 	snapshotsPerRetention = 4
-	// takeoversPerRetention divides the retention into the time by which
-	// each further instance writes later than the one before it, in case
-	// that one cannot.
+	// takeoversPerRetention divides the retention into the delay after which the next
+	// instance in rank writes the snapshot instead.
 	takeoversPerRetention = 64
-	// maxTakeovers bounds that delay.
+	// maxTakeovers limits the rank that counts for that delay.
 	maxTakeovers = 16
 	// maxRecordsBetweenSnapshots is the number of records after which a snapshot is
-	// written whatever the time, to bound the catch-up of a new instance.
+	// written early. It bounds the catch-up of a new instance.
 	maxRecordsBetweenSnapshots = 512
-	// recordCountTakeoverDelay is the delay between instances in that case.
+	// recordCountTakeoverDelay is the delay between ranks for such a snapshot.
 	recordCountTakeoverDelay = 2 * time.Second
-	// checkpointRetryMin and checkpointRetryMax bound the wait after a
-	// failed write.
+	// checkpointRetryMin and checkpointRetryMax bound the delay after a failed write.
 	checkpointRetryMin = time.Second
 	checkpointRetryMax = time.Minute
 )
 
-// checkpoint writes snapshots of the tree to the log ahead of its retention. The
-// live instance with the lowest id writes; two writers do no harm.
+// checkpoint schedules snapshots of the tree so that the log always retains one. The
+// live instance with the lowest id writes; two concurrent writers are harmless.
 type checkpoint struct {
-	// oldest is the time of the last snapshot on the log, or else of the
-	// first record; zero if there is neither.
+	// oldest is the time of the last snapshot on the log, or of the first record if
+	// there is no snapshot; zero if there is neither.
 	oldest time.Time
-	// records counts the records since, and maxRecordsAt is when they became
-	// too many.
+	// records counts the records since then, and maxRecordsAt is when they reached the
+	// maximum.
 	records      int
 	maxRecordsAt time.Time
 	inFlight     structs.AppendID
@@ -43,13 +41,13 @@
 	written      uint64
 }
 
-// observeSnapshot notes a snapshot on the log.
+// observeSnapshot records a snapshot read from the log.
 func (c *checkpoint) observeSnapshot(at time.Time) {
 	c.oldest, c.records = at, 0
 	c.maxRecordsAt, c.retryAt = time.Time{}, time.Time{}
 }
 
-// observeRecord notes a record on the log.
+// observeRecord counts a record read from the log.
 func (c *checkpoint) observeRecord(at time.Time, isSnapshot bool) {
 	if isSnapshot {
 		return
@@ -63,27 +61,28 @@
 	}
 }
 
-// restoredFromPeer notes a state from a peer. How old the last snapshot on the log is
-// is not known then, so one is due at once.
+// restoredFromPeer records that the state came from a peer. The age of the last
+// snapshot on the log is unknown then, so one is due immediately.
 func (c *checkpoint) restoredFromPeer(now time.Time, retention time.Duration) {
 	if c.oldest.IsZero() {
 		c.oldest = now.Add(-retention / snapshotsPerRetention)
 	}
 }
 
-// writeFailed notes a failed write.
+// writeFailed records a failed write.
 func (c *checkpoint) writeFailed(now time.Time, retention time.Duration) {
 	c.inFlight = 0
 	c.backOff(now, retention)
 }
 
-// backOff puts off the next write.
+// backOff delays the next write.
 func (c *checkpoint) backOff(now time.Time, retention time.Duration) {
 	wait := retention / takeoversPerRetention
 	c.retryAt = now.Add(min(max(wait, checkpointRetryMin), checkpointRetryMax))
 }
 
-// due gives when the instance of a rank among the live ones writes, 0 first.
+// due returns when the instance with the given rank among the live ones writes, zero
+// if no snapshot is needed. Rank 0 writes first.
 func (c *checkpoint) due(rank int, retention time.Duration) time.Time {
 	if c.oldest.IsZero() {
 		return time.Time{}
@@ -126,12 +125,12 @@
 	}
 	c.inFlight = p.append(data)
 	c.written++
-	// Reading the snapshot back moves the due time; until then it is not
+	// The due time moves when the snapshot is read back. Until then, it must not be
 	// written again.
 	c.backOff(p.now, p.retention())
 }
 
-// rank counts the live instances with a lower id.
+// rank returns the number of live instances with a lower id.
 func (p *Proposer) rank() int {
 	rank := 0
 	for _, peer := range p.members.Peers() {
--- a/internal/settings/codec.go
+++ b/internal/settings/codec.go
@@ -8,17 +8,17 @@
 // recordVersion is the first byte of each record of the settings stream.
 const recordVersion = 1
 
-// ErrRecord is the error of a record that cannot be read.
+// ErrRecord is returned for a record that cannot be decoded or exceeds a limit.
 var ErrRecord = errors.New("malformed settings record")
 
-// record is one record of the settings stream: changes that apply together or
-// a snapshot.
+// record is one record of the settings stream: either changes that apply together or a
+// snapshot.
 type record struct {
 	Changes  []recordChange `codec:"c,omitempty"`
 	Snapshot *snapshot      `codec:"s,omitempty"`
 }
 
-// recordChange is one change of one path. An empty value removes it.
+// recordChange is a change of one path. An empty value removes it.
 type recordChange struct {
 	Path     string `codec:"p"`
 	Base     uint64 `codec:"b,omitempty"`
@@ -48,17 +48,17 @@
 	return append([]byte{recordVersion}, data...), nil
 }
 
-// decodeRecord reads a record and checks the limits that hold for all records.
+// decodeRecord decodes a record and checks the limits that hold for all records.
 func decodeRecord(data []byte) (record, error) {
 	if len(data) == 0 || len(data) > MaxRecordBytes || data[0] != recordVersion {
-		return record{}, errors.Wrap(ErrRecord, "bad size or version")
+		return record{}, errors.Wrap(ErrRecord, "invalid size or version")
 	}
 	var r record
 	if err := decodeCBOR(data[1:], &r); err != nil {
 		return record{}, err
 	}
 	if (r.Snapshot == nil) == (len(r.Changes) == 0) {
-		return record{}, errors.Wrap(ErrRecord, "want either changes or a snapshot")
+		return record{}, errors.Wrap(ErrRecord, "expected either changes or a snapshot")
 	}
 	if r.Snapshot != nil {
 		return r, r.Snapshot.check()
@@ -66,8 +66,8 @@
 	return r, checkChanges(r.Changes)
 }
 
-// checkChanges holds the limits that a record breaks only if a faulty program
-// wrote it. All instances skip such a record.
+// checkChanges checks limits that only a faulty program exceeds. All instances skip
+// such a record.
 func checkChanges(changes []recordChange) error {
 	if len(changes) > MaxChanges {
 		return errors.Wrap(ErrRecord, "too many changes")
--- a/internal/settings/credential.go
+++ b/internal/settings/credential.go
@@ -9,14 +9,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Role tells what the holder of a credential may do within its team's subtree.
+// Role is what the holder of a credential may do within its team's subtree.
 type Role string
 
 // Roles.
 const (
 	// RoleCaller may open programs and send calls.
 	RoleCaller Role = "caller"
-	// RoleOperator may change settings and see and cancel programs too.
+	// RoleOperator may also change settings and list and cancel programs.
 	RoleOperator Role = "operator"
 )
 
@@ -33,7 +33,7 @@
 	hiddenValue        = `"(hidden)"`
 )
 
-// credentialValue is the value of a credential in the tree.
+// credentialValue is the JSON value of a credential in the tree.
 type credentialValue struct {
 	Role   Role   `json:"role"`
 	SHA256 string `json:"sha256"`
@@ -60,7 +60,7 @@
 	return value, ok
 }
 
-// ParseKeyHash reads the SHA-256 of a key from 64 hex digits.
+// ParseKeyHash parses the SHA-256 of a key from 64 hex digits.
 func ParseKeyHash(text string) (hash [sha256.Size]byte, ok bool) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(hash) {
@@ -70,13 +70,13 @@
 	return hash, true
 }
 
-// KeyHash is the hash of a key as the tree stores it.
+// KeyHash returns the hash of a key as stored in the tree.
 func KeyHash(key string) string {
 	hash := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(hash[:])
 }
 
-// redactCredential shows the role and the first digits of the hash only.
+// redactCredential returns the role and the first digits of the hash.
 func redactCredential(value []byte) []byte {
 	var credential credentialValue
 	if json.Unmarshal(value, &credential) != nil || len(credential.SHA256) < displayedHexDigits {
@@ -90,8 +90,8 @@
 	return shown
 }
 
-// Authenticate finds the credential of a key. It compares the key's hash with
-// every stored one in constant time.
+// Authenticate returns the credential of a key. It compares the key's hash with all
+// stored ones in constant time.
 func (t *Tree) Authenticate(key string) (Credential, bool) {
 	hash := sha256.Sum256([]byte(key))
 	var found Credential
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -8,20 +8,21 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Dump is the state of a Proposer. It holds no key and no whole hash of one.
+// Dump is the state of a Proposer. It contains no keys and only abbreviated key
+// hashes.
 type Dump struct {
 	CaughtUp bool   `json:"caught_up"`
 	Source   string `json:"source,omitempty"`
 	Next     uint64 `json:"next"`
 	Skipped  uint64 `json:"skipped_records"`
 	LogDown  bool   `json:"log_down"`
-	// Gap tells that the log dropped records that the tree lacks; Lost that
-	// no settings are left; LogBehind that the log lost records.
+	// Gap reports that the log dropped records that the tree lacks, Lost that no
+	// settings are left, and LogBehind that the log lost records.
 	Gap       bool `json:"gap"`
 	Lost      bool `json:"lost"`
 	LogBehind bool `json:"log_behind"`
-	// LastSnapshot is the time of the last snapshot on the log, or else of
-	// the first record.
+	// LastSnapshot is the time of the last snapshot on the log, or of the first record
+	// if there is no snapshot.
 	LastSnapshot     time.Time      `json:"last_snapshot"`
 	SnapshotsWritten uint64         `json:"snapshots_written"`
 	MalformedStates  uint64         `json:"malformed_peer_states"`
@@ -29,7 +30,7 @@
 	Entries          []Entry        `json:"entries"`
 }
 
-// DumpProposal is a change that waits for the log.
+// DumpProposal is a change waiting for the log.
 type DumpProposal struct {
 	ChangeID string    `json:"change_id"`
 	Deadline time.Time `json:"deadline"`
@@ -37,7 +38,7 @@
 	Waiting  int       `json:"waiting_requests"`
 }
 
-// Dump gives the state for operators.
+// Dump returns the state for operators.
 func (p *Proposer) Dump() Dump {
 	c := &p.catchUp
 	listing, _ := p.tree.Listing("")
--- a/internal/settings/exchange.go
+++ b/internal/settings/exchange.go
@@ -6,30 +6,30 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Timing of the questions to peers.
+// Timing of the state requests to peers.
 const (
-	// startupRequestInterval is the time between two rounds of questions at the
-	// start, and for how long a round waits for its answers.
+	// startupRequestInterval is the time between two rounds of requests before the
+	// catch-up, and the time within which a round's replies count.
 	startupRequestInterval = time.Second
-	// requestInterval is the time between two rounds while the log is down.
+	// requestInterval is the time between two rounds while the log is unavailable.
 	requestInterval = 2 * time.Second
-	// maxStartupRequests and maxRequests bound the peers asked in a round.
+	// maxStartupRequests and maxRequests limit the peers queried in a round.
 	maxStartupRequests = 32
 	maxRequests        = 3
 )
 
-// exchange asks peers for their state while the log gives none.
+// exchange queries peers for their state while the log cannot provide it.
 type exchange struct {
-	// wakeAt is the time of the next round, zero if none is wanted.
+	// wakeAt is the time of the next round, zero if none is needed.
 	wakeAt time.Time
-	// awaiting are the peers of the present round that have not answered, and
-	// answered tells that one with a state has.
+	// awaiting are the peers of the current round that have not replied. stateReceived
+	// reports that a peer with a state has.
 	awaiting      map[structs.InstanceID]bool
 	stateReceived bool
-	// nextPeer rotates the peers asked.
+	// nextPeer rotates the peers queried.
 	nextPeer  int
 	malformed uint64
-	// encoded is the tree's snapshot at encodedNext, for answers.
+	// encoded caches the tree's snapshot at offset encodedNext for replies.
 	encoded     []byte
 	encodedNext uint64
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// stateReply gives the state for a peer that has applied up to an offset.
+// stateReply returns the reply to a peer that has applied records up to peerNext.
 func (p *Proposer) stateReply(peerNext uint64) *structs.SettingsState {
 	next := p.tree.Next()
 	if !p.catchUp.done {
@@ -81,7 +81,7 @@
 	}
 }
 
-// endRound ends the catch-up if a peer gave its state.
+// endRound completes the catch-up if a peer replied with its state.
 func (p *Proposer) endRound() {
 	c, x := &p.catchUp, &p.exchange
 	if !c.done && x.stateReceived {
@@ -90,7 +90,7 @@
 	x.stateReceived, x.awaiting = false, nil
 }
 
-// advanceExchange starts rounds of questions while they are wanted.
+// advanceExchange starts rounds of requests while the log cannot provide the state.
 func (p *Proposer) advanceExchange() {
 	x, c := &p.exchange, &p.catchUp
 	if !c.stuck() {
@@ -110,7 +110,7 @@
 	x.wakeAt = p.now.Add(startupRequestInterval)
 }
 
-// requestStates asks the next peers in turn for a newer state.
+// requestStates asks the next peers for a newer state, round-robin.
 func (p *Proposer) requestStates(maxPeers int) {
 	var others []structs.InstanceID
 	for _, peer := range p.members.Peers() {
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// field is one key of a T (a policy or a service) in the schema.
+// field is the schema of one key of a T (a policy or a service).
 type field[T any] struct {
 	name     string
 	expected string
-	// canonical gives the canonical JSON of a decoded value.
+	// canonical returns the canonical JSON of a decoded value.
 	canonical func(raw any) ([]byte, bool)
-	// set stores a decoded value in T. If an ancestor set the key too, below
-	// is true and the field's limit, if any, holds.
-	set func(target *T, raw any, below bool) bool
+	// set stores a decoded value in the target. If hasInherited is true, an
+	// ancestor has set the key and the field's combine function applies.
+	set func(target *T, raw any, hasInherited bool) bool
 }
 
-// fieldTable holds the keys of a T in the order of the schema.
+// fieldTable holds the keys of a T in schema order.
 type fieldTable[T any] struct {
 	fields []field[T]
 	byName map[string]field[T]
@@ -30,7 +30,7 @@
 	return table
 }
 
-// names lists the keys in order of name.
+// names returns the keys in alphabetical order.
 func (t fieldTable[T]) names() []string {
 	names := make([]string, 0, len(t.fields))
 	for _, f := range t.fields {
@@ -40,9 +40,9 @@
 	return names
 }
 
-// newField makes the field of a key stored at the place that at gives. The
-// limit combines the ancestors' value with the key's own; nil lets the key's
-// own value replace the ancestors'.
+// newField returns the field of a key whose value is stored at pointer(target). The
+// combine function merges an inherited value with the key's own; if nil, the own value
+// replaces the inherited one.
 func newField[T, V any](name string, kind valueType[V], pointer func(*T) *V, combine func(inherited, own V) V) field[T] {
 	return field[T]{
 		name:     name,
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -20,23 +20,22 @@
 	ValidationError
 }
 
-// Error gives the line and the whole reason.
+// Error returns the line and the reason.
 func (e FileError) Error() string {
 	return fmt.Sprintf("line %d: %s", e.Line, e.ValidationError.Error())
 }
 
 const fileExpected = `a mapping with the keys "services" and "teams"`
 
-// ParseFile reads a settings file: YAML whose nested mappings spell the paths of
-// the tree, as in
+// ParseFile reads a settings file: YAML whose nested mappings form the paths of the
+// tree, as in
 //
 //	teams:
 //	  lakeshore:
 //	    priority: 1
 //
-// It returns a change for each value in order of the file, without bases,
-// change ids and authors, and every error found. A file with errors must not be
-// published.
+// It returns a change for each value in file order, without base, change id and
+// author, and every error found. A file with errors must not be published.
 func ParseFile(data []byte) ([]structs.SettingChange, []FileError) {
 	if len(data) > MaxFileBytes {
 		return nil, []FileError{fileError(0, "", "file too large", fmt.Sprintf("at most %d bytes", MaxFileBytes))}
@@ -51,7 +50,7 @@
 	return parser.changes, parser.errors
 }
 
-// parseYAML gives the root mapping of the only document.
+// parseYAML returns the root mapping of a file with a single document.
 func parseYAML(data []byte) (*yaml.Node, *FileError) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var document yaml.Node
@@ -75,7 +74,7 @@
 	return document.Content[0], nil
 }
 
-// yamlErrorLine finds the line in an error text of the YAML library.
+// yamlErrorLine extracts the line number from an error message of the YAML library.
 func yamlErrorLine(text string) int {
 	var line int
 	if at := strings.Index(text, "line "); at >= 0 {
@@ -92,7 +91,7 @@
 type fileParser struct {
 	changes []structs.SettingChange
 	errors  []FileError
-	// lines gives the line of each path.
+	// lines maps each path to its line.
 	lines map[string]int
 }
 
@@ -115,7 +114,7 @@
 	})
 }
 
-// eachKey calls visit for each key of a mapping, once.
+// eachKey calls visit once for each valid key of a mapping.
 func (p *fileParser) eachKey(node *yaml.Node, path string, visit func(key string, line int, value *yaml.Node)) {
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(node.Content); i += 2 {
@@ -133,12 +132,12 @@
 	}
 }
 
-// mapping reads a mapping below the areas. A nested mapping is a deeper path,
-// but for a credential, whose mapping is its value.
+// mapping reads a mapping below the areas. A nested mapping is a deeper path, except
+// for a credential, whose value is the mapping.
 func (p *fileParser) mapping(node *yaml.Node, path string) {
 	const maxDepth = MaxTeamDepth + 4
 	if strings.Count(path, "/") > maxDepth {
-		p.refuse(node.Line, truncate(path), "nested too deep", fmt.Sprintf("at most %d levels", maxDepth))
+		p.refuse(node.Line, truncate(path), "nested too deeply", fmt.Sprintf("at most %d levels", maxDepth))
 		return
 	}
 	p.eachKey(node, path, func(key string, line int, value *yaml.Node) {
@@ -157,7 +156,7 @@
 func (p *fileParser) value(path string, line int, node *yaml.Node) {
 	data, ok := yamlToJSON(node)
 	if !ok {
-		p.refuse(line, path, "unusable value", "a number, a text, true or false, without anchors")
+		p.refuse(line, path, "unusable value", "a number, a string, true or false, without anchors")
 		return
 	}
 	canonical, err := canonicalValue(path, data)
@@ -169,8 +168,8 @@
 	p.changes = append(p.changes, structs.SettingChange{Path: path, Value: canonical})
 }
 
-// checkTree checks what the values must hold together, as if the file were
-// published to an empty tree.
+// checkTree checks the constraints across values, as if the file were published to an
+// empty tree.
 func (p *fileParser) checkTree() {
 	if len(p.changes) == 0 {
 		return
@@ -184,7 +183,7 @@
 	}
 }
 
-// yamlToJSON gives the JSON of a scalar, or of a mapping of scalars.
+// yamlToJSON returns the JSON of a scalar or of a mapping of scalars.
 func yamlToJSON(node *yaml.Node) ([]byte, bool) {
 	switch node.Kind {
 	case yaml.ScalarNode:
--- a/internal/settings/history.go
+++ b/internal/settings/history.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// HistoryEntry is one past change of a path as the tree keeps it.
+// HistoryEntry is a past change of a path, as stored in the tree.
 type HistoryEntry struct {
 	Version uint64 `codec:"n"`
 	Author  string `codec:"a,omitempty"`
 	// TimeMS is the author's wall clock in Unix milliseconds.
 	TimeMS int64 `codec:"t,omitempty"`
-	// Value is JSON, empty for a removal.
+	// Value is JSON; empty for a removal.
 	Value []byte `codec:"v,omitempty"`
 }
 
@@ -23,8 +23,8 @@
 	}
 }
 
-// ValueDigest is a short digest of a value's canonical JSON. It lets a client
-// compare a value of a file with one whose secrets it is not shown.
+// ValueDigest returns a short digest of a value's canonical JSON. Clients use it to
+// compare a value of a file with one that is redacted.
 func ValueDigest(value []byte) string {
 	const digestBytes = 8
 	sum := sha256.Sum256(value)
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -17,12 +17,11 @@
 	credentialsSegment = "credentials"
 )
 
-// ErrPath is the error of a malformed path.
+// ErrPath is returned for a malformed path.
 var ErrPath = errors.New("malformed settings path")
 
-// location is a parsed path. Exactly one of its three forms is filled: a key of
-// a service (Service, Key), a key of a team (Team, Key) or a credential of a
-// team (Team, Credential).
+// location is a parsed path. It has one of three forms: a key of a service (Service,
+// Key), a key of a team (Team, Key) or a credential of a team (Team, Credential).
 type location struct {
 	Area       string
 	Service    structs.ServiceName
@@ -31,7 +30,7 @@
 	Credential string
 }
 
-// checkPath tells whether a path keeps to the limits of length and characters.
+// checkPath checks the length and the characters of a path.
 func checkPath(path string) error {
 	if path == "" || len(path) > MaxPathBytes {
 		return errors.Wrapf(ErrPath, "a path has 1 to %d bytes", MaxPathBytes)
@@ -60,8 +59,7 @@
 	return true
 }
 
-// parsePath splits a path. It checks the form of the path but not that the key
-// exists.
+// parsePath parses a path. It does not check that the key exists.
 func parsePath(path string) (location, error) {
 	if err := checkPath(path); err != nil {
 		return location{}, err
@@ -111,7 +109,7 @@
 	return loc, nil
 }
 
-// checkTeam refuses team names that could be read as a key.
+// checkTeam rejects team names that could be read as a key.
 func checkTeam(segments []string) error {
 	if len(segments) > MaxTeamDepth {
 		return errors.Wrapf(ErrPath, "a team path has at most %d segments", MaxTeamDepth)
@@ -124,7 +122,7 @@
 	return nil
 }
 
-// teamKeyPath is the path of a team's key.
+// teamKeyPath returns the path of a team's key.
 func teamKeyPath(team structs.Team, key string) string {
 	if team == "" {
 		return teamsArea + "/" + key
@@ -132,7 +130,8 @@
 	return teamsArea + "/" + string(team) + "/" + key
 }
 
-// ancestors lists a team and the teams above it, from the root "" down.
+// ancestors returns the root "", the teams above a team, and the team itself, in this
+// order.
 func ancestors(team structs.Team) []structs.Team {
 	chain := []structs.Team{""}
 	if team == "" {
@@ -146,8 +145,7 @@
 	return append(chain, team)
 }
 
-// ValidTeam tells whether a team path is well formed; the empty path, the root,
-// is.
+// ValidTeam reports whether a team path is well formed. The empty path, the root, is.
 func ValidTeam(team structs.Team) bool {
 	if team == "" {
 		return true
@@ -161,7 +159,7 @@
 	return checkTeam(segments) == nil
 }
 
-// MayChange tells whether an operator of a team may change a path: those below
+// MayChange reports whether an operator of a team may change a path: only those below
 // teams/<team>/. The root operator, of the empty team, may change every path.
 func MayChange(team structs.Team, path string) bool {
 	if team == "" {
@@ -170,13 +168,13 @@
 	return strings.HasPrefix(path, teamsArea+"/"+string(team)+"/")
 }
 
-// MayRead tells whether an operator of a team may read a path: those it may
-// change, and the services.
+// MayRead reports whether an operator of a team may read a path: those it may change,
+// and the services.
 func MayRead(team structs.Team, path string) bool {
 	return MayChange(team, path) || strings.HasPrefix(path, servicesArea+"/")
 }
 
-// truncate shortens a text of unknown origin for a message.
+// truncate shortens untrusted text for an error message.
 func truncate(text string) string {
 	const maxBytes = 80
 	if len(text) <= maxBytes {
--- a/internal/settings/proposal.go
+++ b/internal/settings/proposal.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// maxPending bounds the proposals that wait for the log.
+	// maxPending is the maximum number of proposals waiting for the log.
 	maxPending = 256
-	// defaultProposalTimeout holds for a proposal without a deadline.
+	// defaultProposalTimeout applies to a proposal without a deadline.
 	defaultProposalTimeout = 10 * time.Second
-	// proposalRetryInterval is the time between a failed append and the next
-	// try. A try again is safe: the change id lets only one take effect.
+	// proposalRetryInterval is the delay after a failed append. Retries are safe: the
+	// change id lets only one take effect.
 	proposalRetryInterval = time.Second
 )
 
-// proposal is a record on its way to the log and back.
+// proposal is a record being published until it is read back.
 type proposal struct {
 	id       string
 	digest   uint64
 	records  [][]byte
 	requests []structs.RequestID
 	deadline time.Time
-	// inFlight is the present append, 0 if none.
+	// inFlight is the append in progress, 0 if none.
 	inFlight structs.AppendID
-	// onLog tells that an append took effect, uncertain that one may have.
+	// onLog reports that an append took effect, uncertain that one may have.
 	onLog     bool
 	uncertain bool
-	// retryAt is the time of the next try, zero if none is wanted.
+	// retryAt is the time of the next attempt, zero if none is scheduled.
 	retryAt time.Time
 }
 
@@ -57,7 +57,8 @@
 	p.publish(ev, changes, digest)
 }
 
-// checkRequest refuses what is wrong in itself or cannot be judged now.
+// checkRequest rejects invalid changes and any change that this instance cannot
+// evaluate now.
 func (p *Proposer) checkRequest(changes []structs.SettingChange) (structs.SettingsResult, bool) {
 	if found := Validate(changes); len(found) > 0 {
 		return invalidResult(found), true
@@ -75,7 +76,7 @@
 	return structs.SettingsResult{}, false
 }
 
-// knownResult answers a change id that the tree has seen.
+// knownResult returns the result of a change id that the tree has applied.
 func (p *Proposer) knownResult(changes []recordChange, digest uint64) (structs.SettingsResult, bool) {
 	for _, change := range changes {
 		outcome, seen := p.tree.Outcome(change.ChangeID)
@@ -90,7 +91,7 @@
 	return structs.SettingsResult{}, false
 }
 
-// attach lets a repeated request wait for the same record.
+// attach makes a repeated request wait for the pending record.
 func (p *Proposer) attach(pending *proposal, digest uint64, request structs.RequestID) {
 	if pending.digest != digest {
 		p.reply(request, reusedIDResult(recordChange{ChangeID: pending.id}))
@@ -99,8 +100,8 @@
 	pending.requests = append(pending.requests, request)
 }
 
-// checkAgainstTree refuses what the present tree does not allow. A stale base has
-// lost for good, since versions only grow.
+// checkAgainstTree rejects changes that the current tree does not allow. Versions only
+// grow, so a stale base can be rejected for good.
 func (p *Proposer) checkAgainstTree(changes []structs.SettingChange) (structs.SettingsResult, bool) {
 	for _, change := range changes {
 		if entry, _ := p.tree.Get(change.Path); entry.Version > change.Base {
@@ -111,7 +112,7 @@
 		return invalidResult(found), true
 	}
 	if len(p.pending) >= maxPending {
-		return notPublishedResult("too many changes wait for the log"), true
+		return notPublishedResult("too many changes are waiting for the log"), true
 	}
 	return structs.SettingsResult{}, false
 }
@@ -128,8 +129,8 @@
 	return list
 }
 
-// publish appends the record. If all settings are lost, an empty snapshot goes
-// before it, so that every instance starts anew from the same state.
+// publish appends the record. If all settings are lost, it first appends an empty
+// snapshot, so that every instance starts again from the same state.
 func (p *Proposer) publish(ev structs.SettingsPropose, changes []recordChange, digest uint64) {
 	data, err := encodeRecord(record{Changes: changes})
 	if err != nil {
@@ -157,7 +158,7 @@
 	p.pending[added.id] = added
 }
 
-// pendingInOrder lists the proposals in order of id, so that a run can be repeated.
+// pendingInOrder returns the proposals ordered by id, so that runs are reproducible.
 func (p *Proposer) pendingInOrder() []*proposal {
 	if len(p.pending) == 0 {
 		return nil
@@ -182,8 +183,8 @@
 	pending.inFlight, pending.onLog, pending.retryAt = 0, true, time.Time{}
 }
 
-// proposalFailed decides after a failed append. Only if every try was certainly
-// refused is the change certainly not published.
+// proposalFailed handles a failed append. The change is certainly not published only
+// if every attempt was refused.
 func (p *Proposer) proposalFailed(pending *proposal, refused bool) {
 	pending.inFlight = 0
 	if refused && !pending.uncertain {
@@ -194,7 +195,7 @@
 	pending.retryAt = p.now.Add(proposalRetryInterval)
 }
 
-// replyToApplied answers the proposals whose record the tree has applied.
+// replyToApplied replies to the proposals whose record the tree has applied.
 func (p *Proposer) replyToApplied() {
 	for _, pending := range p.pendingInOrder() {
 		outcome, ok := p.tree.Outcome(pending.id)
@@ -209,12 +210,12 @@
 	}
 }
 
-// advancePending tries appends again and gives up at the deadline.
+// advancePending retries appends and gives up at the deadline.
 func (p *Proposer) advancePending() {
 	for _, pending := range p.pendingInOrder() {
 		if !p.now.Before(pending.deadline) {
 			p.complete(pending, structs.SettingsResult{Status: structs.SettingsUnknown,
-				Detail: "the change could not be read back in time; it may still come into force"})
+				Detail: "the change could not be read back in time; it may still take effect"})
 			continue
 		}
 		if !pending.retryAt.IsZero() && !p.now.Before(pending.retryAt) {
@@ -244,7 +245,7 @@
 	}
 	result := lostResult(outcome.Path, outcome.Version, outcome.Winner)
 	if outcome.TooLarge {
-		result.Detail = "another change came first, with which the tree would be too large"
+		result.Detail = "another change came first, and with it the tree would be too large"
 	}
 	result.Offset = outcome.Offset
 	return result
--- a/internal/settings/proposer.go
+++ b/internal/settings/proposer.go
@@ -7,11 +7,11 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// appendIDBit is set in the append ids of this component and in no other's.
+// appendIDBit is set only in the append ids of this component.
 const appendIDBit = structs.AppendID(1) << 63
 
-// Proposer keeps a Tree up to date from the log, publishes the changes of
-// operators and tells them what became of them. It starts with the first Tick.
+// Proposer keeps a Tree up to date from the log, publishes the changes of operators
+// and reports their results. It starts with the first Tick.
 type Proposer struct {
 	cfg     structs.InstanceConfig
 	tree    *Tree
@@ -28,20 +28,21 @@
 	pending    map[string]*proposal
 }
 
-// NewProposer returns a Proposer that alone changes the tree. The members tell
-// whom to ask while the log is down and who writes snapshots.
+// NewProposer returns a Proposer for a tree that nothing else may change. The members
+// determine which peers to query while the log is unavailable and which instance
+// writes snapshots.
 func NewProposer(cfg structs.InstanceConfig, tree *Tree, members structs.Members) *Proposer {
 	return &Proposer{cfg: cfg, tree: tree, members: members, pending: make(map[string]*proposal)}
 }
 
-// CaughtUp tells whether the tree was as new as the log at some time since the
-// start, or as the newest peer if the log was down. It stays true.
+// CaughtUp reports whether since the start the tree was ever as new as the log, or as
+// the newest peer if the log was unavailable. It stays true.
 func (p *Proposer) CaughtUp() bool { return p.catchUp.done }
 
-// Next is the offset of the next settings record to apply.
+// Next returns the offset of the next settings record to apply.
 func (p *Proposer) Next() uint64 { return p.tree.Next() }
 
-// Tick takes in events that happened by now and gives the commands that follow.
+// Tick processes the events that occurred by now and returns the resulting commands.
 func (p *Proposer) Tick(now time.Time, events []structs.Event) []structs.Command {
 	p.now, p.out = now, nil
 	if !p.started {
@@ -97,7 +98,7 @@
 	}
 }
 
-// append asks for records to be appended and gives the id of the append.
+// append emits an append of records and returns its id.
 func (p *Proposer) append(records ...[]byte) structs.AppendID {
 	p.appends++
 	id := p.appends | appendIDBit
@@ -114,7 +115,7 @@
 	return p.cfg.Retention
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if there is none.
 func (p *Proposer) NextWake() time.Time {
 	next := earliest(p.exchange.wakeAt, p.checkpoint.wakeAt)
 	for _, proposal := range p.pending {
@@ -123,7 +124,7 @@
 	return next
 }
 
-// earliest gives the earlier of two times, of which zero means never.
+// earliest returns the earlier of two times, where zero means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -131,7 +132,7 @@
 	return a
 }
 
-// recordTime is the log's time of a record, but never after now.
+// recordTime returns the log's time of a record, at most now.
 func (p *Proposer) recordTime(record wire.LogRecord) time.Time {
 	at := time.UnixMilli(record.TimeMS)
 	if at.After(p.now) {
--- a/internal/settings/resolve.go
+++ b/internal/settings/resolve.go
@@ -7,8 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// view is what the tree resolves to. It is made when first asked for after a
-// change.
+// view is the resolved form of the tree. It is built on first use after a change.
 type view struct {
 	services    []structs.Service
 	byName      map[structs.ServiceName]structs.Service
@@ -16,7 +15,7 @@
 	policies    map[structs.Team]structs.Policy
 }
 
-// resolved gives the present view.
+// resolved returns the current view.
 func (t *Tree) resolved() *view {
 	t.mu.RLock()
 	v := t.view
@@ -59,7 +58,7 @@
 	return v
 }
 
-// addCredential keeps a well-formed credential of a team; the root has none.
+// addCredential adds a well-formed credential of a team; the root has none.
 func (v *view) addCredential(loc location, value []byte) {
 	raw, ok := decodeJSON(value)
 	if !ok || loc.Team == "" {
@@ -76,8 +75,7 @@
 	})
 }
 
-// addService resolves a service; values that this program cannot read are left
-// at their defaults.
+// addService resolves a service. Values that cannot be decoded keep their defaults.
 func (t *Tree) addService(v *view, name structs.ServiceName) {
 	s := structs.DefaultService(name, "")
 	for _, f := range serviceFields.fields {
@@ -93,13 +91,13 @@
 	v.byName[name] = s
 }
 
-// Service gives a service, false if the tree has none of that name.
+// Service returns a service, false if the tree has none of that name.
 func (t *Tree) Service(name structs.ServiceName) (structs.Service, bool) {
 	s, ok := t.resolved().byName[name]
 	return s, ok
 }
 
-// Services lists the services in order of name.
+// Services returns the services ordered by name.
 func (t *Tree) Services() []structs.Service {
 	services := slices.Clone(t.resolved().services)
 	slices.SortFunc(services, func(a, b structs.Service) int {
@@ -108,11 +106,11 @@
 	return services
 }
 
-// Policy gives the effective policy of a team. Each key is taken from the
-// nearest path upwards that sets it, then from structs.DefaultPolicy. Budgets,
-// turns, weight, max_queued and retries are the least that any path on the way
-// sets, and priority the greatest number, so that a team cannot take more than
-// the teams above it allow. Defaults are no such bound.
+// Policy returns the effective policy of a team. Each key is taken from the nearest
+// path upwards that sets it, and otherwise from structs.DefaultPolicy. Budgets, turns,
+// weight, max_queued and retries are the minimum over all paths that set them, and
+// priority is the maximum, so that a team cannot take more than the teams above it
+// allow. Defaults do not limit teams.
 func (t *Tree) Policy(team structs.Team) structs.Policy {
 	v := t.resolved()
 	t.mu.RLock()
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -8,24 +8,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Ranges used by several keys.
+// Ranges shared by several keys.
 const (
 	maxCount    = 1_000_000
 	maxTokens   = math.MaxInt64 / 4
 	maxDuration = 30 * 24 * time.Hour
 	minTimeout  = time.Millisecond
-	// maxOrderBytes bounds the name of a model, adapter, version or role.
+	// maxOrderBytes is the maximum length of the name of a model, adapter, version or
+	// role.
 	maxOrderBytes = 200
 )
 
-// atMostInherited is the limit of a key that a team may lower but not raise over its
-// ancestors.
+// atMostInherited combines the values of a key that a team may lower but not raise.
 func atMostInherited[V cmp.Ordered](inherited, own V) V { return min(inherited, own) }
 
-// atLeastInherited is the limit of a key that a team may raise but not lower.
+// atLeastInherited combines the values of a key that a team may raise but not lower.
 func atLeastInherited[V cmp.Ordered](inherited, own V) V { return max(inherited, own) }
 
-// tighterBound is the limit of a bound where 0 means none.
+// tighterBound combines the values of a bound where 0 means no bound.
 func tighterBound(inherited, own int64) int64 {
 	if inherited == 0 || own == 0 {
 		return max(inherited, own)
@@ -58,7 +58,7 @@
 	newField("retries", integerType(0, 10), func(p *policy) *int { return &p.Retries }, atMostInherited[int]),
 )
 
-// kindKey is the key that makes a service exist.
+// kindKey is the key that defines a service.
 const kindKey = "kind"
 
 // serviceFields is the schema of a service's keys.
--- a/internal/settings/show.go
+++ b/internal/settings/show.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// Entry is one path of the tree as operators see it.
+// Entry is one path of the tree as shown to operators.
 type Entry struct {
 	Path string `json:"path"`
-	// Value is absent for a removed path; the hash of a credential is cut
-	// short.
+	// Value is absent for a removed path. The hash of a credential is abbreviated.
 	Value   json.RawMessage `json:"value,omitempty"`
 	Version uint64          `json:"version"`
 	Author  string          `json:"author"`
 	// Time is the author's wall clock.
 	Time time.Time `json:"time"`
-	// Digest is ValueDigest of the whole value, to compare it with a file.
+	// Digest is ValueDigest of the whole value, for comparison with a file.
 	Digest string `json:"digest,omitempty"`
-	// Removed marks a path without a value; its version is the base of the
-	// next change.
+	// Removed marks a path without a value. Its version is the base of the next
+	// change.
 	Removed bool `json:"removed,omitempty"`
 }
 
-// Listing is a part of the tree, applied up to the offset Next.
+// Listing is a part of the tree, with records applied up to offset Next.
 type Listing struct {
 	Next    uint64  `json:"next"`
 	Entries []Entry `json:"entries"`
@@ -46,7 +45,7 @@
 	Changes []PastChange `json:"changes"`
 }
 
-// Get gives one path, also a removed one, false if it never had a value.
+// Get returns a path, even if removed; false if it never had a value.
 func (t *Tree) Get(path string) (Entry, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -57,8 +56,8 @@
 	return e.listing(path), true
 }
 
-// Listing gives a path and all below it, removed ones included, in order of
-// path; false if there is nothing. The empty path lists all and is always true.
+// Listing returns a path and all paths below it, including removed ones, ordered by
+// path; false if there are none. The empty path returns all and is always true.
 func (t *Tree) Listing(path string) (Listing, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -72,7 +71,7 @@
 	return list, path == "" || len(list.Entries) > 0
 }
 
-// HistoryListing gives the retained changes of a path and of all below it,
+// HistoryListing returns the retained changes of a path and of all paths below it,
 // newest first; false if there are none.
 func (t *Tree) HistoryListing(path string) (HistoryListing, bool) {
 	t.mu.RLock()
@@ -102,7 +101,7 @@
 	return 1
 }
 
-// within tells whether a path is the root or lies at or below it.
+// within reports whether path is root or below it. The empty root contains every path.
 func within(root, path string) bool {
 	return root == "" || path == root || strings.HasPrefix(path, root+"/")
 }
@@ -126,8 +125,8 @@
 
 func wallTime(milliseconds int64) time.Time { return time.UnixMilli(milliseconds).UTC() }
 
-// redact gives a value as operators may see it. A value that is not JSON, which
-// only a faulty program writes, is hidden so that the listing stays JSON.
+// redact returns a value as shown to operators. A value that is not JSON, which only a
+// faulty program writes, is hidden so that the listing stays valid JSON.
 func redact(path string, value []byte) json.RawMessage {
 	if len(value) == 0 {
 		return nil
--- a/internal/settings/snapshot.go
+++ b/internal/settings/snapshot.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// snapshot is the whole state of a tree, applied up to Next.
+// snapshot is the whole state of a tree, with records applied up to Next.
 type snapshot struct {
 	Next     uint64             `codec:"n"`
 	Entries  map[string]*entry  `codec:"e,omitempty"`
@@ -13,7 +13,7 @@
 	Skipped  uint64             `codec:"g,omitempty"`
 }
 
-// check holds the limits of a snapshot from the log or a peer.
+// check checks the limits of a snapshot from the log or a peer.
 func (s *snapshot) check() error {
 	if len(s.Entries) > MaxPaths || len(s.Order) > maxOutcomes || len(s.Outcomes) != len(s.Order) {
 		return errors.Wrap(ErrRecord, "snapshot too large")
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Snapshot gives the whole state as a record of the settings stream.
+// Snapshot returns the whole state as a record of the settings stream.
 func (t *Tree) Snapshot() ([]byte, error) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// snapshot gives the state with the last few history entries of each path.
+// snapshot returns the state with the last history entries of each path.
 func (t *Tree) snapshot(history int) *snapshot {
 	s := &snapshot{Next: t.next, Order: t.outcomeOrder, Outcomes: t.outcomes, Skipped: t.skipped,
 		Entries: make(map[string]*entry, len(t.entries))}
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Restore takes over the state of a snapshot if it is newer than the tree's
-// own. It tells whether it did; the tree never goes back.
+// Restore replaces the tree's state by that of a snapshot if it is newer, and reports
+// whether it did.
 func (t *Tree) Restore(data []byte) (bool, error) {
 	r, err := decodeRecord(data)
 	if err != nil {
--- a/internal/settings/suggest.go
+++ b/internal/settings/suggest.go
@@ -1,10 +1,10 @@
 package settings
 
-// maxSuggestDistance is the largest edit distance of a suggestion.
+// maxSuggestDistance is the maximum edit distance of a suggestion.
 const maxSuggestDistance = 3
 
-// closestName finds the known name that differs least from a given one, false if
-// none is near.
+// closestName returns the known name with the smallest edit distance to name, false if
+// none is close.
 func closestName(name string, known []string) (string, bool) {
 	if len(name) > MaxSegmentBytes {
 		return "", false
@@ -18,7 +18,7 @@
 	return best, best != "" && bestDistance < len(best)
 }
 
-// editDistance is the Levenshtein distance of two short texts.
+// editDistance returns the Levenshtein distance of two short strings.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -8,16 +8,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Tree is the state of the settings, applied up to an offset of the settings
-// stream. It implements structs.Settings. Only one goroutine may change it; any
-// may read it.
+// Tree is the state of the settings, applied up to an offset of the settings stream.
+// It implements structs.Settings. Only one goroutine may change it; any may read it.
 type Tree struct {
 	mu      sync.RWMutex
 	next    uint64
 	entries map[string]*entry
 	size    int
-	// outcomes remembers the last maxOutcomes change ids, oldest first in
-	// outcomeOrder.
+	// outcomes holds the outcomes of the last maxOutcomes change ids; outcomeOrder
+	// lists these from oldest to newest.
 	outcomes     map[string]Outcome
 	outcomeOrder []string
 	skipped      uint64
@@ -26,8 +25,8 @@
 
 var _ structs.Settings = (*Tree)(nil)
 
-// entry is one path of the tree. A removed path keeps its version, so that a
-// change made from an older version stays stale.
+// entry is one path of the tree. A removed path keeps its version, so that a change
+// based on an older version is still rejected.
 type entry struct {
 	Version uint64         `codec:"n"`
 	Value   []byte         `codec:"v,omitempty"`
@@ -50,16 +49,16 @@
 	return e.Version
 }
 
-// Outcome tells what became of a record that the tree has applied.
+// Outcome is the result of a record that the tree has applied.
 type Outcome struct {
 	Accepted bool `codec:"k,omitempty"`
-	// TooLarge: it would have taken the tree over its limits.
+	// TooLarge: the record would have exceeded the limits of the tree.
 	TooLarge bool `codec:"z,omitempty"`
 	// Offset is the record's offset on the log.
 	Offset uint64 `codec:"o"`
-	// Path is the path that a lost record lost, Version the version that was
-	// in force there and Winner its author; for an accepted record the first
-	// path, the new version and the record's own author.
+	// For a rejected record, Path is the conflicting path, Version its current version
+	// and Winner the author of that. For an accepted record, they are the first path,
+	// the new version and the record's author.
 	Path    string `codec:"p"`
 	Version uint64 `codec:"n"`
 	Winner  string `codec:"w,omitempty"`
@@ -67,27 +66,27 @@
 	Digest uint64 `codec:"d"`
 }
 
-// NewTree makes an empty tree that expects offset 0.
+// NewTree returns an empty tree that expects offset 0.
 func NewTree() *Tree {
 	return &Tree{entries: make(map[string]*entry), outcomes: make(map[string]Outcome)}
 }
 
-// Next is the offset of the next record to apply.
+// Next returns the offset of the next record to apply.
 func (t *Tree) Next() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.next
 }
 
-// Skipped counts the records that could not be read or broke a limit.
+// Skipped returns the number of records that could not be decoded or exceeded a limit.
 func (t *Tree) Skipped() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.skipped
 }
 
-// Outcome tells what became of the record that carried a change id, false if
-// the tree has applied none lately.
+// Outcome returns the result of the record with a change id, false if the tree has
+// applied none recently.
 func (t *Tree) Outcome(changeID string) (Outcome, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -95,23 +94,24 @@
 	return outcome, ok
 }
 
-// Version is the version of a path, 0 if it never had a value.
+// Version returns the version of a path, 0 if it never had a value.
 func (t *Tree) Version(path string) uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.entries[path].versionOrZero()
 }
 
-// Apply applies the record at an offset. Offsets below Next were applied before
-// and are ignored; the caller sees to it that no offset is left out. A record
-// that cannot be read is counted and skipped. A snapshot changes nothing, since
-// the tree has applied what it holds.
+// Apply applies the record at an offset. Offsets below Next are ignored as already
+// applied; the caller must not skip offsets. A record that cannot be decoded is
+// counted and skipped. A snapshot has no effect, since the tree has already applied
+// its content.
 func (t *Tree) Apply(offset uint64, data []byte) {
 	r, err := decodeRecord(data)
 	t.applyRecord(offset, r, err)
 }
 
-// applyRecord applies a decoded record; err tells that it could not be read.
+// applyRecord applies a decoded record. A non-nil err means that it could not be
+// decoded.
 func (t *Tree) applyRecord(offset uint64, r record, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +160,8 @@
 		Winner: first.Author, Digest: digest}
 }
 
-// conflictOutcome is the outcome of a record that lost a path to its present version.
+// conflictOutcome returns the outcome of a record that conflicts with the current
+// version of a path.
 func (t *Tree) conflictOutcome(offset uint64, path string, digest uint64) Outcome {
 	outcome := Outcome{Offset: offset, Path: path, Digest: digest}
 	if current := t.entries[path]; current != nil {
@@ -182,8 +183,8 @@
 	e.addHistory(HistoryEntry{Version: e.Version, Author: e.Author, TimeMS: e.TimeMS, Value: e.Value})
 }
 
-// recordOutcome keeps the outcome under each change id of the record. The first
-// outcome of an id stays.
+// recordOutcome stores the outcome under each change id of the record. Later
+// outcomes of the same id are ignored.
 func (t *Tree) recordOutcome(changes []recordChange, outcome Outcome) {
 	for _, change := range changes {
 		if _, seen := t.outcomes[change.ChangeID]; seen {
@@ -198,7 +199,7 @@
 	}
 }
 
-// sizeAfter gives the number of paths and the bytes after changes.
+// sizeAfter returns the number of paths and the total bytes after changes.
 func (t *Tree) sizeAfter(changes []structs.SettingChange) (paths, size int) {
 	paths, size = len(t.entries), t.size
 	for _, change := range changes {
@@ -220,7 +221,7 @@
 	return list
 }
 
-// changesDigest tells records with the same change id apart.
+// changesDigest distinguishes records that reuse a change id.
 func changesDigest(changes []recordChange) uint64 {
 	digest := xxhash.New()
 	for _, change := range changes {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -8,17 +8,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ValidationError tells why a change cannot be published.
+// ValidationError is the reason why a change cannot be published.
 type ValidationError struct {
 	Path string
-	// Value is the refused value; it is empty for a credential.
+	// Value is the rejected value; empty for a credential.
 	Value string
-	// Detail is what is wrong and Expected what is wanted instead.
+	// Detail describes the error and Expected what would be valid.
 	Detail   string
 	Expected string
 }
 
-// Error gives the whole reason in one line.
+// Error returns the whole reason in one line.
 func (e *ValidationError) Error() string {
 	text := e.Path + ": " + e.Detail
 	if e.Value != "" {
@@ -30,8 +30,8 @@
 	return text
 }
 
-// Validate checks changes against the schema and returns every error found. It
-// does not look at the present tree; see Tree.Validate.
+// Validate checks changes against the schema and returns every error found. It does
+// not consider the current tree; see Tree.Validate.
 func Validate(changes []structs.SettingChange) []*ValidationError {
 	if len(changes) == 0 || len(changes) > MaxChanges {
 		return []*ValidationError{{Detail: fmt.Sprintf("%d changes", len(changes)),
@@ -54,7 +54,7 @@
 
 func validateChange(change structs.SettingChange) *ValidationError {
 	if change.ChangeID == "" || len(change.ChangeID) > MaxChangeIDBytes {
-		return &ValidationError{Path: truncate(change.Path), Detail: "bad change id",
+		return &ValidationError{Path: truncate(change.Path), Detail: "invalid change id",
 			Expected: fmt.Sprintf("a unique id of 1 to %d bytes", MaxChangeIDBytes)}
 	}
 	if len(change.Author) > MaxChangeIDBytes {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// canonicalValue gives the canonical JSON of a path's value; empty stays empty.
+// canonicalValue returns the canonical JSON of a path's value; empty stays empty.
 func canonicalValue(path string, value []byte) ([]byte, *ValidationError) {
 	loc, err := parsePath(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return data, nil
 }
 
-// lookupKey finds the schema of a path.
+// lookupKey returns the schema of a path.
 func lookupKey(path string, loc location) (string, func(any) ([]byte, bool), *ValidationError) {
 	switch {
 	case loc.Credential != "" && loc.Team == "":
@@ -125,7 +125,7 @@
 	return data, err == nil
 }
 
-// displayValue is a refused value as a message may show it.
+// displayValue returns a rejected value for an error message.
 func displayValue(loc location, value []byte) string {
 	if loc.Credential != "" {
 		return ""
@@ -141,8 +141,8 @@
 	return &ValidationError{Path: path, Detail: detail, Expected: "one of " + strings.Join(known, ", ")}
 }
 
-// Validate checks changes against the schema and against the present tree:
-// every service keeps a kind, and the tree keeps within its limits.
+// Validate checks changes against the schema and the current tree: every service must
+// have a kind, and the tree must stay within its limits.
 func (t *Tree) Validate(changes []structs.SettingChange) []*ValidationError {
 	found := Validate(changes)
 	if len(found) > 0 {
@@ -156,7 +156,7 @@
 	return t.checkKinds(changes)
 }
 
-// checkKinds refuses keys of a service that has no kind after the changes.
+// checkKinds rejects keys of a service without a kind after the changes.
 func (t *Tree) checkKinds(changes []structs.SettingChange) []*ValidationError {
 	after := make(map[string]bool)
 	for _, change := range changes {
@@ -181,7 +181,7 @@
 	return found
 }
 
-// checkSize refuses changes that would take the tree over its limits.
+// checkSize rejects changes that would exceed the limits of the tree.
 func (t *Tree) checkSize(changes []structs.SettingChange) *ValidationError {
 	paths, size := t.sizeAfter(changes)
 	if paths > MaxPaths || size > MaxTreeBytes {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -11,7 +11,7 @@
 	"unicode/utf8"
 )
 
-// decodeJSON decodes one JSON value, numbers as json.Number.
+// decodeJSON decodes exactly one JSON value, with numbers as json.Number.
 func decodeJSON(data []byte) (any, bool) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -27,11 +27,11 @@
 
 // valueType is the type and range of a key's value.
 type valueType[V any] struct {
-	// expected tells an operator what is wanted.
+	// expected describes the valid values for error messages.
 	expected string
-	// decode takes a value as decodeJSON gives it.
+	// decode converts a value returned by decodeJSON.
 	decode func(raw any) (V, bool)
-	// encode gives the canonical form, to be marshalled as JSON.
+	// encode returns the canonical form, to be marshalled as JSON.
 	encode func(V) any
 }
 
@@ -81,7 +81,7 @@
 	return valueType[S]{"one of " + strings.Join(names, ", "), decode, identity[S]}
 }
 
-// textType is the type of a name that is passed on as it is.
+// textType is the type of a name that is passed on unchanged.
 func textType(maxBytes int) valueType[string] {
 	decode := func(raw any) (string, bool) {
 		s, ok := raw.(string)
