--- a/internal/settings/catchup_test.go
+++ b/internal/settings/catchup_test.go
@@ -30,16 +30,16 @@
 	}
 	read(0, 2, one)
 	if n.CaughtUp() {
-		t.Fatal("caught up before the end seen at the start")
+		t.Fatal("caught up before the end of the first read")
 	}
 	read(1, 5, two)
 	if !n.CaughtUp() {
-		t.Fatal("not caught up at the end seen at the start")
+		t.Fatal("not caught up at the end of the first read")
 	}
 }
 
-// A snapshot that ends before the oldest retained record leaves a gap, and must
-// not be mistaken for the whole state.
+// A snapshot that ends before the oldest retained record leaves a gap and must not be
+// taken for the whole state.
 func TestSnapshotFromBeforeTheGapIsNotRestored(t *testing.T) {
 	cluster := newCluster(t)
 	whole := treeOf(t, map[string]string{"teams/a/priority": "1"})
@@ -69,7 +69,7 @@
 	}
 }
 
-// A peer's state that still ends before the gap is taken, but closes nothing.
+// A peer's state that ends before the gap is restored but does not close the gap.
 func TestPeerStateFromBeforeTheGapLeavesTheGap(t *testing.T) {
 	cluster := newCluster(t)
 	whole := treeOf(t, map[string]string{"teams/a/priority": "1"})
@@ -97,7 +97,7 @@
 		Records: []wire.LogRecord{{TimeMS: cluster.now.UnixMilli(), Data: one}},
 	})
 	if state := n.stateReply(0); n.Next() != 1 || state.Next != 0 || len(state.State) != 0 {
-		t.Fatalf("next %d, gave %+v", n.Next(), state)
+		t.Fatalf("next %d, got state %+v", n.Next(), state)
 	}
 }
 
@@ -134,8 +134,8 @@
 	}
 }
 
-// An instance that started from a peer does not know how old the last snapshot
-// on the log is, so it has one written soon.
+// An instance that started from a peer's state does not know the age of the last
+// snapshot on the log, so it must write one soon.
 func TestSnapshotSoonAfterAStartFromPeers(t *testing.T) {
 	cluster := newCluster(t)
 	a := cluster.start("a")
--- a/internal/settings/codec_test.go
+++ b/internal/settings/codec_test.go
@@ -30,11 +30,11 @@
 		}
 		back, err := decodeRecord(again)
 		if err != nil {
-			t.Fatalf("a record that was read cannot be read again: %v", err)
+			t.Fatalf("re-encoded record cannot be decoded: %v", err)
 		}
 		third, err := encodeRecord(back)
 		if err != nil || !bytes.Equal(again, third) {
-			t.Fatalf("encoding is not stable: %v", err)
+			t.Fatalf("encoding is not stable (err %v)", err)
 		}
 		NewTree().Apply(0, data)
 	})
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// loadExample checks a settings file of the examples and applies it.
+// loadExample validates the settings file of an example and applies it to a tree.
 func loadExample(t *testing.T, name string) *Tree {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/" + name + "/settings.yaml")
--- a/internal/settings/fakes_test.go
+++ b/internal/settings/fakes_test.go
@@ -9,10 +9,10 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// testStart is the start of the virtual clock.
+// testStart is the initial time of the virtual clock.
 var testStart = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// fakeMembers lists instances of one region.
+// fakeMembers is a membership list of one region.
 type fakeMembers struct {
 	structs.Members
 	peers     []structs.Peer
@@ -22,7 +22,7 @@
 func (m *fakeMembers) Peers() []structs.Peer                { return m.peers }
 func (m *fakeMembers) Suspected(id structs.InstanceID) bool { return m.suspected[id] }
 
-// appendFault is what happens to the next append.
+// appendFault is the fault injected into an append.
 type appendFault int
 
 const (
@@ -30,11 +30,11 @@
 	appendReplyLost
 	appendLost
 	appendRefused
-	appendUnanswered // took effect, but no answer of any kind comes
+	appendUnanswered // takes effect, but neither success nor failure is reported
 )
 
-// fakeCluster drives instances' proposers over one fake log, on a virtual clock.
-// Reads are explicit: read delivers what a tail would.
+// fakeCluster runs the proposers of several instances over one fake log on a virtual
+// clock. Reads are explicit: read delivers what a tail would.
 type fakeCluster struct {
 	t       *testing.T
 	now     time.Time
@@ -46,7 +46,7 @@
 	nodes   map[structs.InstanceID]*fakeNode
 	order   []structs.InstanceID
 	members *fakeMembers
-	// partitioned are instances whose messages to others are lost.
+	// partitioned are instances whose messages to and from others are lost.
 	partitioned map[structs.InstanceID]bool
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// start makes an instance and gives it its first tick.
+// start creates an instance and runs its first tick.
 func (cluster *fakeCluster) start(id structs.InstanceID) *fakeNode {
 	peer := structs.Peer{ID: id}
 	cfg := structs.DefaultInstanceConfig(peer, "1")
@@ -84,7 +84,7 @@
 	return n
 }
 
-// tick gives a node its waiting events and carries out its commands.
+// tick delivers queued and given events to a node and executes its commands.
 func (cluster *fakeCluster) tick(n *fakeNode, events ...structs.Event) {
 	queue := append(n.queue, events...)
 	n.queue = nil
@@ -106,7 +106,7 @@
 		}
 	case structs.ReplySettings:
 		if old, twice := n.replies[cmd.Request]; twice {
-			cluster.t.Errorf("%s answered twice: %v, %v", cmd.Request, old, cmd.Result)
+			cluster.t.Errorf("%s got two replies: %v, %v", cmd.Request, old, cmd.Result)
 		}
 		n.replies[cmd.Request] = cmd.Result
 	}
@@ -114,7 +114,7 @@
 
 func (cluster *fakeCluster) append(n *fakeNode, cmd structs.LogAppend) {
 	if cmd.ID&appendIDBit == 0 || cmd.Stream != structs.SettingsStream {
-		cluster.t.Errorf("append %x to %s", cmd.ID, cmd.Stream)
+		cluster.t.Errorf("unexpected append id %x or stream %s", cmd.ID, cmd.Stream)
 	}
 	fault := appendOK
 	if len(cluster.faults) > 0 {
@@ -152,7 +152,7 @@
 	cluster.first = first
 }
 
-// read gives a node what its tail sees now.
+// read delivers to a node what its tail would read now.
 func (cluster *fakeCluster) read(n *fakeNode) {
 	stream := structs.SettingsStream
 	switch {
@@ -172,7 +172,7 @@
 	}
 }
 
-// settle reads and delivers until nothing moves, without passing time.
+// settle runs several rounds of reads and deliveries without advancing the clock.
 func (cluster *fakeCluster) settle() {
 	const rounds = 8
 	for range rounds {
@@ -182,7 +182,7 @@
 	}
 }
 
-// advance advances the clock in steps and settles at each.
+// advance moves the clock forward in steps and settles after each.
 func (cluster *fakeCluster) advance(d, step time.Duration) {
 	for end := cluster.now.Add(d); cluster.now.Before(end); {
 		cluster.now = cluster.now.Add(step)
@@ -210,7 +210,7 @@
 	t.Helper()
 	got, ok := n.replies[request]
 	if !ok || got.Status != want {
-		t.Fatalf("%s at %s: got %+v (answered %v), want %s", request, n.id, got, ok, want)
+		t.Fatalf("%s at %s: got %+v (replied %v), want %s", request, n.id, got, ok, want)
 	}
 	return got
 }
--- a/internal/settings/file_test.go
+++ b/internal/settings/file_test.go
@@ -91,7 +91,7 @@
 			changes[i].ChangeID = "fuzz"
 		}
 		if found := NewTree().Validate(changes); len(found) > 0 {
-			t.Fatalf("a file passed whose changes do not: %v", found[0])
+			t.Fatalf("file is valid but its changes are not: %v", found[0])
 		}
 	})
 }
--- a/internal/settings/limits_test.go
+++ b/internal/settings/limits_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fullTree is a tree at all of its limits.
+// fullTree returns a tree at all of its limits.
 func fullTree() *Tree {
 	tree := NewTree()
 	for i := range MaxPaths {
@@ -32,7 +32,7 @@
 	return "teams/" + name + "/weight"
 }
 
-// However full the tree is, an instance can start from its snapshot.
+// An instance must be able to start from the snapshot of a tree at its limits.
 func TestSnapshotOfAFullTreeCanBeRead(t *testing.T) {
 	tree := fullTree()
 	data, err := tree.Snapshot()
@@ -41,7 +41,7 @@
 	}
 	restored := NewTree()
 	if took, err := restored.Restore(data); !took || err != nil {
-		t.Fatalf("%d paths of %d bytes, snapshot of %d bytes: took %v, %v", len(tree.entries), tree.size, len(data), took, err)
+		t.Fatalf("%d paths of %d bytes, snapshot of %d bytes: restored %v, %v", len(tree.entries), tree.size, len(data), took, err)
 	}
 	t.Logf("%d paths of %d bytes, snapshot of %d bytes", len(tree.entries), tree.size, len(data))
 }
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -12,13 +12,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Whatever is proposed where, with whatever faults, reads and restarts: offsets
-// and versions only grow, no version of a path has two values, who heard
-// accepted won, who heard lost or not-published is not in force, and in the end
-// all trees agree.
+// For any schedule of proposals, faults, reads and restarts: offsets and versions only
+// grow, no version of a path has two values, an accepted change is in force, a lost or
+// unpublished one is not, and eventually all trees agree.
 func TestProposersAgreeProperty(t *testing.T) {
 	properties := gopter.NewProperties(nil)
-	properties.Property("one winner for each version, never back", prop.ForAll(
+	properties.Property("one winner for each version, versions never decrease", prop.ForAll(
 		func(steps []int) bool { return runSchedule(t, steps) },
 		gen.SliceOfN(60, gen.IntRange(0, 9999)),
 	))
@@ -69,7 +68,7 @@
 	}
 }
 
-// checker follows what the instances show.
+// checker checks the invariants of the instances' visible state.
 type checker struct {
 	values   map[string]string
 	versions map[*fakeNode]map[string]uint64
@@ -91,12 +90,12 @@
 		for _, e := range entries(n.tree) {
 			key := fmt.Sprintf("%s@%d", e.Path, e.Version)
 			if old, ok := c.values[key]; ok && old != string(e.Value) {
-				t.Logf("%s is %s and %s", key, old, e.Value)
+				t.Logf("%s has two values: %s and %s", key, old, e.Value)
 				return false
 			}
 			c.values[key] = string(e.Value)
 			if e.Version < c.versions[n][e.Path] {
-				t.Logf("%s went back at %s", key, n.id)
+				t.Logf("%s: version decreased at %s", key, n.id)
 				return false
 			}
 			c.versions[n][e.Path] = e.Version
@@ -108,7 +107,7 @@
 	return true
 }
 
-// checkFinal compares the answers with the log itself.
+// checkFinal compares the trees and the replies with the log.
 func (c *checker) checkFinal(t *testing.T, cluster *fakeCluster) bool {
 	expected := NewTree()
 	for _, rec := range cluster.records {
@@ -127,7 +126,7 @@
 			result.Status == structs.SettingsLost && accepted ||
 			result.Status == structs.SettingsNotPublished && onLog
 		if wrong {
-			t.Logf("%s heard %s, on the log %+v", id, result.Status, outcome)
+			t.Logf("%s: replied %s, on the log %+v", id, result.Status, outcome)
 			return false
 		}
 	}
--- a/internal/settings/proposer_test.go
+++ b/internal/settings/proposer_test.go
@@ -18,7 +18,7 @@
 	cluster.propose(a, "r1", priority("x", 0, 3))
 	cluster.tick(a)
 	if len(a.replies) != 0 {
-		t.Fatalf("answered before the record was read back: %v", a.replies)
+		t.Fatalf("reply before the record was read back: %v", a.replies)
 	}
 	cluster.settle()
 	got := a.expect(t, "r1", structs.SettingsAccepted)
@@ -26,7 +26,7 @@
 		t.Fatalf("got %+v", got)
 	}
 	if p := b.tree.Policy("x"); p.Priority != 3 {
-		t.Fatalf("not in force at the other instance: %+v", p)
+		t.Fatalf("change did not take effect at the other instance: %+v", p)
 	}
 }
 
@@ -45,7 +45,7 @@
 	cluster.propose(b, "rc", priority("x", 0, 2))
 	b.expect(t, "rc", structs.SettingsLost)
 	if cluster.end != 2 {
-		t.Fatalf("a change known to be stale was published: %d records", cluster.end)
+		t.Fatalf("stale change was published: %d records", cluster.end)
 	}
 }
 
@@ -71,7 +71,7 @@
 	cluster.propose(a, "r1", priority("x", 0, 1))
 	cluster.settle()
 	if len(a.replies) != 0 {
-		t.Fatalf("guessed: %v", a.replies)
+		t.Fatalf("premature reply: %v", a.replies)
 	}
 	cluster.advance(2*time.Second, time.Second)
 	a.expect(t, "r1", structs.SettingsAccepted)
@@ -87,7 +87,8 @@
 	a.expect(t, "r1", structs.SettingsNotPublished)
 }
 
-// After an append that may have taken effect, a later refusal proves nothing.
+// After an append that may have taken effect, a later refusal does not prove that the
+// change was not published.
 func TestRefusalAfterUncertainAppendIsUnknown(t *testing.T) {
 	cluster := newCluster(t)
 	a := cluster.start("a")
@@ -98,7 +99,7 @@
 	cluster.down = true
 	cluster.advance(9*time.Second, time.Second)
 	if len(a.replies) != 0 {
-		t.Fatalf("guessed: %v", a.replies)
+		t.Fatalf("premature reply: %v", a.replies)
 	}
 	cluster.advance(2*time.Second, time.Second)
 	a.expect(t, "r1", structs.SettingsUnknown)
@@ -115,7 +116,7 @@
 	a.expect(t, "r1", structs.SettingsUnknown)
 	cluster.settle()
 	if p := a.tree.Policy("x"); p.Priority != 1 {
-		t.Fatal("the record on the log did not come into force")
+		t.Fatal("the record on the log did not take effect")
 	}
 }
 
@@ -160,7 +161,7 @@
 	cluster.settle()
 	b := cluster.start("b")
 	if b.CaughtUp() {
-		t.Fatal("caught up without reading")
+		t.Fatal("caught up before the first read")
 	}
 	cluster.propose(b, "r2", priority("x", 1, 2))
 	b.expect(t, "r2", structs.SettingsNotPublished)
@@ -191,7 +192,7 @@
 	}
 	cluster.advance(4*time.Second, time.Second)
 	if b.Next() != 2 {
-		t.Fatalf("a running instance did not learn the newer settings: %d", b.Next())
+		t.Fatalf("running instance did not receive the newer settings: next %d", b.Next())
 	}
 	cluster.down = false
 	cluster.settle()
@@ -206,12 +207,12 @@
 	a, b := cluster.start("a"), cluster.start("b")
 	cluster.advance(5*time.Second, time.Second)
 	if a.CaughtUp() || b.CaughtUp() {
-		t.Fatal("caught up from nothing")
+		t.Fatal("caught up without log and peers")
 	}
 	cluster.down = false
 	cluster.settle()
 	if !a.CaughtUp() || !b.CaughtUp() {
-		t.Fatal("not caught up with the log back")
+		t.Fatal("not caught up after the log recovered")
 	}
 }
 
@@ -244,7 +245,7 @@
 	cluster.settle()
 	cluster.propose(a, "r1", priority("x", 0, 1))
 	cluster.settle()
-	cluster.order = []structs.InstanceID{"b"} // a is frozen, and not suspected yet
+	cluster.order = []structs.InstanceID{"b"} // a is unresponsive but not yet suspected
 	cluster.advance(7*time.Hour, 10*time.Minute)
 	if b.appends != 1 {
 		t.Fatalf("%d snapshots written", b.appends)
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// change makes a record's change; the id is unique by path, base and value.
+// change returns a record's change with an id that is unique by path, base and value.
 func change(path string, base uint64, value string) recordChange {
 	id := fmt.Sprintf("%s@%d=%s", path, base, value)
 	if len(id) > MaxChangeIDBytes {
@@ -42,7 +42,7 @@
 	return list.Changes
 }
 
-// treeOf applies one record of first values.
+// treeOf returns a tree with the given values, one record each.
 func treeOf(t *testing.T, values map[string]string) *Tree {
 	t.Helper()
 	tree := NewTree()
@@ -70,7 +70,7 @@
 		t.Fatalf("got %+v, want %+v", p, want)
 	}
 	if got := tree.Policy("other"); got.CallTimeout != 90*time.Second || got.IdleTimeout != structs.DefaultPolicy().IdleTimeout {
-		t.Fatalf("unrelated team got %+v", got)
+		t.Fatalf("unrelated team: got %+v", got)
 	}
 }
 
@@ -89,7 +89,7 @@
 		t.Errorf("a/c: %+v", p)
 	}
 	if p := tree.Policy("z"); p.Priority != 0 {
-		t.Errorf("the default bounded priority: %+v", p)
+		t.Errorf("default limited the priority: %+v", p)
 	}
 }
 
@@ -103,7 +103,7 @@
 		t.Fatalf("got %+v, %v", s, ok)
 	}
 	if _, ok := tree.Service("ghost"); ok || len(tree.Services()) != 1 {
-		t.Fatal("a service without a kind exists")
+		t.Fatal("service without a kind exists")
 	}
 }
 
@@ -113,7 +113,7 @@
 	pair := []recordChange{change("teams/b/priority", 0, "2"), change("teams/a/priority", 0, "9")}
 	tree.Apply(1, encode(t, record{Changes: pair}))
 	if v := tree.Version("teams/b/priority"); v != 0 {
-		t.Fatalf("half a record applied, version %d", v)
+		t.Fatalf("record applied partially: version %d", v)
 	}
 	outcome, ok := tree.Outcome(pair[0].ChangeID)
 	if !ok || outcome.Accepted || outcome.Path != "teams/a/priority" || outcome.Version != 1 || outcome.Winner != "ada" {
@@ -135,8 +135,8 @@
 	}
 }
 
-// A record whose base lies in the future loses for good, also when a duplicate
-// of it arrives after the path reached that version.
+// A record with a base that does not exist yet is rejected for good, even if a
+// duplicate arrives after the path has reached that version.
 func TestLostRecordStaysLostAsDuplicate(t *testing.T) {
 	tree := NewTree()
 	rejected := encode(t, record{Changes: []recordChange{change("teams/a/priority", 2, "9")}})
@@ -144,7 +144,7 @@
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 0, "1")}}))
 	tree.Apply(2, rejected)
 	if entry, _ := tree.Get("teams/a/priority"); string(entry.Value) != "1" {
-		t.Fatalf("a duplicate of a lost record won: %s", entry.Value)
+		t.Fatalf("duplicate of a rejected record took effect: %s", entry.Value)
 	}
 }
 
@@ -188,8 +188,8 @@
 	}
 }
 
-// Whatever records come, in whatever order of bases and duplicates: versions
-// and the offset only grow, and a tree restored in the middle ends the same.
+// For any sequence of records, bases and duplicates: versions and the offset only
+// grow, and a tree restored from a snapshot ends in the same state.
 func TestTreeNeverRevertsProperty(t *testing.T) {
 	paths := []string{"teams/a/priority", "teams/b/priority", "services/s/kind"}
 	properties := gopter.NewProperties(nil)
@@ -237,7 +237,7 @@
 	old, _ := tree.Snapshot()
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 1, "2")}}))
 	if took, err := tree.Restore(old); took || err != nil {
-		t.Fatalf("took %v, %v", took, err)
+		t.Fatalf("restored %v, %v", took, err)
 	}
 	if _, err := tree.Restore([]byte("garbage")); err == nil {
 		t.Fatal("garbage restored")
@@ -259,7 +259,7 @@
 				p := tree.Policy("a")
 				if queued := p.MaxQueued; queued != structs.DefaultPolicy().MaxQueued {
 					if queued < last {
-						t.Errorf("went back from %d to %d", last, queued)
+						t.Errorf("decreased from %d to %d", last, queued)
 						return
 					}
 					last = queued
--- a/internal/settings/validate_test.go
+++ b/internal/settings/validate_test.go
@@ -68,14 +68,14 @@
 	slots := structs.SettingChange{Path: "services/s/slots", Value: []byte("4"), ChangeID: "id"}
 	kind := structs.SettingChange{Path: "services/s/kind", Value: []byte(`"tool"`), ChangeID: "id"}
 	if found := tree.Validate([]structs.SettingChange{slots}); len(found) != 1 {
-		t.Errorf("a service without a kind: %v", found)
+		t.Errorf("service without a kind: %v", found)
 	}
 	if found := tree.Validate([]structs.SettingChange{slots, kind}); len(found) != 0 {
-		t.Errorf("a whole service: %v", found)
+		t.Errorf("service with a kind: %v", found)
 	}
 }
 
-// Every field of the shared structs can be set.
+// Every field of the shared structs must be settable.
 func TestSchemaCoversEveryField(t *testing.T) {
 	if got, want := len(policyFields.fields), 16; got != want {
 		t.Errorf("%d policy keys, want %d", got, want)
@@ -127,10 +127,10 @@
 		t.Fatalf("got %+v, %v", credential, ok)
 	}
 	if _, ok := tree.Authenticate("other"); ok {
-		t.Fatal("a wrong key is accepted")
+		t.Fatal("wrong key accepted")
 	}
 	shown := fmt.Sprintf("%s %s", entries(tree)[0].Value, history(tree, "teams/lakeshore/credentials/ada")[0].Value)
 	if strings.Contains(shown, hash) || !strings.Contains(shown, hash[:8]+"...") {
-		t.Fatalf("shown: %s", shown)
+		t.Fatalf("listing: %s", shown)
 	}
 }
