--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -313,11 +313,11 @@
 // NewMessage returns an empty message of a kind to decode into, nil if the kind is
 // unknown.
 func NewMessage(kind MessageKind) Message {
-	newMessage, ok := messageTypes[kind]
+	make, ok := messageTypes[kind]
 	if !ok {
 		return nil
 	}
-	return newMessage()
+	return make()
 }
 
 var messageTypes = map[MessageKind]func() Message{
