--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -236,7 +236,7 @@
 	ctx, cancel := m.storeContext()
 	defer cancel()
 	_, err := m.store.Append(ctx, platform.Append{
-		Topic: topic, Partition: p.number, At: &end,
+		Topic: topic, Partition: p.number, ExpectedEnd: &end,
 		Records: []platform.Record{{Key: ownerKey, Value: encode(claim)}},
 		Writer:  &platform.Writer{Name: writerName, Epoch: claim.Epoch, Sequence: sequence},
 	})
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -37,20 +37,20 @@
 // their replies.
 type Breaks interface {
 	Breaks(now time.Time) []structs.TargetFailure
-	Hear(breaks []structs.TargetFailure, now time.Time)
+	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
 }
 
 // Loads holds the load reports of targets. Instances share them in allotment requests
 // and replies.
 type Loads interface {
-	// OwnLoads returns the newest reports that targets sent to this instance.
-	OwnLoads(now time.Time) []structs.TargetReport
-	// Loads returns the new reports that this instance knows, from any source.
-	Loads(now time.Time) []structs.TargetReport
-	HearLoads(loads []structs.TargetReport, now time.Time)
+	// OwnLoadReports returns the newest reports that targets sent to this instance.
+	OwnLoadReports(now time.Time) []structs.TargetReport
+	// LoadReports returns the new reports that this instance knows, from any source.
+	LoadReports(now time.Time) []structs.TargetReport
+	MergeLoadReports(loads []structs.TargetReport, now time.Time)
 	// PoolReports returns what this instance knows of whole services.
 	PoolReports(now time.Time) []structs.PoolReport
-	HearPools(pools []structs.PoolReport, now time.Time)
+	MergePoolReports(pools []structs.PoolReport, now time.Time)
 }
 
 // Health indicates whether the store serves everything that this instance reads. The
@@ -208,7 +208,7 @@
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
 	case *structs.TargetFailureNotice:
-		m.breaks.Hear(msg.Failures, time.Now())
+		m.breaks.MergeBreaks(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -157,7 +157,7 @@
 	}
 	if to != m.self.ID {
 		message := *request
-		message.Loads = m.loads.OwnLoads(time.Now())
+		message.Loads = m.loads.OwnLoadReports(time.Now())
 		m.peers.Send(to, &message)
 	}
 	return s.await(ctx, request, to, results)
@@ -256,9 +256,9 @@
 
 // receiveReply handles the reply of another owner.
 func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.ReservationReply) {
-	m.breaks.Hear(msg.Failures, time.Now())
-	m.loads.HearLoads(msg.Loads, time.Now())
-	m.loads.HearPools(msg.Pools, time.Now())
+	m.breaks.MergeBreaks(msg.Failures, time.Now())
+	m.loads.MergeLoadReports(msg.Loads, time.Now())
+	m.loads.MergePoolReports(msg.Pools, time.Now())
 	m.mu.Lock()
 	pending, ok := m.pending[msg.Lease]
 	delete(m.pending, msg.Lease)
@@ -278,14 +278,14 @@
 		m.log.Warn("ignored request for unknown partition", "peer", from, "partition", r.Partition)
 		return
 	}
-	m.loads.HearLoads(r.Loads, time.Now())
+	m.loads.MergeLoadReports(r.Loads, time.Now())
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.request(m.partitions[r.Partition], r, func(got result) {
 		m.peers.Send(from, &structs.ReservationReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
 			Failures: m.breaks.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
-			Loads: m.loads.Loads(time.Now()), Pools: m.loads.PoolReports(time.Now()),
+			Loads: m.loads.LoadReports(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
 }
--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -22,9 +22,9 @@
 	maxPartitionsTried = 2
 )
 
-// Keep makes a turn durable. It returns once the store holds the turn, or with
+// StoreTurn makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
-func (k *Keeper) Keep(ctx context.Context, program string, turn serve.CompletedTurn) error {
+func (k *Manager) StoreTurn(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := k.partitionOf(program)
 	w := &writing{keeper: k, home: home, turn: structs.StoredTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
@@ -48,7 +48,7 @@
 
 // absent lists the turns of a conversation that a partition does not hold yet,
 // since they are another program's or were kept while it was away.
-func (k *Keeper) absent(p *partition, turn string) []structs.StoredTurn {
+func (k *Manager) absent(p *partition, turn string) []structs.StoredTurn {
 	if turn == "" {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 // writing is a turn on its way to the store.
 type writing struct {
-	keeper *Keeper
+	keeper *Manager
 	// home is the partition of the turn's program.
 	home *partition
 	turn structs.StoredTurn
@@ -160,7 +160,7 @@
 
 // silentSince tells whether the store has answered nobody since a time, for as
 // long as an append may take: another partition is then no better.
-func (k *Keeper) silentSince(begun time.Time) bool {
+func (k *Manager) silentSince(begun time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -178,7 +178,7 @@
 
 // candidates are the partitions to try for a turn: its home, unless that was
 // away a moment ago, and one more.
-func (k *Keeper) candidates(home *partition) []*partition {
+func (k *Manager) candidates(home *partition) []*partition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -197,7 +197,7 @@
 
 // setAway notes that neither this instance nor another could append to a
 // partition.
-func (k *Keeper) setAway(p *partition) {
+func (k *Manager) setAway(p *partition) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p.awayUntil = time.Now().Add(awayTime)
--- a/internal/conversation/keeper_test.go
+++ b/internal/conversation/keeper_test.go
@@ -199,7 +199,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := n.keeper.Before(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
+		if _, err := n.keeper.History(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -261,7 +261,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := n.keeper.Before(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
+		if _, err := n.keeper.History(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
