--- a/internal/settings/checkpoint.go
+++ b/internal/settings/checkpoint.go
@@ -7,50 +7,48 @@
 )
 
 const (
-	// snapshotsPerRetention is how many snapshots are written in the time
-	// that the log keeps one.
+	// snapshotsPerRetention is the number of snapshots written within the log's
+	// retention.
 	snapshotsPerRetention = 4
-	// takeoversPerRetention divides the retention into the time by which
-	// each further instance writes later than the one before it, in case
-	// that one cannot.
+	// takeoversPerRetention divides the retention into the delay after which the next
+	// instance in rank writes the snapshot instead.
 	takeoversPerRetention = 64
-	// maxTakeovers bounds that delay.
+	// maxTakeovers limits the rank that counts for that delay.
 	maxTakeovers = 16
-	// maxRecordsBetween is the number of records after which a snapshot is
-	// written whatever the time, to bound the catch-up of a new instance.
-	maxRecordsBetween = 512
-	// takeoverByCount is the delay between instances in that case.
-	takeoverByCount = 2 * time.Second
-	// checkpointRetryMin and checkpointRetryMax bound the wait after a
-	// failed write.
+	// maxRecordsBetweenSnapshots is the number of records after which a snapshot is
+	// written early. It bounds the catch-up of a new instance.
+	maxRecordsBetweenSnapshots = 512
+	// recordCountTakeoverDelay is the delay between ranks for such a snapshot.
+	recordCountTakeoverDelay = 2 * time.Second
+	// checkpointRetryMin and checkpointRetryMax bound the delay after a failed write.
 	checkpointRetryMin = time.Second
 	checkpointRetryMax = time.Minute
 )
 
-// checkpoint writes snapshots of the tree to the log ahead of its retention. The
-// live instance with the lowest id writes; two writers do no harm.
+// checkpoint schedules snapshots of the tree so that the log always retains one. The
+// live instance with the lowest id writes; two concurrent writers are harmless.
 type checkpoint struct {
-	// oldest is the time of the last snapshot on the log, or else of the
-	// first record; zero if there is neither.
+	// oldest is the time of the last snapshot on the log, or of the first record if
+	// there is no snapshot; zero if there is neither.
 	oldest time.Time
-	// records counts the records since, and crowdedAt is when they became
-	// too many.
-	records   int
-	crowdedAt time.Time
-	inFlight  structs.AppendID
-	retryAt   time.Time
-	wake      time.Time
-	written   uint64
+	// records counts the records since then, and maxRecordsAt is when they reached the
+	// maximum.
+	records      int
+	maxRecordsAt time.Time
+	inFlight     structs.AppendID
+	retryAt      time.Time
+	wakeAt       time.Time
+	written      uint64
 }
 
-// seen notes a snapshot on the log.
-func (c *checkpoint) seen(at time.Time) {
+// observeSnapshot records a snapshot read from the log.
+func (c *checkpoint) observeSnapshot(at time.Time) {
 	c.oldest, c.records = at, 0
-	c.crowdedAt, c.retryAt = time.Time{}, time.Time{}
+	c.maxRecordsAt, c.retryAt = time.Time{}, time.Time{}
 }
 
-// count notes a record on the log.
-func (c *checkpoint) count(at time.Time, isSnapshot bool) {
+// observeRecord counts a record read from the log.
+func (c *checkpoint) observeRecord(at time.Time, isSnapshot bool) {
 	if isSnapshot {
 		return
 	}
@@ -58,32 +56,33 @@
 		c.oldest = at
 	}
 	c.records++
-	if c.records == maxRecordsBetween {
-		c.crowdedAt = at
+	if c.records == maxRecordsBetweenSnapshots {
+		c.maxRecordsAt = at
 	}
 }
 
-// restored notes a state from a peer. How old the last snapshot on the log is
-// is not known then, so one is due at once.
-func (c *checkpoint) restored(now time.Time, retention time.Duration) {
+// restoredFromPeer records that the state came from a peer. The age of the last
+// snapshot on the log is unknown then, so one is due immediately.
+func (c *checkpoint) restoredFromPeer(now time.Time, retention time.Duration) {
 	if c.oldest.IsZero() {
 		c.oldest = now.Add(-retention / snapshotsPerRetention)
 	}
 }
 
-// failed notes a failed write.
-func (c *checkpoint) failed(now time.Time, retention time.Duration) {
+// writeFailed records a failed write.
+func (c *checkpoint) writeFailed(now time.Time, retention time.Duration) {
 	c.inFlight = 0
-	c.pause(now, retention)
+	c.backOff(now, retention)
 }
 
-// pause puts off the next write.
-func (c *checkpoint) pause(now time.Time, retention time.Duration) {
+// backOff delays the next write.
+func (c *checkpoint) backOff(now time.Time, retention time.Duration) {
 	wait := retention / takeoversPerRetention
 	c.retryAt = now.Add(min(max(wait, checkpointRetryMin), checkpointRetryMax))
 }
 
-// due gives when the instance of a rank among the live ones writes, 0 first.
+// due returns when the instance with the given rank among the live ones writes, zero
+// if no snapshot is needed. Rank 0 writes first.
 func (c *checkpoint) due(rank int, retention time.Duration) time.Time {
 	if c.oldest.IsZero() {
 		return time.Time{}
@@ -91,8 +90,8 @@
 	rank = min(rank, maxTakeovers)
 	later := time.Duration(rank) * (retention / takeoversPerRetention)
 	due := c.oldest.Add(retention/snapshotsPerRetention + later)
-	if !c.crowdedAt.IsZero() {
-		due = earliest(due, c.crowdedAt.Add(time.Duration(rank)*takeoverByCount))
+	if !c.maxRecordsAt.IsZero() {
+		due = earliest(due, c.maxRecordsAt.Add(time.Duration(rank)*recordCountTakeoverDelay))
 	}
 	if due.Before(c.retryAt) {
 		return c.retryAt
@@ -101,9 +100,9 @@
 }
 
 func (p *Proposer) advanceCheckpoint() {
-	c, up := &p.checkpoint, &p.catchUp
-	c.wake = time.Time{}
-	if !up.done || up.gap || up.logDown || up.behind || c.inFlight != 0 {
+	c, catchUp := &p.checkpoint, &p.catchUp
+	c.wakeAt = time.Time{}
+	if !catchUp.done || catchUp.gap || catchUp.logDown || catchUp.logBehind || c.inFlight != 0 {
 		return
 	}
 	first := c.due(0, p.retention())
@@ -111,27 +110,27 @@
 		return
 	}
 	if p.now.Before(first) {
-		c.wake = first
+		c.wakeAt = first
 		return
 	}
 	own := c.due(p.rank(), p.retention())
 	if p.now.Before(own) {
-		c.wake = own
+		c.wakeAt = own
 		return
 	}
 	data, err := p.tree.Snapshot()
 	if err != nil {
-		c.failed(p.now, p.retention())
+		c.writeFailed(p.now, p.retention())
 		return
 	}
 	c.inFlight = p.append(data)
 	c.written++
-	// Reading the snapshot back moves the due time; until then it is not
+	// The due time moves when the snapshot is read back. Until then, it must not be
 	// written again.
-	c.pause(p.now, p.retention())
+	c.backOff(p.now, p.retention())
 }
 
-// rank counts the live instances with a lower id.
+// rank returns the number of live instances with a lower id.
 func (p *Proposer) rank() int {
 	rank := 0
 	for _, peer := range p.members.Peers() {
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -12,13 +12,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Whatever is proposed where, with whatever faults, reads and restarts: offsets
-// and versions only grow, no version of a path has two values, who heard
-// accepted won, who heard lost or not-published is not in force, and in the end
-// all trees agree.
+// For any schedule of proposals, faults, reads and restarts: offsets and versions only
+// grow, no version of a path has two values, an accepted change is in force, a lost or
+// unpublished one is not, and eventually all trees agree.
 func TestProposersAgreeProperty(t *testing.T) {
 	properties := gopter.NewProperties(nil)
-	properties.Property("one winner for each version, never back", prop.ForAll(
+	properties.Property("one winner for each version, versions never decrease", prop.ForAll(
 		func(steps []int) bool { return runSchedule(t, steps) },
 		gen.SliceOfN(60, gen.IntRange(0, 9999)),
 	))
@@ -26,50 +25,50 @@
 }
 
 func runSchedule(t *testing.T, steps []int) bool {
-	w := newWorld(t)
+	cluster := newCluster(t)
 	ids := []structs.InstanceID{"a", "b", "c"}
 	for _, id := range ids {
-		w.start(id)
+		cluster.start(id)
 	}
 	checker := newChecker()
 	for i, step := range steps {
-		n := w.nodes[ids[step%len(ids)]]
-		scheduleStep(w, n, i, step/len(ids))
-		if !checker.check(t, w) {
+		n := cluster.nodes[ids[step%len(ids)]]
+		scheduleStep(cluster, n, i, step/len(ids))
+		if !checker.check(t, cluster) {
 			return false
 		}
 	}
-	w.down, w.faults = false, nil
-	w.pass(15*time.Second, time.Second)
-	return checker.check(t, w) && checker.final(t, w)
+	cluster.down, cluster.faults = false, nil
+	cluster.advance(15*time.Second, time.Second)
+	return checker.check(t, cluster) && checker.checkFinal(t, cluster)
 }
 
-func scheduleStep(w *fakeWorld, n *fakeNode, i, step int) {
+func scheduleStep(cluster *fakeCluster, n *fakeNode, i, step int) {
 	action, argument := step%9, step/9
 	switch action {
 	case 0, 1, 2:
 		team := []string{"x", "y"}[argument%2]
 		base := n.tree.Version("teams/" + team + "/priority")
-		w.propose(n, structs.RequestID(fmt.Sprintf("%d", i)), priority(team, base, argument%100))
+		cluster.propose(n, structs.RequestID(fmt.Sprintf("%d", i)), priority(team, base, argument%100))
 	case 3, 4:
-		w.read(n)
+		cluster.read(n)
 	case 5:
-		w.faults = append(w.faults, appendFault(argument%5))
+		cluster.faults = append(cluster.faults, appendFault(argument%5))
 	case 6:
-		w.down = argument%2 == 0
+		cluster.down = argument%2 == 0
 	case 7:
-		w.now = w.now.Add(time.Duration(argument%4) * time.Second)
-		w.tick(n)
+		cluster.now = cluster.now.Add(time.Duration(argument%4) * time.Second)
+		cluster.tick(n)
 	case 8:
 		if argument%4 == 0 {
-			w.start(n.id)
+			cluster.start(n.id)
 		} else {
-			w.tick(n)
+			cluster.tick(n)
 		}
 	}
 }
 
-// checker follows what the instances show.
+// checker checks the invariants of the instances' visible state.
 type checker struct {
 	values   map[string]string
 	versions map[*fakeNode]map[string]uint64
@@ -83,20 +82,20 @@
 	}
 }
 
-func (c *checker) check(t *testing.T, w *fakeWorld) bool {
-	for _, n := range w.nodes {
+func (c *checker) check(t *testing.T, cluster *fakeCluster) bool {
+	for _, n := range cluster.nodes {
 		if c.versions[n] == nil {
 			c.versions[n] = make(map[string]uint64)
 		}
-		for _, e := range listed(n.tree) {
+		for _, e := range entries(n.tree) {
 			key := fmt.Sprintf("%s@%d", e.Path, e.Version)
 			if old, ok := c.values[key]; ok && old != string(e.Value) {
-				t.Logf("%s is %s and %s", key, old, e.Value)
+				t.Logf("%s has two values: %s and %s", key, old, e.Value)
 				return false
 			}
 			c.values[key] = string(e.Value)
 			if e.Version < c.versions[n][e.Path] {
-				t.Logf("%s went back at %s", key, n.id)
+				t.Logf("%s: version decreased at %s", key, n.id)
 				return false
 			}
 			c.versions[n][e.Path] = e.Version
@@ -108,26 +107,26 @@
 	return true
 }
 
-// final compares the answers with the log itself.
-func (c *checker) final(t *testing.T, w *fakeWorld) bool {
-	truth := NewTree()
-	for _, rec := range w.records {
-		truth.Apply(rec.Offset, rec.Data)
+// checkFinal compares the trees and the replies with the log.
+func (c *checker) checkFinal(t *testing.T, cluster *fakeCluster) bool {
+	expected := NewTree()
+	for _, rec := range cluster.records {
+		expected.Apply(rec.Offset, rec.Data)
 	}
-	for _, n := range w.nodes {
-		if !n.CaughtUp() || fmt.Sprint(listed(n.tree)) != fmt.Sprint(listed(truth)) {
+	for _, n := range cluster.nodes {
+		if !n.CaughtUp() || fmt.Sprint(entries(n.tree)) != fmt.Sprint(entries(expected)) {
 			t.Logf("%s differs from the log", n.id)
 			return false
 		}
 	}
 	for id, result := range c.results {
-		outcome, onLog := truth.Outcome(id)
+		outcome, onLog := expected.Outcome(id)
 		accepted := onLog && outcome.Accepted
 		wrong := result.Status == structs.SettingsAccepted && !accepted ||
 			result.Status == structs.SettingsLost && accepted ||
 			result.Status == structs.SettingsNotPublished && onLog
 		if wrong {
-			t.Logf("%s heard %s, on the log %+v", id, result.Status, outcome)
+			t.Logf("%s: replied %s, on the log %+v", id, result.Status, outcome)
 			return false
 		}
 	}
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// change makes a record's change; the id is unique by path, base and value.
+// change returns a record's change with an id that is unique by path, base and value.
 func change(path string, base uint64, value string) recordChange {
 	id := fmt.Sprintf("%s@%d=%s", path, base, value)
 	if len(id) > MaxChangeIDBytes {
@@ -32,17 +32,17 @@
 	return data
 }
 
-func listed(tree *Tree) []Entry {
+func entries(tree *Tree) []Entry {
 	list, _ := tree.Listing("")
 	return list.Entries
 }
 
-func past(tree *Tree, path string) []PastChange {
+func history(tree *Tree, path string) []PastChange {
 	list, _ := tree.HistoryListing(path)
 	return list.Changes
 }
 
-// treeOf applies one record of first values.
+// treeOf returns a tree with the given values, one record each.
 func treeOf(t *testing.T, values map[string]string) *Tree {
 	t.Helper()
 	tree := NewTree()
@@ -70,7 +70,7 @@
 		t.Fatalf("got %+v, want %+v", p, want)
 	}
 	if got := tree.Policy("other"); got.CallTimeout != 90*time.Second || got.IdleTimeout != structs.DefaultPolicy().IdleTimeout {
-		t.Fatalf("unrelated team got %+v", got)
+		t.Fatalf("unrelated team: got %+v", got)
 	}
 }
 
@@ -89,7 +89,7 @@
 		t.Errorf("a/c: %+v", p)
 	}
 	if p := tree.Policy("z"); p.Priority != 0 {
-		t.Errorf("the default bounded priority: %+v", p)
+		t.Errorf("default limited the priority: %+v", p)
 	}
 }
 
@@ -103,7 +103,7 @@
 		t.Fatalf("got %+v, %v", s, ok)
 	}
 	if _, ok := tree.Service("ghost"); ok || len(tree.Services()) != 1 {
-		t.Fatal("a service without a kind exists")
+		t.Fatal("service without a kind exists")
 	}
 }
 
@@ -113,7 +113,7 @@
 	pair := []recordChange{change("teams/b/priority", 0, "2"), change("teams/a/priority", 0, "9")}
 	tree.Apply(1, encode(t, record{Changes: pair}))
 	if v := tree.Version("teams/b/priority"); v != 0 {
-		t.Fatalf("half a record applied, version %d", v)
+		t.Fatalf("record applied partially: version %d", v)
 	}
 	outcome, ok := tree.Outcome(pair[0].ChangeID)
 	if !ok || outcome.Accepted || outcome.Path != "teams/a/priority" || outcome.Version != 1 || outcome.Winner != "ada" {
@@ -135,16 +135,16 @@
 	}
 }
 
-// A record whose base lies in the future loses for good, also when a duplicate
-// of it arrives after the path reached that version.
+// A record with a base that does not exist yet is rejected for good, even if a
+// duplicate arrives after the path has reached that version.
 func TestLostRecordStaysLostAsDuplicate(t *testing.T) {
 	tree := NewTree()
-	late := encode(t, record{Changes: []recordChange{change("teams/a/priority", 2, "9")}})
-	tree.Apply(0, late)
+	rejected := encode(t, record{Changes: []recordChange{change("teams/a/priority", 2, "9")}})
+	tree.Apply(0, rejected)
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 0, "1")}}))
-	tree.Apply(2, late)
+	tree.Apply(2, rejected)
 	if entry, _ := tree.Get("teams/a/priority"); string(entry.Value) != "1" {
-		t.Fatalf("a duplicate of a lost record won: %s", entry.Value)
+		t.Fatalf("duplicate of a rejected record took effect: %s", entry.Value)
 	}
 }
 
@@ -164,7 +164,7 @@
 		path := fmt.Sprintf("teams/t%d/priority", i)
 		tree.Apply(uint64(i), encode(t, record{Changes: []recordChange{change(path, 0, "1")}}))
 	}
-	if got := len(listed(tree)); got != MaxPaths {
+	if got := len(entries(tree)); got != MaxPaths {
 		t.Fatalf("%d paths", got)
 	}
 	refused := tree.Validate([]structs.SettingChange{{Path: "teams/x/priority", Value: []byte("1"), ChangeID: "x"}})
@@ -182,19 +182,19 @@
 	for i := range uint64(HistoryLength + 5) {
 		tree.Apply(i, encode(t, record{Changes: []recordChange{change("teams/a/max_queued", i, fmt.Sprint(i+1))}}))
 	}
-	history := past(tree, "teams/a/max_queued")
-	if len(history) != HistoryLength || history[0].Version != HistoryLength+5 || string(history[0].Value) != "37" {
-		t.Fatalf("%d entries, first %+v", len(history), history[0])
+	changes := history(tree, "teams/a/max_queued")
+	if len(changes) != HistoryLength || changes[0].Version != HistoryLength+5 || string(changes[0].Value) != "37" {
+		t.Fatalf("%d entries, first %+v", len(changes), changes[0])
 	}
 }
 
-// Whatever records come, in whatever order of bases and duplicates: versions
-// and the offset only grow, and a tree restored in the middle ends the same.
+// For any sequence of records, bases and duplicates: versions and the offset only
+// grow, and a tree restored from a snapshot ends in the same state.
 func TestTreeNeverRevertsProperty(t *testing.T) {
 	paths := []string{"teams/a/priority", "teams/b/priority", "services/s/kind"}
 	properties := gopter.NewProperties(nil)
 	properties.Property("versions only grow and a restored tree agrees", prop.ForAll(
-		func(steps []int, cut int) bool {
+		func(steps []int, restoreAt int) bool {
 			tree, restored := NewTree(), NewTree()
 			for i, step := range steps {
 				path := paths[step%len(paths)]
@@ -205,10 +205,10 @@
 				data := encode(t, record{Changes: []recordChange{change(path, base, fmt.Sprint(step%4))}})
 				before := versions(tree, paths)
 				tree.Apply(uint64(i), data)
-				if i == cut {
+				if i == restoreAt {
 					snapshot, _ := tree.Snapshot()
 					_, _ = restored.Restore(snapshot)
-				} else if i > cut {
+				} else if i > restoreAt {
 					restored.Apply(uint64(i), data)
 				}
 				for j, v := range versions(tree, paths) {
@@ -217,7 +217,7 @@
 					}
 				}
 			}
-			return len(steps) <= cut || fmt.Sprint(listed(tree)) == fmt.Sprint(listed(restored))
+			return len(steps) <= restoreAt || fmt.Sprint(entries(tree)) == fmt.Sprint(entries(restored))
 		},
 		gen.SliceOf(gen.IntRange(0, 59)), gen.IntRange(0, 20),
 	))
@@ -232,12 +232,12 @@
 	return list
 }
 
-func TestRestoreNeverGoesBack(t *testing.T) {
+func TestRestoreIgnoresOlderSnapshot(t *testing.T) {
 	tree := treeOf(t, map[string]string{"teams/a/priority": "1"})
 	old, _ := tree.Snapshot()
 	tree.Apply(1, encode(t, record{Changes: []recordChange{change("teams/a/priority", 1, "2")}}))
 	if took, err := tree.Restore(old); took || err != nil {
-		t.Fatalf("took %v, %v", took, err)
+		t.Fatalf("restored %v, %v", took, err)
 	}
 	if _, err := tree.Restore([]byte("garbage")); err == nil {
 		t.Fatal("garbage restored")
@@ -259,7 +259,7 @@
 				p := tree.Policy("a")
 				if queued := p.MaxQueued; queued != structs.DefaultPolicy().MaxQueued {
 					if queued < last {
-						t.Errorf("went back from %d to %d", last, queued)
+						t.Errorf("decreased from %d to %d", last, queued)
 						return
 					}
 					last = queued
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -8,17 +8,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ValidationError tells why a change cannot be published.
+// ValidationError is the reason why a change cannot be published.
 type ValidationError struct {
 	Path string
-	// Value is the refused value; it is empty for a credential.
+	// Value is the rejected value; empty for a credential.
 	Value string
-	// Detail is what is wrong and Expected what is wanted instead.
+	// Detail describes the error and Expected what would be valid.
 	Detail   string
 	Expected string
 }
 
-// Error gives the whole reason in one line.
+// Error returns the whole reason in one line.
 func (e *ValidationError) Error() string {
 	text := e.Path + ": " + e.Detail
 	if e.Value != "" {
@@ -30,8 +30,8 @@
 	return text
 }
 
-// Validate checks changes against the schema and returns every error found. It
-// does not look at the present tree; see Tree.Validate.
+// Validate checks changes against the schema and returns every error found. It does
+// not consider the current tree; see Tree.Validate.
 func Validate(changes []structs.SettingChange) []*ValidationError {
 	if len(changes) == 0 || len(changes) > MaxChanges {
 		return []*ValidationError{{Detail: fmt.Sprintf("%d changes", len(changes)),
@@ -41,7 +41,7 @@
 	seen := make(map[string]bool, len(changes))
 	for _, change := range changes {
 		if seen[change.Path] {
-			found = append(found, &ValidationError{Path: clip(change.Path), Detail: "the path is changed twice",
+			found = append(found, &ValidationError{Path: truncate(change.Path), Detail: "the path is changed twice",
 				Expected: "one change of a path"})
 		}
 		seen[change.Path] = true
@@ -54,22 +54,22 @@
 
 func validateChange(change structs.SettingChange) *ValidationError {
 	if change.ChangeID == "" || len(change.ChangeID) > MaxChangeIDBytes {
-		return &ValidationError{Path: clip(change.Path), Detail: "bad change id",
+		return &ValidationError{Path: truncate(change.Path), Detail: "invalid change id",
 			Expected: fmt.Sprintf("a unique id of 1 to %d bytes", MaxChangeIDBytes)}
 	}
 	if len(change.Author) > MaxChangeIDBytes {
-		return &ValidationError{Path: clip(change.Path), Detail: "author too long",
+		return &ValidationError{Path: truncate(change.Path), Detail: "author too long",
 			Expected: fmt.Sprintf("at most %d bytes", MaxChangeIDBytes)}
 	}
 	_, err := canonicalValue(change.Path, change.Value)
 	return err
 }
 
-// canonicalValue gives the canonical JSON of a path's value; empty stays empty.
+// canonicalValue returns the canonical JSON of a path's value; empty stays empty.
 func canonicalValue(path string, value []byte) ([]byte, *ValidationError) {
 	loc, err := parsePath(path)
 	if err != nil {
-		return nil, &ValidationError{Path: clip(path), Detail: err.Error()}
+		return nil, &ValidationError{Path: truncate(path), Detail: err.Error()}
 	}
 	expected, canonical, refused := lookupKey(path, loc)
 	if refused != nil {
@@ -78,24 +78,24 @@
 	if len(value) == 0 {
 		return nil, nil
 	}
-	wrong := &ValidationError{Path: path, Value: shownValue(loc, value), Detail: "wrong value", Expected: expected}
+	invalid := &ValidationError{Path: path, Value: displayValue(loc, value), Detail: "wrong value", Expected: expected}
 	if len(value) > MaxValueBytes {
-		wrong.Detail = fmt.Sprintf("value longer than %d bytes", MaxValueBytes)
-		return nil, wrong
+		invalid.Detail = fmt.Sprintf("value longer than %d bytes", MaxValueBytes)
+		return nil, invalid
 	}
 	raw, ok := decodeJSON(value)
 	if !ok {
-		wrong.Detail = "not a JSON value"
-		return nil, wrong
+		invalid.Detail = "not a JSON value"
+		return nil, invalid
 	}
 	data, ok := canonical(raw)
 	if !ok {
-		return nil, wrong
+		return nil, invalid
 	}
 	return data, nil
 }
 
-// lookupKey finds the schema of a path.
+// lookupKey returns the schema of a path.
 func lookupKey(path string, loc location) (string, func(any) ([]byte, bool), *ValidationError) {
 	switch {
 	case loc.Credential != "" && loc.Team == "":
@@ -125,24 +125,24 @@
 	return data, err == nil
 }
 
-// shownValue is a refused value as a message may show it.
-func shownValue(loc location, value []byte) string {
+// displayValue returns a rejected value for an error message.
+func displayValue(loc location, value []byte) string {
 	if loc.Credential != "" {
 		return ""
 	}
-	return clip(string(value))
+	return truncate(string(value))
 }
 
 func unknownKey(path, key string, known []string) *ValidationError {
 	detail := fmt.Sprintf("unknown key %q", key)
-	if near, ok := nearest(key, known); ok {
+	if near, ok := closestName(key, known); ok {
 		detail += fmt.Sprintf(", did you mean %q?", near)
 	}
 	return &ValidationError{Path: path, Detail: detail, Expected: "one of " + strings.Join(known, ", ")}
 }
 
-// Validate checks changes against the schema and against the present tree:
-// every service keeps a kind, and the tree keeps within its limits.
+// Validate checks changes against the schema and the current tree: every service must
+// have a kind, and the tree must stay within its limits.
 func (t *Tree) Validate(changes []structs.SettingChange) []*ValidationError {
 	found := Validate(changes)
 	if len(found) > 0 {
@@ -156,7 +156,7 @@
 	return t.checkKinds(changes)
 }
 
-// checkKinds refuses keys of a service that has no kind after the changes.
+// checkKinds rejects keys of a service without a kind after the changes.
 func (t *Tree) checkKinds(changes []structs.SettingChange) []*ValidationError {
 	after := make(map[string]bool)
 	for _, change := range changes {
@@ -171,7 +171,7 @@
 		kindPath := servicesArea + "/" + string(loc.Service) + "/" + kindKey
 		has, changed := after[kindPath]
 		if !changed {
-			has = len(t.entries[kindPath].valueOrNone()) > 0
+			has = len(t.entries[kindPath].valueOrNil()) > 0
 		}
 		if !has {
 			found = append(found, &ValidationError{Path: change.Path, Detail: "the service has no kind",
@@ -181,7 +181,7 @@
 	return found
 }
 
-// checkSize refuses changes that would take the tree over its limits.
+// checkSize rejects changes that would exceed the limits of the tree.
 func (t *Tree) checkSize(changes []structs.SettingChange) *ValidationError {
 	paths, size := t.sizeAfter(changes)
 	if paths > MaxPaths || size > MaxTreeBytes {
--- a/internal/settings/validate_test.go
+++ b/internal/settings/validate_test.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestValidateTellsPathValueAndExpected(t *testing.T) {
+func TestValidateReportsPathValueAndExpected(t *testing.T) {
 	hash := strings.Repeat("a", 64)
 	cases := []struct{ path, value, want string }{
 		{"teams/a/priority", `-1`, "whole number from 0 to 100"},
@@ -40,7 +40,7 @@
 	for _, c := range cases {
 		found := Validate([]structs.SettingChange{{Path: c.path, Value: []byte(c.value), ChangeID: "id"}})
 		if len(found) != 1 || !strings.Contains(found[0].Error(), c.want) {
-			t.Errorf("%s = %s: got %v, want %q", c.path, clip(c.value), found, c.want)
+			t.Errorf("%s = %s: got %v, want %q", c.path, truncate(c.value), found, c.want)
 			continue
 		}
 		if strings.Contains(found[0].Error(), "secret") || strings.Contains(found[0].Error(), hash) {
@@ -68,14 +68,14 @@
 	slots := structs.SettingChange{Path: "services/s/slots", Value: []byte("4"), ChangeID: "id"}
 	kind := structs.SettingChange{Path: "services/s/kind", Value: []byte(`"tool"`), ChangeID: "id"}
 	if found := tree.Validate([]structs.SettingChange{slots}); len(found) != 1 {
-		t.Errorf("a service without a kind: %v", found)
+		t.Errorf("service without a kind: %v", found)
 	}
 	if found := tree.Validate([]structs.SettingChange{slots, kind}); len(found) != 0 {
-		t.Errorf("a whole service: %v", found)
+		t.Errorf("service with a kind: %v", found)
 	}
 }
 
-// Every field of the shared structs can be set.
+// Every field of the shared structs must be settable.
 func TestSchemaCoversEveryField(t *testing.T) {
 	if got, want := len(policyFields.fields), 16; got != want {
 		t.Errorf("%d policy keys, want %d", got, want)
@@ -127,10 +127,10 @@
 		t.Fatalf("got %+v, %v", credential, ok)
 	}
 	if _, ok := tree.Authenticate("other"); ok {
-		t.Fatal("a wrong key is accepted")
+		t.Fatal("wrong key accepted")
 	}
-	shown := fmt.Sprintf("%s %s", listed(tree)[0].Value, past(tree, "teams/lakeshore/credentials/ada")[0].Value)
+	shown := fmt.Sprintf("%s %s", entries(tree)[0].Value, history(tree, "teams/lakeshore/credentials/ada")[0].Value)
 	if strings.Contains(shown, hash) || !strings.Contains(shown, hash[:8]+"...") {
-		t.Fatalf("shown: %s", shown)
+		t.Fatalf("listing: %s", shown)
 	}
 }
