--- a/internal/owner/append.go
+++ b/internal/owner/append.go
@@ -16,30 +16,30 @@
 	lazy   urgency = false
 )
 
-// entry is a record on its way into the log. counted is called once it was
+// pendingRecord is a record on its way into the log. counted is called once it was
 // read back and took effect; never if another instance's claim came first.
-type entry struct {
-	record  journal.Record
-	data    []byte
-	counted func()
+type pendingRecord struct {
+	record      journal.Record
+	data        []byte
+	onCommitted func()
 }
 
 // appender writes the records of one shard in sequence order. One append is in
 // flight at a time and is repeated unchanged until it is read back, so that a
 // writer's sequence numbers ascend in the log and a repeat is recognizable.
 type appender struct {
-	s      *shard
-	queue  []*entry
-	flight []*entry
-	// oldest is when the oldest record not read back was first sent.
-	oldest time.Time
+	s        *shard
+	queue    []*pendingRecord
+	inFlight []*pendingRecord
+	// sentAt is when the oldest record not read back was first sent.
+	sentAt time.Time
 	// stalled tells that an append was not confirmed in time.
-	stalled  bool
-	refused  int
-	backoff  time.Duration
-	flushing *timer
-	resend   *timer
-	confirm  *timer
+	stalled      bool
+	refusals     int
+	backoff      time.Duration
+	flushTimer   *timer
+	resendTimer  *timer
+	confirmTimer *timer
 }
 
 // appliesAhead tells whether an owner's own record takes effect in its state
@@ -70,31 +70,31 @@
 	if appliesAhead(body.Kind()) {
 		a.s.state.ApplyAhead(rec)
 	}
-	a.queue = append(a.queue, &entry{record: rec, data: journal.Encode(rec), counted: counted})
+	a.queue = append(a.queue, &pendingRecord{record: rec, data: journal.Encode(rec), onCommitted: counted})
 	if u == urgent {
-		a.schedule(0)
+		a.scheduleFlush(0)
 		return
 	}
-	a.schedule(lazyDelay)
+	a.scheduleFlush(lazyFlushDelay)
 }
 
-// schedule flushes after a delay, or earlier if that is set already.
-func (a *appender) schedule(d time.Duration) {
+// scheduleFlush flushes after a delay, or earlier if that is set already.
+func (a *appender) scheduleFlush(d time.Duration) {
 	at := a.s.o.now.Add(d)
-	if a.flushing != nil && a.flushing.index >= 0 && !a.flushing.at.After(at) {
+	if a.flushTimer != nil && a.flushTimer.index >= 0 && !a.flushTimer.at.After(at) {
 		return
 	}
-	a.s.o.timers.stop(a.flushing)
-	a.flushing = a.s.o.timers.set(at, a.flush)
+	a.s.o.timers.stop(a.flushTimer)
+	a.flushTimer = a.s.o.timers.set(at, a.flush)
 }
 
 // flush sends the next batch, within the shard's rate.
 func (a *appender) flush() {
-	if len(a.flight) > 0 || len(a.queue) == 0 {
+	if len(a.inFlight) > 0 || len(a.queue) == 0 {
 		return
 	}
 	if wait := a.s.o.takeToken(); wait > 0 {
-		a.schedule(wait)
+		a.scheduleFlush(wait)
 		return
 	}
 	n, size := 0, 0
@@ -102,86 +102,86 @@
 		size += len(a.queue[n].data)
 		n++
 	}
-	a.flight = append([]*entry(nil), a.queue[:n]...)
-	a.queue = append([]*entry(nil), a.queue[n:]...)
-	a.oldest = a.s.o.now
-	a.backoff = appendBackoff
-	a.refused = 0
-	a.confirm = a.s.o.after(confirmTimeout, a.unconfirmed)
-	a.sendFlight()
+	a.inFlight = append([]*pendingRecord(nil), a.queue[:n]...)
+	a.queue = append([]*pendingRecord(nil), a.queue[n:]...)
+	a.sentAt = a.s.o.now
+	a.backoff = minAppendBackoff
+	a.refusals = 0
+	a.confirmTimer = a.s.o.after(confirmTimeout, a.onConfirmTimeout)
+	a.sendBatch()
 }
 
 // takeToken gives the time to wait until the next append is allowed. The shards
 // of an instance share its part of what the log takes from all instances, so
 // that a busy shard may use what idle ones leave.
 func (o *Owner) takeToken() time.Duration {
-	rate := appendRate / float64(max(1, len(o.members.Peers())))
-	burst := max(minBurst, rate/burstShare)
-	if o.refilled.IsZero() {
-		o.tokens = burst
+	rate := maxAppendRate / float64(max(1, len(o.members.Peers())))
+	burst := max(minBurst, rate/burstDivisor)
+	if o.refilledAt.IsZero() {
+		o.appendTokens = burst
 	}
-	o.tokens = min(burst, o.tokens+o.now.Sub(o.refilled).Seconds()*rate)
-	o.refilled = o.now
+	o.appendTokens = min(burst, o.appendTokens+o.now.Sub(o.refilledAt).Seconds()*rate)
+	o.refilledAt = o.now
 	// The epsilon keeps a rounding error from setting a timer of zero length.
-	if o.tokens+1e-6 >= 1 {
-		o.tokens--
+	if o.appendTokens+1e-6 >= 1 {
+		o.appendTokens--
 		return 0
 	}
-	return time.Duration((1-o.tokens)/rate*float64(time.Second)).Round(time.Millisecond) + time.Millisecond
+	return time.Duration((1-o.appendTokens)/rate*float64(time.Second)).Round(time.Millisecond) + time.Millisecond
 }
 
-// soon is the urgency of a record that no call waits for but whose loss costs:
+// appendUrgency is the urgency of a record that no call waits for but whose loss costs:
 // at once while half of the appends allowed at a time are left.
-func (o *Owner) soon() urgency {
-	rate := appendRate / float64(max(1, len(o.members.Peers())))
-	burst := max(minBurst, rate/burstShare)
-	tokens := o.tokens + o.now.Sub(o.refilled).Seconds()*rate
-	return urgency(o.refilled.IsZero() || tokens >= burst/2+1)
+func (o *Owner) appendUrgency() urgency {
+	rate := maxAppendRate / float64(max(1, len(o.members.Peers())))
+	burst := max(minBurst, rate/burstDivisor)
+	tokens := o.appendTokens + o.now.Sub(o.refilledAt).Seconds()*rate
+	return urgency(o.refilledAt.IsZero() || tokens >= burst/2+1)
 }
 
-func (a *appender) sendFlight() {
+func (a *appender) sendBatch() {
 	o := a.s.o
 	o.lastAppend++
 	id := structs.AppendID(o.lastAppend)
 	o.appends[id] = a.s
-	records := make([][]byte, 0, len(a.flight))
-	for _, e := range a.flight {
+	records := make([][]byte, 0, len(a.inFlight))
+	for _, e := range a.inFlight {
 		records = append(records, e.data)
 	}
 	o.emit(structs.LogAppend{ID: id, Stream: a.s.stream, Records: records})
-	o.timers.stop(a.resend)
-	a.resend = o.after(resendAfter, a.repeat)
+	o.timers.stop(a.resendTimer)
+	a.resendTimer = o.after(appendResendTimeout, a.resendBatch)
 }
 
-// repeat sends the batch in flight again with the same sequence numbers: its
+// resendBatch sends the batch in flight again with the same sequence numbers: its
 // result is not known, and a duplicate is dropped by every reader.
-func (a *appender) repeat() {
-	if len(a.flight) > 0 {
-		a.sendFlight()
+func (a *appender) resendBatch() {
+	if len(a.inFlight) > 0 {
+		a.sendBatch()
 	}
 }
 
 func (o *Owner) onAppendFailed(e structs.LogAppendFailed) {
 	s := o.appends[e.ID]
 	delete(o.appends, e.ID)
-	if s == nil || len(s.app.flight) == 0 {
+	if s == nil || len(s.app.inFlight) == 0 {
 		return
 	}
 	a := &s.app
 	if e.Refused {
-		a.refused++
+		a.refusals++
 	}
-	if a.refused > 1 {
-		a.unconfirmed()
+	if a.refusals > 1 {
+		a.onConfirmTimeout()
 	}
-	o.timers.stop(a.resend)
-	a.resend = o.after(a.backoff, a.repeat)
-	a.backoff = min(2*a.backoff, appendBackoffMax)
+	o.timers.stop(a.resendTimer)
+	a.resendTimer = o.after(a.backoff, a.resendBatch)
+	a.backoff = min(2*a.backoff, maxAppendBackoff)
 }
 
-// unconfirmed takes the log to be down.
-func (a *appender) unconfirmed() {
-	if len(a.flight) == 0 || a.stalled {
+// onConfirmTimeout takes the log to be down.
+func (a *appender) onConfirmTimeout() {
+	if len(a.inFlight) == 0 || a.stalled {
 		return
 	}
 	a.stalled = true
@@ -190,26 +190,26 @@
 	}
 }
 
-// onRead confirms the own record with that sequence number.
-func (a *appender) onRead(sequence uint64, verdict journal.Verdict) {
-	for len(a.flight) > 0 && a.flight[0].record.Sequence <= sequence {
-		e := a.flight[0]
-		a.flight = a.flight[1:]
+// onReadBack confirms the own record with that sequence number.
+func (a *appender) onReadBack(sequence uint64, verdict journal.Verdict) {
+	for len(a.inFlight) > 0 && a.inFlight[0].record.Sequence <= sequence {
+		e := a.inFlight[0]
+		a.inFlight = a.inFlight[1:]
 		if e.record.Sequence == sequence && verdict == journal.Counted {
-			a.s.provenAt(a.oldest)
+			a.s.setOwnedAt(a.sentAt)
 		}
-		if e.record.Sequence == sequence && verdict == journal.Counted && e.counted != nil {
-			e.counted()
+		if e.record.Sequence == sequence && verdict == journal.Counted && e.onCommitted != nil {
+			e.onCommitted()
 		}
 	}
-	if len(a.flight) > 0 {
+	if len(a.inFlight) > 0 {
 		return
 	}
 	a.stalled = false
-	a.s.o.timers.stop(a.resend)
-	a.s.o.timers.stop(a.confirm)
+	a.s.o.timers.stop(a.resendTimer)
+	a.s.o.timers.stop(a.confirmTimer)
 	if len(a.queue) > 0 {
-		a.schedule(0)
+		a.scheduleFlush(0)
 	}
 }
 
@@ -223,25 +223,25 @@
 			a.queue = append(a.queue, e)
 		}
 	}
-	for _, e := range a.flight {
+	for _, e := range a.inFlight {
 		if e.record.Body.Kind().Fenced() {
-			e.counted = nil
+			e.onCommitted = nil
 		}
 	}
-	if countUnfenced(a.flight) == 0 {
-		a.flight = nil
-		a.s.o.timers.stop(a.resend)
-		a.s.o.timers.stop(a.confirm)
+	if countUnfenced(a.inFlight) == 0 {
+		a.inFlight = nil
+		a.s.o.timers.stop(a.resendTimer)
+		a.s.o.timers.stop(a.confirmTimer)
 	}
 	if len(a.queue) > 0 {
-		a.schedule(0)
+		a.scheduleFlush(0)
 	}
 }
 
-// unfenced counts the facts that are not in the log yet.
-func (a *appender) unfenced() int { return countUnfenced(a.flight) + countUnfenced(a.queue) }
+// unfencedCount counts the facts that are not in the log yet.
+func (a *appender) unfencedCount() int { return countUnfenced(a.inFlight) + countUnfenced(a.queue) }
 
-func countUnfenced(entries []*entry) int {
+func countUnfenced(entries []*pendingRecord) int {
 	n := 0
 	for _, e := range entries {
 		if !e.record.Body.Kind().Fenced() {
@@ -252,13 +252,13 @@
 }
 
 // full tells whether no more records should be made until the log takes some.
-func (a *appender) full() bool { return len(a.queue)+len(a.flight) >= maxPendingRecords }
+func (a *appender) full() bool { return len(a.queue)+len(a.inFlight) >= maxPendingRecords }
 
 func (a *appender) stop() {
 	if a.s == nil {
 		return
 	}
-	a.s.o.timers.stop(a.flushing)
-	a.s.o.timers.stop(a.resend)
-	a.s.o.timers.stop(a.confirm)
+	a.s.o.timers.stop(a.flushTimer)
+	a.s.o.timers.stop(a.resendTimer)
+	a.s.o.timers.stop(a.confirmTimer)
 }
--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -6,15 +6,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// askTimeout bounds the wait for one target's word; maxAsked the targets asked
+// outcomeQueryTimeout bounds the wait for one target's word; maxQueriedTargets the targets asked
 // for one call.
 const (
-	askTimeout = 2 * time.Second
-	maxAsked   = 8
+	outcomeQueryTimeout = 2 * time.Second
+	maxQueriedTargets   = 8
 )
 
-// ask is a question to targets whether they ran a call.
-type ask struct {
+// outcomeQuery is a question to targets whether they ran a call.
+type outcomeQuery struct {
 	run     structs.RunID
 	program structs.ProgramID
 	key     string
@@ -23,42 +23,42 @@
 	done    func(found bool, out structs.Outcome)
 }
 
-// ask asks the targets one after the other until one ran the call. That none
+// queryOutcome asks the targets one after the other until one ran the call. That none
 // did proves nothing: a request may still be on its way.
-func (o *Owner) ask(run structs.RunID, program structs.ProgramID, key string, targets []structs.Target,
+func (o *Owner) queryOutcome(run structs.RunID, program structs.ProgramID, key string, targets []structs.Target,
 	done func(found bool, out structs.Outcome),
 ) {
-	if len(targets) > maxAsked {
-		targets = targets[:maxAsked]
+	if len(targets) > maxQueriedTargets {
+		targets = targets[:maxQueriedTargets]
 	}
-	a := &ask{run: run, program: program, key: key, targets: targets, done: done}
-	o.asks[run] = a
-	o.askNext(a)
+	a := &outcomeQuery{run: run, program: program, key: key, targets: targets, done: done}
+	o.outcomeQueries[run] = a
+	o.queryNextTarget(a)
 }
 
-func (o *Owner) askNext(a *ask) {
+func (o *Owner) queryNextTarget(a *outcomeQuery) {
 	o.timers.stop(a.timer)
 	if len(a.targets) == 0 {
-		delete(o.asks, a.run)
+		delete(o.outcomeQueries, a.run)
 		a.done(false, structs.Outcome{})
 		return
 	}
 	target := a.targets[0]
 	a.targets = a.targets[1:]
 	o.emit(structs.AskOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
-	a.timer = o.after(askTimeout, func() { o.askNext(a) })
+	a.timer = o.after(outcomeQueryTimeout, func() { o.queryNextTarget(a) })
 }
 
 func (o *Owner) onOutcomeAsked(e structs.OutcomeAsked) {
-	a := o.asks[e.Run]
+	a := o.outcomeQueries[e.Run]
 	if a == nil {
 		return
 	}
 	if !e.Found {
-		o.askNext(a)
+		o.queryNextTarget(a)
 		return
 	}
 	o.timers.stop(a.timer)
-	delete(o.asks, e.Run)
+	delete(o.outcomeQueries, e.Run)
 	a.done(true, e.Outcome)
 }
--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -5,15 +5,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// chunkShare is the part of a program's budget that one reservation takes at
+// chunkDivisor is the part of a program's budget that one reservation takes at
 // most beyond what the call needs: an owner that dies loses it.
-const chunkShare = 16
+const chunkDivisor = 16
 
-// aheadShare is the part of what is left of a budget that may be reserved ahead.
-const aheadShare = 4
+// aheadDivisor is the part of what is left of a budget that may be reserved ahead.
+const aheadDivisor = 4
 
-// worst is the most that a call can cost.
-func (c *call) worst() journal.Amount {
+// worstCase is the most that a call can cost.
+func (c *call) worstCase() journal.Amount {
 	a := journal.Amount{Fees: c.spec.Fee}
 	if c.spec.Kind == structs.CallChat {
 		a.Tokens = c.spec.PromptTokens + c.spec.MaxTokens
@@ -27,9 +27,9 @@
 	return journal.Amount{Tokens: policy.ProgramTokens, Fees: policy.ProgramFees}
 }
 
-// left is what may still be reserved or held: the budget less all that is
+// available is what may still be reserved or held: the budget less all that is
 // committed in the log or on its way there.
-func (p *program) left() journal.Amount {
+func (p *program) available() journal.Amount {
 	limit := p.limits()
 	left := limit.Minus(p.pending)
 	if row := p.row(); row != nil {
@@ -37,15 +37,15 @@
 	}
 	// No bound leaves plenty of that part.
 	if limit.Tokens == 0 {
-		left.Tokens = unbounded
+		left.Tokens = unlimited
 	}
 	if limit.Fees == 0 {
-		left.Fees = unbounded
+		left.Fees = unlimited
 	}
 	return left
 }
 
-const unbounded = 1 << 60
+const unlimited = 1 << 60
 
 // chunkFree is the part of this epoch's chunk that no call holds.
 func (p *program) chunkFree() journal.Amount {
@@ -57,47 +57,47 @@
 	}
 	limit := p.limits()
 	if limit.Tokens == 0 {
-		free.Tokens = unbounded
+		free.Tokens = unlimited
 	}
 	if limit.Fees == 0 {
-		free.Fees = unbounded
+		free.Fees = unlimited
 	}
 	return free
 }
 
-// fund makes the call's cost durable: for a not-repeatable call with its
+// reserveCost makes the call's cost durable: for a not-repeatable call with its
 // Intent, for others by a reservation.
-func (c *call) fund() {
+func (c *call) reserveCost() {
 	if c.notRepeatable {
 		c.writeIntent()
 		return
 	}
-	c.reserve()
+	c.reserveFromChunk()
 }
 
-// reserve holds a repeatable call's worst case from the chunk, after a further
+// reserveFromChunk holds a repeatable call's worst case from the chunk, after a further
 // reservation if the chunk is too small.
-func (c *call) reserve() {
-	if !c.holdTeams() {
+func (c *call) reserveFromChunk() {
+	if !c.holdTeamBudgets() {
 		return
 	}
 	p := c.prog
-	need := c.worst()
+	need := c.worstCase()
 	limit := p.limits()
 	if limit.IsZero() {
-		c.askPermit()
+		c.awaitPermit()
 		return
 	}
 	free := p.chunkFree()
 	if need.AtMost(free) {
-		c.hold, c.chunk = c.hold.Plus(need), true
+		c.hold, c.heldFromChunk = c.hold.Plus(need), true
 		p.held = p.held.Plus(need)
-		c.askPermit()
+		c.awaitPermit()
 		return
 	}
 	c.phase = phaseReserve
 	missing := need.Minus(free).Max(journal.Amount{})
-	if !missing.AtMost(p.left()) {
+	if !missing.AtMost(p.available()) {
 		c.refuseBudget()
 		return
 	}
@@ -106,7 +106,7 @@
 		return
 	}
 	if !p.reserving {
-		p.writeReserve(missing)
+		p.appendReserve(missing)
 	}
 }
 
@@ -114,13 +114,13 @@
 // come back, so that asking again helps only then.
 func (c *call) refuseBudget() {
 	if !c.prog.held.IsZero() || !c.prog.pending.IsZero() {
-		c.deny(structs.ReasonBudget, busyRetryAfter, nil)
+		c.refuseVerified(structs.ReasonBudget, busyRetryAfter, nil)
 		return
 	}
-	c.deny(structs.ReasonBudget, 0, nil)
+	c.refuseVerified(structs.ReasonBudget, 0, nil)
 }
 
-func (p *program) writeReserve(missing journal.Amount) {
+func (p *program) appendReserve(missing journal.Amount) {
 	amount := p.chunkSize(missing)
 	p.pending = p.pending.Plus(amount)
 	p.reserving = true
@@ -131,35 +131,35 @@
 	p.shard.app.push(&journal.Reserve{Program: p.id, Amount: amount}, urgent, func() {
 		p.pending = p.pending.Minus(amount)
 		p.reserving = false
-		p.reserved()
+		p.onReserved()
 	})
 }
 
 // chunkSize rounds a reservation up, so that the next calls need none.
 func (p *program) chunkSize(missing journal.Amount) journal.Amount {
-	limit, left := p.limits(), p.left()
+	limit, left := p.limits(), p.available()
 	amount := missing
 	if missing.Tokens > 0 {
-		share := min(p.policy().ChunkTokens, limit.Tokens/chunkShare)
+		share := min(p.policy().ChunkTokens, limit.Tokens/chunkDivisor)
 		amount.Tokens = min(max(missing.Tokens, share), left.Tokens)
 	}
 	return amount
 }
 
-// reserved takes up the calls that waited for a reservation.
-func (p *program) reserved() {
+// onReserved takes up the calls that waited for a reservation.
+func (p *program) onReserved() {
 	for _, c := range p.sortedCalls() {
 		if c.phase == phaseReserve {
-			c.fund()
+			c.reserveCost()
 		}
 	}
 }
 
-// burn books a run that broke: it may have cost its worst case, so that a further
+// chargeFailedRun books a run that broke: it may have cost its worst case, so that a further
 // run needs a hold of its own.
-func (c *call) burn() {
-	c.burned = c.burned.Plus(c.worst())
-	c.burns++
+func (c *call) chargeFailedRun() {
+	c.failedCost = c.failedCost.Plus(c.worstCase())
+	c.failedRuns++
 }
 
 // reserveAhead reserves what the next call is likely to need, so that it need
@@ -174,25 +174,25 @@
 		return
 	}
 	missing := need.Minus(p.chunkFree()).Max(journal.Amount{})
-	left := p.left()
-	ample := journal.Amount{Tokens: left.Tokens / aheadShare, Fees: left.Fees / aheadShare}
+	left := p.available()
+	ample := journal.Amount{Tokens: left.Tokens / aheadDivisor, Fees: left.Fees / aheadDivisor}
 	if !missing.IsZero() && missing.AtMost(ample) {
-		p.writeReserve(missing)
+		p.appendReserve(missing)
 	}
 }
 
 // releaseHold gives back what a call held.
 func (c *call) releaseHold() {
-	if c.chunk {
+	if c.heldFromChunk {
 		c.prog.held = c.prog.held.Minus(c.hold)
 	}
-	c.hold, c.chunk = journal.Amount{}, false
-	c.releaseTeams()
+	c.hold, c.heldFromChunk = journal.Amount{}, false
+	c.releaseTeamBudgets()
 }
 
-// settleAll records that this instance spends no more from its chunks of a
+// settleChunks records that this instance spends no more from its chunks of a
 // lost shard; it tells whether it wrote something.
-func (s *shard) settleAll() bool {
+func (s *shard) settleChunks() bool {
 	// What a call in flight will cost is in no record yet.
 	if s.calls > 0 {
 		return false
--- a/internal/owner/call.go
+++ b/internal/owner/call.go
@@ -25,12 +25,12 @@
 	phasePermit phase = "permit"
 	// phaseConfirm: proof from the log that the shard is still owned.
 	phaseConfirm phase = "confirm"
-	// phaseProving: proof from the log that its refusal is right.
-	phaseProving phase = "proving"
+	// phaseVerifying: proof from the log that its refusal is right.
+	phaseVerifying phase = "proving"
 	// phaseRunning: the end of its run.
 	phaseRunning phase = "running"
-	// phaseAsking: the target's word on a broken run.
-	phaseAsking phase = "asking"
+	// phaseQuerying: the target's word on a broken run.
+	phaseQuerying phase = "asking"
 	// phaseRecording: its outcome to count.
 	phaseRecording phase = "recording"
 	// phaseEnded: nothing.
@@ -49,10 +49,10 @@
 	phase         phase
 	arrived       time.Time
 	waiters       []*waiter
-	// redo tells that the key's last run has an unknown outcome.
-	redo bool
-	// lookedUp tells that earlier deliveries of the key would be known.
-	lookedUp bool
+	// rerun tells that the key's last run has an unknown outcome.
+	rerun bool
+	// keyLookedUp tells that earlier deliveries of the key would be known.
+	keyLookedUp bool
 	// resubmitted tells that an earlier owner may have run the call.
 	resubmitted bool
 
@@ -66,32 +66,32 @@
 	target  structs.Target
 	// sentRuns counts the runs that may have reached a target.
 	sentRuns int
-	// intent tells that an Intent may be in the log.
-	intent bool
+	// intentAppended tells that an Intent may be in the log.
+	intentAppended bool
 	// hold is the worst case of the cost, taken from the budget; chunk
 	// tells that it is taken from the reserved chunk.
-	hold  journal.Amount
-	chunk bool
-	// burned is the worst case of runs that broke before this one.
-	burned journal.Amount
-	burns  int
-	// teams are the team paths whose budgets hold teamHold, for that many
+	hold          journal.Amount
+	heldFromChunk bool
+	// failedCost is the worst case of runs that broke before this one.
+	failedCost journal.Amount
+	failedRuns int
+	// heldTeams are the team paths whose budgets hold teamHold, for that many
 	// runs.
-	teams    []structs.Team
-	teamHold journal.Amount
-	teamRuns int
+	heldTeams []structs.Team
+	teamHold  journal.Amount
+	teamRuns  int
 	// pieces are the pieces of the answer received so far.
 	pieces  []string
 	resumes int
-	// foreign tells that an earlier owner started the run.
-	foreign bool
-	// cancelled tells that the run was told to stop, and why.
-	cancelled structs.Reason
-	// queuedAt tells that the dispatcher has the permit request.
-	queuedAt bool
-	pool     *pool
-	timer    *timer
-	linger   *timer
+	// inherited tells that an earlier owner started the run.
+	inherited bool
+	// cancelReason tells that the run was told to stop, and why.
+	cancelReason structs.Reason
+	// permitQueued tells that the dispatcher has the permit request.
+	permitQueued bool
+	pool         *pool
+	timer        *timer
+	lingerTimer  *timer
 	// outcome waits in phaseRecording.
 	outcome structs.Outcome
 }
@@ -100,17 +100,17 @@
 type waiter struct {
 	request structs.RequestID
 	from    structs.InstanceID
-	// next is the first piece that the gateway lacks; run made those before.
-	next     int
-	run      structs.RunID
-	deadline time.Time
-	timer    *timer
+	// nextPiece is the first piece that the gateway lacks; run made those before.
+	nextPiece int
+	run       structs.RunID
+	deadline  time.Time
+	timer     *timer
 	// detached tells that the connection to the gateway broke.
 	detached bool
 }
 
-// id gives the journal's name of the call.
-func (c *call) id() journal.CallID {
+// journalID gives the journal's name of the call.
+func (c *call) journalID() journal.CallID {
 	return journal.CallID{
 		Program: c.spec.Program, Team: c.prog.team, Single: c.spec.Single, Lane: c.spec.Lane,
 		Number: c.spec.Number, Key: c.key, Digest: c.spec.Digest, Run: c.run,
@@ -121,27 +121,27 @@
 func (c *call) attach(from structs.InstanceID, m *structs.Submit) {
 	o := c.shard.o
 	c.resubmitted = c.resubmitted || m.Resubmitted || m.Have > 0
-	w := &waiter{request: m.Request, from: from, next: m.Have, run: m.HaveRun, deadline: o.now.Add(m.Remaining)}
-	w.timer = o.after(max(0, m.Remaining-answerMargin), func() { c.onDeadline(w) })
+	w := &waiter{request: m.Request, from: from, nextPiece: m.Have, run: m.HaveRun, deadline: o.now.Add(m.Remaining)}
+	w.timer = o.after(max(0, m.Remaining-responseMargin), func() { c.onDeadline(w) })
 	c.waiters = append(c.waiters, w)
 	o.requests[m.Request] = c
-	o.timers.stop(c.linger)
+	o.timers.stop(c.lingerTimer)
 	if c.started() {
-		c.dropStrangers()
+		c.dropMismatchedWaiters()
 	}
 	c.forward(w)
 }
 
 // started tells whether the run of the call's answer is fixed.
 func (c *call) started() bool {
-	return c.phase == phaseRunning || c.phase == phaseAsking || c.phase == phaseRecording
+	return c.phase == phaseRunning || c.phase == phaseQuerying || c.phase == phaseRecording
 }
 
-// dropStrangers answers the gateways that have pieces of another run: what they
+// dropMismatchedWaiters answers the gateways that have pieces of another run: what they
 // passed on cannot be made whole.
-func (c *call) dropStrangers() {
+func (c *call) dropMismatchedWaiters() {
 	for _, w := range slices.Clone(c.waiters) {
-		if w.next == 0 || w.run == c.run {
+		if w.nextPiece == 0 || w.run == c.run {
 			continue
 		}
 		c.removeWaiter(w)
@@ -154,10 +154,10 @@
 	c.resubmitted = c.resubmitted || m.Resubmitted || m.Have > 0
 	for _, w := range c.waiters {
 		if w.request == m.Request {
-			w.from, w.next, w.run, w.detached = from, m.Have, m.HaveRun, false
-			c.shard.o.timers.stop(c.linger)
+			w.from, w.nextPiece, w.run, w.detached = from, m.Have, m.HaveRun, false
+			c.shard.o.timers.stop(c.lingerTimer)
 			if c.started() {
-				c.dropStrangers()
+				c.dropMismatchedWaiters()
 			}
 			c.forward(w)
 			return
@@ -167,11 +167,11 @@
 
 // forward sends a waiter the pieces that it lacks.
 func (c *call) forward(w *waiter) {
-	if !c.spec.Stream || w.next >= len(c.pieces) {
+	if !c.spec.Stream || w.nextPiece >= len(c.pieces) {
 		return
 	}
-	chunk := structs.Chunk{First: w.next, Texts: slices.Clone(c.pieces[w.next:])}
-	w.next, w.run = chunk.Next(), c.run
+	chunk := structs.Chunk{First: w.nextPiece, Texts: slices.Clone(c.pieces[w.nextPiece:])}
+	w.nextPiece, w.run = chunk.Next(), c.run
 	c.shard.o.send(w.from, &structs.CallChunk{Request: w.request, Run: c.run, Chunk: chunk})
 }
 
@@ -186,8 +186,8 @@
 	return last
 }
 
-// answer gives every waiter the outcome.
-func (c *call) answer(out structs.Outcome) {
+// sendOutcome gives every waiter the outcome.
+func (c *call) sendOutcome(out structs.Outcome) {
 	for _, w := range c.takeWaiters() {
 		c.shard.o.send(w.from, &structs.CallEnd{Request: w.request, Run: c.run, Outcome: out})
 	}
@@ -197,12 +197,12 @@
 	list := c.waiters
 	c.waiters = nil
 	for _, w := range list {
-		c.forget(w)
+		c.unregisterWaiter(w)
 	}
 	return list
 }
 
-func (c *call) forget(w *waiter) {
+func (c *call) unregisterWaiter(w *waiter) {
 	c.shard.o.timers.stop(w.timer)
 	delete(c.shard.o.requests, w.request)
 }
@@ -212,7 +212,7 @@
 	if i := slices.Index(c.waiters, w); i >= 0 {
 		c.waiters = slices.Delete(c.waiters, i, i+1)
 	}
-	c.forget(w)
+	c.unregisterWaiter(w)
 }
 
 // onDeadline answers a waiter whose time is up. While others wait the call may
@@ -225,19 +225,19 @@
 	c.removeWaiter(w)
 	c.shard.o.send(w.from, &structs.CallEnd{Request: w.request, Outcome: unknown(structs.ReasonDeadline)})
 	if len(c.waiters) == 0 {
-		c.deserted(structs.ReasonDeadline)
+		c.onNoWaiters(structs.ReasonDeadline)
 	}
 }
 
-// deserted runs when no gateway waits any more.
-func (c *call) deserted(reason structs.Reason) {
+// onNoWaiters runs when no gateway waits any more.
+func (c *call) onNoWaiters(reason structs.Reason) {
 	switch c.phase {
 	case phaseRunning:
 		// A not-repeatable run goes on: its outcome is kept for a retry.
 		if !c.notRepeatable {
 			c.cancel(reason)
 		}
-	case phaseAsking, phaseRecording, phaseEnded:
+	case phaseQuerying, phaseRecording, phaseEnded:
 	default:
 		c.refuse(reason, 0)
 	}
@@ -257,7 +257,7 @@
 			break
 		}
 	}
-	c.lingerIfDeserted()
+	c.lingerIfDetached()
 }
 
 func (s *shard) withdrawHeld(request structs.RequestID) {
@@ -271,24 +271,24 @@
 	})
 }
 
-// lingerIfDeserted gives a caller a short time to come back at another gateway
+// lingerIfDetached gives a caller a short time to come back at another gateway
 // before its call is given up. What was not sent is given up at once.
-func (c *call) lingerIfDeserted() {
+func (c *call) lingerIfDetached() {
 	for _, w := range c.waiters {
 		if !w.detached {
 			return
 		}
 	}
 	if len(c.waiters) == 0 && !c.mayHaveRun() {
-		c.deserted(structs.ReasonCancelled)
+		c.onNoWaiters(structs.ReasonCancelled)
 		return
 	}
 	o := c.shard.o
-	o.timers.stop(c.linger)
-	c.linger = o.after(lingerTime, func() {
+	o.timers.stop(c.lingerTimer)
+	c.lingerTimer = o.after(lingerTimeout, func() {
 		for _, w := range slices.Clone(c.waiters) {
 			c.removeWaiter(w)
 		}
-		c.deserted(structs.ReasonCancelled)
+		c.onNoWaiters(structs.ReasonCancelled)
 	})
 }
--- a/internal/owner/call_test.go
+++ b/internal/owner/call_test.go
@@ -9,15 +9,15 @@
 
 func TestCallRunsAndIsReplayed(t *testing.T) {
 	for _, notRepeatable := range []bool{false, true} {
-		w := newWorld(t, 1, 2)
+		w := newCluster(t, 1, 2)
 		id := w.program(1)
 		c := testCall(id, 1, notRepeatable)
 		first := w.submit(c, time.Minute)
 		w.run(time.Second)
-		w.want(first, structs.OutcomeAnswered, "")
+		w.expect(first, structs.OutcomeAnswered, "")
 		again := w.submit(c, time.Minute)
 		w.run(time.Second)
-		w.want(again, structs.OutcomeAnswered, "")
+		w.expect(again, structs.OutcomeAnswered, "")
 		if !again.outcome.Replayed || again.outcome.Text != first.outcome.Text {
 			t.Errorf("second answer %+v, want a replay of %+v", again.outcome, first.outcome)
 		}
@@ -28,12 +28,12 @@
 		other.Digest = structs.Digest{99}
 		reused := w.submit(&other, time.Minute)
 		w.run(time.Second)
-		w.want(reused, structs.OutcomeNotRun, structs.ReasonKeyReused)
+		w.expect(reused, structs.OutcomeNotRun, structs.ReasonKeyReused)
 	}
 }
 
 func TestLaneOrder(t *testing.T) {
-	w := newWorld(t, 1, 2)
+	w := newCluster(t, 1, 2)
 	id := w.program(1)
 	third := w.submit(testCall(id, 3, false), time.Minute)
 	second := w.submit(testCall(id, 2, true), time.Minute)
@@ -44,47 +44,47 @@
 	first := w.submit(testCall(id, 1, false), time.Minute)
 	w.run(2 * time.Second)
 	for i, r := range []*request{first, second, third} {
-		w.want(r, structs.OutcomeAnswered, "")
+		w.expect(r, structs.OutcomeAnswered, "")
 		if w.sends[i].call.Number != uint64(i+1) {
 			t.Errorf("send %d is of call %d", i, w.sends[i].call.Number)
 		}
 	}
 	gap := w.submit(testCall(id, 9, false), time.Minute)
 	w.run(6 * time.Second)
-	w.want(gap, structs.OutcomeNotRun, structs.ReasonOrderGap)
+	w.expect(gap, structs.OutcomeNotRun, structs.ReasonOrderGap)
 	old := testCall(id, 2, false)
 	old.Key = "another"
 	stale := w.submit(old, time.Minute)
 	w.run(time.Second)
-	w.want(stale, structs.OutcomeNotRun, structs.ReasonStaleNumber)
+	w.expect(stale, structs.OutcomeNotRun, structs.ReasonStaleNumber)
 }
 
 func TestProgramBudget(t *testing.T) {
-	w := newWorld(t, 1, 2)
+	w := newCluster(t, 1, 2)
 	w.policy.ProgramTokens = 500
 	w.policy.ProgramFees = 25
 	id := w.program(1)
 	for n, notRepeatable := range []bool{false, true, false, true} {
 		r := w.submit(testCall(id, uint64(n+1), notRepeatable), time.Minute)
 		w.run(time.Second)
-		w.want(r, structs.OutcomeAnswered, "")
+		w.expect(r, structs.OutcomeAnswered, "")
 	}
 	// 300 tokens are spent and 200 are the worst case; then 50 are left.
 	r := w.submit(testCall(id, 5, false), time.Minute)
 	w.run(time.Second)
-	w.want(r, structs.OutcomeAnswered, "")
+	w.expect(r, structs.OutcomeAnswered, "")
 	r = w.submit(testCall(id, 6, false), time.Minute)
 	w.run(time.Second)
-	w.want(r, structs.OutcomeNotRun, structs.ReasonBudget)
+	w.expect(r, structs.OutcomeNotRun, structs.ReasonBudget)
 	r = w.submit(testCall(id, 6, true), time.Minute)
 	w.run(time.Second)
-	w.want(r, structs.OutcomeNotRun, structs.ReasonBudget)
+	w.expect(r, structs.OutcomeNotRun, structs.ReasonBudget)
 }
 
-func TestTakeoverNeverRunsAnIntentAgain(t *testing.T) {
+func TestTakeoverDoesNotRerunIntent(t *testing.T) {
 	for _, askable := range []bool{false, true} {
-		w := newWorld(t, 1, 2)
-		w.askable = askable
+		w := newCluster(t, 1, 2)
+		w.supportsOutcomeQuery = askable
 		w.runTime = 500 * time.Millisecond
 		id := w.program(1)
 		c := testCall(id, 1, true)
@@ -96,15 +96,15 @@
 		w.kill("o1")
 		w.run(5 * time.Second)
 		if askable {
-			w.want(r, structs.OutcomeAnswered, "")
+			w.expect(r, structs.OutcomeAnswered, "")
 		} else {
-			w.want(r, structs.OutcomeUnknown, structs.ReasonOwnerLost)
+			w.expect(r, structs.OutcomeUnknown, structs.ReasonOwnerLost)
 		}
 		again := w.submit(c, time.Minute)
 		next := w.submit(testCall(id, 2, true), time.Minute)
 		w.run(time.Second)
-		w.want(again, r.outcome.Kind, r.outcome.Reason)
-		w.want(next, structs.OutcomeAnswered, "")
+		w.expect(again, r.outcome.Kind, r.outcome.Reason)
+		w.expect(next, structs.OutcomeAnswered, "")
 		if w.sendsOf(c) != 1 {
 			t.Errorf("%d sends", w.sendsOf(c))
 		}
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -7,33 +7,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// take decides whether this instance serves a message for a shard that it does
+// claimOrRedirect decides whether this instance serves a message for a shard that it does
 // not own now: it begins to claim and holds the message, or says who is better.
-func (s *shard) take(from structs.InstanceID, msg structs.Message, suspects []structs.InstanceID) {
+func (s *shard) claimOrRedirect(from structs.InstanceID, msg structs.Message, suspects []structs.InstanceID) {
 	switch s.tenure {
 	case tenureProbing, tenureLocating, tenureReplaying, tenureClaiming:
 		if s.logDown() {
 			s.o.refuseMessage(from, msg, structs.ReasonLogUnavailable, logRetryAfter)
 			return
 		}
-		s.hold(from, msg)
+		s.holdMessage(from, msg)
 		return
 	}
 	owner, mine := s.candidate(suspects)
 	switch {
 	case s.o.draining:
-		s.o.notOwner(from, msg, owner)
-	case s.tenure == tenureLost && s.gap:
-		s.o.notOwner(from, msg, owner)
+		s.o.sendNotOwner(from, msg, owner)
+	case s.tenure == tenureLost && s.truncated:
+		s.o.sendNotOwner(from, msg, owner)
 	case owner == s.o.cfg.Self.ID:
-		s.hold(from, msg)
-		s.regain()
+		s.holdMessage(from, msg)
+		s.startClaim()
 	case mine && s.tenure == tenureNone:
-		s.hold(from, msg)
+		s.holdMessage(from, msg)
 		s.tenure, s.probed = tenureProbing, owner
 		s.o.emit(structs.ProbePeer{To: owner})
 	default:
-		s.o.notOwner(from, msg, owner)
+		s.o.sendNotOwner(from, msg, owner)
 	}
 }
 
@@ -41,8 +41,8 @@
 // comes next if the suspects are down.
 func (s *shard) candidate(suspects []structs.InstanceID) (structs.InstanceID, bool) {
 	self := s.o.cfg.Self.ID
-	if s.recentlyLost() && !slices.Contains(suspects, s.winner) {
-		return s.winner, false
+	if s.recentlyLost() && !slices.Contains(suspects, s.newOwner) {
+		return s.newOwner, false
 	}
 	owner, ok := s.o.members.OwnerOf(s.ref)
 	if !ok {
@@ -68,60 +68,60 @@
 // recentlyLost keeps two instances with different membership views from
 // claiming a shard in turns.
 func (s *shard) recentlyLost() bool {
-	if s.winner == "" || s.winner == s.o.cfg.Self.ID || !s.usable(s.winner) {
+	if s.newOwner == "" || s.newOwner == s.o.cfg.Self.ID || !s.usable(s.newOwner) {
 		return false
 	}
-	return s.o.now.Sub(s.lostAt) < lostQuiet
+	return s.o.now.Sub(s.lostAt) < lostShardBackoff
 }
 
-func (s *shard) hold(from structs.InstanceID, msg structs.Message) {
-	if len(s.held) >= maxHeld {
+func (s *shard) holdMessage(from structs.InstanceID, msg structs.Message) {
+	if len(s.held) >= maxHeldMessages {
 		s.o.refuseMessage(from, msg, structs.ReasonOverloaded, busyRetryAfter)
 		return
 	}
 	h := &heldMessage{from: from, msg: msg, arrived: s.o.now}
-	h.deadline = s.o.after(remainingOf(msg)-answerMargin, func() { s.expire(h) })
+	h.deadline = s.o.after(remainingOf(msg)-responseMargin, func() { s.expireHeld(h) })
 	s.held = append(s.held, h)
 	if m, ok := msg.(*structs.Submit); ok {
 		s.o.send(from, &structs.SubmitAccepted{Request: m.Request})
 	}
 }
 
-func (s *shard) expire(h *heldMessage) {
+func (s *shard) expireHeld(h *heldMessage) {
 	if i := slices.Index(s.held, h); i >= 0 {
 		s.held = slices.Delete(s.held, i, i+1)
 		s.o.refuseMessage(h.from, h.msg, structs.ReasonDeadline, 0)
 	}
 }
 
-// begin reads the stream, then claims if wanted or if work is owed.
-func (s *shard) begin(wanted bool) {
+// startReading reads the stream, then claims if wanted or if work is owed.
+func (s *shard) startReading(wanted bool) {
 	s.reset()
-	s.wanted = wanted
+	s.claimWanted = wanted
 	s.tenure = tenureLocating
 	s.o.emit(structs.LogTailEnd{Stream: s.stream})
-	s.watchLog()
+	s.startLogTimer()
 }
 
-// regain begins to claim. A shard that was lost while calls of it still run is
+// startClaim begins to claim. A shard that was lost while calls of it still run is
 // read up to date, so it can be claimed at once.
-func (s *shard) regain() {
+func (s *shard) startClaim() {
 	if s.tenure == tenureLost {
 		s.claim()
 		return
 	}
-	s.begin(true)
+	s.startReading(true)
 }
 
-// watchLog refuses what is held if the log does not answer in time.
-func (s *shard) watchLog() {
-	s.o.timers.stop(s.waiting)
-	s.waiting = s.o.after(confirmTimeout, func() {
+// startLogTimer refuses what is held if the log does not answer in time.
+func (s *shard) startLogTimer() {
+	s.o.timers.stop(s.logTimer)
+	s.logTimer = s.o.after(confirmTimeout, func() {
 		switch s.tenure {
 		case tenureLocating, tenureReplaying, tenureClaiming:
 			s.readDown = true
 			s.refuseHeld(structs.ReasonLogUnavailable)
-			s.watchLog()
+			s.startLogTimer()
 		}
 	})
 }
@@ -146,60 +146,60 @@
 func (s *shard) claim() {
 	s.tenure = tenureClaiming
 	s.app.push(&journal.Claim{Instance: s.o.cfg.Self.ID}, urgent, nil)
-	s.watchLog()
+	s.startLogTimer()
 }
 
-// caughtUp runs when the stream was replayed to its end.
-func (s *shard) caughtUp() {
-	s.o.timers.stop(s.waiting)
-	if s.o.draining || !s.wanted && len(s.held) == 0 && !s.owesWork() {
-		s.leave()
+// onCaughtUp runs when the stream was replayed to its end.
+func (s *shard) onCaughtUp() {
+	s.o.timers.stop(s.logTimer)
+	if s.o.draining || !s.claimWanted && len(s.held) == 0 && !s.hasPendingWork() {
+		s.unload()
 		return
 	}
 	s.claim()
 }
 
-// won runs when the own claim was read back as the first of its epoch.
-func (s *shard) won(epoch structs.Epoch) {
-	s.o.timers.stop(s.waiting)
+// onClaimWon runs when the own claim was read back as the first of its epoch.
+func (s *shard) onClaimWon(epoch structs.Epoch) {
+	s.o.timers.stop(s.logTimer)
 	s.tenure, s.epoch = tenureOwned, epoch
 	s.claimedAt, s.snapshotAt = s.o.now, s.o.now
-	s.watchSnapshot()
-	s.watchPurge()
-	s.winner = ""
-	s.note("shard claimed", "")
-	s.o.watchPause()
+	s.scheduleSnapshot()
+	s.schedulePurge()
+	s.newOwner = ""
+	s.logEvent("shard claimed", "")
+	s.o.scheduleHeartbeat()
 	s.recover()
-	s.proven(s.app.oldest)
+	s.onOwnershipVerified(s.app.sentAt)
 	for _, h := range s.takeHeld() {
 		s.o.redeliver(h)
 	}
 }
 
-// lose runs when another instance's claim was read: whatever was not sent is
+// onShardLost runs when another instance's claim was read: whatever was not sent is
 // dropped at once; what was sent is awaited and recorded as unfenced facts.
-func (s *shard) lose(winner structs.InstanceID) {
+func (s *shard) onShardLost(winner structs.InstanceID) {
 	claimed := s.tenure == tenureOwned
 	s.tenure = tenureLost
-	s.winner, s.lostAt = winner, s.o.now
-	s.o.timers.stop(s.waiting)
+	s.newOwner, s.lostAt = winner, s.o.now
+	s.o.timers.stop(s.logTimer)
 	s.app.dropFenced()
 	for _, h := range s.takeHeld() {
-		s.o.notOwner(h.from, h.msg, winner)
+		s.o.sendNotOwner(h.from, h.msg, winner)
 	}
 	if claimed {
-		s.note("shard lost to a newer claim", winner)
+		s.logEvent("shard lost to a newer claim", winner)
 		s.dropUnsent(winner)
 	}
-	s.forgetPending()
-	s.leaveIfDone()
+	s.resetPending()
+	s.unloadIfDone()
 }
 
-// forgetPending forgets what waited for fenced records: they are void now.
-func (s *shard) forgetPending() {
-	s.snapshotting, s.checking, s.proofs = false, false, nil
-	s.granting = make(map[string]bool)
-	s.grantsPending = make(map[structs.Team]journal.Amount)
+// resetPending forgets what waited for fenced records: they are void now.
+func (s *shard) resetPending() {
+	s.snapshotting, s.checkPending, s.ownershipChecks = false, false, nil
+	s.pendingGrants = make(map[string]bool)
+	s.pendingGrantAmounts = make(map[structs.Team]journal.Amount)
 	for _, a := range s.accounts {
 		s.o.timers.stop(a.timer)
 		a.request = nil
@@ -211,25 +211,25 @@
 			p.laneOf(r.run.Lane).blocked = 0
 		}
 		p.recovery = make(map[structs.RunID]*recovery)
-		p.skips, p.unknowns = nil, nil
+		p.gapSkips, p.unknownNumbers = nil, nil
 	}
 }
 
-// leaveIfDone forgets a lost shard once nothing of it is in flight.
-func (s *shard) leaveIfDone() {
-	if s.tenure != tenureLost || s.calls > 0 || s.app.unfenced() > 0 {
+// unloadIfDone forgets a lost shard once nothing of it is in flight.
+func (s *shard) unloadIfDone() {
+	if s.tenure != tenureLost || s.calls > 0 || s.app.unfencedCount() > 0 {
 		return
 	}
-	if s.settleAll() {
+	if s.settleChunks() {
 		return
 	}
-	s.leave()
+	s.unload()
 }
 
-func (s *shard) leave() {
+func (s *shard) unload() {
 	s.o.emit(structs.LogStop{Stream: s.stream})
 	for _, h := range s.takeHeld() {
-		s.o.notOwner(h.from, h.msg, s.winner)
+		s.o.sendNotOwner(h.from, h.msg, s.newOwner)
 	}
 	for _, p := range s.sortedPrograms() {
 		p.stop()
--- a/internal/owner/dump.go
+++ b/internal/owner/dump.go
@@ -76,7 +76,7 @@
 	d := DumpShard{
 		Shard: s.id, Tenure: string(s.tenure), Epoch: s.state.Epoch, Owner: s.state.Owner,
 		Next: s.next, Snapshot: s.state.Snapshot, LogDown: s.logDown(), Held: len(s.held),
-		Pending: len(s.app.queue) + len(s.app.flight), Garbage: s.garbage, Void: s.void,
+		Pending: len(s.app.queue) + len(s.app.inFlight), Garbage: s.undecodable, Void: s.void,
 	}
 	for _, p := range s.sortedPrograms() {
 		d.Programs = append(d.Programs, p.info())
@@ -115,7 +115,7 @@
 			if len(list) >= limit {
 				return list
 			}
-			list = append(list, s.live(id, row.Team).info())
+			list = append(list, s.liveProgram(id, row.Team).info())
 		}
 	}
 	return list
--- a/internal/owner/gap.go
+++ b/internal/owner/gap.go
@@ -17,60 +17,60 @@
 	return row != nil && row.Epoch < p.shard.epoch
 }
 
-// showsAnswers tells whether a call's history proves that the caller has the
+// historyCoversGap tells whether a call's history proves that the caller has the
 // answers of the missing numbers: beyond what the lane's last call had sent, each
 // number adds at least an answer and a message.
-func (p *program) showsAnswers(c *call, last uint64) bool {
+func (p *program) historyCoversGap(c *call, last uint64) bool {
 	row := p.row()
 	if row == nil || row.Lanes[c.spec.Lane] == nil || c.spec.Kind != structs.CallChat || c.spec.Fork {
 		return false
 	}
 	l := row.Lanes[c.spec.Lane]
-	if l.HistoryCount == 0 || forks(l, c.spec) {
+	if l.HistoryCount == 0 || forksHistory(l, c.spec) {
 		return false
 	}
 	added := uint64(len(c.spec.History) - l.HistoryCount)
 	return c.spec.Number-last <= added/2
 }
 
-// watchGap waits for the missing numbers before a lane's next call.
-func (p *program) watchGap(l *lane) {
+// startGapTimer waits for the missing numbers before a lane's next call.
+func (p *program) startGapTimer(l *lane) {
 	o := p.shard.o
-	if l.gap != nil && l.gap.index >= 0 {
+	if l.gapTimer != nil && l.gapTimer.index >= 0 {
 		return
 	}
 	wait := p.policy().GapTimeout
-	if p.maySkip(l) {
+	if p.maySkipGap(l) {
 		wait = min(wait, o.cfg.RecoveryWait)
 	}
-	l.gap = o.after(wait, func() { p.onGap(l) })
+	l.gapTimer = o.after(wait, func() { p.onGapTimeout(l) })
 }
 
-// maySkip tells whether the lane may pass missing numbers: those of which a
+// maySkipGap tells whether the lane may pass missing numbers: those of which a
 // caller heard "unknown", else once an epoch, since only what an earlier owner
 // answered last can be missing.
-func (p *program) maySkip(l *lane) bool {
-	if len(l.queue) > 0 && l.queue[0].spec.Number <= p.unknowns[l.name]+1 {
+func (p *program) maySkipGap(l *lane) bool {
+	if len(l.queue) > 0 && l.queue[0].spec.Number <= p.unknownNumbers[l.name]+1 {
 		return true
 	}
-	return p.inherited() && p.skips[l.name] == 0
+	return p.inherited() && p.gapSkips[l.name] == 0
 }
 
-// told notes an outcome without a record.
-func (p *program) told(spec *structs.Call, out structs.Outcome) {
-	if out.Kind != structs.OutcomeUnknown || spec.Number <= max(p.last(spec.Lane), p.unknowns[spec.Lane]) {
+// recordUnknown notes an outcome without a record.
+func (p *program) recordUnknown(spec *structs.Call, out structs.Outcome) {
+	if out.Kind != structs.OutcomeUnknown || spec.Number <= max(p.lastNumber(spec.Lane), p.unknownNumbers[spec.Lane]) {
 		return
 	}
-	if p.unknowns == nil {
-		p.unknowns = make(map[structs.Lane]uint64)
+	if p.unknownNumbers == nil {
+		p.unknownNumbers = make(map[structs.Lane]uint64)
 	}
-	p.unknowns[spec.Lane] = spec.Number
+	p.unknownNumbers[spec.Lane] = spec.Number
 }
 
-// sees tells whether the shard's state shows every run of the program's calls.
+// hasAllRuns tells whether the shard's state shows every run of the program's calls.
 // The records of repeatable calls follow their answers, so only an owner since
 // the program's first record has them all.
-func (p *program) sees(notRepeatable bool) bool {
+func (p *program) hasAllRuns(notRepeatable bool) bool {
 	if notRepeatable {
 		return true
 	}
@@ -78,20 +78,20 @@
 	return row != nil && row.Epoch == p.shard.epoch
 }
 
-// onGap passes the missing numbers or refuses the calls behind them.
-func (p *program) onGap(l *lane) {
+// onGapTimeout passes the missing numbers or refuses the calls behind them.
+func (p *program) onGapTimeout(l *lane) {
 	if !p.shard.owned() || l.current != nil || l.blocked > 0 || len(l.queue) == 0 {
 		return
 	}
-	if p.maySkip(l) {
-		if p.skips == nil {
-			p.skips = make(map[structs.Lane]uint64)
+	if p.maySkipGap(l) {
+		if p.gapSkips == nil {
+			p.gapSkips = make(map[structs.Lane]uint64)
 		}
-		p.skips[l.name] = l.queue[0].spec.Number
+		p.gapSkips[l.name] = l.queue[0].spec.Number
 		p.advance()
 		return
 	}
-	p.shard.prove(func(proven bool) {
+	p.shard.verifyOwnership(func(proven bool) {
 		reason, after := structs.ReasonOrderGap, gapRetryAfter
 		if !proven {
 			reason, after = structs.ReasonLogUnavailable, logRetryAfter
@@ -107,19 +107,19 @@
 		return
 	}
 	for _, c := range slices.Clone(l.queue) {
-		if c.spec.Number > p.last(name)+1 && c.phase == phaseQueued {
+		if c.spec.Number > p.lastNumber(name)+1 && c.phase == phaseQueued {
 			c.refuse(reason, after)
 		}
 	}
 	p.advance()
 }
 
-// passed tells whether a number was skipped, so that its call may have run.
-func (p *program) passed(spec *structs.Call) bool {
+// wasSkipped tells whether a number was skipped, so that its call may have run.
+func (p *program) wasSkipped(spec *structs.Call) bool {
 	if spec.Number == 0 {
 		return false
 	}
-	last := p.last(spec.Lane)
+	last := p.lastNumber(spec.Lane)
 	if l := p.lanes[spec.Lane]; l != nil && l.current != nil && spec.Number > last && spec.Number < l.current.spec.Number {
 		return true
 	}
@@ -127,11 +127,11 @@
 	return row != nil && row.Lanes[spec.Lane] != nil && row.Lanes[spec.Lane].HasSkipped(spec.Number)
 }
 
-// answerRecorded answers a call whose key got a record while it waited: that of
+// completeFromRecord answers a call whose key got a record while it waited: that of
 // an earlier owner, read late.
-func (c *call) answerRecorded() bool {
+func (c *call) completeFromRecord() bool {
 	row := c.prog.row()
-	if row == nil || row.Calls[c.key] == nil || c.redo {
+	if row == nil || row.Calls[c.key] == nil || c.rerun {
 		return false
 	}
 	record := row.Calls[c.key]
@@ -142,8 +142,8 @@
 	out := record.Outcome
 	out.Replayed = true
 	c.run = record.Run
-	c.dropStrangers()
-	c.answer(out)
+	c.dropMismatchedWaiters()
+	c.sendOutcome(out)
 	c.end()
 	return true
 }
--- a/internal/owner/gauges.go
+++ b/internal/owner/gauges.go
@@ -25,7 +25,7 @@
 		}
 		g.Programs += len(s.state.Programs)
 		g.Calls += s.calls
-		g.Records += len(s.app.queue) + len(s.app.flight)
+		g.Records += len(s.app.queue) + len(s.app.inFlight)
 	}
 	return g
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -9,23 +9,23 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// TestLateDoneOfAnEarlierOwnerFreesTheLane: the earlier owner answered call 1
+// TestDoneOfPreviousOwnerUnblocksLane: the earlier owner answered call 1
 // and lost the shard before it recorded the answer; call 2 is already here when
 // the record comes. If it is call 2's own record it is the answer.
-func TestLateDoneOfAnEarlierOwnerFreesTheLane(t *testing.T) {
-	if cmds := lateDone(t, 1); permits(cmds) != 1 {
+func TestDoneOfPreviousOwnerUnblocksLane(t *testing.T) {
+	if cmds := recordFromPreviousOwner(t, 1); countPermitRequests(cmds) != 1 {
 		t.Errorf("call 2 still waits after call 1 is done: %v", cmds)
 	}
-	cmds := lateDone(t, 2)
-	if out := lastEnd(cmds, "r"); permits(cmds) != 0 || out == nil || !out.Replayed {
+	cmds := recordFromPreviousOwner(t, 2)
+	if out := lastOutcome(cmds, "r"); countPermitRequests(cmds) != 0 || out == nil || !out.Replayed {
 		t.Errorf("call 2 was done, its request got %v", cmds)
 	}
 }
 
-// lateDone gives the commands that follow the record of a call of the earlier
+// recordFromPreviousOwner gives the commands that follow the record of a call of the earlier
 // owner, while call 2 waits.
-func lateDone(t *testing.T, number uint64) []structs.Command {
-	w := newWorld(t, 1, 1)
+func recordFromPreviousOwner(t *testing.T, number uint64) []structs.Command {
+	w := newCluster(t, 1, 1)
 	self := w.ids[0]
 	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: self, Region: testRegion}, "second")
 	o := New(cfg, view{w: w, self: self}, view{w: w, self: self})
@@ -48,11 +48,11 @@
 	o.Tick(now, []structs.Event{structs.PeerMessage{From: self, Msg: &structs.Submit{Request: "r", Call: second, Remaining: time.Minute}}})
 	o.Tick(now, []structs.Event{structs.LogRead{Stream: stream, From: 1, Records: records[1:], Next: 2, End: 2}})
 	cmds := o.Tick(now, []structs.Event{structs.LogRead{Stream: stream, Records: records, Next: 2, End: 2}})
-	claim := appended(t, cmds)
+	claim := findAppend(t, cmds)
 	claimed := wire.LogRecord{Offset: 2, Data: claim.Records[0]}
 	records = append(records, claimed)
 	cmds = o.Tick(now, []structs.Event{structs.LogRead{Stream: stream, From: 2, Records: records[2:], Next: 3, End: 3}})
-	if permits(cmds) != 0 {
+	if countPermitRequests(cmds) != 0 {
 		t.Fatal("call 2 started before call 1 was known to be done")
 	}
 	done := add(1, "old/1", 3, &journal.Done{
@@ -62,7 +62,7 @@
 	return o.Tick(now, []structs.Event{structs.LogRead{Stream: stream, From: 3, Records: []wire.LogRecord{done}, Next: 4, End: 4}})
 }
 
-func appended(t *testing.T, cmds []structs.Command) structs.LogAppend {
+func findAppend(t *testing.T, cmds []structs.Command) structs.LogAppend {
 	t.Helper()
 	for _, cmd := range cmds {
 		if a, ok := cmd.(structs.LogAppend); ok {
@@ -73,7 +73,7 @@
 	return structs.LogAppend{}
 }
 
-func permits(cmds []structs.Command) int {
+func countPermitRequests(cmds []structs.Command) int {
 	n := 0
 	for _, cmd := range cmds {
 		if send, ok := cmd.(structs.SendPeer); ok {
--- a/internal/owner/idempotency.go
+++ b/internal/owner/idempotency.go
@@ -4,13 +4,13 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// replayed answers a call whose key is known: with the recorded outcome, by
+// handleKnownKey answers a call whose key is known: with the recorded outcome, by
 // waiting with the call that runs, or by a refusal if the request differs.
-func (p *program) replayed(from structs.InstanceID, m *structs.Submit, key string) bool {
+func (p *program) handleKnownKey(from structs.InstanceID, m *structs.Submit, key string) bool {
 	o := p.shard.o
 	if c := p.calls[key]; c != nil {
 		if c.spec.Digest != m.Call.Digest {
-			p.refuseReused(from, m)
+			p.refuseKeyReused(from, m)
 			return true
 		}
 		o.send(from, &structs.SubmitAccepted{Request: m.Request})
@@ -23,13 +23,13 @@
 	}
 	record := row.Calls[key]
 	if record == nil {
-		return p.openDiffers(from, m, key)
+		return p.refuseOpenKeyReuse(from, m, key)
 	}
 	if record.Digest != m.Call.Digest {
-		p.refuseReused(from, m)
+		p.refuseKeyReused(from, m)
 		return true
 	}
-	if p.mayRedo(key) {
+	if p.mayRerun(key) {
 		return false
 	}
 	out := record.Outcome
@@ -41,20 +41,20 @@
 	return true
 }
 
-// openDiffers refuses a key whose run of an earlier owner had another request.
-func (p *program) openDiffers(from structs.InstanceID, m *structs.Submit, key string) bool {
+// refuseOpenKeyReuse refuses a key whose run of an earlier owner had another request.
+func (p *program) refuseOpenKeyReuse(from structs.InstanceID, m *structs.Submit, key string) bool {
 	for _, run := range p.row().OpenRuns() {
 		if run.Key == key && run.Digest != m.Call.Digest {
-			p.refuseReused(from, m)
+			p.refuseKeyReused(from, m)
 			return true
 		}
 	}
 	return false
 }
 
-// mayRedo tells whether the call of a key may run again: it is repeatable, its
+// mayRerun tells whether the call of a key may run again: it is repeatable, its
 // outcome is not known and no later call of its lane was done.
-func (p *program) mayRedo(key string) bool {
+func (p *program) mayRerun(key string) bool {
 	row := p.row()
 	if row == nil || row.Calls[key] == nil {
 		return false
@@ -63,13 +63,13 @@
 	if record.NotRepeatable || record.Outcome.Kind != structs.OutcomeUnknown {
 		return false
 	}
-	return record.Number == 0 || record.Number >= p.last(record.Lane)
+	return record.Number == 0 || record.Number >= p.lastNumber(record.Lane)
 }
 
-// refuseReused refuses another request under a known key: the request itself
+// refuseKeyReused refuses another request under a known key: the request itself
 // never runs, whatever became of the key's first.
-func (p *program) refuseReused(from structs.InstanceID, m *structs.Submit) {
-	if p.shard.refutable(from, m) {
+func (p *program) refuseKeyReused(from structs.InstanceID, m *structs.Submit) {
+	if p.shard.deferRefusal(from, m) {
 		return
 	}
 	p.shard.o.send(from, &structs.CallEnd{Request: m.Request, Outcome: notRun(structs.ReasonKeyReused, 0)})
--- a/internal/owner/idle_test.go
+++ b/internal/owner/idle_test.go
@@ -7,10 +7,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// TestOutageIsNotIdleness: a filing is refused while the log is down for longer
+// TestLogOutageDoesNotCloseIdleProgram: a filing is refused while the log is down for longer
 // than the idle timeout; the program goes on afterwards.
-func TestOutageIsNotIdleness(t *testing.T) {
-	w := newWorld(t, 1, 1)
+func TestLogOutageDoesNotCloseIdleProgram(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	w.policy.IdleTimeout = 5 * time.Second
 	id := w.program(1)
 	filing := testCall(id, 1, true)
@@ -19,18 +19,18 @@
 	w.run(3 * time.Second)
 	refused := w.submit(filing, time.Minute)
 	w.run(time.Second)
-	w.want(refused, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
+	w.expect(refused, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
 	w.run(20 * time.Second)
 	w.logDown = false
 	w.run(3 * time.Second)
 	again := w.submit(filing, time.Minute)
 	w.run(3 * time.Second)
-	w.want(again, structs.OutcomeAnswered, "")
+	w.expect(again, structs.OutcomeAnswered, "")
 }
 
-// TestRefusedCallsAreNotIdleness: a caller whose calls are refused is there.
-func TestRefusedCallsAreNotIdleness(t *testing.T) {
-	w := newWorld(t, 1, 1)
+// TestRefusedCallsResetIdleTimer: a caller whose calls are refused is there.
+func TestRefusedCallsResetIdleTimer(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	w.policy.IdleTimeout = 5 * time.Second
 	id := w.program(1)
 	for range 4 {
@@ -38,7 +38,7 @@
 		unknown.Service, unknown.Fresh = "no-such-service", true
 		refused := w.submit(unknown, time.Minute)
 		w.run(3 * time.Second)
-		w.want(refused, structs.OutcomeNotRun, structs.ReasonUnknownService)
+		w.expect(refused, structs.OutcomeNotRun, structs.ReasonUnknownService)
 	}
 	if reply := w.operate(id, structs.ProgramShow); reply.Info.State == structs.ProgramClosed {
 		t.Fatalf("the program is closed: %s", reply.Info.Reason)
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -11,11 +11,11 @@
 	s := o.shardRow(o.ledgerShard(m.Team))
 	if !s.owned() {
 		if !o.draining {
-			s.take(from, m, nil)
+			s.claimOrRedirect(from, m, nil)
 		}
 		return
 	}
-	if o.draining || s.granting[m.Grant] {
+	if o.draining || s.pendingGrants[m.Grant] {
 		return
 	}
 	if l := s.state.Ledgers[m.Team]; l != nil {
@@ -24,9 +24,9 @@
 			return
 		}
 	}
-	amount := s.ledgerLeft(m)
+	amount := s.ledgerAvailable(m)
 	if m.Tokens > 0 && amount.Tokens <= 0 || m.Fees > 0 && amount.Fees <= 0 {
-		s.prove(func(proven bool) {
+		s.verifyOwnership(func(proven bool) {
 			if proven {
 				o.send(from, &structs.BudgetGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Refused: true})
 			}
@@ -36,10 +36,10 @@
 	s.writeGrant(from, m, amount)
 }
 
-// ledgerLeft is how much of a request the budget still allows.
-func (s *shard) ledgerLeft(m *structs.BudgetRequest) journal.Amount {
+// ledgerAvailable is how much of a request the budget still allows.
+func (s *shard) ledgerAvailable(m *structs.BudgetRequest) journal.Amount {
 	limit := s.teamLimit(m.Team)
-	granted := s.grantsPending[m.Team]
+	granted := s.pendingGrantAmounts[m.Team]
 	if l := s.state.Ledgers[m.Team]; l != nil {
 		granted = granted.Plus(l.Granted)
 	}
@@ -57,12 +57,12 @@
 	if s.app.full() {
 		return
 	}
-	s.granting[m.Grant] = true
-	s.grantsPending[m.Team] = s.grantsPending[m.Team].Plus(amount)
+	s.pendingGrants[m.Grant] = true
+	s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Plus(amount)
 	record := &journal.LedgerGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Amount: amount}
 	s.app.push(record, urgent, func() {
-		delete(s.granting, m.Grant)
-		s.grantsPending[m.Team] = s.grantsPending[m.Team].Minus(amount)
+		delete(s.pendingGrants, m.Grant)
+		s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Minus(amount)
 		s.sendGrant(from, m, amount)
 	})
 }
--- a/internal/owner/limits.go
+++ b/internal/owner/limits.go
@@ -5,16 +5,16 @@
 // Bounds and durations. Whatever a caller, a peer or the platform can make
 // grow has a bound here.
 const (
-	// maxHeld bounds the messages that wait for a shard to be claimed.
-	maxHeld = 1024
+	// maxHeldMessages bounds the messages that wait for a shard to be claimed.
+	maxHeldMessages = 1024
 	// maxProgramCalls bounds the live calls of one program.
 	maxProgramCalls = 256
 	// maxShardCalls bounds the live calls of one shard.
 	maxShardCalls = 8192
 	// maxShardPrograms bounds the programs of one shard.
 	maxShardPrograms = 20_000
-	// maxShardBytes bounds the answers recorded in one shard, in bytes.
-	maxShardBytes = 8 << 20
+	// maxShardResponseBytes bounds the answers recorded in one shard, in bytes.
+	maxShardResponseBytes = 8 << 20
 	// maxPendingRecords bounds the records that wait for the log; beyond it
 	// no call starts.
 	maxPendingRecords = 4096
@@ -24,44 +24,44 @@
 	// defaultMaxTokens is the answer bound of a chat call that gives none.
 	defaultMaxTokens = 4096
 
-	// appendRate bounds the appends of all instances together, in appends a
-	// second; minBurst and the rate divided by burstShare those that one
+	// maxAppendRate bounds the appends of all instances together, in appends a
+	// second; minBurst and the rate divided by burstDivisor those that one
 	// instance may make at once.
-	appendRate = 300
-	minBurst   = 4
-	burstShare = 4
-	// lazyDelay groups the records that no call waits for.
-	lazyDelay = 200 * time.Millisecond
+	maxAppendRate = 300
+	minBurst      = 4
+	burstDivisor  = 4
+	// lazyFlushDelay groups the records that no call waits for.
+	lazyFlushDelay = 200 * time.Millisecond
 	// confirmTimeout is how long an append may stay unconfirmed before the
 	// log is taken to be down.
 	confirmTimeout = time.Second
-	// appendBackoff is the first wait before an append is repeated, doubled
-	// up to appendBackoffMax.
-	appendBackoff    = 50 * time.Millisecond
-	appendBackoffMax = time.Second
-	// resendAfter repeats an append that got no reply of any kind.
-	resendAfter = 3 * time.Second
+	// minAppendBackoff is the first wait before an append is repeated, doubled
+	// up to maxAppendBackoff.
+	minAppendBackoff = 50 * time.Millisecond
+	maxAppendBackoff = time.Second
+	// appendResendTimeout repeats an append that got no reply of any kind.
+	appendResendTimeout = 3 * time.Second
 	// logRetryAfter is the RetryAfter of a refusal while the log is down.
 	logRetryAfter = 2 * time.Second
 	// busyRetryAfter is the RetryAfter of a refusal for a full queue.
 	busyRetryAfter = time.Second
 
-	// answerMargin is how long before a caller's deadline its answer goes
+	// responseMargin is how long before a caller's deadline its answer goes
 	// out, so that it arrives in time.
-	answerMargin = 10 * time.Millisecond
-	// lingerTime is how long a call outlives the connection to its gateway.
-	lingerTime = 2 * time.Second
-	// permitResend repeats a permit request until the dispatcher has it,
-	// permitRefresh afterwards.
-	permitResend  = 500 * time.Millisecond
-	permitRefresh = 5 * time.Second
+	responseMargin = 10 * time.Millisecond
+	// lingerTimeout is how long a call outlives the connection to its gateway.
+	lingerTimeout = 2 * time.Second
+	// permitResendInterval repeats a permit request until the dispatcher has it,
+	// permitRefreshInterval afterwards.
+	permitResendInterval  = 500 * time.Millisecond
+	permitRefreshInterval = 5 * time.Second
 	// maxResumes bounds the resumes of one stream.
 	maxResumes = 3
-	// lostQuiet is how long an instance that lost a shard leaves it to the
+	// lostShardBackoff is how long an instance that lost a shard leaves it to the
 	// winner.
-	lostQuiet = 2 * time.Second
-	// releaseRetry is the first wait before a release is repeated, doubled
-	// up to releaseRetryMax.
-	releaseRetry    = time.Second
-	releaseRetryMax = 30 * time.Second
+	lostShardBackoff = 2 * time.Second
+	// minReleaseBackoff is the first wait before a release is repeated, doubled
+	// up to maxReleaseBackoff.
+	minReleaseBackoff = time.Second
+	maxReleaseBackoff = 30 * time.Second
 )
--- a/internal/owner/note.go
+++ b/internal/owner/note.go
@@ -2,21 +2,21 @@
 
 import "github.com/banyanglade/banyanglade/internal/structs"
 
-// note writes a line about the shard to the log of the instance.
-func (s *shard) note(message string, other structs.InstanceID) {
+// logEvent writes a line about the shard to the log of the instance.
+func (s *shard) logEvent(message string, other structs.InstanceID) {
 	s.o.emit(structs.Note{Message: message, Shard: s.ref, Epoch: s.epoch, Other: other})
 }
 
-// note writes a line about a program.
-func (p *program) note(message string, reason structs.Reason) {
+// logEvent writes a line about a program.
+func (p *program) logEvent(message string, reason structs.Reason) {
 	p.shard.o.emit(structs.Note{
 		Message: message, Shard: p.shard.ref, Epoch: p.shard.epoch,
 		Program: p.id, Team: p.team, Reason: reason,
 	})
 }
 
-// note writes a line about an earlier owner's run whose outcome is settled now.
-func (r *recovery) note(message string) {
+// logEvent writes a line about an earlier owner's run whose outcome is settled now.
+func (r *recovery) logEvent(message string) {
 	p := r.prog
 	p.shard.o.emit(structs.Note{
 		Message: message, Shard: p.shard.ref, Epoch: p.shard.epoch, Program: p.id, Team: p.team,
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -13,8 +13,8 @@
 	queue   []*call
 	current *call
 	// blocked counts runs of an earlier owner that may still be sent.
-	blocked int
-	gap     *timer
+	blocked  int
+	gapTimer *timer
 }
 
 func (p *program) laneOf(name structs.Lane) *lane {
@@ -46,8 +46,8 @@
 	}
 }
 
-// last is the number of the lane's last call that was done.
-func (p *program) last(name structs.Lane) uint64 {
+// lastNumber is the number of the lane's last call that was done.
+func (p *program) lastNumber(name structs.Lane) uint64 {
 	row := p.row()
 	if row == nil || row.Lanes[name] == nil {
 		return 0
@@ -67,7 +67,7 @@
 		}
 		p.advanceLane(l)
 		if l.current == nil && len(l.queue) == 0 && l.blocked == 0 {
-			p.shard.o.timers.stop(l.gap)
+			p.shard.o.timers.stop(l.gapTimer)
 			delete(p.lanes, name)
 		}
 	}
@@ -78,20 +78,20 @@
 func (p *program) advanceLane(l *lane) {
 	for l.current == nil && l.blocked == 0 && len(l.queue) > 0 {
 		c := l.queue[0]
-		last := p.last(l.name)
-		if c.answerRecorded() {
+		last := p.lastNumber(l.name)
+		if c.completeFromRecord() {
 			continue
 		}
-		if c.spec.Number > 0 && c.spec.Number <= last && !c.redo {
+		if c.spec.Number > 0 && c.spec.Number <= last && !c.rerun {
 			l.queue, l.current = l.queue[1:], c
-			c.deny(structs.ReasonStaleNumber, 0, nil)
+			c.refuseVerified(structs.ReasonStaleNumber, 0, nil)
 			continue
 		}
-		if c.spec.Number > last+1 && c.spec.Number > p.skips[l.name] && !p.showsAnswers(c, last) {
-			p.watchGap(l)
+		if c.spec.Number > last+1 && c.spec.Number > p.gapSkips[l.name] && !p.historyCoversGap(c, last) {
+			p.startGapTimer(l)
 			return
 		}
-		p.shard.o.timers.stop(l.gap)
+		p.shard.o.timers.stop(l.gapTimer)
 		l.queue = l.queue[1:]
 		l.current = c
 		c.start()
@@ -102,22 +102,22 @@
 // and intent durable before it asks for a permit.
 func (c *call) start() {
 	p := c.prog
-	if reason := p.breaksPolicy(c); reason != structs.ReasonNone {
-		c.deny(reason, 0, func() {
+	if reason := p.policyViolation(c); reason != structs.ReasonNone {
+		c.refuseVerified(reason, 0, func() {
 			if reason != structs.ReasonHistoryFork {
 				p.close(reason)
 			}
 		})
 		return
 	}
-	if c.resume() {
+	if c.resumeOpenRun() {
 		return
 	}
-	c.fund()
+	c.reserveCost()
 }
 
-// breaksPolicy checks turns, loops and history.
-func (p *program) breaksPolicy(c *call) structs.Reason {
+// policyViolation checks turns, loops and history.
+func (p *program) policyViolation(c *call) structs.Reason {
 	row := p.row()
 	if row == nil {
 		return structs.ReasonNone
@@ -133,14 +133,14 @@
 	if policy.LoopRepeats > 0 && l.RepeatDigest == c.spec.Digest && l.RepeatCount+1 >= policy.LoopRepeats {
 		return structs.ReasonLoop
 	}
-	if forks(l, c.spec) {
+	if forksHistory(l, c.spec) {
 		return structs.ReasonHistoryFork
 	}
 	return structs.ReasonNone
 }
 
-// forks tells whether the call's messages leave the lane's known history.
-func forks(l *journal.Lane, spec *structs.Call) bool {
+// forksHistory tells whether the call's messages leave the lane's known history.
+func forksHistory(l *journal.Lane, spec *structs.Call) bool {
 	if spec.Kind != structs.CallChat || spec.Fork || l.HistoryCount == 0 {
 		return false
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -17,11 +17,11 @@
 	writer string
 
 	now time.Time
-	// tickedAt is the time of the last tick, resumedAt that of the last one
+	// lastTick is the time of the last tick, resumedAt that of the last one
 	// before which this process may have been paused.
-	tickedAt  time.Time
+	lastTick  time.Time
 	resumedAt time.Time
-	out       []structs.Command
+	commands  []structs.Command
 	timers    timers
 
 	shards  map[structs.ShardID]*shard
@@ -30,43 +30,43 @@
 	// sequences holds the last sequence number used in each shard's stream.
 	// It outlives the shard's row, since an append of an earlier tenure may
 	// still take effect.
-	sequences map[structs.ShardID]uint64
-	requests  map[structs.RequestID]*call
-	runs      map[structs.RunID]*call
-	pools     map[structs.PoolID]*pool
-	asks      map[structs.RunID]*ask
-
-	// tokens limits the rate of appends, refilled at the last one.
-	tokens     float64
-	refilled   time.Time
-	lastAppend uint64
-	lastRun    uint64
-	draining   bool
-	// heartbeat keeps the ticks close together; see watchPause.
-	heartbeat *timer
+	sequences      map[structs.ShardID]uint64
+	requests       map[structs.RequestID]*call
+	runs           map[structs.RunID]*call
+	pools          map[structs.PoolID]*pool
+	outcomeQueries map[structs.RunID]*outcomeQuery
+
+	// appendTokens limits the rate of appends, refilled at the last one.
+	appendTokens float64
+	refilledAt   time.Time
+	lastAppend   uint64
+	lastRun      uint64
+	draining     bool
+	// heartbeatTimer keeps the ticks close together; see scheduleHeartbeat.
+	heartbeatTimer *timer
 	// inspected holds the shards that were read for owed work since this
 	// instance became first for them; inspecting is the next look.
-	inspected  map[structs.ShardID]bool
-	inspecting *timer
-	// snapshotEvery is the number of records between two snapshots.
-	snapshotEvery uint64
+	inspected    map[structs.ShardID]bool
+	inspectTimer *timer
+	// snapshotInterval is the number of records between two snapshots.
+	snapshotInterval uint64
 }
 
 // New makes an owner that owns no shard yet.
 func New(cfg structs.InstanceConfig, members structs.Members, settings structs.Settings) *Owner {
 	return &Owner{
 		cfg: cfg, members: members, settings: settings,
-		writer:        string(cfg.Self.ID) + "." + cfg.Incarnation,
-		snapshotEvery: snapshotRecords,
-		shards:        make(map[structs.ShardID]*shard),
-		streams:       make(map[string]*shard),
-		appends:       make(map[structs.AppendID]*shard),
-		sequences:     make(map[structs.ShardID]uint64),
-		requests:      make(map[structs.RequestID]*call),
-		runs:          make(map[structs.RunID]*call),
-		pools:         make(map[structs.PoolID]*pool),
-		asks:          make(map[structs.RunID]*ask),
-		inspected:     make(map[structs.ShardID]bool),
+		writer:           string(cfg.Self.ID) + "." + cfg.Incarnation,
+		snapshotInterval: defaultSnapshotInterval,
+		shards:           make(map[structs.ShardID]*shard),
+		streams:          make(map[string]*shard),
+		appends:          make(map[structs.AppendID]*shard),
+		sequences:        make(map[structs.ShardID]uint64),
+		requests:         make(map[structs.RequestID]*call),
+		runs:             make(map[structs.RunID]*call),
+		pools:            make(map[structs.PoolID]*pool),
+		outcomeQueries:   make(map[structs.RunID]*outcomeQuery),
+		inspected:        make(map[structs.ShardID]bool),
 	}
 }
 
@@ -74,15 +74,15 @@
 // commands that follow.
 func (o *Owner) Tick(now time.Time, events []structs.Event) []structs.Command {
 	o.now = now
-	o.out = nil
-	o.noticePause()
+	o.commands = nil
+	o.detectPause()
 	for _, ev := range events {
 		o.handle(ev)
 	}
 	for tm := o.timers.due(now); tm != nil; tm = o.timers.due(now) {
 		tm.fire()
 	}
-	return o.out
+	return o.commands
 }
 
 // NextWake gives the time of the earliest timer, zero if there is none.
@@ -92,7 +92,7 @@
 func (o *Owner) InFlight() int {
 	n := len(o.requests)
 	for _, s := range o.shards {
-		n += len(s.held) + s.app.unfenced()
+		n += len(s.held) + s.app.unfencedCount()
 	}
 	return n
 }
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *Owner) emit(cmd structs.Command) { o.out = append(o.out, cmd) }
+func (o *Owner) emit(cmd structs.Command) { o.commands = append(o.commands, cmd) }
 
 func (o *Owner) send(to structs.InstanceID, msg structs.Message) {
 	o.emit(structs.SendPeer{To: to, Msg: msg})
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -11,7 +11,7 @@
 		if s.tenure == tenureProbing && s.probed == peer {
 			s.tenure = tenureNone
 			for _, h := range s.takeHeld() {
-				o.notOwner(h.from, h.msg, peer)
+				o.sendNotOwner(h.from, h.msg, peer)
 			}
 		}
 	}
@@ -23,12 +23,12 @@
 func (o *Owner) onPeerDown(peer structs.InstanceID) {
 	for _, s := range o.sortedShards() {
 		if s.tenure == tenureProbing && s.probed == peer {
-			s.begin(true)
+			s.startReading(true)
 		}
 		s.detach(peer)
 	}
 	o.refreshPools(peer)
-	o.inspectLater()
+	o.scheduleInspect()
 }
 
 func (s *shard) detach(gateway structs.InstanceID) {
@@ -47,23 +47,23 @@
 		}
 	}
 	if found {
-		c.lingerIfDeserted()
+		c.lingerIfDetached()
 	}
 }
 
 // onMembers asks new dispatchers, and looks for shards without an owner.
 func (o *Owner) onMembers() {
 	o.refreshPools("")
-	o.inspectLater()
+	o.scheduleInspect()
 }
 
-// inspectLater looks for shards without an owner after a while: a suspicion is
+// scheduleInspect looks for shards without an owner after a while: a suspicion is
 // often false, and a shard that gets a call is claimed at once anyway.
-func (o *Owner) inspectLater() {
-	if o.draining || o.inspecting != nil && o.inspecting.index >= 0 {
+func (o *Owner) scheduleInspect() {
+	if o.draining || o.inspectTimer != nil && o.inspectTimer.index >= 0 {
 		return
 	}
-	o.inspecting = o.after(o.cfg.RecoveryWait, o.inspect)
+	o.inspectTimer = o.after(o.cfg.RecoveryWait, o.inspect)
 }
 
 // inspect reads each shard that became this instance's to own, for work that
@@ -84,7 +84,7 @@
 		}
 		o.inspected[shardID] = true
 		if s := o.shardRow(shardID); s.tenure == tenureNone {
-			s.begin(false)
+			s.startReading(false)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 	for _, s := range o.sortedShards() {
 		next := s.successor()
 		for _, h := range s.takeHeld() {
-			o.notOwner(h.from, h.msg, next)
+			o.sendNotOwner(h.from, h.msg, next)
 		}
 		if s.owned() {
 			s.dropUnsent(next)
-			s.settleAll()
+			s.settleChunks()
 		}
 	}
 }
@@ -109,19 +109,19 @@
 func (s *shard) dropUnsent(next structs.InstanceID) {
 	for _, p := range s.sortedPrograms() {
 		for _, c := range p.sortedCalls() {
-			c.handBack(next)
+			c.redirectWaiters(next)
 		}
 	}
 }
 
-// handBack drops a call that no run may be on its way for; another owner may
+// redirectWaiters drops a call that no run may be on its way for; another owner may
 // run it. An outcome that waits to count is answered.
-func (c *call) handBack(next structs.InstanceID) {
+func (c *call) redirectWaiters(next structs.InstanceID) {
 	switch c.phase {
-	case phaseRunning, phaseAsking, phaseEnded:
+	case phaseRunning, phaseQuerying, phaseEnded:
 		return
 	case phaseRecording:
-		c.answer(c.outcome)
+		c.sendOutcome(c.outcome)
 		c.end()
 		return
 	}
@@ -148,12 +148,12 @@
 // onLogDown refuses at once what cannot go on without the log; repeatable
 // calls go on within the reserved chunk.
 func (s *shard) onLogDown() {
-	s.disprove()
+	s.failOwnershipChecks()
 	for _, p := range s.sortedPrograms() {
 		for _, c := range p.sortedCalls() {
 			switch c.phase {
 			case phaseConfirm:
-				c.unconfirmed()
+				c.onConfirmTimeout()
 			case phaseReserve, phaseIntent:
 				c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 			case phaseQueued, phasePermit:
@@ -161,7 +161,7 @@
 					c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 				}
 			case phaseRecording:
-				c.answer(c.outcome)
+				c.sendOutcome(c.outcome)
 				c.end()
 			}
 		}
--- a/internal/owner/permit.go
+++ b/internal/owner/permit.go
@@ -28,8 +28,8 @@
 	return p
 }
 
-// askPermit queues the call at its pool's dispatcher.
-func (c *call) askPermit() {
+// awaitPermit queues the call at its pool's dispatcher.
+func (c *call) awaitPermit() {
 	if c.run == "" {
 		c.run = c.shard.o.newRun()
 	}
@@ -56,8 +56,8 @@
 	return structs.CallRef{Program: c.spec.Program, Run: c.permit}
 }
 
-// permitOf finds the call of a dispatcher's message.
-func (o *Owner) permitOf(from structs.InstanceID, ref structs.CallRef) *call {
+// callOfPermit finds the call of a dispatcher's message.
+func (o *Owner) callOfPermit(from structs.InstanceID, ref structs.CallRef) *call {
 	c := o.runs[ref.Run]
 	if c == nil || c.pool == nil || c.permit != ref.Run || c.pool.dispatcher != from {
 		return nil
@@ -76,9 +76,9 @@
 	if c.pool.dispatcher != "" {
 		o.send(c.pool.dispatcher, c.permitRequest())
 	}
-	wait := permitResend
-	if c.queuedAt {
-		wait = permitRefresh
+	wait := permitResendInterval
+	if c.permitQueued {
+		wait = permitRefreshInterval
 	}
 	if c.phase == phasePermit {
 		c.timer = o.after(wait, c.requestPermit)
@@ -125,21 +125,21 @@
 }
 
 func (o *Owner) onPermitQueued(from structs.InstanceID, m *structs.PermitQueued) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c == nil || c.phase != phasePermit {
 		return
 	}
-	c.queuedAt = true
+	c.permitQueued = true
 	o.timers.stop(c.timer)
-	c.timer = o.after(permitRefresh, c.requestPermit)
+	c.timer = o.after(permitRefreshInterval, c.requestPermit)
 }
 
 // onPermitGrant runs the call, or gives the permit back if it is not wanted.
 func (o *Owner) onPermitGrant(from structs.InstanceID, m *structs.PermitGrant) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c != nil && c.phase == phasePermit {
 		c.target = m.Target
-		c.send()
+		c.sendOrConfirm()
 		return
 	}
 	if c != nil && c.target.ID == m.Target.ID {
@@ -152,32 +152,32 @@
 }
 
 func (o *Owner) onPermitRefuse(from structs.InstanceID, m *structs.PermitRefuse) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c == nil || c.phase != phasePermit {
 		return
 	}
 	c.refuse(m.Reason, m.RetryAfter)
 }
 
-// leavePool takes a permit request back if no run holds the permit.
-func (c *call) leavePool() {
+// withdrawPermit takes a permit request back if no run holds the permit.
+func (c *call) withdrawPermit() {
 	if c.pool == nil {
 		return
 	}
 	ref := c.ref()
 	switch c.phase {
 	case phasePermit:
-		c.toDispatcher(&structs.PermitCancel{Pool: c.pool.id, Ref: ref})
+		c.sendToDispatcher(&structs.PermitCancel{Pool: c.pool.id, Ref: ref})
 	case phaseConfirm:
-		c.toDispatcher(&structs.PermitFinish{
+		c.sendToDispatcher(&structs.PermitFinish{
 			Pool: c.pool.id, Ref: ref, Target: c.target.ID, Failure: structs.RunNotSent,
 		})
 	}
-	c.quitPool()
+	c.dropPermit()
 }
 
-// quitPool forgets the permit.
-func (c *call) quitPool() {
+// dropPermit forgets the permit.
+func (c *call) dropPermit() {
 	if c.pool == nil {
 		return
 	}
@@ -188,10 +188,10 @@
 		delete(c.shard.o.pools, c.pool.id)
 	}
 	c.pool = nil
-	c.queuedAt = false
+	c.permitQueued = false
 }
 
-func (c *call) toDispatcher(msg structs.Message) {
+func (c *call) sendToDispatcher(msg structs.Message) {
 	if c.pool.dispatcher != "" {
 		c.shard.o.send(c.pool.dispatcher, msg)
 	}
@@ -202,12 +202,12 @@
 	if c.pool == nil {
 		return
 	}
-	c.toDispatcher(&structs.PermitFinish{
+	c.sendToDispatcher(&structs.PermitFinish{
 		Pool: c.pool.id, Ref: c.ref(),
 		Target: c.target.ID, Failure: e.Failure, Usage: e.Outcome.Usage, Took: e.Took,
 		FirstToken: e.FirstToken, CacheTokens: c.cacheTokens(e.Outcome), Pausing: c.prog.pausing(c),
 	})
-	c.quitPool()
+	c.dropPermit()
 }
 
 // pausing tells whether the program has no call but this one.
@@ -226,7 +226,7 @@
 		}
 		p.dispatcher = now
 		for _, run := range journal.SortedKeys(p.calls) {
-			p.calls[run].queuedAt = false
+			p.calls[run].permitQueued = false
 			p.calls[run].reregister()
 		}
 	}
@@ -237,7 +237,7 @@
 	case phasePermit:
 		c.requestPermit()
 	case phaseRunning:
-		c.toDispatcher(c.permitRequest())
+		c.sendToDispatcher(c.permitRequest())
 	}
 }
 
--- a/internal/owner/program.go
+++ b/internal/owner/program.go
@@ -23,18 +23,18 @@
 	reserving bool
 	// closing tells that Closed is on its way into the log.
 	closing bool
-	// opening holds the requests that wait for Open or Closed to count.
-	opening  []*programWaiter
-	idle     *timer
-	release  *timer
-	backoff  time.Duration
-	recovery map[structs.RunID]*recovery
-	// skips holds, by lane, the number that may start behind missing ones in
+	// waiters holds the requests that wait for Open or Closed to count.
+	waiters        []*programWaiter
+	idleTimer      *timer
+	releaseTimer   *timer
+	releaseBackoff time.Duration
+	recovery       map[structs.RunID]*recovery
+	// gapSkips holds, by lane, the number that may start behind missing ones in
 	// this epoch; see skip.
-	skips map[structs.Lane]uint64
-	// unknowns holds, by lane, the highest number of which a caller heard
+	gapSkips map[structs.Lane]uint64
+	// unknownNumbers holds, by lane, the highest number of which a caller heard
 	// "unknown" without a record: it may go on behind it.
-	unknowns map[structs.Lane]uint64
+	unknownNumbers map[structs.Lane]uint64
 }
 
 // programWaiter is a gateway that waits for a program operation.
@@ -44,8 +44,8 @@
 	timer   *timer
 }
 
-// live gives the live row of a program, made if missing.
-func (s *shard) live(id structs.ProgramID, team structs.Team) *program {
+// liveProgram gives the live row of a program, made if missing.
+func (s *shard) liveProgram(id structs.ProgramID, team structs.Team) *program {
 	p := s.programs[id]
 	if p != nil {
 		return p
@@ -55,7 +55,7 @@
 		calls: make(map[string]*call), recovery: make(map[structs.RunID]*recovery),
 	}
 	s.programs[id] = p
-	p.watchIdle()
+	p.startIdleTimer()
 	return p
 }
 
@@ -72,11 +72,11 @@
 	return row != nil && (row.Closed || row.Single && !spec.Single)
 }
 
-func (p *program) add(c *call) {
+func (p *program) addCall(c *call) {
 	p.calls[c.key] = c
 	p.shard.calls++
 	p.laneOf(c.spec.Lane).insert(c)
-	p.shard.o.timers.stop(p.idle)
+	p.shard.o.timers.stop(p.idleTimer)
 }
 
 // end takes a call off its tables; its lane goes on.
@@ -86,10 +86,10 @@
 	}
 	o, p := c.shard.o, c.prog
 	c.releaseHold()
-	c.leavePool()
+	c.withdrawPermit()
 	c.phase = phaseEnded
 	o.timers.stop(c.timer)
-	o.timers.stop(c.linger)
+	o.timers.stop(c.lingerTimer)
 	delete(o.runs, c.run)
 	if p.calls[c.key] == c {
 		delete(p.calls, c.key)
@@ -97,25 +97,25 @@
 	c.shard.calls--
 	c.lane.remove(c)
 	if len(p.calls) == 0 {
-		p.quiet()
+		p.onNoCalls()
 	}
 	if c.shard.tenure == tenureLost {
-		c.shard.leaveIfDone()
+		c.shard.unloadIfDone()
 		return
 	}
 	if o.draining && c.shard.owned() {
-		c.shard.settleAll()
+		c.shard.settleChunks()
 	}
-	p.reserveAhead(c.worst())
+	p.reserveAhead(c.worstCase())
 	p.advance()
 }
 
-// quiet runs when the program has no call any more.
-func (p *program) quiet() {
+// onNoCalls runs when the program has no call any more.
+func (p *program) onNoCalls() {
 	if !p.shard.owned() {
 		return
 	}
-	p.watchIdle()
+	p.startIdleTimer()
 	row := p.row()
 	if row != nil && row.Single && len(p.recovery) == 0 {
 		p.close(structs.ReasonNone)
@@ -126,7 +126,7 @@
 
 // dropIfEmpty forgets a live row that stands for nothing durable.
 func (p *program) dropIfEmpty() {
-	if p.row() == nil && len(p.calls) == 0 && len(p.opening) == 0 {
+	if p.row() == nil && len(p.calls) == 0 && len(p.waiters) == 0 {
 		p.stop()
 		delete(p.shard.programs, p.id)
 	}
@@ -134,9 +134,9 @@
 
 func (p *program) stop() {
 	t := &p.shard.o.timers
-	t.stop(p.idle)
-	t.stop(p.release)
-	for _, w := range p.opening {
+	t.stop(p.idleTimer)
+	t.stop(p.releaseTimer)
+	for _, w := range p.waiters {
 		t.stop(w.timer)
 	}
 	for _, id := range journal.SortedKeys(p.recovery) {
@@ -147,27 +147,27 @@
 // reasonIdle closes a program that had no call for the policy's idle time.
 const reasonIdle structs.Reason = "idle"
 
-// watchIdle closes the program after the policy's idle time without a call.
-func (p *program) watchIdle() {
+// startIdleTimer closes the program after the policy's idle time without a call.
+func (p *program) startIdleTimer() {
 	o := p.shard.o
-	o.timers.stop(p.idle)
+	o.timers.stop(p.idleTimer)
 	if d := p.policy().IdleTimeout; d > 0 {
-		p.idle = o.after(d, p.onIdle)
+		p.idleTimer = o.after(d, p.onIdleTimeout)
 	}
 }
 
-// touch notes that a request of the program came, also one that is refused.
-func (p *program) touch() {
+// resetIdleTimer notes that a request of the program came, also one that is refused.
+func (p *program) resetIdleTimer() {
 	if len(p.calls) == 0 {
-		p.watchIdle()
+		p.startIdleTimer()
 	}
 }
 
-// onIdle closes the program, but not while the log is down: its calls may be
+// onIdleTimeout closes the program, but not while the log is down: its calls may be
 // refused then, so that their absence says nothing of the caller.
-func (p *program) onIdle() {
+func (p *program) onIdleTimeout() {
 	if p.shard.logDown() {
-		p.watchIdle()
+		p.startIdleTimer()
 		return
 	}
 	if len(p.calls) == 0 && p.shard.owned() {
@@ -183,8 +183,8 @@
 		return
 	}
 	p.closing = true
-	p.note("program closed", reason)
-	p.shard.o.timers.stop(p.idle)
+	p.logEvent("program closed", reason)
+	p.shard.o.timers.stop(p.idleTimer)
 	for _, c := range p.sortedCalls() {
 		if !c.mayHaveRun() && c.phase != phaseEnded {
 			c.refuse(structs.ReasonProgramClosed, 0)
@@ -193,13 +193,13 @@
 	if p.row() == nil {
 		return
 	}
-	u := urgency(len(p.opening) > 0)
+	u := urgency(len(p.waiters) > 0)
 	p.shard.app.push(&journal.Closed{Program: p.id, Reason: reason, Targets: p.cacheTargets()}, u, p.onClosed)
 }
 
 func (p *program) onClosed() {
-	p.answerWaiters()
-	p.tellGone()
+	p.replyToWaiters()
+	p.notifyDispatchers()
 	p.startRelease()
 }
 
@@ -220,22 +220,22 @@
 	s := o.shardRow(structs.ShardOf(m.Program, o.cfg.Shards))
 	switch {
 	case s.owned() && !o.draining:
-		s.operate(from, m)
+		s.handleProgramOp(from, m)
 	case s.owned():
-		o.notOwner(from, m, s.successor())
+		o.sendNotOwner(from, m, s.successor())
 	default:
-		s.take(from, m, m.Suspects)
+		s.claimOrRedirect(from, m, m.Suspects)
 	}
 }
 
-// operate carries out an operation on a program of an owned shard.
-func (s *shard) operate(from structs.InstanceID, m *structs.ProgramRequest) {
+// handleProgramOp carries out an operation on a program of an owned shard.
+func (s *shard) handleProgramOp(from structs.InstanceID, m *structs.ProgramRequest) {
 	row := s.row(m.Program)
 	if m.Op == structs.ProgramOpen && row == nil {
 		s.open(from, m)
 		return
 	}
-	if (row == nil || row.Closed || !m.Team.Contains(row.Team)) && s.refutable(from, m) {
+	if (row == nil || row.Closed || !m.Team.Contains(row.Team)) && s.deferRefusal(from, m) {
 		return
 	}
 	if row == nil {
@@ -246,12 +246,12 @@
 		s.o.refuseMessage(from, m, structs.ReasonForeignProgram, 0)
 		return
 	}
-	p := s.live(m.Program, row.Team)
+	p := s.liveProgram(m.Program, row.Team)
 	if row.Closed || m.Op == structs.ProgramOpen || m.Op == structs.ProgramShow {
 		p.reply(from, m.Request)
 		return
 	}
-	p.wait(from, m)
+	p.addWaiter(from, m)
 	if m.Op == structs.ProgramCancel {
 		p.cancelRuns()
 	}
@@ -272,33 +272,33 @@
 		s.o.refuseMessage(from, m, structs.ReasonOverloaded, busyRetryAfter)
 		return
 	}
-	p := s.live(m.Program, m.Team)
-	p.wait(from, m)
-	if len(p.opening) == 1 {
-		s.app.push(&journal.Open{Program: m.Program, Team: m.Team}, urgent, p.answerWaiters)
+	p := s.liveProgram(m.Program, m.Team)
+	p.addWaiter(from, m)
+	if len(p.waiters) == 1 {
+		s.app.push(&journal.Open{Program: m.Program, Team: m.Team}, urgent, p.replyToWaiters)
 	}
 }
 
-// wait adds a gateway that is answered when the program's record counts, or
+// addWaiter adds a gateway that is answered when the program's record counts, or
 // with "unknown" if that takes too long.
-func (p *program) wait(from structs.InstanceID, m *structs.ProgramRequest) {
+func (p *program) addWaiter(from structs.InstanceID, m *structs.ProgramRequest) {
 	w := &programWaiter{request: m.Request, from: from}
 	w.timer = p.shard.o.after(min(confirmTimeout, m.Remaining), func() {
-		for i, other := range p.opening {
+		for i, other := range p.waiters {
 			if other == w {
-				p.opening = append(p.opening[:i:i], p.opening[i+1:]...)
+				p.waiters = append(p.waiters[:i:i], p.waiters[i+1:]...)
 			}
 		}
 		out := unknown(structs.ReasonLogUnavailable)
 		out.RetryAfter = logRetryAfter
 		p.shard.o.send(from, &structs.ProgramReply{Request: m.Request, Outcome: out})
 	})
-	p.opening = append(p.opening, w)
+	p.waiters = append(p.waiters, w)
 }
 
-func (p *program) answerWaiters() {
-	waiters := p.opening
-	p.opening = nil
+func (p *program) replyToWaiters() {
+	waiters := p.waiters
+	p.waiters = nil
 	for _, w := range waiters {
 		p.shard.o.timers.stop(w.timer)
 		p.reply(w.from, w.request)
--- a/internal/owner/proof_test.go
+++ b/internal/owner/proof_test.go
@@ -9,12 +9,12 @@
 
 // An owner that is cut off from the log and does not know yet says nothing of
 // a filing that the next owner has sent.
-func TestCutOffOwnerDoesNotSayNotRun(t *testing.T) {
-	w := newWorld(t, 1, 2)
+func TestPartitionedOwnerDoesNotReportNotRun(t *testing.T) {
+	w := newCluster(t, 1, 2)
 	id := w.program(1)
 	w.run(5 * time.Second)
 	w.runTime = 5 * time.Second
-	w.nodes["o1"].silent, w.nodes["o1"].suspected = true, true
+	w.nodes["o1"].logUnresponsive, w.nodes["o1"].suspected = true, true
 	c := testCall(id, 1, true)
 	first := w.submit(c, time.Minute)
 	for len(w.sends) == 0 {
@@ -26,15 +26,15 @@
 	w.nodes["o1"].suspected, w.nodes["o2"].suspected = false, true
 	again := w.submit(c, time.Minute)
 	w.run(2 * time.Second)
-	w.want(again, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
+	w.expect(again, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
 	w.run(5 * time.Second)
-	w.want(first, structs.OutcomeAnswered, "")
+	w.expect(first, structs.OutcomeAnswered, "")
 }
 
 // A gateway with pieces of another run is told at once that its answer cannot
 // be made whole.
-func TestStrangerOfARunningStream(t *testing.T) {
-	w := newWorld(t, 1, 1)
+func TestResubmitWithPiecesOfAnotherRun(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	w.runTime = 5 * time.Second
 	id := w.program(1)
 	c := testCall(id, 1, false)
@@ -44,16 +44,16 @@
 	cmds := w.nodes["o1"].o.Tick(w.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
 		Request: "stranger", Call: c, Remaining: time.Minute, Have: 1, HaveRun: "another", Resubmitted: true,
 	}}})
-	if out := lastEnd(cmds, "stranger"); out == nil || out.Kind != structs.OutcomeUnknown {
+	if out := lastOutcome(cmds, "stranger"); out == nil || out.Kind != structs.OutcomeUnknown {
 		t.Errorf("outcome %+v, want unknown", out)
 	}
 	w.run(5 * time.Second)
-	w.want(r, structs.OutcomeAnswered, "")
+	w.expect(r, structs.OutcomeAnswered, "")
 }
 
 // A grant of a team's budget is sent only once its record was read back.
-func TestGrantCountsBeforeItIsSent(t *testing.T) {
-	w := newWorld(t, 1, 1)
+func TestGrantIsCommittedBeforeItIsSent(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	w.policy.TeamFees = 100
 	w.program(1)
 	o := w.nodes["o1"].o
@@ -78,43 +78,43 @@
 
 // A call that was refused behind its Intent is known as not sent to the next
 // owner, which runs it when it is asked again.
-func TestAbandonedIntentMayRunLater(t *testing.T) {
-	w := newWorld(t, 1, 2)
+func TestAbandonedIntentCanRunAtNextOwner(t *testing.T) {
+	w := newCluster(t, 1, 2)
 	id := w.program(1)
-	w.refuse = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
+	w.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
 	c := testCall(id, 1, true)
 	refused := w.submit(c, time.Minute)
 	w.run(time.Second)
-	w.want(refused, structs.OutcomeNotRun, structs.ReasonOverloaded)
-	w.refuse = nil
+	w.expect(refused, structs.OutcomeNotRun, structs.ReasonOverloaded)
+	w.refusePermit = nil
 	w.kill("o1")
 	w.run(500 * time.Millisecond)
 	again := w.submit(c, time.Minute)
 	w.run(500 * time.Millisecond)
-	w.want(again, structs.OutcomeAnswered, "")
+	w.expect(again, structs.OutcomeAnswered, "")
 }
 
 // A run whose end is never told does not block its lane for ever.
-func TestRunWithoutAnEnd(t *testing.T) {
-	w := newWorld(t, 1, 1)
+func TestRunWithoutEndTimesOut(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	id := w.program(1)
-	w.hang = true
+	w.hangRuns = true
 	first := w.submit(testCall(id, 1, true), 2*time.Minute)
 	w.run(time.Second)
-	w.hang = false
+	w.hangRuns = false
 	second := w.submit(testCall(id, 2, true), 5*time.Minute)
 	w.run(90 * time.Second)
-	w.want(first, structs.OutcomeUnknown, structs.ReasonDeadline)
-	w.want(second, structs.OutcomeAnswered, "")
+	w.expect(first, structs.OutcomeUnknown, structs.ReasonDeadline)
+	w.expect(second, structs.OutcomeAnswered, "")
 }
 
 // A dispatcher grants a permit once: a run that was not sent asks under another
 // name, while the name in the journal and at the target stays.
-func TestRetryOfANotRepeatableRunHasItsOwnPermit(t *testing.T) {
-	w := newWorld(t, 1, 1)
+func TestNotRepeatableRetryUsesNewPermit(t *testing.T) {
+	w := newCluster(t, 1, 1)
 	id := w.program(1)
 	tries := 0
-	w.behave = func(structs.StartRun) structs.RunFailure {
+	w.runResult = func(structs.StartRun) structs.RunFailure {
 		if tries++; tries == 1 {
 			return structs.RunNotSent
 		}
@@ -122,7 +122,7 @@
 	}
 	r := w.submit(testCall(id, 1, true), time.Minute)
 	w.run(time.Second)
-	w.want(r, structs.OutcomeAnswered, "")
+	w.expect(r, structs.OutcomeAnswered, "")
 	for run, n := range w.finishes {
 		if n != 1 {
 			t.Errorf("permit %s was given back %d times", run, n)
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -50,7 +50,7 @@
 		s := runSchedule(t, seed)
 		total.faults += s.faults
 		total.answered += s.answered
-		total.calls += len(s.w.all)
+		total.calls += len(s.w.allRequests)
 		if len(s.violations) > 0 {
 			return fmt.Sprintf("%s=%d: %s", seedVariable, seed, strings.Join(s.violations, "; "))
 		}
@@ -62,12 +62,12 @@
 
 // schedule is one run of callers under random faults.
 type schedule struct {
-	w          *world
+	w          *cluster
 	rng        *rand.Rand
 	faults     int
 	calls      int
 	answered   int
-	calm       bool
+	faultFree  bool
 	violations []string
 }
 
@@ -85,7 +85,7 @@
 const callsPerLane = 12
 
 func runSchedule(t testing.TB, seed uint64) *schedule {
-	w := newWorld(t, seed, 3)
+	w := newCluster(t, seed, 3)
 	w.shards, w.snapshotEvery = 2, 25
 	for _, id := range w.ids {
 		w.start(id)
@@ -96,19 +96,19 @@
 	w.policy.TeamTokens, w.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
 	w.policy.GapTimeout = 2 * time.Second
 	w.policy.LoopRepeats = 0
-	w.askable = seed%2 == 0
+	w.supportsOutcomeQuery = seed%2 == 0
 	w.runTime = 50 * time.Millisecond
-	w.behave = s.behave
+	w.runResult = s.randomRunResult
 	programs := []structs.ProgramID{w.program(1), w.program(2)}
-	w.faults = faults{lostReply: 0.1, dropped: 0.05, refused: 0.05, lateCommands: 3 * time.Second}
+	w.faults = faults{lostReplyRate: 0.1, droppedRate: 0.05, refusedRate: 0.05, maxCommandDelay: 3 * time.Second}
 	for _, id := range programs {
 		for _, lane := range []structs.Lane{"", "sub"} {
 			c := &caller{s: s, program: id, lane: lane}
-			c.next()
+			c.issueNext()
 		}
 	}
 	for range 100 {
-		s.inject()
+		s.injectFault()
 		w.run(200 * time.Millisecond)
 		w.truncate()
 	}
@@ -118,9 +118,9 @@
 	return s
 }
 
-func (s *schedule) behave(structs.StartRun) structs.RunFailure {
+func (s *schedule) randomRunResult(structs.StartRun) structs.RunFailure {
 	switch roll := s.rng.Float64(); {
-	case s.calm || roll < 0.9:
+	case s.faultFree || roll < 0.9:
 		return structs.RunOK
 	case roll < 0.95:
 		return structs.RunNotSent
@@ -129,8 +129,8 @@
 	}
 }
 
-// inject brings about one fault, often none.
-func (s *schedule) inject() {
+// injectFault brings about one fault, often none.
+func (s *schedule) injectFault() {
 	w := s.w
 	id := w.ids[s.rng.IntN(len(w.ids))]
 	n := w.nodes[id]
@@ -140,21 +140,21 @@
 		w.kill(id)
 		w.after(span, func() {
 			if !n.alive {
-				w.log("start %s", id)
+				w.tracef("start %s", id)
 				w.start(id)
 			}
 		})
 	case roll < 0.10 && n.alive && !n.paused:
 		w.pause(id, span)
 	case roll < 0.12 && !w.logDown:
-		w.log("log down for %s", span)
+		w.tracef("log down for %s", span)
 		w.logDown = true
 		w.after(span, func() { w.logDown = false })
-	case roll < 0.15 && n.alive && !n.cut:
-		w.log("cut %s from the log for %s", id, span)
-		life := n.life
-		n.cut = true
-		w.after(span, func() { n.cut = n.cut && n.life != life })
+	case roll < 0.15 && n.alive && !n.partitioned:
+		w.tracef("cut %s from the log for %s", id, span)
+		life := n.incarnation
+		n.partitioned = true
+		w.after(span, func() { n.partitioned = n.partitioned && n.incarnation != life })
 	default:
 		return
 	}
@@ -163,25 +163,25 @@
 
 func (s *schedule) heal() {
 	w := s.w
-	w.log("heal")
-	s.calm = true
+	w.tracef("heal")
+	s.faultFree = true
 	w.faults = faults{}
 	w.logDown = false
 	for _, id := range w.ids {
 		n := w.nodes[id]
-		n.cut = false
+		n.partitioned = false
 		if !n.alive {
 			w.start(id)
 		}
 	}
 }
 
-// next issues the lane's next call, sometimes with one more behind it or twice.
-func (c *caller) next() {
+// issueNext issues the lane's next call, sometimes with one more behind it or twice.
+func (c *caller) issueNext() {
 	c.number++
 	c.tries = 0
 	if c.number <= callsPerLane {
-		c.try()
+		c.submit()
 	}
 }
 
@@ -194,7 +194,7 @@
 	return spec
 }
 
-func (c *caller) try() {
+func (c *caller) submit() {
 	c.tries++
 	w := c.s.w
 	twice := c.s.rng.Float64() < 0.1
@@ -203,30 +203,30 @@
 	if twice {
 		w.after(10*time.Millisecond, func() { w.submit(c.spec(), 10*time.Second) })
 	}
-	c.watch(r)
+	c.awaitOutcome(r)
 }
 
-// watch waits for the outcome, then goes on or tries the same call again.
-func (c *caller) watch(r *request) {
+// awaitOutcome waits for the outcome, then goes on or tries the same call again.
+func (c *caller) awaitOutcome(r *request) {
 	w := c.s.w
 	if r.outcome == nil {
-		w.after(50*time.Millisecond, func() { c.watch(r) })
+		w.after(50*time.Millisecond, func() { c.awaitOutcome(r) })
 		return
 	}
 	switch {
 	case r.kind() == structs.OutcomeAnswered:
 		c.s.answered++
-		c.next()
+		c.issueNext()
 	case r.reason() == structs.ReasonBudget || c.tries > 40:
 		return
 	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.tries > 3:
-		c.next()
+		c.issueNext()
 	default:
-		w.after(max(time.Second, r.outcome.RetryAfter), c.try)
+		w.after(max(time.Second, r.outcome.RetryAfter), c.submit)
 	}
 }
 
-func (s *schedule) fail(format string, args ...any) {
+func (s *schedule) violationf(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
@@ -249,16 +249,16 @@
 		name := callName(send.call)
 		count[name]++
 		if send.call.NotRepeatable && count[name] > 1 {
-			s.fail("%s was sent %d times", name, count[name])
+			s.violationf("%s was sent %d times", name, count[name])
 		}
-		if !s.wanted(send) {
-			s.fail("%s ran at %s though every request for it was answered 'not run'", name, send.at.Sub(testStart))
+		if !s.hasOpenRequest(send) {
+			s.violationf("%s ran at %s though every request for it was answered 'not run'", name, send.at.Sub(testStart))
 		}
 	}
 }
 
-func (s *schedule) wanted(send send) bool {
-	for _, r := range s.w.all {
+func (s *schedule) hasOpenRequest(send targetSend) bool {
+	for _, r := range s.w.allRequests {
 		if callName(r.call) == callName(send.call) && !r.at.After(send.at) && r.kind() != structs.OutcomeNotRun {
 			return true
 		}
@@ -269,13 +269,13 @@
 // checkNotRun: "not run" is said of no not-repeatable call that was sent, also
 // if an earlier delivery of it was.
 func (s *schedule) checkNotRun() {
-	for _, r := range s.w.all {
+	for _, r := range s.w.allRequests {
 		if r.kind() != structs.OutcomeNotRun || !r.call.NotRepeatable {
 			continue
 		}
 		for _, send := range s.w.sends {
 			if callName(send.call) == callName(r.call) && !send.at.After(r.endedAt) {
-				s.fail("%s for %s was answered 'not run' (%s) after its send", r.id, callName(r.call), r.reason())
+				s.violationf("%s for %s was answered 'not run' (%s) after its send", r.id, callName(r.call), r.reason())
 			}
 		}
 	}
@@ -294,7 +294,7 @@
 		}
 		seen[name] = true
 		if send.call.Number < high[lane] {
-			s.fail("%s was first sent after call %d", name, high[lane])
+			s.violationf("%s was first sent after call %d", name, high[lane])
 		}
 		high[lane] = max(high[lane], send.call.Number)
 	}
@@ -304,25 +304,25 @@
 // answers of a not-repeatable call are the same.
 func (s *schedule) checkAnswers() {
 	answers := make(map[string]string)
-	for _, r := range s.w.all {
+	for _, r := range s.w.allRequests {
 		if r.kind() != structs.OutcomeAnswered {
 			continue
 		}
 		name := callName(r.call)
-		if !s.ran(name, r.outcome.Text) {
-			s.fail("%s got %q, no answer of its runs", name, r.outcome.Text)
+		if !s.isRunAnswer(name, r.outcome.Text) {
+			s.violationf("%s got %q, no answer of its runs", name, r.outcome.Text)
 		}
 		if old, ok := answers[name]; ok && old != r.outcome.Text && r.call.NotRepeatable {
-			s.fail("%s got %q and %q", name, old, r.outcome.Text)
+			s.violationf("%s got %q and %q", name, old, r.outcome.Text)
 		}
 		answers[name] = r.outcome.Text
 		if got := strings.Join(r.pieces, ""); !strings.HasPrefix(r.outcome.Text, got) {
-			s.fail("%s got pieces %q of %q", name, got, r.outcome.Text)
+			s.violationf("%s got pieces %q of %q", name, got, r.outcome.Text)
 		}
 	}
 }
 
-func (s *schedule) ran(name, text string) bool {
+func (s *schedule) isRunAnswer(name, text string) bool {
 	for _, send := range s.w.sends {
 		if callName(send.call) == name && text == "answer of "+string(send.run) {
 			return true
@@ -342,24 +342,24 @@
 			}
 		}
 		if tokens > s.w.policy.ProgramTokens || fees > s.w.policy.ProgramFees {
-			s.fail("program %s spent %d tokens and %d fees", id, tokens, fees)
+			s.violationf("program %s spent %d tokens and %d fees", id, tokens, fees)
 		}
 		teamTokens, teamFees = teamTokens+tokens, teamFees+fees
 	}
 	if teamTokens > s.w.policy.TeamTokens || teamFees > s.w.policy.TeamFees {
-		s.fail("the team spent %d tokens and %d fees", teamTokens, teamFees)
+		s.violationf("the team spent %d tokens and %d fees", teamTokens, teamFees)
 	}
 }
 
 // checkProgress: once faults ceased every request has its outcome and a new
 // program runs a call.
 func (s *schedule) checkProgress(programs []structs.ProgramID) {
-	for _, r := range s.w.all {
+	for _, r := range s.w.allRequests {
 		if r.outcome == nil {
-			s.fail("%s has no outcome", r.id)
+			s.violationf("%s has no outcome", r.id)
 		}
 		if r.reason() == "gateway-deadline" && r.at.After(testStart.Add(25*time.Second)) {
-			s.fail("%s heard nothing though no fault was left", r.id)
+			s.violationf("%s heard nothing though no fault was left", r.id)
 		}
 	}
 	s.w.policy.TeamTokens, s.w.policy.TeamFees = 0, 0
@@ -367,13 +367,13 @@
 	r := s.w.submit(testCall(id, 1, true), time.Minute)
 	s.w.run(time.Second)
 	if r.kind() != structs.OutcomeAnswered {
-		s.fail("after the faults a call got kind %d %s", r.kind(), r.reason())
+		s.violationf("after the faults a call got kind %d %s", r.kind(), r.reason())
 	}
 }
 
 // The same inputs give the same outputs: no decision depends on the order of a
 // map.
-func TestSameSeedSameRun(t *testing.T) {
+func TestSameSeedGivesSameTrace(t *testing.T) {
 	for seed := range uint64(20) {
 		first, second := runSchedule(t, seed).w, runSchedule(t, seed).w
 		for i := range min(len(first.trace), len(second.trace)) {
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -18,7 +18,7 @@
 func (s *shard) recover() {
 	for _, id := range journal.SortedKeys(s.state.Programs) {
 		row := s.state.Programs[id]
-		p := s.live(id, row.Team)
+		p := s.liveProgram(id, row.Team)
 		for _, run := range row.OpenRuns() {
 			// A run of this instance from an earlier tenure may still go on.
 			if run.NotRepeatable && run.Epoch < s.epoch && !p.running(run) {
@@ -26,7 +26,7 @@
 			}
 		}
 		if row.Closed || row.Single {
-			p.quiet()
+			p.onNoCalls()
 		}
 	}
 }
@@ -44,8 +44,8 @@
 	r.timer = p.shard.o.after(p.shard.o.cfg.RecoveryWait, r.expire)
 }
 
-// recoverCall lets a call wait for the run that an earlier owner has of it.
-func (p *program) recoverCall(c *call) {
+// awaitRecovery lets a call wait for the run that an earlier owner has of it.
+func (p *program) awaitRecovery(c *call) {
 	if p.recovering(c.key) {
 		c.phase = phaseRecovery
 	}
@@ -61,8 +61,8 @@
 	return false
 }
 
-// onForeign takes a fact that an earlier owner recorded late.
-func (s *shard) onForeign(rec journal.Record) {
+// onPreviousOwnerRecord takes a fact that an earlier owner recorded late.
+func (s *shard) onPreviousOwnerRecord(rec journal.Record) {
 	switch b := rec.Body.(type) {
 	case *journal.Started:
 		// The earlier owner's target may hold cache of a closed program.
@@ -70,13 +70,13 @@
 			p.startRelease()
 		}
 	case *journal.Done:
-		s.learnt(b.Program, b.Run)
+		s.onOutcomeLearned(b.Program, b.Run)
 	case *journal.Abandoned:
-		s.learnt(b.Program, b.Run)
+		s.onOutcomeLearned(b.Program, b.Run)
 	}
 }
 
-func (s *shard) learnt(id structs.ProgramID, run structs.RunID) {
+func (s *shard) onOutcomeLearned(id structs.ProgramID, run structs.RunID) {
 	p := s.programs[id]
 	if p == nil {
 		return
@@ -95,19 +95,19 @@
 	o := r.prog.shard.o
 	service, _ := o.settings.Service(r.run.Service)
 	if !service.AskByKey {
-		r.conclude(false, structs.Outcome{})
+		r.recordOutcome(false, structs.Outcome{})
 		return
 	}
 	targets := o.members.Targets(r.run.Service)
 	if t, ok := o.findTarget(r.run.Service, r.run.Target); ok {
 		targets = []structs.Target{t}
 	}
-	o.ask(r.run.Run, r.run.Program, r.run.Key, targets, r.conclude)
+	o.queryOutcome(r.run.Run, r.run.Program, r.run.Key, targets, r.recordOutcome)
 }
 
-// conclude records the outcome that the target told, or that it is unknown, so
+// recordOutcome records the outcome that the target told, or that it is unknown, so
 // that every retry hears the same.
-func (r *recovery) conclude(found bool, out structs.Outcome) {
+func (r *recovery) recordOutcome(found bool, out structs.Outcome) {
 	p := r.prog
 	if p.recovery[r.run.Run] != r || !p.shard.owned() {
 		return
@@ -116,10 +116,10 @@
 	if found {
 		out.Kind = structs.OutcomeAnswered
 		cost.Tokens = out.Usage.Tokens()
-		r.note("outcome of an earlier owner's run found at its target")
+		r.logEvent("outcome of an earlier owner's run found at its target")
 	} else {
 		out = unknown(structs.ReasonOwnerLost)
-		r.note("outcome of an earlier owner's run stays unknown")
+		r.logEvent("outcome of an earlier owner's run stays unknown")
 	}
 	p.shard.app.push(&journal.Done{
 		CallID: r.run.CallID, Service: r.run.Service, Target: r.run.Target, NotRepeatable: true,
@@ -139,16 +139,16 @@
 		if c.phase != phaseRecovery || c.key != r.run.Key {
 			continue
 		}
-		if !c.answerRecorded() {
+		if !c.completeFromRecord() {
 			c.phase = phaseQueued
 		}
 	}
 	p.advance()
-	p.quietIfIdle()
+	p.checkNoCalls()
 }
 
-func (p *program) quietIfIdle() {
+func (p *program) checkNoCalls() {
 	if len(p.calls) == 0 {
-		p.quiet()
+		p.onNoCalls()
 	}
 }
--- a/internal/owner/refuse.go
+++ b/internal/owner/refuse.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// lookedUp tells whether the shard's state shows every earlier delivery of a
+// hasAllDeliveries tells whether the shard's state shows every earlier delivery of a
 // key. A not-repeatable call is taken only while the ownership is proven; see
 // verify.
-func (s *shard) lookedUp() bool { return s.owned() && !s.logDown() }
+func (s *shard) hasAllDeliveries() bool { return s.owned() && !s.logDown() }
 
 // mayHaveRun tells whether "not run" would be a claim that cannot be made.
 func (c *call) mayHaveRun() bool { return c.sentRuns > 0 || c.phase == phaseRecovery }
@@ -50,22 +50,22 @@
 	if c.sentRuns > 0 {
 		out := unknown(reason)
 		out.RetryAfter = retryAfter
-		c.finish(out, journal.Amount{}, structs.RunEnded{})
+		c.recordOutcome(out, journal.Amount{}, structs.RunEnded{})
 		return
 	}
-	elsewhere := c.mayHaveRun() || c.resubmitted || c.redo || c.prog.passed(c.spec)
-	out := refusal(c.spec, reason, retryAfter, elsewhere, c.lookedUp && c.prog.sees(c.notRepeatable))
-	c.prog.told(c.spec, out)
+	elsewhere := c.mayHaveRun() || c.resubmitted || c.rerun || c.prog.wasSkipped(c.spec)
+	out := refusal(c.spec, reason, retryAfter, elsewhere, c.keyLookedUp && c.prog.hasAllRuns(c.notRepeatable))
+	c.prog.recordUnknown(c.spec, out)
 	c.abandon()
-	c.answer(out)
+	c.sendOutcome(out)
 	c.end()
 }
 
 // abandon records that the call's Intent will not be followed by a send.
 func (c *call) abandon() {
-	if c.intent && c.sentRuns == 0 {
+	if c.intentAppended && c.sentRuns == 0 {
 		c.shard.app.push(&journal.Abandoned{Program: c.spec.Program, Run: c.run}, lazy, nil)
-		c.intent = false
+		c.intentAppended = false
 	}
 }
 
@@ -85,8 +85,8 @@
 	o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 }
 
-// notOwner tells a gateway to ask elsewhere.
-func (o *Owner) notOwner(from structs.InstanceID, msg structs.Message, owner structs.InstanceID) {
+// sendNotOwner tells a gateway to ask elsewhere.
+func (o *Owner) sendNotOwner(from structs.InstanceID, msg structs.Message, owner structs.InstanceID) {
 	switch m := msg.(type) {
 	case *structs.Submit:
 		o.send(from, &structs.NotOwner{Request: m.Request, Owner: owner})
@@ -102,7 +102,7 @@
 	case *structs.ProgramRequest:
 		return m.Remaining
 	case *structs.BudgetRequest:
-		return ledgerWait
+		return ledgerTimeout
 	default:
 		return 0
 	}
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// targetGone is how long a target that should drop cache may be missing from the
+// targetRemovedTimeout is how long a target that should drop cache may be missing from the
 // membership list, which may lag, before it is taken to have left.
-const targetGone = 10 * time.Minute
+const targetRemovedTimeout = 10 * time.Minute
 
 // cacheTargets lists the targets that may hold cache of the program without a
 // record: all, if an earlier owner may have died before its records were in the
@@ -38,10 +38,10 @@
 	if row == nil || !row.Closed || len(p.calls) > 0 || len(row.Placements) == 0 || !p.shard.owned() {
 		return
 	}
-	if p.release != nil && p.release.index >= 0 {
+	if p.releaseTimer != nil && p.releaseTimer.index >= 0 {
 		return
 	}
-	p.backoff = releaseRetry
+	p.releaseBackoff = minReleaseBackoff
 	p.releaseAll()
 }
 
@@ -55,12 +55,12 @@
 	for _, id := range journal.SortedKeys(row.Placements) {
 		if target, ok := o.findTarget(row.Placements[id].Service, id); ok {
 			o.emit(structs.ReleaseCache{Target: target, Program: p.id})
-		} else if o.now.Sub(time.UnixMilli(row.UpdatedMS)) > targetGone {
+		} else if o.now.Sub(time.UnixMilli(row.UpdatedMS)) > targetRemovedTimeout {
 			p.shard.app.push(&journal.Released{Program: p.id, Target: id}, lazy, nil)
 		}
 	}
-	p.release = o.after(p.backoff, p.releaseAll)
-	p.backoff = min(2*p.backoff, releaseRetryMax)
+	p.releaseTimer = o.after(p.releaseBackoff, p.releaseAll)
+	p.releaseBackoff = min(2*p.releaseBackoff, maxReleaseBackoff)
 }
 
 func (o *Owner) onCacheReleased(e structs.CacheReleased) {
@@ -78,13 +78,13 @@
 	}
 	s.app.push(&journal.Released{Program: e.Program, Target: e.Target}, lazy, func() {
 		if p := s.programs[e.Program]; p != nil && len(p.row().Placements) == 0 {
-			o.timers.stop(p.release)
+			o.timers.stop(p.releaseTimer)
 		}
 	})
 }
 
-// tellGone tells the dispatchers of the program's pools that it ended.
-func (p *program) tellGone() {
+// notifyDispatchers tells the dispatchers of the program's pools that it ended.
+func (p *program) notifyDispatchers() {
 	row := p.row()
 	if row == nil {
 		return
@@ -97,8 +97,8 @@
 	}
 }
 
-// owesWork tells whether the shard needs an owner though no call waits.
-func (s *shard) owesWork() bool {
+// hasPendingWork tells whether the shard needs an owner though no call waits.
+func (s *shard) hasPendingWork() bool {
 	for _, p := range s.state.Programs {
 		if !p.Closed || len(p.Placements) > 0 || slices.ContainsFunc(p.OpenRuns(), isNotRepeatable) {
 			return true
--- a/internal/owner/replay.go
+++ b/internal/owner/replay.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if s.tenure == tenureLocating {
-		s.locate(e)
+		s.locateSnapshot(e)
 		return
 	}
 	// Reads of an earlier position may still arrive after LogTail moved it;
@@ -33,10 +33,10 @@
 	if e.From > s.next || e.Next < s.next {
 		return
 	}
-	s.readDown, s.failures = false, 0
+	s.readDown, s.readFailures = false, 0
 	for _, r := range e.Records {
 		if r.Offset >= s.next {
-			s.read(r)
+			s.readOne(r)
 		}
 		if s.tenure == tenureNone {
 			return
@@ -44,14 +44,14 @@
 	}
 	s.next = max(s.next, e.Next)
 	if e.Next >= e.End {
-		s.atEnd()
+		s.onStreamEnd()
 	}
 }
 
-// locate finds the place to read from: the newest record's header tells where
+// locateSnapshot finds the place to read from: the newest record's header tells where
 // the newest snapshot is.
-func (s *shard) locate(e structs.LogRead) {
-	s.readDown, s.failures = false, 0
+func (s *shard) locateSnapshot(e structs.LogRead) {
+	s.readDown, s.readFailures = false, 0
 	from := uint64(0)
 	if len(e.Records) > 0 {
 		last := e.Records[len(e.Records)-1]
@@ -71,7 +71,7 @@
 		s.replay = &replay{from: from, parts: make(map[string][]*journal.Snapshot)}
 	}
 	s.o.emit(structs.LogTail{Stream: s.stream, From: from})
-	s.watchLog()
+	s.startLogTimer()
 }
 
 func (o *Owner) onLogReadFailed(e structs.LogReadFailed) {
@@ -95,26 +95,26 @@
 		s.state = journal.NewState()
 		s.replayFrom(e.First, true)
 	case tenureClaiming, tenureOwned, tenureLost:
-		s.skip(e.First)
+		s.skipTruncated(e.First)
 	}
 }
 
-// skip goes on behind records that the log dropped before they were read. Any
+// skipTruncated goes on behind records that the log dropped before they were read. Any
 // of them may have been a newer claim, so the shard is lost.
-func (s *shard) skip(first uint64) {
-	s.next, s.gap = first, true
+func (s *shard) skipTruncated(first uint64) {
+	s.next, s.truncated = first, true
 	s.o.emit(structs.LogTail{Stream: s.stream, From: first})
 	if s.tenure != tenureLost {
-		s.lose("")
+		s.onShardLost("")
 	}
 }
 
-// readFailures is how many failed reads in a row mean that the log is down.
-const readFailures = 2
+// maxReadFailures is how many failed reads in a row mean that the log is down.
+const maxReadFailures = 2
 
 func (s *shard) readFailed() {
-	s.failures++
-	if s.readDown || s.failures < readFailures {
+	s.readFailures++
+	if s.readDown || s.readFailures < maxReadFailures {
 		return
 	}
 	s.readDown = true
@@ -126,24 +126,24 @@
 	}
 }
 
-// read takes one record of the stream.
-func (s *shard) read(r wire.LogRecord) {
+// readOne takes one record of the stream.
+func (s *shard) readOne(r wire.LogRecord) {
 	s.next = r.Offset + 1
 	rec, err := journal.Decode(r.Data)
 	if err != nil {
-		s.garbage++
+		s.undecodable++
 		return
 	}
 	if s.replay != nil {
-		s.collect(readRecord{offset: r.Offset, record: rec})
+		s.bufferRecord(readRecord{offset: r.Offset, record: rec})
 		return
 	}
 	s.apply(r.Offset, rec)
 }
 
-// collect keeps a record until a snapshot is complete that was taken no earlier
+// bufferRecord keeps a record until a snapshot is complete that was taken no earlier
 // than where the reading began: then nothing is missing behind it.
-func (s *shard) collect(r readRecord) {
+func (s *shard) bufferRecord(r readRecord) {
 	s.replay.records = append(s.replay.records, r)
 	part, ok := r.record.Body.(*journal.Snapshot)
 	if !ok || part.Next < s.replay.from {
@@ -164,14 +164,14 @@
 	}
 	state, err := journal.DecodeState(data)
 	if err != nil {
-		s.garbage++
+		s.undecodable++
 		return
 	}
-	s.load(state)
+	s.loadSnapshot(state)
 }
 
-// load starts from a snapshot and applies the records that it lacks.
-func (s *shard) load(state *journal.State) {
+// loadSnapshot starts from a snapshot and applies the records that it lacks.
+func (s *shard) loadSnapshot(state *journal.State) {
 	records := s.replay.records
 	s.replay = nil
 	s.state = state
@@ -189,7 +189,7 @@
 		s.void++
 	}
 	if rec.Writer == s.o.writer {
-		s.app.onRead(rec.Sequence, verdict)
+		s.app.onReadBack(rec.Sequence, verdict)
 	}
 	if verdict != journal.Counted {
 		return
@@ -199,7 +199,7 @@
 		return
 	}
 	if rec.Writer != s.o.writer && s.owned() {
-		s.onForeign(rec)
+		s.onPreviousOwnerRecord(rec)
 	}
 }
 
@@ -208,28 +208,28 @@
 	switch s.tenure {
 	case tenureClaiming:
 		if rec.Writer == s.o.writer {
-			s.won(rec.Epoch)
+			s.onClaimWon(rec.Epoch)
 			return
 		}
-		s.lose(claim.Instance)
+		s.onShardLost(claim.Instance)
 	case tenureOwned:
-		s.lose(claim.Instance)
+		s.onShardLost(claim.Instance)
 	case tenureLost:
-		s.winner = claim.Instance
+		s.newOwner = claim.Instance
 	}
 }
 
-// atEnd runs when the stream was read to its end.
-func (s *shard) atEnd() {
+// onStreamEnd runs when the stream was read to its end.
+func (s *shard) onStreamEnd() {
 	if s.replay != nil {
-		s.load(s.state)
+		s.loadSnapshot(s.state)
 	}
 	switch s.tenure {
 	case tenureReplaying:
-		s.caughtUp()
+		s.onCaughtUp()
 	case tenureOwned:
 		s.maybeSnapshot()
 	case tenureLost:
-		s.leaveIfDone()
+		s.unloadIfDone()
 	}
 }
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -12,12 +12,12 @@
 // writeIntent makes the Intent of a not-repeatable call durable. The permit is
 // asked for only once it counts, so that a later owner always knows of a send.
 func (c *call) writeIntent() {
-	if !c.holdTeams() {
+	if !c.holdTeamBudgets() {
 		return
 	}
 	p := c.prog
-	need := c.worst()
-	if !need.AtMost(p.left()) {
+	need := c.worstCase()
+	if !need.AtMost(p.available()) {
 		c.refuseBudget()
 		return
 	}
@@ -26,33 +26,33 @@
 		return
 	}
 	c.run = c.shard.o.newRun()
-	c.phase, c.intent, c.hold = phaseIntent, true, need
+	c.phase, c.intentAppended, c.hold = phaseIntent, true, need
 	p.pending = p.pending.Plus(need)
 	count, digest := c.history()
 	intent := &journal.Intent{
-		CallID: c.id(), Service: c.spec.Service, Hold: need, HistoryCount: count, HistoryDigest: digest,
+		CallID: c.journalID(), Service: c.spec.Service, Hold: need, HistoryCount: count, HistoryDigest: digest,
 	}
 	c.shard.app.push(intent, urgent, func() {
 		// From here on the durable row holds the worst case.
 		p.pending = p.pending.Minus(need)
-		c.lookedUp = true
+		c.keyLookedUp = true
 		if c.phase == phaseIntent {
-			c.askPermit()
+			c.awaitPermit()
 		}
 	})
 }
 
-// send runs the call at the granted target. A not-repeatable call is sent only
+// sendOrConfirm runs the call at the granted target. A not-repeatable call is sent only
 // if the shard was proven owned so recently that a newer owner still waits; any
 // call only if no pause came since. Else the log has to prove it first.
-func (c *call) send() {
+func (c *call) sendOrConfirm() {
 	c.shard.o.timers.stop(c.timer)
-	if c.shard.fresh() || !c.notRepeatable && c.shard.trusted() {
+	if c.shard.verifiedRecently() || !c.notRepeatable && c.shard.verifiedSincePause() {
 		c.startRun(true)
 		return
 	}
 	c.phase = phaseConfirm
-	c.timer = c.shard.o.after(confirmTimeout, c.unconfirmed)
+	c.timer = c.shard.o.after(confirmTimeout, c.onConfirmTimeout)
 	confirmed := func() {
 		if c.phase == phaseConfirm {
 			c.shard.o.timers.stop(c.timer)
@@ -60,15 +60,15 @@
 		}
 	}
 	if !c.notRepeatable {
-		c.shard.prove(func(bool) { confirmed() })
+		c.shard.verifyOwnership(func(bool) { confirmed() })
 		return
 	}
 	c.shard.app.push(c.startedRecord(), urgent, confirmed)
 }
 
-// unconfirmed runs when the log does not answer: a repeatable call goes on
+// onConfirmTimeout runs when the log does not answer: a repeatable call goes on
 // without it.
-func (c *call) unconfirmed() {
+func (c *call) onConfirmTimeout() {
 	c.shard.o.timers.stop(c.timer)
 	if c.notRepeatable {
 		c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
@@ -79,7 +79,7 @@
 
 func (c *call) startedRecord() *journal.Started {
 	return &journal.Started{
-		CallID: c.id(), Service: c.spec.Service, Target: c.target.ID,
+		CallID: c.journalID(), Service: c.spec.Service, Target: c.target.ID,
 		NotRepeatable: c.notRepeatable, Cache: c.service.Kind == structs.ServiceEngine,
 	}
 }
@@ -96,7 +96,7 @@
 		Run: c.run, Target: c.target, Call: c.spec, Fencing: uint64(c.shard.epoch),
 		Timeout: c.runTimeout(), NotAfter: o.now.Add(o.cfg.SendWindow),
 	})
-	c.watchRun()
+	c.startRunTimer()
 }
 
 // runTimeout bounds a run. That of a not-repeatable call outlives its caller's
@@ -112,26 +112,26 @@
 	return left
 }
 
-// resume attaches to the run that an earlier owner of the shard started, if
+// resumeOpenRun attaches to the run that an earlier owner of the shard started, if
 // its journal names it. Pieces that were delivered are never followed by those
 // of another run. It tells whether the call needs no run of its own.
-func (c *call) resume() bool {
+func (c *call) resumeOpenRun() bool {
 	if c.notRepeatable {
 		return false
 	}
 	had := c.delivered()
-	target, ok := c.resumable()
-	c.dropStrangers()
+	target, ok := c.resumeTarget()
+	c.dropMismatchedWaiters()
 	if had && len(c.waiters) == 0 {
 		// The earlier owner's chunk counts the cost.
 		c.run = ""
-		c.finish(unknown(structs.ReasonTargetFailed), journal.Amount{}, structs.RunEnded{})
+		c.recordOutcome(unknown(structs.ReasonTargetFailed), journal.Amount{}, structs.RunEnded{})
 		return true
 	}
 	if !ok {
 		return false
 	}
-	c.target, c.phase, c.foreign = target, phaseRunning, true
+	c.target, c.phase, c.inherited = target, phaseRunning, true
 	c.sentRuns++
 	c.joinPool()
 	c.requestPermit()
@@ -139,8 +139,8 @@
 	return true
 }
 
-// resumable finds the target that runs the call for an earlier owner.
-func (c *call) resumable() (structs.Target, bool) {
+// resumeTarget finds the target that runs the call for an earlier owner.
+func (c *call) resumeTarget() (structs.Target, bool) {
 	run := c.openRun()
 	if run == nil || !c.spec.Stream || c.spec.Kind != structs.CallChat {
 		return structs.Target{}, false
@@ -152,21 +152,21 @@
 	return target, ok
 }
 
-// runGrace is how long after its timeout a run's end is awaited.
-const runGrace = 5 * time.Second
+// runEndGrace is how long after its timeout a run's end is awaited.
+const runEndGrace = 5 * time.Second
 
-// watchRun ends a run whose end was never told, so that its lane goes on.
-func (c *call) watchRun() {
+// startRunTimer ends a run whose end was never told, so that its lane goes on.
+func (c *call) startRunTimer() {
 	o, run := c.shard.o, c.run
 	o.timers.stop(c.timer)
-	c.timer = o.after(c.runTimeout()+runGrace, func() {
+	c.timer = o.after(c.runTimeout()+runEndGrace, func() {
 		o.onRunEnded(structs.RunEnded{Run: run, Target: c.target.ID, Failure: structs.RunTimeout})
 	})
 }
 
 func (c *call) resumeRun() {
 	c.resumes++
-	c.watchRun()
+	c.startRunTimer()
 	c.shard.o.emit(structs.ResumeRun{
 		Run: c.run, Target: c.target, From: len(c.pieces), Timeout: c.runTimeout(),
 	})
@@ -188,7 +188,7 @@
 
 // delivered tells whether some gateway has got pieces of the answer.
 func (c *call) delivered() bool {
-	return slices.ContainsFunc(c.waiters, func(w *waiter) bool { return w.next > 0 })
+	return slices.ContainsFunc(c.waiters, func(w *waiter) bool { return w.nextPiece > 0 })
 }
 
 func (o *Owner) findTarget(service structs.ServiceName, id structs.TargetID) (structs.Target, bool) {
@@ -227,53 +227,53 @@
 	c.finishPermit(e)
 	switch e.Failure {
 	case structs.RunOK:
-		c.answered(e)
+		c.onRunSucceeded(e)
 	case structs.RunNotSent, structs.RunFenced:
-		c.notSent(e)
+		c.onRunNotSent(e)
 	default:
-		c.broken(e)
+		c.onRunFailed(e)
 	}
 }
 
 func (c *call) canResume() bool {
-	return c.spec.Stream && c.spec.Kind == structs.CallChat && c.cancelled == "" &&
+	return c.spec.Stream && c.spec.Kind == structs.CallChat && c.cancelReason == "" &&
 		c.resumes < maxResumes && len(c.pieces) > 0
 }
 
-func (c *call) answered(e structs.RunEnded) {
+func (c *call) onRunSucceeded(e structs.RunEnded) {
 	out := e.Outcome
 	out.Kind = structs.OutcomeAnswered
 	if len(c.pieces) > 0 && c.resumes > 0 {
 		// A resumed run reports only what came after the resume.
 		out.Text = strings.Join(c.pieces, "")
 	}
-	c.finish(out, c.cost(out), e)
+	c.recordOutcome(out, c.actualCost(out), e)
 }
 
-// cost is what an answer cost; the worst case if the target did not tell.
-func (c *call) cost(out structs.Outcome) journal.Amount {
-	cost := c.worst()
+// actualCost is what an answer cost; the worst case if the target did not tell.
+func (c *call) actualCost(out structs.Outcome) journal.Amount {
+	cost := c.worstCase()
 	if used := out.Usage.Tokens(); used > 0 {
 		cost.Tokens = used
 	}
 	return cost
 }
 
-// notSent runs when the target certainly did not get the request. A resume that
+// onRunNotSent runs when the target certainly did not get the request. A resume that
 // was not sent says nothing of the run itself.
-func (c *call) notSent(e structs.RunEnded) {
+func (c *call) onRunNotSent(e structs.RunEnded) {
 	if c.resumes > 0 {
-		c.broken(e)
+		c.onRunFailed(e)
 		return
 	}
 	c.sentRuns--
-	if c.cancelled != "" {
-		c.refuse(c.cancelled, 0)
+	if c.cancelReason != "" {
+		c.refuse(c.cancelReason, 0)
 		return
 	}
 	if c.attempt < c.prog.policy().Retries && c.shard.owned() && e.Failure != structs.RunFenced {
 		c.prepareRetry(e.Target)
-		c.askPermit()
+		c.awaitPermit()
 		return
 	}
 	c.refuse(structs.ReasonNoTarget, busyRetryAfter)
@@ -292,78 +292,78 @@
 	}
 }
 
-// broken runs when the request may have run and its answer is lost.
-func (c *call) broken(e structs.RunEnded) {
-	retry := !c.notRepeatable && c.cancelled == "" && e.Failure != structs.RunTimeout &&
+// onRunFailed runs when the request may have run and its answer is lost.
+func (c *call) onRunFailed(e structs.RunEnded) {
+	retry := !c.notRepeatable && c.cancelReason == "" && e.Failure != structs.RunTimeout &&
 		!c.delivered() && c.attempt < c.prog.policy().Retries && c.shard.owned()
 	if retry {
-		if !c.foreign {
-			c.burn()
+		if !c.inherited {
+			c.chargeFailedRun()
 		}
-		c.pieces, c.resumes, c.foreign = nil, 0, false
+		c.pieces, c.resumes, c.inherited = nil, 0, false
 		c.prepareRetry(e.Target)
-		c.fund()
+		c.reserveCost()
 		return
 	}
 	reason := structs.ReasonTargetFailed
-	if c.cancelled != "" {
-		reason = c.cancelled
+	if c.cancelReason != "" {
+		reason = c.cancelReason
 	} else if e.Failure == structs.RunTimeout {
 		reason = structs.ReasonDeadline
 	}
 	if c.notRepeatable && c.service.AskByKey && e.Failure != structs.RunCancelled {
-		c.askTarget(reason, e)
+		c.queryTarget(reason, e)
 		return
 	}
-	c.finish(unknown(reason), c.worst(), e)
+	c.recordOutcome(unknown(reason), c.worstCase(), e)
 }
 
-// askTarget asks the target what became of a broken run.
-func (c *call) askTarget(reason structs.Reason, e structs.RunEnded) {
-	c.phase = phaseAsking
-	c.shard.o.ask(c.run, c.spec.Program, c.spec.Key, []structs.Target{c.target}, func(found bool, out structs.Outcome) {
+// queryTarget asks the target what became of a broken run.
+func (c *call) queryTarget(reason structs.Reason, e structs.RunEnded) {
+	c.phase = phaseQuerying
+	c.shard.o.queryOutcome(c.run, c.spec.Program, c.spec.Key, []structs.Target{c.target}, func(found bool, out structs.Outcome) {
 		if !found {
-			c.finish(unknown(reason), c.worst(), e)
+			c.recordOutcome(unknown(reason), c.worstCase(), e)
 			return
 		}
 		out.Kind = structs.OutcomeAnswered
-		c.finish(out, c.cost(out), e)
+		c.recordOutcome(out, c.actualCost(out), e)
 	})
 }
 
 // cancel stops a run whose outcome nobody waits for.
 func (c *call) cancel(reason structs.Reason) {
-	if c.phase != phaseRunning || c.cancelled != "" {
+	if c.phase != phaseRunning || c.cancelReason != "" {
 		return
 	}
-	c.cancelled = reason
+	c.cancelReason = reason
 	c.shard.o.emit(structs.CancelRun{Run: c.run, Target: c.target})
 }
 
-// finish records the outcome of a call that was or may have been sent. The
+// recordOutcome records the outcome of a call that was or may have been sent. The
 // record of a not-repeatable call counts before its answer goes out, unless
 // the log is down: an answer is never held back for it.
-func (c *call) finish(out structs.Outcome, cost journal.Amount, e structs.RunEnded) {
+func (c *call) recordOutcome(out structs.Outcome, cost journal.Amount, e structs.RunEnded) {
 	o := c.shard.o
 	if c.run == "" {
 		c.run = o.newRun()
 	}
 	count, digest := c.history()
 	done := &journal.Done{
-		CallID: c.id(), Service: c.spec.Service, Target: c.target.ID, NotRepeatable: c.notRepeatable,
-		Chunk: c.chunk, Cost: cost.Plus(c.burned), Outcome: out, CacheTokens: c.cacheTokens(out), TookNS: int64(e.Took),
+		CallID: c.journalID(), Service: c.spec.Service, Target: c.target.ID, NotRepeatable: c.notRepeatable,
+		Chunk: c.heldFromChunk, Cost: cost.Plus(c.failedCost), Outcome: out, CacheTokens: c.cacheTokens(out), TookNS: int64(e.Took),
 		HistoryCount: count, HistoryDigest: digest,
 	}
 	if !c.notRepeatable || c.shard.logDown() || len(c.waiters) == 0 {
-		c.shard.app.push(done, c.shard.o.soon(), nil)
-		c.answer(out)
+		c.shard.app.push(done, c.shard.o.appendUrgency(), nil)
+		c.sendOutcome(out)
 		c.end()
 		return
 	}
 	c.phase, c.outcome = phaseRecording, out
 	record := func() {
 		if c.phase == phaseRecording {
-			c.answer(c.outcome)
+			c.sendOutcome(c.outcome)
 			c.end()
 		}
 	}
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -47,43 +47,43 @@
 	held []*heldMessage
 	// probed is the instance asked while probing; winner the instance that
 	// took the shard from this one at lostAt.
-	probed structs.InstanceID
-	winner structs.InstanceID
-	lostAt time.Time
+	probed   structs.InstanceID
+	newOwner structs.InstanceID
+	lostAt   time.Time
 	// claimedAt is when the claim was read back.
 	claimedAt time.Time
-	// readAt is when the shard was last known to be owned; see provenAt.
-	readAt   time.Time
+	// ownedAt is when the shard was last known to be owned; see setOwnedAt.
+	ownedAt  time.Time
 	readDown bool
-	// failures counts failed reads since the last that succeeded.
-	failures int
-	programs map[structs.ProgramID]*program
-	calls    int
-	accounts map[structs.Team]*account
-	// granting holds the ledger grants not counted yet, grantsPending their
+	// readFailures counts failed reads since the last that succeeded.
+	readFailures int
+	programs     map[structs.ProgramID]*program
+	calls        int
+	accounts     map[structs.Team]*account
+	// pendingGrants holds the ledger grants not counted yet, pendingGrantAmounts their
 	// sums by team path.
-	granting      map[string]bool
-	grantsPending map[structs.Team]journal.Amount
-	// wanted tells that the shard is to be claimed once read.
-	wanted  bool
-	waiting *timer
+	pendingGrants       map[string]bool
+	pendingGrantAmounts map[structs.Team]journal.Amount
+	// claimWanted tells that the shard is to be claimed once read.
+	claimWanted bool
+	logTimer    *timer
 	// snapshotting tells that a snapshot is on its way into the log,
 	// snapshotAt when the newest one was taken.
 	snapshotting bool
-	// checking tells that a Check is on its way into the log, proofs what
+	// checkPending tells that a Check is on its way into the log, proofs what
 	// waits for it; proving that the ownership was just proven.
-	checking      bool
-	proving       bool
-	proofs        []proof
-	snapshotAt    time.Time
-	snapshotTimer *timer
-	purgeTimer    *timer
-	// gap tells that records were dropped unread, so that the state is not
+	checkPending    bool
+	verified        bool
+	ownershipChecks []ownershipCheck
+	snapshotAt      time.Time
+	snapshotTimer   *timer
+	purgeTimer      *timer
+	// truncated tells that records were dropped unread, so that the state is not
 	// complete.
-	gap bool
-	// garbage counts records that could not be decoded, void those refused.
-	garbage int
-	void    int
+	truncated bool
+	// undecodable counts records that could not be decoded, void those refused.
+	undecodable int
+	void        int
 }
 
 // heldMessage is a Submit or ProgramRequest that waits for the claim.
@@ -120,12 +120,12 @@
 		s.o.timers.stop(a.timer)
 	}
 	s.accounts = make(map[structs.Team]*account)
-	s.granting = make(map[string]bool)
-	s.grantsPending = make(map[structs.Team]journal.Amount)
+	s.pendingGrants = make(map[string]bool)
+	s.pendingGrantAmounts = make(map[structs.Team]journal.Amount)
 	s.replay = nil
 	s.next, s.epoch = 0, 0
-	s.wanted, s.readDown, s.snapshotting, s.gap = false, false, false, false
-	s.checking, s.proofs = false, nil
+	s.claimWanted, s.readDown, s.snapshotting, s.truncated = false, false, false, false
+	s.checkPending, s.ownershipChecks = false, nil
 	s.o.timers.stop(s.snapshotTimer)
 	s.o.timers.stop(s.purgeTimer)
 	s.app.stop()
@@ -138,11 +138,11 @@
 // logDown tells whether the log is taken to be unreachable.
 func (s *shard) logDown() bool { return s.readDown || s.app.stalled }
 
-// fresh tells whether the shard was owned so recently that an owner which
+// verifiedRecently tells whether the shard was owned so recently that an owner which
 // claimed since then still waits out the recovery time.
-func (s *shard) fresh() bool {
+func (s *shard) verifiedRecently() bool {
 	limit := s.o.cfg.RecoveryWait - s.o.cfg.SendWindow
-	return !s.readDown && s.o.now.Sub(s.readAt) <= limit
+	return !s.readDown && s.o.now.Sub(s.ownedAt) <= limit
 }
 
 func (s *shard) sortedPrograms() []*program {
--- a/internal/owner/snapshot.go
+++ b/internal/owner/snapshot.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// snapshotRecords is the number of records between two snapshots.
-	snapshotRecords = 2000
-	// snapshotShare is the part of the log's retention after which an older
+	// defaultSnapshotInterval is the number of records between two snapshots.
+	defaultSnapshotInterval = 2000
+	// snapshotAgeDivisor is the part of the log's retention after which an older
 	// snapshot is replaced.
-	snapshotShare = 4
-	// snapshotPart bounds one snapshot record, in bytes.
-	snapshotPart = 256 << 10
+	snapshotAgeDivisor = 4
+	// maxSnapshotPartBytes bounds one snapshot record, in bytes.
+	maxSnapshotPartBytes = 256 << 10
 	// writerWindow is how long a writer's sequence numbers are remembered. An
 	// append of an older writer does not come that late.
 	writerWindow = time.Hour
@@ -29,8 +29,8 @@
 	if s.state.Snapshot > 0 {
 		since -= s.state.Snapshot - 1
 	}
-	old := s.o.now.Sub(s.snapshotAt) > s.o.cfg.Retention/snapshotShare
-	if since >= s.o.snapshotEvery || old {
+	old := s.o.now.Sub(s.snapshotAt) > s.o.cfg.Retention/snapshotAgeDivisor
+	if since >= s.o.snapshotInterval || old {
 		s.writeSnapshot()
 	}
 }
@@ -41,12 +41,12 @@
 func (s *shard) writeSnapshot() {
 	s.purge()
 	data := journal.EncodeState(s.state)
-	parts := max(1, (len(data)+snapshotPart-1)/snapshotPart)
+	parts := max(1, (len(data)+maxSnapshotPartBytes-1)/maxSnapshotPartBytes)
 	s.snapshotting = true
 	s.snapshotAt = s.o.now
 	next := s.state.Next
 	for i := range parts {
-		part := data[i*snapshotPart : min(len(data), (i+1)*snapshotPart)]
+		part := data[i*maxSnapshotPartBytes : min(len(data), (i+1)*maxSnapshotPartBytes)]
 		var counted func()
 		if i == parts-1 {
 			counted = func() { s.snapshotting = false }
@@ -55,31 +55,31 @@
 	}
 }
 
-// purgeEvery is the time between two purges.
-const purgeEvery = time.Minute
+// purgeInterval is the time between two purges.
+const purgeInterval = time.Minute
 
 // keylessWindow is how long the answer of a call without a key is kept: only a
 // gateway can ask for it again, within the call's time.
 const keylessWindow = 5 * time.Minute
 
-// watchPurge keeps the tables small also if no snapshot is due.
-func (s *shard) watchPurge() {
+// schedulePurge keeps the tables small also if no snapshot is due.
+func (s *shard) schedulePurge() {
 	s.o.timers.stop(s.purgeTimer)
-	s.purgeTimer = s.o.after(purgeEvery, func() {
+	s.purgeTimer = s.o.after(purgeInterval, func() {
 		if s.owned() {
 			s.purge()
-			s.watchPurge()
+			s.schedulePurge()
 		}
 	})
 }
 
-// watchSnapshot renews the snapshot of a shard ahead of the log's retention,
+// scheduleSnapshot renews the snapshot of a shard ahead of the log's retention,
 // also if nothing happens in it.
-func (s *shard) watchSnapshot() {
-	s.snapshotTimer = s.o.after(s.o.cfg.Retention/snapshotShare+time.Second, func() {
+func (s *shard) scheduleSnapshot() {
+	s.snapshotTimer = s.o.after(s.o.cfg.Retention/snapshotAgeDivisor+time.Second, func() {
 		if s.owned() {
 			s.maybeSnapshot()
-			s.watchSnapshot()
+			s.scheduleSnapshot()
 		}
 	})
 }
@@ -93,16 +93,16 @@
 		window := policy.IdempotencyWindow
 		keyless := now.Add(-min(window, max(keylessWindow, 2*policy.CallTimeout))).UnixMilli()
 		if s.state.PurgeProgram(row, now.Add(-window).UnixMilli(), keyless) {
-			s.forgetProgram(row)
+			s.dropProgram(row)
 		}
 	}
 	s.state.PurgeWriters(s.o.writer, now.Add(-writerWindow).UnixMilli())
 }
 
-// forgetProgram drops a program that is gone, unless a call still waits in it.
-func (s *shard) forgetProgram(row *journal.Program) {
+// dropProgram drops a program that is gone, unless a call still waits in it.
+func (s *shard) dropProgram(row *journal.Program) {
 	if p := s.programs[row.ID]; p != nil {
-		if len(p.calls) > 0 || len(p.opening) > 0 {
+		if len(p.calls) > 0 || len(p.waiters) > 0 {
 			return
 		}
 		p.stop()
--- a/internal/owner/snapshot_test.go
+++ b/internal/owner/snapshot_test.go
@@ -11,8 +11,8 @@
 
 // A reader that begins at a snapshot has what was in the log between the
 // snapshot's taking and its writing, and nothing twice.
-func TestReaderStartsFromTheSnapshot(t *testing.T) {
-	w := newWorld(t, 1, 2)
+func TestReplayStartsFromSnapshot(t *testing.T) {
+	w := newCluster(t, 1, 2)
 	w.snapshotEvery = 10
 	for _, id := range w.ids {
 		w.start(id)
@@ -30,7 +30,7 @@
 	before := w.operate(id, structs.ProgramShow).Info
 	w.truncate()
 	const stream = "shard.lakes.0"
-	if w.first[stream] == 0 {
+	if w.firstOffsets[stream] == 0 {
 		t.Fatal("no snapshot was written")
 	}
 	behind := 0
@@ -52,7 +52,7 @@
 	}
 	replay := w.submit(testCall(id, 3, true), time.Minute)
 	w.run(time.Second)
-	w.want(replay, structs.OutcomeAnswered, "")
+	w.expect(replay, structs.OutcomeAnswered, "")
 	if len(w.sends) != 60 {
 		t.Errorf("%d sends", len(w.sends))
 	}
@@ -60,7 +60,7 @@
 
 // What is older than the window is forgotten, and its id never runs again.
 func TestPurge(t *testing.T) {
-	w := newWorld(t, 1, 1)
+	w := newCluster(t, 1, 1)
 	id := w.program(1)
 	w.submit(testCall(id, 1, true), time.Minute)
 	w.run(time.Second)
@@ -71,7 +71,7 @@
 	}
 	r := w.submit(testCall(id, 1, true), time.Minute)
 	w.run(time.Second)
-	w.want(r, structs.OutcomeNotRun, structs.ReasonTooOld)
+	w.expect(r, structs.OutcomeNotRun, structs.ReasonTooOld)
 	if len(w.sends) != 1 {
 		t.Errorf("%d sends", len(w.sends))
 	}
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -24,22 +24,22 @@
 	}
 	s := o.shardRow(structs.ShardOf(m.Call.Program, o.cfg.Shards))
 	switch {
-	case s.holdAgain(from, m):
+	case s.updateHeld(from, m):
 		o.send(from, &structs.SubmitAccepted{Request: m.Request})
-	case s.owned() && !o.draining && s.unproven(m):
-		s.verify(from, m)
+	case s.owned() && !o.draining && s.needsVerification(m):
+		s.holdUntilVerified(from, m)
 	case s.owned() && !o.draining:
 		s.submit(from, m)
 	case s.owned():
-		o.notOwner(from, m, s.successor())
+		o.sendNotOwner(from, m, s.successor())
 	default:
-		s.take(from, m, m.Suspects)
+		s.claimOrRedirect(from, m, m.Suspects)
 	}
 }
 
-// holdAgain takes a repeated Submit of a request that is held already. The later
+// updateHeld takes a repeated Submit of a request that is held already. The later
 // one counts: it tells whether another owner had the request in between.
-func (s *shard) holdAgain(from structs.InstanceID, again *structs.Submit) bool {
+func (s *shard) updateHeld(from structs.InstanceID, again *structs.Submit) bool {
 	for _, h := range s.held {
 		m, ok := h.msg.(*structs.Submit)
 		if !ok || m.Request != again.Request {
@@ -56,7 +56,7 @@
 // successor is the instance that gateways should ask instead of this one.
 func (s *shard) successor() structs.InstanceID {
 	if s.tenure == tenureLost {
-		return s.winner
+		return s.newOwner
 	}
 	for _, id := range s.o.members.Ranked(s.ref) {
 		if id != s.o.cfg.Self.ID && s.usable(id) {
@@ -75,16 +75,16 @@
 		key = journal.KeylessPrefix + string(m.Request)
 	}
 	p, reason := s.programOf(m.Call)
-	if isByState(reason) && s.refutable(from, m) {
+	if dependsOnState(reason) && s.deferRefusal(from, m) {
 		return
 	}
 	if reason != structs.ReasonNone {
-		out := refusal(m.Call, reason, 0, m.Resubmitted || m.Have > 0, s.lookedUp())
+		out := refusal(m.Call, reason, 0, m.Resubmitted || m.Have > 0, s.hasAllDeliveries())
 		o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 		return
 	}
-	p.touch()
-	if p.replayed(from, m, key) {
+	p.resetIdleTimer()
+	if p.handleKnownKey(from, m, key) {
 		return
 	}
 	service, _ := o.settings.Service(m.Call.Service)
@@ -92,13 +92,13 @@
 	// What an earlier owner may have run is not refused as "not run".
 	if !p.recovering(key) {
 		if reason, after := s.admission(p, m, key); reason != structs.ReasonNone {
-			if isByState(reason) && s.refutable(from, m) {
+			if dependsOnState(reason) && s.deferRefusal(from, m) {
 				p.dropIfEmpty()
 				return
 			}
-			elsewhere := m.Resubmitted || m.Have > 0 || p.mayRedo(key) || p.passed(m.Call)
-			out := refusal(m.Call, reason, after, elsewhere, s.lookedUp() && p.sees(notRepeatable))
-			p.told(m.Call, out)
+			elsewhere := m.Resubmitted || m.Have > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
+			out := refusal(m.Call, reason, after, elsewhere, s.hasAllDeliveries() && p.hasAllRuns(notRepeatable))
+			p.recordUnknown(m.Call, out)
 			o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 			p.dropIfEmpty()
 			return
@@ -106,19 +106,19 @@
 	}
 	o.send(from, &structs.SubmitAccepted{Request: m.Request})
 	c := &call{
-		shard: s, prog: p, spec: bounded(m.Call, key), key: key, service: service,
+		shard: s, prog: p, spec: withDefaults(m.Call, key), key: key, service: service,
 		notRepeatable: notRepeatable,
-		redo:          p.mayRedo(key), lookedUp: s.lookedUp(), arrived: o.now, phase: phaseQueued,
+		rerun:         p.mayRerun(key), keyLookedUp: s.hasAllDeliveries(), arrived: o.now, phase: phaseQueued,
 	}
 	c.attach(from, m)
-	p.add(c)
-	p.recoverCall(c)
+	p.addCall(c)
+	p.awaitRecovery(c)
 	p.advance()
 }
 
-// bounded gives the call a bound of its answer, so that its worst case is known,
+// withDefaults gives the call a bound of its answer, so that its worst case is known,
 // and a key, so that its target can tell a repeat.
-func bounded(spec *structs.Call, key string) *structs.Call {
+func withDefaults(spec *structs.Call, key string) *structs.Call {
 	c := *spec
 	c.Key = key
 	if c.Kind == structs.CallChat && c.MaxTokens <= 0 {
@@ -134,7 +134,7 @@
 		if !spec.Team.Contains(row.Team) {
 			return nil, structs.ReasonForeignProgram
 		}
-		return s.live(spec.Program, row.Team), structs.ReasonNone
+		return s.liveProgram(spec.Program, row.Team), structs.ReasonNone
 	}
 	if p := s.programs[spec.Program]; p != nil {
 		if !spec.Team.Contains(p.team) {
@@ -152,7 +152,7 @@
 	if !spec.Single {
 		return nil, structs.ReasonUnknownProgram
 	}
-	return s.live(spec.Program, spec.Team), structs.ReasonNone
+	return s.liveProgram(spec.Program, spec.Team), structs.ReasonNone
 }
 
 // admission checks what can be checked before the call's turn.
@@ -168,11 +168,11 @@
 		return structs.ReasonOverloaded, busyRetryAfter
 	case len(s.state.Programs) >= maxShardPrograms && p.row() == nil:
 		return structs.ReasonOverloaded, busyRetryAfter
-	case s.state.Bytes > maxShardBytes:
+	case s.state.Bytes > maxShardResponseBytes:
 		return structs.ReasonOverloaded, busyRetryAfter
 	case s.logDown() && (spec.NotRepeatable || service.NotRepeatable):
 		return structs.ReasonLogUnavailable, logRetryAfter
-	case p.stale(spec) && !p.mayRedo(key):
+	case p.stale(spec) && !p.mayRerun(key):
 		return structs.ReasonStaleNumber, 0
 	}
 	return structs.ReasonNone, 0
--- a/internal/owner/team.go
+++ b/internal/owner/team.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// grantShare is the part of a team's budget that one grant takes at most
+	// grantDivisor is the part of a team's budget that one grant takes at most
 	// beyond what the call needs.
-	grantShare = 64
-	// grantRetry repeats a request to the ledger's owner; grantTimeout gives
+	grantDivisor = 64
+	// grantRetryInterval repeats a request to the ledger's owner; grantTimeout gives
 	// up on it.
-	grantRetry   = 300 * time.Millisecond
-	grantTimeout = 2 * time.Second
-	// ledgerWait is how long a request waits for its ledger's shard.
-	ledgerWait = time.Second
+	grantRetryInterval = 300 * time.Millisecond
+	grantTimeout       = 2 * time.Second
+	// ledgerTimeout is how long a request waits for its ledger's shard.
+	ledgerTimeout = time.Second
 )
 
 // account is the live row of this shard's part of a team path's budget.
@@ -27,17 +27,17 @@
 	// held is what running calls may take from the chunk.
 	held journal.Amount
 	// request is the grant asked for, until its credit counts.
-	request *structs.BudgetRequest
-	asked   time.Time
-	timer   *timer
-	// crediting is the grant whose credit was written last.
-	crediting string
-	grants    int
+	request     *structs.BudgetRequest
+	requestedAt time.Time
+	timer       *timer
+	// creditingGrant is the grant whose credit was written last.
+	creditingGrant string
+	grantCount     int
 }
 
-// budgeted lists the paths of a team that have a budget of their own. A path
+// budgetPaths lists the paths of a team that have a budget of their own. A path
 // that only inherits its parent's is bounded by the parent's ledger.
-func (s *shard) budgeted(team structs.Team) []structs.Team {
+func (s *shard) budgetPaths(team structs.Team) []structs.Team {
 	var list []structs.Team
 	paths := journal.Ancestors(team)
 	for i, path := range paths {
@@ -74,31 +74,31 @@
 	}
 	limit := a.shard.teamLimit(a.team)
 	if limit.Tokens == 0 {
-		free.Tokens = unbounded
+		free.Tokens = unlimited
 	}
 	if limit.Fees == 0 {
-		free.Fees = unbounded
+		free.Fees = unlimited
 	}
 	return free
 }
 
-// holdTeams holds the worst case of the call's next run from the budget of every path of its
+// holdTeamBudgets holds the worst case of the call's next run from the budget of every path of its
 // team. It tells whether it could; if not, the call waits for a grant.
-func (c *call) holdTeams() bool {
-	if c.teamRuns > c.burns {
+func (c *call) holdTeamBudgets() bool {
+	if c.teamRuns > c.failedRuns {
 		return true
 	}
-	need := c.worst()
-	paths := c.shard.budgeted(c.prog.team)
+	need := c.worstCase()
+	paths := c.shard.budgetPaths(c.prog.team)
 	for _, path := range paths {
 		a := c.shard.account(path)
 		if missing := need.Minus(a.free()).Max(journal.Amount{}); !missing.IsZero() {
 			c.phase = phaseReserve
-			a.ask(missing)
+			a.requestGrant(missing)
 			return false
 		}
 	}
-	c.teams, c.teamRuns = paths, c.teamRuns+1
+	c.heldTeams, c.teamRuns = paths, c.teamRuns+1
 	c.teamHold = c.teamHold.Plus(need)
 	for _, path := range paths {
 		a := c.shard.account(path)
@@ -107,38 +107,38 @@
 	return true
 }
 
-// releaseTeams gives back what the call held.
-func (c *call) releaseTeams() {
-	for _, path := range c.teams {
+// releaseTeamBudgets gives back what the call held.
+func (c *call) releaseTeamBudgets() {
+	for _, path := range c.heldTeams {
 		a := c.shard.account(path)
 		a.held = a.held.Minus(c.teamHold)
 	}
-	c.teams, c.teamHold, c.teamRuns = nil, journal.Amount{}, 0
+	c.heldTeams, c.teamHold, c.teamRuns = nil, journal.Amount{}, 0
 }
 
-// ask asks the ledger's owner for a grant, one at a time.
-func (a *account) ask(missing journal.Amount) {
+// requestGrant asks the ledger's owner for a grant, one at a time.
+func (a *account) requestGrant(missing journal.Amount) {
 	if a.request != nil {
 		return
 	}
 	s := a.shard
-	a.grants++
+	a.grantCount++
 	limit, policy := s.teamLimit(a.team), s.o.settings.Policy(a.team)
 	amount := missing
 	if missing.Tokens > 0 {
-		amount.Tokens = max(missing.Tokens, min(policy.ChunkTokens, limit.Tokens/grantShare))
+		amount.Tokens = max(missing.Tokens, min(policy.ChunkTokens, limit.Tokens/grantDivisor))
 	}
 	a.request = &structs.BudgetRequest{
 		Team: a.team, Account: s.ref, Tokens: amount.Tokens, Fees: amount.Fees,
-		Grant: s.o.writer + "/" + s.stream + "/" + strconv.FormatUint(uint64(s.epoch), 10) + "/" + strconv.Itoa(a.grants),
+		Grant: s.o.writer + "/" + s.stream + "/" + strconv.FormatUint(uint64(s.epoch), 10) + "/" + strconv.Itoa(a.grantCount),
 	}
-	a.asked = s.o.now
+	a.requestedAt = s.o.now
 	a.sendRequest()
 }
 
 func (a *account) sendRequest() {
 	s := a.shard
-	if s.o.now.Sub(a.asked) >= grantTimeout {
+	if s.o.now.Sub(a.requestedAt) >= grantTimeout {
 		a.request = nil
 		s.refuseWaiting(a.team, structs.ReasonOwnerUnavailable, busyRetryAfter)
 		return
@@ -146,7 +146,7 @@
 	if owner, ok := s.o.members.OwnerOf(s.o.refOf(s.o.ledgerShard(a.team))); ok {
 		s.o.send(owner, a.request)
 	}
-	a.timer = s.o.after(grantRetry, a.sendRequest)
+	a.timer = s.o.after(grantRetryInterval, a.sendRequest)
 }
 
 // ledgerShard is the shard that keeps a team path's ledger.
@@ -163,8 +163,8 @@
 		for _, c := range p.sortedCalls() {
 			switch {
 			case c.phase != phaseReserve:
-			case isByState(reason):
-				c.deny(reason, after, nil)
+			case dependsOnState(reason):
+				c.refuseVerified(reason, after, nil)
 			default:
 				c.refuse(reason, after)
 			}
@@ -179,8 +179,8 @@
 		return
 	}
 	a := s.accounts[m.Team]
-	if a.request == nil || a.request.Grant != m.Grant || a.crediting == m.Grant {
-		a.giveBack(m)
+	if a.request == nil || a.request.Grant != m.Grant || a.creditingGrant == m.Grant {
+		a.returnGrant(m)
 		return
 	}
 	o.timers.stop(a.timer)
@@ -191,19 +191,19 @@
 	}
 	// Until the credit counts, a.request keeps a second grant from being asked
 	// for; a repeat of this one is no second credit.
-	a.crediting = m.Grant
+	a.creditingGrant = m.Grant
 	credit := &journal.Credit{Team: m.Team, Grant: m.Grant, Amount: journal.Amount{Tokens: m.Tokens, Fees: m.Fees}}
 	s.app.push(credit, urgent, func() {
 		a.request = nil
-		s.credited(m.Team)
+		s.onCredited(m.Team)
 	})
 }
 
-// giveBack returns a grant that came too late to be wanted, unless it is a
+// returnGrant returns a grant that came too late to be wanted, unless it is a
 // repeat of one that was credited.
-func (a *account) giveBack(m *structs.BudgetGrant) {
+func (a *account) returnGrant(m *structs.BudgetGrant) {
 	s := a.shard
-	if m.Refused || m.Grant == a.crediting {
+	if m.Refused || m.Grant == a.creditingGrant {
 		return
 	}
 	if row := s.state.Accounts[m.Team]; row != nil {
@@ -218,11 +218,11 @@
 	}
 }
 
-// credited takes up the calls that waited for the grant.
-func (s *shard) credited(team structs.Team) {
+// onCredited takes up the calls that waited for the grant.
+func (s *shard) onCredited(team structs.Team) {
 	for _, p := range s.sortedPrograms() {
 		if team.Contains(p.team) {
-			p.reserved()
+			p.onReserved()
 		}
 	}
 }
--- a/internal/owner/verify.go
+++ b/internal/owner/verify.go
@@ -9,103 +9,103 @@
 )
 
 const (
-	// pauseLimit is the gap between two ticks after which this process may
+	// pauseThreshold is the gap between two ticks after which this process may
 	// have been paused. Whatever it knows or reads then may be as old as the
 	// pause, so that it proves nothing about now.
-	pauseLimit = 500 * time.Millisecond
-	// pauseTick is the time between two ticks of an owner without work.
-	pauseTick = 250 * time.Millisecond
+	pauseThreshold = 500 * time.Millisecond
+	// heartbeatInterval is the time between two ticks of an owner without work.
+	heartbeatInterval = 250 * time.Millisecond
 )
 
-// noticePause begins a time of distrust after a gap between ticks.
-func (o *Owner) noticePause() {
-	if o.now.Sub(o.tickedAt) > pauseLimit {
+// detectPause begins a time of distrust after a gap between ticks.
+func (o *Owner) detectPause() {
+	if o.now.Sub(o.lastTick) > pauseThreshold {
 		o.resumedAt = o.now
 	}
-	o.tickedAt = o.now
+	o.lastTick = o.now
 }
 
-// watchPause keeps the ticks close together while shards are owned.
-func (o *Owner) watchPause() {
-	if o.heartbeat != nil && o.heartbeat.index >= 0 {
+// scheduleHeartbeat keeps the ticks close together while shards are owned.
+func (o *Owner) scheduleHeartbeat() {
+	if o.heartbeatTimer != nil && o.heartbeatTimer.index >= 0 {
 		return
 	}
-	o.heartbeat = o.after(pauseTick, func() {
+	o.heartbeatTimer = o.after(heartbeatInterval, func() {
 		for _, s := range o.shards {
 			if s.owned() {
-				o.watchPause()
+				o.scheduleHeartbeat()
 				return
 			}
 		}
 	})
 }
 
-// provenAt notes that the shard was owned at a time: that at which a record was
+// setOwnedAt notes that the shard was owned at a time: that at which a record was
 // first sent which counted. The time of a read proves nothing, since what was
 // read may have waited in a buffer.
-func (s *shard) provenAt(at time.Time) {
-	if at.After(s.readAt) {
-		s.readAt = at
+func (s *shard) setOwnedAt(at time.Time) {
+	if at.After(s.ownedAt) {
+		s.ownedAt = at
 	}
 }
 
-// trusted tells whether no pause came since the shard was last proven owned. In
+// verifiedSincePause tells whether no pause came since the shard was last proven owned. In
 // an outage nobody can claim it, as far as this owner can tell.
-func (s *shard) trusted() bool { return s.logDown() || !s.readAt.Before(s.o.resumedAt) }
+func (s *shard) verifiedSincePause() bool { return s.logDown() || !s.ownedAt.Before(s.o.resumedAt) }
 
-// unproven tells whether a call has to wait until the log proves that the shard
+// needsVerification tells whether a call has to wait until the log proves that the shard
 // is still owned: after a pause, or if earlier deliveries of a not-repeatable
 // key have to be known.
-func (s *shard) unproven(m *structs.Submit) bool {
-	if s.proving || s.logDown() {
+func (s *shard) needsVerification(m *structs.Submit) bool {
+	if s.verified || s.logDown() {
 		return false
 	}
 	service, _ := s.o.settings.Service(m.Call.Service)
 	notRepeatable := m.Call.NotRepeatable || service.NotRepeatable
-	return !s.trusted() || notRepeatable && !m.Call.Fresh
+	return !s.verifiedSincePause() || notRepeatable && !m.Call.Fresh
 }
 
-// proof is what waits for the proof that the shard is owned since a time.
-type proof struct {
+// ownershipCheck is what waits for the proof that the shard is owned since a time.
+type ownershipCheck struct {
 	since time.Time
 	then  func(proven bool)
 }
 
-// prove calls then once a record that was sent from now on counted, or with
+// verifyOwnership calls then once a record that was sent from now on counted, or with
 // false if the log is down. It is never called if a newer claim turns up.
-func (s *shard) prove(then func(proven bool)) {
+func (s *shard) verifyOwnership(then func(proven bool)) {
 	if s.logDown() {
 		then(false)
 		return
 	}
-	s.proofs = append(s.proofs, proof{since: s.o.now, then: then})
-	s.check()
+	s.ownershipChecks = append(s.ownershipChecks, ownershipCheck{since: s.o.now, then: then})
+	s.appendCheck()
 }
 
-// check writes the record that proves the ownership to all that wait, one at a
+// appendCheck writes the record that proves the ownership to all that wait, one at a
 // time.
-func (s *shard) check() {
-	if s.checking || !s.owned() {
+func (s *shard) appendCheck() {
+	if s.checkPending || !s.owned() {
 		return
 	}
-	s.checking = true
+	s.checkPending = true
 	s.app.push(&journal.Check{}, urgent, func() {
-		s.checking = false
-		s.proven(s.app.oldest)
-		if s.owned() && (len(s.proofs) > 0 || len(s.held) > 0) {
-			s.check()
+		s.checkPending = false
+		s.onOwnershipVerified(s.app.sentAt)
+		if s.owned() && (len(s.ownershipChecks) > 0 || len(s.held) > 0) {
+			s.appendCheck()
 		}
 	})
 }
 
-// proven takes up what waited for a proof since before a time.
-func (s *shard) proven(at time.Time) {
-	proofs, held := s.proofs, s.held
-	s.proofs, s.held = nil, nil
-	s.proving = true
+// onOwnershipVerified takes up what waited for a proof since before a time.
+func (s *shard) onOwnershipVerified(at time.Time) {
+	proofs, held := s.ownershipChecks, s.held
+	s.ownershipChecks, s.held = nil, nil
+	s.verified = true
 	for _, p := range proofs {
 		if p.since.After(at) {
-			s.proofs = append(s.proofs, p)
+			s.ownershipChecks = append(s.ownershipChecks, p)
 			continue
 		}
 		p.then(true)
@@ -118,14 +118,14 @@
 		s.o.timers.stop(h.deadline)
 		s.o.redeliver(h)
 	}
-	s.proving = false
+	s.verified = false
 }
 
-// disprove gives up the proofs in an outage: what is held is taken up again,
+// failOwnershipChecks gives up the proofs in an outage: what is held is taken up again,
 // since repeatable calls of known programs go on.
-func (s *shard) disprove() {
-	proofs := s.proofs
-	s.proofs = nil
+func (s *shard) failOwnershipChecks() {
+	proofs := s.ownershipChecks
+	s.ownershipChecks = nil
 	for _, p := range proofs {
 		p.then(false)
 	}
@@ -134,45 +134,45 @@
 	}
 }
 
-// verify holds a message until the log proves that the shard is owned.
-func (s *shard) verify(from structs.InstanceID, msg structs.Message) {
-	s.hold(from, msg)
-	s.check()
+// holdUntilVerified holds a message until the log proves that the shard is owned.
+func (s *shard) holdUntilVerified(from structs.InstanceID, msg structs.Message) {
+	s.holdMessage(from, msg)
+	s.appendCheck()
 }
 
-// refutable tells whether a refusal by the shard's state must wait for a proof:
+// deferRefusal tells whether a refusal by the shard's state must wait for a proof:
 // a newer owner may know better. It holds the message then, or refuses it if the
 // log is down.
-func (s *shard) refutable(from structs.InstanceID, msg structs.Message) bool {
-	if s.proving {
+func (s *shard) deferRefusal(from structs.InstanceID, msg structs.Message) bool {
+	if s.verified {
 		return false
 	}
 	if s.logDown() {
 		s.o.refuseMessage(from, msg, structs.ReasonLogUnavailable, logRetryAfter)
 		return true
 	}
-	s.verify(from, msg)
+	s.holdUntilVerified(from, msg)
 	return true
 }
 
-// byState lists the reasons that follow from what the owner knows.
-var byState = []structs.Reason{
+// stateReasons lists the reasons that follow from what the owner knows.
+var stateReasons = []structs.Reason{
 	structs.ReasonUnknownProgram, structs.ReasonForeignProgram, structs.ReasonTooOld, structs.ReasonProgramClosed,
 	structs.ReasonStaleNumber, structs.ReasonBudget,
 }
 
-func isByState(reason structs.Reason) bool { return slices.Contains(byState, reason) }
+func dependsOnState(reason structs.Reason) bool { return slices.Contains(stateReasons, reason) }
 
-// deny refuses a call by the shard's state once that is proven to be current.
-func (c *call) deny(reason structs.Reason, after time.Duration, then func()) {
+// refuseVerified refuses a call by the shard's state once that is proven to be current.
+func (c *call) refuseVerified(reason structs.Reason, after time.Duration, then func()) {
 	if c.sentRuns > 0 {
 		c.refuse(reason, after)
 		return
 	}
-	c.phase = phaseProving
-	c.shard.prove(func(proven bool) {
+	c.phase = phaseVerifying
+	c.shard.verifyOwnership(func(proven bool) {
 		switch {
-		case c.phase != phaseProving:
+		case c.phase != phaseVerifying:
 		case !proven:
 			c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 		default:
--- a/internal/owner/world_callers_test.go
+++ b/internal/owner/world_callers_test.go
@@ -9,19 +9,19 @@
 )
 
 // submit sends a new request to the owner that the gateway thinks of.
-func (w *world) submit(call *structs.Call, remaining time.Duration) *request {
+func (w *cluster) submit(call *structs.Call, remaining time.Duration) *request {
 	w.nextID++
 	r := &request{
 		id: structs.RequestID(fmt.Sprintf("r%d", w.nextID)), call: call, at: w.now, deadline: w.now.Add(remaining),
 	}
 	w.requests[r.id] = r
-	w.all = append(w.all, r)
+	w.allRequests = append(w.allRequests, r)
 	w.route(r, "", nil)
 	w.after(remaining, func() { w.expire(r) })
 	return r
 }
 
-func (w *world) route(r *request, to structs.InstanceID, suspects []structs.InstanceID) {
+func (w *cluster) route(r *request, to structs.InstanceID, suspects []structs.InstanceID) {
 	if r.outcome != nil {
 		return
 	}
@@ -29,35 +29,35 @@
 		to, _ = view{w: w}.OwnerOf(structs.ShardRef{})
 	}
 	r.to = to
-	r.tried++
+	r.attempts++
 	m := &structs.Submit{
 		Request: r.id, Call: r.call, Remaining: r.deadline.Sub(w.now), Have: len(r.pieces), HaveRun: r.run,
-		Suspects: suspects, Resubmitted: r.resub,
+		Suspects: suspects, Resubmitted: r.resubmitted,
 	}
-	w.log("submit %s %s %d key %s to %s resubmitted %v", r.id, r.call.Lane, r.call.Number, r.call.Key, to, r.resub)
-	w.reply(testGateway, to, m)
+	w.tracef("submit %s %s %d key %s to %s resubmitted %v", r.id, r.call.Lane, r.call.Number, r.call.Key, to, r.resubmitted)
+	w.sendMessage(testGateway, to, m)
 }
 
 // resubmit asks another owner after one was lost.
-func (w *world) resubmit(r *request, lost structs.InstanceID) {
-	r.resub = true
+func (w *cluster) resubmit(r *request, lost structs.InstanceID) {
+	r.resubmitted = true
 	w.route(r, "", []structs.InstanceID{lost})
 }
 
-func (w *world) expire(r *request) {
+func (w *cluster) expire(r *request) {
 	if r.outcome == nil {
 		w.end(r, structs.Outcome{Kind: structs.OutcomeUnknown, Reason: "gateway-deadline"})
 	}
 }
 
-func (w *world) end(r *request, out structs.Outcome) {
-	w.log("end %s key %s kind %d %s %q", r.id, r.call.Key, out.Kind, out.Reason, out.Text)
+func (w *cluster) end(r *request, out structs.Outcome) {
+	w.tracef("end %s key %s kind %d %s %q", r.id, r.call.Key, out.Kind, out.Reason, out.Text)
 	r.outcome, r.endedAt = &out, w.now
 }
 
 // gateway takes answers only from the owner that it asked last: an earlier one
 // cannot speak for it.
-func (w *world) gateway(from structs.InstanceID, msg structs.Message) {
+func (w *cluster) gateway(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.ProgramReply:
 		w.programs[m.Request] = *m
@@ -80,17 +80,17 @@
 }
 
 // program opens a program and waits until that is journalled.
-func (w *world) program(n byte) structs.ProgramID {
+func (w *cluster) program(n byte) structs.ProgramID {
 	id := structs.NewProgramID(testRegion, testStart, [10]byte{9: n})
 	w.operate(id, structs.ProgramOpen)
 	return id
 }
 
-func (w *world) operate(id structs.ProgramID, op structs.ProgramOp) structs.ProgramReply {
+func (w *cluster) operate(id structs.ProgramID, op structs.ProgramOp) structs.ProgramReply {
 	w.nextID++
 	request := structs.RequestID(fmt.Sprintf("p%d", w.nextID))
 	to, _ := view{w: w}.OwnerOf(structs.ShardRef{})
-	w.reply(testGateway, to, &structs.ProgramRequest{
+	w.sendMessage(testGateway, to, &structs.ProgramRequest{
 		Request: request, Op: op, Program: id, Team: testTeam, Remaining: time.Second,
 	})
 	w.run(300 * time.Millisecond)
@@ -111,7 +111,7 @@
 }
 
 // sendsOf counts the sends of a call's key.
-func (w *world) sendsOf(c *structs.Call) int {
+func (w *cluster) sendsOf(c *structs.Call) int {
 	n := 0
 	for _, s := range w.sends {
 		if s.call.Program == c.Program && s.call.Key == c.Key {
@@ -135,8 +135,8 @@
 	return r.outcome.Reason
 }
 
-// want fails the test unless the request has that outcome.
-func (w *world) want(r *request, kind structs.OutcomeKind, reason structs.Reason) {
+// expect fails the test unless the request has that outcome.
+func (w *cluster) expect(r *request, kind structs.OutcomeKind, reason structs.Reason) {
 	w.t.Helper()
 	if r.kind() != kind || r.reason() != reason {
 		w.t.Fatalf("request %s: kind %d reason %q, want %d %q\n%s", r.id, r.kind(), r.reason(), kind, reason,
--- a/internal/owner/world_log_test.go
+++ b/internal/owner/world_log_test.go
@@ -7,22 +7,22 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-func (w *world) append(n *node, c structs.LogAppend) {
-	life := n.life
+func (w *cluster) append(n *node, c structs.LogAppend) {
+	life := n.incarnation
 	fail := func(refused bool) {
 		w.after(networkTime, func() {
 			w.deliverTo(n.id, life, structs.LogAppendFailed{ID: c.ID, Stream: c.Stream, Refused: refused})
 		})
 	}
-	if n.silent {
+	if n.logUnresponsive {
 		return
 	}
 	roll := w.rng.Float64()
 	switch {
-	case w.logDown || n.cut || roll < w.faults.refused:
+	case w.logDown || n.partitioned || roll < w.faults.refusedRate:
 		fail(true)
 		return
-	case roll < w.faults.refused+w.faults.dropped:
+	case roll < w.faults.refusedRate+w.faults.droppedRate:
 		fail(false)
 		return
 	}
@@ -33,35 +33,35 @@
 		}
 		first := uint64(len(w.streams[c.Stream]))
 		w.streams[c.Stream] = append(w.streams[c.Stream], c.Records...)
-		if roll < w.faults.refused+w.faults.dropped+w.faults.lostReply {
+		if roll < w.faults.refusedRate+w.faults.droppedRate+w.faults.lostReplyRate {
 			fail(false)
 		} else {
 			w.deliverTo(n.id, life, structs.LogAppended{ID: c.ID, Stream: c.Stream, First: first})
 		}
 		for _, id := range w.ids {
-			w.pump(w.nodes[id], c.Stream)
+			w.pollStream(w.nodes[id], c.Stream)
 		}
 	})
 }
 
-// pump reads a tailed stream to its end.
-func (w *world) pump(n *node, stream string) {
-	life := n.life
-	w.after(networkTime+n.lag, func() {
+// pollStream reads a tailed stream to its end.
+func (w *cluster) pollStream(n *node, stream string) {
+	life := n.incarnation
+	w.after(networkTime+n.readLag, func() {
 		from, ok := n.tails[stream]
-		if !ok || n.life != life || !n.alive {
+		if !ok || n.incarnation != life || !n.alive {
 			return
 		}
-		if n.silent {
+		if n.logUnresponsive {
 			return
 		}
-		if w.logDown || n.cut {
+		if w.logDown || n.partitioned {
 			n.deliver(structs.LogReadFailed{Stream: stream})
-			w.after(200*time.Millisecond, func() { w.pump(n, stream) })
+			w.after(200*time.Millisecond, func() { w.pollStream(n, stream) })
 			return
 		}
-		if from < w.first[stream] {
-			n.deliver(structs.LogReadFailed{Stream: stream, Truncated: true, First: w.first[stream]})
+		if from < w.firstOffsets[stream] {
+			n.deliver(structs.LogReadFailed{Stream: stream, Truncated: true, First: w.firstOffsets[stream]})
 			return
 		}
 		end := uint64(len(w.streams[stream]))
--- a/internal/owner/world_targets_test.go
+++ b/internal/owner/world_targets_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func (w *world) startRun(n *node, c structs.StartRun) {
-	life := n.life
+func (w *cluster) startRun(n *node, c structs.StartRun) {
+	life := n.incarnation
 	end := func(d time.Duration, e structs.RunEnded) {
 		e.Run, e.Target = c.Run, c.Target.ID
 		w.after(d, func() { w.deliverTo(n.id, life, e) })
@@ -21,17 +21,17 @@
 		return
 	}
 	failure := structs.RunOK
-	if w.behave != nil {
-		failure = w.behave(c)
+	if w.runResult != nil {
+		failure = w.runResult(c)
 	}
 	if failure == structs.RunNotSent {
 		end(networkTime, structs.RunEnded{Failure: failure})
 		return
 	}
 	cost := c.Call.PromptTokens + c.Call.MaxTokens/2
-	w.sends = append(w.sends, send{at: w.now, run: c.Run, call: c.Call, late: late, cost: cost, fencing: c.Fencing})
-	w.log("send %s of %s %d key %s by %s", c.Run, c.Call.Lane, c.Call.Number, c.Call.Key, n.id)
-	if w.hang {
+	w.sends = append(w.sends, targetSend{at: w.now, run: c.Run, call: c.Call, late: late, cost: cost, fencing: c.Fencing})
+	w.tracef("send %s of %s %d key %s by %s", c.Run, c.Call.Lane, c.Call.Number, c.Call.Key, n.id)
+	if w.hangRuns {
 		return
 	}
 	text := "answer of " + string(c.Run)
@@ -50,8 +50,8 @@
 }
 
 // stream sends the words of a text as pieces; a broken stream stops halfway.
-func (w *world) stream(n *node, run structs.RunID, text string, from int, failure structs.RunFailure) {
-	life := n.life
+func (w *cluster) stream(n *node, run structs.RunID, text string, from int, failure structs.RunFailure) {
+	life := n.incarnation
 	words := strings.SplitAfter(text, " ")
 	if failure != structs.RunOK {
 		words = words[:len(words)/2]
@@ -63,9 +63,9 @@
 	}
 }
 
-func (w *world) resumeRun(n *node, c structs.ResumeRun) {
-	life := n.life
-	if !slices.ContainsFunc(w.sends, func(s send) bool { return s.run == c.Run }) {
+func (w *cluster) resumeRun(n *node, c structs.ResumeRun) {
+	life := n.incarnation
+	if !slices.ContainsFunc(w.sends, func(s targetSend) bool { return s.run == c.Run }) {
 		w.after(networkTime, func() {
 			w.deliverTo(n.id, life, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunBroken})
 		})
@@ -80,16 +80,16 @@
 	})
 }
 
-func (w *world) dispatch(from structs.InstanceID, msg structs.Message) {
+func (w *cluster) dispatch(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitRequest:
-		w.reply(testDisp, from, &structs.PermitQueued{Ref: m.Ref})
-		if m.Running != "" || w.noGrant {
+		w.sendMessage(testDispatcher, from, &structs.PermitQueued{Ref: m.Ref})
+		if m.Running != "" || w.withholdGrants {
 			return
 		}
-		if w.refuse != nil {
-			if reason := w.refuse(m); reason != "" {
-				w.reply(testDisp, from, &structs.PermitRefuse{Pool: m.Pool, Ref: m.Ref, Reason: reason})
+		if w.refusePermit != nil {
+			if reason := w.refusePermit(m); reason != "" {
+				w.sendMessage(testDispatcher, from, &structs.PermitRefuse{Pool: m.Pool, Ref: m.Ref, Reason: reason})
 				return
 			}
 		}
@@ -98,11 +98,11 @@
 			target = structs.TargetID(fmt.Sprintf("%s-%d", m.Pool.Service, 1+len(w.grants)%2))
 			w.grants[m.Ref.Run] = target
 		}
-		w.reply(testDisp, from, &structs.PermitGrant{Pool: m.Pool, Ref: m.Ref, Target: structs.Target{ID: target, Service: m.Pool.Service}})
+		w.sendMessage(testDispatcher, from, &structs.PermitGrant{Pool: m.Pool, Ref: m.Ref, Target: structs.Target{ID: target, Service: m.Pool.Service}})
 	case *structs.PermitFinish:
 		w.finishes[m.Ref.Run]++
 		delete(w.grants, m.Ref.Run)
 	case *structs.ProgramGone:
-		w.gone = append(w.gone, *m)
+		w.goneMessages = append(w.goneMessages, *m)
 	}
 }
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	testRegion  structs.Region      = "lakes"
-	testTeam    structs.Team        = "lakeshore/clearance"
-	testChat    structs.ServiceName = "mark-agents"
-	testFiling  structs.ServiceName = "filing-desk"
-	testGateway structs.InstanceID  = "gw"
-	testDisp    structs.InstanceID  = "disp"
-	networkTime                     = 2 * time.Millisecond
+	testRegion     structs.Region      = "lakes"
+	testTeam       structs.Team        = "lakeshore/clearance"
+	testChat       structs.ServiceName = "mark-agents"
+	testFiling     structs.ServiceName = "filing-desk"
+	testGateway    structs.InstanceID  = "gw"
+	testDispatcher structs.InstanceID  = "disp"
+	networkTime                        = 2 * time.Millisecond
 )
 
 var testStart = time.UnixMilli(1_800_000_000_000)
 
-// world is a virtual-time run of a few owners around a fake log, dispatcher,
+// cluster is a virtual-time run of a few owners around a fake log, dispatcher,
 // targets and one gateway. Everything follows from the seed.
-type world struct {
-	t       testing.TB
-	now     time.Time
-	rng     *rand.Rand
-	queue   worldQueue
-	order   uint64
-	nodes   map[structs.InstanceID]*node
-	ids     []structs.InstanceID
-	streams map[string][][]byte
-	first   map[string]uint64
-	logDown bool
-	shards  int
-	// snapshotEvery replaces the owners' own setting, if set.
-	snapshotEvery uint64
-	faults        faults
-	policy        structs.Policy
-	askable       bool
+type cluster struct {
+	t            testing.TB
+	now          time.Time
+	rng          *rand.Rand
+	queue        eventQueue
+	order        uint64
+	nodes        map[structs.InstanceID]*node
+	ids          []structs.InstanceID
+	streams      map[string][][]byte
+	firstOffsets map[string]uint64
+	logDown      bool
+	shards       int
+	// snapshotInterval replaces the owners' own setting, if set.
+	snapshotEvery        uint64
+	faults               faults
+	policy               structs.Policy
+	supportsOutcomeQuery bool
 	// grants remembers the dispatcher's placement of each run.
-	grants  map[structs.RunID]structs.TargetID
-	refuse  func(*structs.PermitRequest) structs.Reason
-	noGrant bool
-	// hang lets targets take runs and never tell their end.
-	hang bool
-	// behave decides what a target does with a run.
-	behave    func(structs.StartRun) structs.RunFailure
-	runTime   time.Duration
-	sends     []send
-	outcomes  map[string]structs.Outcome
-	requests  map[structs.RequestID]*request
-	all       []*request
-	programs  map[structs.RequestID]structs.ProgramReply
-	gone      []structs.ProgramGone
-	finishes  map[structs.RunID]int
-	released  map[structs.TargetID]int
-	keepCache bool
+	grants         map[structs.RunID]structs.TargetID
+	refusePermit   func(*structs.PermitRequest) structs.Reason
+	withholdGrants bool
+	// hangRuns lets targets take runs and never tell their end.
+	hangRuns bool
+	// runResult decides what a target does with a run.
+	runResult      func(structs.StartRun) structs.RunFailure
+	runTime        time.Duration
+	sends          []targetSend
+	outcomes       map[string]structs.Outcome
+	requests       map[structs.RequestID]*request
+	allRequests    []*request
+	programs       map[structs.RequestID]structs.ProgramReply
+	goneMessages   []structs.ProgramGone
+	finishes       map[structs.RunID]int
+	released       map[structs.TargetID]int
+	ignoreReleases bool
 	// noTargets empties the membership list of targets.
 	noTargets bool
 	nextID    int
@@ -70,11 +70,11 @@
 
 // faults are the probabilities of the random schedule.
 type faults struct {
-	lostReply, dropped, refused float64
-	lateCommands                time.Duration
+	lostReplyRate, droppedRate, refusedRate float64
+	maxCommandDelay                         time.Duration
 }
 
-type send struct {
+type targetSend struct {
 	at      time.Time
 	run     structs.RunID
 	call    *structs.Call
@@ -85,72 +85,72 @@
 
 // request is one request of the gateway.
 type request struct {
-	id       structs.RequestID
-	call     *structs.Call
-	to       structs.InstanceID
-	at       time.Time
-	deadline time.Time
-	pieces   []string
-	run      structs.RunID
-	tried    int
-	resub    bool
-	outcome  *structs.Outcome
-	endedAt  time.Time
+	id          structs.RequestID
+	call        *structs.Call
+	to          structs.InstanceID
+	at          time.Time
+	deadline    time.Time
+	pieces      []string
+	run         structs.RunID
+	attempts    int
+	resubmitted bool
+	outcome     *structs.Outcome
+	endedAt     time.Time
 }
 
 type node struct {
-	w      *world
-	id     structs.InstanceID
-	o      *Owner
-	life   int
-	alive  bool
-	paused bool
+	w           *cluster
+	id          structs.InstanceID
+	o           *Owner
+	incarnation int
+	alive       bool
+	paused      bool
 	// suspected tells that the others find it unreachable.
-	suspected bool
-	cut       bool
-	// silent tells that the log takes nothing from it and never replies.
-	silent bool
-	// lag is the time that reads of the log take more.
-	lag   time.Duration
-	inbox []structs.Event
-	tails map[string]uint64
-	wake  time.Time
-	cmds  []structs.Command
+	suspected   bool
+	partitioned bool
+	// logUnresponsive tells that the log takes nothing from it and never replies.
+	logUnresponsive bool
+	// readLag is the time that reads of the log take more.
+	readLag time.Duration
+	inbox   []structs.Event
+	tails   map[string]uint64
+	wakeAt  time.Time
+	cmds    []structs.Command
 }
 
-type worldEvent struct {
+type scheduledEvent struct {
 	at    time.Time
 	order uint64
 	fire  func()
 }
 
-type worldQueue []worldEvent
+type eventQueue []scheduledEvent
 
-func (q worldQueue) Len() int { return len(q) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (q worldQueue) Less(i, j int) bool {
+func (q eventQueue) Less(i, j int) bool {
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
 	return q[i].order < q[j].order
 }
 
-func (q worldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (q *worldQueue) Push(x any) { *q = append(*q, x.(worldEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-func (q *worldQueue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-func newWorld(t testing.TB, seed uint64, owners int) *world {
-	w := &world{
+func newCluster(t testing.TB, seed uint64, owners int) *cluster {
+	w := &cluster{
 		t: t, now: testStart, rng: rand.New(rand.NewPCG(seed, 1)),
 		nodes: make(map[structs.InstanceID]*node), streams: make(map[string][][]byte),
-		first: make(map[string]uint64), policy: structs.DefaultPolicy(),
+		firstOffsets: make(map[string]uint64), policy: structs.DefaultPolicy(),
 		grants: make(map[structs.RunID]structs.TargetID), runTime: 20 * time.Millisecond,
 		outcomes: make(map[string]structs.Outcome), requests: make(map[structs.RequestID]*request),
 		programs: make(map[structs.RequestID]structs.ProgramReply),
@@ -166,79 +166,79 @@
 }
 
 // start makes a new value in place of an instance.
-func (w *world) start(id structs.InstanceID) {
+func (w *cluster) start(id structs.InstanceID) {
 	n := w.nodes[id]
-	n.life++
-	n.alive, n.paused, n.cut, n.suspected = true, false, false, false
+	n.incarnation++
+	n.alive, n.paused, n.partitioned, n.suspected = true, false, false, false
 	n.inbox, n.cmds, n.tails = nil, nil, make(map[string]uint64)
-	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: id, Region: testRegion}, fmt.Sprint(n.life))
+	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: id, Region: testRegion}, fmt.Sprint(n.incarnation))
 	cfg.Shards = max(1, w.shards)
 	n.o = New(cfg, view{w: w, self: id}, view{w: w})
 	if w.snapshotEvery > 0 {
-		n.o.snapshotEvery = w.snapshotEvery
+		n.o.snapshotInterval = w.snapshotEvery
 	}
 	n.deliver(structs.MembersListed{})
 }
 
-func (w *world) kill(id structs.InstanceID) {
-	w.log("kill %s", id)
+func (w *cluster) kill(id structs.InstanceID) {
+	w.tracef("kill %s", id)
 	n := w.nodes[id]
 	n.alive = false
-	w.after(100*time.Millisecond, func() { w.tellDown(id) })
+	w.after(100*time.Millisecond, func() { w.reportDown(id) })
 }
 
 // pause stops an instance for a while; after a second the others notice.
-func (w *world) pause(id structs.InstanceID, d time.Duration) {
+func (w *cluster) pause(id structs.InstanceID, d time.Duration) {
 	n := w.nodes[id]
-	life := n.life
-	w.log("pause %s for %s", id, d)
+	life := n.incarnation
+	w.tracef("pause %s for %s", id, d)
 	n.paused = true
 	if d > time.Second {
 		w.after(time.Second, func() {
-			if n.life == life && n.alive {
-				w.tellDown(id)
+			if n.incarnation == life && n.alive {
+				w.reportDown(id)
 			}
 		})
 	}
 	w.after(d, func() {
-		if n.life != life || !n.alive {
+		if n.incarnation != life || !n.alive {
 			return
 		}
-		w.log("resume %s", id)
+		w.tracef("resume %s", id)
 		n.paused, n.suspected = false, false
 		n.tick()
 	})
 }
 
-// tellDown lets everyone know that an instance does not answer.
-func (w *world) tellDown(id structs.InstanceID) {
+// reportDown lets everyone know that an instance does not answer.
+func (w *cluster) reportDown(id structs.InstanceID) {
 	w.nodes[id].suspected = true
 	for _, other := range w.ids {
 		if other != id {
 			w.nodes[other].deliver(structs.PeerDown{Peer: id})
 		}
 	}
-	for _, r := range w.all {
+	for _, r := range w.allRequests {
 		if r.outcome == nil && r.to == id {
 			w.resubmit(r, id)
 		}
 	}
 }
 
-func (w *world) log(format string, args ...any) {
+func (w *cluster) tracef(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%8.3f ", w.now.Sub(testStart).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) after(d time.Duration, fire func()) {
+func (w *cluster) after(d time.Duration, fire func()) {
 	w.order++
-	heap.Push(&w.queue, worldEvent{at: w.now.Add(d), order: w.order, fire: fire})
+	heap.Push(&w.queue, scheduledEvent{at: w.now.Add(d), order: w.order, fire: fire})
 }
 
 // run lets virtual time pass.
-func (w *world) run(d time.Duration) {
+func (w *cluster) run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(worldEvent)
+		e := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = e.at
 		e.fire()
 	}
@@ -254,8 +254,8 @@
 }
 
 // deliverTo delivers to the present life of an instance only.
-func (w *world) deliverTo(id structs.InstanceID, life int, ev structs.Event) {
-	if n := w.nodes[id]; n != nil && n.life == life {
+func (w *cluster) deliverTo(id structs.InstanceID, life int, ev structs.Event) {
+	if n := w.nodes[id]; n != nil && n.incarnation == life {
 		n.deliver(ev)
 	}
 }
@@ -268,36 +268,36 @@
 	n.inbox = nil
 	cmds := n.o.Tick(n.w.now, events)
 	n.cmds = append(n.cmds, cmds...)
-	life := n.life
-	if d := n.w.faults.lateCommands; d > 0 && n.w.rng.Float64() < 0.02 {
-		n.w.log("%s sleeps before its commands", n.id)
+	life := n.incarnation
+	if d := n.w.faults.maxCommandDelay; d > 0 && n.w.rng.Float64() < 0.02 {
+		n.w.tracef("%s sleeps before its commands", n.id)
 		n.w.after(time.Duration(n.w.rng.Int64N(int64(d))), func() {
-			if n.life == life {
-				n.carryOut()
+			if n.incarnation == life {
+				n.execute()
 			}
 		})
 	} else {
-		n.carryOut()
+		n.execute()
 	}
 	n.setWake()
 }
 
 func (n *node) setWake() {
 	next := n.o.NextWake()
-	if next.IsZero() || next.Equal(n.wake) && next.After(n.w.now) {
+	if next.IsZero() || next.Equal(n.wakeAt) && next.After(n.w.now) {
 		return
 	}
-	n.wake = next
-	life := n.life
+	n.wakeAt = next
+	life := n.incarnation
 	n.w.after(max(0, next.Sub(n.w.now)), func() {
-		if n.life == life && n.wake.Equal(next) {
-			n.wake = time.Time{}
+		if n.incarnation == life && n.wakeAt.Equal(next) {
+			n.wakeAt = time.Time{}
 			n.tick()
 		}
 	})
 }
 
-func (n *node) carryOut() {
+func (n *node) execute() {
 	cmds := n.cmds
 	n.cmds = nil
 	for _, c := range cmds {
@@ -319,11 +319,11 @@
 		w.append(n, c)
 	case structs.LogTail:
 		n.tails[c.Stream] = c.From
-		w.pump(n, c.Stream)
+		w.pollStream(n, c.Stream)
 	case structs.LogTailEnd:
 		from := uint64(len(w.streams[c.Stream]))
 		n.tails[c.Stream] = from - min(from, 1)
-		w.pump(n, c.Stream)
+		w.pollStream(n, c.Stream)
 	case structs.LogStop:
 		delete(n.tails, c.Stream)
 	case structs.StartRun:
@@ -331,20 +331,20 @@
 	case structs.ResumeRun:
 		w.resumeRun(n, c)
 	case structs.CancelRun:
-		life := n.life
+		life := n.incarnation
 		w.after(networkTime, func() {
 			w.deliverTo(n.id, life, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunCancelled})
 		})
 	case structs.AskOutcome:
-		life := n.life
+		life := n.incarnation
 		w.after(networkTime, func() {
 			out, ok := w.outcomes[string(c.Program)+"/"+c.Key]
 			w.deliverTo(n.id, life, structs.OutcomeAsked{Run: c.Run, Reached: true, Found: ok, Outcome: out})
 		})
 	case structs.ReleaseCache:
 		w.released[c.Target.ID]++
-		if !w.keepCache {
-			life := n.life
+		if !w.ignoreReleases {
+			life := n.incarnation
 			w.after(networkTime, func() {
 				w.deliverTo(n.id, life, structs.CacheReleased{Target: c.Target.ID, Program: c.Program, Done: true})
 			})
@@ -352,7 +352,7 @@
 	}
 }
 
-func (w *world) probe(n *node, to structs.InstanceID) {
+func (w *cluster) probe(n *node, to structs.InstanceID) {
 	if other := w.nodes[to]; other != nil && other.alive && !other.paused {
 		n.deliver(structs.PeerUp{Peer: to})
 		return
@@ -361,21 +361,21 @@
 }
 
 // truncate drops the records that no reader needs any more.
-func (w *world) truncate() {
+func (w *cluster) truncate() {
 	for name, records := range w.streams {
 		if len(records) == 0 {
 			continue
 		}
 		if rec, err := journal.Decode(records[len(records)-1]); err == nil && rec.Snapshot > 0 {
-			w.first[name] = max(w.first[name], rec.Snapshot-1)
+			w.firstOffsets[name] = max(w.firstOffsets[name], rec.Snapshot-1)
 		}
 	}
 }
 
 // receive delivers a message to an owner, the dispatcher or the gateway.
-func (w *world) receive(from, to structs.InstanceID, msg structs.Message) {
+func (w *cluster) receive(from, to structs.InstanceID, msg structs.Message) {
 	switch to {
-	case testDisp:
+	case testDispatcher:
 		w.dispatch(from, msg)
 	case testGateway:
 		w.gateway(from, msg)
@@ -386,16 +386,16 @@
 	}
 }
 
-func (w *world) reply(from, to structs.InstanceID, msg structs.Message) {
+func (w *cluster) sendMessage(from, to structs.InstanceID, msg structs.Message) {
 	w.after(networkTime, func() { w.receive(from, to, msg) })
 }
 
-func (w *world) live(id structs.InstanceID) bool {
+func (w *cluster) live(id structs.InstanceID) bool {
 	return w.nodes[id].alive && !w.nodes[id].suspected
 }
 
 // dump shows the state of every owner.
-func (w *world) dump() string {
+func (w *cluster) dump() string {
 	var out strings.Builder
 	for _, id := range w.ids {
 		text, err := json.Marshal(w.nodes[id].o.Dump())
--- a/internal/owner/world_view_test.go
+++ b/internal/owner/world_view_test.go
@@ -9,7 +9,7 @@
 // view is the membership and settings view of one owner; it follows the truth
 // at once, except that a paused instance still looks live.
 type view struct {
-	w    *world
+	w    *cluster
 	self structs.InstanceID
 }
 
@@ -36,7 +36,7 @@
 func (v view) Ranked(structs.ShardRef) []structs.InstanceID { return slices.Clone(v.w.ids) }
 
 func (v view) DispatcherOf(structs.PoolID) (structs.InstanceID, bool) {
-	return testDisp, true
+	return testDispatcher, true
 }
 
 func (v view) Targets(service structs.ServiceName) []structs.Target {
@@ -65,7 +65,7 @@
 		return structs.DefaultService(name, structs.ServiceEngine), true
 	case testFiling:
 		s := structs.DefaultService(name, structs.ServicePlain)
-		s.AskByKey = v.w.askable
+		s.AskByKey = v.w.supportsOutcomeQuery
 		return s, true
 	default:
 		return structs.Service{}, false
