--- a/internal/owner/world_test.go
+++ b/internal/owner/cluster_test.go
@@ -99,7 +99,7 @@
 }
 
 type node struct {
-	w           *cluster
+	cluster     *cluster
 	id          structs.InstanceID
 	o           *Owner
 	incarnation int
@@ -147,7 +147,7 @@
 }
 
 func newCluster(t testing.TB, seed uint64, owners int) *cluster {
-	w := &cluster{
+	cl := &cluster{
 		t: t, now: testStart, rng: rand.New(rand.NewPCG(seed, 1)),
 		nodes: make(map[structs.InstanceID]*node), streams: make(map[string][][]byte),
 		firstOffsets: make(map[string]uint64), policy: structs.DefaultPolicy(),
@@ -158,91 +158,91 @@
 	}
 	for i := range owners {
 		id := structs.InstanceID(fmt.Sprintf("o%d", i+1))
-		w.ids = append(w.ids, id)
-		w.nodes[id] = &node{w: w, id: id}
-		w.start(id)
+		cl.ids = append(cl.ids, id)
+		cl.nodes[id] = &node{cluster: cl, id: id}
+		cl.start(id)
 	}
-	return w
+	return cl
 }
 
 // start makes a new value in place of an instance.
-func (w *cluster) start(id structs.InstanceID) {
-	n := w.nodes[id]
+func (cl *cluster) start(id structs.InstanceID) {
+	n := cl.nodes[id]
 	n.incarnation++
 	n.alive, n.paused, n.partitioned, n.suspected = true, false, false, false
 	n.inbox, n.cmds, n.tails = nil, nil, make(map[string]uint64)
 	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: id, Region: testRegion}, fmt.Sprint(n.incarnation))
-	cfg.Shards = max(1, w.shards)
-	n.o = New(cfg, view{w: w, self: id}, view{w: w})
-	if w.snapshotEvery > 0 {
-		n.o.snapshotInterval = w.snapshotEvery
+	cfg.Shards = max(1, cl.shards)
+	n.o = New(cfg, view{cluster: cl, self: id}, view{cluster: cl})
+	if cl.snapshotEvery > 0 {
+		n.o.snapshotInterval = cl.snapshotEvery
 	}
 	n.deliver(structs.MembersListed{})
 }
 
-func (w *cluster) kill(id structs.InstanceID) {
-	w.tracef("kill %s", id)
-	n := w.nodes[id]
+func (cl *cluster) kill(id structs.InstanceID) {
+	cl.tracef("kill %s", id)
+	n := cl.nodes[id]
 	n.alive = false
-	w.after(100*time.Millisecond, func() { w.reportDown(id) })
+	cl.after(100*time.Millisecond, func() { cl.reportDown(id) })
 }
 
 // pause stops an instance for a while; after a second the others notice.
-func (w *cluster) pause(id structs.InstanceID, d time.Duration) {
-	n := w.nodes[id]
-	life := n.incarnation
-	w.tracef("pause %s for %s", id, d)
+func (cl *cluster) pause(id structs.InstanceID, d time.Duration) {
+	n := cl.nodes[id]
+	incarnation := n.incarnation
+	cl.tracef("pause %s for %s", id, d)
 	n.paused = true
 	if d > time.Second {
-		w.after(time.Second, func() {
-			if n.incarnation == life && n.alive {
-				w.reportDown(id)
+		cl.after(time.Second, func() {
+			if n.incarnation == incarnation && n.alive {
+				cl.reportDown(id)
 			}
 		})
 	}
-	w.after(d, func() {
-		if n.incarnation != life || !n.alive {
+	cl.after(d, func() {
+		if n.incarnation != incarnation || !n.alive {
 			return
 		}
-		w.tracef("resume %s", id)
+		cl.tracef("resume %s", id)
 		n.paused, n.suspected = false, false
 		n.tick()
 	})
 }
 
 // reportDown lets everyone know that an instance does not answer.
-func (w *cluster) reportDown(id structs.InstanceID) {
-	w.nodes[id].suspected = true
-	for _, other := range w.ids {
+func (cl *cluster) reportDown(id structs.InstanceID) {
+	cl.nodes[id].suspected = true
+	for _, other := range cl.ids {
 		if other != id {
-			w.nodes[other].deliver(structs.PeerDown{Peer: id})
+			cl.nodes[other].deliver(structs.PeerDown{Peer: id})
 		}
 	}
-	for _, r := range w.allRequests {
+	for _, r := range cl.allRequests {
 		if r.outcome == nil && r.to == id {
-			w.resubmit(r, id)
+			cl.resubmit(r, id)
 		}
 	}
 }
 
-func (w *cluster) tracef(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%8.3f ", w.now.Sub(testStart).Seconds())+fmt.Sprintf(format, args...))
+func (cl *cluster) tracef(format string, args ...any) {
+	cl.trace = append(cl.trace, fmt.Sprintf("%8.3f ", cl.now.Sub(testStart).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *cluster) after(d time.Duration, fire func()) {
-	w.order++
-	heap.Push(&w.queue, scheduledEvent{at: w.now.Add(d), order: w.order, fire: fire})
+func (cl *cluster) after(d time.Duration, fire func()) {
+	cl.order++
+	heap.Push(&cl.queue, scheduledEvent{at: cl.now.Add(d), order: cl.order, fire: fire})
 }
 
 // run lets virtual time pass.
-func (w *cluster) run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(scheduledEvent)
-		w.now = e.at
+func (cl *cluster) run(d time.Duration) {
+	end := cl.now.Add(d)
+	for len(cl.queue) > 0 && !cl.queue[0].at.After(end) {
+		e := heap.Pop(&cl.queue).(scheduledEvent)
+		cl.now = e.at
 		e.fire()
 	}
-	w.now = end
+	cl.now = end
 }
 
 func (n *node) deliver(ev structs.Event) {
@@ -254,8 +254,8 @@
 }
 
 // deliverTo delivers to the present life of an instance only.
-func (w *cluster) deliverTo(id structs.InstanceID, life int, ev structs.Event) {
-	if n := w.nodes[id]; n != nil && n.incarnation == life {
+func (cl *cluster) deliverTo(id structs.InstanceID, incarnation int, ev structs.Event) {
+	if n := cl.nodes[id]; n != nil && n.incarnation == incarnation {
 		n.deliver(ev)
 	}
 }
@@ -266,13 +266,13 @@
 	}
 	events := n.inbox
 	n.inbox = nil
-	cmds := n.o.Tick(n.w.now, events)
+	cmds := n.o.Tick(n.cluster.now, events)
 	n.cmds = append(n.cmds, cmds...)
-	life := n.incarnation
-	if d := n.w.faults.maxCommandDelay; d > 0 && n.w.rng.Float64() < 0.02 {
-		n.w.tracef("%s sleeps before its commands", n.id)
-		n.w.after(time.Duration(n.w.rng.Int64N(int64(d))), func() {
-			if n.incarnation == life {
+	incarnation := n.incarnation
+	if d := n.cluster.faults.maxCommandDelay; d > 0 && n.cluster.rng.Float64() < 0.02 {
+		n.cluster.tracef("%s sleeps before its commands", n.id)
+		n.cluster.after(time.Duration(n.cluster.rng.Int64N(int64(d))), func() {
+			if n.incarnation == incarnation {
 				n.execute()
 			}
 		})
@@ -284,13 +284,13 @@
 
 func (n *node) setWake() {
 	next := n.o.NextWake()
-	if next.IsZero() || next.Equal(n.wakeAt) && next.After(n.w.now) {
+	if next.IsZero() || next.Equal(n.wakeAt) && next.After(n.cluster.now) {
 		return
 	}
 	n.wakeAt = next
-	life := n.incarnation
-	n.w.after(max(0, next.Sub(n.w.now)), func() {
-		if n.incarnation == life && n.wakeAt.Equal(next) {
+	incarnation := n.incarnation
+	n.cluster.after(max(0, next.Sub(n.cluster.now)), func() {
+		if n.incarnation == incarnation && n.wakeAt.Equal(next) {
 			n.wakeAt = time.Time{}
 			n.tick()
 		}
@@ -306,99 +306,99 @@
 }
 
 func (n *node) command(c structs.Command) {
-	w := n.w
+	cl := n.cluster
 	if !n.alive {
 		return
 	}
 	switch c := c.(type) {
 	case structs.SendPeer:
-		w.after(networkTime, func() { w.receive(n.id, c.To, c.Msg) })
+		cl.after(networkTime, func() { cl.receive(n.id, c.To, c.Msg) })
 	case structs.ProbePeer:
-		w.after(networkTime, func() { w.probe(n, c.To) })
+		cl.after(networkTime, func() { cl.probe(n, c.To) })
 	case structs.LogAppend:
-		w.append(n, c)
+		cl.append(n, c)
 	case structs.LogTail:
 		n.tails[c.Stream] = c.From
-		w.pollStream(n, c.Stream)
+		cl.pollStream(n, c.Stream)
 	case structs.LogTailEnd:
-		from := uint64(len(w.streams[c.Stream]))
+		from := uint64(len(cl.streams[c.Stream]))
 		n.tails[c.Stream] = from - min(from, 1)
-		w.pollStream(n, c.Stream)
+		cl.pollStream(n, c.Stream)
 	case structs.LogStop:
 		delete(n.tails, c.Stream)
 	case structs.StartRun:
-		w.startRun(n, c)
+		cl.startRun(n, c)
 	case structs.ResumeRun:
-		w.resumeRun(n, c)
+		cl.resumeRun(n, c)
 	case structs.CancelRun:
-		life := n.incarnation
-		w.after(networkTime, func() {
-			w.deliverTo(n.id, life, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunCancelled})
+		incarnation := n.incarnation
+		cl.after(networkTime, func() {
+			cl.deliverTo(n.id, incarnation, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunCancelled})
 		})
 	case structs.AskOutcome:
-		life := n.incarnation
-		w.after(networkTime, func() {
-			out, ok := w.outcomes[string(c.Program)+"/"+c.Key]
-			w.deliverTo(n.id, life, structs.OutcomeAsked{Run: c.Run, Reached: true, Found: ok, Outcome: out})
+		incarnation := n.incarnation
+		cl.after(networkTime, func() {
+			out, ok := cl.outcomes[string(c.Program)+"/"+c.Key]
+			cl.deliverTo(n.id, incarnation, structs.OutcomeAsked{Run: c.Run, Reached: true, Found: ok, Outcome: out})
 		})
 	case structs.ReleaseCache:
-		w.released[c.Target.ID]++
-		if !w.ignoreReleases {
-			life := n.incarnation
-			w.after(networkTime, func() {
-				w.deliverTo(n.id, life, structs.CacheReleased{Target: c.Target.ID, Program: c.Program, Done: true})
+		cl.released[c.Target.ID]++
+		if !cl.ignoreReleases {
+			incarnation := n.incarnation
+			cl.after(networkTime, func() {
+				cl.deliverTo(n.id, incarnation, structs.CacheReleased{Target: c.Target.ID, Program: c.Program, Done: true})
 			})
 		}
 	}
 }
 
-func (w *cluster) probe(n *node, to structs.InstanceID) {
-	if other := w.nodes[to]; other != nil && other.alive && !other.paused {
+func (cl *cluster) probe(n *node, to structs.InstanceID) {
+	if other := cl.nodes[to]; other != nil && other.alive && !other.paused {
 		n.deliver(structs.PeerUp{Peer: to})
 		return
 	}
-	w.after(time.Second, func() { n.deliver(structs.PeerDown{Peer: to}) })
+	cl.after(time.Second, func() { n.deliver(structs.PeerDown{Peer: to}) })
 }
 
 // truncate drops the records that no reader needs any more.
-func (w *cluster) truncate() {
-	for name, records := range w.streams {
+func (cl *cluster) truncate() {
+	for name, records := range cl.streams {
 		if len(records) == 0 {
 			continue
 		}
 		if rec, err := journal.Decode(records[len(records)-1]); err == nil && rec.Snapshot > 0 {
-			w.firstOffsets[name] = max(w.firstOffsets[name], rec.Snapshot-1)
+			cl.firstOffsets[name] = max(cl.firstOffsets[name], rec.Snapshot-1)
 		}
 	}
 }
 
 // receive delivers a message to an owner, the dispatcher or the gateway.
-func (w *cluster) receive(from, to structs.InstanceID, msg structs.Message) {
+func (cl *cluster) receive(from, to structs.InstanceID, msg structs.Message) {
 	switch to {
 	case testDispatcher:
-		w.dispatch(from, msg)
+		cl.dispatch(from, msg)
 	case testGateway:
-		w.gateway(from, msg)
+		cl.gateway(from, msg)
 	default:
-		if n := w.nodes[to]; n != nil {
+		if n := cl.nodes[to]; n != nil {
 			n.deliver(structs.PeerMessage{From: from, Msg: msg})
 		}
 	}
 }
 
-func (w *cluster) sendMessage(from, to structs.InstanceID, msg structs.Message) {
-	w.after(networkTime, func() { w.receive(from, to, msg) })
+func (cl *cluster) sendMessage(from, to structs.InstanceID, msg structs.Message) {
+	cl.after(networkTime, func() { cl.receive(from, to, msg) })
 }
 
-func (w *cluster) live(id structs.InstanceID) bool {
-	return w.nodes[id].alive && !w.nodes[id].suspected
+func (cl *cluster) live(id structs.InstanceID) bool {
+	return cl.nodes[id].alive && !cl.nodes[id].suspected
 }
 
 // dump shows the state of every owner.
-func (w *cluster) dump() string {
+func (cl *cluster) dump() string {
 	var out strings.Builder
-	for _, id := range w.ids {
-		text, err := json.Marshal(w.nodes[id].o.Dump())
+	for _, id := range cl.ids {
+		text, err := json.Marshal(cl.nodes[id].o.Dump())
 		fmt.Fprintf(&out, "%s %s %v\n", id, text, err)
 	}
 	return out.String()
--- a/internal/owner/world_view_test.go
+++ b/internal/owner/cluster_view_test.go
@@ -9,38 +9,38 @@
 // view is the membership and settings view of one owner; it follows the truth
 // at once, except that a paused instance still looks live.
 type view struct {
-	w    *cluster
-	self structs.InstanceID
+	cluster *cluster
+	self    structs.InstanceID
 }
 
 func (v view) Self() structs.Peer { return structs.Peer{ID: v.self, Region: testRegion} }
 
 func (v view) Peer(id structs.InstanceID) (structs.Peer, bool) {
-	return structs.Peer{ID: id, Region: testRegion}, v.w.nodes[id] != nil
+	return structs.Peer{ID: id, Region: testRegion}, v.cluster.nodes[id] != nil
 }
 
 // Peers counts as many as a real region has, for the rate of appends.
 func (v view) Peers() []structs.Peer { return make([]structs.Peer, 12) }
 
-func (v view) Suspected(id structs.InstanceID) bool { return !v.w.live(id) }
+func (v view) Suspected(id structs.InstanceID) bool { return !v.cluster.live(id) }
 
 func (v view) OwnerOf(structs.ShardRef) (structs.InstanceID, bool) {
-	for _, id := range v.w.ids {
-		if v.w.live(id) {
+	for _, id := range v.cluster.ids {
+		if v.cluster.live(id) {
 			return id, true
 		}
 	}
 	return "", false
 }
 
-func (v view) Ranked(structs.ShardRef) []structs.InstanceID { return slices.Clone(v.w.ids) }
+func (v view) Ranked(structs.ShardRef) []structs.InstanceID { return slices.Clone(v.cluster.ids) }
 
 func (v view) DispatcherOf(structs.PoolID) (structs.InstanceID, bool) {
 	return testDispatcher, true
 }
 
 func (v view) Targets(service structs.ServiceName) []structs.Target {
-	if v.w.noTargets {
+	if v.cluster.noTargets {
 		return nil
 	}
 	return []structs.Target{
@@ -48,7 +48,7 @@
 	}
 }
 
-func (v view) Policy(structs.Team) structs.Policy { return v.w.policy }
+func (v view) Policy(structs.Team) structs.Policy { return v.cluster.policy }
 
 func (v view) Services() []structs.Service {
 	var list []structs.Service
@@ -65,7 +65,7 @@
 		return structs.DefaultService(name, structs.ServiceEngine), true
 	case testFiling:
 		s := structs.DefaultService(name, structs.ServicePlain)
-		s.AskByKey = v.w.supportsOutcomeQuery
+		s.AskByKey = v.cluster.supportsOutcomeQuery
 		return s, true
 	default:
 		return structs.Service{}, false
--- a/internal/owner/gap.go
+++ b/internal/owner/gap.go
@@ -91,9 +91,9 @@
 		p.advance()
 		return
 	}
-	p.shard.verifyOwnership(func(proven bool) {
+	p.shard.verifyOwnership(func(verified bool) {
 		reason, after := structs.ReasonOrderGap, gapRetryAfter
-		if !proven {
+		if !verified {
 			reason, after = structs.ReasonLogUnavailable, logRetryAfter
 		}
 		p.refuseGap(l.name, reason, after)
--- a/internal/owner/gap_test.go
+++ b/internal/owner/gap_test.go
@@ -9,16 +9,16 @@
 
 // answerWithoutRecord lets a call be answered in an outage and its owner die, so that no
 // record of it is in the log.
-func answerWithoutRecord(w *cluster, id structs.ProgramID, c *structs.Call) *request {
-	w.logDown = true
-	w.pollStream(w.nodes["o1"], "shard.lakes.0")
-	r := w.submit(c, time.Minute)
-	w.run(500 * time.Millisecond)
-	w.expect(r, structs.OutcomeAnswered, "")
-	w.kill("o1")
-	w.run(time.Second)
-	w.logDown = false
-	w.run(time.Second)
+func answerWithoutRecord(cl *cluster, id structs.ProgramID, c *structs.Call) *request {
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	r := cl.submit(c, time.Minute)
+	cl.run(500 * time.Millisecond)
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.kill("o1")
+	cl.run(time.Second)
+	cl.logDown = false
+	cl.run(time.Second)
 	return r
 }
 
@@ -32,81 +32,81 @@
 // A lane goes on behind a number whose record died with its owner, and a later
 // delivery of that number is not said not to have run.
 func TestGapAfterTakeoverIsSkipped(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	w.policy.ProgramTokens = 5000
-	id := w.program(1)
-	w.expect(w.submit(testCall(id, 1, false), time.Minute), 0, "none yet")
-	w.run(time.Second)
-	answerWithoutRecord(w, id, testCall(id, 2, false))
-	third := w.submit(testCall(id, 3, false), time.Minute)
-	w.run(3 * time.Second)
-	w.expect(third, structs.OutcomeAnswered, "")
-	again := w.submit(testCall(id, 2, false), time.Minute)
-	w.run(time.Second)
-	w.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
-	filing := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(time.Second)
-	w.expect(filing, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+	cl := newCluster(t, 1, 2)
+	cl.policy.ProgramTokens = 5000
+	id := cl.program(1)
+	cl.expect(cl.submit(testCall(id, 1, false), time.Minute), 0, "none yet")
+	cl.run(time.Second)
+	answerWithoutRecord(cl, id, testCall(id, 2, false))
+	third := cl.submit(testCall(id, 3, false), time.Minute)
+	cl.run(3 * time.Second)
+	cl.expect(third, structs.OutcomeAnswered, "")
+	again := cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+	filing := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(time.Second)
+	cl.expect(filing, structs.OutcomeUnknown, structs.ReasonStaleNumber)
 	// Once an epoch: the next gap is refused, but not as "not run".
-	fifth := w.submit(testCall(id, 5, false), time.Minute)
-	w.run(w.policy.GapTimeout + time.Second)
-	w.expect(fifth, structs.OutcomeUnknown, structs.ReasonOrderGap)
-	w.kill("o2")
-	w.start("o1")
-	w.run(time.Second)
-	again = w.submit(testCall(id, 2, false), time.Minute)
-	w.run(time.Second)
-	w.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+	fifth := cl.submit(testCall(id, 5, false), time.Minute)
+	cl.run(cl.policy.GapTimeout + time.Second)
+	cl.expect(fifth, structs.OutcomeUnknown, structs.ReasonOrderGap)
+	cl.kill("o2")
+	cl.start("o1")
+	cl.run(time.Second)
+	again = cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
 }
 
 // A history that holds the missing answers lets the call start at once.
 func TestHistoryCoversGap(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	w.policy.ProgramTokens = 5000
-	id := w.program(1)
-	w.submit(addHistory(testCall(id, 1, false), 1), time.Minute)
-	w.run(time.Second)
-	answerWithoutRecord(w, id, addHistory(testCall(id, 2, false), 3))
-	short := w.submit(addHistory(testCall(id, 3, false), 4), 400*time.Millisecond)
-	w.run(500 * time.Millisecond)
+	cl := newCluster(t, 1, 2)
+	cl.policy.ProgramTokens = 5000
+	id := cl.program(1)
+	cl.submit(addHistory(testCall(id, 1, false), 1), time.Minute)
+	cl.run(time.Second)
+	answerWithoutRecord(cl, id, addHistory(testCall(id, 2, false), 3))
+	short := cl.submit(addHistory(testCall(id, 3, false), 4), 400*time.Millisecond)
+	cl.run(500 * time.Millisecond)
 	if short.kind() == structs.OutcomeAnswered {
 		t.Error("a history without the answer of number 2 was taken for one with it")
 	}
-	third := w.submit(addHistory(testCall(id, 3, false), 5), time.Minute)
-	w.run(500 * time.Millisecond)
-	w.expect(third, structs.OutcomeAnswered, "")
+	third := cl.submit(addHistory(testCall(id, 3, false), 5), time.Minute)
+	cl.run(500 * time.Millisecond)
+	cl.expect(third, structs.OutcomeAnswered, "")
 }
 
 // A caller that heard "unknown" of a number without a record may go on.
 func TestLaneContinuesAfterUnknownRefusal(t *testing.T) {
-	w := newCluster(t, 1, 1)
-	id := w.program(1)
-	w.logDown = true
-	w.pollStream(w.nodes["o1"], "shard.lakes.0")
-	w.run(time.Second)
-	first := w.submit(testCall(id, 1, true), time.Minute)
-	w.run(time.Second)
-	w.expect(first, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
-	w.logDown = false
-	w.run(2 * time.Second)
-	second := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(3 * time.Second)
-	w.expect(second, structs.OutcomeAnswered, "")
+	cl := newCluster(t, 1, 1)
+	id := cl.program(1)
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	cl.run(time.Second)
+	first := cl.submit(testCall(id, 1, true), time.Minute)
+	cl.run(time.Second)
+	cl.expect(first, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
+	cl.logDown = false
+	cl.run(2 * time.Second)
+	second := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(3 * time.Second)
+	cl.expect(second, structs.OutcomeAnswered, "")
 }
 
 // A repeatable call whose record may have died with an earlier owner is not
 // said not to have run, unless its caller declares the first delivery.
 func TestRefusalsAfterTakeover(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
 	c := testCall(id, 1, false)
-	answerWithoutRecord(w, id, c)
-	w.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
-	again := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.expect(again, structs.OutcomeUnknown, structs.ReasonOverloaded)
-	fresh := w.submit(markFresh(testCall(id, 1, false)), time.Minute)
-	w.run(time.Second)
-	w.expect(fresh, structs.OutcomeNotRun, structs.ReasonOverloaded)
+	answerWithoutRecord(cl, id, c)
+	cl.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
+	again := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonOverloaded)
+	fresh := cl.submit(markFresh(testCall(id, 1, false)), time.Minute)
+	cl.run(time.Second)
+	cl.expect(fresh, structs.OutcomeNotRun, structs.ReasonOverloaded)
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -25,11 +25,11 @@
 // recordFromPreviousOwner gives the commands that follow the record of a call of the earlier
 // owner, while call 2 waits.
 func recordFromPreviousOwner(t *testing.T, number uint64) []structs.Command {
-	w := newCluster(t, 1, 1)
-	self := w.ids[0]
+	cl := newCluster(t, 1, 1)
+	self := cl.ids[0]
 	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: self, Region: testRegion}, "second")
-	o := New(cfg, view{w: w, self: self}, view{w: w, self: self})
-	now := w.now
+	o := New(cfg, view{cluster: cl, self: self}, view{cluster: cl, self: self})
+	now := cl.now
 	id := structs.NewProgramID(testRegion, now, [10]byte{7})
 	first, second := testCall(id, number, false), testCall(id, 2, false)
 	stream := structs.ShardRef{Region: testRegion, Shard: structs.ShardOf(id, cfg.Shards)}.Stream()
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -26,8 +26,8 @@
 	}
 	amount := s.ledgerAvailable(m)
 	if m.Tokens > 0 && amount.Tokens <= 0 || m.Fees > 0 && amount.Fees <= 0 {
-		s.verifyOwnership(func(proven bool) {
-			if proven {
+		s.verifyOwnership(func(verified bool) {
+			if verified {
 				o.send(from, &structs.BudgetGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Refused: true})
 			}
 		})
--- a/internal/owner/permit.go
+++ b/internal/owner/permit.go
@@ -217,14 +217,14 @@
 
 // refreshPools asks new dispatchers again for every permit, also for those in
 // use. lost is an instance whose memory of requests may be gone.
-func (o *Owner) refreshPools(lost structs.InstanceID) {
+func (o *Owner) refreshPools(failed structs.InstanceID) {
 	for _, id := range o.sortedPools() {
 		p := o.pools[id]
-		now, _ := o.members.DispatcherOf(id)
-		if now == p.dispatcher && now != lost {
+		current, _ := o.members.DispatcherOf(id)
+		if current == p.dispatcher && current != failed {
 			continue
 		}
-		p.dispatcher = now
+		p.dispatcher = current
 		for _, run := range journal.SortedKeys(p.calls) {
 			p.calls[run].permitQueued = false
 			p.calls[run].reregister()
--- a/internal/owner/program_test.go
+++ b/internal/owner/program_test.go
@@ -8,32 +8,32 @@
 )
 
 func TestCacheReleaseRepeatsUntilConfirmed(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.submit(testCall(id, 1, false), time.Minute)
-	w.run(time.Second)
-	w.ignoreReleases = true
-	if reply := w.operate(id, structs.ProgramClose); reply.Info.State != structs.ProgramClosed {
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.submit(testCall(id, 1, false), time.Minute)
+	cl.run(time.Second)
+	cl.ignoreReleases = true
+	if reply := cl.operate(id, structs.ProgramClose); reply.Info.State != structs.ProgramClosed {
 		t.Fatalf("close: %+v", reply)
 	}
-	w.run(10 * time.Second)
-	target := w.nodes["o1"].o.Programs(testTeam, 10)[0].Targets[0]
-	if w.released[target] < 3 || len(w.goneMessages) != 1 {
-		t.Errorf("%d releases, %d notices", w.released[target], len(w.goneMessages))
+	cl.run(10 * time.Second)
+	target := cl.nodes["o1"].o.Programs(testTeam, 10)[0].Targets[0]
+	if cl.released[target] < 3 || len(cl.goneMessages) != 1 {
+		t.Errorf("%d releases, %d notices", cl.released[target], len(cl.goneMessages))
 	}
-	w.kill("o1")
-	w.released[target] = 0
+	cl.kill("o1")
+	cl.released[target] = 0
 	// The next owner takes the shard up without any call.
-	w.run(10 * time.Second)
-	if w.released[target] == 0 {
+	cl.run(10 * time.Second)
+	if cl.released[target] == 0 {
 		t.Error("the next owner released nothing")
 	}
-	w.ignoreReleases = false
-	w.run(time.Minute)
-	w.released[target] = 0
-	w.run(5 * time.Minute)
-	if w.released[target] != 0 {
-		t.Errorf("%d releases after the target confirmed", w.released[target])
+	cl.ignoreReleases = false
+	cl.run(time.Minute)
+	cl.released[target] = 0
+	cl.run(5 * time.Minute)
+	if cl.released[target] != 0 {
+		t.Errorf("%d releases after the target confirmed", cl.released[target])
 	}
 }
 
@@ -49,33 +49,33 @@
 		{"turns", func(p *structs.Policy) { p.ProgramTurns = 2 }, 3, structs.ReasonTurns, "turns-exhausted"},
 		{"idle", func(p *structs.Policy) { p.IdleTimeout = 5 * time.Second }, 0, "", "idle"},
 	} {
-		w := newCluster(t, 1, 2)
-		c.policy(&w.policy)
-		id := w.program(1)
+		cl := newCluster(t, 1, 2)
+		c.policy(&cl.policy)
+		id := cl.program(1)
 		var last *request
 		for n := range c.calls {
 			spec := testCall(id, uint64(n+1), false)
 			spec.Digest = structs.Digest{7}
-			last = w.submit(spec, time.Minute)
-			w.run(time.Second)
+			last = cl.submit(spec, time.Minute)
+			cl.run(time.Second)
 		}
 		if last != nil {
-			w.expect(last, structs.OutcomeNotRun, c.reason)
+			cl.expect(last, structs.OutcomeNotRun, c.reason)
 		}
-		w.run(6 * time.Second)
-		reply := w.operate(id, structs.ProgramShow)
+		cl.run(6 * time.Second)
+		reply := cl.operate(id, structs.ProgramShow)
 		if reply.Info.State != structs.ProgramClosed || reply.Info.Reason != c.state {
 			t.Errorf("%s: program is %s %s", c.name, reply.Info.State, reply.Info.Reason)
 		}
-		after := w.submit(testCall(id, 9, false), time.Minute)
-		w.run(time.Second)
-		w.expect(after, structs.OutcomeNotRun, structs.ReasonProgramClosed)
+		after := cl.submit(testCall(id, 9, false), time.Minute)
+		cl.run(time.Second)
+		cl.expect(after, structs.OutcomeNotRun, structs.ReasonProgramClosed)
 	}
 }
 
 func TestHistoryAndTeams(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
 	spec := func(n uint64, chain ...byte) *structs.Call {
 		c := testCall(id, n, false)
 		for _, b := range chain {
@@ -84,88 +84,88 @@
 		return c
 	}
 	run := func(c *structs.Call) *request {
-		r := w.submit(c, time.Minute)
-		w.run(time.Second)
+		r := cl.submit(c, time.Minute)
+		cl.run(time.Second)
 		return r
 	}
-	w.expect(run(spec(1, 1, 2)), structs.OutcomeAnswered, "")
-	w.expect(run(spec(2, 1, 2, 3, 4)), structs.OutcomeAnswered, "")
-	w.expect(run(spec(3, 1, 2, 9, 9, 9)), structs.OutcomeNotRun, structs.ReasonHistoryFork)
-	w.expect(run(spec(3, 1, 2)), structs.OutcomeNotRun, structs.ReasonHistoryFork)
-	w.kill("o1")
-	w.run(3 * time.Second)
-	w.expect(run(spec(3, 1, 2, 9, 9, 9)), structs.OutcomeUnknown, structs.ReasonHistoryFork)
-	w.expect(run(markFresh(spec(3, 1, 2, 9, 9, 9))), structs.OutcomeNotRun, structs.ReasonHistoryFork)
+	cl.expect(run(spec(1, 1, 2)), structs.OutcomeAnswered, "")
+	cl.expect(run(spec(2, 1, 2, 3, 4)), structs.OutcomeAnswered, "")
+	cl.expect(run(spec(3, 1, 2, 9, 9, 9)), structs.OutcomeNotRun, structs.ReasonHistoryFork)
+	cl.expect(run(spec(3, 1, 2)), structs.OutcomeNotRun, structs.ReasonHistoryFork)
+	cl.kill("o1")
+	cl.run(3 * time.Second)
+	cl.expect(run(spec(3, 1, 2, 9, 9, 9)), structs.OutcomeUnknown, structs.ReasonHistoryFork)
+	cl.expect(run(markFresh(spec(3, 1, 2, 9, 9, 9))), structs.OutcomeNotRun, structs.ReasonHistoryFork)
 	forked := spec(3, 8, 8)
 	forked.Fork = true
-	w.expect(run(forked), structs.OutcomeAnswered, "")
-	w.expect(run(spec(4, 8, 8, 7)), structs.OutcomeAnswered, "")
+	cl.expect(run(forked), structs.OutcomeAnswered, "")
+	cl.expect(run(spec(4, 8, 8, 7)), structs.OutcomeAnswered, "")
 	foreign := spec(5, 8, 8, 7, 7)
 	foreign.Team = "lakeshore/status"
-	w.expect(run(foreign), structs.OutcomeNotRun, structs.ReasonForeignProgram)
+	cl.expect(run(foreign), structs.OutcomeNotRun, structs.ReasonForeignProgram)
 	parent := spec(5, 8, 8, 7, 7)
 	parent.Team = "lakeshore"
-	w.expect(run(parent), structs.OutcomeAnswered, "")
+	cl.expect(run(parent), structs.OutcomeAnswered, "")
 }
 
 func TestUnknownPrograms(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	young := structs.NewProgramID(testRegion, w.now, [10]byte{1})
-	old := structs.NewProgramID(testRegion, w.now.Add(-2*time.Hour), [10]byte{1})
+	cl := newCluster(t, 1, 2)
+	young := structs.NewProgramID(testRegion, cl.now, [10]byte{1})
+	old := structs.NewProgramID(testRegion, cl.now.Add(-2*time.Hour), [10]byte{1})
 	run := func(c *structs.Call) *request {
-		r := w.submit(c, time.Minute)
-		w.run(time.Second)
+		r := cl.submit(c, time.Minute)
+		cl.run(time.Second)
 		return r
 	}
-	w.expect(run(testCall(young, 1, false)), structs.OutcomeNotRun, structs.ReasonUnknownProgram)
-	w.expect(run(testCall(old, 1, false)), structs.OutcomeNotRun, structs.ReasonTooOld)
+	cl.expect(run(testCall(young, 1, false)), structs.OutcomeNotRun, structs.ReasonUnknownProgram)
+	cl.expect(run(testCall(old, 1, false)), structs.OutcomeNotRun, structs.ReasonTooOld)
 	single := testCall(young, 0, true)
 	single.Single = true
-	w.expect(run(single), structs.OutcomeAnswered, "")
-	w.expect(run(testCall(young, 2, false)), structs.OutcomeNotRun, structs.ReasonProgramClosed)
-	w.expect(run(single), structs.OutcomeAnswered, "")
-	if len(w.sends) != 1 {
-		t.Errorf("%d sends", len(w.sends))
+	cl.expect(run(single), structs.OutcomeAnswered, "")
+	cl.expect(run(testCall(young, 2, false)), structs.OutcomeNotRun, structs.ReasonProgramClosed)
+	cl.expect(run(single), structs.OutcomeAnswered, "")
+	if len(cl.sends) != 1 {
+		t.Errorf("%d sends", len(cl.sends))
 	}
-	reply := w.operate(young, structs.ProgramShow)
+	reply := cl.operate(young, structs.ProgramShow)
 	if reply.Info.State != structs.ProgramClosed {
 		t.Errorf("single program is %s", reply.Info.State)
 	}
 }
 
 func TestDeadlines(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.withholdGrants = true
-	waiting := w.submit(testCall(id, 1, true), time.Second)
-	w.run(1100 * time.Millisecond)
-	w.expect(waiting, structs.OutcomeNotRun, structs.ReasonDeadline)
-	w.withholdGrants = false
-	w.runTime = 3 * time.Second
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.withholdGrants = true
+	waiting := cl.submit(testCall(id, 1, true), time.Second)
+	cl.run(1100 * time.Millisecond)
+	cl.expect(waiting, structs.OutcomeNotRun, structs.ReasonDeadline)
+	cl.withholdGrants = false
+	cl.runTime = 3 * time.Second
 	c := testCall(id, 1, true)
-	running := w.submit(c, time.Second)
-	w.run(1100 * time.Millisecond)
-	w.expect(running, structs.OutcomeUnknown, structs.ReasonDeadline)
-	w.run(3 * time.Second)
-	again := w.submit(c, time.Second)
-	w.run(time.Second)
-	w.expect(again, structs.OutcomeAnswered, "")
-	if w.sendsOf(c) != 1 || !again.outcome.Replayed {
-		t.Errorf("%d sends, replayed %v", w.sendsOf(c), again.outcome.Replayed)
+	running := cl.submit(c, time.Second)
+	cl.run(1100 * time.Millisecond)
+	cl.expect(running, structs.OutcomeUnknown, structs.ReasonDeadline)
+	cl.run(3 * time.Second)
+	again := cl.submit(c, time.Second)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeAnswered, "")
+	if cl.sendsOf(c) != 1 || !again.outcome.Replayed {
+		t.Errorf("%d sends, replayed %v", cl.sendsOf(c), again.outcome.Replayed)
 	}
 }
 
 // A refusal of the dispatcher ends a call as "not run" and leaves its lane.
 func TestDispatcherRefusal(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
 	c := testCall(id, 1, true)
-	refused := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.expect(refused, structs.OutcomeNotRun, structs.ReasonOverloaded)
-	w.refusePermit = nil
-	again := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.expect(again, structs.OutcomeAnswered, "")
+	refused := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(refused, structs.OutcomeNotRun, structs.ReasonOverloaded)
+	cl.refusePermit = nil
+	again := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeAnswered, "")
 }
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if s := runSchedule(t, seed); len(s.violations) > 0 {
-			t.Fatalf("%s\n%s\n%s", strings.Join(s.w.trace, "\n"), s.w.dump(), strings.Join(s.violations, "\n"))
+			t.Fatalf("%s\n%s\n%s", strings.Join(s.cluster.trace, "\n"), s.cluster.dump(), strings.Join(s.violations, "\n"))
 		}
 		return
 	}
@@ -50,7 +50,7 @@
 		s := runSchedule(t, seed)
 		total.faults += s.faults
 		total.answered += s.answered
-		total.calls += len(s.w.allRequests)
+		total.calls += len(s.cluster.allRequests)
 		if len(s.violations) > 0 {
 			return fmt.Sprintf("%s=%d: %s", seedVariable, seed, strings.Join(s.violations, "; "))
 		}
@@ -62,7 +62,7 @@
 
 // schedule is one run of callers under random faults.
 type schedule struct {
-	w          *cluster
+	cluster    *cluster
 	rng        *rand.Rand
 	faults     int
 	calls      int
@@ -85,22 +85,22 @@
 const callsPerLane = 12
 
 func runSchedule(t testing.TB, seed uint64) *schedule {
-	w := newCluster(t, seed, 3)
-	w.shards, w.snapshotEvery = 2, 25
-	for _, id := range w.ids {
-		w.start(id)
+	cl := newCluster(t, seed, 3)
+	cl.shards, cl.snapshotEvery = 2, 25
+	for _, id := range cl.ids {
+		cl.start(id)
 	}
-	s := &schedule{w: w, rng: rand.New(rand.NewPCG(seed, 2))}
+	s := &schedule{cluster: cl, rng: rand.New(rand.NewPCG(seed, 2))}
 	// Some schedules run out of a budget, most do not.
-	w.policy.ProgramTokens, w.policy.ProgramFees = []int64{4000, 1000, 4000, 4000}[seed%4], 120
-	w.policy.TeamTokens, w.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
-	w.policy.GapTimeout = 2 * time.Second
-	w.policy.LoopRepeats = 0
-	w.supportsOutcomeQuery = seed%2 == 0
-	w.runTime = 50 * time.Millisecond
-	w.runResult = s.randomRunResult
-	programs := []structs.ProgramID{w.program(1), w.program(2)}
-	w.faults = faults{lostReplyRate: 0.1, droppedRate: 0.05, refusedRate: 0.05, maxCommandDelay: 3 * time.Second}
+	cl.policy.ProgramTokens, cl.policy.ProgramFees = []int64{4000, 1000, 4000, 4000}[seed%4], 120
+	cl.policy.TeamTokens, cl.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
+	cl.policy.GapTimeout = 2 * time.Second
+	cl.policy.LoopRepeats = 0
+	cl.supportsOutcomeQuery = seed%2 == 0
+	cl.runTime = 50 * time.Millisecond
+	cl.runResult = s.randomRunResult
+	programs := []structs.ProgramID{cl.program(1), cl.program(2)}
+	cl.faults = faults{lostReplyRate: 0.1, droppedRate: 0.05, refusedRate: 0.05, maxCommandDelay: 3 * time.Second}
 	for _, id := range programs {
 		for _, lane := range []structs.Lane{"", "sub"} {
 			c := &caller{s: s, program: id, lane: lane}
@@ -109,11 +109,11 @@
 	}
 	for range 100 {
 		s.injectFault()
-		w.run(200 * time.Millisecond)
-		w.truncate()
+		cl.run(200 * time.Millisecond)
+		cl.truncate()
 	}
 	s.heal()
-	w.run(5 * time.Minute)
+	cl.run(5 * time.Minute)
 	s.check(programs)
 	return s
 }
@@ -131,30 +131,30 @@
 
 // injectFault brings about one fault, often none.
 func (s *schedule) injectFault() {
-	w := s.w
-	id := w.ids[s.rng.IntN(len(w.ids))]
-	n := w.nodes[id]
+	cl := s.cluster
+	id := cl.ids[s.rng.IntN(len(cl.ids))]
+	n := cl.nodes[id]
 	span := time.Duration(s.rng.Int64N(int64(5 * time.Second)))
 	switch roll := s.rng.Float64(); {
 	case roll < 0.04 && n.alive:
-		w.kill(id)
-		w.after(span, func() {
+		cl.kill(id)
+		cl.after(span, func() {
 			if !n.alive {
-				w.tracef("start %s", id)
-				w.start(id)
+				cl.tracef("start %s", id)
+				cl.start(id)
 			}
 		})
 	case roll < 0.10 && n.alive && !n.paused:
-		w.pause(id, span)
-	case roll < 0.12 && !w.logDown:
-		w.tracef("log down for %s", span)
-		w.logDown = true
-		w.after(span, func() { w.logDown = false })
+		cl.pause(id, span)
+	case roll < 0.12 && !cl.logDown:
+		cl.tracef("log down for %s", span)
+		cl.logDown = true
+		cl.after(span, func() { cl.logDown = false })
 	case roll < 0.15 && n.alive && !n.partitioned:
-		w.tracef("cut %s from the log for %s", id, span)
-		life := n.incarnation
+		cl.tracef("cut %s from the log for %s", id, span)
+		incarnation := n.incarnation
 		n.partitioned = true
-		w.after(span, func() { n.partitioned = n.partitioned && n.incarnation != life })
+		cl.after(span, func() { n.partitioned = n.partitioned && n.incarnation != incarnation })
 	default:
 		return
 	}
@@ -162,16 +162,16 @@
 }
 
 func (s *schedule) heal() {
-	w := s.w
-	w.tracef("heal")
+	cl := s.cluster
+	cl.tracef("heal")
 	s.faultFree = true
-	w.faults = faults{}
-	w.logDown = false
-	for _, id := range w.ids {
-		n := w.nodes[id]
+	cl.faults = faults{}
+	cl.logDown = false
+	for _, id := range cl.ids {
+		n := cl.nodes[id]
 		n.partitioned = false
 		if !n.alive {
-			w.start(id)
+			cl.start(id)
 		}
 	}
 }
@@ -196,21 +196,21 @@
 
 func (c *caller) submit() {
 	c.tries++
-	w := c.s.w
+	cl := c.s.cluster
 	twice := c.s.rng.Float64() < 0.1
 	c.fresh = c.tries == 1 && !twice
-	r := w.submit(c.spec(), 10*time.Second)
+	r := cl.submit(c.spec(), 10*time.Second)
 	if twice {
-		w.after(10*time.Millisecond, func() { w.submit(c.spec(), 10*time.Second) })
+		cl.after(10*time.Millisecond, func() { cl.submit(c.spec(), 10*time.Second) })
 	}
 	c.awaitOutcome(r)
 }
 
 // awaitOutcome waits for the outcome, then goes on or tries the same call again.
 func (c *caller) awaitOutcome(r *request) {
-	w := c.s.w
+	cl := c.s.cluster
 	if r.outcome == nil {
-		w.after(50*time.Millisecond, func() { c.awaitOutcome(r) })
+		cl.after(50*time.Millisecond, func() { c.awaitOutcome(r) })
 		return
 	}
 	switch {
@@ -222,7 +222,7 @@
 	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.tries > 3:
 		c.issueNext()
 	default:
-		w.after(max(time.Second, r.outcome.RetryAfter), c.submit)
+		cl.after(max(time.Second, r.outcome.RetryAfter), c.submit)
 	}
 }
 
@@ -245,7 +245,7 @@
 // behalf of a request that was not answered "not run".
 func (s *schedule) checkSends() {
 	count := make(map[string]int)
-	for _, send := range s.w.sends {
+	for _, send := range s.cluster.sends {
 		name := callName(send.call)
 		count[name]++
 		if send.call.NotRepeatable && count[name] > 1 {
@@ -258,7 +258,7 @@
 }
 
 func (s *schedule) hasOpenRequest(send targetSend) bool {
-	for _, r := range s.w.allRequests {
+	for _, r := range s.cluster.allRequests {
 		if callName(r.call) == callName(send.call) && !r.at.After(send.at) && r.kind() != structs.OutcomeNotRun {
 			return true
 		}
@@ -269,11 +269,11 @@
 // checkNotRun: "not run" is said of no not-repeatable call that was sent, also
 // if an earlier delivery of it was.
 func (s *schedule) checkNotRun() {
-	for _, r := range s.w.allRequests {
+	for _, r := range s.cluster.allRequests {
 		if r.kind() != structs.OutcomeNotRun || !r.call.NotRepeatable {
 			continue
 		}
-		for _, send := range s.w.sends {
+		for _, send := range s.cluster.sends {
 			if callName(send.call) == callName(r.call) && !send.at.After(r.endedAt) {
 				s.violationf("%s for %s was answered 'not run' (%s) after its send", r.id, callName(r.call), r.reason())
 			}
@@ -286,7 +286,7 @@
 func (s *schedule) checkOrder() {
 	seen := make(map[string]bool)
 	high := make(map[string]uint64)
-	for _, send := range s.w.sends {
+	for _, send := range s.cluster.sends {
 		name := callName(send.call)
 		lane := fmt.Sprintf("%s/%s", send.call.Program, send.call.Lane)
 		if seen[name] || send.late {
@@ -304,7 +304,7 @@
 // answers of a not-repeatable call are the same.
 func (s *schedule) checkAnswers() {
 	answers := make(map[string]string)
-	for _, r := range s.w.allRequests {
+	for _, r := range s.cluster.allRequests {
 		if r.kind() != structs.OutcomeAnswered {
 			continue
 		}
@@ -323,7 +323,7 @@
 }
 
 func (s *schedule) isRunAnswer(name, text string) bool {
-	for _, send := range s.w.sends {
+	for _, send := range s.cluster.sends {
 		if callName(send.call) == name && text == "answer of "+string(send.run) {
 			return true
 		}
@@ -335,18 +335,18 @@
 	var teamTokens, teamFees int64
 	for _, id := range programs {
 		var tokens, fees int64
-		for _, send := range s.w.sends {
+		for _, send := range s.cluster.sends {
 			if send.call.Program == id {
 				tokens += send.cost
 				fees += send.call.Fee
 			}
 		}
-		if tokens > s.w.policy.ProgramTokens || fees > s.w.policy.ProgramFees {
+		if tokens > s.cluster.policy.ProgramTokens || fees > s.cluster.policy.ProgramFees {
 			s.violationf("program %s spent %d tokens and %d fees", id, tokens, fees)
 		}
 		teamTokens, teamFees = teamTokens+tokens, teamFees+fees
 	}
-	if teamTokens > s.w.policy.TeamTokens || teamFees > s.w.policy.TeamFees {
+	if teamTokens > s.cluster.policy.TeamTokens || teamFees > s.cluster.policy.TeamFees {
 		s.violationf("the team spent %d tokens and %d fees", teamTokens, teamFees)
 	}
 }
@@ -354,7 +354,7 @@
 // checkProgress: once faults ceased every request has its outcome and a new
 // program runs a call.
 func (s *schedule) checkProgress(programs []structs.ProgramID) {
-	for _, r := range s.w.allRequests {
+	for _, r := range s.cluster.allRequests {
 		if r.outcome == nil {
 			s.violationf("%s has no outcome", r.id)
 		}
@@ -362,10 +362,10 @@
 			s.violationf("%s heard nothing though no fault was left", r.id)
 		}
 	}
-	s.w.policy.TeamTokens, s.w.policy.TeamFees = 0, 0
-	id := s.w.program(3)
-	r := s.w.submit(testCall(id, 1, true), time.Minute)
-	s.w.run(time.Second)
+	s.cluster.policy.TeamTokens, s.cluster.policy.TeamFees = 0, 0
+	id := s.cluster.program(3)
+	r := s.cluster.submit(testCall(id, 1, true), time.Minute)
+	s.cluster.run(time.Second)
 	if r.kind() != structs.OutcomeAnswered {
 		s.violationf("after the faults a call got kind %d %s", r.kind(), r.reason())
 	}
@@ -375,7 +375,7 @@
 // map.
 func TestSameSeedGivesSameTrace(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := runSchedule(t, seed).w, runSchedule(t, seed).w
+		first, second := runSchedule(t, seed).cluster, runSchedule(t, seed).cluster
 		for i := range min(len(first.trace), len(second.trace)) {
 			if first.trace[i] != second.trace[i] {
 				t.Fatalf("seed %d: %s\nthen: %s", seed, first.trace[i], second.trace[i])
--- a/internal/owner/refuse.go
+++ b/internal/owner/refuse.go
@@ -19,13 +19,13 @@
 // "not run" only if the request was handed to no other instance, which may have
 // run it or may still hold it, and if earlier deliveries of the key were looked
 // up or are said not to exist.
-func refusal(spec *structs.Call, reason structs.Reason, retryAfter time.Duration, elsewhere, lookedUp bool) structs.Outcome {
+func refusal(spec *structs.Call, reason structs.Reason, retryAfter time.Duration, maybeElsewhere, keyLookedUp bool) structs.Outcome {
 	switch {
-	case elsewhere:
+	case maybeElsewhere:
 		out := unknown(reason)
 		out.RetryAfter = retryAfter
 		return out
-	case lookedUp:
+	case keyLookedUp:
 		return notRun(reason, retryAfter)
 	default:
 		return spec.Refusal(reason, retryAfter)
@@ -53,8 +53,8 @@
 		c.recordOutcome(out, journal.Amount{}, structs.RunEnded{})
 		return
 	}
-	elsewhere := c.mayHaveRun() || c.resubmitted || c.rerun || c.prog.wasSkipped(c.spec)
-	out := refusal(c.spec, reason, retryAfter, elsewhere, c.keyLookedUp && c.prog.hasAllRuns(c.notRepeatable))
+	maybeElsewhere := c.mayHaveRun() || c.resubmitted || c.rerun || c.prog.wasSkipped(c.spec)
+	out := refusal(c.spec, reason, retryAfter, maybeElsewhere, c.keyLookedUp && c.prog.hasAllRuns(c.notRepeatable))
 	c.prog.recordUnknown(c.spec, out)
 	c.abandon()
 	c.sendOutcome(out)
--- a/internal/owner/resubmit_test.go
+++ b/internal/owner/resubmit_test.go
@@ -35,10 +35,10 @@
 		{"back at the first", []bool{false, true}, structs.OutcomeUnknown},
 		{"marked once", []bool{true, false}, structs.OutcomeUnknown},
 	} {
-		w := newCluster(t, 1, 1)
-		o := w.nodes["o1"].o
-		id := structs.NewProgramID(testRegion, w.now, [10]byte{1})
-		now := w.now
+		cl := newCluster(t, 1, 1)
+		o := cl.nodes["o1"].o
+		id := structs.NewProgramID(testRegion, cl.now, [10]byte{1})
+		now := cl.now
 		for _, resubmitted := range c.flags {
 			now = now.Add(time.Millisecond)
 			o.Tick(now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
@@ -60,18 +60,18 @@
 
 // Pieces of one run are never followed by those of another.
 func TestPiecesOfAnotherRun(t *testing.T) {
-	w := newCluster(t, 1, 1)
-	id := w.program(1)
+	cl := newCluster(t, 1, 1)
+	id := cl.program(1)
 	c := testCall(id, 1, false)
 	c.Stream = true
-	first := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.expect(first, structs.OutcomeAnswered, "")
-	o := w.nodes["o1"].o
+	first := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(first, structs.OutcomeAnswered, "")
+	o := cl.nodes["o1"].o
 	for run, want := range map[structs.RunID]structs.OutcomeKind{
 		first.run: structs.OutcomeAnswered, "another": structs.OutcomeUnknown, "": structs.OutcomeUnknown,
 	} {
-		cmds := o.Tick(w.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
+		cmds := o.Tick(cl.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
 			Request: "again", Call: c, Remaining: time.Minute, Have: 1, HaveRun: run, Resubmitted: true,
 		}}})
 		if out := lastOutcome(cmds, "again"); out == nil || out.Kind != want {
@@ -82,18 +82,18 @@
 
 // Each run of a repeatable call has its own hold of the budget.
 func TestFailedRunsAreChargedWorstCase(t *testing.T) {
-	w := newCluster(t, 1, 1)
-	w.policy.ProgramTokens = 500
-	w.policy.Retries = 5
-	id := w.program(1)
-	w.runResult = func(structs.StartRun) structs.RunFailure { return structs.RunBroken }
-	r := w.submit(testCall(id, 1, false), time.Minute)
-	w.run(5 * time.Second)
-	w.expect(r, structs.OutcomeUnknown, structs.ReasonBudget)
-	if len(w.sends) != 2 {
-		t.Errorf("%d runs of 200 tokens each within 500", len(w.sends))
+	cl := newCluster(t, 1, 1)
+	cl.policy.ProgramTokens = 500
+	cl.policy.Retries = 5
+	id := cl.program(1)
+	cl.runResult = func(structs.StartRun) structs.RunFailure { return structs.RunBroken }
+	r := cl.submit(testCall(id, 1, false), time.Minute)
+	cl.run(5 * time.Second)
+	cl.expect(r, structs.OutcomeUnknown, structs.ReasonBudget)
+	if len(cl.sends) != 2 {
+		t.Errorf("%d runs of 200 tokens each within 500", len(cl.sends))
 	}
-	if info := w.operate(id, structs.ProgramShow).Info; info.TokensSpent != 400 {
+	if info := cl.operate(id, structs.ProgramShow).Info; info.TokensSpent != 400 {
 		t.Errorf("%d tokens booked, want 400", info.TokensSpent)
 	}
 }
@@ -101,24 +101,24 @@
 // A shard that was lost is claimed again though a call of it still runs, and
 // the lane waits for that call.
 func TestLostShardIsReclaimed(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	w.runTime = 6 * time.Second
-	id := w.program(1)
-	running := w.submit(testCall(id, 1, true), time.Minute)
-	w.run(200 * time.Millisecond)
-	w.pause("o1", 1500*time.Millisecond)
-	w.run(1200 * time.Millisecond)
+	cl := newCluster(t, 1, 2)
+	cl.runTime = 6 * time.Second
+	id := cl.program(1)
+	running := cl.submit(testCall(id, 1, true), time.Minute)
+	cl.run(200 * time.Millisecond)
+	cl.pause("o1", 1500*time.Millisecond)
+	cl.run(1200 * time.Millisecond)
 	// The other owner takes over for the next call and dies.
-	second := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(800 * time.Millisecond)
-	if w.nodes["o2"].o.shards[0].tenure != tenureOwned || w.nodes["o1"].o.shards[0].tenure != tenureLost {
+	second := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(800 * time.Millisecond)
+	if cl.nodes["o2"].o.shards[0].tenure != tenureOwned || cl.nodes["o1"].o.shards[0].tenure != tenureLost {
 		t.Fatal("the shard did not change hands")
 	}
-	w.kill("o2")
-	w.run(10 * time.Second)
-	w.expect(running, structs.OutcomeAnswered, "")
-	w.expect(second, structs.OutcomeAnswered, "")
-	if len(w.sends) != 2 || w.sends[1].at.Sub(w.sends[0].at) < w.runTime {
-		t.Errorf("sends %+v", w.sends)
+	cl.kill("o2")
+	cl.run(10 * time.Second)
+	cl.expect(running, structs.OutcomeAnswered, "")
+	cl.expect(second, structs.OutcomeAnswered, "")
+	if len(cl.sends) != 2 || cl.sends[1].at.Sub(cl.sends[0].at) < cl.runTime {
+		t.Errorf("sends %+v", cl.sends)
 	}
 }
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -96,8 +96,8 @@
 				p.dropIfEmpty()
 				return
 			}
-			elsewhere := m.Resubmitted || m.Have > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
-			out := refusal(m.Call, reason, after, elsewhere, s.hasAllDeliveries() && p.hasAllRuns(notRepeatable))
+			maybeElsewhere := m.Resubmitted || m.Have > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
+			out := refusal(m.Call, reason, after, maybeElsewhere, s.hasAllDeliveries() && p.hasAllRuns(notRepeatable))
 			p.recordUnknown(m.Call, out)
 			o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 			p.dropIfEmpty()
--- a/internal/owner/verify.go
+++ b/internal/owner/verify.go
@@ -68,17 +68,17 @@
 // ownershipCheck is what waits for the proof that the shard is owned since a time.
 type ownershipCheck struct {
 	since time.Time
-	then  func(proven bool)
+	done  func(verified bool)
 }
 
 // verifyOwnership calls then once a record that was sent from now on counted, or with
 // false if the log is down. It is never called if a newer claim turns up.
-func (s *shard) verifyOwnership(then func(proven bool)) {
+func (s *shard) verifyOwnership(done func(verified bool)) {
 	if s.logDown() {
-		then(false)
+		done(false)
 		return
 	}
-	s.ownershipChecks = append(s.ownershipChecks, ownershipCheck{since: s.o.now, then: then})
+	s.ownershipChecks = append(s.ownershipChecks, ownershipCheck{since: s.o.now, done: done})
 	s.appendCheck()
 }
 
@@ -108,7 +108,7 @@
 			s.ownershipChecks = append(s.ownershipChecks, p)
 			continue
 		}
-		p.then(true)
+		p.done(true)
 	}
 	for _, h := range held {
 		if h.arrived.After(at) {
@@ -127,7 +127,7 @@
 	proofs := s.ownershipChecks
 	s.ownershipChecks = nil
 	for _, p := range proofs {
-		p.then(false)
+		p.done(false)
 	}
 	for _, h := range s.takeHeld() {
 		s.o.redeliver(h)
@@ -164,21 +164,21 @@
 func dependsOnState(reason structs.Reason) bool { return slices.Contains(stateReasons, reason) }
 
 // refuseVerified refuses a call by the shard's state once that is proven to be current.
-func (c *call) refuseVerified(reason structs.Reason, after time.Duration, then func()) {
+func (c *call) refuseVerified(reason structs.Reason, after time.Duration, done func()) {
 	if c.sentRuns > 0 {
 		c.refuse(reason, after)
 		return
 	}
 	c.phase = phaseVerifying
-	c.shard.verifyOwnership(func(proven bool) {
+	c.shard.verifyOwnership(func(verified bool) {
 		switch {
 		case c.phase != phaseVerifying:
-		case !proven:
+		case !verified:
 			c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 		default:
 			c.refuse(reason, after)
-			if then != nil {
-				then()
+			if done != nil {
+				done()
 			}
 		}
 	})
--- a/internal/owner/verify_test.go
+++ b/internal/owner/verify_test.go
@@ -10,71 +10,71 @@
 // newSupersededOwner gives a world in which o2 took the shard over and o1, whose reads
 // lag, does not know yet.
 func newSupersededOwner(t *testing.T) (*cluster, structs.ProgramID) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
-	w.nodes["o1"].readLag = 300 * time.Millisecond
-	w.nodes["o1"].suspected = true
-	r := w.submit(testCall(id, 1, false), time.Minute)
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
+	cl.nodes["o1"].suspected = true
+	r := cl.submit(testCall(id, 1, false), time.Minute)
 	for r.outcome == nil {
-		w.run(time.Millisecond)
+		cl.run(time.Millisecond)
 	}
-	w.expect(r, structs.OutcomeAnswered, "")
-	w.nodes["o1"].suspected = false
-	if !w.nodes["o1"].o.shards[0].owned() || !w.nodes["o2"].o.shards[0].owned() {
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.nodes["o1"].suspected = false
+	if !cl.nodes["o1"].o.shards[0].owned() || !cl.nodes["o2"].o.shards[0].owned() {
 		t.Fatal("the old owner knows of the new one")
 	}
-	return w, id
+	return cl, id
 }
 
 // openAt opens a program at one owner only.
-func (w *cluster) openAt(to structs.InstanceID, n byte) structs.ProgramID {
+func (cl *cluster) openAt(to structs.InstanceID, n byte) structs.ProgramID {
 	id := structs.NewProgramID(testRegion, testStart, [10]byte{9: n})
-	w.sendMessage(testGateway, to, &structs.ProgramRequest{
+	cl.sendMessage(testGateway, to, &structs.ProgramRequest{
 		Request: "open", Op: structs.ProgramOpen, Program: id, Team: testTeam, Remaining: time.Second,
 	})
-	w.run(50 * time.Millisecond)
+	cl.run(50 * time.Millisecond)
 	return id
 }
 
 // An owner that was superseded without knowing gives no final refusal from what
 // it knows: the caller gets the answer of the new owner.
 func TestSupersededOwnerVerifiesBeforeRefusing(t *testing.T) {
-	w, _ := newSupersededOwner(t)
-	id := w.openAt("o2", 2)
-	r := w.submit(testCall(id, 1, false), time.Minute)
-	show := w.operate(id, structs.ProgramShow)
-	w.run(time.Second)
-	w.expect(r, structs.OutcomeAnswered, "")
+	cl, _ := newSupersededOwner(t)
+	id := cl.openAt("o2", 2)
+	r := cl.submit(testCall(id, 1, false), time.Minute)
+	show := cl.operate(id, structs.ProgramShow)
+	cl.run(time.Second)
+	cl.expect(r, structs.OutcomeAnswered, "")
 	if show.Outcome.Reason == structs.ReasonUnknownProgram {
 		t.Error("a live program is called unknown")
 	}
 }
 
 // runAtSecondOwner lets o2 run a call while o1 does not know of it.
-func (w *cluster) runAtSecondOwner(c *structs.Call) {
-	w.nodes["o1"].suspected = true
-	r := w.submit(c, time.Minute)
+func (cl *cluster) runAtSecondOwner(c *structs.Call) {
+	cl.nodes["o1"].suspected = true
+	r := cl.submit(c, time.Minute)
 	for r.outcome == nil {
-		w.run(time.Millisecond)
+		cl.run(time.Millisecond)
 	}
-	w.expect(r, structs.OutcomeAnswered, "")
-	w.nodes["o1"].suspected = false
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.nodes["o1"].suspected = false
 }
 
 // A refusal in a lane waits for the proof, too.
 func TestSupersededOwnerVerifiesBeforeRefusingInLane(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.nodes["o1"].readLag = 300 * time.Millisecond
-	behind := w.submit(testCall(id, 2, false), time.Minute)
-	w.run(w.policy.GapTimeout - 150*time.Millisecond)
-	w.runAtSecondOwner(testCall(id, 1, false))
-	w.run(2 * time.Second)
-	w.expect(behind, structs.OutcomeAnswered, "")
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
+	behind := cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(cl.policy.GapTimeout - 150*time.Millisecond)
+	cl.runAtSecondOwner(testCall(id, 1, false))
+	cl.run(2 * time.Second)
+	cl.expect(behind, structs.OutcomeAnswered, "")
 
-	w = newCluster(t, 1, 2)
-	id = w.program(1)
+	cl = newCluster(t, 1, 2)
+	id = cl.program(1)
 	spec := func(key string, chain ...byte) *structs.Call {
 		c := testCall(id, 0, false)
 		c.Key = key
@@ -83,45 +83,45 @@
 		}
 		return c
 	}
-	w.submit(spec("a", 1), time.Minute)
-	w.run(time.Second)
-	w.nodes["o1"].readLag = 300 * time.Millisecond
+	cl.submit(spec("a", 1), time.Minute)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
 	fork := spec("b", 9)
 	fork.Fork = true
-	w.runAtSecondOwner(fork)
-	next := w.submit(spec("c", 9, 9, 9), time.Minute)
-	w.run(2 * time.Second)
-	w.expect(next, structs.OutcomeAnswered, "")
+	cl.runAtSecondOwner(fork)
+	next := cl.submit(spec("c", 9, 9, 9), time.Minute)
+	cl.run(2 * time.Second)
+	cl.expect(next, structs.OutcomeAnswered, "")
 }
 
 // A proof holds for what arrived before its record was sent, not for later.
 func TestVerificationIsNewerThanRequest(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	w.program(1)
-	w.run(time.Second)
-	w.nodes["o1"].readLag = 300 * time.Millisecond
+	cl := newCluster(t, 1, 2)
+	cl.program(1)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
 	other := structs.NewProgramID(testRegion, testStart, [10]byte{9: 7})
-	early := w.submit(testCall(other, 1, false), time.Minute)
-	w.run(20 * time.Millisecond)
-	w.nodes["o1"].suspected = true
-	id := w.openAt("o2", 2)
-	w.nodes["o1"].suspected = false
-	late := w.submit(testCall(id, 1, false), time.Minute)
-	w.run(2 * time.Second)
-	w.expect(early, structs.OutcomeNotRun, structs.ReasonUnknownProgram)
-	w.expect(late, structs.OutcomeAnswered, "")
+	early := cl.submit(testCall(other, 1, false), time.Minute)
+	cl.run(20 * time.Millisecond)
+	cl.nodes["o1"].suspected = true
+	id := cl.openAt("o2", 2)
+	cl.nodes["o1"].suspected = false
+	late := cl.submit(testCall(id, 1, false), time.Minute)
+	cl.run(2 * time.Second)
+	cl.expect(early, structs.OutcomeNotRun, structs.ReasonUnknownProgram)
+	cl.expect(late, structs.OutcomeAnswered, "")
 }
 
 // In an outage a refusal by state is not final.
 func TestStateRefusalDuringLogOutage(t *testing.T) {
-	w := newCluster(t, 1, 1)
-	w.program(1)
-	w.logDown = true
-	w.pollStream(w.nodes["o1"], "shard.lakes.0")
-	w.run(time.Second)
-	r := w.submit(markFresh(testCall(structs.NewProgramID(testRegion, testStart, [10]byte{9: 7}), 1, false)), time.Minute)
-	w.run(100 * time.Millisecond)
-	w.expect(r, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
+	cl := newCluster(t, 1, 1)
+	cl.program(1)
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	cl.run(time.Second)
+	r := cl.submit(markFresh(testCall(structs.NewProgramID(testRegion, testStart, [10]byte{9: 7}), 1, false)), time.Minute)
+	cl.run(100 * time.Millisecond)
+	cl.expect(r, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
 	if r.outcome.RetryAfter == 0 {
 		t.Error("the caller is not told when to come back")
 	}
@@ -130,23 +130,23 @@
 // An owner that wakes up runs no call, repeatable or not, before the log shows
 // that it is still the owner.
 func TestResumedOwnerVerifiesOwnershipBeforeRunning(t *testing.T) {
-	w := newCluster(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
-	w.pause("o1", 5*time.Second)
-	w.nodes["o1"].logUnresponsive = true
-	stale := w.submit(testCall(id, 1, false), 30*time.Second)
-	w.run(1200 * time.Millisecond)
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
+	cl.pause("o1", 5*time.Second)
+	cl.nodes["o1"].logUnresponsive = true
+	stale := cl.submit(testCall(id, 1, false), 30*time.Second)
+	cl.run(1200 * time.Millisecond)
 	for n := uint64(1); n <= 2; n++ {
-		r := w.submit(testCall(id, n, false), time.Minute)
-		w.run(time.Second)
-		w.expect(r, structs.OutcomeAnswered, "")
+		r := cl.submit(testCall(id, n, false), time.Minute)
+		cl.run(time.Second)
+		cl.expect(r, structs.OutcomeAnswered, "")
 	}
-	before := w.sendsOf(stale.call)
+	before := cl.sendsOf(stale.call)
 	// It gets to the log again when it goes on, and has read nothing yet.
-	w.nodes["o1"].logUnresponsive = false
-	w.run(5 * time.Second)
-	if n := w.sendsOf(stale.call); n != before {
+	cl.nodes["o1"].logUnresponsive = false
+	cl.run(5 * time.Second)
+	if n := cl.sendsOf(stale.call); n != before {
 		t.Errorf("call 1 ran again after call 2 at the owner that woke up: %d sends", n)
 	}
 }
