--- a/internal/owner/append.go
+++ b/internal/owner/append.go
@@ -7,33 +7,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// urgency tells whether a call waits for a record.
+// urgency reports whether a caller is blocked on a record.
 type urgency bool
 
-// Urgencies of records.
 const (
 	urgent urgency = true
 	lazy   urgency = false
 )
 
-// pendingRecord is a record on its way into the log. counted is called once it was
-// read back and took effect; never if another instance's claim came first.
+// pendingRecord is a record that is not committed yet. onCommitted is called once
+// the record was read back and took effect. It is never called if another
+// instance's claim precedes the record.
 type pendingRecord struct {
 	record      journal.Record
 	data        []byte
 	onCommitted func()
 }
 
-// appender writes the records of one shard in sequence order. One append is in
-// flight at a time and is repeated unchanged until it is read back, so that a
-// writer's sequence numbers ascend in the log and a repeat is recognizable.
+// appender writes the records of one shard in sequence order. It keeps one append
+// in flight and repeats it unchanged until it is read back, so that a writer's
+// sequence numbers ascend in the log and duplicates are recognizable.
 type appender struct {
 	s        *shard
 	queue    []*pendingRecord
 	inFlight []*pendingRecord
-	// sentAt is when the oldest record not read back was first sent.
+	// sentAt is when the batch in flight was first sent.
 	sentAt time.Time
-	// stalled tells that an append was not confirmed in time.
+	// stalled indicates that an append was not confirmed in time.
 	stalled      bool
 	refusals     int
 	backoff      time.Duration
@@ -42,10 +42,10 @@
 	confirmTimer *timer
 }
 
-// appliesAhead tells whether an owner's own record takes effect in its state
-// before it is read back: these state what is true whatever the log says.
-// Abandoned is not among them, since it may come before its Intent counts and
-// must take effect after it.
+// appliesAhead reports whether an owner's own record takes effect in its state
+// before it is read back. These kinds state facts that hold whatever the log
+// contains. Abandoned is excluded: it may be written before its Intent is
+// committed and must take effect after it.
 func appliesAhead(kind journal.Kind) bool {
 	switch kind {
 	case journal.KindStarted, journal.KindDone, journal.KindSettled, journal.KindLedgerReturn:
@@ -55,7 +55,7 @@
 	}
 }
 
-// push queues a record; counted is called once it was read back with effect.
+// push queues a record and calls onCommitted once it is committed.
 func (a *appender) push(body journal.Body, u urgency, counted func()) {
 	o := a.s.o
 	o.sequences[a.s.id]++
@@ -78,7 +78,7 @@
 	a.scheduleFlush(lazyFlushDelay)
 }
 
-// scheduleFlush flushes after a delay, or earlier if that is set already.
+// scheduleFlush flushes after d, or earlier if an earlier flush is scheduled.
 func (a *appender) scheduleFlush(d time.Duration) {
 	at := a.s.o.now.Add(d)
 	if a.flushTimer != nil && a.flushTimer.index >= 0 && !a.flushTimer.at.After(at) {
@@ -88,7 +88,7 @@
 	a.flushTimer = a.s.o.timers.set(at, a.flush)
 }
 
-// flush sends the next batch, within the shard's rate.
+// flush sends the next batch, subject to the rate limit of appends.
 func (a *appender) flush() {
 	if len(a.inFlight) > 0 || len(a.queue) == 0 {
 		return
@@ -111,9 +111,9 @@
 	a.sendBatch()
 }
 
-// takeToken gives the time to wait until the next append is allowed. The shards
-// of an instance share its part of what the log takes from all instances, so
-// that a busy shard may use what idle ones leave.
+// takeToken takes a token for one append. If none is available it returns how
+// long to wait. All shards of an instance share one token bucket, so a busy shard
+// can use the rate that idle shards leave.
 func (o *Owner) takeToken() time.Duration {
 	rate := maxAppendRate / float64(max(1, len(o.members.Peers())))
 	burst := max(minBurst, rate/burstDivisor)
@@ -130,8 +130,8 @@
 	return time.Duration((1-o.appendTokens)/rate*float64(time.Second)).Round(time.Millisecond) + time.Millisecond
 }
 
-// appendUrgency is the urgency of a record that no call waits for but whose loss costs:
-// at once while half of the appends allowed at a time are left.
+// appendUrgency returns the urgency of a record that no caller waits for but that
+// is expensive to lose: urgent while at least half of the burst is available.
 func (o *Owner) appendUrgency() urgency {
 	rate := maxAppendRate / float64(max(1, len(o.members.Peers())))
 	burst := max(minBurst, rate/burstDivisor)
@@ -153,8 +153,8 @@
 	a.resendTimer = o.after(appendResendTimeout, a.resendBatch)
 }
 
-// resendBatch sends the batch in flight again with the same sequence numbers: its
-// result is not known, and a duplicate is dropped by every reader.
+// resendBatch sends the batch in flight again with the same sequence numbers. Its
+// result is unknown, and readers drop duplicates.
 func (a *appender) resendBatch() {
 	if len(a.inFlight) > 0 {
 		a.sendBatch()
@@ -179,7 +179,7 @@
 	a.backoff = min(2*a.backoff, maxAppendBackoff)
 }
 
-// onConfirmTimeout takes the log to be down.
+// onConfirmTimeout marks the log as unavailable.
 func (a *appender) onConfirmTimeout() {
 	if len(a.inFlight) == 0 || a.stalled {
 		return
@@ -190,7 +190,7 @@
 	}
 }
 
-// onReadBack confirms the own record with that sequence number.
+// onReadBack confirms this writer's record with that sequence number.
 func (a *appender) onReadBack(sequence uint64, verdict journal.Verdict) {
 	for len(a.inFlight) > 0 && a.inFlight[0].record.Sequence <= sequence {
 		e := a.inFlight[0]
@@ -213,8 +213,9 @@
 	}
 }
 
-// dropFenced forgets the fenced records after another instance's claim: in the
-// log they are void. A batch in flight with unfenced records is still repeated.
+// dropFenced drops the fenced records after another instance's claim, which makes
+// them void in the log. A batch in flight with unfenced records is still
+// repeated.
 func (a *appender) dropFenced() {
 	queue := a.queue
 	a.queue = nil
@@ -238,7 +239,7 @@
 	}
 }
 
-// unfencedCount counts the facts that are not in the log yet.
+// unfencedCount returns the number of unfenced records not in the log yet.
 func (a *appender) unfencedCount() int { return countUnfenced(a.inFlight) + countUnfenced(a.queue) }
 
 func countUnfenced(entries []*pendingRecord) int {
@@ -251,7 +252,7 @@
 	return n
 }
 
-// full tells whether no more records should be made until the log takes some.
+// full reports whether the limit of pending records is reached.
 func (a *appender) full() bool { return len(a.queue)+len(a.inFlight) >= maxPendingRecords }
 
 func (a *appender) stop() {
--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -5,14 +5,16 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// chunkDivisor is the part of a program's budget that one reservation takes at
-// most beyond what the call needs: an owner that dies loses it.
+// chunkDivisor limits a reservation beyond what the call needs, as a fraction of
+// the program's budget. If the owner crashes, the unspent part of a chunk is
+// lost.
 const chunkDivisor = 16
 
-// aheadDivisor is the part of what is left of a budget that may be reserved ahead.
+// aheadDivisor limits a reservation made ahead of a call, as a fraction of the
+// available budget.
 const aheadDivisor = 4
 
-// worstCase is the most that a call can cost.
+// worstCase returns the maximum cost of one run of the call.
 func (c *call) worstCase() journal.Amount {
 	a := journal.Amount{Fees: c.spec.Fee}
 	if c.spec.Kind == structs.CallChat {
@@ -21,21 +23,20 @@
 	return a
 }
 
-// limits gives the program's budget; 0 is no bound.
+// limits returns the program's budget. 0 means unlimited.
 func (p *program) limits() journal.Amount {
 	policy := p.policy()
 	return journal.Amount{Tokens: policy.ProgramTokens, Fees: policy.ProgramFees}
 }
 
-// available is what may still be reserved or held: the budget less all that is
-// committed in the log or on its way there.
+// available returns what may still be reserved or held: the budget less all
+// amounts committed in the log or pending.
 func (p *program) available() journal.Amount {
 	limit := p.limits()
 	left := limit.Minus(p.pending)
 	if row := p.row(); row != nil {
 		left = left.Minus(row.Committed())
 	}
-	// No bound leaves plenty of that part.
 	if limit.Tokens == 0 {
 		left.Tokens = unlimited
 	}
@@ -47,7 +48,7 @@
 
 const unlimited = 1 << 60
 
-// chunkFree is the part of this epoch's chunk that no call holds.
+// chunkFree returns the part of this epoch's chunk that no call holds.
 func (p *program) chunkFree() journal.Amount {
 	var free journal.Amount
 	if row := p.row(); row != nil {
@@ -65,8 +66,8 @@
 	return free
 }
 
-// reserveCost makes the call's cost durable: for a not-repeatable call with its
-// Intent, for others by a reservation.
+// reserveCost makes the call's cost durable: in its Intent for a not-repeatable
+// call, by a reservation otherwise.
 func (c *call) reserveCost() {
 	if c.notRepeatable {
 		c.writeIntent()
@@ -75,8 +76,8 @@
 	c.reserveFromChunk()
 }
 
-// reserveFromChunk holds a repeatable call's worst case from the chunk, after a further
-// reservation if the chunk is too small.
+// reserveFromChunk holds a repeatable call's worst case from the chunk. If the
+// chunk is too small, the call waits for a further reservation.
 func (c *call) reserveFromChunk() {
 	if !c.holdTeamBudgets() {
 		return
@@ -110,8 +111,8 @@
 	}
 }
 
-// refuseBudget refuses a call for want of budget. What other calls hold may
-// come back, so that asking again helps only then.
+// refuseBudget refuses a call because the budget is exhausted. It sets RetryAfter
+// only if other calls hold budget that may be released.
 func (c *call) refuseBudget() {
 	if !c.prog.held.IsZero() || !c.prog.pending.IsZero() {
 		c.refuseVerified(structs.ReasonBudget, busyRetryAfter, nil)
@@ -124,7 +125,7 @@
 	amount := p.chunkSize(missing)
 	p.pending = p.pending.Plus(amount)
 	p.reserving = true
-	// A single call's program has no record before its first: Open makes it.
+	// The program of a single call is opened by its first record.
 	if p.row() == nil {
 		p.shard.app.push(&journal.Open{Program: p.id, Team: p.team, Single: true}, urgent, nil)
 	}
@@ -135,7 +136,7 @@
 	})
 }
 
-// chunkSize rounds a reservation up, so that the next calls need none.
+// chunkSize rounds a reservation up, so that following calls need none.
 func (p *program) chunkSize(missing journal.Amount) journal.Amount {
 	limit, left := p.limits(), p.available()
 	amount := missing
@@ -146,7 +147,7 @@
 	return amount
 }
 
-// onReserved takes up the calls that waited for a reservation.
+// onReserved resumes the calls that waited for a reservation.
 func (p *program) onReserved() {
 	for _, c := range p.sortedCalls() {
 		if c.phase == phaseReserve {
@@ -155,15 +156,15 @@
 	}
 }
 
-// chargeFailedRun books a run that broke: it may have cost its worst case, so that a further
-// run needs a hold of its own.
+// chargeFailedRun charges the worst case of a failed run. A further run needs its
+// own hold.
 func (c *call) chargeFailedRun() {
 	c.failedCost = c.failedCost.Plus(c.worstCase())
 	c.failedRuns++
 }
 
-// reserveAhead reserves what the next call is likely to need, so that it need
-// not wait for the log, if the budget is ample.
+// reserveAhead reserves the expected cost of the next call, so that it does not
+// wait for the log. It does so only while much of the budget is available.
 func (p *program) reserveAhead(need journal.Amount) {
 	s := p.shard
 	if !s.owned() || s.logDown() || s.o.draining || p.reserving || p.limits().IsZero() || p.closing {
@@ -181,7 +182,7 @@
 	}
 }
 
-// releaseHold gives back what a call held.
+// releaseHold releases the amounts that the call holds.
 func (c *call) releaseHold() {
 	if c.heldFromChunk {
 		c.prog.held = c.prog.held.Minus(c.hold)
@@ -190,10 +191,10 @@
 	c.releaseTeamBudgets()
 }
 
-// settleChunks records that this instance spends no more from its chunks of a
-// lost shard; it tells whether it wrote something.
+// settleChunks records that this instance spends no more from its chunks. It
+// reports whether it wrote a record.
 func (s *shard) settleChunks() bool {
-	// What a call in flight will cost is in no record yet.
+	// The cost of a call in flight is not recorded yet.
 	if s.calls > 0 {
 		return false
 	}
--- a/internal/owner/call.go
+++ b/internal/owner/call.go
@@ -8,56 +8,56 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// phase tells what a live call waits for.
+// phase is what a live call waits for.
 type phase string
 
-// Phases of a call.
 const (
-	// phaseQueued: its turn in the lane.
+	// phaseQueued waits for its turn in the lane.
 	phaseQueued phase = "queued"
-	// phaseRecovery: what became of a run of an earlier owner.
+	// phaseRecovery waits for the outcome of a previous owner's run.
 	phaseRecovery phase = "recovery"
-	// phaseReserve: a budget reservation to count.
+	// phaseReserve waits for a budget reservation to commit.
 	phaseReserve phase = "reserve"
-	// phaseIntent: its Intent to count.
+	// phaseIntent waits for its Intent to commit.
 	phaseIntent phase = "intent"
-	// phasePermit: a permit of the dispatcher.
+	// phasePermit waits for a permit from the dispatcher.
 	phasePermit phase = "permit"
-	// phaseConfirm: proof from the log that the shard is still owned.
+	// phaseConfirm waits for the log to confirm that the shard is still owned.
 	phaseConfirm phase = "confirm"
-	// phaseVerifying: proof from the log that its refusal is right.
+	// phaseVerifying waits for the log to confirm the state that its refusal is
+	// based on.
 	phaseVerifying phase = "proving"
-	// phaseRunning: the end of its run.
+	// phaseRunning waits for the end of its run.
 	phaseRunning phase = "running"
-	// phaseQuerying: the target's word on a broken run.
+	// phaseQuerying waits for the target to report the outcome of a failed run.
 	phaseQuerying phase = "asking"
-	// phaseRecording: its outcome to count.
+	// phaseRecording waits for its outcome to commit.
 	phaseRecording phase = "recording"
-	// phaseEnded: nothing.
+	// phaseEnded is final.
 	phaseEnded phase = "ended"
 )
 
-// call is the row of a live call.
+// call is the state of a live call.
 type call struct {
 	shard *shard
 	prog  *program
 	spec  *structs.Call
-	// key is the idempotency key, or one made of the request id.
+	// key is the idempotency key, or one derived from the request id.
 	key           string
 	notRepeatable bool
 	lane          *lane
 	phase         phase
 	arrived       time.Time
 	waiters       []*waiter
-	// rerun tells that the key's last run has an unknown outcome.
+	// rerun indicates that the key's last run has an unknown outcome.
 	rerun bool
-	// keyLookedUp tells that earlier deliveries of the key would be known.
+	// keyLookedUp indicates that earlier deliveries of the key would be known.
 	keyLookedUp bool
-	// resubmitted tells that an earlier owner may have run the call.
+	// resubmitted indicates that a previous owner may have run the call.
 	resubmitted bool
 
 	run structs.RunID
-	// permit is the name of the permit at the dispatcher, the run's but for a
+	// permit identifies the permit at the dispatcher. It equals run, except for a
 	// further permit of the same run.
 	permit  structs.RunID
 	service structs.Service
@@ -66,33 +66,33 @@
 	target  structs.Target
 	// sentRuns counts the runs that may have reached a target.
 	sentRuns int
-	// intentAppended tells that an Intent may be in the log.
+	// intentAppended indicates that an Intent may be in the log.
 	intentAppended bool
-	// hold is the worst case of the cost, taken from the budget; chunk
-	// tells that it is taken from the reserved chunk.
+	// hold is the worst-case cost taken from the budget. heldFromChunk indicates
+	// that it is taken from the reserved chunk.
 	hold          journal.Amount
 	heldFromChunk bool
-	// failedCost is the worst case of runs that broke before this one.
+	// failedCost is the worst-case cost of the failedRuns earlier runs.
 	failedCost journal.Amount
 	failedRuns int
-	// heldTeams are the team paths whose budgets hold teamHold, for that many
+	// heldTeams are the team paths whose budgets hold teamHold, for teamRuns
 	// runs.
 	heldTeams []structs.Team
 	teamHold  journal.Amount
 	teamRuns  int
-	// pieces are the pieces of the answer received so far.
+	// pieces are the pieces of the response received so far.
 	pieces  []string
 	resumes int
-	// inherited tells that an earlier owner started the run.
+	// inherited indicates that a previous owner started the run.
 	inherited bool
-	// cancelReason tells that the run was told to stop, and why.
+	// cancelReason is why the run was cancelled, empty if it was not.
 	cancelReason structs.Reason
-	// permitQueued tells that the dispatcher has the permit request.
+	// permitQueued indicates that the dispatcher has the permit request.
 	permitQueued bool
 	pool         *pool
 	timer        *timer
 	lingerTimer  *timer
-	// outcome waits in phaseRecording.
+	// outcome is the outcome being recorded in phaseRecording.
 	outcome structs.Outcome
 }
 
@@ -100,16 +100,17 @@
 type waiter struct {
 	request structs.RequestID
 	from    structs.InstanceID
-	// nextPiece is the first piece that the gateway lacks; run made those before.
+	// nextPiece is the index of the first piece that the gateway lacks. run
+	// produced the pieces before it.
 	nextPiece int
 	run       structs.RunID
 	deadline  time.Time
 	timer     *timer
-	// detached tells that the connection to the gateway broke.
+	// detached indicates that the connection to the gateway is broken.
 	detached bool
 }
 
-// journalID gives the journal's name of the call.
+// journalID returns the identity of the call in journal records.
 func (c *call) journalID() journal.CallID {
 	return journal.CallID{
 		Program: c.spec.Program, Team: c.prog.team, Single: c.spec.Single, Lane: c.spec.Lane,
@@ -132,13 +133,13 @@
 	c.forward(w)
 }
 
-// started tells whether the run of the call's answer is fixed.
+// started reports whether the run that produces the response is fixed.
 func (c *call) started() bool {
 	return c.phase == phaseRunning || c.phase == phaseQuerying || c.phase == phaseRecording
 }
 
-// dropMismatchedWaiters answers the gateways that have pieces of another run: what they
-// passed on cannot be made whole.
+// dropMismatchedWaiters ends the waiters that received pieces of another run,
+// since their response cannot be completed.
 func (c *call) dropMismatchedWaiters() {
 	for _, w := range slices.Clone(c.waiters) {
 		if w.nextPiece == 0 || w.run == c.run {
@@ -149,7 +150,7 @@
 	}
 }
 
-// reattach takes a repeated Submit of a request that is waiting already.
+// reattach handles a repeated Submit of a request that already waits.
 func (c *call) reattach(from structs.InstanceID, m *structs.Submit) {
 	c.resubmitted = c.resubmitted || m.Resubmitted || m.Have > 0
 	for _, w := range c.waiters {
@@ -175,7 +176,7 @@
 	c.shard.o.send(w.from, &structs.CallChunk{Request: w.request, Run: c.run, Chunk: chunk})
 }
 
-// deadline is the latest time by which some gateway needs the outcome.
+// deadline returns the latest deadline of all waiters.
 func (c *call) deadline() time.Time {
 	var last time.Time
 	for _, w := range c.waiters {
@@ -186,7 +187,7 @@
 	return last
 }
 
-// sendOutcome gives every waiter the outcome.
+// sendOutcome sends the outcome to all waiters.
 func (c *call) sendOutcome(out structs.Outcome) {
 	for _, w := range c.takeWaiters() {
 		c.shard.o.send(w.from, &structs.CallEnd{Request: w.request, Run: c.run, Outcome: out})
@@ -207,7 +208,6 @@
 	delete(c.shard.o.requests, w.request)
 }
 
-// removeWaiter takes one waiter off.
 func (c *call) removeWaiter(w *waiter) {
 	if i := slices.Index(c.waiters, w); i >= 0 {
 		c.waiters = slices.Delete(c.waiters, i, i+1)
@@ -215,8 +215,8 @@
 	c.unregisterWaiter(w)
 }
 
-// onDeadline answers a waiter whose time is up. While others wait the call may
-// still run, so "not run" is said only to the last one.
+// onDeadline ends a waiter whose deadline has passed. The call may still run for
+// other waiters, so only the last one receives "not run".
 func (c *call) onDeadline(w *waiter) {
 	if len(c.waiters) == 1 && !c.mayHaveRun() {
 		c.refuse(structs.ReasonDeadline, 0)
@@ -229,11 +229,11 @@
 	}
 }
 
-// onNoWaiters runs when no gateway waits any more.
+// onNoWaiters is called when the last waiter has left.
 func (c *call) onNoWaiters(reason structs.Reason) {
 	switch c.phase {
 	case phaseRunning:
-		// A not-repeatable run goes on: its outcome is kept for a retry.
+		// A not-repeatable run continues, and its outcome is stored for a retry.
 		if !c.notRepeatable {
 			c.cancel(reason)
 		}
@@ -271,8 +271,9 @@
 	})
 }
 
-// lingerIfDetached gives a caller a short time to come back at another gateway
-// before its call is given up. What was not sent is given up at once.
+// lingerIfDetached gives a caller a short time to reconnect through another
+// gateway before its call is abandoned. A call that was not sent is abandoned at
+// once.
 func (c *call) lingerIfDetached() {
 	for _, w := range c.waiters {
 		if !w.detached {
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// claimOrRedirect decides whether this instance serves a message for a shard that it does
-// not own now: it begins to claim and holds the message, or says who is better.
+// claimOrRedirect handles a message for a shard that this instance does not own.
+// It starts a claim and holds the message, or replies with the preferred owner.
 func (s *shard) claimOrRedirect(from structs.InstanceID, msg structs.Message, suspects []structs.InstanceID) {
 	switch s.tenure {
 	case tenureProbing, tenureLocating, tenureReplaying, tenureClaiming:
@@ -37,8 +37,8 @@
 	}
 }
 
-// candidate gives the instance that should own the shard, and whether this one
-// comes next if the suspects are down.
+// candidate returns the instance that should own the shard, and whether this
+// instance is next in rank if the suspects are down.
 func (s *shard) candidate(suspects []structs.InstanceID) (structs.InstanceID, bool) {
 	self := s.o.cfg.Self.ID
 	if s.recentlyLost() && !slices.Contains(suspects, s.newOwner) {
@@ -65,8 +65,9 @@
 	return ok && !peer.Leaving && !s.o.members.Suspected(id)
 }
 
-// recentlyLost keeps two instances with different membership views from
-// claiming a shard in turns.
+// recentlyLost reports whether another instance claimed the shard a short time
+// ago. It keeps two instances with different membership views from claiming a
+// shard in turn.
 func (s *shard) recentlyLost() bool {
 	if s.newOwner == "" || s.newOwner == s.o.cfg.Self.ID || !s.usable(s.newOwner) {
 		return false
@@ -94,7 +95,8 @@
 	}
 }
 
-// startReading reads the stream, then claims if wanted or if work is owed.
+// startReading reads the stream. The shard is claimed afterwards if wanted is
+// set, if messages are held or if the shard has pending work.
 func (s *shard) startReading(wanted bool) {
 	s.reset()
 	s.claimWanted = wanted
@@ -103,8 +105,8 @@
 	s.startLogTimer()
 }
 
-// startClaim begins to claim. A shard that was lost while calls of it still run is
-// read up to date, so it can be claimed at once.
+// startClaim starts to claim the shard. A lost shard whose calls still run has
+// been read up to date, so it is claimed at once.
 func (s *shard) startClaim() {
 	if s.tenure == tenureLost {
 		s.claim()
@@ -113,7 +115,7 @@
 	s.startReading(true)
 }
 
-// startLogTimer refuses what is held if the log does not answer in time.
+// startLogTimer refuses the held messages if the log does not respond in time.
 func (s *shard) startLogTimer() {
 	s.o.timers.stop(s.logTimer)
 	s.logTimer = s.o.after(confirmTimeout, func() {
@@ -141,15 +143,15 @@
 	return held
 }
 
-// claim appends the claim of the next epoch. It takes effect for this instance
-// only when it is read back as the first of its epoch.
+// claim appends a claim for the next epoch. This instance owns the shard only if
+// its claim is read back as the first of that epoch.
 func (s *shard) claim() {
 	s.tenure = tenureClaiming
 	s.app.push(&journal.Claim{Instance: s.o.cfg.Self.ID}, urgent, nil)
 	s.startLogTimer()
 }
 
-// onCaughtUp runs when the stream was replayed to its end.
+// onCaughtUp is called when the stream has been replayed to its end.
 func (s *shard) onCaughtUp() {
 	s.o.timers.stop(s.logTimer)
 	if s.o.draining || !s.claimWanted && len(s.held) == 0 && !s.hasPendingWork() {
@@ -159,7 +161,8 @@
 	s.claim()
 }
 
-// onClaimWon runs when the own claim was read back as the first of its epoch.
+// onClaimWon is called when this instance's claim was read back as the first of
+// its epoch.
 func (s *shard) onClaimWon(epoch structs.Epoch) {
 	s.o.timers.stop(s.logTimer)
 	s.tenure, s.epoch = tenureOwned, epoch
@@ -176,8 +179,9 @@
 	}
 }
 
-// onShardLost runs when another instance's claim was read: whatever was not sent is
-// dropped at once; what was sent is awaited and recorded as unfenced facts.
+// onShardLost is called when another instance's claim was read. Calls that were
+// not sent are dropped. Runs in progress are awaited and recorded as unfenced
+// facts.
 func (s *shard) onShardLost(winner structs.InstanceID) {
 	claimed := s.tenure == tenureOwned
 	s.tenure = tenureLost
@@ -195,7 +199,7 @@
 	s.unloadIfDone()
 }
 
-// resetPending forgets what waited for fenced records: they are void now.
+// resetPending drops all state that waits for fenced records, which are void now.
 func (s *shard) resetPending() {
 	s.snapshotting, s.checkPending, s.ownershipChecks = false, false, nil
 	s.pendingGrants = make(map[string]bool)
@@ -215,7 +219,7 @@
 	}
 }
 
-// unloadIfDone forgets a lost shard once nothing of it is in flight.
+// unloadIfDone unloads a lost shard once nothing of it is in flight.
 func (s *shard) unloadIfDone() {
 	if s.tenure != tenureLost || s.calls > 0 || s.app.unfencedCount() > 0 {
 		return
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,20 +1,26 @@
-// Package owner is the single writer of the shards that this instance owns. It
-// orders the calls of each program's lanes, keeps budgets, history digests and
-// idempotency records, and runs calls at targets under a permit of the pool's
-// dispatcher. All that must last goes through the shard's journal stream.
+// Package owner implements the single writer of the shards that this instance
+// owns. It orders the calls of each program's lanes, maintains budgets, history
+// digests and idempotency records, and runs calls at targets under permits from
+// the pool's dispatcher. All durable state goes through the shard's journal
+// stream.
 //
-// The package is a pure core: Tick takes the time and events and gives
-// commands. It does no I/O and has no clock, goroutine or randomness; the same
-// inputs give the same outputs.
+// The package is deterministic: Tick takes the time and events and returns
+// commands. It does no I/O and uses no clock, goroutine or randomness.
 //
-// The invariants kept here, and where:
+// A record is committed once it was read back from the log with no newer claim
+// before it. A shard is lost when another instance's claim is read. A hold is
+// the part of a budget set aside for a call's worst-case cost.
 //
-//   - One owner an epoch, decided by the log: claim.go.
-//   - A record counts once read back with no newer claim before it: append.go.
-//   - A not-repeatable call has a counted Intent before its only send: run.go.
-//   - "Not run" is said only of what was not sent and never will be: refuse.go.
-//   - One call of a lane at a time, in the order of numbers: order.go.
-//   - Spent plus held never exceeds the budget: budget.go.
-//   - One outcome a key: idempotency.go.
-//   - Cache of a program that is gone is released until confirmed: release.go.
+// Invariants and the files that maintain them:
+//
+//   - Each epoch has one owner, decided by the log: claim.go.
+//   - A fenced record takes effect only if it is committed: append.go.
+//   - A not-repeatable call has a committed Intent before its only send: run.go.
+//   - "Not run" is reported only for calls that were not and never will be
+//     sent: refuse.go.
+//   - A lane runs one call at a time, in the order of numbers: order.go.
+//   - Spent plus held amounts never exceed the budget: budget.go.
+//   - Each idempotency key has one outcome: idempotency.go.
+//   - The cache of a closed program is released until every target has
+//     confirmed: release.go.
 package owner
