--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -7,14 +7,15 @@
 // The package is deterministic: Tick takes the time and events and returns
 // commands. It does no I/O and uses no clock, goroutine or randomness.
 //
-// A record is committed once it was read back from the log with no newer claim
-// before it. A shard is lost when another instance's claim is read. A hold is
-// the part of a budget set aside for a call's worst-case cost.
+// A record is committed once it was read back from the log and took effect. A
+// fenced record has no effect behind another instance's newer claim. A shard is
+// lost when such a claim is read. A hold is the part of a budget set aside for
+// the worst-case cost of a call.
 //
 // Invariants and the files that maintain them:
 //
 //   - Each epoch has one owner, decided by the log: claim.go.
-//   - A fenced record takes effect only if it is committed: append.go.
+//   - Fenced records are acted on only once they are committed: append.go.
 //   - A not-repeatable call has a committed Intent before its only send: run.go.
 //   - "Not run" is reported only for calls that were not and never will be
 //     sent: refuse.go.
--- a/internal/owner/dump.go
+++ b/internal/owner/dump.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// DumpState is the state of an owner for operators.
+// DumpState is the state of an owner, for operators.
 type DumpState struct {
 	Writer   string
 	Draining bool
@@ -17,7 +17,7 @@
 	Pools    []DumpPool
 }
 
-// DumpShard is one shard.
+// DumpShard is the state of one shard.
 type DumpShard struct {
 	Shard    structs.ShardID
 	Tenure   string
@@ -34,7 +34,7 @@
 	Calls    []DumpCall
 }
 
-// DumpCall is a live call and what it waits for.
+// DumpCall is a live call and the phase it waits in.
 type DumpCall struct {
 	Program       structs.ProgramID
 	Lane          structs.Lane
@@ -50,14 +50,14 @@
 	Age           time.Duration
 }
 
-// DumpPool is a pool that permits are asked of.
+// DumpPool is a pool from which permits are requested.
 type DumpPool struct {
 	Service    structs.ServiceName
 	Dispatcher structs.InstanceID
 	Calls      int
 }
 
-// Dump gives the whole state as a value for JSON.
+// Dump returns the whole state as a value for JSON.
 func (o *Owner) Dump() any {
 	d := DumpState{Writer: o.writer, Draining: o.draining, InFlight: o.InFlight(), Timers: len(o.timers.heap)}
 	for _, s := range o.sortedShards() {
@@ -99,8 +99,8 @@
 	return d
 }
 
-// Programs lists the programs under a team path that this instance owns, in
-// order of shard and id, at most limit of them.
+// Programs lists up to limit programs under a team path that this instance owns,
+// in order of shard and id.
 func (o *Owner) Programs(team structs.Team, limit int) []structs.ProgramInfo {
 	var list []structs.ProgramInfo
 	for _, s := range o.sortedShards() {
@@ -121,7 +121,7 @@
 	return list
 }
 
-// info describes the program to operators and callers.
+// info describes the program for operators and callers.
 func (p *program) info() structs.ProgramInfo {
 	limit := p.limits()
 	info := structs.ProgramInfo{
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -2,12 +2,12 @@
 
 import "github.com/banyanglade/banyanglade/internal/structs"
 
-// logEvent writes a line about the shard to the log of the instance.
+// logEvent logs an event of the shard.
 func (s *shard) logEvent(message string, other structs.InstanceID) {
 	s.o.emit(structs.Note{Message: message, Shard: s.ref, Epoch: s.epoch, Other: other})
 }
 
-// logEvent writes a line about a program.
+// logEvent logs an event of the program.
 func (p *program) logEvent(message string, reason structs.Reason) {
 	p.shard.o.emit(structs.Note{
 		Message: message, Shard: p.shard.ref, Epoch: p.shard.epoch,
@@ -15,7 +15,7 @@
 	})
 }
 
-// logEvent writes a line about an earlier owner's run whose outcome is settled now.
+// logEvent logs the outcome of a previous owner's run.
 func (r *recovery) logEvent(message string) {
 	p := r.prog
 	p.shard.o.emit(structs.Note{
--- a/internal/owner/gap.go
+++ b/internal/owner/gap.go
@@ -7,19 +7,21 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// gapRetryAfter is the RetryAfter of a refusal for missing numbers.
+// gapRetryAfter is the RetryAfter delay of a refusal because of missing call
+// numbers.
 const gapRetryAfter = time.Second
 
-// inherited tells whether an earlier owner may have run calls of the program:
-// the records of repeatable ones follow their answers, so they may be missing.
+// inherited reports whether a previous owner may have run calls of the program.
+// Repeatable calls are recorded after their response, so such records may be
+// missing.
 func (p *program) inherited() bool {
 	row := p.row()
 	return row != nil && row.Epoch < p.shard.epoch
 }
 
-// historyCoversGap tells whether a call's history proves that the caller has the
-// answers of the missing numbers: beyond what the lane's last call had sent, each
-// number adds at least an answer and a message.
+// historyCoversGap reports whether the call's history proves that the caller has
+// the responses of the missing numbers. Each number adds at least a response and
+// a message to the history that the lane's last call sent.
 func (p *program) historyCoversGap(c *call, last uint64) bool {
 	row := p.row()
 	if row == nil || row.Lanes[c.spec.Lane] == nil || c.spec.Kind != structs.CallChat || c.spec.Fork {
@@ -33,7 +35,7 @@
 	return c.spec.Number-last <= added/2
 }
 
-// startGapTimer waits for the missing numbers before a lane's next call.
+// startGapTimer limits how long the lane waits for the missing numbers.
 func (p *program) startGapTimer(l *lane) {
 	o := p.shard.o
 	if l.gapTimer != nil && l.gapTimer.index >= 0 {
@@ -46,9 +48,10 @@
 	l.gapTimer = o.after(wait, func() { p.onGapTimeout(l) })
 }
 
-// maySkipGap tells whether the lane may pass missing numbers: those of which a
-// caller heard "unknown", else once an epoch, since only what an earlier owner
-// answered last can be missing.
+// maySkipGap reports whether the lane may skip missing numbers. It may skip those
+// that a caller was told have an unknown outcome. It may skip others once an
+// epoch, because only the calls that a previous owner answered last can lack a
+// record.
 func (p *program) maySkipGap(l *lane) bool {
 	if len(l.queue) > 0 && l.queue[0].spec.Number <= p.unknownNumbers[l.name]+1 {
 		return true
@@ -56,7 +59,8 @@
 	return p.inherited() && p.gapSkips[l.name] == 0
 }
 
-// recordUnknown notes an outcome without a record.
+// recordUnknown remembers the number of a call whose outcome is unknown and has
+// no record.
 func (p *program) recordUnknown(spec *structs.Call, out structs.Outcome) {
 	if out.Kind != structs.OutcomeUnknown || spec.Number <= max(p.lastNumber(spec.Lane), p.unknownNumbers[spec.Lane]) {
 		return
@@ -67,9 +71,9 @@
 	p.unknownNumbers[spec.Lane] = spec.Number
 }
 
-// hasAllRuns tells whether the shard's state shows every run of the program's calls.
-// The records of repeatable calls follow their answers, so only an owner since
-// the program's first record has them all.
+// hasAllRuns reports whether the shard's state includes every run of the
+// program's calls. Repeatable calls are recorded after their response, so only
+// the owner that wrote the program's first record has all of them.
 func (p *program) hasAllRuns(notRepeatable bool) bool {
 	if notRepeatable {
 		return true
@@ -78,7 +82,7 @@
 	return row != nil && row.Epoch == p.shard.epoch
 }
 
-// onGapTimeout passes the missing numbers or refuses the calls behind them.
+// onGapTimeout skips the missing numbers or refuses the calls behind them.
 func (p *program) onGapTimeout(l *lane) {
 	if !p.shard.owned() || l.current != nil || l.blocked > 0 || len(l.queue) == 0 {
 		return
@@ -100,7 +104,7 @@
 	})
 }
 
-// refuseGap refuses a lane's calls behind missing numbers.
+// refuseGap refuses the lane's calls behind the missing numbers.
 func (p *program) refuseGap(name structs.Lane, reason structs.Reason, after time.Duration) {
 	l := p.lanes[name]
 	if l == nil || l.current != nil || l.blocked > 0 {
@@ -114,7 +118,8 @@
 	p.advance()
 }
 
-// wasSkipped tells whether a number was skipped, so that its call may have run.
+// wasSkipped reports whether the call's number was skipped, in which case the
+// call may have run.
 func (p *program) wasSkipped(spec *structs.Call) bool {
 	if spec.Number == 0 {
 		return false
@@ -127,8 +132,8 @@
 	return row != nil && row.Lanes[spec.Lane] != nil && row.Lanes[spec.Lane].HasSkipped(spec.Number)
 }
 
-// completeFromRecord answers a call whose key got a record while it waited: that of
-// an earlier owner, read late.
+// completeFromRecord ends a call whose key was recorded while it waited, by a
+// previous owner whose record was read late.
 func (c *call) completeFromRecord() bool {
 	row := c.prog.row()
 	if row == nil || row.Calls[c.key] == nil || c.rerun {
--- a/internal/owner/gauges.go
+++ b/internal/owner/gauges.go
@@ -1,18 +1,19 @@
 package owner
 
-// Gauges are the sizes of an owner's tables, for metrics.
+// Gauges holds the sizes of an owner's tables, for metrics.
 type Gauges struct {
-	// Shards are owned; LogDown of them cannot reach the log.
+	// Shards is the number of owned shards. LogDown counts those among them that
+	// cannot reach the log.
 	Shards  int
 	LogDown int
-	// Programs are held by the owned shards, Calls are live and Records wait
-	// for the log.
+	// Programs is the number of programs in the owned shards, Calls the number of
+	// live calls, and Records the number of records not in the log yet.
 	Programs int
 	Calls    int
 	Records  int
 }
 
-// Gauges gives the sizes of the owner's tables.
+// Gauges returns the sizes of the owner's tables.
 func (o *Owner) Gauges() Gauges {
 	var g Gauges
 	for _, s := range o.shards {
--- a/internal/owner/idempotency.go
+++ b/internal/owner/idempotency.go
@@ -4,8 +4,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// handleKnownKey answers a call whose key is known: with the recorded outcome, by
-// waiting with the call that runs, or by a refusal if the request differs.
+// handleKnownKey handles a request whose key is known. It replies with the
+// recorded outcome, attaches the request to the live call, or refuses it if the
+// request differs.
 func (p *program) handleKnownKey(from structs.InstanceID, m *structs.Submit, key string) bool {
 	o := p.shard.o
 	if c := p.calls[key]; c != nil {
@@ -41,7 +42,8 @@
 	return true
 }
 
-// refuseOpenKeyReuse refuses a key whose run of an earlier owner had another request.
+// refuseOpenKeyReuse refuses a request whose key belongs to a different request
+// that a previous owner started.
 func (p *program) refuseOpenKeyReuse(from structs.InstanceID, m *structs.Submit, key string) bool {
 	for _, run := range p.row().OpenRuns() {
 		if run.Key == key && run.Digest != m.Call.Digest {
@@ -52,8 +54,8 @@
 	return false
 }
 
-// mayRerun tells whether the call of a key may run again: it is repeatable, its
-// outcome is not known and no later call of its lane was done.
+// mayRerun reports whether the call of a key may run again: it is repeatable, its
+// outcome is unknown and no later call of its lane has completed.
 func (p *program) mayRerun(key string) bool {
 	row := p.row()
 	if row == nil || row.Calls[key] == nil {
@@ -66,8 +68,8 @@
 	return record.Number == 0 || record.Number >= p.lastNumber(record.Lane)
 }
 
-// refuseKeyReused refuses another request under a known key: the request itself
-// never runs, whatever became of the key's first.
+// refuseKeyReused refuses a different request under a known key. The refused
+// request never runs, whatever the outcome of the first one.
 func (p *program) refuseKeyReused(from structs.InstanceID, m *structs.Submit) {
 	if p.shard.deferRefusal(from, m) {
 		return
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -5,8 +5,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// onBudgetRequest serves the ledger of a team path. A grant is journalled and
-// counts before it is sent, and is the same for a repeated request.
+// onBudgetRequest serves the ledger of a team path. A grant is committed before
+// it is sent, and a repeated request gets the same grant.
 func (o *Owner) onBudgetRequest(from structs.InstanceID, m *structs.BudgetRequest) {
 	s := o.shardRow(o.ledgerShard(m.Team))
 	if !s.owned() {
@@ -36,7 +36,7 @@
 	s.writeGrant(from, m, amount)
 }
 
-// ledgerAvailable is how much of a request the budget still allows.
+// ledgerAvailable returns how much of a request the budget still allows.
 func (s *shard) ledgerAvailable(m *structs.BudgetRequest) journal.Amount {
 	limit := s.teamLimit(m.Team)
 	granted := s.pendingGrantAmounts[m.Team]
@@ -73,7 +73,7 @@
 	})
 }
 
-// onBudgetReturn takes back what was left of a grant.
+// onBudgetReturn records the returned part of a grant.
 func (o *Owner) onBudgetReturn(m *structs.BudgetReturn) {
 	s := o.shards[o.ledgerShard(m.Team)]
 	if s == nil || !s.owned() {
@@ -84,8 +84,8 @@
 	}, lazy, nil)
 }
 
-// returnGrants gives back what this instance will not spend of its newest
-// grants. It must have no call left that holds any of it.
+// returnGrants returns the unspent part of the newest grants. No live call may
+// hold any of it.
 func (s *shard) returnGrants() {
 	for _, team := range journal.SortedKeys(s.state.Accounts) {
 		row := s.state.Accounts[team]
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -7,12 +7,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lane is the live row of a lane: its waiting calls and the one that runs.
+// lane is the live state of a lane: its queue and its current call.
 type lane struct {
 	name    structs.Lane
 	queue   []*call
 	current *call
-	// blocked counts runs of an earlier owner that may still be sent.
+	// blocked counts the previous owners' runs that may still be sent.
 	blocked  int
 	gapTimer *timer
 }
@@ -26,8 +26,8 @@
 	return l
 }
 
-// insert queues a call: numbered calls in the order of their numbers, others
-// in order of arrival behind them.
+// insert queues a call. Numbered calls are queued by number, others behind them
+// in order of arrival.
 func (l *lane) insert(c *call) {
 	c.lane = l
 	at := len(l.queue)
@@ -46,7 +46,7 @@
 	}
 }
 
-// lastNumber is the number of the lane's last call that was done.
+// lastNumber returns the highest number of the lane's completed calls.
 func (p *program) lastNumber(name structs.Lane) uint64 {
 	row := p.row()
 	if row == nil || row.Lanes[name] == nil {
@@ -55,7 +55,7 @@
 	return row.Lanes[name].Last
 }
 
-// advance starts the next call of each lane that is free.
+// advance starts the next call of each free lane.
 func (p *program) advance() {
 	if !p.shard.owned() {
 		return
@@ -73,8 +73,8 @@
 	}
 }
 
-// advanceLane keeps the order of the lane: one call at a time, and a numbered
-// call only right behind its predecessor.
+// advanceLane enforces the order of the lane: one call at a time, and a numbered
+// call only directly after its predecessor.
 func (p *program) advanceLane(l *lane) {
 	for l.current == nil && l.blocked == 0 && len(l.queue) > 0 {
 		c := l.queue[0]
@@ -98,8 +98,8 @@
 	}
 }
 
-// start runs the checks that need the lane's past, then makes the call's cost
-// and intent durable before it asks for a permit.
+// start checks the call against the lane's history and the policy. It then makes
+// the call's cost durable before a permit is requested.
 func (c *call) start() {
 	p := c.prog
 	if reason := p.policyViolation(c); reason != structs.ReasonNone {
@@ -116,7 +116,7 @@
 	c.reserveCost()
 }
 
-// policyViolation checks turns, loops and history.
+// policyViolation checks the limits of turns and loops and the call's history.
 func (p *program) policyViolation(c *call) structs.Reason {
 	row := p.row()
 	if row == nil {
@@ -139,7 +139,8 @@
 	return structs.ReasonNone
 }
 
-// forksHistory tells whether the call's messages leave the lane's known history.
+// forksHistory reports whether the call's messages diverge from the lane's known
+// history.
 func forksHistory(l *journal.Lane, spec *structs.Call) bool {
 	if spec.Kind != structs.CallChat || spec.Fork || l.HistoryCount == 0 {
 		return false
@@ -148,7 +149,7 @@
 	return len(spec.History) < n || spec.History[n-1] != l.HistoryDigest
 }
 
-// history gives the lane's history after the call.
+// history returns the lane's history after the call.
 func (c *call) history() (int, structs.ChainDigest) {
 	n := len(c.spec.History)
 	if n == 0 {
--- a/internal/owner/outcome_query.go
+++ b/internal/owner/outcome_query.go
@@ -6,14 +6,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// outcomeQueryTimeout bounds the wait for one target's word; maxQueriedTargets the targets asked
-// for one call.
+// outcomeQueryTimeout limits the wait for one target's reply, maxQueriedTargets
+// the targets queried for one call.
 const (
 	outcomeQueryTimeout = 2 * time.Second
 	maxQueriedTargets   = 8
 )
 
-// outcomeQuery is a question to targets whether they ran a call.
+// outcomeQuery asks targets whether they ran a call.
 type outcomeQuery struct {
 	run     structs.RunID
 	program structs.ProgramID
@@ -23,8 +23,9 @@
 	done    func(found bool, out structs.Outcome)
 }
 
-// queryOutcome asks the targets one after the other until one ran the call. That none
-// did proves nothing: a request may still be on its way.
+// queryOutcome queries the targets one after the other until one reports the
+// call's outcome. If none does, the call may still run: a request may be in
+// flight.
 func (o *Owner) queryOutcome(run structs.RunID, program structs.ProgramID, key string, targets []structs.Target,
 	done func(found bool, out structs.Outcome),
 ) {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -8,17 +8,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Owner holds the tables of the shards of this instance.
+// Owner holds the state of the shards of this instance.
 type Owner struct {
 	cfg      structs.InstanceConfig
 	members  structs.Members
 	settings structs.Settings
-	// writer is the nonce of this incarnation in journal records.
+	// writer identifies this incarnation in journal records.
 	writer string
 
 	now time.Time
-	// lastTick is the time of the last tick, resumedAt that of the last one
-	// before which this process may have been paused.
+	// lastTick is the time of the last tick. resumedAt is the time of the last
+	// tick before which this process may have been paused.
 	lastTick  time.Time
 	resumedAt time.Time
 	commands  []structs.Command
@@ -27,32 +27,34 @@
 	shards  map[structs.ShardID]*shard
 	streams map[string]*shard
 	appends map[structs.AppendID]*shard
-	// sequences holds the last sequence number used in each shard's stream.
-	// It outlives the shard's row, since an append of an earlier tenure may
-	// still take effect.
+	// sequences holds the last sequence number used in each shard's stream. It
+	// outlives the shard's state, since an append of an earlier tenure may still
+	// take effect.
 	sequences      map[structs.ShardID]uint64
 	requests       map[structs.RequestID]*call
 	runs           map[structs.RunID]*call
 	pools          map[structs.PoolID]*pool
 	outcomeQueries map[structs.RunID]*outcomeQuery
 
-	// appendTokens limits the rate of appends, refilled at the last one.
+	// appendTokens is the token bucket that limits the rate of appends. It was
+	// refilled last at refilledAt.
 	appendTokens float64
 	refilledAt   time.Time
 	lastAppend   uint64
 	lastRun      uint64
 	draining     bool
-	// heartbeatTimer keeps the ticks close together; see scheduleHeartbeat.
+	// heartbeatTimer limits the time between two ticks; see scheduleHeartbeat.
 	heartbeatTimer *timer
-	// inspected holds the shards that were read for owed work since this
-	// instance became first for them; inspecting is the next look.
+	// inspected holds the shards that were read for pending work since this
+	// instance became their preferred owner. inspectTimer fires at the next
+	// inspection.
 	inspected    map[structs.ShardID]bool
 	inspectTimer *timer
 	// snapshotInterval is the number of records between two snapshots.
 	snapshotInterval uint64
 }
 
-// New makes an owner that owns no shard yet.
+// New returns an owner without any shard.
 func New(cfg structs.InstanceConfig, members structs.Members, settings structs.Settings) *Owner {
 	return &Owner{
 		cfg: cfg, members: members, settings: settings,
@@ -70,8 +72,8 @@
 	}
 }
 
-// Tick takes the events in order, fires the timers that are due and gives the
-// commands that follow.
+// Tick handles the events in order, fires the timers that are due and returns the
+// resulting commands.
 func (o *Owner) Tick(now time.Time, events []structs.Event) []structs.Command {
 	o.now = now
 	o.commands = nil
@@ -85,10 +87,11 @@
 	return o.commands
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if no timer is set.
 func (o *Owner) NextWake() time.Time { return o.timers.next() }
 
-// InFlight counts the calls held and the journal records not yet in the log.
+// InFlight returns the number of live calls, held messages and journal records
+// not yet in the log.
 func (o *Owner) InFlight() int {
 	n := len(o.requests)
 	for _, s := range o.shards {
@@ -157,12 +160,13 @@
 	o.emit(structs.SendPeer{To: to, Msg: msg})
 }
 
-// after sets a timer.
+// after sets a timer that fires after d.
 func (o *Owner) after(d time.Duration, fire func()) *timer {
 	return o.timers.set(o.now.Add(d), fire)
 }
 
-// newRun makes a run id. It is a path segment at engines, so it has no slash.
+// newRun returns a new run id. Engines use it as a path segment, so it contains
+// no slash.
 func (o *Owner) newRun() structs.RunID {
 	o.lastRun++
 	return structs.RunID(o.writer + "." + strconv.FormatUint(o.lastRun, 10))
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -18,8 +18,8 @@
 	o.refreshPools("")
 }
 
-// onPeerDown claims the shards that waited for the instance's liveness, and
-// lets calls of its callers linger.
+// onPeerDown claims the shards that waited for a probe of the peer, and detaches
+// its callers.
 func (o *Owner) onPeerDown(peer structs.InstanceID) {
 	for _, s := range o.sortedShards() {
 		if s.tenure == tenureProbing && s.probed == peer {
@@ -51,14 +51,14 @@
 	}
 }
 
-// onMembers asks new dispatchers, and looks for shards without an owner.
+// onMembers updates the dispatchers and looks for shards without an owner.
 func (o *Owner) onMembers() {
 	o.refreshPools("")
 	o.scheduleInspect()
 }
 
-// scheduleInspect looks for shards without an owner after a while: a suspicion is
-// often false, and a shard that gets a call is claimed at once anyway.
+// scheduleInspect delays the inspection, since a suspicion is often false and a
+// shard that receives a call is claimed at once anyway.
 func (o *Owner) scheduleInspect() {
 	if o.draining || o.inspectTimer != nil && o.inspectTimer.index >= 0 {
 		return
@@ -66,8 +66,8 @@
 	o.inspectTimer = o.after(o.cfg.RecoveryWait, o.inspect)
 }
 
-// inspect reads each shard that became this instance's to own, for work that
-// an earlier owner left: programs to close, caches to release, runs to resolve.
+// inspect reads each shard that this instance should own now, for work that a
+// previous owner left: programs to close, caches to release, runs to resolve.
 func (o *Owner) inspect() {
 	if o.draining {
 		return
@@ -89,8 +89,8 @@
 	}
 }
 
-// onDrain stops taking calls: what was not sent goes to other instances, what
-// runs is let end.
+// onDrain stops accepting calls. Calls that were not sent are redirected to other
+// instances, and runs in progress may finish.
 func (o *Owner) onDrain() {
 	o.draining = true
 	for _, s := range o.sortedShards() {
@@ -105,7 +105,7 @@
 	}
 }
 
-// dropUnsent hands the calls that were not sent back to their gateways.
+// dropUnsent redirects the callers of all calls that were not sent.
 func (s *shard) dropUnsent(next structs.InstanceID) {
 	for _, p := range s.sortedPrograms() {
 		for _, c := range p.sortedCalls() {
@@ -114,8 +114,8 @@
 	}
 }
 
-// redirectWaiters drops a call that no run may be on its way for; another owner may
-// run it. An outcome that waits to count is answered.
+// redirectWaiters drops a call that was not sent and redirects its gateways to
+// the next owner. If the outcome is being recorded it is sent at once.
 func (c *call) redirectWaiters(next structs.InstanceID) {
 	switch c.phase {
 	case phaseRunning, phaseQuerying, phaseEnded:
@@ -126,7 +126,8 @@
 		return
 	}
 	if c.sentRuns > 0 {
-		// A run of it broke, so that no other owner may call it "not run".
+		// An earlier run of the call failed, so no other owner may report it as
+		// "not run".
 		c.refuse(structs.ReasonOwnerLost, busyRetryAfter)
 		return
 	}
@@ -138,15 +139,15 @@
 	c.end()
 }
 
-// cancelRuns stops the program's running calls.
+// cancelRuns cancels the program's running calls.
 func (p *program) cancelRuns() {
 	for _, c := range p.sortedCalls() {
 		c.cancel(structs.ReasonCancelled)
 	}
 }
 
-// onLogDown refuses at once what cannot go on without the log; repeatable
-// calls go on within the reserved chunk.
+// onLogDown refuses the calls that need the log. Repeatable calls continue within
+// the reserved chunk.
 func (s *shard) onLogDown() {
 	s.failOwnershipChecks()
 	for _, p := range s.sortedPrograms() {
--- a/internal/owner/permit.go
+++ b/internal/owner/permit.go
@@ -9,11 +9,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pool is the row of a pool whose dispatcher this instance asks for permits.
+// pool is a pool whose dispatcher grants permits to this instance.
 type pool struct {
 	id         structs.PoolID
 	dispatcher structs.InstanceID
-	// calls are those that wait for or hold a permit.
+	// calls are the calls that wait for or hold a permit.
 	calls map[structs.RunID]*call
 }
 
@@ -43,20 +43,21 @@
 	c.pool = o.poolOf(c.spec.Service)
 	c.permit = c.run
 	if c.notRepeatable && c.attempt > 0 {
-		// The run id belongs to the Intent and stays; the dispatcher counts
-		// the permit of that name as ended.
+		// The Intent names the run id, so it stays. The dispatcher considers the
+		// permit of that name as finished.
 		c.permit = o.newRun()
 	}
 	c.pool.calls[c.permit] = c
 	o.runs[c.run], o.runs[c.permit] = c, c
 }
 
-// ref names the call to its dispatcher.
+// ref identifies the call at its dispatcher.
 func (c *call) ref() structs.CallRef {
 	return structs.CallRef{Program: c.spec.Program, Run: c.permit}
 }
 
-// callOfPermit finds the call of a dispatcher's message.
+// callOfPermit returns the call that a dispatcher's message refers to, nil if the
+// message is stale.
 func (o *Owner) callOfPermit(from structs.InstanceID, ref structs.CallRef) *call {
 	c := o.runs[ref.Run]
 	if c == nil || c.pool == nil || c.permit != ref.Run || c.pool.dispatcher != from {
@@ -65,8 +66,9 @@
 	return c
 }
 
-// requestPermit sends the permit request and repeats it until it is queued,
-// then seldom, in case the dispatcher forgot it.
+// requestPermit sends the permit request and repeats it until it is queued.
+// Afterwards it refreshes the request at a longer interval, in case the
+// dispatcher has lost it.
 func (c *call) requestPermit() {
 	o := c.shard.o
 	o.timers.stop(c.timer)
@@ -103,7 +105,7 @@
 	return r
 }
 
-// addProgram fills in what the order of programs depends on.
+// addProgram sets the fields by which the dispatcher orders programs.
 func (c *call) addProgram(r *structs.PermitRequest, deadline time.Duration) {
 	row := c.prog.row()
 	created := c.arrived
@@ -134,7 +136,7 @@
 	c.timer = o.after(permitRefreshInterval, c.requestPermit)
 }
 
-// onPermitGrant runs the call, or gives the permit back if it is not wanted.
+// onPermitGrant runs the call, or returns the permit if it is not needed.
 func (o *Owner) onPermitGrant(from structs.InstanceID, m *structs.PermitGrant) {
 	c := o.callOfPermit(from, m.Ref)
 	if c != nil && c.phase == phasePermit {
@@ -143,7 +145,7 @@
 		return
 	}
 	if c != nil && c.target.ID == m.Target.ID {
-		// A repeated grant of the permit that is in use.
+		// A repeated grant of the permit in use.
 		return
 	}
 	o.send(from, &structs.PermitFinish{
@@ -159,7 +161,7 @@
 	c.refuse(m.Reason, m.RetryAfter)
 }
 
-// withdrawPermit takes a permit request back if no run holds the permit.
+// withdrawPermit cancels a permit request, or returns a permit that no run used.
 func (c *call) withdrawPermit() {
 	if c.pool == nil {
 		return
@@ -176,7 +178,7 @@
 	c.dropPermit()
 }
 
-// dropPermit forgets the permit.
+// dropPermit removes the permit from the tables.
 func (c *call) dropPermit() {
 	if c.pool == nil {
 		return
@@ -210,13 +212,13 @@
 	c.dropPermit()
 }
 
-// pausing tells whether the program has no call but this one.
+// pausing reports whether the program has no call other than c.
 func (p *program) pausing(c *call) bool {
 	return len(p.calls) == 1 && p.calls[c.key] == c && !p.closing
 }
 
-// refreshPools asks new dispatchers again for every permit, also for those in
-// use. lost is an instance whose memory of requests may be gone.
+// refreshPools requests every permit again from dispatchers that changed,
+// including permits in use. The requests at the failed instance may be lost.
 func (o *Owner) refreshPools(failed structs.InstanceID) {
 	for _, id := range o.sortedPools() {
 		p := o.pools[id]
--- a/internal/owner/program.go
+++ b/internal/owner/program.go
@@ -7,33 +7,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// program is the live row of a program. The durable row is in the shard's
-// state and may be missing for a single call that has no record yet.
+// program is the live state of a program. Its durable state is in the shard's
+// journal state. A single call has none before its first record.
 type program struct {
 	shard *shard
 	id    structs.ProgramID
 	team  structs.Team
 	lanes map[structs.Lane]*lane
 	calls map[string]*call
-	// held is what running calls may take from the chunk; pending is the sum
-	// of reservations and Intents that are not counted yet.
+	// held is the amount of the chunk that running calls may use. pending is the
+	// sum of reservations and Intents that are not committed yet.
 	held    journal.Amount
 	pending journal.Amount
-	// reserving is the reservation not counted yet.
+	// reserving indicates that a reservation is not committed yet.
 	reserving bool
-	// closing tells that Closed is on its way into the log.
+	// closing indicates that a Closed record is not committed yet.
 	closing bool
-	// waiters holds the requests that wait for Open or Closed to count.
+	// waiters holds the requests that wait for Open or Closed to commit.
 	waiters        []*programWaiter
 	idleTimer      *timer
 	releaseTimer   *timer
 	releaseBackoff time.Duration
 	recovery       map[structs.RunID]*recovery
 	// gapSkips holds, by lane, the number that may start behind missing ones in
-	// this epoch; see skip.
+	// this epoch; see maySkipGap.
 	gapSkips map[structs.Lane]uint64
-	// unknownNumbers holds, by lane, the highest number of which a caller heard
-	// "unknown" without a record: it may go on behind it.
+	// unknownNumbers holds, by lane, the highest number that was reported as
+	// unknown without a record. The lane may continue behind it.
 	unknownNumbers map[structs.Lane]uint64
 }
 
@@ -44,7 +44,7 @@
 	timer   *timer
 }
 
-// liveProgram gives the live row of a program, made if missing.
+// liveProgram returns the live state of a program and creates it if missing.
 func (s *shard) liveProgram(id structs.ProgramID, team structs.Team) *program {
 	p := s.programs[id]
 	if p != nil {
@@ -63,7 +63,7 @@
 
 func (p *program) policy() structs.Policy { return p.shard.o.settings.Policy(p.team) }
 
-// closedFor tells whether the program takes no new call.
+// closedFor reports whether the program refuses the call because it is closed.
 func (p *program) closedFor(spec *structs.Call) bool {
 	if p.closing {
 		return true
@@ -79,7 +79,7 @@
 	p.shard.o.timers.stop(p.idleTimer)
 }
 
-// end takes a call off its tables; its lane goes on.
+// end removes a call from all tables and advances its lane.
 func (c *call) end() {
 	if c.phase == phaseEnded {
 		return
@@ -110,7 +110,7 @@
 	p.advance()
 }
 
-// onNoCalls runs when the program has no call any more.
+// onNoCalls is called when the program has no live calls.
 func (p *program) onNoCalls() {
 	if !p.shard.owned() {
 		return
@@ -124,7 +124,7 @@
 	p.dropIfEmpty()
 }
 
-// dropIfEmpty forgets a live row that stands for nothing durable.
+// dropIfEmpty drops live state without durable state or waiting requests.
 func (p *program) dropIfEmpty() {
 	if p.row() == nil && len(p.calls) == 0 && len(p.waiters) == 0 {
 		p.stop()
@@ -144,10 +144,10 @@
 	}
 }
 
-// reasonIdle closes a program that had no call for the policy's idle time.
+// reasonIdle is the reason of a program closed by the idle timeout.
 const reasonIdle structs.Reason = "idle"
 
-// startIdleTimer closes the program after the policy's idle time without a call.
+// startIdleTimer closes the program after the policy's idle timeout.
 func (p *program) startIdleTimer() {
 	o := p.shard.o
 	o.timers.stop(p.idleTimer)
@@ -156,15 +156,16 @@
 	}
 }
 
-// resetIdleTimer notes that a request of the program came, also one that is refused.
+// resetIdleTimer restarts the idle timer on any request of the program, refused
+// ones included.
 func (p *program) resetIdleTimer() {
 	if len(p.calls) == 0 {
 		p.startIdleTimer()
 	}
 }
 
-// onIdleTimeout closes the program, but not while the log is down: its calls may be
-// refused then, so that their absence says nothing of the caller.
+// onIdleTimeout closes the program unless the log is unavailable. Calls may be
+// refused in an outage, so the caller may be active without having live calls.
 func (p *program) onIdleTimeout() {
 	if p.shard.logDown() {
 		p.startIdleTimer()
@@ -175,8 +176,8 @@
 	}
 }
 
-// close ends the program: no new call is taken, calls that were not sent are
-// refused and its cache is released once no call runs.
+// close ends the program. New calls and those that were not sent are refused, and
+// its cache is released once no call runs.
 func (p *program) close(reason structs.Reason) {
 	row := p.row()
 	if p.closing || row != nil && row.Closed {
@@ -228,7 +229,7 @@
 	}
 }
 
-// handleProgramOp carries out an operation on a program of an owned shard.
+// handleProgramOp performs an operation on a program of an owned shard.
 func (s *shard) handleProgramOp(from structs.InstanceID, m *structs.ProgramRequest) {
 	row := s.row(m.Program)
 	if m.Op == structs.ProgramOpen && row == nil {
@@ -258,7 +259,7 @@
 	p.close(structs.ReasonNone)
 }
 
-// open journals a program; it is answered once the record counts.
+// open journals a program and replies once the record is committed.
 func (s *shard) open(from structs.InstanceID, m *structs.ProgramRequest) {
 	_, created, _ := m.Program.Parse()
 	switch {
@@ -279,8 +280,8 @@
 	}
 }
 
-// addWaiter adds a gateway that is answered when the program's record counts, or
-// with "unknown" if that takes too long.
+// addWaiter adds a gateway that receives a reply when the program's record is
+// committed, or an unknown outcome on timeout.
 func (p *program) addWaiter(from structs.InstanceID, m *structs.ProgramRequest) {
 	w := &programWaiter{request: m.Request, from: from}
 	w.timer = p.shard.o.after(min(confirmTimeout, m.Remaining), func() {
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -5,22 +5,23 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// recovery is a not-repeatable run of an earlier owner whose outcome is not
-// known. It is never run again. Its lane waits until the earlier owner's
-// outcome was read, or until that owner can send nothing more.
+// recovery is a not-repeatable run of a previous owner whose outcome is unknown.
+// The call does not run again. Its lane is blocked until the previous owner's
+// outcome was read, or until that owner can no longer send.
 type recovery struct {
 	prog  *program
 	run   *journal.OpenRun
 	timer *timer
 }
 
-// recover takes up what earlier owners left open.
+// recover resolves the state that previous owners left open.
 func (s *shard) recover() {
 	for _, id := range journal.SortedKeys(s.state.Programs) {
 		row := s.state.Programs[id]
 		p := s.liveProgram(id, row.Team)
 		for _, run := range row.OpenRuns() {
-			// A run of this instance from an earlier tenure may still go on.
+			// A run of this instance from an earlier tenure may still be in
+			// progress.
 			if run.NotRepeatable && run.Epoch < s.epoch && !p.running(run) {
 				p.recoverRun(run)
 			}
@@ -31,7 +32,7 @@
 	}
 }
 
-// running tells whether a live call made the run.
+// running reports whether a live call made the run.
 func (p *program) running(run *journal.OpenRun) bool {
 	c := p.calls[run.Key]
 	return c != nil && c.run == run.Run
@@ -44,14 +45,14 @@
 	r.timer = p.shard.o.after(p.shard.o.cfg.RecoveryWait, r.expire)
 }
 
-// awaitRecovery lets a call wait for the run that an earlier owner has of it.
+// awaitRecovery makes the call wait for a previous owner's run of its key.
 func (p *program) awaitRecovery(c *call) {
 	if p.recovering(c.key) {
 		c.phase = phaseRecovery
 	}
 }
 
-// recovering tells whether an earlier owner may have run the call of a key.
+// recovering reports whether a previous owner may have run the call of a key.
 func (p *program) recovering(key string) bool {
 	for _, r := range p.recovery {
 		if r.run.Key == key {
@@ -61,11 +62,11 @@
 	return false
 }
 
-// onPreviousOwnerRecord takes a fact that an earlier owner recorded late.
+// onPreviousOwnerRecord handles a fact that a previous owner recorded late.
 func (s *shard) onPreviousOwnerRecord(rec journal.Record) {
 	switch b := rec.Body.(type) {
 	case *journal.Started:
-		// The earlier owner's target may hold cache of a closed program.
+		// The previous owner's target may hold cache of a closed program.
 		if p := s.programs[b.Program]; p != nil {
 			p.startRelease()
 		}
@@ -85,12 +86,12 @@
 		r.resolve()
 		return
 	}
-	// The lane's last number may have grown: a call that waited for its
+	// The lane's last number may have advanced, so a call that waited for its
 	// predecessor can start.
 	p.advance()
 }
 
-// expire runs when the earlier owner can send nothing more.
+// expire is called when the previous owner can no longer send.
 func (r *recovery) expire() {
 	o := r.prog.shard.o
 	service, _ := o.settings.Service(r.run.Service)
@@ -105,8 +106,8 @@
 	o.queryOutcome(r.run.Run, r.run.Program, r.run.Key, targets, r.recordOutcome)
 }
 
-// recordOutcome records the outcome that the target told, or that it is unknown, so
-// that every retry hears the same.
+// recordOutcome records the outcome that the target reported, or an unknown
+// outcome, so that every retry receives the same one.
 func (r *recovery) recordOutcome(found bool, out structs.Outcome) {
 	p := r.prog
 	if p.recovery[r.run.Run] != r || !p.shard.owned() {
@@ -128,8 +129,8 @@
 	r.resolve()
 }
 
-// resolve frees the lane. Calls that waited for the run get its outcome, or
-// their turn if the run was abandoned.
+// resolve unblocks the lane. Calls that waited for the run get its outcome, or
+// run themselves if the run was abandoned.
 func (r *recovery) resolve() {
 	p := r.prog
 	p.shard.o.timers.stop(r.timer)
--- a/internal/owner/refuse.go
+++ b/internal/owner/refuse.go
@@ -15,10 +15,9 @@
 	return structs.Outcome{Kind: structs.OutcomeUnknown, Reason: reason}
 }
 
-// refusal is the outcome of a request that this owner does not run. It says
-// "not run" only if the request was handed to no other instance, which may have
-// run it or may still hold it, and if earlier deliveries of the key were looked
-// up or are said not to exist.
+// refusal returns the outcome of a request that this owner does not run. It is
+// "not run" only if no other instance may hold or have run the request, and if
+// earlier deliveries of the key were looked up or are declared not to exist.
 func refusal(spec *structs.Call, reason structs.Reason, retryAfter time.Duration, maybeElsewhere, keyLookedUp bool) structs.Outcome {
 	switch {
 	case maybeElsewhere:
@@ -32,17 +31,18 @@
 	}
 }
 
-// hasAllDeliveries tells whether the shard's state shows every earlier delivery of a
-// key. A not-repeatable call is taken only while the ownership is proven; see
-// verify.
+// hasAllDeliveries reports whether the shard's state includes every earlier
+// delivery of a key. Not-repeatable calls are accepted only while ownership is
+// verified; see needsVerification.
 func (s *shard) hasAllDeliveries() bool { return s.owned() && !s.logDown() }
 
-// mayHaveRun tells whether "not run" would be a claim that cannot be made.
+// mayHaveRun reports whether the call may have run, so that "not run" must not be
+// reported.
 func (c *call) mayHaveRun() bool { return c.sentRuns > 0 || c.phase == phaseRecovery }
 
-// refuse gives a call up that was not sent: it is dropped for good and all its
-// waiters hear so. If its Intent may be in the log, Abandoned follows it, so
-// that the next owner need not take it for sent.
+// refuse drops a call that was not sent and reports that to all waiters. If its
+// Intent may be in the log, an Abandoned record follows, so that the next owner
+// does not assume that the call was sent.
 func (c *call) refuse(reason structs.Reason, retryAfter time.Duration) {
 	if c.phase == phaseEnded {
 		return
@@ -61,7 +61,7 @@
 	c.end()
 }
 
-// abandon records that the call's Intent will not be followed by a send.
+// abandon records that no send follows the call's Intent.
 func (c *call) abandon() {
 	if c.intentAppended && c.sentRuns == 0 {
 		c.shard.app.push(&journal.Abandoned{Program: c.spec.Program, Run: c.run}, lazy, nil)
@@ -69,7 +69,7 @@
 	}
 }
 
-// refuseMessage answers a message that waits for no call.
+// refuseMessage refuses a message that has no live call.
 func (o *Owner) refuseMessage(from structs.InstanceID, msg structs.Message, reason structs.Reason, after time.Duration) {
 	switch m := msg.(type) {
 	case *structs.Submit:
@@ -79,13 +79,13 @@
 	}
 }
 
-// refuseSubmit refuses a request without having looked its key up.
+// refuseSubmit refuses a request without having looked up its key.
 func (o *Owner) refuseSubmit(from structs.InstanceID, m *structs.Submit, reason structs.Reason, after time.Duration) {
 	out := refusal(m.Call, reason, after, m.Resubmitted || m.Have > 0, false)
 	o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 }
 
-// sendNotOwner tells a gateway to ask elsewhere.
+// sendNotOwner redirects a gateway to another owner.
 func (o *Owner) sendNotOwner(from structs.InstanceID, msg structs.Message, owner structs.InstanceID) {
 	switch m := msg.(type) {
 	case *structs.Submit:
@@ -108,7 +108,7 @@
 	}
 }
 
-// redeliver takes a held message up again, with the time that is left.
+// redeliver handles a held message with the remaining time.
 func (o *Owner) redeliver(h *heldMessage) {
 	waited := o.now.Sub(h.arrived)
 	switch m := h.msg.(type) {
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -8,13 +8,13 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// targetRemovedTimeout is how long a target that should drop cache may be missing from the
-// membership list, which may lag, before it is taken to have left.
+// targetRemovedTimeout is how long a target may be missing from the membership
+// list, which may lag, before its cache is considered released.
 const targetRemovedTimeout = 10 * time.Minute
 
 // cacheTargets lists the targets that may hold cache of the program without a
-// record: all, if an earlier owner may have died before its records were in the
-// log. A target that holds none confirms at once.
+// record: all of them, if a previous owner may have crashed before its records
+// were in the log. A target without such cache confirms at once.
 func (p *program) cacheTargets() []journal.CacheTarget {
 	if !p.inherited() {
 		return nil
@@ -31,8 +31,8 @@
 	return list
 }
 
-// startRelease asks every target that ever held cache of a closed program to
-// drop it, once no call of the program runs.
+// startRelease asks every target that may hold cache of a closed program to drop
+// it, once no call of the program runs.
 func (p *program) startRelease() {
 	row := p.row()
 	if row == nil || !row.Closed || len(p.calls) > 0 || len(row.Placements) == 0 || !p.shard.owned() {
@@ -45,7 +45,7 @@
 	p.releaseAll()
 }
 
-// releaseAll repeats the orders until each target confirmed.
+// releaseAll repeats the requests until every target has confirmed.
 func (p *program) releaseAll() {
 	row := p.row()
 	if row == nil || len(row.Placements) == 0 || !p.shard.owned() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// hasPendingWork tells whether the shard needs an owner though no call waits.
+// hasPendingWork reports whether the shard needs an owner although no call waits.
 func (s *shard) hasPendingWork() bool {
 	for _, p := range s.state.Programs {
 		if !p.Closed || len(p.Placements) > 0 || slices.ContainsFunc(p.OpenRuns(), isNotRepeatable) {
--- a/internal/owner/replay.go
+++ b/internal/owner/replay.go
@@ -6,11 +6,11 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// replay holds the records read before the snapshot that they follow is found.
+// replay buffers the records read before a complete snapshot is found.
 type replay struct {
 	from    uint64
 	records []readRecord
-	// parts are the parts of a snapshot by writer.
+	// parts holds the snapshot parts read so far, by writer.
 	parts map[string][]*journal.Snapshot
 }
 
@@ -28,8 +28,8 @@
 		s.locateSnapshot(e)
 		return
 	}
-	// Reads of an earlier position may still arrive after LogTail moved it;
-	// a read that would leave a gap is dropped.
+	// Reads of an earlier position may still arrive after LogTail moved it. A
+	// read that would leave a gap is dropped.
 	if e.From > s.next || e.Next < s.next {
 		return
 	}
@@ -48,8 +48,8 @@
 	}
 }
 
-// locateSnapshot finds the place to read from: the newest record's header tells where
-// the newest snapshot is.
+// locateSnapshot determines where to start reading, from the newest snapshot's
+// offset in the header of the newest record.
 func (s *shard) locateSnapshot(e structs.LogRead) {
 	s.readDown, s.readFailures = false, 0
 	from := uint64(0)
@@ -62,8 +62,8 @@
 	s.replayFrom(from, from > 0)
 }
 
-// replayFrom starts reading at an offset. If a snapshot is expected the state
-// before it is not complete, so records wait until it is found.
+// replayFrom starts reading at an offset. If a snapshot is expected, the state
+// before it is incomplete, so records are buffered until it is found.
 func (s *shard) replayFrom(from uint64, snapshot bool) {
 	s.tenure = tenureReplaying
 	s.next = from
@@ -99,8 +99,8 @@
 	}
 }
 
-// skipTruncated goes on behind records that the log dropped before they were read. Any
-// of them may have been a newer claim, so the shard is lost.
+// skipTruncated continues behind records that the log dropped before they were
+// read. One of them may have been a newer claim, so the shard is lost.
 func (s *shard) skipTruncated(first uint64) {
 	s.next, s.truncated = first, true
 	s.o.emit(structs.LogTail{Stream: s.stream, From: first})
@@ -109,7 +109,8 @@
 	}
 }
 
-// maxReadFailures is how many failed reads in a row mean that the log is down.
+// maxReadFailures is the number of consecutive failed reads after which the log
+// is considered unavailable.
 const maxReadFailures = 2
 
 func (s *shard) readFailed() {
@@ -126,7 +127,7 @@
 	}
 }
 
-// readOne takes one record of the stream.
+// readOne handles one record of the stream.
 func (s *shard) readOne(r wire.LogRecord) {
 	s.next = r.Offset + 1
 	rec, err := journal.Decode(r.Data)
@@ -141,8 +142,8 @@
 	s.apply(r.Offset, rec)
 }
 
-// bufferRecord keeps a record until a snapshot is complete that was taken no earlier
-// than where the reading began: then nothing is missing behind it.
+// bufferRecord buffers a record until a complete snapshot is found that was taken
+// at or after the start of reading. No record is missing behind it then.
 func (s *shard) bufferRecord(r readRecord) {
 	s.replay.records = append(s.replay.records, r)
 	part, ok := r.record.Body.(*journal.Snapshot)
@@ -170,7 +171,8 @@
 	s.loadSnapshot(state)
 }
 
-// loadSnapshot starts from a snapshot and applies the records that it lacks.
+// loadSnapshot starts from a snapshot and applies the buffered records that
+// follow it.
 func (s *shard) loadSnapshot(state *journal.State) {
 	records := s.replay.records
 	s.replay = nil
@@ -182,7 +184,7 @@
 	}
 }
 
-// apply gives a record its effect and tells the live rows.
+// apply applies a record to the state and notifies the live state.
 func (s *shard) apply(offset uint64, rec journal.Record) {
 	verdict := s.state.Apply(offset, rec)
 	if verdict == journal.Void {
@@ -203,7 +205,7 @@
 	}
 }
 
-// onClaim keeps the invariant that an owner stops at the first newer claim.
+// onClaim stops the owner at the first newer claim.
 func (s *shard) onClaim(rec journal.Record, claim *journal.Claim) {
 	switch s.tenure {
 	case tenureClaiming:
@@ -219,7 +221,7 @@
 	}
 }
 
-// onStreamEnd runs when the stream was read to its end.
+// onStreamEnd is called when the stream was read to its end.
 func (s *shard) onStreamEnd() {
 	if s.replay != nil {
 		s.loadSnapshot(s.state)
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// writeIntent makes the Intent of a not-repeatable call durable. The permit is
-// asked for only once it counts, so that a later owner always knows of a send.
+// writeIntent makes the Intent of a not-repeatable call durable. A permit is
+// requested only once it is committed, so that a later owner knows of every send.
 func (c *call) writeIntent() {
 	if !c.holdTeamBudgets() {
 		return
@@ -33,7 +33,7 @@
 		CallID: c.journalID(), Service: c.spec.Service, Hold: need, HistoryCount: count, HistoryDigest: digest,
 	}
 	c.shard.app.push(intent, urgent, func() {
-		// From here on the durable row holds the worst case.
+		// The durable state holds the worst case from here on.
 		p.pending = p.pending.Minus(need)
 		c.keyLookedUp = true
 		if c.phase == phaseIntent {
@@ -42,9 +42,10 @@
 	})
 }
 
-// sendOrConfirm runs the call at the granted target. A not-repeatable call is sent only
-// if the shard was proven owned so recently that a newer owner still waits; any
-// call only if no pause came since. Else the log has to prove it first.
+// sendOrConfirm runs the call at the granted target. A not-repeatable call is
+// sent at once only if ownership was verified so recently that a newer owner
+// still waits. Other calls are sent at once if ownership was verified since the
+// last pause. Otherwise the log must confirm ownership first.
 func (c *call) sendOrConfirm() {
 	c.shard.o.timers.stop(c.timer)
 	if c.shard.verifiedRecently() || !c.notRepeatable && c.shard.verifiedSincePause() {
@@ -66,8 +67,8 @@
 	c.shard.app.push(c.startedRecord(), urgent, confirmed)
 }
 
-// onConfirmTimeout runs when the log does not answer: a repeatable call goes on
-// without it.
+// onConfirmTimeout is called when the log does not respond. A repeatable call
+// continues without it.
 func (c *call) onConfirmTimeout() {
 	c.shard.o.timers.stop(c.timer)
 	if c.notRepeatable {
@@ -84,7 +85,7 @@
 	}
 }
 
-// startRun gives the only StartRun of a run.
+// startRun emits the only StartRun of a run.
 func (c *call) startRun(record bool) {
 	o := c.shard.o
 	c.phase = phaseRunning
@@ -99,8 +100,8 @@
 	c.startRunTimer()
 }
 
-// runTimeout bounds a run. That of a not-repeatable call outlives its caller's
-// deadline, so that a retry hears what became of it.
+// runTimeout limits a run. A not-repeatable call may outlive its caller's
+// deadline, so that a retry receives its outcome.
 func (c *call) runTimeout() time.Duration {
 	if c.notRepeatable && c.service.Timeout > 0 {
 		return c.service.Timeout
@@ -112,9 +113,9 @@
 	return left
 }
 
-// resumeOpenRun attaches to the run that an earlier owner of the shard started, if
-// its journal names it. Pieces that were delivered are never followed by those
-// of another run. It tells whether the call needs no run of its own.
+// resumeOpenRun attaches to the run that a previous owner of the shard started,
+// if the journal names it. Delivered pieces are never followed by pieces of
+// another run. It reports whether the call needs no new run.
 func (c *call) resumeOpenRun() bool {
 	if c.notRepeatable {
 		return false
@@ -123,7 +124,7 @@
 	target, ok := c.resumeTarget()
 	c.dropMismatchedWaiters()
 	if had && len(c.waiters) == 0 {
-		// The earlier owner's chunk counts the cost.
+		// The cost is charged to the previous owner's chunk.
 		c.run = ""
 		c.recordOutcome(unknown(structs.ReasonTargetFailed), journal.Amount{}, structs.RunEnded{})
 		return true
@@ -139,7 +140,7 @@
 	return true
 }
 
-// resumeTarget finds the target that runs the call for an earlier owner.
+// resumeTarget returns the target that runs the call for a previous owner.
 func (c *call) resumeTarget() (structs.Target, bool) {
 	run := c.openRun()
 	if run == nil || !c.spec.Stream || c.spec.Kind != structs.CallChat {
@@ -152,10 +153,11 @@
 	return target, ok
 }
 
-// runEndGrace is how long after its timeout a run's end is awaited.
+// runEndGrace is how long after its timeout the end of a run is awaited.
 const runEndGrace = 5 * time.Second
 
-// startRunTimer ends a run whose end was never told, so that its lane goes on.
+// startRunTimer ends a run whose end is never reported, so that its lane is not
+// blocked.
 func (c *call) startRunTimer() {
 	o, run := c.shard.o, c.run
 	o.timers.stop(c.timer)
@@ -172,7 +174,7 @@
 	})
 }
 
-// openRun finds the started run of the call's key, if its end is not known.
+// openRun returns the started run of the call's key whose end is unknown.
 func (c *call) openRun() *journal.OpenRun {
 	row := c.prog.row()
 	if row == nil {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// delivered tells whether some gateway has got pieces of the answer.
+// delivered reports whether a gateway has received pieces of the response.
 func (c *call) delivered() bool {
 	return slices.ContainsFunc(c.waiters, func(w *waiter) bool { return w.nextPiece > 0 })
 }
@@ -200,8 +202,8 @@
 	return structs.Target{}, false
 }
 
-// onRunChunk takes pieces in order; those that are known are skipped, and a
-// chunk behind a gap is left for the whole answer.
+// onRunChunk appends new pieces in order. Known pieces are skipped, and a chunk
+// behind a gap is dropped, since the complete response includes it.
 func (o *Owner) onRunChunk(e structs.RunChunk) {
 	c := o.runs[e.Run]
 	if c == nil || c.phase != phaseRunning || e.Chunk.First > len(c.pieces) {
@@ -244,13 +246,14 @@
 	out := e.Outcome
 	out.Kind = structs.OutcomeAnswered
 	if len(c.pieces) > 0 && c.resumes > 0 {
-		// A resumed run reports only what came after the resume.
+		// A resumed run reports only what followed the resume.
 		out.Text = strings.Join(c.pieces, "")
 	}
 	c.recordOutcome(out, c.actualCost(out), e)
 }
 
-// actualCost is what an answer cost; the worst case if the target did not tell.
+// actualCost returns the cost of a response, or the worst case if the target did
+// not report its usage.
 func (c *call) actualCost(out structs.Outcome) journal.Amount {
 	cost := c.worstCase()
 	if used := out.Usage.Tokens(); used > 0 {
@@ -259,8 +262,8 @@
 	return cost
 }
 
-// onRunNotSent runs when the target certainly did not get the request. A resume that
-// was not sent says nothing of the run itself.
+// onRunNotSent is called when the target definitely did not receive the request.
+// If a resume was not sent, the run itself may have succeeded.
 func (c *call) onRunNotSent(e structs.RunEnded) {
 	if c.resumes > 0 {
 		c.onRunFailed(e)
@@ -279,8 +282,8 @@
 	c.refuse(structs.ReasonNoTarget, busyRetryAfter)
 }
 
-// prepareRetry readies the call for another permit. The Intent of a
-// not-repeatable call covers one send, and none has happened, so its run id
+// prepareRetry prepares the call for another permit. The Intent of a
+// not-repeatable call covers one send, which has not happened, so its run id
 // stays.
 func (c *call) prepareRetry(avoid structs.TargetID) {
 	c.attempt++
@@ -292,7 +295,7 @@
 	}
 }
 
-// onRunFailed runs when the request may have run and its answer is lost.
+// onRunFailed is called when the request may have run and its response is lost.
 func (c *call) onRunFailed(e structs.RunEnded) {
 	retry := !c.notRepeatable && c.cancelReason == "" && e.Failure != structs.RunTimeout &&
 		!c.delivered() && c.attempt < c.prog.policy().Retries && c.shard.owned()
@@ -318,7 +321,7 @@
 	c.recordOutcome(unknown(reason), c.worstCase(), e)
 }
 
-// queryTarget asks the target what became of a broken run.
+// queryTarget asks the target for the outcome of a failed run.
 func (c *call) queryTarget(reason structs.Reason, e structs.RunEnded) {
 	c.phase = phaseQuerying
 	c.shard.o.queryOutcome(c.run, c.spec.Program, c.spec.Key, []structs.Target{c.target}, func(found bool, out structs.Outcome) {
@@ -331,7 +334,7 @@
 	})
 }
 
-// cancel stops a run whose outcome nobody waits for.
+// cancel cancels the run of a call.
 func (c *call) cancel(reason structs.Reason) {
 	if c.phase != phaseRunning || c.cancelReason != "" {
 		return
@@ -341,8 +344,8 @@
 }
 
 // recordOutcome records the outcome of a call that was or may have been sent. The
-// record of a not-repeatable call counts before its answer goes out, unless
-// the log is down: an answer is never held back for it.
+// record of a not-repeatable call is committed before the response is sent,
+// unless the log is unavailable: an outage does not delay responses.
 func (c *call) recordOutcome(out structs.Outcome, cost journal.Amount, e structs.RunEnded) {
 	o := c.shard.o
 	if c.run == "" {
@@ -371,7 +374,7 @@
 	c.shard.app.push(done, urgent, record)
 }
 
-// cacheTokens estimates the prefix that the target holds after the call.
+// cacheTokens estimates the prefix length that the target caches after the call.
 func (c *call) cacheTokens(out structs.Outcome) int64 {
 	if c.service.Kind != structs.ServiceEngine || out.Kind != structs.OutcomeAnswered {
 		return 0
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -7,86 +7,90 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// tenure tells how far this instance is with a shard.
+// tenure is the state of a shard at this instance.
 type tenure string
 
-// Tenures of a shard.
 const (
-	// tenureNone: not read, not owned.
+	// tenureNone: neither read nor owned.
 	tenureNone tenure = "none"
-	// tenureProbing: another instance should own it; its liveness is asked.
+	// tenureProbing: another instance should own the shard and is being probed.
 	tenureProbing tenure = "probing"
-	// tenureLocating: reading the newest record, for the snapshot's offset.
+	// tenureLocating: reading the newest record, which holds the snapshot's
+	// offset.
 	tenureLocating tenure = "locating"
 	// tenureReplaying: reading up to the end of the stream.
 	tenureReplaying tenure = "replaying"
-	// tenureClaiming: the claim is not read back yet.
+	// tenureClaiming: the claim was not read back yet.
 	tenureClaiming tenure = "claiming"
-	// tenureOwned: this instance is the owner as far as it has read.
+	// tenureOwned: this instance owns the shard according to the records read.
 	tenureOwned tenure = "owned"
-	// tenureLost: a newer claim was read; what was sent is still awaited
-	// and recorded.
+	// tenureLost: a newer claim was read. Runs in progress are still awaited and
+	// recorded.
 	tenureLost tenure = "lost"
 )
 
-// shard is the row of one shard at this instance.
+// shard is the state of one shard at this instance.
 type shard struct {
 	o      *Owner
 	id     structs.ShardID
 	ref    structs.ShardRef
 	stream string
 	tenure tenure
-	// epoch is the newest epoch that this instance won, 0 if none.
+	// epoch is the newest epoch that this instance claimed, 0 if unset.
 	epoch structs.Epoch
 	state *journal.State
 	// next is the next offset to read.
 	next   uint64
 	replay *replay
 	app    appender
-	// held are the messages that wait for the claim.
+	// held holds the messages that wait for the claim.
 	held []*heldMessage
-	// probed is the instance asked while probing; winner the instance that
-	// took the shard from this one at lostAt.
+	// probed is the instance being probed. newOwner is the instance that claimed
+	// the shard from this one at lostAt.
 	probed   structs.InstanceID
 	newOwner structs.InstanceID
 	lostAt   time.Time
 	// claimedAt is when the claim was read back.
 	claimedAt time.Time
-	// ownedAt is when the shard was last known to be owned; see setOwnedAt.
+	// ownedAt is the last time at which the shard is known to have been owned;
+	// see setOwnedAt.
 	ownedAt  time.Time
 	readDown bool
-	// readFailures counts failed reads since the last that succeeded.
+	// readFailures counts consecutive failed reads.
 	readFailures int
 	programs     map[structs.ProgramID]*program
 	calls        int
 	accounts     map[structs.Team]*account
-	// pendingGrants holds the ledger grants not counted yet, pendingGrantAmounts their
-	// sums by team path.
+	// pendingGrants holds the ledger grants that are not committed yet,
+	// pendingGrantAmounts their sums by team path.
 	pendingGrants       map[string]bool
 	pendingGrantAmounts map[structs.Team]journal.Amount
-	// claimWanted tells that the shard is to be claimed once read.
+	// claimWanted indicates that the shard is to be claimed once read.
 	claimWanted bool
 	logTimer    *timer
-	// snapshotting tells that a snapshot is on its way into the log,
-	// snapshotAt when the newest one was taken.
+	// snapshotting indicates that a snapshot is not committed yet. snapshotAt is
+	// when the newest one was taken.
 	snapshotting bool
-	// checkPending tells that a Check is on its way into the log, proofs what
-	// waits for it; proving that the ownership was just proven.
+	// checkPending indicates that a Check record is not committed yet, and
+	// ownershipChecks holds the callbacks that wait for it. verified is set while
+	// callbacks run for an ownership that was just verified.
 	checkPending    bool
 	verified        bool
 	ownershipChecks []ownershipCheck
 	snapshotAt      time.Time
 	snapshotTimer   *timer
 	purgeTimer      *timer
-	// truncated tells that records were dropped unread, so that the state is not
-	// complete.
+	// truncated indicates that the log dropped records before they were read, so
+	// the state is incomplete.
 	truncated bool
-	// undecodable counts records that could not be decoded, void those refused.
+	// undecodable counts records that could not be decoded, void those without
+	// effect.
 	undecodable int
 	void        int
 }
 
-// heldMessage is a Submit or ProgramRequest that waits for the claim.
+// heldMessage is a message that waits for the claim or for a verification of
+// ownership.
 type heldMessage struct {
 	from     structs.InstanceID
 	msg      structs.Message
@@ -98,7 +102,7 @@
 	return structs.ShardRef{Region: o.cfg.Self.Region, Shard: id}
 }
 
-// shardRow gives the row of a shard, made if missing.
+// shardRow returns the state of a shard and creates it if missing.
 func (o *Owner) shardRow(id structs.ShardID) *shard {
 	s := o.shards[id]
 	if s != nil {
@@ -112,7 +116,7 @@
 	return s
 }
 
-// reset forgets what was read and all live rows.
+// reset drops all state of the shard.
 func (s *shard) reset() {
 	s.state = journal.NewState()
 	s.programs = make(map[structs.ProgramID]*program)
@@ -132,14 +136,14 @@
 	s.app = appender{s: s}
 }
 
-// owned tells whether calls may be taken.
+// owned reports whether calls may be accepted.
 func (s *shard) owned() bool { return s.tenure == tenureOwned }
 
-// logDown tells whether the log is taken to be unreachable.
+// logDown reports whether the log is considered unavailable.
 func (s *shard) logDown() bool { return s.readDown || s.app.stalled }
 
-// verifiedRecently tells whether the shard was owned so recently that an owner which
-// claimed since then still waits out the recovery time.
+// verifiedRecently reports whether the shard was owned so recently that an owner
+// which claimed it since still waits for the recovery time.
 func (s *shard) verifiedRecently() bool {
 	limit := s.o.cfg.RecoveryWait - s.o.cfg.SendWindow
 	return !s.readDown && s.o.now.Sub(s.ownedAt) <= limit
@@ -153,5 +157,5 @@
 	return list
 }
 
-// row gives the durable row of a program, nil if there is none.
+// row returns the durable state of a program, nil if it has none.
 func (s *shard) row(id structs.ProgramID) *journal.Program { return s.state.Programs[id] }
--- a/internal/owner/snapshot.go
+++ b/internal/owner/snapshot.go
@@ -9,13 +9,13 @@
 const (
 	// defaultSnapshotInterval is the number of records between two snapshots.
 	defaultSnapshotInterval = 2000
-	// snapshotAgeDivisor is the part of the log's retention after which an older
-	// snapshot is replaced.
+	// snapshotAgeDivisor sets the age at which a snapshot is replaced, as a
+	// fraction of the log's retention.
 	snapshotAgeDivisor = 4
-	// maxSnapshotPartBytes bounds one snapshot record, in bytes.
+	// maxSnapshotPartBytes limits the data of one snapshot record.
 	maxSnapshotPartBytes = 256 << 10
-	// writerWindow is how long a writer's sequence numbers are remembered. An
-	// append of an older writer does not come that late.
+	// writerWindow is how long a writer's sequence numbers are remembered. No
+	// append of that writer arrives later.
 	writerWindow = time.Hour
 )
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// writeSnapshot appends the state as of the offset that was read last. It holds
-// the own records applied ahead, too; their sequence numbers are in it, so that
+// writeSnapshot appends the state as of the last offset read. The state includes
+// this writer's records that were applied ahead, with their sequence numbers, so
 // a reader does not apply them twice.
 func (s *shard) writeSnapshot() {
 	s.purge()
@@ -58,11 +58,11 @@
 // purgeInterval is the time between two purges.
 const purgeInterval = time.Minute
 
-// keylessWindow is how long the answer of a call without a key is kept: only a
-// gateway can ask for it again, within the call's time.
+// keylessWindow is how long the outcome of a call without a key is stored. Only a
+// gateway can request it again, within the call's deadline.
 const keylessWindow = 5 * time.Minute
 
-// schedulePurge keeps the tables small also if no snapshot is due.
+// schedulePurge purges the state periodically, even if no snapshot is due.
 func (s *shard) schedulePurge() {
 	s.o.timers.stop(s.purgeTimer)
 	s.purgeTimer = s.o.after(purgeInterval, func() {
@@ -73,8 +73,7 @@
 	})
 }
 
-// scheduleSnapshot renews the snapshot of a shard ahead of the log's retention,
-// also if nothing happens in it.
+// scheduleSnapshot renews the snapshot of an idle shard before the log drops it.
 func (s *shard) scheduleSnapshot() {
 	s.snapshotTimer = s.o.after(s.o.cfg.Retention/snapshotAgeDivisor+time.Second, func() {
 		if s.owned() {
@@ -84,7 +83,7 @@
 	})
 }
 
-// purge forgets what is older than the idempotency windows.
+// purge drops state older than the idempotency windows.
 func (s *shard) purge() {
 	now := s.o.now
 	for _, id := range journal.SortedKeys(s.state.Programs) {
@@ -99,7 +98,7 @@
 	s.state.PurgeWriters(s.o.writer, now.Add(-writerWindow).UnixMilli())
 }
 
-// dropProgram drops a program that is gone, unless a call still waits in it.
+// dropProgram drops an expired program unless calls or requests still wait in it.
 func (s *shard) dropProgram(row *journal.Program) {
 	if p := s.programs[row.ID]; p != nil {
 		if len(p.calls) > 0 || len(p.waiters) > 0 {
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// updateHeld takes a repeated Submit of a request that is held already. The later
-// one counts: it tells whether another owner had the request in between.
+// updateHeld handles a repeated Submit of a held request. The later one replaces
+// the earlier, since it indicates whether another owner had the request in
+// between.
 func (s *shard) updateHeld(from structs.InstanceID, again *structs.Submit) bool {
 	for _, h := range s.held {
 		m, ok := h.msg.(*structs.Submit)
@@ -53,7 +54,7 @@
 	return false
 }
 
-// successor is the instance that gateways should ask instead of this one.
+// successor returns the instance to which gateways are redirected.
 func (s *shard) successor() structs.InstanceID {
 	if s.tenure == tenureLost {
 		return s.newOwner
@@ -66,7 +67,7 @@
 	return ""
 }
 
-// submit takes a call of an owned shard.
+// submit accepts or refuses a call of an owned shard.
 func (s *shard) submit(from structs.InstanceID, m *structs.Submit) {
 	o := s.o
 	key := m.Call.Key
@@ -89,7 +90,7 @@
 	}
 	service, _ := o.settings.Service(m.Call.Service)
 	notRepeatable := m.Call.NotRepeatable || service.NotRepeatable
-	// What an earlier owner may have run is not refused as "not run".
+	// A call that a previous owner may have run is not refused as "not run".
 	if !p.recovering(key) {
 		if reason, after := s.admission(p, m, key); reason != structs.ReasonNone {
 			if dependsOnState(reason) && s.deferRefusal(from, m) {
@@ -116,8 +117,8 @@
 	p.advance()
 }
 
-// withDefaults gives the call a bound of its answer, so that its worst case is known,
-// and a key, so that its target can tell a repeat.
+// withDefaults sets a token limit, so that the worst case is known, and the key,
+// so that the target can recognize a repeated call.
 func withDefaults(spec *structs.Call, key string) *structs.Call {
 	c := *spec
 	c.Key = key
@@ -127,7 +128,7 @@
 	return &c
 }
 
-// programOf finds the live row of a call's program.
+// programOf returns the live state of a call's program.
 func (s *shard) programOf(spec *structs.Call) (*program, structs.Reason) {
 	row := s.row(spec.Program)
 	if row != nil {
@@ -143,8 +144,8 @@
 		return p, structs.ReasonNone
 	}
 	_, created, _ := spec.Program.Parse()
-	// What is known of a program is forgotten after the window, so an
-	// unknown one that is older may have run.
+	// Programs are purged after the window, so an unknown program older than that
+	// may have run.
 	window := s.o.settings.Policy(spec.Team).IdempotencyWindow
 	if s.o.now.Sub(created) > window {
 		return nil, structs.ReasonTooOld
@@ -155,7 +156,8 @@
 	return s.liveProgram(spec.Program, spec.Team), structs.ReasonNone
 }
 
-// admission checks what can be checked before the call's turn.
+// admission performs the checks that do not depend on the call's turn in the
+// lane.
 func (s *shard) admission(p *program, m *structs.Submit, key string) (structs.Reason, time.Duration) {
 	spec := m.Call
 	service, ok := s.o.settings.Service(spec.Service)
@@ -178,7 +180,7 @@
 	return structs.ReasonNone, 0
 }
 
-// stale tells whether the call's number was passed and its record is gone.
+// stale reports whether the lane has already passed the call's number.
 func (p *program) stale(spec *structs.Call) bool {
 	if spec.Number == 0 {
 		return false
--- a/internal/owner/team.go
+++ b/internal/owner/team.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// grantDivisor is the part of a team's budget that one grant takes at most
-	// beyond what the call needs.
+	// grantDivisor limits a grant beyond what the call needs, as a fraction of
+	// the team's budget.
 	grantDivisor = 64
-	// grantRetryInterval repeats a request to the ledger's owner; grantTimeout gives
-	// up on it.
+	// grantRetryInterval is the interval between requests to the ledger's owner,
+	// grantTimeout the time after which the request fails.
 	grantRetryInterval = 300 * time.Millisecond
 	grantTimeout       = 2 * time.Second
 	// ledgerTimeout is how long a request waits for its ledger's shard.
 	ledgerTimeout = time.Second
 )
 
-// account is the live row of this shard's part of a team path's budget.
+// account is the live state of the part of a team's budget granted to this shard.
 type account struct {
 	shard *shard
 	team  structs.Team
-	// held is what running calls may take from the chunk.
+	// held is the amount of the chunk that running calls may use.
 	held journal.Amount
-	// request is the grant asked for, until its credit counts.
+	// request is the pending grant request, set until its credit is committed.
 	request     *structs.BudgetRequest
 	requestedAt time.Time
 	timer       *timer
@@ -35,8 +35,8 @@
 	grantCount     int
 }
 
-// budgetPaths lists the paths of a team that have a budget of their own. A path
-// that only inherits its parent's is bounded by the parent's ledger.
+// budgetPaths returns the paths of a team that have their own budget. A path that
+// inherits its parent's budget is limited by the parent's ledger.
 func (s *shard) budgetPaths(team structs.Team) []structs.Team {
 	var list []structs.Team
 	paths := journal.Ancestors(team)
@@ -64,7 +64,7 @@
 	return a
 }
 
-// free is the part of the granted chunk that no call holds.
+// free returns the part of the granted chunk that no call holds.
 func (a *account) free() journal.Amount {
 	var free journal.Amount
 	if row := a.shard.state.Accounts[a.team]; row != nil {
@@ -82,8 +82,9 @@
 	return free
 }
 
-// holdTeamBudgets holds the worst case of the call's next run from the budget of every path of its
-// team. It tells whether it could; if not, the call waits for a grant.
+// holdTeamBudgets holds the worst case of the call's next run in the budget of
+// every path of its team. If a budget is too small it requests a grant, for which
+// the call waits, and returns false.
 func (c *call) holdTeamBudgets() bool {
 	if c.teamRuns > c.failedRuns {
 		return true
@@ -107,7 +108,7 @@
 	return true
 }
 
-// releaseTeamBudgets gives back what the call held.
+// releaseTeamBudgets releases the amounts that the call holds.
 func (c *call) releaseTeamBudgets() {
 	for _, path := range c.heldTeams {
 		a := c.shard.account(path)
@@ -116,7 +117,7 @@
 	c.heldTeams, c.teamHold, c.teamRuns = nil, journal.Amount{}, 0
 }
 
-// requestGrant asks the ledger's owner for a grant, one at a time.
+// requestGrant requests a grant from the ledger's owner, one at a time.
 func (a *account) requestGrant(missing journal.Amount) {
 	if a.request != nil {
 		return
@@ -149,12 +150,12 @@
 	a.timer = s.o.after(grantRetryInterval, a.sendRequest)
 }
 
-// ledgerShard is the shard that keeps a team path's ledger.
+// ledgerShard returns the shard that stores a team path's ledger.
 func (o *Owner) ledgerShard(team structs.Team) structs.ShardID {
 	return structs.ShardOf(structs.ProgramID(team), o.cfg.Shards)
 }
 
-// refuseWaiting refuses the calls that wait for a budget of a team path.
+// refuseWaiting refuses the calls that wait for a team path's budget.
 func (s *shard) refuseWaiting(team structs.Team, reason structs.Reason, after time.Duration) {
 	for _, p := range s.sortedPrograms() {
 		if !team.Contains(p.team) {
@@ -172,7 +173,7 @@
 	}
 }
 
-// onBudgetGrant journals a grant; it may be spent from once that counts.
+// onBudgetGrant journals a grant. It may be spent once the record is committed.
 func (o *Owner) onBudgetGrant(m *structs.BudgetGrant) {
 	s := o.shards[m.Account.Shard]
 	if s == nil || !s.owned() || s.accounts[m.Team] == nil {
@@ -189,8 +190,9 @@
 		s.refuseWaiting(m.Team, structs.ReasonBudget, 0)
 		return
 	}
-	// Until the credit counts, a.request keeps a second grant from being asked
-	// for; a repeat of this one is no second credit.
+	// a.request stays set until the credit is committed, so that no second grant
+	// is requested. creditingGrant keeps a repeated grant from being credited
+	// twice.
 	a.creditingGrant = m.Grant
 	credit := &journal.Credit{Team: m.Team, Grant: m.Grant, Amount: journal.Amount{Tokens: m.Tokens, Fees: m.Fees}}
 	s.app.push(credit, urgent, func() {
@@ -199,8 +201,8 @@
 	})
 }
 
-// returnGrant returns a grant that came too late to be wanted, unless it is a
-// repeat of one that was credited.
+// returnGrant returns a grant that arrived too late, unless it repeats one that
+// was credited.
 func (a *account) returnGrant(m *structs.BudgetGrant) {
 	s := a.shard
 	if m.Refused || m.Grant == a.creditingGrant {
@@ -218,7 +220,7 @@
 	}
 }
 
-// onCredited takes up the calls that waited for the grant.
+// onCredited resumes the calls that waited for the grant.
 func (s *shard) onCredited(team structs.Team) {
 	for _, p := range s.sortedPrograms() {
 		if team.Contains(p.team) {
--- a/internal/owner/timer.go
+++ b/internal/owner/timer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timer is one pending wake-up. Timers of the same time fire in the order in
-// which they were set.
+// timer is a pending callback. Timers of the same time fire in the order in which
+// they were set.
 type timer struct {
 	at    time.Time
 	order uint64
@@ -14,7 +14,7 @@
 	fire  func()
 }
 
-// timers is a heap of timers by time.
+// timers is a heap of timers ordered by time.
 type timers struct {
 	heap  timerHeap
 	order uint64
@@ -27,7 +27,7 @@
 	return tm
 }
 
-// stop removes a timer; nil and fired timers are fine.
+// stop removes a timer. It ignores nil and timers that have fired.
 func (t *timers) stop(tm *timer) {
 	if tm == nil || tm.index < 0 {
 		return
@@ -35,7 +35,7 @@
 	heap.Remove(&t.heap, tm.index)
 }
 
-// due removes and returns the earliest timer that is due, nil if there is none.
+// due removes and returns the earliest timer that is due, nil if none is.
 func (t *timers) due(now time.Time) *timer {
 	if len(t.heap) == 0 || t.heap[0].at.After(now) {
 		return nil
@@ -66,14 +66,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push adds a timer; for container/heap.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	tm := x.(*timer)
 	tm.index = len(*h)
 	*h = append(*h, tm)
 }
 
-// Pop removes the last timer; for container/heap.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	tm := old[len(old)-1]
--- a/internal/owner/verify.go
+++ b/internal/owner/verify.go
@@ -10,14 +10,14 @@
 
 const (
 	// pauseThreshold is the gap between two ticks after which this process may
-	// have been paused. Whatever it knows or reads then may be as old as the
-	// pause, so that it proves nothing about now.
+	// have been paused. What it knows or reads then may be as old as the pause,
+	// so it does not verify ownership.
 	pauseThreshold = 500 * time.Millisecond
 	// heartbeatInterval is the time between two ticks of an owner without work.
 	heartbeatInterval = 250 * time.Millisecond
 )
 
-// detectPause begins a time of distrust after a gap between ticks.
+// detectPause records a possible pause of this process.
 func (o *Owner) detectPause() {
 	if o.now.Sub(o.lastTick) > pauseThreshold {
 		o.resumedAt = o.now
@@ -25,7 +25,8 @@
 	o.lastTick = o.now
 }
 
-// scheduleHeartbeat keeps the ticks close together while shards are owned.
+// scheduleHeartbeat keeps ticks frequent while shards are owned, so that pauses
+// can be detected.
 func (o *Owner) scheduleHeartbeat() {
 	if o.heartbeatTimer != nil && o.heartbeatTimer.index >= 0 {
 		return
@@ -40,22 +41,23 @@
 	})
 }
 
-// setOwnedAt notes that the shard was owned at a time: that at which a record was
-// first sent which counted. The time of a read proves nothing, since what was
-// read may have waited in a buffer.
+// setOwnedAt records that the shard was owned at a time. Only the time at which a
+// committed record was first sent may be passed. The time of a read does not
+// qualify, since the data may have waited in a buffer.
 func (s *shard) setOwnedAt(at time.Time) {
 	if at.After(s.ownedAt) {
 		s.ownedAt = at
 	}
 }
 
-// verifiedSincePause tells whether no pause came since the shard was last proven owned. In
-// an outage nobody can claim it, as far as this owner can tell.
+// verifiedSincePause reports whether ownership was verified since the last pause.
+// During a log outage no instance can claim the shard, as far as this owner can
+// observe.
 func (s *shard) verifiedSincePause() bool { return s.logDown() || !s.ownedAt.Before(s.o.resumedAt) }
 
-// needsVerification tells whether a call has to wait until the log proves that the shard
-// is still owned: after a pause, or if earlier deliveries of a not-repeatable
-// key have to be known.
+// needsVerification reports whether a call must wait until the log confirms
+// ownership: after a pause, or if earlier deliveries of a not-repeatable key must
+// be known.
 func (s *shard) needsVerification(m *structs.Submit) bool {
 	if s.verified || s.logDown() {
 		return false
@@ -65,14 +67,15 @@
 	return !s.verifiedSincePause() || notRepeatable && !m.Call.Fresh
 }
 
-// ownershipCheck is what waits for the proof that the shard is owned since a time.
+// ownershipCheck is a callback that waits for a verification that the shard was
+// owned at or after a time.
 type ownershipCheck struct {
 	since time.Time
 	done  func(verified bool)
 }
 
-// verifyOwnership calls then once a record that was sent from now on counted, or with
-// false if the log is down. It is never called if a newer claim turns up.
+// verifyOwnership calls done once a record sent from now on is committed, or with
+// false if the log is unavailable. done is never called if a newer claim is read.
 func (s *shard) verifyOwnership(done func(verified bool)) {
 	if s.logDown() {
 		done(false)
@@ -82,8 +85,8 @@
 	s.appendCheck()
 }
 
-// appendCheck writes the record that proves the ownership to all that wait, one at a
-// time.
+// appendCheck appends one Check record at a time, on behalf of all waiting
+// checks.
 func (s *shard) appendCheck() {
 	if s.checkPending || !s.owned() {
 		return
@@ -98,7 +101,8 @@
 	})
 }
 
-// onOwnershipVerified takes up what waited for a proof since before a time.
+// onOwnershipVerified completes the checks and redelivers the held messages that
+// are not newer than at.
 func (s *shard) onOwnershipVerified(at time.Time) {
 	proofs, held := s.ownershipChecks, s.held
 	s.ownershipChecks, s.held = nil, nil
@@ -121,8 +125,8 @@
 	s.verified = false
 }
 
-// failOwnershipChecks gives up the proofs in an outage: what is held is taken up again,
-// since repeatable calls of known programs go on.
+// failOwnershipChecks fails the pending checks in an outage. Held messages are
+// redelivered, since repeatable calls of known programs continue.
 func (s *shard) failOwnershipChecks() {
 	proofs := s.ownershipChecks
 	s.ownershipChecks = nil
@@ -134,15 +138,15 @@
 	}
 }
 
-// holdUntilVerified holds a message until the log proves that the shard is owned.
+// holdUntilVerified holds a message until the log confirms ownership.
 func (s *shard) holdUntilVerified(from structs.InstanceID, msg structs.Message) {
 	s.holdMessage(from, msg)
 	s.appendCheck()
 }
 
-// deferRefusal tells whether a refusal by the shard's state must wait for a proof:
-// a newer owner may know better. It holds the message then, or refuses it if the
-// log is down.
+// deferRefusal reports whether a refusal that depends on the shard's state is
+// deferred. A newer owner may have other state, so the message is held until
+// ownership is verified, or refused with RetryAfter if the log is unavailable.
 func (s *shard) deferRefusal(from structs.InstanceID, msg structs.Message) bool {
 	if s.verified {
 		return false
@@ -155,7 +159,7 @@
 	return true
 }
 
-// stateReasons lists the reasons that follow from what the owner knows.
+// stateReasons lists the refusal reasons that depend on the shard's state.
 var stateReasons = []structs.Reason{
 	structs.ReasonUnknownProgram, structs.ReasonForeignProgram, structs.ReasonTooOld, structs.ReasonProgramClosed,
 	structs.ReasonStaleNumber, structs.ReasonBudget,
@@ -163,7 +167,8 @@
 
 func dependsOnState(reason structs.Reason) bool { return slices.Contains(stateReasons, reason) }
 
-// refuseVerified refuses a call by the shard's state once that is proven to be current.
+// refuseVerified refuses a call based on the shard's state once ownership is
+// verified.
 func (c *call) refuseVerified(reason structs.Reason, after time.Duration, done func()) {
 	if c.sentRuns > 0 {
 		c.refuse(reason, after)
