--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -176,8 +176,8 @@
 	}
 	missing := need.Minus(p.chunkFree()).Max(journal.Amount{})
 	left := p.available()
-	ample := journal.Amount{Tokens: left.Tokens / aheadDivisor, Fees: left.Fees / aheadDivisor}
-	if !missing.IsZero() && missing.AtMost(ample) {
+	maxAhead := journal.Amount{Tokens: left.Tokens / aheadDivisor, Fees: left.Fees / aheadDivisor}
+	if !missing.IsZero() && missing.AtMost(maxAhead) {
 		p.appendReserve(missing)
 	}
 }
--- a/internal/owner/call_test.go
+++ b/internal/owner/call_test.go
@@ -39,14 +39,14 @@
 	second := cl.submit(testCall(id, 2, true), time.Minute)
 	cl.run(time.Second)
 	if len(cl.sends) != 0 {
-		t.Fatalf("%d sends before call 1 came", len(cl.sends))
+		t.Fatalf("%d sends before call 1 was submitted", len(cl.sends))
 	}
 	first := cl.submit(testCall(id, 1, false), time.Minute)
 	cl.run(2 * time.Second)
 	for i, r := range []*request{first, second, third} {
 		cl.expect(r, structs.OutcomeAnswered, "")
 		if cl.sends[i].call.Number != uint64(i+1) {
-			t.Errorf("send %d is of call %d", i, cl.sends[i].call.Number)
+			t.Errorf("send %d is for call %d", i, cl.sends[i].call.Number)
 		}
 	}
 	gap := cl.submit(testCall(id, 9, false), time.Minute)
@@ -69,7 +69,7 @@
 		cl.run(time.Second)
 		cl.expect(r, structs.OutcomeAnswered, "")
 	}
-	// 300 tokens are spent and 200 are the worst case; then 50 are left.
+	// 300 tokens are spent and the worst case is 200. 50 are left afterwards.
 	r := cl.submit(testCall(id, 5, false), time.Minute)
 	cl.run(time.Second)
 	cl.expect(r, structs.OutcomeAnswered, "")
@@ -91,7 +91,7 @@
 		r := cl.submit(c, time.Minute)
 		cl.run(200 * time.Millisecond)
 		if cl.sendsOf(c) != 1 {
-			t.Fatal("not sent")
+			t.Fatal("call was not sent")
 		}
 		cl.kill("o1")
 		cl.run(5 * time.Second)
@@ -106,7 +106,7 @@
 		cl.expect(again, r.outcome.Kind, r.outcome.Reason)
 		cl.expect(next, structs.OutcomeAnswered, "")
 		if cl.sendsOf(c) != 1 {
-			t.Errorf("%d sends", cl.sendsOf(c))
+			t.Errorf("%d sends, want 1", cl.sendsOf(c))
 		}
 	}
 }
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -19,7 +19,7 @@
 		s.holdMessage(from, msg)
 		return
 	}
-	owner, mine := s.candidate(suspects)
+	owner, isNext := s.candidate(suspects)
 	switch {
 	case s.o.draining:
 		s.o.sendNotOwner(from, msg, owner)
@@ -28,7 +28,7 @@
 	case owner == s.o.cfg.Self.ID:
 		s.holdMessage(from, msg)
 		s.startClaim()
-	case mine && s.tenure == tenureNone:
+	case isNext && s.tenure == tenureNone:
 		s.holdMessage(from, msg)
 		s.tenure, s.probed = tenureProbing, owner
 		s.o.emit(structs.ProbePeer{To: owner})
@@ -182,18 +182,18 @@
 // onShardLost is called when another instance's claim was read. Calls that were
 // not sent are dropped. Runs in progress are awaited and recorded as unfenced
 // facts.
-func (s *shard) onShardLost(winner structs.InstanceID) {
+func (s *shard) onShardLost(newOwner structs.InstanceID) {
 	claimed := s.tenure == tenureOwned
 	s.tenure = tenureLost
-	s.newOwner, s.lostAt = winner, s.o.now
+	s.newOwner, s.lostAt = newOwner, s.o.now
 	s.o.timers.stop(s.logTimer)
 	s.app.dropFenced()
 	for _, h := range s.takeHeld() {
-		s.o.sendNotOwner(h.from, h.msg, winner)
+		s.o.sendNotOwner(h.from, h.msg, newOwner)
 	}
 	if claimed {
-		s.logEvent("shard lost to a newer claim", winner)
-		s.dropUnsent(winner)
+		s.logEvent("shard lost to a newer claim", newOwner)
+		s.dropUnsent(newOwner)
 	}
 	s.resetPending()
 	s.unloadIfDone()
--- a/internal/owner/cluster_callers_test.go
+++ b/internal/owner/cluster_callers_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// submit sends a new request to the owner that the gateway thinks of.
+// submit sends a new request to the owner that the gateway prefers.
 func (cl *cluster) submit(call *structs.Call, remaining time.Duration) *request {
 	cl.nextID++
 	r := &request{
@@ -38,10 +38,10 @@
 	cl.sendMessage(testGateway, to, m)
 }
 
-// resubmit asks another owner after one was lost.
-func (cl *cluster) resubmit(r *request, lost structs.InstanceID) {
+// resubmit sends the request to another owner after one failed.
+func (cl *cluster) resubmit(r *request, failed structs.InstanceID) {
 	r.resubmitted = true
-	cl.route(r, "", []structs.InstanceID{lost})
+	cl.route(r, "", []structs.InstanceID{failed})
 }
 
 func (cl *cluster) expire(r *request) {
@@ -55,8 +55,8 @@
 	r.outcome, r.endedAt = &out, cl.now
 }
 
-// gateway takes answers only from the owner that it asked last: an earlier one
-// cannot speak for it.
+// gateway accepts responses only from the owner that it queried last, except
+// answers of the run whose pieces it has.
 func (cl *cluster) gateway(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.ProgramReply:
@@ -79,7 +79,7 @@
 	}
 }
 
-// program opens a program and waits until that is journalled.
+// program opens a program and waits until that is journaled.
 func (cl *cluster) program(n byte) structs.ProgramID {
 	id := structs.NewProgramID(testRegion, testStart, [10]byte{9: n})
 	cl.operate(id, structs.ProgramOpen)
@@ -97,7 +97,7 @@
 	return cl.programs[request]
 }
 
-// testCall makes a call of a program's own lane.
+// testCall returns a call of a program's default lane.
 func testCall(id structs.ProgramID, number uint64, notRepeatable bool) *structs.Call {
 	c := &structs.Call{
 		Program: id, Team: testTeam, Number: number, Key: fmt.Sprintf("k%d", number), Service: testChat,
@@ -110,7 +110,7 @@
 	return c
 }
 
-// sendsOf counts the sends of a call's key.
+// sendsOf returns the number of sends for a call's key.
 func (cl *cluster) sendsOf(c *structs.Call) int {
 	n := 0
 	for _, s := range cl.sends {
--- a/internal/owner/cluster_targets_test.go
+++ b/internal/owner/cluster_targets_test.go
@@ -15,8 +15,8 @@
 		e.Run, e.Target = c.Run, c.Target.ID
 		cl.after(d, func() { cl.deliverTo(n.id, incarnation, e) })
 	}
-	late := cl.now.After(c.NotAfter)
-	if late && cl.rng.Float64() < 0.5 {
+	overdue := cl.now.After(c.NotAfter)
+	if overdue && cl.rng.Float64() < 0.5 {
 		end(networkTime, structs.RunEnded{Failure: structs.RunNotSent})
 		return
 	}
@@ -29,7 +29,7 @@
 		return
 	}
 	cost := c.Call.PromptTokens + c.Call.MaxTokens/2
-	cl.sends = append(cl.sends, targetSend{at: cl.now, run: c.Run, call: c.Call, late: late, cost: cost, fencing: c.Fencing})
+	cl.sends = append(cl.sends, targetSend{at: cl.now, run: c.Run, call: c.Call, overdue: overdue, cost: cost, fencing: c.Fencing})
 	cl.tracef("send %s of %s %d key %s by %s", c.Run, c.Call.Lane, c.Call.Number, c.Call.Key, n.id)
 	if cl.hangRuns {
 		return
@@ -49,7 +49,7 @@
 	end(cl.runTime+networkTime, structs.RunEnded{Outcome: out, Took: cl.runTime})
 }
 
-// stream sends the words of a text as pieces; a broken stream stops halfway.
+// stream sends the words of a text as pieces. A broken stream stops halfway.
 func (cl *cluster) stream(n *node, run structs.RunID, text string, from int, failure structs.RunFailure) {
 	incarnation := n.incarnation
 	words := strings.SplitAfter(text, " ")
--- a/internal/owner/cluster_test.go
+++ b/internal/owner/cluster_test.go
@@ -25,8 +25,8 @@
 
 var testStart = time.UnixMilli(1_800_000_000_000)
 
-// cluster is a virtual-time run of a few owners around a fake log, dispatcher,
-// targets and one gateway. Everything follows from the seed.
+// cluster simulates a few owners in virtual time, with a fake log, dispatcher,
+// targets and one gateway. It is deterministic for a seed.
 type cluster struct {
 	t            testing.TB
 	now          time.Time
@@ -39,18 +39,18 @@
 	firstOffsets map[string]uint64
 	logDown      bool
 	shards       int
-	// snapshotInterval replaces the owners' own setting, if set.
-	snapshotEvery        uint64
+	// snapshotInterval overrides the owners' own interval, if set.
+	snapshotInterval     uint64
 	faults               faults
 	policy               structs.Policy
 	supportsOutcomeQuery bool
-	// grants remembers the dispatcher's placement of each run.
+	// grants holds the dispatcher's placement of each run.
 	grants         map[structs.RunID]structs.TargetID
 	refusePermit   func(*structs.PermitRequest) structs.Reason
 	withholdGrants bool
-	// hangRuns lets targets take runs and never tell their end.
+	// hangRuns makes targets accept runs and never report their end.
 	hangRuns bool
-	// runResult decides what a target does with a run.
+	// runResult decides the result of a run at its target.
 	runResult      func(structs.StartRun) structs.RunFailure
 	runTime        time.Duration
 	sends          []targetSend
@@ -68,7 +68,7 @@
 	trace     []string
 }
 
-// faults are the probabilities of the random schedule.
+// faults are the probabilities of random faults.
 type faults struct {
 	lostReplyRate, droppedRate, refusedRate float64
 	maxCommandDelay                         time.Duration
@@ -78,7 +78,7 @@
 	at      time.Time
 	run     structs.RunID
 	call    *structs.Call
-	late    bool
+	overdue bool
 	cost    int64
 	fencing uint64
 }
@@ -105,12 +105,13 @@
 	incarnation int
 	alive       bool
 	paused      bool
-	// suspected tells that the others find it unreachable.
+	// suspected indicates that the other instances cannot reach it.
 	suspected   bool
 	partitioned bool
-	// logUnresponsive tells that the log takes nothing from it and never replies.
+	// logUnresponsive indicates that the log drops its appends and never replies
+	// to it.
 	logUnresponsive bool
-	// readLag is the time that reads of the log take more.
+	// readLag is the additional delay of its reads from the log.
 	readLag time.Duration
 	inbox   []structs.Event
 	tails   map[string]uint64
@@ -165,7 +166,7 @@
 	return cl
 }
 
-// start makes a new value in place of an instance.
+// start starts a new incarnation of an instance.
 func (cl *cluster) start(id structs.InstanceID) {
 	n := cl.nodes[id]
 	n.incarnation++
@@ -174,8 +175,8 @@
 	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: id, Region: testRegion}, fmt.Sprint(n.incarnation))
 	cfg.Shards = max(1, cl.shards)
 	n.o = New(cfg, view{cluster: cl, self: id}, view{cluster: cl})
-	if cl.snapshotEvery > 0 {
-		n.o.snapshotInterval = cl.snapshotEvery
+	if cl.snapshotInterval > 0 {
+		n.o.snapshotInterval = cl.snapshotInterval
 	}
 	n.deliver(structs.MembersListed{})
 }
@@ -187,7 +188,7 @@
 	cl.after(100*time.Millisecond, func() { cl.reportDown(id) })
 }
 
-// pause stops an instance for a while; after a second the others notice.
+// pause stops an instance for a while. The others notice after a second.
 func (cl *cluster) pause(id structs.InstanceID, d time.Duration) {
 	n := cl.nodes[id]
 	incarnation := n.incarnation
@@ -210,7 +211,7 @@
 	})
 }
 
-// reportDown lets everyone know that an instance does not answer.
+// reportDown reports to all others that an instance is unresponsive.
 func (cl *cluster) reportDown(id structs.InstanceID) {
 	cl.nodes[id].suspected = true
 	for _, other := range cl.ids {
@@ -234,7 +235,7 @@
 	heap.Push(&cl.queue, scheduledEvent{at: cl.now.Add(d), order: cl.order, fire: fire})
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (cl *cluster) run(d time.Duration) {
 	end := cl.now.Add(d)
 	for len(cl.queue) > 0 && !cl.queue[0].at.After(end) {
@@ -253,7 +254,7 @@
 	n.tick()
 }
 
-// deliverTo delivers to the present life of an instance only.
+// deliverTo delivers an event only to the given incarnation of an instance.
 func (cl *cluster) deliverTo(id structs.InstanceID, incarnation int, ev structs.Event) {
 	if n := cl.nodes[id]; n != nil && n.incarnation == incarnation {
 		n.deliver(ev)
@@ -270,7 +271,7 @@
 	n.cmds = append(n.cmds, cmds...)
 	incarnation := n.incarnation
 	if d := n.cluster.faults.maxCommandDelay; d > 0 && n.cluster.rng.Float64() < 0.02 {
-		n.cluster.tracef("%s sleeps before its commands", n.id)
+		n.cluster.tracef("%s delays its commands", n.id)
 		n.cluster.after(time.Duration(n.cluster.rng.Int64N(int64(d))), func() {
 			if n.incarnation == incarnation {
 				n.execute()
@@ -394,7 +395,7 @@
 	return cl.nodes[id].alive && !cl.nodes[id].suspected
 }
 
-// dump shows the state of every owner.
+// dump returns the state of every owner.
 func (cl *cluster) dump() string {
 	var out strings.Builder
 	for _, id := range cl.ids {
--- a/internal/owner/cluster_view_test.go
+++ b/internal/owner/cluster_view_test.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// view is the membership and settings view of one owner; it follows the truth
-// at once, except that a paused instance still looks live.
+// view is one owner's view of membership and settings. It follows the cluster
+// without delay, except that a paused instance still looks live.
 type view struct {
 	cluster *cluster
 	self    structs.InstanceID
@@ -19,7 +19,7 @@
 	return structs.Peer{ID: id, Region: testRegion}, v.cluster.nodes[id] != nil
 }
 
-// Peers counts as many as a real region has, for the rate of appends.
+// Peers has the size of a typical region, which determines the rate of appends.
 func (v view) Peers() []structs.Peer { return make([]structs.Peer, 12) }
 
 func (v view) Suspected(id structs.InstanceID) bool { return !v.cluster.live(id) }
--- a/internal/owner/gap.go
+++ b/internal/owner/gap.go
@@ -49,7 +49,7 @@
 }
 
 // maySkipGap reports whether the lane may skip missing numbers. It may skip those
-// that a caller was told have an unknown outcome. It may skip others once an
+// that were reported as unknown without a record. It may skip others once an
 // epoch, because only the calls that a previous owner answered last can lack a
 // record.
 func (p *program) maySkipGap(l *lane) bool {
--- a/internal/owner/gap_test.go
+++ b/internal/owner/gap_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// answerWithoutRecord lets a call be answered in an outage and its owner die, so that no
-// record of it is in the log.
+// answerWithoutRecord answers a call during a log outage and kills its owner, so
+// that no record of the call is in the log.
 func answerWithoutRecord(cl *cluster, id structs.ProgramID, c *structs.Call) *request {
 	cl.logDown = true
 	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
@@ -29,8 +29,8 @@
 	return c
 }
 
-// A lane goes on behind a number whose record died with its owner, and a later
-// delivery of that number is not said not to have run.
+// A lane continues behind a number whose record was lost with its owner. A later
+// delivery of that number is not reported as "not run".
 func TestGapAfterTakeoverIsSkipped(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	cl.policy.ProgramTokens = 5000
@@ -47,7 +47,8 @@
 	filing := cl.submit(testCall(id, 2, true), time.Minute)
 	cl.run(time.Second)
 	cl.expect(filing, structs.OutcomeUnknown, structs.ReasonStaleNumber)
-	// Once an epoch: the next gap is refused, but not as "not run".
+	// A gap is skipped once an epoch. The next one is refused, but not as "not
+	// run".
 	fifth := cl.submit(testCall(id, 5, false), time.Minute)
 	cl.run(cl.policy.GapTimeout + time.Second)
 	cl.expect(fifth, structs.OutcomeUnknown, structs.ReasonOrderGap)
@@ -59,7 +60,7 @@
 	cl.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
 }
 
-// A history that holds the missing answers lets the call start at once.
+// A history that includes the missing responses lets the call start at once.
 func TestHistoryCoversGap(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	cl.policy.ProgramTokens = 5000
@@ -70,14 +71,15 @@
 	short := cl.submit(addHistory(testCall(id, 3, false), 4), 400*time.Millisecond)
 	cl.run(500 * time.Millisecond)
 	if short.kind() == structs.OutcomeAnswered {
-		t.Error("a history without the answer of number 2 was taken for one with it")
+		t.Error("call 3 ran although its history lacks the answer of call 2")
 	}
 	third := cl.submit(addHistory(testCall(id, 3, false), 5), time.Minute)
 	cl.run(500 * time.Millisecond)
 	cl.expect(third, structs.OutcomeAnswered, "")
 }
 
-// A caller that heard "unknown" of a number without a record may go on.
+// A lane continues behind a number whose outcome was reported as unknown without
+// a record.
 func TestLaneContinuesAfterUnknownRefusal(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	id := cl.program(1)
@@ -94,8 +96,8 @@
 	cl.expect(second, structs.OutcomeAnswered, "")
 }
 
-// A repeatable call whose record may have died with an earlier owner is not
-// said not to have run, unless its caller declares the first delivery.
+// A repeatable call whose record may be lost is not reported as "not run", unless
+// its caller declares the delivery as the first.
 func TestRefusalsAfterTakeover(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -9,21 +9,21 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// TestDoneOfPreviousOwnerUnblocksLane: the earlier owner answered call 1
-// and lost the shard before it recorded the answer; call 2 is already here when
-// the record comes. If it is call 2's own record it is the answer.
+// The previous owner answered a call and lost the shard before it recorded the
+// response. When the record arrives, call 2 starts if the record is that of call
+// 1, and ends with the recorded outcome if it is its own.
 func TestDoneOfPreviousOwnerUnblocksLane(t *testing.T) {
 	if cmds := recordFromPreviousOwner(t, 1); countPermitRequests(cmds) != 1 {
-		t.Errorf("call 2 still waits after call 1 is done: %v", cmds)
+		t.Errorf("call 2 did not start after call 1 was recorded: %v", cmds)
 	}
 	cmds := recordFromPreviousOwner(t, 2)
 	if out := lastOutcome(cmds, "r"); countPermitRequests(cmds) != 0 || out == nil || !out.Replayed {
-		t.Errorf("call 2 was done, its request got %v", cmds)
+		t.Errorf("call 2 was recorded, but its request got %v", cmds)
 	}
 }
 
-// recordFromPreviousOwner gives the commands that follow the record of a call of the earlier
-// owner, while call 2 waits.
+// recordFromPreviousOwner returns the commands that follow the previous owner's
+// record of a call, while call 2 waits.
 func recordFromPreviousOwner(t *testing.T, number uint64) []structs.Command {
 	cl := newCluster(t, 1, 1)
 	self := cl.ids[0]
--- a/internal/owner/idle_test.go
+++ b/internal/owner/idle_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// TestLogOutageDoesNotCloseIdleProgram: a filing is refused while the log is down for longer
-// than the idle timeout; the program goes on afterwards.
+// A filing is refused in a log outage longer than the idle timeout. The program
+// must stay open.
 func TestLogOutageDoesNotCloseIdleProgram(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.policy.IdleTimeout = 5 * time.Second
@@ -28,7 +28,7 @@
 	cl.expect(again, structs.OutcomeAnswered, "")
 }
 
-// TestRefusedCallsResetIdleTimer: a caller whose calls are refused is there.
+// A caller whose calls are refused is active.
 func TestRefusedCallsResetIdleTimer(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.policy.IdleTimeout = 5 * time.Second
@@ -41,6 +41,6 @@
 		cl.expect(refused, structs.OutcomeNotRun, structs.ReasonUnknownService)
 	}
 	if reply := cl.operate(id, structs.ProgramShow); reply.Info.State == structs.ProgramClosed {
-		t.Fatalf("the program is closed: %s", reply.Info.Reason)
+		t.Fatalf("program closed with reason %s", reply.Info.Reason)
 	}
 }
--- a/internal/owner/ownership_test.go
+++ b/internal/owner/ownership_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// An owner that is cut off from the log and does not know yet says nothing of
-// a filing that the next owner has sent.
+// An owner that is partitioned from the log and has not noticed it must not
+// report a filing as "not run" that the next owner sent.
 func TestPartitionedOwnerDoesNotReportNotRun(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -21,7 +21,7 @@
 		cl.run(time.Millisecond)
 	}
 	if cl.nodes["o1"].o.shards[0].logDown() {
-		t.Fatal("the old owner noticed the cut already")
+		t.Fatal("the previous owner has already noticed the partition")
 	}
 	cl.nodes["o1"].suspected, cl.nodes["o2"].suspected = false, true
 	again := cl.submit(c, time.Minute)
@@ -31,8 +31,8 @@
 	cl.expect(first, structs.OutcomeAnswered, "")
 }
 
-// A gateway with pieces of another run is told at once that its answer cannot
-// be made whole.
+// A gateway with pieces of another run is notified at once that its response
+// cannot be completed.
 func TestResubmitWithPiecesOfAnotherRun(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.runTime = 5 * time.Second
@@ -67,17 +67,17 @@
 			appended = true
 			cl.append(cl.nodes["o1"], c)
 		case structs.SendPeer:
-			t.Errorf("%T before the record counts", c.Msg)
+			t.Errorf("%T sent before the record was committed", c.Msg)
 		}
 	}
 	cl.run(time.Second)
 	if l := o.shards[0].state.Ledgers["lakeshore"]; !appended || l == nil || l.Granted.Fees != 100 {
-		t.Errorf("ledger %+v", l)
+		t.Errorf("ledger %+v, want 100 fees granted", l)
 	}
 }
 
-// A call that was refused behind its Intent is known as not sent to the next
-// owner, which runs it when it is asked again.
+// The next owner knows that a call refused after its Intent was not sent, and
+// runs it when it is submitted again.
 func TestAbandonedIntentCanRunAtNextOwner(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -94,7 +94,7 @@
 	cl.expect(again, structs.OutcomeAnswered, "")
 }
 
-// A run whose end is never told does not block its lane for ever.
+// A run whose end is never reported must not block its lane forever.
 func TestRunWithoutEndTimesOut(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	id := cl.program(1)
@@ -108,8 +108,8 @@
 	cl.expect(second, structs.OutcomeAnswered, "")
 }
 
-// A dispatcher grants a permit once: a run that was not sent asks under another
-// name, while the name in the journal and at the target stays.
+// A dispatcher grants a permit once, so a run that was not sent requests another
+// permit. Its run id in the journal and at the target stays.
 func TestNotRepeatableRetryUsesNewPermit(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	id := cl.program(1)
@@ -125,10 +125,10 @@
 	cl.expect(r, structs.OutcomeAnswered, "")
 	for run, n := range cl.finishes {
 		if n != 1 {
-			t.Errorf("permit %s was given back %d times", run, n)
+			t.Errorf("permit %s was returned %d times, want 1", run, n)
 		}
 	}
 	if intents := cl.nodes["o1"].o.shards[0].state.Programs[id].Open; len(intents) != 0 {
-		t.Errorf("open runs %v", intents)
+		t.Errorf("open runs %v, want none", intents)
 	}
 }
--- a/internal/owner/program_test.go
+++ b/internal/owner/program_test.go
@@ -19,14 +19,14 @@
 	cl.run(10 * time.Second)
 	target := cl.nodes["o1"].o.Programs(testTeam, 10)[0].Targets[0]
 	if cl.released[target] < 3 || len(cl.goneMessages) != 1 {
-		t.Errorf("%d releases, %d notices", cl.released[target], len(cl.goneMessages))
+		t.Errorf("%d releases, %d ProgramGone messages", cl.released[target], len(cl.goneMessages))
 	}
 	cl.kill("o1")
 	cl.released[target] = 0
-	// The next owner takes the shard up without any call.
+	// The next owner takes over the shard without any call.
 	cl.run(10 * time.Second)
 	if cl.released[target] == 0 {
-		t.Error("the next owner released nothing")
+		t.Error("the next owner sent no cache release")
 	}
 	cl.ignoreReleases = false
 	cl.run(time.Minute)
@@ -155,7 +155,7 @@
 	}
 }
 
-// A refusal of the dispatcher ends a call as "not run" and leaves its lane.
+// A dispatcher's refusal ends a call as "not run" and frees its lane.
 func TestDispatcherRefusal(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -20,8 +20,8 @@
 // seedVariable replays one schedule: OWNER_SEED=n go test -run RandomFaults.
 const seedVariable = "OWNER_SEED"
 
-// scheduleCount is the number of schedules of one test run; countVariable sets
-// another.
+// scheduleCount is the default number of schedules in a test run, countVariable
+// overrides it.
 const (
 	scheduleCount = 300
 	countVariable = "OWNER_SCHEDULES"
@@ -46,7 +46,7 @@
 	}
 	parameters.MaxShrinkCount = 0
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what must hold holds under faults", prop.ForAll(func(seed uint64) string {
+	properties.Property("invariants hold under faults", prop.ForAll(func(seed uint64) string {
 		s := runSchedule(t, seed)
 		total.faults += s.faults
 		total.answered += s.answered
@@ -71,14 +71,14 @@
 	violations []string
 }
 
-// caller issues the calls of one lane in order.
+// caller submits the calls of one lane in order.
 type caller struct {
-	s       *schedule
-	program structs.ProgramID
-	lane    structs.Lane
-	number  uint64
-	tries   int
-	// fresh tells that the next delivery of the key is its only one so far.
+	s        *schedule
+	program  structs.ProgramID
+	lane     structs.Lane
+	number   uint64
+	attempts int
+	// fresh indicates that the next delivery of the key is its only one so far.
 	fresh bool
 }
 
@@ -86,12 +86,12 @@
 
 func runSchedule(t testing.TB, seed uint64) *schedule {
 	cl := newCluster(t, seed, 3)
-	cl.shards, cl.snapshotEvery = 2, 25
+	cl.shards, cl.snapshotInterval = 2, 25
 	for _, id := range cl.ids {
 		cl.start(id)
 	}
 	s := &schedule{cluster: cl, rng: rand.New(rand.NewPCG(seed, 2))}
-	// Some schedules run out of a budget, most do not.
+	// Some schedules exhaust a budget, most do not.
 	cl.policy.ProgramTokens, cl.policy.ProgramFees = []int64{4000, 1000, 4000, 4000}[seed%4], 120
 	cl.policy.TeamTokens, cl.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
 	cl.policy.GapTimeout = 2 * time.Second
@@ -129,7 +129,7 @@
 	}
 }
 
-// injectFault brings about one fault, often none.
+// injectFault injects at most one fault.
 func (s *schedule) injectFault() {
 	cl := s.cluster
 	id := cl.ids[s.rng.IntN(len(cl.ids))]
@@ -151,7 +151,7 @@
 		cl.logDown = true
 		cl.after(span, func() { cl.logDown = false })
 	case roll < 0.15 && n.alive && !n.partitioned:
-		cl.tracef("cut %s from the log for %s", id, span)
+		cl.tracef("partition %s from the log for %s", id, span)
 		incarnation := n.incarnation
 		n.partitioned = true
 		cl.after(span, func() { n.partitioned = n.partitioned && n.incarnation != incarnation })
@@ -176,10 +176,10 @@
 	}
 }
 
-// issueNext issues the lane's next call, sometimes with one more behind it or twice.
+// issueNext submits the lane's next call.
 func (c *caller) issueNext() {
 	c.number++
-	c.tries = 0
+	c.attempts = 0
 	if c.number <= callsPerLane {
 		c.submit()
 	}
@@ -195,10 +195,10 @@
 }
 
 func (c *caller) submit() {
-	c.tries++
+	c.attempts++
 	cl := c.s.cluster
 	twice := c.s.rng.Float64() < 0.1
-	c.fresh = c.tries == 1 && !twice
+	c.fresh = c.attempts == 1 && !twice
 	r := cl.submit(c.spec(), 10*time.Second)
 	if twice {
 		cl.after(10*time.Millisecond, func() { cl.submit(c.spec(), 10*time.Second) })
@@ -206,7 +206,7 @@
 	c.awaitOutcome(r)
 }
 
-// awaitOutcome waits for the outcome, then goes on or tries the same call again.
+// awaitOutcome waits for the outcome, then continues or retries the call.
 func (c *caller) awaitOutcome(r *request) {
 	cl := c.s.cluster
 	if r.outcome == nil {
@@ -217,9 +217,9 @@
 	case r.kind() == structs.OutcomeAnswered:
 		c.s.answered++
 		c.issueNext()
-	case r.reason() == structs.ReasonBudget || c.tries > 40:
+	case r.reason() == structs.ReasonBudget || c.attempts > 40:
 		return
-	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.tries > 3:
+	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.attempts > 3:
 		c.issueNext()
 	default:
 		cl.after(max(time.Second, r.outcome.RetryAfter), c.submit)
@@ -241,8 +241,8 @@
 
 func callName(c *structs.Call) string { return fmt.Sprintf("%s/%s", c.Program, c.Key) }
 
-// checkSends: a not-repeatable call is sent at most once, and every send is on
-// behalf of a request that was not answered "not run".
+// checkSends checks that a not-repeatable call is sent at most once, and that
+// every send serves a request that was not answered "not run".
 func (s *schedule) checkSends() {
 	count := make(map[string]int)
 	for _, send := range s.cluster.sends {
@@ -252,7 +252,7 @@
 			s.violationf("%s was sent %d times", name, count[name])
 		}
 		if !s.hasOpenRequest(send) {
-			s.violationf("%s ran at %s though every request for it was answered 'not run'", name, send.at.Sub(testStart))
+			s.violationf("%s ran at %s although every request for it was answered 'not run'", name, send.at.Sub(testStart))
 		}
 	}
 }
@@ -266,8 +266,8 @@
 	return false
 }
 
-// checkNotRun: "not run" is said of no not-repeatable call that was sent, also
-// if an earlier delivery of it was.
+// checkNotRun checks that no not-repeatable call is answered "not run" after it
+// was sent, whichever delivery caused the send.
 func (s *schedule) checkNotRun() {
 	for _, r := range s.cluster.allRequests {
 		if r.kind() != structs.OutcomeNotRun || !r.call.NotRepeatable {
@@ -281,15 +281,15 @@
 	}
 }
 
-// checkOrder: the first sends of a lane's calls are in the order of numbers. A
-// send that slipped past its NotAfter is left out: no clock can order it.
+// checkOrder checks that the first sends of a lane's calls are in the order of
+// numbers. Sends after their NotAfter are ignored, since no clock can order them.
 func (s *schedule) checkOrder() {
 	seen := make(map[string]bool)
 	high := make(map[string]uint64)
 	for _, send := range s.cluster.sends {
 		name := callName(send.call)
 		lane := fmt.Sprintf("%s/%s", send.call.Program, send.call.Lane)
-		if seen[name] || send.late {
+		if seen[name] || send.overdue {
 			continue
 		}
 		seen[name] = true
@@ -300,8 +300,8 @@
 	}
 }
 
-// checkAnswers: an answer is that of a run of the same call, whole, and all
-// answers of a not-repeatable call are the same.
+// checkAnswers checks that each answer is complete and comes from a run of the
+// same call, and that all answers of a not-repeatable call are equal.
 func (s *schedule) checkAnswers() {
 	answers := make(map[string]string)
 	for _, r := range s.cluster.allRequests {
@@ -310,7 +310,7 @@
 		}
 		name := callName(r.call)
 		if !s.isRunAnswer(name, r.outcome.Text) {
-			s.violationf("%s got %q, no answer of its runs", name, r.outcome.Text)
+			s.violationf("%s got %q, which no run of it answered", name, r.outcome.Text)
 		}
 		if old, ok := answers[name]; ok && old != r.outcome.Text && r.call.NotRepeatable {
 			s.violationf("%s got %q and %q", name, old, r.outcome.Text)
@@ -351,15 +351,15 @@
 	}
 }
 
-// checkProgress: once faults ceased every request has its outcome and a new
-// program runs a call.
+// checkProgress checks that once faults have ceased, every request has an outcome
+// and a new program can run a call.
 func (s *schedule) checkProgress(programs []structs.ProgramID) {
 	for _, r := range s.cluster.allRequests {
 		if r.outcome == nil {
 			s.violationf("%s has no outcome", r.id)
 		}
 		if r.reason() == "gateway-deadline" && r.at.After(testStart.Add(25*time.Second)) {
-			s.violationf("%s heard nothing though no fault was left", r.id)
+			s.violationf("%s received no outcome after the faults had ceased", r.id)
 		}
 	}
 	s.cluster.policy.TeamTokens, s.cluster.policy.TeamFees = 0, 0
@@ -367,18 +367,17 @@
 	r := s.cluster.submit(testCall(id, 1, true), time.Minute)
 	s.cluster.run(time.Second)
 	if r.kind() != structs.OutcomeAnswered {
-		s.violationf("after the faults a call got kind %d %s", r.kind(), r.reason())
+		s.violationf("a call after the faults got kind %d %s", r.kind(), r.reason())
 	}
 }
 
-// The same inputs give the same outputs: no decision depends on the order of a
-// map.
+// Decisions must not depend on the iteration order of maps.
 func TestSameSeedGivesSameTrace(t *testing.T) {
 	for seed := range uint64(20) {
 		first, second := runSchedule(t, seed).cluster, runSchedule(t, seed).cluster
 		for i := range min(len(first.trace), len(second.trace)) {
 			if first.trace[i] != second.trace[i] {
-				t.Fatalf("seed %d: %s\nthen: %s", seed, first.trace[i], second.trace[i])
+				t.Fatalf("seed %d: first run: %s\nsecond run: %s", seed, first.trace[i], second.trace[i])
 			}
 		}
 		for name, records := range first.streams {
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -117,10 +117,10 @@
 	if found {
 		out.Kind = structs.OutcomeAnswered
 		cost.Tokens = out.Usage.Tokens()
-		r.logEvent("outcome of an earlier owner's run found at its target")
+		r.logEvent("outcome of a previous owner's run found at its target")
 	} else {
 		out = unknown(structs.ReasonOwnerLost)
-		r.logEvent("outcome of an earlier owner's run stays unknown")
+		r.logEvent("outcome of a previous owner's run remains unknown")
 	}
 	p.shard.app.push(&journal.Done{
 		CallID: r.run.CallID, Service: r.run.Service, Target: r.run.Target, NotRepeatable: true,
--- a/internal/owner/refuse.go
+++ b/internal/owner/refuse.go
@@ -113,13 +113,13 @@
 	waited := o.now.Sub(h.arrived)
 	switch m := h.msg.(type) {
 	case *structs.Submit:
-		later := *m
-		later.Remaining -= waited
-		o.onSubmit(h.from, &later)
+		updated := *m
+		updated.Remaining -= waited
+		o.onSubmit(h.from, &updated)
 	case *structs.ProgramRequest:
-		later := *m
-		later.Remaining -= waited
-		o.onProgramRequest(h.from, &later)
+		updated := *m
+		updated.Remaining -= waited
+		o.onProgramRequest(h.from, &updated)
 	case *structs.BudgetRequest:
 		o.onBudgetRequest(h.from, m)
 	}
--- a/internal/owner/release_test.go
+++ b/internal/owner/release_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// closeAfterOwnerCrash lets an owner die right after it sent a chat, before its record
-// of that is in the log, and closes the program at the next owner.
+// closeAfterOwnerCrash kills an owner right after it sent a chat, before the
+// record of the send is in the log, and closes the program at the next owner.
 func closeAfterOwnerCrash(t *testing.T) (*cluster, structs.ProgramID) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -30,13 +30,13 @@
 	return cl, id
 }
 
-// The cache of a program that is gone is released also at targets that no record
-// names, until each confirmed; the next owner goes on with it.
+// The cache of a closed program is released at targets without a record, too,
+// until each has confirmed. The next owner continues with it.
 func TestUnrecordedCacheIsReleased(t *testing.T) {
 	cl, id := closeAfterOwnerCrash(t)
 	for _, target := range []structs.TargetID{"mark-agents-1", "mark-agents-2"} {
 		if cl.released[target] < 2 {
-			t.Errorf("target %s was asked %d times to release", target, cl.released[target])
+			t.Errorf("target %s got %d release requests, want at least 2", target, cl.released[target])
 		}
 	}
 	cl.kill("o2")
@@ -45,21 +45,21 @@
 	cl.ignoreReleases = false
 	cl.run(time.Minute)
 	if row := cl.nodes["o1"].o.shards[0].state.Programs[id]; row == nil || len(row.Placements) != 0 {
-		t.Errorf("row %+v", row)
+		t.Errorf("program %+v, want no placements", row)
 	}
 }
 
-// A target that left the membership list is waited for no longer than that.
+// The release at a removed target ends after targetRemovedTimeout.
 func TestReleaseOfRemovedTarget(t *testing.T) {
 	cl, id := closeAfterOwnerCrash(t)
 	cl.noTargets = true
 	cl.run(time.Minute)
 	row := func() int { return len(cl.nodes["o2"].o.shards[0].state.Programs[id].Placements) }
 	if row() != 2 {
-		t.Errorf("%d placements while the list may lag", row())
+		t.Errorf("%d placements while the membership list may lag, want 2", row())
 	}
 	cl.run(targetRemovedTimeout + 2*maxReleaseBackoff)
 	if row() != 0 {
-		t.Errorf("%d placements at targets that left", row())
+		t.Errorf("%d placements at removed targets", row())
 	}
 }
--- a/internal/owner/resubmit_test.go
+++ b/internal/owner/resubmit_test.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lastOutcome gives the outcome that an owner sent for a request.
+// lastOutcome returns the last outcome that an owner sent for a request.
 func lastOutcome(cmds []structs.Command, request structs.RequestID) *structs.Outcome {
 	var out *structs.Outcome
 	for _, cmd := range cmds {
@@ -22,8 +22,8 @@
 	return out
 }
 
-// A refusal says "not run" only if no other owner may have the request, also if
-// that became known only by a repeated Submit.
+// A refusal is "not run" only if no other owner may have the request, even if a
+// repeated Submit is the first to indicate that.
 func TestRefusalOfResubmittedRequest(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -32,8 +32,8 @@
 	}{
 		{"first owner", []bool{false}, structs.OutcomeNotRun},
 		{"second owner", []bool{true}, structs.OutcomeUnknown},
-		{"back at the first", []bool{false, true}, structs.OutcomeUnknown},
-		{"marked once", []bool{true, false}, structs.OutcomeUnknown},
+		{"first owner again", []bool{false, true}, structs.OutcomeUnknown},
+		{"first Submit marked", []bool{true, false}, structs.OutcomeUnknown},
 	} {
 		cl := newCluster(t, 1, 1)
 		o := cl.nodes["o1"].o
@@ -45,7 +45,7 @@
 				Request: "r", Call: markFresh(testCall(id, 1, true)), Remaining: time.Minute, Resubmitted: resubmitted,
 			}}})
 		}
-		// The log never answers, so the shard is not claimed.
+		// The log never responds, so the shard is not claimed.
 		out := lastOutcome(o.Tick(now.Add(2*time.Second), nil), "r")
 		if out == nil || out.Kind != c.want {
 			t.Errorf("%s: %+v, want kind %d", c.name, out, c.want)
@@ -58,7 +58,7 @@
 	return c
 }
 
-// Pieces of one run are never followed by those of another.
+// Pieces of one run are never followed by pieces of another.
 func TestPiecesOfAnotherRun(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	id := cl.program(1)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Each run of a repeatable call has its own hold of the budget.
+// Each run of a repeatable call has its own hold in the budget.
 func TestFailedRunsAreChargedWorstCase(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.policy.ProgramTokens = 500
@@ -91,15 +91,15 @@
 	cl.run(5 * time.Second)
 	cl.expect(r, structs.OutcomeUnknown, structs.ReasonBudget)
 	if len(cl.sends) != 2 {
-		t.Errorf("%d runs of 200 tokens each within 500", len(cl.sends))
+		t.Errorf("%d runs of 200 tokens each within 500, want 2", len(cl.sends))
 	}
 	if info := cl.operate(id, structs.ProgramShow).Info; info.TokensSpent != 400 {
-		t.Errorf("%d tokens booked, want 400", info.TokensSpent)
+		t.Errorf("%d tokens spent, want 400", info.TokensSpent)
 	}
 }
 
-// A shard that was lost is claimed again though a call of it still runs, and
-// the lane waits for that call.
+// A lost shard is claimed again while one of its calls still runs, and the lane
+// waits for that call.
 func TestLostShardIsReclaimed(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	cl.runTime = 6 * time.Second
@@ -108,11 +108,11 @@
 	cl.run(200 * time.Millisecond)
 	cl.pause("o1", 1500*time.Millisecond)
 	cl.run(1200 * time.Millisecond)
-	// The other owner takes over for the next call and dies.
+	// The other owner takes over for the next call and crashes.
 	second := cl.submit(testCall(id, 2, true), time.Minute)
 	cl.run(800 * time.Millisecond)
 	if cl.nodes["o2"].o.shards[0].tenure != tenureOwned || cl.nodes["o1"].o.shards[0].tenure != tenureLost {
-		t.Fatal("the shard did not change hands")
+		t.Fatal("o2 did not take over the shard")
 	}
 	cl.kill("o2")
 	cl.run(10 * time.Second)
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -120,10 +120,10 @@
 	if c.notRepeatable {
 		return false
 	}
-	had := c.delivered()
+	hadDelivered := c.delivered()
 	target, ok := c.resumeTarget()
 	c.dropMismatchedWaiters()
-	if had && len(c.waiters) == 0 {
+	if hadDelivered && len(c.waiters) == 0 {
 		// The cost is charged to the previous owner's chunk.
 		c.run = ""
 		c.recordOutcome(unknown(structs.ReasonTargetFailed), journal.Amount{}, structs.RunEnded{})
@@ -364,14 +364,14 @@
 		return
 	}
 	c.phase, c.outcome = phaseRecording, out
-	record := func() {
+	end := func() {
 		if c.phase == phaseRecording {
 			c.sendOutcome(c.outcome)
 			c.end()
 		}
 	}
-	c.timer = o.after(confirmTimeout, record)
-	c.shard.app.push(done, urgent, record)
+	c.timer = o.after(confirmTimeout, end)
+	c.shard.app.push(done, urgent, end)
 }
 
 // cacheTokens estimates the prefix length that the target caches after the call.
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -145,8 +145,8 @@
 // verifiedRecently reports whether the shard was owned so recently that an owner
 // which claimed it since still waits for the recovery time.
 func (s *shard) verifiedRecently() bool {
-	limit := s.o.cfg.RecoveryWait - s.o.cfg.SendWindow
-	return !s.readDown && s.o.now.Sub(s.ownedAt) <= limit
+	maxAge := s.o.cfg.RecoveryWait - s.o.cfg.SendWindow
+	return !s.readDown && s.o.now.Sub(s.ownedAt) <= maxAge
 }
 
 func (s *shard) sortedPrograms() []*program {
--- a/internal/owner/snapshot.go
+++ b/internal/owner/snapshot.go
@@ -29,8 +29,8 @@
 	if s.state.Snapshot > 0 {
 		since -= s.state.Snapshot - 1
 	}
-	old := s.o.now.Sub(s.snapshotAt) > s.o.cfg.Retention/snapshotAgeDivisor
-	if since >= s.o.snapshotInterval || old {
+	expiring := s.o.now.Sub(s.snapshotAt) > s.o.cfg.Retention/snapshotAgeDivisor
+	if since >= s.o.snapshotInterval || expiring {
 		s.writeSnapshot()
 	}
 }
--- a/internal/owner/snapshot_test.go
+++ b/internal/owner/snapshot_test.go
@@ -9,11 +9,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// A reader that begins at a snapshot has what was in the log between the
-// snapshot's taking and its writing, and nothing twice.
+// Replay from a snapshot includes the records between the time it was taken and
+// the time it was written, and applies nothing twice.
 func TestReplayStartsFromSnapshot(t *testing.T) {
 	cl := newCluster(t, 1, 2)
-	cl.snapshotEvery = 10
+	cl.snapshotInterval = 10
 	for _, id := range cl.ids {
 		cl.start(id)
 	}
@@ -42,7 +42,7 @@
 		}
 	}
 	if behind == 0 {
-		t.Fatal("no record lies between a snapshot's taking and its writing")
+		t.Fatal("no record was written between taking and writing a snapshot")
 	}
 	cl.kill("o1")
 	cl.run(3 * time.Second)
@@ -58,7 +58,7 @@
 	}
 }
 
-// What is older than the window is forgotten, and its id never runs again.
+// A program older than the window is purged, and its calls never run again.
 func TestPurge(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	id := cl.program(1)
@@ -67,7 +67,7 @@
 	cl.operate(id, structs.ProgramClose)
 	cl.run(cl.policy.IdempotencyWindow + 2*time.Minute)
 	if n := len(cl.nodes["o1"].o.shards[0].state.Programs); n != 0 {
-		t.Errorf("%d programs are kept", n)
+		t.Errorf("%d programs left after the purge", n)
 	}
 	r := cl.submit(testCall(id, 1, true), time.Minute)
 	cl.run(time.Second)
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -40,15 +40,15 @@
 // updateHeld handles a repeated Submit of a held request. The later one replaces
 // the earlier, since it indicates whether another owner had the request in
 // between.
-func (s *shard) updateHeld(from structs.InstanceID, again *structs.Submit) bool {
+func (s *shard) updateHeld(from structs.InstanceID, repeated *structs.Submit) bool {
 	for _, h := range s.held {
 		m, ok := h.msg.(*structs.Submit)
-		if !ok || m.Request != again.Request {
+		if !ok || m.Request != repeated.Request {
 			continue
 		}
-		later := *again
-		later.Resubmitted = later.Resubmitted || m.Resubmitted
-		h.from, h.msg, h.arrived = from, &later, s.o.now
+		updated := *repeated
+		updated.Resubmitted = updated.Resubmitted || m.Resubmitted
+		h.from, h.msg, h.arrived = from, &updated, s.o.now
 		return true
 	}
 	return false
--- a/internal/owner/takeover_test.go
+++ b/internal/owner/takeover_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// The next call of a lane waits until the old owner can send nothing more, and
-// an owner that was paused with a permit in its queue sends nothing afterwards.
+// The next call of a lane waits until the previous owner can no longer send. An
+// owner that was paused with a permit in its queue sends nothing afterwards.
 func TestPausedOwnerSendsNothingAfterResume(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -34,7 +34,7 @@
 	cl.expect(second, structs.OutcomeAnswered, "")
 	wait := cl.nodes["o2"].o.cfg.RecoveryWait
 	if got := cl.sends[0].at.Sub(paused); got < time.Second+wait {
-		t.Errorf("call 2 was sent %s after the pause began", got)
+		t.Errorf("call 2 was sent %s after the pause began, before the recovery time had passed", got)
 	}
 	cl.run(5 * time.Second)
 	if n := cl.sendsOf(first); n != 0 {
@@ -50,7 +50,7 @@
 	first := cl.submit(testCall(id, 1, false), time.Minute)
 	for first.outcome == nil {
 		cl.run(time.Millisecond)
-		// The answer goes out; its record does not reach the log.
+		// The response is sent, but its record does not reach the log.
 		cl.nodes["o1"].logUnresponsive = len(cl.sends) > 0
 	}
 	cl.kill("o1")
@@ -133,12 +133,12 @@
 	cl.run(time.Second)
 	cl.expect(again, structs.OutcomeAnswered, "")
 	if !again.outcome.Replayed || again.outcome.Text != inChunk.outcome.Text {
-		t.Errorf("the record of the outage (since %s) is lost: %+v", at, again.outcome)
+		t.Errorf("the record written during the outage (since %s) is lost: %+v", at, again.outcome)
 	}
 }
 
-// An append whose reply is lost and whose owner then dies is neither lost nor
-// counted twice.
+// An append whose reply is lost before its owner crashes is neither lost nor
+// applied twice.
 func TestLostAppendReplyThenOwnerCrash(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	cl.policy.ProgramFees = 15
@@ -174,13 +174,13 @@
 	o1.deliver(structs.DrainStart{})
 	cl.run(500 * time.Millisecond)
 	if o1.o.InFlight() == 0 {
-		t.Error("drained while a call runs")
+		t.Error("nothing in flight while a call runs")
 	}
 	cl.run(6 * time.Second)
 	cl.expect(running, structs.OutcomeAnswered, "")
 	cl.expect(behind, structs.OutcomeAnswered, "")
 	if n := o1.o.InFlight(); n != 0 {
-		t.Errorf("%d in flight after the drain", n)
+		t.Errorf("%d calls and records in flight after the drain", n)
 	}
 	if cl.sends[0].run == cl.sends[1].run || cl.nodes["o2"].o.shards[0].tenure != tenureOwned {
 		t.Error("the next owner did not take over")
--- a/internal/owner/verify_test.go
+++ b/internal/owner/verify_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// newSupersededOwner gives a world in which o2 took the shard over and o1, whose reads
-// lag, does not know yet.
+// newSupersededOwner returns a cluster in which o2 has claimed the shard and o1,
+// whose reads lag, has not noticed yet.
 func newSupersededOwner(t *testing.T) (*cluster, structs.ProgramID) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -22,7 +22,7 @@
 	cl.expect(r, structs.OutcomeAnswered, "")
 	cl.nodes["o1"].suspected = false
 	if !cl.nodes["o1"].o.shards[0].owned() || !cl.nodes["o2"].o.shards[0].owned() {
-		t.Fatal("the old owner knows of the new one")
+		t.Fatal("the previous owner has already noticed the new claim")
 	}
 	return cl, id
 }
@@ -37,8 +37,8 @@
 	return id
 }
 
-// An owner that was superseded without knowing gives no final refusal from what
-// it knows: the caller gets the answer of the new owner.
+// An owner that was superseded unnoticed must not refuse a call based on its
+// state. The caller gets the new owner's answer.
 func TestSupersededOwnerVerifiesBeforeRefusing(t *testing.T) {
 	cl, _ := newSupersededOwner(t)
 	id := cl.openAt("o2", 2)
@@ -47,11 +47,11 @@
 	cl.run(time.Second)
 	cl.expect(r, structs.OutcomeAnswered, "")
 	if show.Outcome.Reason == structs.ReasonUnknownProgram {
-		t.Error("a live program is called unknown")
+		t.Error("an open program was refused as unknown")
 	}
 }
 
-// runAtSecondOwner lets o2 run a call while o1 does not know of it.
+// runAtSecondOwner runs a call at o2 while o1 has not noticed its claim.
 func (cl *cluster) runAtSecondOwner(c *structs.Call) {
 	cl.nodes["o1"].suspected = true
 	r := cl.submit(c, time.Minute)
@@ -62,7 +62,7 @@
 	cl.nodes["o1"].suspected = false
 }
 
-// A refusal in a lane waits for the proof, too.
+// A refusal in a lane waits for verification, too.
 func TestSupersededOwnerVerifiesBeforeRefusingInLane(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -94,7 +94,7 @@
 	cl.expect(next, structs.OutcomeAnswered, "")
 }
 
-// A proof holds for what arrived before its record was sent, not for later.
+// A verification covers only requests that arrived before its record was sent.
 func TestVerificationIsNewerThanRequest(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	cl.program(1)
@@ -112,7 +112,7 @@
 	cl.expect(late, structs.OutcomeAnswered, "")
 }
 
-// In an outage a refusal by state is not final.
+// A refusal during a log outage is not final.
 func TestStateRefusalDuringLogOutage(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.program(1)
@@ -123,12 +123,12 @@
 	cl.run(100 * time.Millisecond)
 	cl.expect(r, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
 	if r.outcome.RetryAfter == 0 {
-		t.Error("the caller is not told when to come back")
+		t.Error("refusal without RetryAfter")
 	}
 }
 
-// An owner that wakes up runs no call, repeatable or not, before the log shows
-// that it is still the owner.
+// An owner that resumes after a pause runs no call, repeatable or not, before the
+// log confirms that it still owns the shard.
 func TestResumedOwnerVerifiesOwnershipBeforeRunning(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
@@ -143,10 +143,10 @@
 		cl.expect(r, structs.OutcomeAnswered, "")
 	}
 	before := cl.sendsOf(stale.call)
-	// It gets to the log again when it goes on, and has read nothing yet.
+	// The log responds again when the owner resumes, which has read nothing yet.
 	cl.nodes["o1"].logUnresponsive = false
 	cl.run(5 * time.Second)
 	if n := cl.sendsOf(stale.call); n != before {
-		t.Errorf("call 1 ran again after call 2 at the owner that woke up: %d sends", n)
+		t.Errorf("the resumed owner ran call 1 again after call 2: %d sends", n)
 	}
 }
