--- a/internal/owner/snapshot_test.go
+++ b/internal/owner/snapshot_test.go
@@ -33,15 +33,15 @@
 	if cl.firstOffsets[stream] == 0 {
 		t.Fatal("no snapshot was written")
 	}
-	behind := 0
+	between := 0
 	for i, data := range cl.streams[stream] {
 		if r, err := journal.Decode(data); err == nil {
 			if snap, ok := r.Body.(*journal.Snapshot); ok && uint64(i) > snap.Next {
-				behind++
+				between++
 			}
 		}
 	}
-	if behind == 0 {
+	if between == 0 {
 		t.Fatal("no record was written between taking and writing a snapshot")
 	}
 	cl.kill("o1")
--- a/internal/owner/verify.go
+++ b/internal/owner/verify.go
@@ -104,15 +104,15 @@
 // onOwnershipVerified completes the checks and redelivers the held messages that
 // are not newer than at.
 func (s *shard) onOwnershipVerified(at time.Time) {
-	proofs, held := s.ownershipChecks, s.held
+	checks, held := s.ownershipChecks, s.held
 	s.ownershipChecks, s.held = nil, nil
 	s.verified = true
-	for _, p := range proofs {
-		if p.since.After(at) {
-			s.ownershipChecks = append(s.ownershipChecks, p)
+	for _, check := range checks {
+		if check.since.After(at) {
+			s.ownershipChecks = append(s.ownershipChecks, check)
 			continue
 		}
-		p.done(true)
+		check.done(true)
 	}
 	for _, h := range held {
 		if h.arrived.After(at) {
@@ -128,10 +128,10 @@
 // failOwnershipChecks fails the pending checks in an outage. Held messages are
 // redelivered, since repeatable calls of known programs continue.
 func (s *shard) failOwnershipChecks() {
-	proofs := s.ownershipChecks
+	checks := s.ownershipChecks
 	s.ownershipChecks = nil
-	for _, p := range proofs {
-		p.done(false)
+	for _, check := range checks {
+		check.done(false)
 	}
 	for _, h := range s.takeHeld() {
 		s.o.redeliver(h)
