--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -172,7 +172,7 @@
 	s.newOwner = ""
 	s.logEvent("shard claimed", "")
 	s.o.scheduleHeartbeat()
-	s.recoverOpenRuns()
+	s.recover()
 	s.onOwnershipVerified(s.app.sentAt)
 	for _, h := range s.takeHeld() {
 		s.o.redeliver(h)
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -14,8 +14,8 @@
 	timer *timer
 }
 
-// recoverOpenRuns resolves the state that previous owners left open.
-func (s *shard) recoverOpenRuns() {
+// recover resolves the state that previous owners left open.
+func (s *shard) recover() {
 	for _, id := range journal.SortedKeys(s.state.Programs) {
 		row := s.state.Programs[id]
 		p := s.liveProgram(id, row.Team)
