--- a/internal/owner/cluster_callers_test.go
+++ b/internal/owner/cluster_callers_test.go
@@ -31,7 +31,7 @@
 	r.to = to
 	r.attempts++
 	m := &structs.Submit{
-		Request: r.id, Call: r.call, Remaining: r.deadline.Sub(cl.now), Have: len(r.pieces), HaveRun: r.run,
+		Request: r.id, Call: r.call, Remaining: r.deadline.Sub(cl.now), NextPiece: len(r.pieces), ReceivedRun: r.run,
 		Suspects: suspects, Resubmitted: r.resubmitted,
 	}
 	cl.tracef("submit %s %s %d key %s to %s resubmitted %v", r.id, r.call.Lane, r.call.Number, r.call.Key, to, r.resubmitted)
--- a/internal/owner/cluster_targets_test.go
+++ b/internal/owner/cluster_targets_test.go
@@ -102,7 +102,7 @@
 	case *structs.PermitFinish:
 		cl.finishes[m.Ref.Run]++
 		delete(cl.grants, m.Ref.Run)
-	case *structs.ProgramGone:
+	case *structs.ProgramEnded:
 		cl.goneMessages = append(cl.goneMessages, *m)
 	}
 }
--- a/internal/owner/cluster_test.go
+++ b/internal/owner/cluster_test.go
@@ -58,7 +58,7 @@
 	requests       map[structs.RequestID]*request
 	allRequests    []*request
 	programs       map[structs.RequestID]structs.ProgramReply
-	goneMessages   []structs.ProgramGone
+	goneMessages   []structs.ProgramEnded
 	finishes       map[structs.RunID]int
 	released       map[structs.TargetID]int
 	ignoreReleases bool
@@ -336,11 +336,11 @@
 		cl.after(networkTime, func() {
 			cl.deliverTo(n.id, incarnation, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunCancelled})
 		})
-	case structs.AskOutcome:
+	case structs.QueryOutcome:
 		incarnation := n.incarnation
 		cl.after(networkTime, func() {
 			out, ok := cl.outcomes[string(c.Program)+"/"+c.Key]
-			cl.deliverTo(n.id, incarnation, structs.OutcomeAsked{Run: c.Run, Reached: true, Found: ok, Outcome: out})
+			cl.deliverTo(n.id, incarnation, structs.OutcomeQueried{Run: c.Run, Reached: true, Found: ok, Outcome: out})
 		})
 	case structs.ReleaseCache:
 		cl.released[c.Target.ID]++
--- a/internal/owner/outcome_query.go
+++ b/internal/owner/outcome_query.go
@@ -46,11 +46,11 @@
 	}
 	target := a.targets[0]
 	a.targets = a.targets[1:]
-	o.emit(structs.AskOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
+	o.emit(structs.QueryOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
 	a.timer = o.after(outcomeQueryTimeout, func() { o.queryNextTarget(a) })
 }
 
-func (o *Owner) onOutcomeAsked(e structs.OutcomeAsked) {
+func (o *Owner) onOutcomeAsked(e structs.OutcomeQueried) {
 	a := o.outcomeQueries[e.Run]
 	if a == nil {
 		return
--- a/internal/owner/ownership_test.go
+++ b/internal/owner/ownership_test.go
@@ -42,7 +42,7 @@
 	r := cl.submit(c, time.Minute)
 	cl.run(2 * time.Second)
 	cmds := cl.nodes["o1"].o.Tick(cl.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
-		Request: "stranger", Call: c, Remaining: time.Minute, Have: 1, HaveRun: "another", Resubmitted: true,
+		Request: "stranger", Call: c, Remaining: time.Minute, NextPiece: 1, ReceivedRun: "another", Resubmitted: true,
 	}}})
 	if out := lastOutcome(cmds, "stranger"); out == nil || out.Kind != structs.OutcomeUnknown {
 		t.Errorf("outcome %+v, want unknown", out)
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if reason != structs.ReasonNone {
-		out := refusal(m.Call, reason, 0, m.Resubmitted || m.Have > 0, s.hasAllDeliveries())
+		out := refusal(m.Call, reason, 0, m.Resubmitted || m.NextPiece > 0, s.hasAllDeliveries())
 		o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 		return
 	}
@@ -97,7 +97,7 @@
 				p.dropIfEmpty()
 				return
 			}
-			maybeElsewhere := m.Resubmitted || m.Have > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
+			maybeElsewhere := m.Resubmitted || m.NextPiece > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
 			out := refusal(m.Call, reason, after, maybeElsewhere, s.hasAllDeliveries() && p.hasAllRuns(notRepeatable))
 			p.recordUnknown(m.Call, out)
 			o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
