--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -5,15 +5,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// chunkShare is the part of a program's budget that one reservation takes at
-// most beyond what the call needs: an owner that dies loses it.
-const chunkShare = 16
+// chunkDivisor limits a reservation beyond what the call needs, as a fraction of
+// the program's budget. If the owner crashes, the unspent part of a chunk is
+// lost.
+const chunkDivisor = 16
 
-// aheadShare is the part of what is left of a budget that may be reserved ahead.
-const aheadShare = 4
+// aheadDivisor limits a reservation made ahead of a call, as a fraction of the
+// available budget.
+const aheadDivisor = 4
 
-// worst is the most that a call can cost.
-func (c *call) worst() journal.Amount {
+// worstCase returns the maximum cost of one run of the call.
+func (c *call) worstCase() journal.Amount {
 	a := journal.Amount{Fees: c.spec.Fee}
 	if c.spec.Kind == structs.CallChat {
 		a.Tokens = c.spec.PromptTokens + c.spec.MaxTokens
@@ -21,33 +23,32 @@
 	return a
 }
 
-// limits gives the program's budget; 0 is no bound.
+// limits returns the program's budget. 0 means unlimited.
 func (p *program) limits() journal.Amount {
 	policy := p.policy()
 	return journal.Amount{Tokens: policy.ProgramTokens, Fees: policy.ProgramFees}
 }
 
-// left is what may still be reserved or held: the budget less all that is
-// committed in the log or on its way there.
-func (p *program) left() journal.Amount {
+// available returns what may still be reserved or held: the budget less all
+// amounts committed in the log or pending.
+func (p *program) available() journal.Amount {
 	limit := p.limits()
 	left := limit.Minus(p.pending)
 	if row := p.row(); row != nil {
 		left = left.Minus(row.Committed())
 	}
-	// No bound leaves plenty of that part.
 	if limit.Tokens == 0 {
-		left.Tokens = unbounded
+		left.Tokens = unlimited
 	}
 	if limit.Fees == 0 {
-		left.Fees = unbounded
+		left.Fees = unlimited
 	}
 	return left
 }
 
-const unbounded = 1 << 60
+const unlimited = 1 << 60
 
-// chunkFree is the part of this epoch's chunk that no call holds.
+// chunkFree returns the part of this epoch's chunk that no call holds.
 func (p *program) chunkFree() journal.Amount {
 	var free journal.Amount
 	if row := p.row(); row != nil {
@@ -57,47 +58,47 @@
 	}
 	limit := p.limits()
 	if limit.Tokens == 0 {
-		free.Tokens = unbounded
+		free.Tokens = unlimited
 	}
 	if limit.Fees == 0 {
-		free.Fees = unbounded
+		free.Fees = unlimited
 	}
 	return free
 }
 
-// fund makes the call's cost durable: for a not-repeatable call with its
-// Intent, for others by a reservation.
-func (c *call) fund() {
+// reserveCost makes the call's cost durable: in its Intent for a not-repeatable
+// call, by a reservation otherwise.
+func (c *call) reserveCost() {
 	if c.notRepeatable {
 		c.writeIntent()
 		return
 	}
-	c.reserve()
+	c.reserveFromChunk()
 }
 
-// reserve holds a repeatable call's worst case from the chunk, after a further
-// reservation if the chunk is too small.
-func (c *call) reserve() {
-	if !c.holdTeams() {
+// reserveFromChunk holds a repeatable call's worst case from the chunk. If the
+// chunk is too small, the call waits for a further reservation.
+func (c *call) reserveFromChunk() {
+	if !c.holdTeamBudgets() {
 		return
 	}
 	p := c.prog
-	need := c.worst()
+	need := c.worstCase()
 	limit := p.limits()
 	if limit.IsZero() {
-		c.askPermit()
+		c.awaitPermit()
 		return
 	}
 	free := p.chunkFree()
 	if need.AtMost(free) {
-		c.hold, c.chunk = c.hold.Plus(need), true
+		c.hold, c.heldFromChunk = c.hold.Plus(need), true
 		p.held = p.held.Plus(need)
-		c.askPermit()
+		c.awaitPermit()
 		return
 	}
 	c.phase = phaseReserve
 	missing := need.Minus(free).Max(journal.Amount{})
-	if !missing.AtMost(p.left()) {
+	if !missing.AtMost(p.available()) {
 		c.refuseBudget()
 		return
 	}
@@ -106,64 +107,64 @@
 		return
 	}
 	if !p.reserving {
-		p.writeReserve(missing)
+		p.appendReserve(missing)
 	}
 }
 
-// refuseBudget refuses a call for want of budget. What other calls hold may
-// come back, so that asking again helps only then.
+// refuseBudget refuses a call because the budget is exhausted. It sets RetryAfter
+// only if other calls hold budget that may be released.
 func (c *call) refuseBudget() {
 	if !c.prog.held.IsZero() || !c.prog.pending.IsZero() {
-		c.deny(structs.ReasonBudget, busyRetryAfter, nil)
+		c.refuseVerified(structs.ReasonBudget, busyRetryAfter, nil)
 		return
 	}
-	c.deny(structs.ReasonBudget, 0, nil)
+	c.refuseVerified(structs.ReasonBudget, 0, nil)
 }
 
-func (p *program) writeReserve(missing journal.Amount) {
+func (p *program) appendReserve(missing journal.Amount) {
 	amount := p.chunkSize(missing)
 	p.pending = p.pending.Plus(amount)
 	p.reserving = true
-	// A single call's program has no record before its first: Open makes it.
+	// The program of a single call is opened by its first record.
 	if p.row() == nil {
 		p.shard.app.push(&journal.Open{Program: p.id, Team: p.team, Single: true}, urgent, nil)
 	}
 	p.shard.app.push(&journal.Reserve{Program: p.id, Amount: amount}, urgent, func() {
 		p.pending = p.pending.Minus(amount)
 		p.reserving = false
-		p.reserved()
+		p.onReserved()
 	})
 }
 
-// chunkSize rounds a reservation up, so that the next calls need none.
+// chunkSize rounds a reservation up, so that following calls need none.
 func (p *program) chunkSize(missing journal.Amount) journal.Amount {
-	limit, left := p.limits(), p.left()
+	limit, left := p.limits(), p.available()
 	amount := missing
 	if missing.Tokens > 0 {
-		share := min(p.policy().ChunkTokens, limit.Tokens/chunkShare)
+		share := min(p.policy().ChunkTokens, limit.Tokens/chunkDivisor)
 		amount.Tokens = min(max(missing.Tokens, share), left.Tokens)
 	}
 	return amount
 }
 
-// reserved takes up the calls that waited for a reservation.
-func (p *program) reserved() {
+// onReserved resumes the calls that waited for a reservation.
+func (p *program) onReserved() {
 	for _, c := range p.sortedCalls() {
 		if c.phase == phaseReserve {
-			c.fund()
+			c.reserveCost()
 		}
 	}
 }
 
-// burn books a run that broke: it may have cost its worst case, so that a further
-// run needs a hold of its own.
-func (c *call) burn() {
-	c.burned = c.burned.Plus(c.worst())
-	c.burns++
+// chargeFailedRun charges the worst case of a failed run. A further run needs its
+// own hold.
+func (c *call) chargeFailedRun() {
+	c.failedCost = c.failedCost.Plus(c.worstCase())
+	c.failedRuns++
 }
 
-// reserveAhead reserves what the next call is likely to need, so that it need
-// not wait for the log, if the budget is ample.
+// reserveAhead reserves the expected cost of the next call, so that it does not
+// wait for the log. It does so only while much of the budget is available.
 func (p *program) reserveAhead(need journal.Amount) {
 	s := p.shard
 	if !s.owned() || s.logDown() || s.o.draining || p.reserving || p.limits().IsZero() || p.closing {
@@ -174,26 +175,26 @@
 		return
 	}
 	missing := need.Minus(p.chunkFree()).Max(journal.Amount{})
-	left := p.left()
-	ample := journal.Amount{Tokens: left.Tokens / aheadShare, Fees: left.Fees / aheadShare}
-	if !missing.IsZero() && missing.AtMost(ample) {
-		p.writeReserve(missing)
+	left := p.available()
+	maxAhead := journal.Amount{Tokens: left.Tokens / aheadDivisor, Fees: left.Fees / aheadDivisor}
+	if !missing.IsZero() && missing.AtMost(maxAhead) {
+		p.appendReserve(missing)
 	}
 }
 
-// releaseHold gives back what a call held.
+// releaseHold releases the amounts that the call holds.
 func (c *call) releaseHold() {
-	if c.chunk {
+	if c.heldFromChunk {
 		c.prog.held = c.prog.held.Minus(c.hold)
 	}
-	c.hold, c.chunk = journal.Amount{}, false
-	c.releaseTeams()
+	c.hold, c.heldFromChunk = journal.Amount{}, false
+	c.releaseTeamBudgets()
 }
 
-// settleAll records that this instance spends no more from its chunks of a
-// lost shard; it tells whether it wrote something.
-func (s *shard) settleAll() bool {
-	// What a call in flight will cost is in no record yet.
+// settleChunks records that this instance spends no more from its chunks. It
+// reports whether it wrote a record.
+func (s *shard) settleChunks() bool {
+	// The cost of a call in flight is not recorded yet.
 	if s.calls > 0 {
 		return false
 	}
--- a/internal/owner/gap.go
+++ b/internal/owner/gap.go
@@ -7,70 +7,74 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// gapRetryAfter is the RetryAfter of a refusal for missing numbers.
+// gapRetryAfter is the RetryAfter delay of a refusal because of missing call
+// numbers.
 const gapRetryAfter = time.Second
 
-// inherited tells whether an earlier owner may have run calls of the program:
-// the records of repeatable ones follow their answers, so they may be missing.
+// inherited reports whether a previous owner may have run calls of the program.
+// Repeatable calls are recorded after their response, so such records may be
+// missing.
 func (p *program) inherited() bool {
 	row := p.row()
 	return row != nil && row.Epoch < p.shard.epoch
 }
 
-// showsAnswers tells whether a call's history proves that the caller has the
-// answers of the missing numbers: beyond what the lane's last call had sent, each
-// number adds at least an answer and a message.
-func (p *program) showsAnswers(c *call, last uint64) bool {
+// historyCoversGap reports whether the call's history proves that the caller has
+// the responses of the missing numbers. Each number adds at least a response and
+// a message to the history that the lane's last call sent.
+func (p *program) historyCoversGap(c *call, last uint64) bool {
 	row := p.row()
 	if row == nil || row.Lanes[c.spec.Lane] == nil || c.spec.Kind != structs.CallChat || c.spec.Fork {
 		return false
 	}
 	l := row.Lanes[c.spec.Lane]
-	if l.HistoryCount == 0 || forks(l, c.spec) {
+	if l.HistoryCount == 0 || forksHistory(l, c.spec) {
 		return false
 	}
 	added := uint64(len(c.spec.History) - l.HistoryCount)
 	return c.spec.Number-last <= added/2
 }
 
-// watchGap waits for the missing numbers before a lane's next call.
-func (p *program) watchGap(l *lane) {
+// startGapTimer limits how long the lane waits for the missing numbers.
+func (p *program) startGapTimer(l *lane) {
 	o := p.shard.o
-	if l.gap != nil && l.gap.index >= 0 {
+	if l.gapTimer != nil && l.gapTimer.index >= 0 {
 		return
 	}
 	wait := p.policy().GapTimeout
-	if p.maySkip(l) {
+	if p.maySkipGap(l) {
 		wait = min(wait, o.cfg.RecoveryWait)
 	}
-	l.gap = o.after(wait, func() { p.onGap(l) })
+	l.gapTimer = o.after(wait, func() { p.onGapTimeout(l) })
 }
 
-// maySkip tells whether the lane may pass missing numbers: those of which a
-// caller heard "unknown", else once an epoch, since only what an earlier owner
-// answered last can be missing.
-func (p *program) maySkip(l *lane) bool {
-	if len(l.queue) > 0 && l.queue[0].spec.Number <= p.unknowns[l.name]+1 {
+// maySkipGap reports whether the lane may skip missing numbers. It may skip those
+// that were reported as unknown without a record. It may skip others once an
+// epoch, because only the calls that a previous owner answered last can lack a
+// record.
+func (p *program) maySkipGap(l *lane) bool {
+	if len(l.queue) > 0 && l.queue[0].spec.Number <= p.unknownNumbers[l.name]+1 {
 		return true
 	}
-	return p.inherited() && p.skips[l.name] == 0
+	return p.inherited() && p.gapSkips[l.name] == 0
 }
 
-// told notes an outcome without a record.
-func (p *program) told(spec *structs.Call, out structs.Outcome) {
-	if out.Kind != structs.OutcomeUnknown || spec.Number <= max(p.last(spec.Lane), p.unknowns[spec.Lane]) {
+// recordUnknown remembers the number of a call whose outcome is unknown and has
+// no record.
+func (p *program) recordUnknown(spec *structs.Call, out structs.Outcome) {
+	if out.Kind != structs.OutcomeUnknown || spec.Number <= max(p.lastNumber(spec.Lane), p.unknownNumbers[spec.Lane]) {
 		return
 	}
-	if p.unknowns == nil {
-		p.unknowns = make(map[structs.Lane]uint64)
+	if p.unknownNumbers == nil {
+		p.unknownNumbers = make(map[structs.Lane]uint64)
 	}
-	p.unknowns[spec.Lane] = spec.Number
+	p.unknownNumbers[spec.Lane] = spec.Number
 }
 
-// sees tells whether the shard's state shows every run of the program's calls.
-// The records of repeatable calls follow their answers, so only an owner since
-// the program's first record has them all.
-func (p *program) sees(notRepeatable bool) bool {
+// hasAllRuns reports whether the shard's state includes every run of the
+// program's calls. Repeatable calls are recorded after their response, so only
+// the owner that wrote the program's first record has all of them.
+func (p *program) hasAllRuns(notRepeatable bool) bool {
 	if notRepeatable {
 		return true
 	}
@@ -78,48 +82,49 @@
 	return row != nil && row.Epoch == p.shard.epoch
 }
 
-// onGap passes the missing numbers or refuses the calls behind them.
-func (p *program) onGap(l *lane) {
+// onGapTimeout skips the missing numbers or refuses the calls behind them.
+func (p *program) onGapTimeout(l *lane) {
 	if !p.shard.owned() || l.current != nil || l.blocked > 0 || len(l.queue) == 0 {
 		return
 	}
-	if p.maySkip(l) {
-		if p.skips == nil {
-			p.skips = make(map[structs.Lane]uint64)
+	if p.maySkipGap(l) {
+		if p.gapSkips == nil {
+			p.gapSkips = make(map[structs.Lane]uint64)
 		}
-		p.skips[l.name] = l.queue[0].spec.Number
+		p.gapSkips[l.name] = l.queue[0].spec.Number
 		p.advance()
 		return
 	}
-	p.shard.prove(func(proven bool) {
+	p.shard.verifyOwnership(func(verified bool) {
 		reason, after := structs.ReasonOrderGap, gapRetryAfter
-		if !proven {
+		if !verified {
 			reason, after = structs.ReasonLogUnavailable, logRetryAfter
 		}
 		p.refuseGap(l.name, reason, after)
 	})
 }
 
-// refuseGap refuses a lane's calls behind missing numbers.
+// refuseGap refuses the lane's calls behind the missing numbers.
 func (p *program) refuseGap(name structs.Lane, reason structs.Reason, after time.Duration) {
 	l := p.lanes[name]
 	if l == nil || l.current != nil || l.blocked > 0 {
 		return
 	}
 	for _, c := range slices.Clone(l.queue) {
-		if c.spec.Number > p.last(name)+1 && c.phase == phaseQueued {
+		if c.spec.Number > p.lastNumber(name)+1 && c.phase == phaseQueued {
 			c.refuse(reason, after)
 		}
 	}
 	p.advance()
 }
 
-// passed tells whether a number was skipped, so that its call may have run.
-func (p *program) passed(spec *structs.Call) bool {
+// wasSkipped reports whether the call's number was skipped, in which case the
+// call may have run.
+func (p *program) wasSkipped(spec *structs.Call) bool {
 	if spec.Number == 0 {
 		return false
 	}
-	last := p.last(spec.Lane)
+	last := p.lastNumber(spec.Lane)
 	if l := p.lanes[spec.Lane]; l != nil && l.current != nil && spec.Number > last && spec.Number < l.current.spec.Number {
 		return true
 	}
@@ -127,11 +132,11 @@
 	return row != nil && row.Lanes[spec.Lane] != nil && row.Lanes[spec.Lane].HasSkipped(spec.Number)
 }
 
-// answerRecorded answers a call whose key got a record while it waited: that of
-// an earlier owner, read late.
-func (c *call) answerRecorded() bool {
+// completeFromRecord ends a call whose key was recorded while it waited, by a
+// previous owner whose record was read late.
+func (c *call) completeFromRecord() bool {
 	row := c.prog.row()
-	if row == nil || row.Calls[c.key] == nil || c.redo {
+	if row == nil || row.Calls[c.key] == nil || c.rerun {
 		return false
 	}
 	record := row.Calls[c.key]
@@ -142,8 +147,8 @@
 	out := record.Outcome
 	out.Replayed = true
 	c.run = record.Run
-	c.dropStrangers()
-	c.answer(out)
+	c.dropMismatchedWaiters()
+	c.sendOutcome(out)
 	c.end()
 	return true
 }
--- a/internal/owner/gap_test.go
+++ b/internal/owner/gap_test.go
@@ -7,106 +7,108 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lostAnswer lets a call be answered in an outage and its owner die, so that no
-// record of it is in the log.
-func lostAnswer(w *world, id structs.ProgramID, c *structs.Call) *request {
-	w.logDown = true
-	w.pump(w.nodes["o1"], "shard.lakes.0")
-	r := w.submit(c, time.Minute)
-	w.run(500 * time.Millisecond)
-	w.want(r, structs.OutcomeAnswered, "")
-	w.kill("o1")
-	w.run(time.Second)
-	w.logDown = false
-	w.run(time.Second)
+// answerWithoutRecord answers a call during a log outage and kills its owner, so
+// that no record of the call is in the log.
+func answerWithoutRecord(cl *cluster, id structs.ProgramID, c *structs.Call) *request {
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	r := cl.submit(c, time.Minute)
+	cl.run(500 * time.Millisecond)
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.kill("o1")
+	cl.run(time.Second)
+	cl.logDown = false
+	cl.run(time.Second)
 	return r
 }
 
-func withHistory(c *structs.Call, messages int) *structs.Call {
+func addHistory(c *structs.Call, messages int) *structs.Call {
 	for i := range messages {
 		c.History = append(c.History, structs.ChainDigest{byte(i + 1)})
 	}
 	return c
 }
 
-// A lane goes on behind a number whose record died with its owner, and a later
-// delivery of that number is not said not to have run.
-func TestGapAfterATakeoverIsSkipped(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	w.policy.ProgramTokens = 5000
-	id := w.program(1)
-	w.want(w.submit(testCall(id, 1, false), time.Minute), 0, "none yet")
-	w.run(time.Second)
-	lostAnswer(w, id, testCall(id, 2, false))
-	third := w.submit(testCall(id, 3, false), time.Minute)
-	w.run(3 * time.Second)
-	w.want(third, structs.OutcomeAnswered, "")
-	again := w.submit(testCall(id, 2, false), time.Minute)
-	w.run(time.Second)
-	w.want(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
-	filing := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(time.Second)
-	w.want(filing, structs.OutcomeUnknown, structs.ReasonStaleNumber)
-	// Once an epoch: the next gap is refused, but not as "not run".
-	fifth := w.submit(testCall(id, 5, false), time.Minute)
-	w.run(w.policy.GapTimeout + time.Second)
-	w.want(fifth, structs.OutcomeUnknown, structs.ReasonOrderGap)
-	w.kill("o2")
-	w.start("o1")
-	w.run(time.Second)
-	again = w.submit(testCall(id, 2, false), time.Minute)
-	w.run(time.Second)
-	w.want(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+// A lane continues behind a number whose record was lost with its owner. A later
+// delivery of that number is not reported as "not run".
+func TestGapAfterTakeoverIsSkipped(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	cl.policy.ProgramTokens = 5000
+	id := cl.program(1)
+	cl.expect(cl.submit(testCall(id, 1, false), time.Minute), 0, "none yet")
+	cl.run(time.Second)
+	answerWithoutRecord(cl, id, testCall(id, 2, false))
+	third := cl.submit(testCall(id, 3, false), time.Minute)
+	cl.run(3 * time.Second)
+	cl.expect(third, structs.OutcomeAnswered, "")
+	again := cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+	filing := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(time.Second)
+	cl.expect(filing, structs.OutcomeUnknown, structs.ReasonStaleNumber)
+	// A gap is skipped once an epoch. The next one is refused, but not as "not
+	// run".
+	fifth := cl.submit(testCall(id, 5, false), time.Minute)
+	cl.run(cl.policy.GapTimeout + time.Second)
+	cl.expect(fifth, structs.OutcomeUnknown, structs.ReasonOrderGap)
+	cl.kill("o2")
+	cl.start("o1")
+	cl.run(time.Second)
+	again = cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonStaleNumber)
 }
 
-// A history that holds the missing answers lets the call start at once.
-func TestHistoryShowsTheMissingAnswers(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	w.policy.ProgramTokens = 5000
-	id := w.program(1)
-	w.submit(withHistory(testCall(id, 1, false), 1), time.Minute)
-	w.run(time.Second)
-	lostAnswer(w, id, withHistory(testCall(id, 2, false), 3))
-	short := w.submit(withHistory(testCall(id, 3, false), 4), 400*time.Millisecond)
-	w.run(500 * time.Millisecond)
+// A history that includes the missing responses lets the call start at once.
+func TestHistoryCoversGap(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	cl.policy.ProgramTokens = 5000
+	id := cl.program(1)
+	cl.submit(addHistory(testCall(id, 1, false), 1), time.Minute)
+	cl.run(time.Second)
+	answerWithoutRecord(cl, id, addHistory(testCall(id, 2, false), 3))
+	short := cl.submit(addHistory(testCall(id, 3, false), 4), 400*time.Millisecond)
+	cl.run(500 * time.Millisecond)
 	if short.kind() == structs.OutcomeAnswered {
-		t.Error("a history without the answer of number 2 was taken for one with it")
+		t.Error("call 3 ran although its history lacks the answer of call 2")
 	}
-	third := w.submit(withHistory(testCall(id, 3, false), 5), time.Minute)
-	w.run(500 * time.Millisecond)
-	w.want(third, structs.OutcomeAnswered, "")
+	third := cl.submit(addHistory(testCall(id, 3, false), 5), time.Minute)
+	cl.run(500 * time.Millisecond)
+	cl.expect(third, structs.OutcomeAnswered, "")
 }
 
-// A caller that heard "unknown" of a number without a record may go on.
-func TestLaneGoesOnBehindAnUnknownRefusal(t *testing.T) {
-	w := newWorld(t, 1, 1)
-	id := w.program(1)
-	w.logDown = true
-	w.pump(w.nodes["o1"], "shard.lakes.0")
-	w.run(time.Second)
-	first := w.submit(testCall(id, 1, true), time.Minute)
-	w.run(time.Second)
-	w.want(first, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
-	w.logDown = false
-	w.run(2 * time.Second)
-	second := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(3 * time.Second)
-	w.want(second, structs.OutcomeAnswered, "")
+// A lane continues behind a number whose outcome was reported as unknown without
+// a record.
+func TestLaneContinuesAfterUnknownRefusal(t *testing.T) {
+	cl := newCluster(t, 1, 1)
+	id := cl.program(1)
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	cl.run(time.Second)
+	first := cl.submit(testCall(id, 1, true), time.Minute)
+	cl.run(time.Second)
+	cl.expect(first, structs.OutcomeUnknown, structs.ReasonLogUnavailable)
+	cl.logDown = false
+	cl.run(2 * time.Second)
+	second := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(3 * time.Second)
+	cl.expect(second, structs.OutcomeAnswered, "")
 }
 
-// A repeatable call whose record may have died with an earlier owner is not
-// said not to have run, unless its caller declares the first delivery.
-func TestRefusalsAfterATakeover(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
+// A repeatable call whose record may be lost is not reported as "not run", unless
+// its caller declares the delivery as the first.
+func TestRefusalsAfterTakeover(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
 	c := testCall(id, 1, false)
-	lostAnswer(w, id, c)
-	w.refuse = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
-	again := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.want(again, structs.OutcomeUnknown, structs.ReasonOverloaded)
-	fresh := w.submit(firstAttempt(testCall(id, 1, false)), time.Minute)
-	w.run(time.Second)
-	w.want(fresh, structs.OutcomeNotRun, structs.ReasonOverloaded)
+	answerWithoutRecord(cl, id, c)
+	cl.refusePermit = func(*structs.PermitRequest) structs.Reason { return structs.ReasonOverloaded }
+	again := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(again, structs.OutcomeUnknown, structs.ReasonOverloaded)
+	fresh := cl.submit(markFresh(testCall(id, 1, false)), time.Minute)
+	cl.run(time.Second)
+	cl.expect(fresh, structs.OutcomeNotRun, structs.ReasonOverloaded)
 }
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -5,17 +5,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// onBudgetRequest serves the ledger of a team path. A grant is journalled and
-// counts before it is sent, and is the same for a repeated request.
+// onBudgetRequest serves the ledger of a team path. A grant is committed before
+// it is sent, and a repeated request gets the same grant.
 func (o *Owner) onBudgetRequest(from structs.InstanceID, m *structs.BudgetRequest) {
 	s := o.shardRow(o.ledgerShard(m.Team))
 	if !s.owned() {
 		if !o.draining {
-			s.take(from, m, nil)
+			s.claimOrRedirect(from, m, nil)
 		}
 		return
 	}
-	if o.draining || s.granting[m.Grant] {
+	if o.draining || s.pendingGrants[m.Grant] {
 		return
 	}
 	if l := s.state.Ledgers[m.Team]; l != nil {
@@ -24,10 +24,10 @@
 			return
 		}
 	}
-	amount := s.ledgerLeft(m)
+	amount := s.ledgerAvailable(m)
 	if m.Tokens > 0 && amount.Tokens <= 0 || m.Fees > 0 && amount.Fees <= 0 {
-		s.prove(func(proven bool) {
-			if proven {
+		s.verifyOwnership(func(verified bool) {
+			if verified {
 				o.send(from, &structs.BudgetGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Refused: true})
 			}
 		})
@@ -36,10 +36,10 @@
 	s.writeGrant(from, m, amount)
 }
 
-// ledgerLeft is how much of a request the budget still allows.
-func (s *shard) ledgerLeft(m *structs.BudgetRequest) journal.Amount {
+// ledgerAvailable returns how much of a request the budget still allows.
+func (s *shard) ledgerAvailable(m *structs.BudgetRequest) journal.Amount {
 	limit := s.teamLimit(m.Team)
-	granted := s.grantsPending[m.Team]
+	granted := s.pendingGrantAmounts[m.Team]
 	if l := s.state.Ledgers[m.Team]; l != nil {
 		granted = granted.Plus(l.Granted)
 	}
@@ -57,12 +57,12 @@
 	if s.app.full() {
 		return
 	}
-	s.granting[m.Grant] = true
-	s.grantsPending[m.Team] = s.grantsPending[m.Team].Plus(amount)
+	s.pendingGrants[m.Grant] = true
+	s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Plus(amount)
 	record := &journal.LedgerGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Amount: amount}
 	s.app.push(record, urgent, func() {
-		delete(s.granting, m.Grant)
-		s.grantsPending[m.Team] = s.grantsPending[m.Team].Minus(amount)
+		delete(s.pendingGrants, m.Grant)
+		s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Minus(amount)
 		s.sendGrant(from, m, amount)
 	})
 }
@@ -73,7 +73,7 @@
 	})
 }
 
-// onBudgetReturn takes back what was left of a grant.
+// onBudgetReturn records the returned part of a grant.
 func (o *Owner) onBudgetReturn(m *structs.BudgetReturn) {
 	s := o.shards[o.ledgerShard(m.Team)]
 	if s == nil || !s.owned() {
@@ -84,8 +84,8 @@
 	}, lazy, nil)
 }
 
-// returnGrants gives back what this instance will not spend of its newest
-// grants. It must have no call left that holds any of it.
+// returnGrants returns the unspent part of the newest grants. No live call may
+// hold any of it.
 func (s *shard) returnGrants() {
 	for _, team := range journal.SortedKeys(s.state.Accounts) {
 		row := s.state.Accounts[team]
--- a/internal/owner/limits.go
+++ b/internal/owner/limits.go
@@ -2,66 +2,68 @@
 
 import "time"
 
-// Bounds and durations. Whatever a caller, a peer or the platform can make
-// grow has a bound here.
+// Limits and timeouts. Everything that a caller, a peer or the platform can make
+// grow has a limit here.
 const (
-	// maxHeld bounds the messages that wait for a shard to be claimed.
-	maxHeld = 1024
-	// maxProgramCalls bounds the live calls of one program.
+	// maxHeldMessages limits the messages that wait for a shard to be claimed.
+	maxHeldMessages = 1024
+	// maxProgramCalls limits the live calls of a program.
 	maxProgramCalls = 256
-	// maxShardCalls bounds the live calls of one shard.
+	// maxShardCalls limits the live calls of a shard.
 	maxShardCalls = 8192
-	// maxShardPrograms bounds the programs of one shard.
+	// maxShardPrograms limits the programs of a shard.
 	maxShardPrograms = 20_000
-	// maxShardBytes bounds the answers recorded in one shard, in bytes.
-	maxShardBytes = 8 << 20
-	// maxPendingRecords bounds the records that wait for the log; beyond it
-	// no call starts.
+	// maxShardResponseBytes limits the bytes of responses recorded in a shard.
+	maxShardResponseBytes = 8 << 20
+	// maxPendingRecords limits the records not in the log yet. No call starts
+	// beyond it.
 	maxPendingRecords = 4096
-	// maxBatchRecords and maxBatchBytes bound one append.
+	// maxBatchRecords and maxBatchBytes limit one append.
 	maxBatchRecords = 256
 	maxBatchBytes   = 512 << 10
-	// defaultMaxTokens is the answer bound of a chat call that gives none.
+	// defaultMaxTokens is the token limit of a chat call that sets none.
 	defaultMaxTokens = 4096
 
-	// appendRate bounds the appends of all instances together, in appends a
-	// second; minBurst and the rate divided by burstShare those that one
-	// instance may make at once.
-	appendRate = 300
-	minBurst   = 4
-	burstShare = 4
-	// lazyDelay groups the records that no call waits for.
-	lazyDelay = 200 * time.Millisecond
-	// confirmTimeout is how long an append may stay unconfirmed before the
-	// log is taken to be down.
+	// maxAppendRate limits the appends of all instances together, per second. The
+	// burst of an instance is its fraction of that rate divided by burstDivisor,
+	// and at least minBurst.
+	maxAppendRate = 300
+	minBurst      = 4
+	burstDivisor  = 4
+	// lazyFlushDelay is how long records that no caller waits for are batched.
+	lazyFlushDelay = 200 * time.Millisecond
+	// confirmTimeout is how long an append may stay unconfirmed before the log is
+	// considered unavailable.
 	confirmTimeout = time.Second
-	// appendBackoff is the first wait before an append is repeated, doubled
-	// up to appendBackoffMax.
-	appendBackoff    = 50 * time.Millisecond
-	appendBackoffMax = time.Second
-	// resendAfter repeats an append that got no reply of any kind.
-	resendAfter = 3 * time.Second
-	// logRetryAfter is the RetryAfter of a refusal while the log is down.
+	// minAppendBackoff is the initial delay before a failed append is repeated.
+	// It doubles up to maxAppendBackoff.
+	minAppendBackoff = 50 * time.Millisecond
+	maxAppendBackoff = time.Second
+	// appendResendTimeout is the delay before an append without any reply is
+	// repeated.
+	appendResendTimeout = 3 * time.Second
+	// logRetryAfter is the RetryAfter delay while the log is unavailable.
 	logRetryAfter = 2 * time.Second
-	// busyRetryAfter is the RetryAfter of a refusal for a full queue.
+	// busyRetryAfter is the RetryAfter delay when a limit is reached.
 	busyRetryAfter = time.Second
 
-	// answerMargin is how long before a caller's deadline its answer goes
-	// out, so that it arrives in time.
-	answerMargin = 10 * time.Millisecond
-	// lingerTime is how long a call outlives the connection to its gateway.
-	lingerTime = 2 * time.Second
-	// permitResend repeats a permit request until the dispatcher has it,
-	// permitRefresh afterwards.
-	permitResend  = 500 * time.Millisecond
-	permitRefresh = 5 * time.Second
-	// maxResumes bounds the resumes of one stream.
+	// responseMargin is how long before a caller's deadline its response is sent,
+	// so that it arrives in time.
+	responseMargin = 10 * time.Millisecond
+	// lingerTimeout is how long a call outlives the connection to its gateway.
+	lingerTimeout = 2 * time.Second
+	// permitResendInterval is the interval between permit requests until the
+	// dispatcher has queued the call, permitRefreshInterval the interval
+	// afterwards.
+	permitResendInterval  = 500 * time.Millisecond
+	permitRefreshInterval = 5 * time.Second
+	// maxResumes limits the resumes of one stream.
 	maxResumes = 3
-	// lostQuiet is how long an instance that lost a shard leaves it to the
-	// winner.
-	lostQuiet = 2 * time.Second
-	// releaseRetry is the first wait before a release is repeated, doubled
-	// up to releaseRetryMax.
-	releaseRetry    = time.Second
-	releaseRetryMax = 30 * time.Second
+	// lostShardBackoff is how long an instance that lost a shard to another one
+	// does not reclaim it.
+	lostShardBackoff = 2 * time.Second
+	// minReleaseBackoff is the initial delay before a cache release is repeated.
+	// It doubles up to maxReleaseBackoff.
+	minReleaseBackoff = time.Second
+	maxReleaseBackoff = 30 * time.Second
 )
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -7,14 +7,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lane is the live row of a lane: its waiting calls and the one that runs.
+// lane is the live state of a lane: its queue and its current call.
 type lane struct {
 	name    structs.Lane
 	queue   []*call
 	current *call
-	// blocked counts runs of an earlier owner that may still be sent.
-	blocked int
-	gap     *timer
+	// blocked counts the previous owners' runs that may still be sent.
+	blocked  int
+	gapTimer *timer
 }
 
 func (p *program) laneOf(name structs.Lane) *lane {
@@ -26,8 +26,8 @@
 	return l
 }
 
-// insert queues a call: numbered calls in the order of their numbers, others
-// in order of arrival behind them.
+// insert queues a call. Numbered calls are queued by number, others behind them
+// in order of arrival.
 func (l *lane) insert(c *call) {
 	c.lane = l
 	at := len(l.queue)
@@ -46,8 +46,8 @@
 	}
 }
 
-// last is the number of the lane's last call that was done.
-func (p *program) last(name structs.Lane) uint64 {
+// lastNumber returns the highest number of the lane's completed calls.
+func (p *program) lastNumber(name structs.Lane) uint64 {
 	row := p.row()
 	if row == nil || row.Lanes[name] == nil {
 		return 0
@@ -55,7 +55,7 @@
 	return row.Lanes[name].Last
 }
 
-// advance starts the next call of each lane that is free.
+// advance starts the next call of each free lane.
 func (p *program) advance() {
 	if !p.shard.owned() {
 		return
@@ -67,57 +67,57 @@
 		}
 		p.advanceLane(l)
 		if l.current == nil && len(l.queue) == 0 && l.blocked == 0 {
-			p.shard.o.timers.stop(l.gap)
+			p.shard.o.timers.stop(l.gapTimer)
 			delete(p.lanes, name)
 		}
 	}
 }
 
-// advanceLane keeps the order of the lane: one call at a time, and a numbered
-// call only right behind its predecessor.
+// advanceLane enforces the order of the lane: one call at a time, and a numbered
+// call only directly after its predecessor.
 func (p *program) advanceLane(l *lane) {
 	for l.current == nil && l.blocked == 0 && len(l.queue) > 0 {
 		c := l.queue[0]
-		last := p.last(l.name)
-		if c.answerRecorded() {
+		last := p.lastNumber(l.name)
+		if c.completeFromRecord() {
 			continue
 		}
-		if c.spec.Number > 0 && c.spec.Number <= last && !c.redo {
+		if c.spec.Number > 0 && c.spec.Number <= last && !c.rerun {
 			l.queue, l.current = l.queue[1:], c
-			c.deny(structs.ReasonStaleNumber, 0, nil)
+			c.refuseVerified(structs.ReasonStaleNumber, 0, nil)
 			continue
 		}
-		if c.spec.Number > last+1 && c.spec.Number > p.skips[l.name] && !p.showsAnswers(c, last) {
-			p.watchGap(l)
+		if c.spec.Number > last+1 && c.spec.Number > p.gapSkips[l.name] && !p.historyCoversGap(c, last) {
+			p.startGapTimer(l)
 			return
 		}
-		p.shard.o.timers.stop(l.gap)
+		p.shard.o.timers.stop(l.gapTimer)
 		l.queue = l.queue[1:]
 		l.current = c
 		c.start()
 	}
 }
 
-// start runs the checks that need the lane's past, then makes the call's cost
-// and intent durable before it asks for a permit.
+// start checks the call against the lane's history and the policy. It then makes
+// the call's cost durable before a permit is requested.
 func (c *call) start() {
 	p := c.prog
-	if reason := p.breaksPolicy(c); reason != structs.ReasonNone {
-		c.deny(reason, 0, func() {
+	if reason := p.policyViolation(c); reason != structs.ReasonNone {
+		c.refuseVerified(reason, 0, func() {
 			if reason != structs.ReasonHistoryFork {
 				p.close(reason)
 			}
 		})
 		return
 	}
-	if c.resume() {
+	if c.resumeOpenRun() {
 		return
 	}
-	c.fund()
+	c.reserveCost()
 }
 
-// breaksPolicy checks turns, loops and history.
-func (p *program) breaksPolicy(c *call) structs.Reason {
+// policyViolation checks the limits of turns and loops and the call's history.
+func (p *program) policyViolation(c *call) structs.Reason {
 	row := p.row()
 	if row == nil {
 		return structs.ReasonNone
@@ -133,14 +133,15 @@
 	if policy.LoopRepeats > 0 && l.RepeatDigest == c.spec.Digest && l.RepeatCount+1 >= policy.LoopRepeats {
 		return structs.ReasonLoop
 	}
-	if forks(l, c.spec) {
+	if forksHistory(l, c.spec) {
 		return structs.ReasonHistoryFork
 	}
 	return structs.ReasonNone
 }
 
-// forks tells whether the call's messages leave the lane's known history.
-func forks(l *journal.Lane, spec *structs.Call) bool {
+// forksHistory reports whether the call's messages diverge from the lane's known
+// history.
+func forksHistory(l *journal.Lane, spec *structs.Call) bool {
 	if spec.Kind != structs.CallChat || spec.Fork || l.HistoryCount == 0 {
 		return false
 	}
@@ -148,7 +149,7 @@
 	return len(spec.History) < n || spec.History[n-1] != l.HistoryDigest
 }
 
-// history gives the lane's history after the call.
+// history returns the lane's history after the call.
 func (c *call) history() (int, structs.ChainDigest) {
 	n := len(c.spec.History)
 	if n == 0 {
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -11,24 +11,24 @@
 		if s.tenure == tenureProbing && s.probed == peer {
 			s.tenure = tenureNone
 			for _, h := range s.takeHeld() {
-				o.notOwner(h.from, h.msg, peer)
+				o.sendNotOwner(h.from, h.msg, peer)
 			}
 		}
 	}
 	o.refreshPools("")
 }
 
-// onPeerDown claims the shards that waited for the instance's liveness, and
-// lets calls of its callers linger.
+// onPeerDown claims the shards that waited for a probe of the peer, and detaches
+// its callers.
 func (o *Owner) onPeerDown(peer structs.InstanceID) {
 	for _, s := range o.sortedShards() {
 		if s.tenure == tenureProbing && s.probed == peer {
-			s.begin(true)
+			s.startReading(true)
 		}
 		s.detach(peer)
 	}
 	o.refreshPools(peer)
-	o.inspectLater()
+	o.scheduleInspect()
 }
 
 func (s *shard) detach(gateway structs.InstanceID) {
@@ -47,27 +47,27 @@
 		}
 	}
 	if found {
-		c.lingerIfDeserted()
+		c.lingerIfDetached()
 	}
 }
 
-// onMembers asks new dispatchers, and looks for shards without an owner.
+// onMembers updates the dispatchers and looks for shards without an owner.
 func (o *Owner) onMembers() {
 	o.refreshPools("")
-	o.inspectLater()
+	o.scheduleInspect()
 }
 
-// inspectLater looks for shards without an owner after a while: a suspicion is
-// often false, and a shard that gets a call is claimed at once anyway.
-func (o *Owner) inspectLater() {
-	if o.draining || o.inspecting != nil && o.inspecting.index >= 0 {
+// scheduleInspect delays the inspection, since a suspicion is often false and a
+// shard that receives a call is claimed at once anyway.
+func (o *Owner) scheduleInspect() {
+	if o.draining || o.inspectTimer != nil && o.inspectTimer.index >= 0 {
 		return
 	}
-	o.inspecting = o.after(o.cfg.RecoveryWait, o.inspect)
+	o.inspectTimer = o.after(o.cfg.RecoveryWait, o.inspect)
 }
 
-// inspect reads each shard that became this instance's to own, for work that
-// an earlier owner left: programs to close, caches to release, runs to resolve.
+// inspect reads each shard that this instance should own now, for work that a
+// previous owner left: programs to close, caches to release, runs to resolve.
 func (o *Owner) inspect() {
 	if o.draining {
 		return
@@ -84,49 +84,50 @@
 		}
 		o.inspected[shardID] = true
 		if s := o.shardRow(shardID); s.tenure == tenureNone {
-			s.begin(false)
+			s.startReading(false)
 		}
 	}
 }
 
-// onDrain stops taking calls: what was not sent goes to other instances, what
-// runs is let end.
+// onDrain stops accepting calls. Calls that were not sent are redirected to other
+// instances, and runs in progress may finish.
 func (o *Owner) onDrain() {
 	o.draining = true
 	for _, s := range o.sortedShards() {
 		next := s.successor()
 		for _, h := range s.takeHeld() {
-			o.notOwner(h.from, h.msg, next)
+			o.sendNotOwner(h.from, h.msg, next)
 		}
 		if s.owned() {
 			s.dropUnsent(next)
-			s.settleAll()
+			s.settleChunks()
 		}
 	}
 }
 
-// dropUnsent hands the calls that were not sent back to their gateways.
+// dropUnsent redirects the callers of all calls that were not sent.
 func (s *shard) dropUnsent(next structs.InstanceID) {
 	for _, p := range s.sortedPrograms() {
 		for _, c := range p.sortedCalls() {
-			c.handBack(next)
+			c.redirectWaiters(next)
 		}
 	}
 }
 
-// handBack drops a call that no run may be on its way for; another owner may
-// run it. An outcome that waits to count is answered.
-func (c *call) handBack(next structs.InstanceID) {
+// redirectWaiters drops a call that was not sent and redirects its gateways to
+// the next owner. If the outcome is being recorded it is sent at once.
+func (c *call) redirectWaiters(next structs.InstanceID) {
 	switch c.phase {
-	case phaseRunning, phaseAsking, phaseEnded:
+	case phaseRunning, phaseQuerying, phaseEnded:
 		return
 	case phaseRecording:
-		c.answer(c.outcome)
+		c.sendOutcome(c.outcome)
 		c.end()
 		return
 	}
 	if c.sentRuns > 0 {
-		// A run of it broke, so that no other owner may call it "not run".
+		// An earlier run of the call failed, so no other owner may report it as
+		// "not run".
 		c.refuse(structs.ReasonOwnerLost, busyRetryAfter)
 		return
 	}
@@ -138,22 +139,22 @@
 	c.end()
 }
 
-// cancelRuns stops the program's running calls.
+// cancelRuns cancels the program's running calls.
 func (p *program) cancelRuns() {
 	for _, c := range p.sortedCalls() {
 		c.cancel(structs.ReasonCancelled)
 	}
 }
 
-// onLogDown refuses at once what cannot go on without the log; repeatable
-// calls go on within the reserved chunk.
+// onLogDown refuses the calls that need the log. Repeatable calls continue within
+// the reserved chunk.
 func (s *shard) onLogDown() {
-	s.disprove()
+	s.failOwnershipChecks()
 	for _, p := range s.sortedPrograms() {
 		for _, c := range p.sortedCalls() {
 			switch c.phase {
 			case phaseConfirm:
-				c.unconfirmed()
+				c.onConfirmTimeout()
 			case phaseReserve, phaseIntent:
 				c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 			case phaseQueued, phasePermit:
@@ -161,7 +162,7 @@
 					c.refuse(structs.ReasonLogUnavailable, logRetryAfter)
 				}
 			case phaseRecording:
-				c.answer(c.outcome)
+				c.sendOutcome(c.outcome)
 				c.end()
 			}
 		}
--- a/internal/owner/permit.go
+++ b/internal/owner/permit.go
@@ -9,11 +9,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pool is the row of a pool whose dispatcher this instance asks for permits.
+// pool is a pool whose dispatcher grants permits to this instance.
 type pool struct {
 	id         structs.PoolID
 	dispatcher structs.InstanceID
-	// calls are those that wait for or hold a permit.
+	// calls are the calls that wait for or hold a permit.
 	calls map[structs.RunID]*call
 }
 
@@ -28,8 +28,8 @@
 	return p
 }
 
-// askPermit queues the call at its pool's dispatcher.
-func (c *call) askPermit() {
+// awaitPermit queues the call at its pool's dispatcher.
+func (c *call) awaitPermit() {
 	if c.run == "" {
 		c.run = c.shard.o.newRun()
 	}
@@ -43,21 +43,22 @@
 	c.pool = o.poolOf(c.spec.Service)
 	c.permit = c.run
 	if c.notRepeatable && c.attempt > 0 {
-		// The run id belongs to the Intent and stays; the dispatcher counts
-		// the permit of that name as ended.
+		// The Intent names the run id, so it stays. The dispatcher considers the
+		// permit of that name as finished.
 		c.permit = o.newRun()
 	}
 	c.pool.calls[c.permit] = c
 	o.runs[c.run], o.runs[c.permit] = c, c
 }
 
-// ref names the call to its dispatcher.
+// ref identifies the call at its dispatcher.
 func (c *call) ref() structs.CallRef {
 	return structs.CallRef{Program: c.spec.Program, Run: c.permit}
 }
 
-// permitOf finds the call of a dispatcher's message.
-func (o *Owner) permitOf(from structs.InstanceID, ref structs.CallRef) *call {
+// callOfPermit returns the call that a dispatcher's message refers to, nil if the
+// message is stale.
+func (o *Owner) callOfPermit(from structs.InstanceID, ref structs.CallRef) *call {
 	c := o.runs[ref.Run]
 	if c == nil || c.pool == nil || c.permit != ref.Run || c.pool.dispatcher != from {
 		return nil
@@ -65,8 +66,9 @@
 	return c
 }
 
-// requestPermit sends the permit request and repeats it until it is queued,
-// then seldom, in case the dispatcher forgot it.
+// requestPermit sends the permit request and repeats it until it is queued.
+// Afterwards it refreshes the request at a longer interval, in case the
+// dispatcher has lost it.
 func (c *call) requestPermit() {
 	o := c.shard.o
 	o.timers.stop(c.timer)
@@ -76,9 +78,9 @@
 	if c.pool.dispatcher != "" {
 		o.send(c.pool.dispatcher, c.permitRequest())
 	}
-	wait := permitResend
-	if c.queuedAt {
-		wait = permitRefresh
+	wait := permitResendInterval
+	if c.permitQueued {
+		wait = permitRefreshInterval
 	}
 	if c.phase == phasePermit {
 		c.timer = o.after(wait, c.requestPermit)
@@ -103,7 +105,7 @@
 	return r
 }
 
-// addProgram fills in what the order of programs depends on.
+// addProgram sets the fields by which the dispatcher orders programs.
 func (c *call) addProgram(r *structs.PermitRequest, deadline time.Duration) {
 	row := c.prog.row()
 	created := c.arrived
@@ -125,25 +127,25 @@
 }
 
 func (o *Owner) onPermitQueued(from structs.InstanceID, m *structs.PermitQueued) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c == nil || c.phase != phasePermit {
 		return
 	}
-	c.queuedAt = true
+	c.permitQueued = true
 	o.timers.stop(c.timer)
-	c.timer = o.after(permitRefresh, c.requestPermit)
+	c.timer = o.after(permitRefreshInterval, c.requestPermit)
 }
 
-// onPermitGrant runs the call, or gives the permit back if it is not wanted.
+// onPermitGrant runs the call, or returns the permit if it is not needed.
 func (o *Owner) onPermitGrant(from structs.InstanceID, m *structs.PermitGrant) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c != nil && c.phase == phasePermit {
 		c.target = m.Target
-		c.send()
+		c.sendOrConfirm()
 		return
 	}
 	if c != nil && c.target.ID == m.Target.ID {
-		// A repeated grant of the permit that is in use.
+		// A repeated grant of the permit in use.
 		return
 	}
 	o.send(from, &structs.PermitFinish{
@@ -152,32 +154,32 @@
 }
 
 func (o *Owner) onPermitRefuse(from structs.InstanceID, m *structs.PermitRefuse) {
-	c := o.permitOf(from, m.Ref)
+	c := o.callOfPermit(from, m.Ref)
 	if c == nil || c.phase != phasePermit {
 		return
 	}
 	c.refuse(m.Reason, m.RetryAfter)
 }
 
-// leavePool takes a permit request back if no run holds the permit.
-func (c *call) leavePool() {
+// withdrawPermit cancels a permit request, or returns a permit that no run used.
+func (c *call) withdrawPermit() {
 	if c.pool == nil {
 		return
 	}
 	ref := c.ref()
 	switch c.phase {
 	case phasePermit:
-		c.toDispatcher(&structs.PermitCancel{Pool: c.pool.id, Ref: ref})
+		c.sendToDispatcher(&structs.PermitCancel{Pool: c.pool.id, Ref: ref})
 	case phaseConfirm:
-		c.toDispatcher(&structs.PermitFinish{
+		c.sendToDispatcher(&structs.PermitFinish{
 			Pool: c.pool.id, Ref: ref, Target: c.target.ID, Failure: structs.RunNotSent,
 		})
 	}
-	c.quitPool()
+	c.dropPermit()
 }
 
-// quitPool forgets the permit.
-func (c *call) quitPool() {
+// dropPermit removes the permit from the tables.
+func (c *call) dropPermit() {
 	if c.pool == nil {
 		return
 	}
@@ -188,10 +190,10 @@
 		delete(c.shard.o.pools, c.pool.id)
 	}
 	c.pool = nil
-	c.queuedAt = false
+	c.permitQueued = false
 }
 
-func (c *call) toDispatcher(msg structs.Message) {
+func (c *call) sendToDispatcher(msg structs.Message) {
 	if c.pool.dispatcher != "" {
 		c.shard.o.send(c.pool.dispatcher, msg)
 	}
@@ -202,31 +204,31 @@
 	if c.pool == nil {
 		return
 	}
-	c.toDispatcher(&structs.PermitFinish{
+	c.sendToDispatcher(&structs.PermitFinish{
 		Pool: c.pool.id, Ref: c.ref(),
 		Target: c.target.ID, Failure: e.Failure, Usage: e.Outcome.Usage, Took: e.Took,
 		FirstToken: e.FirstToken, CacheTokens: c.cacheTokens(e.Outcome), Pausing: c.prog.pausing(c),
 	})
-	c.quitPool()
+	c.dropPermit()
 }
 
-// pausing tells whether the program has no call but this one.
+// pausing reports whether the program has no call other than c.
 func (p *program) pausing(c *call) bool {
 	return len(p.calls) == 1 && p.calls[c.key] == c && !p.closing
 }
 
-// refreshPools asks new dispatchers again for every permit, also for those in
-// use. lost is an instance whose memory of requests may be gone.
-func (o *Owner) refreshPools(lost structs.InstanceID) {
+// refreshPools requests every permit again from dispatchers that changed,
+// including permits in use. The requests at the failed instance may be lost.
+func (o *Owner) refreshPools(failed structs.InstanceID) {
 	for _, id := range o.sortedPools() {
 		p := o.pools[id]
-		now, _ := o.members.DispatcherOf(id)
-		if now == p.dispatcher && now != lost {
+		current, _ := o.members.DispatcherOf(id)
+		if current == p.dispatcher && current != failed {
 			continue
 		}
-		p.dispatcher = now
+		p.dispatcher = current
 		for _, run := range journal.SortedKeys(p.calls) {
-			p.calls[run].queuedAt = false
+			p.calls[run].permitQueued = false
 			p.calls[run].reregister()
 		}
 	}
@@ -237,7 +239,7 @@
 	case phasePermit:
 		c.requestPermit()
 	case phaseRunning:
-		c.toDispatcher(c.permitRequest())
+		c.sendToDispatcher(c.permitRequest())
 	}
 }
 
--- a/internal/owner/random_test.go
+++ b/internal/owner/random_test.go
@@ -20,8 +20,8 @@
 // seedVariable replays one schedule: OWNER_SEED=n go test -run RandomFaults.
 const seedVariable = "OWNER_SEED"
 
-// scheduleCount is the number of schedules of one test run; countVariable sets
-// another.
+// scheduleCount is the default number of schedules in a test run, countVariable
+// overrides it.
 const (
 	scheduleCount = 300
 	countVariable = "OWNER_SCHEDULES"
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if s := runSchedule(t, seed); len(s.violations) > 0 {
-			t.Fatalf("%s\n%s\n%s", strings.Join(s.w.trace, "\n"), s.w.dump(), strings.Join(s.violations, "\n"))
+			t.Fatalf("%s\n%s\n%s", strings.Join(s.cluster.trace, "\n"), s.cluster.dump(), strings.Join(s.violations, "\n"))
 		}
 		return
 	}
@@ -46,11 +46,11 @@
 	}
 	parameters.MaxShrinkCount = 0
 	properties := gopter.NewProperties(parameters)
-	properties.Property("what must hold holds under faults", prop.ForAll(func(seed uint64) string {
+	properties.Property("invariants hold under faults", prop.ForAll(func(seed uint64) string {
 		s := runSchedule(t, seed)
 		total.faults += s.faults
 		total.answered += s.answered
-		total.calls += len(s.w.all)
+		total.calls += len(s.cluster.allRequests)
 		if len(s.violations) > 0 {
 			return fmt.Sprintf("%s=%d: %s", seedVariable, seed, strings.Join(s.violations, "; "))
 		}
@@ -62,65 +62,65 @@
 
 // schedule is one run of callers under random faults.
 type schedule struct {
-	w          *world
+	cluster    *cluster
 	rng        *rand.Rand
 	faults     int
 	calls      int
 	answered   int
-	calm       bool
+	faultFree  bool
 	violations []string
 }
 
-// caller issues the calls of one lane in order.
+// caller submits the calls of one lane in order.
 type caller struct {
-	s       *schedule
-	program structs.ProgramID
-	lane    structs.Lane
-	number  uint64
-	tries   int
-	// fresh tells that the next delivery of the key is its only one so far.
+	s        *schedule
+	program  structs.ProgramID
+	lane     structs.Lane
+	number   uint64
+	attempts int
+	// fresh indicates that the next delivery of the key is its only one so far.
 	fresh bool
 }
 
 const callsPerLane = 12
 
 func runSchedule(t testing.TB, seed uint64) *schedule {
-	w := newWorld(t, seed, 3)
-	w.shards, w.snapshotEvery = 2, 25
-	for _, id := range w.ids {
-		w.start(id)
+	cl := newCluster(t, seed, 3)
+	cl.shards, cl.snapshotInterval = 2, 25
+	for _, id := range cl.ids {
+		cl.start(id)
 	}
-	s := &schedule{w: w, rng: rand.New(rand.NewPCG(seed, 2))}
-	// Some schedules run out of a budget, most do not.
-	w.policy.ProgramTokens, w.policy.ProgramFees = []int64{4000, 1000, 4000, 4000}[seed%4], 120
-	w.policy.TeamTokens, w.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
-	w.policy.GapTimeout = 2 * time.Second
-	w.policy.LoopRepeats = 0
-	w.askable = seed%2 == 0
-	w.runTime = 50 * time.Millisecond
-	w.behave = s.behave
-	programs := []structs.ProgramID{w.program(1), w.program(2)}
-	w.faults = faults{lostReply: 0.1, dropped: 0.05, refused: 0.05, lateCommands: 3 * time.Second}
+	s := &schedule{cluster: cl, rng: rand.New(rand.NewPCG(seed, 2))}
+	// Some schedules exhaust a budget, most do not.
+	cl.policy.ProgramTokens, cl.policy.ProgramFees = []int64{4000, 1000, 4000, 4000}[seed%4], 120
+	cl.policy.TeamTokens, cl.policy.TeamFees = []int64{6000, 6000, 1500, 6000}[seed%4], 200
+	cl.policy.GapTimeout = 2 * time.Second
+	cl.policy.LoopRepeats = 0
+	cl.supportsOutcomeQuery = seed%2 == 0
+	cl.runTime = 50 * time.Millisecond
+	cl.runResult = s.randomRunResult
+	programs := []structs.ProgramID{cl.program(1), cl.program(2)}
+	cl.faults = faults{lostReplyRate: 0.1, droppedRate: 0.05, refusedRate: 0.05, maxCommandDelay: 3 * time.Second}
 	for _, id := range programs {
 		for _, lane := range []structs.Lane{"", "sub"} {
 			c := &caller{s: s, program: id, lane: lane}
-			c.next()
+			c.issueNext()
 		}
 	}
 	for range 100 {
-		s.inject()
-		w.run(200 * time.Millisecond)
-		w.truncate()
+		s.injectFault()
+		cl.run(200 * time.Millisecond)
+		cl.truncate()
 	}
 	s.heal()
-	w.run(5 * time.Minute)
+	cl.run(5 * time.Minute)
 	s.check(programs)
 	return s
 }
 
-func (s *schedule) behave(structs.StartRun) structs.RunFailure {
+func (s *schedule) randomRunResult(structs.StartRun) structs.RunFailure {
 	switch roll := s.rng.Float64(); {
-	case s.calm || roll < 0.9:
+	case s.faultFree || roll < 0.9:
 		return structs.RunOK
 	case roll < 0.95:
 		return structs.RunNotSent
@@ -129,32 +129,32 @@
 	}
 }
 
-// inject brings about one fault, often none.
-func (s *schedule) inject() {
-	w := s.w
-	id := w.ids[s.rng.IntN(len(w.ids))]
-	n := w.nodes[id]
+// injectFault injects at most one fault.
+func (s *schedule) injectFault() {
+	cl := s.cluster
+	id := cl.ids[s.rng.IntN(len(cl.ids))]
+	n := cl.nodes[id]
 	span := time.Duration(s.rng.Int64N(int64(5 * time.Second)))
 	switch roll := s.rng.Float64(); {
 	case roll < 0.04 && n.alive:
-		w.kill(id)
-		w.after(span, func() {
+		cl.kill(id)
+		cl.after(span, func() {
 			if !n.alive {
-				w.log("start %s", id)
-				w.start(id)
+				cl.tracef("start %s", id)
+				cl.start(id)
 			}
 		})
 	case roll < 0.10 && n.alive && !n.paused:
-		w.pause(id, span)
-	case roll < 0.12 && !w.logDown:
-		w.log("log down for %s", span)
-		w.logDown = true
-		w.after(span, func() { w.logDown = false })
-	case roll < 0.15 && n.alive && !n.cut:
-		w.log("cut %s from the log for %s", id, span)
-		life := n.life
-		n.cut = true
-		w.after(span, func() { n.cut = n.cut && n.life != life })
+		cl.pause(id, span)
+	case roll < 0.12 && !cl.logDown:
+		cl.tracef("log down for %s", span)
+		cl.logDown = true
+		cl.after(span, func() { cl.logDown = false })
+	case roll < 0.15 && n.alive && !n.partitioned:
+		cl.tracef("partition %s from the log for %s", id, span)
+		incarnation := n.incarnation
+		n.partitioned = true
+		cl.after(span, func() { n.partitioned = n.partitioned && n.incarnation != incarnation })
 	default:
 		return
 	}
@@ -162,26 +162,26 @@
 }
 
 func (s *schedule) heal() {
-	w := s.w
-	w.log("heal")
-	s.calm = true
-	w.faults = faults{}
-	w.logDown = false
-	for _, id := range w.ids {
-		n := w.nodes[id]
-		n.cut = false
+	cl := s.cluster
+	cl.tracef("heal")
+	s.faultFree = true
+	cl.faults = faults{}
+	cl.logDown = false
+	for _, id := range cl.ids {
+		n := cl.nodes[id]
+		n.partitioned = false
 		if !n.alive {
-			w.start(id)
+			cl.start(id)
 		}
 	}
 }
 
-// next issues the lane's next call, sometimes with one more behind it or twice.
-func (c *caller) next() {
+// issueNext submits the lane's next call.
+func (c *caller) issueNext() {
 	c.number++
-	c.tries = 0
+	c.attempts = 0
 	if c.number <= callsPerLane {
-		c.try()
+		c.submit()
 	}
 }
 
@@ -194,39 +194,39 @@
 	return spec
 }
 
-func (c *caller) try() {
-	c.tries++
-	w := c.s.w
+func (c *caller) submit() {
+	c.attempts++
+	cl := c.s.cluster
 	twice := c.s.rng.Float64() < 0.1
-	c.fresh = c.tries == 1 && !twice
-	r := w.submit(c.spec(), 10*time.Second)
+	c.fresh = c.attempts == 1 && !twice
+	r := cl.submit(c.spec(), 10*time.Second)
 	if twice {
-		w.after(10*time.Millisecond, func() { w.submit(c.spec(), 10*time.Second) })
+		cl.after(10*time.Millisecond, func() { cl.submit(c.spec(), 10*time.Second) })
 	}
-	c.watch(r)
+	c.awaitOutcome(r)
 }
 
-// watch waits for the outcome, then goes on or tries the same call again.
-func (c *caller) watch(r *request) {
-	w := c.s.w
+// awaitOutcome waits for the outcome, then continues or retries the call.
+func (c *caller) awaitOutcome(r *request) {
+	cl := c.s.cluster
 	if r.outcome == nil {
-		w.after(50*time.Millisecond, func() { c.watch(r) })
+		cl.after(50*time.Millisecond, func() { c.awaitOutcome(r) })
 		return
 	}
 	switch {
 	case r.kind() == structs.OutcomeAnswered:
 		c.s.answered++
-		c.next()
-	case r.reason() == structs.ReasonBudget || c.tries > 40:
+		c.issueNext()
+	case r.reason() == structs.ReasonBudget || c.attempts > 40:
 		return
-	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.tries > 3:
-		c.next()
+	case r.kind() == structs.OutcomeUnknown && r.call.NotRepeatable && c.attempts > 3:
+		c.issueNext()
 	default:
-		w.after(max(time.Second, r.outcome.RetryAfter), c.try)
+		cl.after(max(time.Second, r.outcome.RetryAfter), c.submit)
 	}
 }
 
-func (s *schedule) fail(format string, args ...any) {
+func (s *schedule) violationf(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
@@ -241,24 +241,24 @@
 
 func callName(c *structs.Call) string { return fmt.Sprintf("%s/%s", c.Program, c.Key) }
 
-// checkSends: a not-repeatable call is sent at most once, and every send is on
-// behalf of a request that was not answered "not run".
+// checkSends checks that a not-repeatable call is sent at most once, and that
+// every send serves a request that was not answered "not run".
 func (s *schedule) checkSends() {
 	count := make(map[string]int)
-	for _, send := range s.w.sends {
+	for _, send := range s.cluster.sends {
 		name := callName(send.call)
 		count[name]++
 		if send.call.NotRepeatable && count[name] > 1 {
-			s.fail("%s was sent %d times", name, count[name])
+			s.violationf("%s was sent %d times", name, count[name])
 		}
-		if !s.wanted(send) {
-			s.fail("%s ran at %s though every request for it was answered 'not run'", name, send.at.Sub(testStart))
+		if !s.hasOpenRequest(send) {
+			s.violationf("%s ran at %s although every request for it was answered 'not run'", name, send.at.Sub(testStart))
 		}
 	}
 }
 
-func (s *schedule) wanted(send send) bool {
-	for _, r := range s.w.all {
+func (s *schedule) hasOpenRequest(send targetSend) bool {
+	for _, r := range s.cluster.allRequests {
 		if callName(r.call) == callName(send.call) && !r.at.After(send.at) && r.kind() != structs.OutcomeNotRun {
 			return true
 		}
@@ -266,64 +266,64 @@
 	return false
 }
 
-// checkNotRun: "not run" is said of no not-repeatable call that was sent, also
-// if an earlier delivery of it was.
+// checkNotRun checks that no not-repeatable call is answered "not run" after it
+// was sent, whichever delivery caused the send.
 func (s *schedule) checkNotRun() {
-	for _, r := range s.w.all {
+	for _, r := range s.cluster.allRequests {
 		if r.kind() != structs.OutcomeNotRun || !r.call.NotRepeatable {
 			continue
 		}
-		for _, send := range s.w.sends {
+		for _, send := range s.cluster.sends {
 			if callName(send.call) == callName(r.call) && !send.at.After(r.endedAt) {
-				s.fail("%s for %s was answered 'not run' (%s) after its send", r.id, callName(r.call), r.reason())
+				s.violationf("%s for %s was answered 'not run' (%s) after its send", r.id, callName(r.call), r.reason())
 			}
 		}
 	}
 }
 
-// checkOrder: the first sends of a lane's calls are in the order of numbers. A
-// send that slipped past its NotAfter is left out: no clock can order it.
+// checkOrder checks that the first sends of a lane's calls are in the order of
+// numbers. Sends after their NotAfter are ignored, since no clock can order them.
 func (s *schedule) checkOrder() {
 	seen := make(map[string]bool)
 	high := make(map[string]uint64)
-	for _, send := range s.w.sends {
+	for _, send := range s.cluster.sends {
 		name := callName(send.call)
 		lane := fmt.Sprintf("%s/%s", send.call.Program, send.call.Lane)
-		if seen[name] || send.late {
+		if seen[name] || send.overdue {
 			continue
 		}
 		seen[name] = true
 		if send.call.Number < high[lane] {
-			s.fail("%s was first sent after call %d", name, high[lane])
+			s.violationf("%s was first sent after call %d", name, high[lane])
 		}
 		high[lane] = max(high[lane], send.call.Number)
 	}
 }
 
-// checkAnswers: an answer is that of a run of the same call, whole, and all
-// answers of a not-repeatable call are the same.
+// checkAnswers checks that each answer is complete and comes from a run of the
+// same call, and that all answers of a not-repeatable call are equal.
 func (s *schedule) checkAnswers() {
 	answers := make(map[string]string)
-	for _, r := range s.w.all {
+	for _, r := range s.cluster.allRequests {
 		if r.kind() != structs.OutcomeAnswered {
 			continue
 		}
 		name := callName(r.call)
-		if !s.ran(name, r.outcome.Text) {
-			s.fail("%s got %q, no answer of its runs", name, r.outcome.Text)
+		if !s.isRunAnswer(name, r.outcome.Text) {
+			s.violationf("%s got %q, which no run of it answered", name, r.outcome.Text)
 		}
 		if old, ok := answers[name]; ok && old != r.outcome.Text && r.call.NotRepeatable {
-			s.fail("%s got %q and %q", name, old, r.outcome.Text)
+			s.violationf("%s got %q and %q", name, old, r.outcome.Text)
 		}
 		answers[name] = r.outcome.Text
 		if got := strings.Join(r.pieces, ""); !strings.HasPrefix(r.outcome.Text, got) {
-			s.fail("%s got pieces %q of %q", name, got, r.outcome.Text)
+			s.violationf("%s got pieces %q of %q", name, got, r.outcome.Text)
 		}
 	}
 }
 
-func (s *schedule) ran(name, text string) bool {
-	for _, send := range s.w.sends {
+func (s *schedule) isRunAnswer(name, text string) bool {
+	for _, send := range s.cluster.sends {
 		if callName(send.call) == name && text == "answer of "+string(send.run) {
 			return true
 		}
@@ -335,50 +335,49 @@
 	var teamTokens, teamFees int64
 	for _, id := range programs {
 		var tokens, fees int64
-		for _, send := range s.w.sends {
+		for _, send := range s.cluster.sends {
 			if send.call.Program == id {
 				tokens += send.cost
 				fees += send.call.Fee
 			}
 		}
-		if tokens > s.w.policy.ProgramTokens || fees > s.w.policy.ProgramFees {
-			s.fail("program %s spent %d tokens and %d fees", id, tokens, fees)
+		if tokens > s.cluster.policy.ProgramTokens || fees > s.cluster.policy.ProgramFees {
+			s.violationf("program %s spent %d tokens and %d fees", id, tokens, fees)
 		}
 		teamTokens, teamFees = teamTokens+tokens, teamFees+fees
 	}
-	if teamTokens > s.w.policy.TeamTokens || teamFees > s.w.policy.TeamFees {
-		s.fail("the team spent %d tokens and %d fees", teamTokens, teamFees)
+	if teamTokens > s.cluster.policy.TeamTokens || teamFees > s.cluster.policy.TeamFees {
+		s.violationf("the team spent %d tokens and %d fees", teamTokens, teamFees)
 	}
 }
 
-// checkProgress: once faults ceased every request has its outcome and a new
-// program runs a call.
+// checkProgress checks that once faults have ceased, every request has an outcome
+// and a new program can run a call.
 func (s *schedule) checkProgress(programs []structs.ProgramID) {
-	for _, r := range s.w.all {
+	for _, r := range s.cluster.allRequests {
 		if r.outcome == nil {
-			s.fail("%s has no outcome", r.id)
+			s.violationf("%s has no outcome", r.id)
 		}
 		if r.reason() == "gateway-deadline" && r.at.After(testStart.Add(25*time.Second)) {
-			s.fail("%s heard nothing though no fault was left", r.id)
+			s.violationf("%s received no outcome after the faults had ceased", r.id)
 		}
 	}
-	s.w.policy.TeamTokens, s.w.policy.TeamFees = 0, 0
-	id := s.w.program(3)
-	r := s.w.submit(testCall(id, 1, true), time.Minute)
-	s.w.run(time.Second)
+	s.cluster.policy.TeamTokens, s.cluster.policy.TeamFees = 0, 0
+	id := s.cluster.program(3)
+	r := s.cluster.submit(testCall(id, 1, true), time.Minute)
+	s.cluster.run(time.Second)
 	if r.kind() != structs.OutcomeAnswered {
-		s.fail("after the faults a call got kind %d %s", r.kind(), r.reason())
+		s.violationf("a call after the faults got kind %d %s", r.kind(), r.reason())
 	}
 }
 
-// The same inputs give the same outputs: no decision depends on the order of a
-// map.
-func TestSameSeedSameRun(t *testing.T) {
+// Decisions must not depend on the iteration order of maps.
+func TestSameSeedGivesSameTrace(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := runSchedule(t, seed).w, runSchedule(t, seed).w
+		first, second := runSchedule(t, seed).cluster, runSchedule(t, seed).cluster
 		for i := range min(len(first.trace), len(second.trace)) {
 			if first.trace[i] != second.trace[i] {
-				t.Fatalf("seed %d: %s\nthen: %s", seed, first.trace[i], second.trace[i])
+				t.Fatalf("seed %d: first run: %s\nsecond run: %s", seed, first.trace[i], second.trace[i])
 			}
 		}
 		for name, records := range first.streams {
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -5,33 +5,34 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// recovery is a not-repeatable run of an earlier owner whose outcome is not
-// known. It is never run again. Its lane waits until the earlier owner's
-// outcome was read, or until that owner can send nothing more.
+// recovery is a not-repeatable run of a previous owner whose outcome is unknown.
+// The call does not run again. Its lane is blocked until the previous owner's
+// outcome was read, or until that owner can no longer send.
 type recovery struct {
 	prog  *program
 	run   *journal.OpenRun
 	timer *timer
 }
 
-// recover takes up what earlier owners left open.
+// recover resolves the state that previous owners left open.
 func (s *shard) recover() {
 	for _, id := range journal.SortedKeys(s.state.Programs) {
 		row := s.state.Programs[id]
-		p := s.live(id, row.Team)
+		p := s.liveProgram(id, row.Team)
 		for _, run := range row.OpenRuns() {
-			// A run of this instance from an earlier tenure may still go on.
+			// A run of this instance from an earlier tenure may still be in
+			// progress.
 			if run.NotRepeatable && run.Epoch < s.epoch && !p.running(run) {
 				p.recoverRun(run)
 			}
 		}
 		if row.Closed || row.Single {
-			p.quiet()
+			p.onNoCalls()
 		}
 	}
 }
 
-// running tells whether a live call made the run.
+// running reports whether a live call made the run.
 func (p *program) running(run *journal.OpenRun) bool {
 	c := p.calls[run.Key]
 	return c != nil && c.run == run.Run
@@ -44,14 +45,14 @@
 	r.timer = p.shard.o.after(p.shard.o.cfg.RecoveryWait, r.expire)
 }
 
-// recoverCall lets a call wait for the run that an earlier owner has of it.
-func (p *program) recoverCall(c *call) {
+// awaitRecovery makes the call wait for a previous owner's run of its key.
+func (p *program) awaitRecovery(c *call) {
 	if p.recovering(c.key) {
 		c.phase = phaseRecovery
 	}
 }
 
-// recovering tells whether an earlier owner may have run the call of a key.
+// recovering reports whether a previous owner may have run the call of a key.
 func (p *program) recovering(key string) bool {
 	for _, r := range p.recovery {
 		if r.run.Key == key {
@@ -61,22 +62,22 @@
 	return false
 }
 
-// onForeign takes a fact that an earlier owner recorded late.
-func (s *shard) onForeign(rec journal.Record) {
+// onPreviousOwnerRecord handles a fact that a previous owner recorded late.
+func (s *shard) onPreviousOwnerRecord(rec journal.Record) {
 	switch b := rec.Body.(type) {
 	case *journal.Started:
-		// The earlier owner's target may hold cache of a closed program.
+		// The previous owner's target may hold cache of a closed program.
 		if p := s.programs[b.Program]; p != nil {
 			p.startRelease()
 		}
 	case *journal.Done:
-		s.learnt(b.Program, b.Run)
+		s.onOutcomeLearned(b.Program, b.Run)
 	case *journal.Abandoned:
-		s.learnt(b.Program, b.Run)
+		s.onOutcomeLearned(b.Program, b.Run)
 	}
 }
 
-func (s *shard) learnt(id structs.ProgramID, run structs.RunID) {
+func (s *shard) onOutcomeLearned(id structs.ProgramID, run structs.RunID) {
 	p := s.programs[id]
 	if p == nil {
 		return
@@ -85,29 +86,29 @@
 		r.resolve()
 		return
 	}
-	// The lane's last number may have grown: a call that waited for its
+	// The lane's last number may have advanced, so a call that waited for its
 	// predecessor can start.
 	p.advance()
 }
 
-// expire runs when the earlier owner can send nothing more.
+// expire is called when the previous owner can no longer send.
 func (r *recovery) expire() {
 	o := r.prog.shard.o
 	service, _ := o.settings.Service(r.run.Service)
 	if !service.AskByKey {
-		r.conclude(false, structs.Outcome{})
+		r.recordOutcome(false, structs.Outcome{})
 		return
 	}
 	targets := o.members.Targets(r.run.Service)
 	if t, ok := o.findTarget(r.run.Service, r.run.Target); ok {
 		targets = []structs.Target{t}
 	}
-	o.ask(r.run.Run, r.run.Program, r.run.Key, targets, r.conclude)
+	o.queryOutcome(r.run.Run, r.run.Program, r.run.Key, targets, r.recordOutcome)
 }
 
-// conclude records the outcome that the target told, or that it is unknown, so
-// that every retry hears the same.
-func (r *recovery) conclude(found bool, out structs.Outcome) {
+// recordOutcome records the outcome that the target reported, or an unknown
+// outcome, so that every retry receives the same one.
+func (r *recovery) recordOutcome(found bool, out structs.Outcome) {
 	p := r.prog
 	if p.recovery[r.run.Run] != r || !p.shard.owned() {
 		return
@@ -116,10 +117,10 @@
 	if found {
 		out.Kind = structs.OutcomeAnswered
 		cost.Tokens = out.Usage.Tokens()
-		r.note("outcome of an earlier owner's run found at its target")
+		r.logEvent("outcome of a previous owner's run found at its target")
 	} else {
 		out = unknown(structs.ReasonOwnerLost)
-		r.note("outcome of an earlier owner's run stays unknown")
+		r.logEvent("outcome of a previous owner's run remains unknown")
 	}
 	p.shard.app.push(&journal.Done{
 		CallID: r.run.CallID, Service: r.run.Service, Target: r.run.Target, NotRepeatable: true,
@@ -128,8 +129,8 @@
 	r.resolve()
 }
 
-// resolve frees the lane. Calls that waited for the run get its outcome, or
-// their turn if the run was abandoned.
+// resolve unblocks the lane. Calls that waited for the run get its outcome, or
+// run themselves if the run was abandoned.
 func (r *recovery) resolve() {
 	p := r.prog
 	p.shard.o.timers.stop(r.timer)
@@ -139,16 +140,16 @@
 		if c.phase != phaseRecovery || c.key != r.run.Key {
 			continue
 		}
-		if !c.answerRecorded() {
+		if !c.completeFromRecord() {
 			c.phase = phaseQueued
 		}
 	}
 	p.advance()
-	p.quietIfIdle()
+	p.checkNoCalls()
 }
 
-func (p *program) quietIfIdle() {
+func (p *program) checkNoCalls() {
 	if len(p.calls) == 0 {
-		p.quiet()
+		p.onNoCalls()
 	}
 }
--- a/internal/owner/resubmit_test.go
+++ b/internal/owner/resubmit_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// lastEnd gives the outcome that an owner sent for a request.
-func lastEnd(cmds []structs.Command, request structs.RequestID) *structs.Outcome {
+// lastOutcome returns the last outcome that an owner sent for a request.
+func lastOutcome(cmds []structs.Command, request structs.RequestID) *structs.Outcome {
 	var out *structs.Outcome
 	for _, cmd := range cmds {
 		send, ok := cmd.(structs.SendPeer)
@@ -22,9 +22,9 @@
 	return out
 }
 
-// A refusal says "not run" only if no other owner may have the request, also if
-// that became known only by a repeated Submit.
-func TestRefusalOfAResubmittedRequest(t *testing.T) {
+// A refusal is "not run" only if no other owner may have the request, even if a
+// repeated Submit is the first to indicate that.
+func TestRefusalOfResubmittedRequest(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		flags []bool
@@ -32,93 +32,93 @@
 	}{
 		{"first owner", []bool{false}, structs.OutcomeNotRun},
 		{"second owner", []bool{true}, structs.OutcomeUnknown},
-		{"back at the first", []bool{false, true}, structs.OutcomeUnknown},
-		{"marked once", []bool{true, false}, structs.OutcomeUnknown},
+		{"first owner again", []bool{false, true}, structs.OutcomeUnknown},
+		{"first Submit marked", []bool{true, false}, structs.OutcomeUnknown},
 	} {
-		w := newWorld(t, 1, 1)
-		o := w.nodes["o1"].o
-		id := structs.NewProgramID(testRegion, w.now, [10]byte{1})
-		now := w.now
+		cl := newCluster(t, 1, 1)
+		o := cl.nodes["o1"].o
+		id := structs.NewProgramID(testRegion, cl.now, [10]byte{1})
+		now := cl.now
 		for _, resubmitted := range c.flags {
 			now = now.Add(time.Millisecond)
 			o.Tick(now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
-				Request: "r", Call: firstAttempt(testCall(id, 1, true)), Remaining: time.Minute, Resubmitted: resubmitted,
+				Request: "r", Call: markFresh(testCall(id, 1, true)), Remaining: time.Minute, Resubmitted: resubmitted,
 			}}})
 		}
-		// The log never answers, so the shard is not claimed.
-		out := lastEnd(o.Tick(now.Add(2*time.Second), nil), "r")
+		// The log never responds, so the shard is not claimed.
+		out := lastOutcome(o.Tick(now.Add(2*time.Second), nil), "r")
 		if out == nil || out.Kind != c.want {
 			t.Errorf("%s: %+v, want kind %d", c.name, out, c.want)
 		}
 	}
 }
 
-func firstAttempt(c *structs.Call) *structs.Call {
+func markFresh(c *structs.Call) *structs.Call {
 	c.Fresh = true
 	return c
 }
 
-// Pieces of one run are never followed by those of another.
+// Pieces of one run are never followed by pieces of another.
 func TestPiecesOfAnotherRun(t *testing.T) {
-	w := newWorld(t, 1, 1)
-	id := w.program(1)
+	cl := newCluster(t, 1, 1)
+	id := cl.program(1)
 	c := testCall(id, 1, false)
 	c.Stream = true
-	first := w.submit(c, time.Minute)
-	w.run(time.Second)
-	w.want(first, structs.OutcomeAnswered, "")
-	o := w.nodes["o1"].o
+	first := cl.submit(c, time.Minute)
+	cl.run(time.Second)
+	cl.expect(first, structs.OutcomeAnswered, "")
+	o := cl.nodes["o1"].o
 	for run, want := range map[structs.RunID]structs.OutcomeKind{
 		first.run: structs.OutcomeAnswered, "another": structs.OutcomeUnknown, "": structs.OutcomeUnknown,
 	} {
-		cmds := o.Tick(w.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
+		cmds := o.Tick(cl.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
 			Request: "again", Call: c, Remaining: time.Minute, NextPiece: 1, ReceivedRun: run, Resubmitted: true,
 		}}})
-		if out := lastEnd(cmds, "again"); out == nil || out.Kind != want {
+		if out := lastOutcome(cmds, "again"); out == nil || out.Kind != want {
 			t.Errorf("pieces of %q: %+v, want kind %d", run, out, want)
 		}
 	}
 }
 
-// Each run of a repeatable call has its own hold of the budget.
-func TestBrokenRunsCostTheirWorst(t *testing.T) {
-	w := newWorld(t, 1, 1)
-	w.policy.ProgramTokens = 500
-	w.policy.Retries = 5
-	id := w.program(1)
-	w.behave = func(structs.StartRun) structs.RunFailure { return structs.RunBroken }
-	r := w.submit(testCall(id, 1, false), time.Minute)
-	w.run(5 * time.Second)
-	w.want(r, structs.OutcomeUnknown, structs.ReasonBudget)
-	if len(w.sends) != 2 {
-		t.Errorf("%d runs of 200 tokens each within 500", len(w.sends))
+// Each run of a repeatable call has its own hold in the budget.
+func TestFailedRunsAreChargedWorstCase(t *testing.T) {
+	cl := newCluster(t, 1, 1)
+	cl.policy.ProgramTokens = 500
+	cl.policy.Retries = 5
+	id := cl.program(1)
+	cl.runResult = func(structs.StartRun) structs.RunFailure { return structs.RunBroken }
+	r := cl.submit(testCall(id, 1, false), time.Minute)
+	cl.run(5 * time.Second)
+	cl.expect(r, structs.OutcomeUnknown, structs.ReasonBudget)
+	if len(cl.sends) != 2 {
+		t.Errorf("%d runs of 200 tokens each within 500, want 2", len(cl.sends))
 	}
-	if info := w.operate(id, structs.ProgramShow).Info; info.TokensSpent != 400 {
-		t.Errorf("%d tokens booked, want 400", info.TokensSpent)
+	if info := cl.operate(id, structs.ProgramShow).Info; info.TokensSpent != 400 {
+		t.Errorf("%d tokens spent, want 400", info.TokensSpent)
 	}
 }
 
-// A shard that was lost is claimed again though a call of it still runs, and
-// the lane waits for that call.
-func TestLostShardIsClaimedAgain(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	w.runTime = 6 * time.Second
-	id := w.program(1)
-	running := w.submit(testCall(id, 1, true), time.Minute)
-	w.run(200 * time.Millisecond)
-	w.pause("o1", 1500*time.Millisecond)
-	w.run(1200 * time.Millisecond)
-	// The other owner takes over for the next call and dies.
-	second := w.submit(testCall(id, 2, true), time.Minute)
-	w.run(800 * time.Millisecond)
-	if w.nodes["o2"].o.shards[0].tenure != tenureOwned || w.nodes["o1"].o.shards[0].tenure != tenureLost {
-		t.Fatal("the shard did not change hands")
+// A lost shard is claimed again while one of its calls still runs, and the lane
+// waits for that call.
+func TestLostShardIsReclaimed(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	cl.runTime = 6 * time.Second
+	id := cl.program(1)
+	running := cl.submit(testCall(id, 1, true), time.Minute)
+	cl.run(200 * time.Millisecond)
+	cl.pause("o1", 1500*time.Millisecond)
+	cl.run(1200 * time.Millisecond)
+	// The other owner takes over for the next call and crashes.
+	second := cl.submit(testCall(id, 2, true), time.Minute)
+	cl.run(800 * time.Millisecond)
+	if cl.nodes["o2"].o.shards[0].tenure != tenureOwned || cl.nodes["o1"].o.shards[0].tenure != tenureLost {
+		t.Fatal("o2 did not take over the shard")
 	}
-	w.kill("o2")
-	w.run(10 * time.Second)
-	w.want(running, structs.OutcomeAnswered, "")
-	w.want(second, structs.OutcomeAnswered, "")
-	if len(w.sends) != 2 || w.sends[1].at.Sub(w.sends[0].at) < w.runTime {
-		t.Errorf("sends %+v", w.sends)
+	cl.kill("o2")
+	cl.run(10 * time.Second)
+	cl.expect(running, structs.OutcomeAnswered, "")
+	cl.expect(second, structs.OutcomeAnswered, "")
+	if len(cl.sends) != 2 || cl.sends[1].at.Sub(cl.sends[0].at) < cl.runTime {
+		t.Errorf("sends %+v", cl.sends)
 	}
 }
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -24,39 +24,40 @@
 	}
 	s := o.shardRow(structs.ShardOf(m.Call.Program, o.cfg.Shards))
 	switch {
-	case s.holdAgain(from, m):
+	case s.updateHeld(from, m):
 		o.send(from, &structs.SubmitAccepted{Request: m.Request})
-	case s.owned() && !o.draining && s.unproven(m):
-		s.verify(from, m)
+	case s.owned() && !o.draining && s.needsVerification(m):
+		s.holdUntilVerified(from, m)
 	case s.owned() && !o.draining:
 		s.submit(from, m)
 	case s.owned():
-		o.notOwner(from, m, s.successor())
+		o.sendNotOwner(from, m, s.successor())
 	default:
-		s.take(from, m, m.Suspects)
+		s.claimOrRedirect(from, m, m.Suspects)
 	}
 }
 
-// holdAgain takes a repeated Submit of a request that is held already. The later
-// one counts: it tells whether another owner had the request in between.
-func (s *shard) holdAgain(from structs.InstanceID, again *structs.Submit) bool {
+// updateHeld handles a repeated Submit of a held request. The later one replaces
+// the earlier, since it indicates whether another owner had the request in
+// between.
+func (s *shard) updateHeld(from structs.InstanceID, repeated *structs.Submit) bool {
 	for _, h := range s.held {
 		m, ok := h.msg.(*structs.Submit)
-		if !ok || m.Request != again.Request {
+		if !ok || m.Request != repeated.Request {
 			continue
 		}
-		later := *again
-		later.Resubmitted = later.Resubmitted || m.Resubmitted
-		h.from, h.msg, h.arrived = from, &later, s.o.now
+		updated := *repeated
+		updated.Resubmitted = updated.Resubmitted || m.Resubmitted
+		h.from, h.msg, h.arrived = from, &updated, s.o.now
 		return true
 	}
 	return false
 }
 
-// successor is the instance that gateways should ask instead of this one.
+// successor returns the instance to which gateways are redirected.
 func (s *shard) successor() structs.InstanceID {
 	if s.tenure == tenureLost {
-		return s.winner
+		return s.newOwner
 	}
 	for _, id := range s.o.members.Ranked(s.ref) {
 		if id != s.o.cfg.Self.ID && s.usable(id) {
@@ -66,7 +67,7 @@
 	return ""
 }
 
-// submit takes a call of an owned shard.
+// submit accepts or refuses a call of an owned shard.
 func (s *shard) submit(from structs.InstanceID, m *structs.Submit) {
 	o := s.o
 	key := m.Call.Key
@@ -75,30 +76,30 @@
 		key = journal.KeylessPrefix + string(m.Request)
 	}
 	p, reason := s.programOf(m.Call)
-	if isByState(reason) && s.refutable(from, m) {
+	if dependsOnState(reason) && s.deferRefusal(from, m) {
 		return
 	}
 	if reason != structs.ReasonNone {
-		out := refusal(m.Call, reason, 0, m.Resubmitted || m.NextPiece > 0, s.lookedUp())
+		out := refusal(m.Call, reason, 0, m.Resubmitted || m.NextPiece > 0, s.hasAllDeliveries())
 		o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 		return
 	}
-	p.touch()
-	if p.replayed(from, m, key) {
+	p.resetIdleTimer()
+	if p.handleKnownKey(from, m, key) {
 		return
 	}
 	service, _ := o.settings.Service(m.Call.Service)
 	notRepeatable := m.Call.NotRepeatable || service.NotRepeatable
-	// What an earlier owner may have run is not refused as "not run".
+	// A call that a previous owner may have run is not refused as "not run".
 	if !p.recovering(key) {
 		if reason, after := s.admission(p, m, key); reason != structs.ReasonNone {
-			if isByState(reason) && s.refutable(from, m) {
+			if dependsOnState(reason) && s.deferRefusal(from, m) {
 				p.dropIfEmpty()
 				return
 			}
-			elsewhere := m.Resubmitted || m.NextPiece > 0 || p.mayRedo(key) || p.passed(m.Call)
-			out := refusal(m.Call, reason, after, elsewhere, s.lookedUp() && p.sees(notRepeatable))
-			p.told(m.Call, out)
+			maybeElsewhere := m.Resubmitted || m.NextPiece > 0 || p.mayRerun(key) || p.wasSkipped(m.Call)
+			out := refusal(m.Call, reason, after, maybeElsewhere, s.hasAllDeliveries() && p.hasAllRuns(notRepeatable))
+			p.recordUnknown(m.Call, out)
 			o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 			p.dropIfEmpty()
 			return
@@ -106,19 +107,19 @@
 	}
 	o.send(from, &structs.SubmitAccepted{Request: m.Request})
 	c := &call{
-		shard: s, prog: p, spec: bounded(m.Call, key), key: key, service: service,
+		shard: s, prog: p, spec: withDefaults(m.Call, key), key: key, service: service,
 		notRepeatable: notRepeatable,
-		redo:          p.mayRedo(key), lookedUp: s.lookedUp(), arrived: o.now, phase: phaseQueued,
+		rerun:         p.mayRerun(key), keyLookedUp: s.hasAllDeliveries(), arrived: o.now, phase: phaseQueued,
 	}
 	c.attach(from, m)
-	p.add(c)
-	p.recoverCall(c)
+	p.addCall(c)
+	p.awaitRecovery(c)
 	p.advance()
 }
 
-// bounded gives the call a bound of its answer, so that its worst case is known,
-// and a key, so that its target can tell a repeat.
-func bounded(spec *structs.Call, key string) *structs.Call {
+// withDefaults sets a token limit, so that the worst case is known, and the key,
+// so that the target can recognize a repeated call.
+func withDefaults(spec *structs.Call, key string) *structs.Call {
 	c := *spec
 	c.Key = key
 	if c.Kind == structs.CallChat && c.MaxTokens <= 0 {
@@ -127,14 +128,14 @@
 	return &c
 }
 
-// programOf finds the live row of a call's program.
+// programOf returns the live state of a call's program.
 func (s *shard) programOf(spec *structs.Call) (*program, structs.Reason) {
 	row := s.row(spec.Program)
 	if row != nil {
 		if !spec.Team.Contains(row.Team) {
 			return nil, structs.ReasonForeignProgram
 		}
-		return s.live(spec.Program, row.Team), structs.ReasonNone
+		return s.liveProgram(spec.Program, row.Team), structs.ReasonNone
 	}
 	if p := s.programs[spec.Program]; p != nil {
 		if !spec.Team.Contains(p.team) {
@@ -143,8 +144,8 @@
 		return p, structs.ReasonNone
 	}
 	_, created, _ := spec.Program.Parse()
-	// What is known of a program is forgotten after the window, so an
-	// unknown one that is older may have run.
+	// Programs are purged after the window, so an unknown program older than that
+	// may have run.
 	window := s.o.settings.Policy(spec.Team).IdempotencyWindow
 	if s.o.now.Sub(created) > window {
 		return nil, structs.ReasonTooOld
@@ -152,10 +153,11 @@
 	if !spec.Single {
 		return nil, structs.ReasonUnknownProgram
 	}
-	return s.live(spec.Program, spec.Team), structs.ReasonNone
+	return s.liveProgram(spec.Program, spec.Team), structs.ReasonNone
 }
 
-// admission checks what can be checked before the call's turn.
+// admission performs the checks that do not depend on the call's turn in the
+// lane.
 func (s *shard) admission(p *program, m *structs.Submit, key string) (structs.Reason, time.Duration) {
 	spec := m.Call
 	service, ok := s.o.settings.Service(spec.Service)
@@ -168,17 +170,17 @@
 		return structs.ReasonOverloaded, busyRetryAfter
 	case len(s.state.Programs) >= maxShardPrograms && p.row() == nil:
 		return structs.ReasonOverloaded, busyRetryAfter
-	case s.state.Bytes > maxShardBytes:
+	case s.state.Bytes > maxShardResponseBytes:
 		return structs.ReasonOverloaded, busyRetryAfter
 	case s.logDown() && (spec.NotRepeatable || service.NotRepeatable):
 		return structs.ReasonLogUnavailable, logRetryAfter
-	case p.stale(spec) && !p.mayRedo(key):
+	case p.stale(spec) && !p.mayRerun(key):
 		return structs.ReasonStaleNumber, 0
 	}
 	return structs.ReasonNone, 0
 }
 
-// stale tells whether the call's number was passed and its record is gone.
+// stale reports whether the lane has already passed the call's number.
 func (p *program) stale(spec *structs.Call) bool {
 	if spec.Number == 0 {
 		return false
--- a/internal/owner/verify_test.go
+++ b/internal/owner/verify_test.go
@@ -7,74 +7,74 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// superseded gives a world in which o2 took the shard over and o1, whose reads
-// lag, does not know yet.
-func superseded(t *testing.T) (*world, structs.ProgramID) {
-	w := newWorld(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
-	w.nodes["o1"].lag = 300 * time.Millisecond
-	w.nodes["o1"].suspected = true
-	r := w.submit(testCall(id, 1, false), time.Minute)
+// newSupersededOwner returns a cluster in which o2 has claimed the shard and o1,
+// whose reads lag, has not noticed yet.
+func newSupersededOwner(t *testing.T) (*cluster, structs.ProgramID) {
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
+	cl.nodes["o1"].suspected = true
+	r := cl.submit(testCall(id, 1, false), time.Minute)
 	for r.outcome == nil {
-		w.run(time.Millisecond)
+		cl.run(time.Millisecond)
 	}
-	w.want(r, structs.OutcomeAnswered, "")
-	w.nodes["o1"].suspected = false
-	if !w.nodes["o1"].o.shards[0].owned() || !w.nodes["o2"].o.shards[0].owned() {
-		t.Fatal("the old owner knows of the new one")
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.nodes["o1"].suspected = false
+	if !cl.nodes["o1"].o.shards[0].owned() || !cl.nodes["o2"].o.shards[0].owned() {
+		t.Fatal("the previous owner has already noticed the new claim")
 	}
-	return w, id
+	return cl, id
 }
 
 // openAt opens a program at one owner only.
-func (w *world) openAt(to structs.InstanceID, n byte) structs.ProgramID {
+func (cl *cluster) openAt(to structs.InstanceID, n byte) structs.ProgramID {
 	id := structs.NewProgramID(testRegion, testStart, [10]byte{9: n})
-	w.reply(testGateway, to, &structs.ProgramRequest{
+	cl.sendMessage(testGateway, to, &structs.ProgramRequest{
 		Request: "open", Op: structs.ProgramOpen, Program: id, Team: testTeam, Remaining: time.Second,
 	})
-	w.run(50 * time.Millisecond)
+	cl.run(50 * time.Millisecond)
 	return id
 }
 
-// An owner that was superseded without knowing gives no final refusal from what
-// it knows: the caller gets the answer of the new owner.
-func TestSupersededOwnerRefusesNothingByState(t *testing.T) {
-	w, _ := superseded(t)
-	id := w.openAt("o2", 2)
-	r := w.submit(testCall(id, 1, false), time.Minute)
-	show := w.operate(id, structs.ProgramShow)
-	w.run(time.Second)
-	w.want(r, structs.OutcomeAnswered, "")
+// An owner that was superseded unnoticed must not refuse a call based on its
+// state. The caller gets the new owner's answer.
+func TestSupersededOwnerVerifiesBeforeRefusing(t *testing.T) {
+	cl, _ := newSupersededOwner(t)
+	id := cl.openAt("o2", 2)
+	r := cl.submit(testCall(id, 1, false), time.Minute)
+	show := cl.operate(id, structs.ProgramShow)
+	cl.run(time.Second)
+	cl.expect(r, structs.OutcomeAnswered, "")
 	if show.Outcome.Reason == structs.ReasonUnknownProgram {
-		t.Error("a live program is called unknown")
+		t.Error("an open program was refused as unknown")
 	}
 }
 
-// takeOver lets o2 run a call while o1 does not know of it.
-func (w *world) takeOver(c *structs.Call) {
-	w.nodes["o1"].suspected = true
-	r := w.submit(c, time.Minute)
+// runAtSecondOwner runs a call at o2 while o1 has not noticed its claim.
+func (cl *cluster) runAtSecondOwner(c *structs.Call) {
+	cl.nodes["o1"].suspected = true
+	r := cl.submit(c, time.Minute)
 	for r.outcome == nil {
-		w.run(time.Millisecond)
+		cl.run(time.Millisecond)
 	}
-	w.want(r, structs.OutcomeAnswered, "")
-	w.nodes["o1"].suspected = false
+	cl.expect(r, structs.OutcomeAnswered, "")
+	cl.nodes["o1"].suspected = false
 }
 
-// A refusal in a lane waits for the proof, too.
-func TestSupersededOwnerRefusesNoCallInALane(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	id := w.program(1)
-	w.nodes["o1"].lag = 300 * time.Millisecond
-	behind := w.submit(testCall(id, 2, false), time.Minute)
-	w.run(w.policy.GapTimeout - 150*time.Millisecond)
-	w.takeOver(testCall(id, 1, false))
-	w.run(2 * time.Second)
-	w.want(behind, structs.OutcomeAnswered, "")
+// A refusal in a lane waits for verification, too.
+func TestSupersededOwnerVerifiesBeforeRefusingInLane(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
+	behind := cl.submit(testCall(id, 2, false), time.Minute)
+	cl.run(cl.policy.GapTimeout - 150*time.Millisecond)
+	cl.runAtSecondOwner(testCall(id, 1, false))
+	cl.run(2 * time.Second)
+	cl.expect(behind, structs.OutcomeAnswered, "")
 
-	w = newWorld(t, 1, 2)
-	id = w.program(1)
+	cl = newCluster(t, 1, 2)
+	id = cl.program(1)
 	spec := func(key string, chain ...byte) *structs.Call {
 		c := testCall(id, 0, false)
 		c.Key = key
@@ -83,70 +83,70 @@
 		}
 		return c
 	}
-	w.submit(spec("a", 1), time.Minute)
-	w.run(time.Second)
-	w.nodes["o1"].lag = 300 * time.Millisecond
+	cl.submit(spec("a", 1), time.Minute)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
 	fork := spec("b", 9)
 	fork.Fork = true
-	w.takeOver(fork)
-	next := w.submit(spec("c", 9, 9, 9), time.Minute)
-	w.run(2 * time.Second)
-	w.want(next, structs.OutcomeAnswered, "")
+	cl.runAtSecondOwner(fork)
+	next := cl.submit(spec("c", 9, 9, 9), time.Minute)
+	cl.run(2 * time.Second)
+	cl.expect(next, structs.OutcomeAnswered, "")
 }
 
-// A proof holds for what arrived before its record was sent, not for later.
-func TestProofIsYoungerThanTheRequest(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	w.program(1)
-	w.run(time.Second)
-	w.nodes["o1"].lag = 300 * time.Millisecond
+// A verification covers only requests that arrived before its record was sent.
+func TestVerificationIsNewerThanRequest(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	cl.program(1)
+	cl.run(time.Second)
+	cl.nodes["o1"].readLag = 300 * time.Millisecond
 	other := structs.NewProgramID(testRegion, testStart, [10]byte{9: 7})
-	early := w.submit(testCall(other, 1, false), time.Minute)
-	w.run(20 * time.Millisecond)
-	w.nodes["o1"].suspected = true
-	id := w.openAt("o2", 2)
-	w.nodes["o1"].suspected = false
-	late := w.submit(testCall(id, 1, false), time.Minute)
-	w.run(2 * time.Second)
-	w.want(early, structs.OutcomeNotRun, structs.ReasonUnknownProgram)
-	w.want(late, structs.OutcomeAnswered, "")
+	early := cl.submit(testCall(other, 1, false), time.Minute)
+	cl.run(20 * time.Millisecond)
+	cl.nodes["o1"].suspected = true
+	id := cl.openAt("o2", 2)
+	cl.nodes["o1"].suspected = false
+	late := cl.submit(testCall(id, 1, false), time.Minute)
+	cl.run(2 * time.Second)
+	cl.expect(early, structs.OutcomeNotRun, structs.ReasonUnknownProgram)
+	cl.expect(late, structs.OutcomeAnswered, "")
 }
 
-// In an outage a refusal by state is not final.
-func TestRefusalByStateInAnOutage(t *testing.T) {
-	w := newWorld(t, 1, 1)
-	w.program(1)
-	w.logDown = true
-	w.pump(w.nodes["o1"], "shard.lakes.0")
-	w.run(time.Second)
-	r := w.submit(firstAttempt(testCall(structs.NewProgramID(testRegion, testStart, [10]byte{9: 7}), 1, false)), time.Minute)
-	w.run(100 * time.Millisecond)
-	w.want(r, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
+// A refusal during a log outage is not final.
+func TestStateRefusalDuringLogOutage(t *testing.T) {
+	cl := newCluster(t, 1, 1)
+	cl.program(1)
+	cl.logDown = true
+	cl.pollStream(cl.nodes["o1"], "shard.lakes.0")
+	cl.run(time.Second)
+	r := cl.submit(markFresh(testCall(structs.NewProgramID(testRegion, testStart, [10]byte{9: 7}), 1, false)), time.Minute)
+	cl.run(100 * time.Millisecond)
+	cl.expect(r, structs.OutcomeNotRun, structs.ReasonLogUnavailable)
 	if r.outcome.RetryAfter == 0 {
-		t.Error("the caller is not told when to come back")
+		t.Error("refusal without RetryAfter")
 	}
 }
 
-// An owner that wakes up runs no call, repeatable or not, before the log shows
-// that it is still the owner.
-func TestOwnerThatWakesUpRunsNothingUnproven(t *testing.T) {
-	w := newWorld(t, 1, 2)
-	id := w.program(1)
-	w.run(time.Second)
-	w.pause("o1", 5*time.Second)
-	w.nodes["o1"].silent = true
-	stale := w.submit(testCall(id, 1, false), 30*time.Second)
-	w.run(1200 * time.Millisecond)
+// An owner that resumes after a pause runs no call, repeatable or not, before the
+// log confirms that it still owns the shard.
+func TestResumedOwnerVerifiesOwnershipBeforeRunning(t *testing.T) {
+	cl := newCluster(t, 1, 2)
+	id := cl.program(1)
+	cl.run(time.Second)
+	cl.pause("o1", 5*time.Second)
+	cl.nodes["o1"].logUnresponsive = true
+	stale := cl.submit(testCall(id, 1, false), 30*time.Second)
+	cl.run(1200 * time.Millisecond)
 	for n := uint64(1); n <= 2; n++ {
-		r := w.submit(testCall(id, n, false), time.Minute)
-		w.run(time.Second)
-		w.want(r, structs.OutcomeAnswered, "")
+		r := cl.submit(testCall(id, n, false), time.Minute)
+		cl.run(time.Second)
+		cl.expect(r, structs.OutcomeAnswered, "")
 	}
-	before := w.sendsOf(stale.call)
-	// It gets to the log again when it goes on, and has read nothing yet.
-	w.nodes["o1"].silent = false
-	w.run(5 * time.Second)
-	if n := w.sendsOf(stale.call); n != before {
-		t.Errorf("call 1 ran again after call 2 at the owner that woke up: %d sends", n)
+	before := cl.sendsOf(stale.call)
+	// The log responds again when the owner resumes, which has read nothing yet.
+	cl.nodes["o1"].logUnresponsive = false
+	cl.run(5 * time.Second)
+	if n := cl.sendsOf(stale.call); n != before {
+		t.Errorf("the resumed owner ran call 1 again after call 2: %d sends", n)
 	}
 }
