--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,29 +19,29 @@
 // fakeServer answers with what a test sets and keeps the last request.
 type fakeServer struct {
 	*httptest.Server
-	answers map[string]fakeAnswer
-	last    struct {
+	responses map[string]fakeResponse
+	last      struct {
 		method, uri, key string
 		body             []byte
 	}
 }
 
-type fakeAnswer struct {
+type fakeResponse struct {
 	status int
 	body   any
 }
 
 func newFakeServer(t *testing.T) *fakeServer {
-	s := &fakeServer{answers: make(map[string]fakeAnswer)}
+	s := &fakeServer{responses: make(map[string]fakeResponse)}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.last.method, s.last.uri, s.last.key = r.Method, r.URL.RequestURI(), r.Header.Get("Authorization")
 		s.last.body, _ = io.ReadAll(r.Body)
-		answer, ok := s.answers[r.Method+" "+r.URL.Path]
+		response, ok := s.responses[r.Method+" "+r.URL.Path]
 		if !ok {
-			answer = fakeAnswer{http.StatusNotFound, map[string]any{"title": "There is no such resource"}}
+			response = fakeResponse{http.StatusNotFound, map[string]any{"title": "There is no such resource"}}
 		}
-		w.WriteHeader(answer.status)
-		_ = json.NewEncoder(w).Encode(answer.body)
+		w.WriteHeader(response.status)
+		_ = json.NewEncoder(w).Encode(response.body)
 	}))
 	t.Cleanup(s.Close)
 	t.Setenv("BANYANGLADE_SERVER", s.URL)
@@ -88,7 +88,7 @@
 
 func TestSettingsGetTableAndJSON(t *testing.T) {
 	s := newFakeServer(t)
-	s.answers["GET /v1/settings"] = fakeAnswer{200, settings.Listing{Next: 4, Entries: []settings.Entry{
+	s.responses["GET /v1/settings"] = fakeResponse{200, settings.Listing{Next: 4, Entries: []settings.Entry{
 		{Path: "teams/a/priority", Value: json.RawMessage("3"), Version: 4, Author: "ada\x1b[2J"},
 		{Path: "teams/a/weight", Version: 2, Removed: true},
 	}}}
@@ -104,10 +104,10 @@
 	}
 }
 
-func TestSettingsSetUsesPresentVersionAsBase(t *testing.T) {
+func TestSettingsSetUsesCurrentVersionAsBase(t *testing.T) {
 	s := newFakeServer(t)
-	s.answers["GET /v1/settings"] = fakeAnswer{200, settings.Listing{Entries: []settings.Entry{{Path: "teams/a/deadline", Version: 7}}}}
-	s.answers["PUT /v1/settings"] = fakeAnswer{200, map[string]any{"status": "accepted", "version": 9}}
+	s.responses["GET /v1/settings"] = fakeResponse{200, settings.Listing{Entries: []settings.Entry{{Path: "teams/a/deadline", Version: 7}}}}
+	s.responses["PUT /v1/settings"] = fakeResponse{200, map[string]any{"status": "accepted", "version": 9}}
 	code, out, errOut := invoke("settings", "set", "teams/a/deadline", "30s", "--change-id", "c1")
 	if code != exitOK || !strings.Contains(out, "accepted: version 9") {
 		t.Fatalf("exit %d: %s%s", code, out, errOut)
@@ -123,7 +123,7 @@
 
 func TestProblemIsOneLineAndExitOne(t *testing.T) {
 	s := newFakeServer(t)
-	s.answers["PUT /v1/settings"] = fakeAnswer{409, map[string]any{
+	s.responses["PUT /v1/settings"] = fakeResponse{409, map[string]any{
 		"title": "Another change came first", "detail": "lost to version 3 by \"bob\"\n", "path": "teams/a/priority",
 		"expected": "base 3", "outcome": "not-run", "instance": "r-1",
 	}}
@@ -132,10 +132,10 @@
 	if code != exitFailed || out != "" || errOut != want {
 		t.Errorf("exit %d, out %q, err %q", code, out, errOut)
 	}
-	s.answers["PUT /v1/settings"] = fakeAnswer{504, map[string]any{"title": "Not read back", "outcome": "unknown"}}
+	s.responses["PUT /v1/settings"] = fakeResponse{504, map[string]any{"title": "Not read back", "outcome": "unknown"}}
 	_, _, errOut = invoke("settings", "set", "teams/a/priority", "1", "--base", "2", "--change-id", "c1")
 	mustContain(t, errOut, "unknown whether change c1 came into force")
-	s.answers["GET /v1/programs/x"] = fakeAnswer{502, "<html>\nbad gateway"}
+	s.responses["GET /v1/programs/x"] = fakeResponse{502, "<html>\nbad gateway"}
 	_, _, errOut = invoke("programs", "show", "x")
 	mustContain(t, errOut, "error: 502 Bad Gateway", "bad gateway")
 }
@@ -158,7 +158,7 @@
 	return name
 }
 
-func TestSettingsCheckIsOfflineAndNamesLines(t *testing.T) {
+func TestSettingsCheckIsOfflineAndReportsLines(t *testing.T) {
 	name := writeFile(t, "teams:\n  a:\n    priority: 1\n    wait: 3\n")
 	code, _, errOut := invoke("settings", "check", name)
 	mustContain(t, errOut, name+": line 4: teams/a/wait: unknown key")
@@ -176,12 +176,12 @@
 	hash := settings.KeyHash("secret")
 	name := writeFile(t, fmt.Sprintf("teams:\n  a:\n    priority: 1\n    weight: 2\n    credentials:\n      ada: {role: caller, sha256: %s}\n", hash))
 	value := fmt.Sprintf(`{"role":"caller","sha256":"%s"}`, hash)
-	s.answers["GET /v1/settings"] = fakeAnswer{200, settings.Listing{Entries: []settings.Entry{
+	s.responses["GET /v1/settings"] = fakeResponse{200, settings.Listing{Entries: []settings.Entry{
 		{Path: "teams/a/credentials/ada", Version: 2, Digest: settings.ValueDigest([]byte(value))},
 		{Path: "teams/a/priority", Version: 3, Value: json.RawMessage("5"), Digest: settings.ValueDigest([]byte("5"))},
 		{Path: "teams/a/retries", Version: 4, Value: json.RawMessage("1")},
 	}}}
-	s.answers["PUT /v1/settings"] = fakeAnswer{200, map[string]any{"status": "accepted", "version": 9}}
+	s.responses["PUT /v1/settings"] = fakeResponse{200, map[string]any{"status": "accepted", "version": 9}}
 	code, out, _ := invoke("settings", "publish", "--dry-run", name)
 	mustContain(t, out, "change  teams/a/priority  1", "add     teams/a/weight    2",
 		"2 to change, 1 as wanted already, 1 in the tree but not in the file")
@@ -196,9 +196,9 @@
 	}
 }
 
-func TestAppliedTellsWhoIsBehind(t *testing.T) {
+func TestAppliedReportsInstancesBehind(t *testing.T) {
 	s := newFakeServer(t)
-	s.answers["GET /v1/settings/applied"] = fakeAnswer{200, map[string]any{
+	s.responses["GET /v1/settings/applied"] = fakeResponse{200, map[string]any{
 		"applied": map[string]int{"a": 5, "b": 3}, "missing": []string{"c"}}}
 	_, out, _ := invoke("settings", "applied")
 	mustContain(t, out, "a         5        newest", "b         3        2 behind", "c         -        no answer")
@@ -207,8 +207,8 @@
 func TestProgramsListShowCancel(t *testing.T) {
 	s := newFakeServer(t)
 	program := map[string]any{"id": "p1", "team": "a", "state": "active", "tokens_spent": 5, "tokens_held": 2, "token_limit": 10}
-	s.answers["GET /v1/programs"] = fakeAnswer{200, map[string]any{"programs": []any{program}, "missing": []string{"i9"}}}
-	s.answers["DELETE /v1/programs/p1"] = fakeAnswer{200, program}
+	s.responses["GET /v1/programs"] = fakeResponse{200, map[string]any{"programs": []any{program}, "missing": []string{"i9"}}}
+	s.responses["DELETE /v1/programs/p1"] = fakeResponse{200, program}
 	_, out, errOut := invoke("programs", "list", "--team", "a", "--limit", "7")
 	mustContain(t, out, "p1", "5+2 held of 10")
 	mustContain(t, errOut, "no answer from i9")
@@ -222,14 +222,14 @@
 
 func TestStatusExitCodeFollowsReadiness(t *testing.T) {
 	s := newFakeServer(t)
-	s.answers["GET /healthz"] = fakeAnswer{200, map[string]any{"state": "starting"}}
-	s.answers["GET /readyz"] = fakeAnswer{503, map[string]any{"state": "starting", "detail": "catching up"}}
+	s.responses["GET /healthz"] = fakeResponse{200, map[string]any{"state": "starting"}}
+	s.responses["GET /readyz"] = fakeResponse{503, map[string]any{"state": "starting", "detail": "catching up"}}
 	code, out, _ := invoke("status")
 	mustContain(t, out, "503", "catching up")
 	if code != exitFailed {
 		t.Errorf("exit %d", code)
 	}
-	s.answers["GET /readyz"] = fakeAnswer{200, map[string]any{"state": "ready"}}
+	s.responses["GET /readyz"] = fakeResponse{200, map[string]any{"state": "ready"}}
 	if code, _, _ := invoke("status"); code != exitOK {
 		t.Errorf("exit %d", code)
 	}
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswer bounds an answer, in bytes.
-const maxAnswer = 256 << 20
+// maxResponseBytes bounds an answer, in bytes.
+const maxResponseBytes = 256 << 20
 
 // ClientOptions are the flags of the commands that talk to an instance.
 type ClientOptions struct {
@@ -34,7 +34,7 @@
 
 func (o ClientOptions) client() (*client, error) {
 	if !isHTTPURL(o.Server) {
-		return nil, errors.Mark(&ConfigError{"server", shownURL(o.Server), "an http or https URL without a user or query"}, errUsage)
+		return nil, errors.Mark(&ConfigError{"server", redactURL(o.Server), "an http or https URL without a user or query"}, errUsage)
 	}
 	base, err := url.Parse(o.Server)
 	if err != nil {
@@ -43,48 +43,48 @@
 	return &client{base: base, key: o.Key, http: &http.Client{Timeout: o.Timeout}}, nil
 }
 
-// answer is the body of a successful request.
-type answer struct {
+// response is the body of a successful request.
+type response struct {
 	status int
 	body   []byte
 }
 
 // decode reads the body into v.
-func (a answer) decode(v any) error {
-	if err := json.Unmarshal(a.body, v); err != nil {
+func (resp response) decode(v any) error {
+	if err := json.Unmarshal(resp.body, v); err != nil {
 		return errors.Wrap(err, "the server sent no usable answer")
 	}
 	return nil
 }
 
 // get reads a route. Statuses other than 200 are errors.
-func (c *client) get(ctx context.Context, path string, query url.Values) (answer, error) {
+func (c *client) get(ctx context.Context, path string, query url.Values) (response, error) {
 	return c.do(ctx, http.MethodGet, path, query, nil)
 }
 
 // do sends a request. A status of 400 and more is a *ProblemError.
-func (c *client) do(ctx context.Context, method, path string, query url.Values, body any) (answer, error) {
-	a, err := c.exchange(ctx, method, path, query, body)
+func (c *client) do(ctx context.Context, method, path string, query url.Values, body any) (response, error) {
+	resp, err := c.send(ctx, method, path, query, body)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	if a.status >= http.StatusBadRequest {
-		return answer{}, newProblemError(a)
+	if resp.status >= http.StatusBadRequest {
+		return response{}, newProblemError(resp)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// exchange sends a request and reads the answer, whatever its status.
-func (c *client) exchange(ctx context.Context, method, path string, query url.Values, body any) (answer, error) {
+// send sends a request and reads the answer, whatever its status.
+func (c *client) send(ctx context.Context, method, path string, query url.Values, body any) (response, error) {
 	target := c.base.JoinPath(path)
 	target.RawQuery = query.Encode()
 	reader, err := encodeBody(body)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target.String(), reader)
 	if err != nil {
-		return answer{}, errors.Wrap(err, "request")
+		return response{}, errors.Wrap(err, "request")
 	}
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -92,20 +92,20 @@
 	if key := strings.TrimSpace(c.key.Reveal()); key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	response, err := c.http.Do(request)
+	httpResp, err := c.http.Do(request)
 	if err != nil {
-		return answer{}, errors.Wrap(err, "no answer from the instance")
+		return response{}, errors.Wrap(err, "no answer from the instance")
 	}
-	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	defer func() { _ = httpResp.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, errors.Wrap(err, "the answer broke off")
+		return response{}, errors.Wrap(err, "the answer broke off")
 	}
-	return answer{status: response.StatusCode, body: data}, nil
+	return response{status: httpResp.StatusCode, body: data}, nil
 }
 
-// mayHaveRun tells whether a failed request may have taken effect.
-func mayHaveRun(err error) bool {
+// mayHaveTakenEffect tells whether a failed request may have taken effect.
+func mayHaveTakenEffect(err error) bool {
 	var problem *ProblemError
 	if errors.As(err, &problem) {
 		return problem.Outcome == "unknown"
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -29,9 +29,9 @@
 		defer file.Close()
 		logs = append(logs, file)
 	}
-	story, err := explain.Read(c.ID, logs...)
+	report, err := explain.Read(c.ID, logs...)
 	if err != nil {
 		return err
 	}
-	return story.Write(p.Out)
+	return report.Write(p.Out)
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -21,28 +21,28 @@
 }
 
 // printTable prints rows in columns under a head.
-func (p *Program) printTable(head []string, rows [][]string) error {
+func (p *Program) printTable(header []string, rows [][]string) error {
 	const padding = 2
 	w := tabwriter.NewWriter(p.Out, 0, 0, padding, ' ', 0)
-	fmt.Fprintln(w, strings.Join(head, "\t"))
+	fmt.Fprintln(w, strings.Join(header, "\t"))
 	for _, row := range rows {
 		for i := range row {
-			row[i] = oneLine(row[i])
+			row[i] = sanitizeLine(row[i])
 		}
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
 	return w.Flush()
 }
 
-func showTime(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
 	return t.UTC().Format(time.RFC3339)
 }
 
-// showSpent shows an amount with its limit, 0 for none.
-func showSpent(spent, held, limit int64) string {
+// formatSpent shows an amount with its limit, 0 for none.
+func formatSpent(spent, held, limit int64) string {
 	text := fmt.Sprint(spent)
 	if held > 0 {
 		text += fmt.Sprintf("+%d held", held)
--- a/internal/cli/problem.go
+++ b/internal/cli/problem.go
@@ -21,29 +21,29 @@
 }
 
 // newProblemError reads an answer, also one that is no problem document.
-func newProblemError(a answer) *ProblemError {
+func newProblemError(resp response) *ProblemError {
 	problem := &ProblemError{}
-	if json.Unmarshal(a.body, problem) != nil || problem.Title == "" {
-		const most = 200
-		text := strings.Join(strings.Fields(string(a.body)), " ")
-		problem = &ProblemError{Title: http.StatusText(a.status), Detail: text[:min(len(text), most)]}
+	if json.Unmarshal(resp.body, problem) != nil || problem.Title == "" {
+		const maxDetailBytes = 200
+		text := strings.Join(strings.Fields(string(resp.body)), " ")
+		problem = &ProblemError{Title: http.StatusText(resp.status), Detail: text[:min(len(text), maxDetailBytes)]}
 	}
-	problem.Status = a.status
+	problem.Status = resp.status
 	return problem
 }
 
 // Error gives the whole problem in one line.
 func (e *ProblemError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %s", e.Status, oneLine(e.Title))
+	fmt.Fprintf(&b, "%d %s", e.Status, sanitizeLine(e.Title))
 	if e.Path != "" {
-		fmt.Fprintf(&b, ": %s", oneLine(e.Path))
+		fmt.Fprintf(&b, ": %s", sanitizeLine(e.Path))
 	}
 	if e.Detail != "" {
-		fmt.Fprintf(&b, ": %s", oneLine(e.Detail))
+		fmt.Fprintf(&b, ": %s", sanitizeLine(e.Detail))
 	}
 	if e.Expected != "" {
-		fmt.Fprintf(&b, "; expected %s", oneLine(e.Expected))
+		fmt.Fprintf(&b, "; expected %s", sanitizeLine(e.Expected))
 	}
 	if e.Outcome == "unknown" {
 		b.WriteString("; it may have taken effect")
@@ -52,14 +52,14 @@
 		fmt.Fprintf(&b, "; try again in %d ms", e.RetryAfterMS)
 	}
 	if e.Instance != "" {
-		fmt.Fprintf(&b, " (request %s)", oneLine(e.Instance))
+		fmt.Fprintf(&b, " (request %s)", sanitizeLine(e.Instance))
 	}
 	return b.String()
 }
 
-// oneLine replaces control characters, so that a server cannot move the cursor
+// sanitizeLine replaces control characters, so that a server cannot move the cursor
 // of a terminal.
-func oneLine(text string) string {
+func sanitizeLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -22,11 +22,11 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, dumpRoute, nil)
+	resp, err := client.get(ctx, dumpRoute, nil)
 	if err != nil {
 		return err
 	}
-	return p.printJSON(a.body)
+	return p.printJSON(resp.body)
 }
 
 // DrainCommand begins the graceful shutdown of the instance at --server.
@@ -37,12 +37,12 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.do(ctx, http.MethodPost, drainRoute, nil, nil)
+	resp, err := client.do(ctx, http.MethodPost, drainRoute, nil, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	_, err = fmt.Fprintf(p.Out, "%s drains: it takes no new work and ends once its calls have ended\n", c.Server)
 	return err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	ready, err := client.exchange(ctx, http.MethodGet, readyRoute, nil, nil)
+	ready, err := client.send(ctx, http.MethodGet, readyRoute, nil, nil)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (c *StatusCommand) print(p *Program, live, ready answer) error {
+func (c *StatusCommand) print(p *Program, live, ready response) error {
 	if c.JSON {
 		return p.printJSON(ready.body)
 	}
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -49,27 +49,27 @@
 	if c.Team != "" {
 		query.Set("team", c.Team)
 	}
-	a, err := client.get(ctx, programsRoute, query)
+	resp, err := client.get(ctx, programsRoute, query)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var list struct {
 		Programs []programView `json:"programs"`
 		Missing  []string      `json:"missing"`
 	}
-	if err := a.decode(&list); err != nil {
+	if err := resp.decode(&list); err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, v := range list.Programs {
 		rows = append(rows, []string{v.ID, v.Team, v.State, v.Owner, fmt.Sprint(v.Turns),
-			showSpent(v.TokensSpent, v.TokensHeld, v.TokenLimit), showSpent(v.FeesSpent, v.FeesHeld, v.FeeLimit), showTime(v.Updated)})
+			formatSpent(v.TokensSpent, v.TokensHeld, v.TokenLimit), formatSpent(v.FeesSpent, v.FeesHeld, v.FeeLimit), formatTime(v.Updated)})
 	}
 	if len(list.Missing) > 0 {
-		fmt.Fprintf(p.Err, "warning: no answer from %s; its programs are not listed\n", oneLine(strings.Join(list.Missing, ", ")))
+		fmt.Fprintf(p.Err, "warning: no answer from %s; its programs are not listed\n", sanitizeLine(strings.Join(list.Missing, ", ")))
 	}
 	return p.printTable([]string{"PROGRAM", "TEAM", "STATE", "INSTANCE", "TURNS", "TOKENS", "FEES", "UPDATED"}, rows)
 }
@@ -100,15 +100,15 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.do(ctx, method, programsRoute+"/"+url.PathEscape(id), nil, nil)
+	resp, err := client.do(ctx, method, programsRoute+"/"+url.PathEscape(id), nil, nil)
 	if err != nil {
 		return err
 	}
 	if options.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var v programView
-	if err := a.decode(&v); err != nil {
+	if err := resp.decode(&v); err != nil {
 		return err
 	}
 	return p.printTable([]string{"FIELD", "VALUE"}, programRows(v))
@@ -122,10 +122,10 @@
 	rows := [][]string{
 		{"program", v.ID}, {"team", v.Team}, {"state", state},
 		{"instance", fmt.Sprintf("%s, shard %d", v.Owner, v.Shard)},
-		{"created", showTime(v.Created)}, {"updated", showTime(v.Updated)},
+		{"created", formatTime(v.Created)}, {"updated", formatTime(v.Updated)},
 		{"turns", fmt.Sprint(v.Turns)}, {"served", (time.Duration(v.ServedMS) * time.Millisecond).String()},
-		{"tokens", showSpent(v.TokensSpent, v.TokensHeld, v.TokenLimit)},
-		{"fees", showSpent(v.FeesSpent, v.FeesHeld, v.FeeLimit)},
+		{"tokens", formatSpent(v.TokensSpent, v.TokensHeld, v.TokenLimit)},
+		{"fees", formatSpent(v.FeesSpent, v.FeesHeld, v.FeeLimit)},
 		{"lanes", fmt.Sprint(len(v.Lanes))},
 	}
 	return append(rows, []string{"cache at", strings.Join(v.Targets, ", ")})
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -22,8 +22,8 @@
 	minPeerKeyBytes = 16
 	maxPeerKeyBytes = 4096
 	minRetention    = 10 * time.Second
-	minBody         = 1 << 10
-	maxBody         = 1 << 30
+	minBodyBytes    = 1 << 10
+	maxBodyBytes    = 1 << 30
 )
 
 // RunCommand is the flags of an instance.
@@ -116,14 +116,14 @@
 	return nil
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
 func (c RunConfig) validateNames() error {
 	names := []struct{ flag, value string }{
 		{"id", c.ID}, {"region", c.Region}, {"data-centre", c.DataCentre},
 	}
 	for _, name := range names {
-		if !nameForm.MatchString(name.value) {
+		if !namePattern.MatchString(name.value) {
 			return &ConfigError{name.flag, name.value, "1 to 63 of a-z, 0-9, '.' and '-', starting with a letter or digit"}
 		}
 	}
@@ -143,7 +143,7 @@
 	urls := []struct{ flag, value string }{{"log-url", c.LogURL}, {"members-url", c.MembersURL}}
 	for _, base := range urls {
 		if !isHTTPURL(base.value) {
-			return &ConfigError{base.flag, shownURL(base.value), "an http or https URL without a user or query"}
+			return &ConfigError{base.flag, redactURL(base.value), "an http or https URL without a user or query"}
 		}
 	}
 	return nil
@@ -171,9 +171,9 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && u.User == nil && u.RawQuery == ""
 }
 
-// shownURL is a URL without the password that it may carry; a text that is no URL
+// redactURL is a URL without the password that it may carry; a text that is no URL
 // is not shown at all if it could hold one.
-func shownURL(text string) string {
+func redactURL(text string) string {
 	u, err := url.Parse(text)
 	switch {
 	case err == nil && u.RawQuery != "":
@@ -182,7 +182,7 @@
 	case err == nil:
 		return u.Redacted()
 	case strings.Contains(text, "@"):
-		return hidden
+		return redacted
 	}
 	return text
 }
@@ -213,7 +213,7 @@
 		return &ConfigError{"retention", c.Retention.String(), "at least 10s"}
 	case c.DrainTimeout <= 0:
 		return &ConfigError{"drain-timeout", c.DrainTimeout.String(), "more than 0"}
-	case c.MaxBody < minBody || c.MaxBody > maxBody:
+	case c.MaxBody < minBodyBytes || c.MaxBody > maxBodyBytes:
 		return &ConfigError{"max-body", "", "1024 to 1073741824 bytes"}
 	}
 	return nil
--- a/internal/cli/run_test.go
+++ b/internal/cli/run_test.go
@@ -15,8 +15,8 @@
 
 const testPeerKey = "a-peer-key-of-32-bytes-----------"
 
-// setExample sets the environment of an example instance.
-func setExample(t *testing.T, name string) {
+// loadExampleEnv sets the environment of an example instance.
+func loadExampleEnv(t *testing.T, name string) {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/" + name + "/instance.env")
 	if err != nil {
@@ -35,13 +35,13 @@
 	}
 }
 
-func TestRunTakesTheExampleEnvironments(t *testing.T) {
+func TestRunAcceptsExampleEnvironments(t *testing.T) {
 	keyFile := filepath.Join(t.TempDir(), "peer.key")
 	if err := os.WriteFile(keyFile, []byte(testPeerKey+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, example := range []string{"lakeshore", "partvedo"} {
-		setExample(t, example)
+		loadExampleEnv(t, example)
 		t.Setenv("BANYANGLADE_PEER_KEY_FILE", keyFile)
 		var got RunConfig
 		var errOut bytes.Buffer
@@ -58,16 +58,16 @@
 	}
 }
 
-func goodConfig() RunConfig {
+func validConfig() RunConfig {
 	return RunConfig{
 		ID: "i1", Region: "hu-west", DataCentre: "gyor-a", Listen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		LogURL: "http://127.0.0.1:1", MembersURL: "http://127.0.0.1:2", Shards: 64,
-		PeerKey: NewSecret(testPeerKey), Retention: 24 * minRetention, DrainTimeout: minRetention, MaxBody: minBody,
+		PeerKey: NewSecret(testPeerKey), Retention: 24 * minRetention, DrainTimeout: minRetention, MaxBody: minBodyBytes,
 	}
 }
 
 func TestRunConfigErrorsNameTheFlag(t *testing.T) {
-	if err := goodConfig().Validate(); err != nil {
+	if err := validConfig().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	cases := map[string]func(*RunConfig){
@@ -86,9 +86,9 @@
 		"drain-timeout":   func(c *RunConfig) { c.DrainTimeout = 0 },
 		"max-body":        func(c *RunConfig) { c.MaxBody = 0 },
 	}
-	for flag, spoil := range cases {
-		c := goodConfig()
-		spoil(&c)
+	for flag, corrupt := range cases {
+		c := validConfig()
+		corrupt(&c)
 		err := c.Validate()
 		var wrong *ConfigError
 		if !errors.As(err, &wrong) || wrong.Flag != flag {
@@ -105,16 +105,16 @@
 
 func TestSecretIsNeverPrinted(t *testing.T) {
 	var log bytes.Buffer
-	c := goodConfig()
+	c := validConfig()
 	slog.New(slog.NewJSONHandler(&log, nil)).Info("start", "config", c, "key", c.PeerKey)
 	text := fmt.Sprintf("%v %+v %#v %s", c, c, c, c.PeerKey) + log.String()
-	if strings.Contains(text, testPeerKey) || !strings.Contains(text, hidden) {
+	if strings.Contains(text, testPeerKey) || !strings.Contains(text, redacted) {
 		t.Errorf("printed: %s", text)
 	}
 }
 
-func TestRunWithoutNodeIsAClearError(t *testing.T) {
-	setExample(t, "lakeshore")
+func TestRunWithoutNodeFails(t *testing.T) {
+	loadExampleEnv(t, "lakeshore")
 	t.Setenv("BANYANGLADE_PEER_KEY", testPeerKey)
 	code, _, errOut := invoke("run")
 	if code != exitFailed || !strings.Contains(errOut, "cannot run an instance") {
--- a/internal/cli/secret.go
+++ b/internal/cli/secret.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-const hidden = "(hidden)"
+const redacted = "(hidden)"
 
 // Secret is a text that is never printed, logged or encoded.
 type Secret struct{ text string }
@@ -24,7 +24,7 @@
 	if s.text == "" {
 		return ""
 	}
-	return hidden
+	return redacted
 }
 
 // GoString hides the text from %#v.
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -32,20 +32,20 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, settingsRoute, pathQuery(c.Path))
+	resp, err := client.get(ctx, settingsRoute, pathQuery(c.Path))
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var list settings.Listing
-	if err := a.decode(&list); err != nil {
+	if err := resp.decode(&list); err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, e := range list.Entries {
-		rows = append(rows, []string{e.Path, showValue(e.Value, e.Removed), fmt.Sprint(e.Version), e.Author, showTime(e.Time)})
+		rows = append(rows, []string{e.Path, formatValue(e.Value, e.Removed), fmt.Sprint(e.Version), e.Author, formatTime(e.Time)})
 	}
 	return p.printTable([]string{"PATH", "VALUE", "VERSION", "AUTHOR", "TIME"}, rows)
 }
@@ -61,20 +61,20 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, historyRoute, pathQuery(c.Path))
+	resp, err := client.get(ctx, historyRoute, pathQuery(c.Path))
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var list settings.HistoryListing
-	if err := a.decode(&list); err != nil {
+	if err := resp.decode(&list); err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, h := range list.Changes {
-		rows = append(rows, []string{fmt.Sprint(h.Version), h.Path, showValue(h.Value, h.Removed), h.Author, showTime(h.Time)})
+		rows = append(rows, []string{fmt.Sprint(h.Version), h.Path, formatValue(h.Value, h.Removed), h.Author, formatTime(h.Time)})
 	}
 	return p.printTable([]string{"VERSION", "PATH", "VALUE", "AUTHOR", "TIME"}, rows)
 }
@@ -141,21 +141,21 @@
 	body := struct {
 		Changes []settingsChange `json:"changes"`
 	}{changes}
-	a, err := client.do(ctx, http.MethodPut, settingsRoute, nil, body)
+	resp, err := client.do(ctx, http.MethodPut, settingsRoute, nil, body)
 	if err != nil {
-		if mayHaveRun(err) {
+		if mayHaveTakenEffect(err) {
 			return errors.Wrapf(err, "unknown whether change %s came into force (a repeat is safe)", changes[0].ChangeID)
 		}
 		return err
 	}
 	if asJSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var accepted settingsAccepted
-	if err := a.decode(&accepted); err != nil {
+	if err := resp.decode(&accepted); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(p.Out, "%s: version %d of %d path(s)\n", oneLine(accepted.Status), accepted.Version, len(changes))
+	_, err = fmt.Fprintf(p.Out, "%s: version %d of %d path(s)\n", sanitizeLine(accepted.Status), accepted.Version, len(changes))
 	return err
 }
 
@@ -176,7 +176,7 @@
 // listing reads a part of the tree; it is empty if there is nothing.
 func (c *client) listing(ctx context.Context, path string) (settings.Listing, error) {
 	var list settings.Listing
-	a, err := c.get(ctx, settingsRoute, pathQuery(path))
+	resp, err := c.get(ctx, settingsRoute, pathQuery(path))
 	var problem *ProblemError
 	if errors.As(err, &problem) && problem.Status == http.StatusNotFound {
 		return list, nil
@@ -184,7 +184,7 @@
 	if err != nil {
 		return list, err
 	}
-	return list, a.decode(&list)
+	return list, resp.decode(&list)
 }
 
 // SettingsApplied shows which offset each instance has applied.
@@ -195,18 +195,18 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, appliedRoute, nil)
+	resp, err := client.get(ctx, appliedRoute, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var reply struct {
 		Applied map[string]uint64 `json:"applied"`
 		Missing []string          `json:"missing"`
 	}
-	if err := a.decode(&reply); err != nil {
+	if err := resp.decode(&reply); err != nil {
 		return err
 	}
 	return p.printTable([]string{"INSTANCE", "APPLIED", "STATE"}, appliedRows(reply.Applied, reply.Missing))
@@ -240,7 +240,7 @@
 	return url.Values{"path": {path}}
 }
 
-func showValue(value json.RawMessage, removed bool) string {
+func formatValue(value json.RawMessage, removed bool) string {
 	if removed {
 		return "(removed)"
 	}
--- a/internal/cli/settingsfile.go
+++ b/internal/cli/settingsfile.go
@@ -20,7 +20,7 @@
 }
 
 func (c *SettingsCheck) execute(_ context.Context, p *Program) error {
-	changes, err := p.readFile(c.File)
+	changes, err := p.readSettingsFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -28,8 +28,8 @@
 	return err
 }
 
-// readFile reads and checks a settings file and prints its errors, one a line.
-func (p *Program) readFile(name string) ([]structs.SettingChange, error) {
+// readSettingsFile reads and checks a settings file and prints its errors, one a line.
+func (p *Program) readSettingsFile(name string) ([]structs.SettingChange, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, errors.Wrap(err, "settings file")
@@ -39,11 +39,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "settings file")
 	}
-	changes, found := settings.ParseFile(data)
-	for _, e := range found {
-		fmt.Fprintf(p.Err, "%s: %s\n", name, oneLine(e.Error()))
+	changes, errs := settings.ParseFile(data)
+	for _, e := range errs {
+		fmt.Fprintf(p.Err, "%s: %s\n", name, sanitizeLine(e.Error()))
 	}
-	if len(found) > 0 {
+	if len(errs) > 0 {
 		return nil, errReported
 	}
 	return changes, nil
@@ -57,7 +57,7 @@
 }
 
 func (c *SettingsPublish) execute(ctx context.Context, p *Program) error {
-	wanted, err := p.readFile(c.File)
+	desired, err := p.readSettingsFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -65,17 +65,17 @@
 	if err != nil {
 		return err
 	}
-	if len(wanted) == 0 {
+	if len(desired) == 0 {
 		_, err = fmt.Fprintln(p.Out, "nothing to change: the file is empty")
 		return err
 	}
-	present, err := client.listing(ctx, commonPath(wanted))
+	current, err := client.listing(ctx, commonPath(desired))
 	if err != nil {
 		return err
 	}
-	changes := difference(wanted, present.Entries)
+	changes := diffSettings(desired, current.Entries)
 	if c.DryRun || !c.JSON {
-		if err := p.printPlan(changes, wanted, present.Entries); err != nil {
+		if err := p.printPlan(changes, desired, current.Entries); err != nil {
 			return err
 		}
 	}
@@ -102,16 +102,16 @@
 
 func parent(segments []string) []string { return segments[:len(segments)-1] }
 
-// difference gives the changes that take the tree to the wanted values. All have
+// diffSettings gives the changes that take the tree to the wanted values. All have
 // one change id, as they apply together.
-func difference(wanted []structs.SettingChange, present []settings.Entry) []settingsChange {
-	entries := make(map[string]settings.Entry, len(present))
-	for _, e := range present {
+func diffSettings(desired []structs.SettingChange, current []settings.Entry) []settingsChange {
+	entries := make(map[string]settings.Entry, len(current))
+	for _, e := range current {
 		entries[e.Path] = e
 	}
 	id := ulid.Make().String()
 	var changes []settingsChange
-	for _, want := range wanted {
+	for _, want := range desired {
 		e := entries[want.Path]
 		if e.Digest == settings.ValueDigest(want.Value) {
 			continue
@@ -122,14 +122,14 @@
 }
 
 // printPlan shows what changes, and what the tree holds beside the file.
-func (p *Program) printPlan(changes []settingsChange, wanted []structs.SettingChange, present []settings.Entry) error {
+func (p *Program) printPlan(changes []settingsChange, desired []structs.SettingChange, current []settings.Entry) error {
 	var rows [][]string
 	for _, change := range changes {
 		action := "change"
 		if change.Base == 0 {
 			action = "add"
 		}
-		rows = append(rows, []string{action, change.Path, shownInPlan(change)})
+		rows = append(rows, []string{action, change.Path, planValue(change)})
 	}
 	if len(rows) > 0 {
 		if err := p.printTable([]string{"ACTION", "PATH", "VALUE"}, rows); err != nil {
@@ -137,25 +137,25 @@
 		}
 	}
 	_, err := fmt.Fprintf(p.Out, "%d to change, %d as wanted already, %d in the tree but not in the file (left as they are)\n",
-		len(changes), len(wanted)-len(changes), countOthers(wanted, present))
+		len(changes), len(desired)-len(changes), countUnlisted(desired, current))
 	return err
 }
 
-// shownInPlan hides the hashes of credentials.
-func shownInPlan(change settingsChange) string {
+// planValue hides the hashes of credentials.
+func planValue(change settingsChange) string {
 	if strings.Contains(change.Path, "/credentials/") {
-		return hidden
+		return redacted
 	}
 	return string(change.Value)
 }
 
-func countOthers(wanted []structs.SettingChange, present []settings.Entry) int {
-	inFile := make(map[string]bool, len(wanted))
-	for _, want := range wanted {
+func countUnlisted(desired []structs.SettingChange, current []settings.Entry) int {
+	inFile := make(map[string]bool, len(desired))
+	for _, want := range desired {
 		inFile[want.Path] = true
 	}
 	others := 0
-	for _, e := range present {
+	for _, e := range current {
 		if !e.Removed && !inFile[e.Path] {
 			others++
 		}
