--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -168,9 +168,9 @@
 	return load.RunHeld(ctx, os.Stdout, o)
 }
 
-func orDefault(values []int, standard ...int) []int {
+func orDefault(values []int, defaults ...int) []int {
 	if len(values) == 0 {
-		return standard
+		return defaults
 	}
 	return values
 }
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -14,8 +14,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// killAtPiece is the piece of a streamed answer at which the owner is killed.
-const killAtPiece = 10
+// killAtChunk is the piece of a streamed answer at which the owner is killed.
+const killAtChunk = 10
 
 // tour is one program's way through the instances.
 type tour struct {
@@ -47,7 +47,7 @@
 	}
 	fmt.Printf("Program %s is open.\n\n", t.program)
 	fmt.Printf("%-4s %-40s %-11s %-10s %s\n", "call", "what", "instance", "outcome", "time")
-	steps := []func(context.Context) error{t.search, t.draft, t.file, t.fileAgain, t.loseOwner, t.close}
+	steps := []func(context.Context) error{t.search, t.draft, t.file, t.repeatFiling, t.killOwner, t.close}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -66,22 +66,22 @@
 
 func (t *tour) file(ctx context.Context) error { return t.submit(ctx, 0, "answered") }
 
-func (t *tour) fileAgain(ctx context.Context) error {
+func (t *tour) repeatFiling(ctx context.Context) error {
 	t.number--
 	return t.submit(ctx, 1, "replayed")
 }
 
-// loseOwner kills the program's owner in the middle of a streamed answer. The
+// killOwner kills the program's owner in the middle of a streamed answer. The
 // caller's instance hands the call to the next owner, which resumes the stream
 // at the engine.
-func (t *tour) loseOwner(ctx context.Context) error {
+func (t *tour) killOwner(ctx context.Context) error {
 	owner, err := t.owner(ctx)
 	if err != nil {
 		return err
 	}
 	other := slices.IndexFunc(t.cluster.Instances, func(p *testkit.Process) bool { return p != owner })
 	t.onPiece = func(number int) {
-		if number == killAtPiece {
+		if number == killAtChunk {
 			owner.Kill()
 			fmt.Printf("     %s, the program's owner, is killed in the middle of the next answer.\n", owner.ID)
 		}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -33,15 +33,15 @@
 	arg.MustParse(&a)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if failed := a.play(ctx); failed > 0 {
+	if failed := a.runSeeds(ctx); failed > 0 {
 		fmt.Printf("%d of %d seeds failed\n", failed, a.Seeds)
 		os.Exit(1)
 	}
 	fmt.Printf("%d seeds, none failed\n", a.Seeds)
 }
 
-// play plays all seeds and returns how many failed.
-func (a *args) play(ctx context.Context) int {
+// runSeeds plays all seeds and returns how many failed.
+func (a *args) runSeeds(ctx context.Context) int {
 	var mu sync.Mutex
 	var work sync.WaitGroup
 	failed := 0
@@ -50,7 +50,7 @@
 		slots <- struct{}{}
 		work.Go(func() {
 			defer func() { <-slots }()
-			ok := a.playOne(ctx, a.First+uint64(i))
+			ok := a.runSeed(ctx, a.First+uint64(i))
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -62,15 +62,15 @@
 	return failed
 }
 
-// playOne plays a seed and keeps its logs if it failed.
-func (a *args) playOne(ctx context.Context, seed uint64) bool {
+// runSeed plays a seed and keeps its logs if it failed.
+func (a *args) runSeed(ctx context.Context, seed uint64) bool {
 	dir, err := os.MkdirTemp(a.Keep, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		fmt.Println("make a folder:", err)
 		return false
 	}
 	result, err := soak.Run(ctx, soak.Options{
-		Binary: a.Binary, Dir: dir, Seed: seed, Faults: a.Faults, Instances: a.Instances, Programs: a.Programs,
+		Binary: a.Binary, Dir: dir, Seed: seed, FaultDuration: a.Faults, Instances: a.Instances, Programs: a.Programs,
 		EntryFaults: true, LoadFaults: true,
 	})
 	if err == nil && len(result.Violations) == 0 {
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -37,7 +37,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if args.ExitWithParent {
-		ctx = untilClosed(ctx, os.Stdin)
+		ctx = withInputClose(ctx, os.Stdin)
 	}
 	if err := run(ctx, args, os.Stdout); err != nil {
 		slog.Error("stand-ins failed", "error", err)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// untilClosed returns a context that ends also when the input closes.
-func untilClosed(ctx context.Context, input io.Reader) context.Context {
+// withInputClose returns a context that ends also when the input closes.
+func withInputClose(ctx context.Context, input io.Reader) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		defer cancel()
--- a/cmd/standins/main_test.go
+++ b/cmd/standins/main_test.go
@@ -24,7 +24,7 @@
 	parent, closeParent := io.Pipe()
 	output, standardOutput := io.Pipe()
 	ended := make(chan error)
-	go func() { ended <- run(untilClosed(context.Background(), parent), args, standardOutput) }()
+	go func() { ended <- run(withInputClose(context.Background(), parent), args, standardOutput) }()
 
 	var ready cluster.Ready
 	if err := json.NewDecoder(output).Decode(&ready); err != nil {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -50,8 +50,8 @@
 }
 
 // decode reads the body into v.
-func (resp response) decode(v any) error {
-	if err := json.Unmarshal(resp.body, v); err != nil {
+func (r response) decode(v any) error {
+	if err := json.Unmarshal(r.body, v); err != nil {
 		return errors.Wrap(err, "the server sent no usable answer")
 	}
 	return nil
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -9,28 +9,28 @@
 
 // violation is a promise that was broken.
 type violation struct {
-	promise string
-	detail  string
+	invariant string
+	detail    string
 }
 
-func (v violation) String() string { return v.promise + ": " + v.detail }
+func (v violation) String() string { return v.invariant + ": " + v.detail }
 
 // Promises that are checked.
 const (
-	promiseOnce     = "a request that must not repeat runs once"
-	promiseNotRun   = "a refusal that says 'not run' is true"
-	promiseWhole    = "an answer is one target's whole answer to this request"
-	promiseOrder    = "the events of a stream are in order, each once"
-	promiseBudget   = "a program gets its budget and the most of one turn at the most"
-	promiseTargets  = "an attempt runs at as many targets as its route allows"
-	promiseUnasked  = "a target runs what a caller sent"
-	promiseSettings = "settings never get older in one life of an instance"
-	promiseDrain    = "a shutdown cuts no request"
-	promiseKept     = "a turn whose end was seen can be continued for its retention"
-	promiseAlive    = "no instance ends by itself"
-	promiseEntries  = "only what a target wrote of itself names a target to use"
-	promiseKeys     = "a target runs what a key lets in, told its organisation and not the key"
-	promiseLimits   = "an organisation stays within its limit, over all instances"
+	invariantOnce        = "a request that must not repeat runs once"
+	invariantNotRun      = "a refusal that says 'not run' is true"
+	invariantComplete    = "an answer is one target's whole answer to this request"
+	invariantOrder       = "the events of a stream are in order, each once"
+	invariantBudget      = "a program gets its budget and the most of one turn at the most"
+	invariantTargets     = "an attempt runs at as many targets as its route allows"
+	invariantSent        = "a target runs what a caller sent"
+	invariantSettings    = "settings never get older in one life of an instance"
+	invariantShutdown    = "a shutdown cuts no request"
+	invariantStoredTurns = "a turn whose end was seen can be continued for its retention"
+	invariantNoCrash     = "no instance ends by itself"
+	invariantEntries     = "only what a target wrote of itself names a target to use"
+	invariantKeys        = "a target runs what a key lets in, told its organisation and not the key"
+	invariantLimits      = "an organisation stays within its limit, over all instances"
 )
 
 // check finds the promises that a history breaks.
@@ -41,11 +41,11 @@
 	for _, a := range h.attempts {
 		found = append(found, h.checkAttempt(a)...)
 	}
-	for _, l := range h.alone {
-		found = append(found, broken(promiseAlive, "%s; the end of its log:\n%s", l.machine.name, l.process.Log())...)
+	for _, inc := range h.crashed {
+		found = append(found, violated(invariantNoCrash, "%s; the end of its log:\n%s", inc.instance.name, inc.process.Log())...)
 	}
-	for _, s := range h.strays {
-		found = append(found, broken(promiseEntries, "request %s", s)...)
+	for _, s := range h.misrouted {
+		found = append(found, violated(invariantEntries, "request %s", s)...)
 	}
 	found = append(found, h.checkRuns()...)
 	found = append(found, h.checkBudgets()...)
@@ -53,7 +53,7 @@
 	return append(found, h.checkSettings()...)
 }
 
-func broken(promise, format string, args ...any) []violation {
+func violated(promise, format string, args ...any) []violation {
 	return []violation{{promise, fmt.Sprintf(format, args...)}}
 }
 
@@ -61,22 +61,22 @@
 func (h *history) checkAttempt(a *attempt) []violation {
 	runs := h.runs[a.id]
 	switch {
-	case a.status == statusNotFound && h.mustKnow(a):
-		return broken(promiseKept, "%s got 404 for turn %s at %s", a.id, a.previous, a.life.machine.name)
+	case a.status == statusNotFound && h.mustFindPrevious(a):
+		return violated(invariantStoredTurns, "%s got 404 for turn %s at %s", a.id, a.previous, a.incarnation.instance.name)
 	case a.kind == once && len(runs) > 1:
-		return broken(promiseOnce, "%s ran %d times", a.id, len(runs))
-	case notRun(a) && len(runs) > 0:
-		return broken(promiseNotRun, "%s (%s) got %d and ran", a.id, a.kind, a.status)
-	case h.targetsOf(a) > allowed(a.kind):
-		return broken(promiseTargets, "%s (%s) ran at %d targets", a.id, a.kind, h.targetsOf(a))
+		return violated(invariantOnce, "%s ran %d times", a.id, len(runs))
+	case claimsNotRun(a) && len(runs) > 0:
+		return violated(invariantNotRun, "%s (%s) got %d and ran", a.id, a.kind, a.status)
+	case h.countTargets(a) > maxTargetsOf(a.kind):
+		return violated(invariantTargets, "%s (%s) ran at %d targets", a.id, a.kind, h.countTargets(a))
 	case !inOrder(a.events):
-		return broken(promiseOrder, "%s received events %v", a.id, a.events)
+		return violated(invariantOrder, "%s received events %v", a.id, a.events)
 	}
-	if at, ok := a.life.drained(); ok && a.cut && !a.left && a.end.After(at) && soundRun(runs) && !a.timedOut() {
-		return broken(promiseDrain, "%s was cut %s after SIGTERM of %s", a.id, a.end.Sub(at), a.life.machine.name)
+	if at, ok := a.incarnation.cleanShutdown(); ok && a.cut && !a.cancelled && a.end.After(at) && ranCleanly(runs) && !a.timedOut() {
+		return violated(invariantShutdown, "%s was cut %s after SIGTERM of %s", a.id, a.end.Sub(at), a.incarnation.instance.name)
 	}
-	if a.whole && a.status == statusOK {
-		return checkWhole(a, runs)
+	if a.complete && a.status == statusOK {
+		return checkComplete(a, runs)
 	}
 	return nil
 }
@@ -85,8 +85,8 @@
 // kept turn waits that long for a store that takes no records.
 func (a *attempt) timedOut() bool { return a.end.Sub(a.start) >= routeTimeout }
 
-// notRun tells whether an answer promises that the request does not run.
-func notRun(a *attempt) bool {
+// claimsNotRun tells whether an answer promises that the request does not run.
+func claimsNotRun(a *attempt) bool {
 	if a.status == http.StatusPaymentRequired {
 		return true
 	}
@@ -94,29 +94,29 @@
 	return refused && a.kind == once
 }
 
-func allowed(k kind) int {
+func maxTargetsOf(k kind) int {
 	if k == safe {
 		return maxTargets
 	}
 	return 1
 }
 
-// targetsOf counts the targets that ran an attempt and have not ended.
-func (h *history) targetsOf(a *attempt) int {
+// countTargets counts the targets that ran an attempt and have not ended.
+func (h *history) countTargets(a *attempt) int {
 	var ids []string
 	for _, r := range h.runs[a.id] {
-		if !r.target.gone.Load() && !slices.Contains(ids, r.target.id) {
+		if !r.target.stopped.Load() && !slices.Contains(ids, r.target.id) {
 			ids = append(ids, r.target.id)
 		}
 	}
 	return len(ids)
 }
 
-// soundRun tells whether a target that is still there ran the request and did
+// ranCleanly tells whether a target that is still there ran the request and did
 // not break off.
-func soundRun(runs []*run) bool {
+func ranCleanly(runs []*run) bool {
 	for _, r := range runs {
-		if r.faulty || r.target.gone.Load() {
+		if r.faulted || r.target.stopped.Load() {
 			return false
 		}
 	}
@@ -132,21 +132,21 @@
 	return true
 }
 
-// checkWhole judges an answer that looked complete.
-func checkWhole(a *attempt, runs []*run) []violation {
+// checkComplete judges an answer that looked complete.
+func checkComplete(a *attempt, runs []*run) []violation {
 	signed := false
 	for _, r := range runs {
-		signed = signed || a.signed == r.target.id+"."+a.id
+		signed = signed || a.signature == r.target.id+"."+a.id
 	}
 	switch {
 	case !signed:
-		return broken(promiseWhole, "%s got an answer signed %q", a.id, a.signed)
-	case a.kind != turn && a.received != answerOf(a.id, a.body):
-		return broken(promiseWhole, "%s received %q", a.id, a.received)
-	case a.kind == turn && len(a.events) != eventsOf(a.body):
-		return broken(promiseWhole, "%s ended after %d of %d events", a.id, len(a.events), eventsOf(a.body))
+		return violated(invariantComplete, "%s got an answer signed %q", a.id, a.signature)
+	case a.kind != turn && a.received != responseBody(a.id, a.body):
+		return violated(invariantComplete, "%s received %q", a.id, a.received)
+	case a.kind == turn && len(a.events) != eventCount(a.body):
+		return violated(invariantComplete, "%s ended after %d of %d events", a.id, len(a.events), eventCount(a.body))
 	case a.kind == turn && a.received != a.body:
-		return broken(promiseWhole, "%s received events of %q", a.id, a.received)
+		return violated(invariantComplete, "%s received events of %q", a.id, a.received)
 	}
 	return nil
 }
@@ -154,30 +154,30 @@
 // checkRuns judges what targets ran.
 func (h *history) checkRuns() []violation {
 	for id, runs := range h.runs {
-		asked, ok := h.known[id]
+		sent, ok := h.started[id]
 		for _, r := range runs {
-			if !ok || !h.askedFor(asked, r.body) {
-				return broken(promiseUnasked, "%s ran with body %q at %s", id, r.body, r.target.id)
+			if !ok || !h.matchesSent(sent, r.body) {
+				return violated(invariantSent, "%s ran with body %q at %s", id, r.body, r.target.id)
 			}
 		}
 	}
 	return nil
 }
 
-// askedFor tells whether a target was sent what the caller asked: the body, with
+// matchesSent tells whether a target was sent what the caller asked: the body, with
 // the conversation before it if the system keeps that.
-func (h *history) askedFor(a *attempt, body string) bool {
-	if !a.kept {
+func (h *history) matchesSent(a *attempt, body string) bool {
+	if !a.stored {
 		return body == a.body
 	}
 	_, input, ok := h.conversation(a.id)
 	return ok && body == input
 }
 
-// mustKnow tells whether the turn that an attempt names had ended, for its
+// mustFindPrevious tells whether the turn that an attempt names had ended, for its
 // caller, before the attempt began, and may still be named.
-func (h *history) mustKnow(a *attempt) bool {
-	named, ok := h.known[a.previous]
+func (h *history) mustFindPrevious(a *attempt) bool {
+	named, ok := h.started[a.previous]
 	return ok && named.organisation == a.organisation && named.served() && named.end.Before(a.start) && a.end.Sub(named.end) < retention
 }
 
@@ -187,37 +187,37 @@
 		received[a.program] += a.tokens()
 	}
 	for program, budget := range h.programs {
-		if received[program] > budget+turnMost {
-			return broken(promiseBudget, "%s received %d tokens of %d", program, received[program], budget)
+		if received[program] > budget+maxTurnTokens {
+			return violated(invariantBudget, "%s received %d tokens of %d", program, received[program], budget)
 		}
 	}
 	return nil
 }
 
-// rollbackSlack is how long after a version was seen an older one may still
+// rollbackTolerance is how long after a version was seen an older one may still
 // answer: requests that were under way.
-const rollbackSlack = 250 * time.Millisecond
+const rollbackTolerance = 250 * time.Millisecond
 
 func (h *history) checkSettings() []violation {
-	type sight struct {
+	type observation struct {
 		version int
 		at      time.Time
 	}
-	newest := make(map[*life]sight)
+	newest := make(map[*incarnation]observation)
 	ordered := slices.Clone(h.probes)
 	slices.SortStableFunc(ordered, func(a, b probe) int { return a.start.Compare(b.start) })
 	for _, p := range ordered {
-		seen, ok := newest[p.life]
-		late := ok && p.start.After(seen.at.Add(rollbackSlack))
+		seen, ok := newest[p.incarnation]
+		settled := ok && p.start.After(seen.at.Add(rollbackTolerance))
 		_, replaced := h.published[p.version+1]
 		switch {
-		case late && p.inForce && p.version < seen.version:
-			return broken(promiseSettings, "%s served version %d after %d", p.life.machine.name, p.version, seen.version)
-		case late && !p.inForce && p.version == seen.version && !replaced:
-			return broken(promiseSettings, "%s no longer served version %d", p.life.machine.name, p.version)
+		case settled && p.inForce && p.version < seen.version:
+			return violated(invariantSettings, "%s served version %d after %d", p.incarnation.instance.name, p.version, seen.version)
+		case settled && !p.inForce && p.version == seen.version && !replaced:
+			return violated(invariantSettings, "%s no longer served version %d", p.incarnation.instance.name, p.version)
 		}
 		if p.inForce && p.version > seen.version {
-			newest[p.life] = sight{p.version, p.end}
+			newest[p.incarnation] = observation{p.version, p.end}
 		}
 	}
 	return nil
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -23,34 +23,34 @@
 	appService      = "app"
 	storePartitions = 6
 	// heartbeatInterval is how often targets write their registration, and
-	// lapseTime when the registration of a silent one goes.
+	// registrationTTL when the registration of a silent one goes.
 	heartbeatInterval = 1200 * time.Millisecond
-	lapseTime         = 3 * heartbeatInterval
-	// drainTime is how long a target serves on after it said that it leaves.
-	drainTime = 3 * time.Second
+	registrationTTL   = 3 * heartbeatInterval
+	// targetDrainTime is how long a target serves on after it said that it leaves.
+	targetDrainTime = 3 * time.Second
 	// routeTimeout is the longest that a request takes at an instance.
 	routeTimeout = 3 * time.Second
 	// retention is how long a program or a turn may come back.
 	retention = time.Minute
 	// maxTargets is how many targets may run one attempt of a safe request.
 	maxTargets = 2
-	// turnMost is the most that a turn generates, in tokens.
-	turnMost = eventsPerTurn * tokensPerEvent
+	// maxTurnTokens is the most that a turn generates, in tokens.
+	maxTurnTokens = eventsPerTurn * tokensPerEvent
 )
 
 // deployment is instances with their store and targets.
 type deployment struct {
-	options  Options
-	history  *history
-	store    *metastore.Service
-	machines []*machine
-	decoy    *decoy
+	options   Options
+	history   *history
+	store     *metastore.Service
+	instances []*instance
+	decoy     *decoy
 
-	mu       sync.Mutex
-	targets  []*target
-	made     int
-	sequence int
-	version  int
+	mu             sync.Mutex
+	targets        []*target
+	targetsStarted int
+	sequence       int
+	version        int
 }
 
 func newDeployment(options Options) (*deployment, error) {
@@ -71,17 +71,17 @@
 	d.publish()
 	var seeds []string
 	for i := range options.Instances {
-		m, err := newMachine(fmt.Sprintf("m%d", i), options.Dir, d.store.Address(), seeds)
+		inst, err := newInstance(fmt.Sprintf("m%d", i), options.Dir, d.store.Address(), seeds)
 		if err != nil {
 			return nil, err
 		}
 		if len(seeds) < 3 {
-			seeds = append(seeds, m.peers.Address())
+			seeds = append(seeds, inst.peers.Address())
 		}
-		d.machines = append(d.machines, m)
+		d.instances = append(d.instances, inst)
 	}
-	for _, m := range d.machines {
-		if err := m.start(options.Binary, options.Dir, d.history); err != nil {
+	for _, inst := range d.instances {
+		if err := inst.start(options.Binary, options.Dir, d.history); err != nil {
 			return nil, err
 		}
 	}
@@ -89,15 +89,15 @@
 }
 
 func (d *deployment) close() {
-	for _, m := range d.machines {
-		m.close()
+	for _, inst := range d.instances {
+		inst.close()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range d.targets {
-		t.end()
+		t.stop()
 	}
-	d.decoy.end()
+	d.decoy.stop()
 	d.store.Close()
 }
 
@@ -105,8 +105,8 @@
 func (d *deployment) addTarget(service string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.made++
-	t, err := startTarget(fmt.Sprintf("%s-%d", service, d.made), service, d.history, uint64(d.made))
+	d.targetsStarted++
+	t, err := startTarget(fmt.Sprintf("%s-%d", service, d.targetsStarted), service, d.history, uint64(d.targetsStarted))
 	if err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	d.sequence++
 	value, err := json.Marshal(map[string]any{
 		"Service": t.service, "Address": t.address, "Zone": "dc", "Version": "v1", "Slots": targetSlots, "State": state,
-		"ColdRemainingMs": 0, "Sequence": d.sequence, "born": t.born,
+		"ColdRemainingMs": 0, "Sequence": d.sequence, "born": t.startedMS,
 	})
 	if err != nil {
 		panic(errors.AssertionFailedf("encode a registration: %v", err))
@@ -128,8 +128,8 @@
 	d.store.Put(platform.TopicTargets, t.id, value)
 }
 
-// anyTarget chooses a target of a service that has not been ended.
-func (d *deployment) anyTarget(rng *rand.Rand) *target {
+// randomTarget chooses a target of a service that has not been ended.
+func (d *deployment) randomTarget(rng *rand.Rand) *target {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.targets[rng.IntN(len(d.targets))]
@@ -154,11 +154,11 @@
 	if !d.remove(t) {
 		return nil
 	}
-	t.end()
+	t.stop()
 	if err := d.addTarget(t.service); err != nil {
 		return err
 	}
-	time.Sleep(lapseTime)
+	time.Sleep(registrationTTL)
 	d.store.Put(platform.TopicTargets, t.id, nil)
 	return nil
 }
@@ -174,16 +174,16 @@
 	d.mu.Lock()
 	d.register(t, "draining")
 	d.mu.Unlock()
-	time.Sleep(drainTime)
+	time.Sleep(targetDrainTime)
 	d.store.Put(platform.TopicTargets, t.id, nil)
 	// What it still runs is finished: instances may have heard late of it.
-	time.Sleep(drainTime)
-	t.end()
+	time.Sleep(targetDrainTime)
+	t.stop()
 	return nil
 }
 
-// beat writes the registrations of all targets again.
-func (d *deployment) beat() {
+// writeHeartbeats writes the registrations of all targets again.
+func (d *deployment) writeHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range d.targets {
@@ -200,23 +200,23 @@
 	d.version++
 	version := d.version
 	d.mu.Unlock()
-	route := func(name, prefix, kind, service string, attempts int, more map[string]any) map[string]any {
+	route := func(name, prefix, kind, service string, attempts int, extra map[string]any) map[string]any {
 		r := map[string]any{
 			"Name": name, "Hostname": host, "PathPrefix": prefix, "Type": kind, "Service": service,
 			"TimeoutMs": routeTimeout.Milliseconds(), "TargetLatencyMs": 100, "MaxAttempts": attempts,
 		}
-		for key, value := range more {
+		for key, value := range extra {
 			r[key] = value
 		}
 		return r
 	}
 	turns := map[string]any{"Retain": false, "RetentionS": retention.Seconds(), "Resumable": true, "SessionAffinity": true}
-	kept := map[string]any{"Retain": true, "RetentionS": retention.Seconds(), "SessionAffinity": true}
+	storedTurns := map[string]any{"Retain": true, "RetentionS": retention.Seconds(), "SessionAffinity": true}
 	value, err := json.Marshal(map[string]any{
 		"Version": version,
 		"Routes": []any{
 			route("turns", "/turn/", "streaming", engineService, 1, turns),
-			route("kept", "/kept/", "streaming", engineService, 1, kept),
+			route("kept", "/kept/", "streaming", engineService, 1, storedTurns),
 			route("safe", "/safe/", "safe", appService, maxTargets, nil),
 			route("once", "/once/", "unsafe", appService, 1, nil),
 			route("version", versionPath(version), "safe", appService, maxTargets, nil),
@@ -231,7 +231,7 @@
 		panic(errors.AssertionFailedf("encode the settings: %v", err))
 	}
 	d.store.Put(platform.TopicOperator, platform.KeySettings, value)
-	d.history.publish(version)
+	d.history.recordPublished(version)
 }
 
 func (d *deployment) newestVersion() int {
@@ -241,10 +241,10 @@
 }
 
 // isReady asks a machine whether it takes callers.
-func isReady(ctx context.Context, m *machine) bool {
+func isReady(ctx context.Context, inst *instance) bool {
 	limited, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+m.ready+platform.ReadyPath, nil)
+	r, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+inst.ready+platform.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
@@ -257,12 +257,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// untilReady waits until all instances take callers.
-func (d *deployment) untilReady(ctx context.Context) error {
-	for _, m := range d.machines {
-		for !isReady(ctx, m) {
+// waitReady waits until all instances take callers.
+func (d *deployment) waitReady(ctx context.Context) error {
+	for _, inst := range d.instances {
+		for !isReady(ctx, inst) {
 			if ctx.Err() != nil {
-				return errors.Newf("machine %s did not become ready; its log:\n%s", m.name, m.now().process.Log())
+				return errors.Newf("machine %s did not become ready; its log:\n%s", inst.name, inst.current().process.Log())
 			}
 			delay.Sleep(ctx, 20*time.Millisecond)
 		}
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -29,14 +29,14 @@
 	d := &decoy{address: listener.Addr().String()}
 	d.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) {
-			h.stray(fmt.Sprintf("%s expected %s", r.Header.Get("Banyanglade-Request-Id"), r.Header.Get("Banyanglade-Expect-Instance")))
+			h.recordMisrouted(fmt.Sprintf("%s expected %s", r.Header.Get("Banyanglade-Request-Id"), r.Header.Get("Banyanglade-Expect-Instance")))
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		})}
 	go func() { _ = d.server.Serve(listener) }() // it ends with the deployment
 	return d, nil
 }
 
-func (d *decoy) end() { _ = d.server.Close() } // nothing is lost
+func (d *decoy) stop() { _ = d.server.Close() } // nothing is lost
 
 // foreignEntries are what other writers put in place of a target's entry, each
 // with one fault; %s is the address.
@@ -50,53 +50,53 @@
 	`{"Service":"app","Address":"%s"` + "\xff",
 }
 
-// betweenEntries bounds the pause between two such faults.
-const betweenEntries = 1500 * time.Millisecond
+// maxEntryFaultPause bounds the pause between two such faults.
+const maxEntryFaultPause = 1500 * time.Millisecond
 
-// runEntries troubles the entries of targets until the context ends. It draws from
+// runEntryFaults troubles the entries of targets until the context ends. It draws from
 // numbers of its own, so that the other faults of a seed stay what they were.
-func (f *faults) runEntries(ctx context.Context, rng *rand.Rand) {
+func (f *injector) runEntryFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(betweenEntries))))
-		t := f.deployment.anyTarget(rng)
+		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxEntryFaultPause))))
+		t := f.deployment.randomTarget(rng)
 		text := foreignEntries[rng.IntN(len(foreignEntries))]
 		key := fmt.Sprint("foreign-", rng.IntN(4))
 		switch rng.IntN(4) {
 		case 0:
-			f.begin("start "+t.id+" again", 0, func() error { return f.deployment.startAgain(t) })
+			f.inject("start "+t.id+" again", 0, func() error { return f.deployment.restartTarget(t) })
 		case 1:
 			key = t.id
 			fallthrough
 		default:
-			f.begin("entry of another writer at "+key, 0, func() error {
-				f.deployment.putForeign(key, text)
+			f.inject("entry of another writer at "+key, 0, func() error {
+				f.deployment.putForeignEntry(key, text)
 				return nil
 			})
 		}
 	}
 }
 
-// putForeign writes an entry that no target can have written.
-func (d *deployment) putForeign(key, text string) {
+// putForeignEntry writes an entry that no target can have written.
+func (d *deployment) putForeignEntry(key, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.store.Put(platform.TopicTargets, key, fmt.Appendf(nil, text, d.decoy.address))
 }
 
-// startAgain ends a target and starts it again under its id.
-func (d *deployment) startAgain(t *target) error {
+// restartTarget ends a target and starts it again under its id.
+func (d *deployment) restartTarget(t *target) error {
 	if !d.remove(t) {
 		return nil
 	}
-	t.end()
+	t.stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.made++
-	next, err := startTarget(t.id, t.service, d.history, uint64(d.made))
+	d.targetsStarted++
+	next, err := startTarget(t.id, t.service, d.history, uint64(d.targetsStarted))
 	if err != nil {
 		return err
 	}
-	next.born = max(next.born, t.born+1)
+	next.startedMS = max(next.startedMS, t.startedMS+1)
 	d.targets = append(d.targets, next)
 	d.register(next, "ready")
 	return nil
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -30,24 +30,24 @@
 	organisation string
 	kind         kind
 	body         string
-	// kept tells that the system keeps the conversation, which goes on from
+	// stored tells that the system keeps the conversation, which goes on from
 	// the turn previous, empty at its start.
-	kept     bool
-	previous string
-	life     *life
-	start    time.Time
-	end      time.Time
-	status   int
-	signed   string
-	received string
+	stored      bool
+	previous    string
+	incarnation *incarnation
+	start       time.Time
+	end         time.Time
+	status      int
+	signature   string
+	received    string
 	// events are the numbers of the events received, in order.
 	events []int
-	// whole tells that the answer came to its end; cut that the connection
+	// complete tells that the answer came to its end; cut that the connection
 	// broke after the request was written.
-	whole bool
-	cut   bool
-	// left tells that the caller gave up.
-	left bool
+	complete bool
+	cut      bool
+	// cancelled tells that the caller gave up.
+	cancelled bool
 }
 
 // tokens is what the caller was handed.
@@ -63,18 +63,18 @@
 	organisation string
 	credential   string
 	start        time.Time
-	// faulty tells that the target broke the answer off or spoiled it; ended
+	// faulted tells that the target broke the answer off or spoiled it; ended
 	// that it answered to the end.
-	faulty bool
-	ended  bool
+	faulted   bool
+	completed bool
 }
 
 // probe is what an instance showed of the operator's settings.
 type probe struct {
-	life    *life
-	version int
-	start   time.Time
-	end     time.Time
+	incarnation *incarnation
+	version     int
+	start       time.Time
+	end         time.Time
 	// inForce tells that the version's route was there.
 	inForce bool
 }
@@ -88,94 +88,94 @@
 	programs map[string]int
 	// published holds when each version of the settings was acknowledged.
 	published map[int]time.Time
-	known     map[string]*attempt
-	// keptTurns are the kept turns whose callers saw the end, in order.
-	keptTurns []string
-	// alone are the lives that ended without being asked to.
-	alone []*life
-	// strays are requests that were sent where no target's entry points.
-	strays []string
+	started   map[string]*attempt
+	// storedTurns are the kept turns whose callers saw the end, in order.
+	storedTurns []string
+	// crashed are the lives that ended without being asked to.
+	crashed []*incarnation
+	// misrouted are requests that were sent where no target's entry points.
+	misrouted []string
 }
 
 func newHistory() *history {
 	return &history{
 		runs: make(map[string][]*run), programs: make(map[string]int), published: make(map[int]time.Time),
-		known: make(map[string]*attempt),
+		started: make(map[string]*attempt),
 	}
 }
 
-// begin notes a request before it is sent.
-func (h *history) begin(a *attempt) {
+// recordStart notes a request before it is sent.
+func (h *history) recordStart(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known[a.id] = a
+	h.started[a.id] = a
 }
 
-// end notes a request that has its outcome.
-func (h *history) end(a *attempt) {
+// recordEnd notes a request that has its outcome.
+func (h *history) recordEnd(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a.end = time.Now()
 	h.attempts = append(h.attempts, a)
-	if a.kept && a.served() {
-		h.keptTurns = append(h.keptTurns, a.id)
+	if a.stored && a.served() {
+		h.storedTurns = append(h.storedTurns, a.id)
 	}
 }
 
-// open notes a program with its budget, in tokens.
-func (h *history) open(program string, budget int) {
+// recordProgram notes a program with its budget, in tokens.
+func (h *history) recordProgram(program string, budget int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.programs[program] = budget
 }
 
-func (h *history) ran(r *run) {
+func (h *history) recordRun(r *run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runs[r.request] = append(h.runs[r.request], r)
 }
 
-// stray notes a request that was sent where no target's entry points.
-func (h *history) stray(what string) {
+// recordMisrouted notes a request that was sent where no target's entry points.
+func (h *history) recordMisrouted(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.strays = append(h.strays, what)
+	h.misrouted = append(h.misrouted, what)
 }
 
-// endedAlone notes a life that ended without being asked to.
-func (h *history) endedAlone(l *life) {
+// recordCrash notes a life that ended without being asked to.
+func (h *history) recordCrash(l *incarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.alone = append(h.alone, l)
+	h.crashed = append(h.crashed, l)
 }
 
-// finish notes how a run ended.
-func (h *history) finish(r *run, faulty, ended bool) {
+// recordRunEnd notes how a run ended.
+func (h *history) recordRunEnd(r *run, faulty, completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.faulty, r.ended = r.faulty || faulty, ended
+	r.faulted, r.completed = r.faulted || faulty, completed
 }
 
-func (h *history) probed(p probe) {
+func (h *history) recordProbe(p probe) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.probes = append(h.probes, p)
 }
 
-func (h *history) publish(version int) {
+func (h *history) recordPublished(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.published[version] = time.Now()
 }
 
 // served tells whether the caller saw the end of a success.
-func (a *attempt) served() bool { return a.whole && a.status == statusOK }
+func (a *attempt) served() bool { return a.complete && a.status == statusOK }
 
 // conversation is what a kept turn and all before it hold, with the text that a
 // target gets for it. It returns false if a turn before it was never made.
 func (h *history) conversation(id string) (text, input string, ok bool) {
-	a, known := h.known[id]
-	if !known || !a.kept {
+	a, known := h.started[id]
+	if !known || !a.stored {
 		return "", "", false
 	}
 	before := ""
@@ -185,24 +185,24 @@
 		}
 	}
 	input = before + a.body
-	return input + strings.Repeat(a.body+"\n", eventsOf(a.body)), input, true
+	return input + strings.Repeat(a.body+"\n", eventCount(a.body)), input, true
 }
 
-// recentKept bounds the turns that others may continue.
-const recentKept = 60
+// maxRecentTurns bounds the turns that others may continue.
+const maxRecentTurns = 60
 
-// anyKept chooses a kept turn of an organisation that ended lately, empty if there
+// randomStoredTurn chooses a kept turn of an organisation that ended lately, empty if there
 // is none.
-func (h *history) anyKept(rng *rand.Rand, organisation string) string {
+func (h *history) randomStoredTurn(rng *rand.Rand, organisation string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	own := slices.DeleteFunc(slices.Clone(h.keptTurns), func(id string) bool {
-		return h.known[id].organisation != organisation
+	own := slices.DeleteFunc(slices.Clone(h.storedTurns), func(id string) bool {
+		return h.started[id].organisation != organisation
 	})
 	if len(own) == 0 {
 		return ""
 	}
-	recent := own[max(len(own)-recentKept, 0):]
+	recent := own[max(len(own)-maxRecentTurns, 0):]
 	return recent[rng.IntN(len(recent))]
 }
 
--- a/internal/soak/loadfaults.go
+++ b/internal/soak/loadfaults.go
@@ -14,56 +14,56 @@
 
 // Bounds of the faults of load.
 const (
-	// betweenLoads bounds the pause between two of them, loadLasts how long each
+	// maxLoadFaultPause bounds the pause between two of them, maxLoadFaultDuration how long each
 	// lasts.
-	betweenLoads = 2 * time.Second
-	loadLasts    = 2500 * time.Millisecond
-	// slowestTarget is the most that a slow target's work is stretched, fewestSlots
+	maxLoadFaultPause    = 2 * time.Second
+	maxLoadFaultDuration = 2500 * time.Millisecond
+	// maxSlowdown is the most that a slow target's work is stretched, minSlots
 	// what is left of the slots of a small one.
-	slowestTarget = 8
-	fewestSlots   = 2
-	// burstShare is how many more programs run in a burst, in parts of the usual.
-	burstShare = 3
-	// slowestAppend is the most that each call to a slow store takes longer.
-	slowestAppend = 400 * time.Millisecond
-	// heavyInput is the length of the input of a turn whose caller does not read,
+	maxSlowdown = 8
+	minSlots    = 2
+	// burstFactor is how many more programs run in a burst, in parts of the usual.
+	burstFactor = 3
+	// maxStoreDelay is the most that each call to a slow store takes longer.
+	maxStoreDelay = 400 * time.Millisecond
+	// largeInputBytes is the length of the input of a turn whose caller does not read,
 	// in bytes: more than the buffers of its connection hold of the answer.
-	heavyInput = 48 << 10
+	largeInputBytes = 48 << 10
 )
 
-// runLoads overloads the deployment in one way or another until the context ends.
+// runLoadFaults overloads the deployment in one way or another until the context ends.
 // It draws from numbers of its own, so that the other faults of a seed stay what
 // they were.
-func (f *faults) runLoads(ctx context.Context, rng *rand.Rand) {
+func (f *injector) runLoadFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(betweenLoads))))
-		lasts := time.Duration(rng.Int64N(int64(loadLasts)))
+		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxLoadFaultPause))))
+		duration := time.Duration(rng.Int64N(int64(maxLoadFaultDuration)))
 		switch rng.IntN(5) {
 		case 0, 1:
-			f.slowTargets(ctx, rng, lasts)
+			f.slowTargets(ctx, rng, duration)
 		case 2:
-			f.burst(ctx, rng, lasts)
+			f.burst(ctx, rng, duration)
 		case 3:
-			f.setStore(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(slowestAppend)))}, lasts)
+			f.setStoreFault(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(maxStoreDelay)))}, duration)
 		case 4:
-			f.unreadAnswers(ctx, rng, lasts)
+			f.startSlowReaders(ctx, rng, duration)
 		}
 	}
 }
 
 // slowTargets makes some targets of both services slower, or smaller.
-func (f *faults) slowTargets(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+func (f *injector) slowTargets(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	for range 1 + rng.IntN(3) {
-		t := f.deployment.anyTarget(rng)
-		factor, slots := int64(1+rng.IntN(slowestTarget)), int64(targetSlots)
+		t := f.deployment.randomTarget(rng)
+		factor, slots := int64(1+rng.IntN(maxSlowdown)), int64(targetSlots)
 		if rng.IntN(2) == 0 {
-			slots = fewestSlots
+			slots = minSlots
 		}
-		f.begin(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), lasts, func() error {
-			t.slowness.Store(factor)
+		f.inject(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), duration, func() error {
+			t.slowdown.Store(factor)
 			t.slots.Store(slots)
-			delay.Sleep(ctx, lasts)
-			t.slowness.Store(1)
+			delay.Sleep(ctx, duration)
+			t.slowdown.Store(1)
 			t.slots.Store(targetSlots)
 			return nil
 		})
@@ -71,13 +71,13 @@
 }
 
 // burst runs more programs for a while.
-func (f *faults) burst(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+func (f *injector) burst(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64() >> 1
-	f.begin("burst of programs", lasts, func() error {
-		during, stop := context.WithTimeout(ctx, lasts)
+	f.inject("burst of programs", duration, func() error {
+		during, stop := context.WithTimeout(ctx, duration)
 		defer stop()
 		var work sync.WaitGroup
-		for i := range burstShare * f.deployment.options.Programs {
+		for i := range burstFactor * f.deployment.options.Programs {
 			work.Go(func() { f.deployment.runPrograms(during, seed+uint64(i)<<20) })
 		}
 		work.Wait()
@@ -85,28 +85,28 @@
 	})
 }
 
-// unreadAnswers has some callers ask for long answers that they do not read for
+// startSlowReaders has some callers ask for long answers that they do not read for
 // a while, or never.
-func (f *faults) unreadAnswers(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+func (f *injector) startSlowReaders(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64()
-	f.begin("callers that do not read", lasts, func() error {
+	f.inject("callers that do not read", duration, func() error {
 		var work sync.WaitGroup
 		for i := range f.deployment.options.Programs {
 			c := f.deployment.newCaller(seed + uint64(i))
-			work.Go(func() { c.leaveUnread(ctx, lasts) })
+			work.Go(func() { c.readSlowly(ctx, duration) })
 		}
 		work.Wait()
 		return nil
 	})
 }
 
-// leaveUnread makes a turn with a long answer and reads it late.
-func (c *caller) leaveUnread(ctx context.Context, lasts time.Duration) {
+// readSlowly makes a turn with a long answer and reads it late.
+func (c *caller) readSlowly(ctx context.Context, duration time.Duration) {
 	defer c.client.CloseIdleConnections()
 	program := fmt.Sprintf("unread%x", c.rng.Uint64())
-	c.deployment.history.open(program, turnMost)
-	q := turnOf(program, turnMost, eventsPerTurn, c.rng.Uint64())
-	q.body += strings.Repeat("x", heavyInput)
-	q.readAfter = lasts
-	c.send(ctx, q)
+	c.deployment.history.recordProgram(program, maxTurnTokens)
+	req := newTurn(program, maxTurnTokens, eventsPerTurn, c.rng.Uint64())
+	req.body += strings.Repeat("x", largeInputBytes)
+	req.readDelay = duration
+	c.send(ctx, req)
 }
--- a/internal/soak/organisations.go
+++ b/internal/soak/organisations.go
@@ -23,8 +23,8 @@
 	quotaSlack  = 10
 )
 
-// most is how many requests may run in any window.
-func (l limit) most() int {
+// maxRequests is how many requests may run in any window.
+func (l limit) maxRequests() int {
 	return int((l.perSecond*quotaWindow.Seconds()+l.burst)*(1+quotaOver) + quotaSlack)
 }
 
@@ -45,8 +45,8 @@
 	{name: "west", key: "key-of-west", limit: &limit{perSecond: 6, burst: 6}},
 }
 
-// forged is a key that no settings ever held.
-const forged = "key-of-nobody"
+// forgedKey is a key that no settings ever held.
+const forgedKey = "key-of-nobody"
 
 // organisationOf chooses the organisation of a caller.
 func organisationOf(seed uint64) organisation { return organisations[seed%uint64(len(organisations))] }
@@ -69,18 +69,18 @@
 	var found []violation
 	ran := make(map[string][]time.Time)
 	for id, runs := range h.runs {
-		a := h.known[id]
+		a := h.started[id]
 		if a == nil {
 			continue // checkRuns tells
 		}
 		for _, r := range runs {
 			switch {
 			case r.credential != "":
-				found = append(found, broken(promiseKeys, "%s came to %s with a key", id, r.target.id)...)
+				found = append(found, violated(invariantKeys, "%s came to %s with a key", id, r.target.id)...)
 			case a.organisation == "":
-				found = append(found, broken(promiseKeys, "%s ran at %s with a forged key", id, r.target.id)...)
+				found = append(found, violated(invariantKeys, "%s ran at %s with a forged key", id, r.target.id)...)
 			case r.organisation != a.organisation:
-				found = append(found, broken(promiseKeys, "%s of %s ran at %s for %q", id, a.organisation, r.target.id, r.organisation)...)
+				found = append(found, violated(invariantKeys, "%s of %s ran at %s for %q", id, a.organisation, r.target.id, r.organisation)...)
 			}
 			ran[a.organisation] = append(ran[a.organisation], r.start)
 		}
@@ -102,9 +102,9 @@
 			for at.Sub(times[from]) >= quotaWindow {
 				from++
 			}
-			if count := i - from + 1; count > o.limit.most() {
-				return append(found, violation{promiseLimits, fmt.Sprintf("%s ran %d requests within %s, %d are allowed",
-					o.name, count, quotaWindow, o.limit.most())})
+			if count := i - from + 1; count > o.limit.maxRequests() {
+				return append(found, violation{invariantLimits, fmt.Sprintf("%s ran %d requests within %s, %d are allowed",
+					o.name, count, quotaWindow, o.limit.maxRequests())})
 			}
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,8 +20,8 @@
 	Dir string
 	// Seed decides on the faults and on what callers do.
 	Seed uint64
-	// Faults is how long faults are brought about.
-	Faults time.Duration
+	// FaultDuration is how long faults are brought about.
+	FaultDuration time.Duration
 	// Instances and Programs are how many run at a time.
 	Instances int
 	Programs  int
@@ -47,13 +47,13 @@
 }
 
 const (
-	// startPatience bounds the wait for instances at the start and at the end.
-	startPatience = time.Minute
-	// entryStream is the stream of a seed's numbers that the faults of entries are
+	// readyTimeout bounds the wait for instances at the start and at the end.
+	readyTimeout = time.Minute
+	// entryFaultStream is the stream of a seed's numbers that the faults of entries are
 	// drawn from.
-	entryStream = 3
-	// loadStream is the same for the faults of load.
-	loadStream = 5
+	entryFaultStream = 3
+	// loadFaultStream is the same for the faults of load.
+	loadFaultStream = 5
 	// checkInterval is the time between two looks at the history.
 	checkInterval = time.Second
 )
@@ -65,50 +65,50 @@
 		return nil, err
 	}
 	defer d.close()
-	ready, cancel := context.WithTimeout(ctx, startPatience)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.untilReady(ready); err != nil {
+	if err := d.waitReady(ready); err != nil {
 		return nil, err
 	}
-	f := &faults{
-		deployment: d, rng: rand.New(rand.NewPCG(options.Seed, 1)), begun: time.Now(),
-		restarting: make(map[*machine]bool),
+	inj := &injector{
+		deployment: d, rng: rand.New(rand.NewPCG(options.Seed, 1)), started: time.Now(),
+		restarting: make(map[*instance]bool),
 	}
-	found := d.play(ctx, f)
-	result := &Result{Seed: options.Seed, Served: d.history.served(), Attempts: len(d.history.attempts), Faults: f.lines}
+	found := d.runWorkload(ctx, inj)
+	result := &Result{Seed: options.Seed, Served: d.history.served(), Attempts: len(d.history.attempts), Faults: inj.log}
 	if len(found) == 0 {
 		found = d.checkService(ctx)
 	}
 	for _, v := range found {
 		result.Violations = append(result.Violations, v.String())
 	}
-	return result, f.err
+	return result, inj.err
 }
 
-// play runs callers beside the faults, and stops early when a promise breaks.
-func (d *deployment) play(ctx context.Context, f *faults) []violation {
-	during, stop := context.WithTimeout(ctx, d.options.Faults)
+// runWorkload runs callers beside the faults, and stops early when a promise breaks.
+func (d *deployment) runWorkload(ctx context.Context, inj *injector) []violation {
+	faultCtx, stop := context.WithTimeout(ctx, d.options.FaultDuration)
 	defer stop()
 	var work sync.WaitGroup
 	for i := range d.options.Programs {
-		work.Go(func() { d.runPrograms(during, d.options.Seed*1000+uint64(i)) })
+		work.Go(func() { d.runPrograms(faultCtx, d.options.Seed*1000+uint64(i)) })
 	}
-	for i, m := range d.machines {
-		work.Go(func() { d.watchSettings(during, m, d.options.Seed*1000+500+uint64(i)) })
+	for i, inst := range d.instances {
+		work.Go(func() { d.probeSettings(faultCtx, inst, d.options.Seed*1000+500+uint64(i)) })
 	}
-	work.Go(func() { d.heartbeats(during) })
+	work.Go(func() { d.runHeartbeats(faultCtx) })
 	if d.options.EntryFaults {
-		work.Go(func() { f.runEntries(during, rand.New(rand.NewPCG(d.options.Seed, entryStream))) })
+		work.Go(func() { inj.runEntryFaults(faultCtx, rand.New(rand.NewPCG(d.options.Seed, entryFaultStream))) })
 	}
 	if d.options.LoadFaults {
-		work.Go(func() { f.runLoads(during, rand.New(rand.NewPCG(d.options.Seed, loadStream))) })
+		work.Go(func() { inj.runLoadFaults(faultCtx, rand.New(rand.NewPCG(d.options.Seed, loadFaultStream))) })
 	}
-	work.Go(func() { f.run(during) })
+	work.Go(func() { inj.run(faultCtx) })
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	for during.Err() == nil {
+	for faultCtx.Err() == nil {
 		select {
-		case <-during.Done():
+		case <-faultCtx.Done():
 		case <-ticker.C:
 			if len(check(d.history)) > 0 {
 				stop()
@@ -126,58 +126,58 @@
 	}
 }
 
-func (d *deployment) heartbeats(ctx context.Context) {
+func (d *deployment) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.beat()
+		d.writeHeartbeats()
 		delay.Sleep(ctx, heartbeatInterval)
 	}
 }
 
 // checkService finds instances that do not serve once all faults are over.
 func (d *deployment) checkService(ctx context.Context) []violation {
-	limited, cancel := context.WithTimeout(ctx, startPatience)
+	limited, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.untilReady(limited); err != nil {
+	if err := d.waitReady(limited); err != nil {
 		return []violation{{"service comes back", err.Error()}}
 	}
-	d.beat()
-	for i, m := range d.machines {
-		if err := d.serves(limited, m, d.options.Seed*1000+900+uint64(i)); err != nil {
+	d.writeHeartbeats()
+	for i, inst := range d.instances {
+		if err := d.checkInstanceServes(limited, inst, d.options.Seed*1000+900+uint64(i)); err != nil {
 			return []violation{{"service comes back", err.Error()}}
 		}
 	}
 	return check(d.history)
 }
 
-// keptAtLast is how many kept turns each machine continues once all faults are
+// finalStoredTurns is how many kept turns each machine continues once all faults are
 // over.
-const keptAtLast = 8
+const finalStoredTurns = 8
 
-// serves runs a new program's turn and a call at one machine until both are
+// checkInstanceServes runs a new program's turn and a call at one machine until both are
 // answered.
-func (d *deployment) serves(ctx context.Context, m *machine, seed uint64) error {
+func (d *deployment) checkInstanceServes(ctx context.Context, inst *instance, seed uint64) error {
 	c := d.newCaller(seed)
-	c.machine = m
+	c.instance = inst
 	defer c.client.CloseIdleConnections()
 	program := fmt.Sprintf("last%x", c.rng.Uint64())
-	const budget = 100 * turnMost
-	d.history.open(program, budget)
-	questions := []question{
-		turnOf(program, budget, 3, 0),
+	const budget = 100 * maxTurnTokens
+	d.history.recordProgram(program, budget)
+	requests := []request{
+		newTurn(program, budget, 3, 0),
 		{kind: once, path: "/once/x", program: program, body: "last"},
 	}
-	for range keptAtLast {
-		q := turnOf(program, budget, 1, c.rng.Uint64())
-		questions = append(questions, q.continuing(d.history.anyKept(c.rng, c.organisation.name)))
+	for range finalStoredTurns {
+		req := newTurn(program, budget, 1, c.rng.Uint64())
+		requests = append(requests, req.asStoredTurn(d.history.randomStoredTurn(c.rng, c.organisation.name)))
 	}
-	for _, q := range questions {
-		for answered := false; !answered; {
+	for _, req := range requests {
+		for done := false; !done; {
 			if ctx.Err() != nil {
-				return errors.Newf("machine %s does not answer a %s request", m.name, q.kind)
+				return errors.Newf("machine %s does not answer a %s request", inst.name, req.kind)
 			}
-			a := c.send(ctx, q)
-			answered = a.served() || a.status == statusNotFound // which the check judges
-			if !answered {
+			a := c.send(ctx, req)
+			done = a.served() || a.status == statusNotFound // which the check judges
+			if !done {
 				delay.Sleep(ctx, probeInterval)
 			}
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-var faultTime = flag.Duration("faults", 5*time.Second, "how long faults are brought about in each run")
+var faultDuration = flag.Duration("faults", 5*time.Second, "how long faults are brought about in each run")
 
 // productPackage is the program of the instances.
 const productPackage = "github.com/banyanglade/banyanglade/cmd/banyanglade"
@@ -41,23 +41,23 @@
 	}
 	for _, seed := range append(ciSeeds, ciLoadSeeds...) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, Options{
-				Binary: binary, Seed: seed, Faults: *faultTime, Instances: 3, Programs: 6,
+			runSeed(t, Options{
+				Binary: binary, Seed: seed, FaultDuration: *faultDuration, Instances: 3, Programs: 6,
 				EntryFaults: true, LoadFaults: slices.Contains(ciLoadSeeds, seed),
 			})
 		})
 	}
 	for _, r := range regressions {
 		t.Run(fmt.Sprintf("seed %d, %s", r.seed, r.cause), func(t *testing.T) {
-			play(t, Options{Binary: binary, Seed: r.seed, Faults: regressionTime, Instances: 4, Programs: 12})
+			runSeed(t, Options{Binary: binary, Seed: r.seed, FaultDuration: regressionFaultDuration, Instances: 4, Programs: 12})
 		})
 	}
 }
 
-// regressionTime is how long the runs took in which the seeds failed.
-const regressionTime = 12 * time.Second
+// regressionFaultDuration is how long the runs took in which the seeds failed.
+const regressionFaultDuration = 12 * time.Second
 
-func play(t *testing.T, options Options) {
+func runSeed(t *testing.T, options Options) {
 	options.Dir = t.TempDir()
 	if keep := os.Getenv("SOAK_KEEP"); keep != "" {
 		options.Dir = keep
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -30,27 +30,27 @@
 	eventGap = 6 * time.Millisecond
 )
 
-// trouble is what a target does to a request.
-type trouble uint8
+// targetFault is what a target does to a request.
+type targetFault uint8
 
 const (
-	none trouble = iota
-	// cutBefore breaks the connection off after the work, without an answer.
-	cutBefore
-	// cutInside breaks it off in the middle of the answer.
-	cutInside
-	// spoil sends bytes that are no answer.
-	spoil
-	// extra sends a second answer some time after the first, when the next
+	faultNone targetFault = iota
+	// faultCloseBefore breaks the connection off after the work, without an answer.
+	faultCloseBefore
+	// faultCloseMidway breaks it off in the middle of the answer.
+	faultCloseMidway
+	// faultMalformed sends bytes that are no answer.
+	faultMalformed
+	// faultExtraResponse sends a second answer some time after the first, when the next
 	// request may be on its way.
-	extra
+	faultExtraResponse
 )
 
 const (
-	// extraAfter is the time between the two answers, extraHold how long the
+	// extraResponseDelay is the time between the two answers, extraResponseHold how long the
 	// connection stays open then.
-	extraAfter = 15 * time.Millisecond
-	extraHold  = 60 * time.Millisecond
+	extraResponseDelay = 15 * time.Millisecond
+	extraResponseHold  = 60 * time.Millisecond
 )
 
 // target is one life of a target.
@@ -60,18 +60,18 @@
 	history *history
 	server  *http.Server
 	address string
-	// born is when it started, in Unix milliseconds.
-	born int64
+	// startedMS is when it started, in Unix milliseconds.
+	startedMS int64
 
 	running atomic.Int64
-	gone    atomic.Bool
-	// slowness stretches its work, slots is how many requests it takes at once.
-	slowness atomic.Int64
+	stopped atomic.Bool
+	// slowdown stretches its work, slots is how many requests it takes at once.
+	slowdown atomic.Int64
 	slots    atomic.Int64
 	mu       sync.Mutex
 	rng      *rand.Rand
-	// troubleShare of the requests meet trouble.
-	troubleShare float64
+	// faultProbability of the requests meet trouble.
+	faultProbability float64
 }
 
 // startTarget starts a target of a service on a free port.
@@ -81,36 +81,36 @@
 		return nil, errors.Wrap(err, "listen")
 	}
 	t := &target{
-		id: id, service: service, history: h, address: listener.Addr().String(), born: time.Now().UnixMilli(),
+		id: id, service: service, history: h, address: listener.Addr().String(), startedMS: time.Now().UnixMilli(),
 		rng: rand.New(rand.NewPCG(seed, 7)),
 	}
-	t.slowness.Store(1)
+	t.slowdown.Store(1)
 	t.slots.Store(targetSlots)
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: time.Minute}
 	go func() { _ = t.server.Serve(listener) }() // it ends with the target
 	return t, nil
 }
 
-// end ends the target with all its connections.
-func (t *target) end() {
-	t.gone.Store(true)
+// stop ends the target with all its connections.
+func (t *target) stop() {
+	t.stopped.Store(true)
 	_ = t.server.Close() // its connections are to break
 }
 
-// setTrouble sets the share of requests that meet trouble.
-func (t *target) setTrouble(share float64) {
+// setFaultProbability sets the share of requests that meet trouble.
+func (t *target) setFaultProbability(probability float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.troubleShare = share
+	t.faultProbability = probability
 }
 
-func (t *target) drawTrouble() trouble {
+func (t *target) pickFault() targetFault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.rng.Float64() >= t.troubleShare {
-		return none
+	if t.rng.Float64() >= t.faultProbability {
+		return faultNone
 	}
-	return trouble(1 + t.rng.IntN(int(extra)))
+	return targetFault(1 + t.rng.IntN(int(faultExtraResponse)))
 }
 
 // ServeHTTP runs a request.
@@ -131,28 +131,28 @@
 		return
 	}
 	defer t.running.Add(-1)
-	made := &run{
+	exec := &run{
 		request: id, target: t, uri: r.URL.RequestURI(), body: string(body), start: time.Now(),
 		organisation: r.Header.Get("Banyanglade-Tenant"), credential: r.Header.Get("Banyanglade-Credential"),
 	}
-	t.history.ran(made)
+	t.history.recordRun(exec)
 	w.Header().Set("Banyanglade-Server-Signature", t.id+"."+id)
 	w.Header().Set("Banyanglade-Server-Load", t.loadReport())
-	met := t.drawTrouble()
-	if met != none {
-		t.history.finish(made, true, false)
+	fault := t.pickFault()
+	if fault != faultNone {
+		t.history.recordRunEnd(exec, true, false)
 	}
 	if t.service == engineService {
-		t.stream(w, r, made, met)
+		t.stream(w, r, exec, fault)
 		return
 	}
-	t.answer(w, r, made, met)
+	t.respond(w, r, exec, fault)
 }
 
 // loadReport is what the target tells of its load: requests that run and wait,
 // slots, and the pace of its machine in percent.
 func (t *target) loadReport() string {
-	return fmt.Sprintf("%d,0,%d,%d", t.running.Load(), t.slots.Load(), 100*t.slowness.Load())
+	return fmt.Sprintf("%d,0,%d,%d", t.running.Load(), t.slots.Load(), 100*t.slowdown.Load())
 }
 
 func (t *target) refuse(w http.ResponseWriter, status int) {
@@ -161,35 +161,35 @@
 	w.WriteHeader(status)
 }
 
-// answerOf is the body of the answer to a plain request.
-func answerOf(id, body string) string { return "answer to " + id + " with " + body }
+// responseBody is the body of the answer to a plain request.
+func responseBody(id, body string) string { return "answer to " + id + " with " + body }
 
-func (t *target) answer(w http.ResponseWriter, r *http.Request, made *run, met trouble) {
-	if !t.work(r, time.Duration(len(made.request)%5+1)*8*time.Millisecond) {
+func (t *target) respond(w http.ResponseWriter, r *http.Request, exec *run, fault targetFault) {
+	if !t.simulateWork(r, time.Duration(len(exec.request)%5+1)*8*time.Millisecond) {
 		return
 	}
-	text := answerOf(made.request, made.body)
-	switch met {
-	case cutBefore:
+	text := responseBody(exec.request, exec.body)
+	switch fault {
+	case faultCloseBefore:
 		panic(http.ErrAbortHandler)
-	case cutInside:
+	case faultCloseMidway:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		_, _ = io.WriteString(w, text[:len(text)/2]) // it is cut either way
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case spoil:
+	case faultMalformed:
 		writeRaw(w, 0, "\x16\x03\x01 no answer\r\n\r\n")
 		return
-	case extra:
-		writeRaw(w, extraHold, t.rawAnswer(made.request, text), t.rawAnswer(made.request, "a second answer"))
+	case faultExtraResponse:
+		writeRaw(w, extraResponseHold, t.rawResponse(exec.request, text), t.rawResponse(exec.request, "a second answer"))
 		return
 	}
 	_, err := io.WriteString(w, text)
-	t.history.finish(made, false, err == nil)
+	t.history.recordRunEnd(exec, false, err == nil)
 }
 
-// rawAnswer is an answer as bytes.
-func (t *target) rawAnswer(id, text string) string {
+// rawResponse is an answer as bytes.
+func (t *target) rawResponse(id, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nBanyanglade-Request-Id: %s\r\nBanyanglade-Server-Signature: %s.%s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", id, t.id, id, len(text), text)
 }
@@ -204,24 +204,24 @@
 	defer func() { _ = conn.Close() }() // nothing follows on it
 	for i, text := range texts {
 		if i > 0 {
-			time.Sleep(extraAfter)
+			time.Sleep(extraResponseDelay)
 		}
 		_, _ = io.WriteString(conn, text) // whoever reads it or not
 	}
 	time.Sleep(hold)
 }
 
-// work takes time, and tells whether the sender still waits.
-func (t *target) work(r *http.Request, d time.Duration) bool {
-	return delay.Sleep(r.Context(), d*time.Duration(t.slowness.Load()))
+// simulateWork takes time, and tells whether the sender still waits.
+func (t *target) simulateWork(r *http.Request, d time.Duration) bool {
+	return delay.Sleep(r.Context(), d*time.Duration(t.slowdown.Load()))
 }
 
-// inputOf is the new input of a turn: what follows the conversation before it,
+// newInput is the new input of a turn: what follows the conversation before it,
 // whose events each end with a line feed.
-func inputOf(body string) string { return body[strings.LastIndexByte(body, '\n')+1:] }
+func newInput(body string) string { return body[strings.LastIndexByte(body, '\n')+1:] }
 
-// eventsOf is the number of events of a turn, which its input names.
-func eventsOf(body string) int {
+// eventCount is the number of events of a turn, which its input names.
+func eventCount(body string) int {
 	if body == "" {
 		return 1
 	}
@@ -232,36 +232,36 @@
 	return n
 }
 
-func (t *target) stream(w http.ResponseWriter, r *http.Request, made *run, met trouble) {
-	if !t.work(r, eventGap) {
+func (t *target) stream(w http.ResponseWriter, r *http.Request, exec *run, fault targetFault) {
+	if !t.simulateWork(r, eventGap) {
 		return
 	}
-	if met == cutBefore {
+	if fault == faultCloseBefore {
 		panic(http.ErrAbortHandler)
 	}
-	if met == spoil {
+	if fault == faultMalformed {
 		writeRaw(w, 0, "no answer\r\n\r\n")
 		return
 	}
-	input := inputOf(made.body)
-	from, last := lastEvent(r), eventsOf(input)
+	input := newInput(exec.body)
+	from, last := lastEventID(r), eventCount(input)
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from + 1; i <= last; i++ {
-		if met == cutInside && i == (from+1+last)/2 {
+		if fault == faultCloseMidway && i == (from+1+last)/2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", i) // it is cut either way
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
 		_, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, input)
-		if err != nil || http.NewResponseController(w).Flush() != nil || !t.work(r, eventGap) {
+		if err != nil || http.NewResponseController(w).Flush() != nil || !t.simulateWork(r, eventGap) {
 			return
 		}
 	}
-	t.history.finish(made, false, true)
+	t.history.recordRunEnd(exec, false, true)
 }
 
-// lastEvent is the event behind which a stream is to go on.
-func lastEvent(r *http.Request) int {
+// lastEventID is the event behind which a stream is to go on.
+func lastEventID(r *http.Request) int {
 	n, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
 		return 0
