--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -76,14 +76,14 @@
 	}
 	c.deployment.history.recordStart(a)
 	defer c.deployment.history.recordEnd(a)
-	limited, cancel := context.WithTimeout(ctx, callerTimeout)
+	sendCtx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	if c.rng.IntN(25) == 0 {
 		a.cancelled = true
 		time.AfterFunc(time.Duration(c.rng.IntN(40))*time.Millisecond, cancel)
 	}
 	wrote := false
-	traced := httptrace.WithClientTrace(limited, &httptrace.ClientTrace{
+	traced := httptrace.WithClientTrace(sendCtx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { wrote = info.Err == nil },
 	})
 	r, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+c.instance.callers+req.path, strings.NewReader(req.body))
@@ -105,12 +105,12 @@
 	}
 	resp, err := c.client.RoundTrip(r)
 	if err != nil {
-		a.cut = wrote && limited.Err() == nil
+		a.aborted = wrote && sendCtx.Err() == nil
 		return a
 	}
 	defer func() { _ = resp.Body.Close() }()
 	a.status, a.signature = resp.StatusCode, resp.Header.Get("Banyanglade-Server-Signature")
-	delay.Sleep(limited, req.readDelay)
+	delay.Sleep(sendCtx, req.readDelay)
 	if req.kind == turn && resp.StatusCode == statusOK {
 		err = a.readEvents(resp.Body)
 	} else {
@@ -118,7 +118,7 @@
 		body, err = io.ReadAll(resp.Body)
 		a.received = string(body)
 	}
-	a.complete, a.cut = err == nil, err != nil && limited.Err() == nil
+	a.complete, a.aborted = err == nil, err != nil && sendCtx.Err() == nil
 	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		delay.Sleep(ctx, min(time.Duration(after*float64(time.Second)), maxRetryWait))
 	}
@@ -170,7 +170,7 @@
 		case req.kind == once && (a.status == 0 || a.status >= http.StatusInternalServerError) && a.status != http.StatusServiceUnavailable:
 			return a, false // it may have run
 		}
-		if a.status == 0 || a.cut {
+		if a.status == 0 || a.aborted {
 			c.switchInstance()
 		}
 		delay.Sleep(ctx, time.Duration(50+c.rng.IntN(200))*time.Millisecond)
@@ -233,9 +233,9 @@
 const turnsPerForgedKey = 6
 
 // newTurn is a program's turn of some events.
-func newTurn(program string, budget, events int, mark uint64) request {
+func newTurn(program string, budget, events int, nonce uint64) request {
 	return request{
-		kind: turn, path: "/turn/x", program: program, body: fmt.Sprintf("%d %s %x", events, program, mark),
+		kind: turn, path: "/turn/x", program: program, body: fmt.Sprintf("%d %s %x", events, program, nonce),
 		header: map[string]string{
 			"Banyanglade-Program-Id": program, "Banyanglade-Token-Budget": strconv.Itoa(budget),
 			"Banyanglade-Token-Usage": fmt.Sprintf("100,%d", maxTurnTokens),
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -53,8 +53,8 @@
 	return append(found, h.checkSettings()...)
 }
 
-func violated(promise, format string, args ...any) []violation {
-	return []violation{{promise, fmt.Sprintf(format, args...)}}
+func violated(invariant, format string, args ...any) []violation {
+	return []violation{{invariant, fmt.Sprintf(format, args...)}}
 }
 
 // checkAttempt judges one attempt that has ended.
@@ -72,7 +72,7 @@
 	case !inOrder(a.events):
 		return violated(invariantOrder, "%s received events %v", a.id, a.events)
 	}
-	if at, ok := a.incarnation.cleanShutdown(); ok && a.cut && !a.cancelled && a.end.After(at) && ranCleanly(runs) && !a.timedOut() {
+	if at, ok := a.incarnation.cleanShutdown(); ok && a.aborted && !a.cancelled && a.end.After(at) && ranCleanly(runs) && !a.timedOut() {
 		return violated(invariantShutdown, "%s was cut %s after SIGTERM of %s", a.id, a.end.Sub(at), a.incarnation.instance.name)
 	}
 	if a.complete && a.status == statusOK {
@@ -154,7 +154,7 @@
 // checkRuns judges what targets ran.
 func (h *history) checkRuns() []violation {
 	for id, runs := range h.runs {
-		sent, ok := h.started[id]
+		sent, ok := h.attemptsByID[id]
 		for _, r := range runs {
 			if !ok || !h.matchesSent(sent, r.body) {
 				return violated(invariantSent, "%s ran with body %q at %s", id, r.body, r.target.id)
@@ -177,7 +177,7 @@
 // mustFindPrevious tells whether the turn that an attempt names had ended, for its
 // caller, before the attempt began, and may still be named.
 func (h *history) mustFindPrevious(a *attempt) bool {
-	named, ok := h.started[a.previous]
+	named, ok := h.attemptsByID[a.previous]
 	return ok && named.organisation == a.organisation && named.served() && named.end.Before(a.start) && a.end.Sub(named.end) < retention
 }
 
@@ -203,11 +203,11 @@
 		version int
 		at      time.Time
 	}
-	newest := make(map[*incarnation]observation)
+	latest := make(map[*incarnation]observation)
 	ordered := slices.Clone(h.probes)
 	slices.SortStableFunc(ordered, func(a, b probe) int { return a.start.Compare(b.start) })
 	for _, p := range ordered {
-		seen, ok := newest[p.incarnation]
+		seen, ok := latest[p.incarnation]
 		settled := ok && p.start.After(seen.at.Add(rollbackTolerance))
 		_, replaced := h.published[p.version+1]
 		switch {
@@ -217,7 +217,7 @@
 			return violated(invariantSettings, "%s no longer served version %d", p.incarnation.instance.name, p.version)
 		}
 		if p.inForce && p.version > seen.version {
-			newest[p.incarnation] = observation{p.version, p.end}
+			latest[p.incarnation] = observation{p.version, p.end}
 		}
 	}
 	return nil
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -95,7 +95,7 @@
 		{"a request that nobody sent", invariantSent, func(s *validHistory) { s.recordRun(&run{request: "u1", target: s.a}) }},
 		{"another body", invariantSent, func(s *validHistory) { s.runs["o1"][0].body = "changed" }},
 		{"a turn that ended is unknown", invariantStoredTurns, func(s *validHistory) {
-			s.started["k1"].end, s.stored.end = testTime(-1), testTime(5)
+			s.attemptsByID["k1"].end, s.stored.end = testTime(-1), testTime(5)
 			s.stored.status = 404
 			s.runs["k2"] = nil
 		}},
@@ -121,7 +121,7 @@
 		{"a request where no target's entry points", invariantEntries, func(s *validHistory) { s.recordMisrouted("o1") }},
 		{"a request cut by a shutdown", invariantShutdown, func(s *validHistory) {
 			s.incarnation.terminated = testTime(-1)
-			s.once.cut, s.once.complete, s.once.end = true, false, testTime(2900)
+			s.once.aborted, s.once.complete, s.once.end = true, false, testTime(2900)
 		}},
 	}
 	for _, c := range cases {
@@ -143,12 +143,12 @@
 func TestCheckAllowsWhatFaultsExplain(t *testing.T) {
 	s := newValidHistory()
 	s.incarnation.terminated = testTime(-1)
-	s.once.cut, s.once.complete = true, false
+	s.once.aborted, s.once.complete = true, false
 	s.runs["o1"][0].faulted = true
 	s.recordRun(&run{request: "s1", target: &target{id: "c"}, body: "x", organisation: "north"})
 	s.b.stopped.Store(true)
 	// The end of a kept turn waited for the store until its route's timeout.
-	s.stored.cut, s.stored.complete, s.stored.end = true, false, testTime(int(routeTimeout.Milliseconds()))
+	s.stored.aborted, s.stored.complete, s.stored.end = true, false, testTime(int(routeTimeout.Milliseconds()))
 	s.addProbe(1, 210, true) // within the slack
 	if found := check(s.history); len(found) > 0 {
 		t.Error(found)
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -242,9 +242,9 @@
 
 // isReady asks a machine whether it takes callers.
 func isReady(ctx context.Context, inst *instance) bool {
-	limited, cancel := context.WithTimeout(ctx, time.Second)
+	reqCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(limited, http.MethodGet, "http://"+inst.ready+platform.ReadyPath, nil)
+	r, err := http.NewRequestWithContext(reqCtx, http.MethodGet, "http://"+inst.ready+platform.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -55,21 +55,21 @@
 
 // runEntryFaults troubles the entries of targets until the context ends. It draws from
 // numbers of its own, so that the other faults of a seed stay what they were.
-func (f *injector) runEntryFaults(ctx context.Context, rng *rand.Rand) {
+func (inj *injector) runEntryFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxEntryFaultPause))))
-		t := f.deployment.randomTarget(rng)
+		t := inj.deployment.randomTarget(rng)
 		text := foreignEntries[rng.IntN(len(foreignEntries))]
 		key := fmt.Sprint("foreign-", rng.IntN(4))
 		switch rng.IntN(4) {
 		case 0:
-			f.inject("start "+t.id+" again", 0, func() error { return f.deployment.restartTarget(t) })
+			inj.inject("start "+t.id+" again", 0, func() error { return inj.deployment.restartTarget(t) })
 		case 1:
 			key = t.id
 			fallthrough
 		default:
-			f.inject("entry of another writer at "+key, 0, func() error {
-				f.deployment.putForeignEntry(key, text)
+			inj.inject("entry of another writer at "+key, 0, func() error {
+				inj.deployment.putForeignEntry(key, text)
 				return nil
 			})
 		}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -33,29 +33,29 @@
 const maxFaultPause = 500 * time.Millisecond
 
 // run brings faults about until the context ends, then waits until each is over.
-func (f *injector) run(ctx context.Context) {
+func (inj *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		delay.Sleep(ctx, time.Duration(f.rng.Int64N(int64(maxFaultPause))))
-		f.injectNext()
+		delay.Sleep(ctx, time.Duration(inj.rng.Int64N(int64(maxFaultPause))))
+		inj.injectNext()
 	}
-	f.work.Wait()
-	f.deployment.store.Set(metastore.Fault{})
+	inj.work.Wait()
+	inj.deployment.store.Set(metastore.Fault{})
 }
 
 // faultKind is a kind of fault with how often it is chosen, relative to the others.
 type faultKind struct {
 	weight int
-	inject func(f *injector, inst *instance, duration time.Duration)
+	inject func(inj *injector, inst *instance, duration time.Duration)
 }
 
 var faultKinds = []faultKind{
-	{2, func(f *injector, inst *instance, duration time.Duration) {
-		f.restart(inst, "kill", duration/4, inst.kill)
+	{2, func(inj *injector, inst *instance, duration time.Duration) {
+		inj.restart(inst, "kill", duration/4, inst.kill)
 	}},
-	{3, func(f *injector, inst *instance, _ time.Duration) { f.restart(inst, "SIGTERM", 0, inst.terminate) }},
+	{3, func(inj *injector, inst *instance, _ time.Duration) { inj.restart(inst, "SIGTERM", 0, inst.terminate) }},
 	{2, (*injector).pauseInstance},
 	{1, (*injector).killAll},
-	{3, func(f *injector, _ *instance, duration time.Duration) { f.failStore(duration) }},
+	{3, func(inj *injector, _ *instance, duration time.Duration) { inj.failStore(duration) }},
 	{1, (*injector).failLink},
 	{1, (*injector).injectTargetFaults},
 	{1, (*injector).crashTarget},
@@ -64,41 +64,41 @@
 }
 
 // injectNext begins one fault.
-func (f *injector) injectNext() {
-	inst := f.deployment.instances[f.rng.IntN(len(f.deployment.instances))]
-	duration := time.Duration(50+f.rng.IntN(1800)) * time.Millisecond
+func (inj *injector) injectNext() {
+	inst := inj.deployment.instances[inj.rng.IntN(len(inj.deployment.instances))]
+	duration := time.Duration(50+inj.rng.IntN(1800)) * time.Millisecond
 	total := 0
 	for _, c := range faultKinds {
 		total += c.weight
 	}
-	pick := f.rng.IntN(total)
+	pick := inj.rng.IntN(total)
 	for _, c := range faultKinds {
 		if pick < c.weight {
-			c.inject(f, inst, duration)
+			c.inject(inj, inst, duration)
 			return
 		}
 		pick -= c.weight
 	}
 }
 
-func (f *injector) pauseInstance(inst *instance, duration time.Duration) {
-	f.inject("pause "+inst.name, duration, func() error { inst.pause(duration); return nil })
+func (inj *injector) pauseInstance(inst *instance, duration time.Duration) {
+	inj.inject("pause "+inst.name, duration, func() error { inst.pause(duration); return nil })
 }
 
 // killAll ends all instances at once, once in three times that it is chosen.
-func (f *injector) killAll(_ *instance, duration time.Duration) {
-	if f.rng.IntN(3) != 0 {
+func (inj *injector) killAll(_ *instance, duration time.Duration) {
+	if inj.rng.IntN(3) != 0 {
 		return
 	}
-	for _, each := range f.deployment.instances {
-		f.restart(each, "kill all", duration/4, each.kill)
+	for _, each := range inj.deployment.instances {
+		inj.restart(each, "kill all", duration/4, each.kill)
 	}
 }
 
-func (f *injector) injectTargetFaults(_ *instance, duration time.Duration) {
-	t := f.deployment.randomTarget(f.rng)
-	probability := 0.1 + 0.8*f.rng.Float64()
-	f.inject(fmt.Sprintf("trouble at %s, share %.1f", t.id, probability), duration, func() error {
+func (inj *injector) injectTargetFaults(_ *instance, duration time.Duration) {
+	t := inj.deployment.randomTarget(inj.rng)
+	probability := 0.1 + 0.8*inj.rng.Float64()
+	inj.inject(fmt.Sprintf("trouble at %s, share %.1f", t.id, probability), duration, func() error {
 		t.setFaultProbability(probability)
 		time.Sleep(duration)
 		t.setFaultProbability(0)
@@ -106,101 +106,101 @@
 	})
 }
 
-func (f *injector) crashTarget(*instance, time.Duration) {
-	t := f.deployment.randomTarget(f.rng)
-	f.inject("crash "+t.id, registrationTTL, func() error { return f.deployment.crashTarget(t) })
+func (inj *injector) crashTarget(*instance, time.Duration) {
+	t := inj.deployment.randomTarget(inj.rng)
+	inj.inject("crash "+t.id, registrationTTL, func() error { return inj.deployment.crashTarget(t) })
 }
 
-func (f *injector) drainTarget(*instance, time.Duration) {
-	t := f.deployment.randomTarget(f.rng)
-	f.inject("drain "+t.id, targetDrainTime, func() error { return f.deployment.drainTarget(t) })
+func (inj *injector) drainTarget(*instance, time.Duration) {
+	t := inj.deployment.randomTarget(inj.rng)
+	inj.inject("drain "+t.id, targetDrainTime, func() error { return inj.deployment.drainTarget(t) })
 }
 
-func (f *injector) changeSettings(*instance, time.Duration) {
-	f.inject("settings", 0, func() error { f.deployment.publish(); return nil })
+func (inj *injector) changeSettings(*instance, time.Duration) {
+	inj.inject("settings", 0, func() error { inj.deployment.publish(); return nil })
 }
 
 // inject carries a fault out beside the others.
-func (f *injector) inject(what string, duration time.Duration, do func() error) {
-	f.mu.Lock()
-	f.log = append(f.log, fmt.Sprintf("%7.3f s, for %s: %s", time.Since(f.started).Seconds(), duration, what))
-	f.mu.Unlock()
-	f.work.Go(func() {
+func (inj *injector) inject(what string, duration time.Duration, do func() error) {
+	inj.mu.Lock()
+	inj.log = append(inj.log, fmt.Sprintf("%7.3f s, for %s: %s", time.Since(inj.started).Seconds(), duration, what))
+	inj.mu.Unlock()
+	inj.work.Go(func() {
 		if err := do(); err != nil {
-			f.mu.Lock()
-			f.err = err
-			f.mu.Unlock()
+			inj.mu.Lock()
+			inj.err = err
+			inj.mu.Unlock()
 		}
 	})
 }
 
 // restart ends the life on a machine and starts the next a while later, unless
 // another restart is under way there.
-func (f *injector) restart(inst *instance, how string, down time.Duration, end func()) {
-	f.mu.Lock()
-	busy := f.restarting[inst]
-	f.restarting[inst] = true
-	f.mu.Unlock()
+func (inj *injector) restart(inst *instance, how string, down time.Duration, end func()) {
+	inj.mu.Lock()
+	busy := inj.restarting[inst]
+	inj.restarting[inst] = true
+	inj.mu.Unlock()
 	if busy {
 		return
 	}
-	f.inject(how+" "+inst.name, down, func() error {
+	inj.inject(how+" "+inst.name, down, func() error {
 		end()
 		time.Sleep(down)
-		err := inst.start(f.deployment.options.Binary, f.deployment.options.Dir, f.deployment.history)
-		f.mu.Lock()
-		f.restarting[inst] = false
-		f.mu.Unlock()
+		err := inst.start(inj.deployment.options.Binary, inj.deployment.options.Dir, inj.deployment.history)
+		inj.mu.Lock()
+		inj.restarting[inst] = false
+		inj.mu.Unlock()
 		return err
 	})
 }
 
 // failStore lets the store fail in one of its ways, for all or some topics.
-func (f *injector) failStore(duration time.Duration) {
+func (inj *injector) failStore(duration time.Duration) {
 	fault := []metastore.Fault{
 		{Status: 503}, {Status: 429}, {Silent: true}, {Reset: true}, {LoseAnswer: true},
 		{LoseAnswer: true, Late: duration}, {Delay: 150 * time.Millisecond},
-	}[f.rng.IntN(7)]
-	if f.rng.IntN(3) == 0 {
+	}[inj.rng.IntN(7)]
+	if inj.rng.IntN(3) == 0 {
 		fault.Topics = []string{platform.TopicOperator, platform.TopicTargets}
 	}
-	if f.rng.IntN(4) == 0 {
-		f.inject("store drops history", 0, func() error {
-			f.deployment.store.DropHistory(platform.TopicOperator, 0)
-			f.deployment.store.DropHistory(platform.TopicTargets, 0)
+	if inj.rng.IntN(4) == 0 {
+		inj.inject("store drops history", 0, func() error {
+			inj.deployment.store.DropHistory(platform.TopicOperator, 0)
+			inj.deployment.store.DropHistory(platform.TopicTargets, 0)
 			return nil
 		})
 	}
-	f.setStoreFault(fault, duration)
+	inj.setStoreFault(fault, duration)
 }
 
 // setStoreFault puts a fault of the store in force for a while, unless another one
 // follows before.
-func (f *injector) setStoreFault(fault metastore.Fault, duration time.Duration) {
-	f.mu.Lock()
-	f.storeFault++
-	number := f.storeFault
-	f.mu.Unlock()
-	f.inject(fmt.Sprintf("store %+v", fault), duration, func() error {
-		f.deployment.store.Set(fault)
+func (inj *injector) setStoreFault(fault metastore.Fault, duration time.Duration) {
+	inj.mu.Lock()
+	inj.storeFault++
+	number := inj.storeFault
+	inj.mu.Unlock()
+	inj.inject(fmt.Sprintf("store %+v", fault), duration, func() error {
+		inj.deployment.store.Set(fault)
 		time.Sleep(duration)
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.storeFault == number {
-			f.deployment.store.Set(metastore.Fault{})
+		inj.mu.Lock()
+		defer inj.mu.Unlock()
+		if inj.storeFault == number {
+			inj.deployment.store.Set(metastore.Fault{})
 		}
 		return nil
 	})
 }
 
 // failLink lets one machine's link to the store or from the others fail.
-func (f *injector) failLink(inst *instance, duration time.Duration) {
+func (inj *injector) failLink(inst *instance, duration time.Duration) {
 	link, name := inst.store, "link to the store of "
-	if f.rng.IntN(2) == 0 {
+	if inj.rng.IntN(2) == 0 {
 		link, name = inst.peers, "link from the others to "
 	}
-	mode := f.rng.IntN(5)
-	f.inject(fmt.Sprintf("%s%s fails, way %d", name, inst.name, mode), duration, func() error {
+	mode := inj.rng.IntN(5)
+	inj.inject(fmt.Sprintf("%s%s fails, way %d", name, inst.name, mode), duration, func() error {
 		inst.current().markDisrupted()
 		switch mode {
 		case 0:
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -45,7 +45,7 @@
 	// complete tells that the answer came to its end; cut that the connection
 	// broke after the request was written.
 	complete bool
-	cut      bool
+	aborted  bool
 	// cancelled tells that the caller gave up.
 	cancelled bool
 }
@@ -87,8 +87,8 @@
 	probes   []probe
 	programs map[string]int
 	// published holds when each version of the settings was acknowledged.
-	published map[int]time.Time
-	started   map[string]*attempt
+	published    map[int]time.Time
+	attemptsByID map[string]*attempt
 	// storedTurns are the kept turns whose callers saw the end, in order.
 	storedTurns []string
 	// crashed are the lives that ended without being asked to.
@@ -100,7 +100,7 @@
 func newHistory() *history {
 	return &history{
 		runs: make(map[string][]*run), programs: make(map[string]int), published: make(map[int]time.Time),
-		started: make(map[string]*attempt),
+		attemptsByID: make(map[string]*attempt),
 	}
 }
 
@@ -108,7 +108,7 @@
 func (h *history) recordStart(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.started[a.id] = a
+	h.attemptsByID[a.id] = a
 }
 
 // recordEnd notes a request that has its outcome.
@@ -174,7 +174,7 @@
 // conversation is what a kept turn and all before it hold, with the text that a
 // target gets for it. It returns false if a turn before it was never made.
 func (h *history) conversation(id string) (text, input string, ok bool) {
-	a, known := h.started[id]
+	a, known := h.attemptsByID[id]
 	if !known || !a.stored {
 		return "", "", false
 	}
@@ -197,7 +197,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	own := slices.DeleteFunc(slices.Clone(h.storedTurns), func(id string) bool {
-		return h.started[id].organisation != organisation
+		return h.attemptsByID[id].organisation != organisation
 	})
 	if len(own) == 0 {
 		return ""
--- a/internal/soak/loadfaults.go
+++ b/internal/soak/loadfaults.go
@@ -34,32 +34,32 @@
 // runLoadFaults overloads the deployment in one way or another until the context ends.
 // It draws from numbers of its own, so that the other faults of a seed stay what
 // they were.
-func (f *injector) runLoadFaults(ctx context.Context, rng *rand.Rand) {
+func (inj *injector) runLoadFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxLoadFaultPause))))
 		duration := time.Duration(rng.Int64N(int64(maxLoadFaultDuration)))
 		switch rng.IntN(5) {
 		case 0, 1:
-			f.slowTargets(ctx, rng, duration)
+			inj.slowTargets(ctx, rng, duration)
 		case 2:
-			f.burst(ctx, rng, duration)
+			inj.burst(ctx, rng, duration)
 		case 3:
-			f.setStoreFault(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(maxStoreDelay)))}, duration)
+			inj.setStoreFault(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(maxStoreDelay)))}, duration)
 		case 4:
-			f.startSlowReaders(ctx, rng, duration)
+			inj.startSlowReaders(ctx, rng, duration)
 		}
 	}
 }
 
 // slowTargets makes some targets of both services slower, or smaller.
-func (f *injector) slowTargets(ctx context.Context, rng *rand.Rand, duration time.Duration) {
+func (inj *injector) slowTargets(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	for range 1 + rng.IntN(3) {
-		t := f.deployment.randomTarget(rng)
+		t := inj.deployment.randomTarget(rng)
 		factor, slots := int64(1+rng.IntN(maxSlowdown)), int64(targetSlots)
 		if rng.IntN(2) == 0 {
 			slots = minSlots
 		}
-		f.inject(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), duration, func() error {
+		inj.inject(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), duration, func() error {
 			t.slowdown.Store(factor)
 			t.slots.Store(slots)
 			delay.Sleep(ctx, duration)
@@ -71,14 +71,14 @@
 }
 
 // burst runs more programs for a while.
-func (f *injector) burst(ctx context.Context, rng *rand.Rand, duration time.Duration) {
+func (inj *injector) burst(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64() >> 1
-	f.inject("burst of programs", duration, func() error {
-		during, stop := context.WithTimeout(ctx, duration)
+	inj.inject("burst of programs", duration, func() error {
+		burstCtx, stop := context.WithTimeout(ctx, duration)
 		defer stop()
 		var work sync.WaitGroup
-		for i := range burstFactor * f.deployment.options.Programs {
-			work.Go(func() { f.deployment.runPrograms(during, seed+uint64(i)<<20) })
+		for i := range burstFactor * inj.deployment.options.Programs {
+			work.Go(func() { inj.deployment.runPrograms(burstCtx, seed+uint64(i)<<20) })
 		}
 		work.Wait()
 		return nil
@@ -87,12 +87,12 @@
 
 // startSlowReaders has some callers ask for long answers that they do not read for
 // a while, or never.
-func (f *injector) startSlowReaders(ctx context.Context, rng *rand.Rand, duration time.Duration) {
+func (inj *injector) startSlowReaders(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64()
-	f.inject("callers that do not read", duration, func() error {
+	inj.inject("callers that do not read", duration, func() error {
 		var work sync.WaitGroup
-		for i := range f.deployment.options.Programs {
-			c := f.deployment.newCaller(seed + uint64(i))
+		for i := range inj.deployment.options.Programs {
+			c := inj.deployment.newCaller(seed + uint64(i))
 			work.Go(func() { c.readSlowly(ctx, duration) })
 		}
 		work.Wait()
--- a/internal/soak/organisations.go
+++ b/internal/soak/organisations.go
@@ -69,7 +69,7 @@
 	var found []violation
 	ran := make(map[string][]time.Time)
 	for id, runs := range h.runs {
-		a := h.started[id]
+		a := h.attemptsByID[id]
 		if a == nil {
 			continue // checkRuns tells
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -135,14 +135,14 @@
 
 // checkService finds instances that do not serve once all faults are over.
 func (d *deployment) checkService(ctx context.Context) []violation {
-	limited, cancel := context.WithTimeout(ctx, readyTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.waitReady(limited); err != nil {
+	if err := d.waitReady(waitCtx); err != nil {
 		return []violation{{"service comes back", err.Error()}}
 	}
 	d.writeHeartbeats()
 	for i, inst := range d.instances {
-		if err := d.checkInstanceServes(limited, inst, d.options.Seed*1000+900+uint64(i)); err != nil {
+		if err := d.checkInstanceServes(waitCtx, inst, d.options.Seed*1000+900+uint64(i)); err != nil {
 			return []violation{{"service comes back", err.Error()}}
 		}
 	}
