--- a/internal/cli/args.go
+++ b/internal/cli/args.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Args is the whole command line.
+// Args defines the commands of the command line.
 type Args struct {
 	Run      *RunCommand      `arg:"subcommand:run" help:"run an instance"`
 	Edge     *EdgeCommand     `arg:"subcommand:edge" help:"run an instance on the users' platform"`
@@ -18,13 +18,13 @@
 	Version  *VersionCommand  `arg:"subcommand:version" help:"print the version"`
 }
 
-// Description is the head of the help text.
+// Description returns the introduction of the help text.
 func (Args) Description() string {
 	return "banyanglade schedules the calls of agent programs onto model engines, tool\n" +
 		"services and plain services."
 }
 
-// Epilogue is the end of the help text.
+// Epilogue returns the closing lines of the help text.
 func (Args) Epilogue() string {
 	return "Each flag can be given as an environment variable too. The client commands\n" +
 		"talk to any instance: give --server or BANYANGLADE_SERVER, and an operator's\n" +
@@ -32,7 +32,7 @@
 		"Exit codes: 0 success, 1 failure or refusal, 2 wrong usage."
 }
 
-// SettingsCommand groups the commands on settings.
+// SettingsCommand groups the settings commands.
 type SettingsCommand struct {
 	Get     *SettingsGet     `arg:"subcommand:get" help:"show the settings at and below a path"`
 	Set     *SettingsSet     `arg:"subcommand:set" help:"change or remove one setting"`
@@ -42,7 +42,7 @@
 	Applied *SettingsApplied `arg:"subcommand:applied" help:"show which instance has applied which settings"`
 }
 
-// ProgramsCommand groups the commands on programs.
+// ProgramsCommand groups the program commands.
 type ProgramsCommand struct {
 	List   *ProgramsList   `arg:"subcommand:list" help:"list the programs of the region"`
 	Show   *ProgramsShow   `arg:"subcommand:show" help:"show one program"`
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -16,7 +16,7 @@
 	"github.com/banyanglade/banyanglade/internal/settings"
 )
 
-// fakeServer answers with what a test sets and keeps the last request.
+// fakeServer returns the responses that a test sets and records the last request.
 type fakeServer struct {
 	*httptest.Server
 	responses map[string]fakeResponse
@@ -49,7 +49,7 @@
 	return s
 }
 
-// invoke runs a command line.
+// invoke runs a command line and returns the exit code and both outputs.
 func invoke(arguments ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	p := Program{Version: "test", Out: &o, Err: &e}
@@ -100,7 +100,7 @@
 	_, out, _ = invoke("settings", "get", "--json")
 	var list settings.Listing
 	if err := json.Unmarshal([]byte(out), &list); err != nil || len(list.Entries) != 2 {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("decode: %v: %s", err, out)
 	}
 }
 
@@ -184,7 +184,7 @@
 	s.responses["PUT /v1/settings"] = fakeResponse{200, map[string]any{"status": "accepted", "version": 9}}
 	code, out, _ := invoke("settings", "publish", "--dry-run", name)
 	mustContain(t, out, "change  teams/a/priority  1", "add     teams/a/weight    2",
-		"2 to change, 1 as wanted already, 1 in the tree but not in the file")
+		"2 to change, 1 up to date, 1 in the tree but not in the file")
 	if code != exitOK || s.last.method != http.MethodGet || s.last.uri != "/v1/settings?path=teams%2Fa" {
 		t.Errorf("exit %d, request %+v", code, s.last)
 	}
@@ -213,7 +213,7 @@
 	mustContain(t, out, "p1", "5+2 held of 10")
 	mustContain(t, errOut, "no answer from i9")
 	if s.last.uri != "/v1/programs?limit=7&team=a" {
-		t.Errorf("asked %s", s.last.uri)
+		t.Errorf("requested %s", s.last.uri)
 	}
 	if code, out, _ := invoke("programs", "cancel", "p1"); code != exitOK || !strings.Contains(out, "active") || s.last.method != http.MethodDelete {
 		t.Errorf("exit %d: %s", code, out)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -14,10 +14,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxResponseBytes bounds an answer, in bytes.
+// maxResponseBytes limits the size of a response body.
 const maxResponseBytes = 256 << 20
 
-// ClientOptions are the flags of the commands that talk to an instance.
+// ClientOptions holds the flags of the commands that send requests to an instance.
 type ClientOptions struct {
 	Server  string        `arg:"--server,env:BANYANGLADE_SERVER" placeholder:"URL" help:"base URL of any instance, as in http://10.0.0.5:8080"`
 	Key     Secret        `arg:"--key,env:BANYANGLADE_KEY" help:"operator's key; the environment variable keeps it out of process lists"`
@@ -43,26 +43,26 @@
 	return &client{base: base, key: o.Key, http: &http.Client{Timeout: o.Timeout}}, nil
 }
 
-// response is the body of a successful request.
+// response is the status and body of an HTTP response.
 type response struct {
 	status int
 	body   []byte
 }
 
-// decode reads the body into v.
+// decode decodes the JSON body into v.
 func (r response) decode(v any) error {
 	if err := json.Unmarshal(r.body, v); err != nil {
-		return errors.Wrap(err, "the server sent no usable answer")
+		return errors.Wrap(err, "decode the response")
 	}
 	return nil
 }
 
-// get reads a route. Statuses other than 200 are errors.
+// get sends a GET request. A status of 400 or above is a *ProblemError.
 func (c *client) get(ctx context.Context, path string, query url.Values) (response, error) {
 	return c.do(ctx, http.MethodGet, path, query, nil)
 }
 
-// do sends a request. A status of 400 and more is a *ProblemError.
+// do sends a request. A status of 400 or above is a *ProblemError.
 func (c *client) do(ctx context.Context, method, path string, query url.Values, body any) (response, error) {
 	resp, err := c.send(ctx, method, path, query, body)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return resp, nil
 }
 
-// send sends a request and reads the answer, whatever its status.
+// send sends a request and returns the response whatever its status.
 func (c *client) send(ctx context.Context, method, path string, query url.Values, body any) (response, error) {
 	target := c.base.JoinPath(path)
 	target.RawQuery = query.Encode()
@@ -84,7 +84,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target.String(), reader)
 	if err != nil {
-		return response{}, errors.Wrap(err, "request")
+		return response{}, errors.Wrap(err, "create the request")
 	}
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
@@ -99,12 +99,12 @@
 	defer func() { _ = httpResp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBytes))
 	if err != nil {
-		return response{}, errors.Wrap(err, "the answer broke off")
+		return response{}, errors.Wrap(err, "read the response")
 	}
 	return response{status: httpResp.StatusCode, body: data}, nil
 }
 
-// mayHaveTakenEffect tells whether a failed request may have taken effect.
+// mayHaveTakenEffect reports whether a failed request may have taken effect.
 func mayHaveTakenEffect(err error) bool {
 	var problem *ProblemError
 	if errors.As(err, &problem) {
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of banyanglade: one program with subcommands
-// that run an instance, and that talk HTTP to a running one for operators.
+// Package cli implements the banyanglade command line: subcommands that run an
+// instance, and client commands that send HTTP requests to a running one.
 //
-// Exit codes: 0 for success, 1 for a failure or refusal, 2 for wrong usage.
+// Exit codes: 0 for success, 1 for a failure or refusal, 2 for a usage error.
 package cli
--- a/internal/cli/edge.go
+++ b/internal/cli/edge.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/edge"
 )
 
-// EdgeCommand is the flags of an instance on the users' platform, which tells
-// everything else in its settings file.
+// EdgeCommand runs an instance on the users' platform, where everything else is
+// configured in the settings file.
 type EdgeCommand struct {
 	edge.Options
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/explain"
 )
 
-// ExplainCommand tells the story of a request or program from logs.
+// ExplainCommand prints the log lines about a request or program in order of time.
 type ExplainCommand struct {
 	ID    string   `arg:"positional,required" help:"id of a request or program"`
 	Files []string `arg:"positional" help:"log files of instances; standard input if none is given"`
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// printJSON prints a JSON answer, indented.
+// printJSON prints a JSON body indented, and any other body as it is.
 func (p *Program) printJSON(body []byte) error {
 	var b bytes.Buffer
 	if err := json.Indent(&b, body, "", "  "); err != nil {
@@ -20,7 +20,7 @@
 	return err
 }
 
-// printTable prints rows in columns under a head.
+// printTable prints rows in aligned columns below a header.
 func (p *Program) printTable(header []string, rows [][]string) error {
 	const padding = 2
 	w := tabwriter.NewWriter(p.Out, 0, 0, padding, ' ', 0)
@@ -41,7 +41,7 @@
 	return t.UTC().Format(time.RFC3339)
 }
 
-// formatSpent shows an amount with its limit, 0 for none.
+// formatSpent formats an amount with what is held and its limit, either 0 if unset.
 func formatSpent(spent, held, limit int64) string {
 	text := fmt.Sprint(spent)
 	if held > 0 {
--- a/internal/cli/problem.go
+++ b/internal/cli/problem.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ProblemError is a refusal by an instance, from a problem document of RFC 9457.
+// ProblemError is an error response of an instance (RFC 9457 problem document).
 type ProblemError struct {
 	Status   int    `json:"status"`
 	Title    string `json:"title"`
@@ -20,7 +20,8 @@
 	Instance     string `json:"instance"`
 }
 
-// newProblemError reads an answer, also one that is no problem document.
+// newProblemError decodes an error response. If the body is not a problem document,
+// the start of it becomes the detail.
 func newProblemError(resp response) *ProblemError {
 	problem := &ProblemError{}
 	if json.Unmarshal(resp.body, problem) != nil || problem.Title == "" {
@@ -32,7 +33,7 @@
 	return problem
 }
 
-// Error gives the whole problem in one line.
+// Error formats the problem on one line.
 func (e *ProblemError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %s", e.Status, sanitizeLine(e.Title))
@@ -49,7 +50,7 @@
 		b.WriteString("; it may have taken effect")
 	}
 	if e.RetryAfterMS > 0 {
-		fmt.Fprintf(&b, "; try again in %d ms", e.RetryAfterMS)
+		fmt.Fprintf(&b, "; retry after %d ms", e.RetryAfterMS)
 	}
 	if e.Instance != "" {
 		fmt.Fprintf(&b, " (request %s)", sanitizeLine(e.Instance))
@@ -57,8 +58,8 @@
 	return b.String()
 }
 
-// sanitizeLine replaces control characters, so that a server cannot move the cursor
-// of a terminal.
+// sanitizeLine replaces control characters, which could otherwise send escape
+// sequences of a server to the terminal.
 func sanitizeLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Routes of one process.
+// Routes that concern a single instance.
 const (
 	dumpRoute   = "/debug/state"
 	drainRoute  = "/v1/drain"
@@ -29,7 +29,7 @@
 	return p.printJSON(resp.body)
 }
 
-// DrainCommand begins the graceful shutdown of the instance at --server.
+// DrainCommand starts the graceful shutdown of the instance at --server.
 type DrainCommand struct{ ClientOptions }
 
 func (c *DrainCommand) execute(ctx context.Context, p *Program) error {
@@ -44,15 +44,15 @@
 	if c.JSON {
 		return p.printJSON(resp.body)
 	}
-	_, err = fmt.Fprintf(p.Out, "%s drains: it takes no new work and ends once its calls have ended\n", c.Server)
+	_, err = fmt.Fprintf(p.Out, "%s is draining: it accepts no new work and exits once its calls have ended\n", c.Server)
 	return err
 }
 
-// StatusCommand tells whether the instance at --server is healthy and ready. The
+// StatusCommand prints whether the instance at --server is healthy and ready. The
 // exit code is 1 if it is not ready.
 type StatusCommand struct{ ClientOptions }
 
-// health is the answer of the health routes.
+// health is the response body of the health and readiness routes.
 type health struct {
 	State  string `json:"state"`
 	Detail string `json:"detail,omitempty"`
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -18,30 +18,31 @@
 	exitUsage  = 2
 )
 
-// Program is the command line with its surroundings.
+// Program runs the command line.
 type Program struct {
-	// Version is what "version" prints.
+	// Version is printed by the version command.
 	Version string
-	// RunInstance runs an instance until the context ends and it has
-	// drained.
+	// RunInstance runs an instance until the context is cancelled and the
+	// instance has drained.
 	RunInstance func(ctx context.Context, config RunConfig) error
 	Out         io.Writer
 	Err         io.Writer
 }
 
-// command is a subcommand that was chosen.
+// command is implemented by each subcommand.
 type command interface {
 	execute(ctx context.Context, p *Program) error
 }
 
-// errUsage is the error of a command line that parses but makes no sense.
+// errUsage marks errors of a command line that parses but has invalid or
+// contradicting values.
 var errUsage = errors.New("wrong usage")
 
-// errReported is the error of a failure that has been printed already.
+// errReported is returned by commands that have already printed their failure.
 var errReported = errors.New("reported")
 
 // Main parses the arguments (without the program's name), runs the command and
-// gives the exit code.
+// returns the exit code.
 func (p *Program) Main(ctx context.Context, arguments []string) int {
 	var args Args
 	parser, err := arg.NewParser(arg.Config{Program: programName}, &args)
@@ -59,12 +60,12 @@
 	}
 	chosen, ok := parser.Subcommand().(command)
 	if !ok {
-		return p.usage(parser, errors.New("a command is missing"))
+		return p.usage(parser, errors.New("missing command"))
 	}
 	return p.finish(parser, chosen.execute(ctx, p))
 }
 
-// finish prints an error and gives the exit code.
+// finish prints the error, if any, and returns the exit code.
 func (p *Program) finish(parser *arg.Parser, err error) int {
 	switch {
 	case err == nil:
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -11,7 +11,7 @@
 
 const programsRoute = "/v1/programs"
 
-// programView is a program as an instance shows it.
+// programView is a program in the responses of the API.
 type programView struct {
 	ID          string            `json:"id"`
 	Team        string            `json:"team"`
@@ -94,7 +94,7 @@
 	return p.oneProgram(ctx, c.ClientOptions, http.MethodDelete, c.ID)
 }
 
-// oneProgram sends a request about a program and shows the program.
+// oneProgram sends a request for one program and prints the program returned.
 func (p *Program) oneProgram(ctx context.Context, options ClientOptions, method, id string) error {
 	client, err := options.client()
 	if err != nil {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -16,7 +16,7 @@
 	"github.com/banyanglade/banyanglade/internal/settings"
 )
 
-// Ranges of the flags of an instance.
+// Limits of the flag values.
 const (
 	maxShards       = 1 << 16
 	minPeerKeyBytes = 16
@@ -26,13 +26,14 @@
 	maxBodyBytes    = 1 << 30
 )
 
-// RunCommand is the flags of an instance.
+// RunCommand runs an instance.
 type RunCommand struct {
 	RunConfig
 	PeerKeyFile string `arg:"--peer-key-file,env:BANYANGLADE_PEER_KEY_FILE" placeholder:"FILE" help:"file that holds the peer key, if BANYANGLADE_PEER_KEY is not set"`
 }
 
-// RunConfig is what an instance learns from its flags and environment variables.
+// RunConfig is the configuration of an instance, set by flags or environment
+// variables.
 type RunConfig struct {
 	ID         string `arg:"--id,env:BANYANGLADE_ID" help:"id of this instance, unique among all instances"`
 	Region     string `arg:"--region,env:BANYANGLADE_REGION" help:"region, the group of data centres that share programs"`
@@ -58,7 +59,7 @@
 	MaxBody      int64         `arg:"--max-body,env:BANYANGLADE_MAX_BODY" default:"8388608" placeholder:"BYTES" help:"largest request body"`
 }
 
-// ConfigError tells which flag is wrong and what was expected.
+// ConfigError reports a flag with a wrong value and what was expected.
 type ConfigError struct {
 	Flag     string
 	Value    string
@@ -86,7 +87,7 @@
 	return p.RunInstance(ctx, c.RunConfig)
 }
 
-// readPeerKey takes the peer key from its file if it is not set.
+// readPeerKey reads the peer key from its file unless the key is set directly.
 func (c *RunCommand) readPeerKey() error {
 	if c.PeerKey.Reveal() != "" || c.PeerKeyFile == "" {
 		return nil
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Validate checks each value and returns a ConfigError for the first wrong one.
+// Validate returns a *ConfigError for the first invalid value.
 func (c RunConfig) Validate() error {
 	for _, check := range []func() error{c.validateNames, c.validateAddresses, c.validateKeys, c.validateLimits} {
 		if err := check(); err != nil {
@@ -149,7 +150,8 @@
 	return nil
 }
 
-// validateAdvertised checks that other instances get an address they can reach.
+// validateAdvertised checks that the address advertised to other instances can be
+// reached: not an unspecified address such as 0.0.0.0.
 func (c RunConfig) validateAdvertised() error {
 	if c.PeerAdvertise == "" {
 		listen, _ := netip.ParseAddrPort(c.PeerListen)
@@ -171,8 +173,8 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && u.User == nil && u.RawQuery == ""
 }
 
-// redactURL is a URL without the password that it may carry; a text that is no URL
-// is not shown at all if it could hold one.
+// redactURL removes the password and the query of a URL. A text that does not parse
+// is hidden as a whole if it may contain a password.
 func redactURL(text string) string {
 	u, err := url.Parse(text)
 	switch {
@@ -187,7 +189,7 @@
 	return text
 }
 
-// validateKeys checks the keys without showing them.
+// validateKeys checks the keys. Its errors contain no secrets.
 func (c RunConfig) validateKeys() error {
 	if n := len(c.PeerKey.Reveal()); n < minPeerKeyBytes || n > maxPeerKeyBytes {
 		return &ConfigError{"peer-key-file", "", "a peer key of at least 16 bytes, here or in BANYANGLADE_PEER_KEY"}
--- a/internal/cli/run_test.go
+++ b/internal/cli/run_test.go
@@ -15,7 +15,7 @@
 
 const testPeerKey = "a-peer-key-of-32-bytes-----------"
 
-// loadExampleEnv sets the environment of an example instance.
+// loadExampleEnv sets the environment variables of an example instance.
 func loadExampleEnv(t *testing.T, name string) {
 	t.Helper()
 	data, err := os.ReadFile("../../examples/" + name + "/instance.env")
@@ -29,7 +29,7 @@
 		}
 		key, value, ok := strings.Cut(line, "=")
 		if !ok {
-			t.Fatalf("line %q", line)
+			t.Fatalf("line %q: expected KEY=VALUE", line)
 		}
 		t.Setenv(key, value)
 	}
--- a/internal/cli/secret.go
+++ b/internal/cli/secret.go
@@ -4,22 +4,22 @@
 
 const redacted = "(hidden)"
 
-// Secret is a text that is never printed, logged or encoded.
+// Secret is a string that is redacted when printed, logged or encoded.
 type Secret struct{ text string }
 
-// NewSecret hides a text.
+// NewSecret returns a secret with the given text.
 func NewSecret(text string) Secret { return Secret{text: text} }
 
-// Reveal gives the text itself.
+// Reveal returns the secret text.
 func (s Secret) Reveal() string { return s.text }
 
-// UnmarshalText reads the text from a flag or environment variable.
+// UnmarshalText sets the secret from a flag or environment variable.
 func (s *Secret) UnmarshalText(text []byte) error {
 	s.text = string(text)
 	return nil
 }
 
-// String hides the text.
+// String returns a placeholder, or an empty string if the secret is empty.
 func (s Secret) String() string {
 	if s.text == "" {
 		return ""
@@ -27,11 +27,11 @@
 	return redacted
 }
 
-// GoString hides the text from %#v.
+// GoString redacts the secret in %#v.
 func (s Secret) GoString() string { return s.String() }
 
-// MarshalText hides the text from encoders.
+// MarshalText redacts the secret in encoded output.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// LogValue hides the text from logs.
+// LogValue redacts the secret in logs.
 func (s Secret) LogValue() slog.Value { return slog.StringValue(s.String()) }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -21,7 +21,7 @@
 	appliedRoute  = "/v1/settings/applied"
 )
 
-// SettingsGet shows settings.
+// SettingsGet prints the settings at and below a path.
 type SettingsGet struct {
 	ClientOptions
 	Path string `arg:"positional" help:"path such as teams/lakeshore or services/filing-desk; all if not given"`
@@ -50,7 +50,7 @@
 	return p.printTable([]string{"PATH", "VALUE", "VERSION", "AUTHOR", "TIME"}, rows)
 }
 
-// SettingsHistory shows past changes.
+// SettingsHistory prints the last changes at and below a path.
 type SettingsHistory struct {
 	ClientOptions
 	Path string `arg:"positional" help:"path such as teams/lakeshore/priority; all if not given"`
@@ -79,7 +79,7 @@
 	return p.printTable([]string{"VERSION", "PATH", "VALUE", "AUTHOR", "TIME"}, rows)
 }
 
-// SettingsSet changes one setting.
+// SettingsSet changes or removes one setting.
 type SettingsSet struct {
 	ClientOptions
 	Path     string  `arg:"positional,required" help:"path such as teams/lakeshore/clearance/priority"`
@@ -112,7 +112,7 @@
 	return p.change(ctx, client, c.JSON, []settingsChange{change})
 }
 
-// settingValue takes JSON as it is and any other text as a string.
+// settingValue returns valid JSON unchanged and any other text as a JSON string.
 func settingValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
@@ -129,14 +129,14 @@
 	ChangeID string          `json:"change_id"`
 }
 
-// settingsAccepted is the answer of PUT /v1/settings.
+// settingsAccepted is the response of PUT /v1/settings.
 type settingsAccepted struct {
 	Status  string `json:"status"`
 	Version uint64 `json:"version"`
 	Offset  uint64 `json:"offset"`
 }
 
-// change publishes changes, all or none, and prints what became of them.
+// change publishes the changes atomically and prints the outcome.
 func (p *Program) change(ctx context.Context, client *client, asJSON bool, changes []settingsChange) error {
 	body := struct {
 		Changes []settingsChange `json:"changes"`
@@ -159,7 +159,7 @@
 	return err
 }
 
-// version reads the present version of a path, 0 if it never had a value.
+// version returns the current version of a path, 0 if the path never had a value.
 func (c *client) version(ctx context.Context, path string) (uint64, error) {
 	list, err := c.listing(ctx, path)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return 0, nil
 }
 
-// listing reads a part of the tree; it is empty if there is nothing.
+// listing returns the settings at and below a path, empty if there are none.
 func (c *client) listing(ctx context.Context, path string) (settings.Listing, error) {
 	var list settings.Listing
 	resp, err := c.get(ctx, settingsRoute, pathQuery(path))
@@ -187,7 +187,8 @@
 	return list, resp.decode(&list)
 }
 
-// SettingsApplied shows which offset each instance has applied.
+// SettingsApplied prints the offset up to which each instance has applied the
+// settings.
 type SettingsApplied struct{ ClientOptions }
 
 func (c *SettingsApplied) execute(ctx context.Context, p *Program) error {
@@ -212,7 +213,8 @@
 	return p.printTable([]string{"INSTANCE", "APPLIED", "STATE"}, appliedRows(reply.Applied, reply.Missing))
 }
 
-// appliedRows compares each instance with the newest.
+// appliedRows returns a row for each instance with its distance from the newest
+// offset.
 func appliedRows(applied map[string]uint64, missing []string) [][]string {
 	var newest uint64
 	var rows [][]string
--- a/internal/cli/settingsfile.go
+++ b/internal/cli/settingsfile.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// SettingsCheck checks a settings file offline.
+// SettingsCheck validates a settings file without an instance.
 type SettingsCheck struct {
 	File string `arg:"positional,required" help:"settings file (YAML)"`
 }
@@ -28,7 +28,8 @@
 	return err
 }
 
-// readSettingsFile reads and checks a settings file and prints its errors, one a line.
+// readSettingsFile reads and validates a settings file. Validation errors are
+// printed, one per line, and result in errReported.
 func (p *Program) readSettingsFile(name string) ([]structs.SettingChange, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -49,7 +50,8 @@
 	return changes, nil
 }
 
-// SettingsPublish publishes what differs between a file and the tree.
+// SettingsPublish publishes the settings of a file that differ from the current
+// ones.
 type SettingsPublish struct {
 	ClientOptions
 	File   string `arg:"positional,required" help:"settings file (YAML)"`
@@ -85,8 +87,8 @@
 	return p.change(ctx, client, c.JSON, changes)
 }
 
-// commonPath is the deepest path that holds all changes, so that an operator of
-// a team asks only for what it may read.
+// commonPath returns the deepest path above all changes. Listing only this path
+// lets an operator of a team publish without read access to the whole tree.
 func commonPath(changes []structs.SettingChange) string {
 	common := parent(strings.Split(changes[0].Path, "/"))
 	for _, change := range changes[1:] {
@@ -102,8 +104,8 @@
 
 func parent(segments []string) []string { return segments[:len(segments)-1] }
 
-// diffSettings gives the changes that take the tree to the wanted values. All have
-// one change id, as they apply together.
+// diffSettings returns the changes that bring the tree to the desired values. They
+// share one change id since they are applied together.
 func diffSettings(desired []structs.SettingChange, current []settings.Entry) []settingsChange {
 	entries := make(map[string]settings.Entry, len(current))
 	for _, e := range current {
@@ -121,7 +123,8 @@
 	return changes
 }
 
-// printPlan shows what changes, and what the tree holds beside the file.
+// printPlan prints the changes, and the number of settings that are in the tree but
+// not in the file.
 func (p *Program) printPlan(changes []settingsChange, desired []structs.SettingChange, current []settings.Entry) error {
 	var rows [][]string
 	for _, change := range changes {
@@ -136,12 +139,13 @@
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(p.Out, "%d to change, %d as wanted already, %d in the tree but not in the file (left as they are)\n",
+	_, err := fmt.Fprintf(p.Out, "%d to change, %d up to date, %d in the tree but not in the file (left as they are)\n",
 		len(changes), len(desired)-len(changes), countUnlisted(desired, current))
 	return err
 }
 
-// planValue hides the hashes of credentials.
+// planValue returns the value to print for a change; hashes of credentials are
+// redacted.
 func planValue(change settingsChange) string {
 	if strings.Contains(change.Path, "/credentials/") {
 		return redacted
