--- a/cmd/banyanglade/instance.go
+++ b/cmd/banyanglade/instance.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/node"
 )
 
-// runInstance runs an instance that logs JSON lines to standard error.
+// runInstance runs an instance that logs to standard error as JSON lines.
 func runInstance(ctx context.Context, cfg cli.RunConfig) error {
 	handler := slog.NewJSONHandler(os.Stderr, &slog.HandlerOptions{Level: cfg.LogLevel})
 	log := slog.New(handler).With("instance", cfg.ID)
--- a/cmd/banyanglade/main.go
+++ b/cmd/banyanglade/main.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/cli"
 )
 
-// version is set by the linker for a release.
+// version is set by the linker in release builds.
 var version = ""
 
 func main() {
@@ -22,8 +22,8 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// The first signal starts the graceful shutdown; with the handler gone, a
-	// second one ends the process at once.
+	// The first signal starts the graceful shutdown and removes the handler, so
+	// that a second one terminates the process immediately.
 	context.AfterFunc(ctx, stop)
 	program := cli.Program{
 		Version:     buildVersion(),
@@ -34,7 +34,7 @@
 	return program.Main(ctx, os.Args[1:])
 }
 
-// buildVersion is the linked version, or else the revision of the source.
+// buildVersion returns the version set by the linker, or else the source revision.
 func buildVersion() string {
 	if version != "" {
 		return version
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures the decisions of the dispatcher with a virtual clock;
-// see package bench.
+// Command bench compares scheduling policies of the dispatcher on simulated
+// workloads; see package bench.
 package main
 
 import (
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -1,5 +1,6 @@
-// Command load drives real instances beside stand-in targets and prints what
-// callers see and what control costs; see package load.
+// Command load runs load tests against instances with stand-in targets, and prints
+// latencies at the callers and the resource usage of the instances; see package
+// load.
 package main
 
 import (
@@ -92,7 +93,7 @@
 	case args.Held != nil:
 		err = args.held(ctx)
 	default:
-		parser.Fail("a subcommand is missing")
+		parser.Fail("missing subcommand")
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -125,7 +126,7 @@
 		Setup: a.setup(), Programs: a.Overhead.Programs, Calls: calls, Tokens: tokens,
 		Callers: a.Overhead.Callers, Repeats: a.Repeats,
 	}
-	// Without a cost of the prompt, direct calls need no cache.
+	// Prefill costs no time, so that direct calls do not depend on the prefix cache.
 	o.Model.StepPerPrefillToken, o.Model.PrefillChunk = -1, engine.DefaultCacheCapacity
 	return load.RunOverhead(ctx, os.Stdout, o)
 }
--- a/cmd/proofs/main.go
+++ b/cmd/proofs/main.go
@@ -1,6 +1,6 @@
-// Command proofs runs the scenarios of internal/proofs against the product's
-// binary, prints a line for each and the recovery figures, and fails if
-// anything was violated. It is for developers and no part of the product.
+// Command proofs runs the failure scenarios of package proofs against a built
+// executable, and prints a line for each scenario and the recovery times. It exits
+// with status 1 if an invariant was violated. It is a developer tool.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/banyanglade/banyanglade/internal/proofs"
 )
 
-// args are the flags.
+// args holds the flags.
 type args struct {
 	Instance  string   `arg:"--instance" default:"bin/banyanglade" help:"path of the product's binary"`
 	Only      []string `arg:"--only" help:"names of the scenarios to run; all if none"`
@@ -29,13 +29,13 @@
 	List      bool     `arg:"--list" help:"list the scenarios and end"`
 }
 
-// Description tells what the command does.
+// Description returns the introduction of the help text.
 func (args) Description() string {
 	return "Runs the failure scenarios against real instances and checks what must always hold."
 }
 
-// errViolated is the error of a run in which something was violated.
-var errViolated = errors.New("what must always hold was violated")
+// errViolated is returned if a scenario violated an invariant.
+var errViolated = errors.New("invariants were violated")
 
 func main() {
 	var a args
@@ -71,7 +71,7 @@
 	return errors.CombineErrors(err, figures(ctx, a))
 }
 
-// onlyFigures tells whether the flags ask for the recovery figures alone.
+// onlyFigures reports whether only the recovery times are to be measured.
 func (a args) onlyFigures() bool { return a.Parallel == 0 }
 
 func list() {
--- a/cmd/proofs/report.go
+++ b/cmd/proofs/report.go
@@ -13,8 +13,8 @@
 	"github.com/banyanglade/banyanglade/internal/proofs"
 )
 
-// runScenarios runs the scenarios, a few at once, and prints a line for each as
-// it ends.
+// runScenarios runs the scenarios, up to a.Parallel at once, and prints a line for
+// each when it ends.
 func runScenarios(ctx context.Context, a args, scenarios []proofs.Scenario) error {
 	keep, err := os.MkdirTemp("", "banyanglade-proofs-")
 	if err != nil {
@@ -41,20 +41,20 @@
 	}
 	_ = group.Wait()
 	if ctx.Err() != nil {
-		return errors.Wrap(ctx.Err(), "interrupted, the verdicts above may be of scenarios cut short")
+		return errors.Wrap(ctx.Err(), "interrupted, some of the scenarios above may be incomplete")
 	}
 	if violated > 0 {
-		fmt.Printf("%d of %d scenarios violated something; repeat with --seed %d\n", violated, len(scenarios), a.Seed)
+		fmt.Printf("%d of %d scenarios violated invariants; repeat with --seed %d\n", violated, len(scenarios), a.Seed)
 		return errViolated
 	}
-	fmt.Printf("%d scenarios, nothing violated\n", len(scenarios))
+	fmt.Printf("%d scenarios, no violations\n", len(scenarios))
 	if a.Keep {
 		return nil
 	}
 	return os.RemoveAll(keep)
 }
 
-// shownViolations bounds the violations printed of one scenario.
+// shownViolations is the maximum number of violations printed for a scenario.
 const shownViolations = 5
 
 func printResult(r proofs.Result) {
@@ -75,11 +75,11 @@
 	}
 }
 
-// figures measures and prints the recovery figures.
+// figures measures and prints the recovery times.
 func figures(ctx context.Context, a args) error {
 	for i, instances := range a.Instances {
 		if i == 0 {
-			fmt.Println("recovery: from the kill of a program's owner to its next answer")
+			fmt.Println("recovery: time from the kill of a program's owner to its next answer")
 		}
 		r, err := proofs.MeasureRecovery(ctx, a.Instance, instances, a.Kills, a.Seed)
 		if err != nil {
--- a/cmd/quickstart/main.go
+++ b/cmd/quickstart/main.go
@@ -1,6 +1,6 @@
-// Command quickstart starts the stand-ins and three instances, runs one program
-// through them, prints what happened and leaves no process behind. It is for
-// trying banyanglade and no part of the product.
+// Command quickstart starts the stand-ins and three instances, runs one example
+// program through them, prints the calls and stops all processes. It is a
+// demonstration.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// timeLimit bounds the whole run without -keep.
+// timeLimit bounds the run, except for the wait with -keep.
 const timeLimit = 50 * time.Second
 
 func main() {
@@ -46,7 +46,7 @@
 	if err := cluster.Configure(limited, testkit.UsualSettings()); err != nil {
 		return err
 	}
-	fmt.Printf("Three instances and the stand-ins are up after %s.\n", time.Since(started).Round(time.Millisecond))
+	fmt.Printf("Three instances and the stand-ins are ready after %s.\n", time.Since(started).Round(time.Millisecond))
 	if err := newTour(cluster).run(limited); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 }
 
 func waitInterrupt(ctx context.Context, cluster *testkit.Cluster) {
-	fmt.Println("\nEverything stays up. Try, in another shell:")
+	fmt.Println("\nAll processes keep running. Try in another shell:")
 	for _, p := range cluster.Instances {
 		fmt.Printf("  export BANYANGLADE_SERVER=%s   # %s in %s\n", p.Server, p.ID, p.DataCentre)
 	}
@@ -65,6 +65,6 @@
 	fmt.Println("  bin/banyanglade settings get teams")
 	fmt.Println("  bin/banyanglade programs list")
 	fmt.Println("  bin/banyanglade dump")
-	fmt.Printf("The caller's key is %s. Interrupt to end.\n", testkit.CallerKey)
+	fmt.Printf("The caller's key is %s. Interrupt to stop.\n", testkit.CallerKey)
 	<-ctx.Done()
 }
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -14,16 +14,16 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// killAtChunk is the piece of a streamed answer at which the owner is killed.
+// killAtChunk is the chunk of a streamed answer at which the owner is killed.
 const killAtChunk = 10
 
-// tour is one program's way through the instances.
+// tour runs the calls of one program through the instances.
 type tour struct {
 	cluster  *testkit.Cluster
 	program  string
 	messages []wire.ChatMessage
 	number   int
-	// onPiece hears the pieces of the next streamed answer.
+	// onPiece is called for each chunk of the next streamed answer.
 	onPiece func(number int)
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// client gives a caller of the n-th instance, as a balancer would pick it.
+// client returns a client of the n-th instance, simulating a load balancer.
 func (t *tour) client(n int) *testkit.Client {
 	p := t.cluster.Instances[n%len(t.cluster.Instances)]
 	return testkit.NewClient(p.Server, testkit.CallerKey)
@@ -72,7 +72,7 @@
 }
 
 // killOwner kills the program's owner in the middle of a streamed answer. The
-// caller's instance hands the call to the next owner, which resumes the stream
+// caller's instance forwards the call to the next owner, which resumes the stream
 // at the engine.
 func (t *tour) killOwner(ctx context.Context) error {
 	owner, err := t.owner(ctx)
@@ -92,7 +92,7 @@
 	return err
 }
 
-// owner finds the instance that owns the program.
+// owner returns the instance that owns the program.
 func (t *tour) owner(ctx context.Context) (*testkit.Process, error) {
 	answer, err := t.client(0).Do(ctx, http.MethodGet, "/v1/programs/"+t.program, nil, testkit.Call{})
 	if err != nil {
@@ -116,7 +116,7 @@
 		return err
 	}
 	if answer.Problem != nil {
-		return errors.Newf("close: %s", answer.Body)
+		return errors.Newf("close the program: %s", answer.Body)
 	}
 	return nil
 }
@@ -135,9 +135,9 @@
 		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, answer.Status, answer.Cut, answer.Body, answer.Problem)
 	}
 	t.messages = append(t.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
-	what := "chat, whole"
+	what := "chat, not streamed"
 	if stream {
-		what = fmt.Sprintf("chat, streamed in %d pieces", answer.Pieces)
+		what = fmt.Sprintf("chat, streamed in %d chunks", answer.Pieces)
 	}
 	t.print(what, instance, answer)
 	return nil
@@ -163,7 +163,7 @@
 	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, answer.Outcome, answer.Took.Round(time.Millisecond))
 }
 
-// checkLedger reads at the targets that the filing ran once.
+// checkLedger checks the ledgers of the targets: the filing must have run once.
 func (t *tour) checkLedger() error {
 	sent := 0
 	for _, service := range t.cluster.Services {
@@ -175,7 +175,7 @@
 	}
 	fmt.Printf("\nThe filing was sent twice by the caller and ran %d time(s) at the targets.\n", sent)
 	if sent != 1 {
-		return errors.Newf("the filing ran %d times", sent)
+		return errors.Newf("the filing ran %d times, expected 1", sent)
 	}
 	return nil
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays seeds of the fault soak (internal/soak) with a built
-// instance program and prints what broke.
+// Command soak runs the randomized fault test (package soak) against a built
+// executable, one run per seed, and prints the violations.
 package main
 
 import (
@@ -40,7 +40,7 @@
 	fmt.Printf("%d seeds, none failed\n", a.Seeds)
 }
 
-// runSeeds plays all seeds and returns how many failed.
+// runSeeds runs all seeds and returns how many failed.
 func (a *args) runSeeds(ctx context.Context) int {
 	var mu sync.Mutex
 	var work sync.WaitGroup
@@ -62,11 +62,11 @@
 	return failed
 }
 
-// runSeed plays a seed and keeps its logs if it failed.
+// runSeed runs one seed and returns whether it passed. Its logs are kept if not.
 func (a *args) runSeed(ctx context.Context, seed uint64) bool {
 	dir, err := os.MkdirTemp(a.Keep, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
-		fmt.Println("make a folder:", err)
+		fmt.Println("create the log folder:", err)
 		return false
 	}
 	result, err := soak.Run(ctx, soak.Options{
@@ -75,7 +75,7 @@
 	})
 	if err == nil && len(result.Violations) == 0 {
 		fmt.Printf("seed %d: %d of %d attempts served, %d faults\n", seed, result.Served, result.Attempts, len(result.Faults))
-		_ = os.RemoveAll(dir) // a folder that stays does no harm
+		_ = os.RemoveAll(dir)
 		return true
 	}
 	if err != nil {
@@ -87,7 +87,7 @@
 		fmt.Println("write the report:", err)
 		return false
 	}
-	defer func() { _ = report.Close() }() // what is lost of it was printed
+	defer func() { _ = report.Close() }() // best effort
 	for _, line := range append(result.Violations, result.Faults...) {
 		_, _ = fmt.Fprintln(report, line)
 	}
--- a/cmd/standins/args.go
+++ b/cmd/standins/args.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// args are the command's flags.
+// args holds the flags.
 type args struct {
 	Places         []cluster.Place `arg:"--place,separate" placeholder:"REGION/DATA-CENTRE" help:"a data centre; repeatable [default: r1/dc1]"`
 	ExitWithParent bool            `arg:"--exit-with-parent" help:"exit when standard input closes"`
@@ -65,7 +65,7 @@
 	Dedupe       bool          `arg:"--dedupe" help:"tool and plain targets run an idempotency key once"`
 }
 
-// defaultArgs holds the defaults that are constants of the packages.
+// defaultArgs returns flags with the defaults that are constants of other packages.
 func defaultArgs() args {
 	var args args
 	args.Slots = engine.DefaultSlots
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -1,18 +1,17 @@
-// Command standins serves the test stand-ins of the systems outside
-// banyanglade on loopback: the log service, the membership list, model engines
-// and tool and plain services. It is for tests and trials and no part of the
-// product.
+// Command standins serves test stand-ins of the external systems on loopback: the
+// log service, the membership list, model engines, and tool and plain services. It
+// is a tool for tests.
 //
-// When everything listens it writes one JSON line to standard output:
+// Once all stand-ins listen it writes one JSON line to standard output:
 //
 //	{"log":"http://…","members":"http://…","targets":[…]}
 //
-// Faults are set by POST /standin/faults on each URL; POST /standin/stop on a
-// target ends it as a crash does; GET /standin/ledger on a target lists what it
-// ran, and GET /standin/stats on the log what was appended.
+// POST /standin/faults on each URL sets faults. POST /standin/stop on a target
+// simulates a crash. GET /standin/ledger on a target lists the requests that it
+// ran, and GET /standin/stats on the log returns append statistics.
 //
-// It ends with status 0 on SIGTERM or SIGINT, and with --exit-with-parent also
-// when its standard input closes.
+// It exits with status 0 on SIGTERM or SIGINT, and with --exit-with-parent also
+// when its standard input is closed.
 package main
 
 import (
@@ -56,11 +55,11 @@
 		return errors.Wrap(err, "write the ready line")
 	}
 	<-ctx.Done()
-	slog.Info("stand-ins end")
+	slog.Info("stand-ins stopped")
 	return nil
 }
 
-// withInputClose returns a context that ends also when the input closes.
+// withInputClose returns a context that is also cancelled when the input is closed.
 func withInputClose(ctx context.Context, input io.Reader) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -35,7 +35,7 @@
 }
 
 // errUsage marks errors of a command line that parses but has invalid or
-// contradicting values.
+// conflicting values.
 var errUsage = errors.New("wrong usage")
 
 // errReported is returned by commands that have already printed their failure.
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// callerTimeout is how long a caller waits for an answer.
+	// callerTimeout is how long a caller waits for a response.
 	callerTimeout = 3500 * time.Millisecond
-	// maxRetryWait bounds what a caller waits before it comes back.
+	// maxRetryWait caps the Retry-After delay that a caller honours.
 	maxRetryWait = 700 * time.Millisecond
 )
 
-// caller makes requests over connections that it keeps: it stays with an
-// instance until that is gone.
+// caller sends requests over persistent connections to one instance, and switches to
+// another when that fails.
 type caller struct {
 	deployment   *deployment
 	rng          *rand.Rand
@@ -42,28 +42,28 @@
 	}
 }
 
-// switchInstance goes on to another instance.
+// switchInstance picks a random instance for the next requests.
 func (c *caller) switchInstance() {
 	c.instance = c.deployment.instances[c.rng.IntN(len(c.deployment.instances))]
 }
 
-// request is what a request asks.
+// request describes a request before it is sent.
 type request struct {
 	kind    kind
 	path    string
 	program string
 	body    string
 	header  map[string]string
-	// forged tells that it carries a key that nobody holds.
+	// forged requests carry a key that no organisation holds.
 	forged bool
-	// readDelay is how long the answer is left unread once it begins.
+	// readDelay is the time from the response headers to the first read of the body.
 	readDelay time.Duration
-	// stored and previous are those of the attempt.
+	// stored and previous are as in attempt.
 	stored   bool
 	previous string
 }
 
-// send makes one attempt and notes what came of it.
+// send makes one attempt and records its outcome.
 func (c *caller) send(ctx context.Context, req request) *attempt {
 	a := &attempt{
 		id: strconv.FormatUint(c.rng.Uint64(), 16), program: req.program, kind: req.kind, body: req.body,
@@ -90,11 +90,11 @@
 	if err != nil {
 		panic(errors.AssertionFailedf("make a request: %v", err))
 	}
-	r.GetBody = nil // a request is sent again by the caller alone, under another id
+	r.GetBody = nil // prevents transport retries, which would reuse the request id
 	r.Host = host
 	r.Header.Set("Banyanglade-Request-Id", a.id)
 	r.Header.Set("Banyanglade-Credential", key)
-	// Only the system may tell a target whose request it is.
+	// A spoofed organisation must not reach the target.
 	r.Header.Set("Banyanglade-Tenant", organisations[1].name)
 	r.Header.Set("Banyanglade-Deadline-Ms", strconv.FormatInt(callerTimeout.Milliseconds(), 10))
 	for name, value := range req.header {
@@ -125,7 +125,7 @@
 	return a
 }
 
-// readEvents notes the whole events that arrive.
+// readEvents records the events that arrive complete.
 func (a *attempt) readEvents(body io.Reader) error {
 	reader := bufio.NewReader(body)
 	number, data := 0, ""
@@ -141,7 +141,7 @@
 		switch {
 		case strings.HasPrefix(line, "id: "):
 			if number, err = strconv.Atoi(line[len("id: "):]); err != nil {
-				return errors.Wrap(err, "number of an event")
+				return errors.Wrap(err, "parse the event id")
 			}
 		case strings.HasPrefix(line, "data: "):
 			data = line[len("data: "):]
@@ -153,11 +153,11 @@
 	}
 }
 
-// maxAttempts is how often a caller makes a turn or a call.
+// maxAttempts is the maximum number of attempts of a turn or call.
 const maxAttempts = 3
 
-// sendWithRetry makes attempts until one is answered, and returns the last one. It tells
-// whether the program may go on.
+// sendWithRetry makes attempts until one succeeds and returns the last one. proceed is
+// false if the turn or call must not be retried.
 func (c *caller) sendWithRetry(ctx context.Context, req request) (last *attempt, proceed bool) {
 	for range maxAttempts {
 		a := c.send(ctx, req)
@@ -168,7 +168,7 @@
 		case a.status == http.StatusPaymentRequired, a.status == statusNotFound, ctx.Err() != nil:
 			return a, false
 		case req.kind == once && (a.status == 0 || a.status >= http.StatusInternalServerError) && a.status != http.StatusServiceUnavailable:
-			return a, false // it may have run
+			return a, false // may have run
 		}
 		if a.status == 0 || a.aborted {
 			c.switchInstance()
@@ -178,18 +178,17 @@
 	return last, true
 }
 
-// turnsBeyondBudget is how many more turns a program that does not stop makes after it
-// was told that its budget is spent.
+// turnsBeyondBudget is how many turns of a lane may be refused before the lane ends.
 const turnsBeyondBudget = 3
 
-// runProgram runs one program: lines of turns with calls between them.
+// runProgram runs one program: concurrent lanes of turns with calls in between.
 func (d *deployment) runProgram(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	program := fmt.Sprintf("p%x", rng.Uint64())
 	turns := 1 + rng.IntN(8)
 	budget := turns * maxTurnTokens
 	if rng.IntN(5) == 0 {
-		turns = 1000 // it never stops by itself
+		turns = 1000 // runs into its budget
 	}
 	d.history.recordProgram(program, budget)
 	lanes := 1 + rng.IntN(3)
@@ -229,10 +228,10 @@
 	}
 }
 
-// turnsPerForgedKey is after how many turns a caller tries a forged key.
+// turnsPerForgedKey is the number of turns between two requests with a forged key.
 const turnsPerForgedKey = 6
 
-// newTurn is a program's turn of some events.
+// newTurn returns a turn that generates the given number of events.
 func newTurn(program string, budget, events int, nonce uint64) request {
 	return request{
 		kind: turn, path: "/turn/x", program: program, body: fmt.Sprintf("%d %s %x", events, program, nonce),
@@ -243,14 +242,15 @@
 	}
 }
 
-// conversation is the conversation of a line of turns, if the system keeps it.
+// conversation is the sequence of stored turns of a lane, unless the lane sends turns
+// that are not stored.
 type conversation struct {
 	caller   *caller
 	stored   bool
 	previous string
 }
 
-// newConversation begins a conversation, or goes on with another program's.
+// newConversation starts a conversation, or continues one of another program.
 func (c *caller) newConversation() *conversation {
 	conv := &conversation{caller: c, stored: c.rng.IntN(2) == 0}
 	if conv.stored && c.rng.IntN(3) == 0 {
@@ -259,8 +259,8 @@
 	return conv
 }
 
-// nextTurn makes the line's next turn of a question. A few name a turn that does
-// not exist.
+// nextTurn makes the request the next turn of the conversation. A few turns continue
+// one that does not exist.
 func (conv *conversation) nextTurn(req request) request {
 	if !conv.stored {
 		return req
@@ -271,24 +271,24 @@
 	return req.asStoredTurn(conv.previous)
 }
 
-// asStoredTurn makes a kept turn of a question, behind another one if that is not
-// empty.
+// asStoredTurn returns the request as a stored turn that continues the previous one,
+// or as the first turn if previous is empty.
 func (req request) asStoredTurn(previous string) request {
 	req.stored, req.path, req.previous = true, "/kept/x", previous
 	return req
 }
 
-// advance goes on behind a turn that was served.
+// advance makes the next turn continue a, if a was served.
 func (conv *conversation) advance(a *attempt) {
 	if a != nil && a.served() {
 		conv.previous = a.id
 	}
 }
 
-// probeInterval is the time between two looks at the settings of an instance.
+// probeInterval is the time between two probes of the settings of an instance.
 const probeInterval = 120 * time.Millisecond
 
-// probeSettings asks one machine over and over which version is in force.
+// probeSettings polls which version of the settings is in force at an instance.
 func (d *deployment) probeSettings(ctx context.Context, inst *instance, seed uint64) {
 	c := d.newCaller(seed)
 	c.instance = inst
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// violation is a promise that was broken.
+// violation is a violated invariant.
 type violation struct {
 	invariant string
 	detail    string
@@ -15,25 +15,25 @@
 
 func (v violation) String() string { return v.invariant + ": " + v.detail }
 
-// Promises that are checked.
+// Invariants.
 const (
-	invariantOnce        = "a request that must not repeat runs once"
-	invariantNotRun      = "a refusal that says 'not run' is true"
-	invariantComplete    = "an answer is one target's whole answer to this request"
-	invariantOrder       = "the events of a stream are in order, each once"
-	invariantBudget      = "a program gets its budget and the most of one turn at the most"
-	invariantTargets     = "an attempt runs at as many targets as its route allows"
-	invariantSent        = "a target runs what a caller sent"
-	invariantSettings    = "settings never get older in one life of an instance"
-	invariantShutdown    = "a shutdown cuts no request"
+	invariantOnce        = "a request that must not be repeated runs at most once"
+	invariantNotRun      = "a request refused as not run does not run"
+	invariantComplete    = "an answer is the complete answer of one target to this request"
+	invariantOrder       = "the events of a stream arrive in order, each once"
+	invariantBudget      = "a program receives at most its budget and the maximum of one turn"
+	invariantTargets     = "an attempt runs at no more targets than its route allows"
+	invariantSent        = "a target runs only what a caller sent"
+	invariantSettings    = "settings never revert to an older version within one incarnation of an instance"
+	invariantShutdown    = "a graceful shutdown aborts no request"
 	invariantStoredTurns = "a turn whose end was seen can be continued for its retention"
-	invariantNoCrash     = "no instance ends by itself"
-	invariantEntries     = "only what a target wrote of itself names a target to use"
-	invariantKeys        = "a target runs what a key lets in, told its organisation and not the key"
-	invariantLimits      = "an organisation stays within its limit, over all instances"
+	invariantNoCrash     = "no instance exits by itself"
+	invariantEntries     = "only entries that a target wrote itself are used"
+	invariantKeys        = "a target runs only requests with a valid key, and receives their organisation but not the key"
+	invariantLimits      = "an organisation stays within its limit over all instances"
 )
 
-// check finds the promises that a history breaks.
+// check returns the violations in a history.
 func check(h *history) []violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,7 +42,7 @@
 		found = append(found, h.checkAttempt(a)...)
 	}
 	for _, inc := range h.crashed {
-		found = append(found, violated(invariantNoCrash, "%s; the end of its log:\n%s", inc.instance.name, inc.process.Log())...)
+		found = append(found, violated(invariantNoCrash, "%s exited; the end of its log:\n%s", inc.instance.name, inc.process.Log())...)
 	}
 	for _, s := range h.misrouted {
 		found = append(found, violated(invariantEntries, "request %s", s)...)
@@ -57,7 +57,7 @@
 	return []violation{{invariant, fmt.Sprintf(format, args...)}}
 }
 
-// checkAttempt judges one attempt that has ended.
+// checkAttempt checks one attempt that has ended.
 func (h *history) checkAttempt(a *attempt) []violation {
 	runs := h.runs[a.id]
 	switch {
@@ -73,7 +73,7 @@
 		return violated(invariantOrder, "%s received events %v", a.id, a.events)
 	}
 	if at, ok := a.incarnation.cleanShutdown(); ok && a.aborted && !a.cancelled && a.end.After(at) && ranCleanly(runs) && !a.timedOut() {
-		return violated(invariantShutdown, "%s was cut %s after SIGTERM of %s", a.id, a.end.Sub(at), a.incarnation.instance.name)
+		return violated(invariantShutdown, "%s was aborted %s after SIGTERM of %s", a.id, a.end.Sub(at), a.incarnation.instance.name)
 	}
 	if a.complete && a.status == statusOK {
 		return checkComplete(a, runs)
@@ -81,11 +81,11 @@
 	return nil
 }
 
-// timedOut tells whether an attempt was cut at its route's timeout: the end of a
-// kept turn waits that long for a store that takes no records.
+// timedOut reports whether an attempt lasted until its route's timeout. The end of a
+// stored turn waits that long if the store accepts no records.
 func (a *attempt) timedOut() bool { return a.end.Sub(a.start) >= routeTimeout }
 
-// claimsNotRun tells whether an answer promises that the request does not run.
+// claimsNotRun reports whether the response guarantees that the request does not run.
 func claimsNotRun(a *attempt) bool {
 	if a.status == http.StatusPaymentRequired {
 		return true
@@ -101,7 +101,7 @@
 	return 1
 }
 
-// countTargets counts the targets that ran an attempt and have not ended.
+// countTargets counts the targets that ran an attempt and have not been stopped.
 func (h *history) countTargets(a *attempt) int {
 	var ids []string
 	for _, r := range h.runs[a.id] {
@@ -112,8 +112,8 @@
 	return len(ids)
 }
 
-// ranCleanly tells whether a target that is still there ran the request and did
-// not break off.
+// ranCleanly reports whether the request ran, and only at targets that neither
+// injected a fault into it nor have been stopped.
 func ranCleanly(runs []*run) bool {
 	for _, r := range runs {
 		if r.faulted || r.target.stopped.Load() {
@@ -132,7 +132,7 @@
 	return true
 }
 
-// checkComplete judges an answer that looked complete.
+// checkComplete checks a response that the caller received in full.
 func checkComplete(a *attempt, runs []*run) []violation {
 	signed := false
 	for _, r := range runs {
@@ -140,7 +140,7 @@
 	}
 	switch {
 	case !signed:
-		return violated(invariantComplete, "%s got an answer signed %q", a.id, a.signature)
+		return violated(invariantComplete, "%s received an answer with signature %q", a.id, a.signature)
 	case a.kind != turn && a.received != responseBody(a.id, a.body):
 		return violated(invariantComplete, "%s received %q", a.id, a.received)
 	case a.kind == turn && len(a.events) != eventCount(a.body):
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// checkRuns judges what targets ran.
+// checkRuns checks that targets ran only requests that were sent.
 func (h *history) checkRuns() []violation {
 	for id, runs := range h.runs {
 		sent, ok := h.attemptsByID[id]
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// matchesSent tells whether a target was sent what the caller asked: the body, with
-// the conversation before it if the system keeps that.
+// matchesSent reports whether the body at the target is the one that the caller sent,
+// preceded by the conversation so far for a stored turn.
 func (h *history) matchesSent(a *attempt, body string) bool {
 	if !a.stored {
 		return body == a.body
@@ -174,8 +174,8 @@
 	return ok && body == input
 }
 
-// mustFindPrevious tells whether the turn that an attempt names had ended, for its
-// caller, before the attempt began, and may still be named.
+// mustFindPrevious reports whether the previous turn named by an attempt was served
+// before the attempt started and is within its retention.
 func (h *history) mustFindPrevious(a *attempt) bool {
 	named, ok := h.attemptsByID[a.previous]
 	return ok && named.organisation == a.organisation && named.served() && named.end.Before(a.start) && a.end.Sub(named.end) < retention
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// rollbackTolerance is how long after a version was seen an older one may still
-// answer: requests that were under way.
+// rollbackTolerance is how long after a version was observed an older one may still
+// be, because of requests in flight.
 const rollbackTolerance = 250 * time.Millisecond
 
 func (h *history) checkSettings() []violation {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// testTime is a time of a test's history.
+// testTime returns the time at an offset from the start of a test history.
 func testTime(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
-// validHistory is a history in which every promise holds, with parts that a test can
-// break.
+// validHistory is a history without violations. Tests change parts of it to cause
+// one.
 type validHistory struct {
 	*history
 	turn, safe, once, refused, stored *attempt
@@ -56,7 +56,7 @@
 	return a
 }
 
-// addProbe adds a look at the settings.
+// addProbe adds a probe of the settings.
 func (s *validHistory) addProbe(version, ms int, inForce bool) {
 	s.recordProbe(probe{incarnation: s.incarnation, version: version, start: testTime(ms), end: testTime(ms + 5), inForce: inForce})
 }
@@ -69,9 +69,9 @@
 
 func TestCheckFindsEachBrokenPromise(t *testing.T) {
 	cases := []struct {
-		name    string
-		promise string
-		breach  func(s *validHistory)
+		name      string
+		invariant string
+		violate   func(s *validHistory)
 	}{
 		{"a second run of what runs once", invariantOnce, func(s *validHistory) {
 			s.recordRun(&run{request: "o1", target: s.a, body: "y"})
@@ -94,7 +94,7 @@
 		}},
 		{"a request that nobody sent", invariantSent, func(s *validHistory) { s.recordRun(&run{request: "u1", target: s.a}) }},
 		{"another body", invariantSent, func(s *validHistory) { s.runs["o1"][0].body = "changed" }},
-		{"a turn that ended is unknown", invariantStoredTurns, func(s *validHistory) {
+		{"a turn that ended is not found", invariantStoredTurns, func(s *validHistory) {
 			s.attemptsByID["k1"].end, s.stored.end = testTime(-1), testTime(5)
 			s.stored.status = 404
 			s.runs["k2"] = nil
@@ -127,19 +127,20 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newValidHistory()
-			c.breach(s)
+			c.violate(s)
 			found := check(s.history)
 			if len(found) == 0 {
-				t.Fatal("not found")
+				t.Fatal("no violation found")
 			}
-			if !strings.Contains(fmt.Sprint(found), c.promise) {
-				t.Errorf("found %v, want %q", found, c.promise)
+			if !strings.Contains(fmt.Sprint(found), c.invariant) {
+				t.Errorf("found %v, want %q", found, c.invariant)
 			}
 		})
 	}
 }
 
-// What faults of targets and of the network do to a request is no breach.
+// Faults of targets and of the network explain failed requests; those are no
+// violations.
 func TestCheckAllowsWhatFaultsExplain(t *testing.T) {
 	s := newValidHistory()
 	s.incarnation.terminated = testTime(-1)
@@ -147,9 +148,9 @@
 	s.runs["o1"][0].faulted = true
 	s.recordRun(&run{request: "s1", target: &target{id: "c"}, body: "x", organisation: "north"})
 	s.b.stopped.Store(true)
-	// The end of a kept turn waited for the store until its route's timeout.
+	// The end of a stored turn waited for the store until its route's timeout.
 	s.stored.aborted, s.stored.complete, s.stored.end = true, false, testTime(int(routeTimeout.Milliseconds()))
-	s.addProbe(1, 210, true) // within the slack
+	s.addProbe(1, 210, true) // within the tolerance
 	if found := check(s.history); len(found) > 0 {
 		t.Error(found)
 	}
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -22,23 +22,25 @@
 	engineService   = "engine"
 	appService      = "app"
 	storePartitions = 6
-	// heartbeatInterval is how often targets write their registration, and
-	// registrationTTL when the registration of a silent one goes.
+	// heartbeatInterval is how often targets renew their registration, and
+	// registrationTTL how long a registration lasts without renewal.
 	heartbeatInterval = 1200 * time.Millisecond
 	registrationTTL   = 3 * heartbeatInterval
-	// targetDrainTime is how long a target serves on after it said that it leaves.
+	// targetDrainTime is how long a target keeps serving after it is registered as
+	// draining.
 	targetDrainTime = 3 * time.Second
-	// routeTimeout is the longest that a request takes at an instance.
+	// routeTimeout is the timeout of requests in all routes.
 	routeTimeout = 3 * time.Second
-	// retention is how long a program or a turn may come back.
+	// retention is how long a program or turn can be continued.
 	retention = time.Minute
-	// maxTargets is how many targets may run one attempt of a safe request.
+	// maxTargets is the maximum number of targets that run one attempt of a safe
+	// request.
 	maxTargets = 2
-	// maxTurnTokens is the most that a turn generates, in tokens.
+	// maxTurnTokens is the maximum number of tokens that a turn generates.
 	maxTurnTokens = eventsPerTurn * tokensPerEvent
 )
 
-// deployment is instances with their store and targets.
+// deployment is a set of instances with their store and targets.
 type deployment struct {
 	options   Options
 	history   *history
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// register writes a target's registration. The mutex is held.
+// register writes a target's registration. The caller holds the mutex.
 func (d *deployment) register(t *target, state string) {
 	d.sequence++
 	value, err := json.Marshal(map[string]any{
@@ -128,14 +130,15 @@
 	d.store.Put(platform.TopicTargets, t.id, value)
 }
 
-// randomTarget chooses a target of a service that has not been ended.
+// randomTarget returns a random target that is registered as ready.
 func (d *deployment) randomTarget(rng *rand.Rand) *target {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.targets[rng.IntN(len(d.targets))]
 }
 
-// remove takes a target off the list. It returns false if it was off already.
+// remove removes a target from the list. It returns false if the target is not
+// listed.
 func (d *deployment) remove(t *target) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,8 +151,8 @@
 	return false
 }
 
-// crashTarget ends a target at once; its registration lapses, and another takes
-// its place.
+// crashTarget stops a target without notice and starts a replacement. The
+// registration of the stopped one expires later.
 func (d *deployment) crashTarget(t *target) error {
 	if !d.remove(t) {
 		return nil
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// drainTarget replaces a target in order.
+// drainTarget replaces a target gracefully.
 func (d *deployment) drainTarget(t *target) error {
 	if !d.remove(t) {
 		return nil
@@ -176,13 +179,14 @@
 	d.mu.Unlock()
 	time.Sleep(targetDrainTime)
 	d.store.Put(platform.TopicTargets, t.id, nil)
-	// What it still runs is finished: instances may have heard late of it.
+	// Requests in flight may finish: instances may have been notified of the
+	// draining late.
 	time.Sleep(targetDrainTime)
 	t.stop()
 	return nil
 }
 
-// writeHeartbeats writes the registrations of all targets again.
+// writeHeartbeats renews the registrations of all targets.
 func (d *deployment) writeHeartbeats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -191,10 +195,11 @@
 	}
 }
 
-// versionPath is the path of a route that only one version of the settings has.
+// versionPath returns the path of a route that exists in one version of the settings
+// only.
 func versionPath(version int) string { return fmt.Sprintf("/version/%d/", version) }
 
-// publish writes the next version of the operator's settings.
+// publish publishes the next version of the operator's settings.
 func (d *deployment) publish() {
 	d.mu.Lock()
 	d.version++
@@ -240,7 +245,7 @@
 	return d.version
 }
 
-// isReady asks a machine whether it takes callers.
+// isReady reports whether an instance accepts callers.
 func isReady(ctx context.Context, inst *instance) bool {
 	reqCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -253,16 +258,16 @@
 		return false
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.Copy(io.Discard, resp.Body) // only the status counts
+	_, _ = io.Copy(io.Discard, resp.Body) // only the status matters
 	return resp.StatusCode == http.StatusOK
 }
 
-// waitReady waits until all instances take callers.
+// waitReady waits until all instances accept callers.
 func (d *deployment) waitReady(ctx context.Context) error {
 	for _, inst := range d.instances {
 		for !isReady(ctx, inst) {
 			if ctx.Err() != nil {
-				return errors.Newf("machine %s did not become ready; its log:\n%s", inst.name, inst.current().process.Log())
+				return errors.Newf("instance %s did not become ready; its log:\n%s", inst.name, inst.current().process.Log())
 			}
 			delay.Sleep(ctx, 20*time.Millisecond)
 		}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,9 +1,9 @@
-// Package soak runs instances as separate processes with stand-ins of the
-// platform's store, of targets and of callers, brings about faults from outside
-// them, and checks what callers and targets saw.
+// Package soak is a randomized fault test. It runs instances as separate processes
+// with stand-ins for the platform's store, the targets and the callers, injects
+// faults from outside the processes, and checks the recorded history of callers and
+// targets against a set of invariants.
 //
-// A run has a seed, which decides on the faults and on what callers do. The
-// processes run in real time, so that two runs of a seed are alike and not the
-// same: a seed that failed is kept with its cause, and what it found gets a test
-// of its own where the cause lies.
+// The seed of a run determines the faults and the requests of callers. Processes
+// run in real time, so runs with the same seed are similar but not identical: a
+// deterministic test in the package at fault should cover what a seed finds.
 package soak
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -14,8 +14,8 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// decoy stands at the address of entries that no target can have written. Any
-// request there shows that an instance has used one.
+// decoy is a server at the address of invalid target entries. A request to it shows
+// that an instance used such an entry.
 type decoy struct {
 	server  *http.Server
 	address string
@@ -32,14 +32,14 @@
 			h.recordMisrouted(fmt.Sprintf("%s expected %s", r.Header.Get("Banyanglade-Request-Id"), r.Header.Get("Banyanglade-Expect-Instance")))
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		})}
-	go func() { _ = d.server.Serve(listener) }() // it ends with the deployment
+	go func() { _ = d.server.Serve(listener) }() // returns when the server is closed
 	return d, nil
 }
 
-func (d *decoy) stop() { _ = d.server.Close() } // nothing is lost
+func (d *decoy) stop() { _ = d.server.Close() }
 
-// foreignEntries are what other writers put in place of a target's entry, each
-// with one fault; %s is the address.
+// foreignEntries are invalid target entries as another writer might put them, each
+// with one error; %s is the address.
 var foreignEntries = []string{
 	`{"Service":"app","Address":"%s","Zone":"dc","Version":"v1","State":"ready","ColdRemainingMs":0,"Sequence":1}`,
 	`{"Service":"app","Address":"%s","Zone":"dc","Version":"v1","Slots":"24","State":"ready","ColdRemainingMs":0,"Sequence":1}`,
@@ -50,11 +50,11 @@
 	`{"Service":"app","Address":"%s"` + "\xff",
 }
 
-// maxEntryFaultPause bounds the pause between two such faults.
+// maxEntryFaultPause bounds the pause between two entry faults.
 const maxEntryFaultPause = 1500 * time.Millisecond
 
-// runEntryFaults troubles the entries of targets until the context ends. It draws from
-// numbers of its own, so that the other faults of a seed stay what they were.
+// runEntryFaults injects faults into the entries of targets until the context ends. It
+// uses its own random stream, so that it does not change the other faults of a seed.
 func (inj *injector) runEntryFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxEntryFaultPause))))
@@ -68,7 +68,7 @@
 			key = t.id
 			fallthrough
 		default:
-			inj.inject("entry of another writer at "+key, 0, func() error {
+			inj.inject("foreign entry at "+key, 0, func() error {
 				inj.deployment.putForeignEntry(key, text)
 				return nil
 			})
@@ -76,14 +76,14 @@
 	}
 }
 
-// putForeignEntry writes an entry that no target can have written.
+// putForeignEntry writes an invalid entry that points at the decoy.
 func (d *deployment) putForeignEntry(key, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.store.Put(platform.TopicTargets, key, fmt.Appendf(nil, text, d.decoy.address))
 }
 
-// restartTarget ends a target and starts it again under its id.
+// restartTarget stops a target and starts a new one with the same id.
 func (d *deployment) restartTarget(t *target) error {
 	if !d.remove(t) {
 		return nil
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,27 +12,28 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// injector brings faults about, several at a time.
+// injector injects faults, several at a time.
 type injector struct {
 	deployment *deployment
 	rng        *rand.Rand
 	started    time.Time
 
 	mu sync.Mutex
-	// log tell what happened when.
+	// log lists the faults with their start times.
 	log []string
 	err error
-	// storeFault numbers the store's faults: the newest is the one in force.
+	// storeFault is the number of the last fault of the store, which is the one in
+	// force.
 	storeFault int
-	// restarting holds the machines with a restart under way.
+	// restarting holds the instances with a restart in progress.
 	restarting map[*instance]bool
 	work       sync.WaitGroup
 }
 
-// maxFaultPause bounds the pause between the beginnings of two faults.
+// maxFaultPause bounds the pause between the starts of two faults.
 const maxFaultPause = 500 * time.Millisecond
 
-// run brings faults about until the context ends, then waits until each is over.
+// run injects faults until the context ends, then waits until all are over.
 func (inj *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		delay.Sleep(ctx, time.Duration(inj.rng.Int64N(int64(maxFaultPause))))
@@ -42,7 +43,7 @@
 	inj.deployment.store.Set(metastore.Fault{})
 }
 
-// faultKind is a kind of fault with how often it is chosen, relative to the others.
+// faultKind is a kind of fault with its relative frequency.
 type faultKind struct {
 	weight int
 	inject func(inj *injector, inst *instance, duration time.Duration)
@@ -63,7 +64,7 @@
 	{1, (*injector).changeSettings},
 }
 
-// injectNext begins one fault.
+// injectNext injects one random fault.
 func (inj *injector) injectNext() {
 	inst := inj.deployment.instances[inj.rng.IntN(len(inj.deployment.instances))]
 	duration := time.Duration(50+inj.rng.IntN(1800)) * time.Millisecond
@@ -85,7 +86,7 @@
 	inj.inject("pause "+inst.name, duration, func() error { inst.pause(duration); return nil })
 }
 
-// killAll ends all instances at once, once in three times that it is chosen.
+// killAll kills all instances at once, in one of three cases.
 func (inj *injector) killAll(_ *instance, duration time.Duration) {
 	if inj.rng.IntN(3) != 0 {
 		return
@@ -98,7 +99,7 @@
 func (inj *injector) injectTargetFaults(_ *instance, duration time.Duration) {
 	t := inj.deployment.randomTarget(inj.rng)
 	probability := 0.1 + 0.8*inj.rng.Float64()
-	inj.inject(fmt.Sprintf("trouble at %s, share %.1f", t.id, probability), duration, func() error {
+	inj.inject(fmt.Sprintf("faults at %s, probability %.1f", t.id, probability), duration, func() error {
 		t.setFaultProbability(probability)
 		time.Sleep(duration)
 		t.setFaultProbability(0)
@@ -120,7 +121,7 @@
 	inj.inject("settings", 0, func() error { inj.deployment.publish(); return nil })
 }
 
-// inject carries a fault out beside the others.
+// inject logs a fault and runs it in the background.
 func (inj *injector) inject(what string, duration time.Duration, do func() error) {
 	inj.mu.Lock()
 	inj.log = append(inj.log, fmt.Sprintf("%7.3f s, for %s: %s", time.Since(inj.started).Seconds(), duration, what))
@@ -134,8 +135,8 @@
 	})
 }
 
-// restart ends the life on a machine and starts the next a while later, unless
-// another restart is under way there.
+// restart ends the current incarnation of an instance and starts the next one after
+// the downtime, unless a restart is already in progress.
 func (inj *injector) restart(inst *instance, how string, down time.Duration, end func()) {
 	inj.mu.Lock()
 	busy := inj.restarting[inst]
@@ -155,7 +156,7 @@
 	})
 }
 
-// failStore lets the store fail in one of its ways, for all or some topics.
+// failStore injects a random fault of the store, for all or some topics.
 func (inj *injector) failStore(duration time.Duration) {
 	fault := []metastore.Fault{
 		{Status: 503}, {Status: 429}, {Silent: true}, {Reset: true}, {LoseAnswer: true},
@@ -174,8 +175,8 @@
 	inj.setStoreFault(fault, duration)
 }
 
-// setStoreFault puts a fault of the store in force for a while, unless another one
-// follows before.
+// setStoreFault sets a fault of the store for the duration, or until another one
+// replaces it.
 func (inj *injector) setStoreFault(fault metastore.Fault, duration time.Duration) {
 	inj.mu.Lock()
 	inj.storeFault++
@@ -193,14 +194,14 @@
 	})
 }
 
-// failLink lets one machine's link to the store or from the others fail.
+// failLink breaks the link of an instance to the store, or from other instances.
 func (inj *injector) failLink(inst *instance, duration time.Duration) {
 	link, name := inst.store, "link to the store of "
 	if inj.rng.IntN(2) == 0 {
-		link, name = inst.peers, "link from the others to "
+		link, name = inst.peers, "link from other instances to "
 	}
 	mode := inj.rng.IntN(5)
-	inj.inject(fmt.Sprintf("%s%s fails, way %d", name, inst.name, mode), duration, func() error {
+	inj.inject(fmt.Sprintf("%s%s fails, mode %d", name, inst.name, mode), duration, func() error {
 		inst.current().markDisrupted()
 		switch mode {
 		case 0:
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -12,7 +12,7 @@
 type kind uint8
 
 const (
-	// turn requests are answered by a stream and may go on elsewhere.
+	// turn requests return a stream that may resume at another target.
 	turn kind = iota
 	// safe requests may run more than once.
 	safe
@@ -26,12 +26,13 @@
 type attempt struct {
 	id      string
 	program string
-	// organisation holds the key that the attempt carries, empty if it is forged.
+	// organisation is the one whose key the attempt carries, empty if the key is
+	// forged.
 	organisation string
 	kind         kind
 	body         string
-	// stored tells that the system keeps the conversation, which goes on from
-	// the turn previous, empty at its start.
+	// stored turns belong to a conversation that the system stores. previous is the
+	// turn that this one continues, empty for the first.
 	stored      bool
 	previous    string
 	incarnation *incarnation
@@ -40,60 +41,60 @@
 	status      int
 	signature   string
 	received    string
-	// events are the numbers of the events received, in order.
+	// events are the ids of the events received, in order of arrival.
 	events []int
-	// complete tells that the answer came to its end; cut that the connection
-	// broke after the request was written.
+	// complete is true if the response was received to its end, aborted if the
+	// connection broke after the request was written.
 	complete bool
 	aborted  bool
-	// cancelled tells that the caller gave up.
+	// cancelled is true if the caller gave up.
 	cancelled bool
 }
 
-// tokens is what the caller was handed.
+// tokens returns the number of tokens that the caller received.
 func (a *attempt) tokens() int { return len(a.events) * tokensPerEvent }
 
-// run is one request at a target.
+// run is one execution of a request at a target.
 type run struct {
 	request string
 	target  *target
 	uri     string
 	body    string
-	// organisation and credential are what the target was told of the caller.
+	// organisation and credential are the headers that the target received.
 	organisation string
 	credential   string
 	start        time.Time
-	// faulted tells that the target broke the answer off or spoiled it; ended
-	// that it answered to the end.
+	// faulted is true if the target injected a fault into the response, completed if
+	// it sent the response to its end.
 	faulted   bool
 	completed bool
 }
 
-// probe is what an instance showed of the operator's settings.
+// probe is an observation of the settings in force at an instance.
 type probe struct {
 	incarnation *incarnation
 	version     int
 	start       time.Time
 	end         time.Time
-	// inForce tells that the version's route was there.
+	// inForce is true if the route of the version existed.
 	inForce bool
 }
 
-// history is what callers and targets saw. It is safe for concurrent use.
+// history records what callers and targets observe. It is safe for concurrent use.
 type history struct {
 	mu       sync.Mutex
 	attempts []*attempt
 	runs     map[string][]*run
 	probes   []probe
 	programs map[string]int
-	// published holds when each version of the settings was acknowledged.
+	// published holds the time at which each version of the settings was published.
 	published    map[int]time.Time
 	attemptsByID map[string]*attempt
-	// storedTurns are the kept turns whose callers saw the end, in order.
+	// storedTurns are the ids of the stored turns that were served, in order.
 	storedTurns []string
-	// crashed are the lives that ended without being asked to.
+	// crashed are the incarnations that exited without being stopped.
 	crashed []*incarnation
-	// misrouted are requests that were sent where no target's entry points.
+	// misrouted are the requests that arrived at the decoy.
 	misrouted []string
 }
 
@@ -104,14 +105,14 @@
 	}
 }
 
-// recordStart notes a request before it is sent.
+// recordStart records an attempt before its request is sent.
 func (h *history) recordStart(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.attemptsByID[a.id] = a
 }
 
-// recordEnd notes a request that has its outcome.
+// recordEnd records an attempt that has its outcome.
 func (h *history) recordEnd(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// recordProgram notes a program with its budget, in tokens.
+// recordProgram records a program with its budget in tokens.
 func (h *history) recordProgram(program string, budget int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -135,21 +136,21 @@
 	h.runs[r.request] = append(h.runs[r.request], r)
 }
 
-// recordMisrouted notes a request that was sent where no target's entry points.
+// recordMisrouted records a request that arrived at the decoy.
 func (h *history) recordMisrouted(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.misrouted = append(h.misrouted, what)
 }
 
-// recordCrash notes a life that ended without being asked to.
+// recordCrash records an incarnation that exited without being stopped.
 func (h *history) recordCrash(l *incarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.crashed = append(h.crashed, l)
 }
 
-// recordRunEnd notes how a run ended.
+// recordRunEnd records how a run ended.
 func (h *history) recordRunEnd(r *run, faulty, completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,11 +169,12 @@
 	h.published[version] = time.Now()
 }
 
-// served tells whether the caller saw the end of a success.
+// served reports whether the caller received a complete successful response.
 func (a *attempt) served() bool { return a.complete && a.status == statusOK }
 
-// conversation is what a kept turn and all before it hold, with the text that a
-// target gets for it. It returns false if a turn before it was never made.
+// conversation returns the text of a stored turn and all turns before it, and the
+// input that the target receives for the turn. It returns false if the turn or one
+// before it does not exist.
 func (h *history) conversation(id string) (text, input string, ok bool) {
 	a, known := h.attemptsByID[id]
 	if !known || !a.stored {
@@ -188,11 +190,11 @@
 	return input + strings.Repeat(a.body+"\n", eventCount(a.body)), input, true
 }
 
-// maxRecentTurns bounds the turns that others may continue.
+// maxRecentTurns is the number of stored turns among which randomStoredTurn chooses.
 const maxRecentTurns = 60
 
-// randomStoredTurn chooses a kept turn of an organisation that ended lately, empty if there
-// is none.
+// randomStoredTurn returns one of the most recent stored turns of an organisation,
+// empty if there are none.
 func (h *history) randomStoredTurn(rng *rand.Rand, organisation string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -206,7 +208,7 @@
 	return recent[rng.IntN(len(recent))]
 }
 
-// served counts the whole answers so far.
+// served counts the attempts served so far.
 func (h *history) served() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/instance.go
+++ b/internal/soak/instance.go
@@ -18,8 +18,8 @@
 // gracePeriod is the time from SIGTERM to SIGKILL.
 const gracePeriod = 6 * time.Second
 
-// instance is where an instance runs, one life after the other. Its links to the
-// store and from other instances go through relays.
+// instance is one instance over all its incarnations. Its links to the store and from
+// other instances go through relays, where faults are injected.
 type instance struct {
 	name    string
 	callers string
@@ -32,18 +32,18 @@
 	incarnation *incarnation
 }
 
-// incarnation is one process on a machine.
+// incarnation is one process of an instance.
 type incarnation struct {
 	instance *instance
 	process  *testkit.Process
 	started  time.Time
 
-	// stopping tells that the soak ends it.
+	// stopping is set before the test stops the process.
 	stopping atomic.Bool
 
 	mu sync.Mutex
-	// terminated is when it was asked to shut down, disturbed that it was also
-	// killed, paused or cut off.
+	// terminated is the time of SIGTERM, zero if it was not sent. disrupted is true
+	// if the process was also killed, paused or disconnected.
 	terminated time.Time
 	disrupted  bool
 }
@@ -54,14 +54,15 @@
 	inc.disrupted = true
 }
 
-// cleanShutdown tells when the life was asked to shut down, if nothing else befell it.
+// cleanShutdown returns the time of SIGTERM, and whether there was one and no other
+// disruption.
 func (inc *incarnation) cleanShutdown() (time.Time, bool) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
 	return inc.terminated, !inc.disrupted && !inc.terminated.IsZero()
 }
 
-// newInstance prepares a machine: its settings file and its relays.
+// newInstance creates the settings file and the relays of an instance.
 func newInstance(name, dir, store string, seeds []string) (*instance, error) {
 	host := testkit.LoopbackHost()
 	addresses, err := testkit.FreeAddresses(host, 3)
@@ -101,7 +102,7 @@
 	return inst, nil
 }
 
-// start starts the next life.
+// start starts the next incarnation.
 func (inst *instance) start(binary, dir string, h *history) error {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
@@ -121,14 +122,14 @@
 	return nil
 }
 
-// current is the present life.
+// current returns the current incarnation.
 func (inst *instance) current() *incarnation {
 	inst.mu.Lock()
 	defer inst.mu.Unlock()
 	return inst.incarnation
 }
 
-// kill ends the present life at once.
+// kill kills the current incarnation.
 func (inst *instance) kill() {
 	inc := inst.current()
 	inc.markDisrupted()
@@ -136,7 +137,8 @@
 	inc.process.Kill()
 }
 
-// terminate asks the present life to shut down and waits for its end.
+// terminate sends SIGTERM to the current incarnation and waits for its exit. It is
+// killed after the grace period.
 func (inst *instance) terminate() {
 	inc := inst.current()
 	inc.stopping.Store(true)
@@ -144,7 +146,7 @@
 	inc.terminated = time.Now()
 	inc.mu.Unlock()
 	if err := inc.process.Terminate(); err != nil {
-		inc.markDisrupted() // it had ended already
+		inc.markDisrupted() // it had already exited
 		return
 	}
 	timer := time.NewTimer(gracePeriod)
@@ -157,15 +159,15 @@
 	}
 }
 
-// pause freezes the present life for a while.
+// pause suspends the current incarnation for a duration.
 func (inst *instance) pause(d time.Duration) {
 	inc := inst.current()
 	inc.markDisrupted()
 	if inc.process.Pause() != nil {
-		return // it has ended
+		return // it has exited
 	}
 	time.Sleep(d)
-	_ = inc.process.Resume() // it may have been killed meanwhile
+	_ = inc.process.Resume() // it may have been killed since
 }
 
 func (inst *instance) close() {
--- a/internal/soak/loadfaults.go
+++ b/internal/soak/loadfaults.go
@@ -12,28 +12,28 @@
 	"github.com/banyanglade/banyanglade/internal/standin/metastore"
 )
 
-// Bounds of the faults of load.
+// Bounds of the load faults.
 const (
-	// maxLoadFaultPause bounds the pause between two of them, maxLoadFaultDuration how long each
-	// lasts.
+	// maxLoadFaultPause bounds the pause between the starts of two load faults,
+	// maxLoadFaultDuration the duration of each.
 	maxLoadFaultPause    = 2 * time.Second
 	maxLoadFaultDuration = 2500 * time.Millisecond
-	// maxSlowdown is the most that a slow target's work is stretched, minSlots
-	// what is left of the slots of a small one.
+	// maxSlowdown bounds the factor by which the work of a slow target takes longer.
+	// minSlots is the number of slots of a target with few slots.
 	maxSlowdown = 8
 	minSlots    = 2
-	// burstFactor is how many more programs run in a burst, in parts of the usual.
+	// burstFactor is the number of additional programs in a burst, as a multiple of
+	// Options.Programs.
 	burstFactor = 3
-	// maxStoreDelay is the most that each call to a slow store takes longer.
+	// maxStoreDelay bounds the delay of each call to a slow store.
 	maxStoreDelay = 400 * time.Millisecond
-	// largeInputBytes is the length of the input of a turn whose caller does not read,
-	// in bytes: more than the buffers of its connection hold of the answer.
+	// largeInputBytes is the input length of a turn of a slow reader. The response,
+	// which repeats the input, exceeds the buffers of the connection.
 	largeInputBytes = 48 << 10
 )
 
-// runLoadFaults overloads the deployment in one way or another until the context ends.
-// It draws from numbers of its own, so that the other faults of a seed stay what
-// they were.
+// runLoadFaults injects load faults until the context ends. It uses its own random
+// stream, so that it does not change the other faults of a seed.
 func (inj *injector) runLoadFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxLoadFaultPause))))
@@ -51,7 +51,7 @@
 	}
 }
 
-// slowTargets makes some targets of both services slower, or smaller.
+// slowTargets makes some targets slower, or reduces their slots, for the duration.
 func (inj *injector) slowTargets(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	for range 1 + rng.IntN(3) {
 		t := inj.deployment.randomTarget(rng)
@@ -70,7 +70,7 @@
 	}
 }
 
-// burst runs more programs for a while.
+// burst runs additional programs for the duration.
 func (inj *injector) burst(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64() >> 1
 	inj.inject("burst of programs", duration, func() error {
@@ -85,11 +85,10 @@
 	})
 }
 
-// startSlowReaders has some callers ask for long answers that they do not read for
-// a while, or never.
+// startSlowReaders starts callers that request large responses and read them late.
 func (inj *injector) startSlowReaders(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64()
-	inj.inject("callers that do not read", duration, func() error {
+	inj.inject("slow readers", duration, func() error {
 		var work sync.WaitGroup
 		for i := range inj.deployment.options.Programs {
 			c := inj.deployment.newCaller(seed + uint64(i))
@@ -100,7 +99,7 @@
 	})
 }
 
-// readSlowly makes a turn with a long answer and reads it late.
+// readSlowly sends a turn with a large response and delays reading it.
 func (c *caller) readSlowly(ctx context.Context, duration time.Duration) {
 	defer c.client.CloseIdleConnections()
 	program := fmt.Sprintf("unread%x", c.rng.Uint64())
--- a/internal/soak/organisations.go
+++ b/internal/soak/organisations.go
@@ -6,38 +6,36 @@
 	"time"
 )
 
-// The operator's organisations, and what is checked of them: who is let in, what
-// targets are told, and that limits hold over all instances together.
-
-// limit is an organisation's limit with the tolerance of the deployment.
+// limit is the rate limit of an organisation.
 type limit struct {
 	perSecond float64
 	burst     float64
 }
 
 const (
-	// quotaWindow, quotaOver and quotaSlack are the tolerance of limits that the
-	// instances are told: requests are counted in any such window.
+	// quotaWindow, quotaOver and quotaSlack configure the tolerance of limits at the
+	// instances: in any window, the limit may be exceeded by the fraction quotaOver
+	// plus quotaSlack requests.
 	quotaWindow = 2 * time.Second
 	quotaOver   = 0.1
 	quotaSlack  = 10
 )
 
-// maxRequests is how many requests may run in any window.
+// maxRequests returns the maximum number of requests that may run in any window.
 func (l limit) maxRequests() int {
 	return int((l.perSecond*quotaWindow.Seconds()+l.burst)*(1+quotaOver) + quotaSlack)
 }
 
-// organisation is one of the operator's.
+// organisation is an organisation in the operator's settings.
 type organisation struct {
 	name string
 	key  string
-	// limit is nil if the operator sets none.
+	// limit is nil if the organisation is not limited.
 	limit *limit
 }
 
-// organisations are those of each deployment. The limits lie below what their
-// programs ask for.
+// organisations are the organisations of each deployment. The limits are below the
+// rate at which their programs send requests.
 var organisations = []organisation{
 	{name: "north", key: "key-of-north"},
 	{name: "south", key: "key-of-south"},
@@ -45,13 +43,13 @@
 	{name: "west", key: "key-of-west", limit: &limit{perSecond: 6, burst: 6}},
 }
 
-// forgedKey is a key that no settings ever held.
+// forgedKey is a key of no organisation.
 const forgedKey = "key-of-nobody"
 
-// organisationOf chooses the organisation of a caller.
+// organisationOf returns the organisation of the callers of a seed.
 func organisationOf(seed uint64) organisation { return organisations[seed%uint64(len(organisations))] }
 
-// tenants lists the organisations as the operator writes them.
+// tenants returns the organisations in the format of the operator's settings.
 func tenants() []any {
 	var list []any
 	for _, o := range organisations {
@@ -64,19 +62,20 @@
 	return list
 }
 
-// checkOrganisations judges what targets ran by the keys of the requests.
+// checkOrganisations checks the keys and organisations of the requests that targets
+// ran.
 func (h *history) checkOrganisations() []violation {
 	var found []violation
 	ran := make(map[string][]time.Time)
 	for id, runs := range h.runs {
 		a := h.attemptsByID[id]
 		if a == nil {
-			continue // checkRuns tells
+			continue // reported by checkRuns
 		}
 		for _, r := range runs {
 			switch {
 			case r.credential != "":
-				found = append(found, violated(invariantKeys, "%s came to %s with a key", id, r.target.id)...)
+				found = append(found, violated(invariantKeys, "%s arrived at %s with a key", id, r.target.id)...)
 			case a.organisation == "":
 				found = append(found, violated(invariantKeys, "%s ran at %s with a forged key", id, r.target.id)...)
 			case r.organisation != a.organisation:
@@ -88,7 +87,7 @@
 	return append(found, checkLimits(ran)...)
 }
 
-// checkLimits counts the runs of each organisation in all windows.
+// checkLimits checks the number of runs of each organisation in any window.
 func checkLimits(ran map[string][]time.Time) []violation {
 	var found []violation
 	for _, o := range organisations {
@@ -103,7 +102,7 @@
 				from++
 			}
 			if count := i - from + 1; count > o.limit.maxRequests() {
-				return append(found, violation{invariantLimits, fmt.Sprintf("%s ran %d requests within %s, %d are allowed",
+				return append(found, violation{invariantLimits, fmt.Sprintf("%s ran %d requests within %s, expected at most %d",
 					o.name, count, quotaWindow, o.limit.maxRequests())})
 			}
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -12,53 +12,53 @@
 	"github.com/banyanglade/banyanglade/internal/delay"
 )
 
-// Options are what a run needs.
+// Options configures a run.
 type Options struct {
-	// Binary is the program of the instances.
+	// Binary is the path of the executable of the instances.
 	Binary string
-	// Dir is a folder for settings files and logs.
+	// Dir is the directory for settings files and logs.
 	Dir string
-	// Seed decides on the faults and on what callers do.
+	// Seed determines the faults and the requests of callers.
 	Seed uint64
-	// FaultDuration is how long faults are brought about.
+	// FaultDuration is how long faults are injected.
 	FaultDuration time.Duration
-	// Instances and Programs are how many run at a time.
+	// Instances and Programs are the numbers of instances and of concurrent
+	// programs.
 	Instances int
 	Programs  int
-	// EntryFaults adds targets that start again under their ids and entries of
-	// other writers. Without it a seed plays the same faults as before the option
-	// existed.
+	// EntryFaults adds targets that restart with the same id, and invalid target
+	// entries of other writers. It does not change the other faults of a seed.
 	EntryFaults bool
-	// LoadFaults adds slow and small targets, bursts, a slow store and callers
-	// that do not read.
+	// LoadFaults adds slow targets, targets with few slots, bursts of programs, a
+	// slow store and slow readers.
 	LoadFaults bool
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Seed uint64
-	// Violations are the promises that were broken.
+	// Violations describes the violated invariants.
 	Violations []string
-	// Served counts whole answers, Attempts all requests.
+	// Served counts complete successful responses, Attempts all requests.
 	Served   int
 	Attempts int
-	// Faults tells what happened when.
+	// Faults lists the injected faults with their start times.
 	Faults []string
 }
 
 const (
-	// readyTimeout bounds the wait for instances at the start and at the end.
+	// readyTimeout bounds the wait for instances at the start, and the checks of the
+	// service at the end.
 	readyTimeout = time.Minute
-	// entryFaultStream is the stream of a seed's numbers that the faults of entries are
-	// drawn from.
+	// entryFaultStream is the random stream of the entry faults of a seed.
 	entryFaultStream = 3
-	// loadFaultStream is the same for the faults of load.
+	// loadFaultStream is the random stream of the load faults of a seed.
 	loadFaultStream = 5
-	// checkInterval is the time between two looks at the history.
+	// checkInterval is the time between two checks of the history.
 	checkInterval = time.Second
 )
 
-// Run plays one seed.
+// Run runs the test with one seed.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	d, err := newDeployment(options)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return result, inj.err
 }
 
-// runWorkload runs callers beside the faults, and stops early when a promise breaks.
+// runWorkload runs callers while faults are injected, and stops early on a violation.
 func (d *deployment) runWorkload(ctx context.Context, inj *injector) []violation {
 	faultCtx, stop := context.WithTimeout(ctx, d.options.FaultDuration)
 	defer stop()
@@ -119,7 +119,7 @@
 	return check(d.history)
 }
 
-// runPrograms runs one program after the other.
+// runPrograms runs programs one after the other until the context ends.
 func (d *deployment) runPrograms(ctx context.Context, seed uint64) {
 	for number := uint64(0); ctx.Err() == nil; number++ {
 		d.runProgram(ctx, seed*10_000+number)
@@ -133,28 +133,28 @@
 	}
 }
 
-// checkService finds instances that do not serve once all faults are over.
+// checkService checks that all instances serve requests once the faults are over.
 func (d *deployment) checkService(ctx context.Context) []violation {
 	waitCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := d.waitReady(waitCtx); err != nil {
-		return []violation{{"service comes back", err.Error()}}
+		return []violation{{"service recovers", err.Error()}}
 	}
 	d.writeHeartbeats()
 	for i, inst := range d.instances {
 		if err := d.checkInstanceServes(waitCtx, inst, d.options.Seed*1000+900+uint64(i)); err != nil {
-			return []violation{{"service comes back", err.Error()}}
+			return []violation{{"service recovers", err.Error()}}
 		}
 	}
 	return check(d.history)
 }
 
-// finalStoredTurns is how many kept turns each machine continues once all faults are
-// over.
+// finalStoredTurns is the number of stored turns continued at each instance once the
+// faults are over.
 const finalStoredTurns = 8
 
-// checkInstanceServes runs a new program's turn and a call at one machine until both are
-// answered.
+// checkInstanceServes retries a turn and a call of a new program, and stored turns of
+// others, at one instance until all are served.
 func (d *deployment) checkInstanceServes(ctx context.Context, inst *instance, seed uint64) error {
 	c := d.newCaller(seed)
 	c.instance = inst
@@ -173,10 +173,10 @@
 	for _, req := range requests {
 		for done := false; !done; {
 			if ctx.Err() != nil {
-				return errors.Newf("machine %s does not answer a %s request", inst.name, req.kind)
+				return errors.Newf("instance %s does not serve a %s request", inst.name, req.kind)
 			}
 			a := c.send(ctx, req)
-			done = a.served() || a.status == statusNotFound // which the check judges
+			done = a.served() || a.status == statusNotFound // judged by check
 			if !done {
 				delay.Sleep(ctx, probeInterval)
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-var faultDuration = flag.Duration("faults", 5*time.Second, "how long faults are brought about in each run")
+var faultDuration = flag.Duration("faults", 5*time.Second, "how long faults are injected in each run")
 
-// productPackage is the program of the instances.
+// productPackage is the package of the executable of the instances.
 const productPackage = "github.com/banyanglade/banyanglade/cmd/banyanglade"
 
-// ciSeeds are played in CI, ciLoadSeeds with faults of load as well.
+// ciSeeds run in CI, and ciLoadSeeds also with load faults.
 var (
 	ciSeeds     = []uint64{1, 2}
 	ciLoadSeeds = []uint64{3}
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that have found faults, with the cause.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{1008, "others named an instance as the owner whose claim had taken effect without an answer"},
-	{1023, "the instance so named took yet another for the owner"},
-	{7003, "the check counted a kept turn that was cut at its route's timeout as one cut by a shutdown"},
+	{1008, "others named an instance as the owner whose claim had taken effect without a reply"},
+	{1023, "the instance so named took another one for the owner"},
+	{7003, "the check took a stored turn aborted at its route's timeout for one aborted by a shutdown"},
 	{7010, "the same"},
 }
 
-// TestShortRuns plays some seeds; "go run ./cmd/soak" plays more and longer.
+// TestShortRuns runs a few seeds; "go run ./cmd/soak" runs more seeds for longer.
 func TestShortRuns(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "banyanglade")
 	if output, err := exec.Command("go", "build", "-o", binary, productPackage).CombinedOutput(); err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// regressionFaultDuration is how long the runs took in which the seeds failed.
+// regressionFaultDuration is the fault duration with which the regressions were found.
 const regressionFaultDuration = 12 * time.Second
 
 func runSeed(t *testing.T, options Options) {
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -20,61 +20,62 @@
 const (
 	statusOK       = http.StatusOK
 	statusNotFound = http.StatusNotFound
-	// tokensPerEvent is the number of tokens of an event, eventsPerTurn the
-	// most events of a turn.
+	// tokensPerEvent is the number of tokens of an event, eventsPerTurn the maximum
+	// number of events of a turn.
 	tokensPerEvent = 10
 	eventsPerTurn  = 6
-	// targetSlots is the number of requests that a target takes at once.
+	// targetSlots is the number of concurrent requests of a target.
 	targetSlots = 24
 	// eventGap is the time between two events.
 	eventGap = 6 * time.Millisecond
 )
 
-// targetFault is what a target does to a request.
+// targetFault is a fault that a target injects into a response.
 type targetFault uint8
 
 const (
 	faultNone targetFault = iota
-	// faultCloseBefore breaks the connection off after the work, without an answer.
+	// faultCloseBefore closes the connection after the work, before the response.
 	faultCloseBefore
-	// faultCloseMidway breaks it off in the middle of the answer.
+	// faultCloseMidway closes the connection in the middle of the response.
 	faultCloseMidway
-	// faultMalformed sends bytes that are no answer.
+	// faultMalformed sends bytes that are not an HTTP response.
 	faultMalformed
-	// faultExtraResponse sends a second answer some time after the first, when the next
-	// request may be on its way.
+	// faultExtraResponse sends a second response some time after the first, when the
+	// next request on the connection may be in flight.
 	faultExtraResponse
 )
 
 const (
-	// extraResponseDelay is the time between the two answers, extraResponseHold how long the
-	// connection stays open then.
+	// extraResponseDelay is the time between the two responses, extraResponseHold how
+	// long the connection then stays open.
 	extraResponseDelay = 15 * time.Millisecond
 	extraResponseHold  = 60 * time.Millisecond
 )
 
-// target is one life of a target.
+// target is one incarnation of a target.
 type target struct {
 	id      string
 	service string
 	history *history
 	server  *http.Server
 	address string
-	// startedMS is when it started, in Unix milliseconds.
+	// startedMS is the start time in Unix milliseconds.
 	startedMS int64
 
 	running atomic.Int64
 	stopped atomic.Bool
-	// slowdown stretches its work, slots is how many requests it takes at once.
+	// slowdown multiplies the duration of work, slots is the number of concurrent
+	// requests.
 	slowdown atomic.Int64
 	slots    atomic.Int64
 	mu       sync.Mutex
 	rng      *rand.Rand
-	// faultProbability of the requests meet trouble.
+	// faultProbability is the probability that a request gets a fault.
 	faultProbability float64
 }
 
-// startTarget starts a target of a service on a free port.
+// startTarget starts a target of a service on a free loopback port.
 func startTarget(id, service string, h *history, seed uint64) (*target, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,17 +88,17 @@
 	t.slowdown.Store(1)
 	t.slots.Store(targetSlots)
 	t.server = &http.Server{Handler: t, ReadHeaderTimeout: time.Minute}
-	go func() { _ = t.server.Serve(listener) }() // it ends with the target
+	go func() { _ = t.server.Serve(listener) }() // returns when the server is closed
 	return t, nil
 }
 
-// stop ends the target with all its connections.
+// stop closes the target and all its connections.
 func (t *target) stop() {
 	t.stopped.Store(true)
-	_ = t.server.Close() // its connections are to break
+	_ = t.server.Close()
 }
 
-// setFaultProbability sets the share of requests that meet trouble.
+// setFaultProbability sets the probability that a request gets a fault.
 func (t *target) setFaultProbability(probability float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,11 +114,11 @@
 	return targetFault(1 + t.rng.IntN(int(faultExtraResponse)))
 }
 
-// ServeHTTP runs a request.
+// ServeHTTP records and runs a request.
 func (t *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the sender is gone
+		return // the sender has disconnected
 	}
 	id := r.Header.Get("Banyanglade-Request-Id")
 	w.Header().Set("Banyanglade-Request-Id", id)
@@ -149,8 +150,8 @@
 	t.respond(w, r, exec, fault)
 }
 
-// loadReport is what the target tells of its load: requests that run and wait,
-// slots, and the pace of its machine in percent.
+// loadReport returns the value of the load header: running requests, waiting requests,
+// slots, and the slowdown in percent.
 func (t *target) loadReport() string {
 	return fmt.Sprintf("%d,0,%d,%d", t.running.Load(), t.slots.Load(), 100*t.slowdown.Load())
 }
@@ -161,7 +162,7 @@
 	w.WriteHeader(status)
 }
 
-// responseBody is the body of the answer to a plain request.
+// responseBody returns the response body of a plain request.
 func responseBody(id, body string) string { return "answer to " + id + " with " + body }
 
 func (t *target) respond(w http.ResponseWriter, r *http.Request, exec *run, fault targetFault) {
@@ -174,7 +175,7 @@
 		panic(http.ErrAbortHandler)
 	case faultCloseMidway:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		_, _ = io.WriteString(w, text[:len(text)/2]) // it is cut either way
+		_, _ = io.WriteString(w, text[:len(text)/2]) // the response is truncated in any case
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	case faultMalformed:
@@ -188,39 +189,39 @@
 	t.history.recordRunEnd(exec, false, err == nil)
 }
 
-// rawResponse is an answer as bytes.
+// rawResponse returns a complete HTTP response.
 func (t *target) rawResponse(id, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nBanyanglade-Request-Id: %s\r\nBanyanglade-Server-Signature: %s.%s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", id, t.id, id, len(text), text)
 }
 
-// writeRaw sends texts in place of an answer, one after the other, and ends the
-// connection a while later.
+// writeRaw writes texts to the connection one after the other, and closes it after the
+// hold time.
 func writeRaw(w http.ResponseWriter, hold time.Duration, texts ...string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return // the sender is gone
+		return // the sender has disconnected
 	}
-	defer func() { _ = conn.Close() }() // nothing follows on it
+	defer func() { _ = conn.Close() }()
 	for i, text := range texts {
 		if i > 0 {
 			time.Sleep(extraResponseDelay)
 		}
-		_, _ = io.WriteString(conn, text) // whoever reads it or not
+		_, _ = io.WriteString(conn, text) // the sender may have disconnected
 	}
 	time.Sleep(hold)
 }
 
-// simulateWork takes time, and tells whether the sender still waits.
+// simulateWork sleeps, and reports whether the sender is still waiting.
 func (t *target) simulateWork(r *http.Request, d time.Duration) bool {
 	return delay.Sleep(r.Context(), d*time.Duration(t.slowdown.Load()))
 }
 
-// newInput is the new input of a turn: what follows the conversation before it,
-// whose events each end with a line feed.
+// newInput returns the input of a turn without the conversation before it, whose
+// events each end with a line feed.
 func newInput(body string) string { return body[strings.LastIndexByte(body, '\n')+1:] }
 
-// eventCount is the number of events of a turn, which its input names.
+// eventCount returns the number of events that the input of a turn requests.
 func eventCount(body string) int {
 	if body == "" {
 		return 1
@@ -248,7 +249,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from + 1; i <= last; i++ {
 		if fault == faultCloseMidway && i == (from+1+last)/2 {
-			_, _ = fmt.Fprintf(w, "id: %d\nda", i) // it is cut either way
+			_, _ = fmt.Fprintf(w, "id: %d\nda", i) // the response is truncated in any case
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -260,7 +261,7 @@
 	t.history.recordRunEnd(exec, false, true)
 }
 
-// lastEventID is the event behind which a stream is to go on.
+// lastEventID returns the event after which a stream is to resume, 0 if unset.
 func lastEventID(r *http.Request) int {
 	n, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
