--- a/cmd/proofs/report.go
+++ b/cmd/proofs/report.go
@@ -16,11 +16,11 @@
 // runScenarios runs the scenarios, up to a.Parallel at once, and prints a line for
 // each when it ends.
 func runScenarios(ctx context.Context, a args, scenarios []proofs.Scenario) error {
-	keep, err := os.MkdirTemp("", "banyanglade-proofs-")
+	evidenceDir, err := os.MkdirTemp("", "banyanglade-proofs-")
 	if err != nil {
 		return err
 	}
-	fmt.Printf("seed %d, evidence of failures in %s\n", a.Seed, keep)
+	fmt.Printf("seed %d, evidence of failures in %s\n", a.Seed, evidenceDir)
 	fmt.Printf("%-26s %4s %6s %6s %8s %8s %7s %7s %4s %4s %7s %6s  %s\n", "scenario", "inst", "faults", "calls",
 		"answered", "replayed", "not-run", "unknown", "dup", "lost", "refused", "took", "verdict")
 	var mu sync.Mutex
@@ -29,7 +29,7 @@
 	group.SetLimit(a.Parallel)
 	for _, s := range scenarios {
 		group.Go(func() error {
-			result := proofs.Run(ctx, a.Instance, s, a.Seed, proofs.Keep{Dir: keep, Always: a.Keep})
+			result := proofs.Run(ctx, a.Instance, s, a.Seed, proofs.Keep{Dir: evidenceDir, Always: a.Keep})
 			mu.Lock()
 			defer mu.Unlock()
 			printResult(result)
@@ -51,7 +51,7 @@
 	if a.Keep {
 		return nil
 	}
-	return os.RemoveAll(keep)
+	return os.RemoveAll(evidenceDir)
 }
 
 // shownViolations is the maximum number of violations printed for a scenario.
--- a/cmd/quickstart/main.go
+++ b/cmd/quickstart/main.go
@@ -35,19 +35,19 @@
 }
 
 func run(ctx context.Context, options testkit.Options, keep bool) error {
-	limited, cancel := context.WithTimeout(ctx, timeLimit)
+	tourCtx, cancel := context.WithTimeout(ctx, timeLimit)
 	defer cancel()
 	started := time.Now()
-	cluster, err := testkit.Start(limited, options)
+	cluster, err := testkit.Start(tourCtx, options)
 	if err != nil {
 		return errors.Wrap(err, "start")
 	}
 	defer cluster.Close()
-	if err := cluster.Configure(limited, testkit.UsualSettings()); err != nil {
+	if err := cluster.Configure(tourCtx, testkit.UsualSettings()); err != nil {
 		return err
 	}
 	fmt.Printf("Three instances and the stand-ins are ready after %s.\n", time.Since(started).Round(time.Millisecond))
-	if err := newTour(cluster).run(limited); err != nil {
+	if err := newTour(cluster).run(tourCtx); err != nil {
 		return err
 	}
 	if keep {
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -23,8 +23,8 @@
 	program  string
 	messages []wire.ChatMessage
 	number   int
-	// onPiece is called for each chunk of the next streamed answer.
-	onPiece func(number int)
+	// onChunk is called for each chunk of the next streamed answer.
+	onChunk func(number int)
 }
 
 func newTour(cluster *testkit.Cluster) *tour {
@@ -80,14 +80,14 @@
 		return err
 	}
 	other := slices.IndexFunc(t.cluster.Instances, func(p *testkit.Process) bool { return p != owner })
-	t.onPiece = func(number int) {
+	t.onChunk = func(number int) {
 		if number == killAtChunk {
 			owner.Kill()
 			fmt.Printf("     %s, the program's owner, is killed in the middle of the next answer.\n", owner.ID)
 		}
 	}
 	err = t.chat(ctx, other, "Summarize for the member. tokens=60", true)
-	t.onPiece = nil
+	t.onChunk = nil
 	t.cluster.Remove(owner)
 	return err
 }
@@ -126,7 +126,7 @@
 	t.messages = append(t.messages, wire.ChatMessage{Role: "user", Content: prompt})
 	request := wire.ChatRequest{Model: testkit.ModelService, Messages: t.messages, MaxTokens: 100, Stream: stream}
 	client := t.client(instance)
-	client.OnPiece = t.onPiece
+	client.OnPiece = t.onChunk
 	answer, err := client.Chat(ctx, request, testkit.Call{Program: t.program, Number: t.number})
 	if err != nil {
 		return err
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -56,9 +56,9 @@
 	return p.Main(context.Background(), arguments), o.String(), e.String()
 }
 
-func mustContain(t *testing.T, text string, wanted ...string) {
+func mustContain(t *testing.T, text string, substrings ...string) {
 	t.Helper()
-	for _, want := range wanted {
+	for _, want := range substrings {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is missing in:\n%s", want, text)
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -171,13 +171,13 @@
 		requests = append(requests, req.asStoredTurn(d.history.randomStoredTurn(c.rng, c.organisation.name)))
 	}
 	for _, req := range requests {
-		for done := false; !done; {
+		for served := false; !served; {
 			if ctx.Err() != nil {
 				return errors.Newf("instance %s does not serve a %s request", inst.name, req.kind)
 			}
 			a := c.send(ctx, req)
-			done = a.served() || a.status == statusNotFound // judged by check
-			if !done {
+			served = a.served() || a.status == statusNotFound // judged by check
+			if !served {
 				delay.Sleep(ctx, probeInterval)
 			}
 		}
