--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -178,8 +178,8 @@
 	return last, true
 }
 
-// turnsBeyondBudget is how many turns of a lane may be refused before the lane ends.
-const turnsBeyondBudget = 3
+// maxRefusedTurns is the number of refused turns after which a lane ends.
+const maxRefusedTurns = 3
 
 // runProgram runs one program: concurrent lanes of turns with calls in between.
 func (d *deployment) runProgram(ctx context.Context, seed uint64) {
@@ -208,12 +208,12 @@
 }
 
 func (c *caller) runLane(ctx context.Context, program string, budget, turns int) {
-	stopped := 0
+	refused := 0
 	conv := c.newConversation()
-	for i := 0; i < turns && stopped < turnsBeyondBudget && ctx.Err() == nil; i++ {
+	for i := 0; i < turns && refused < maxRefusedTurns && ctx.Err() == nil; i++ {
 		a, proceed := c.sendWithRetry(ctx, conv.nextTurn(newTurn(program, budget, 1+c.rng.IntN(eventsPerTurn), c.rng.Uint64())))
 		if !proceed {
-			stopped++
+			refused++
 		}
 		conv.advance(a)
 		delay.Sleep(ctx, time.Duration(c.rng.IntN(60))*time.Millisecond)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -73,7 +73,7 @@
 		invariant string
 		violate   func(s *validHistory)
 	}{
-		{"a second run of what runs once", invariantOnce, func(s *validHistory) {
+		{"a second run of a request that must not be repeated", invariantOnce, func(s *validHistory) {
 			s.recordRun(&run{request: "o1", target: s.a, body: "y"})
 		}},
 		{"a refused request runs", invariantNotRun, func(s *validHistory) {
@@ -103,9 +103,9 @@
 		{"a conversation with another output", invariantSent, func(s *validHistory) {
 			s.runs["k2"][0].body = "1 p k" + "1 p x\n" + "1 p l"
 		}},
-		{"a turn behind one that does not exist", invariantSent, func(s *validHistory) { s.stored.previous = "nosuch" }},
+		{"a turn after one that does not exist", invariantSent, func(s *validHistory) { s.stored.previous = "nosuch" }},
 		{"an older version served", invariantSettings, func(s *validHistory) { s.addProbe(1, 900, true) }},
-		{"the newest version gone", invariantSettings, func(s *validHistory) { s.addProbe(2, 900, false) }},
+		{"the newest version missing", invariantSettings, func(s *validHistory) { s.addProbe(2, 900, false) }},
 		{"a forged key", invariantKeys, func(s *validHistory) { s.once.organisation = "" }},
 		{"another organisation", invariantKeys, func(s *validHistory) { s.runs["o1"][0].organisation = organisations[1].name }},
 		{"a key at a target", invariantKeys, func(s *validHistory) { s.runs["o1"][0].credential = organisations[0].key }},
