--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -44,24 +44,24 @@
 	names []string
 }
 
-func (b *breakList) Breaks(time.Time) []structs.TargetBreak {
+func (b *breakList) Breaks(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var breaks []structs.TargetBreak
+	var breaks []structs.TargetFailure
 	for _, name := range b.names {
-		breaks = append(breaks, structs.TargetBreak{Target: name})
+		breaks = append(breaks, structs.TargetFailure{Target: name})
 	}
 	return breaks
 }
 
 // The other methods implement Loads without any reports.
-func (b *breakList) Loads(time.Time) []structs.TargetReport      { return nil }
-func (b *breakList) OwnLoads(time.Time) []structs.TargetReport   { return nil }
-func (b *breakList) PoolReports(time.Time) []structs.PoolReport  { return nil }
-func (b *breakList) HearPools([]structs.PoolReport, time.Time)   {}
-func (b *breakList) HearLoads([]structs.TargetReport, time.Time) {}
+func (b *breakList) LoadReports(time.Time) []structs.TargetReport       { return nil }
+func (b *breakList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
+func (b *breakList) PoolReports(time.Time) []structs.PoolReport         { return nil }
+func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
+func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) Hear(breaks []structs.TargetBreak, _ time.Time) {
+func (b *breakList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range breaks {
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -24,8 +24,8 @@
 	// ProgramTimeLeft is the time until the program should be finished, 0 if
 	// unknown.
 	ProgramTimeLeft time.Duration
-	// ProgramOver tells that the program's time is over.
-	ProgramOver bool
+	// ProgramExpired tells that the program's time is over.
+	ProgramExpired bool
 	// AffinityKey names the object that the request is about.
 	AffinityKey string
 	// Turn is set for a turn of a program.
@@ -49,8 +49,8 @@
 	PromptTokens int
 }
 
-// Send is what an instance adds to a request that it passes on.
-type Send struct {
+// SendOptions is what an instance adds to a request that it passes on.
+type SendOptions struct {
 	// Target is the id of the target that must run it; any other refuses.
 	Target string
 	// TimeLeft is the time until the work is of no use any more.
@@ -62,8 +62,8 @@
 	ResumeAfter string
 }
 
-// Answer is what the head of a target's answer says besides its status.
-type Answer struct {
+// Response is what the head of a target's answer says besides its status.
+type Response struct {
 	// RequestID is the request that it answers, empty if it does not say.
 	RequestID string
 	// Signed tells that it is the work of a target.
@@ -90,11 +90,11 @@
 // Codec translates between HTTP headers and the types of this package. The
 // platform's adapter implements it.
 type Codec interface {
-	// Request decodes the header of a caller's request. The error says which
+	// DecodeRequest decodes the header of a caller's request. The error says which
 	// field is malformed.
-	Request(header http.Header) (Request, error)
-	// Outgoing makes the header of a request to a target from the caller's.
-	Outgoing(header http.Header, send Send) http.Header
-	// Answer decodes the head of a target's answer.
-	Answer(status int, header http.Header) Answer
+	DecodeRequest(header http.Header) (Request, error)
+	// TargetHeader makes the header of a request to a target from the caller's.
+	TargetHeader(header http.Header, send SendOptions) http.Header
+	// DecodeResponse decodes the head of a target's answer.
+	DecodeResponse(status int, header http.Header) Response
 }
--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -149,7 +149,7 @@
 
 // gathers tells whether turns for a partition go to the instance that gathers
 // them, rather than by an append of this instance.
-func (k *Keeper) gathers(p *partition) bool {
+func (k *Manager) gathers(p *partition) bool {
 	now := time.Now()
 	k.mu.Lock()
 	gathers, failing := k.path.ShouldBatch(p.number, k.pendingAppends(), now), k.path.Failing()
@@ -157,14 +157,14 @@
 	return gathers && (failing || k.indexOf(p, nil) != k.self.ID)
 }
 
-func (k *Keeper) hedgeAfter() time.Duration {
+func (k *Manager) hedgeAfter() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.HedgeDelay(time.Now())
 }
 
 // mayHedge takes a second try from the budget of second tries.
-func (k *Keeper) mayHedge() bool {
+func (k *Manager) mayHedge() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hedges.Allow(1)
@@ -172,7 +172,7 @@
 
 // triesDirect tells whether this instance, whose appends fail, should try by
 // itself beside another one: one turn after each pause does.
-func (k *Keeper) triesDirect() bool {
+func (k *Manager) triesDirect() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -190,7 +190,7 @@
 
 // noteWinner learns from the try that was answered first: the others' ways are
 // bad, unless the store itself is slow.
-func (k *Keeper) noteWinner(p *partition, winner tryResult, open map[structs.InstanceID]time.Time) {
+func (k *Manager) noteWinner(p *partition, winner tryResult, open map[structs.InstanceID]time.Time) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -217,7 +217,7 @@
 
 // noteAppend learns from an append of this instance. Its outcome is unknown if
 // the Keeper stopped.
-func (k *Keeper) noteAppend(p *partition, result *appendResult) {
+func (k *Manager) noteAppend(p *partition, result *appendResult) {
 	if k.ctx.Err() != nil {
 		return
 	}
@@ -243,37 +243,37 @@
 
 // tellSlow tells others that the store is slow, if it is and nobody did so
 // lately. The mutex is held.
-func (k *Keeper) tellSlow(took time.Duration, now time.Time) {
+func (k *Manager) tellSlow(took time.Duration, now time.Time) {
 	if k.path.ShouldNotifySlow(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
+		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{Took: took, StoreEvent: structs.StoreSlow}) })
 	}
 }
 
 // tellBack tells others that the store takes appends again. The mutex is held.
-func (k *Keeper) tellBack() {
-	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
+func (k *Manager) tellBack() {
+	k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreRecovered}) })
 }
 
 // tellHanging tells others that an append of this instance hangs.
-func (k *Keeper) tellHanging(since time.Time) {
+func (k *Manager) tellHanging(since time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	if k.path.AppendHangs(since, now) && k.path.ShouldNotifyHang(now) {
-		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
+		k.spawn(func() { k.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreSlow}) })
 	}
 }
 
 // receiveNotice takes turns that others kept, and what they tell of the store.
-func (k *Keeper) receiveNotice(m *structs.TurnsNotice) {
+func (k *Manager) receiveNotice(m *structs.TurnsNotice) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
 	switch {
-	case m.News == structs.StoreSlow:
+	case m.StoreEvent == structs.StoreSlow:
 		k.path.ObserveNotice(m.Took, now)
 		k.noteState(nil)
-	case m.News == structs.StoreBack:
+	case m.StoreEvent == structs.StoreRecovered:
 		k.storeBack()
 	}
 	if len(m.Turns) > 0 {
@@ -283,7 +283,7 @@
 
 // storeBack has those that wait for the store try at once, also those whose
 // appends hang. The mutex is held.
-func (k *Keeper) storeBack() {
+func (k *Manager) storeBack() {
 	now := time.Now()
 	k.path.ObserveOutcome(true, now)
 	k.noteState(nil)
@@ -298,7 +298,7 @@
 
 // noteState logs when the state of the access to the store changes. The mutex is
 // held.
-func (k *Keeper) noteState(err error) {
+func (k *Manager) noteState(err error) {
 	state := k.path.State(time.Now())
 	if state == k.state {
 		return
@@ -331,9 +331,9 @@
 // took, and whether the other instance takes that for slow.
 func (w *writing) appendBy(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
 	answer := w.keeper.askWithin(ctx, helper, w.keeper.gatherPatience, func(number uint64) structs.Message {
-		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
+		return &structs.StoreTurnsRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
-	if reply, ok := answer.(*structs.KeepReply); ok && reply.Kept {
+	if reply, ok := answer.(*structs.StoreTurnsReply); ok && reply.Stored {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
@@ -343,21 +343,21 @@
 }
 
 // patience is how long an append may take.
-func (k *Keeper) patience() time.Duration {
+func (k *Manager) patience() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.AppendTimeout(time.Now())
 }
 
 // gatherPatience is how long another instance may take to append turns.
-func (k *Keeper) gatherPatience() time.Duration {
+func (k *Manager) gatherPatience() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.path.BatchTimeout(time.Now())
 }
 
 // receiveKeep appends turns for another instance.
-func (k *Keeper) receiveKeep(from structs.InstanceID, m *structs.KeepRequest) {
+func (k *Manager) receiveKeep(from structs.InstanceID, m *structs.StoreTurnsRequest) {
 	if m.Partition < 0 || m.Partition >= len(k.partitions) {
 		k.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", m.Partition)
 		return
@@ -366,13 +366,13 @@
 	defer k.mu.Unlock()
 	k.spawn(func() {
 		result := k.keepForOther(k.partitions[m.Partition], m.Turns)
-		k.peers.Send(from, &structs.KeepReply{Number: m.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
+		k.peers.Send(from, &structs.StoreTurnsReply{Number: m.Number, Stored: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
 // keepForOther appends turns of another instance, at once or not at all if this
 // instance's appends fail.
-func (k *Keeper) keepForOther(p *partition, turns []structs.KeptTurn) appendResult {
+func (k *Manager) keepForOther(p *partition, turns []structs.StoredTurn) appendResult {
 	k.mu.Lock()
 	failing := k.path.Failing()
 	k.mu.Unlock()
--- a/internal/conversation/ask.go
+++ b/internal/conversation/ask.go
@@ -24,7 +24,7 @@
 
 // indexOf is the instance that should index a partition, passing over those
 // that lately could not, and over some; empty if there is none.
-func (k *Keeper) indexOf(p *partition, passOver []structs.InstanceID) structs.InstanceID {
+func (k *Manager) indexOf(p *partition, passOver []structs.InstanceID) structs.InstanceID {
 	ranked := k.directory.Ranked(p.key())
 	now := time.Now()
 	k.mu.Lock()
@@ -44,7 +44,7 @@
 }
 
 // setUnable has an instance passed over for a while.
-func (k *Keeper) setUnable(id structs.InstanceID) {
+func (k *Manager) setUnable(id structs.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.unableUntil[id] = time.Now().Add(unableTime)
@@ -52,14 +52,14 @@
 
 // ask sends a question, made with its number, and waits for the answer. It
 // returns nil if none comes in time.
-func (k *Keeper) ask(
+func (k *Manager) ask(
 	ctx context.Context, to structs.InstanceID, make func(number uint64) structs.Message,
 ) structs.Message {
 	return k.askWithin(ctx, to, k.replyPatience, make)
 }
 
 // replyPatience is how long an instance may take that may have to read the store.
-func (k *Keeper) replyPatience() time.Duration {
+func (k *Manager) replyPatience() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -70,7 +70,7 @@
 }
 
 // askWithin is ask with the time that the answer may take, which may change.
-func (k *Keeper) askWithin(
+func (k *Manager) askWithin(
 	ctx context.Context, to structs.InstanceID, patience func() time.Duration, make func(number uint64) structs.Message,
 ) structs.Message {
 	q := &question{asked: to, answer: newAnswer()}
@@ -110,7 +110,7 @@
 func newAnswer() chan structs.Message { return make(chan structs.Message, 1) }
 
 // answered hands the answer to a question to whoever waits for it.
-func (k *Keeper) answered(from structs.InstanceID, number uint64, answer structs.Message) {
+func (k *Manager) answered(from structs.InstanceID, number uint64, answer structs.Message) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	q, ok := k.pending[number]
@@ -122,7 +122,7 @@
 }
 
 // peerDown ends the questions to an instance that does not answer.
-func (k *Keeper) peerDown(id structs.InstanceID) {
+func (k *Manager) peerDown(id structs.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number, q := range k.pending {
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -52,7 +52,7 @@
 // waitingTurns are turns that must be appended together.
 type waitingTurns struct {
 	ctx     context.Context
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	records []platform.Record
 	bytes   int
 	// done gets the outcome; it has room for it.
@@ -73,7 +73,7 @@
 
 // appendBatched appends turns together with all others that wait for the partition. If
 // the context ends first, the store may still get them.
-func (k *Keeper) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
+func (k *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.StoredTurn, records []platform.Record) appendResult {
 	r := &waitingTurns{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
@@ -94,7 +94,7 @@
 
 // startAppends begins appends for those that wait, as far as the store carries
 // them. The mutex is held.
-func (k *Keeper) startAppends(p *partition) {
+func (k *Manager) startAppends(p *partition) {
 	l := &p.appends
 	for len(l.open) < l.window.Size() && !k.stopped {
 		batch := k.takeBatch(p)
@@ -110,7 +110,7 @@
 }
 
 // runAppend makes an append and hands its outcome to those whose turns it holds.
-func (k *Keeper) runAppend(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) {
+func (k *Manager) runAppend(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) {
 	result := k.appendBatch(ctx, p, f, batch)
 	f.cancel(nil)
 	if errors.Is(result.err, platform.ErrRejected) && len(batch) > 1 {
@@ -128,7 +128,7 @@
 
 // appendOneByOne appends the turns of each alone, after the store rejected all of them
 // together: one that it rejects must not stop the others.
-func (k *Keeper) appendOneByOne(p *partition, batch []*waitingTurns) {
+func (k *Manager) appendOneByOne(p *partition, batch []*waitingTurns) {
 	var last appendResult
 	for _, r := range batch {
 		if last.err != nil && !errors.Is(last.err, platform.ErrRejected) {
@@ -149,7 +149,7 @@
 
 // takeBatch takes those whose turns go into the next append, leaving out those whose
 // callers left. The mutex is held.
-func (k *Keeper) takeBatch(p *partition) []*waitingTurns {
+func (k *Manager) takeBatch(p *partition) []*waitingTurns {
 	var batch []*waitingTurns
 	records, bytes, taken := 0, 0, 0
 	for _, r := range p.appends.waiting {
@@ -171,7 +171,7 @@
 }
 
 // appendBatch makes one append and notes how it went.
-func (k *Keeper) appendBatch(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) appendResult {
+func (k *Manager) appendBatch(ctx context.Context, p *partition, f *openAppend, batch []*waitingTurns) appendResult {
 	var records []platform.Record
 	for _, r := range batch {
 		records = append(records, r.records...)
@@ -190,7 +190,7 @@
 
 // endInTime ends an append that takes longer than the store's state lets
 // expect, which may change meanwhile.
-func (k *Keeper) endInTime(ctx context.Context, f *openAppend) {
+func (k *Manager) endInTime(ctx context.Context, f *openAppend) {
 	for {
 		left := k.patience() - time.Since(f.begun)
 		if left <= 0 {
@@ -204,7 +204,7 @@
 }
 
 // pendingAppends lists the appends in flight. The mutex is held.
-func (k *Keeper) pendingAppends() []policy.PendingAppend {
+func (k *Manager) pendingAppends() []policy.PendingAppend {
 	var pending []policy.PendingAppend
 	for _, p := range k.partitions {
 		for _, f := range p.appends.open {
--- a/internal/conversation/batch_test.go
+++ b/internal/conversation/batch_test.go
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		k := New(ctx, Parts{
+		k := New(ctx, Config{
 			Directory: directory.New(structs.Peer{ID: "a~1"}), Partitions: 1, MaxCallBytes: callBytes, Store: store, Peers: nobody{},
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -33,7 +33,7 @@
 }
 
 // Dump shows the state.
-func (k *Keeper) Dump() Dump {
+func (k *Manager) Dump() Dump {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
--- a/internal/conversation/keep.go
+++ b/internal/conversation/keep.go
@@ -22,11 +22,11 @@
 	maxPartitionsTried = 2
 )
 
-// Keep makes a turn durable. It returns once the store holds the turn, or with
+// StoreTurn makes a turn durable. It returns once the store holds the turn, or with
 // the error of the context; the store may then still get it.
-func (k *Keeper) Keep(ctx context.Context, program string, turn serve.CompletedTurn) error {
+func (k *Manager) StoreTurn(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := k.partitionOf(program)
-	w := &writing{keeper: k, home: home, turn: structs.KeptTurn{
+	w := &writing{keeper: k, home: home, turn: structs.StoredTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
 		Ended: time.Now().UnixMilli(), Retention: turn.Retention,
 	}}
@@ -48,7 +48,7 @@
 
 // absent lists the turns of a conversation that a partition does not hold yet,
 // since they are another program's or were kept while it was away.
-func (k *Keeper) absent(p *partition, turn string) []structs.KeptTurn {
+func (k *Manager) absent(p *partition, turn string) []structs.StoredTurn {
 	if turn == "" {
 		return nil
 	}
@@ -65,15 +65,15 @@
 // lacking lists the turns of a conversation that a partition may lack. A turn is
 // kept there for its retention, and as long as it has any that continues it
 // there; the index of the partition may have dropped it after that.
-func lacking(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
-	var turns []structs.KeptTurn
+func lacking(entries []*entry, partition int, now time.Time) []structs.StoredTurn {
+	var turns []structs.StoredTurn
 	continued := false
 	for _, e := range slices.Backward(entries) {
-		if e.in(partition) && (continued || now.Before(expiry(e.KeptTurn, now))) {
+		if e.in(partition) && (continued || now.Before(expiry(e.StoredTurn, now))) {
 			continued = true
 			continue
 		}
-		turns = append(turns, e.KeptTurn)
+		turns = append(turns, e.StoredTurn)
 	}
 	slices.Reverse(turns)
 	return turns
@@ -81,15 +81,15 @@
 
 // writing is a turn on its way to the store.
 type writing struct {
-	keeper *Keeper
+	keeper *Manager
 	// home is the partition of the turn's program.
 	home *partition
-	turn structs.KeptTurn
+	turn structs.StoredTurn
 
 	// partition is where the turn is written now, with turns and records: the
 	// turn and those before it that the partition lacks.
 	partition *partition
-	turns     []structs.KeptTurn
+	turns     []structs.StoredTurn
 	records   []platform.Record
 	// helpers are the instances that were asked to append them since askedAnew.
 	helpers   []structs.InstanceID
@@ -160,7 +160,7 @@
 
 // silentSince tells whether the store has answered nobody since a time, for as
 // long as an append may take: another partition is then no better.
-func (k *Keeper) silentSince(begun time.Time) bool {
+func (k *Manager) silentSince(begun time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -178,7 +178,7 @@
 
 // candidates are the partitions to try for a turn: its home, unless that was
 // away a moment ago, and one more.
-func (k *Keeper) candidates(home *partition) []*partition {
+func (k *Manager) candidates(home *partition) []*partition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -197,7 +197,7 @@
 
 // setAway notes that neither this instance nor another could append to a
 // partition.
-func (k *Keeper) setAway(p *partition) {
+func (k *Manager) setAway(p *partition) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p.awayUntil = time.Now().Add(awayTime)
--- a/internal/conversation/keeper.go
+++ b/internal/conversation/keeper.go
@@ -37,8 +37,8 @@
 // Health tells whether the store answers this instance's reads of other topics.
 type Health interface{ OK() bool }
 
-// Keeper keeps conversations. It is safe for concurrent use.
-type Keeper struct {
+// Manager keeps conversations. It is safe for concurrent use.
+type Manager struct {
 	self      structs.Peer
 	directory *directory.Directory
 	store     Store
@@ -80,8 +80,8 @@
 	answer chan structs.Message
 }
 
-// Parts are what a Keeper works with.
-type Parts struct {
+// Config are what a Keeper works with.
+type Config struct {
 	Directory *directory.Directory
 	// Partitions is the number of the topic's partitions.
 	Partitions int
@@ -95,8 +95,8 @@
 }
 
 // New makes a Keeper that works until the context ends.
-func New(ctx context.Context, parts Parts) *Keeper {
-	k := &Keeper{
+func New(ctx context.Context, parts Config) *Manager {
+	k := &Manager{
 		self: parts.Directory.Self(), directory: parts.Directory, store: parts.Store, peers: parts.Peers,
 		health: parts.Health, log: parts.Log, metrics: newMetrics(parts.Scope), started: time.Now(), ctx: ctx,
 		memory:      newMemory(),
@@ -117,20 +117,20 @@
 }
 
 // partitionOf is the partition that holds the turns of a program.
-func (k *Keeper) partitionOf(program string) *partition {
+func (k *Manager) partitionOf(program string) *partition {
 	return k.partitions[xxhash.Sum64String(program)%uint64(len(k.partitions))]
 }
 
 // spawn works in the background, unless the Keeper has stopped. The mutex is
 // held.
-func (k *Keeper) spawn(work func()) {
+func (k *Manager) spawn(work func()) {
 	if !k.stopped {
 		k.work.Go(work)
 	}
 }
 
 // Run drops what can no longer be named until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
@@ -148,7 +148,7 @@
 }
 
 // Receive handles an event of the transport between instances.
-func (k *Keeper) Receive(event structs.Event) {
+func (k *Manager) Receive(event structs.Event) {
 	switch e := event.(type) {
 	case structs.PeerMessage:
 		k.receiveMessage(e.From, e.Msg)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (k *Keeper) receiveMessage(from structs.InstanceID, msg structs.Message) {
+func (k *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.ConversationRequest:
 		k.receiveRequest(from, m)
@@ -165,9 +165,9 @@
 		k.answered(from, m.Number, m)
 	case *structs.TurnsNotice:
 		k.receiveNotice(m)
-	case *structs.KeepRequest:
+	case *structs.StoreTurnsRequest:
 		k.receiveKeep(from, m)
-	case *structs.KeepReply:
+	case *structs.StoreTurnsReply:
 		k.answered(from, m.Number, m)
 	}
 }
@@ -176,21 +176,21 @@
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
 	case structs.KindConversationRequest, structs.KindConversationReply, structs.KindTurnsNotice,
-		structs.KindKeepRequest, structs.KindKeepReply:
+		structs.KindStoreTurnsRequest, structs.KindStoreTurnsReply:
 		return true
 	}
 	return false
 }
 
 // learn takes turns that a partition of the store holds.
-func (k *Keeper) learn(turns []structs.KeptTurn, partition int) {
+func (k *Manager) learn(turns []structs.StoredTurn, partition int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.add(turns, partition)
 }
 
 // add is learn with the mutex held.
-func (k *Keeper) add(turns []structs.KeptTurn, partition int) {
+func (k *Manager) add(turns []structs.StoredTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
 		k.memory.add(turn, partition, now)
@@ -200,10 +200,10 @@
 }
 
 // turnsOf copies the turns out of entries.
-func turnsOf(entries []*entry) []structs.KeptTurn {
-	turns := make([]structs.KeptTurn, len(entries))
+func turnsOf(entries []*entry) []structs.StoredTurn {
+	turns := make([]structs.StoredTurn, len(entries))
 	for i, e := range entries {
-		turns[i] = e.KeptTurn
+		turns[i] = e.StoredTurn
 	}
 	return turns
 }
--- a/internal/conversation/keeper_test.go
+++ b/internal/conversation/keeper_test.go
@@ -199,7 +199,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := n.keeper.Before(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
+		if _, err := n.keeper.History(t.Context(), "p", "spoilt"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -228,15 +228,15 @@
 func TestVerdict(t *testing.T) {
 	found := finding{outcome: structs.ConversationFound}
 	unknown := finding{outcome: structs.ConversationUnknown}
-	unread := finding{outcome: structs.ConversationUnread}
+	unread := finding{outcome: structs.ConversationUnreadable}
 	for _, c := range []struct {
 		findings []finding
 		want     structs.ConversationOutcome
 	}{
 		{[]finding{unknown, unknown}, structs.ConversationUnknown},
-		{[]finding{unknown, unread}, structs.ConversationUnread},
+		{[]finding{unknown, unread}, structs.ConversationUnreadable},
 		{[]finding{unread, found, unknown}, structs.ConversationFound},
-		{[]finding{{}, unknown}, structs.ConversationUnread},
+		{[]finding{{}, unknown}, structs.ConversationUnreadable},
 	} {
 		if got := verdict(c.findings); got != c.want {
 			t.Errorf("%v: got %d, want %d", c.findings, got, c.want)
@@ -249,7 +249,7 @@
 	inWorld(t, 2, func(t *testing.T, w *world) {
 		n := w.all()[0]
 		now := time.Now().UnixMilli()
-		records, err := encodeTurns([]structs.KeptTurn{
+		records, err := encodeTurns([]structs.StoredTurn{
 			{ID: "x", Previous: "y", Ended: now, Retention: testRetention},
 			{ID: "y", Previous: "x", Ended: now, Retention: testRetention},
 		})
@@ -261,7 +261,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := n.keeper.Before(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
+		if _, err := n.keeper.History(ctx, "p", "x"); !errors.Is(err, serve.ErrTurnUncertain) {
 			t.Errorf("got %v", err)
 		}
 	})
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -15,7 +15,7 @@
 // finding is what became of the search for a turn in one partition.
 type finding struct {
 	outcome structs.ConversationOutcome
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	// partition holds the turns, if they were found.
 	partition int
 }
@@ -30,16 +30,16 @@
 			return structs.ConversationFound
 		case structs.ConversationUnknown:
 		default:
-			outcome = structs.ConversationUnread
+			outcome = structs.ConversationUnreadable
 		}
 	}
 	return outcome
 }
 
-// Before is what a conversation holds up to and with a turn. It returns
+// History is what a conversation holds up to and with a turn. It returns
 // serve.ErrTurnNotFound if there is no such turn, serve.ErrTurnUncertain if that is not
 // known.
-func (k *Keeper) Before(ctx context.Context, program, turn string) ([]byte, error) {
+func (k *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
 	if text, ok := k.text(turn); ok {
 		k.metrics.local.Inc(1)
 		return text, nil
@@ -67,7 +67,7 @@
 }
 
 // text joins a turn and all before it, if this instance has them.
-func (k *Keeper) text(id string) ([]byte, bool) {
+func (k *Manager) text(id string) ([]byte, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	entries, ok := k.memory.chain(id, time.Now())
@@ -87,7 +87,7 @@
 }
 
 // find looks for a turn in one partition, at the instance that indexes it.
-func (k *Keeper) find(ctx context.Context, p *partition, turn string) finding {
+func (k *Manager) find(ctx context.Context, p *partition, turn string) finding {
 	var passOver []structs.InstanceID
 	for range maxAsked {
 		id := k.indexOf(p, passOver)
@@ -95,17 +95,17 @@
 			break
 		}
 		found := k.findAt(ctx, id, p, turn)
-		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
+		if found.outcome != structs.ConversationUnreadable || ctx.Err() != nil {
 			return found
 		}
 		k.setUnable(id)
 		passOver = append(passOver, id)
 	}
-	return finding{outcome: structs.ConversationUnread}
+	return finding{outcome: structs.ConversationUnreadable}
 }
 
 // findAt looks for a turn at one instance and remembers what it finds.
-func (k *Keeper) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) finding {
+func (k *Manager) findAt(ctx context.Context, id structs.InstanceID, p *partition, turn string) finding {
 	if id == k.self.ID {
 		return k.findHere(ctx, p, turn)
 	}
@@ -114,7 +114,7 @@
 	})
 	reply, ok := answer.(*structs.ConversationReply)
 	if !ok {
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	if reply.Outcome == structs.ConversationFound {
 		k.learn(reply.Turns, reply.Partition)
@@ -123,12 +123,12 @@
 }
 
 // findHere looks for a turn in memory, then in the store.
-func (k *Keeper) findHere(ctx context.Context, p *partition, turn string) finding {
+func (k *Manager) findHere(ctx context.Context, p *partition, turn string) finding {
 	if found, ok := k.findInMemory(turn); ok {
 		return found
 	}
 	if err := k.catchUp(ctx, p); err != nil {
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	if found, ok := k.findInMemory(turn); ok {
 		return found
@@ -142,13 +142,13 @@
 		// A turn before it is missing or cannot be read, which the invariant
 		// rules out: the conversation exists, but not whole.
 		k.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
-		return finding{outcome: structs.ConversationUnread}
+		return finding{outcome: structs.ConversationUnreadable}
 	}
 	return finding{outcome: structs.ConversationUnknown}
 }
 
 // findInMemory looks for a turn among those that this instance has.
-func (k *Keeper) findInMemory(turn string) (finding, bool) {
+func (k *Manager) findInMemory(turn string) (finding, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	entries, ok := k.memory.chain(turn, time.Now())
@@ -161,7 +161,7 @@
 
 // findElsewhere looks for a turn in all partitions but one, whose finding is
 // given.
-func (k *Keeper) findElsewhere(
+func (k *Manager) findElsewhere(
 	ctx context.Context, home *partition, found finding, turn string,
 ) structs.ConversationOutcome {
 	findings := make(chan finding, len(k.partitions))
@@ -182,7 +182,7 @@
 }
 
 // receiveRequest answers another instance's question.
-func (k *Keeper) receiveRequest(from structs.InstanceID, m *structs.ConversationRequest) {
+func (k *Manager) receiveRequest(from structs.InstanceID, m *structs.ConversationRequest) {
 	if m.Partition < 0 || m.Partition >= len(k.partitions) {
 		k.log.Warn("question for an unknown partition ignored", "peer", from, "partition", m.Partition)
 		return
--- a/internal/conversation/memory.go
+++ b/internal/conversation/memory.go
@@ -9,7 +9,7 @@
 
 // entry is a turn that this instance has, and the partitions that hold it.
 type entry struct {
-	structs.KeptTurn
+	structs.StoredTurn
 	// partitions is nearly always one.
 	partitions []int
 	// until is when the turn and all that continue it can no longer be named,
@@ -28,10 +28,10 @@
 func newMemory() memory { return memory{turns: make(map[string]*entry)} }
 
 // add takes a turn that a partition holds.
-func (m *memory) add(turn structs.KeptTurn, partition int, now time.Time) {
+func (m *memory) add(turn structs.StoredTurn, partition int, now time.Time) {
 	e, ok := m.turns[turn.ID]
 	if !ok {
-		e = &entry{KeptTurn: turn, until: expiry(turn, now)}
+		e = &entry{StoredTurn: turn, until: expiry(turn, now)}
 		m.turns[turn.ID] = e
 		m.bytes += len(turn.Input) + len(turn.Output)
 	}
@@ -43,7 +43,7 @@
 // expiry is when a turn can no longer be named if none continues it. The clock
 // of the instance that ran it may differ from this one's, so a turn is never
 // taken to have ended in the future.
-func expiry(turn structs.KeptTurn, now time.Time) time.Time {
+func expiry(turn structs.StoredTurn, now time.Time) time.Time {
 	ended := time.UnixMilli(turn.Ended)
 	if ended.After(now) {
 		ended = now
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -40,7 +40,7 @@
 
 // awaitTry waits until the caller may try to keep its turn. It tells whether
 // the caller tries for others as well, who wait until endTry.
-func (k *Keeper) awaitTry(ctx context.Context) (prober bool, err error) {
+func (k *Manager) awaitTry(ctx context.Context) (prober bool, err error) {
 	for {
 		k.mu.Lock()
 		if k.outage.since.IsZero() {
@@ -63,7 +63,7 @@
 }
 
 // pauseTry waits before the next round of tries, unless the outage ends.
-func (k *Keeper) pauseTry(ctx context.Context, wait time.Duration) {
+func (k *Manager) pauseTry(ctx context.Context, wait time.Duration) {
 	k.mu.Lock()
 	ended, changed := k.outage.since.IsZero(), k.outage.changed
 	k.mu.Unlock()
@@ -80,7 +80,7 @@
 }
 
 // endTry lets the next one try.
-func (k *Keeper) endTry(prober bool) {
+func (k *Manager) endTry(prober bool) {
 	if !prober {
 		return
 	}
@@ -99,7 +99,7 @@
 
 // noteRound notes whether a round of tries over instances and partitions
 // failed, and logs when that changes. It returns the pause before the next one.
-func (k *Keeper) noteRound(err error) time.Duration {
+func (k *Manager) noteRound(err error) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	o := &k.outage
@@ -123,7 +123,7 @@
 }
 
 // endOutage has all that wait try again. The mutex is held.
-func (k *Keeper) endOutage() {
+func (k *Manager) endOutage() {
 	o := &k.outage
 	if o.since.IsZero() {
 		return
@@ -146,7 +146,7 @@
 // leaves, as far as is known. While the store is full none can, for as long as
 // nobody makes room. While it is away turns are accepted if it is expected back
 // in time: their callers get the text as it comes, and the end once it is back.
-func (k *Keeper) Accepts(left time.Duration) bool {
+func (k *Manager) Accepts(left time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	o := &k.outage
--- a/internal/conversation/partition.go
+++ b/internal/conversation/partition.go
@@ -42,7 +42,7 @@
 
 // catchUp reads a partition to its end, by a read that begins after the call.
 // Calls that come together share one.
-func (k *Keeper) catchUp(ctx context.Context, p *partition) error {
+func (k *Manager) catchUp(ctx context.Context, p *partition) error {
 	done := make(chan error, 1)
 	k.mu.Lock()
 	p.waiting = append(p.waiting, done)
@@ -62,7 +62,7 @@
 }
 
 // readFor reads for those who wait, until nobody does.
-func (k *Keeper) readFor(p *partition) {
+func (k *Manager) readFor(p *partition) {
 	for {
 		k.mu.Lock()
 		waiting := p.waiting
@@ -83,7 +83,7 @@
 }
 
 // readToEnd reads what a partition holds beyond what is in memory.
-func (k *Keeper) readToEnd(p *partition) error {
+func (k *Manager) readToEnd(p *partition) error {
 	k.mu.Lock()
 	read := p.read
 	k.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // readNewest reads the newest record of each key, page by page.
-func (k *Keeper) readNewest(p *partition) error {
+func (k *Manager) readNewest(p *partition) error {
 	begun := time.Now()
 	after, next, records := "", int64(-1), 0
 	for {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (k *Keeper) newestPage(p *partition, after string) (platform.Newest, bool, error) {
+func (k *Manager) newestPage(p *partition, after string) (platform.Newest, bool, error) {
 	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
 	defer cancel()
 	return k.store.NewestPage(ctx, topic, p.number, after)
@@ -137,7 +137,7 @@
 
 // readOn reads the records behind what is in memory to the partition's end. It
 // returns platform.ErrTrimmed if some of them are no longer kept.
-func (k *Keeper) readOn(p *partition) error {
+func (k *Manager) readOn(p *partition) error {
 	for {
 		k.mu.Lock()
 		from := p.next
@@ -159,7 +159,7 @@
 	}
 }
 
-func (k *Keeper) readPage(p *partition, from int64) (platform.Page, error) {
+func (k *Manager) readPage(p *partition, from int64) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(k.ctx, pageTimeout)
 	defer cancel()
 	return k.store.ReadPage(ctx, topic, p.number, from, 0)
@@ -167,7 +167,7 @@
 
 // take adds the turns of records to memory. A record that cannot be decoded is
 // logged and passed over: its conversation is then not found whole.
-func (k *Keeper) take(p *partition, records []platform.Record) {
+func (k *Manager) take(p *partition, records []platform.Record) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/conversation/sweep.go
+++ b/internal/conversation/sweep.go
@@ -31,7 +31,7 @@
 
 // sweep drops turns that can no longer be named from memory and, from the
 // partitions that this instance indexes, from the store.
-func (k *Keeper) sweep(ctx context.Context) {
+func (k *Manager) sweep(ctx context.Context) {
 	for _, p := range k.partitions {
 		if k.indexOf(p, nil) == k.self.ID {
 			k.dropFrom(ctx, p)
@@ -47,7 +47,7 @@
 }
 
 // dropFrom drops a partition's expired turns and its history from the store.
-func (k *Keeper) dropFrom(ctx context.Context, p *partition) {
+func (k *Manager) dropFrom(ctx context.Context, p *partition) {
 	k.mu.Lock()
 	unread := !p.read && time.Since(k.started) > firstReadAfter
 	due := unread || len(k.expiredIn(p)) > 0 || p.bytes > trimBytes
@@ -76,7 +76,7 @@
 
 // expiredIn lists the records that drop a partition's expired turns. The mutex
 // is held.
-func (k *Keeper) expiredIn(p *partition) []platform.Record {
+func (k *Manager) expiredIn(p *partition) []platform.Record {
 	var records []platform.Record
 	for _, e := range k.memory.expired(time.Now(), dropMargin) {
 		if e.in(p.number) {
@@ -88,7 +88,7 @@
 
 // trim drops a partition's history once it has grown; the newest record of each
 // key stays.
-func (k *Keeper) trim(ctx context.Context, p *partition) {
+func (k *Manager) trim(ctx context.Context, p *partition) {
 	k.mu.Lock()
 	before, bytes := p.next, p.bytes
 	k.mu.Unlock()
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -21,7 +21,7 @@
 		w.mustRecall(w.all()[0], "q", long)
 		w.restartAll()
 		w.mustRecall(w.all()[0], "q", long)
-		if _, err := w.all()[0].keeper.Before(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
+		if _, err := w.all()[0].keeper.History(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
 			t.Errorf("a turn long past its retention: %v", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
@@ -49,7 +49,7 @@
 		w.mustRecall(n, second, last)
 		time.Sleep(testRetention + 2*namedMargin)
 		end := serve.CompletedTurn{ID: "late", Previous: last, Input: []byte("in"), Retention: testRetention}
-		if err := n.keeper.Keep(t.Context(), second, end); err != nil {
+		if err := n.keeper.StoreTurn(t.Context(), second, end); err != nil {
 			t.Fatal(err)
 		}
 		list, err := w.Store.Newest(t.Context(), topic, 1)
--- a/internal/conversation/world_test.go
+++ b/internal/conversation/world_test.go
@@ -52,7 +52,7 @@
 // node is one life of an instance.
 type node struct {
 	*simnet.Node
-	keeper *Keeper
+	keeper *Manager
 }
 
 // inWorld runs a test with instances in virtual time.
@@ -82,7 +82,7 @@
 // run starts a life of an instance.
 func (w *world) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
-	n.keeper = New(ctx, Parts{
+	n.keeper = New(ctx, Config{
 		Directory: sim.Directory, Partitions: w.partitions, Store: sim.Store(), Peers: sim, Health: sim,
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
@@ -143,7 +143,7 @@
 	id := fmt.Sprintf("%016x", uint64(w.made)*0x9e3779b97f4a7c15)
 	w.mu.Unlock()
 	input, output := "in "+id+"\n", "out "+id+"\n"
-	err = n.keeper.Keep(ctx, program, serve.CompletedTurn{
+	err = n.keeper.StoreTurn(ctx, program, serve.CompletedTurn{
 		ID: id, Previous: previous, Input: []byte(input), Output: []byte(output), Retention: testRetention,
 	})
 	if err != nil {
@@ -164,7 +164,7 @@
 	w.mu.Lock()
 	want, exists := w.ended[turn]
 	w.mu.Unlock()
-	got, err := n.keeper.Before(ctx, program, turn)
+	got, err := n.keeper.History(ctx, program, turn)
 	switch {
 	case err == nil && string(got) != want.text && exists:
 		w.t.Errorf("turn %s at %s: got %q, want %q", turn, n.ID, got, want.text)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -97,7 +97,7 @@
 
 func newRegistry(machine platform.Machine, pool *exchange.Pool) *targets.Registry {
 	registry := targets.NewRegistry(machine.DataCentre, pool)
-	if machine.Contended {
+	if machine.OverloadExpected {
 		registry.LearnSpeeds()
 	}
 	return registry
@@ -127,7 +127,7 @@
 
 func newServer(
 	machine platform.Machine, freshness *settingsFreshness, allowances *allowance.Manager,
-	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Manager, conversations *conversation.Keeper,
+	registry *targets.Registry, pool *exchange.Pool, budgets *budget.Manager, conversations *conversation.Manager,
 	health *feed.Health, scope tally.Scope, log *slog.Logger,
 ) *serve.Server {
 	return serve.New(serve.Config{
@@ -158,7 +158,7 @@
 	budgets   *budget.Manager
 	// conversations holds the conversations of routes whose turns carry only their own
 	// input.
-	conversations *conversation.Keeper
+	conversations *conversation.Manager
 	allowances    *allowance.Manager
 
 	settings  *feed.Topic
@@ -178,7 +178,7 @@
 func newEdge(
 	machine platform.Machine, log *slog.Logger, reporter *httpapi.Metrics, store *platform.Store,
 	health *feed.Health, pool *exchange.Pool, server *serve.Server, targetFeed *targetFeed,
-	dir *directory.Directory, transport *peer.Transport, budgets *budget.Manager, conversations *conversation.Keeper,
+	dir *directory.Directory, transport *peer.Transport, budgets *budget.Manager, conversations *conversation.Manager,
 	freshness *settingsFreshness, instances *instanceList, allowances *allowance.Manager,
 ) *edge {
 	e := &edge{
@@ -189,7 +189,7 @@
 	}
 	e.settings = feed.NewTopic(platform.TopicOperator, e.applySettings)
 	freshness.topic = e.settings
-	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, targetFeed.apply)
+	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.EqualExceptSequence, targetFeed.apply)
 	e.instances = feed.NewTopic(topicInstances, applyInstance(dir, e.reregister, log))
 	instances.topic.Store(e.instances)
 	e.relay = e.newRelay()
@@ -201,7 +201,7 @@
 	m := e.machine
 	return relay.New(relay.Config{
 		Self:     relay.Holder{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
-		CPUShare: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
+		CPUShare: m.CPUCores, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
 		Topics: []relay.FollowedTopic{
 			{Topic: e.settings, Wait: readWait(m.ConfigDelay), Bounded: true},
 			{Topic: e.targets, Wait: readWait(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -24,7 +24,7 @@
 // the transport.
 type eventRouter struct {
 	budgets       *budget.Manager
-	conversations *conversation.Keeper
+	conversations *conversation.Manager
 	allowances    *allowance.Manager
 }
 
@@ -75,8 +75,8 @@
 func newConversations(
 	background backgroundContext, machine platform.Machine, dir *directory.Directory, store *platform.Store,
 	transport *peer.Transport, health *feed.Health, r *eventRouter, scope tally.Scope, log *slog.Logger,
-) *conversation.Keeper {
-	r.conversations = conversation.New(background, conversation.Parts{
+) *conversation.Manager {
+	r.conversations = conversation.New(background, conversation.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, MaxCallBytes: machine.Store.MaxCallBytes,
 		Store: store, Peers: transport, Health: health, Scope: scope, Log: log,
 	})
@@ -90,7 +90,7 @@
 	quota := machine.Quota
 	r.allowances = allowance.New(allowance.Config{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
-		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Over, Slack: quota.Slack},
+		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Fraction, Slack: quota.Requests},
 		Peers:     transport, Listed: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.allowances
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -84,7 +84,7 @@
 
 // pick picks the target, nil if it is not usable.
 func (h *feedHarness) pick() *targets.Target {
-	return h.registry.Pick(targets.Want{Service: "s"}, time.Now())
+	return h.registry.Pick(targets.Criteria{Service: "s"}, time.Now())
 }
 
 func (h *feedHarness) refused(cause string) int64 {
@@ -200,13 +200,13 @@
 	withFeedHarness(t, func(h *feedHarness) {
 		h.put(1, targetEntry(1000, "ready"))
 		first := h.pick()
-		h.registry.Failed(first, time.Now())
+		h.registry.RecordFailure(first, time.Now())
 		h.put(2, targetEntry(2000, "ready"))
 		next := h.pick()
 		if next == first || next.Incarnation() == first.Incarnation() || next.ID != first.ID {
 			t.Error("the later incarnation is treated as the earlier one")
 		}
-		if h.registry.Runs(first.Incarnation()) || h.registry.PickSame(first.Incarnation()) != nil {
+		if h.registry.IsRegistered(first.Incarnation()) || h.registry.PickIncarnation(first.Incarnation()) != nil {
 			t.Error("the earlier incarnation still counts as running")
 		}
 		if got := []string(h.connections); !slices.Contains(got, "10.0.0.1:80") {
--- a/internal/instance/life.go
+++ b/internal/instance/life.go
@@ -36,7 +36,7 @@
 	}
 	switch ev := ev.(type) {
 	case structs.CallerSubmit:
-		in.replies = append(in.replies, structs.ReplyEnd{Request: ev.Request, Outcome: ev.Call.Refusal(reason, retryAfterStart)})
+		in.replies = append(in.replies, structs.ReplyOutcome{Request: ev.Request, Outcome: ev.Call.Refusal(reason, retryAfterStart)})
 	case structs.CallerProgram:
 		out := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfterStart}
 		in.replies = append(in.replies, structs.ReplyProgram{Request: ev.Request, Outcome: out})
--- a/internal/instance/world_bench_test.go
+++ b/internal/instance/world_bench_test.go
@@ -137,7 +137,7 @@
 		if c.Outcome.Kind != structs.OutcomeAnswered {
 			w.b.Fatalf("open: %+v", c.Outcome)
 		}
-	case structs.ReplyEnd:
+	case structs.ReplyOutcome:
 		if c.Outcome.Kind != structs.OutcomeAnswered {
 			w.b.Fatalf("call: %+v", c.Outcome)
 		}
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -262,9 +262,9 @@
 		w.after(netDelay, func() {
 			n.deliver(structs.CacheReleased{Target: cmd.Target.ID, Program: cmd.Program, Done: true})
 		})
-	case structs.AskOutcome:
-		w.after(netDelay, func() { n.deliver(structs.OutcomeAsked{Run: cmd.Run}) })
-	case structs.ReplyEnd:
+	case structs.QueryOutcome:
+		w.after(netDelay, func() { n.deliver(structs.OutcomeQueried{Run: cmd.Run}) })
+	case structs.ReplyOutcome:
 		w.reply(cmd.Request, cmd.Outcome)
 	case structs.ReplyProgram:
 		w.reply(cmd.Request, cmd.Outcome)
--- a/internal/memlimit/buffer.go
+++ b/internal/memlimit/buffer.go
@@ -14,7 +14,7 @@
 	bytes   []byte
 }
 
-// NewBuffer makes a Buffer with room for some bytes, or returns a *ShortError.
+// NewBuffer makes a Buffer with room for some bytes, or returns a *LimitError.
 func NewBuffer(account *Account, size int64) (*Buffer, error) {
 	b := &Buffer{account: account}
 	if size <= 0 || size == math.MaxInt64 {
@@ -25,9 +25,9 @@
 	return b, b.grow(size + 1)
 }
 
-// grow makes room for some bytes more, or returns a *ShortError.
+// grow makes room for some bytes more, or returns a *LimitError.
 func (b *Buffer) grow(more int64) error {
-	if err := b.account.Hold(more); err != nil {
+	if err := b.account.Reserve(more); err != nil {
 		return err
 	}
 	grown := make([]byte, len(b.bytes), int64(cap(b.bytes))+more)
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// Fill reads until the end of a source, or until more does not fit: then it
-// returns a *ShortError, and what was read stays.
-func (b *Buffer) Fill(source io.Reader) error {
+// ReadAll reads until the end of a source, or until more does not fit: then it
+// returns a *LimitError, and what was read stays.
+func (b *Buffer) ReadAll(source io.Reader) error {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
 			if err := b.grow(int64(max(cap(b.bytes), leastGrowth))); err != nil {
--- a/internal/memlimit/memlimit.go
+++ b/internal/memlimit/memlimit.go
@@ -11,23 +11,23 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// ShortError tells that bytes were refused; nothing of the request has run for
+// LimitError tells that bytes were refused; nothing of the request has run for
 // lack of them.
-type ShortError struct {
+type LimitError struct {
 	// Size was asked for while Held of Most were held, all in bytes.
 	Size, Held, Most int64
 	// UnderWay tells that the request belongs to a program under way.
 	UnderWay bool
 }
 
-func (e *ShortError) Error() string {
+func (e *LimitError) Error() string {
 	return fmt.Sprintf("%d bytes more do not fit: %d of %d are held for requests (program under way: %t)",
 		e.Size, e.Held, e.Most, e.UnderWay)
 }
 
-// Bound is what an instance may hold for requests. It is safe for concurrent
+// Limiter is what an instance may hold for requests. It is safe for concurrent
 // use; a nil Bound has no limit.
-type Bound struct {
+type Limiter struct {
 	mu    sync.Mutex
 	bytes policy.RequestMemory
 
@@ -36,14 +36,14 @@
 }
 
 // New makes a Bound of some bytes, 0 for none.
-func New(most int64, scope tally.Scope) *Bound {
+func New(most int64, scope tally.Scope) *Limiter {
 	scope = scope.SubScope("request_bytes")
 	scope.Gauge("most").Update(float64(most))
-	return &Bound{bytes: policy.RequestMemory{Max: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
+	return &Limiter{bytes: policy.RequestMemory{Max: most}, held: scope.Gauge("held"), refused: scope.Counter("refused")}
 }
 
-// Bytes is what is held now.
-func (b *Bound) Bytes() policy.RequestMemory {
+// Usage is what is held now.
+func (b *Limiter) Usage() policy.RequestMemory {
 	if b == nil {
 		return policy.RequestMemory{}
 	}
@@ -52,40 +52,40 @@
 	return b.bytes
 }
 
-// hold takes some bytes, or returns a *ShortError.
-func (b *Bound) hold(size int64, underWay bool) error {
+// hold takes some bytes, or returns a *LimitError.
+func (b *Limiter) hold(size int64, underWay bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.bytes.Fits(size, underWay) {
 		b.refused.Inc(1)
-		return &ShortError{Size: size, Held: b.bytes.Held, Most: b.bytes.Max, UnderWay: underWay}
+		return &LimitError{Size: size, Held: b.bytes.Held, Most: b.bytes.Max, UnderWay: underWay}
 	}
 	b.add(size)
 	return nil
 }
 
 // add counts bytes. The mutex is held.
-func (b *Bound) add(size int64) {
+func (b *Limiter) add(size int64) {
 	b.bytes.Held += size
 	b.held.Update(float64(b.bytes.Held))
 }
 
 // Account is what is held for one request. It is not safe for concurrent use.
 type Account struct {
-	bound    *Bound
+	bound    *Limiter
 	held     int64
 	underWay bool
 }
 
-// Open makes an Account that holds nothing.
-func (b *Bound) Open() Account { return Account{bound: b} }
+// NewAccount makes an Account that holds nothing.
+func (b *Limiter) NewAccount() Account { return Account{bound: b} }
 
-// SetUnderWay tells whether what is held next is needed by a program under way,
+// SetInProgress tells whether what is held next is needed by a program under way,
 // which may use the whole bound.
-func (a *Account) SetUnderWay(needed bool) { a.underWay = needed }
+func (a *Account) SetInProgress(needed bool) { a.underWay = needed }
 
-// Hold takes some bytes more, or returns a *ShortError.
-func (a *Account) Hold(size int64) error {
+// Reserve takes some bytes more, or returns a *LimitError.
+func (a *Account) Reserve(size int64) error {
 	if a.bound == nil {
 		return nil
 	}
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// Count takes bytes that are there already, whether they fit or not.
-func (a *Account) Count(size int64) {
+// ForceReserve takes bytes that are there already, whether they fit or not.
+func (a *Account) ForceReserve(size int64) {
 	if a.bound == nil {
 		return
 	}
@@ -110,6 +110,6 @@
 // Close gives everything back.
 func (a *Account) Close() {
 	if a.held != 0 {
-		a.Count(-a.held)
+		a.ForceReserve(-a.held)
 	}
 }
--- a/internal/memlimit/memlimit_test.go
+++ b/internal/memlimit/memlimit_test.go
@@ -13,20 +13,20 @@
 // far larger than what is left.
 func TestBuffersStayWithinTheBound(t *testing.T) {
 	bound := New(100<<10, tally.NoopScope)
-	large := bound.Open()
+	large := bound.NewAccount()
 	b, err := NewBuffer(&large, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var short *ShortError
-	if err := b.Fill(bytes.NewReader(make([]byte, 1<<20))); !errors.As(err, &short) {
+	var short *LimitError
+	if err := b.ReadAll(bytes.NewReader(make([]byte, 1<<20))); !errors.As(err, &short) {
 		t.Fatalf("%v: a body of 1 MB was read into a bound of 100 KB", err)
 	}
-	if held := bound.Bytes().Held; held == 0 || held > 100<<10 {
+	if held := bound.Usage().Held; held == 0 || held > 100<<10 {
 		t.Errorf("%d bytes are held", held)
 	}
 	large.Close()
-	if held := bound.Bytes().Held; held != 0 {
+	if held := bound.Usage().Held; held != 0 {
 		t.Errorf("%d bytes are held after the end", held)
 	}
 }
@@ -34,15 +34,15 @@
 // TestABodyOfKnownLengthTakesItsLength reads one.
 func TestABodyOfKnownLengthTakesItsLength(t *testing.T) {
 	bound := New(100<<10, tally.NoopScope)
-	account := bound.Open()
+	account := bound.NewAccount()
 	b, err := NewBuffer(&account, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Fill(strings.NewReader(strings.Repeat("x", 1000))); err != nil || len(b.Bytes()) != 1000 {
+	if err := b.ReadAll(strings.NewReader(strings.Repeat("x", 1000))); err != nil || len(b.Bytes()) != 1000 {
 		t.Fatal(len(b.Bytes()), err)
 	}
-	if held := bound.Bytes().Held; held != 1001 {
+	if held := bound.Usage().Held; held != 1001 {
 		t.Errorf("%d bytes are held", held)
 	}
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -50,15 +50,15 @@
 	// Program names its program in its organisation; ID the request.
 	Program string
 	ID      string
-	// Call tells that it is no turn but a call of a program.
-	Call  bool
-	Class policy.AdmissionClass
+	// IsCall tells that it is no turn but a call of a program.
+	IsCall bool
+	Class  policy.AdmissionClass
 	// Route is the one of a turn.
 	Route string
 	// Rank is how urgent it is; 0 is the most urgent.
 	Rank int
-	// Use is what its organisation uses, in parts of its limit; 0 if unknown.
-	Use      float64
+	// Usage is what its organisation uses, in parts of its limit; 0 if unknown.
+	Usage    float64
 	TimeLeft time.Duration
 }
 
@@ -104,11 +104,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service, now)
-	if r.Call {
+	if r.IsCall {
 		s.calledAt = now
 	}
 	ask := policy.AdmissionRequest{
-		Class: r.Class, Rank: s.rankAbove(r), RelativeSize: s.size(r), LimitUsage: r.Use, Random: draw(r), Jitter: g.jitter(),
+		Class: r.Class, Rank: s.rankAbove(r), RelativeSize: s.size(r), LimitUsage: r.Usage, Random: draw(r), Jitter: g.jitter(),
 		TimeLeft: r.TimeLeft, TypicalTime: s.usual,
 	}
 	verdict := policy.AdmitRequest(ask, g.needed(r, s, now)...)
@@ -160,7 +160,7 @@
 
 // learn counts a turn that was let in.
 func (s *service) learn(r Request) {
-	if r.Call || r.Program == "" || r.Route == "" {
+	if r.IsCall || r.Program == "" || r.Route == "" {
 		return
 	}
 	n := s.needs[r.Route]
@@ -200,10 +200,10 @@
 	return pools
 }
 
-// Again tells whether a request may be sent to one more target of a service
+// AllowRetry tells whether a request may be sent to one more target of a service
 // after a number of targets were full. It may where slots are free, and once where
 // nothing is known; else such sends are a bounded share.
-func (g *Guard) Again(name string, refusals int, now time.Time) bool {
+func (g *Guard) AllowRetry(name string, refusals int, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
@@ -222,9 +222,9 @@
 	return allowed
 }
 
-// AgainAfterFailure tells the same after a target failed. Such sends are bounded
+// AllowRetryAfterFailure tells the same after a target failed. Such sends are bounded
 // only where all slots are known to be taken: the failure says nothing of the room.
-func (g *Guard) AgainAfterFailure(name string, now time.Time) bool {
+func (g *Guard) AllowRetryAfterFailure(name string, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name, now)
@@ -232,15 +232,15 @@
 }
 
 // RetryAfter is when a caller should come back whose request no target took.
-func (g *Guard) ComeBack(name string, timeLeft time.Duration, now time.Time) time.Duration {
+func (g *Guard) RetryAfter(name string, timeLeft time.Duration, now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ask := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: g.jitter(), TimeLeft: timeLeft}
 	return policy.RetryAfter(ask, g.service(name, now).view, 0)
 }
 
-// Served notes how long a request took that was served.
-func (g *Guard) Served(name string, took time.Duration) {
+// RecordDuration notes how long a request took that was served.
+func (g *Guard) RecordDuration(name string, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
@@ -264,7 +264,7 @@
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= viewAge {
 		p := g.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Utilization: p.Fill, ReportingTargets: p.Known, Targets: p.All, ReportAge: p.Age, SpeedsLearned: p.Learned}
+		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.Reporting, Targets: p.Usable, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
 		s.viewAt = now
 		s.metrics.see(s.view)
 	}
@@ -280,12 +280,12 @@
 	return float64(xxhash.Sum64String(name)>>11) / (1 << 53)
 }
 
-// Describe tells in one line why a request was refused.
-func Describe(r Request, v policy.AdmissionVerdict) string {
+// DescribeRefusal tells in one line why a request was refused.
+func DescribeRefusal(r Request, v policy.AdmissionVerdict) string {
 	return fmt.Sprintf("%s: service %s at a fill of %.2f, %d of %d targets known, reports %d ms old; class %s, rank %d, "+
 		"use of the organisation %.2f of its limit; refused are %.2f of such requests; room is expected in %s",
 		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.Targets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
-		r.Use, v.RefusalProbability, v.RetryAfter)
+		r.Usage, v.RefusalProbability, v.RetryAfter)
 }
 
 // Dump is what an instance knows of a pool.
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Fill: fill, Known: 40, All: 44, Age: 200 * time.Millisecond, Learned: true}
+	return targets.Pool{Utilization: fill, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
@@ -58,7 +58,7 @@
 	if v := g.Admit(first("p"), start); !v.Admit {
 		t.Fatalf("before any call: %+v", v)
 	}
-	g.Admit(Request{Service: "tool", Program: "q", Call: true, Class: policy.ClassInProgress}, start)
+	g.Admit(Request{Service: "tool", Program: "q", IsCall: true, Class: policy.ClassInProgress}, start)
 	refused := 0
 	for i := range 20 {
 		v := g.Admit(first(strings.Repeat("p", i+1)), start)
@@ -79,7 +79,7 @@
 		allowed := 0
 		for range 1000 {
 			g.Admit(Request{Service: "engine", Class: policy.ClassInProgress, Program: "p"}, start)
-			if g.Again("engine", refusals, start) {
+			if g.AllowRetry("engine", refusals, start) {
 				allowed++
 			}
 		}
@@ -100,7 +100,7 @@
 	g := guard(fills{"engine": 3})
 	failures := 0
 	for range 100 {
-		if g.AgainAfterFailure("engine", start) {
+		if g.AllowRetryAfterFailure("engine", start) {
 			failures++
 		}
 	}
@@ -112,8 +112,8 @@
 func TestARefusalNamesWhatItComesFrom(t *testing.T) {
 	g := guard(fills{"engine": 5})
 	r := first("p")
-	r.Rank, r.Use = 2, 0.95
-	line := Describe(r, g.Admit(r, start))
+	r.Rank, r.Usage = 2, 0.95
+	line := DescribeRefusal(r, g.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
 			t.Errorf("%q lacks %q", line, part)
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -71,7 +71,7 @@
 	for e := range engineCount {
 		id := fmt.Sprint("e", e)
 		k.registry.Put(targets.Entry{ID: id, Service: "engine", Address: id, DataCentre: "dc", Slots: slots})
-		t := k.registry.PickSame(id)
+		t := k.registry.PickIncarnation(id)
 		k.registry.End(t)
 		k.engines = append(k.engines, t)
 	}
@@ -80,7 +80,7 @@
 
 func (k *known) hear(engine, busy int, at time.Time) {
 	load := call.Load{Running: min(busy, slots), Waiting: max(busy-slots, 0), Slots: slots, Pace: 100}
-	k.registry.Report(k.engines[engine], load, at)
+	k.registry.RecordLoad(k.engines[engine], load, at)
 }
 
 // shared: each instance decides from reports that ride on messages to others.
@@ -111,7 +111,7 @@
 	return s.guards[i].Admit(r, now)
 }
 func (s *shared) again(i, refusals int, now time.Time) bool {
-	return s.guards[i].Again("engine", refusals, now)
+	return s.guards[i].AllowRetry("engine", refusals, now)
 }
 func (s *shared) tick(time.Time) {}
 
@@ -127,9 +127,9 @@
 	}
 	owner := s.known[s.random.IntN(owners)].registry
 	own := s.known[i].registry
-	owner.HearLoads(own.OwnLoads(now), now)
-	own.HearLoads(owner.Loads(now), now)
-	own.HearPools(owner.PoolReports(now), now)
+	owner.MergeLoadReports(own.OwnLoadReports(now), now)
+	own.MergeLoadReports(owner.LoadReports(now), now)
+	own.MergePoolReports(owner.PoolReports(now), now)
 }
 
 // dealt: a coordinator deals out the right to begin programs five times a second
@@ -163,7 +163,7 @@
 	if now.UnixMilli()%200 != 0 || (now.After(d.lostFrom) && now.Before(d.lostUntil)) {
 		return
 	}
-	free := 1.1 - d.known.registry.Pool("engine", now).Fill
+	free := 1.1 - d.known.registry.Pool("engine", now).Utilization
 	room := max(free*engineCount*slots/2, 1)
 	total := 0.0
 	for _, a := range d.asked {
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -13,15 +13,15 @@
 type Admission interface {
 	// Admit decides whether a request is admitted.
 	Admit(request overload.Request, now time.Time) policy.AdmissionVerdict
-	// Again and AgainAfterFailure report whether the retry budget allows sending a
+	// AllowRetry and AllowRetryAfterFailure report whether the retry budget allows sending a
 	// request to one more target, after a number of targets refused it or after one
 	// failed.
-	Again(service string, refusals int, now time.Time) bool
-	AgainAfterFailure(service string, now time.Time) bool
+	AllowRetry(service string, refusals int, now time.Time) bool
+	AllowRetryAfterFailure(service string, now time.Time) bool
 	// RetryAfter returns the RetryAfter delay for a request that no target accepted.
-	ComeBack(service string, timeLeft time.Duration, now time.Time) time.Duration
-	// Served records how long a request took.
-	Served(service string, took time.Duration)
+	RetryAfter(service string, timeLeft time.Duration, now time.Time) time.Duration
+	// RecordDuration records how long a request took.
+	RecordDuration(service string, took time.Duration)
 	// Dump lists the state of the services.
 	Dump(now time.Time) []overload.Dump
 }
@@ -69,7 +69,7 @@
 		return policy.ClassFirstTurn
 	case x.call.LastEvent != "":
 		return policy.ClassInProgress // an earlier attempt may have run
-	case x.call.ProgramOver:
+	case x.call.ProgramExpired:
 		return policy.ClassOverdue
 	}
 	return policy.ClassInProgress
@@ -79,13 +79,13 @@
 func (x *transfer) admitClass(class policy.AdmissionClass) bool {
 	request := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.combinedPriority(),
-		Call: x.call.Program != "" && !x.isTurn(), Use: x.utilization(), TimeLeft: time.Until(x.deadline),
+		IsCall: x.call.Program != "" && !x.isTurn(), Usage: x.utilization(), TimeLeft: time.Until(x.deadline),
 	}
 	verdict := x.server.admission.Admit(request, time.Now())
 	if verdict.Admit {
 		return true
 	}
-	x.detail = overload.Describe(request, verdict)
+	x.detail = overload.DescribeRefusal(request, verdict)
 	x.refuse(http.StatusServiceUnavailable, reasonNoCapacity, verdict.RetryAfter)
 	return false
 }
@@ -113,5 +113,5 @@
 
 // targetRetryAfter returns the RetryAfter delay after no target accepted the request.
 func (x *transfer) targetRetryAfter() time.Duration {
-	return x.server.admission.ComeBack(x.service, time.Until(x.deadline), time.Now())
+	return x.server.admission.RetryAfter(x.service, time.Until(x.deadline), time.Now())
 }
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -35,12 +35,12 @@
 	}
 }
 
-func (f *fakeAdmission) Again(string, int, time.Time) bool        { return false }
-func (f *fakeAdmission) AgainAfterFailure(string, time.Time) bool { return false }
-func (f *fakeAdmission) Dump(time.Time) []overload.Dump           { return nil }
-func (f *fakeAdmission) Served(string, time.Duration)             {}
+func (f *fakeAdmission) AllowRetry(string, int, time.Time) bool        { return false }
+func (f *fakeAdmission) AllowRetryAfterFailure(string, time.Time) bool { return false }
+func (f *fakeAdmission) Dump(time.Time) []overload.Dump                { return nil }
+func (f *fakeAdmission) RecordDuration(string, time.Duration)          {}
 
-func (f *fakeAdmission) ComeBack(string, time.Duration, time.Time) time.Duration {
+func (f *fakeAdmission) RetryAfter(string, time.Duration, time.Time) time.Duration {
 	return 70 * time.Millisecond
 }
 
@@ -103,7 +103,7 @@
 		admission := &fakeAdmission{refused: test.class}
 		w.server.admission = admission
 		got := w.do(test.request)
-		if got.status != 503 || len(admission.requests) != 1 || admission.requests[0].Class != test.class || admission.requests[0].Call != test.call {
+		if got.status != 503 || len(admission.requests) != 1 || admission.requests[0].Class != test.class || admission.requests[0].IsCall != test.call {
 			t.Errorf("%s: got %d, admission requests %+v", test.name, got.status, admission.requests)
 		}
 	}
@@ -152,7 +152,7 @@
 type fairUseAdmission struct{ fakeAdmission }
 
 func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
-	return policy.AdmissionVerdict{Admit: r.Use <= policy.FairUsageThreshold, RetryAfter: time.Second}
+	return policy.AdmissionVerdict{Admit: r.Usage <= policy.FairUsageThreshold, RetryAfter: time.Second}
 }
 
 func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
--- a/internal/serve/callerconn.go
+++ b/internal/serve/callerconn.go
@@ -21,7 +21,7 @@
 	// conflict indicates that a request header contained both Content-Length and
 	// Transfer-Encoding.
 	conflict atomic.Bool
-	memory   *memlimit.Bound
+	memory   *memlimit.Limiter
 }
 
 // Read implements net.Conn.
@@ -69,7 +69,7 @@
 
 type callerListener struct {
 	net.Listener
-	memory *memlimit.Bound
+	memory *memlimit.Limiter
 }
 
 // Accept implements net.Listener.
--- a/internal/serve/conversation.go
+++ b/internal/serve/conversation.go
@@ -40,7 +40,7 @@
 	if previous == "" {
 		return true
 	}
-	before, err := x.server.conversations.Before(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
+	before, err := x.server.conversations.History(x.ctx, x.scoped(x.call.Program), x.scoped(previous))
 	switch {
 	case errors.Is(err, ErrTurnNotFound):
 		x.detail = "turn " + previous
@@ -54,7 +54,7 @@
 		x.refuse(http.StatusServiceUnavailable, reasonConversationNotRead, x.server.retryAfter(retryBudget))
 		return false
 	}
-	if err := x.held.Hold(int64(len(before))); err != nil {
+	if err := x.held.Reserve(int64(len(before))); err != nil {
 		return x.refuseUnreadable(err)
 	}
 	x.body = append(before, x.body...)
@@ -66,7 +66,7 @@
 	if x.turn == nil {
 		return
 	}
-	x.held.Count(int64(len(e.bytes)))
+	x.held.ForceReserve(int64(len(e.bytes)))
 	x.turn.output.Write(e.data())
 	x.turn.output.WriteByte('\n')
 }
@@ -81,7 +81,7 @@
 		return false
 	}
 	x.settleOnce()
-	err := x.server.conversations.Keep(x.ctx, x.scoped(x.call.Program), CompletedTurn{
+	err := x.server.conversations.StoreTurn(x.ctx, x.scoped(x.call.Program), CompletedTurn{
 		ID: x.scoped(x.call.ID), Previous: x.scoped(x.call.PreviousTurn), Input: x.turn.input, Output: x.turn.output.Bytes(),
 		Retention: x.route.Retention,
 	})
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -27,7 +27,7 @@
 	stored   []CompletedTurn
 }
 
-func (c *fakeConversations) Before(_ context.Context, _, turn string) ([]byte, error) {
+func (c *fakeConversations) History(_ context.Context, _, turn string) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -40,7 +40,7 @@
 	return []byte(text), nil
 }
 
-func (c *fakeConversations) Keep(ctx context.Context, _ string, turn CompletedTurn) error {
+func (c *fakeConversations) StoreTurn(ctx context.Context, _ string, turn CompletedTurn) error {
 	if c.hold != nil {
 		select {
 		case <-c.hold:
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -23,7 +23,7 @@
 const maxBufferedBytes = 1 << 20
 
 // deliver passes a target's response on and reports whether another send may follow.
-func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Answer) bool {
+func (x *transfer) deliver(target *targets.Target, resp *exchange.Response, meta call.Response) bool {
 	x.markRan(target)
 	success := resp.Status >= http.StatusOK && resp.Status < http.StatusMultipleChoices
 	if success && !meta.Signed {
@@ -49,7 +49,7 @@
 		return false
 	}
 	x.failedTarget = target.Incarnation()
-	x.server.targets.Failed(target, time.Now())
+	x.server.targets.RecordFailure(target, time.Now())
 	return x.retryOrGiveUp()
 }
 
@@ -66,8 +66,8 @@
 func (x *transfer) recordTurnFailure(target *targets.Target) {
 	now := time.Now()
 	x.failedTarget = target.Incarnation()
-	x.server.targets.Failed(target, now)
-	if x.server.targets.Broke(target, now) {
+	x.server.targets.RecordFailure(target, now)
+	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
 		x.server.notices.ReportTargetBreaks()
 	}
@@ -110,15 +110,15 @@
 func (x *transfer) readResponse(resp *exchange.Response) (body []byte, longer bool, err error) {
 	// Buffering is optional, so it must not use the memory reserved for requests that
 	// continue a program.
-	x.held.SetUnderWay(false)
+	x.held.SetInProgress(false)
 	expected := resp.Length
 	if expected > maxBufferedBytes {
 		expected = 0
 	}
-	var short *memlimit.ShortError
+	var short *memlimit.LimitError
 	buffer, err := memlimit.NewBuffer(&x.held, expected)
 	if err == nil {
-		err = buffer.Fill(io.LimitReader(resp.Body, maxBufferedBytes))
+		err = buffer.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	}
 	if errors.As(err, &short) {
 		return buffer.Bytes(), true, nil
@@ -227,7 +227,7 @@
 
 // endStream ends a stream that the target completed.
 func (x *transfer) endStream(target *targets.Target, resp *exchange.Response) bool {
-	x.server.targets.Succeeded(target, time.Now())
+	x.server.targets.RecordSuccess(target, time.Now())
 	x.failedTarget = ""
 	if !x.headSent {
 		x.copyHead(resp, true, 0)
--- a/internal/serve/hedge_test.go
+++ b/internal/serve/hedge_test.go
@@ -25,10 +25,10 @@
 	for _, id := range []string{"a", "b"} {
 		w.target(id, "app", handle)
 	}
-	target := w.targets.Pick(targets.Want{Service: "app"}, time.Now())
-	w.targets.Report(target, call.Load{Slots: 4, Pace: 100}, time.Now())
+	target := w.targets.Pick(targets.Criteria{Service: "app"}, time.Now())
+	w.targets.RecordLoad(target, call.Load{Slots: 4, Pace: 100}, time.Now())
 	for range 200 {
-		w.targets.Answered(target, path, time.Millisecond, time.Now())
+		w.targets.RecordResponse(target, path, time.Millisecond, time.Now())
 	}
 	w.targets.End(target)
 	return w, &sends
--- a/internal/serve/memory.go
+++ b/internal/serve/memory.go
@@ -29,7 +29,7 @@
 // the request has been refused.
 func (x *transfer) readBody() bool {
 	if x.continuesProgram() {
-		x.held.SetUnderWay(true)
+		x.held.SetInProgress(true)
 	}
 	limit := x.table.Limits.MaxBodyBytes
 	source := io.Reader(x.request.Body)
@@ -41,7 +41,7 @@
 		source = io.LimitReader(source, limit+1)
 	}
 	x.setBodyDeadline(x.deadline)
-	err := x.held.Hold(requestOverheadBytes)
+	err := x.held.Reserve(requestOverheadBytes)
 	if err != nil {
 		return x.refuseUnreadable(err)
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return x.refuseUnreadable(err)
 	}
-	if err := body.Fill(source); err != nil {
+	if err := body.ReadAll(source); err != nil {
 		return x.refuseUnreadable(err)
 	}
 	x.setBodyDeadline(time.Time{})
@@ -78,7 +78,7 @@
 // read or held in memory. It returns false.
 func (x *transfer) refuseUnreadable(err error) bool {
 	x.detail = err.Error()
-	var short *memlimit.ShortError
+	var short *memlimit.LimitError
 	if errors.As(err, &short) {
 		x.refuse(http.StatusServiceUnavailable, reasonNoMemory, retryMemory)
 		return false
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("%d requests ran", len(tg.body))
 	}
 	w.front.Close()
-	if left := w.server.memory.Bytes().Held; left != 0 {
+	if left := w.server.memory.Usage().Held; left != 0 {
 		t.Errorf("%d bytes held after all requests", left)
 	}
 }
@@ -141,12 +141,12 @@
 func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tight := memlimit.New(1000, tally.NoopScope)
-		account := tight.Open()
-		account.Count(900)
+		account := tight.NewAccount()
+		account.ForceReserve(900)
 		data := make([]byte, 10_000)
 		cases := []struct {
 			perSecond int
-			memory    *memlimit.Bound
+			memory    *memlimit.Limiter
 			cutAfter  time.Duration
 		}{
 			{0, memlimit.New(1000, tally.NoopScope), 10 * time.Second},
@@ -188,7 +188,7 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	w.front.Close()
-	if left := w.server.memory.Bytes().Held; left != 0 {
+	if left := w.server.memory.Usage().Held; left != 0 {
 		t.Errorf("%d bytes held after all requests", left)
 	}
 }
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -54,28 +54,28 @@
 			return nil
 		}
 	}
-	want := targets.Want{
-		Service: x.service, Key: x.placementKey(), Last: x.programTarget, Remembered: x.settle != nil,
+	want := targets.Criteria{
+		Service: x.service, Key: x.placementKey(), LastIncarnation: x.programTarget, Sticky: x.settle != nil,
 		Exclude: x.excluded, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
 		return x.server.targets.Pick(want, time.Now())
 	}
-	var why targets.Why
-	want.Why = &why
+	var why targets.Explanation
+	want.Explanation = &why
 	target := x.server.targets.Pick(want, time.Now())
 	x.logChoice(target, why)
 	return target
 }
 
-func (x *transfer) logChoice(target *targets.Target, why targets.Why) {
-	if target == nil || !why.Known {
+func (x *transfer) logChoice(target *targets.Target, why targets.Explanation) {
+	if target == nil || !why.Estimated {
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.End, "fill", why.Fill, "slowness", why.Slowness,
+		"end", why.ExpectedEnd, "fill", why.Utilization, "slowness", why.Slowness,
 		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.Next, "next_end", why.NextEnd)
+		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpEnd)
 }
 
 // bytesPerToken estimates the tokens of a stored conversation from its length.
@@ -98,12 +98,12 @@
 	if slices.Contains(x.excluded, last) {
 		return nil
 	}
-	return x.server.targets.PickSame(last)
+	return x.server.targets.PickIncarnation(last)
 }
 
 // dropEnded removes the targets that have ended from those that run the request.
 func (x *transfer) dropEnded() {
-	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.Runs(incarnation) })
+	x.ran = slices.DeleteFunc(x.ran, func(incarnation string) bool { return !x.server.targets.IsRegistered(incarnation) })
 }
 
 // send sends the request to a target and handles the response. It reports whether
@@ -118,20 +118,20 @@
 	if x.headSent {
 		resumeAfter = x.lastEvent
 	}
-	header := x.server.codec.Outgoing(x.request.Header, call.Send{
+	header := x.server.codec.TargetHeader(x.request.Header, call.SendOptions{
 		Target: target.ID, TimeLeft: time.Until(x.deadline), Organisation: x.orgName(), ResumeAfter: resumeAfter,
 	})
 	ctx, cancel := x.sendContext()
 	defer cancel()
 	x.sendCtx = ctx
-	var answer call.Answer
+	var answer call.Response
 	sentAt := time.Now()
 	x.sentAt = sentAt
 	resp, err := x.server.pool.Do(ctx, exchange.Request{
 		Address: target.Address, Method: x.request.Method, URI: x.uri(),
 		Host: x.request.Host, Header: header, Body: x.body,
 	}, func(status int, h http.Header) bool {
-		answer = x.server.codec.Answer(status, h)
+		answer = x.server.codec.DecodeResponse(status, h)
 		return answer.RequestID == x.call.ID || (answer.RequestID == "" && answer.NotRun)
 	})
 	if err != nil {
@@ -139,7 +139,7 @@
 	}
 	defer func() { resp.Close(answer.KeepAlive) }()
 	if answer.Load != nil {
-		x.server.targets.Report(target, *answer.Load, time.Now())
+		x.server.targets.RecordLoad(target, *answer.Load, time.Now())
 	}
 	if answer.NotRun {
 		return x.handleRefusal(target, resp)
@@ -184,7 +184,7 @@
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
-	return x.server.targets.Patience(x.service, x.route.Name, time.Now())
+	return x.server.targets.HedgeTimeout(x.service, x.route.Name, time.Now())
 }
 
 // recordHedge reports whether a send was cancelled in favour of a hedge, and counts it.
@@ -194,7 +194,7 @@
 		return false
 	}
 	now := time.Now()
-	x.server.targets.SentAgain(target, x.route.Name, now.Sub(sentAt), now)
+	x.server.targets.RecordHedge(target, x.route.Name, now.Sub(sentAt), now)
 	x.server.metrics.hedges.Inc(1)
 	return true
 }
@@ -233,12 +233,12 @@
 		return
 	}
 	now := time.Now()
-	x.server.targets.Failed(target, now)
+	x.server.targets.RecordFailure(target, now)
 	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connBreakThreshold
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
-	if x.server.targets.Broke(target, now) {
+	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
 		x.server.notices.ReportTargetBreaks()
 	}
@@ -297,7 +297,7 @@
 // retryBudgetAllows reports whether the service's retry budget allows one more send.
 // Sends that this instance cancelled and streams that are partly delivered are exempt.
 func (x *transfer) retryBudgetAllows() bool {
-	return x.sendCtx.Err() != nil || x.headSent || x.server.admission.AgainAfterFailure(x.service, time.Now())
+	return x.sendCtx.Err() != nil || x.headSent || x.server.admission.AllowRetryAfterFailure(x.service, time.Now())
 }
 
 // maxSends bounds the sends of one request.
@@ -314,9 +314,9 @@
 	x.refusals++
 	if resp.Status == http.StatusMisdirectedRequest {
 		// Another target uses the address now.
-		x.server.targets.Failed(target, time.Now())
+		x.server.targets.RecordFailure(target, time.Now())
 	}
-	if x.refusals < maxRefusals && x.server.admission.Again(x.service, x.refusals, time.Now()) {
+	if x.refusals < maxRefusals && x.server.admission.AllowRetry(x.service, x.refusals, time.Now()) {
 		return true
 	}
 	x.giveUp(reasonTargetsFull)
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -114,13 +114,13 @@
 // Conversations stores the conversations of routes whose turns carry their new input
 // only.
 type Conversations interface {
-	// Before returns the conversation up to and including a turn. It returns
+	// History returns the conversation up to and including a turn. It returns
 	// ErrTurnNotFound if there is no such turn and ErrTurnUncertain if its existence
 	// could not be determined.
-	Before(ctx context.Context, program, turn string) ([]byte, error)
-	// Keep makes a turn durable. It returns once the turn is durable, or with the error
+	History(ctx context.Context, program, turn string) ([]byte, error)
+	// StoreTurn makes a turn durable. It returns once the turn is durable, or with the error
 	// of the context.
-	Keep(ctx context.Context, program string, turn CompletedTurn) error
+	StoreTurn(ctx context.Context, program string, turn CompletedTurn) error
 	// Accepts reports whether a turn that begins now is expected to be stored within
 	// the time left.
 	Accepts(left time.Duration) bool
@@ -157,7 +157,7 @@
 	Health        Health
 	Freshness     Freshness
 	// Memory bounds the memory held for requests; nil means no bound.
-	Memory *memlimit.Bound
+	Memory *memlimit.Limiter
 	// KeyPolicy defines how keys are treated while the settings are old.
 	KeyPolicy KeyPolicy
 	// Admission decides which requests are admitted under load; nil selects
@@ -178,7 +178,7 @@
 	notices       Notices
 	health        Health
 	freshness     Freshness
-	memory        *memlimit.Bound
+	memory        *memlimit.Limiter
 	keyPolicy     KeyPolicy
 	admission     Admission
 	log           *slog.Logger
@@ -231,7 +231,7 @@
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.Open()}
+	x := &transfer{server: s, writer: w, request: r, arrived: time.Now(), held: s.memory.NewAccount()}
 	defer x.held.Close()
 	x.run()
 	s.finish(x)
@@ -252,7 +252,7 @@
 	elapsed := time.Since(x.arrived)
 	s.metrics.count(x, elapsed)
 	if x.reason == reasonServed {
-		s.admission.Served(x.service, elapsed)
+		s.admission.RecordDuration(x.service, elapsed)
 	}
 	s.logOutcome(x, elapsed)
 	if x.abort {
--- a/internal/serve/stalled.go
+++ b/internal/serve/stalled.go
@@ -40,7 +40,7 @@
 		if n > 0 {
 			stalled = 0
 		}
-		if stalled >= c.memory.Bytes().StallTimeout() {
+		if stalled >= c.memory.Usage().StallTimeout() {
 			return written, &stalledError{stalled: stalled, unsent: len(p) - written}
 		}
 	}
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -14,9 +14,9 @@
 // events.
 func (x *transfer) recordResponse(target *targets.Target, status int) {
 	now := time.Now()
-	x.server.targets.Succeeded(target, now)
+	x.server.targets.RecordSuccess(target, now)
 	if x.route.Kind != route.Stream && status < http.StatusBadRequest {
-		x.server.targets.Answered(target, x.route.Name, now.Sub(x.sentAt), now)
+		x.server.targets.RecordResponse(target, x.route.Name, now.Sub(x.sentAt), now)
 	}
 }
 
@@ -47,7 +47,7 @@
 	if buffered {
 		return
 	}
-	s.transfer.server.targets.Paused(s.target, now.Sub(s.last)/time.Duration(s.sinceLast), now)
+	s.transfer.server.targets.RecordEventInterval(s.target, now.Sub(s.last)/time.Duration(s.sinceLast), now)
 	s.last, s.sinceLast = now, 0
 }
 
@@ -63,5 +63,5 @@
 	if s.target.Incarnation() != x.programTarget {
 		sample.Uncached = int64(x.promptTokens())
 	}
-	x.server.targets.TurnEnded(s.target, sample)
+	x.server.targets.RecordTurn(s.target, sample)
 }
--- a/internal/targets/breaks.go
+++ b/internal/targets/breaks.go
@@ -23,9 +23,9 @@
 	noticeInterval = 200 * time.Millisecond
 )
 
-// Broke notes that a target broke a new connection at once. It tells whether
+// RecordBreak notes that a target broke a new connection at once. It tells whether
 // other instances should hear of it now.
-func (r *Registry) Broke(t *Target, now time.Time) bool {
+func (r *Registry) RecordBreak(t *Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byIncarnation[t.incarnation] != t {
@@ -41,27 +41,27 @@
 }
 
 // Breaks lists the targets that broke connections lately, here or elsewhere.
-func (r *Registry) Breaks(now time.Time) []structs.TargetBreak {
+func (r *Registry) Breaks(now time.Time) []structs.TargetFailure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.broken) == 0 {
 		return nil
 	}
-	var breaks []structs.TargetBreak
+	var breaks []structs.TargetFailure
 	for incarnation, t := range r.broken {
 		age := now.Sub(t.brokeAt)
 		if age >= heardFor || r.byIncarnation[incarnation] != t {
 			delete(r.broken, incarnation)
 			continue
 		}
-		breaks = append(breaks, structs.TargetBreak{Target: incarnation, Age: age})
+		breaks = append(breaks, structs.TargetFailure{Target: incarnation, Age: age})
 	}
 	return breaks
 }
 
-// Hear takes another instance's word on targets. What this instance has seen
+// MergeBreaks takes another instance's word on targets. What this instance has seen
 // itself since then counts more; what was said of an earlier start says nothing.
-func (r *Registry) Hear(breaks []structs.TargetBreak, now time.Time) {
+func (r *Registry) MergeBreaks(breaks []structs.TargetFailure, now time.Time) {
 	if len(breaks) == 0 {
 		return
 	}
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -9,10 +9,10 @@
 )
 
 // word is another instance's word on targets.
-func word(age time.Duration, ids ...string) []structs.TargetBreak {
-	var breaks []structs.TargetBreak
+func word(age time.Duration, ids ...string) []structs.TargetFailure {
+	var breaks []structs.TargetFailure
 	for _, id := range ids {
-		breaks = append(breaks, structs.TargetBreak{Target: id, Age: age})
+		breaks = append(breaks, structs.TargetFailure{Target: id, Age: age})
 	}
 	return breaks
 }
@@ -23,7 +23,7 @@
 	counts := make(map[string]int)
 	var picked []*Target
 	for range 12 {
-		t := r.Pick(Want{Service: "s"}, now)
+		t := r.Pick(Criteria{Service: "s"}, now)
 		counts[t.ID]++
 		picked = append(picked, t)
 	}
@@ -36,7 +36,7 @@
 func TestTargetThatBrokeElsewhereIsAvoidedForAWhile(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.Hear(word(100*time.Millisecond, "t0", "t1"), now)
+	r.MergeBreaks(word(100*time.Millisecond, "t0", "t1"), now)
 	if got := picks(r, now); got["t0"]+got["t1"] != 0 {
 		t.Errorf("picked %v", got)
 	}
@@ -48,16 +48,16 @@
 func TestOwnAnswersCountMoreThanTheWordOfOthers(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.Succeeded(r.byID["t0"], now.Add(-50*time.Millisecond))
-	r.Hear(word(100*time.Millisecond, "t0"), now)
+	r.RecordSuccess(r.byID["t0"], now.Add(-50*time.Millisecond))
+	r.MergeBreaks(word(100*time.Millisecond, "t0"), now)
 	if got := picks(r, now); got["t0"] == 0 {
 		t.Errorf("picked %v", got)
 	}
-	r.Hear(word(10*time.Millisecond, "t0"), now)
+	r.MergeBreaks(word(10*time.Millisecond, "t0"), now)
 	if got := picks(r, now); got["t0"] != 0 {
 		t.Errorf("picked %v", got)
 	}
-	r.Succeeded(r.byID["t0"], now)
+	r.RecordSuccess(r.byID["t0"], now)
 	if got := picks(r, now); got["t0"] == 0 {
 		t.Errorf("after an answer picked %v", got)
 	}
@@ -66,7 +66,7 @@
 func TestWordOfOthersCannotEmptyAService(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.Hear(word(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
+	r.MergeBreaks(word(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
 	if got := picks(r, now); len(got) != 4 {
 		t.Errorf("picked %v", got)
 	}
@@ -75,10 +75,10 @@
 func TestBreaksArePassedOnUntilTheyAreOld(t *testing.T) {
 	a, b := newTestRegistry(6), newTestRegistry(6)
 	now := time.Unix(100, 0)
-	if !a.Broke(a.byID["t0"], now) || a.Broke(a.byID["t0"], now.Add(noticeInterval/2)) {
+	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(noticeInterval/2)) {
 		t.Error("a second break was to be told at once")
 	}
-	b.Hear(a.Breaks(now.Add(heardFor/2)), now.Add(heardFor/2))
+	b.MergeBreaks(a.Breaks(now.Add(heardFor/2)), now.Add(heardFor/2))
 	if got := b.Breaks(now.Add(heardFor / 2)); len(got) != 1 || got[0].Age <= 0 {
 		t.Errorf("passed on %v", got)
 	}
@@ -99,14 +99,14 @@
 	later := former.Entry
 	later.Start = 2000
 	r.Put(later)
-	r.Hear(word(100*time.Millisecond, "t0@1000", "t0"), now)
+	r.MergeBreaks(word(100*time.Millisecond, "t0@1000", "t0"), now)
 	if got := picks(r, now); got["t0"] == 0 {
 		t.Errorf("picked %v", got)
 	}
-	if r.Broke(former, now) || len(r.Breaks(now)) != 0 {
+	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
 		t.Error("a break of an earlier start is told")
 	}
-	r.Hear(word(0, "t0@2000"), now)
+	r.MergeBreaks(word(0, "t0@2000"), now)
 	if got := picks(r, now); got["t0"] != 0 {
 		t.Errorf("picked %v", got)
 	}
--- a/internal/targets/connections_test.go
+++ b/internal/targets/connections_test.go
@@ -15,17 +15,17 @@
 	kept := keptTo{"a2": now.Add(time.Second)}
 	r := newRegistryWith(4, kept)
 	for range 20 {
-		got := r.Pick(Want{Service: "s"}, now)
+		got := r.Pick(Criteria{Service: "s"}, now)
 		if got.ID != "t2" {
 			t.Fatalf("%s was chosen", got.ID)
 		}
 		r.End(got)
 	}
-	r.Report(r.byID["t2"], call.Load{Running: testSlots, Slots: testSlots}, now)
-	if got := r.Pick(Want{Service: "s"}, now); got.ID == "t2" {
+	r.RecordLoad(r.byID["t2"], call.Load{Running: testSlots, Slots: testSlots}, now)
+	if got := r.Pick(Criteria{Service: "s"}, now); got.ID == "t2" {
 		t.Error("a busy target was chosen for its connection")
 	}
-	if got := r.Pick(Want{Service: "s", Exclude: []string{"t2"}}, now); got.ID == "t2" {
+	if got := r.Pick(Criteria{Service: "s", Exclude: []string{"t2"}}, now); got.ID == "t2" {
 		t.Error("an excluded target was chosen for its connection")
 	}
 }
@@ -104,14 +104,14 @@
 
 func (f *fleet) send(instance int) {
 	r := f.instances[instance]
-	target := r.Pick(Want{Service: "s"}, f.now)
+	target := r.Pick(Criteria{Service: "s"}, f.now)
 	f.sent++
 	f.ran[target.ID]++
 	if !f.kept[instance].HasIdle(target.Address, f.now) {
 		f.opened++
 	}
 	f.running[target.ID]++
-	r.Report(target, call.Load{Running: f.running[target.ID], Slots: testSlots, Pace: f.pace}, f.now)
+	r.RecordLoad(target, call.Load{Running: f.running[target.ID], Slots: testSlots, Pace: f.pace}, f.now)
 	if f.pace > 0 {
 		f.tell(instance)
 	}
@@ -121,9 +121,9 @@
 // tell passes the reports of an instance on to the next ones, as messages about
 // budgets do.
 func (f *fleet) tell(instance int) {
-	loads := f.instances[instance].Loads(f.now)
+	loads := f.instances[instance].LoadReports(f.now)
 	for i := range fleetHear {
-		f.instances[(instance+7*i+1)%fleetInstances].HearLoads(loads, f.now)
+		f.instances[(instance+7*i+1)%fleetInstances].MergeLoadReports(loads, f.now)
 	}
 }
 
--- a/internal/targets/ends.go
+++ b/internal/targets/ends.go
@@ -10,15 +10,15 @@
 
 // chooseByEnd chooses a target of a service whose targets tell their pace, by
 // when each is expected to end the request. The mutex is held.
-func (r *Registry) chooseByEnd(w *work, all []*Target, want Want, now time.Time, includeAvoided bool) *Target {
-	pool := r.pool(want.Service, now).Fill
+func (r *Registry) chooseByEnd(w *work, all []*Target, want Criteria, now time.Time, includeAvoided bool) *Target {
+	pool := r.pool(want.Service, now).Utilization
 	fills := usualFills(all)
 	usual := usualOf(all)
 	warm := want.warm(all)
 	r.options = r.options[:0]
 	for _, t := range all {
 		kept := r.connections.HasIdle(t.Address, now)
-		last := t.incarnation == want.Last
+		last := t.incarnation == want.LastIncarnation
 		slowness := t.present(usual, now)
 		if last {
 			// A program does not move for what passes in parts of a second.
@@ -36,7 +36,7 @@
 	if choice.Index < 0 {
 		return nil
 	}
-	want.Why.fill(r.options, all, choice, now)
+	want.Explanation.fill(r.options, all, choice, now)
 	return all[choice.Index]
 }
 
@@ -49,35 +49,35 @@
 	return rank(r.seed, t.ID)
 }
 
-// Why is what spoke for a target where the expected ends decide.
-type Why struct {
-	// Known tells that the expected ends decided.
-	Known bool
-	// End and RunnerUpCompletion are when the target and the best other one are expected to
+// Explanation is what spoke for a target where the expected ends decide.
+type Explanation struct {
+	// Estimated tells that the expected ends decided.
+	Estimated bool
+	// ExpectedEnd and RunnerUpCompletion are when the target and the best other one are expected to
 	// end the request, in parts of its usual time.
-	End, NextEnd float64
-	// Next is the id of the best other one, empty for none.
-	Next string
-	// Fill and Slowness are the estimate of the target, ReportAge and SpeedAge the
+	ExpectedEnd, RunnerUpEnd float64
+	// RunnerUp is the id of the best other one, empty for none.
+	RunnerUp string
+	// Utilization and Slowness are the estimate of the target, ReportAge and SpeedAge the
 	// ages of what it rests on.
-	Fill, Slowness      float64
-	ReportAge, SpeedAge time.Duration
+	Utilization, Slowness float64
+	ReportAge, SpeedAge   time.Duration
 	// Stayed tells that the program stays, Moved that it leaves its target.
 	Stayed, Moved bool
 }
 
 // fill takes a choice; a nil Why stays.
-func (y *Why) fill(options []policy.TargetOption, all []*Target, choice policy.TargetChoice, now time.Time) {
+func (y *Explanation) fill(options []policy.TargetOption, all []*Target, choice policy.TargetChoice, now time.Time) {
 	if y == nil {
 		return
 	}
 	t, o := all[choice.Index], options[choice.Index]
-	*y = Why{
-		Known: true, End: choice.Completion, NextEnd: choice.RunnerUpCompletion, Fill: o.Utilization, Slowness: o.Slowness,
+	*y = Explanation{
+		Estimated: true, ExpectedEnd: choice.Completion, RunnerUpEnd: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
 		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
 	if choice.RunnerUp >= 0 {
-		y.Next = all[choice.RunnerUp].ID
+		y.RunnerUp = all[choice.RunnerUp].ID
 	}
 }
 
@@ -94,8 +94,8 @@
 
 // warm is the target that its key ranks first, which all instances find without
 // asking; nil for a program, of which the engine is remembered, and without a key.
-func (w Want) warm(all []*Target) *Target {
-	if w.Key == "" || w.Remembered {
+func (w Criteria) warm(all []*Target) *Target {
+	if w.Key == "" || w.Sticky {
 		return nil
 	}
 	var first best
@@ -108,7 +108,7 @@
 }
 
 // needs is what a request needs of a service, in parts of its usual time.
-func (w *work) needs(want Want) policy.RequestProfile {
+func (w *work) needs(want Criteria) policy.RequestProfile {
 	if !want.Stream {
 		return policy.RequestProfile{}
 	}
--- a/internal/targets/loads.go
+++ b/internal/targets/loads.go
@@ -34,7 +34,7 @@
 // to expect of one that nothing is known of.
 func (r *Registry) pool(service string, now time.Time) Pool {
 	s := r.of(service)
-	pool := Pool{All: s.usable}
+	pool := Pool{Usable: s.usable}
 	slots, busy, ages := 0.0, 0.0, 0.0
 	s.eachTold(now, func(t *Target) {
 		if t.Draining {
@@ -42,25 +42,25 @@
 		}
 		age := now.Sub(t.loadAt)
 		weight := float64(max(t.Slots, 1)) * math.Exp2(-float64(age)/float64(poolHalfLife))
-		pool.Known++
+		pool.Reporting++
 		slots += weight
 		busy += weight * float64(t.load.Running+t.load.Waiting) / float64(max(t.Slots, 1))
 		ages += weight * float64(age)
 	})
 	if slots > 0 {
-		pool.Fill = busy / slots
-		pool.Age = time.Duration(ages / slots)
+		pool.Utilization = busy / slots
+		pool.ReportAge = time.Duration(ages / slots)
 	}
 	return pool
 }
 
-// OwnLoads are the newest reports that targets gave this instance.
-func (r *Registry) OwnLoads(now time.Time) []structs.TargetReport {
+// OwnLoadReports are the newest reports that targets gave this instance.
+func (r *Registry) OwnLoadReports(now time.Time) []structs.TargetReport {
 	return r.shareable(now, ownLoadsMost, func(t *Target) bool { return !t.heard })
 }
 
-// Loads are some new reports that this instance knows, whoever heard them.
-func (r *Registry) Loads(now time.Time) []structs.TargetReport {
+// LoadReports are some new reports that this instance knows, whoever heard them.
+func (r *Registry) LoadReports(now time.Time) []structs.TargetReport {
 	return r.shareable(now, loadsMost, func(*Target) bool { return true })
 }
 
@@ -90,9 +90,9 @@
 	return loads
 }
 
-// HearLoads takes reports that other instances were given, where they are newer
+// MergeLoadReports takes reports that other instances were given, where they are newer
 // than what is known here.
-func (r *Registry) HearLoads(loads []structs.TargetReport, now time.Time) {
+func (r *Registry) MergeLoadReports(loads []structs.TargetReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range loads {
@@ -102,10 +102,10 @@
 		}
 		r.hearSpeed(t, l, now)
 		at := now.Add(-max(l.Age, 0))
-		if l.Running < 0 || l.Waiting < 0 || l.Pace < 0 || !at.After(t.loadAt) {
+		if l.Running < 0 || l.Waiting < 0 || l.Slowdown < 0 || !at.After(t.loadAt) {
 			continue
 		}
-		r.setLoad(t, call.Load{Running: l.Running, Waiting: l.Waiting, Slots: t.Slots, Pace: l.Pace}, at)
+		r.setLoad(t, call.Load{Running: l.Running, Waiting: l.Waiting, Slots: t.Slots, Pace: l.Slowdown}, at)
 		t.heard = true
 	}
 }
--- a/internal/targets/loads_test.go
+++ b/internal/targets/loads_test.go
@@ -14,19 +14,19 @@
 	now := time.Unix(100, 0)
 	a, owner, b := newTestRegistry(3), newTestRegistry(3), newTestRegistry(3)
 	for i := range 3 {
-		a.Report(a.byID[fmt.Sprint("t", i)], call.Load{Running: testSlots, Waiting: 2, Slots: testSlots, Pace: 200}, now)
+		a.RecordLoad(a.byID[fmt.Sprint("t", i)], call.Load{Running: testSlots, Waiting: 2, Slots: testSlots, Pace: 200}, now)
 	}
 	later := now.Add(100 * time.Millisecond)
-	owner.HearLoads(a.OwnLoads(later), later)
-	b.HearLoads(owner.Loads(later), later)
+	owner.MergeLoadReports(a.OwnLoadReports(later), later)
+	b.MergeLoadReports(owner.LoadReports(later), later)
 	pool := b.Pool("s", later)
-	if pool.Known != 3 || pool.All != 3 || pool.Fill < 1.45 || pool.Fill > 1.5 || pool.Age != 100*time.Millisecond {
+	if pool.Reporting != 3 || pool.Usable != 3 || pool.Utilization < 1.45 || pool.Utilization > 1.5 || pool.ReportAge != 100*time.Millisecond {
 		t.Errorf("got %+v", pool)
 	}
-	if len(owner.OwnLoads(later)) != 0 {
+	if len(owner.OwnLoadReports(later)) != 0 {
 		t.Error("what was heard is told as the instance's own")
 	}
-	if pool := b.Pool("s", now.Add(2*poolLoadAge)); pool.Known != 0 {
+	if pool := b.Pool("s", now.Add(2*poolLoadAge)); pool.Reporting != 0 {
 		t.Errorf("old reports still count: %+v", pool)
 	}
 }
@@ -35,17 +35,17 @@
 func TestNewestReportCounts(t *testing.T) {
 	now := time.Unix(100, 0)
 	r, other := newTestRegistry(2), newTestRegistry(2)
-	other.Report(other.byID["t0"], call.Load{Running: 1, Slots: testSlots}, now)
-	old := other.Loads(now.Add(50 * time.Millisecond))
-	r.Report(r.byID["t0"], call.Load{Running: 3, Slots: testSlots}, now.Add(20*time.Millisecond))
-	r.HearLoads(old, now.Add(50*time.Millisecond))
+	other.RecordLoad(other.byID["t0"], call.Load{Running: 1, Slots: testSlots}, now)
+	old := other.LoadReports(now.Add(50 * time.Millisecond))
+	r.RecordLoad(r.byID["t0"], call.Load{Running: 3, Slots: testSlots}, now.Add(20*time.Millisecond))
+	r.MergeLoadReports(old, now.Add(50*time.Millisecond))
 	if got := r.byID["t0"].load.Running; got != 3 {
 		t.Errorf("an older report replaced a newer one: %d run", got)
 	}
 	later := r.byID["t0"].Entry
 	later.Start = 2000
 	r.Put(later)
-	r.HearLoads(old, now.Add(50*time.Millisecond))
+	r.MergeLoadReports(old, now.Add(50*time.Millisecond))
 	if !r.byID["t0"].loadAt.IsZero() {
 		t.Error("a report of an earlier start was taken")
 	}
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -10,26 +10,26 @@
 	"github.com/banyanglade/banyanglade/internal/rendezvous"
 )
 
-// Want says what kind of target a request needs.
-type Want struct {
+// Criteria says what kind of target a request needs.
+type Criteria struct {
 	Service string
 	// Key is what a target may have kept: the program of a turn, or the object
 	// of a plain request; empty if any target is as good as another.
 	Key string
-	// Last names the start of the target that ran the key's last request, empty
+	// LastIncarnation names the start of the target that ran the key's last request, empty
 	// if unknown.
-	Last string
-	// Remembered tells that whoever sends the key's next request will know the
+	LastIncarnation string
+	// Sticky tells that whoever sends the key's next request will know the
 	// target of this one, so that it may be chosen freely.
-	Remembered bool
+	Sticky bool
 	// Stream tells that an engine's batch runs the request, with a prompt of
 	// PromptTokens.
 	Stream       bool
 	PromptTokens int
 	// Exclude lists the starts of targets that were tried before.
 	Exclude []string
-	// Why is filled with what spoke for the choice, unless it is nil.
-	Why *Why
+	// Explanation is filled with what spoke for the choice, unless it is nil.
+	Explanation *Explanation
 }
 
 const (
@@ -58,7 +58,7 @@
 
 // Pick chooses a target and counts a request there; the caller calls End when
 // it has ended. It returns nil if the service has no target to try.
-func (r *Registry) Pick(want Want, now time.Time) *Target {
+func (r *Registry) Pick(want Criteria, now time.Time) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.of(want.Service)
@@ -79,8 +79,8 @@
 	return chosen
 }
 
-// PickSame counts a request at one start of a target, nil if it has ended.
-func (r *Registry) PickSame(incarnation string) *Target {
+// PickIncarnation counts a request at one start of a target, nil if it has ended.
+func (r *Registry) PickIncarnation(incarnation string) *Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.byIncarnation[incarnation]
@@ -100,13 +100,13 @@
 // Where targets tell their pace the expected ends decide. The function keyed tells of
 // a position whether the key may rank the target there.
 func (r *Registry) choose(
-	all []*Target, keyed func(i int) bool, want Want, now time.Time, includeAvoided bool,
+	all []*Target, keyed func(i int) bool, want Criteria, now time.Time, includeAvoided bool,
 ) *Target {
 	if w := r.works[want.Service]; w != nil {
 		return r.chooseByEnd(w, r.of(want.Service).all, want, now, includeAvoided)
 	}
 	var last, near, ranked, least best
-	beginsNear := want.Remembered && r.nearLoads[want.Service] < nearFill
+	beginsNear := want.Sticky && r.nearLoads[want.Service] < nearFill
 	// Instances with the same view must not all choose the same target.
 	start := rand.IntN(len(all) + 1)
 	sampled := len(all) < len(r.of(want.Service).all)
@@ -137,7 +137,7 @@
 			}
 			near.offer(t, rank)
 		}
-		if t.incarnation == want.Last {
+		if t.incarnation == want.LastIncarnation {
 			last.offer(t, 1)
 		}
 	}
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -18,17 +18,17 @@
 		if i >= n/2 {
 			load.Running = testSlots
 		}
-		r.Report(r.byID[fmt.Sprint("t", i)], load, start.Add(time.Duration(i)*50*time.Millisecond))
+		r.RecordLoad(r.byID[fmt.Sprint("t", i)], load, start.Add(time.Duration(i)*50*time.Millisecond))
 	}
 	now := start.Add(n * 50 * time.Millisecond)
 	pool := r.pool("s", now)
-	if pool.Known != n || pool.Fill < 0.9 || pool.Age > 4*poolHalfLife {
+	if pool.Reporting != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolHalfLife {
 		t.Errorf("half of the targets, those that reported last, are full: got %+v", pool)
 	}
 	newest := 0
 	told := make(map[uint64]bool)
 	for range 100 {
-		for i, l := range r.Loads(now) {
+		for i, l := range r.LoadReports(now) {
 			told[l.Target] = true
 			if i < loadsMost/2 && l.Age <= loadsMost/2*50*time.Millisecond {
 				newest++
@@ -51,9 +51,9 @@
 			if i < n/2 {
 				load.Waiting = slowBusy
 			}
-			r.Report(r.byID[fmt.Sprint("t", i)], load, now)
+			r.RecordLoad(r.byID[fmt.Sprint("t", i)], load, now)
 		}
-		return r.Pool("s", now).Fill
+		return r.Pool("s", now).Utilization
 	}
 	usual := fill(2 * testSlots)
 	for range 100 {
@@ -62,7 +62,7 @@
 			if i < n/2 {
 				pause *= 4
 			}
-			r.Paused(r.byID[fmt.Sprint("t", i)], pause, now)
+			r.RecordEventInterval(r.byID[fmt.Sprint("t", i)], pause, now)
 		}
 	}
 	if slow := fill(2 * testSlots); slow >= 0.9*usual || slow <= 1 {
@@ -77,7 +77,7 @@
 func report(r *Registry, from, to, busy, pace int, now time.Time) {
 	for i := from; i < to; i++ {
 		load := call.Load{Running: min(busy, testSlots), Waiting: max(busy-testSlots, 0), Slots: testSlots, Pace: pace}
-		r.Report(r.byID[fmt.Sprint("t", i)], load, now)
+		r.RecordLoad(r.byID[fmt.Sprint("t", i)], load, now)
 	}
 }
 
@@ -89,7 +89,7 @@
 		report(r, 0, 4, 4*testSlots, 400, now)
 		report(r, 4, 12, testSlots/2, 100, now)
 	}
-	if pool := r.Pool("s", now); !pool.Learned || pool.Fill < 0.5 || pool.Fill > 1 {
+	if pool := r.Pool("s", now); !pool.SpeedsLearned || pool.Utilization < 0.5 || pool.Utilization > 1 {
 		t.Errorf("a third has long queues, the others are half free: %+v", pool)
 	}
 }
@@ -99,7 +99,7 @@
 	now := time.Unix(100, 0)
 	r := newTestRegistry(20)
 	report(r, 0, 5, testSlots, 100, now)
-	if pool := r.Pool("s", now); pool.Known != 5 || pool.Fill < 0.2 || pool.Fill > 0.3 {
+	if pool := r.Pool("s", now); pool.Reporting != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
 		t.Errorf("five of twenty are full: %+v", pool)
 	}
 }
@@ -110,17 +110,17 @@
 	owner, r := newTestRegistry(20), newTestRegistry(20)
 	report(owner, 0, 20, 2*testSlots, 100, now)
 	report(r, 0, 5, 0, 100, now)
-	r.HearPools(owner.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Known != 20 || pool.Fill < 1.9 || !pool.Learned {
+	r.MergePoolReports(owner.PoolReports(now), now)
+	if pool := r.Pool("s", now); pool.Reporting != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
 		t.Errorf("the owner knows that all are full: %+v", pool)
 	}
 	less := newTestRegistry(20)
 	report(less, 0, 2, 0, 100, now)
-	r.HearPools(less.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Known != 20 {
+	r.MergePoolReports(less.PoolReports(now), now)
+	if pool := r.Pool("s", now); pool.Reporting != 20 {
 		t.Errorf("a view that rests on less replaced it: %+v", pool)
 	}
-	if pool := r.Pool("s", now.Add(toldAge+time.Millisecond)); pool.Known != 5 {
+	if pool := r.Pool("s", now.Add(toldAge+time.Millisecond)); pool.Reporting != 5 {
 		t.Errorf("an old view still counts: %+v", pool)
 	}
 }
@@ -130,12 +130,12 @@
 	now := time.Unix(100, 0)
 	r := newTestRegistry(4)
 	report(r, 0, 4, testSlots, 0, now)
-	if pool := r.Pool("s", now); pool.Learned || len(r.PoolReports(now)) != 0 {
+	if pool := r.Pool("s", now); pool.SpeedsLearned || len(r.PoolReports(now)) != 0 {
 		t.Errorf("nobody asked for speeds: %+v", pool)
 	}
 	r.LearnSpeeds()
 	r.Put(Entry{ID: "u", Service: "other", Address: "u", DataCentre: "dc", Slots: testSlots})
-	if pool := r.Pool("s", now); !pool.Learned || !r.Pool("other", now).Learned {
+	if pool := r.Pool("s", now); !pool.SpeedsLearned || !r.Pool("other", now).SpeedsLearned {
 		t.Errorf("got %+v", pool)
 	}
 }
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -25,15 +25,15 @@
 
 // Pool is the load of a service as a whole.
 type Pool struct {
-	// Fill is what runs and waits, in parts of the work that the service's targets
+	// Utilization is what runs and waits, in parts of the work that the service's targets
 	// can do, as Known of All usable ones told.
-	Fill  float64
-	Known int
-	All   int
-	// Age is the mean age of the reports.
-	Age time.Duration
-	// Learned tells that the speeds of the targets are learned.
-	Learned bool
+	Utilization float64
+	Reporting   int
+	Usable      int
+	// ReportAge is the mean age of the reports.
+	ReportAge time.Duration
+	// SpeedsLearned tells that the speeds of the targets are learned.
+	SpeedsLearned bool
 }
 
 // poolView is another instance's view of a service.
@@ -47,7 +47,7 @@
 // better tells whether a view rests on more targets, or on newer reports, than
 // what this instance knows itself.
 func (v poolView) better(own Pool, now time.Time) bool {
-	return v.known > own.Known || (v.known == own.Known && now.Sub(v.at) < own.Age)
+	return v.known > own.Reporting || (v.known == own.Reporting && now.Sub(v.at) < own.ReportAge)
 }
 
 // Pool tells the load of a service for who may begin. The better informed view
@@ -58,7 +58,7 @@
 	pool := r.ownPool(service, now)
 	view, ok := r.views[xxhash.Sum64String(service)]
 	if ok && now.Sub(view.heard) <= toldAge && view.better(pool, now) {
-		pool.Fill, pool.Known, pool.Age = view.fill, min(view.known, pool.All), now.Sub(view.at)
+		pool.Utilization, pool.Reporting, pool.ReportAge = view.fill, min(view.known, pool.Usable), now.Sub(view.at)
 	}
 	return pool
 }
@@ -69,10 +69,10 @@
 // far as is known: it counts as free. The mutex is held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
 	s, usual := r.of(service), r.usual(service)
-	pool := Pool{All: s.usable, Learned: r.works[service] != nil}
+	pool := Pool{Usable: s.usable, SpeedsLearned: r.works[service] != nil}
 	weight := func(t *Target) float64 { return float64(max(t.Slots, 1)) }
 	capacity, busy, ages := float64(s.slots), 0.0, 0.0
-	if pool.Learned {
+	if pool.SpeedsLearned {
 		weight = func(t *Target) float64 { return float64(max(t.Slots, 1)) / t.slowness(usual, now) }
 		capacity = 0
 		for _, t := range s.all {
@@ -85,13 +85,13 @@
 		if t.Draining {
 			return
 		}
-		pool.Known++
+		pool.Reporting++
 		busy += weight(t) * t.fill(0, poolReportLife, now)
 		ages += float64(now.Sub(t.loadAt))
 	})
-	if pool.Known > 0 {
-		pool.Fill = busy / capacity
-		pool.Age = time.Duration(ages / float64(pool.Known))
+	if pool.Reporting > 0 {
+		pool.Utilization = busy / capacity
+		pool.ReportAge = time.Duration(ages / float64(pool.Reporting))
 	}
 	return pool
 }
@@ -106,32 +106,32 @@
 			continue
 		}
 		pool := r.ownPool(service, now)
-		if pool.Known == 0 {
+		if pool.Reporting == 0 {
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Fill: int(pool.Fill / fillUnit), Known: pool.Known, Age: pool.Age,
+			Service: xxhash.Sum64String(service), Utilization: int(pool.Utilization / fillUnit), Reporting: pool.Reporting, Age: pool.ReportAge,
 		})
 	}
 	return reports
 }
 
-// HearPools takes another instance's view of services, unless a better informed
+// MergePoolReports takes another instance's view of services, unless a better informed
 // one is new.
-func (r *Registry) HearPools(reports []structs.PoolReport, now time.Time) {
+func (r *Registry) MergePoolReports(reports []structs.PoolReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.heard) > toldAge })
 	for _, p := range reports {
-		if p.Fill < 0 || p.Known <= 0 {
+		if p.Utilization < 0 || p.Reporting <= 0 {
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.known > p.Known && now.Sub(before.heard) < toldAge/2 {
+		if ok && before.known > p.Reporting && now.Sub(before.heard) < toldAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			fill: float64(p.Fill) * fillUnit, known: p.Known, at: now.Add(-max(p.Age, 0)), heard: now,
+			fill: float64(p.Utilization) * fillUnit, known: p.Reporting, at: now.Add(-max(p.Age, 0)), heard: now,
 		}
 	}
 }
--- a/internal/targets/service.go
+++ b/internal/targets/service.go
@@ -102,13 +102,13 @@
 
 // candidates are the targets that a choice looks at; keyed tells of a position
 // whether the key may rank the target there. The mutex is held.
-func (r *Registry) candidates(s *service, want Want) (all []*Target, keyed func(i int) bool) {
+func (r *Registry) candidates(s *service, want Criteria) (all []*Target, keyed func(i int) bool) {
 	if len(s.all) <= wholeChoice {
 		return s.all, func(int) bool { return true }
 	}
 	all = append(make([]*Target, 0, 1+usedMost+keyedMost+nearDrawn+allDrawn), s.ranked(want.Key)...)
 	ranked := len(all)
-	if last := r.byIncarnation[want.Last]; last != nil && last.Service == want.Service {
+	if last := r.byIncarnation[want.LastIncarnation]; last != nil && last.Service == want.Service {
 		all = append(all, last)
 	}
 	all = append(all, s.used...)
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -34,8 +34,8 @@
 	for _, n := range []int{2500, 5000, 10000} {
 		connections := new(countingConnections)
 		r := registryOf(n, connections)
-		for _, want := range []Want{
-			{Service: "s"}, {Service: "s", Key: "k"}, {Service: "s", Key: "p", Remembered: true, Last: "t7"},
+		for _, want := range []Criteria{
+			{Service: "s"}, {Service: "s", Key: "k"}, {Service: "s", Key: "p", Sticky: true, LastIncarnation: "t7"},
 		} {
 			connections.asked = 0
 			if r.Pick(want, time.Now()) == nil || connections.asked > most {
@@ -53,7 +53,7 @@
 	b.Remove("t17")
 	moved := 0
 	for i := range keys {
-		want := Want{Service: "s", Key: fmt.Sprint("k", i)}
+		want := Criteria{Service: "s", Key: fmt.Sprint("k", i)}
 		ta, tb := a.Pick(want, time.Now()), b.Pick(want, time.Now())
 		if ta.ID != tb.ID {
 			moved++
@@ -71,7 +71,7 @@
 	r := registryOf(3000, new(countingConnections))
 	for i := range 100 {
 		last := fmt.Sprint("t", 29*i)
-		if got := r.Pick(Want{Service: "s", Key: "p", Last: last, Remembered: true}, time.Now()); got.ID != last {
+		if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: last, Sticky: true}, time.Now()); got.ID != last {
 			t.Errorf("went from %s to %s", last, got.ID)
 		}
 	}
@@ -83,9 +83,9 @@
 	r := registryOf(n, new(countingConnections))
 	now := time.Now()
 	for i := range n - 1 {
-		r.Failed(r.byID[fmt.Sprint("t", i)], now)
+		r.RecordFailure(r.byID[fmt.Sprint("t", i)], now)
 	}
-	if got := r.Pick(Want{Service: "s", Key: "k"}, now); got == nil || got.ID != fmt.Sprint("t", n-1) {
+	if got := r.Pick(Criteria{Service: "s", Key: "k"}, now); got == nil || got.ID != fmt.Sprint("t", n-1) {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -95,18 +95,18 @@
 	r := registryOf(5000, new(countingConnections))
 	now := time.Now()
 	for i := range 10 {
-		r.Report(r.byID[fmt.Sprint("t", i)], call.Load{Running: 1, Slots: 6}, now)
+		r.RecordLoad(r.byID[fmt.Sprint("t", i)], call.Load{Running: 1, Slots: 6}, now)
 	}
 	if got := len(r.of("s").told); got != 10 {
 		t.Errorf("%d targets with a report", got)
 	}
-	if got := len(r.Loads(now)); got != loadsMost {
+	if got := len(r.LoadReports(now)); got != loadsMost {
 		t.Errorf("%d reports told", got)
 	}
-	if pool := r.Pool("s", now); pool.All != 5000 || pool.Known != 10 {
+	if pool := r.Pool("s", now); pool.Usable != 5000 || pool.Reporting != 10 {
 		t.Errorf("pool %+v", pool)
 	}
-	if got := len(r.Loads(now.Add(2 * poolLoadAge))); got != 0 || len(r.of("s").told) != 0 {
+	if got := len(r.LoadReports(now.Add(2 * poolLoadAge))); got != 0 || len(r.of("s").told) != 0 {
 		t.Errorf("%d old reports told, %d kept", got, len(r.of("s").told))
 	}
 }
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -34,7 +34,7 @@
 		all = append(all, Snapshot{
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
-			Fill: t.fill(r.pool(t.Service, now).Fill, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
+			Fill: t.fill(r.pool(t.Service, now).Utilization, r.usualRequest(t.Service), now), Slowness: t.present(r.usual(t.Service), now),
 			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.UpdatedAt, now).Seconds(),
 		})
 	}
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -82,8 +82,8 @@
 	return initialRequest
 }
 
-// Answered takes the time of a whole plain answer.
-func (r *Registry) Answered(t *Target, route string, took time.Duration, now time.Time) {
+// RecordResponse takes the time of a whole plain answer.
+func (r *Registry) RecordResponse(t *Target, route string, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.works[t.Service]
@@ -94,21 +94,21 @@
 	t.speed.Add(w.route(route).add(took), now)
 }
 
-// Patience is how long a first send of a request that may run again may take;
+// HedgeTimeout is how long a first send of a request that may run again may take;
 // false if there is to be no second one for now.
-func (r *Registry) Patience(service, route string, now time.Time) (time.Duration, bool) {
+func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.works[service]
 	if w == nil {
 		return 0, false
 	}
-	return w.route(route).stragglers.HedgeDelay(r.pool(service, now).Fill)
+	return w.route(route).stragglers.HedgeDelay(r.pool(service, now).Utilization)
 }
 
-// SentAgain counts a second send after Patience, and how long the first one took
+// RecordHedge counts a second send after Patience, and how long the first one took
 // at least.
-func (r *Registry) SentAgain(t *Target, route string, took time.Duration, now time.Time) {
+func (r *Registry) RecordHedge(t *Target, route string, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.works[t.Service]
@@ -122,8 +122,8 @@
 	}
 }
 
-// Paused takes the time between events of an engine.
-func (r *Registry) Paused(t *Target, perEvent time.Duration, now time.Time) {
+// RecordEventInterval takes the time between events of an engine.
+func (r *Registry) RecordEventInterval(t *Target, perEvent time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.works[t.Service] != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// TurnEnded takes a whole turn.
-func (r *Registry) TurnEnded(t *Target, sample policy.RunSample) {
+// RecordTurn takes a whole turn.
+func (r *Registry) RecordTurn(t *Target, sample policy.RunSample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if w := r.works[t.Service]; w != nil {
@@ -237,17 +237,17 @@
 // report is what others are told of a target.
 func (t *Target) report(u usual, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
-		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
+		Target: t.hash, Running: t.load.Running, Waiting: t.load.Waiting, Slowdown: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
 	if told := t.speed.AdvertisedMean(u.speed, t.says(u)); told > 0 {
-		report.Speed, report.SpeedAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
+		report.UnitTime, report.UnitTimeAge = int(told/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
 
 // hearSpeed takes what another instance learned of a target. The mutex is held.
 func (r *Registry) hearSpeed(t *Target, report structs.TargetReport, now time.Time) {
-	if report.Speed > 0 {
-		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
+	if report.UnitTime > 0 {
+		t.speed.MergeRemote(float64(report.UnitTime)*speedUnit, now.Add(-max(report.UnitTimeAge, 0)))
 	}
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -242,8 +242,8 @@
 	return t.Entry, true
 }
 
-// Runs tells whether a start of a target is the registered one.
-func (r *Registry) Runs(incarnation string) bool {
+// IsRegistered tells whether a start of a target is the registered one.
+func (r *Registry) IsRegistered(incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.byIncarnation[incarnation]
@@ -264,8 +264,8 @@
 	t.inFlight--
 }
 
-// Report takes a target's report of its load.
-func (r *Registry) Report(t *Target, load call.Load, now time.Time) {
+// RecordLoad takes a target's report of its load.
+func (r *Registry) RecordLoad(t *Target, load call.Load, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.setLoad(t, load, now)
@@ -276,16 +276,16 @@
 	}
 }
 
-// Succeeded notes that a target answered in order.
-func (r *Registry) Succeeded(t *Target, now time.Time) {
+// RecordSuccess notes that a target answered in order.
+func (r *Registry) RecordSuccess(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.failures, t.avoidUntil, t.heardUntil, t.provenAt = 0, time.Time{}, time.Time{}, now
 }
 
-// Failed notes that a target could not be reached or broke off, and avoids it
+// RecordFailure notes that a target could not be reached or broke off, and avoids it
 // for a while.
-func (r *Registry) Failed(t *Target, now time.Time) {
+func (r *Registry) RecordFailure(t *Target, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait := min(avoidFirst<<min(t.failures, 8), avoidMost)
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -33,9 +33,9 @@
 func TestKeyStaysAtItsTargetUntilThatIsTooBusy(t *testing.T) {
 	r := newTestRegistry(5)
 	now := time.Unix(100, 0)
-	first := r.Pick(Want{Service: "s", Key: "program"}, now)
+	first := r.Pick(Criteria{Service: "s", Key: "program"}, now)
 	placed := 1
-	for r.Pick(Want{Service: "s", Key: "program"}, now) == first {
+	for r.Pick(Criteria{Service: "s", Key: "program"}, now) == first {
 		placed++
 	}
 	if want := fullAt(); placed != want {
@@ -44,7 +44,7 @@
 	for range placed {
 		r.End(first)
 	}
-	if r.Pick(Want{Service: "s", Key: "program"}, now) != first {
+	if r.Pick(Criteria{Service: "s", Key: "program"}, now) != first {
 		t.Error("the key did not come back to its target")
 	}
 }
@@ -64,7 +64,7 @@
 	r := twoDataCentres(4)
 	now := time.Unix(100, 0)
 	for i := range 20 {
-		want := Want{Service: "s", Key: fmt.Sprint("program", i), Last: "far2", Remembered: true}
+		want := Criteria{Service: "s", Key: fmt.Sprint("program", i), LastIncarnation: "far2", Sticky: true}
 		got := r.Pick(want, now)
 		if got.ID != "far2" {
 			t.Fatalf("%s was chosen", got.ID)
@@ -72,12 +72,12 @@
 		r.End(got)
 	}
 	for range fullAt() {
-		r.PickSame("far2")
+		r.PickIncarnation("far2")
 	}
-	if got := r.Pick(Want{Service: "s", Key: "p", Last: "far2", Remembered: true}, now); got.DataCentre != "dc" {
+	if got := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "far2", Sticky: true}, now); got.DataCentre != "dc" {
 		t.Errorf("%s was chosen instead of one nearby", got.ID)
 	}
-	gone := r.Pick(Want{Service: "s", Key: "p", Last: "gone", Remembered: true}, now)
+	gone := r.Pick(Criteria{Service: "s", Key: "p", LastIncarnation: "gone", Sticky: true}, now)
 	if gone == nil || gone.DataCentre != "dc" {
 		t.Errorf("got %+v for a program whose target is gone", gone)
 	}
@@ -91,14 +91,14 @@
 	// A target takes another program while it is less full than nearFill, so
 	// each of the two takes three.
 	for i := range 6 {
-		got := r.Pick(Want{Service: "s", Key: fmt.Sprint("program", i), Remembered: true}, now)
+		got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("program", i), Sticky: true}, now)
 		if got.DataCentre != "dc" {
 			t.Fatalf("program %d began at %s", i, got.ID)
 		}
 	}
 	beyond := 0
 	for i := range 20 {
-		got := r.Pick(Want{Service: "s", Key: fmt.Sprint("next", i), Remembered: true}, now)
+		got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("next", i), Sticky: true}, now)
 		if got.DataCentre != "dc" {
 			beyond++
 		}
@@ -109,7 +109,7 @@
 	}
 	far := 0
 	for i := range 20 {
-		got := twoDataCentres(2).Pick(Want{Service: "s", Key: fmt.Sprint("object", i)}, now)
+		got := twoDataCentres(2).Pick(Criteria{Service: "s", Key: fmt.Sprint("object", i)}, now)
 		if got.DataCentre == "far" {
 			far++
 		}
@@ -128,13 +128,13 @@
 	report := func(running int) {
 		for i := range 64 {
 			near := r.byID[fmt.Sprint("t", i%8)]
-			r.Report(near, call.Load{Running: running, Slots: testSlots}, now)
+			r.RecordLoad(near, call.Load{Running: running, Slots: testSlots}, now)
 		}
 	}
 	beginsFar := func(at time.Time) int {
 		far := 0
 		for i := range 40 {
-			got := r.Pick(Want{Service: "s", Key: fmt.Sprint("program", i), Remembered: true}, at)
+			got := r.Pick(Criteria{Service: "s", Key: fmt.Sprint("program", i), Sticky: true}, at)
 			if got.DataCentre != "dc" {
 				far++
 			}
@@ -158,7 +158,7 @@
 	now := time.Unix(100, 0)
 	counts := map[string]int{}
 	for range 8 {
-		counts[r.Pick(Want{Service: "s"}, now).ID]++
+		counts[r.Pick(Criteria{Service: "s"}, now).ID]++
 	}
 	for id, n := range counts {
 		if n != 2 {
@@ -170,11 +170,11 @@
 func TestReportedLoadCountsWhileItIsNew(t *testing.T) {
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
-	a := r.Pick(Want{Service: "s"}, now)
+	a := r.Pick(Criteria{Service: "s"}, now)
 	r.End(a)
-	r.Report(a, call.Load{Running: testSlots, Waiting: 3, Slots: testSlots}, now)
+	r.RecordLoad(a, call.Load{Running: testSlots, Waiting: 3, Slots: testSlots}, now)
 	for range 3 {
-		if got := r.Pick(Want{Service: "s"}, now); got == a {
+		if got := r.Pick(Criteria{Service: "s"}, now); got == a {
 			t.Error("the busy target was chosen")
 		}
 	}
@@ -186,14 +186,14 @@
 func TestFailingTargetIsAvoidedAndTriedAgain(t *testing.T) {
 	r := newTestRegistry(2)
 	now := time.Unix(100, 0)
-	bad := r.PickSame("t0")
-	r.Failed(bad, now)
+	bad := r.PickIncarnation("t0")
+	r.RecordFailure(bad, now)
 	for range 4 {
-		if r.Pick(Want{Service: "s"}, now) == bad {
+		if r.Pick(Criteria{Service: "s"}, now) == bad {
 			t.Error("a target that failed was chosen at once")
 		}
 	}
-	if later := now.Add(avoidFirst); r.Pick(Want{Service: "s", Exclude: []string{"t1"}}, later) != bad {
+	if later := now.Add(avoidFirst); r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, later) != bad {
 		t.Error("the target was not tried again")
 	}
 }
@@ -201,8 +201,8 @@
 func TestFailingTargetsAreBetterThanNone(t *testing.T) {
 	r := newTestRegistry(1)
 	now := time.Unix(100, 0)
-	r.Failed(r.PickSame("t0"), now)
-	if r.Pick(Want{Service: "s"}, now) == nil {
+	r.RecordFailure(r.PickIncarnation("t0"), now)
+	if r.Pick(Criteria{Service: "s"}, now) == nil {
 		t.Error("no target was chosen")
 	}
 }
@@ -213,7 +213,7 @@
 	if !r.Put(Entry{ID: "t0", Service: "s", Address: "a0", Slots: testSlots, Draining: true}) {
 		t.Error("a target that began to leave is no change")
 	}
-	if got := r.Pick(Want{Service: "s", Exclude: []string{"t1"}}, now); got != nil {
+	if got := r.Pick(Criteria{Service: "s", Exclude: []string{"t1"}}, now); got != nil {
 		t.Errorf("got %s", got.ID)
 	}
 	if !r.Remove("t1") || r.Remove("t1") || r.Has("t1") {
@@ -223,9 +223,9 @@
 
 func TestAnotherTargetUnderTheSameIDIsNew(t *testing.T) {
 	r := newTestRegistry(1)
-	old := r.PickSame("t0")
+	old := r.PickIncarnation("t0")
 	r.Put(Entry{ID: "t0", Service: "other", Address: "a0", Slots: testSlots})
-	if r.PickSame("t0") == old || r.Pick(Want{Service: "s"}, time.Unix(100, 0)) != nil {
+	if r.PickIncarnation("t0") == old || r.Pick(Criteria{Service: "s"}, time.Unix(100, 0)) != nil {
 		t.Error("the target kept the state of another service's")
 	}
 }
