--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -14,17 +14,17 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// killAtPiece is the piece of a streamed answer at which the owner is killed.
-const killAtPiece = 10
+// killAtChunk is the chunk of a streamed answer at which the owner is killed.
+const killAtChunk = 10
 
-// tour is one program's way through the instances.
+// tour runs the calls of one program through the instances.
 type tour struct {
 	cluster  *testkit.Cluster
 	program  string
 	messages []wire.ChatMessage
 	number   int
-	// onPiece hears the pieces of the next streamed answer.
-	onPiece func(number int)
+	// onChunk is called for each chunk of the next streamed answer.
+	onChunk func(number int)
 }
 
 func newTour(cluster *testkit.Cluster) *tour {
@@ -34,7 +34,7 @@
 	}
 }
 
-// client gives a caller of the n-th instance, as a balancer would pick it.
+// client returns a client of the n-th instance, simulating a load balancer.
 func (t *tour) client(n int) *testkit.Client {
 	p := t.cluster.Instances[n%len(t.cluster.Instances)]
 	return testkit.NewClient(p.Server, testkit.CallerKey)
@@ -47,7 +47,7 @@
 	}
 	fmt.Printf("Program %s is open.\n\n", t.program)
 	fmt.Printf("%-4s %-40s %-11s %-10s %s\n", "call", "what", "instance", "outcome", "time")
-	steps := []func(context.Context) error{t.search, t.draft, t.file, t.fileAgain, t.loseOwner, t.close}
+	steps := []func(context.Context) error{t.search, t.draft, t.file, t.repeatFiling, t.killOwner, t.close}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -66,33 +66,33 @@
 
 func (t *tour) file(ctx context.Context) error { return t.submit(ctx, 0, "answered") }
 
-func (t *tour) fileAgain(ctx context.Context) error {
+func (t *tour) repeatFiling(ctx context.Context) error {
 	t.number--
 	return t.submit(ctx, 1, "replayed")
 }
 
-// loseOwner kills the program's owner in the middle of a streamed answer. The
-// caller's instance hands the call to the next owner, which resumes the stream
+// killOwner kills the program's owner in the middle of a streamed answer. The
+// caller's instance forwards the call to the next owner, which resumes the stream
 // at the engine.
-func (t *tour) loseOwner(ctx context.Context) error {
+func (t *tour) killOwner(ctx context.Context) error {
 	owner, err := t.owner(ctx)
 	if err != nil {
 		return err
 	}
 	other := slices.IndexFunc(t.cluster.Instances, func(p *testkit.Process) bool { return p != owner })
-	t.onPiece = func(number int) {
-		if number == killAtPiece {
+	t.onChunk = func(number int) {
+		if number == killAtChunk {
 			owner.Kill()
 			fmt.Printf("     %s, the program's owner, is killed in the middle of the next answer.\n", owner.ID)
 		}
 	}
 	err = t.chat(ctx, other, "Summarize for the member. tokens=60", true)
-	t.onPiece = nil
+	t.onChunk = nil
 	t.cluster.Remove(owner)
 	return err
 }
 
-// owner finds the instance that owns the program.
+// owner returns the instance that owns the program.
 func (t *tour) owner(ctx context.Context) (*testkit.Process, error) {
 	answer, err := t.client(0).Do(ctx, http.MethodGet, "/v1/programs/"+t.program, nil, testkit.Call{})
 	if err != nil {
@@ -116,7 +116,7 @@
 		return err
 	}
 	if answer.Problem != nil {
-		return errors.Newf("close: %s", answer.Body)
+		return errors.Newf("close the program: %s", answer.Body)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	t.messages = append(t.messages, wire.ChatMessage{Role: "user", Content: prompt})
 	request := wire.ChatRequest{Model: testkit.ModelService, Messages: t.messages, MaxTokens: 100, Stream: stream}
 	client := t.client(instance)
-	client.OnPiece = t.onPiece
+	client.OnPiece = t.onChunk
 	answer, err := client.Chat(ctx, request, testkit.Call{Program: t.program, Number: t.number})
 	if err != nil {
 		return err
@@ -135,9 +135,9 @@
 		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, answer.Status, answer.Cut, answer.Body, answer.Problem)
 	}
 	t.messages = append(t.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
-	what := "chat, whole"
+	what := "chat, not streamed"
 	if stream {
-		what = fmt.Sprintf("chat, streamed in %d pieces", answer.Pieces)
+		what = fmt.Sprintf("chat, streamed in %d chunks", answer.Pieces)
 	}
 	t.print(what, instance, answer)
 	return nil
@@ -163,7 +163,7 @@
 	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, answer.Outcome, answer.Took.Round(time.Millisecond))
 }
 
-// checkLedger reads at the targets that the filing ran once.
+// checkLedger checks the ledgers of the targets: the filing must have run once.
 func (t *tour) checkLedger() error {
 	sent := 0
 	for _, service := range t.cluster.Services {
@@ -175,7 +175,7 @@
 	}
 	fmt.Printf("\nThe filing was sent twice by the caller and ran %d time(s) at the targets.\n", sent)
 	if sent != 1 {
-		return errors.Newf("the filing ran %d times", sent)
+		return errors.Newf("the filing ran %d times, expected 1", sent)
 	}
 	return nil
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/explain"
 )
 
-// ExplainCommand tells the story of a request or program from logs.
+// ExplainCommand prints the log lines about a request or program in order of time.
 type ExplainCommand struct {
 	ID    string   `arg:"positional,required" help:"id of a request or program"`
 	Files []string `arg:"positional" help:"log files of instances; standard input if none is given"`
@@ -29,9 +29,9 @@
 		defer file.Close()
 		logs = append(logs, file)
 	}
-	story, err := explain.Read(c.ID, logs...)
+	report, err := explain.Read(c.ID, logs...)
 	if err != nil {
 		return err
 	}
-	return story.Write(p.Out)
+	return report.Write(p.Out)
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// printJSON prints a JSON answer, indented.
+// printJSON prints a JSON body indented, and any other body as it is.
 func (p *Program) printJSON(body []byte) error {
 	var b bytes.Buffer
 	if err := json.Indent(&b, body, "", "  "); err != nil {
@@ -20,29 +20,29 @@
 	return err
 }
 
-// printTable prints rows in columns under a head.
-func (p *Program) printTable(head []string, rows [][]string) error {
+// printTable prints rows in aligned columns below a header.
+func (p *Program) printTable(header []string, rows [][]string) error {
 	const padding = 2
 	w := tabwriter.NewWriter(p.Out, 0, 0, padding, ' ', 0)
-	fmt.Fprintln(w, strings.Join(head, "\t"))
+	fmt.Fprintln(w, strings.Join(header, "\t"))
 	for _, row := range rows {
 		for i := range row {
-			row[i] = oneLine(row[i])
+			row[i] = sanitizeLine(row[i])
 		}
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
 	return w.Flush()
 }
 
-func showTime(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
 	return t.UTC().Format(time.RFC3339)
 }
 
-// showSpent shows an amount with its limit, 0 for none.
-func showSpent(spent, held, limit int64) string {
+// formatSpent formats an amount with what is held and its limit, either 0 if unset.
+func formatSpent(spent, held, limit int64) string {
 	text := fmt.Sprint(spent)
 	if held > 0 {
 		text += fmt.Sprintf("+%d held", held)
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -16,23 +16,24 @@
 	"github.com/banyanglade/banyanglade/internal/settings"
 )
 
-// Ranges of the flags of an instance.
+// Limits of the flag values.
 const (
 	maxShards       = 1 << 16
 	minPeerKeyBytes = 16
 	maxPeerKeyBytes = 4096
 	minRetention    = 10 * time.Second
-	minBody         = 1 << 10
-	maxBody         = 1 << 30
+	minBodyBytes    = 1 << 10
+	maxBodyBytes    = 1 << 30
 )
 
-// RunCommand is the flags of an instance.
+// RunCommand runs an instance.
 type RunCommand struct {
 	RunConfig
 	PeerKeyFile string `arg:"--peer-key-file,env:BANYANGLADE_PEER_KEY_FILE" placeholder:"FILE" help:"file that holds the peer key, if BANYANGLADE_PEER_KEY is not set"`
 }
 
-// RunConfig is what an instance learns from its flags and environment variables.
+// RunConfig is the configuration of an instance, set by flags or environment
+// variables.
 type RunConfig struct {
 	ID         string `arg:"--id,env:BANYANGLADE_ID" help:"id of this instance, unique among all instances"`
 	Region     string `arg:"--region,env:BANYANGLADE_REGION" help:"region, the group of data centres that share programs"`
@@ -58,7 +59,7 @@
 	MaxBody      int64         `arg:"--max-body,env:BANYANGLADE_MAX_BODY" default:"8388608" placeholder:"BYTES" help:"largest request body"`
 }
 
-// ConfigError tells which flag is wrong and what was expected.
+// ConfigError reports a flag with a wrong value and what was expected.
 type ConfigError struct {
 	Flag     string
 	Value    string
@@ -86,7 +87,7 @@
 	return p.RunInstance(ctx, c.RunConfig)
 }
 
-// readPeerKey takes the peer key from its file if it is not set.
+// readPeerKey reads the peer key from its file unless the key is set directly.
 func (c *RunCommand) readPeerKey() error {
 	if c.PeerKey.Reveal() != "" || c.PeerKeyFile == "" {
 		return nil
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Validate checks each value and returns a ConfigError for the first wrong one.
+// Validate returns a *ConfigError for the first invalid value.
 func (c RunConfig) Validate() error {
 	for _, check := range []func() error{c.validateNames, c.validateAddresses, c.validateKeys, c.validateLimits} {
 		if err := check(); err != nil {
@@ -116,14 +117,14 @@
 	return nil
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
 func (c RunConfig) validateNames() error {
 	names := []struct{ flag, value string }{
 		{"id", c.ID}, {"region", c.Region}, {"data-centre", c.DataCentre},
 	}
 	for _, name := range names {
-		if !nameForm.MatchString(name.value) {
+		if !namePattern.MatchString(name.value) {
 			return &ConfigError{name.flag, name.value, "1 to 63 of a-z, 0-9, '.' and '-', starting with a letter or digit"}
 		}
 	}
@@ -143,13 +144,14 @@
 	urls := []struct{ flag, value string }{{"log-url", c.LogURL}, {"members-url", c.MembersURL}}
 	for _, base := range urls {
 		if !isHTTPURL(base.value) {
-			return &ConfigError{base.flag, shownURL(base.value), "an http or https URL without a user or query"}
+			return &ConfigError{base.flag, redactURL(base.value), "an http or https URL without a user or query"}
 		}
 	}
 	return nil
 }
 
-// validateAdvertised checks that other instances get an address they can reach.
+// validateAdvertised checks that the address advertised to other instances can be
+// reached: not an unspecified address such as 0.0.0.0.
 func (c RunConfig) validateAdvertised() error {
 	if c.PeerAdvertise == "" {
 		listen, _ := netip.ParseAddrPort(c.PeerListen)
@@ -171,9 +173,9 @@
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != "" && u.User == nil && u.RawQuery == ""
 }
 
-// shownURL is a URL without the password that it may carry; a text that is no URL
-// is not shown at all if it could hold one.
-func shownURL(text string) string {
+// redactURL removes the password and the query of a URL. A text that does not parse
+// is hidden as a whole if it may contain a password.
+func redactURL(text string) string {
 	u, err := url.Parse(text)
 	switch {
 	case err == nil && u.RawQuery != "":
@@ -182,12 +184,12 @@
 	case err == nil:
 		return u.Redacted()
 	case strings.Contains(text, "@"):
-		return hidden
+		return redacted
 	}
 	return text
 }
 
-// validateKeys checks the keys without showing them.
+// validateKeys checks the keys. Its errors contain no secrets.
 func (c RunConfig) validateKeys() error {
 	if n := len(c.PeerKey.Reveal()); n < minPeerKeyBytes || n > maxPeerKeyBytes {
 		return &ConfigError{"peer-key-file", "", "a peer key of at least 16 bytes, here or in BANYANGLADE_PEER_KEY"}
@@ -213,7 +215,7 @@
 		return &ConfigError{"retention", c.Retention.String(), "at least 10s"}
 	case c.DrainTimeout <= 0:
 		return &ConfigError{"drain-timeout", c.DrainTimeout.String(), "more than 0"}
-	case c.MaxBody < minBody || c.MaxBody > maxBody:
+	case c.MaxBody < minBodyBytes || c.MaxBody > maxBodyBytes:
 		return &ConfigError{"max-body", "", "1024 to 1073741824 bytes"}
 	}
 	return nil
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -21,7 +21,7 @@
 	appliedRoute  = "/v1/settings/applied"
 )
 
-// SettingsGet shows settings.
+// SettingsGet prints the settings at and below a path.
 type SettingsGet struct {
 	ClientOptions
 	Path string `arg:"positional" help:"path such as teams/lakeshore or services/filing-desk; all if not given"`
@@ -32,25 +32,25 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, settingsRoute, pathQuery(c.Path))
+	resp, err := client.get(ctx, settingsRoute, pathQuery(c.Path))
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var list settings.Listing
-	if err := a.decode(&list); err != nil {
+	if err := resp.decode(&list); err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, e := range list.Entries {
-		rows = append(rows, []string{e.Path, showValue(e.Value, e.Removed), fmt.Sprint(e.Version), e.Author, showTime(e.Time)})
+		rows = append(rows, []string{e.Path, formatValue(e.Value, e.Removed), fmt.Sprint(e.Version), e.Author, formatTime(e.Time)})
 	}
 	return p.printTable([]string{"PATH", "VALUE", "VERSION", "AUTHOR", "TIME"}, rows)
 }
 
-// SettingsHistory shows past changes.
+// SettingsHistory prints the last changes at and below a path.
 type SettingsHistory struct {
 	ClientOptions
 	Path string `arg:"positional" help:"path such as teams/lakeshore/priority; all if not given"`
@@ -61,25 +61,25 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, historyRoute, pathQuery(c.Path))
+	resp, err := client.get(ctx, historyRoute, pathQuery(c.Path))
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var list settings.HistoryListing
-	if err := a.decode(&list); err != nil {
+	if err := resp.decode(&list); err != nil {
 		return err
 	}
 	var rows [][]string
 	for _, h := range list.Changes {
-		rows = append(rows, []string{fmt.Sprint(h.Version), h.Path, showValue(h.Value, h.Removed), h.Author, showTime(h.Time)})
+		rows = append(rows, []string{fmt.Sprint(h.Version), h.Path, formatValue(h.Value, h.Removed), h.Author, formatTime(h.Time)})
 	}
 	return p.printTable([]string{"VERSION", "PATH", "VALUE", "AUTHOR", "TIME"}, rows)
 }
 
-// SettingsSet changes one setting.
+// SettingsSet changes or removes one setting.
 type SettingsSet struct {
 	ClientOptions
 	Path     string  `arg:"positional,required" help:"path such as teams/lakeshore/clearance/priority"`
@@ -112,7 +112,7 @@
 	return p.change(ctx, client, c.JSON, []settingsChange{change})
 }
 
-// settingValue takes JSON as it is and any other text as a string.
+// settingValue returns valid JSON unchanged and any other text as a JSON string.
 func settingValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
@@ -129,37 +129,37 @@
 	ChangeID string          `json:"change_id"`
 }
 
-// settingsAccepted is the answer of PUT /v1/settings.
+// settingsAccepted is the response of PUT /v1/settings.
 type settingsAccepted struct {
 	Status  string `json:"status"`
 	Version uint64 `json:"version"`
 	Offset  uint64 `json:"offset"`
 }
 
-// change publishes changes, all or none, and prints what became of them.
+// change publishes the changes atomically and prints the outcome.
 func (p *Program) change(ctx context.Context, client *client, asJSON bool, changes []settingsChange) error {
 	body := struct {
 		Changes []settingsChange `json:"changes"`
 	}{changes}
-	a, err := client.do(ctx, http.MethodPut, settingsRoute, nil, body)
+	resp, err := client.do(ctx, http.MethodPut, settingsRoute, nil, body)
 	if err != nil {
-		if mayHaveRun(err) {
+		if mayHaveTakenEffect(err) {
 			return errors.Wrapf(err, "unknown whether change %s came into force (a repeat is safe)", changes[0].ChangeID)
 		}
 		return err
 	}
 	if asJSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var accepted settingsAccepted
-	if err := a.decode(&accepted); err != nil {
+	if err := resp.decode(&accepted); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(p.Out, "%s: version %d of %d path(s)\n", oneLine(accepted.Status), accepted.Version, len(changes))
+	_, err = fmt.Fprintf(p.Out, "%s: version %d of %d path(s)\n", sanitizeLine(accepted.Status), accepted.Version, len(changes))
 	return err
 }
 
-// version reads the present version of a path, 0 if it never had a value.
+// version returns the current version of a path, 0 if the path never had a value.
 func (c *client) version(ctx context.Context, path string) (uint64, error) {
 	list, err := c.listing(ctx, path)
 	if err != nil {
@@ -173,10 +173,10 @@
 	return 0, nil
 }
 
-// listing reads a part of the tree; it is empty if there is nothing.
+// listing returns the settings at and below a path, empty if there are none.
 func (c *client) listing(ctx context.Context, path string) (settings.Listing, error) {
 	var list settings.Listing
-	a, err := c.get(ctx, settingsRoute, pathQuery(path))
+	resp, err := c.get(ctx, settingsRoute, pathQuery(path))
 	var problem *ProblemError
 	if errors.As(err, &problem) && problem.Status == http.StatusNotFound {
 		return list, nil
@@ -184,10 +184,11 @@
 	if err != nil {
 		return list, err
 	}
-	return list, a.decode(&list)
+	return list, resp.decode(&list)
 }
 
-// SettingsApplied shows which offset each instance has applied.
+// SettingsApplied prints the offset up to which each instance has applied the
+// settings.
 type SettingsApplied struct{ ClientOptions }
 
 func (c *SettingsApplied) execute(ctx context.Context, p *Program) error {
@@ -195,24 +196,25 @@
 	if err != nil {
 		return err
 	}
-	a, err := client.get(ctx, appliedRoute, nil)
+	resp, err := client.get(ctx, appliedRoute, nil)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return p.printJSON(a.body)
+		return p.printJSON(resp.body)
 	}
 	var reply struct {
 		Applied map[string]uint64 `json:"applied"`
 		Missing []string          `json:"missing"`
 	}
-	if err := a.decode(&reply); err != nil {
+	if err := resp.decode(&reply); err != nil {
 		return err
 	}
 	return p.printTable([]string{"INSTANCE", "APPLIED", "STATE"}, appliedRows(reply.Applied, reply.Missing))
 }
 
-// appliedRows compares each instance with the newest.
+// appliedRows returns a row for each instance with its distance from the newest
+// offset.
 func appliedRows(applied map[string]uint64, missing []string) [][]string {
 	var newest uint64
 	var rows [][]string
@@ -240,7 +242,7 @@
 	return url.Values{"path": {path}}
 }
 
-func showValue(value json.RawMessage, removed bool) string {
+func formatValue(value json.RawMessage, removed bool) string {
 	if removed {
 		return "(removed)"
 	}
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -14,8 +14,8 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// decoy stands at the address of entries that no target can have written. Any
-// request there shows that an instance has used one.
+// decoy is a server at the address of invalid target entries. A request to it shows
+// that an instance used such an entry.
 type decoy struct {
 	server  *http.Server
 	address string
@@ -29,17 +29,17 @@
 	d := &decoy{address: listener.Addr().String()}
 	d.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(
 		func(w http.ResponseWriter, r *http.Request) {
-			h.stray(fmt.Sprintf("%s expected %s", r.Header.Get("Banyanglade-Request-Id"), r.Header.Get("Banyanglade-Expect-Instance")))
+			h.recordMisrouted(fmt.Sprintf("%s expected %s", r.Header.Get("Banyanglade-Request-Id"), r.Header.Get("Banyanglade-Expect-Instance")))
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		})}
-	go func() { _ = d.server.Serve(listener) }() // it ends with the deployment
+	go func() { _ = d.server.Serve(listener) }() // returns when the server is closed
 	return d, nil
 }
 
-func (d *decoy) end() { _ = d.server.Close() } // nothing is lost
+func (d *decoy) stop() { _ = d.server.Close() }
 
-// foreignEntries are what other writers put in place of a target's entry, each
-// with one fault; %s is the address.
+// foreignEntries are invalid target entries as another writer might put them, each
+// with one error; %s is the address.
 var foreignEntries = []string{
 	`{"Service":"app","Address":"%s","Zone":"dc","Version":"v1","State":"ready","ColdRemainingMs":0,"Sequence":1}`,
 	`{"Service":"app","Address":"%s","Zone":"dc","Version":"v1","Slots":"24","State":"ready","ColdRemainingMs":0,"Sequence":1}`,
@@ -50,53 +50,53 @@
 	`{"Service":"app","Address":"%s"` + "\xff",
 }
 
-// betweenEntries bounds the pause between two such faults.
-const betweenEntries = 1500 * time.Millisecond
+// maxEntryFaultPause bounds the pause between two entry faults.
+const maxEntryFaultPause = 1500 * time.Millisecond
 
-// runEntries troubles the entries of targets until the context ends. It draws from
-// numbers of its own, so that the other faults of a seed stay what they were.
-func (f *faults) runEntries(ctx context.Context, rng *rand.Rand) {
+// runEntryFaults injects faults into the entries of targets until the context ends. It
+// uses its own random stream, so that it does not change the other faults of a seed.
+func (inj *injector) runEntryFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(betweenEntries))))
-		t := f.deployment.anyTarget(rng)
+		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxEntryFaultPause))))
+		t := inj.deployment.randomTarget(rng)
 		text := foreignEntries[rng.IntN(len(foreignEntries))]
 		key := fmt.Sprint("foreign-", rng.IntN(4))
 		switch rng.IntN(4) {
 		case 0:
-			f.begin("start "+t.id+" again", 0, func() error { return f.deployment.startAgain(t) })
+			inj.inject("start "+t.id+" again", 0, func() error { return inj.deployment.restartTarget(t) })
 		case 1:
 			key = t.id
 			fallthrough
 		default:
-			f.begin("entry of another writer at "+key, 0, func() error {
-				f.deployment.putForeign(key, text)
+			inj.inject("foreign entry at "+key, 0, func() error {
+				inj.deployment.putForeignEntry(key, text)
 				return nil
 			})
 		}
 	}
 }
 
-// putForeign writes an entry that no target can have written.
-func (d *deployment) putForeign(key, text string) {
+// putForeignEntry writes an invalid entry that points at the decoy.
+func (d *deployment) putForeignEntry(key, text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.store.Put(platform.TopicTargets, key, fmt.Appendf(nil, text, d.decoy.address))
 }
 
-// startAgain ends a target and starts it again under its id.
-func (d *deployment) startAgain(t *target) error {
+// restartTarget stops a target and starts a new one with the same id.
+func (d *deployment) restartTarget(t *target) error {
 	if !d.remove(t) {
 		return nil
 	}
-	t.end()
+	t.stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.made++
-	next, err := startTarget(t.id, t.service, d.history, uint64(d.made))
+	d.targetsStarted++
+	next, err := startTarget(t.id, t.service, d.history, uint64(d.targetsStarted))
 	if err != nil {
 		return err
 	}
-	next.born = max(next.born, t.born+1)
+	next.startedMS = max(next.startedMS, t.startedMS+1)
 	d.targets = append(d.targets, next)
 	d.register(next, "ready")
 	return nil
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -12,7 +12,7 @@
 type kind uint8
 
 const (
-	// turn requests are answered by a stream and may go on elsewhere.
+	// turn requests return a stream that may resume at another target.
 	turn kind = iota
 	// safe requests may run more than once.
 	safe
@@ -26,156 +26,158 @@
 type attempt struct {
 	id      string
 	program string
-	// organisation holds the key that the attempt carries, empty if it is forged.
+	// organisation is the one whose key the attempt carries, empty if the key is
+	// forged.
 	organisation string
 	kind         kind
 	body         string
-	// kept tells that the system keeps the conversation, which goes on from
-	// the turn previous, empty at its start.
-	kept     bool
-	previous string
-	life     *life
-	start    time.Time
-	end      time.Time
-	status   int
-	signed   string
-	received string
-	// events are the numbers of the events received, in order.
+	// stored turns belong to a conversation that the system stores. previous is the
+	// turn that this one continues, empty for the first.
+	stored      bool
+	previous    string
+	incarnation *incarnation
+	start       time.Time
+	end         time.Time
+	status      int
+	signature   string
+	received    string
+	// events are the ids of the events received, in order of arrival.
 	events []int
-	// whole tells that the answer came to its end; cut that the connection
-	// broke after the request was written.
-	whole bool
-	cut   bool
-	// left tells that the caller gave up.
-	left bool
+	// complete is true if the response was received to its end, aborted if the
+	// connection broke after the request was written.
+	complete bool
+	aborted  bool
+	// cancelled is true if the caller gave up.
+	cancelled bool
 }
 
-// tokens is what the caller was handed.
+// tokens returns the number of tokens that the caller received.
 func (a *attempt) tokens() int { return len(a.events) * tokensPerEvent }
 
-// run is one request at a target.
+// run is one execution of a request at a target.
 type run struct {
 	request string
 	target  *target
 	uri     string
 	body    string
-	// organisation and credential are what the target was told of the caller.
+	// organisation and credential are the headers that the target received.
 	organisation string
 	credential   string
 	start        time.Time
-	// faulty tells that the target broke the answer off or spoiled it; ended
-	// that it answered to the end.
-	faulty bool
-	ended  bool
+	// faulted is true if the target injected a fault into the response, completed if
+	// it sent the response to its end.
+	faulted   bool
+	completed bool
 }
 
-// probe is what an instance showed of the operator's settings.
+// probe is an observation of the settings in force at an instance.
 type probe struct {
-	life    *life
-	version int
-	start   time.Time
-	end     time.Time
-	// inForce tells that the version's route was there.
+	incarnation *incarnation
+	version     int
+	start       time.Time
+	end         time.Time
+	// inForce is true if the route of the version existed.
 	inForce bool
 }
 
-// history is what callers and targets saw. It is safe for concurrent use.
+// history records what callers and targets observe. It is safe for concurrent use.
 type history struct {
 	mu       sync.Mutex
 	attempts []*attempt
 	runs     map[string][]*run
 	probes   []probe
 	programs map[string]int
-	// published holds when each version of the settings was acknowledged.
-	published map[int]time.Time
-	known     map[string]*attempt
-	// keptTurns are the kept turns whose callers saw the end, in order.
-	keptTurns []string
-	// alone are the lives that ended without being asked to.
-	alone []*life
-	// strays are requests that were sent where no target's entry points.
-	strays []string
+	// published holds the time at which each version of the settings was published.
+	published    map[int]time.Time
+	attemptsByID map[string]*attempt
+	// storedTurns are the ids of the stored turns that were served, in order.
+	storedTurns []string
+	// crashed are the incarnations that exited without being stopped.
+	crashed []*incarnation
+	// misrouted are the requests that arrived at the decoy.
+	misrouted []string
 }
 
 func newHistory() *history {
 	return &history{
 		runs: make(map[string][]*run), programs: make(map[string]int), published: make(map[int]time.Time),
-		known: make(map[string]*attempt),
+		attemptsByID: make(map[string]*attempt),
 	}
 }
 
-// begin notes a request before it is sent.
-func (h *history) begin(a *attempt) {
+// recordStart records an attempt before its request is sent.
+func (h *history) recordStart(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known[a.id] = a
+	h.attemptsByID[a.id] = a
 }
 
-// end notes a request that has its outcome.
-func (h *history) end(a *attempt) {
+// recordEnd records an attempt that has its outcome.
+func (h *history) recordEnd(a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a.end = time.Now()
 	h.attempts = append(h.attempts, a)
-	if a.kept && a.served() {
-		h.keptTurns = append(h.keptTurns, a.id)
+	if a.stored && a.served() {
+		h.storedTurns = append(h.storedTurns, a.id)
 	}
 }
 
-// open notes a program with its budget, in tokens.
-func (h *history) open(program string, budget int) {
+// recordProgram records a program with its budget in tokens.
+func (h *history) recordProgram(program string, budget int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.programs[program] = budget
 }
 
-func (h *history) ran(r *run) {
+func (h *history) recordRun(r *run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runs[r.request] = append(h.runs[r.request], r)
 }
 
-// stray notes a request that was sent where no target's entry points.
-func (h *history) stray(what string) {
+// recordMisrouted records a request that arrived at the decoy.
+func (h *history) recordMisrouted(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.strays = append(h.strays, what)
+	h.misrouted = append(h.misrouted, what)
 }
 
-// endedAlone notes a life that ended without being asked to.
-func (h *history) endedAlone(l *life) {
+// recordCrash records an incarnation that exited without being stopped.
+func (h *history) recordCrash(l *incarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.alone = append(h.alone, l)
+	h.crashed = append(h.crashed, l)
 }
 
-// finish notes how a run ended.
-func (h *history) finish(r *run, faulty, ended bool) {
+// recordRunEnd records how a run ended.
+func (h *history) recordRunEnd(r *run, faulty, completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.faulty, r.ended = r.faulty || faulty, ended
+	r.faulted, r.completed = r.faulted || faulty, completed
 }
 
-func (h *history) probed(p probe) {
+func (h *history) recordProbe(p probe) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.probes = append(h.probes, p)
 }
 
-func (h *history) publish(version int) {
+func (h *history) recordPublished(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.published[version] = time.Now()
 }
 
-// served tells whether the caller saw the end of a success.
-func (a *attempt) served() bool { return a.whole && a.status == statusOK }
+// served reports whether the caller received a complete successful response.
+func (a *attempt) served() bool { return a.complete && a.status == statusOK }
 
-// conversation is what a kept turn and all before it hold, with the text that a
-// target gets for it. It returns false if a turn before it was never made.
+// conversation returns the text of a stored turn and all turns before it, and the
+// input that the target receives for the turn. It returns false if the turn or one
+// before it does not exist.
 func (h *history) conversation(id string) (text, input string, ok bool) {
-	a, known := h.known[id]
-	if !known || !a.kept {
+	a, known := h.attemptsByID[id]
+	if !known || !a.stored {
 		return "", "", false
 	}
 	before := ""
@@ -185,28 +187,28 @@
 		}
 	}
 	input = before + a.body
-	return input + strings.Repeat(a.body+"\n", eventsOf(a.body)), input, true
+	return input + strings.Repeat(a.body+"\n", eventCount(a.body)), input, true
 }
 
-// recentKept bounds the turns that others may continue.
-const recentKept = 60
+// maxRecentTurns is the number of stored turns among which randomStoredTurn chooses.
+const maxRecentTurns = 60
 
-// anyKept chooses a kept turn of an organisation that ended lately, empty if there
-// is none.
-func (h *history) anyKept(rng *rand.Rand, organisation string) string {
+// randomStoredTurn returns one of the most recent stored turns of an organisation,
+// empty if there are none.
+func (h *history) randomStoredTurn(rng *rand.Rand, organisation string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	own := slices.DeleteFunc(slices.Clone(h.keptTurns), func(id string) bool {
-		return h.known[id].organisation != organisation
+	own := slices.DeleteFunc(slices.Clone(h.storedTurns), func(id string) bool {
+		return h.attemptsByID[id].organisation != organisation
 	})
 	if len(own) == 0 {
 		return ""
 	}
-	recent := own[max(len(own)-recentKept, 0):]
+	recent := own[max(len(own)-maxRecentTurns, 0):]
 	return recent[rng.IntN(len(recent))]
 }
 
-// served counts the whole answers so far.
+// served counts the attempts served so far.
 func (h *history) served() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/loadfaults.go
+++ b/internal/soak/loadfaults.go
@@ -12,101 +12,100 @@
 	"github.com/banyanglade/banyanglade/internal/standin/metastore"
 )
 
-// Bounds of the faults of load.
+// Bounds of the load faults.
 const (
-	// betweenLoads bounds the pause between two of them, loadLasts how long each
-	// lasts.
-	betweenLoads = 2 * time.Second
-	loadLasts    = 2500 * time.Millisecond
-	// slowestTarget is the most that a slow target's work is stretched, fewestSlots
-	// what is left of the slots of a small one.
-	slowestTarget = 8
-	fewestSlots   = 2
-	// burstShare is how many more programs run in a burst, in parts of the usual.
-	burstShare = 3
-	// slowestAppend is the most that each call to a slow store takes longer.
-	slowestAppend = 400 * time.Millisecond
-	// heavyInput is the length of the input of a turn whose caller does not read,
-	// in bytes: more than the buffers of its connection hold of the answer.
-	heavyInput = 48 << 10
+	// maxLoadFaultPause bounds the pause between the starts of two load faults,
+	// maxLoadFaultDuration the duration of each.
+	maxLoadFaultPause    = 2 * time.Second
+	maxLoadFaultDuration = 2500 * time.Millisecond
+	// maxSlowdown bounds the factor by which the work of a slow target takes longer.
+	// minSlots is the number of slots of a target with few slots.
+	maxSlowdown = 8
+	minSlots    = 2
+	// burstFactor is the number of additional programs in a burst, as a multiple of
+	// Options.Programs.
+	burstFactor = 3
+	// maxStoreDelay bounds the delay of each call to a slow store.
+	maxStoreDelay = 400 * time.Millisecond
+	// largeInputBytes is the input length of a turn of a slow reader. The response,
+	// which repeats the input, exceeds the buffers of the connection.
+	largeInputBytes = 48 << 10
 )
 
-// runLoads overloads the deployment in one way or another until the context ends.
-// It draws from numbers of its own, so that the other faults of a seed stay what
-// they were.
-func (f *faults) runLoads(ctx context.Context, rng *rand.Rand) {
+// runLoadFaults injects load faults until the context ends. It uses its own random
+// stream, so that it does not change the other faults of a seed.
+func (inj *injector) runLoadFaults(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(betweenLoads))))
-		lasts := time.Duration(rng.Int64N(int64(loadLasts)))
+		delay.Sleep(ctx, time.Duration(rng.Int64N(int64(maxLoadFaultPause))))
+		duration := time.Duration(rng.Int64N(int64(maxLoadFaultDuration)))
 		switch rng.IntN(5) {
 		case 0, 1:
-			f.slowTargets(ctx, rng, lasts)
+			inj.slowTargets(ctx, rng, duration)
 		case 2:
-			f.burst(ctx, rng, lasts)
+			inj.burst(ctx, rng, duration)
 		case 3:
-			f.setStore(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(slowestAppend)))}, lasts)
+			inj.setStoreFault(metastore.Fault{Delay: time.Duration(rng.Int64N(int64(maxStoreDelay)))}, duration)
 		case 4:
-			f.unreadAnswers(ctx, rng, lasts)
+			inj.startSlowReaders(ctx, rng, duration)
 		}
 	}
 }
 
-// slowTargets makes some targets of both services slower, or smaller.
-func (f *faults) slowTargets(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+// slowTargets makes some targets slower, or reduces their slots, for the duration.
+func (inj *injector) slowTargets(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	for range 1 + rng.IntN(3) {
-		t := f.deployment.anyTarget(rng)
-		factor, slots := int64(1+rng.IntN(slowestTarget)), int64(targetSlots)
+		t := inj.deployment.randomTarget(rng)
+		factor, slots := int64(1+rng.IntN(maxSlowdown)), int64(targetSlots)
 		if rng.IntN(2) == 0 {
-			slots = fewestSlots
+			slots = minSlots
 		}
-		f.begin(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), lasts, func() error {
-			t.slowness.Store(factor)
+		inj.inject(fmt.Sprintf("%s %d times slower with %d slots", t.id, factor, slots), duration, func() error {
+			t.slowdown.Store(factor)
 			t.slots.Store(slots)
-			delay.Sleep(ctx, lasts)
-			t.slowness.Store(1)
+			delay.Sleep(ctx, duration)
+			t.slowdown.Store(1)
 			t.slots.Store(targetSlots)
 			return nil
 		})
 	}
 }
 
-// burst runs more programs for a while.
-func (f *faults) burst(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+// burst runs additional programs for the duration.
+func (inj *injector) burst(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64() >> 1
-	f.begin("burst of programs", lasts, func() error {
-		during, stop := context.WithTimeout(ctx, lasts)
+	inj.inject("burst of programs", duration, func() error {
+		burstCtx, stop := context.WithTimeout(ctx, duration)
 		defer stop()
 		var work sync.WaitGroup
-		for i := range burstShare * f.deployment.options.Programs {
-			work.Go(func() { f.deployment.runPrograms(during, seed+uint64(i)<<20) })
+		for i := range burstFactor * inj.deployment.options.Programs {
+			work.Go(func() { inj.deployment.runPrograms(burstCtx, seed+uint64(i)<<20) })
 		}
 		work.Wait()
 		return nil
 	})
 }
 
-// unreadAnswers has some callers ask for long answers that they do not read for
-// a while, or never.
-func (f *faults) unreadAnswers(ctx context.Context, rng *rand.Rand, lasts time.Duration) {
+// startSlowReaders starts callers that request large responses and read them late.
+func (inj *injector) startSlowReaders(ctx context.Context, rng *rand.Rand, duration time.Duration) {
 	seed := rng.Uint64()
-	f.begin("callers that do not read", lasts, func() error {
+	inj.inject("slow readers", duration, func() error {
 		var work sync.WaitGroup
-		for i := range f.deployment.options.Programs {
-			c := f.deployment.newCaller(seed + uint64(i))
-			work.Go(func() { c.leaveUnread(ctx, lasts) })
+		for i := range inj.deployment.options.Programs {
+			c := inj.deployment.newCaller(seed + uint64(i))
+			work.Go(func() { c.readSlowly(ctx, duration) })
 		}
 		work.Wait()
 		return nil
 	})
 }
 
-// leaveUnread makes a turn with a long answer and reads it late.
-func (c *caller) leaveUnread(ctx context.Context, lasts time.Duration) {
+// readSlowly sends a turn with a large response and delays reading it.
+func (c *caller) readSlowly(ctx context.Context, duration time.Duration) {
 	defer c.client.CloseIdleConnections()
 	program := fmt.Sprintf("unread%x", c.rng.Uint64())
-	c.deployment.history.open(program, turnMost)
-	q := turnOf(program, turnMost, eventsPerTurn, c.rng.Uint64())
-	q.body += strings.Repeat("x", heavyInput)
-	q.readAfter = lasts
-	c.send(ctx, q)
+	c.deployment.history.recordProgram(program, maxTurnTokens)
+	req := newTurn(program, maxTurnTokens, eventsPerTurn, c.rng.Uint64())
+	req.body += strings.Repeat("x", largeInputBytes)
+	req.readDelay = duration
+	c.send(ctx, req)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -12,103 +12,103 @@
 	"github.com/banyanglade/banyanglade/internal/delay"
 )
 
-// Options are what a run needs.
+// Options configures a run.
 type Options struct {
-	// Binary is the program of the instances.
+	// Binary is the path of the executable of the instances.
 	Binary string
-	// Dir is a folder for settings files and logs.
+	// Dir is the directory for settings files and logs.
 	Dir string
-	// Seed decides on the faults and on what callers do.
+	// Seed determines the faults and the requests of callers.
 	Seed uint64
-	// Faults is how long faults are brought about.
-	Faults time.Duration
-	// Instances and Programs are how many run at a time.
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	// Instances and Programs are the numbers of instances and of concurrent
+	// programs.
 	Instances int
 	Programs  int
-	// EntryFaults adds targets that start again under their ids and entries of
-	// other writers. Without it a seed plays the same faults as before the option
-	// existed.
+	// EntryFaults adds targets that restart with the same id, and invalid target
+	// entries of other writers. It does not change the other faults of a seed.
 	EntryFaults bool
-	// LoadFaults adds slow and small targets, bursts, a slow store and callers
-	// that do not read.
+	// LoadFaults adds slow targets, targets with few slots, bursts of programs, a
+	// slow store and slow readers.
 	LoadFaults bool
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Seed uint64
-	// Violations are the promises that were broken.
+	// Violations describes the violated invariants.
 	Violations []string
-	// Served counts whole answers, Attempts all requests.
+	// Served counts complete successful responses, Attempts all requests.
 	Served   int
 	Attempts int
-	// Faults tells what happened when.
+	// Faults lists the injected faults with their start times.
 	Faults []string
 }
 
 const (
-	// startPatience bounds the wait for instances at the start and at the end.
-	startPatience = time.Minute
-	// entryStream is the stream of a seed's numbers that the faults of entries are
-	// drawn from.
-	entryStream = 3
-	// loadStream is the same for the faults of load.
-	loadStream = 5
-	// checkInterval is the time between two looks at the history.
+	// readyTimeout bounds the wait for instances at the start, and the checks of the
+	// service at the end.
+	readyTimeout = time.Minute
+	// entryFaultStream is the random stream of the entry faults of a seed.
+	entryFaultStream = 3
+	// loadFaultStream is the random stream of the load faults of a seed.
+	loadFaultStream = 5
+	// checkInterval is the time between two checks of the history.
 	checkInterval = time.Second
 )
 
-// Run plays one seed.
+// Run runs the test with one seed.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	d, err := newDeployment(options)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	ready, cancel := context.WithTimeout(ctx, startPatience)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.untilReady(ready); err != nil {
+	if err := d.waitReady(ready); err != nil {
 		return nil, err
 	}
-	f := &faults{
-		deployment: d, rng: rand.New(rand.NewPCG(options.Seed, 1)), begun: time.Now(),
-		restarting: make(map[*machine]bool),
+	inj := &injector{
+		deployment: d, rng: rand.New(rand.NewPCG(options.Seed, 1)), started: time.Now(),
+		restarting: make(map[*instance]bool),
 	}
-	found := d.play(ctx, f)
-	result := &Result{Seed: options.Seed, Served: d.history.served(), Attempts: len(d.history.attempts), Faults: f.lines}
+	found := d.runWorkload(ctx, inj)
+	result := &Result{Seed: options.Seed, Served: d.history.served(), Attempts: len(d.history.attempts), Faults: inj.log}
 	if len(found) == 0 {
 		found = d.checkService(ctx)
 	}
 	for _, v := range found {
 		result.Violations = append(result.Violations, v.String())
 	}
-	return result, f.err
+	return result, inj.err
 }
 
-// play runs callers beside the faults, and stops early when a promise breaks.
-func (d *deployment) play(ctx context.Context, f *faults) []violation {
-	during, stop := context.WithTimeout(ctx, d.options.Faults)
+// runWorkload runs callers while faults are injected, and stops early on a violation.
+func (d *deployment) runWorkload(ctx context.Context, inj *injector) []violation {
+	faultCtx, stop := context.WithTimeout(ctx, d.options.FaultDuration)
 	defer stop()
 	var work sync.WaitGroup
 	for i := range d.options.Programs {
-		work.Go(func() { d.runPrograms(during, d.options.Seed*1000+uint64(i)) })
+		work.Go(func() { d.runPrograms(faultCtx, d.options.Seed*1000+uint64(i)) })
 	}
-	for i, m := range d.machines {
-		work.Go(func() { d.watchSettings(during, m, d.options.Seed*1000+500+uint64(i)) })
+	for i, inst := range d.instances {
+		work.Go(func() { d.probeSettings(faultCtx, inst, d.options.Seed*1000+500+uint64(i)) })
 	}
-	work.Go(func() { d.heartbeats(during) })
+	work.Go(func() { d.runHeartbeats(faultCtx) })
 	if d.options.EntryFaults {
-		work.Go(func() { f.runEntries(during, rand.New(rand.NewPCG(d.options.Seed, entryStream))) })
+		work.Go(func() { inj.runEntryFaults(faultCtx, rand.New(rand.NewPCG(d.options.Seed, entryFaultStream))) })
 	}
 	if d.options.LoadFaults {
-		work.Go(func() { f.runLoads(during, rand.New(rand.NewPCG(d.options.Seed, loadStream))) })
+		work.Go(func() { inj.runLoadFaults(faultCtx, rand.New(rand.NewPCG(d.options.Seed, loadFaultStream))) })
 	}
-	work.Go(func() { f.run(during) })
+	work.Go(func() { inj.run(faultCtx) })
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	for during.Err() == nil {
+	for faultCtx.Err() == nil {
 		select {
-		case <-during.Done():
+		case <-faultCtx.Done():
 		case <-ticker.C:
 			if len(check(d.history)) > 0 {
 				stop()
@@ -119,65 +119,65 @@
 	return check(d.history)
 }
 
-// runPrograms runs one program after the other.
+// runPrograms runs programs one after the other until the context ends.
 func (d *deployment) runPrograms(ctx context.Context, seed uint64) {
 	for number := uint64(0); ctx.Err() == nil; number++ {
 		d.runProgram(ctx, seed*10_000+number)
 	}
 }
 
-func (d *deployment) heartbeats(ctx context.Context) {
+func (d *deployment) runHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.beat()
+		d.writeHeartbeats()
 		delay.Sleep(ctx, heartbeatInterval)
 	}
 }
 
-// checkService finds instances that do not serve once all faults are over.
+// checkService checks that all instances serve requests once the faults are over.
 func (d *deployment) checkService(ctx context.Context) []violation {
-	limited, cancel := context.WithTimeout(ctx, startPatience)
+	waitCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.untilReady(limited); err != nil {
-		return []violation{{"service comes back", err.Error()}}
+	if err := d.waitReady(waitCtx); err != nil {
+		return []violation{{"service recovers", err.Error()}}
 	}
-	d.beat()
-	for i, m := range d.machines {
-		if err := d.serves(limited, m, d.options.Seed*1000+900+uint64(i)); err != nil {
-			return []violation{{"service comes back", err.Error()}}
+	d.writeHeartbeats()
+	for i, inst := range d.instances {
+		if err := d.checkInstanceServes(waitCtx, inst, d.options.Seed*1000+900+uint64(i)); err != nil {
+			return []violation{{"service recovers", err.Error()}}
 		}
 	}
 	return check(d.history)
 }
 
-// keptAtLast is how many kept turns each machine continues once all faults are
-// over.
-const keptAtLast = 8
+// finalStoredTurns is the number of stored turns continued at each instance once the
+// faults are over.
+const finalStoredTurns = 8
 
-// serves runs a new program's turn and a call at one machine until both are
-// answered.
-func (d *deployment) serves(ctx context.Context, m *machine, seed uint64) error {
+// checkInstanceServes retries a turn and a call of a new program, and stored turns of
+// others, at one instance until all are served.
+func (d *deployment) checkInstanceServes(ctx context.Context, inst *instance, seed uint64) error {
 	c := d.newCaller(seed)
-	c.machine = m
+	c.instance = inst
 	defer c.client.CloseIdleConnections()
 	program := fmt.Sprintf("last%x", c.rng.Uint64())
-	const budget = 100 * turnMost
-	d.history.open(program, budget)
-	questions := []question{
-		turnOf(program, budget, 3, 0),
+	const budget = 100 * maxTurnTokens
+	d.history.recordProgram(program, budget)
+	requests := []request{
+		newTurn(program, budget, 3, 0),
 		{kind: once, path: "/once/x", program: program, body: "last"},
 	}
-	for range keptAtLast {
-		q := turnOf(program, budget, 1, c.rng.Uint64())
-		questions = append(questions, q.continuing(d.history.anyKept(c.rng, c.organisation.name)))
+	for range finalStoredTurns {
+		req := newTurn(program, budget, 1, c.rng.Uint64())
+		requests = append(requests, req.asStoredTurn(d.history.randomStoredTurn(c.rng, c.organisation.name)))
 	}
-	for _, q := range questions {
-		for answered := false; !answered; {
+	for _, req := range requests {
+		for served := false; !served; {
 			if ctx.Err() != nil {
-				return errors.Newf("machine %s does not answer a %s request", m.name, q.kind)
+				return errors.Newf("instance %s does not serve a %s request", inst.name, req.kind)
 			}
-			a := c.send(ctx, q)
-			answered = a.served() || a.status == statusNotFound // which the check judges
-			if !answered {
+			a := c.send(ctx, req)
+			served = a.served() || a.status == statusNotFound // judged by check
+			if !served {
 				delay.Sleep(ctx, probeInterval)
 			}
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-var faultTime = flag.Duration("faults", 5*time.Second, "how long faults are brought about in each run")
+var faultDuration = flag.Duration("faults", 5*time.Second, "how long faults are injected in each run")
 
-// productPackage is the program of the instances.
+// productPackage is the package of the executable of the instances.
 const productPackage = "github.com/banyanglade/banyanglade/cmd/banyanglade"
 
-// ciSeeds are played in CI, ciLoadSeeds with faults of load as well.
+// ciSeeds run in CI, and ciLoadSeeds also with load faults.
 var (
 	ciSeeds     = []uint64{1, 2}
 	ciLoadSeeds = []uint64{3}
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that have found faults, with the cause.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{1008, "others named an instance as the owner whose claim had taken effect without an answer"},
-	{1023, "the instance so named took yet another for the owner"},
-	{7003, "the check counted a kept turn that was cut at its route's timeout as one cut by a shutdown"},
+	{1008, "others named an instance as the owner whose claim had taken effect without a reply"},
+	{1023, "the instance so named took another one for the owner"},
+	{7003, "the check took a stored turn aborted at its route's timeout for one aborted by a shutdown"},
 	{7010, "the same"},
 }
 
-// TestShortRuns plays some seeds; "go run ./cmd/soak" plays more and longer.
+// TestShortRuns runs a few seeds; "go run ./cmd/soak" runs more seeds for longer.
 func TestShortRuns(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "banyanglade")
 	if output, err := exec.Command("go", "build", "-o", binary, productPackage).CombinedOutput(); err != nil {
@@ -41,23 +41,23 @@
 	}
 	for _, seed := range append(ciSeeds, ciLoadSeeds...) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, Options{
-				Binary: binary, Seed: seed, Faults: *faultTime, Instances: 3, Programs: 6,
+			runSeed(t, Options{
+				Binary: binary, Seed: seed, FaultDuration: *faultDuration, Instances: 3, Programs: 6,
 				EntryFaults: true, LoadFaults: slices.Contains(ciLoadSeeds, seed),
 			})
 		})
 	}
 	for _, r := range regressions {
 		t.Run(fmt.Sprintf("seed %d, %s", r.seed, r.cause), func(t *testing.T) {
-			play(t, Options{Binary: binary, Seed: r.seed, Faults: regressionTime, Instances: 4, Programs: 12})
+			runSeed(t, Options{Binary: binary, Seed: r.seed, FaultDuration: regressionFaultDuration, Instances: 4, Programs: 12})
 		})
 	}
 }
 
-// regressionTime is how long the runs took in which the seeds failed.
-const regressionTime = 12 * time.Second
+// regressionFaultDuration is the fault duration with which the regressions were found.
+const regressionFaultDuration = 12 * time.Second
 
-func play(t *testing.T, options Options) {
+func runSeed(t *testing.T, options Options) {
 	options.Dir = t.TempDir()
 	if keep := os.Getenv("SOAK_KEEP"); keep != "" {
 		options.Dir = keep
