--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// loaded gives a dispatcher of ten full targets with so many waiting calls.
-func loaded(b *testing.B, waiting int) (*fixture, []*structs.PermitRequest) {
+// newLoadedFixture gives a dispatcher of ten full targets with so many waiting calls.
+func newLoadedFixture(b *testing.B, waiting int) (*fixture, []*structs.PermitRequest) {
 	f := newFixture(b, 10, 16)
 	f.settings.service.QueueLimit, f.settings.policy.MaxQueued = 1<<20, 1<<20
 	f.settings.service.Timeout = 1000 * time.Hour // no permit is taken back
@@ -36,7 +36,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			f, _ := loaded(b, waiting)
+			f, _ := newLoadedFixture(b, waiting)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				var target *target
@@ -62,7 +62,7 @@
 	const waiting = 10_000
 	for b.Loop() {
 		before := heapInUse()
-		f, _ := loaded(b, waiting)
+		f, _ := newLoadedFixture(b, waiting)
 		b.ReportMetric(float64(heapInUse()-before)/waiting, "B/call")
 		runtime.KeepAlive(f)
 	}
--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -9,17 +9,17 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// cacheRecord is what a target's prefix cache holds as far as is known: own
+// cacheIndex is what a target's prefix cache holds as far as is known: own
 // placements, corrected by cache events and by the usage of finished runs. It
 // evicts as engines do, the least recently used first.
-type cacheRecord struct {
+type cacheIndex struct {
 	capacity int64
 	used     int64
 	entries  map[string]*list.Element
-	// recent lists the entries, the most recently used first.
-	recent list.List
-	// next is the lowest sequence number of an event not yet seen.
-	next uint64
+	// lru lists the entries, the most recently used first.
+	lru list.List
+	// nextSequence is the lowest sequence number of an event not yet seen.
+	nextSequence uint64
 }
 
 // cacheEntry is a cached prefix under a key: a program, or a prefix that
@@ -30,32 +30,32 @@
 	tokens int64
 	// running counts the runs that use the entry.
 	running int
-	// touched is the time of the last use or own update.
-	touched time.Time
-	team    structs.Team
+	// touchedAt is the time of the last use or own update.
+	touchedAt time.Time
+	team      structs.Team
 }
 
-func newCacheRecord(capacity int64) cacheRecord {
-	return cacheRecord{capacity: capacity, entries: make(map[string]*list.Element)}
+func newCacheIndex(capacity int64) cacheIndex {
+	return cacheIndex{capacity: capacity, entries: make(map[string]*list.Element)}
 }
 
-func (r *cacheRecord) find(key string) *cacheEntry {
+func (r *cacheIndex) find(key string) *cacheEntry {
 	if element, ok := r.entries[key]; ok {
 		return element.Value.(*cacheEntry)
 	}
 	return nil
 }
 
-func (r *cacheRecord) tokens(key string) int64 {
+func (r *cacheIndex) tokens(key string) int64 {
 	if entry := r.find(key); entry != nil {
 		return entry.tokens
 	}
 	return 0
 }
 
-// cached is the part of a request's prompt that the target holds. A program's
+// cachedTokens is the part of a request's prompt that the target holds. A program's
 // own prefix counts only behind its whole shared prefix.
-func (r *cacheRecord) cached(m *structs.PermitRequest) int64 {
+func (r *cacheIndex) cachedTokens(m *structs.PermitRequest) int64 {
 	shared := min(r.tokens(m.SharedKey), m.SharedTokens)
 	if shared < m.SharedTokens {
 		return shared
@@ -63,24 +63,24 @@
 	return min(shared+r.tokens(string(m.Ref.Program)), m.PromptTokens)
 }
 
-// use finds or makes an entry and makes it the most recently used.
-func (r *cacheRecord) use(now time.Time, key string) *cacheEntry {
+// touch finds or makes an entry and makes it the most recently used.
+func (r *cacheIndex) touch(now time.Time, key string) *cacheEntry {
 	element, ok := r.entries[key]
 	if !ok {
-		element = r.recent.PushFront(&cacheEntry{key: key})
+		element = r.lru.PushFront(&cacheEntry{key: key})
 		r.entries[key] = element
 	}
-	r.recent.MoveToFront(element)
+	r.lru.MoveToFront(element)
 	entry := element.Value.(*cacheEntry)
-	entry.touched = now
+	entry.touchedAt = now
 	return entry
 }
 
-// set changes the tokens of an entry and evicts others as the target would.
-func (r *cacheRecord) set(entry *cacheEntry, tokens int64) {
+// setTokens changes the tokens of an entry and evicts others as the target would.
+func (r *cacheIndex) setTokens(entry *cacheEntry, tokens int64) {
 	r.used += tokens - entry.tokens
 	entry.tokens = tokens
-	for element := r.recent.Back(); element != nil && r.used > r.capacity; {
+	for element := r.lru.Back(); element != nil && r.used > r.capacity; {
 		victim := element.Value.(*cacheEntry)
 		element = element.Prev()
 		if victim == entry || victim.running > 0 {
@@ -92,64 +92,64 @@
 
 // shrink lowers the tokens of an entry and forgets it at 0 once no run uses
 // it.
-func (r *cacheRecord) shrink(entry *cacheEntry, tokens int64) {
+func (r *cacheIndex) shrink(entry *cacheEntry, tokens int64) {
 	r.used += tokens - entry.tokens
 	entry.tokens = tokens
 	if tokens == 0 && entry.running == 0 {
-		r.recent.Remove(r.entries[entry.key])
+		r.lru.Remove(r.entries[entry.key])
 		delete(r.entries, entry.key)
 	}
 }
 
-// drop empties an entry that the target is told to release. The entry is kept
+// release empties an entry that the target is told to release. The entry is kept
 // for a while, so that late events of what it held do not bring it back.
-func (r *cacheRecord) drop(now time.Time, key string) {
-	entry := r.use(now, key)
+func (r *cacheIndex) release(now time.Time, key string) {
+	entry := r.touch(now, key)
 	r.used -= entry.tokens
 	entry.tokens = 0
 }
 
 // prune forgets empty entries once no late event can be about them.
-func (r *cacheRecord) prune(now time.Time) {
-	for element := r.recent.Front(); element != nil; {
+func (r *cacheIndex) prune(now time.Time) {
+	for element := r.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
-		if entry.tokens == 0 && now.Sub(entry.touched) >= eventLag {
+		if entry.tokens == 0 && now.Sub(entry.touchedAt) >= maxEventLag {
 			r.shrink(entry, 0)
 		}
 	}
 }
 
 // clear empties the record of a target that has lost its cache.
-func (r *cacheRecord) clear() {
-	for element := r.recent.Front(); element != nil; {
+func (r *cacheIndex) clear() {
+	for element := r.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
 		r.shrink(entry, 0)
 	}
 }
 
-// fill is the share of the capacity in use.
-func (r *cacheRecord) fill() float64 {
+// utilization is the share of the capacity in use.
+func (r *cacheIndex) utilization() float64 {
 	if r.capacity <= 0 {
 		return 1
 	}
 	return float64(r.used) / float64(r.capacity)
 }
 
-// eventLag is the age up to which a cache event may contradict what a run has
+// maxEventLag is the age up to which a cache event may contradict what a run has
 // shown since; such an event is old news.
-const eventLag = time.Second
+const maxEventLag = time.Second
 
-// apply takes a cache event into account. Events seen before are skipped, as
+// applyEvent takes a cache event into account. Events seen before are skipped, as
 // are those that a later own update overrules.
-func (r *cacheRecord) apply(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
-	if event.Sequence < r.next {
+func (r *cacheIndex) applyEvent(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
+	if event.Sequence < r.nextSequence {
 		return
 	}
-	r.next = event.Sequence + 1
+	r.nextSequence = event.Sequence + 1
 	entry := r.find(event.Program)
-	if entry != nil && (entry.running > 0 || now.Sub(entry.touched) < eventLag) {
+	if entry != nil && (entry.running > 0 || now.Sub(entry.touchedAt) < maxEventLag) {
 		return
 	}
 	switch event.Kind {
@@ -159,26 +159,26 @@
 		}
 	case wire.CacheStored:
 		if entry == nil {
-			entry = r.use(now, event.Program)
+			entry = r.touch(now, event.Program)
 			describe(entry)
 		}
-		r.set(entry, event.Tokens)
+		r.setTokens(entry, event.Tokens)
 	}
 }
 
 // victims lists what a placement that stores need more tokens evicts, in
 // order.
-func (r *cacheRecord) victims(need int64, chance func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
+func (r *cacheIndex) victims(need int64, returnProbability func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
 	need -= r.capacity - r.used
 	var victims []policy.CacheEntry
-	left := need
-	for element := r.recent.Back(); element != nil && left > 0; element = element.Prev() {
+	remaining := need
+	for element := r.lru.Back(); element != nil && remaining > 0; element = element.Prev() {
 		entry := element.Value.(*cacheEntry)
 		if entry.running > 0 {
 			continue
 		}
-		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, ReturnProbability: chance(entry)})
-		left -= entry.tokens
+		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, ReturnProbability: returnProbability(entry)})
+		remaining -= entry.tokens
 	}
 	return victims, need
 }
--- a/internal/dispatch/cache_test.go
+++ b/internal/dispatch/cache_test.go
@@ -12,14 +12,14 @@
 	return func(m *structs.PermitRequest) { m.PromptTokens = tokens }
 }
 
-func ofProgram(id structs.ProgramID) func(*structs.PermitRequest) {
+func withProgram(id structs.ProgramID) func(*structs.PermitRequest) {
 	return func(m *structs.PermitRequest) { m.Ref.Program = id }
 }
 
 // runAt runs a call of a program to its end and gives its target.
 func (f *fixture) runAt(run string, program structs.ProgramID, prompt int64) structs.TargetID {
 	f.t.Helper()
-	m := request(run, ofProgram(program), withPrompt(prompt))
+	m := request(run, withProgram(program), withPrompt(prompt))
 	target, ok := grants(f.send(m))[m.Ref.Run]
 	if !ok {
 		f.t.Fatalf("run %s was not granted", run)
@@ -37,7 +37,7 @@
 	return wire.CacheEvent{Sequence: sequence, Kind: kind, Program: program, Tokens: tokens}
 }
 
-func TestCacheEventsCorrectTheRecord(t *testing.T) {
+func TestCacheEventsUpdateIndex(t *testing.T) {
 	stored, evicted := wire.CacheStored, wire.CacheEvicted
 	tests := []struct {
 		name   string
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, 1, 1)
 			target := f.runAt("1", "p", 1000)
-			f.after(test.wait, structs.TargetCache{Target: target, Events: test.events})
+			f.tickAfter(test.wait, structs.TargetCache{Target: target, Events: test.events})
 			if got := f.held(target, "p"); got != test.want {
 				t.Fatalf("recorded %d tokens, want %d", got, test.want)
 			}
@@ -72,7 +72,7 @@
 func TestLateStoreAfterReleaseIsIgnored(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	first := f.runAt("1", "p", 1000)
-	m := request("2", ofProgram("p"), withPrompt(2000), func(m *structs.PermitRequest) {
+	m := request("2", withProgram("p"), withPrompt(2000), func(m *structs.PermitRequest) {
 		m.Avoid = []structs.TargetID{first}
 	})
 	second := grants(f.send(m))["2"]
@@ -81,25 +81,25 @@
 		t.Fatalf("releases %v, want the copy at %s", released, first)
 	}
 	stored := cacheEvent(1, wire.CacheStored, "p", 1010)
-	f.after(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
+	f.tickAfter(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
 	if got := f.held(first, "p"); got != 0 {
 		t.Fatalf("recorded %d tokens of a released program, want 0", got)
 	}
 }
 
 // A program that only a cache event told of is let go like any other.
-func TestCacheKnownByEventsIsReleasedWhenGone(t *testing.T) {
+func TestCacheSeenOnlyInEventsIsReleasedAtProgramEnd(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.runAt("1", "p", 1000)
 	stored := cacheEvent(1, wire.CacheStored, "q", 5000)
-	f.after(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
+	f.tickAfter(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
 	released := releases(f.send(&structs.ProgramGone{Pool: testPool, Program: "q"}))
 	if len(released) != 1 || released[0].Program != "q" {
 		t.Fatalf("releases %v, want q", released)
 	}
 }
 
-func TestPlacesWhereThePrefixIs(t *testing.T) {
+func TestPlacementPrefersCachedPrefix(t *testing.T) {
 	f := newFixture(t, 3, 4)
 	first := f.runAt("1", "p", 8000)
 	for run := 2; run < 5; run++ {
@@ -115,22 +115,22 @@
 	target := f.runAt("1", "p", 1000)
 	sent := len(releases(f.send(&structs.ProgramGone{Pool: testPool, Program: "p"})))
 	for range 20 {
-		sent += len(releases(f.after(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
+		sent += len(releases(f.tickAfter(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
 	}
 	if sent < 3 {
 		t.Fatalf("sent %d times without a confirmation, want more", sent)
 	}
 	f.tick(structs.CacheReleased{Target: target, Program: "p", Done: true})
-	if again := releases(f.after(time.Minute)); len(again) != 0 {
-		t.Fatalf("sent again after the confirmation: %v", again)
+	if resent := releases(f.tickAfter(time.Minute)); len(resent) != 0 {
+		t.Fatalf("sent again after the confirmation: %v", resent)
 	}
 }
 
-func TestLostCacheIsForgotten(t *testing.T) {
+func TestLowCacheReportsClearIndex(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	target := f.runAt("1", "p", 1000)
-	for range lowCacheReports {
-		f.after(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
+	for range maxLowCacheReports {
+		f.tickAfter(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
 	}
 	if got := f.held(target, "p"); got != 0 {
 		t.Fatalf("recorded %d tokens at a target that reports none", got)
@@ -139,7 +139,7 @@
 
 // Letting go of several entries at once must end: a released entry stays in
 // the record for a while and must not be let go again.
-func TestLetsGoOfManyEntriesOnce(t *testing.T) {
+func TestReleasesManyEntriesOnce(t *testing.T) {
 	f := newFixture(t, 1, 8)
 	var runs []*structs.PermitRequest
 	for _, run := range []string{"1", "2", "3", "4"} {
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -27,11 +27,11 @@
 	target *target
 	// prefill is the estimated own prefill time and queued the prefill that
 	// was ahead of it.
-	prefill, queued time.Duration
+	prefill, prefillAhead time.Duration
 
-	// timer is the call's next timer: its deadline, the drop after its
+	// timerAt is the call's next timer: its deadline, the drop after its
 	// owner's death, or the end of a permit that nobody returned.
-	timer      time.Time
+	timerAt    time.Time
 	timerIndex int
 }
 
@@ -52,8 +52,8 @@
 
 // Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool {
-	if !h[i].timer.Equal(h[j].timer) {
-		return h[i].timer.Before(h[j].timer)
+	if !h[i].timerAt.Equal(h[j].timerAt) {
+		return h[i].timerAt.Before(h[j].timerAt)
 	}
 	return h[i].run() < h[j].run()
 }
@@ -86,7 +86,7 @@
 	if c.timerIndex != noTimer {
 		heap.Remove(&d.timers, c.timerIndex)
 	}
-	c.timer = at
+	c.timerAt = at
 	if !at.IsZero() {
 		heap.Push(&d.timers, c)
 	}
@@ -95,29 +95,29 @@
 // endedRuns remembers the last runs that ended, so that a late duplicate of
 // their request is not queued again.
 type endedRuns struct {
-	known map[structs.RunID]struct{}
-	ring  []structs.RunID
-	next  int
+	set  map[structs.RunID]struct{}
+	ring []structs.RunID
+	next int
 }
 
-// endedKept is the number of ended runs remembered.
-const endedKept = 1024
+// maxEndedRuns is the number of ended runs remembered.
+const maxEndedRuns = 1024
 
 func newEndedRuns() endedRuns {
-	return endedRuns{known: make(map[structs.RunID]struct{}, endedKept), ring: make([]structs.RunID, endedKept)}
+	return endedRuns{set: make(map[structs.RunID]struct{}, maxEndedRuns), ring: make([]structs.RunID, maxEndedRuns)}
 }
 
 func (e *endedRuns) add(run structs.RunID) {
-	if _, ok := e.known[run]; ok {
+	if _, ok := e.set[run]; ok {
 		return
 	}
-	delete(e.known, e.ring[e.next])
+	delete(e.set, e.ring[e.next])
 	e.ring[e.next] = run
-	e.known[run] = struct{}{}
-	e.next = (e.next + 1) % endedKept
+	e.set[run] = struct{}{}
+	e.next = (e.next + 1) % maxEndedRuns
 }
 
-func (e *endedRuns) has(run structs.RunID) bool {
-	_, ok := e.known[run]
+func (e *endedRuns) contains(run structs.RunID) bool {
+	_, ok := e.set[run]
 	return ok
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -25,8 +25,8 @@
 	ended   endedRuns
 	timers  timerHeap
 	watched []structs.Target
-	// out collects the commands of the running tick.
-	out []structs.Command
+	// commands collects the commands of the running tick.
+	commands []structs.Command
 }
 
 // New returns a dispatcher without any pool.
@@ -44,19 +44,19 @@
 		d.epoch = now
 	}
 	d.now = now
-	d.out = nil
+	d.commands = nil
 	d.refreshPools(now)
 	for _, event := range events {
 		d.handle(now, event)
 	}
-	d.expire(now)
+	d.expireCalls(now)
 	for _, p := range d.pools {
-		d.check(now, p)
+		d.maintain(now, p)
 		d.grantWaiting(now, p)
 	}
 	d.dropIdlePools(now)
 	d.watchTargets()
-	return d.out
+	return d.commands
 }
 
 func (d *Dispatcher) handle(now time.Time, event structs.Event) {
@@ -64,38 +64,38 @@
 	case structs.PeerMessage:
 		d.handleMessage(now, e.From, e.Msg)
 	case structs.PeerDown:
-		d.peerDown(now, e.Peer)
+		d.handlePeerDown(now, e.Peer)
 	case structs.MembersListed:
 		for _, p := range d.pools {
 			p.refreshTargets(now, d.members)
 		}
 	case structs.TargetLoad:
-		d.withTarget(e.Target, func(p *pool, t *target) { t.loadReported(now, p, e.Load) })
+		d.withTarget(e.Target, func(p *pool, t *target) { t.applyLoad(now, p, e.Load) })
 	case structs.TargetUnreachable:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.targetFailed(now, t) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.recordFailure(now, t) })
 	case structs.TargetCache:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.cacheReported(now, t, e) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.applyCacheEvents(now, t, e) })
 	case structs.CacheReleased:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.released(now, t, e) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.confirmRelease(now, t, e) })
 	}
 }
 
 func (d *Dispatcher) handleMessage(now time.Time, from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitRequest:
-		d.request(now, from, m)
+		d.handleRequest(now, from, m)
 	case *structs.PermitCancel:
-		d.cancel(now, m)
+		d.handleCancel(now, m)
 	case *structs.PermitFinish:
-		d.finish(now, m)
+		d.handleFinish(now, m)
 	case *structs.ProgramGone:
 		if p := d.findPool(m.Pool); p != nil {
-			p.programGone(now, m.Program)
+			p.endProgram(now, m.Program)
 		}
 	}
 }
 
-func (d *Dispatcher) emit(command structs.Command) { d.out = append(d.out, command) }
+func (d *Dispatcher) emit(command structs.Command) { d.commands = append(d.commands, command) }
 
 func (d *Dispatcher) send(to structs.InstanceID, msg structs.Message) {
 	d.emit(structs.SendPeer{To: to, Msg: msg})
@@ -114,11 +114,11 @@
 func (d *Dispatcher) NextWake() time.Time {
 	var next time.Time
 	if len(d.timers) > 0 {
-		next = d.timers[0].timer
+		next = d.timers[0].timerAt
 	}
 	for _, p := range d.pools {
 		next = earliest(next, p.wakeAt)
-		next = earliest(next, p.checkAt)
+		next = earliest(next, p.maintainAt)
 	}
 	return next
 }
@@ -144,7 +144,7 @@
 	if ok {
 		return d.pools[i]
 	}
-	p := newPool(id, d.service(id.Service))
+	p := newPool(id, d.serviceSettings(id.Service))
 	p.refreshTargets(now, d.members)
 	d.pools = slices.Insert(d.pools, i, p)
 	return p
@@ -156,18 +156,18 @@
 	})
 }
 
-// service gives the setting of a service, the default if settings lack it.
-func (d *Dispatcher) service(name structs.ServiceName) structs.Service {
+// serviceSettings gives the setting of a service, the default if settings lack it.
+func (d *Dispatcher) serviceSettings(name structs.ServiceName) structs.Service {
 	if service, ok := d.settings.Service(name); ok {
 		return service
 	}
 	return structs.DefaultService(name, structs.ServicePlain)
 }
 
-func (d *Dispatcher) withTarget(id structs.TargetID, do func(*pool, *target)) {
+func (d *Dispatcher) withTarget(id structs.TargetID, fn func(*pool, *target)) {
 	for _, p := range d.pools {
 		if t := p.target(id); t != nil {
-			do(p, t)
+			fn(p, t)
 		}
 	}
 }
@@ -175,8 +175,8 @@
 // refreshPools takes over changed settings, and the membership now and then.
 func (d *Dispatcher) refreshPools(now time.Time) {
 	for _, p := range d.pools {
-		p.setService(d.service(p.id.Service))
-		if now.Sub(p.refreshed) >= membersRefresh {
+		p.setService(d.serviceSettings(p.id.Service))
+		if now.Sub(p.refreshedAt) >= membersRefreshInterval {
 			p.refreshTargets(now, d.members)
 		}
 	}
@@ -185,7 +185,7 @@
 // dropIdlePools forgets pools that this instance need not queue for.
 func (d *Dispatcher) dropIdlePools(now time.Time) {
 	d.pools = slices.DeleteFunc(d.pools, func(p *pool) bool {
-		if p.busy() || now.Sub(p.used) < poolIdle {
+		if p.busy() || now.Sub(p.usedAt) < poolIdleTimeout {
 			return false
 		}
 		self, ok := d.members.DispatcherOf(p.id)
@@ -195,21 +195,21 @@
 
 // watchTargets asks for the load and cache events of the targets of all pools.
 func (d *Dispatcher) watchTargets() {
-	if d.watchesAll() {
+	if d.watchListCurrent() {
 		return
 	}
 	d.watched = nil
-	for t := range d.presentTargets() {
+	for t := range d.listedTargets() {
 		d.watched = append(d.watched, t.info)
 	}
 	d.emit(structs.WatchTargets{Targets: slices.Clone(d.watched)})
 }
 
-// watchesAll tells whether the targets watched are those present. It runs in
+// watchListCurrent tells whether the targets watched are those present. It runs in
 // each tick and allocates nothing.
-func (d *Dispatcher) watchesAll() bool {
+func (d *Dispatcher) watchListCurrent() bool {
 	n := 0
-	for t := range d.presentTargets() {
+	for t := range d.listedTargets() {
 		if n == len(d.watched) || d.watched[n] != t.info {
 			return false
 		}
@@ -218,12 +218,12 @@
 	return n == len(d.watched)
 }
 
-// presentTargets gives the targets of all pools that are not gone, in order.
-func (d *Dispatcher) presentTargets() iter.Seq[*target] {
+// listedTargets gives the targets of all pools that are not gone, in order.
+func (d *Dispatcher) listedTargets() iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		for _, p := range d.pools {
 			for _, t := range p.targets {
-				if !t.gone && !yield(t) {
+				if !t.unlisted && !yield(t) {
 					return
 				}
 			}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestGrantsAsSlotsGetFree(t *testing.T) {
+func TestGrantsWhenSlotIsFreed(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	first, second := request("1"), request("2")
 	granted := grants(f.send(first, second))
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestNoWorkToLeavingTarget(t *testing.T) {
+func TestNoGrantAtLeavingTarget(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	f.send(request("1"))
 	f.members.targets[1].Leaving = true
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNewTargetTakesWaitingCalls(t *testing.T) {
+func TestNewTargetServesWaitingCalls(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.send(request("1"), request("2"))
 	f.members.targets = append(f.members.targets, structs.Target{ID: "t1", Service: testService, Region: "r"})
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestRefusedAtOnceWithoutTargets(t *testing.T) {
+func TestWaitingCallsRefusedWithoutTargets(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.send(request("1"), request("2"))
 	f.members.targets[0].Leaving = true
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestVanishedTargetIsForgotten(t *testing.T) {
+func TestUnlistedTargetIsRemoved(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	m := request("1")
 	target := grants(f.send(m))["1"]
@@ -106,11 +106,11 @@
 	}
 }
 
-func TestHintsAfterRestart(t *testing.T) {
+func TestCacheHintsAfterRestart(t *testing.T) {
 	f := newFixture(t, 3, 4)
 	f.runAt("1", "p", 8000)
 	f.restart()
-	m := request("2", ofProgram("p"), withPrompt(9000), func(m *structs.PermitRequest) {
+	m := request("2", withProgram("p"), withPrompt(9000), func(m *structs.PermitRequest) {
 		m.Hints = []structs.CacheHint{{Target: "t2", Tokens: 8010}}
 	})
 	if granted := grants(f.send(m)); granted["2"] != "t2" {
@@ -120,18 +120,18 @@
 
 func TestOwnerDown(t *testing.T) {
 	f := newFixture(t, 1, 1)
-	running, waiting, again := request("1"), request("2"), request("3")
-	f.send(running, waiting, again)
+	running, waiting, resent := request("1"), request("2"), request("3")
+	f.send(running, waiting, resent)
 	f.tick(structs.PeerDown{Peer: "o"})
-	f.send(again)
-	refused := refusals(f.after(ownerDropWait))
+	f.send(resent)
+	refused := refusals(f.tickAfter(ownerDownTimeout))
 	if len(refused) != 1 || refused["2"] == nil {
 		t.Fatalf("refused %v, want only run 2, which was not sent again", refused)
 	}
-	if granted := grants(f.after(f.settings.service.Timeout)); len(granted) != 0 {
+	if granted := grants(f.tickAfter(f.settings.service.Timeout)); len(granted) != 0 {
 		t.Fatalf("granted %v while the dead owner's run may go on", granted)
 	}
-	f.after(permitGrace)
+	f.tickAfter(permitGrace)
 	if _, held := f.d.calls["1"]; held {
 		t.Fatal("the permit of a dead owner is held for ever")
 	}
@@ -154,7 +154,7 @@
 	t.Fatal("not refused")
 }
 
-func TestQueueBounds(t *testing.T) {
+func TestQueueLimits(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.settings.service.QueueLimit, f.settings.policy.MaxQueued = 4, 2
 	f.send(request("0"))
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestChangedOrderSortsTheQueueAgain(t *testing.T) {
+func TestChangedOrderResortsQueue(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.settings.service.Rules.Classes = false
 	first := request("1")
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestRetryBudgetRefusesAtOnce(t *testing.T) {
+func TestRetryBudgetRefusesRetries(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	refused := 0
 	for i := range 100 {
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestWatchesTheTargetsOfItsPools(t *testing.T) {
+func TestWatchesTargetsOfPools(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	var watched []structs.Target
 	for _, command := range f.send(request("1")) {
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// dumpCalls bounds the waiting calls of one pool in a dump.
-const dumpCalls = 1000
+// maxDumpCalls bounds the waiting calls of one pool in a dump.
+const maxDumpCalls = 1000
 
 // PoolDump is the state of one pool for operators.
 type PoolDump struct {
@@ -63,20 +63,20 @@
 func (d *Dispatcher) dumpPool(p *pool) PoolDump {
 	dump := PoolDump{
 		Service: p.id.Service, Region: p.id.Region, Rules: p.service.Rules,
-		Waiting: p.queue.size, GrantInterval: p.interval.String(),
-		CallTime: p.estimates.CallTime.String(), OwedReleases: len(p.releases),
+		Waiting: p.queue.size, GrantInterval: p.grantInterval.String(),
+		CallTime: p.estimates.CallTime.String(), OwedReleases: len(p.pendingReleases),
 	}
 	for _, t := range p.targets {
 		dump.Targets = append(dump.Targets, TargetDump{
 			ID: t.info.ID, Running: len(t.running), Foreign: t.foreign,
-			Leaving: t.info.Leaving, Gone: t.gone,
+			Leaving: t.info.Leaving, Gone: t.unlisted,
 			Health: string(t.health.State), Slowness: t.health.Slowness,
 			Prefill:     t.backlog(d.now).String(),
 			CacheTokens: t.cache.used, CacheCapacity: t.cache.capacity,
 			CacheEntries: len(t.cache.entries),
 		})
 	}
-	for place, c := range p.queue.first(dumpCalls, func(*lane) bool { return false }) {
+	for place, c := range p.queue.top(maxDumpCalls, func(*teamQueue) bool { return false }) {
 		dump.Calls = append(dump.Calls, d.dumpCall(p, c, place))
 	}
 	return dump
@@ -86,22 +86,22 @@
 	return CallDump{
 		Run: c.run(), Program: c.program(), Owner: c.owner, Team: c.request.Team,
 		Class: c.class, Place: place + 1, Waited: d.now.Sub(c.arrived).Round(time.Millisecond).String(),
-		Why: p.whyWaiting(d.now, c), StartsIn: d.expectedWait(d.now, c).Round(time.Millisecond).String(),
+		Why: p.waitReason(d.now, c), StartsIn: d.expectedWait(d.now, c).Round(time.Millisecond).String(),
 	}
 }
 
-// whyWaiting tells in a sentence why a call has no permit.
-func (p *pool) whyWaiting(now time.Time, c *call) string {
+// waitReason tells in a sentence why a call has no permit.
+func (p *pool) waitReason(now time.Time, c *call) string {
 	switch {
 	case c.ownerDown:
 		return "its owner does not answer"
-	case !p.anyEligible():
+	case !p.hasServingTarget():
 		return "no target"
-	case !p.anyOpen(now):
+	case !p.hasOpenTarget(now):
 		return "no target has a free slot and little prefill queued"
-	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backlogged(c.class))):
+	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backloggedTeams(c.class))):
 		return "its team is ahead of its share"
-	case p.queue.ahead(c) >= candidates:
+	case p.queue.countAhead(c) >= maxCandidates:
 		return "others go first"
 	}
 	return "waits for the target that holds its prefix"
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -78,7 +78,7 @@
 	return f.last
 }
 
-func (f *fixture) after(wait time.Duration, events ...structs.Event) []structs.Command {
+func (f *fixture) tickAfter(wait time.Duration, events ...structs.Event) []structs.Command {
 	f.now = f.now.Add(wait)
 	return f.tick(events...)
 }
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -7,34 +7,34 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// finish returns a permit and learns from the run.
-func (d *Dispatcher) finish(now time.Time, m *structs.PermitFinish) {
+// handleFinish returns a permit and learns from the run.
+func (d *Dispatcher) handleFinish(now time.Time, m *structs.PermitFinish) {
 	p := d.findPool(m.Pool)
 	if p == nil {
 		return
 	}
-	p.used = now
+	p.usedAt = now
 	c := d.calls[m.Ref.Run]
 	d.ended.add(m.Ref.Run)
 	if c == nil {
 		return
 	}
 	t := c.target
-	d.forget(c)
+	d.removeCall(c)
 	if t == nil {
 		return // it ran by another dispatcher's permit
 	}
 	p.shares.Add(c.request.Team, m.Took-p.estimates.CallTime, c.request.Weight)
-	p.learn(now, c, t, m)
-	p.keep(now, c, t, m)
+	p.recordRun(now, c, t, m)
+	p.recordCache(now, c, t, m)
 }
 
-// learn updates the pool's estimates and the target's health.
-func (p *pool) learn(now time.Time, c *call, t *target, m *structs.PermitFinish) {
+// recordRun updates the pool's estimates and the target's health.
+func (p *pool) recordRun(now time.Time, c *call, t *target, m *structs.PermitFinish) {
 	switch m.Failure {
 	case structs.RunOK:
 	case structs.RunNotSent, structs.RunBroken, structs.RunTimeout:
-		p.targetFailed(now, t)
+		p.recordFailure(now, t)
 		return
 	default:
 		return
@@ -42,12 +42,12 @@
 	expected := p.estimates.CallTime
 	uncached := max(0, m.Usage.PromptTokens-m.Usage.CachedTokens)
 	if p.service.Kind == structs.ServiceEngine {
-		expected = c.queued + p.estimates.ExpectedTime(uncached, m.Usage.CompletionTokens)
+		expected = c.prefillAhead + p.estimates.ExpectedTime(uncached, m.Usage.CompletionTokens)
 	}
 	ratio := float64(m.Took) / float64(max(time.Millisecond, expected))
-	t.health.RecordSuccess(p.service.Rules, now, ratio, p.mayEject())
+	t.health.RecordSuccess(p.service.Rules, now, ratio, p.canEject())
 	p.estimates.Add(policy.RunSample{
 		Uncached: uncached, Completion: m.Usage.CompletionTokens,
-		FirstToken: m.FirstToken, Took: m.Took, Queued: c.queued,
+		FirstToken: m.FirstToken, Took: m.Took, Queued: c.prefillAhead,
 	})
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// membersRefresh is how often a pool looks at the membership unasked.
-	membersRefresh = time.Second
-	// poolIdle is how long a pool without work of another dispatcher is
+	// membersRefreshInterval is how often a pool looks at the membership unasked.
+	membersRefreshInterval = time.Second
+	// poolIdleTimeout is how long a pool without work of another dispatcher is
 	// kept.
-	poolIdle = 30 * time.Second
+	poolIdleTimeout = 30 * time.Second
 )
 
 // pool is the queue, the targets and the estimates of one pool.
@@ -29,27 +29,27 @@
 	programs   map[structs.ProgramID]*program
 	sharedKeys map[string]struct{}
 	// pauses is ordered by team.
-	pauses    []*pauses
-	releases  []*release
-	shares    *policy.Shares
-	estimates policy.Estimates
-	budget    policy.RetryBudget
-	// interval is the average time between grants while calls wait, and
+	pauses          []*teamPauses
+	pendingReleases []*pendingRelease
+	shares          *policy.Shares
+	estimates       policy.Estimates
+	budget          policy.RetryBudget
+	// grantInterval is the average time between grants while calls wait, and
 	// lastGrant the last grant since the queue was empty.
-	interval  time.Duration
-	lastGrant time.Time
+	grantInterval time.Duration
+	lastGrant     time.Time
 	// lateness is by class.
 	lateness map[int]*policy.Lateness
 
-	// scratch is the memory of the options of one call.
-	scratch []policy.Option
+	// optionBuffer is the memory of the options of one call.
+	optionBuffer []policy.Option
 
-	refreshed time.Time
-	used      time.Time
-	// wakeAt is when a target may open again for the waiting calls, checkAt
+	refreshedAt time.Time
+	usedAt      time.Time
+	// wakeAt is when a target may open again for the waiting calls, maintainAt
 	// the next check of retention, releases and health, and sweepAt the next
 	// one that looks at every call and program.
-	wakeAt, checkAt, sweepAt time.Time
+	wakeAt, maintainAt, sweepAt time.Time
 }
 
 func newPool(id structs.PoolID, service structs.Service) *pool {
@@ -66,7 +66,7 @@
 
 // busy tells whether the pool has calls or owed releases.
 func (p *pool) busy() bool {
-	if p.queue.size > 0 || len(p.releases) > 0 {
+	if p.queue.size > 0 || len(p.pendingReleases) > 0 {
 		return true
 	}
 	return slices.ContainsFunc(p.targets, func(t *target) bool { return len(t.running) > 0 })
@@ -92,7 +92,7 @@
 	if service == p.service {
 		return
 	}
-	reorder := service.Rules.Order != p.service.Rules.Order ||
+	orderChanged := service.Rules.Order != p.service.Rules.Order ||
 		service.Rules.Classes != p.service.Rules.Classes ||
 		service.Rules.Aging != p.service.Rules.Aging
 	for _, t := range p.targets {
@@ -101,11 +101,11 @@
 		}
 	}
 	p.service = service
-	if !reorder {
+	if !orderChanged {
 		return
 	}
 	var waiting []*call
-	p.queue.each(func(c *call) { waiting = append(waiting, c) })
+	p.queue.forEach(func(c *call) { waiting = append(waiting, c) })
 	p.queue = queue{}
 	for _, c := range waiting {
 		p.rank(c)
@@ -119,23 +119,23 @@
 	c.key = policy.Key(p.service.Rules, c.order)
 }
 
-// late finds or makes the lateness of a class.
-func (p *pool) late(class int) *policy.Lateness {
-	known := p.lateness[class]
-	if known == nil {
-		known = new(policy.Lateness)
-		p.lateness[class] = known
+// latenessOf finds or makes the lateness of a class.
+func (p *pool) latenessOf(class int) *policy.Lateness {
+	late := p.lateness[class]
+	if late == nil {
+		late = new(policy.Lateness)
+		p.lateness[class] = late
 	}
-	return known
+	return late
 }
 
 // refreshTargets takes over the membership's view: new targets, those that
 // leave and those that vanished.
 func (p *pool) refreshTargets(now time.Time, members structs.Members) {
-	p.refreshed = now
+	p.refreshedAt = now
 	listed := members.Targets(p.id.Service)
 	for _, t := range p.targets {
-		t.gone = true
+		t.unlisted = true
 	}
 	for _, info := range listed {
 		if info.Region != p.id.Region {
@@ -146,26 +146,26 @@
 			p.targets = slices.Insert(p.targets, i, newTarget(info, p.service.CacheTokens))
 		}
 		p.targets[i].info = info
-		p.targets[i].gone = false
+		p.targets[i].unlisted = false
 	}
 	p.targets = slices.DeleteFunc(p.targets, func(t *target) bool {
-		return t.gone && len(t.running) == 0
+		return t.unlisted && len(t.running) == 0
 	})
 }
 
-// targetFailed counts a failure of a target.
-func (p *pool) targetFailed(now time.Time, t *target) {
-	t.health.RecordFailure(p.service.Rules, now, p.mayEject())
+// recordFailure counts a failure of a target.
+func (p *pool) recordFailure(now time.Time, t *target) {
+	t.health.RecordFailure(p.service.Rules, now, p.canEject())
 }
 
-// mayEject tells whether one more target may be ejected: at most half of a
+// canEject tells whether one more target may be ejected: at most half of a
 // pool is out.
-func (p *pool) mayEject() bool {
-	out := 0
+func (p *pool) canEject() bool {
+	ineligible := 0
 	for _, t := range p.targets {
 		if !t.eligible() {
-			out++
+			ineligible++
 		}
 	}
-	return 2*(out+1) <= len(p.targets)
+	return 2*(ineligible+1) <= len(p.targets)
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -10,13 +10,13 @@
 // queue holds the waiting calls of a pool: a sorted list for each class and
 // team.
 type queue struct {
-	// lanes is ordered by class, then team.
-	lanes []*lane
-	size  int
+	// teamQueues is ordered by class, then team.
+	teamQueues []*teamQueue
+	size       int
 }
 
-// lane is the waiting calls of one team in one class, best first.
-type lane struct {
+// teamQueue is the waiting calls of one team in one class, best first.
+type teamQueue struct {
 	class int
 	team  structs.Team
 	calls []*call
@@ -26,29 +26,29 @@
 	return cmp.Or(cmp.Compare(a.key, b.key), a.arrived.Compare(b.arrived), cmp.Compare(a.run(), b.run()))
 }
 
-func (q *queue) lane(class int, team structs.Team) (int, bool) {
-	return slices.BinarySearchFunc(q.lanes, class, func(l *lane, class int) int {
+func (q *queue) search(class int, team structs.Team) (int, bool) {
+	return slices.BinarySearchFunc(q.teamQueues, class, func(l *teamQueue, class int) int {
 		return cmp.Or(cmp.Compare(l.class, class), cmp.Compare(l.team, team))
 	})
 }
 
 func (q *queue) add(c *call) {
-	i, ok := q.lane(c.class, c.request.Team)
+	i, ok := q.search(c.class, c.request.Team)
 	if !ok {
-		q.lanes = slices.Insert(q.lanes, i, &lane{class: c.class, team: c.request.Team})
+		q.teamQueues = slices.Insert(q.teamQueues, i, &teamQueue{class: c.class, team: c.request.Team})
 	}
-	l := q.lanes[i]
+	l := q.teamQueues[i]
 	at, _ := slices.BinarySearchFunc(l.calls, c, compareCalls)
 	l.calls = slices.Insert(l.calls, at, c)
 	q.size++
 }
 
 func (q *queue) remove(c *call) {
-	i, ok := q.lane(c.class, c.request.Team)
+	i, ok := q.search(c.class, c.request.Team)
 	if !ok {
 		return
 	}
-	l := q.lanes[i]
+	l := q.teamQueues[i]
 	at, ok := slices.BinarySearchFunc(l.calls, c, compareCalls)
 	if !ok {
 		return
@@ -56,14 +56,14 @@
 	l.calls = slices.Delete(l.calls, at, at+1)
 	q.size--
 	if len(l.calls) == 0 {
-		q.lanes = slices.Delete(q.lanes, i, i+1)
+		q.teamQueues = slices.Delete(q.teamQueues, i, i+1)
 	}
 }
 
 // teamSize counts a team's waiting calls.
 func (q *queue) teamSize(team structs.Team) int {
 	count := 0
-	for _, l := range q.lanes {
+	for _, l := range q.teamQueues {
 		if l.team == team {
 			count += len(l.calls)
 		}
@@ -71,11 +71,11 @@
 	return count
 }
 
-// ahead counts the waiting calls that go before a call, fair shares aside. The
+// countAhead counts the waiting calls that go before a call, fair shares aside. The
 // call itself may wait or not.
-func (q *queue) ahead(c *call) int {
+func (q *queue) countAhead(c *call) int {
 	count := 0
-	for _, l := range q.lanes {
+	for _, l := range q.teamQueues {
 		switch {
 		case l.class < c.class:
 			count += len(l.calls)
@@ -87,15 +87,15 @@
 	return count
 }
 
-// waits tells whether any call of a class waits.
-func (q *queue) waits(class int) bool {
-	return slices.ContainsFunc(q.lanes, func(l *lane) bool { return l.class == class })
+// hasClass tells whether any call of a class waits.
+func (q *queue) hasClass(class int) bool {
+	return slices.ContainsFunc(q.teamQueues, func(l *teamQueue) bool { return l.class == class })
 }
 
-// backlogged lists the teams that wait in a class, in order.
-func (q *queue) backlogged(class int) []structs.Team {
+// backloggedTeams lists the teams that wait in a class, in order.
+func (q *queue) backloggedTeams(class int) []structs.Team {
 	var teams []structs.Team
-	for _, l := range q.lanes {
+	for _, l := range q.teamQueues {
 		if l.class == class {
 			teams = append(teams, l.team)
 		}
@@ -103,32 +103,32 @@
 	return teams
 }
 
-// first gives up to limit calls, best first: by class, within it the teams
+// top gives up to limit calls, best first: by class, within it the teams
 // that are not over their share, within these by key.
-func (q *queue) first(limit int, over func(*lane) bool) []*call {
-	best := make([]*call, 0, min(limit, q.size))
-	for start := 0; start < len(q.lanes) && len(best) < limit; {
+func (q *queue) top(limit int, overShare func(*teamQueue) bool) []*call {
+	calls := make([]*call, 0, min(limit, q.size))
+	for start := 0; start < len(q.teamQueues) && len(calls) < limit; {
 		end := start
-		for end < len(q.lanes) && q.lanes[end].class == q.lanes[start].class {
+		for end < len(q.teamQueues) && q.teamQueues[end].class == q.teamQueues[start].class {
 			end++
 		}
-		var within, beyond []*lane
-		for _, l := range q.lanes[start:end] {
-			if over(l) {
-				beyond = append(beyond, l)
+		var withinShare, aboveShare []*teamQueue
+		for _, l := range q.teamQueues[start:end] {
+			if overShare(l) {
+				aboveShare = append(aboveShare, l)
 			} else {
-				within = append(within, l)
+				withinShare = append(withinShare, l)
 			}
 		}
-		best = mergeLanes(best, within, limit)
-		best = mergeLanes(best, beyond, limit)
+		calls = mergeTeamQueues(calls, withinShare, limit)
+		calls = mergeTeamQueues(calls, aboveShare, limit)
 		start = end
 	}
-	return best
+	return calls
 }
 
-// mergeLanes appends the best calls of some lanes, up to limit in all.
-func mergeLanes(best []*call, lanes []*lane, limit int) []*call {
+// mergeTeamQueues appends the best calls of some lanes, up to limit in all.
+func mergeTeamQueues(best []*call, lanes []*teamQueue, limit int) []*call {
 	next := make([]int, len(lanes))
 	for len(best) < limit {
 		pick := -1
@@ -146,11 +146,11 @@
 	return best
 }
 
-// each calls do for every waiting call, by class and team.
-func (q *queue) each(do func(*call)) {
-	for _, l := range q.lanes {
+// forEach calls do for every waiting call, by class and team.
+func (q *queue) forEach(fn func(*call)) {
+	for _, l := range q.teamQueues {
 		for _, c := range l.calls {
-			do(c)
+			fn(c)
 		}
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// ownerDropWait is how long the waiting calls of a dead owner are kept
+	// ownerDownTimeout is how long the waiting calls of a dead owner are kept
 	// unless it sends them again.
-	ownerDropWait = 5 * time.Second
+	ownerDownTimeout = 5 * time.Second
 	// permitGrace is added to the service timeout before a permit that
 	// nobody returned is taken back.
 	permitGrace = 5 * time.Second
-	// noTargetPause is when a call may come again that found no target.
-	noTargetPause = time.Second
+	// unavailableRetryAfter is when a call may come again that found no target.
+	unavailableRetryAfter = time.Second
 )
 
-// request queues a call, registers a running one, or answers a request that
+// handleRequest queues a call, registers a running one, or answers a request that
 // came again.
-func (d *Dispatcher) request(now time.Time, from structs.InstanceID, m *structs.PermitRequest) {
+func (d *Dispatcher) handleRequest(now time.Time, from structs.InstanceID, m *structs.PermitRequest) {
 	p := d.poolFor(now, m.Pool)
-	p.used = now
+	p.usedAt = now
 	known := d.calls[m.Ref.Run]
 	switch {
 	case known != nil && (known.target != nil || m.Running == ""):
-		d.requestAgain(now, from, known, m)
+		d.handleDuplicate(now, from, known, m)
 	case m.Running != "":
 		if known != nil {
-			d.forget(known)
+			d.removeCall(known)
 		}
-		d.register(now, from, p, m)
-	case d.ended.has(m.Ref.Run):
+		d.registerRunning(now, from, p, m)
+	case d.ended.contains(m.Ref.Run):
 		return
 	default:
 		d.enqueue(now, from, p, m)
 	}
 }
 
-// requestAgain answers a duplicate: a waiting call goes on waiting, a granted
+// handleDuplicate answers a duplicate: a waiting call goes on waiting, a granted
 // one is told its grant again unless the owner knows it.
-func (d *Dispatcher) requestAgain(now time.Time, from structs.InstanceID, c *call, m *structs.PermitRequest) {
+func (d *Dispatcher) handleDuplicate(now time.Time, from structs.InstanceID, c *call, m *structs.PermitRequest) {
 	c.owner, c.ownerDown = from, false
 	if c.waiting() {
-		d.rearm(now, c)
+		d.armDeadline(now, c)
 		d.send(from, &structs.PermitQueued{Ref: m.Ref})
 		return
 	}
@@ -53,16 +53,16 @@
 	}
 }
 
-// register takes over a call that runs at a target by an earlier dispatcher's
+// registerRunning takes over a call that runs at a target by an earlier dispatcher's
 // permit.
-func (d *Dispatcher) register(now time.Time, from structs.InstanceID, p *pool, m *structs.PermitRequest) {
+func (d *Dispatcher) registerRunning(now time.Time, from structs.InstanceID, p *pool, m *structs.PermitRequest) {
 	t := p.target(m.Running)
 	if t == nil {
 		return
 	}
 	c := d.newCall(now, from, p, m)
 	d.calls[m.Ref.Run] = c
-	d.hold(now, c, t)
+	d.assignPermit(now, c, t)
 }
 
 func (d *Dispatcher) newCall(now time.Time, from structs.InstanceID, p *pool, m *structs.PermitRequest) *call {
@@ -70,9 +70,9 @@
 	if m.Remaining > 0 {
 		c.deadline = now.Add(m.Remaining)
 	}
-	p.takeHints(now, m)
-	known := p.program(now, m.Ref.Program, m.Team)
-	waited := known.waited + m.Waited
+	p.applyHints(now, m)
+	prog := p.program(now, m.Ref.Program, m.Team)
+	waited := prog.waited + m.Waited
 	c.order = policy.Call{
 		Run: m.Ref.Run, Team: m.Team, Priority: m.Priority,
 		Arrived: now.Sub(d.epoch), Served: m.Served,
@@ -100,7 +100,7 @@
 	p.joinShares(c)
 	d.calls[m.Ref.Run] = c
 	p.queue.add(c)
-	d.rearm(now, c)
+	d.armDeadline(now, c)
 	d.send(from, &structs.PermitQueued{Ref: m.Ref})
 }
 
@@ -117,22 +117,22 @@
 // expectedWait is the expected time until a call that waits, or is about to,
 // starts.
 func (d *Dispatcher) expectedWait(now time.Time, c *call) time.Duration {
-	return d.waitBehind(now, c, c.pool.queue.ahead(c))
+	return d.expectedWaitBehind(now, c, c.pool.queue.countAhead(c))
 }
 
-// waitBehind is the expected wait of a call with so many ahead.
-func (d *Dispatcher) waitBehind(now time.Time, c *call, ahead int) time.Duration {
+// expectedWaitBehind is the expected wait of a call with so many ahead.
+func (d *Dispatcher) expectedWaitBehind(now time.Time, c *call, ahead int) time.Duration {
 	p := c.pool
 	if ahead == 0 {
 		return 0
 	}
-	position := time.Duration(ahead) * p.interval
-	return p.late(c.class).ExpectedWait(now.Sub(d.epoch), c.key, position)
+	position := time.Duration(ahead) * p.grantInterval
+	return p.latenessOf(c.class).ExpectedWait(now.Sub(d.epoch), c.key, position)
 }
 
 // joinShares starts the team's account if it was not backlogged.
 func (p *pool) joinShares(c *call) {
-	teams := p.queue.backlogged(c.class)
+	teams := p.queue.backloggedTeams(c.class)
 	for _, team := range teams {
 		if team == c.request.Team {
 			return
@@ -141,18 +141,18 @@
 	p.shares.Join(c.request.Team, p.shares.Floor(teams))
 }
 
-func (d *Dispatcher) refuse(to structs.InstanceID, m *structs.PermitRequest, reason structs.Reason, after time.Duration) {
-	d.send(to, &structs.PermitRefuse{Pool: m.Pool, Ref: m.Ref, Reason: reason, RetryAfter: after})
+func (d *Dispatcher) refuse(to structs.InstanceID, m *structs.PermitRequest, reason structs.Reason, retryAfter time.Duration) {
+	d.send(to, &structs.PermitRefuse{Pool: m.Pool, Ref: m.Ref, Reason: reason, RetryAfter: retryAfter})
 }
 
 // refuseWaiting ends a waiting call without a permit.
-func (d *Dispatcher) refuseWaiting(c *call, reason structs.Reason, after time.Duration) {
-	d.forget(c)
-	d.refuse(c.owner, c.request, reason, after)
+func (d *Dispatcher) refuseWaiting(c *call, reason structs.Reason, retryAfter time.Duration) {
+	d.removeCall(c)
+	d.refuse(c.owner, c.request, reason, retryAfter)
 }
 
-// forget removes a call from the queue or its target.
-func (d *Dispatcher) forget(c *call) {
+// removeCall removes a call from the queue or its target.
+func (d *Dispatcher) removeCall(c *call) {
 	d.setTimer(c, time.Time{})
 	delete(d.calls, c.run())
 	if c.waiting() {
@@ -161,73 +161,73 @@
 		return
 	}
 	c.target.remove(c)
-	c.pool.unuse(c)
+	c.pool.endRun(c)
 }
 
-// rearm sets the timer of a waiting call.
-func (d *Dispatcher) rearm(now time.Time, c *call) {
-	at := c.lastStart()
+// armDeadline sets the timer of a waiting call.
+func (d *Dispatcher) armDeadline(now time.Time, c *call) {
+	at := c.latestStart()
 	if c.ownerDown {
-		at = earliest(at, now.Add(ownerDropWait))
+		at = earliest(at, now.Add(ownerDownTimeout))
 	}
 	d.setTimer(c, at)
 }
 
-// lastStart is the latest start with which the call can meet its deadline,
+// latestStart is the latest start with which the call can meet its deadline,
 // zero if it has none.
-func (c *call) lastStart() time.Time {
+func (c *call) latestStart() time.Time {
 	if c.deadline.IsZero() {
 		return time.Time{}
 	}
 	return c.deadline.Add(-min(c.pool.estimates.CallTime, c.request.Remaining/2))
 }
 
-// cancel takes back a waiting call or a permit that was not used.
-func (d *Dispatcher) cancel(_ time.Time, m *structs.PermitCancel) {
+// handleCancel takes back a waiting call or a permit that was not used.
+func (d *Dispatcher) handleCancel(_ time.Time, m *structs.PermitCancel) {
 	if c := d.calls[m.Ref.Run]; c != nil {
-		d.forget(c)
+		d.removeCall(c)
 	}
 	d.ended.add(m.Ref.Run)
 }
 
-// peerDown starts the wait for a dead owner's waiting calls to be sent again.
-func (d *Dispatcher) peerDown(now time.Time, peer structs.InstanceID) {
+// handlePeerDown starts the wait for a dead owner's waiting calls to be sent again.
+func (d *Dispatcher) handlePeerDown(now time.Time, peer structs.InstanceID) {
 	for _, p := range d.pools {
-		p.queue.each(func(c *call) {
+		p.queue.forEach(func(c *call) {
 			if c.owner == peer && !c.ownerDown {
 				c.ownerDown = true
-				d.rearm(now, c)
+				d.armDeadline(now, c)
 			}
 		})
 	}
 }
 
-// expire ends the calls whose timer is over.
-func (d *Dispatcher) expire(now time.Time) {
-	for len(d.timers) > 0 && !d.timers[0].timer.After(now) {
+// expireCalls ends the calls whose timer is over.
+func (d *Dispatcher) expireCalls(now time.Time) {
+	for len(d.timers) > 0 && !d.timers[0].timerAt.After(now) {
 		c := d.timers[0]
 		switch {
 		case !c.waiting():
-			d.forget(c)
+			d.removeCall(c)
 			d.ended.add(c.run())
 		case c.ownerDown:
-			d.refuseWaiting(c, structs.ReasonOwnerUnavailable, noTargetPause)
+			d.refuseWaiting(c, structs.ReasonOwnerUnavailable, unavailableRetryAfter)
 		default:
 			d.refuseWaiting(c, structs.ReasonDeadline, d.expectedWait(now, c))
 		}
 	}
 }
 
-// refuseHopeless answers at once the waiting calls that by now cannot be
+// refuseUnmeetable answers at once the waiting calls that by now cannot be
 // expected to start in time.
-func (d *Dispatcher) refuseHopeless(now time.Time, p *pool) {
+func (d *Dispatcher) refuseUnmeetable(now time.Time, p *pool) {
 	if !p.service.Rules.Admission {
 		return
 	}
 	refused := 0
-	for i, c := range p.queue.first(p.queue.size, func(*lane) bool { return false }) {
-		wait, last := d.waitBehind(now, c, i-refused), c.lastStart()
-		if !last.IsZero() && now.Add(wait).After(last) {
+	for i, c := range p.queue.top(p.queue.size, func(*teamQueue) bool { return false }) {
+		wait, latest := d.expectedWaitBehind(now, c, i-refused), c.latestStart()
+		if !latest.IsZero() && now.Add(wait).After(latest) {
 			d.refuseWaiting(c, structs.ReasonOverloaded, wait)
 			refused++
 		}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -12,9 +12,9 @@
 // target is one target of a pool.
 type target struct {
 	info structs.Target
-	// gone is set when the membership list no longer shows the target.
-	gone    bool
-	running []*call
+	// unlisted is set when the membership list no longer shows the target.
+	unlisted bool
+	running  []*call
 	// foreign estimates the calls there without a permit of this dispatcher.
 	foreign int
 	// peak and lastPeak are the most own permits since the last load report
@@ -23,17 +23,17 @@
 	// prefillUntil is when the prefill granted so far should be done.
 	prefillUntil time.Time
 	health       policy.Health
-	cache        cacheRecord
-	// lowCache counts load reports in a row with far less cache in use than
+	cache        cacheIndex
+	// lowCacheReports counts load reports in a row with far less cache in use than
 	// recorded: the target has lost its cache.
-	lowCache int
-	// awaited is the work of waiting calls that chose to wait for this
+	lowCacheReports int
+	// awaitedPrefill is the work of waiting calls that chose to wait for this
 	// target in the running grant pass.
-	awaited time.Duration
+	awaitedPrefill time.Duration
 }
 
 func newTarget(info structs.Target, capacity int64) *target {
-	return &target{info: info, health: policy.NewHealth(), cache: newCacheRecord(capacity)}
+	return &target{info: info, health: policy.NewHealth(), cache: newCacheIndex(capacity)}
 }
 
 // load counts the calls at the target.
@@ -41,7 +41,7 @@
 
 // eligible tells whether the target may get new work at all.
 func (t *target) eligible() bool {
-	return !t.gone && !t.info.Leaving && t.health.State != policy.Ejected
+	return !t.unlisted && !t.info.Leaving && t.health.State != policy.Ejected
 }
 
 // backlog is the expected time until the granted prefill is done.
@@ -60,25 +60,25 @@
 	}
 }
 
-// lowCacheReports is the number of load reports in a row that show a lost
+// maxLowCacheReports is the number of load reports in a row that show a lost
 // cache.
-const lowCacheReports = 3
+const maxLowCacheReports = 3
 
-// loadReported fuses a lagging load report with the own count of permits: what
+// applyLoad fuses a lagging load report with the own count of permits: what
 // goes beyond the most permits in the time of the report is foreign.
-func (t *target) loadReported(_ time.Time, p *pool, load wire.EngineLoad) {
+func (t *target) applyLoad(_ time.Time, p *pool, load wire.EngineLoad) {
 	t.foreign = max(0, load.Running+load.Waiting-max(t.peak, t.lastPeak))
 	t.lastPeak, t.peak = t.peak, len(t.running)
 	if load.CacheCapacity > 0 {
 		t.cache.capacity = load.CacheCapacity
 	}
 	if load.CacheTokens*2 >= t.cache.used {
-		t.lowCache = 0
+		t.lowCacheReports = 0
 		return
 	}
-	t.lowCache++
-	if t.lowCache >= lowCacheReports && len(t.running) == 0 {
+	t.lowCacheReports++
+	if t.lowCacheReports >= maxLowCacheReports && len(t.running) == 0 {
 		t.cache.clear()
-		t.lowCache = 0
+		t.lowCacheReports = 0
 	}
 }
--- a/internal/orders/controller.go
+++ b/internal/orders/controller.go
@@ -32,17 +32,17 @@
 
 	now time.Time
 	// wake is the earliest time that something waits for.
-	wake time.Time
-	out  []structs.Command
-	// applied is the version of the settings that the pools follow.
-	applied   uint64
-	refreshAt time.Time
+	wake     time.Time
+	commands []structs.Command
+	// settingsVersion is the version of the settings that the pools follow.
+	settingsVersion uint64
+	refreshAt       time.Time
 	// pools is ordered by service.
 	pools []*pool
 
-	appends  structs.AppendID
-	sequence uint64
-	orders   structs.OrderID
+	lastAppendID structs.AppendID
+	lastSequence uint64
+	lastOrderID  structs.OrderID
 }
 
 // New returns a controller without any pool.
@@ -55,13 +55,13 @@
 
 // Tick takes in events that happened by now and gives the commands that follow.
 func (c *Controller) Tick(now time.Time, events []structs.Event) []structs.Command {
-	changed := c.settings.Next() != c.applied
+	changed := c.settings.Next() != c.settingsVersion
 	// The instance ticks for every call: with nothing to do this must cost
 	// nothing.
 	if len(events) == 0 && !changed && (c.wake.IsZero() || now.Before(c.wake)) {
 		return nil
 	}
-	c.now, c.out = now, nil
+	c.now, c.commands = now, nil
 	c.wake = time.Time{}
 	for _, ev := range events {
 		changed = c.handle(ev) || changed
@@ -73,7 +73,7 @@
 		p.advance()
 	}
 	c.wake = earliest(c.wake, c.refreshAt)
-	return c.out
+	return c.commands
 }
 
 // NextWake gives the time of the earliest timer, zero if there is none.
@@ -84,17 +84,17 @@
 func (c *Controller) handle(ev structs.Event) bool {
 	switch ev := ev.(type) {
 	case structs.LogRead:
-		if p := c.poolOf(ev.Stream); p != nil {
-			p.read(ev)
+		if p := c.poolByStream(ev.Stream); p != nil {
+			p.handleRead(ev)
 		}
 	case structs.LogReadFailed:
-		if p := c.poolOf(ev.Stream); p != nil && ev.Truncated && p.phase != phaseSuperseded {
-			p.restart("the log dropped records that were not read")
+		if p := c.poolByStream(ev.Stream); p != nil && ev.Truncated && p.phase != phaseSuperseded {
+			p.resync("the log dropped records that were not read")
 		}
 	case structs.OrdersRead:
-		c.withTarget(ev.Target, func(_ *pool, t *target) { t.stateRead(ev) })
+		c.withTarget(ev.Target, func(_ *pool, t *target) { t.handleState(ev) })
 	case structs.OrderSent:
-		c.withTarget(ev.Target, func(p *pool, t *target) { p.orderSent(t, ev) })
+		c.withTarget(ev.Target, func(p *pool, t *target) { p.handleOrderSent(t, ev) })
 	case structs.MembersListed, structs.PeerUp, structs.PeerDown, structs.PeerMessage, structs.DrainStart:
 		return true
 	}
@@ -105,30 +105,30 @@
 
 // refresh takes over the settings and the membership.
 func (c *Controller) refresh() {
-	c.applied = c.settings.Next()
-	var kept []*pool
+	c.settingsVersion = c.settings.Next()
+	var pools []*pool
 	for _, service := range c.settings.Services() {
 		id := structs.PoolID{Service: service.Name, Region: c.cfg.Self.Region}
 		if service.Kind != structs.ServiceEngine || !service.Orders.Wanted() || !c.shouldControl(id) {
 			continue
 		}
-		p := c.find(id)
+		p := c.poolByID(id)
 		if p == nil {
 			p = newPool(c, id)
 		}
 		p.setService(service)
 		p.setTargets(c.members.Targets(id.Service))
-		kept = append(kept, p)
+		pools = append(pools, p)
 	}
 	for _, p := range c.pools {
-		if !slices.Contains(kept, p) {
+		if !slices.Contains(pools, p) {
 			p.stop()
 		}
 	}
-	c.pools = kept
+	c.pools = pools
 	c.refreshAt = time.Time{}
-	if len(kept) > 0 {
-		c.refreshAt = c.now.Add(membershipRefresh)
+	if len(pools) > 0 {
+		c.refreshAt = c.now.Add(membershipRefreshInterval)
 	}
 }
 
@@ -138,10 +138,10 @@
 	return ok && instance == c.cfg.Self.ID
 }
 
-func (c *Controller) find(id structs.PoolID) *pool { return c.poolOf(id.Stream()) }
+func (c *Controller) poolByID(id structs.PoolID) *pool { return c.poolByStream(id.Stream()) }
 
-// poolOf gives the pool of a stream, nil if this instance does not control it.
-func (c *Controller) poolOf(stream string) *pool {
+// poolByStream gives the pool of a stream, nil if this instance does not control it.
+func (c *Controller) poolByStream(stream string) *pool {
 	i := slices.IndexFunc(c.pools, func(p *pool) bool { return p.stream == stream })
 	if i < 0 {
 		return nil
@@ -149,26 +149,26 @@
 	return c.pools[i]
 }
 
-func (c *Controller) withTarget(id structs.TargetID, do func(*pool, *target)) {
+func (c *Controller) withTarget(id structs.TargetID, fn func(*pool, *target)) {
 	for _, p := range c.pools {
 		for _, t := range p.targets {
 			if t.info.ID == id {
-				do(p, t)
+				fn(p, t)
 				return
 			}
 		}
 	}
 }
 
-func (c *Controller) emit(cmd structs.Command) { c.out = append(c.out, cmd) }
+func (c *Controller) emit(cmd structs.Command) { c.commands = append(c.commands, cmd) }
 
-// wakeBy asks for a tick at a time in the future.
-func (c *Controller) wakeBy(at time.Time) { c.wake = earliest(c.wake, at) }
+// scheduleWake asks for a tick at a time in the future.
+func (c *Controller) scheduleWake(at time.Time) { c.wake = earliest(c.wake, at) }
 
-// reached tells whether a time has come; if not, it asks for a tick then.
-func (c *Controller) reached(at time.Time) bool {
+// due tells whether a time has come; if not, it asks for a tick then.
+func (c *Controller) due(at time.Time) bool {
 	if c.now.Before(at) {
-		c.wakeBy(at)
+		c.scheduleWake(at)
 		return false
 	}
 	return true
@@ -176,30 +176,30 @@
 
 // append writes a record to a stream.
 func (c *Controller) append(stream string, r record) {
-	c.appends++
-	c.emit(structs.LogAppend{ID: c.appends | appendIDBit, Stream: stream, Records: [][]byte{r.encode()}})
+	c.lastAppendID++
+	c.emit(structs.LogAppend{ID: c.lastAppendID | appendIDBit, Stream: stream, Records: [][]byte{r.encode()}})
 }
 
 // newRecord makes a record of this writer with a sequence number of its own.
 func (c *Controller) newRecord(kind recordKind, epoch structs.Epoch) record {
-	c.sequence++
+	c.lastSequence++
 	return record{
-		Kind: kind, Epoch: epoch, Writer: c.writer, Sequence: c.sequence,
+		Kind: kind, Epoch: epoch, Writer: c.writer, Sequence: c.lastSequence,
 		Instance: c.cfg.Self.ID, Lease: leaseDuration,
 	}
 }
 
 // newOrderID names a command to a target.
 func (c *Controller) newOrderID() structs.OrderID {
-	c.orders++
-	return c.orders
+	c.lastOrderID++
+	return c.lastOrderID
 }
 
-// clip bounds a text for the dump.
-func clip(text string) string {
-	const most = 200
-	if len(text) <= most {
+// truncate bounds a text for the dump.
+func truncate(text string) string {
+	const maxLen = 200
+	if len(text) <= maxLen {
 		return text
 	}
-	return strings.ToValidUTF8(text[:most], "") + "…"
+	return strings.ToValidUTF8(text[:maxLen], "") + "…"
 }
--- a/internal/orders/dump.go
+++ b/internal/orders/dump.go
@@ -63,14 +63,14 @@
 func (p *pool) dump() PoolState {
 	s := PoolState{
 		Service: p.id.Service, Phase: string(p.phase), Since: p.since,
-		Controller: p.reader.holder, Epoch: p.reader.newest,
-		LeaseNotBefore: p.lease.notBefore, LeaseUntil: p.lease.until,
-		Desired: p.service.Orders, Garbage: p.reader.garbage, Void: p.reader.void, Error: p.err,
+		Controller: p.streamState.controller, Epoch: p.streamState.newestEpoch,
+		LeaseNotBefore: p.lease.notBefore, LeaseUntil: p.lease.validUntil,
+		Desired: p.service.Orders, Garbage: p.streamState.malformed, Void: p.streamState.void, Error: p.err,
 	}
 	for _, t := range p.targets {
 		row := TargetState{
-			Target: t.info.ID, Known: t.known, Actual: t.state, Checks: p.checks(t),
-			Waiting: t.asked != 0, Failures: t.failures, Error: t.err,
+			Target: t.info.ID, Known: t.stateKnown, Actual: t.state, Checks: p.checksFencing(t),
+			Waiting: t.pendingID != 0, Failures: t.failures, Error: t.err,
 		}
 		if t.order != nil {
 			order := t.order.Order
--- a/internal/orders/engine_test.go
+++ b/internal/orders/engine_test.go
@@ -23,42 +23,42 @@
 )
 
 const (
-	patience = 60 * time.Second
-	// speed is how much faster than real time the instance's clock goes.
-	speed = 10
+	waitTimeout = 60 * time.Second
+	// clockSpeed is how much faster than real time the instance's clock goes.
+	clockSpeed = 10
 )
 
-// bench is the core of an instance with the real adapters, a log service and
+// testbed is the core of an instance with the real adapters, a log service and
 // two engines: one that checks the fencing number and one that ignores it.
-type bench struct {
+type testbed struct {
 	t       *testing.T
 	clock   func() time.Time
 	core    *instance.Instance
 	events  chan structs.Event
 	log     *logclient.Log
 	runner  *target.Runner
-	engines map[string]*restartable
+	engines map[string]*restartableEngine
 }
 
-// restartable is an engine that can be replaced at its address.
-type restartable struct {
+// restartableEngine is an engine that can be replaced at its address.
+type restartableEngine struct {
 	checks bool
 	server atomic.Pointer[engine.Server]
 }
 
-func (r *restartable) restart(t *testing.T) {
+func (r *restartableEngine) restart(t *testing.T) {
 	server := engine.NewServer(engine.Settings{ChecksFencing: r.checks})
 	t.Cleanup(server.Close)
 	r.server.Store(server)
 }
 
-func (r *restartable) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+func (r *restartableEngine) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.server.Load().Handler().ServeHTTP(w, request)
 }
 
 // applied lists the orders that took effect since the start, without repeats: an
 // order whose answer is late is sent again.
-func (r *restartable) applied(t *testing.T) (seen []wire.Order) {
+func (r *restartableEngine) applied(t *testing.T) (seen []wire.Order) {
 	reply := httptest.NewRecorder()
 	r.ServeHTTP(reply, httptest.NewRequest(http.MethodGet, engine.OrderLogRoute, nil))
 	if err := json.Unmarshal(reply.Body.Bytes(), &seen); err != nil {
@@ -67,11 +67,11 @@
 	return slices.Compact(seen)
 }
 
-func newBench(t *testing.T) *bench {
+func newTestbed(t *testing.T) *testbed {
 	start := time.Now()
-	b := &bench{
-		t: t, clock: func() time.Time { return start.Add(speed * time.Since(start)) },
-		events: make(chan structs.Event, 1024), engines: map[string]*restartable{},
+	b := &testbed{
+		t: t, clock: func() time.Time { return start.Add(clockSpeed * time.Since(start)) },
+		events: make(chan structs.Event, 1024), engines: map[string]*restartableEngine{},
 	}
 	post := func(ev structs.Event) bool { b.events <- ev; return true }
 	quiet := slog.New(slog.DiscardHandler)
@@ -92,11 +92,11 @@
 }
 
 // startEngines starts the engines and tells the instance of them.
-func (b *bench) startEngines() {
+func (b *testbed) startEngines() {
 	var list wire.MemberList
 	var changes []structs.SettingChange
 	for name, checks := range map[string]bool{"checks": true, "ignores_it": false} {
-		e := &restartable{checks: checks}
+		e := &restartableEngine{checks: checks}
 		e.restart(b.t)
 		server := httptest.NewServer(e)
 		b.t.Cleanup(server.Close)
@@ -112,25 +112,25 @@
 		}
 	}
 	b.events <- structs.MembersListed{List: list}
-	b.until(func() bool { return b.core.Dump().Ready })
-	b.events <- structs.SettingsPropose{Request: "s", Changes: changes, Deadline: b.clock().Add(speed * patience)}
+	b.waitFor(func() bool { return b.core.Dump().Ready })
+	b.events <- structs.SettingsPropose{Request: "s", Changes: changes, Deadline: b.clock().Add(clockSpeed * waitTimeout)}
 }
 
 // until runs the instance until the condition holds.
-func (b *bench) until(holds func() bool) {
+func (b *testbed) waitFor(holds func() bool) {
 	b.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	var batch []structs.Event
 	for {
 		for _, cmd := range b.core.Tick(b.clock(), batch) {
-			b.carry(cmd)
+			b.execute(cmd)
 		}
 		if holds() {
 			return
 		}
 		var wake <-chan time.Time
 		if next := b.core.NextWake(); !next.IsZero() {
-			wake = time.After(next.Sub(b.clock()) / speed)
+			wake = time.After(next.Sub(b.clock()) / clockSpeed)
 		}
 		batch = nil
 		select {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (b *bench) carry(cmd structs.Command) {
+func (b *testbed) execute(cmd structs.Command) {
 	switch cmd := cmd.(type) {
 	case structs.LogAppend:
 		b.log.Append(cmd)
@@ -164,11 +164,11 @@
 
 // The real adapters bring the stand-in engines to the desired state, and again
 // after a restart of the engines.
-func TestStandInEngines(t *testing.T) {
-	b := newBench(t)
+func TestStandInEnginesReachDesiredState(t *testing.T) {
+	b := newTestbed(t)
 	for range 2 {
 		for _, e := range b.engines {
-			b.until(func() bool { return len(e.applied(t)) == 2 })
+			b.waitFor(func() bool { return len(e.applied(t)) == 2 })
 			want := []wire.Order{
 				{Kind: wire.OrderLoadModel, Value: "m1", Fencing: 1}, {Kind: wire.OrderSetRole, Value: "prefill", Fencing: 1},
 			}
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -9,29 +9,29 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// both runs a test for targets that check the fencing number and for targets
+// runBothModes runs a test for targets that check the fencing number and for targets
 // that ignore it.
-func both(t *testing.T, targets, nodes int, test func(*testing.T, *world)) {
+func runBothModes(t *testing.T, targets, nodes int, test func(*testing.T, *simulation)) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint("checks=", checks), func(t *testing.T) {
-			w := newWorld(t, checks, targets, nodes)
-			test(t, w)
-			if err := w.checkEpochs(); err != nil {
+			s := newSimulation(t, checks, targets, nodes)
+			test(t, s)
+			if err := s.checkEpochOrder(); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-func TestTargetsGetTheDesiredStateAgainAfterARestart(t *testing.T) {
-	both(t, 2, 1, func(t *testing.T, w *world) {
-		w.orders.Role, w.orders.Adapter, w.orders.Version = "decode", "a", "v"
-		w.until("desired state", w.settled)
-		w.engines["t1"].state = wire.OrderState{ChecksFencing: w.checks}
-		w.engines["t2"] = &engine{state: wire.OrderState{ChecksFencing: w.checks}}
-		w.until("state after a restart and at a new target", w.settled)
+func TestDesiredStateRestoredAfterTargetRestart(t *testing.T) {
+	runBothModes(t, 2, 1, func(t *testing.T, s *simulation) {
+		s.orders.Role, s.orders.Adapter, s.orders.Version = "decode", "a", "v"
+		s.waitFor("desired state", s.converged)
+		s.engines["t1"].state = wire.OrderState{ChecksFencing: s.checksFencing}
+		s.engines["t2"] = &engine{state: wire.OrderState{ChecksFencing: s.checksFencing}}
+		s.waitFor("state after a restart and at a new target", s.converged)
 		kinds := []string{}
-		for _, o := range w.engines["t2"].applied {
+		for _, o := range s.engines["t2"].applied {
 			kinds = append(kinds, o.Kind)
 		}
 		if got := fmt.Sprint(kinds); got != "[load_model set_version load_adapter set_role]" {
@@ -40,30 +40,30 @@
 	})
 }
 
-func TestOfTwoControllersThatRaceOneWins(t *testing.T) {
-	both(t, 3, 2, func(t *testing.T, w *world) {
-		w.nodes[1].chosen = true
-		w.run(2 * time.Second)
-		if w.nodes[0].holds() == w.nodes[1].holds() {
-			t.Fatalf("%+v %+v", w.nodes[0].c.Dump(), w.nodes[1].c.Dump())
+func TestConcurrentClaimsElectOneController(t *testing.T) {
+	runBothModes(t, 3, 2, func(t *testing.T, s *simulation) {
+		s.nodes[1].selected = true
+		s.run(2 * time.Second)
+		if s.nodes[0].isController() == s.nodes[1].isController() {
+			t.Fatalf("%+v %+v", s.nodes[0].controller.Dump(), s.nodes[1].controller.Dump())
 		}
-		w.run(time.Minute)
-		if claims := w.claims(); claims > 8 {
+		s.run(time.Minute)
+		if claims := s.claims(); claims > 8 {
 			t.Errorf("%d claims in a minute", claims)
 		}
-		w.nodes[1].chosen = false
-		w.until("desired state", w.settled)
+		s.nodes[1].selected = false
+		s.waitFor("desired state", s.converged)
 	})
 }
 
 // The order that a paused controller has decided on, and that waits at its
 // adapter, is not sent after the next controller's orders.
-func TestPausedControllerSendsNothingWhenItWakes(t *testing.T) {
-	both(t, 1, 2, func(t *testing.T, w *world) {
-		old, next, e := w.nodes[0], w.nodes[1], w.engines["t0"]
-		w.until("desired state", w.settled)
-		w.want("m2")
-		w.until("an order at the adapter", func() bool {
+func TestPausedControllerSendsNoStaleOrders(t *testing.T) {
+	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
+		old, next, e := s.nodes[0], s.nodes[1], s.engines["t0"]
+		s.waitFor("desired state", s.converged)
+		s.setModel("m2")
+		s.waitFor("an order at the adapter", func() bool {
 			for _, cmd := range old.outbox {
 				if _, ok := cmd.(structs.SendOrder); ok {
 					return true
@@ -71,12 +71,12 @@
 			}
 			return false
 		})
-		old.paused, next.chosen = true, true
-		w.want("m3")
-		w.until("the next controller's orders", w.settled)
-		w.run(w.window() + step)
+		old.paused, next.selected = true, true
+		s.setModel("m3")
+		s.waitFor("the next controller's orders", s.converged)
+		s.run(s.sendWindow() + step)
 		old.paused = false
-		w.run(time.Second)
+		s.run(time.Second)
 		if last := e.applied[len(e.applied)-1]; last.Value != "m3" || e.refused > 0 {
 			t.Errorf("%+v, %d refused", e.applied, e.refused)
 		}
@@ -86,109 +86,109 @@
 // A controller that is cut off from the log takes itself for the controller. A
 // target that checks refuses it, which ends its control; to others it sends
 // nothing after its lease.
-func TestControllerCutOffFromTheLog(t *testing.T) {
-	both(t, 1, 2, func(t *testing.T, w *world) {
-		old, next, e := w.nodes[0], w.nodes[1], w.engines["t0"]
-		w.until("desired state", w.settled)
-		old.cut, old.paused, next.chosen = true, true, true
-		w.want("m2")
-		w.until("the next controller's orders", w.settled)
+func TestControllerPartitionedFromLog(t *testing.T) {
+	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
+		old, next, e := s.nodes[0], s.nodes[1], s.engines["t0"]
+		s.waitFor("desired state", s.converged)
+		old.partitioned, old.paused, next.selected = true, true, true
+		s.setModel("m2")
+		s.waitFor("the next controller's orders", s.converged)
 		old.paused = false
-		w.run(step)
-		if !old.holds() {
+		s.run(step)
+		if !old.isController() {
 			t.Error("the controller that is cut off knows of the next one")
 		}
 		next.paused = true
-		w.want("m3")
-		w.run(readInterval)
-		if e.state.Model != "m2" || w.checks != (e.refused > 0) || w.checks == old.holds() {
-			t.Errorf("%+v, %d refused, old %+v", e.state, e.refused, old.c.Dump())
+		s.setModel("m3")
+		s.run(readInterval)
+		if e.state.Model != "m2" || s.checksFencing != (e.refused > 0) || s.checksFencing == old.isController() {
+			t.Errorf("%+v, %d refused, old %+v", e.state, e.refused, old.controller.Dump())
 		}
 	})
 }
 
 // Appends take effect, some late, and no reply arrives.
 func TestLostAppendReplies(t *testing.T) {
-	both(t, 1, 1, func(t *testing.T, w *world) {
-		w.append = func() (time.Duration, bool) { return 3 * claimRetry, true }
-		w.until("desired state", w.settled)
-		w.run(time.Minute)
-		if !w.nodes[0].holds() || w.nodes[0].c.pools[0].reader.void == 0 {
-			t.Errorf("%+v", w.nodes[0].c.Dump())
+	runBothModes(t, 1, 1, func(t *testing.T, s *simulation) {
+		s.append = func() (time.Duration, bool) { return 3 * minClaimRetry, true }
+		s.waitFor("desired state", s.converged)
+		s.run(time.Minute)
+		if !s.nodes[0].isController() || s.nodes[0].controller.pools[0].streamState.void == 0 {
+			t.Errorf("%+v", s.nodes[0].controller.Dump())
 		}
-		if claims := w.claims(); claims < 2 || w.engines["t0"].applied[0].Fencing != 1 {
-			t.Errorf("%d claims, %+v", claims, w.engines["t0"].applied)
+		if claims := s.claims(); claims < 2 || s.engines["t0"].applied[0].Fencing != 1 {
+			t.Errorf("%d claims, %+v", claims, s.engines["t0"].applied)
 		}
 	})
 }
 
 func TestLogOutage(t *testing.T) {
-	both(t, 1, 1, func(t *testing.T, w *world) {
-		w.until("desired state", w.settled)
-		w.run(leaseDuration)
-		w.logDown = true
-		w.want("m2")
-		w.run(10 * time.Minute)
-		if w.settled() != w.checks {
-			t.Errorf("%+v", w.engines["t0"].applied)
+	runBothModes(t, 1, 1, func(t *testing.T, s *simulation) {
+		s.waitFor("desired state", s.converged)
+		s.run(leaseDuration)
+		s.logDown = true
+		s.setModel("m2")
+		s.run(10 * time.Minute)
+		if s.converged() != s.checksFencing {
+			t.Errorf("%+v", s.engines["t0"].applied)
 		}
-		w.logDown = false
-		w.until("orders after the outage", w.settled)
+		s.logDown = false
+		s.waitFor("orders after the outage", s.converged)
 	})
 }
 
 // An idle pool costs no appends, and the log may drop all its records: the next
 // epoch is still above the last.
-func TestEpochsGrowWhenTheLogDropsItsRecords(t *testing.T) {
-	both(t, 1, 2, func(t *testing.T, w *world) {
-		w.until("desired state", w.settled)
-		count := len(w.records)
-		w.run(time.Hour)
-		if len(w.records) != count || count > 2 {
-			t.Errorf("%d records, then %d", count, len(w.records))
+func TestEpochsGrowAfterLogTruncation(t *testing.T) {
+	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
+		s.waitFor("desired state", s.converged)
+		count := len(s.records)
+		s.run(time.Hour)
+		if len(s.records) != count || count > 2 {
+			t.Errorf("%d records, then %d", count, len(s.records))
 		}
-		w.first = uint64(len(w.records))
-		w.nodes[0].chosen, w.nodes[1].chosen = false, true
-		w.want("m2")
-		w.until("orders of the next controller", w.settled)
-		if w.engines["t0"].refused > 0 {
-			t.Errorf("%d refused", w.engines["t0"].refused)
+		s.firstOffset = uint64(len(s.records))
+		s.nodes[0].selected, s.nodes[1].selected = false, true
+		s.setModel("m2")
+		s.waitFor("orders of the next controller", s.converged)
+		if s.engines["t0"].refused > 0 {
+			t.Errorf("%d refused", s.engines["t0"].refused)
 		}
 	})
 }
 
 func TestParallelAndInterval(t *testing.T) {
-	both(t, 4, 1, func(t *testing.T, w *world) {
-		w.orders.Parallel = 2
-		for _, e := range w.engines {
-			e.slow = 3 * time.Second
+	runBothModes(t, 4, 1, func(t *testing.T, s *simulation) {
+		s.orders.Parallel = 2
+		for _, e := range s.engines {
+			e.loadTime = 3 * time.Second
 		}
-		w.until("desired state", w.settled)
-		if w.maxLoad != 2 {
-			t.Errorf("%d at once, want 2", w.maxLoad)
+		s.waitFor("desired state", s.converged)
+		if s.maxLoading != 2 {
+			t.Errorf("%d at once, want 2", s.maxLoading)
 		}
-		w.loads, w.orders.Interval = nil, 20*time.Second
-		w.want("m2")
-		w.until("desired state", w.settled)
-		for i := 1; i < len(w.loads); i++ {
-			if w.loads[i].Sub(w.loads[i-1]) < w.orders.Interval {
-				t.Errorf("loads at %v", w.loads)
+		s.loadTimes, s.orders.Interval = nil, 20*time.Second
+		s.setModel("m2")
+		s.waitFor("desired state", s.converged)
+		for i := 1; i < len(s.loadTimes); i++ {
+			if s.loadTimes[i].Sub(s.loadTimes[i-1]) < s.orders.Interval {
+				t.Errorf("loads at %v", s.loadTimes)
 			}
 		}
 	})
 }
 
-func TestSilentAndLeavingTargets(t *testing.T) {
-	both(t, 3, 1, func(t *testing.T, w *world) {
-		silent, leaving := w.engines["t0"], w.engines["t1"]
-		w.orders.Parallel, w.leaving["t1"] = 1, true
-		w.until("an order at the adapter", func() bool {
-			silent.silent = silent.silent || len(w.nodes[0].outbox) > 0
-			return silent.silent
+func TestUnresponsiveAndLeavingTargets(t *testing.T) {
+	runBothModes(t, 3, 1, func(t *testing.T, s *simulation) {
+		unresponsive, leaving := s.engines["t0"], s.engines["t1"]
+		s.orders.Parallel, s.leaving["t1"] = 1, true
+		s.waitFor("an order at the adapter", func() bool {
+			unresponsive.unresponsive = unresponsive.unresponsive || len(s.nodes[0].outbox) > 0
+			return unresponsive.unresponsive
 		})
-		w.until("the third target's state", func() bool { return w.engines["t2"].state.Model == "m1" })
-		silent.silent = false
-		w.until("the state of the target that answers again", func() bool { return silent.state.Model == "m1" })
+		s.waitFor("the third target's state", func() bool { return s.engines["t2"].state.Model == "m1" })
+		unresponsive.unresponsive = false
+		s.waitFor("the state of the target that answers again", func() bool { return unresponsive.state.Model == "m1" })
 		if len(leaving.applied) > 0 {
 			t.Errorf("leaving: %+v", leaving.applied)
 		}
@@ -196,80 +196,80 @@
 }
 
 // A service's setting alone does not make a target one that checks.
-func TestTargetThatSaysItDoesNotCheckGetsALease(t *testing.T) {
-	w := newWorld(t, true, 1, 1)
-	w.engines["t0"].state.ChecksFencing = false
-	w.run(leaseDuration)
-	if len(w.engines["t0"].applied) > 0 {
+func TestTargetWithoutFencingNeedsLease(t *testing.T) {
+	s := newSimulation(t, true, 1, 1)
+	s.engines["t0"].state.ChecksFencing = false
+	s.run(leaseDuration)
+	if len(s.engines["t0"].applied) > 0 {
 		t.Error("order before the predecessor's lease has ended")
 	}
-	w.until("desired state", w.settled)
+	s.waitFor("desired state", s.converged)
 }
 
 // The controller that is cut off sends its last orders at the end of its lease,
 // and they are long on their way; the next one's first orders come after them.
 // The last order is decided on at each moment before the end.
-func TestOrdersAtTheEndOfALease(t *testing.T) {
+func TestOrdersAtLeaseExpiry(t *testing.T) {
 	for phase := range 2 * int(time.Second/step) {
-		w := newWorld(t, false, 1, 2)
-		old, next := w.nodes[0], w.nodes[1]
-		w.until("desired state", w.settled)
-		w.run(time.Minute)
-		w.want("a")
-		w.run(step)
-		next.chosen = true
-		w.until("a lease", func() bool { return old.c.pools[0].lease.until.After(old.now()) })
-		old.cut = true
-		w.until("the end of the lease", func() bool {
-			return old.c.pools[0].lease.until.Sub(old.now()) <= old.c.cfg.SendWindow+time.Duration(phase-10)*step
+		s := newSimulation(t, false, 1, 2)
+		old, next := s.nodes[0], s.nodes[1]
+		s.waitFor("desired state", s.converged)
+		s.run(time.Minute)
+		s.setModel("a")
+		s.run(step)
+		next.selected = true
+		s.waitFor("a lease", func() bool { return old.controller.pools[0].lease.validUntil.After(old.now()) })
+		old.partitioned = true
+		s.waitFor("the end of the lease", func() bool {
+			return old.controller.pools[0].lease.validUntil.Sub(old.now()) <= old.controller.cfg.SendWindow+time.Duration(phase-10)*step
 		})
 		// The margin and half of the second that claim and lease took here.
-		old.flight, old.last = 2500*time.Millisecond, true
+		old.sendDelay, old.sendAtLimit = 2500*time.Millisecond, true
 		for i := range 50 {
-			w.want(fmt.Sprint("b", i))
-			w.run(step)
+			s.setModel(fmt.Sprint("b", i))
+			s.run(step)
 		}
-		if err := w.checkEpochs(); err != nil {
-			t.Fatal(err, w.engines["t0"].applied)
+		if err := s.checkEpochOrder(); err != nil {
+			t.Fatal(err, s.engines["t0"].applied)
 		}
 	}
 }
 
 // A lease record that is read late does not make the lease longer.
-func TestLeaseReadLate(t *testing.T) {
-	w := newWorld(t, false, 1, 2)
-	old, next := w.nodes[0], w.nodes[1]
-	w.until("desired state", w.settled)
-	w.run(time.Minute)
-	count := len(w.records)
-	w.want("m2")
-	w.until("a lease record that is read but not counted", func() bool { return len(w.records) > count })
-	old.cut, old.paused, next.chosen = true, true, true
-	w.until("the next controller's orders", w.settled)
+func TestLateReadDoesNotExtendLease(t *testing.T) {
+	s := newSimulation(t, false, 1, 2)
+	old, next := s.nodes[0], s.nodes[1]
+	s.waitFor("desired state", s.converged)
+	s.run(time.Minute)
+	count := len(s.records)
+	s.setModel("m2")
+	s.waitFor("a lease record that is read but not counted", func() bool { return len(s.records) > count })
+	old.partitioned, old.paused, next.selected = true, true, true
+	s.waitFor("the next controller's orders", s.converged)
 	old.paused = false
-	w.want("m3")
-	w.run(time.Second)
-	if err := w.checkEpochs(); err != nil {
+	s.setModel("m3")
+	s.run(time.Second)
+	if err := s.checkEpochOrder(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A controller that misses records no longer knows that it is one. A late answer
 // to a former command means nothing.
-func TestMissedRecordsAndLateAnswers(t *testing.T) {
-	w := newWorld(t, true, 1, 1)
-	n := w.nodes[0]
-	w.until("desired state", w.settled)
+func TestMissedRecordsAndLateReplies(t *testing.T) {
+	s := newSimulation(t, true, 1, 1)
+	n := s.nodes[0]
+	s.waitFor("desired state", s.converged)
 	n.inbox = append(n.inbox, structs.OrderSent{ID: 1 << 40, Target: "t0", Result: structs.OrderFenced})
-	w.run(step)
-	if !n.holds() {
+	s.run(step)
+	if !n.isController() {
 		t.Error("control ended by the answer to a former order")
 	}
-	next := uint64(len(w.records))
+	next := uint64(len(s.records))
 	n.inbox = append(n.inbox, structs.LogRead{Stream: n.stream(), From: next + 1, Next: next + 1, End: next + 1})
-	w.run(step)
-	if n.holds() {
+	s.run(step)
+	if n.isController() {
 		t.Error("control goes on without the missed records")
 	}
-	w.until("control again", n.holds)
+	s.waitFor("control again", n.isController)
 }
--- a/internal/orders/pool.go
+++ b/internal/orders/pool.go
@@ -32,12 +32,12 @@
 	// since is when the phase began.
 	since time.Time
 
-	reader reader
-	claim  claim
-	lease  lease
-	// quietUntil is when a superseded instance may read and claim again.
-	quietUntil time.Time
-	// lastLoad is when the last order to load was sent; see mayLoad.
+	streamState streamState
+	claim       claim
+	lease       lease
+	// backoffUntil is when a superseded instance may read and claim again.
+	backoffUntil time.Time
+	// lastLoad is when the last order to load was sent; see canLoad.
 	lastLoad time.Time
 	// targets are those that do not leave, in order of id.
 	targets []*target
@@ -47,12 +47,12 @@
 // newPool makes the row and begins to read its stream.
 func newPool(c *Controller, id structs.PoolID) *pool {
 	p := &pool{c: c, id: id, stream: id.Stream()}
-	p.restart("")
+	p.resync("")
 	return p
 }
 
-// enter changes the phase.
-func (p *pool) enter(next phase) { p.phase, p.since = next, p.c.now }
+// setPhase changes the phase.
+func (p *pool) setPhase(next phase) { p.phase, p.since = next, p.c.now }
 
 // stop ends the control: the row is dropped. Orders on their way are bounded by
 // the time that they carry.
@@ -79,12 +79,12 @@
 		if info.Leaving {
 			continue
 		}
-		targets = append(targets, p.targetRow(info))
+		targets = append(targets, p.targetFor(info))
 	}
 	p.targets = targets
 }
 
-func (p *pool) targetRow(info structs.Target) *target {
+func (p *pool) targetFor(info structs.Target) *target {
 	for _, t := range p.targets {
 		if t.info.ID == info.ID && t.info.Address == info.Address {
 			t.info = info
@@ -98,27 +98,27 @@
 func (p *pool) advance() {
 	switch p.phase {
 	case phaseSuperseded:
-		if p.c.reached(p.quietUntil) {
-			p.restart(p.err)
+		if p.c.due(p.backoffUntil) {
+			p.resync(p.err)
 		}
 	case phaseClaiming:
-		p.repeatClaim()
+		p.appendClaim()
 	case phaseHolding:
 		for _, t := range p.targets {
 			t.advance()
 		}
-		p.giveOrders()
+		p.sendOrders()
 	}
 }
 
-// supersede ends the control of this instance for a while.
-func (p *pool) supersede(why string) {
-	p.err = why
-	p.enter(phaseSuperseded)
-	p.quietUntil = p.c.now.Add(supersededQuiet)
+// stepDown ends the control of this instance for a while.
+func (p *pool) stepDown(reason string) {
+	p.err = reason
+	p.setPhase(phaseSuperseded)
+	p.backoffUntil = p.c.now.Add(supersededBackoff)
 	p.claim, p.lease = claim{}, lease{}
 	for _, t := range p.targets {
-		t.forget()
+		t.reset()
 	}
 	p.c.emit(structs.LogStop{Stream: p.stream})
 }
--- a/internal/orders/random_test.go
+++ b/internal/orders/random_test.go
@@ -28,65 +28,65 @@
 }
 
 func runSchedule(t *testing.T, seed uint64, checks bool) error {
-	w := newWorld(t, checks, 3, 3)
-	w.rand = rand.New(rand.NewPCG(seed, 0))
-	w.append = func() (time.Duration, bool) {
+	s := newSimulation(t, checks, 3, 3)
+	s.rand = rand.New(rand.NewPCG(seed, 0))
+	s.append = func() (time.Duration, bool) {
 		late := time.Duration(0)
-		if w.rand.IntN(5) == 0 {
-			late = w.some(4 * time.Second)
+		if s.rand.IntN(5) == 0 {
+			late = s.randomDuration(4 * time.Second)
 		}
-		return late, w.rand.IntN(4) == 0
+		return late, s.rand.IntN(4) == 0
 	}
 	for range 300 {
-		w.fault()
-		w.run(time.Second)
-		if err := w.checkEpochs(); err != nil {
+		s.injectFault()
+		s.run(time.Second)
+		if err := s.checkEpochOrder(); err != nil {
 			return err
 		}
 	}
-	w.run(time.Minute)
-	for i, n := range w.nodes {
-		n.chosen = i == 0
+	s.run(time.Minute)
+	for i, n := range s.nodes {
+		n.selected = i == 0
 	}
-	w.run(3 * time.Minute)
-	if !w.settled() {
-		return fmt.Errorf("not settled: %+v", w.nodes[0].c.Dump())
+	s.run(3 * time.Minute)
+	if !s.converged() {
+		return fmt.Errorf("not settled: %+v", s.nodes[0].controller.Dump())
 	}
-	return w.checkEpochs()
+	return s.checkEpochOrder()
 }
 
-func (w *world) some(most time.Duration) time.Duration {
-	return time.Duration(w.rand.Int64N(int64(most)))
+func (s *simulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rand.Int64N(int64(limit)))
 }
 
-// fault brings about one fault, or none.
-func (w *world) fault() {
-	n := w.nodes[w.rand.IntN(len(w.nodes))]
-	n.flight, n.last = w.some(time.Second), w.rand.IntN(2) == 0
-	switch w.rand.IntN(12) {
+// injectFault brings about one fault, or none.
+func (s *simulation) injectFault() {
+	n := s.nodes[s.rand.IntN(len(s.nodes))]
+	n.sendDelay, n.sendAtLimit = s.randomDuration(time.Second), s.rand.IntN(2) == 0
+	switch s.rand.IntN(12) {
 	case 0, 1:
 		n.paused = true
-		w.after(w.some(40*time.Second), func() { n.paused = false })
+		s.schedule(s.randomDuration(40*time.Second), func() { n.paused = false })
 	case 2:
 		n.start()
 	case 3:
-		w.logDown = true
-		w.after(w.some(30*time.Second), func() { w.logDown = false })
+		s.logDown = true
+		s.schedule(s.randomDuration(30*time.Second), func() { s.logDown = false })
 	case 4:
-		n.cut = true
-		w.after(w.some(40*time.Second), func() { n.cut = false })
+		n.partitioned = true
+		s.schedule(s.randomDuration(40*time.Second), func() { n.partitioned = false })
 	case 5, 6:
-		n.chosen = !n.chosen
+		n.selected = !n.selected
 	case 7:
-		e := w.engines["t0"]
-		e.silent = true
-		w.after(w.some(20*time.Second), func() { e.silent = false })
+		e := s.engines["t0"]
+		e.unresponsive = true
+		s.schedule(s.randomDuration(20*time.Second), func() { e.unresponsive = false })
 	case 8:
-		e := w.engines["t1"]
-		e.state = wire.OrderState{ChecksFencing: w.checks, Fencing: e.state.Fencing}
+		e := s.engines["t1"]
+		e.state = wire.OrderState{ChecksFencing: s.checksFencing, Fencing: e.state.Fencing}
 	case 9:
-		w.first = uint64(len(w.records))
+		s.firstOffset = uint64(len(s.records))
 	default:
-		w.want(fmt.Sprint("m", w.rand.IntN(5)))
+		s.setModel(fmt.Sprint("m", s.rand.IntN(5)))
 	}
 }
--- a/internal/orders/record.go
+++ b/internal/orders/record.go
@@ -12,9 +12,9 @@
 // recordVersion is the first byte of every record of a pool's stream.
 const recordVersion = 1
 
-// ErrRecord is the error of a record that cannot be decoded. Readers skip and
+// ErrMalformedRecord is the error of a record that cannot be decoded. Readers skip and
 // count such records.
-var ErrRecord = errors.New("malformed pool record")
+var ErrMalformedRecord = errors.New("malformed pool record")
 
 // recordKind tags a record. Numbers are part of the format.
 type recordKind uint8
@@ -58,21 +58,21 @@
 	return append([]byte{recordVersion}, body...)
 }
 
-// decodeRecord reads the record at an offset. It returns ErrRecord for anything
+// decodeRecord reads the record at an offset. It returns ErrMalformedRecord for anything
 // else.
 func decodeRecord(offset uint64, data []byte) (record, error) {
 	if len(data) == 0 || data[0] != recordVersion {
-		return record{}, ErrRecord
+		return record{}, ErrMalformedRecord
 	}
 	var r record
 	if err := codec.NewDecoderBytes(data[1:], handle).Decode(&r); err != nil {
-		return record{}, errors.Mark(err, ErrRecord)
+		return record{}, errors.Mark(err, ErrMalformedRecord)
 	}
-	known := r.Kind == kindClaim || r.Kind == kindLease
+	knownKind := r.Kind == kindClaim || r.Kind == kindLease
 	// An epoch is at most the offset plus one: so every later claim is above
 	// every earlier one, even if the log has dropped the earlier one.
-	if !known || uint64(r.Epoch) > offset+1 || r.Lease < 0 || r.Lease > maxLease {
-		return record{}, ErrRecord
+	if !knownKind || uint64(r.Epoch) > offset+1 || r.Lease < 0 || r.Lease > maxLease {
+		return record{}, ErrMalformedRecord
 	}
 	return r, nil
 }
--- a/internal/orders/target.go
+++ b/internal/orders/target.go
@@ -12,24 +12,24 @@
 	c    *Controller
 	info structs.Target
 	// state is the state last read; it is known if that read succeeded.
-	state wire.OrderState
-	known bool
+	state      wire.OrderState
+	stateKnown bool
 	// readAt is when the state is to be read again.
 	readAt time.Time
-	// asked is the command under way, 0 if none, which is given up at
-	// answerBy.
-	asked    structs.OrderID
-	answerBy time.Time
+	// pendingID is the command under way, 0 if none, which is given up at
+	// replyDeadline.
+	pendingID     structs.OrderID
+	replyDeadline time.Time
 	// order is the order sent and not read back yet, nil if none.
-	order *sentOrder
+	order *pendingOrder
 	// failures counts failures in a row; no order is sent before retryAt.
 	failures int
 	retryAt  time.Time
 	err      string
 }
 
-// sentOrder is an order on its way into force.
-type sentOrder struct {
+// pendingOrder is an order on its way into force.
+type pendingOrder struct {
 	wire.Order
 	sentAt time.Time
 }
@@ -38,66 +38,66 @@
 
 // advance reads the state when that is due.
 func (t *target) advance() {
-	if t.asked != 0 {
-		if !t.c.reached(t.answerBy) {
+	if t.pendingID != 0 {
+		if !t.c.due(t.replyDeadline) {
 			return
 		}
-		t.asked = 0
-		t.failed("no answer")
+		t.pendingID = 0
+		t.recordFailure("no answer")
 	}
-	if !t.c.reached(t.readAt) {
+	if !t.c.due(t.readAt) {
 		return
 	}
-	t.ask()
-	t.c.emit(structs.ReadOrders{ID: t.asked, Target: t.info})
+	t.startCommand()
+	t.c.emit(structs.ReadOrders{ID: t.pendingID, Target: t.info})
 }
 
-// ask begins a command. One is under way at a time, and the answer to a former
+// startCommand begins a command. One is under way at a time, and the answer to a former
 // one is not taken for its.
-func (t *target) ask() {
-	t.asked = t.c.newOrderID()
-	t.answerBy = t.c.now.Add(answerTimeout)
-	t.c.wakeBy(t.answerBy)
+func (t *target) startCommand() {
+	t.pendingID = t.c.newOrderID()
+	t.replyDeadline = t.c.now.Add(replyTimeout)
+	t.c.scheduleWake(t.replyDeadline)
 }
 
-// readNow has the state read at once, or after the command under way.
-func (t *target) readNow() { t.readAt = t.c.now }
+// scheduleRead has the state read at once, or after the command under way.
+func (t *target) scheduleRead() { t.readAt = t.c.now }
 
-// forget drops what is under way when control ends. A late answer is ignored.
-func (t *target) forget() {
-	t.asked, t.order, t.known = 0, nil, false
-	t.readNow()
+// reset drops what is under way when control ends. A late answer is ignored.
+func (t *target) reset() {
+	t.pendingID, t.order, t.stateKnown = 0, nil, false
+	t.scheduleRead()
 }
 
 // desiredChanged gives up waiting for an order that may be outdated; one that
 // is being sent is awaited. The state last read is compared at once.
 func (t *target) desiredChanged() {
-	if t.asked == 0 {
+	if t.pendingID == 0 {
 		t.order = nil
 	}
 }
 
-// failed notes a failure; the next order has to wait.
-func (t *target) failed(why string) {
-	t.order, t.known = nil, false
+// recordFailure notes a failure; the next order has to wait.
+func (t *target) recordFailure(reason string) {
+	t.order, t.stateKnown = nil, false
 	t.failures++
-	t.err = clip(why)
-	wait := backoff(retryFirst, retryMax, t.failures)
+	t.err = truncate(reason)
+	wait := backoff(minRetryDelay, maxRetryDelay, t.failures)
 	t.retryAt = t.c.now.Add(wait)
 	t.readAt = t.retryAt
 }
 
-// stateRead takes in the target's state.
-func (t *target) stateRead(ev structs.OrdersRead) {
-	if ev.ID != t.asked {
+// handleState takes in the target's state.
+func (t *target) handleState(ev structs.OrdersRead) {
+	if ev.ID != t.pendingID {
 		return
 	}
-	t.asked = 0
+	t.pendingID = 0
 	if !ev.Reached {
-		t.failed(ev.Detail)
+		t.recordFailure(ev.Detail)
 		return
 	}
-	t.state, t.known = ev.State, true
+	t.state, t.stateKnown = ev.State, true
 	t.readAt = t.c.now.Add(readInterval)
 	if t.order != nil {
 		t.verify()
@@ -108,11 +108,11 @@
 // accepted but is not in force is waited for, as a load takes its time.
 func (t *target) verify() {
 	switch {
-	case valueOf(t.state, t.order.Kind) == t.order.Value:
+	case actualValue(t.state, t.order.Kind) == t.order.Value:
 		t.order = nil
 		t.failures, t.err = 0, ""
-	case t.c.now.Sub(t.order.sentAt) >= verifyPatience:
-		t.failed("order " + t.order.Kind + " was accepted but is not in force")
+	case t.c.now.Sub(t.order.sentAt) >= verifyTimeout:
+		t.recordFailure("order " + t.order.Kind + " was accepted but is not in force")
 	default:
 		t.readAt = t.c.now.Add(verifyInterval)
 	}
@@ -120,21 +120,21 @@
 
 // send sends an order.
 func (t *target) send(order wire.Order) {
-	t.ask()
-	t.order = &sentOrder{Order: order, sentAt: t.c.now}
+	t.startCommand()
+	t.order = &pendingOrder{Order: order, sentAt: t.c.now}
 	t.c.emit(structs.SendOrder{
-		ID: t.asked, Target: t.info, Order: order,
+		ID: t.pendingID, Target: t.info, Order: order,
 		NotAfter: t.c.now.Add(t.c.cfg.SendWindow),
 	})
 }
 
-// sent takes in the answer to an order that was not refused for its epoch. What
+// handleReply takes in the answer to an order that was not refused for its epoch. What
 // became of the order is then read back.
-func (t *target) sent(ev structs.OrderSent) {
-	t.asked = 0
+func (t *target) handleReply(ev structs.OrderSent) {
+	t.pendingID = 0
 	if ev.Result != structs.OrderAccepted {
-		t.failed(ev.Detail)
+		t.recordFailure(ev.Detail)
 		return
 	}
-	t.readNow()
+	t.scheduleRead()
 }
