--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,11 +9,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// newLoadedFixture gives a dispatcher of ten full targets with so many waiting calls.
+// newLoadedFixture returns a dispatcher with ten full targets and the given
+// number of waiting calls.
 func newLoadedFixture(b *testing.B, waiting int) (*fixture, []*structs.PermitRequest) {
 	f := newFixture(b, 10, 16)
 	f.settings.service.QueueLimit, f.settings.policy.MaxQueued = 1<<20, 1<<20
-	f.settings.service.Timeout = 1000 * time.Hour // no permit is taken back
+	f.settings.service.Timeout = 1000 * time.Hour // no permit is revoked
 	running := make([]*structs.PermitRequest, 0, 160)
 	for i := range 160 + waiting {
 		m := request(fmt.Sprint("load", i), withPrompt(4000), func(m *structs.PermitRequest) {
@@ -31,8 +32,8 @@
 	return f, running
 }
 
-// BenchmarkTick is one tick in which one run ends, one call starts, and one
-// more comes to wait.
+// BenchmarkTick measures a tick in which one run ends, one call starts and one
+// call is queued.
 func BenchmarkTick(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory of one waiting call and its program.
+// BenchmarkMemory measures the memory of a waiting call and its program.
 func BenchmarkMemory(b *testing.B) {
 	const waiting = 10_000
 	for b.Loop() {
--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -9,28 +9,30 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// cacheIndex is what a target's prefix cache holds as far as is known: own
-// placements, corrected by cache events and by the usage of finished runs. It
-// evicts as engines do, the least recently used first.
+// cacheIndex is the dispatcher's view of a target's prefix cache. It is built
+// from placements and corrected by cache events and the usage reported by
+// finished runs. Like an engine, it evicts the least recently used entries
+// first.
 type cacheIndex struct {
 	capacity int64
 	used     int64
 	entries  map[string]*list.Element
-	// lru lists the entries, the most recently used first.
+	// lru holds the entries, most recently used first.
 	lru list.List
-	// nextSequence is the lowest sequence number of an event not yet seen.
+	// nextSequence is the lowest event sequence number not processed yet.
 	nextSequence uint64
 }
 
-// cacheEntry is a cached prefix under a key: a program, or a prefix that
-// programs share. Tokens of a program are those behind the shared prefix.
+// cacheEntry is a cached prefix. Its key names a program, or a prefix shared by
+// several programs. The tokens of a program exclude the shared prefix.
 type cacheEntry struct {
 	key    string
 	shared bool
 	tokens int64
-	// running counts the runs that use the entry.
+	// running is the number of runs that use the entry; it is not evicted while
+	// above 0.
 	running int
-	// touchedAt is the time of the last use or own update.
+	// touchedAt is when the dispatcher last used or updated the entry.
 	touchedAt time.Time
 	team      structs.Team
 }
@@ -53,8 +55,9 @@
 	return 0
 }
 
-// cachedTokens is the part of a request's prompt that the target holds. A program's
-// own prefix counts only behind its whole shared prefix.
+// cachedTokens returns how many tokens of a request's prompt the target has
+// cached. A program's own prefix counts only if the whole shared prefix is
+// cached.
 func (r *cacheIndex) cachedTokens(m *structs.PermitRequest) int64 {
 	shared := min(r.tokens(m.SharedKey), m.SharedTokens)
 	if shared < m.SharedTokens {
@@ -63,7 +66,8 @@
 	return min(shared+r.tokens(string(m.Ref.Program)), m.PromptTokens)
 }
 
-// touch finds or makes an entry and makes it the most recently used.
+// touch returns the entry of a key as the most recently used, creating it if
+// needed.
 func (r *cacheIndex) touch(now time.Time, key string) *cacheEntry {
 	element, ok := r.entries[key]
 	if !ok {
@@ -76,7 +80,8 @@
 	return entry
 }
 
-// setTokens changes the tokens of an entry and evicts others as the target would.
+// setTokens updates the tokens of an entry and evicts other entries while the
+// cache exceeds its capacity.
 func (r *cacheIndex) setTokens(entry *cacheEntry, tokens int64) {
 	r.used += tokens - entry.tokens
 	entry.tokens = tokens
@@ -90,8 +95,8 @@
 	}
 }
 
-// shrink lowers the tokens of an entry and forgets it at 0 once no run uses
-// it.
+// shrink lowers the tokens of an entry and removes the entry once it is empty
+// and unused.
 func (r *cacheIndex) shrink(entry *cacheEntry, tokens int64) {
 	r.used += tokens - entry.tokens
 	entry.tokens = tokens
@@ -101,15 +106,16 @@
 	}
 }
 
-// release empties an entry that the target is told to release. The entry is kept
-// for a while, so that late events of what it held do not bring it back.
+// release empties an entry whose release is requested from the target. The
+// empty entry stays until prune removes it, so that a delayed event does not
+// restore it.
 func (r *cacheIndex) release(now time.Time, key string) {
 	entry := r.touch(now, key)
 	r.used -= entry.tokens
 	entry.tokens = 0
 }
 
-// prune forgets empty entries once no late event can be about them.
+// prune removes empty entries that no delayed event can refer to.
 func (r *cacheIndex) prune(now time.Time) {
 	for element := r.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
@@ -120,7 +126,7 @@
 	}
 }
 
-// clear empties the record of a target that has lost its cache.
+// clear removes the entries of a target that has lost its cache.
 func (r *cacheIndex) clear() {
 	for element := r.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
@@ -129,7 +135,7 @@
 	}
 }
 
-// utilization is the share of the capacity in use.
+// utilization returns the used fraction of the capacity.
 func (r *cacheIndex) utilization() float64 {
 	if r.capacity <= 0 {
 		return 1
@@ -137,12 +143,12 @@
 	return float64(r.used) / float64(r.capacity)
 }
 
-// maxEventLag is the age up to which a cache event may contradict what a run has
-// shown since; such an event is old news.
+// maxEventLag is the maximum delay of cache events. An event for an entry that
+// was touched more recently may be stale and is ignored.
 const maxEventLag = time.Second
 
-// applyEvent takes a cache event into account. Events seen before are skipped, as
-// are those that a later own update overrules.
+// applyEvent updates the index by a cache event. Duplicates and possibly stale
+// events are skipped. describe fills in an entry that the event creates.
 func (r *cacheIndex) applyEvent(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
 	if event.Sequence < r.nextSequence {
 		return
@@ -166,8 +172,8 @@
 	}
 }
 
-// victims lists what a placement that stores need more tokens evicts, in
-// order.
+// victims returns, in eviction order, the entries that storing need more tokens
+// evicts, and the number of tokens to evict.
 func (r *cacheIndex) victims(need int64, returnProbability func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
 	need -= r.capacity - r.used
 	var victims []policy.CacheEntry
--- a/internal/dispatch/cache_test.go
+++ b/internal/dispatch/cache_test.go
@@ -16,7 +16,7 @@
 	return func(m *structs.PermitRequest) { m.Ref.Program = id }
 }
 
-// runAt runs a call of a program to its end and gives its target.
+// runAt runs a call of a program to completion and returns its target.
 func (f *fixture) runAt(run string, program structs.ProgramID, prompt int64) structs.TargetID {
 	f.t.Helper()
 	m := request(run, withProgram(program), withPrompt(prompt))
@@ -47,10 +47,10 @@
 	}{
 		{"no event", 0, nil, 1010},
 		{"evicted long after the run", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 0},
-		{"evicted in part", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 500)}, 500},
-		{"late event of before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 1010},
-		{"late store of before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, stored, "p", 10)}, 1010},
-		{"repeated eviction behind a store", 2 * time.Second, []wire.CacheEvent{
+		{"partly evicted", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 500)}, 500},
+		{"delayed eviction from before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 1010},
+		{"delayed store from before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, stored, "p", 10)}, 1010},
+		{"duplicate eviction after a store", 2 * time.Second, []wire.CacheEvent{
 			cacheEvent(1, evicted, "p", 0), cacheEvent(2, stored, "p", 700), cacheEvent(1, evicted, "p", 0),
 		}, 700},
 		{"other program", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "q", 0)}, 1010},
@@ -61,14 +61,14 @@
 			target := f.runAt("1", "p", 1000)
 			f.tickAfter(test.wait, structs.TargetCache{Target: target, Events: test.events})
 			if got := f.held(target, "p"); got != test.want {
-				t.Fatalf("recorded %d tokens, want %d", got, test.want)
+				t.Fatalf("%d tokens in the index, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// A stored event that arrives after the release must not bring the entry
-// back: such entries were never released again and crowded out real ones.
+// A stored event that arrives after the release must not restore the entry: the
+// entry would never be released again.
 func TestLateStoreAfterReleaseIsIgnored(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	first := f.runAt("1", "p", 1000)
@@ -78,16 +78,16 @@
 	second := grants(f.send(m))["2"]
 	f.now = f.now.Add(200 * time.Millisecond)
 	if released := releases(f.send(finish(m, second))); len(released) != 1 || released[0].Target.ID != first {
-		t.Fatalf("releases %v, want the copy at %s", released, first)
+		t.Fatalf("releases = %v, want the copy at %s", released, first)
 	}
 	stored := cacheEvent(1, wire.CacheStored, "p", 1010)
 	f.tickAfter(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
 	if got := f.held(first, "p"); got != 0 {
-		t.Fatalf("recorded %d tokens of a released program, want 0", got)
+		t.Fatalf("%d tokens of a released program in the index, want 0", got)
 	}
 }
 
-// A program that only a cache event told of is let go like any other.
+// A program known only from cache events is released like any other.
 func TestCacheSeenOnlyInEventsIsReleasedAtProgramEnd(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.runAt("1", "p", 1000)
@@ -95,7 +95,7 @@
 	f.tickAfter(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
 	released := releases(f.send(&structs.ProgramGone{Pool: testPool, Program: "q"}))
 	if len(released) != 1 || released[0].Program != "q" {
-		t.Fatalf("releases %v, want q", released)
+		t.Fatalf("releases = %v, want program q", released)
 	}
 }
 
@@ -105,7 +105,7 @@
 	for run := 2; run < 5; run++ {
 		f.now = f.now.Add(time.Second)
 		if target := f.runAt(string(rune('0'+run)), "p", 8000); target != first {
-			t.Fatalf("run %d went to %s, the prefix is at %s", run, target, first)
+			t.Fatalf("run %d was placed at %s, want %s, which has the prefix cached", run, target, first)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 		sent += len(releases(f.tickAfter(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
 	}
 	if sent < 3 {
-		t.Fatalf("sent %d times without a confirmation, want more", sent)
+		t.Fatalf("release sent %d times without confirmation, want at least 3", sent)
 	}
 	f.tick(structs.CacheReleased{Target: target, Program: "p", Done: true})
 	if resent := releases(f.tickAfter(time.Minute)); len(resent) != 0 {
-		t.Fatalf("sent again after the confirmation: %v", resent)
+		t.Fatalf("release sent again after the confirmation: %v", resent)
 	}
 }
 
@@ -133,12 +133,12 @@
 		f.tickAfter(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
 	}
 	if got := f.held(target, "p"); got != 0 {
-		t.Fatalf("recorded %d tokens at a target that reports none", got)
+		t.Fatalf("%d tokens in the index of a target that reports an empty cache, want 0", got)
 	}
 }
 
-// Letting go of several entries at once must end: a released entry stays in
-// the record for a while and must not be let go again.
+// A released entry stays in the index for a while and must not be released
+// again.
 func TestReleasesManyEntriesOnce(t *testing.T) {
 	f := newFixture(t, 1, 8)
 	var runs []*structs.PermitRequest
@@ -154,6 +154,6 @@
 	}
 	f.now = f.now.Add(time.Second)
 	if released := releases(f.send(ends...)); len(released) != len(runs) {
-		t.Fatalf("%d releases, want %d", len(released), len(runs))
+		t.Fatalf("got %d releases, want %d", len(released), len(runs))
 	}
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -12,25 +12,26 @@
 type call struct {
 	pool  *pool
 	owner structs.InstanceID
-	// request is the last one received.
+	// request is the latest request received for the call.
 	request *structs.PermitRequest
 	order   policy.Call
 	class   int
+	// key orders the calls of a class, lowest first.
 	key     time.Duration
 	arrived time.Time
-	// deadline is when the call must have ended, zero for none.
+	// deadline is when the call must have ended, zero if it has no deadline.
 	deadline time.Time
-	// ownerDown is set since the owner was reported dead.
+	// ownerDown is set while the owner is reported down.
 	ownerDown bool
 
 	// target is where the call holds a permit, nil while it waits.
 	target *target
-	// prefill is the estimated own prefill time and queued the prefill that
-	// was ahead of it.
+	// prefill is the estimated time to prefill this call's prompt; prefillAhead
+	// is the prefill queued at the target when the permit was granted.
 	prefill, prefillAhead time.Duration
 
-	// timerAt is the call's next timer: its deadline, the drop after its
-	// owner's death, or the end of a permit that nobody returned.
+	// timerAt is when the call expires: its latest start, the owner-down
+	// timeout, or the end of a permit that was never returned.
 	timerAt    time.Time
 	timerIndex int
 }
@@ -41,10 +42,10 @@
 
 func (c *call) program() structs.ProgramID { return c.request.Ref.Program }
 
-// noTimer is the index of a call without a timer.
+// noTimer is the timerIndex of a call that is not in the heap.
 const noTimer = -1
 
-// timerHeap orders calls by their timers.
+// timerHeap orders calls by expiry.
 type timerHeap []*call
 
 // Len implements heap.Interface.
@@ -81,7 +82,7 @@
 	return c
 }
 
-// setTimer moves a call's timer; the zero time removes it.
+// setTimer reschedules a call's timer; the zero time removes it.
 func (d *Dispatcher) setTimer(c *call, at time.Time) {
 	if c.timerIndex != noTimer {
 		heap.Remove(&d.timers, c.timerIndex)
@@ -92,15 +93,15 @@
 	}
 }
 
-// endedRuns remembers the last runs that ended, so that a late duplicate of
-// their request is not queued again.
+// endedRuns holds the most recently ended runs, so that a delayed duplicate of
+// a request is not queued again.
 type endedRuns struct {
 	set  map[structs.RunID]struct{}
 	ring []structs.RunID
 	next int
 }
 
-// maxEndedRuns is the number of ended runs remembered.
+// maxEndedRuns is the capacity of endedRuns.
 const maxEndedRuns = 1024
 
 func newEndedRuns() endedRuns {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -9,27 +9,27 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Dispatcher queues for all pools whose requests reach this instance.
+// Dispatcher queues the calls of all pools whose requests reach this instance.
+// It is not safe for concurrent use.
 type Dispatcher struct {
 	config   structs.InstanceConfig
 	members  structs.Members
 	settings structs.Settings
 
-	// epoch is the time of the first tick; queue keys count from it.
+	// epoch is the time of the first tick; queue keys are relative to it.
 	epoch time.Time
-	// now is the time of the last tick.
-	now time.Time
-	// pools is ordered by id.
+	now   time.Time
+	// pools is sorted by ID.
 	pools   []*pool
 	calls   map[structs.RunID]*call
 	ended   endedRuns
 	timers  timerHeap
 	watched []structs.Target
-	// commands collects the commands of the running tick.
+	// commands are those emitted so far in the current tick.
 	commands []structs.Command
 }
 
-// New returns a dispatcher without any pool.
+// New returns a Dispatcher without pools.
 func New(cfg structs.InstanceConfig, members structs.Members, settings structs.Settings) *Dispatcher {
 	return &Dispatcher{
 		config: cfg, members: members, settings: settings,
@@ -38,7 +38,7 @@
 	}
 }
 
-// Tick takes events into account and gives the commands that follow.
+// Tick processes events and returns the resulting commands.
 func (d *Dispatcher) Tick(now time.Time, events []structs.Event) []structs.Command {
 	if d.epoch.IsZero() {
 		d.epoch = now
@@ -101,7 +101,7 @@
 	d.emit(structs.SendPeer{To: to, Msg: msg})
 }
 
-// Waiting counts the waiting calls of all pools.
+// Waiting returns the number of waiting calls in all pools.
 func (d *Dispatcher) Waiting() int {
 	count := 0
 	for _, p := range d.pools {
@@ -110,7 +110,7 @@
 	return count
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if none is set.
 func (d *Dispatcher) NextWake() time.Time {
 	var next time.Time
 	if len(d.timers) > 0 {
@@ -123,7 +123,7 @@
 	return next
 }
 
-// earliest gives the earlier of two times, where zero is none.
+// earliest returns the earlier of two times; zero means unset.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// poolFor finds or makes a pool.
+// poolFor returns the pool with the given ID, creating it if needed.
 func (d *Dispatcher) poolFor(now time.Time, id structs.PoolID) *pool {
 	i, ok := d.searchPool(id)
 	if ok {
@@ -156,7 +156,8 @@
 	})
 }
 
-// serviceSettings gives the setting of a service, the default if settings lack it.
+// serviceSettings returns the settings of a service, or the defaults if it is
+// not configured.
 func (d *Dispatcher) serviceSettings(name structs.ServiceName) structs.Service {
 	if service, ok := d.settings.Service(name); ok {
 		return service
@@ -172,7 +173,8 @@
 	}
 }
 
-// refreshPools takes over changed settings, and the membership now and then.
+// refreshPools applies changed settings, and refreshes the targets of each pool
+// periodically.
 func (d *Dispatcher) refreshPools(now time.Time) {
 	for _, p := range d.pools {
 		p.setService(d.serviceSettings(p.id.Service))
@@ -182,7 +184,7 @@
 	}
 }
 
-// dropIdlePools forgets pools that this instance need not queue for.
+// dropIdlePools removes idle pools that are assigned to another dispatcher.
 func (d *Dispatcher) dropIdlePools(now time.Time) {
 	d.pools = slices.DeleteFunc(d.pools, func(p *pool) bool {
 		if p.busy() || now.Sub(p.usedAt) < poolIdleTimeout {
@@ -193,7 +195,7 @@
 	})
 }
 
-// watchTargets asks for the load and cache events of the targets of all pools.
+// watchTargets subscribes to the load and cache events of all listed targets.
 func (d *Dispatcher) watchTargets() {
 	if d.watchListCurrent() {
 		return
@@ -205,8 +207,8 @@
 	d.emit(structs.WatchTargets{Targets: slices.Clone(d.watched)})
 }
 
-// watchListCurrent tells whether the targets watched are those present. It runs in
-// each tick and allocates nothing.
+// watchListCurrent reports whether the watched targets are exactly the listed
+// ones. It runs on every tick and does not allocate.
 func (d *Dispatcher) watchListCurrent() bool {
 	n := 0
 	for t := range d.listedTargets() {
@@ -218,7 +220,8 @@
 	return n == len(d.watched)
 }
 
-// listedTargets gives the targets of all pools that are not gone, in order.
+// listedTargets returns the targets of all pools that are still in the
+// membership, in order.
 func (d *Dispatcher) listedTargets() iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		for _, p := range d.pools {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -28,7 +28,7 @@
 	f.send(m)
 	granted := grants(f.send(m))
 	if granted["1"] != "t0" {
-		t.Fatalf("duplicate of a granted request: %v, want the same grant again", granted)
+		t.Fatalf("duplicate of a granted request: granted %v, want the same grant again", granted)
 	}
 	f.send(finish(m, "t0"))
 	if granted := grants(f.send(m)); len(granted) != 0 {
@@ -42,7 +42,7 @@
 	f.members.targets[1].Leaving = true
 	f.tick(structs.MembersListed{})
 	if granted := grants(f.send(request("2"))); len(granted) != 0 {
-		t.Fatalf("granted %v while the free target leaves", granted)
+		t.Fatalf("granted %v, want none: the only free target is leaving", granted)
 	}
 }
 
@@ -61,7 +61,7 @@
 	f.members.targets[0].Leaving = true
 	refused := refusals(f.tick(structs.MembersListed{}))
 	if refused["2"] == nil || refused["2"].Reason != structs.ReasonNoTarget || refused["2"].RetryAfter <= 0 {
-		t.Fatalf("refused %+v, want run 2 for want of a target", refused)
+		t.Fatalf("refused %+v, want run 2 refused with ReasonNoTarget and a RetryAfter delay", refused)
 	}
 }
 
@@ -74,7 +74,7 @@
 	f.send(finish(m, target))
 	f.tick(structs.MembersListed{})
 	if got := len(f.d.findPool(testPool).targets); got != 1 {
-		t.Fatalf("%d targets known, want 1", got)
+		t.Fatalf("got %d targets, want 1", got)
 	}
 }
 
@@ -87,14 +87,14 @@
 		m.Running = "t0"
 	}
 	if granted := grants(f.send(first, second, request("3"))); len(granted) != 0 {
-		t.Fatalf("granted %v although registered runs fill the target", granted)
+		t.Fatalf("granted %v, want none: registered runs occupy all slots", granted)
 	}
 	if granted := grants(f.send(finish(first, "t0"))); granted["3"] != "t0" {
 		t.Fatalf("granted %v, want run 3", granted)
 	}
 }
 
-// An owner may have run a call by another dispatcher's grant.
+// The owner may have run the call under a grant of another dispatcher.
 func TestFinishOfWaitingCallEndsIt(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	first, second := request("1"), request("2")
@@ -102,7 +102,7 @@
 	f.send(second)
 	f.send(finish(second, "t0"))
 	if granted := grants(f.send(finish(first, "t0"))); len(granted) != 0 || f.d.Waiting() != 0 {
-		t.Fatalf("granted %v, %d wait; want none", granted, f.d.Waiting())
+		t.Fatalf("granted %v, %d calls waiting; want none", granted, f.d.Waiting())
 	}
 }
 
@@ -114,7 +114,7 @@
 		m.Hints = []structs.CacheHint{{Target: "t2", Tokens: 8010}}
 	})
 	if granted := grants(f.send(m)); granted["2"] != "t2" {
-		t.Fatalf("granted %v, want the hinted target", granted)
+		t.Fatalf("granted %v, want run 2 at the hinted target t2", granted)
 	}
 }
 
@@ -129,11 +129,11 @@
 		t.Fatalf("refused %v, want only run 2, which was not sent again", refused)
 	}
 	if granted := grants(f.tickAfter(f.settings.service.Timeout)); len(granted) != 0 {
-		t.Fatalf("granted %v while the dead owner's run may go on", granted)
+		t.Fatalf("granted %v, want none: the run of the failed owner may still be in progress", granted)
 	}
 	f.tickAfter(permitGrace)
 	if _, held := f.d.calls["1"]; held {
-		t.Fatal("the permit of a dead owner is held for ever")
+		t.Fatal("the permit of a failed owner is never returned")
 	}
 }
 
@@ -145,13 +145,13 @@
 		refused := refusals(f.tick())
 		if refused["2"] != nil {
 			if waited := f.now.Sub(time.Unix(1000, 0)); waited > time.Second {
-				t.Fatalf("refused after %v", waited)
+				t.Fatalf("refused after %v, want at most 1s", waited)
 			}
 			return
 		}
 		f.now = f.d.NextWake()
 	}
-	t.Fatal("not refused")
+	t.Fatal("call was not refused before its deadline")
 }
 
 func TestQueueLimits(t *testing.T) {
@@ -166,11 +166,11 @@
 	}
 	refused := refusals(f.send(sent...))
 	if f.d.Waiting() != 4 || len(refused) != 4 {
-		t.Fatalf("%d wait and %d are refused, want 4 each", f.d.Waiting(), len(refused))
+		t.Fatalf("%d calls waiting and %d refused, want 4 each", f.d.Waiting(), len(refused))
 	}
 	for run, m := range refused {
 		if m.RetryAfter <= 0 {
-			t.Errorf("refusal of %s does not tell when to come back", run)
+			t.Errorf("refusal of run %s has no RetryAfter delay", run)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	}
 }
 
-// A stream of young programs must not starve an old one of the same class.
+// A stream of new programs must not starve an old program of the same class.
 func TestNoStarvation(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	running := request("r0")
@@ -214,7 +214,7 @@
 		}
 		running = next
 	}
-	t.Fatal("the old program's call waited for 100 s behind young ones")
+	t.Fatal("the call of the old program waited for 100 s behind new programs")
 }
 
 func TestSlowTargetIsEjected(t *testing.T) {
@@ -230,7 +230,7 @@
 		f.send(end)
 	}
 	if state := f.d.findPool(testPool).target("t0").health.State; state != "ejected" {
-		t.Fatalf("a target that takes 600 times as long is %s", state)
+		t.Fatalf("state of a target that is 600 times slower = %s, want ejected", state)
 	}
 }
 
@@ -241,13 +241,13 @@
 		m := request(fmt.Sprint(i), func(m *structs.PermitRequest) { m.Attempt = 1 })
 		for _, r := range refusals(f.send(m)) {
 			if r.RetryAfter <= 0 {
-				t.Fatal("a refused retry is not told when to come back")
+				t.Fatal("refusal of a retry has no RetryAfter delay")
 			}
 			refused++
 		}
 	}
 	if refused < 50 {
-		t.Fatalf("%d of 100 retries without fresh requests refused", refused)
+		t.Fatalf("%d of 100 retries refused, want at least 50", refused)
 	}
 }
 
@@ -259,7 +259,7 @@
 	}
 	dump := f.d.Dump().([]PoolDump)
 	if len(dump) != 1 || len(dump[0].Calls) != 1 || dump[0].Calls[0].Why == "" || dump[0].Calls[0].Place != 1 {
-		t.Fatalf("dump %+v", dump)
+		t.Fatalf("unexpected dump: %+v", dump)
 	}
 }
 
@@ -272,6 +272,6 @@
 		}
 	}
 	if len(watched) != 2 {
-		t.Fatalf("watches %v", watched)
+		t.Fatalf("watched targets = %v, want 2", watched)
 	}
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,8 +1,9 @@
-// Package dispatch queues the calls of pools and grants them places at
+// Package dispatch queues the calls of each pool and grants them permits at
 // targets.
 //
-// A Dispatcher is pure soft state: it is rebuilt from the requests that owners
-// send again and from the runs that they register. Nothing that must be safe
-// depends on it; two dispatchers of one pool can at most admit too much for a
-// moment. It decides by the rules of package policy.
+// A Dispatcher holds soft state only: it is rebuilt from the requests that
+// owners send again and from the runs that they register. No safety property
+// depends on it; two dispatchers of one pool can at most admit too many calls
+// for a short time. Ordering, placement and retention follow the rules of
+// package policy.
 package dispatch
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -6,16 +6,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxDumpCalls bounds the waiting calls of one pool in a dump.
+// maxDumpCalls limits the waiting calls listed per pool.
 const maxDumpCalls = 1000
 
-// PoolDump is the state of one pool for operators.
+// PoolDump is the state of one pool as shown to operators.
 type PoolDump struct {
 	Service structs.ServiceName
 	Region  structs.Region
 	Rules   structs.Rules
 	Waiting int
-	// GrantInterval is the recent time between grants while calls wait.
+	// GrantInterval is the moving average of the time between grants while
+	// calls wait.
 	GrantInterval string
 	CallTime      string
 	OwedReleases  int
@@ -23,7 +24,7 @@
 	Calls         []CallDump
 }
 
-// TargetDump is the state of one target.
+// TargetDump is the state of one target as shown to operators.
 type TargetDump struct {
 	ID            structs.TargetID
 	Running       int
@@ -38,7 +39,7 @@
 	CacheEntries  int
 }
 
-// CallDump explains one waiting call.
+// CallDump describes a waiting call and why it has no permit yet.
 type CallDump struct {
 	Run      structs.RunID
 	Program  structs.ProgramID
@@ -51,7 +52,7 @@
 	StartsIn string
 }
 
-// Dump gives the state of all pools for operators, as of the last tick.
+// Dump returns the state of all pools as of the last tick.
 func (d *Dispatcher) Dump() any {
 	dump := make([]PoolDump, 0, len(d.pools))
 	for _, p := range d.pools {
@@ -90,19 +91,19 @@
 	}
 }
 
-// waitReason tells in a sentence why a call has no permit.
+// waitReason describes why a call has no permit yet.
 func (p *pool) waitReason(now time.Time, c *call) string {
 	switch {
 	case c.ownerDown:
-		return "its owner does not answer"
+		return "the owner is unresponsive"
 	case !p.hasServingTarget():
 		return "no target"
 	case !p.hasOpenTarget(now):
-		return "no target has a free slot and little prefill queued"
+		return "every target is at its slot or prefill limit"
 	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backloggedTeams(c.class))):
-		return "its team is ahead of its share"
+		return "the team is over its fair share"
 	case p.queue.countAhead(c) >= maxCandidates:
-		return "others go first"
+		return "other calls have precedence"
 	}
-	return "waits for the target that holds its prefix"
+	return "waiting for the target with the cached prefix"
 }
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -12,7 +12,7 @@
 
 var testPool = structs.PoolID{Service: testService, Region: "r"}
 
-// fakeMembers is a membership whose targets a test changes.
+// fakeMembers is a membership with a modifiable list of targets.
 type fakeMembers struct {
 	structs.Members
 	targets []structs.Target
@@ -22,7 +22,7 @@
 
 func (m *fakeMembers) DispatcherOf(structs.PoolID) (structs.InstanceID, bool) { return "self", true }
 
-// fakeSettings gives one service and one policy to all.
+// fakeSettings returns the same service and policy for every name.
 type fakeSettings struct {
 	structs.Settings
 	service structs.Service
@@ -33,7 +33,7 @@
 
 func (s *fakeSettings) Policy(structs.Team) structs.Policy { return s.policy }
 
-// fixture drives a dispatcher by messages.
+// fixture drives a dispatcher with messages and a manual clock.
 type fixture struct {
 	t        testing.TB
 	now      time.Time
@@ -64,7 +64,7 @@
 	f.d = New(config, f.members, f.settings)
 }
 
-// send ticks with messages of owner "o".
+// send runs a tick with messages from owner "o".
 func (f *fixture) send(messages ...structs.Message) []structs.Command {
 	var events []structs.Event
 	for _, m := range messages {
@@ -83,7 +83,7 @@
 	return f.tick(events...)
 }
 
-// request makes a request; the program is named as the run.
+// request returns a permit request whose program is named after the run.
 func request(run string, change ...func(*structs.PermitRequest)) *structs.PermitRequest {
 	m := &structs.PermitRequest{
 		Pool: testPool, Ref: structs.CallRef{Program: structs.ProgramID("p" + run), Run: structs.RunID(run)},
@@ -103,7 +103,7 @@
 	}
 }
 
-// grants gives the target of each run granted by commands.
+// grants returns the target of each run that the commands grant.
 func grants(commands []structs.Command) map[structs.RunID]structs.TargetID {
 	granted := make(map[structs.RunID]structs.TargetID)
 	for _, command := range commands {
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// handleFinish returns a permit and learns from the run.
+// handleFinish returns a permit and updates the pool's statistics from the run.
 func (d *Dispatcher) handleFinish(now time.Time, m *structs.PermitFinish) {
 	p := d.findPool(m.Pool)
 	if p == nil {
@@ -22,7 +22,7 @@
 	t := c.target
 	d.removeCall(c)
 	if t == nil {
-		return // it ran by another dispatcher's permit
+		return // ran under another dispatcher's permit
 	}
 	p.shares.Add(c.request.Team, m.Took-p.estimates.CallTime, c.request.Weight)
 	p.recordRun(now, c, t, m)
--- a/internal/dispatch/gauges.go
+++ b/internal/dispatch/gauges.go
@@ -4,18 +4,20 @@
 
 // Gauges are the sizes of a dispatcher's tables, for metrics.
 type Gauges struct {
-	// Pools have their queue here; Waiting calls wait in them, Running ones
-	// hold a permit.
+	// Pools is the number of pools queued here. Waiting and Running count the
+	// calls that wait and those that hold a permit.
 	Pools   int
 	Waiting int
 	Running int
-	// Ejected targets get no work for a while.
+	// Ejected counts the targets that get no new work because of failures or
+	// slowness.
 	Ejected int
-	// PendingReleases of cache are owed.
+	// PendingReleases counts the cache releases not yet confirmed by their
+	// targets.
 	PendingReleases int
 }
 
-// Gauges gives the sizes of the dispatcher's tables.
+// Gauges returns the current sizes of the dispatcher's tables.
 func (d *Dispatcher) Gauges() Gauges {
 	g := Gauges{Pools: len(d.pools), Waiting: d.Waiting()}
 	for _, p := range d.pools {
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// maxCandidates is the number of waiting calls looked at in one pass.
+	// maxCandidates is the number of waiting calls considered in one pass.
 	maxCandidates = 64
-	// maxPrefillBacklog is the granted prefill up to which a target takes more:
-	// what is queued inside an engine is out of the order's reach.
+	// maxPrefillBacklog is the granted prefill above which a target gets no
+	// further calls. Work queued inside an engine can no longer be reordered.
 	maxPrefillBacklog = 10 * time.Millisecond
-	// grantIntervalWeight is the weight of a new sample of the grant interval.
+	// grantIntervalWeight is the weight of a new sample in the moving average
+	// of the grant interval.
 	grantIntervalWeight = 0.05
 )
 
-// grantWaiting grants the best waiting calls as long as targets take them.
+// grantWaiting grants permits to the best waiting calls until no target accepts
+// more.
 func (d *Dispatcher) grantWaiting(now time.Time, p *pool) {
 	p.wakeAt = time.Time{}
 	for p.queue.size > 0 {
@@ -37,8 +39,9 @@
 	p.scheduleWake(now)
 }
 
-// grantPass looks once at the best waiting calls, in order, and tells whether
-// it granted all of them. A call that waits for a target lets others pass.
+// grantPass considers the best waiting calls once, in order, and reports
+// whether all of them got a permit. A call that waits for a particular target
+// does not block those behind it.
 func (d *Dispatcher) grantPass(now time.Time, p *pool) bool {
 	for _, t := range p.targets {
 		t.awaitedPrefill = 0
@@ -66,16 +69,16 @@
 	return granted == len(best) && granted > 0
 }
 
-// candidates gives the calls to look at first.
+// candidates returns the waiting calls to consider next, best first.
 func (p *pool) candidates() []*call {
 	floors := make(map[int]time.Duration)
-	for _, l := range p.queue.teamQueues {
-		if _, ok := floors[l.class]; !ok {
-			floors[l.class] = p.shares.Floor(p.queue.backloggedTeams(l.class))
+	for _, tq := range p.queue.teamQueues {
+		if _, ok := floors[tq.class]; !ok {
+			floors[tq.class] = p.shares.Floor(p.queue.backloggedTeams(tq.class))
 		}
 	}
-	return p.queue.top(maxCandidates, func(l *teamQueue) bool {
-		return p.shares.ExceedsBurst(p.service.Rules, l.team, floors[l.class])
+	return p.queue.top(maxCandidates, func(tq *teamQueue) bool {
+		return p.shares.ExceedsBurst(p.service.Rules, tq.team, floors[tq.class])
 	})
 }
 
@@ -87,8 +90,8 @@
 	return slices.ContainsFunc(p.targets, func(t *target) bool { return p.accepts(now, t) })
 }
 
-// accepts tells whether a target takes a call now. Without late binding it always
-// does, and calls queue at the target.
+// accepts reports whether a target takes another call now. Without late binding
+// every eligible target does, and calls queue at the target.
 func (p *pool) accepts(now time.Time, t *target) bool {
 	if !t.eligible() {
 		return false
@@ -99,7 +102,7 @@
 	return t.load() < t.health.EffectiveSlots(p.service.Slots) && t.backlog(now) <= maxPrefillBacklog
 }
 
-// refuseAll answers the waiting calls of a pool that has no target.
+// refuseAll refuses the waiting calls of a pool without targets.
 func (d *Dispatcher) refuseAll(p *pool) {
 	var waiting []*call
 	p.queue.forEach(func(c *call) { waiting = append(waiting, c) })
@@ -108,8 +111,8 @@
 	}
 }
 
-// placementOptions lists what each target of the pool means for a call. The list is
-// valid until the next use.
+// placementOptions returns the placement option of each target for a call. The
+// slice is reused by the next call of the method.
 func (p *pool) placementOptions(now time.Time, c *call) []policy.Option {
 	options := p.optionBuffer[:0]
 	for _, t := range p.targets {
@@ -160,7 +163,7 @@
 	d.send(c.owner, &structs.PermitGrant{Pool: p.id, Ref: c.request.Ref, Target: t.info})
 }
 
-// assignPermit books a permit of a call at a target.
+// assignPermit records that a call holds a permit at a target.
 func (d *Dispatcher) assignPermit(now time.Time, c *call, t *target) {
 	p := c.pool
 	c.target = t
@@ -178,7 +181,7 @@
 	return b
 }
 
-// observeGrant learns the interval of grants while calls wait.
+// observeGrant updates the average interval between grants.
 func (p *pool) observeGrant(now time.Time) {
 	if !p.lastGrant.IsZero() {
 		p.grantInterval += time.Duration(grantIntervalWeight * float64(now.Sub(p.lastGrant)-p.grantInterval))
@@ -186,7 +189,8 @@
 	p.lastGrant = now
 }
 
-// scheduleWake sets the time at which the next target has done enough prefill.
+// scheduleWake sets wakeAt to when the first target has worked off enough
+// prefill to accept a call.
 func (p *pool) scheduleWake(now time.Time) {
 	for _, t := range p.targets {
 		if t.eligible() && t.load() < t.health.EffectiveSlots(p.service.Slots) && t.backlog(now) > maxPrefillBacklog {
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// membersRefreshInterval is how often a pool looks at the membership unasked.
+	// membersRefreshInterval is how often a pool rereads the membership without
+	// a change event.
 	membersRefreshInterval = time.Second
-	// poolIdleTimeout is how long a pool without work of another dispatcher is
-	// kept.
+	// poolIdleTimeout is how long an unused pool of another dispatcher is
+	// retained.
 	poolIdleTimeout = 30 * time.Second
 )
 
-// pool is the queue, the targets and the estimates of one pool.
+// pool holds the queue, the targets and the estimates of one pool.
 type pool struct {
 	id      structs.PoolID
 	service structs.Service
 	queue   queue
-	// targets is ordered by id.
+	// targets is sorted by ID.
 	targets []*target
-	// lastPlaced is the index of the target last placed at.
+	// lastPlaced is the index in targets of the latest placement.
 	lastPlaced int
 	programs   map[structs.ProgramID]*program
 	sharedKeys map[string]struct{}
-	// pauses is ordered by team.
+	// pauses is sorted by team.
 	pauses          []*teamPauses
 	pendingReleases []*pendingRelease
 	shares          *policy.Shares
 	estimates       policy.Estimates
 	budget          policy.RetryBudget
-	// grantInterval is the average time between grants while calls wait, and
-	// lastGrant the last grant since the queue was empty.
+	// grantInterval is the moving average of the time between grants while
+	// calls wait; lastGrant is the latest grant, zero once the queue is empty.
 	grantInterval time.Duration
 	lastGrant     time.Time
-	// lateness is by class.
+	// lateness is keyed by class.
 	lateness map[int]*policy.Lateness
 
-	// optionBuffer is the memory of the options of one call.
+	// optionBuffer is reused by placementOptions.
 	optionBuffer []policy.Option
 
 	refreshedAt time.Time
 	usedAt      time.Time
-	// wakeAt is when a target may open again for the waiting calls, maintainAt
-	// the next check of retention, releases and health, and sweepAt the next
-	// one that looks at every call and program.
+	// wakeAt is when a target may accept a waiting call again; maintainAt is
+	// the next run of maintain; sweepAt is the next scan of all calls and
+	// programs.
 	wakeAt, maintainAt, sweepAt time.Time
 }
 
@@ -64,7 +65,7 @@
 	}
 }
 
-// busy tells whether the pool has calls or owed releases.
+// busy reports whether the pool has calls or pending releases.
 func (p *pool) busy() bool {
 	if p.queue.size > 0 || len(p.pendingReleases) > 0 {
 		return true
@@ -86,8 +87,8 @@
 	})
 }
 
-// setService takes over a changed setting; a changed order sorts the queue
-// again.
+// setService applies changed settings. The queue is sorted again if the order
+// of calls changed.
 func (p *pool) setService(service structs.Service) {
 	if service == p.service {
 		return
@@ -113,13 +114,13 @@
 	}
 }
 
-// rank sets a call's class and key by the rules in force.
+// rank sets a call's class and key by the current rules.
 func (p *pool) rank(c *call) {
 	c.class = policy.Class(p.service.Rules, c.order.Priority)
 	c.key = policy.Key(p.service.Rules, c.order)
 }
 
-// latenessOf finds or makes the lateness of a class.
+// latenessOf returns the lateness of a class, creating it if needed.
 func (p *pool) latenessOf(class int) *policy.Lateness {
 	late := p.lateness[class]
 	if late == nil {
@@ -129,8 +130,8 @@
 	return late
 }
 
-// refreshTargets takes over the membership's view: new targets, those that
-// leave and those that vanished.
+// refreshTargets applies the membership: it adds new targets, updates known
+// ones and removes unlisted ones without running calls.
 func (p *pool) refreshTargets(now time.Time, members structs.Members) {
 	p.refreshedAt = now
 	listed := members.Targets(p.id.Service)
@@ -153,13 +154,13 @@
 	})
 }
 
-// recordFailure counts a failure of a target.
+// recordFailure records a failure of a target.
 func (p *pool) recordFailure(now time.Time, t *target) {
 	t.health.RecordFailure(p.service.Rules, now, p.canEject())
 }
 
-// canEject tells whether one more target may be ejected: at most half of a
-// pool is out.
+// canEject reports whether one more target may be ejected. At most half of a
+// pool's targets may be ineligible.
 func (p *pool) canEject() bool {
 	ineligible := 0
 	for _, t := range p.targets {
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -15,8 +15,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// simulation plays random actions against a dispatcher as owners, targets and the
-// membership would, and checks what must hold after each tick.
+// simulation performs random actions of owners, targets and the membership on a
+// dispatcher and checks its invariants after each tick.
 type simulation struct {
 	*fixture
 	sent      []*structs.PermitRequest
@@ -45,7 +45,7 @@
 	}
 }
 
-// step does one action; the number chooses it and its subject.
+// step performs one action; the number selects the action and its subject.
 func (s *simulation) step(action int) {
 	subject := action / 10
 	switch action % 10 {
@@ -113,7 +113,8 @@
 	s.check(s.tick(structs.MembersListed{}))
 }
 
-// injectEvent sends what targets and peers say: late, wrong or twice.
+// injectEvent sends events of targets and peers, including delayed, wrong and
+// duplicate ones.
 func (s *simulation) injectEvent(subject int) {
 	target := structs.TargetID(fmt.Sprint("t", subject%simTargets))
 	program := fmt.Sprint("p", subject%7)
@@ -135,7 +136,7 @@
 	}
 }
 
-// check tests the answers of one tick and the state after it.
+// check verifies the responses of one tick and the resulting state.
 func (s *simulation) check(commands []structs.Command) {
 	for _, refused := range refusals(commands) {
 		s.recordResponse(refused.Ref.Run, "refusal")
@@ -144,7 +145,7 @@
 	for run, target := range grants(commands) {
 		if old, granted := s.running[run]; granted {
 			if old != target {
-				s.fail("run %s granted at %s and again at %s", run, old, target)
+				s.fail("run %s granted at %s and then at %s", run, old, target)
 			}
 			continue
 		}
@@ -152,12 +153,12 @@
 		s.running[run] = target
 		i := slices.IndexFunc(s.members.targets, func(t structs.Target) bool { return t.ID == target })
 		if s.members.targets[i].Leaving {
-			s.fail("run %s granted at %s, which leaves", run, target)
+			s.fail("run %s granted at leaving target %s", run, target)
 		}
 	}
 	for _, t := range s.d.testTargets() {
 		if len(t.running) > simSlots {
-			s.fail("%d permits at %s of %d slots", len(t.running), t.info.ID, simSlots)
+			s.fail("%d permits at target %s with %d slots", len(t.running), t.info.ID, simSlots)
 		}
 	}
 }
@@ -172,11 +173,11 @@
 func (s *simulation) recordResponse(run structs.RunID, kind string) {
 	s.responses[run]++
 	if s.responses[run] > 1 || s.ended[run] {
-		s.fail("run %s got a %s as answer %d (ended %v)", run, kind, s.responses[run], s.ended[run])
+		s.fail("run %s got a %s as response %d (ended: %v)", run, kind, s.responses[run], s.ended[run])
 	}
 }
 
-// drain ends all runs and lets time pass until nothing waits.
+// drain ends all runs and advances the clock until no call waits.
 func (s *simulation) drain() {
 	for range 10 * (len(s.sent) + 1) {
 		s.finishOne(0)
@@ -185,7 +186,7 @@
 	}
 	for _, m := range s.sent {
 		if s.responses[m.Ref.Run] != 1 {
-			s.fail("run %s got %d answers", m.Ref.Run, s.responses[m.Ref.Run])
+			s.fail("run %s got %d responses, want 1", m.Ref.Run, s.responses[m.Ref.Run])
 		}
 	}
 }
@@ -195,7 +196,7 @@
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	actions := gen.SliceOf(gen.IntRange(0, 100_000))
-	properties.Property("slots, leaving targets and exactly one answer", prop.ForAll(func(numbers []int) string {
+	properties.Property("slot limits, leaving targets and exactly one response", prop.ForAll(func(numbers []int) string {
 		s := newSimulation(t)
 		for _, number := range numbers {
 			s.step(number)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -7,15 +7,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// queue holds the waiting calls of a pool: a sorted list for each class and
+// queue holds the waiting calls of a pool, as one sorted list per class and
 // team.
 type queue struct {
-	// teamQueues is ordered by class, then team.
+	// teamQueues is sorted by class, then team.
 	teamQueues []*teamQueue
 	size       int
 }
 
-// teamQueue is the waiting calls of one team in one class, best first.
+// teamQueue holds the waiting calls of one team in one class, best first.
 type teamQueue struct {
 	class int
 	team  structs.Team
@@ -27,8 +27,8 @@
 }
 
 func (q *queue) search(class int, team structs.Team) (int, bool) {
-	return slices.BinarySearchFunc(q.teamQueues, class, func(l *teamQueue, class int) int {
-		return cmp.Or(cmp.Compare(l.class, class), cmp.Compare(l.team, team))
+	return slices.BinarySearchFunc(q.teamQueues, class, func(tq *teamQueue, class int) int {
+		return cmp.Or(cmp.Compare(tq.class, class), cmp.Compare(tq.team, team))
 	})
 }
 
@@ -37,9 +37,9 @@
 	if !ok {
 		q.teamQueues = slices.Insert(q.teamQueues, i, &teamQueue{class: c.class, team: c.request.Team})
 	}
-	l := q.teamQueues[i]
-	at, _ := slices.BinarySearchFunc(l.calls, c, compareCalls)
-	l.calls = slices.Insert(l.calls, at, c)
+	tq := q.teamQueues[i]
+	at, _ := slices.BinarySearchFunc(tq.calls, c, compareCalls)
+	tq.calls = slices.Insert(tq.calls, at, c)
 	q.size++
 }
 
@@ -48,63 +48,63 @@
 	if !ok {
 		return
 	}
-	l := q.teamQueues[i]
-	at, ok := slices.BinarySearchFunc(l.calls, c, compareCalls)
+	tq := q.teamQueues[i]
+	at, ok := slices.BinarySearchFunc(tq.calls, c, compareCalls)
 	if !ok {
 		return
 	}
-	l.calls = slices.Delete(l.calls, at, at+1)
+	tq.calls = slices.Delete(tq.calls, at, at+1)
 	q.size--
-	if len(l.calls) == 0 {
+	if len(tq.calls) == 0 {
 		q.teamQueues = slices.Delete(q.teamQueues, i, i+1)
 	}
 }
 
-// teamSize counts a team's waiting calls.
+// teamSize returns the number of waiting calls of a team.
 func (q *queue) teamSize(team structs.Team) int {
 	count := 0
-	for _, l := range q.teamQueues {
-		if l.team == team {
-			count += len(l.calls)
+	for _, tq := range q.teamQueues {
+		if tq.team == team {
+			count += len(tq.calls)
 		}
 	}
 	return count
 }
 
-// countAhead counts the waiting calls that go before a call, fair shares aside. The
-// call itself may wait or not.
+// countAhead returns the number of waiting calls that precede a call, without
+// regard to fair shares. The call itself need not be in the queue.
 func (q *queue) countAhead(c *call) int {
 	count := 0
-	for _, l := range q.teamQueues {
+	for _, tq := range q.teamQueues {
 		switch {
-		case l.class < c.class:
-			count += len(l.calls)
-		case l.class == c.class:
-			at, _ := slices.BinarySearchFunc(l.calls, c, compareCalls)
+		case tq.class < c.class:
+			count += len(tq.calls)
+		case tq.class == c.class:
+			at, _ := slices.BinarySearchFunc(tq.calls, c, compareCalls)
 			count += at
 		}
 	}
 	return count
 }
 
-// hasClass tells whether any call of a class waits.
+// hasClass reports whether any call of a class waits.
 func (q *queue) hasClass(class int) bool {
-	return slices.ContainsFunc(q.teamQueues, func(l *teamQueue) bool { return l.class == class })
+	return slices.ContainsFunc(q.teamQueues, func(tq *teamQueue) bool { return tq.class == class })
 }
 
-// backloggedTeams lists the teams that wait in a class, in order.
+// backloggedTeams returns the teams with waiting calls in a class, in order.
 func (q *queue) backloggedTeams(class int) []structs.Team {
 	var teams []structs.Team
-	for _, l := range q.teamQueues {
-		if l.class == class {
-			teams = append(teams, l.team)
+	for _, tq := range q.teamQueues {
+		if tq.class == class {
+			teams = append(teams, tq.team)
 		}
 	}
 	return teams
 }
 
-// top gives up to limit calls, best first: by class, within it the teams
-// that are not over their share, within these by key.
+// top returns up to limit calls, best first: by class, then teams within their
+// share before those over it, then by key.
 func (q *queue) top(limit int, overShare func(*teamQueue) bool) []*call {
 	calls := make([]*call, 0, min(limit, q.size))
 	for start := 0; start < len(q.teamQueues) && len(calls) < limit; {
@@ -113,11 +113,11 @@
 			end++
 		}
 		var withinShare, aboveShare []*teamQueue
-		for _, l := range q.teamQueues[start:end] {
-			if overShare(l) {
-				aboveShare = append(aboveShare, l)
+		for _, tq := range q.teamQueues[start:end] {
+			if overShare(tq) {
+				aboveShare = append(aboveShare, tq)
 			} else {
-				withinShare = append(withinShare, l)
+				withinShare = append(withinShare, tq)
 			}
 		}
 		calls = mergeTeamQueues(calls, withinShare, limit)
@@ -127,29 +127,30 @@
 	return calls
 }
 
-// mergeTeamQueues appends the best calls of some lanes, up to limit in all.
-func mergeTeamQueues(best []*call, lanes []*teamQueue, limit int) []*call {
-	next := make([]int, len(lanes))
+// mergeTeamQueues appends the best calls of several team queues to best until
+// it has limit calls.
+func mergeTeamQueues(best []*call, queues []*teamQueue, limit int) []*call {
+	next := make([]int, len(queues))
 	for len(best) < limit {
 		pick := -1
-		for i, l := range lanes {
-			if next[i] < len(l.calls) && (pick < 0 || compareCalls(l.calls[next[i]], lanes[pick].calls[next[pick]]) < 0) {
+		for i, tq := range queues {
+			if next[i] < len(tq.calls) && (pick < 0 || compareCalls(tq.calls[next[i]], queues[pick].calls[next[pick]]) < 0) {
 				pick = i
 			}
 		}
 		if pick < 0 {
 			break
 		}
-		best = append(best, lanes[pick].calls[next[pick]])
+		best = append(best, queues[pick].calls[next[pick]])
 		next[pick]++
 	}
 	return best
 }
 
-// forEach calls do for every waiting call, by class and team.
+// forEach calls fn for every waiting call, by class and team.
 func (q *queue) forEach(fn func(*call)) {
-	for _, l := range q.teamQueues {
-		for _, c := range l.calls {
+	for _, tq := range q.teamQueues {
+		for _, c := range tq.calls {
 			fn(c)
 		}
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// ownerDownTimeout is how long the waiting calls of a dead owner are kept
-	// unless it sends them again.
+	// ownerDownTimeout is how long the waiting calls of an owner that is down
+	// are retained unless they are sent again.
 	ownerDownTimeout = 5 * time.Second
-	// permitGrace is added to the service timeout before a permit that
-	// nobody returned is taken back.
+	// permitGrace is added to the service timeout before a permit that was
+	// never returned is revoked.
 	permitGrace = 5 * time.Second
-	// unavailableRetryAfter is when a call may come again that found no target.
+	// unavailableRetryAfter is the RetryAfter delay of a call that was refused
+	// because it has no target or its owner is down.
 	unavailableRetryAfter = time.Second
 )
 
-// handleRequest queues a call, registers a running one, or answers a request that
-// came again.
+// handleRequest queues a new call, registers a running one, or replies to a
+// duplicate.
 func (d *Dispatcher) handleRequest(now time.Time, from structs.InstanceID, m *structs.PermitRequest) {
 	p := d.poolFor(now, m.Pool)
 	p.usedAt = now
@@ -39,8 +40,8 @@
 	}
 }
 
-// handleDuplicate answers a duplicate: a waiting call goes on waiting, a granted
-// one is told its grant again unless the owner knows it.
+// handleDuplicate replies to a repeated request: a waiting call stays queued,
+// and the grant of a granted one is sent again unless the owner knows it.
 func (d *Dispatcher) handleDuplicate(now time.Time, from structs.InstanceID, c *call, m *structs.PermitRequest) {
 	c.owner, c.ownerDown = from, false
 	if c.waiting() {
@@ -53,8 +54,8 @@
 	}
 }
 
-// registerRunning takes over a call that runs at a target by an earlier dispatcher's
-// permit.
+// registerRunning takes over a call that already runs at a target under a
+// permit of an earlier dispatcher.
 func (d *Dispatcher) registerRunning(now time.Time, from structs.InstanceID, p *pool, m *structs.PermitRequest) {
 	t := p.target(m.Running)
 	if t == nil {
@@ -114,13 +115,14 @@
 	})
 }
 
-// expectedWait is the expected time until a call that waits, or is about to,
-// starts.
+// expectedWait estimates the time until a call that waits, or is about to, gets
+// its permit.
 func (d *Dispatcher) expectedWait(now time.Time, c *call) time.Duration {
 	return d.expectedWaitBehind(now, c, c.pool.queue.countAhead(c))
 }
 
-// expectedWaitBehind is the expected wait of a call with so many ahead.
+// expectedWaitBehind estimates the wait of a call that has the given number of
+// calls ahead of it.
 func (d *Dispatcher) expectedWaitBehind(now time.Time, c *call, ahead int) time.Duration {
 	p := c.pool
 	if ahead == 0 {
@@ -130,7 +132,8 @@
 	return p.latenessOf(c.class).ExpectedWait(now.Sub(d.epoch), c.key, position)
 }
 
-// joinShares starts the team's account if it was not backlogged.
+// joinShares starts fair-share accounting of the call's team if the team had no
+// waiting calls in the class.
 func (p *pool) joinShares(c *call) {
 	teams := p.queue.backloggedTeams(c.class)
 	for _, team := range teams {
@@ -145,13 +148,13 @@
 	d.send(to, &structs.PermitRefuse{Pool: m.Pool, Ref: m.Ref, Reason: reason, RetryAfter: retryAfter})
 }
 
-// refuseWaiting ends a waiting call without a permit.
+// refuseWaiting removes a waiting call and refuses it.
 func (d *Dispatcher) refuseWaiting(c *call, reason structs.Reason, retryAfter time.Duration) {
 	d.removeCall(c)
 	d.refuse(c.owner, c.request, reason, retryAfter)
 }
 
-// removeCall removes a call from the queue or its target.
+// removeCall removes a call from the queue or from its target.
 func (d *Dispatcher) removeCall(c *call) {
 	d.setTimer(c, time.Time{})
 	delete(d.calls, c.run())
@@ -173,8 +176,8 @@
 	d.setTimer(c, at)
 }
 
-// latestStart is the latest start with which the call can meet its deadline,
-// zero if it has none.
+// latestStart is the latest time at which the call can start and still meet its
+// deadline, zero if it has no deadline.
 func (c *call) latestStart() time.Time {
 	if c.deadline.IsZero() {
 		return time.Time{}
@@ -182,7 +185,7 @@
 	return c.deadline.Add(-min(c.pool.estimates.CallTime, c.request.Remaining/2))
 }
 
-// handleCancel takes back a waiting call or a permit that was not used.
+// handleCancel removes a waiting call, or returns a permit that was not used.
 func (d *Dispatcher) handleCancel(_ time.Time, m *structs.PermitCancel) {
 	if c := d.calls[m.Ref.Run]; c != nil {
 		d.removeCall(c)
@@ -190,7 +193,7 @@
 	d.ended.add(m.Ref.Run)
 }
 
-// handlePeerDown starts the wait for a dead owner's waiting calls to be sent again.
+// handlePeerDown starts the owner-down timeout of the waiting calls of a peer.
 func (d *Dispatcher) handlePeerDown(now time.Time, peer structs.InstanceID) {
 	for _, p := range d.pools {
 		p.queue.forEach(func(c *call) {
@@ -202,7 +205,7 @@
 	}
 }
 
-// expireCalls ends the calls whose timer is over.
+// expireCalls ends the calls whose timer has expired.
 func (d *Dispatcher) expireCalls(now time.Time) {
 	for len(d.timers) > 0 && !d.timers[0].timerAt.After(now) {
 		c := d.timers[0]
@@ -218,8 +221,8 @@
 	}
 }
 
-// refuseUnmeetable answers at once the waiting calls that by now cannot be
-// expected to start in time.
+// refuseUnmeetable refuses the waiting calls that are no longer expected to
+// start in time, rather than let them wait for their deadline.
 func (d *Dispatcher) refuseUnmeetable(now time.Time, p *pool) {
 	if !p.service.Rules.Admission {
 		return
--- a/internal/dispatch/retention.go
+++ b/internal/dispatch/retention.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// maintenanceInterval is how often retention, releases and health are checked.
+	// maintenanceInterval is how often retention, releases and health are
+	// checked.
 	maintenanceInterval = 100 * time.Millisecond
-	// sweepInterval is how often every waiting call and program is looked
-	// at.
+	// sweepInterval is how often all waiting calls and programs are scanned.
 	sweepInterval = 500 * time.Millisecond
-	// minReleaseBackoff is the first wait before a release is sent again; it
-	// doubles up to maxReleaseBackoff.
+	// minReleaseBackoff is the delay before a release is sent again; it doubles
+	// up to maxReleaseBackoff.
 	minReleaseBackoff = 200 * time.Millisecond
 	maxReleaseBackoff = 30 * time.Second
-	// closeGrace is the age of a pause up to which the end of a program is
-	// no lost return: programs are closed shortly after their last call.
+	// closeGrace is the length of a pause up to which the end of a program does
+	// not count as abandonment: programs usually end shortly after their last
+	// call.
 	closeGrace = 250 * time.Millisecond
-	// programIdleTimeout is how long a program without calls and cache is known.
+	// programIdleTimeout is how long a program without calls or cache is
+	// retained.
 	programIdleTimeout = 10 * time.Minute
 )
 
-// program is what a pool knows of a program with calls or cache there.
+// program is the state of a program with calls or cache in a pool.
 type program struct {
 	team structs.Team
-	// waited is the time that its calls have waited in the queue.
+	// waited is the total time that its calls have waited in the queue.
 	waited           time.Duration
 	waiting, running int
 	// idleSince is the end of its last run, or when it was first seen.
 	idleSince time.Time
-	// pause is its place among the team's open pauses, nil if it does not
-	// pause; presumed tells that it paused so long that it seems lost.
+	// pause is its element in the paused list of its team, nil if it is not
+	// paused; abandoned is set once the pause exceeds the team's abandon
+	// timeout.
 	pause     *list.Element
 	abandoned bool
-	// targets may hold cache of it.
+	// targets are those that may hold cache of the program.
 	targets []*target
 	ended   bool
 }
 
-// pendingRelease is a ReleaseCache that is not yet confirmed.
+// pendingRelease is a ReleaseCache command that the target has not confirmed.
 type pendingRelease struct {
 	target       *target
 	program      structs.ProgramID
@@ -53,16 +56,16 @@
 	sendAt       time.Time
 }
 
-// teamPauses follows the tool pauses of one team.
+// teamPauses tracks the tool pauses of one team.
 type teamPauses struct {
 	team     structs.Team
 	estimate *policy.Pauses
-	// paused lists the programs that pause and are not presumed lost, the
-	// longest first.
+	// paused holds the paused programs that are not abandoned, longest pause
+	// first.
 	paused list.List
 }
 
-// pausesOf finds or makes the pauses of a team.
+// pausesOf returns the pauses of a team, creating them if needed.
 func (p *pool) pausesOf(team structs.Team) *teamPauses {
 	i, ok := slices.BinarySearchFunc(p.pauses, team, func(prog *teamPauses, team structs.Team) int {
 		return cmp.Compare(prog.team, team)
@@ -73,7 +76,7 @@
 	return p.pauses[i]
 }
 
-// startPause begins a pause of a program without calls.
+// startPause starts the pause of a program without calls.
 func (p *pool) startPause(now time.Time, prog *program) {
 	if prog.pause != nil || prog.ended || prog.waiting+prog.running > 0 {
 		return
@@ -82,7 +85,8 @@
 	prog.pause = p.pausesOf(prog.team).paused.PushBack(prog)
 }
 
-// endPause ends a pause: by a further call, or by the end of the program.
+// endPause ends a pause. If returned is set, the program made a further call;
+// otherwise it ended.
 func (p *pool) endPause(now time.Time, prog *program, returned bool) {
 	team := p.pausesOf(prog.team)
 	switch {
@@ -99,7 +103,7 @@
 	prog.pause, prog.abandoned = nil, false
 }
 
-// markAbandoned ends the pauses that are so long that few programs return.
+// markAbandoned ends the pauses that exceed the abandon timeout of their team.
 func (p *pool) markAbandoned(now time.Time) {
 	for _, team := range p.pauses {
 		limit := team.estimate.AbandonTimeout()
@@ -130,8 +134,9 @@
 	return prog
 }
 
-// applyHints records where an unknown program's prefix was held last, as its
-// owner knows it. Of a known program the own record knows better.
+// applyHints adds the cache locations that the owner reports for a program that
+// is new to the pool. For a known program the pool's own index is more
+// accurate.
 func (p *pool) applyHints(now time.Time, m *structs.PermitRequest) {
 	if p.programs[m.Ref.Program] != nil || p.service.Kind != structs.ServiceEngine {
 		return
@@ -150,14 +155,14 @@
 	}
 }
 
-// programReturned ends a pause by a further call.
+// programReturned records a further call of a program, which ends its pause.
 func (p *pool) programReturned(now time.Time, c *call) {
 	prog := p.programs[c.program()]
 	p.endPause(now, prog, true)
 	prog.waiting++
 }
 
-// startRun marks the cache entries that a run uses.
+// startRun marks the cache entries of a run as in use.
 func (p *pool) startRun(now time.Time, c *call) {
 	m, t := c.request, c.target
 	prog := p.programs[c.program()]
@@ -182,7 +187,7 @@
 	})
 }
 
-// endRun ends the use of the cache entries of a run.
+// endRun unmarks the cache entries of a run.
 func (p *pool) endRun(c *call) {
 	m, t := c.request, c.target
 	p.programs[c.program()].running--
@@ -193,8 +198,8 @@
 	}
 }
 
-// recordCache books what the target holds after a run, and releases copies of the
-// program at other targets.
+// recordCache updates the cache index after a run and releases copies of the
+// program's cache at other targets.
 func (p *pool) recordCache(now time.Time, c *call, t *target, m *structs.PermitFinish) {
 	prog := p.programs[c.program()]
 	prog.idleSince = now
@@ -215,8 +220,8 @@
 	}
 }
 
-// releaseCopies releases a program's cache at targets other than its last one
-// where nothing of it runs.
+// releaseCopies releases a program's cache at all targets but the last one,
+// except where the program runs or more of it is cached.
 func (p *pool) releaseCopies(now time.Time, id structs.ProgramID, prog *program, last *target) {
 	held := last.cache.tokens(string(id))
 	for _, t := range slices.Clone(prog.targets) {
@@ -247,7 +252,7 @@
 	}
 }
 
-// scheduleRelease owes a target the release of a program's cache.
+// scheduleRelease queues the release of a program's cache at a target.
 func (p *pool) scheduleRelease(now time.Time, id structs.ProgramID, prog *program, t *target, gone bool) {
 	prog.targets = slices.DeleteFunc(prog.targets, func(other *target) bool { return other == t })
 	t.cache.release(now, string(id))
@@ -261,7 +266,7 @@
 	p.maintainAt = now
 }
 
-// confirmRelease ends an owed release once the target confirms it.
+// confirmRelease removes a pending release once the target has confirmed it.
 func (p *pool) confirmRelease(_ time.Time, t *target, e structs.CacheReleased) {
 	if !e.Done {
 		return
@@ -271,14 +276,15 @@
 	})
 }
 
-// applyCacheEvents corrects the record of a target's cache.
+// applyCacheEvents applies a target's cache events to its index.
 func (p *pool) applyCacheEvents(now time.Time, t *target, e structs.TargetCache) {
 	for _, event := range e.Events {
 		t.cache.applyEvent(now, event, func(entry *cacheEntry) { p.describeEntry(now, t, entry) })
 	}
 }
 
-// describeEntry fills in what is known of an entry that a cache event made.
+// describeEntry sets the team or the shared flag of an entry that a cache event
+// created.
 func (p *pool) describeEntry(now time.Time, t *target, entry *cacheEntry) {
 	if _, entry.shared = p.sharedKeys[entry.key]; entry.shared {
 		return
@@ -290,8 +296,8 @@
 	}
 }
 
-// maintain does what is due from time to time: it ends ejections, lets go of
-// cache that is not worth its memory, and sends owed releases.
+// maintain runs the periodic work of a pool: it ends ejections, releases cache
+// that is not worth retaining, and sends pending releases.
 func (d *Dispatcher) maintain(now time.Time, p *pool) {
 	if p.maintainAt.After(now) {
 		return
@@ -328,7 +334,8 @@
 	})
 }
 
-// releaseUnretained releases the cache of paused programs that is not worth its memory.
+// releaseUnretained releases the cache of paused programs that the retention
+// policy does not keep.
 func (p *pool) releaseUnretained(now time.Time, t *target) {
 	rules := p.service.Rules
 	if rules.Retention == policy.RetainAll {
@@ -349,7 +356,8 @@
 	}
 }
 
-// returnProbability is the chance that a cached prefix is used again.
+// returnProbability estimates the probability that a cached prefix is used
+// again.
 func (p *pool) returnProbability(now time.Time, entry *cacheEntry) float64 {
 	if entry.shared {
 		return 1
@@ -357,13 +365,15 @@
 	return p.pausesOf(entry.team).estimate.ReturnProbability(now.Sub(entry.touchedAt))
 }
 
-// evictionCost is the replacement cost of storing so many tokens more.
+// evictionCost estimates the cost of recomputing what is evicted when need more
+// tokens are stored.
 func (p *pool) evictionCost(now time.Time, t *target, need int64) time.Duration {
 	victims, need := t.cache.victims(need, func(entry *cacheEntry) float64 { return p.returnProbability(now, entry) })
 	return policy.EvictionCost(victims, need, p.estimates.PrefillPerToken)
 }
 
-// dropIdlePrograms drops programs without calls and cache.
+// dropIdlePrograms removes programs that have ended, and idle ones without
+// cache.
 func (p *pool) dropIdlePrograms(now time.Time) {
 	for id, prog := range p.programs {
 		if prog.waiting+prog.running > 0 {
@@ -376,7 +386,7 @@
 	}
 }
 
-// hasCache tells whether any target is known to hold cache of the program.
+// hasCache reports whether any target has cache of the program.
 func (prog *program) hasCache(id structs.ProgramID) bool {
 	return slices.ContainsFunc(prog.targets, func(t *target) bool { return t.cache.tokens(string(id)) > 0 })
 }
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -9,26 +9,28 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// target is one target of a pool.
+// target is the state of one target of a pool.
 type target struct {
 	info structs.Target
-	// unlisted is set when the membership list no longer shows the target.
+	// unlisted is set when the membership no longer lists the target.
 	unlisted bool
 	running  []*call
-	// foreign estimates the calls there without a permit of this dispatcher.
+	// foreign estimates the calls at the target without a permit of this
+	// dispatcher.
 	foreign int
-	// peak and lastPeak are the most own permits since the last load report
-	// and in the interval before it, since reports lag.
+	// peak and lastPeak are the maximum number of permits since the latest load
+	// report and in the interval before it. Load reports lag, so both are
+	// compared with a report.
 	peak, lastPeak int
-	// prefillUntil is when the prefill granted so far should be done.
+	// prefillUntil is when the prefill granted so far is expected to be done.
 	prefillUntil time.Time
 	health       policy.Health
 	cache        cacheIndex
-	// lowCacheReports counts load reports in a row with far less cache in use than
-	// recorded: the target has lost its cache.
+	// lowCacheReports counts consecutive load reports with far less cache in
+	// use than indexed, which indicate that the target has lost its cache.
 	lowCacheReports int
-	// awaitedPrefill is the work of waiting calls that chose to wait for this
-	// target in the running grant pass.
+	// awaitedPrefill is the prefill of waiting calls that chose to wait for
+	// this target in the current grant pass.
 	awaitedPrefill time.Duration
 }
 
@@ -36,15 +38,15 @@
 	return &target{info: info, health: policy.NewHealth(), cache: newCacheIndex(capacity)}
 }
 
-// load counts the calls at the target.
+// load returns the number of calls at the target.
 func (t *target) load() int { return len(t.running) + t.foreign }
 
-// eligible tells whether the target may get new work at all.
+// eligible reports whether the target may get new work.
 func (t *target) eligible() bool {
 	return !t.unlisted && !t.info.Leaving && t.health.State != policy.Ejected
 }
 
-// backlog is the expected time until the granted prefill is done.
+// backlog returns the expected time until the granted prefill is done.
 func (t *target) backlog(now time.Time) time.Duration {
 	return max(0, t.prefillUntil.Sub(now))
 }
@@ -60,12 +62,12 @@
 	}
 }
 
-// maxLowCacheReports is the number of load reports in a row that show a lost
-// cache.
+// maxLowCacheReports is the number of consecutive low reports after which the
+// cache index is cleared.
 const maxLowCacheReports = 3
 
-// applyLoad fuses a lagging load report with the own count of permits: what
-// goes beyond the most permits in the time of the report is foreign.
+// applyLoad combines a load report with the dispatcher's own permits. Reports
+// lag, so only calls above the recent maximum of permits count as foreign.
 func (t *target) applyLoad(_ time.Time, p *pool, load wire.EngineLoad) {
 	t.foreign = max(0, load.Running+load.Waiting-max(t.peak, t.lastPeak))
 	t.lastPeak, t.peak = t.peak, len(t.running)
