--- a/internal/orders/claim.go
+++ b/internal/orders/claim.go
@@ -9,34 +9,36 @@
 
 // streamState is what was read of a pool's stream.
 type streamState struct {
-	// started tells that next is known.
+	// started indicates that next is known.
 	started bool
-	// next is the next offset to read. Everything between the start and next
-	// was read without a gap.
+	// next is the next offset to read. All records from the first one read up
+	// to next were read without a gap.
 	next uint64
-	// newestEpoch is the newest epoch claimed, holder its instance.
+	// newestEpoch is the newest epoch claimed, controller the instance that
+	// claimed it.
 	newestEpoch structs.Epoch
 	controller  structs.InstanceID
-	// longestLease is the longest lease named by a record.
+	// longestLease is the longest lease named by any record.
 	longestLease time.Duration
-	// malformed counts records that could not be decoded, void those that had
-	// no effect.
+	// malformed counts records that could not be decoded, void those without
+	// effect.
 	malformed, void int
 }
 
-// claim is this instance's claim.
+// claim is this instance's claim of the pool.
 type claim struct {
 	record record
-	// attempts counts the appends of the record; the next is due at retryAt.
+	// attempts counts the appends of the record; the next one is due at
+	// retryAt.
 	attempts int
 	retryAt  time.Time
 	// wonAt is when the claim was read back as the newest.
 	wonAt time.Time
 }
 
-// resync forgets what was read and reads the stream from its newest record.
-// With it goes the own claim: a claim is only counted by a writer that has read
-// everything since before it sent it.
+// resync discards what was read and reads the stream again from its newest
+// record. It also discards the instance's own claim, which is valid only if the
+// instance has read everything since before it sent the claim.
 func (p *pool) resync(reason string) {
 	p.err = reason
 	p.setPhase(phaseReading)
@@ -47,13 +49,13 @@
 	p.c.emit(structs.LogTailEnd{Stream: p.stream})
 }
 
-// handleRead takes in records of the stream.
+// handleRead processes records read from the stream.
 func (p *pool) handleRead(ev structs.LogRead) {
 	if p.phase == phaseSuperseded {
 		return
 	}
 	if p.streamState.started && ev.From > p.streamState.next {
-		p.resync("records of the log were missed")
+		p.resync("gap in the records read from the log")
 		return
 	}
 	if !p.streamState.started {
@@ -74,7 +76,7 @@
 	}
 }
 
-// applyRecord takes in one record.
+// applyRecord processes one record.
 func (p *pool) applyRecord(rec wire.LogRecord) {
 	r, err := decodeRecord(rec.Offset, rec.Data)
 	if err != nil {
@@ -90,8 +92,8 @@
 	}
 }
 
-// applyClaim keeps the invariant that one claim of an epoch counts: the first
-// in offset order whose epoch is above all before it.
+// applyClaim ensures that at most one claim per epoch is valid: the first in
+// offset order whose epoch is greater than all before it.
 func (p *pool) applyClaim(r record) {
 	if r.Epoch <= p.streamState.newestEpoch {
 		p.streamState.void++
@@ -103,24 +105,24 @@
 	case p.phase == phaseClaiming && p.isOwn(r) && r.Sequence == p.claim.record.Sequence:
 		p.takeControl()
 	case p.phase == phaseClaiming && r.Epoch < p.claim.record.Epoch:
-		// The own claim will still count.
+		// This instance's claim is still valid once it is read.
 	default:
-		p.stepDown("superseded by " + truncate(string(r.Instance)))
+		p.stepDown("superseded by instance " + truncate(string(r.Instance)))
 	}
 }
 
 func (p *pool) isOwn(r record) bool { return r.Writer == p.c.writer }
 
-// startClaim claims the pool. The epoch is above those of all records before the
-// claim, read or not; see the package comment.
+// startClaim claims the pool. The epoch is greater than that of any record
+// before the claim, read or not; see the package comment.
 func (p *pool) startClaim() {
 	p.setPhase(phaseClaiming)
 	p.claim = claim{record: p.c.newRecord(kindClaim, structs.Epoch(p.streamState.next+1))}
 	p.appendClaim()
 }
 
-// appendClaim appends the claim, unchanged, until it is read back. The append's
-// result does not matter: a reply may be lost, and a repeat is void.
+// appendClaim appends the claim, unchanged, until it is read back. The result
+// of the append is ignored: a reply may be lost, and a repeated claim is void.
 func (p *pool) appendClaim() {
 	if !p.c.due(p.claim.retryAt) {
 		return
@@ -131,8 +133,8 @@
 	p.c.append(p.stream, p.claim.record)
 }
 
-// takeControl begins the control. The predecessor may hold a lease until longest after
-// now at the latest. It may also just have sent an order to load.
+// takeControl makes this instance the controller. The predecessor's lease may
+// last for longestLease from now, and it may just have sent an order to load.
 func (p *pool) takeControl() {
 	p.setPhase(phaseHolding)
 	p.err = ""
@@ -144,5 +146,5 @@
 	}
 }
 
-// epoch is the epoch of this instance's control.
+// epoch is the epoch under which this instance controls the pool.
 func (p *pool) epoch() structs.Epoch { return p.claim.record.Epoch }
--- a/internal/orders/controller.go
+++ b/internal/orders/controller.go
@@ -8,36 +8,36 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// appendIDBit is set, and the bit above clear, in the append ids of this
-// component and in no other's: the settings set the top bit, and the owner
-// counts from 1, which reaches this bit after 146 years of a thousand million
-// appends a second.
+// appendIDBit marks the append IDs of this component, together with a clear top
+// bit. The settings component sets the top bit, and the owner counts from 1, so
+// that IDs never collide.
 const appendIDBit = structs.AppendID(1) << 62
 
 // Settings is the settings tree as the controller reads it.
 type Settings interface {
 	structs.Settings
-	// Next changes with every change of the tree.
+	// Next returns a version that changes with every change of the tree.
 	Next() uint64
 }
 
-// Controller gives orders to the engines of all pools that this instance
-// should control. Its methods are called from one goroutine.
+// Controller orders the engines of all pools assigned to this instance. It is
+// not safe for concurrent use.
 type Controller struct {
 	cfg      structs.InstanceConfig
 	members  structs.Members
 	settings Settings
-	// writer names this start of the instance in records.
+	// writer identifies this incarnation of the instance in records.
 	writer string
 
 	now time.Time
-	// wake is the earliest time that something waits for.
+	// wake is the time of the earliest timer, zero if none is set.
 	wake     time.Time
 	commands []structs.Command
-	// settingsVersion is the version of the settings that the pools follow.
+	// settingsVersion is the version of the settings that is applied to the
+	// pools.
 	settingsVersion uint64
 	refreshAt       time.Time
-	// pools is ordered by service.
+	// pools is sorted by service.
 	pools []*pool
 
 	lastAppendID structs.AppendID
@@ -45,7 +45,7 @@
 	lastOrderID  structs.OrderID
 }
 
-// New returns a controller without any pool.
+// New returns a Controller without pools.
 func New(cfg structs.InstanceConfig, members structs.Members, settings Settings) *Controller {
 	return &Controller{
 		cfg: cfg, members: members, settings: settings,
@@ -53,11 +53,10 @@
 	}
 }
 
-// Tick takes in events that happened by now and gives the commands that follow.
+// Tick processes events and returns the resulting commands.
 func (c *Controller) Tick(now time.Time, events []structs.Event) []structs.Command {
 	changed := c.settings.Next() != c.settingsVersion
-	// The instance ticks for every call: with nothing to do this must cost
-	// nothing.
+	// Tick runs for every call of the instance: return early if nothing is due.
 	if len(events) == 0 && !changed && (c.wake.IsZero() || now.Before(c.wake)) {
 		return nil
 	}
@@ -76,10 +75,10 @@
 	return c.commands
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if none is set.
 func (c *Controller) NextWake() time.Time { return c.wake }
 
-// handle takes in an event and tells whether the pools or their targets may
+// handle processes an event and reports whether the pools or their targets may
 // have changed.
 func (c *Controller) handle(ev structs.Event) bool {
 	switch ev := ev.(type) {
@@ -89,7 +88,7 @@
 		}
 	case structs.LogReadFailed:
 		if p := c.poolByStream(ev.Stream); p != nil && ev.Truncated && p.phase != phaseSuperseded {
-			p.resync("the log dropped records that were not read")
+			p.resync("the log dropped records before they were read")
 		}
 	case structs.OrdersRead:
 		c.withTarget(ev.Target, func(_ *pool, t *target) { t.handleState(ev) })
@@ -98,12 +97,12 @@
 	case structs.MembersListed, structs.PeerUp, structs.PeerDown, structs.PeerMessage, structs.DrainStart:
 		return true
 	}
-	// The results of appends are not looked at: only what is read back
-	// counts, and a record that is not read back in time is repeated.
+	// Results of appends are ignored: only records that are read back count,
+	// and a record that is not read back in time is repeated.
 	return false
 }
 
-// refresh takes over the settings and the membership.
+// refresh applies the settings and the membership.
 func (c *Controller) refresh() {
 	c.settingsVersion = c.settings.Next()
 	var pools []*pool
@@ -132,7 +131,7 @@
 	}
 }
 
-// shouldControl tells whether the membership names this instance for a pool.
+// shouldControl reports whether the membership assigns a pool to this instance.
 func (c *Controller) shouldControl(id structs.PoolID) bool {
 	instance, ok := c.members.DispatcherOf(id)
 	return ok && instance == c.cfg.Self.ID
@@ -140,7 +139,8 @@
 
 func (c *Controller) poolByID(id structs.PoolID) *pool { return c.poolByStream(id.Stream()) }
 
-// poolByStream gives the pool of a stream, nil if this instance does not control it.
+// poolByStream returns the pool of a stream, nil if it is not assigned to this
+// instance.
 func (c *Controller) poolByStream(stream string) *pool {
 	i := slices.IndexFunc(c.pools, func(p *pool) bool { return p.stream == stream })
 	if i < 0 {
@@ -162,10 +162,11 @@
 
 func (c *Controller) emit(cmd structs.Command) { c.commands = append(c.commands, cmd) }
 
-// scheduleWake asks for a tick at a time in the future.
+// scheduleWake requests a tick at a future time.
 func (c *Controller) scheduleWake(at time.Time) { c.wake = earliest(c.wake, at) }
 
-// due tells whether a time has come; if not, it asks for a tick then.
+// due reports whether a time has been reached; if not, it requests a tick at
+// that time.
 func (c *Controller) due(at time.Time) bool {
 	if c.now.Before(at) {
 		c.scheduleWake(at)
@@ -174,13 +175,13 @@
 	return true
 }
 
-// append writes a record to a stream.
+// append appends a record to a stream.
 func (c *Controller) append(stream string, r record) {
 	c.lastAppendID++
 	c.emit(structs.LogAppend{ID: c.lastAppendID | appendIDBit, Stream: stream, Records: [][]byte{r.encode()}})
 }
 
-// newRecord makes a record of this writer with a sequence number of its own.
+// newRecord returns a record of this writer with a new sequence number.
 func (c *Controller) newRecord(kind recordKind, epoch structs.Epoch) record {
 	c.lastSequence++
 	return record{
@@ -189,13 +190,13 @@
 	}
 }
 
-// newOrderID names a command to a target.
+// newOrderID returns the ID of the next command to a target.
 func (c *Controller) newOrderID() structs.OrderID {
 	c.lastOrderID++
 	return c.lastOrderID
 }
 
-// truncate bounds a text for the dump.
+// truncate limits the length of a text in the dump.
 func truncate(text string) string {
 	const maxLen = 200
 	if len(text) <= maxLen {
--- a/internal/orders/dump.go
+++ b/internal/orders/dump.go
@@ -9,49 +9,49 @@
 
 // State is the part of the state dump about orders.
 type State struct {
-	// Pools are those that this instance should control.
+	// Pools are the pools assigned to this instance.
 	Pools []PoolState
 }
 
-// PoolState is one pool in the dump.
+// PoolState is the state of one pool in the dump.
 type PoolState struct {
 	Service structs.ServiceName
 	Phase   string
 	Since   time.Time
-	// Controller is the instance whose claim is the newest read, Epoch its
+	// Controller is the instance with the newest claim that was read, Epoch its
 	// epoch.
 	Controller structs.InstanceID
 	Epoch      structs.Epoch
-	// LeaseNotBefore is the end of what a predecessor may hold, LeaseUntil
-	// the end of the own lease; zero if there is none.
+	// LeaseNotBefore is when any lease of a predecessor has expired, LeaseUntil
+	// the end of this instance's lease; zero if unset.
 	LeaseNotBefore time.Time
 	LeaseUntil     time.Time
 	Desired        structs.Orders
 	Targets        []TargetState
-	// Garbage and Void count records that were malformed or had no effect.
+	// Garbage counts malformed records, Void those without effect.
 	Garbage int
 	Void    int
 	Error   string
 }
 
-// TargetState is one target in the dump.
+// TargetState is the state of one target in the dump.
 type TargetState struct {
 	Target structs.TargetID
-	// Known tells that Actual was read since the last failure.
+	// Known indicates that Actual was read after the last failure.
 	Known  bool
 	Actual wire.OrderState
-	// Checks tells whether the target is trusted to refuse old fencing
+	// Checks reports whether the target is trusted to reject old fencing
 	// numbers.
 	Checks bool
-	// Order is the order under way, nil if none.
+	// Order is the order in progress, nil if none.
 	Order *wire.Order
-	// Waiting tells that the adapter's answer is awaited.
+	// Waiting indicates that a command to the target is in flight.
 	Waiting  bool
 	Failures int
 	Error    string
 }
 
-// Dump gives the state of all pools.
+// Dump returns the state of all pools.
 func (c *Controller) Dump() State {
 	var s State
 	for _, p := range c.pools {
--- a/internal/orders/lease.go
+++ b/internal/orders/lease.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// lease is the controller's permission to give orders to targets that ignore
-// fencing numbers.
+// lease permits the controller to send orders to targets that ignore fencing
+// numbers.
 type lease struct {
-	// notBefore is the end of what a predecessor may hold.
+	// notBefore is when any lease of a predecessor has expired.
 	notBefore time.Time
-	// validUntil is the end of the lease that counts, zero if none does.
+	// validUntil is the end of the current lease, zero if there was none.
 	validUntil time.Time
-	// sentAt holds when the append of each Lease record was sent, by sequence.
+	// sentAt is when the append of each Lease record was sent, by sequence.
 	sentAt  map[uint64]time.Time
 	retryAt time.Time
 }
 
-// applyLease counts an own Lease record that was read back under the own epoch.
-// The lease runs from the send of the append, which is before any other
-// instance can have read a claim that follows the record.
+// applyLease extends the lease by this instance's own Lease record, read back
+// under its own epoch. The lease starts when the append was sent, which is
+// before any other instance can have read a claim that follows the record.
 func (p *pool) applyLease(r record) {
 	if r.Epoch != p.streamState.newestEpoch {
 		p.streamState.void++
@@ -37,8 +37,8 @@
 	}
 }
 
-// ensureLease tells whether an order may be sent, up to the send window from now, to
-// a target that ignores fencing numbers. It asks for a lease or its renewal.
+// ensureLease reports whether the lease covers an order that is sent within the
+// send window. It requests or renews the lease if needed.
 func (p *pool) ensureLease() bool {
 	if !p.c.due(p.lease.notBefore) {
 		return false
--- a/internal/orders/pool.go
+++ b/internal/orders/pool.go
@@ -6,23 +6,23 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// phase tells how far this instance is with the control of a pool.
+// phase is this instance's progress towards control of a pool.
 type phase string
 
 // Phases of a pool.
 const (
-	// phaseReading: reading up to the end of the stream.
+	// phaseReading: reading the stream up to its end.
 	phaseReading phase = "reading"
-	// phaseClaiming: the claim is not read back yet.
+	// phaseClaiming: the claim has not been read back yet.
 	phaseClaiming phase = "claiming"
 	// phaseHolding: this instance is the controller as far as it has read.
 	phaseHolding phase = "holding"
-	// phaseSuperseded: a newer claim was read or a target refused the epoch;
-	// the stream is read again after a while.
+	// phaseSuperseded: a newer claim was read or a target rejected the epoch;
+	// the stream is read again after a backoff.
 	phaseSuperseded phase = "superseded"
 )
 
-// pool is the row of a pool that this instance should control.
+// pool is the state of a pool that is assigned to this instance.
 type pool struct {
 	c       *Controller
 	id      structs.PoolID
@@ -37,29 +37,29 @@
 	lease       lease
 	// backoffUntil is when a superseded instance may read and claim again.
 	backoffUntil time.Time
-	// lastLoad is when the last order to load was sent; see canLoad.
+	// lastLoad is when the latest order that loads from the weight store was
+	// sent.
 	lastLoad time.Time
-	// targets are those that do not leave, in order of id.
+	// targets are the targets that are not leaving, sorted by ID.
 	targets []*target
 	err     string
 }
 
-// newPool makes the row and begins to read its stream.
+// newPool returns a pool that starts to read its stream.
 func newPool(c *Controller, id structs.PoolID) *pool {
 	p := &pool{c: c, id: id, stream: id.Stream()}
 	p.resync("")
 	return p
 }
 
-// setPhase changes the phase.
 func (p *pool) setPhase(next phase) { p.phase, p.since = next, p.c.now }
 
-// stop ends the control: the row is dropped. Orders on their way are bounded by
-// the time that they carry.
+// stop ends control of the pool. The NotAfter times of orders in flight still
+// bound when they are sent.
 func (p *pool) stop() { p.c.emit(structs.LogStop{Stream: p.stream}) }
 
-// setService takes over the service's settings. A changed desired state is
-// compared with the targets' at once.
+// setService applies the service's settings. If the desired state changed, it
+// is compared with the states of the targets at once.
 func (p *pool) setService(service structs.Service) {
 	changed := service.Orders != p.service.Orders
 	p.service = service
@@ -71,8 +71,7 @@
 	}
 }
 
-// setTargets takes over the targets that do not leave. A target at another
-// address is a new one.
+// setTargets updates the targets. A target whose address changed counts as new.
 func (p *pool) setTargets(listed []structs.Target) {
 	var targets []*target
 	for _, info := range listed {
@@ -94,7 +93,7 @@
 	return newTarget(p.c, info)
 }
 
-// advance does what is due.
+// advance does the work that is due in the current phase.
 func (p *pool) advance() {
 	switch p.phase {
 	case phaseSuperseded:
@@ -111,7 +110,8 @@
 	}
 }
 
-// stepDown ends the control of this instance for a while.
+// stepDown ends control of the pool by this instance until a backoff has
+// passed.
 func (p *pool) stepDown(reason string) {
 	p.err = reason
 	p.setPhase(phaseSuperseded)
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -5,11 +5,11 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// orderKinds are the kinds of orders in the order in which they are given: a version
-// or an adapter belongs to a model, and a role needs all of them.
+// orderKinds lists the kinds of orders in the sequence in which they are sent:
+// a version or an adapter belongs to a model, and a role needs all of them.
 var orderKinds = []string{wire.OrderLoadModel, wire.OrderSetVersion, wire.OrderLoadAdapter, wire.OrderSetRole}
 
-// desiredValue gives the desired value for a kind of order, empty if none.
+// desiredValue returns the desired value for a kind of order, empty if none.
 func desiredValue(o structs.Orders, kind string) string {
 	switch kind {
 	case wire.OrderLoadModel:
@@ -23,7 +23,7 @@
 	}
 }
 
-// actualValue gives a target's value for a kind of order.
+// actualValue returns a target's value for a kind of order.
 func actualValue(s wire.OrderState, kind string) string {
 	switch kind {
 	case wire.OrderLoadModel:
@@ -37,10 +37,11 @@
 	}
 }
 
-// usesWeightStore tells whether an order draws on the weight store.
+// usesWeightStore reports whether an order loads from the weight store.
 func usesWeightStore(kind string) bool { return kind != wire.OrderSetRole }
 
-// nextOrder gives the first order that a target in a state needs.
+// nextOrder returns the first order that a target needs to reach the desired
+// state.
 func nextOrder(o structs.Orders, s wire.OrderState) (wire.Order, bool) {
 	for _, kind := range orderKinds {
 		want := desiredValue(o, kind)
@@ -51,8 +52,8 @@
 	return wire.Order{}, false
 }
 
-// sendOrders sends the orders that are due, in order of the targets. A target
-// that fails holds up no other.
+// sendOrders sends the orders that are due. A failing target does not block the
+// others.
 func (p *pool) sendOrders() {
 	available := max(1, p.service.Orders.Parallel) - p.inProgress()
 	for _, t := range p.targets {
@@ -75,7 +76,7 @@
 	}
 }
 
-// inProgress counts the targets that change.
+// inProgress returns the number of targets with an order in progress.
 func (p *pool) inProgress() int {
 	n := 0
 	for _, t := range p.targets {
@@ -86,8 +87,8 @@
 	return n
 }
 
-// dueOrder gives the order that a target needs now: only right behind a state that
-// was read, and one at a time.
+// dueOrder returns the order that a target needs now. The state must have been
+// read since the last failure, and no command or order may be in progress.
 func (p *pool) dueOrder(t *target) (wire.Order, bool) {
 	if t.pendingID != 0 || t.order != nil || !t.stateKnown {
 		return wire.Order{}, false
@@ -100,7 +101,7 @@
 	return order, p.c.due(t.retryAt)
 }
 
-// canSend keeps the rate of loads, and the lease for a target that ignores
+// canSend enforces the rate of loads, and the lease for targets that ignore
 // fencing numbers.
 func (p *pool) canSend(t *target, order wire.Order) bool {
 	if usesWeightStore(order.Kind) && !p.canLoad() {
@@ -109,23 +110,23 @@
 	return p.checksFencing(t) || p.ensureLease()
 }
 
-// canLoad spares the weight store.
+// canLoad limits the load on the weight store.
 func (p *pool) canLoad() bool {
 	interval := p.service.Orders.Interval
 	return interval == 0 || p.c.due(p.lastLoad.Add(interval))
 }
 
-// checksFencing tells whether a target refuses old fencing numbers: the setting and
-// the target itself must say so.
+// checksFencing reports whether a target rejects old fencing numbers: both the
+// setting and the target itself must say so.
 func (p *pool) checksFencing(t *target) bool { return p.service.ChecksFencing && t.state.ChecksFencing }
 
-// handleOrderSent takes in the answer to an order.
+// handleOrderSent processes the result of an order.
 func (p *pool) handleOrderSent(t *target, ev structs.OrderSent) {
 	if ev.ID != t.pendingID {
 		return
 	}
 	if ev.Result == structs.OrderFenced {
-		p.stepDown("target " + truncate(string(t.info.ID)) + " refused the epoch as old")
+		p.stepDown("target " + truncate(string(t.info.ID)) + " rejected the epoch as outdated")
 		return
 	}
 	t.handleReply(ev)
--- a/internal/orders/record.go
+++ b/internal/orders/record.go
@@ -9,22 +9,23 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// recordVersion is the first byte of every record of a pool's stream.
+// recordVersion is the first byte of every record in a pool's stream.
 const recordVersion = 1
 
-// ErrMalformedRecord is the error of a record that cannot be decoded. Readers skip and
-// count such records.
+// ErrMalformedRecord is returned for a record that cannot be decoded. Readers
+// skip and count such records.
 var ErrMalformedRecord = errors.New("malformed pool record")
 
-// recordKind tags a record. Numbers are part of the format.
+// recordKind is the type of a record. Its numbers are part of the format.
 type recordKind uint8
 
 // Kinds of records.
 const (
 	// kindClaim makes its writer the controller of the pool.
 	kindClaim recordKind = 1
-	// kindLease lets the controller of the record's epoch give orders to
-	// targets that ignore fencing numbers, for Lease from the send.
+	// kindLease permits the controller of the record's epoch to send orders to
+	// targets that ignore fencing numbers, for Lease from when the append was
+	// sent.
 	kindLease recordKind = 2
 )
 
@@ -32,8 +33,8 @@
 type record struct {
 	Kind  recordKind    `codec:"k"`
 	Epoch structs.Epoch `codec:"e"`
-	// Writer is unique for each start of a process, and Sequence for each
-	// record of a writer; a repeat of an append has the same.
+	// Writer is unique per incarnation of a process, and Sequence per record of
+	// a writer; a repeated append has the same Sequence.
 	Writer   string             `codec:"w"`
 	Sequence uint64             `codec:"s"`
 	Instance structs.InstanceID `codec:"i"`
@@ -49,17 +50,17 @@
 	return h
 }
 
-// encode gives the bytes of a record.
+// encode returns the encoded record.
 func (r record) encode() []byte {
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, handle).Encode(r); err != nil {
-		panic(errors.NewAssertionErrorWithWrappedErrf(err, "encode a pool record"))
+		panic(errors.NewAssertionErrorWithWrappedErrf(err, "encode pool record"))
 	}
 	return append([]byte{recordVersion}, body...)
 }
 
-// decodeRecord reads the record at an offset. It returns ErrMalformedRecord for anything
-// else.
+// decodeRecord decodes the record at an offset. It returns ErrMalformedRecord
+// if the record is invalid.
 func decodeRecord(offset uint64, data []byte) (record, error) {
 	if len(data) == 0 || data[0] != recordVersion {
 		return record{}, ErrMalformedRecord
@@ -69,8 +70,8 @@
 		return record{}, errors.Mark(err, ErrMalformedRecord)
 	}
 	knownKind := r.Kind == kindClaim || r.Kind == kindLease
-	// An epoch is at most the offset plus one: so every later claim is above
-	// every earlier one, even if the log has dropped the earlier one.
+	// An epoch is at most the offset plus one, so that every later claim can
+	// exceed every earlier one even if the log has dropped the earlier one.
 	if !knownKind || uint64(r.Epoch) > offset+1 || r.Lease < 0 || r.Lease > maxLease {
 		return record{}, ErrMalformedRecord
 	}
--- a/internal/orders/target.go
+++ b/internal/orders/target.go
@@ -7,28 +7,28 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// target is the row of one target.
+// target is the state of one target.
 type target struct {
 	c    *Controller
 	info structs.Target
-	// state is the state last read; it is known if that read succeeded.
+	// state is the latest state read, valid if stateKnown is set.
 	state      wire.OrderState
 	stateKnown bool
-	// readAt is when the state is to be read again.
+	// readAt is when the state is read next.
 	readAt time.Time
-	// pendingID is the command under way, 0 if none, which is given up at
+	// pendingID is the command in flight, 0 if none. It times out at
 	// replyDeadline.
 	pendingID     structs.OrderID
 	replyDeadline time.Time
-	// order is the order sent and not read back yet, nil if none.
+	// order is the order that was sent and not yet read back, nil if none.
 	order *pendingOrder
-	// failures counts failures in a row; no order is sent before retryAt.
+	// failures counts consecutive failures; no order is sent before retryAt.
 	failures int
 	retryAt  time.Time
 	err      string
 }
 
-// pendingOrder is an order on its way into force.
+// pendingOrder is an order that is not known to be in force yet.
 type pendingOrder struct {
 	wire.Order
 	sentAt time.Time
@@ -36,7 +36,7 @@
 
 func newTarget(c *Controller, info structs.Target) *target { return &target{c: c, info: info} }
 
-// advance reads the state when that is due.
+// advance handles a command timeout, and reads the state when that is due.
 func (t *target) advance() {
 	if t.pendingID != 0 {
 		if !t.c.due(t.replyDeadline) {
@@ -52,32 +52,32 @@
 	t.c.emit(structs.ReadOrders{ID: t.pendingID, Target: t.info})
 }
 
-// startCommand begins a command. One is under way at a time, and the answer to a former
-// one is not taken for its.
+// startCommand starts a command. At most one is in flight per target, and
+// replies to earlier ones are ignored.
 func (t *target) startCommand() {
 	t.pendingID = t.c.newOrderID()
 	t.replyDeadline = t.c.now.Add(replyTimeout)
 	t.c.scheduleWake(t.replyDeadline)
 }
 
-// scheduleRead has the state read at once, or after the command under way.
+// scheduleRead makes the next read of the state due at once.
 func (t *target) scheduleRead() { t.readAt = t.c.now }
 
-// reset drops what is under way when control ends. A late answer is ignored.
+// reset discards pending work when control ends. Late replies are ignored.
 func (t *target) reset() {
 	t.pendingID, t.order, t.stateKnown = 0, nil, false
 	t.scheduleRead()
 }
 
-// desiredChanged gives up waiting for an order that may be outdated; one that
-// is being sent is awaited. The state last read is compared at once.
+// desiredChanged stops waiting for an order that may be outdated, unless it is
+// still being sent. The latest state read is compared again at once.
 func (t *target) desiredChanged() {
 	if t.pendingID == 0 {
 		t.order = nil
 	}
 }
 
-// recordFailure notes a failure; the next order has to wait.
+// recordFailure records a failure and delays the next order.
 func (t *target) recordFailure(reason string) {
 	t.order, t.stateKnown = nil, false
 	t.failures++
@@ -87,7 +87,7 @@
 	t.readAt = t.retryAt
 }
 
-// handleState takes in the target's state.
+// handleState processes a read of the target's state.
 func (t *target) handleState(ev structs.OrdersRead) {
 	if ev.ID != t.pendingID {
 		return
@@ -104,8 +104,8 @@
 	}
 }
 
-// verify compares the state read with the order sent. An order that was
-// accepted but is not in force is waited for, as a load takes its time.
+// verify compares the state read with the order sent. A load takes time, so an
+// accepted order may come into force later.
 func (t *target) verify() {
 	switch {
 	case actualValue(t.state, t.order.Kind) == t.order.Value:
@@ -128,8 +128,8 @@
 	})
 }
 
-// handleReply takes in the answer to an order that was not refused for its epoch. What
-// became of the order is then read back.
+// handleReply processes the reply to an order that was not rejected for its
+// epoch. An accepted order is then read back.
 func (t *target) handleReply(ev structs.OrderSent) {
 	t.pendingID = 0
 	if ev.Result != structs.OrderAccepted {
