--- a/internal/orders/engine_test.go
+++ b/internal/orders/engine_test.go
@@ -24,12 +24,13 @@
 
 const (
 	waitTimeout = 60 * time.Second
-	// clockSpeed is how much faster than real time the instance's clock goes.
+	// clockSpeed is the factor by which the instance's clock runs faster than
+	// real time.
 	clockSpeed = 10
 )
 
-// testbed is the core of an instance with the real adapters, a log service and
-// two engines: one that checks the fencing number and one that ignores it.
+// testbed runs the core of an instance with the real adapters, a log service
+// and two engines: one that checks the fencing number and one that ignores it.
 type testbed struct {
 	t       *testing.T
 	clock   func() time.Time
@@ -40,7 +41,8 @@
 	engines map[string]*restartableEngine
 }
 
-// restartableEngine is an engine that can be replaced at its address.
+// restartableEngine is an engine that can be replaced without a change of its
+// address.
 type restartableEngine struct {
 	checks bool
 	server atomic.Pointer[engine.Server]
@@ -56,8 +58,8 @@
 	r.server.Load().Handler().ServeHTTP(w, request)
 }
 
-// applied lists the orders that took effect since the start, without repeats: an
-// order whose answer is late is sent again.
+// applied returns the orders that took effect since the engine was started,
+// without consecutive duplicates: an order whose reply is late is sent again.
 func (r *restartableEngine) applied(t *testing.T) (seen []wire.Order) {
 	reply := httptest.NewRecorder()
 	r.ServeHTTP(reply, httptest.NewRequest(http.MethodGet, engine.OrderLogRoute, nil))
@@ -91,7 +93,8 @@
 	return b
 }
 
-// startEngines starts the engines and tells the instance of them.
+// startEngines starts the engines and adds them to the membership and the
+// settings.
 func (b *testbed) startEngines() {
 	var list wire.MemberList
 	var changes []structs.SettingChange
@@ -138,7 +141,7 @@
 			batch = []structs.Event{ev}
 		case <-wake:
 		case <-timeout:
-			b.t.Fatalf("not reached: %+v", b.core.Dump().Orders)
+			b.t.Fatalf("condition not met within the timeout; orders: %+v", b.core.Dump().Orders)
 		}
 	}
 }
@@ -157,13 +160,13 @@
 		b.runner.SendOrder(cmd)
 	case structs.ReplySettings:
 		if cmd.Result.Status != structs.SettingsAccepted {
-			b.t.Fatalf("%+v", cmd.Result)
+			b.t.Fatalf("settings were not accepted: %+v", cmd.Result)
 		}
 	}
 }
 
-// The real adapters bring the stand-in engines to the desired state, and again
-// after a restart of the engines.
+// The real adapters bring the stand-in engines to the desired state, initially
+// and after the engines are restarted.
 func TestStandInEnginesReachDesiredState(t *testing.T) {
 	b := newTestbed(t)
 	for range 2 {
@@ -173,10 +176,10 @@
 				{Kind: wire.OrderLoadModel, Value: "m1", Fencing: 1}, {Kind: wire.OrderSetRole, Value: "prefill", Fencing: 1},
 			}
 			if got := e.applied(t); !slices.Equal(got, want) {
-				t.Errorf("%+v", got)
+				t.Errorf("applied orders = %+v, want load_model and set_role", got)
 			}
 		}
-		// All have both orders: none is restarted between the two.
+		// All engines have both orders, so none is restarted between the two.
 		for _, e := range b.engines {
 			e.restart(t)
 		}
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// runBothModes runs a test for targets that check the fencing number and for targets
-// that ignore it.
+// runBothModes runs a test with targets that check the fencing number and with
+// targets that ignore it.
 func runBothModes(t *testing.T, targets, nodes int, test func(*testing.T, *simulation)) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint("checks=", checks), func(t *testing.T) {
@@ -29,7 +29,7 @@
 		s.waitFor("desired state", s.converged)
 		s.engines["t1"].state = wire.OrderState{ChecksFencing: s.checksFencing}
 		s.engines["t2"] = &engine{state: wire.OrderState{ChecksFencing: s.checksFencing}}
-		s.waitFor("state after a restart and at a new target", s.converged)
+		s.waitFor("desired state after a restart and at a new target", s.converged)
 		kinds := []string{}
 		for _, o := range s.engines["t2"].applied {
 			kinds = append(kinds, o.Kind)
@@ -45,19 +45,19 @@
 		s.nodes[1].selected = true
 		s.run(2 * time.Second)
 		if s.nodes[0].isController() == s.nodes[1].isController() {
-			t.Fatalf("%+v %+v", s.nodes[0].controller.Dump(), s.nodes[1].controller.Dump())
+			t.Fatalf("want exactly one controller, got states %+v and %+v", s.nodes[0].controller.Dump(), s.nodes[1].controller.Dump())
 		}
 		s.run(time.Minute)
 		if claims := s.claims(); claims > 8 {
-			t.Errorf("%d claims in a minute", claims)
+			t.Errorf("%d claims in a minute, want at most 8", claims)
 		}
 		s.nodes[1].selected = false
 		s.waitFor("desired state", s.converged)
 	})
 }
 
-// The order that a paused controller has decided on, and that waits at its
-// adapter, is not sent after the next controller's orders.
+// An order that a paused controller left at its adapter must not be sent after
+// the orders of the next controller.
 func TestPausedControllerSendsNoStaleOrders(t *testing.T) {
 	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
 		old, next, e := s.nodes[0], s.nodes[1], s.engines["t0"]
@@ -78,14 +78,14 @@
 		old.paused = false
 		s.run(time.Second)
 		if last := e.applied[len(e.applied)-1]; last.Value != "m3" || e.refused > 0 {
-			t.Errorf("%+v, %d refused", e.applied, e.refused)
+			t.Errorf("applied orders %+v, %d rejected; want m3 last and none rejected", e.applied, e.refused)
 		}
 	})
 }
 
-// A controller that is cut off from the log takes itself for the controller. A
-// target that checks refuses it, which ends its control; to others it sends
-// nothing after its lease.
+// A controller that is partitioned from the log still considers itself the
+// controller. A target that checks the fencing number rejects its orders, which
+// ends its control; other targets get no orders after its lease.
 func TestControllerPartitionedFromLog(t *testing.T) {
 	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
 		old, next, e := s.nodes[0], s.nodes[1], s.engines["t0"]
@@ -96,28 +96,28 @@
 		old.paused = false
 		s.run(step)
 		if !old.isController() {
-			t.Error("the controller that is cut off knows of the next one")
+			t.Error("the partitioned controller has given up control before its order was rejected")
 		}
 		next.paused = true
 		s.setModel("m3")
 		s.run(readInterval)
 		if e.state.Model != "m2" || s.checksFencing != (e.refused > 0) || s.checksFencing == old.isController() {
-			t.Errorf("%+v, %d refused, old %+v", e.state, e.refused, old.controller.Dump())
+			t.Errorf("state %+v, %d orders rejected, partitioned controller %+v", e.state, e.refused, old.controller.Dump())
 		}
 	})
 }
 
-// Appends take effect, some late, and no reply arrives.
+// Appends take effect, some of them late, but no reply arrives.
 func TestLostAppendReplies(t *testing.T) {
 	runBothModes(t, 1, 1, func(t *testing.T, s *simulation) {
 		s.append = func() (time.Duration, bool) { return 3 * minClaimRetry, true }
 		s.waitFor("desired state", s.converged)
 		s.run(time.Minute)
 		if !s.nodes[0].isController() || s.nodes[0].controller.pools[0].streamState.void == 0 {
-			t.Errorf("%+v", s.nodes[0].controller.Dump())
+			t.Errorf("want control and void records, got state %+v", s.nodes[0].controller.Dump())
 		}
 		if claims := s.claims(); claims < 2 || s.engines["t0"].applied[0].Fencing != 1 {
-			t.Errorf("%d claims, %+v", claims, s.engines["t0"].applied)
+			t.Errorf("%d claims, want at least 2; applied orders %+v, want epoch 1 first", claims, s.engines["t0"].applied)
 		}
 	})
 }
@@ -130,29 +130,29 @@
 		s.setModel("m2")
 		s.run(10 * time.Minute)
 		if s.converged() != s.checksFencing {
-			t.Errorf("%+v", s.engines["t0"].applied)
+			t.Errorf("orders applied during the outage: %+v; want m2 only if the target checks fencing numbers", s.engines["t0"].applied)
 		}
 		s.logDown = false
 		s.waitFor("orders after the outage", s.converged)
 	})
 }
 
-// An idle pool costs no appends, and the log may drop all its records: the next
-// epoch is still above the last.
+// An idle pool appends nothing. If the log drops all records, the next epoch
+// must still be greater than the last.
 func TestEpochsGrowAfterLogTruncation(t *testing.T) {
 	runBothModes(t, 1, 2, func(t *testing.T, s *simulation) {
 		s.waitFor("desired state", s.converged)
 		count := len(s.records)
 		s.run(time.Hour)
 		if len(s.records) != count || count > 2 {
-			t.Errorf("%d records, then %d", count, len(s.records))
+			t.Errorf("%d records, then %d after an idle hour; want at most 2 and no new ones", count, len(s.records))
 		}
 		s.firstOffset = uint64(len(s.records))
 		s.nodes[0].selected, s.nodes[1].selected = false, true
 		s.setModel("m2")
 		s.waitFor("orders of the next controller", s.converged)
 		if s.engines["t0"].refused > 0 {
-			t.Errorf("%d refused", s.engines["t0"].refused)
+			t.Errorf("%d orders rejected, want 0", s.engines["t0"].refused)
 		}
 	})
 }
@@ -165,14 +165,14 @@
 		}
 		s.waitFor("desired state", s.converged)
 		if s.maxLoading != 2 {
-			t.Errorf("%d at once, want 2", s.maxLoading)
+			t.Errorf("%d targets loaded at once, want 2", s.maxLoading)
 		}
 		s.loadTimes, s.orders.Interval = nil, 20*time.Second
 		s.setModel("m2")
 		s.waitFor("desired state", s.converged)
 		for i := 1; i < len(s.loadTimes); i++ {
 			if s.loadTimes[i].Sub(s.loadTimes[i-1]) < s.orders.Interval {
-				t.Errorf("loads at %v", s.loadTimes)
+				t.Errorf("loads closer together than the interval: %v", s.loadTimes)
 			}
 		}
 	})
@@ -186,29 +186,29 @@
 			unresponsive.unresponsive = unresponsive.unresponsive || len(s.nodes[0].outbox) > 0
 			return unresponsive.unresponsive
 		})
-		s.waitFor("the third target's state", func() bool { return s.engines["t2"].state.Model == "m1" })
+		s.waitFor("desired model at the third target", func() bool { return s.engines["t2"].state.Model == "m1" })
 		unresponsive.unresponsive = false
-		s.waitFor("the state of the target that answers again", func() bool { return unresponsive.state.Model == "m1" })
+		s.waitFor("desired model at the target that is responsive again", func() bool { return unresponsive.state.Model == "m1" })
 		if len(leaving.applied) > 0 {
-			t.Errorf("leaving: %+v", leaving.applied)
+			t.Errorf("orders applied at a leaving target: %+v", leaving.applied)
 		}
 	})
 }
 
-// A service's setting alone does not make a target one that checks.
+// The setting of the service alone does not make a target count as checking.
 func TestTargetWithoutFencingNeedsLease(t *testing.T) {
 	s := newSimulation(t, true, 1, 1)
 	s.engines["t0"].state.ChecksFencing = false
 	s.run(leaseDuration)
 	if len(s.engines["t0"].applied) > 0 {
-		t.Error("order before the predecessor's lease has ended")
+		t.Error("order applied before the predecessor's lease has expired")
 	}
 	s.waitFor("desired state", s.converged)
 }
 
-// The controller that is cut off sends its last orders at the end of its lease,
-// and they are long on their way; the next one's first orders come after them.
-// The last order is decided on at each moment before the end.
+// A partitioned controller sends its last orders at the end of its lease, and
+// they are in flight for long; the first orders of the next controller must
+// come after them. The phases vary when the last order is decided.
 func TestOrdersAtLeaseExpiry(t *testing.T) {
 	for phase := range 2 * int(time.Second/step) {
 		s := newSimulation(t, false, 1, 2)
@@ -223,7 +223,7 @@
 		s.waitFor("the end of the lease", func() bool {
 			return old.controller.pools[0].lease.validUntil.Sub(old.now()) <= old.controller.cfg.SendWindow+time.Duration(phase-10)*step
 		})
-		// The margin and half of the second that claim and lease took here.
+		// Stays below leaseMargin plus the time that claim and lease take here.
 		old.sendDelay, old.sendAtLimit = 2500*time.Millisecond, true
 		for i := range 50 {
 			s.setModel(fmt.Sprint("b", i))
@@ -235,7 +235,7 @@
 	}
 }
 
-// A lease record that is read late does not make the lease longer.
+// A lease record that is read late must not extend the lease.
 func TestLateReadDoesNotExtendLease(t *testing.T) {
 	s := newSimulation(t, false, 1, 2)
 	old, next := s.nodes[0], s.nodes[1]
@@ -254,8 +254,8 @@
 	}
 }
 
-// A controller that misses records no longer knows that it is one. A late answer
-// to a former command means nothing.
+// A controller that misses records must give up control. Late replies to
+// earlier commands must be ignored.
 func TestMissedRecordsAndLateReplies(t *testing.T) {
 	s := newSimulation(t, true, 1, 1)
 	n := s.nodes[0]
@@ -263,13 +263,13 @@
 	n.inbox = append(n.inbox, structs.OrderSent{ID: 1 << 40, Target: "t0", Result: structs.OrderFenced})
 	s.run(step)
 	if !n.isController() {
-		t.Error("control ended by the answer to a former order")
+		t.Error("a late reply to an earlier order ended control")
 	}
 	next := uint64(len(s.records))
 	n.inbox = append(n.inbox, structs.LogRead{Stream: n.stream(), From: next + 1, Next: next + 1, End: next + 1})
 	s.run(step)
 	if n.isController() {
-		t.Error("control goes on without the missed records")
+		t.Error("instance kept control after it missed records")
 	}
-	s.waitFor("control again", n.isController)
+	s.waitFor("control regained", n.isController)
 }
--- a/internal/orders/random_test.go
+++ b/internal/orders/random_test.go
@@ -13,14 +13,15 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Whatever pauses, deaths, outages, lost replies, late appends, orders on their
-// way and wrong views of the membership come together: a target sees no order of
-// an old epoch after one of a newer epoch; and once faults cease, all targets
-// reach the desired state. gopter prints the seed of a schedule that fails.
+// Under random combinations of pauses, crashes, outages, lost replies, late
+// appends, delayed orders and wrong membership views, no target may see an
+// order of an old epoch after one of a newer epoch. Once faults cease, all
+// targets must reach the desired state. gopter prints the seed of a failing
+// schedule.
 func TestRandomFaults(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	for _, checks := range []bool{true, false} {
-		properties.Property(fmt.Sprintf("epochs only grow at targets, checks=%t", checks), prop.ForAll(
+		properties.Property(fmt.Sprintf("epochs never decrease at targets, checks=%t", checks), prop.ForAll(
 			func(seed uint64) (string, error) { return "", runSchedule(t, seed, checks) }, gen.UInt64(),
 		))
 	}
@@ -50,7 +51,7 @@
 	}
 	s.run(3 * time.Minute)
 	if !s.converged() {
-		return fmt.Errorf("not settled: %+v", s.nodes[0].controller.Dump())
+		return fmt.Errorf("not all targets reached the desired state: %+v", s.nodes[0].controller.Dump())
 	}
 	return s.checkEpochOrder()
 }
@@ -59,7 +60,7 @@
 	return time.Duration(s.rand.Int64N(int64(limit)))
 }
 
-// injectFault brings about one fault, or none.
+// injectFault injects at most one random fault.
 func (s *simulation) injectFault() {
 	n := s.nodes[s.rand.IntN(len(s.nodes))]
 	n.sendDelay, n.sendAtLimit = s.randomDuration(time.Second), s.rand.IntN(2) == 0
--- a/internal/orders/simulation_test.go
+++ b/internal/orders/simulation_test.go
@@ -16,11 +16,11 @@
 	service = structs.ServiceName("mark-agents")
 )
 
-// engine is a fake target. It notes the orders that took effect, in order.
+// engine is a fake target. It records the orders that took effect, in order.
 type engine struct {
 	state        wire.OrderState
 	unresponsive bool
-	loadTime     time.Duration // from an order's acceptance to its effect
+	loadTime     time.Duration // from acceptance of an order until it takes effect
 	removed      bool
 	applied      []wire.Order
 	refused      int
@@ -52,14 +52,14 @@
 	return structs.OrderAccepted
 }
 
-// scheduledEvent is something that happens at a time.
+// scheduledEvent is a function that runs at a given time.
 type scheduledEvent struct {
 	at time.Time
 	do func()
 }
 
-// simulation drives controllers against a fake log and fake targets by a virtual
-// clock. All nodes' clocks differ by hours.
+// simulation drives controllers against a fake log and fake targets with a
+// virtual clock. The clocks of the nodes differ by hours.
 type simulation struct {
 	t             *testing.T
 	rand          *rand.Rand
@@ -87,11 +87,11 @@
 	id          structs.InstanceID
 	starts      int
 	skew        time.Duration
-	selected    bool // the node's view names itself
+	selected    bool // by the node's view of the membership
 	paused      bool
 	partitioned bool          // from the log
-	sendDelay   time.Duration // of an order, after the adapter's check
-	sendAtLimit bool          // the adapter sends at the last allowed moment
+	sendDelay   time.Duration // of an order in flight, after the adapter's check
+	sendAtLimit bool          // the adapter sends orders at NotAfter
 	controller  *Controller
 	inbox       []structs.Event
 	outbox      []structs.Command
@@ -115,7 +115,7 @@
 	return s
 }
 
-// start begins a new process of the node.
+// start starts a new incarnation of the node.
 func (n *node) start() {
 	n.starts++
 	cfg := structs.DefaultInstanceConfig(structs.Peer{ID: n.id, Region: "r"}, fmt.Sprint(n.starts))
@@ -153,28 +153,28 @@
 	return []structs.Service{{Name: service, Kind: structs.ServiceEngine, ChecksFencing: n.sim.checksFencing, Orders: n.sim.orders}}
 }
 
-// setModel sets the desired model.
 func (s *simulation) setModel(model string) { s.orders.Model, s.version = model, s.version+1 }
 
 func (s *simulation) schedule(d time.Duration, do func()) {
 	s.scheduled = append(s.scheduled, scheduledEvent{s.now.Add(d), do})
 }
 
-// sendWindow is the time within which a node sends what it decided to send.
+// sendWindow is the time within which a node sends an order after deciding on
+// it.
 func (s *simulation) sendWindow() time.Duration { return s.nodes[0].controller.cfg.SendWindow }
 
-// run passes time. Every node hears of the membership in each step.
+// run advances the clock. In each step every node receives a membership update.
 func (s *simulation) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(step)
 		due := s.scheduled
 		s.scheduled = nil
-		for _, l := range due {
-			if l.at.After(s.now) {
-				s.scheduled = append(s.scheduled, l)
+		for _, event := range due {
+			if event.at.After(s.now) {
+				s.scheduled = append(s.scheduled, event)
 				continue
 			}
-			l.do()
+			event.do()
 		}
 		for _, n := range s.nodes {
 			if !n.paused {
@@ -189,8 +189,9 @@
 	}
 }
 
-// step lets a node carry out what it decided in the step before, take in what it
-// read then, and read. So a pause leaves old reads and orders in its buffers.
+// step makes a node execute the commands of the previous step, process the
+// events received then, and read the log. A paused node therefore holds stale
+// reads and orders in its buffers.
 func (n *node) step() {
 	for _, cmd := range n.outbox {
 		n.execute(cmd)
@@ -217,7 +218,7 @@
 
 func (n *node) stream() string { return structs.PoolID{Service: service, Region: "r"}.Stream() }
 
-// execute is the node's adapters.
+// execute acts as the node's adapters.
 func (n *node) execute(cmd structs.Command) {
 	s, starts := n.sim, n.starts
 	reply := func(ev structs.Event) {
@@ -252,15 +253,16 @@
 			}
 		})
 	default:
-		s.t.Fatalf("unexpected %T", cmd)
+		s.t.Fatalf("unexpected command %T", cmd)
 	}
 }
 
-// executeAppend appends, perhaps late, perhaps with a lost reply.
+// executeAppend appends with an optional delay and an optional loss of the
+// reply.
 func (n *node) executeAppend(cmd structs.LogAppend, reply func(structs.Event)) {
 	s := n.sim
 	if uint64(cmd.ID)>>62 != 1 {
-		s.t.Fatalf("append id %x", cmd.ID)
+		s.t.Fatalf("append ID %x has the wrong top bits", cmd.ID)
 	}
 	if s.logDown || n.partitioned {
 		reply(structs.LogAppendFailed{ID: cmd.ID, Stream: cmd.Stream, Refused: true})
@@ -277,7 +279,7 @@
 	}
 }
 
-// converged tells whether every target has the desired state.
+// converged reports whether every target has the desired state.
 func (s *simulation) converged() bool {
 	for _, e := range s.engines {
 		if _, differs := nextOrder(s.orders, e.state); differs && !e.removed {
@@ -287,23 +289,23 @@
 	return true
 }
 
-// waitFor runs until the condition holds.
+// waitFor runs the simulation until the condition holds.
 func (s *simulation) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	for limit := s.now.Add(3 * time.Minute); !condition(); s.run(step) {
 		if s.now.After(limit) {
-			s.t.Fatalf("not reached: %s; %+v", what, s.nodes[0].controller.Dump())
+			s.t.Fatalf("timed out waiting for %s: %+v", what, s.nodes[0].controller.Dump())
 		}
 	}
 }
 
-// checkEpochOrder is the invariant, from what the targets saw: no order of an old
-// epoch takes effect after one of a newer epoch.
+// checkEpochOrder checks the invariant that no target applies an order of an
+// old epoch after one of a newer epoch.
 func (s *simulation) checkEpochOrder() error {
 	for id, e := range s.engines {
 		for i := 1; i < len(e.applied); i++ {
 			if e.applied[i].Fencing < e.applied[i-1].Fencing {
-				return fmt.Errorf("target %s: epoch %d after %d", id, e.applied[i].Fencing, e.applied[i-1].Fencing)
+				return fmt.Errorf("target %s: order of epoch %d applied after epoch %d", id, e.applied[i].Fencing, e.applied[i-1].Fencing)
 			}
 		}
 	}
@@ -313,12 +315,12 @@
 // now is the time on the node's clock.
 func (n *node) now() time.Time { return n.sim.now.Add(n.skew) }
 
-// isController tells whether a node takes itself for the controller.
+// isController reports whether a node considers itself the controller.
 func (n *node) isController() bool {
 	return len(n.controller.pools) == 1 && n.controller.pools[0].phase == phaseHolding
 }
 
-// claims counts the claims in the log.
+// claims returns the number of claims in the log.
 func (s *simulation) claims() (count int) {
 	for _, rec := range s.records {
 		if r, err := decodeRecord(rec.Offset, rec.Data); err == nil && r.Kind == kindClaim {
