--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -41,15 +41,15 @@
 	return cacheIndex{capacity: capacity, entries: make(map[string]*list.Element)}
 }
 
-func (r *cacheIndex) find(key string) *cacheEntry {
-	if element, ok := r.entries[key]; ok {
+func (c *cacheIndex) find(key string) *cacheEntry {
+	if element, ok := c.entries[key]; ok {
 		return element.Value.(*cacheEntry)
 	}
 	return nil
 }
 
-func (r *cacheIndex) tokens(key string) int64 {
-	if entry := r.find(key); entry != nil {
+func (c *cacheIndex) tokens(key string) int64 {
+	if entry := c.find(key); entry != nil {
 		return entry.tokens
 	}
 	return 0
@@ -58,23 +58,23 @@
 // cachedTokens returns how many tokens of a request's prompt the target has
 // cached. A program's own prefix counts only if the whole shared prefix is
 // cached.
-func (r *cacheIndex) cachedTokens(m *structs.PermitRequest) int64 {
-	shared := min(r.tokens(m.SharedKey), m.SharedTokens)
+func (c *cacheIndex) cachedTokens(m *structs.PermitRequest) int64 {
+	shared := min(c.tokens(m.SharedKey), m.SharedTokens)
 	if shared < m.SharedTokens {
 		return shared
 	}
-	return min(shared+r.tokens(string(m.Ref.Program)), m.PromptTokens)
+	return min(shared+c.tokens(string(m.Ref.Program)), m.PromptTokens)
 }
 
 // touch returns the entry of a key as the most recently used, creating it if
 // needed.
-func (r *cacheIndex) touch(now time.Time, key string) *cacheEntry {
-	element, ok := r.entries[key]
+func (c *cacheIndex) touch(now time.Time, key string) *cacheEntry {
+	element, ok := c.entries[key]
 	if !ok {
-		element = r.lru.PushFront(&cacheEntry{key: key})
-		r.entries[key] = element
+		element = c.lru.PushFront(&cacheEntry{key: key})
+		c.entries[key] = element
 	}
-	r.lru.MoveToFront(element)
+	c.lru.MoveToFront(element)
 	entry := element.Value.(*cacheEntry)
 	entry.touchedAt = now
 	return entry
@@ -82,103 +82,103 @@
 
 // setTokens updates the tokens of an entry and evicts other entries while the
 // cache exceeds its capacity.
-func (r *cacheIndex) setTokens(entry *cacheEntry, tokens int64) {
-	r.used += tokens - entry.tokens
+func (c *cacheIndex) setTokens(entry *cacheEntry, tokens int64) {
+	c.used += tokens - entry.tokens
 	entry.tokens = tokens
-	for element := r.lru.Back(); element != nil && r.used > r.capacity; {
+	for element := c.lru.Back(); element != nil && c.used > c.capacity; {
 		victim := element.Value.(*cacheEntry)
 		element = element.Prev()
 		if victim == entry || victim.running > 0 {
 			continue
 		}
-		r.shrink(victim, victim.tokens-min(victim.tokens, r.used-r.capacity))
+		c.shrink(victim, victim.tokens-min(victim.tokens, c.used-c.capacity))
 	}
 }
 
 // shrink lowers the tokens of an entry and removes the entry once it is empty
 // and unused.
-func (r *cacheIndex) shrink(entry *cacheEntry, tokens int64) {
-	r.used += tokens - entry.tokens
+func (c *cacheIndex) shrink(entry *cacheEntry, tokens int64) {
+	c.used += tokens - entry.tokens
 	entry.tokens = tokens
 	if tokens == 0 && entry.running == 0 {
-		r.lru.Remove(r.entries[entry.key])
-		delete(r.entries, entry.key)
+		c.lru.Remove(c.entries[entry.key])
+		delete(c.entries, entry.key)
 	}
 }
 
 // release empties an entry whose release is requested from the target. The
 // empty entry stays until prune removes it, so that a delayed event does not
 // restore it.
-func (r *cacheIndex) release(now time.Time, key string) {
-	entry := r.touch(now, key)
-	r.used -= entry.tokens
+func (c *cacheIndex) release(now time.Time, key string) {
+	entry := c.touch(now, key)
+	c.used -= entry.tokens
 	entry.tokens = 0
 }
 
 // prune removes empty entries that no delayed event can refer to.
-func (r *cacheIndex) prune(now time.Time) {
-	for element := r.lru.Front(); element != nil; {
+func (c *cacheIndex) prune(now time.Time) {
+	for element := c.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
 		if entry.tokens == 0 && now.Sub(entry.touchedAt) >= maxEventLag {
-			r.shrink(entry, 0)
+			c.shrink(entry, 0)
 		}
 	}
 }
 
 // clear removes the entries of a target that has lost its cache.
-func (r *cacheIndex) clear() {
-	for element := r.lru.Front(); element != nil; {
+func (c *cacheIndex) clear() {
+	for element := c.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
-		r.shrink(entry, 0)
+		c.shrink(entry, 0)
 	}
 }
 
 // utilization returns the used fraction of the capacity.
-func (r *cacheIndex) utilization() float64 {
-	if r.capacity <= 0 {
+func (c *cacheIndex) utilization() float64 {
+	if c.capacity <= 0 {
 		return 1
 	}
-	return float64(r.used) / float64(r.capacity)
+	return float64(c.used) / float64(c.capacity)
 }
 
 // maxEventLag is the maximum delay of cache events. An event for an entry that
 // was touched more recently may be stale and is ignored.
 const maxEventLag = time.Second
 
-// applyEvent updates the index by a cache event. Duplicates and possibly stale
+// applyEvent updates the index from a cache event. Duplicates and possibly stale
 // events are skipped. describe fills in an entry that the event creates.
-func (r *cacheIndex) applyEvent(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
-	if event.Sequence < r.nextSequence {
+func (c *cacheIndex) applyEvent(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
+	if event.Sequence < c.nextSequence {
 		return
 	}
-	r.nextSequence = event.Sequence + 1
-	entry := r.find(event.Program)
+	c.nextSequence = event.Sequence + 1
+	entry := c.find(event.Program)
 	if entry != nil && (entry.running > 0 || now.Sub(entry.touchedAt) < maxEventLag) {
 		return
 	}
 	switch event.Kind {
 	case wire.CacheEvicted:
 		if entry != nil && event.Tokens < entry.tokens {
-			r.shrink(entry, event.Tokens)
+			c.shrink(entry, event.Tokens)
 		}
 	case wire.CacheStored:
 		if entry == nil {
-			entry = r.touch(now, event.Program)
+			entry = c.touch(now, event.Program)
 			describe(entry)
 		}
-		r.setTokens(entry, event.Tokens)
+		c.setTokens(entry, event.Tokens)
 	}
 }
 
 // victims returns, in eviction order, the entries that storing need more tokens
 // evicts, and the number of tokens to evict.
-func (r *cacheIndex) victims(need int64, returnProbability func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
-	need -= r.capacity - r.used
+func (c *cacheIndex) victims(need int64, returnProbability func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
+	need -= c.capacity - c.used
 	var victims []policy.CacheEntry
 	remaining := need
-	for element := r.lru.Back(); element != nil && remaining > 0; element = element.Prev() {
+	for element := c.lru.Back(); element != nil && remaining > 0; element = element.Prev() {
 		entry := element.Value.(*cacheEntry)
 		if entry.running > 0 {
 			continue
--- a/internal/dispatch/fakes_test.go
+++ b/internal/dispatch/fakes_test.go
@@ -84,13 +84,13 @@
 }
 
 // request returns a permit request whose program is named after the run.
-func request(run string, change ...func(*structs.PermitRequest)) *structs.PermitRequest {
+func request(run string, modify ...func(*structs.PermitRequest)) *structs.PermitRequest {
 	m := &structs.PermitRequest{
 		Pool: testPool, Ref: structs.CallRef{Program: structs.ProgramID("p" + run), Run: structs.RunID(run)},
 		Team: "a", Priority: 5, Weight: 1, Remaining: time.Minute,
 	}
-	for _, do := range change {
-		do(m)
+	for _, fn := range modify {
+		fn(m)
 	}
 	return m
 }
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -46,9 +46,9 @@
 	for _, t := range p.targets {
 		t.awaitedPrefill = 0
 	}
-	best := p.candidates()
+	calls := p.candidates()
 	granted := 0
-	for _, c := range best {
+	for _, c := range calls {
 		options := p.placementOptions(now, c)
 		choice := policy.Place(p.service.Rules, options, p.lastPlaced)
 		if choice.Index < 0 {
@@ -66,7 +66,7 @@
 			return false
 		}
 	}
-	return granted == len(best) && granted > 0
+	return granted == len(calls) && granted > 0
 }
 
 // candidates returns the waiting calls to consider next, best first.
--- a/internal/dispatch/retention.go
+++ b/internal/dispatch/retention.go
@@ -253,16 +253,16 @@
 }
 
 // scheduleRelease queues the release of a program's cache at a target.
-func (p *pool) scheduleRelease(now time.Time, id structs.ProgramID, prog *program, t *target, gone bool) {
+func (p *pool) scheduleRelease(now time.Time, id structs.ProgramID, prog *program, t *target, programEnded bool) {
 	prog.targets = slices.DeleteFunc(prog.targets, func(other *target) bool { return other == t })
 	t.cache.release(now, string(id))
 	for _, r := range p.pendingReleases {
 		if r.target == t && r.program == id {
-			r.programEnded = r.programEnded || gone
+			r.programEnded = r.programEnded || programEnded
 			return
 		}
 	}
-	p.pendingReleases = append(p.pendingReleases, &pendingRelease{target: t, program: id, programEnded: gone, sendAt: now, backoff: minReleaseBackoff})
+	p.pendingReleases = append(p.pendingReleases, &pendingRelease{target: t, program: id, programEnded: programEnded, sendAt: now, backoff: minReleaseBackoff})
 	p.maintainAt = now
 }
 
--- a/internal/orders/engine_test.go
+++ b/internal/orders/engine_test.go
@@ -119,8 +119,8 @@
 	b.events <- structs.SettingsPropose{Request: "s", Changes: changes, Deadline: b.clock().Add(clockSpeed * waitTimeout)}
 }
 
-// until runs the instance until the condition holds.
-func (b *testbed) waitFor(holds func() bool) {
+// waitFor runs the instance until the condition holds.
+func (b *testbed) waitFor(condition func() bool) {
 	b.t.Helper()
 	timeout := time.After(waitTimeout)
 	var batch []structs.Event
@@ -128,7 +128,7 @@
 		for _, cmd := range b.core.Tick(b.clock(), batch) {
 			b.execute(cmd)
 		}
-		if holds() {
+		if condition() {
 			return
 		}
 		var wake <-chan time.Time
--- a/internal/orders/simulation_test.go
+++ b/internal/orders/simulation_test.go
@@ -55,7 +55,7 @@
 // scheduledEvent is a function that runs at a given time.
 type scheduledEvent struct {
 	at time.Time
-	do func()
+	fn func()
 }
 
 // simulation drives controllers against a fake log and fake targets with a
@@ -155,8 +155,8 @@
 
 func (s *simulation) setModel(model string) { s.orders.Model, s.version = model, s.version+1 }
 
-func (s *simulation) schedule(d time.Duration, do func()) {
-	s.scheduled = append(s.scheduled, scheduledEvent{s.now.Add(d), do})
+func (s *simulation) schedule(d time.Duration, fn func()) {
+	s.scheduled = append(s.scheduled, scheduledEvent{s.now.Add(d), fn})
 }
 
 // sendWindow is the time within which a node sends an order after deciding on
@@ -174,7 +174,7 @@
 				s.scheduled = append(s.scheduled, event)
 				continue
 			}
-			event.do()
+			event.fn()
 		}
 		for _, n := range s.nodes {
 			if !n.paused {
