--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -60,9 +60,9 @@
 		case owned:
 			m.admit(p, waiting.request, waiting.reply)
 		case m.ownerUsable(p):
-			waiting.reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
+			waiting.reply(result{outcome: structs.ReservationNotOwner, owner: p.owner})
 		default:
-			waiting.reply(result{outcome: structs.RoomUnavailable})
+			waiting.reply(result{outcome: structs.ReservationUnavailable})
 		}
 	}
 	m.mu.Unlock()
@@ -236,7 +236,7 @@
 	ctx, cancel := m.storeContext()
 	defer cancel()
 	_, err := m.store.Append(ctx, platform.Append{
-		Topic: topic, Partition: p.number, At: &end,
+		Topic: topic, Partition: p.number, ExpectedEnd: &end,
 		Records: []platform.Record{{Key: ownerKey, Value: encode(claim)}},
 		Writer:  &platform.Writer{Name: writerName, Epoch: claim.Epoch, Sequence: sequence},
 	})
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -93,12 +93,12 @@
 // Codec translates between HTTP headers and the types of this package. The
 // platform's adapter implements it.
 type Codec interface {
-	// Request decodes the header of a caller's request. The error names the
+	// DecodeRequest decodes the header of a caller's request. The error names the
 	// malformed field.
-	Request(header http.Header) (Request, error)
-	// Outgoing returns the header of a request to a target, based on the
+	DecodeRequest(header http.Header) (Request, error)
+	// TargetHeader returns the header of a request to a target, based on the
 	// caller's header.
-	Outgoing(header http.Header, options SendOptions) http.Header
-	// Answer decodes the header of a target's response.
-	Answer(status int, header http.Header) Response
+	TargetHeader(header http.Header, options SendOptions) http.Header
+	// DecodeResponse decodes the header of a target's response.
+	DecodeResponse(status int, header http.Header) Response
 }
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -132,7 +132,7 @@
 	case 3:
 		s.check(s.tick(structs.TargetLoad{Target: target, Load: wire.EngineLoad{Running: subject % 4}}))
 	case 4:
-		s.check(s.send(&structs.ProgramGone{Pool: testPool, Program: structs.ProgramID(program)}))
+		s.check(s.send(&structs.ProgramEnded{Pool: testPool, Program: structs.ProgramID(program)}))
 	}
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -97,7 +97,7 @@
 
 func newRegistry(machine platform.Machine, pool *exchange.Pool) *targets.Registry {
 	registry := targets.NewRegistry(machine.DataCentre, pool)
-	if machine.Contended {
+	if machine.OverloadExpected {
 		registry.LearnSpeeds()
 	}
 	return registry
@@ -189,7 +189,7 @@
 	}
 	e.settings = feed.NewTopic(platform.TopicOperator, e.applySettings)
 	freshness.topic = e.settings
-	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.RepeatsTarget, targetFeed.apply)
+	e.targets = feed.NewHeartbeatTopic(platform.TopicTargets, platform.EqualExceptSequence, targetFeed.apply)
 	e.instances = feed.NewTopic(topicInstances, applyInstance(dir, e.reregister, log))
 	instances.topic.Store(e.instances)
 	e.relay = e.newRelay()
@@ -201,7 +201,7 @@
 	m := e.machine
 	return relay.New(relay.Config{
 		Self:     relay.Holder{Machine: m.Name, Address: m.PeerAddress, DataCentre: m.DataCentre},
-		CPUShare: m.CPUShare, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
+		CPUShare: m.CPUCores, Seeds: m.Seeds, Store: e.store, Peers: newTopicsClient(),
 		Topics: []relay.FollowedTopic{
 			{Topic: e.settings, Wait: readWait(m.ConfigDelay), Bounded: true},
 			{Topic: e.targets, Wait: readWait(m.DrainDelay), Pause: targetsPause(m.DrainDelay), Bounded: true, Large: true},
--- a/internal/edge/merge_bench_test.go
+++ b/internal/edge/merge_bench_test.go
@@ -36,7 +36,7 @@
 	for b.Loop() {
 		registry := targets.NewRegistry("dc1", exchange.NewPool(tally.NoopScope))
 		f := newTargetFeed(registry, new(closedConnections), feed.NewHealth(), tally.NoopScope, slog.New(slog.DiscardHandler))
-		topic := feed.NewHeartbeatTopic("t", platform.RepeatsTarget, f.apply)
+		topic := feed.NewHeartbeatTopic("t", platform.EqualExceptSequence, f.apply)
 		if _, err := topic.MergeCopy(topicCopy, time.Now()); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -90,7 +90,7 @@
 	quota := machine.Quota
 	r.allowances = allowance.New(allowance.Config{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
-		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Over, Slack: quota.Slack},
+		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Fraction, Slack: quota.Requests},
 		Peers:     transport, Listed: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.allowances
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 		g.gatherPrograms(now, ev)
 	case structs.SettingsApplied:
 		g.gatherApplied(now, ev)
-	case structs.CallerGone:
+	case structs.CallerDisconnected:
 		g.callerGone(ev.Request)
 	case structs.PeerDown:
 		g.peerDown(now, ev.Peer)
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -78,7 +78,7 @@
 func (g *Gateway) submit(now time.Time, ev structs.CallerSubmit) {
 	p := g.newPending(now, ev.Request, ev.Call.Program, ev.Deadline)
 	if p == nil {
-		g.emit(structs.ReplyEnd{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
+		g.emit(structs.ReplyOutcome{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
 		return
 	}
 	p.call = ev.Call
@@ -187,7 +187,7 @@
 	}
 	return &structs.Submit{
 		Request: p.request, Call: p.call, Remaining: remaining,
-		Have: p.stream.pieces, HaveRun: p.stream.run, Suspects: g.suspectsOf(p),
+		NextPiece: p.stream.pieces, ReceivedRun: p.stream.run, Suspects: g.suspectsOf(p),
 		Resubmitted: p.heldElsewhere(p.owner),
 	}
 }
@@ -244,7 +244,7 @@
 		g.emit(structs.ReplyProgram{Request: p.request, Outcome: out})
 		return
 	}
-	g.emit(structs.ReplyEnd{Request: p.request, Outcome: out})
+	g.emit(structs.ReplyOutcome{Request: p.request, Outcome: out})
 }
 
 func (g *Gateway) callerGone(id structs.RequestID) {
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -58,7 +58,7 @@
 
 // endStream writes the rest of a streamed answer, or its failure.
 func (s *Server) endStream(c *gin.Context, p *pending, stream *chatStream, final structs.Command) {
-	reply, ok := final.(structs.ReplyEnd)
+	reply, ok := final.(structs.ReplyOutcome)
 	if !ok {
 		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
 		return
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -53,7 +53,7 @@
 	if p.exchange.ended() {
 		return
 	}
-	if !p.server.core.Post(structs.CallerGone{Request: p.exchange.id}) {
+	if !p.server.core.Post(structs.CallerDisconnected{Request: p.exchange.id}) {
 		p.server.metrics.lostGone.Inc(1)
 	}
 }
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -48,7 +48,7 @@
 
 // count counts the final answers by outcome and reason.
 func (g *gauges) count(cmd structs.Command) {
-	end, ok := cmd.(structs.ReplyEnd)
+	end, ok := cmd.(structs.ReplyOutcome)
 	if !ok {
 		return
 	}
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -214,7 +214,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.At != nil && *a.At != int64(len(s.records[a.Topic])) {
+	if a.ExpectedEnd != nil && *a.ExpectedEnd != int64(len(s.records[a.Topic])) {
 		return 0, platform.ErrCondition
 	}
 	return s.append(a.Topic, a.Records), nil
--- a/internal/relay/follow.go
+++ b/internal/relay/follow.go
@@ -306,7 +306,7 @@
 	call, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	record := platform.Record{Key: key, Value: value}
-	record.Offset, err = n.Store.Append(call, platform.Append{Topic: SlotsTopic, At: &end, Records: []platform.Record{record}})
+	record.Offset, err = n.Store.Append(call, platform.Append{Topic: SlotsTopic, ExpectedEnd: &end, Records: []platform.Record{record}})
 	if err != nil {
 		return errors.Wrapf(err, "take slot %s", key)
 	}
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -118,7 +118,7 @@
 	if x.headSent {
 		resumeAfter = x.lastEvent
 	}
-	header := x.server.codec.Outgoing(x.request.Header, call.SendOptions{
+	header := x.server.codec.TargetHeader(x.request.Header, call.SendOptions{
 		Target: target.ID, TimeLeft: time.Until(x.deadline), Organisation: x.orgName(), ResumeAfter: resumeAfter,
 	})
 	ctx, cancel := x.sendContext()
@@ -131,7 +131,7 @@
 		Address: target.Address, Method: x.request.Method, URI: x.uri(),
 		Host: x.request.Host, Header: header, Body: x.body,
 	}, func(status int, h http.Header) bool {
-		answer = x.server.codec.Answer(status, h)
+		answer = x.server.codec.DecodeResponse(status, h)
 		return answer.RequestID == x.call.ID || (answer.RequestID == "" && answer.NotRun)
 	})
 	if err != nil {
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -164,7 +164,7 @@
 		return false
 	}
 	var err error
-	x.call, err = x.server.codec.Request(x.request.Header)
+	x.call, err = x.server.codec.DecodeRequest(x.request.Header)
 	if err != nil {
 		x.detail = err.Error()
 		x.refuse(http.StatusBadRequest, reasonMalformed, 0)
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -118,7 +118,7 @@
 	if err := m.takeTurn(ctx, partitionID{a.Topic, a.Partition}, f.AppendTime); err != nil {
 		return 0, err
 	}
-	request := appendRequest{id: partitionID{a.Topic, a.Partition}, at: a.At}
+	request := appendRequest{id: partitionID{a.Topic, a.Partition}, at: a.ExpectedEnd}
 	for _, r := range a.Records {
 		record := append([]byte{byte(len(r.Key))}, r.Key...)
 		request.records = append(request.records, append(record, r.Value...))
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// AskOutcome asks a target whether it ran the request with a program's key, in
-// the form that StartRun sends. The answer is OutcomeAsked.
-func (r *Runner) AskOutcome(command structs.AskOutcome) {
+// QueryOutcome asks a target whether it ran the request with a program's key, in
+// the form that StartRun sends. The answer is OutcomeQueried.
+func (r *Runner) AskOutcome(command structs.QueryOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spawn(func() {
@@ -94,8 +94,8 @@
 	})
 }
 
-func (r *Runner) askOutcome(command structs.AskOutcome) structs.OutcomeAsked {
-	asked := structs.OutcomeAsked{Run: command.Run}
+func (r *Runner) askOutcome(command structs.QueryOutcome) structs.OutcomeQueried {
+	asked := structs.OutcomeQueried{Run: command.Run}
 	ctx, cancel := context.WithTimeout(r.ctx, r.cfg.ControlTimeout)
 	defer cancel()
 	sent := structs.Call{Program: command.Program, Key: command.Key}
