--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -9,11 +9,12 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// loaded gives a dispatcher of ten full targets with so many waiting calls.
-func loaded(b *testing.B, waiting int) (*fixture, []*structs.PermitRequest) {
+// newLoadedFixture returns a dispatcher with ten full targets and the given
+// number of waiting calls.
+func newLoadedFixture(b *testing.B, waiting int) (*fixture, []*structs.PermitRequest) {
 	f := newFixture(b, 10, 16)
 	f.settings.service.QueueLimit, f.settings.policy.MaxQueued = 1<<20, 1<<20
-	f.settings.service.Timeout = 1000 * time.Hour // no permit is taken back
+	f.settings.service.Timeout = 1000 * time.Hour // no permit is revoked
 	running := make([]*structs.PermitRequest, 0, 160)
 	for i := range 160 + waiting {
 		m := request(fmt.Sprint("load", i), withPrompt(4000), func(m *structs.PermitRequest) {
@@ -31,12 +32,12 @@
 	return f, running
 }
 
-// BenchmarkTick is one tick in which one run ends, one call starts, and one
-// more comes to wait.
+// BenchmarkTick measures a tick in which one run ends, one call starts and one
+// call is queued.
 func BenchmarkTick(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			f, _ := loaded(b, waiting)
+			f, _ := newLoadedFixture(b, waiting)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				var target *target
@@ -57,12 +58,12 @@
 	}
 }
 
-// BenchmarkMemory is the memory of one waiting call and its program.
+// BenchmarkMemory measures the memory of a waiting call and its program.
 func BenchmarkMemory(b *testing.B) {
 	const waiting = 10_000
 	for b.Loop() {
 		before := heapInUse()
-		f, _ := loaded(b, waiting)
+		f, _ := newLoadedFixture(b, waiting)
 		b.ReportMetric(float64(heapInUse()-before)/waiting, "B/call")
 		runtime.KeepAlive(f)
 	}
--- a/internal/dispatch/cache.go
+++ b/internal/dispatch/cache.go
@@ -9,176 +9,182 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// cacheRecord is what a target's prefix cache holds as far as is known: own
-// placements, corrected by cache events and by the usage of finished runs. It
-// evicts as engines do, the least recently used first.
-type cacheRecord struct {
+// cacheIndex is the dispatcher's view of a target's prefix cache. It is built
+// from placements and corrected by cache events and the usage reported by
+// finished runs. Like an engine, it evicts the least recently used entries
+// first.
+type cacheIndex struct {
 	capacity int64
 	used     int64
 	entries  map[string]*list.Element
-	// recent lists the entries, the most recently used first.
-	recent list.List
-	// next is the lowest sequence number of an event not yet seen.
-	next uint64
+	// lru holds the entries, most recently used first.
+	lru list.List
+	// nextSequence is the lowest event sequence number not processed yet.
+	nextSequence uint64
 }
 
-// cacheEntry is a cached prefix under a key: a program, or a prefix that
-// programs share. Tokens of a program are those behind the shared prefix.
+// cacheEntry is a cached prefix. Its key names a program, or a prefix shared by
+// several programs. The tokens of a program exclude the shared prefix.
 type cacheEntry struct {
 	key    string
 	shared bool
 	tokens int64
-	// running counts the runs that use the entry.
+	// running is the number of runs that use the entry; it is not evicted while
+	// above 0.
 	running int
-	// touched is the time of the last use or own update.
-	touched time.Time
-	team    structs.Team
+	// touchedAt is when the dispatcher last used or updated the entry.
+	touchedAt time.Time
+	team      structs.Team
 }
 
-func newCacheRecord(capacity int64) cacheRecord {
-	return cacheRecord{capacity: capacity, entries: make(map[string]*list.Element)}
+func newCacheIndex(capacity int64) cacheIndex {
+	return cacheIndex{capacity: capacity, entries: make(map[string]*list.Element)}
 }
 
-func (r *cacheRecord) find(key string) *cacheEntry {
-	if element, ok := r.entries[key]; ok {
+func (c *cacheIndex) find(key string) *cacheEntry {
+	if element, ok := c.entries[key]; ok {
 		return element.Value.(*cacheEntry)
 	}
 	return nil
 }
 
-func (r *cacheRecord) tokens(key string) int64 {
-	if entry := r.find(key); entry != nil {
+func (c *cacheIndex) tokens(key string) int64 {
+	if entry := c.find(key); entry != nil {
 		return entry.tokens
 	}
 	return 0
 }
 
-// cached is the part of a request's prompt that the target holds. A program's
-// own prefix counts only behind its whole shared prefix.
-func (r *cacheRecord) cached(m *structs.PermitRequest) int64 {
-	shared := min(r.tokens(m.SharedKey), m.SharedTokens)
+// cachedTokens returns how many tokens of a request's prompt the target has
+// cached. A program's own prefix counts only if the whole shared prefix is
+// cached.
+func (c *cacheIndex) cachedTokens(m *structs.PermitRequest) int64 {
+	shared := min(c.tokens(m.SharedKey), m.SharedTokens)
 	if shared < m.SharedTokens {
 		return shared
 	}
-	return min(shared+r.tokens(string(m.Ref.Program)), m.PromptTokens)
+	return min(shared+c.tokens(string(m.Ref.Program)), m.PromptTokens)
 }
 
-// use finds or makes an entry and makes it the most recently used.
-func (r *cacheRecord) use(now time.Time, key string) *cacheEntry {
-	element, ok := r.entries[key]
+// touch returns the entry of a key as the most recently used, creating it if
+// needed.
+func (c *cacheIndex) touch(now time.Time, key string) *cacheEntry {
+	element, ok := c.entries[key]
 	if !ok {
-		element = r.recent.PushFront(&cacheEntry{key: key})
-		r.entries[key] = element
+		element = c.lru.PushFront(&cacheEntry{key: key})
+		c.entries[key] = element
 	}
-	r.recent.MoveToFront(element)
+	c.lru.MoveToFront(element)
 	entry := element.Value.(*cacheEntry)
-	entry.touched = now
+	entry.touchedAt = now
 	return entry
 }
 
-// set changes the tokens of an entry and evicts others as the target would.
-func (r *cacheRecord) set(entry *cacheEntry, tokens int64) {
-	r.used += tokens - entry.tokens
+// setTokens updates the tokens of an entry and evicts other entries while the
+// cache exceeds its capacity.
+func (c *cacheIndex) setTokens(entry *cacheEntry, tokens int64) {
+	c.used += tokens - entry.tokens
 	entry.tokens = tokens
-	for element := r.recent.Back(); element != nil && r.used > r.capacity; {
+	for element := c.lru.Back(); element != nil && c.used > c.capacity; {
 		victim := element.Value.(*cacheEntry)
 		element = element.Prev()
 		if victim == entry || victim.running > 0 {
 			continue
 		}
-		r.shrink(victim, victim.tokens-min(victim.tokens, r.used-r.capacity))
+		c.shrink(victim, victim.tokens-min(victim.tokens, c.used-c.capacity))
 	}
 }
 
-// shrink lowers the tokens of an entry and forgets it at 0 once no run uses
-// it.
-func (r *cacheRecord) shrink(entry *cacheEntry, tokens int64) {
-	r.used += tokens - entry.tokens
+// shrink lowers the tokens of an entry and removes the entry once it is empty
+// and unused.
+func (c *cacheIndex) shrink(entry *cacheEntry, tokens int64) {
+	c.used += tokens - entry.tokens
 	entry.tokens = tokens
 	if tokens == 0 && entry.running == 0 {
-		r.recent.Remove(r.entries[entry.key])
-		delete(r.entries, entry.key)
+		c.lru.Remove(c.entries[entry.key])
+		delete(c.entries, entry.key)
 	}
 }
 
-// drop empties an entry that the target is told to release. The entry is kept
-// for a while, so that late events of what it held do not bring it back.
-func (r *cacheRecord) drop(now time.Time, key string) {
-	entry := r.use(now, key)
-	r.used -= entry.tokens
+// release empties an entry whose release is requested from the target. The
+// empty entry stays until prune removes it, so that a delayed event does not
+// restore it.
+func (c *cacheIndex) release(now time.Time, key string) {
+	entry := c.touch(now, key)
+	c.used -= entry.tokens
 	entry.tokens = 0
 }
 
-// prune forgets empty entries once no late event can be about them.
-func (r *cacheRecord) prune(now time.Time) {
-	for element := r.recent.Front(); element != nil; {
+// prune removes empty entries that no delayed event can refer to.
+func (c *cacheIndex) prune(now time.Time) {
+	for element := c.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
-		if entry.tokens == 0 && now.Sub(entry.touched) >= eventLag {
-			r.shrink(entry, 0)
+		if entry.tokens == 0 && now.Sub(entry.touchedAt) >= maxEventLag {
+			c.shrink(entry, 0)
 		}
 	}
 }
 
-// clear empties the record of a target that has lost its cache.
-func (r *cacheRecord) clear() {
-	for element := r.recent.Front(); element != nil; {
+// clear removes the entries of a target that has lost its cache.
+func (c *cacheIndex) clear() {
+	for element := c.lru.Front(); element != nil; {
 		entry := element.Value.(*cacheEntry)
 		element = element.Next()
-		r.shrink(entry, 0)
+		c.shrink(entry, 0)
 	}
 }
 
-// fill is the share of the capacity in use.
-func (r *cacheRecord) fill() float64 {
-	if r.capacity <= 0 {
+// utilization returns the used fraction of the capacity.
+func (c *cacheIndex) utilization() float64 {
+	if c.capacity <= 0 {
 		return 1
 	}
-	return float64(r.used) / float64(r.capacity)
+	return float64(c.used) / float64(c.capacity)
 }
 
-// eventLag is the age up to which a cache event may contradict what a run has
-// shown since; such an event is old news.
-const eventLag = time.Second
+// maxEventLag is the maximum delay of cache events. An event for an entry that
+// was touched more recently may be stale and is ignored.
+const maxEventLag = time.Second
 
-// apply takes a cache event into account. Events seen before are skipped, as
-// are those that a later own update overrules.
-func (r *cacheRecord) apply(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
-	if event.Sequence < r.next {
+// applyEvent updates the index from a cache event. Duplicates and possibly stale
+// events are skipped. describe fills in an entry that the event creates.
+func (c *cacheIndex) applyEvent(now time.Time, event wire.CacheEvent, describe func(*cacheEntry)) {
+	if event.Sequence < c.nextSequence {
 		return
 	}
-	r.next = event.Sequence + 1
-	entry := r.find(event.Program)
-	if entry != nil && (entry.running > 0 || now.Sub(entry.touched) < eventLag) {
+	c.nextSequence = event.Sequence + 1
+	entry := c.find(event.Program)
+	if entry != nil && (entry.running > 0 || now.Sub(entry.touchedAt) < maxEventLag) {
 		return
 	}
 	switch event.Kind {
 	case wire.CacheEvicted:
 		if entry != nil && event.Tokens < entry.tokens {
-			r.shrink(entry, event.Tokens)
+			c.shrink(entry, event.Tokens)
 		}
 	case wire.CacheStored:
 		if entry == nil {
-			entry = r.use(now, event.Program)
+			entry = c.touch(now, event.Program)
 			describe(entry)
 		}
-		r.set(entry, event.Tokens)
+		c.setTokens(entry, event.Tokens)
 	}
 }
 
-// victims lists what a placement that stores need more tokens evicts, in
-// order.
-func (r *cacheRecord) victims(need int64, chance func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
-	need -= r.capacity - r.used
+// victims returns, in eviction order, the entries that storing need more tokens
+// evicts, and the number of tokens to evict.
+func (c *cacheIndex) victims(need int64, returnProbability func(*cacheEntry) float64) ([]policy.CacheEntry, int64) {
+	need -= c.capacity - c.used
 	var victims []policy.CacheEntry
-	left := need
-	for element := r.recent.Back(); element != nil && left > 0; element = element.Prev() {
+	remaining := need
+	for element := c.lru.Back(); element != nil && remaining > 0; element = element.Prev() {
 		entry := element.Value.(*cacheEntry)
 		if entry.running > 0 {
 			continue
 		}
-		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, ReturnProbability: chance(entry)})
-		left -= entry.tokens
+		victims = append(victims, policy.CacheEntry{Tokens: entry.tokens, ReturnProbability: returnProbability(entry)})
+		remaining -= entry.tokens
 	}
 	return victims, need
 }
--- a/internal/dispatch/cache_test.go
+++ b/internal/dispatch/cache_test.go
@@ -12,14 +12,14 @@
 	return func(m *structs.PermitRequest) { m.PromptTokens = tokens }
 }
 
-func ofProgram(id structs.ProgramID) func(*structs.PermitRequest) {
+func withProgram(id structs.ProgramID) func(*structs.PermitRequest) {
 	return func(m *structs.PermitRequest) { m.Ref.Program = id }
 }
 
-// runAt runs a call of a program to its end and gives its target.
+// runAt runs a call of a program to completion and returns its target.
 func (f *fixture) runAt(run string, program structs.ProgramID, prompt int64) structs.TargetID {
 	f.t.Helper()
-	m := request(run, ofProgram(program), withPrompt(prompt))
+	m := request(run, withProgram(program), withPrompt(prompt))
 	target, ok := grants(f.send(m))[m.Ref.Run]
 	if !ok {
 		f.t.Fatalf("run %s was not granted", run)
@@ -37,7 +37,7 @@
 	return wire.CacheEvent{Sequence: sequence, Kind: kind, Program: program, Tokens: tokens}
 }
 
-func TestCacheEventsCorrectTheRecord(t *testing.T) {
+func TestCacheEventsUpdateIndex(t *testing.T) {
 	stored, evicted := wire.CacheStored, wire.CacheEvicted
 	tests := []struct {
 		name   string
@@ -47,10 +47,10 @@
 	}{
 		{"no event", 0, nil, 1010},
 		{"evicted long after the run", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 0},
-		{"evicted in part", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 500)}, 500},
-		{"late event of before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 1010},
-		{"late store of before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, stored, "p", 10)}, 1010},
-		{"repeated eviction behind a store", 2 * time.Second, []wire.CacheEvent{
+		{"partly evicted", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "p", 500)}, 500},
+		{"delayed eviction from before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, evicted, "p", 0)}, 1010},
+		{"delayed store from before the run", 100 * time.Millisecond, []wire.CacheEvent{cacheEvent(1, stored, "p", 10)}, 1010},
+		{"duplicate eviction after a store", 2 * time.Second, []wire.CacheEvent{
 			cacheEvent(1, evicted, "p", 0), cacheEvent(2, stored, "p", 700), cacheEvent(1, evicted, "p", 0),
 		}, 700},
 		{"other program", 2 * time.Second, []wire.CacheEvent{cacheEvent(1, evicted, "q", 0)}, 1010},
@@ -59,53 +59,53 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, 1, 1)
 			target := f.runAt("1", "p", 1000)
-			f.after(test.wait, structs.TargetCache{Target: target, Events: test.events})
+			f.tickAfter(test.wait, structs.TargetCache{Target: target, Events: test.events})
 			if got := f.held(target, "p"); got != test.want {
-				t.Fatalf("recorded %d tokens, want %d", got, test.want)
+				t.Fatalf("%d tokens in the index, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// A stored event that arrives after the release must not bring the entry
-// back: such entries were never released again and crowded out real ones.
+// A stored event that arrives after the release must not restore the entry: the
+// entry would never be released again.
 func TestLateStoreAfterReleaseIsIgnored(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	first := f.runAt("1", "p", 1000)
-	m := request("2", ofProgram("p"), withPrompt(2000), func(m *structs.PermitRequest) {
+	m := request("2", withProgram("p"), withPrompt(2000), func(m *structs.PermitRequest) {
 		m.Avoid = []structs.TargetID{first}
 	})
 	second := grants(f.send(m))["2"]
 	f.now = f.now.Add(200 * time.Millisecond)
 	if released := releases(f.send(finish(m, second))); len(released) != 1 || released[0].Target.ID != first {
-		t.Fatalf("releases %v, want the copy at %s", released, first)
+		t.Fatalf("releases = %v, want the copy at %s", released, first)
 	}
 	stored := cacheEvent(1, wire.CacheStored, "p", 1010)
-	f.after(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
+	f.tickAfter(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
 	if got := f.held(first, "p"); got != 0 {
-		t.Fatalf("recorded %d tokens of a released program, want 0", got)
+		t.Fatalf("%d tokens of a released program in the index, want 0", got)
 	}
 }
 
-// A program that only a cache event told of is let go like any other.
-func TestCacheKnownByEventsIsReleasedWhenGone(t *testing.T) {
+// A program known only from cache events is released like any other.
+func TestCacheSeenOnlyInEventsIsReleasedAtProgramEnd(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.runAt("1", "p", 1000)
 	stored := cacheEvent(1, wire.CacheStored, "q", 5000)
-	f.after(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
+	f.tickAfter(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
 	released := releases(f.send(&structs.ProgramEnded{Pool: testPool, Program: "q"}))
 	if len(released) != 1 || released[0].Program != "q" {
-		t.Fatalf("releases %v, want q", released)
+		t.Fatalf("releases = %v, want program q", released)
 	}
 }
 
-func TestPlacesWhereThePrefixIs(t *testing.T) {
+func TestPlacementPrefersCachedPrefix(t *testing.T) {
 	f := newFixture(t, 3, 4)
 	first := f.runAt("1", "p", 8000)
 	for run := 2; run < 5; run++ {
 		f.now = f.now.Add(time.Second)
 		if target := f.runAt(string(rune('0'+run)), "p", 8000); target != first {
-			t.Fatalf("run %d went to %s, the prefix is at %s", run, target, first)
+			t.Fatalf("run %d was placed at %s, want %s, which has the prefix cached", run, target, first)
 		}
 	}
 }
@@ -115,31 +115,31 @@
 	target := f.runAt("1", "p", 1000)
 	sent := len(releases(f.send(&structs.ProgramEnded{Pool: testPool, Program: "p"})))
 	for range 20 {
-		sent += len(releases(f.after(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
+		sent += len(releases(f.tickAfter(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
 	}
 	if sent < 3 {
-		t.Fatalf("sent %d times without a confirmation, want more", sent)
+		t.Fatalf("release sent %d times without confirmation, want at least 3", sent)
 	}
 	f.tick(structs.CacheReleased{Target: target, Program: "p", Done: true})
-	if again := releases(f.after(time.Minute)); len(again) != 0 {
-		t.Fatalf("sent again after the confirmation: %v", again)
+	if resent := releases(f.tickAfter(time.Minute)); len(resent) != 0 {
+		t.Fatalf("release sent again after the confirmation: %v", resent)
 	}
 }
 
-func TestLostCacheIsForgotten(t *testing.T) {
+func TestLowCacheReportsClearIndex(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	target := f.runAt("1", "p", 1000)
-	for range lowCacheReports {
-		f.after(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
+	for range maxLowCacheReports {
+		f.tickAfter(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
 	}
 	if got := f.held(target, "p"); got != 0 {
-		t.Fatalf("recorded %d tokens at a target that reports none", got)
+		t.Fatalf("%d tokens in the index of a target that reports an empty cache, want 0", got)
 	}
 }
 
-// Letting go of several entries at once must end: a released entry stays in
-// the record for a while and must not be let go again.
-func TestLetsGoOfManyEntriesOnce(t *testing.T) {
+// A released entry stays in the index for a while and must not be released
+// again.
+func TestReleasesManyEntriesOnce(t *testing.T) {
 	f := newFixture(t, 1, 8)
 	var runs []*structs.PermitRequest
 	for _, run := range []string{"1", "2", "3", "4"} {
@@ -154,6 +154,6 @@
 	}
 	f.now = f.now.Add(time.Second)
 	if released := releases(f.send(ends...)); len(released) != len(runs) {
-		t.Fatalf("%d releases, want %d", len(released), len(runs))
+		t.Fatalf("got %d releases, want %d", len(released), len(runs))
 	}
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -12,26 +12,27 @@
 type call struct {
 	pool  *pool
 	owner structs.InstanceID
-	// request is the last one received.
+	// request is the latest request received for the call.
 	request *structs.PermitRequest
 	order   policy.Call
 	class   int
+	// key orders the calls of a class, lowest first.
 	key     time.Duration
 	arrived time.Time
-	// deadline is when the call must have ended, zero for none.
+	// deadline is when the call must have ended, zero if it has no deadline.
 	deadline time.Time
-	// ownerDown is set since the owner was reported dead.
+	// ownerDown is set while the owner is reported down.
 	ownerDown bool
 
 	// target is where the call holds a permit, nil while it waits.
 	target *target
-	// prefill is the estimated own prefill time and queued the prefill that
-	// was ahead of it.
-	prefill, queued time.Duration
+	// prefill is the estimated time to prefill this call's prompt; prefillAhead
+	// is the prefill queued at the target when the permit was granted.
+	prefill, prefillAhead time.Duration
 
-	// timer is the call's next timer: its deadline, the drop after its
-	// owner's death, or the end of a permit that nobody returned.
-	timer      time.Time
+	// timerAt is when the call expires: its latest start, the owner-down
+	// timeout, or the end of a permit that was never returned.
+	timerAt    time.Time
 	timerIndex int
 }
 
@@ -41,10 +42,10 @@
 
 func (c *call) program() structs.ProgramID { return c.request.Ref.Program }
 
-// noTimer is the index of a call without a timer.
+// noTimer is the timerIndex of a call that is not in the heap.
 const noTimer = -1
 
-// timerHeap orders calls by their timers.
+// timerHeap orders calls by expiry.
 type timerHeap []*call
 
 // Len implements heap.Interface.
@@ -52,8 +53,8 @@
 
 // Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool {
-	if !h[i].timer.Equal(h[j].timer) {
-		return h[i].timer.Before(h[j].timer)
+	if !h[i].timerAt.Equal(h[j].timerAt) {
+		return h[i].timerAt.Before(h[j].timerAt)
 	}
 	return h[i].run() < h[j].run()
 }
@@ -81,43 +82,43 @@
 	return c
 }
 
-// setTimer moves a call's timer; the zero time removes it.
+// setTimer reschedules a call's timer; the zero time removes it.
 func (d *Dispatcher) setTimer(c *call, at time.Time) {
 	if c.timerIndex != noTimer {
 		heap.Remove(&d.timers, c.timerIndex)
 	}
-	c.timer = at
+	c.timerAt = at
 	if !at.IsZero() {
 		heap.Push(&d.timers, c)
 	}
 }
 
-// endedRuns remembers the last runs that ended, so that a late duplicate of
-// their request is not queued again.
+// endedRuns holds the most recently ended runs, so that a delayed duplicate of
+// a request is not queued again.
 type endedRuns struct {
-	known map[structs.RunID]struct{}
-	ring  []structs.RunID
-	next  int
+	set  map[structs.RunID]struct{}
+	ring []structs.RunID
+	next int
 }
 
-// endedKept is the number of ended runs remembered.
-const endedKept = 1024
+// maxEndedRuns is the capacity of endedRuns.
+const maxEndedRuns = 1024
 
 func newEndedRuns() endedRuns {
-	return endedRuns{known: make(map[structs.RunID]struct{}, endedKept), ring: make([]structs.RunID, endedKept)}
+	return endedRuns{set: make(map[structs.RunID]struct{}, maxEndedRuns), ring: make([]structs.RunID, maxEndedRuns)}
 }
 
 func (e *endedRuns) add(run structs.RunID) {
-	if _, ok := e.known[run]; ok {
+	if _, ok := e.set[run]; ok {
 		return
 	}
-	delete(e.known, e.ring[e.next])
+	delete(e.set, e.ring[e.next])
 	e.ring[e.next] = run
-	e.known[run] = struct{}{}
-	e.next = (e.next + 1) % endedKept
+	e.set[run] = struct{}{}
+	e.next = (e.next + 1) % maxEndedRuns
 }
 
-func (e *endedRuns) has(run structs.RunID) bool {
-	_, ok := e.known[run]
+func (e *endedRuns) contains(run structs.RunID) bool {
+	_, ok := e.set[run]
 	return ok
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -9,27 +9,27 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Dispatcher queues for all pools whose requests reach this instance.
+// Dispatcher queues the calls of all pools whose requests reach this instance.
+// It is not safe for concurrent use.
 type Dispatcher struct {
 	config   structs.InstanceConfig
 	members  structs.Members
 	settings structs.Settings
 
-	// epoch is the time of the first tick; queue keys count from it.
+	// epoch is the time of the first tick; queue keys are relative to it.
 	epoch time.Time
-	// now is the time of the last tick.
-	now time.Time
-	// pools is ordered by id.
+	now   time.Time
+	// pools is sorted by ID.
 	pools   []*pool
 	calls   map[structs.RunID]*call
 	ended   endedRuns
 	timers  timerHeap
 	watched []structs.Target
-	// out collects the commands of the running tick.
-	out []structs.Command
+	// commands are those emitted so far in the current tick.
+	commands []structs.Command
 }
 
-// New returns a dispatcher without any pool.
+// New returns a Dispatcher without pools.
 func New(cfg structs.InstanceConfig, members structs.Members, settings structs.Settings) *Dispatcher {
 	return &Dispatcher{
 		config: cfg, members: members, settings: settings,
@@ -38,25 +38,25 @@
 	}
 }
 
-// Tick takes events into account and gives the commands that follow.
+// Tick processes events and returns the resulting commands.
 func (d *Dispatcher) Tick(now time.Time, events []structs.Event) []structs.Command {
 	if d.epoch.IsZero() {
 		d.epoch = now
 	}
 	d.now = now
-	d.out = nil
+	d.commands = nil
 	d.refreshPools(now)
 	for _, event := range events {
 		d.handle(now, event)
 	}
-	d.expire(now)
+	d.expireCalls(now)
 	for _, p := range d.pools {
-		d.check(now, p)
+		d.maintain(now, p)
 		d.grantWaiting(now, p)
 	}
 	d.dropIdlePools(now)
 	d.watchTargets()
-	return d.out
+	return d.commands
 }
 
 func (d *Dispatcher) handle(now time.Time, event structs.Event) {
@@ -64,44 +64,44 @@
 	case structs.PeerMessage:
 		d.handleMessage(now, e.From, e.Msg)
 	case structs.PeerDown:
-		d.peerDown(now, e.Peer)
+		d.handlePeerDown(now, e.Peer)
 	case structs.MembersListed:
 		for _, p := range d.pools {
 			p.refreshTargets(now, d.members)
 		}
 	case structs.TargetLoad:
-		d.withTarget(e.Target, func(p *pool, t *target) { t.loadReported(now, p, e.Load) })
+		d.withTarget(e.Target, func(p *pool, t *target) { t.applyLoad(now, p, e.Load) })
 	case structs.TargetUnreachable:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.targetFailed(now, t) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.recordFailure(now, t) })
 	case structs.TargetCache:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.cacheReported(now, t, e) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.applyCacheEvents(now, t, e) })
 	case structs.CacheReleased:
-		d.withTarget(e.Target, func(p *pool, t *target) { p.released(now, t, e) })
+		d.withTarget(e.Target, func(p *pool, t *target) { p.confirmRelease(now, t, e) })
 	}
 }
 
 func (d *Dispatcher) handleMessage(now time.Time, from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitRequest:
-		d.request(now, from, m)
+		d.handleRequest(now, from, m)
 	case *structs.PermitCancel:
-		d.cancel(now, m)
+		d.handleCancel(now, m)
 	case *structs.PermitFinish:
-		d.finish(now, m)
+		d.handleFinish(now, m)
 	case *structs.ProgramEnded:
 		if p := d.findPool(m.Pool); p != nil {
-			p.programGone(now, m.Program)
+			p.endProgram(now, m.Program)
 		}
 	}
 }
 
-func (d *Dispatcher) emit(command structs.Command) { d.out = append(d.out, command) }
+func (d *Dispatcher) emit(command structs.Command) { d.commands = append(d.commands, command) }
 
 func (d *Dispatcher) send(to structs.InstanceID, msg structs.Message) {
 	d.emit(structs.SendPeer{To: to, Msg: msg})
 }
 
-// Waiting counts the waiting calls of all pools.
+// Waiting returns the number of waiting calls in all pools.
 func (d *Dispatcher) Waiting() int {
 	count := 0
 	for _, p := range d.pools {
@@ -110,20 +110,20 @@
 	return count
 }
 
-// NextWake gives the time of the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if none is set.
 func (d *Dispatcher) NextWake() time.Time {
 	var next time.Time
 	if len(d.timers) > 0 {
-		next = d.timers[0].timer
+		next = d.timers[0].timerAt
 	}
 	for _, p := range d.pools {
 		next = earliest(next, p.wakeAt)
-		next = earliest(next, p.checkAt)
+		next = earliest(next, p.maintainAt)
 	}
 	return next
 }
 
-// earliest gives the earlier of two times, where zero is none.
+// earliest returns the earlier of two times; zero means unset.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -138,13 +138,13 @@
 	return nil
 }
 
-// poolFor finds or makes a pool.
+// poolFor returns the pool with the given ID, creating it if needed.
 func (d *Dispatcher) poolFor(now time.Time, id structs.PoolID) *pool {
 	i, ok := d.searchPool(id)
 	if ok {
 		return d.pools[i]
 	}
-	p := newPool(id, d.service(id.Service))
+	p := newPool(id, d.serviceSettings(id.Service))
 	p.refreshTargets(now, d.members)
 	d.pools = slices.Insert(d.pools, i, p)
 	return p
@@ -156,36 +156,38 @@
 	})
 }
 
-// service gives the setting of a service, the default if settings lack it.
-func (d *Dispatcher) service(name structs.ServiceName) structs.Service {
+// serviceSettings returns the settings of a service, or the defaults if it is
+// not configured.
+func (d *Dispatcher) serviceSettings(name structs.ServiceName) structs.Service {
 	if service, ok := d.settings.Service(name); ok {
 		return service
 	}
 	return structs.DefaultService(name, structs.ServicePlain)
 }
 
-func (d *Dispatcher) withTarget(id structs.TargetID, do func(*pool, *target)) {
+func (d *Dispatcher) withTarget(id structs.TargetID, fn func(*pool, *target)) {
 	for _, p := range d.pools {
 		if t := p.target(id); t != nil {
-			do(p, t)
+			fn(p, t)
 		}
 	}
 }
 
-// refreshPools takes over changed settings, and the membership now and then.
+// refreshPools applies changed settings, and refreshes the targets of each pool
+// periodically.
 func (d *Dispatcher) refreshPools(now time.Time) {
 	for _, p := range d.pools {
-		p.setService(d.service(p.id.Service))
-		if now.Sub(p.refreshed) >= membersRefresh {
+		p.setService(d.serviceSettings(p.id.Service))
+		if now.Sub(p.refreshedAt) >= membersRefreshInterval {
 			p.refreshTargets(now, d.members)
 		}
 	}
 }
 
-// dropIdlePools forgets pools that this instance need not queue for.
+// dropIdlePools removes idle pools that are assigned to another dispatcher.
 func (d *Dispatcher) dropIdlePools(now time.Time) {
 	d.pools = slices.DeleteFunc(d.pools, func(p *pool) bool {
-		if p.busy() || now.Sub(p.used) < poolIdle {
+		if p.busy() || now.Sub(p.usedAt) < poolIdleTimeout {
 			return false
 		}
 		self, ok := d.members.DispatcherOf(p.id)
@@ -193,23 +195,23 @@
 	})
 }
 
-// watchTargets asks for the load and cache events of the targets of all pools.
+// watchTargets subscribes to the load and cache events of all listed targets.
 func (d *Dispatcher) watchTargets() {
-	if d.watchesAll() {
+	if d.watchListCurrent() {
 		return
 	}
 	d.watched = nil
-	for t := range d.presentTargets() {
+	for t := range d.listedTargets() {
 		d.watched = append(d.watched, t.info)
 	}
 	d.emit(structs.WatchTargets{Targets: slices.Clone(d.watched)})
 }
 
-// watchesAll tells whether the targets watched are those present. It runs in
-// each tick and allocates nothing.
-func (d *Dispatcher) watchesAll() bool {
+// watchListCurrent reports whether the watched targets are exactly the listed
+// ones. It runs on every tick and does not allocate.
+func (d *Dispatcher) watchListCurrent() bool {
 	n := 0
-	for t := range d.presentTargets() {
+	for t := range d.listedTargets() {
 		if n == len(d.watched) || d.watched[n] != t.info {
 			return false
 		}
@@ -218,12 +220,13 @@
 	return n == len(d.watched)
 }
 
-// presentTargets gives the targets of all pools that are not gone, in order.
-func (d *Dispatcher) presentTargets() iter.Seq[*target] {
+// listedTargets returns the targets of all pools that are still in the
+// membership, in order.
+func (d *Dispatcher) listedTargets() iter.Seq[*target] {
 	return func(yield func(*target) bool) {
 		for _, p := range d.pools {
 			for _, t := range p.targets {
-				if !t.gone && !yield(t) {
+				if !t.unlisted && !yield(t) {
 					return
 				}
 			}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestGrantsAsSlotsGetFree(t *testing.T) {
+func TestGrantsWhenSlotIsFreed(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	first, second := request("1"), request("2")
 	granted := grants(f.send(first, second))
@@ -28,7 +28,7 @@
 	f.send(m)
 	granted := grants(f.send(m))
 	if granted["1"] != "t0" {
-		t.Fatalf("duplicate of a granted request: %v, want the same grant again", granted)
+		t.Fatalf("duplicate of a granted request: granted %v, want the same grant again", granted)
 	}
 	f.send(finish(m, "t0"))
 	if granted := grants(f.send(m)); len(granted) != 0 {
@@ -36,17 +36,17 @@
 	}
 }
 
-func TestNoWorkToLeavingTarget(t *testing.T) {
+func TestNoGrantAtLeavingTarget(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	f.send(request("1"))
 	f.members.targets[1].Leaving = true
 	f.tick(structs.MembersListed{})
 	if granted := grants(f.send(request("2"))); len(granted) != 0 {
-		t.Fatalf("granted %v while the free target leaves", granted)
+		t.Fatalf("granted %v, want none: the only free target is leaving", granted)
 	}
 }
 
-func TestNewTargetTakesWaitingCalls(t *testing.T) {
+func TestNewTargetServesWaitingCalls(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.send(request("1"), request("2"))
 	f.members.targets = append(f.members.targets, structs.Target{ID: "t1", Service: testService, Region: "r"})
@@ -55,17 +55,17 @@
 	}
 }
 
-func TestRefusedAtOnceWithoutTargets(t *testing.T) {
+func TestWaitingCallsRefusedWithoutTargets(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.send(request("1"), request("2"))
 	f.members.targets[0].Leaving = true
 	refused := refusals(f.tick(structs.MembersListed{}))
 	if refused["2"] == nil || refused["2"].Reason != structs.ReasonNoTarget || refused["2"].RetryAfter <= 0 {
-		t.Fatalf("refused %+v, want run 2 for want of a target", refused)
+		t.Fatalf("refused %+v, want run 2 refused with ReasonNoTarget and a RetryAfter delay", refused)
 	}
 }
 
-func TestVanishedTargetIsForgotten(t *testing.T) {
+func TestUnlistedTargetIsRemoved(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	m := request("1")
 	target := grants(f.send(m))["1"]
@@ -74,7 +74,7 @@
 	f.send(finish(m, target))
 	f.tick(structs.MembersListed{})
 	if got := len(f.d.findPool(testPool).targets); got != 1 {
-		t.Fatalf("%d targets known, want 1", got)
+		t.Fatalf("got %d targets, want 1", got)
 	}
 }
 
@@ -87,14 +87,14 @@
 		m.Running = "t0"
 	}
 	if granted := grants(f.send(first, second, request("3"))); len(granted) != 0 {
-		t.Fatalf("granted %v although registered runs fill the target", granted)
+		t.Fatalf("granted %v, want none: registered runs occupy all slots", granted)
 	}
 	if granted := grants(f.send(finish(first, "t0"))); granted["3"] != "t0" {
 		t.Fatalf("granted %v, want run 3", granted)
 	}
 }
 
-// An owner may have run a call by another dispatcher's grant.
+// The owner may have run the call under a grant of another dispatcher.
 func TestFinishOfWaitingCallEndsIt(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	first, second := request("1"), request("2")
@@ -102,38 +102,38 @@
 	f.send(second)
 	f.send(finish(second, "t0"))
 	if granted := grants(f.send(finish(first, "t0"))); len(granted) != 0 || f.d.Waiting() != 0 {
-		t.Fatalf("granted %v, %d wait; want none", granted, f.d.Waiting())
+		t.Fatalf("granted %v, %d calls waiting; want none", granted, f.d.Waiting())
 	}
 }
 
-func TestHintsAfterRestart(t *testing.T) {
+func TestCacheHintsAfterRestart(t *testing.T) {
 	f := newFixture(t, 3, 4)
 	f.runAt("1", "p", 8000)
 	f.restart()
-	m := request("2", ofProgram("p"), withPrompt(9000), func(m *structs.PermitRequest) {
+	m := request("2", withProgram("p"), withPrompt(9000), func(m *structs.PermitRequest) {
 		m.Hints = []structs.CacheHint{{Target: "t2", Tokens: 8010}}
 	})
 	if granted := grants(f.send(m)); granted["2"] != "t2" {
-		t.Fatalf("granted %v, want the hinted target", granted)
+		t.Fatalf("granted %v, want run 2 at the hinted target t2", granted)
 	}
 }
 
 func TestOwnerDown(t *testing.T) {
 	f := newFixture(t, 1, 1)
-	running, waiting, again := request("1"), request("2"), request("3")
-	f.send(running, waiting, again)
+	running, waiting, resent := request("1"), request("2"), request("3")
+	f.send(running, waiting, resent)
 	f.tick(structs.PeerDown{Peer: "o"})
-	f.send(again)
-	refused := refusals(f.after(ownerDropWait))
+	f.send(resent)
+	refused := refusals(f.tickAfter(ownerDownTimeout))
 	if len(refused) != 1 || refused["2"] == nil {
 		t.Fatalf("refused %v, want only run 2, which was not sent again", refused)
 	}
-	if granted := grants(f.after(f.settings.service.Timeout)); len(granted) != 0 {
-		t.Fatalf("granted %v while the dead owner's run may go on", granted)
+	if granted := grants(f.tickAfter(f.settings.service.Timeout)); len(granted) != 0 {
+		t.Fatalf("granted %v, want none: the run of the failed owner may still be in progress", granted)
 	}
-	f.after(permitGrace)
+	f.tickAfter(permitGrace)
 	if _, held := f.d.calls["1"]; held {
-		t.Fatal("the permit of a dead owner is held for ever")
+		t.Fatal("the permit of a failed owner is never returned")
 	}
 }
 
@@ -145,16 +145,16 @@
 		refused := refusals(f.tick())
 		if refused["2"] != nil {
 			if waited := f.now.Sub(time.Unix(1000, 0)); waited > time.Second {
-				t.Fatalf("refused after %v", waited)
+				t.Fatalf("refused after %v, want at most 1s", waited)
 			}
 			return
 		}
 		f.now = f.d.NextWake()
 	}
-	t.Fatal("not refused")
+	t.Fatal("call was not refused before its deadline")
 }
 
-func TestQueueBounds(t *testing.T) {
+func TestQueueLimits(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.settings.service.QueueLimit, f.settings.policy.MaxQueued = 4, 2
 	f.send(request("0"))
@@ -166,11 +166,11 @@
 	}
 	refused := refusals(f.send(sent...))
 	if f.d.Waiting() != 4 || len(refused) != 4 {
-		t.Fatalf("%d wait and %d are refused, want 4 each", f.d.Waiting(), len(refused))
+		t.Fatalf("%d calls waiting and %d refused, want 4 each", f.d.Waiting(), len(refused))
 	}
 	for run, m := range refused {
 		if m.RetryAfter <= 0 {
-			t.Errorf("refusal of %s does not tell when to come back", run)
+			t.Errorf("refusal of run %s has no RetryAfter delay", run)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestChangedOrderSortsTheQueueAgain(t *testing.T) {
+func TestChangedOrderResortsQueue(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	f.settings.service.Rules.Classes = false
 	first := request("1")
@@ -197,7 +197,7 @@
 	}
 }
 
-// A stream of young programs must not starve an old one of the same class.
+// A stream of new programs must not starve an old program of the same class.
 func TestNoStarvation(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	running := request("r0")
@@ -214,7 +214,7 @@
 		}
 		running = next
 	}
-	t.Fatal("the old program's call waited for 100 s behind young ones")
+	t.Fatal("the call of the old program waited for 100 s behind new programs")
 }
 
 func TestSlowTargetIsEjected(t *testing.T) {
@@ -230,24 +230,24 @@
 		f.send(end)
 	}
 	if state := f.d.findPool(testPool).target("t0").health.State; state != "ejected" {
-		t.Fatalf("a target that takes 600 times as long is %s", state)
+		t.Fatalf("state of a target that is 600 times slower = %s, want ejected", state)
 	}
 }
 
-func TestRetryBudgetRefusesAtOnce(t *testing.T) {
+func TestRetryBudgetRefusesRetries(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	refused := 0
 	for i := range 100 {
 		m := request(fmt.Sprint(i), func(m *structs.PermitRequest) { m.Attempt = 1 })
 		for _, r := range refusals(f.send(m)) {
 			if r.RetryAfter <= 0 {
-				t.Fatal("a refused retry is not told when to come back")
+				t.Fatal("refusal of a retry has no RetryAfter delay")
 			}
 			refused++
 		}
 	}
 	if refused < 50 {
-		t.Fatalf("%d of 100 retries without fresh requests refused", refused)
+		t.Fatalf("%d of 100 retries refused, want at least 50", refused)
 	}
 }
 
@@ -259,11 +259,11 @@
 	}
 	dump := f.d.Dump().([]PoolDump)
 	if len(dump) != 1 || len(dump[0].Calls) != 1 || dump[0].Calls[0].Why == "" || dump[0].Calls[0].Place != 1 {
-		t.Fatalf("dump %+v", dump)
+		t.Fatalf("unexpected dump: %+v", dump)
 	}
 }
 
-func TestWatchesTheTargetsOfItsPools(t *testing.T) {
+func TestWatchesTargetsOfPools(t *testing.T) {
 	f := newFixture(t, 2, 1)
 	var watched []structs.Target
 	for _, command := range f.send(request("1")) {
@@ -272,6 +272,6 @@
 		}
 	}
 	if len(watched) != 2 {
-		t.Fatalf("watches %v", watched)
+		t.Fatalf("watched targets = %v, want 2", watched)
 	}
 }
--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -6,16 +6,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// dumpCalls bounds the waiting calls of one pool in a dump.
-const dumpCalls = 1000
+// maxDumpCalls limits the waiting calls listed per pool.
+const maxDumpCalls = 1000
 
-// PoolDump is the state of one pool for operators.
+// PoolDump is the state of one pool as shown to operators.
 type PoolDump struct {
 	Service structs.ServiceName
 	Region  structs.Region
 	Rules   structs.Rules
 	Waiting int
-	// GrantInterval is the recent time between grants while calls wait.
+	// GrantInterval is the moving average of the time between grants while
+	// calls wait.
 	GrantInterval string
 	CallTime      string
 	OwedReleases  int
@@ -23,7 +24,7 @@
 	Calls         []CallDump
 }
 
-// TargetDump is the state of one target.
+// TargetDump is the state of one target as shown to operators.
 type TargetDump struct {
 	ID            structs.TargetID
 	Running       int
@@ -38,7 +39,7 @@
 	CacheEntries  int
 }
 
-// CallDump explains one waiting call.
+// CallDump describes a waiting call and why it has no permit yet.
 type CallDump struct {
 	Run      structs.RunID
 	Program  structs.ProgramID
@@ -51,7 +52,7 @@
 	StartsIn string
 }
 
-// Dump gives the state of all pools for operators, as of the last tick.
+// Dump returns the state of all pools as of the last tick.
 func (d *Dispatcher) Dump() any {
 	dump := make([]PoolDump, 0, len(d.pools))
 	for _, p := range d.pools {
@@ -63,20 +64,20 @@
 func (d *Dispatcher) dumpPool(p *pool) PoolDump {
 	dump := PoolDump{
 		Service: p.id.Service, Region: p.id.Region, Rules: p.service.Rules,
-		Waiting: p.queue.size, GrantInterval: p.interval.String(),
-		CallTime: p.estimates.CallTime.String(), OwedReleases: len(p.releases),
+		Waiting: p.queue.size, GrantInterval: p.grantInterval.String(),
+		CallTime: p.estimates.CallTime.String(), OwedReleases: len(p.pendingReleases),
 	}
 	for _, t := range p.targets {
 		dump.Targets = append(dump.Targets, TargetDump{
 			ID: t.info.ID, Running: len(t.running), Foreign: t.foreign,
-			Leaving: t.info.Leaving, Gone: t.gone,
+			Leaving: t.info.Leaving, Gone: t.unlisted,
 			Health: string(t.health.State), Slowness: t.health.Slowness,
 			Prefill:     t.backlog(d.now).String(),
 			CacheTokens: t.cache.used, CacheCapacity: t.cache.capacity,
 			CacheEntries: len(t.cache.entries),
 		})
 	}
-	for place, c := range p.queue.first(dumpCalls, func(*lane) bool { return false }) {
+	for place, c := range p.queue.top(maxDumpCalls, func(*teamQueue) bool { return false }) {
 		dump.Calls = append(dump.Calls, d.dumpCall(p, c, place))
 	}
 	return dump
@@ -86,23 +87,23 @@
 	return CallDump{
 		Run: c.run(), Program: c.program(), Owner: c.owner, Team: c.request.Team,
 		Class: c.class, Place: place + 1, Waited: d.now.Sub(c.arrived).Round(time.Millisecond).String(),
-		Why: p.whyWaiting(d.now, c), StartsIn: d.expectedWait(d.now, c).Round(time.Millisecond).String(),
+		Why: p.waitReason(d.now, c), StartsIn: d.expectedWait(d.now, c).Round(time.Millisecond).String(),
 	}
 }
 
-// whyWaiting tells in a sentence why a call has no permit.
-func (p *pool) whyWaiting(now time.Time, c *call) string {
+// waitReason describes why a call has no permit yet.
+func (p *pool) waitReason(now time.Time, c *call) string {
 	switch {
 	case c.ownerDown:
-		return "its owner does not answer"
-	case !p.anyEligible():
+		return "the owner is unresponsive"
+	case !p.hasServingTarget():
 		return "no target"
-	case !p.anyOpen(now):
-		return "no target has a free slot and little prefill queued"
-	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backlogged(c.class))):
-		return "its team is ahead of its share"
-	case p.queue.ahead(c) >= candidates:
-		return "others go first"
+	case !p.hasOpenTarget(now):
+		return "every target is at its slot or prefill limit"
+	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backloggedTeams(c.class))):
+		return "the team is over its fair share"
+	case p.queue.countAhead(c) >= maxCandidates:
+		return "other calls have precedence"
 	}
-	return "waits for the target that holds its prefix"
+	return "waiting for the target with the cached prefix"
 }
--- a/internal/orders/engine_test.go
+++ b/internal/orders/engine_test.go
@@ -23,42 +23,44 @@
 )
 
 const (
-	patience = 60 * time.Second
-	// speed is how much faster than real time the instance's clock goes.
-	speed = 10
+	waitTimeout = 60 * time.Second
+	// clockSpeed is the factor by which the instance's clock runs faster than
+	// real time.
+	clockSpeed = 10
 )
 
-// bench is the core of an instance with the real adapters, a log service and
-// two engines: one that checks the fencing number and one that ignores it.
-type bench struct {
+// testbed runs the core of an instance with the real adapters, a log service
+// and two engines: one that checks the fencing number and one that ignores it.
+type testbed struct {
 	t       *testing.T
 	clock   func() time.Time
 	core    *instance.Instance
 	events  chan structs.Event
 	log     *logclient.Log
 	runner  *target.Runner
-	engines map[string]*restartable
+	engines map[string]*restartableEngine
 }
 
-// restartable is an engine that can be replaced at its address.
-type restartable struct {
+// restartableEngine is an engine that can be replaced without a change of its
+// address.
+type restartableEngine struct {
 	checks bool
 	server atomic.Pointer[engine.Server]
 }
 
-func (r *restartable) restart(t *testing.T) {
+func (r *restartableEngine) restart(t *testing.T) {
 	server := engine.NewServer(engine.Settings{ChecksFencing: r.checks})
 	t.Cleanup(server.Close)
 	r.server.Store(server)
 }
 
-func (r *restartable) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+func (r *restartableEngine) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.server.Load().Handler().ServeHTTP(w, request)
 }
 
-// applied lists the orders that took effect since the start, without repeats: an
-// order whose answer is late is sent again.
-func (r *restartable) applied(t *testing.T) (seen []wire.Order) {
+// applied returns the orders that took effect since the engine was started,
+// without consecutive duplicates: an order whose reply is late is sent again.
+func (r *restartableEngine) applied(t *testing.T) (seen []wire.Order) {
 	reply := httptest.NewRecorder()
 	r.ServeHTTP(reply, httptest.NewRequest(http.MethodGet, engine.OrderLogRoute, nil))
 	if err := json.Unmarshal(reply.Body.Bytes(), &seen); err != nil {
@@ -67,11 +69,11 @@
 	return slices.Compact(seen)
 }
 
-func newBench(t *testing.T) *bench {
+func newTestbed(t *testing.T) *testbed {
 	start := time.Now()
-	b := &bench{
-		t: t, clock: func() time.Time { return start.Add(speed * time.Since(start)) },
-		events: make(chan structs.Event, 1024), engines: map[string]*restartable{},
+	b := &testbed{
+		t: t, clock: func() time.Time { return start.Add(clockSpeed * time.Since(start)) },
+		events: make(chan structs.Event, 1024), engines: map[string]*restartableEngine{},
 	}
 	post := func(ev structs.Event) bool { b.events <- ev; return true }
 	quiet := slog.New(slog.DiscardHandler)
@@ -91,12 +93,13 @@
 	return b
 }
 
-// startEngines starts the engines and tells the instance of them.
-func (b *bench) startEngines() {
+// startEngines starts the engines and adds them to the membership and the
+// settings.
+func (b *testbed) startEngines() {
 	var list wire.MemberList
 	var changes []structs.SettingChange
 	for name, checks := range map[string]bool{"checks": true, "ignores_it": false} {
-		e := &restartable{checks: checks}
+		e := &restartableEngine{checks: checks}
 		e.restart(b.t)
 		server := httptest.NewServer(e)
 		b.t.Cleanup(server.Close)
@@ -112,25 +115,25 @@
 		}
 	}
 	b.events <- structs.MembersListed{List: list}
-	b.until(func() bool { return b.core.Dump().Ready })
-	b.events <- structs.SettingsPropose{Request: "s", Changes: changes, Deadline: b.clock().Add(speed * patience)}
+	b.waitFor(func() bool { return b.core.Dump().Ready })
+	b.events <- structs.SettingsPropose{Request: "s", Changes: changes, Deadline: b.clock().Add(clockSpeed * waitTimeout)}
 }
 
-// until runs the instance until the condition holds.
-func (b *bench) until(holds func() bool) {
+// waitFor runs the instance until the condition holds.
+func (b *testbed) waitFor(condition func() bool) {
 	b.t.Helper()
-	timeout := time.After(patience)
+	timeout := time.After(waitTimeout)
 	var batch []structs.Event
 	for {
 		for _, cmd := range b.core.Tick(b.clock(), batch) {
-			b.carry(cmd)
+			b.execute(cmd)
 		}
-		if holds() {
+		if condition() {
 			return
 		}
 		var wake <-chan time.Time
 		if next := b.core.NextWake(); !next.IsZero() {
-			wake = time.After(next.Sub(b.clock()) / speed)
+			wake = time.After(next.Sub(b.clock()) / clockSpeed)
 		}
 		batch = nil
 		select {
@@ -138,12 +141,12 @@
 			batch = []structs.Event{ev}
 		case <-wake:
 		case <-timeout:
-			b.t.Fatalf("not reached: %+v", b.core.Dump().Orders)
+			b.t.Fatalf("condition not met within the timeout; orders: %+v", b.core.Dump().Orders)
 		}
 	}
 }
 
-func (b *bench) carry(cmd structs.Command) {
+func (b *testbed) execute(cmd structs.Command) {
 	switch cmd := cmd.(type) {
 	case structs.LogAppend:
 		b.log.Append(cmd)
@@ -157,26 +160,26 @@
 		b.runner.SendOrder(cmd)
 	case structs.ReplySettings:
 		if cmd.Result.Status != structs.SettingsAccepted {
-			b.t.Fatalf("%+v", cmd.Result)
+			b.t.Fatalf("settings were not accepted: %+v", cmd.Result)
 		}
 	}
 }
 
-// The real adapters bring the stand-in engines to the desired state, and again
-// after a restart of the engines.
-func TestStandInEngines(t *testing.T) {
-	b := newBench(t)
+// The real adapters bring the stand-in engines to the desired state, initially
+// and after the engines are restarted.
+func TestStandInEnginesReachDesiredState(t *testing.T) {
+	b := newTestbed(t)
 	for range 2 {
 		for _, e := range b.engines {
-			b.until(func() bool { return len(e.applied(t)) == 2 })
+			b.waitFor(func() bool { return len(e.applied(t)) == 2 })
 			want := []wire.Order{
 				{Kind: wire.OrderLoadModel, Value: "m1", Fencing: 1}, {Kind: wire.OrderSetRole, Value: "prefill", Fencing: 1},
 			}
 			if got := e.applied(t); !slices.Equal(got, want) {
-				t.Errorf("%+v", got)
+				t.Errorf("applied orders = %+v, want load_model and set_role", got)
 			}
 		}
-		// All have both orders: none is restarted between the two.
+		// All engines have both orders, so none is restarted between the two.
 		for _, e := range b.engines {
 			e.restart(t)
 		}
