--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -11,10 +11,10 @@
 // first candidate cannot read the log.
 const maxFallbacks = 3
 
-// remember notes who owns a shard by the answers it gives, so that a change of
+// rememberOwner notes who owns a shard by the answers it gives, so that a change of
 // the membership list does not take a program from its living owner while
 // nobody can claim the shard. The owner itself hands an idle shard over.
-func (g *Gateway) remember(p *pending, from structs.InstanceID, out structs.Outcome) {
+func (g *Gateway) rememberOwner(p *pending, from structs.InstanceID, out structs.Outcome) {
 	if out.Kind == structs.OutcomeAnswered {
 		g.owners[p.shard] = from
 	}
@@ -27,43 +27,43 @@
 	if out.Reason != structs.ReasonLogUnavailable || p.stream.pieces > 0 {
 		return false
 	}
-	if len(p.refused) == 0 {
-		p.refusal = out
+	if len(p.fallbacks) == 0 {
+		p.firstRefusal = out
 	}
 	if out.Kind == structs.OutcomeNotRun {
 		delete(p.holders, from)
 	}
-	g.fallback(now, p, from)
+	g.searchFallback(now, p, from)
 	return true
 }
 
-// fallback asks the next candidate, or gives the first refusal to the caller.
-func (g *Gateway) fallback(now time.Time, p *pending, from structs.InstanceID) {
-	p.refused = append(p.refused, from)
+// searchFallback asks the next candidate, or gives the first refusal to the caller.
+func (g *Gateway) searchFallback(now time.Time, p *pending, from structs.InstanceID) {
+	p.fallbacks = append(p.fallbacks, from)
 	next := g.nextFallback(p)
 	if next == "" {
-		g.finish(p, g.refusalOf(p))
+		g.finish(p, g.fallbackOutcome(p))
 		return
 	}
 	g.search(now, p, next)
 }
 
 func (g *Gateway) nextFallback(p *pending) structs.InstanceID {
-	if len(p.refused) > maxFallbacks {
+	if len(p.fallbacks) > maxFallbacks {
 		return ""
 	}
 	for _, id := range g.members.Ranked(p.shard) {
-		if g.usable(p, id) && !slices.Contains(p.refused, id) {
+		if g.usable(p, id) && !slices.Contains(p.fallbacks, id) {
 			return id
 		}
 	}
 	return ""
 }
 
-// refusalOf keeps the rule that "not run" needs the word of every holder.
-func (g *Gateway) refusalOf(p *pending) structs.Outcome {
-	if len(p.holders) > 0 && p.refusal.Kind == structs.OutcomeNotRun {
-		return g.giveUp(p, p.refusal.Reason)
+// fallbackOutcome keeps the rule that "not run" needs the word of every holder.
+func (g *Gateway) fallbackOutcome(p *pending) structs.Outcome {
+	if len(p.holders) > 0 && p.firstRefusal.Kind == structs.OutcomeNotRun {
+		return g.undeliveredOutcome(p, p.firstRefusal.Reason)
 	}
-	return p.refusal
+	return p.firstRefusal
 }
--- a/internal/gateway/gather.go
+++ b/internal/gateway/fanout.go
@@ -7,9 +7,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// gather is a question put to many instances, answered when all answered, are
+// fanout is a question put to many instances, answered when all answered, are
 // lost, or the deadline passed.
-type gather struct {
+type fanout struct {
 	request  structs.RequestID
 	deadline time.Time
 	waiting  map[structs.InstanceID]bool
@@ -20,26 +20,26 @@
 	applied map[structs.InstanceID]uint64
 }
 
-func (g *Gateway) gatherPrograms(now time.Time, ev structs.CallerPrograms) {
-	c := g.newGather(ev.Request, ev.Deadline)
+func (g *Gateway) queryPrograms(now time.Time, ev structs.CallerPrograms) {
+	c := g.newFanout(ev.Request, ev.Deadline)
 	c.limit = ev.Limit
-	for _, id := range c.order() {
+	for _, id := range c.waitingIDs() {
 		g.emit(structs.SendPeer{To: id, Msg: &structs.ProgramsRequest{Request: ev.Request, Team: ev.Team, Limit: ev.Limit}})
 	}
-	g.gatherDone(c)
+	g.replyIfComplete(c)
 }
 
-func (g *Gateway) gatherApplied(now time.Time, ev structs.SettingsApplied) {
-	c := g.newGather(ev.Request, ev.Deadline)
+func (g *Gateway) queryApplied(now time.Time, ev structs.SettingsApplied) {
+	c := g.newFanout(ev.Request, ev.Deadline)
 	c.applied = map[structs.InstanceID]uint64{}
-	for _, id := range c.order() {
+	for _, id := range c.waitingIDs() {
 		g.emit(structs.SendPeer{To: id, Msg: &structs.AppliedRequest{Request: ev.Request}})
 	}
-	g.gatherDone(c)
+	g.replyIfComplete(c)
 }
 
-func (g *Gateway) newGather(id structs.RequestID, deadline time.Time) *gather {
-	c := &gather{request: id, deadline: deadline, waiting: map[structs.InstanceID]bool{}}
+func (g *Gateway) newFanout(id structs.RequestID, deadline time.Time) *fanout {
+	c := &fanout{request: id, deadline: deadline, waiting: map[structs.InstanceID]bool{}}
 	for _, p := range g.members.Peers() {
 		if g.members.Suspected(p.ID) {
 			c.missing = append(c.missing, p.ID)
@@ -47,11 +47,11 @@
 		}
 		c.waiting[p.ID] = true
 	}
-	g.gathers[id] = c
+	g.fanouts[id] = c
 	return c
 }
 
-func (c *gather) order() []structs.InstanceID {
+func (c *fanout) waitingIDs() []structs.InstanceID {
 	ids := make([]structs.InstanceID, 0, len(c.waiting))
 	for id := range c.waiting {
 		ids = append(ids, id)
@@ -60,65 +60,65 @@
 	return ids
 }
 
-func (g *Gateway) programsReply(from structs.InstanceID, msg *structs.ProgramsReply) {
-	c, ok := g.gathers[msg.Request]
+func (g *Gateway) handleProgramsReply(from structs.InstanceID, msg *structs.ProgramsReply) {
+	c, ok := g.fanouts[msg.Request]
 	if !ok || !c.waiting[from] {
 		return
 	}
 	delete(c.waiting, from)
 	c.programs = append(c.programs, msg.Programs...)
-	g.gatherDone(c)
+	g.replyIfComplete(c)
 }
 
-func (g *Gateway) appliedReply(from structs.InstanceID, msg *structs.AppliedReply) {
-	c, ok := g.gathers[msg.Request]
+func (g *Gateway) handleAppliedReply(from structs.InstanceID, msg *structs.AppliedReply) {
+	c, ok := g.fanouts[msg.Request]
 	if !ok || !c.waiting[from] || c.applied == nil {
 		return
 	}
 	delete(c.waiting, from)
 	c.applied[from] = msg.Next
-	g.gatherDone(c)
+	g.replyIfComplete(c)
 }
 
-func (g *Gateway) gatherPeerDown(peer structs.InstanceID) {
-	for _, id := range g.gatherIDs() {
-		c := g.gathers[id]
+func (g *Gateway) fanoutPeerDown(peer structs.InstanceID) {
+	for _, id := range g.fanoutIDs() {
+		c := g.fanouts[id]
 		if !c.waiting[peer] {
 			continue
 		}
 		delete(c.waiting, peer)
 		c.missing = append(c.missing, peer)
-		g.gatherDone(c)
+		g.replyIfComplete(c)
 	}
 }
 
-func (g *Gateway) gatherTimers(now time.Time) {
-	for _, id := range g.gatherIDs() {
-		c := g.gathers[id]
+func (g *Gateway) runFanoutTimers(now time.Time) {
+	for _, id := range g.fanoutIDs() {
+		c := g.fanouts[id]
 		if c.deadline.After(now) {
 			continue
 		}
-		c.missing = append(c.missing, c.order()...)
+		c.missing = append(c.missing, c.waitingIDs()...)
 		c.waiting = nil
-		g.gatherDone(c)
+		g.replyIfComplete(c)
 	}
 }
 
-func (g *Gateway) gatherIDs() []structs.RequestID {
-	ids := make([]structs.RequestID, 0, len(g.gathers))
-	for id := range g.gathers {
+func (g *Gateway) fanoutIDs() []structs.RequestID {
+	ids := make([]structs.RequestID, 0, len(g.fanouts))
+	for id := range g.fanouts {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// gatherDone answers if nothing is awaited any more.
-func (g *Gateway) gatherDone(c *gather) {
+// replyIfComplete answers if nothing is awaited any more.
+func (g *Gateway) replyIfComplete(c *fanout) {
 	if len(c.waiting) > 0 {
 		return
 	}
-	delete(g.gathers, c.request)
+	delete(g.fanouts, c.request)
 	if c.applied != nil {
 		g.emit(structs.ReplyApplied{Request: c.request, Applied: c.applied, Missing: c.missing})
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// endGrace is how long after a caller's deadline the gateway waits for
+	// deadlineGrace is how long after a caller's deadline the gateway waits for
 	// the owner's own final word, which tells more than the gateway knows.
-	endGrace = 250 * time.Millisecond
-	// retryMin and retryMax bound the time between two searches for an owner.
-	retryMin = 20 * time.Millisecond
-	retryMax = 500 * time.Millisecond
-	// searchLimit is how long a gateway looks for an owner to take a call
+	deadlineGrace = 250 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the time between two searches for an owner.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// maxSearchTime is how long a gateway looks for an owner to take a call
 	// before it gives up.
-	searchLimit = 8 * time.Second
-	// retryAfterSearch is what a caller is told when no owner was found.
-	retryAfterSearch = 2 * time.Second
+	maxSearchTime = 8 * time.Second
+	// retryAfterNoOwner is what a caller is told when no owner was found.
+	retryAfterNoOwner = 2 * time.Second
 )
 
 // Gateway is the table of the requests under way at this instance.
@@ -33,12 +33,12 @@
 	cfg     structs.InstanceConfig
 	members structs.Members
 	pending map[structs.RequestID]*pending
-	gathers map[structs.RequestID]*gather
+	fanouts map[structs.RequestID]*fanout
 	// owners remembers who took a request of a shard last.
 	owners map[structs.ShardRef]structs.InstanceID
-	// wake is a lower bound of the timers of the pending requests, zero if
+	// nextTimer is a lower bound of the timers of the pending requests, zero if
 	// there are none: a tick without a due timer looks at no row.
-	wake time.Time
+	nextTimer time.Time
 	// cmds collects the commands of the present tick.
 	cmds []structs.Command
 }
@@ -49,13 +49,13 @@
 		cfg:     cfg,
 		members: members,
 		pending: map[structs.RequestID]*pending{},
-		gathers: map[structs.RequestID]*gather{},
+		fanouts: map[structs.RequestID]*fanout{},
 		owners:  map[structs.ShardRef]structs.InstanceID{},
 	}
 }
 
 // InFlight is the number of callers that wait for an answer.
-func (g *Gateway) InFlight() int { return len(g.pending) + len(g.gathers) }
+func (g *Gateway) InFlight() int { return len(g.pending) + len(g.fanouts) }
 
 // Tick takes in events and runs the timers that are due.
 func (g *Gateway) Tick(now time.Time, events []structs.Event) []structs.Command {
@@ -69,8 +69,8 @@
 
 // NextWake gives the earliest timer, zero if there is none.
 func (g *Gateway) NextWake() time.Time {
-	next := g.wake
-	for _, c := range g.gathers {
+	next := g.nextTimer
+	for _, c := range g.fanouts {
 		next = earliest(next, c.deadline)
 	}
 	return next
@@ -86,38 +86,38 @@
 func (g *Gateway) apply(now time.Time, ev structs.Event) {
 	switch ev := ev.(type) {
 	case structs.CallerSubmit:
-		g.submit(now, ev)
+		g.handleSubmit(now, ev)
 	case structs.CallerProgram:
-		g.programRequest(now, ev)
+		g.handleProgram(now, ev)
 	case structs.CallerPrograms:
-		g.gatherPrograms(now, ev)
+		g.queryPrograms(now, ev)
 	case structs.SettingsApplied:
-		g.gatherApplied(now, ev)
+		g.queryApplied(now, ev)
 	case structs.CallerGone:
-		g.callerGone(ev.Request)
+		g.handleCallerGone(ev.Request)
 	case structs.PeerDown:
-		g.peerDown(now, ev.Peer)
+		g.handlePeerDown(now, ev.Peer)
 	case structs.PeerMessage:
-		g.message(now, ev)
+		g.handleMessage(now, ev)
 	}
 }
 
-func (g *Gateway) message(now time.Time, ev structs.PeerMessage) {
+func (g *Gateway) handleMessage(now time.Time, ev structs.PeerMessage) {
 	switch msg := ev.Msg.(type) {
 	case *structs.SubmitAccepted:
-		g.accepted(ev.From, msg.Request)
+		g.handleAccepted(ev.From, msg.Request)
 	case *structs.CallChunk:
-		g.chunk(ev.From, msg)
+		g.handleChunk(ev.From, msg)
 	case *structs.CallEnd:
-		g.callEnd(now, ev.From, msg)
+		g.handleCallEnd(now, ev.From, msg)
 	case *structs.ProgramReply:
-		g.programReply(ev.From, msg)
+		g.handleProgramReply(ev.From, msg)
 	case *structs.NotOwner:
-		g.notOwner(now, ev.From, msg)
+		g.handleNotOwner(now, ev.From, msg)
 	case *structs.ProgramsReply:
-		g.programsReply(ev.From, msg)
+		g.handleProgramsReply(ev.From, msg)
 	case *structs.AppliedReply:
-		g.appliedReply(ev.From, msg)
+		g.handleAppliedReply(ev.From, msg)
 	}
 }
 
@@ -126,24 +126,24 @@
 // runTimers runs in order of request id, so that equal inputs give equal
 // outputs.
 func (g *Gateway) runTimers(now time.Time) {
-	g.gatherTimers(now)
-	if g.wake.IsZero() || g.wake.After(now) {
+	g.runFanoutTimers(now)
+	if g.nextTimer.IsZero() || g.nextTimer.After(now) {
 		return
 	}
-	for _, id := range g.due(now) {
-		g.pendingTimer(now, g.pending[id])
+	for _, id := range g.dueRequests(now) {
+		g.runPendingTimer(now, g.pending[id])
 	}
-	g.wake = time.Time{}
+	g.nextTimer = time.Time{}
 	for _, p := range g.pending {
-		g.wakeAt(p.wake())
+		g.scheduleTimer(p.nextTimer())
 	}
 }
 
-// due lists the requests with a due timer in order of id.
-func (g *Gateway) due(now time.Time) []structs.RequestID {
+// dueRequests lists the requests with a due timer in order of id.
+func (g *Gateway) dueRequests(now time.Time) []structs.RequestID {
 	var due []structs.RequestID
 	for id, p := range g.pending {
-		if !p.wake().After(now) {
+		if !p.nextTimer().After(now) {
 			due = append(due, id)
 		}
 	}
@@ -151,5 +151,5 @@
 	return due
 }
 
-// wakeAt keeps the bound of the timers below a new one.
-func (g *Gateway) wakeAt(at time.Time) { g.wake = earliest(g.wake, at) }
+// scheduleTimer keeps the bound of the timers below a new one.
+func (g *Gateway) scheduleTimer(at time.Time) { g.nextTimer = earliest(g.nextTimer, at) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,8 +14,8 @@
 
 const request = structs.RequestID("g-1")
 
-// rig is a gateway among three instances, with one streamed call submitted.
-type rig struct {
+// harness is a gateway among three instances, with one streamed call submitted.
+type harness struct {
 	t    *testing.T
 	view *members.View
 	g    *Gateway
@@ -23,7 +23,7 @@
 	owner structs.InstanceID
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	view := members.New(structs.Peer{ID: "g", Region: "r"})
 	list := wire.MemberList{Version: 1}
 	for _, id := range []string{"a", "b", "c"} {
@@ -31,7 +31,7 @@
 	}
 	view.Tick(start, []structs.Event{structs.MembersListed{List: list}})
 	cfg := structs.DefaultInstanceConfig(view.Self(), "1")
-	r := &rig{t: t, view: view, g: New(cfg, view)}
+	r := &harness{t: t, view: view, g: New(cfg, view)}
 	r.tick(start, structs.CallerSubmit{
 		Request: request, Deadline: start.Add(time.Minute),
 		Call: &structs.Call{Program: structs.NewProgramID("r", start, [10]byte{1}), Kind: structs.CallChat, Stream: true, Fresh: true},
@@ -41,7 +41,7 @@
 
 // tick runs one tick, the view's first as in the instance, and notes where the
 // call went.
-func (r *rig) tick(now time.Time, events ...structs.Event) []structs.Command {
+func (r *harness) tick(now time.Time, events ...structs.Event) []structs.Command {
 	r.view.Tick(now, events)
 	cmds := r.g.Tick(now, events)
 	for _, cmd := range cmds {
@@ -54,11 +54,11 @@
 	return cmds
 }
 
-func (r *rig) from(msg structs.Message) structs.Event {
+func (r *harness) from(msg structs.Message) structs.Event {
 	return structs.PeerMessage{From: r.owner, Msg: msg}
 }
 
-func (r *rig) end(cmds []structs.Command) structs.Outcome {
+func (r *harness) finalOutcome(cmds []structs.Command) structs.Outcome {
 	r.t.Helper()
 	var ends []structs.Outcome
 	for _, cmd := range cmds {
@@ -72,8 +72,8 @@
 	return ends[0]
 }
 
-func TestLostOwnerHandsOverWithoutRepeatingPieces(t *testing.T) {
-	r := newRig(t)
+func TestFailoverDoesNotRepeatRelayedPieces(t *testing.T) {
+	r := newHarness(t)
 	first := r.owner
 	r.tick(start, r.from(&structs.CallChunk{Request: request, Chunk: structs.Chunk{Texts: []string{"one ", "two "}}}))
 	r.tick(start, structs.PeerDown{Peer: first})
@@ -85,24 +85,24 @@
 	if !ok || chunk.Chunk.First != 2 || len(chunk.Chunk.Texts) != 1 {
 		t.Fatalf("relayed %v, want only the third piece", cmds)
 	}
-	out := r.end(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered, Text: "one two three"}})))
+	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered, Text: "one two three"}})))
 	if out.Kind != structs.OutcomeAnswered {
 		t.Fatalf("outcome %+v", out)
 	}
 }
 
-func TestAnotherTextIsNotSpliced(t *testing.T) {
-	r := newRig(t)
+func TestDifferentTextIsNotSpliced(t *testing.T) {
+	r := newHarness(t)
 	r.tick(start, r.from(&structs.CallChunk{Request: request, Chunk: structs.Chunk{Texts: []string{"one "}}}))
 	r.tick(start, structs.PeerDown{Peer: r.owner})
-	out := r.end(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered, Text: "uno due"}})))
+	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered, Text: "uno due"}})))
 	if out.Kind != structs.OutcomeUnknown {
 		t.Fatalf("outcome %+v, want unknown", out)
 	}
 }
 
 func TestPiecesOfAnotherRunAreNotJoined(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.tick(start, r.from(&structs.CallChunk{Request: request, Run: "run-1", Chunk: structs.Chunk{Texts: []string{"one "}}}))
 	cmds := r.tick(start, structs.PeerDown{Peer: r.owner})
 	submit, ok := cmds[0].(structs.SendPeer).Msg.(*structs.Submit)
@@ -115,10 +115,10 @@
 	}
 }
 
-// TestSuspectsGoWithEachSubmit: also a search after a wait, which starts from
+// TestSubmitListsSuspects: also a search after a wait, which starts from
 // the view alone, tells the receiver whom this instance finds unreachable.
-func TestSuspectsGoWithEachSubmit(t *testing.T) {
-	r := newRig(t)
+func TestSubmitListsSuspects(t *testing.T) {
+	r := newHarness(t)
 	lost := r.owner
 	r.tick(start, structs.PeerDown{Peer: lost})
 	r.tick(start, r.from(&structs.NotOwner{Request: request, Owner: lost}))
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestAnswerOfAFormerOwnerIsDropped(t *testing.T) {
-	r := newRig(t)
+func TestReplyOfFormerOwnerIsDropped(t *testing.T) {
+	r := newHarness(t)
 	first := r.owner
 	r.tick(start, structs.PeerDown{Peer: first})
 	late := structs.PeerMessage{From: first, Msg: &structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered}}}
@@ -139,23 +139,23 @@
 	}
 }
 
-func TestNotRunNeedsTheWordOfEveryHolder(t *testing.T) {
-	r := newRig(t)
+func TestNotRunRequiresEveryHolder(t *testing.T) {
+	r := newHarness(t)
 	r.tick(start, structs.PeerDown{Peer: r.owner})
-	out := r.end(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonOverloaded}})))
+	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonOverloaded}})))
 	if out.Kind != structs.OutcomeUnknown {
 		t.Fatalf("outcome %+v: the lost owner may have run the call", out)
 	}
 }
 
-func TestNoOwnerIsNotRun(t *testing.T) {
-	r := newRig(t)
+func TestNoOwnerEndsAsNotRun(t *testing.T) {
+	r := newHarness(t)
 	now := start
 	for i := 0; i < 100; i++ {
 		cmds := r.tick(now, r.from(&structs.NotOwner{Request: request}))
 		if len(cmds) > 0 {
 			if _, ok := cmds[0].(structs.ReplyEnd); ok {
-				if out := r.end(cmds); out.Kind != structs.OutcomeNotRun || out.RetryAfter == 0 {
+				if out := r.finalOutcome(cmds); out.Kind != structs.OutcomeNotRun || out.RetryAfter == 0 {
 					t.Fatalf("outcome %+v", out)
 				}
 				return
@@ -168,8 +168,8 @@
 }
 
 func TestDeadlineEndsTheRequestOnce(t *testing.T) {
-	r := newRig(t)
-	out := r.end(r.tick(start.Add(time.Minute + endGrace)))
+	r := newHarness(t)
+	out := r.finalOutcome(r.tick(start.Add(time.Minute + deadlineGrace)))
 	if out.Kind != structs.OutcomeUnknown || out.Reason != structs.ReasonDeadline {
 		t.Fatalf("outcome %+v", out)
 	}
@@ -178,15 +178,15 @@
 	}
 }
 
-func TestLivingOwnerIsFoundWhileTheLogIsDown(t *testing.T) {
-	r := newRig(t)
+func TestLiveOwnerIsFoundWhileLogIsUnavailable(t *testing.T) {
+	r := newHarness(t)
 	first := r.owner
 	refusal := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: time.Second}
 	r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: refusal}))
 	if r.owner == first {
 		t.Fatal("no other instance was asked")
 	}
-	out := r.end(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered}})))
+	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered}})))
 	if out.Kind != structs.OutcomeAnswered {
 		t.Fatalf("outcome %+v", out)
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-func TestNobodyOwnsWhileTheLogIsDown(t *testing.T) {
-	r := newRig(t)
+func TestNoOwnerWhileLogIsUnavailable(t *testing.T) {
+	r := newHarness(t)
 	refusal := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: time.Second}
 	cmds := r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: refusal}))
 	for range maxFallbacks {
@@ -210,7 +210,7 @@
 		}
 		cmds = r.tick(start, r.from(&structs.NotOwner{Request: request}))
 	}
-	out := r.end(cmds)
+	out := r.finalOutcome(cmds)
 	if out.Kind != structs.OutcomeNotRun || out.Reason != structs.ReasonLogUnavailable {
 		t.Fatalf("outcome %+v", out)
 	}
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -30,25 +30,25 @@
 	// retryAt is when to look for an owner again, backoff the time between.
 	retryAt time.Time
 	backoff time.Duration
-	// refused are the instances asked in a search for a living owner while
+	// fallbacks are the instances asked in a search for a living owner while
 	// the log is down, and refusal what the first of them answered.
-	refused []structs.InstanceID
-	refusal structs.Outcome
+	fallbacks    []structs.InstanceID
+	firstRefusal structs.Outcome
 	// redirectAt is when a redirect was last followed.
 	redirectAt time.Time
-	// searching is when the gateway last lost its owner.
-	searching time.Time
-	stream    relay
+	// searchStarted is when the gateway last lost its owner.
+	searchStarted time.Time
+	stream        relayState
 }
 
-// wake gives the request's next timer.
-func (p *pending) wake() time.Time {
-	return earliest(p.retryAt, p.deadline.Add(endGrace))
+// nextTimer gives the request's next timer.
+func (p *pending) nextTimer() time.Time {
+	return earliest(p.retryAt, p.deadline.Add(deadlineGrace))
 }
 
-// relay is what of a streamed answer went to the caller. The running hash
+// relayState is what of a streamed answer went to the caller. The running hash
 // proves that a second owner's text continues the first one's.
-type relay struct {
+type relayState struct {
 	// run is the run that made the pieces.
 	run    structs.RunID
 	pieces int
@@ -56,7 +56,7 @@
 	hash   *xxhash.Digest
 }
 
-func (r *relay) add(texts []string) {
+func (r *relayState) add(texts []string) {
 	if r.hash == nil {
 		r.hash = xxhash.New()
 	}
@@ -68,14 +68,14 @@
 }
 
 // continues tells whether text begins with what was relayed.
-func (r *relay) continues(text string) bool {
+func (r *relayState) continues(text string) bool {
 	if r.bytes == 0 {
 		return true
 	}
 	return len(text) >= r.bytes && xxhash.Sum64String(text[:r.bytes]) == r.hash.Sum64()
 }
 
-func (g *Gateway) submit(now time.Time, ev structs.CallerSubmit) {
+func (g *Gateway) handleSubmit(now time.Time, ev structs.CallerSubmit) {
 	p := g.newPending(now, ev.Request, ev.Call.Program, ev.Deadline)
 	if p == nil {
 		g.emit(structs.ReplyEnd{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
@@ -86,18 +86,18 @@
 		// A key of its own lets a second owner recognise the call.
 		p.call.Key = journal.KeylessPrefix + string(ev.Request)
 	}
-	g.hold(p)
+	g.add(p)
 	g.search(now, p, "")
 }
 
-func (g *Gateway) programRequest(now time.Time, ev structs.CallerProgram) {
+func (g *Gateway) handleProgram(now time.Time, ev structs.CallerProgram) {
 	p := g.newPending(now, ev.Request, ev.Program, ev.Deadline)
 	if p == nil {
 		g.emit(structs.ReplyProgram{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
 		return
 	}
 	p.op = &ev
-	g.hold(p)
+	g.add(p)
 	g.search(now, p, "")
 }
 
@@ -108,19 +108,19 @@
 		return nil
 	}
 	return &pending{
-		request:   id,
-		shard:     structs.ShardRef{Region: region, Shard: structs.ShardOf(program, g.cfg.Shards)},
-		deadline:  deadline,
-		started:   now,
-		searching: now,
-		backoff:   retryMin,
-		holders:   map[structs.InstanceID]bool{},
+		request:       id,
+		shard:         structs.ShardRef{Region: region, Shard: structs.ShardOf(program, g.cfg.Shards)},
+		deadline:      deadline,
+		started:       now,
+		searchStarted: now,
+		backoff:       minRetryDelay,
+		holders:       map[structs.InstanceID]bool{},
 	}
 }
 
-func (g *Gateway) hold(p *pending) {
+func (g *Gateway) add(p *pending) {
 	g.pending[p.request] = p
-	g.wakeAt(p.wake())
+	g.scheduleTimer(p.nextTimer())
 }
 
 // search sends the request to the preferred instance, or to the best that the
@@ -129,7 +129,7 @@
 	p.retryAt = time.Time{}
 	owner := prefer
 	if owner == "" {
-		owner = g.pick(p)
+		owner = g.selectOwner(p)
 	}
 	if owner == "" {
 		g.searchLater(now, p)
@@ -137,12 +137,12 @@
 	}
 	p.owner = owner
 	p.holders[owner] = true
-	g.emit(structs.SendPeer{To: owner, Msg: g.handover(now, p)})
+	g.emit(structs.SendPeer{To: owner, Msg: g.handoverMessage(now, p)})
 }
 
-// pick gives the instance that took a request of the shard last, or else the
+// selectOwner gives the instance that took a request of the shard last, or else the
 // best that is not suspected.
-func (g *Gateway) pick(p *pending) structs.InstanceID {
+func (g *Gateway) selectOwner(p *pending) structs.InstanceID {
 	if last, ok := g.owners[p.shard]; ok && g.usable(p, last) {
 		return last
 	}
@@ -176,8 +176,8 @@
 	return suspects
 }
 
-// handover is the message that hands the request to an owner.
-func (g *Gateway) handover(now time.Time, p *pending) structs.Message {
+// handoverMessage is the message that hands the request to an owner.
+func (g *Gateway) handoverMessage(now time.Time, p *pending) structs.Message {
 	remaining := p.deadline.Sub(now)
 	if p.op != nil {
 		return &structs.ProgramRequest{
@@ -195,21 +195,21 @@
 // searchLater sets the timer of the next search, or gives up for good.
 func (g *Gateway) searchLater(now time.Time, p *pending) {
 	p.owner = ""
-	if now.Sub(p.searching) >= searchLimit {
-		g.finish(p, g.giveUp(p, structs.ReasonOwnerUnavailable))
+	if now.Sub(p.searchStarted) >= maxSearchTime {
+		g.finish(p, g.undeliveredOutcome(p, structs.ReasonOwnerUnavailable))
 		return
 	}
 	p.retryAt = now.Add(p.backoff)
-	g.wakeAt(p.retryAt)
-	p.backoff = min(2*p.backoff, retryMax)
+	g.scheduleTimer(p.retryAt)
+	p.backoff = min(2*p.backoff, maxRetryDelay)
 }
 
-func (g *Gateway) pendingTimer(now time.Time, p *pending) {
-	if !now.Before(p.deadline.Add(endGrace)) {
+func (g *Gateway) runPendingTimer(now time.Time, p *pending) {
+	if !now.Before(p.deadline.Add(deadlineGrace)) {
 		if p.owner != "" && p.call != nil {
 			g.emit(structs.SendPeer{To: p.owner, Msg: &structs.Withdraw{Request: p.request}})
 		}
-		g.finish(p, g.giveUp(p, structs.ReasonDeadline))
+		g.finish(p, g.undeliveredOutcome(p, structs.ReasonDeadline))
 		return
 	}
 	// The suspects may answer again by now: a search that found nobody
@@ -218,23 +218,23 @@
 	g.search(now, p, "")
 }
 
-// giveUp is the gateway's own final word. "Not run" needs that no instance may
+// undeliveredOutcome is the gateway's own final word. "Not run" needs that no instance may
 // hold the request.
-func (g *Gateway) giveUp(p *pending, reason structs.Reason) structs.Outcome {
+func (g *Gateway) undeliveredOutcome(p *pending, reason structs.Reason) structs.Outcome {
 	if len(p.holders) == 0 && p.call != nil {
-		return p.call.Refusal(reason, retryAfterSearch)
+		return p.call.Refusal(reason, retryAfterNoOwner)
 	}
 	if len(p.holders) == 0 {
-		return notRun(reason, retryAfterSearch)
+		return notRun(reason, retryAfterNoOwner)
 	}
 	return structs.Outcome{
-		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterSearch,
+		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterNoOwner,
 		Detail: "The owner of the program did not answer; ask again with the same idempotency key.",
 	}
 }
 
-func notRun(reason structs.Reason, after time.Duration) structs.Outcome {
-	return structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: after}
+func notRun(reason structs.Reason, retryAfter time.Duration) structs.Outcome {
+	return structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
 // finish answers the caller and forgets the request.
@@ -247,10 +247,10 @@
 	g.emit(structs.ReplyEnd{Request: p.request, Outcome: out})
 }
 
-func (g *Gateway) callerGone(id structs.RequestID) {
+func (g *Gateway) handleCallerGone(id structs.RequestID) {
 	p, ok := g.pending[id]
 	if !ok {
-		delete(g.gathers, id)
+		delete(g.fanouts, id)
 		return
 	}
 	delete(g.pending, id)
@@ -259,9 +259,9 @@
 	}
 }
 
-// peerDown hands the requests of a lost instance to the next one.
-func (g *Gateway) peerDown(now time.Time, peer structs.InstanceID) {
-	g.gatherPeerDown(peer)
+// handlePeerDown hands the requests of a lost instance to the next one.
+func (g *Gateway) handlePeerDown(now time.Time, peer structs.InstanceID) {
+	g.fanoutPeerDown(peer)
 	var lost []structs.RequestID
 	for id, p := range g.pending {
 		if p.owner == peer {
@@ -274,8 +274,8 @@
 		if !slices.Contains(p.suspects, peer) {
 			p.suspects = append(p.suspects, peer)
 		}
-		p.searching = now
-		p.backoff = retryMin
+		p.searchStarted = now
+		p.backoff = minRetryDelay
 		g.search(now, p, "")
 	}
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/replies.go
@@ -6,10 +6,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// holder finds the request that an owner speaks of; it returns nil for a
+// pendingOwnedBy finds the request that an owner speaks of; it returns nil for a
 // request that has ended or that another owner has by now: a late or crossed
 // answer must not reach the caller twice.
-func (g *Gateway) holder(from structs.InstanceID, id structs.RequestID) *pending {
+func (g *Gateway) pendingOwnedBy(from structs.InstanceID, id structs.RequestID) *pending {
 	p, ok := g.pending[id]
 	if !ok || p.owner != from {
 		return nil
@@ -17,16 +17,16 @@
 	return p
 }
 
-func (g *Gateway) accepted(from structs.InstanceID, id structs.RequestID) {
-	if p := g.holder(from, id); p != nil {
-		p.backoff = retryMin
+func (g *Gateway) handleAccepted(from structs.InstanceID, id structs.RequestID) {
+	if p := g.pendingOwnedBy(from, id); p != nil {
+		p.backoff = minRetryDelay
 	}
 }
 
-// chunk relays the pieces that the caller lacks. Pieces behind a gap are left
+// handleChunk relays the pieces that the caller lacks. Pieces behind a gap are left
 // for the end, which carries the whole text.
-func (g *Gateway) chunk(from structs.InstanceID, msg *structs.CallChunk) {
-	p := g.holder(from, msg.Request)
+func (g *Gateway) handleChunk(from structs.InstanceID, msg *structs.CallChunk) {
+	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil || p.call == nil || !p.call.Stream {
 		return
 	}
@@ -48,15 +48,15 @@
 	g.emit(structs.ReplyChunk{Request: p.request, Chunk: c})
 }
 
-func (g *Gateway) callEnd(now time.Time, from structs.InstanceID, msg *structs.CallEnd) {
-	p := g.holder(from, msg.Request)
+func (g *Gateway) handleCallEnd(now time.Time, from structs.InstanceID, msg *structs.CallEnd) {
+	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil || p.call == nil {
 		return
 	}
 	if g.tryFallback(now, p, from, msg.Outcome) {
 		return
 	}
-	g.remember(p, from, msg.Outcome)
+	g.rememberOwner(p, from, msg.Outcome)
 	out := msg.Outcome
 	if out.Kind == structs.OutcomeNotRun && p.stream.pieces > 0 {
 		// Part of the answer reached the caller, so the call did run.
@@ -68,25 +68,25 @@
 		out.Kind = structs.OutcomeUnknown
 	}
 	if p.call.Stream && out.Kind == structs.OutcomeAnswered {
-		out = g.relayRest(p, out)
+		out = g.relayRemainder(p, out)
 	}
 	g.finish(p, out)
 }
 
 // heldElsewhere tells whether an instance other than the speaker may have
 // taken the request.
-func (p *pending) heldElsewhere(speaker structs.InstanceID) bool {
+func (p *pending) heldElsewhere(from structs.InstanceID) bool {
 	for id := range p.holders {
-		if id != speaker {
+		if id != from {
 			return true
 		}
 	}
 	return false
 }
 
-// relayRest sends the caller what it lacks of the whole text. A text that does
+// relayRemainder sends the caller what it lacks of the whole text. A text that does
 // not continue what was sent is never spliced to it.
-func (g *Gateway) relayRest(p *pending, out structs.Outcome) structs.Outcome {
+func (g *Gateway) relayRemainder(p *pending, out structs.Outcome) structs.Outcome {
 	if !p.stream.continues(out.Text) {
 		return structs.Outcome{
 			Kind: structs.OutcomeUnknown, Reason: structs.ReasonOwnerLost,
@@ -101,8 +101,8 @@
 	return out
 }
 
-func (g *Gateway) programReply(from structs.InstanceID, msg *structs.ProgramReply) {
-	p := g.holder(from, msg.Request)
+func (g *Gateway) handleProgramReply(from structs.InstanceID, msg *structs.ProgramReply) {
+	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil || p.op == nil {
 		return
 	}
@@ -110,10 +110,10 @@
 	g.emit(structs.ReplyProgram{Request: p.request, Outcome: msg.Outcome, Info: msg.Info})
 }
 
-// notOwner takes the speaker's word that it does not have the request and
+// handleNotOwner takes the speaker's word that it does not have the request and
 // looks further.
-func (g *Gateway) notOwner(now time.Time, from structs.InstanceID, msg *structs.NotOwner) {
-	p := g.holder(from, msg.Request)
+func (g *Gateway) handleNotOwner(now time.Time, from structs.InstanceID, msg *structs.NotOwner) {
+	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil {
 		return
 	}
@@ -121,25 +121,25 @@
 	if g.owners[p.shard] == from {
 		delete(g.owners, p.shard)
 	}
-	if len(p.refused) > 0 {
-		g.fallback(now, p, from)
+	if len(p.fallbacks) > 0 {
+		g.searchFallback(now, p, from)
 		return
 	}
 	if msg.Owner == "" || msg.Owner == from || g.members.Suspected(msg.Owner) {
 		g.searchLater(now, p)
 		return
 	}
-	if p.redirected(now) {
+	if p.redirectedRecently(now) {
 		g.searchLater(now, p)
 		return
 	}
 	g.search(now, p, msg.Owner)
 }
 
-// redirected bounds the redirects that are followed at once: views of the
+// redirectedRecently bounds the redirects that are followed at once: views of the
 // membership may differ for a while and send a request in circles.
-func (p *pending) redirected(now time.Time) bool {
-	if !p.redirectAt.IsZero() && now.Sub(p.redirectAt) < retryMin {
+func (p *pending) redirectedRecently(now time.Time) bool {
+	if !p.redirectAt.IsZero() && now.Sub(p.redirectAt) < minRetryDelay {
 		return true
 	}
 	p.redirectAt = now
--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	bearerPrefix = "Bearer "
-	maxBearer    = 1024
-	rootName     = "root"
+	bearerPrefix    = "Bearer "
+	maxBearerLength = 1024
+	rootName        = "root"
 )
 
 // authenticate finds the principal of a request. While the instance starts,
@@ -26,9 +26,9 @@
 	}
 	switch {
 	case !principal.Root() && s.core.Health().State == HealthStarting:
-		s.fail(c, s.starting())
+		s.fail(c, s.startingProblem())
 	case !ok:
-		s.fail(c, refuse(structs.ReasonUnauthorized, "expected the header Authorization: Bearer and a known key"))
+		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer and a known key"))
 	default:
 		c.Next()
 	}
@@ -37,15 +37,15 @@
 // requireStarted refuses calls while the services are not known yet.
 func (s *Server) requireStarted(c *gin.Context) {
 	if s.core.Health().State == HealthStarting {
-		s.fail(c, s.starting())
+		s.fail(c, s.startingProblem())
 		return
 	}
 	c.Next()
 }
 
-func (s *Server) starting() *Problem {
+func (s *Server) startingProblem() *Problem {
 	detail := s.core.Health().Detail
-	return refuse(structs.ReasonStarting, "%s", detail).retryAfter(localRetryAfter)
+	return refusal(structs.ReasonStarting, "%s", detail).retryAfter(localRetryAfter)
 }
 
 func (s *Server) principalOf(header string) (Principal, bool) {
@@ -54,7 +54,7 @@
 		return Principal{}, false
 	}
 	key := header[len(bearerPrefix):]
-	if len(key) > maxBearer {
+	if len(key) > maxBearerLength {
 		return Principal{}, false
 	}
 	if s.isRootKey(key) {
@@ -79,7 +79,7 @@
 
 func (s *Server) requireOperator(c *gin.Context) {
 	if !infoOf(c).principal.Operator {
-		s.fail(c, refuse(structs.ReasonForbidden, "the route is for operators"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators"))
 		return
 	}
 	c.Next()
@@ -87,7 +87,7 @@
 
 func (s *Server) requireRoot(c *gin.Context) {
 	if !infoOf(c).principal.Root() {
-		s.fail(c, refuse(structs.ReasonForbidden, "the route is for operators of the whole tree"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators of the whole tree"))
 		return
 	}
 	c.Next()
@@ -99,10 +99,10 @@
 		return principal.Team, nil
 	}
 	if !validTreePath(string(wanted)) {
-		return "", refuse(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
+		return "", refusal(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
 	}
 	if !principal.Team.Contains(wanted) {
-		return "", refuse(structs.ReasonForbidden, "the key does not reach this team")
+		return "", refusal(structs.ReasonForbidden, "the key does not reach this team")
 	}
 	return wanted, nil
 }
--- a/internal/httpapi/auth_test.go
+++ b/internal/httpapi/auth_test.go
@@ -12,7 +12,7 @@
 	f := newFixture(t, nil)
 	f.answerWith(answered)
 	for _, header := range []string{"", "Bearer ", "Bearer wrong", "Basic " + callerKey, callerKey,
-		"Bearer nobody-key", "Bearer " + strings.Repeat("k", maxBearer+1)} {
+		"Bearer nobody-key", "Bearer " + strings.Repeat("k", maxBearerLength+1)} {
 		response, body := f.do(http.MethodPost, chatRoute, chatBody, "Authorization", header)
 		checkProblem(t, response, body, structs.ReasonUnauthorized, http.StatusUnauthorized, outcomeNotRun)
 		if response.Header.Get("WWW-Authenticate") == "" {
@@ -88,7 +88,7 @@
 	f.noEvents()
 }
 
-func TestStartingInstanceDoesNotDenyKeysItCannotKnow(t *testing.T) {
+func TestStartingInstanceDoesNotRejectUnknownKeys(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) { c.health = Health{State: HealthStarting, Detail: "reading the settings"} })
 	for _, key := range []string{"not-known-yet", callerKey, rootKey} {
@@ -105,7 +105,7 @@
 	f.noEvents()
 }
 
-func TestDrainingInstanceLeavesCallsToTheCore(t *testing.T) {
+func TestDrainingInstancePassesCallsToCore(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) { c.health = Health{State: HealthDraining} })
 	f.answerWith(answered)
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestNoSecretsInLogsAndAnswers(t *testing.T) {
+func TestLogsContainNoSecrets(t *testing.T) {
 	f := newFixture(t, nil)
 	f.answerWith(answered)
 	secrets := []string{callerKey, "idempotency-secret", "body-secret", "query-secret", "wrong-secret"}
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -18,12 +18,12 @@
 func (s *Server) readBody(c *gin.Context) (body []byte, release func(), problem *Problem) {
 	size := s.config.MaxBody
 	if length := c.Request.ContentLength; length > size {
-		return nil, func() {}, refuse(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
+		return nil, func() {}, refusal(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
 	} else if length >= 0 {
 		size = length
 	}
 	if !s.limits.bodies.TryAcquire(size) {
-		return nil, func() {}, busy(c.Request.Header, "too many bytes of requests are in flight at this instance")
+		return nil, func() {}, overloaded(c.Request.Header, "too many bytes of requests are in flight at this instance")
 	}
 	body, problem = s.readWithin(c, size)
 	unused := size - int64(len(body))
@@ -47,9 +47,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, refuse(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
+		return nil, refusal(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, refuse(ReasonTimeout, "the body did not come within %s", s.config.BodyTimeout)
+		return nil, refusal(ReasonTimeout, "the body did not come within %s", s.config.BodyTimeout)
 	}
-	return nil, refuse(structs.ReasonInvalid, "the body could not be read to its end")
+	return nil, refusal(structs.ReasonInvalid, "the body could not be read to its end")
 }
--- a/internal/httpapi/call.go
+++ b/internal/httpapi/call.go
@@ -15,7 +15,7 @@
 	info := infoOf(c)
 	team, problem := teamFor(info.principal, h.team)
 	if problem == nil && team == "" {
-		problem = refuse(structs.ReasonInvalid, "a key of the whole tree needs %s", HeaderTeam)
+		problem = refusal(structs.ReasonInvalid, "a key of the whole tree needs %s", HeaderTeam)
 	}
 	if problem != nil {
 		return nil, time.Time{}, problem
@@ -34,7 +34,7 @@
 	}
 	info.program, info.team, info.lane = call.Program, team, call.Lane
 	info.number, info.service = call.Number, service.Name
-	return call, now.Add(callTimeout(policy, h.wait)), problem
+	return call, now.Add(callTimeout(policy, h.timeout)), problem
 }
 
 // singleProgram names the program of a call that was made without one.
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -27,7 +27,7 @@
 		s.fail(c, problem)
 		return
 	}
-	call, deadline, problem := s.chatCall(c, body)
+	call, deadline, problem := s.newChatCall(c, body)
 	if problem != nil {
 		s.fail(c, problem)
 		return
@@ -37,20 +37,20 @@
 		return
 	}
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
-	reply, ok := ask[structs.ReplyEnd](s, c, event, deadline)
+	reply, ok := postAndWait[structs.ReplyEnd](s, c, event, deadline)
 	if !ok {
 		return
 	}
 	if reply.Outcome.Kind != structs.OutcomeAnswered || isEngineError(reply.Outcome) {
-		s.answerPlain(c, reply.Outcome)
+		s.writeOutcome(c, reply.Outcome)
 		return
 	}
 	if _, err := indexToolCalls(reply.Outcome.ToolCalls); err != nil {
 		s.fail(c, newProblem(structs.ReasonTargetFailed, outcomeUnknown, err.Error()))
 		return
 	}
-	s.noteAnswer(c, reply.Outcome)
-	s.writeJSON(c, http.StatusOK, chatReply(infoOf(c), reply.Outcome))
+	s.recordAnswer(c, reply.Outcome)
+	s.writeJSON(c, http.StatusOK, chatResponse(infoOf(c), reply.Outcome))
 }
 
 // isEngineError tells whether an outcome is the engine's own refusal of a
@@ -59,8 +59,8 @@
 	return outcome.Status != 0 && outcome.Status != http.StatusOK
 }
 
-// chatCall makes the call of a chat completion request.
-func (s *Server) chatCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
+// newChatCall makes the call of a chat completion request.
+func (s *Server) newChatCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
 	if problem := requireJSON(c.Request); problem != nil {
 		return nil, time.Time{}, problem
 	}
@@ -80,7 +80,7 @@
 	if problem != nil {
 		return nil, time.Time{}, problem
 	}
-	if problem := fillChat(call, request, body); problem != nil {
+	if problem := setChatFields(call, request, body); problem != nil {
 		return nil, time.Time{}, problem
 	}
 	return call, deadline, nil
@@ -94,27 +94,27 @@
 		name = structs.ServiceName(model)
 	}
 	if !validName(string(name), maxServiceLength) {
-		return structs.Service{}, refuse(structs.ReasonUnknownService,
+		return structs.Service{}, refusal(structs.ReasonUnknownService,
 			"expected a service in the field model or the header %s", HeaderService)
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refuse(structs.ReasonUnknownService, "there is no service %q", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
 	}
 	if service.Kind != structs.ServiceEngine {
-		return structs.Service{}, refuse(structs.ReasonInvalid, "service %q does not serve models", name)
+		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q does not serve models", name)
 	}
 	return service, nil
 }
 
-func fillChat(call *structs.Call, request *chatRequest, body []byte) *Problem {
+func setChatFields(call *structs.Call, request *chatRequest, body []byte) *Problem {
 	model := request.model
 	if model == "" {
 		model = string(call.Service)
 	}
 	encoded, err := request.encode(model)
 	if err != nil {
-		return refuse(structs.ReasonInvalid, "the body cannot be encoded again")
+		return refusal(structs.ReasonInvalid, "the body cannot be encoded again")
 	}
 	call.Kind = structs.CallChat
 	call.Method, call.Path, call.ContentType = http.MethodPost, wire.ChatRoute, contentTypeJSON
@@ -136,13 +136,13 @@
 	}
 	media, _, err := mime.ParseMediaType(declared)
 	if err != nil || media != contentTypeJSON {
-		return refuse(ReasonUnsupportedMedia, "expected the content type %s", contentTypeJSON)
+		return refusal(ReasonUnsupportedMedia, "expected the content type %s", contentTypeJSON)
 	}
 	return nil
 }
 
-// chatReply assembles the answer of a completion that is not streamed.
-func chatReply(info *requestInfo, outcome structs.Outcome) wire.ChatReply {
+// chatResponse assembles the answer of a completion that is not streamed.
+func chatResponse(info *requestInfo, outcome structs.Outcome) wire.ChatReply {
 	finish := outcome.Finish
 	return wire.ChatReply{
 		ID: replyIDPrefix + string(info.id), Object: objectReply,
@@ -164,8 +164,8 @@
 	}
 }
 
-// noteAnswer sets the headers and the log's word of an answered call.
-func (s *Server) noteAnswer(c *gin.Context, outcome structs.Outcome) {
+// recordAnswer sets the headers and the log's word of an answered call.
+func (s *Server) recordAnswer(c *gin.Context, outcome structs.Outcome) {
 	info := infoOf(c)
 	info.outcome = outcomeAnswered
 	if outcome.Replayed {
--- a/internal/httpapi/chat_test.go
+++ b/internal/httpapi/chat_test.go
@@ -25,7 +25,7 @@
 	Usage: structs.Usage{PromptTokens: 4, CompletionTokens: 3},
 }
 
-func TestChatReply(t *testing.T) {
+func TestChatResponse(t *testing.T) {
 	f := newFixture(t, nil)
 	f.answerWith(answered)
 	response, body := f.do(http.MethodPost, chatRoute, chatBody)
@@ -46,7 +46,7 @@
 	f.noEvents()
 }
 
-func TestChatCallFilled(t *testing.T) {
+func TestChatCallFields(t *testing.T) {
 	f := newFixture(t, nil)
 	f.answerWith(answered)
 	program := newProgramID(testRegion, f.api.config.Now())
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestEngineErrorIsPassedOn(t *testing.T) {
+func TestEngineErrorIsForwarded(t *testing.T) {
 	f := newFixture(t, nil)
 	refusal := structs.Outcome{
 		Kind: structs.OutcomeAnswered, Status: http.StatusBadRequest, ContentType: contentTypeJSON, Body: []byte(`{"error":"model"}`),
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestLargeChunkDoesNotCutOffCallerThatReads(t *testing.T) {
+func TestLargeChunkDoesNotCutOffReadingCaller(t *testing.T) {
 	f := newFixture(t, nil)
 	outcome := answered
 	outcome.Text = "a" + strings.Repeat("x", 2*DefaultMaxBuffer)
--- a/internal/httpapi/chatrequest.go
+++ b/internal/httpapi/chatrequest.go
@@ -22,8 +22,8 @@
 	maxFields       = 200
 	maxMessages     = 10_000
 	maxContentParts = 1000
-	// maxToolCalls bounds the tool calls of one message, in bytes.
-	maxToolCalls = 256 << 10
+	// maxToolCallBytes bounds the tool calls of one message, in bytes.
+	maxToolCallBytes = 256 << 10
 )
 
 // Fields of a chat request that the adapter reads. The others go to the engine
@@ -58,11 +58,11 @@
 // is lowered to it.
 func parseChatRequest(body []byte, limit int64) (*chatRequest, *Problem) {
 	if !utf8.Valid(body) {
-		return nil, refuse(structs.ReasonInvalid, "the body is not valid UTF-8")
+		return nil, refusal(structs.ReasonInvalid, "the body is not valid UTF-8")
 	}
 	fields, err := decodeObject(body, maxFields)
 	if err != nil {
-		return nil, refuse(structs.ReasonInvalid, "the body is not a JSON object: %v", err)
+		return nil, refusal(structs.ReasonInvalid, "the body is not a JSON object: %v", err)
 	}
 	if problem := checkFieldCase(fields); problem != nil {
 		return nil, problem
@@ -85,7 +85,7 @@
 	for name := range fields {
 		for _, known := range knownFields {
 			if name != known && strings.EqualFold(name, known) {
-				return refuse(structs.ReasonInvalid, "field %q: expected %q", name, known)
+				return refusal(structs.ReasonInvalid, "field %q: expected %q", name, known)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 		return problem
 	}
 	if choices != 1 {
-		return refuse(structs.ReasonInvalid, "field %q: expected 1", fieldChoices)
+		return refusal(structs.ReasonInvalid, "field %q: expected 1", fieldChoices)
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 			return problem
 		}
 		if r.maxTokens <= 0 || r.maxTokens > maxSafeInteger {
-			return refuse(structs.ReasonInvalid, "field %q: expected %s", field, expected)
+			return refusal(structs.ReasonInvalid, "field %q: expected %s", field, expected)
 		}
 	}
 	r.maxTokens = min(r.maxTokens, limit)
@@ -133,7 +133,7 @@
 func (r *chatRequest) parseMessages() *Problem {
 	raw, err := decodeList(r.fields[fieldMessages], maxMessages)
 	if err != nil || len(raw) == 0 {
-		return refuse(structs.ReasonInvalid, "field %q: expected a list of 1 to %d messages", fieldMessages, maxMessages)
+		return refusal(structs.ReasonInvalid, "field %q: expected a list of 1 to %d messages", fieldMessages, maxMessages)
 	}
 	r.messages = make([]wire.ChatMessage, 0, len(raw))
 	for i, one := range raw {
@@ -158,7 +158,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(r.fields[field], value); err != nil {
-		return refuse(structs.ReasonInvalid, "field %q: expected %s", field, expected)
+		return refusal(structs.ReasonInvalid, "field %q: expected %s", field, expected)
 	}
 	return nil
 }
@@ -175,18 +175,18 @@
 func parseMessage(raw []byte, at string) (wire.ChatMessage, *Problem) {
 	var message rawMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s: expected a message", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s: expected a message", at)
 	}
 	if message.Role == "" || len(message.Role) > maxRoleLength || !printable(message.Role) {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.role: expected a role", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.role: expected a role", at)
 	}
 	content, ok := parseContent(message.Content)
 	if !ok {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.content: expected a string or text parts", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.content: expected a string or text parts", at)
 	}
 	calls, ok := parseToolCalls(message.ToolCalls)
 	if !ok {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.tool_calls: expected a list", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.tool_calls: expected a list", at)
 	}
 	return wire.ChatMessage{
 		Role: message.Role, Content: content, Name: message.Name,
@@ -235,7 +235,7 @@
 	if len(raw) == 0 {
 		return nil, true
 	}
-	if len(raw) > maxToolCalls {
+	if len(raw) > maxToolCallBytes {
 		return nil, false
 	}
 	var calls []any
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -19,9 +19,9 @@
 	streamEnd         = "data: [DONE]\n\n"
 )
 
-// errSpliced is the error of an outcome whose text does not begin with the
+// errTextMismatch is the error of an outcome whose text does not begin with the
 // pieces that the caller has.
-var errSpliced = errors.New("the answer differs from the part already sent")
+var errTextMismatch = errors.New("the answer differs from the part already sent")
 
 // streamChat runs a streamed chat completion. Until the first piece has come
 // the answer may still be a problem document with its status; later a failure
@@ -39,11 +39,11 @@
 	for {
 		chunks, final, err := p.next()
 		if errors.Is(err, errNoReply) {
-			s.failStream(c, p, stream, noReply())
+			s.failStream(c, p, stream, noReplyProblem())
 			return
 		}
 		if err != nil {
-			s.abandon(c, err)
+			s.abort(c, err)
 		}
 		for _, chunk := range chunks {
 			stream.addChunk(chunk)
@@ -57,7 +57,7 @@
 }
 
 // endStream writes the rest of a streamed answer, or its failure.
-func (s *Server) endStream(c *gin.Context, p *pending, stream *chatStream, final structs.Command) {
+func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
 	reply, ok := final.(structs.ReplyEnd)
 	if !ok {
 		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
@@ -76,54 +76,54 @@
 		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, err.Error()))
 		return
 	}
-	s.noteAnswer(c, reply.Outcome)
+	s.recordAnswer(c, reply.Outcome)
 	s.sendStream(c, p, stream)
 }
 
 // endWithEngineError passes on the engine's own refusal, which cannot follow a
 // part of an answer.
-func (s *Server) endWithEngineError(c *gin.Context, p *pending, stream *chatStream, outcome structs.Outcome) {
-	if stream.sent {
+func (s *Server) endWithEngineError(c *gin.Context, p *pendingRequest, stream *chatStream, outcome structs.Outcome) {
+	if stream.headersSent {
 		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed behind a part of its answer"))
 		return
 	}
-	s.answerPlain(c, outcome)
+	s.writeOutcome(c, outcome)
 }
 
 // failStream gives a problem as a document if nothing was sent yet, else as an
 // event.
-func (s *Server) failStream(c *gin.Context, p *pending, stream *chatStream, problem *Problem) {
-	if !stream.sent {
+func (s *Server) failStream(c *gin.Context, p *pendingRequest, stream *chatStream, problem *Problem) {
+	if !stream.headersSent {
 		s.fail(c, problem)
 		return
 	}
-	s.noteProblem(c, problem)
+	s.recordProblem(c, problem)
 	stream.addError(problem)
 	s.sendStream(c, p, stream)
 }
 
 // sendStream writes the events that are waiting in the stream.
-func (s *Server) sendStream(c *gin.Context, p *pending, stream *chatStream) {
-	if stream.out.Len() == 0 {
+func (s *Server) sendStream(c *gin.Context, p *pendingRequest, stream *chatStream) {
+	if stream.events.Len() == 0 {
 		return
 	}
-	if !stream.sent {
-		stream.sent = true
+	if !stream.headersSent {
+		stream.headersSent = true
 		s.startEvents(c)
 	}
 	s.setWriteDeadline(c.Writer)
 	if p.ctx.Err() != nil {
 		// The deadline above may have undone interruptWrites.
-		s.abandon(c, writeCause(p.ctx))
+		s.abort(c, writeCause(p.ctx))
 	}
-	_, err := c.Writer.Write(stream.out.Bytes())
+	_, err := c.Writer.Write(stream.events.Bytes())
 	if err == nil {
 		err = http.NewResponseController(c.Writer).Flush()
 	}
 	if err != nil {
-		s.abandon(c, writeCause(p.ctx))
+		s.abort(c, writeCause(p.ctx))
 	}
-	stream.out.Reset()
+	stream.events.Reset()
 }
 
 // startEvents writes the headers of a streamed answer. A replayed answer is
@@ -146,21 +146,21 @@
 	id      string
 	created int64
 	model   string
-	// out is the events to be written.
-	out bytes.Buffer
-	// sent tells that the headers are written.
-	sent bool
+	// events is the events to be written.
+	events bytes.Buffer
+	// headersSent tells that the headers are written.
+	headersSent bool
 	// next is the index of the next piece; text and length are the hash and
 	// the length in bytes of the pieces before it.
 	next   int
-	text   *xxhash.Digest
+	hash   *xxhash.Digest
 	length int
 }
 
 func newChatStream(info *requestInfo) *chatStream {
 	return &chatStream{
 		id: replyIDPrefix + string(info.id), created: info.started.Unix(),
-		model: string(info.service), text: xxhash.New(),
+		model: string(info.service), hash: xxhash.New(),
 	}
 }
 
@@ -179,7 +179,7 @@
 func (s *chatStream) addPiece(text string) {
 	s.addEvent(&wire.ChatMessage{Role: roleAssistant, Content: text}, nil, nil)
 	// Writes to a hash do not fail.
-	_, _ = s.text.WriteString(text)
+	_, _ = s.hash.WriteString(text)
 	s.length += len(text)
 	s.next++
 }
@@ -187,8 +187,8 @@
 // finish writes what is left of an answer: text that did not come as a chunk,
 // tool calls, the finish reason and the usage.
 func (s *chatStream) finish(outcome structs.Outcome) error {
-	if s.length > len(outcome.Text) || xxhash.Sum64String(outcome.Text[:s.length]) != s.text.Sum64() {
-		return errSpliced
+	if s.length > len(outcome.Text) || xxhash.Sum64String(outcome.Text[:s.length]) != s.hash.Sum64() {
+		return errTextMismatch
 	}
 	calls, err := indexToolCalls(outcome.ToolCalls)
 	if err != nil {
@@ -203,7 +203,7 @@
 	finish := outcome.Finish
 	usage := wireUsage(outcome.Usage)
 	s.addEvent(&wire.ChatMessage{Role: roleAssistant}, &finish, &usage)
-	s.out.WriteString(streamEnd)
+	s.events.WriteString(streamEnd)
 	return nil
 }
 
@@ -214,16 +214,16 @@
 		ID: s.id, Object: objectChunk, Created: s.created, Model: s.model, Index: s.next,
 		Choices: []wire.ChatChoice{{Delta: delta, FinishReason: finish}}, Usage: usage,
 	})
-	s.out.WriteString("data: ")
-	s.out.Write(body)
-	s.out.WriteString("\n\n")
+	s.events.WriteString("data: ")
+	s.events.Write(body)
+	s.events.WriteString("\n\n")
 }
 
 // addError writes the event of a failure. The stream then has no end mark.
 func (s *chatStream) addError(problem *Problem) {
-	s.out.WriteString("event: error\ndata: ")
-	s.out.Write(problem.encode())
-	s.out.WriteString("\n\n")
+	s.events.WriteString("event: error\ndata: ")
+	s.events.Write(problem.encode())
+	s.events.WriteString("\n\n")
 }
 
 // indexToolCalls gives each tool call its index, which the protocol wants in a
--- a/internal/httpapi/config.go
+++ b/internal/httpapi/config.go
@@ -9,19 +9,19 @@
 
 // Defaults of Config.
 const (
-	DefaultMaxBody          = 4 << 20
-	DefaultMaxBodies        = 64 << 20
-	DefaultMaxBuffer        = 128 << 10
-	DefaultMaxConcurrent    = 2048
-	DefaultMaxTokens        = 32_768
-	DefaultHeaderTimeout    = 5 * time.Second
-	DefaultBodyTimeout      = 30 * time.Second
-	DefaultWriteTimeout     = 10 * time.Second
-	DefaultOperatorTimeout  = 10 * time.Second
-	DefaultReplyGrace       = 2 * time.Second
-	DefaultIdleTimeout      = 2 * time.Minute
-	maxHeaderBytes          = 32 << 10
-	defaultCompletionTokens = 1024
+	DefaultMaxBody               = 4 << 20
+	DefaultMaxTotalBody          = 64 << 20
+	DefaultMaxBuffer             = 128 << 10
+	DefaultMaxConcurrentRequests = 2048
+	DefaultMaxTokens             = 32_768
+	DefaultHeaderTimeout         = 5 * time.Second
+	DefaultBodyTimeout           = 30 * time.Second
+	DefaultWriteTimeout          = 10 * time.Second
+	DefaultOperatorTimeout       = 10 * time.Second
+	DefaultReplyGrace            = 2 * time.Second
+	DefaultIdleTimeout           = 2 * time.Minute
+	maxHeaderBytes               = 32 << 10
+	defaultCompletionTokens      = 1024
 )
 
 // Config is the configuration of a Server. Zero values take the defaults.
@@ -35,15 +35,15 @@
 	// RootKeyHash is the hexadecimal SHA-256 of the root operator's key;
 	// empty for no root operator.
 	RootKeyHash string
-	// MaxBody bounds one request body in bytes, and MaxBodies all bodies
+	// MaxBody bounds one request body in bytes, and MaxTotalBody all bodies
 	// held at a time.
-	MaxBody   int64
-	MaxBodies int64
+	MaxBody      int64
+	MaxTotalBody int64
 	// MaxBuffer bounds the bytes of a streamed answer that wait for a slow
 	// caller.
 	MaxBuffer int
-	// MaxConcurrent bounds the callers' requests in flight.
-	MaxConcurrent int
+	// MaxConcurrentRequests bounds the callers' requests in flight.
+	MaxConcurrentRequests int
 	// MaxTokens is the most tokens that one answer may ask for; more is
 	// lowered to it.
 	MaxTokens int64
@@ -66,10 +66,10 @@
 
 func (c Config) withDefaults() Config {
 	c.MaxBody = cmp.Or(c.MaxBody, DefaultMaxBody)
-	c.MaxBodies = cmp.Or(c.MaxBodies, DefaultMaxBodies)
-	c.MaxBodies = max(c.MaxBodies, c.MaxBody)
+	c.MaxTotalBody = cmp.Or(c.MaxTotalBody, DefaultMaxTotalBody)
+	c.MaxTotalBody = max(c.MaxTotalBody, c.MaxBody)
 	c.MaxBuffer = cmp.Or(c.MaxBuffer, DefaultMaxBuffer)
-	c.MaxConcurrent = cmp.Or(c.MaxConcurrent, DefaultMaxConcurrent)
+	c.MaxConcurrentRequests = cmp.Or(c.MaxConcurrentRequests, DefaultMaxConcurrentRequests)
 	c.MaxTokens = cmp.Or(c.MaxTokens, DefaultMaxTokens)
 	c.HeaderTimeout = cmp.Or(c.HeaderTimeout, DefaultHeaderTimeout)
 	c.BodyTimeout = cmp.Or(c.BodyTimeout, DefaultBodyTimeout)
--- a/internal/httpapi/digest.go
+++ b/internal/httpapi/digest.go
@@ -48,9 +48,9 @@
 
 // nextDigest is the first 16 bytes of the SHA-256 of the digest before and the
 // message's fields, each with its length.
-func nextDigest(last structs.ChainDigest, message wire.ChatMessage) structs.ChainDigest {
+func nextDigest(previous structs.ChainDigest, message wire.ChatMessage) structs.ChainDigest {
 	h := sha256.New()
-	h.Write(last[:])
+	h.Write(previous[:])
 	writeField(h, []byte(message.Role))
 	writeField(h, []byte(message.Content))
 	writeField(h, []byte(message.Name))
--- a/internal/httpapi/docs_test.go
+++ b/internal/httpapi/docs_test.go
@@ -23,7 +23,7 @@
 	return script.String()
 }
 
-func TestExamplesOfTheDocumentRun(t *testing.T) {
+func TestAPIDocExamplesRun(t *testing.T) {
 	text, err := os.ReadFile("../../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// TestDocumentNamesEveryHeaderAndReason checks that the document keeps up with
+// TestAPIDocListsEveryHeaderAndReason checks that the document keeps up with
 // the code.
-func TestDocumentNamesEveryHeaderAndReason(t *testing.T) {
+func TestAPIDocListsEveryHeaderAndReason(t *testing.T) {
 	text, err := os.ReadFile("../../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/httpapi/exchange.go
+++ b/internal/httpapi/exchange.go
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	chunks []structs.Chunk
 	bytes  int
-	cut    bool
+	cutOff bool
 	final  structs.Command
 }
 
@@ -48,11 +48,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cut || e.final != nil {
+	if e.cutOff || e.final != nil {
 		return
 	}
 	if e.bytes >= e.limit {
-		e.cut = true
+		e.cutOff = true
 		e.chunks = nil
 		e.cancel(errSlowCaller)
 		return
@@ -66,7 +66,7 @@
 func (e *exchange) setFinal(command structs.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cut || e.final != nil {
+	if e.cutOff || e.final != nil {
 		return
 	}
 	e.final = command
--- a/internal/httpapi/exposition.go
+++ b/internal/httpapi/exposition.go
@@ -166,7 +166,7 @@
 	var total int64
 	for _, bound := range sortedKeys(s.buckets) {
 		total += s.buckets[bound]
-		if bound < maxBound {
+		if bound < maxFiniteBound {
 			le := strconv.FormatFloat(bound, 'g', -1, 64)
 			writeSample(out, name+"_bucket", joinLabels(labels, `le="`+le+`"`), float64(total))
 		}
@@ -175,8 +175,8 @@
 	writeSample(out, name+"_count", labels, float64(total))
 }
 
-// maxBound is above any bound in use and below tally's stand-ins for infinity.
-const maxBound = 1e9
+// maxFiniteBound is above any bound in use and below tally's stand-ins for infinity.
+const maxFiniteBound = 1e9
 
 func writeSample(out *strings.Builder, name, labels string, value float64) {
 	if labels != "" {
--- a/internal/httpapi/failure_test.go
+++ b/internal/httpapi/failure_test.go
@@ -89,7 +89,7 @@
 	id := f.submitted().Request
 	text := strings.Repeat("x", 4<<10)
 	f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{text}}})
-	waitTaken(f, id)
+	waitEmptied(f, id)
 	// Nobody reads, so that the handler now blocks in a write for an hour
 	// unless the full buffer ends it.
 	for i := 1; i <= 3; i++ {
@@ -104,8 +104,8 @@
 	}
 }
 
-// waitTaken waits until a handler has emptied its exchange.
-func waitTaken(f *fixture, id structs.RequestID) {
+// waitEmptied waits until a handler has emptied its exchange.
+func waitEmptied(f *fixture, id structs.RequestID) {
 	e, ok := f.api.exchanges.find(id)
 	if !ok {
 		f.t.Fatal("the request is not registered")
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestCoreThatDoesNotAnswer(t *testing.T) {
+func TestUnresponsiveCore(t *testing.T) {
 	f := newFixture(t, func(c *Config) { c.ReplyGrace = time.Nanosecond })
 	response, body := f.do(http.MethodPost, chatRoute, chatBody, HeaderDeadline, "1")
 	checkProblem(t, response, body, structs.ReasonDeadline, http.StatusGatewayTimeout, outcomeUnknown)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestPanicIsAnsweredAsUnknown(t *testing.T) {
+func TestPanicIsReportedAsUnknown(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) { c.answer = func(structs.Event) []structs.Command { panic("broken") } })
 	response, body := f.do(http.MethodPost, chatRoute, chatBody)
@@ -170,7 +170,7 @@
 }
 
 func TestTooManyRequests(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.MaxConcurrent = 1 })
+	f := newFixture(t, func(c *Config) { c.MaxConcurrentRequests = 1 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -197,7 +197,7 @@
 }
 
 func TestTooManyBodyBytes(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.MaxBody, c.MaxBodies = 1000, 1000 })
+	f := newFixture(t, func(c *Config) { c.MaxBody, c.MaxTotalBody = 1000, 1000 })
 	body := strings.Replace(chatBody, "hello", strings.Repeat("x", 600), 1)
 	done := make(chan struct{})
 	go func() {
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentCallersGetTheirOwnResponses(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) {
 		c.answer = func(event structs.Event) []structs.Command {
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestBodyThatNobodyReadsHoldsNothing(t *testing.T) {
+func TestUnreadBodyDoesNotDelayResponse(t *testing.T) {
 	f := newFixture(t, func(c *Config) { c.BodyTimeout = time.Nanosecond })
 	response := f.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
 	if response.StatusCode != http.StatusOK || !response.Close {
--- a/internal/httpapi/headers.go
+++ b/internal/httpapi/headers.go
@@ -45,7 +45,7 @@
 )
 
 const (
-	ownHeaderPrefix = "Banyanglade-"
+	headerPrefix = "Banyanglade-"
 
 	maxKeyLength     = 255
 	maxLaneLength    = 128
@@ -78,26 +78,26 @@
 	fork          bool
 	fresh         bool
 	fee           int64
-	// wait is the most time for an answer; 0 if the caller gave none.
-	wait time.Duration
+	// timeout is the most time for an answer; 0 if the caller gave none.
+	timeout time.Duration
 }
 
 // checkHeaders refuses headers that are unknown or given more than once.
 func checkHeaders(header http.Header) *Problem {
 	for name, values := range header {
-		if !strings.HasPrefix(name, ownHeaderPrefix) {
+		if !strings.HasPrefix(name, headerPrefix) {
 			continue
 		}
 		if !requestHeaders[name] {
-			return refuse(structs.ReasonInvalid, "header %s is unknown", name)
+			return refusal(structs.ReasonInvalid, "header %s is unknown", name)
 		}
 		if len(values) > 1 {
-			return refuse(structs.ReasonInvalid, "header %s is given more than once", name)
+			return refusal(structs.ReasonInvalid, "header %s is given more than once", name)
 		}
 	}
 	for _, name := range singleHeaders {
 		if len(header.Values(name)) > 1 {
-			return refuse(structs.ReasonInvalid, "header %s is given more than once", name)
+			return refusal(structs.ReasonInvalid, "header %s is given more than once", name)
 		}
 	}
 	return nil
@@ -117,13 +117,13 @@
 		fork:          p.flag(HeaderFork),
 		fresh:         p.flag(HeaderFresh),
 		fee:           p.number(HeaderFee, 0, maxFee),
-		wait:          time.Duration(p.number(HeaderDeadline, 1, maxDeadlineMS)) * time.Millisecond,
+		timeout:       time.Duration(p.number(HeaderDeadline, 1, maxDeadlineMS)) * time.Millisecond,
 	}
 	if p.problem != nil {
 		return callHeaders{}, p.problem
 	}
 	if h.program == "" && (h.lane != "" || h.number != 0 || h.fork) {
-		return callHeaders{}, refuse(structs.ReasonInvalid,
+		return callHeaders{}, refusal(structs.ReasonInvalid,
 			"%s, %s and %s need %s", HeaderLane, HeaderCall, HeaderFork, HeaderProgram)
 	}
 	return h, nil
@@ -137,7 +137,7 @@
 
 func (p *headerParser) fail(name, expected string) {
 	if p.problem == nil {
-		p.problem = refuse(structs.ReasonInvalid, "header %s: expected %s", name, expected)
+		p.problem = refusal(structs.ReasonInvalid, "header %s: expected %s", name, expected)
 	}
 }
 
@@ -179,14 +179,14 @@
 	return false
 }
 
-func (p *headerParser) number(header string, least, most int64) int64 {
+func (p *headerParser) number(header string, minValue, maxValue int64) int64 {
 	value := p.header.Get(header)
 	if value == "" {
 		return 0
 	}
 	number, err := strconv.ParseInt(value, 10, 64)
-	if err != nil || number < least || number > most {
-		p.fail(header, "a whole number from "+strconv.FormatInt(least, 10)+" to "+strconv.FormatInt(most, 10))
+	if err != nil || number < minValue || number > maxValue {
+		p.fail(header, "a whole number from "+strconv.FormatInt(minValue, 10)+" to "+strconv.FormatInt(maxValue, 10))
 		return 0
 	}
 	return number
--- a/internal/httpapi/identity.go
+++ b/internal/httpapi/identity.go
@@ -14,9 +14,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxKeyAhead bounds how far a dated idempotency key may lie in the future,
+// maxKeyClockSkew bounds how far a dated idempotency key may lie in the future,
 // for clocks that differ.
-const maxKeyAhead = 10 * time.Second
+const maxKeyClockSkew = 10 * time.Second
 
 // requestIDs makes request identifiers that are unique over all instances and
 // restarts.
@@ -57,13 +57,13 @@
 // names another program and runs again. That is allowed for repeatable calls
 // only, so a not-repeatable one needs a dated key.
 func keyedProgramID(region structs.Region, team structs.Team, purpose, key string,
-	now time.Time, period time.Duration, exact bool) (structs.ProgramID, *Problem) {
+	now time.Time, period time.Duration, requireDated bool) (structs.ProgramID, *Problem) {
 	created, dated := keyTime(key)
 	switch {
-	case dated && created.After(now.Add(maxKeyAhead)):
-		return "", refuse(structs.ReasonInvalid, "the time in the idempotency key lies in the future")
-	case !dated && exact:
-		return "", refuse(structs.ReasonInvalid,
+	case dated && created.After(now.Add(maxKeyClockSkew)):
+		return "", refusal(structs.ReasonInvalid, "the time in the idempotency key lies in the future")
+	case !dated && requireDated:
+		return "", refusal(structs.ReasonInvalid,
 			"without a program this request needs an idempotency key that is a ULID or a UUID of version 7")
 	case !dated:
 		created = now.Truncate(period)
@@ -88,11 +88,11 @@
 
 // The usual form of a UUID of version 7: 8-4-4-4-12 hexadecimal digits, of
 // which the first 12 are the time in Unix milliseconds.
-var uuidForm = regexp.MustCompile(`^([0-9a-fA-F]{8})-([0-9a-fA-F]{4})-7[0-9a-fA-F]{3}-[89abAB][0-9a-fA-F]{3}-[0-9a-fA-F]{12}$`)
+var uuidV7Pattern = regexp.MustCompile(`^([0-9a-fA-F]{8})-([0-9a-fA-F]{4})-7[0-9a-fA-F]{3}-[89abAB][0-9a-fA-F]{3}-[0-9a-fA-F]{12}$`)
 
 // uuidTime gives the time of a UUID of version 7.
 func uuidTime(key string) (time.Time, bool) {
-	parts := uuidForm.FindStringSubmatch(key)
+	parts := uuidV7Pattern.FindStringSubmatch(key)
 	if parts == nil {
 		return time.Time{}, false
 	}
--- a/internal/httpapi/json.go
+++ b/internal/httpapi/json.go
@@ -12,11 +12,11 @@
 
 // Errors of bounded JSON reading.
 var (
-	errNotObject  = errors.New("expected an object")
-	errNotList    = errors.New("expected a list")
-	errTooMany    = errors.New("too many elements")
-	errRepeated   = errors.New("a field is given more than once")
-	errSecondJSON = errors.New("more than one JSON value")
+	errNotObject       = errors.New("expected an object")
+	errNotList         = errors.New("expected a list")
+	errTooManyElements = errors.New("too many elements")
+	errDuplicateField  = errors.New("a field is given more than once")
+	errTrailingJSON    = errors.New("more than one JSON value")
 )
 
 // decodeObject reads the fields of a JSON object without decoding their
@@ -40,10 +40,10 @@
 			return nil, err
 		}
 		if _, repeated := fields[name]; repeated {
-			return nil, errRepeated
+			return nil, errDuplicateField
 		}
 		if len(fields) == limit {
-			return nil, errTooMany
+			return nil, errTooManyElements
 		}
 		fields[name] = value
 	}
@@ -64,20 +64,20 @@
 			return nil, err
 		}
 		if len(list) == limit {
-			return nil, errTooMany
+			return nil, errTooManyElements
 		}
 		list = append(list, value)
 	}
 	return list, expectEnd(decoder)
 }
 
-func expectOpen(decoder *json.Decoder, open json.Delim, wrong error) error {
+func expectOpen(decoder *json.Decoder, open json.Delim, mismatch error) error {
 	token, err := decoder.Token()
 	if err != nil {
 		return err
 	}
 	if token != open {
-		return wrong
+		return mismatch
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errSecondJSON
+		return errTrailingJSON
 	}
 	return nil
 }
@@ -98,10 +98,10 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
-		return refuse(structs.ReasonInvalid, "the body is not the JSON that the route expects: %v", err)
+		return refusal(structs.ReasonInvalid, "the body is not the JSON that the route expects: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return refuse(structs.ReasonInvalid, "the body holds more than one JSON value")
+		return refusal(structs.ReasonInvalid, "the body holds more than one JSON value")
 	}
 	return nil
 }
--- a/internal/httpapi/limits.go
+++ b/internal/httpapi/limits.go
@@ -25,21 +25,21 @@
 	}
 }
 
-// busy is the refusal of a request that this instance has no room for. It
+// overloaded is the refusal of a request that this instance has no room for. It
 // differs in its status from the core's refusal of a team with too much work.
 // An earlier delivery of the request's key is not looked up, so that "not run"
 // is said only of a request that can have none.
-func busy(header http.Header, detail string) *Problem {
+func overloaded(header http.Header, detail string) *Problem {
 	outcome := outcomeNotRun
-	if mayRepeat(header) {
+	if mayBeRetry(header) {
 		outcome = outcomeUnknown
 	}
 	return newProblem(structs.ReasonOverloaded, outcome, detail).
 		withStatus(http.StatusServiceUnavailable).retryAfter(localRetryAfter)
 }
 
-// mayRepeat tells whether a request may be a further delivery of its key.
-func mayRepeat(header http.Header) bool {
+// mayBeRetry tells whether a request may be a further delivery of its key.
+func mayBeRetry(header http.Header) bool {
 	keyed := header.Get(HeaderIdempotencyKey) != "" || header.Get(HeaderCall) != ""
 	return keyed && header.Get(HeaderFresh) != "true"
 }
--- a/internal/httpapi/metrics.go
+++ b/internal/httpapi/metrics.go
@@ -24,20 +24,20 @@
 	inFlight atomic.Int64
 	gauge    tally.Gauge
 	// panics counts handlers that panicked, cutOff callers that read too
-	// slowly, and lostGone the notices of gone callers that the core's queue
+	// slowly, and goneNotPosted the notices of gone callers that the core's queue
 	// had no room for.
-	panics   tally.Counter
-	cutOff   tally.Counter
-	lostGone tally.Counter
+	panics        tally.Counter
+	cutOff        tally.Counter
+	goneNotPosted tally.Counter
 }
 
 func newServerMetrics(scope tally.Scope) *serverMetrics {
 	return &serverMetrics{
-		scope:    scope,
-		gauge:    scope.Gauge("requests_in_flight"),
-		panics:   scope.Counter("panics"),
-		cutOff:   scope.Counter("slow_callers_cut_off"),
-		lostGone: scope.Counter("caller_gone_not_posted"),
+		scope:         scope,
+		gauge:         scope.Gauge("requests_in_flight"),
+		panics:        scope.Counter("panics"),
+		cutOff:        scope.Counter("slow_callers_cut_off"),
+		goneNotPosted: scope.Counter("caller_gone_not_posted"),
 	}
 }
 
@@ -45,11 +45,11 @@
 	m.gauge.Update(float64(m.inFlight.Add(1)))
 }
 
-func (m *serverMetrics) end(route string, status int, outcome string, took time.Duration) {
+func (m *serverMetrics) end(route string, status int, outcome string, elapsed time.Duration) {
 	m.gauge.Update(float64(m.inFlight.Add(-1)))
 	m.scope.Tagged(map[string]string{
 		"route": route, "status": strconv.Itoa(status), "outcome": outcome,
 	}).Counter("requests").Inc(1)
 	m.scope.Tagged(map[string]string{"route": route}).
-		Histogram("request_seconds", latencyBuckets).RecordDuration(took)
+		Histogram("request_seconds", latencyBuckets).RecordDuration(elapsed)
 }
--- a/internal/httpapi/middleware.go
+++ b/internal/httpapi/middleware.go
@@ -16,9 +16,9 @@
 
 // Outcome words of the access log besides those of answers.
 const (
-	outcomeDone = "done"
-	outcomeGone = "caller-gone"
-	outcomeCut  = "cut-off"
+	outcomeDone       = "done"
+	outcomeCallerGone = "caller-gone"
+	outcomeCutOff     = "cut-off"
 )
 
 // probeRoutes are asked every few seconds; their access log lines are for
@@ -57,9 +57,9 @@
 }
 
 func (s *Server) finish(c *gin.Context, info *requestInfo) {
-	took := s.config.Now().Sub(info.started)
+	elapsed := s.config.Now().Sub(info.started)
 	route := c.FullPath()
-	s.metrics.end(route, c.Writer.Status(), info.outcome, took)
+	s.metrics.end(route, c.Writer.Status(), info.outcome, elapsed)
 	level := slog.LevelInfo
 	if probeRoutes[route] {
 		level = slog.LevelDebug
@@ -77,7 +77,7 @@
 		slog.String("lane", string(info.lane)),
 		slog.Uint64("call", info.number),
 		slog.String("service", string(info.service)),
-		slog.Float64("ms", float64(took.Microseconds())/1000),
+		slog.Float64("ms", float64(elapsed.Microseconds())/1000),
 	)
 }
 
@@ -115,10 +115,10 @@
 	c.Next()
 }
 
-// limit bounds the callers' requests in flight.
-func (s *Server) limit(c *gin.Context) {
+// limitConcurrency bounds the callers' requests in flight.
+func (s *Server) limitConcurrency(c *gin.Context) {
 	if !s.limits.requests.TryAcquire(1) {
-		s.fail(c, busy(c.Request.Header, "too many requests are in flight at this instance"))
+		s.fail(c, overloaded(c.Request.Header, "too many requests are in flight at this instance"))
 		return
 	}
 	defer s.limits.requests.Release(1)
@@ -127,25 +127,25 @@
 
 // fail answers with a problem document and ends the request.
 func (s *Server) fail(c *gin.Context, problem *Problem) {
-	s.noteProblem(c, problem)
-	leaveBody(c)
+	s.recordProblem(c, problem)
+	closeIfBodyUnread(c)
 	s.setWriteDeadline(c.Writer)
 	problem.write(c.Writer)
 	c.Abort()
 }
 
-// leaveBody lets the answer go out before the request's body has come: without
+// closeIfBodyUnread lets the answer go out before the request's body has come: without
 // it the server first waits for the rest of the body, to use the connection
 // again.
-func leaveBody(c *gin.Context) {
+func closeIfBodyUnread(c *gin.Context) {
 	if infoOf(c).bodyRead || c.Request.Body == http.NoBody {
 		return
 	}
 	c.Header("Connection", "close")
 }
 
-// noteProblem fills what the document and the log share.
-func (s *Server) noteProblem(c *gin.Context, problem *Problem) {
+// recordProblem fills what the document and the log share.
+func (s *Server) recordProblem(c *gin.Context, problem *Problem) {
 	info := infoOf(c)
 	problem.Instance = string(info.id)
 	info.outcome = problem.Outcome
@@ -155,13 +155,13 @@
 	}
 }
 
-// abandon closes the connection of a request that cannot be answered any more.
+// abort closes the connection of a request that cannot be answered any more.
 // It does not return.
-func (s *Server) abandon(c *gin.Context, cause error) {
+func (s *Server) abort(c *gin.Context, cause error) {
 	info := infoOf(c)
-	info.outcome = outcomeGone
+	info.outcome = outcomeCallerGone
 	if errors.Is(cause, errSlowCaller) {
-		info.outcome = outcomeCut
+		info.outcome = outcomeCutOff
 		s.metrics.cutOff.Inc(1)
 	}
 	panic(http.ErrAbortHandler)
--- a/internal/httpapi/operators.go
+++ b/internal/httpapi/operators.go
@@ -29,7 +29,7 @@
 	state, err := s.core.Dump(ctx)
 	if err != nil {
 		s.log.Error("state dump", "request", infoOf(c).id, "error", err)
-		s.fail(c, refuse(ReasonInternal, "the state could not be read"))
+		s.fail(c, refusal(ReasonInternal, "the state could not be read"))
 		return
 	}
 	s.writeJSON(c, http.StatusOK, state)
--- a/internal/httpapi/plain.go
+++ b/internal/httpapi/plain.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	servicesRoute    = "/v1/services/"
-	maxPathLength    = 8 << 10
-	maxContentType   = 255
-	lowestFinal      = 200
-	highestFinal     = 599
-	outOfRangeDetail = "the target answered with a status that is not final"
+	servicesRoute        = "/v1/services/"
+	maxPathLength        = 8 << 10
+	maxContentTypeLength = 255
+	minFinalStatus       = 200
+	maxFinalStatus       = 599
+	statusNotFinalDetail = "the target answered with a status that is not final"
 )
 
 // plain runs a request to a tool or plain service.
@@ -27,35 +27,35 @@
 		s.fail(c, problem)
 		return
 	}
-	call, deadline, problem := s.plainCall(c, body)
+	call, deadline, problem := s.newPlainCall(c, body)
 	if problem != nil {
 		s.fail(c, problem)
 		return
 	}
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
-	reply, ok := ask[structs.ReplyEnd](s, c, event, deadline)
+	reply, ok := postAndWait[structs.ReplyEnd](s, c, event, deadline)
 	if !ok {
 		return
 	}
-	s.answerPlain(c, reply.Outcome)
+	s.writeOutcome(c, reply.Outcome)
 }
 
-func (s *Server) answerPlain(c *gin.Context, outcome structs.Outcome) {
+func (s *Server) writeOutcome(c *gin.Context, outcome structs.Outcome) {
 	if outcome.Kind != structs.OutcomeAnswered {
 		s.fail(c, problemOf(outcome))
 		return
 	}
-	if outcome.Status < lowestFinal || outcome.Status > highestFinal {
-		s.fail(c, newProblem(structs.ReasonTargetFailed, outcomeUnknown, outOfRangeDetail))
+	if outcome.Status < minFinalStatus || outcome.Status > maxFinalStatus {
+		s.fail(c, newProblem(structs.ReasonTargetFailed, outcomeUnknown, statusNotFinalDetail))
 		return
 	}
-	s.noteAnswer(c, outcome)
+	s.recordAnswer(c, outcome)
 	s.writeBody(c, outcome.Status, outcome.ContentType, outcome.Body)
 }
 
-// plainCall makes the call of a request to a tool or plain service. Of the
+// newPlainCall makes the call of a request to a tool or plain service. Of the
 // request's headers only the content type goes on to the target.
-func (s *Server) plainCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
+func (s *Server) newPlainCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
 	h, problem := parseCallHeaders(c.Request.Header)
 	if problem != nil {
 		return nil, time.Time{}, problem
@@ -69,8 +69,8 @@
 		return nil, time.Time{}, problem
 	}
 	contentType := c.Request.Header.Get("Content-Type")
-	if len(contentType) > maxContentType || !printable(contentType) {
-		return nil, time.Time{}, refuse(ReasonUnsupportedMedia, "the content type is malformed")
+	if len(contentType) > maxContentTypeLength || !printable(contentType) {
+		return nil, time.Time{}, refusal(ReasonUnsupportedMedia, "the content type is malformed")
 	}
 	call, deadline, problem := s.newCall(c, h, service)
 	if problem != nil {
@@ -86,14 +86,14 @@
 // its other routes are for banyanglade itself.
 func (s *Server) plainService(header, name structs.ServiceName) (structs.Service, *Problem) {
 	if header != "" && header != name {
-		return structs.Service{}, refuse(structs.ReasonInvalid, "the header %s and the path differ", HeaderService)
+		return structs.Service{}, refusal(structs.ReasonInvalid, "the header %s and the path differ", HeaderService)
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refuse(structs.ReasonUnknownService, "there is no service %q", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
 	}
 	if service.Kind == structs.ServiceEngine {
-		return structs.Service{}, refuse(structs.ReasonInvalid, "service %q serves models only", name)
+		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q serves models only", name)
 	}
 	return service, nil
 }
@@ -104,17 +104,17 @@
 	rest, found := strings.CutPrefix(address.EscapedPath(), servicesRoute)
 	name, path, split := strings.Cut(rest, "/")
 	if !found || !split || !validName(name, maxServiceLength) {
-		return "", "", refuse(structs.ReasonInvalid, "expected the path %s{service}/{path}", servicesRoute)
+		return "", "", refusal(structs.ReasonInvalid, "expected the path %s{service}/{path}", servicesRoute)
 	}
 	path = "/" + path
 	if address.RawQuery != "" {
 		path += "?" + address.RawQuery
 	}
 	if len(path) > maxPathLength || !printable(path) || hasDotSegment(address.Path) {
-		return "", "", refuse(structs.ReasonInvalid, "the path is too long, has a . or .. segment, or control characters")
+		return "", "", refusal(structs.ReasonInvalid, "the path is too long, has a . or .. segment, or control characters")
 	}
 	if strings.HasPrefix(path, "//") {
-		return "", "", refuse(structs.ReasonInvalid, "the path after the service starts with two slashes")
+		return "", "", refusal(structs.ReasonInvalid, "the path after the service starts with two slashes")
 	}
 	return structs.ServiceName(name), path, nil
 }
--- a/internal/httpapi/problem.go
+++ b/internal/httpapi/problem.go
@@ -101,8 +101,8 @@
 	ReasonSettingsUnknown:          {http.StatusGatewayTimeout, "The change could not be read back in time"},
 }
 
-// refuse makes the problem of a request that did not run.
-func refuse(reason structs.Reason, format string, args ...any) *Problem {
+// refusal makes the problem of a request that did not run.
+func refusal(reason structs.Reason, format string, args ...any) *Problem {
 	return newProblem(reason, outcomeNotRun, fmt.Sprintf(format, args...))
 }
 
@@ -131,15 +131,15 @@
 
 // problemOf makes the problem of an outcome that is not an answer.
 func problemOf(outcome structs.Outcome) *Problem {
-	word := outcomeUnknown
+	outcomeName := outcomeUnknown
 	if outcome.Kind == structs.OutcomeNotRun {
-		word = outcomeNotRun
+		outcomeName = outcomeNotRun
 	}
 	reason := outcome.Reason
 	if reason == structs.ReasonNone {
 		reason = ReasonInternal
 	}
-	return newProblem(reason, word, outcome.Detail).retryAfter(outcome.RetryAfter)
+	return newProblem(reason, outcomeName, outcome.Detail).retryAfter(outcome.RetryAfter)
 }
 
 // write answers with the problem document.
--- a/internal/httpapi/problem_test.go
+++ b/internal/httpapi/problem_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNoRetryAfterWhereItDoesNotHelp(t *testing.T) {
+func TestNoRetryAfterForExhaustedBudget(t *testing.T) {
 	f := newFixture(t, nil)
 	f.answerWith(structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonBudget})
 	response, _ := f.do(http.MethodPost, chatRoute, chatBody)
--- a/internal/httpapi/programs.go
+++ b/internal/httpapi/programs.go
@@ -72,7 +72,7 @@
 		s.fail(c, problem)
 		return
 	}
-	info, ok := s.programOp(c, structs.ProgramOpen, id, team)
+	info, ok := s.runProgramOp(c, structs.ProgramOpen, id, team)
 	if !ok {
 		return
 	}
@@ -98,14 +98,14 @@
 		}
 	}
 	if request.Team != "" && h.team != "" && request.Team != h.team {
-		return "", refuse(structs.ReasonInvalid, "the header %s and the body differ", HeaderTeam)
+		return "", refusal(structs.ReasonInvalid, "the header %s and the body differ", HeaderTeam)
 	}
 	if request.Team == "" {
 		request.Team = h.team
 	}
 	team, problem := teamFor(infoOf(c).principal, request.Team)
 	if problem == nil && team == "" {
-		problem = refuse(structs.ReasonInvalid, "a key of the whole tree must name a team")
+		problem = refusal(structs.ReasonInvalid, "a key of the whole tree must name a team")
 	}
 	return team, problem
 }
@@ -123,7 +123,7 @@
 }
 
 func (s *Server) showProgram(c *gin.Context) {
-	s.namedProgram(c, structs.ProgramShow)
+	s.handleProgramOp(c, structs.ProgramShow)
 }
 
 // closeProgram closes a program for its caller, and cancels it for an
@@ -133,28 +133,28 @@
 	if infoOf(c).principal.Operator {
 		op = structs.ProgramCancel
 	}
-	s.namedProgram(c, op)
+	s.handleProgramOp(c, op)
 }
 
-func (s *Server) namedProgram(c *gin.Context, op structs.ProgramOp) {
+func (s *Server) handleProgramOp(c *gin.Context, op structs.ProgramOp) {
 	id := structs.ProgramID(c.Param("id"))
 	if !validProgramID(id) {
-		s.fail(c, refuse(structs.ReasonUnknownProgram, "the path does not name a program"))
+		s.fail(c, refusal(structs.ReasonUnknownProgram, "the path does not name a program"))
 		return
 	}
-	info, ok := s.programOp(c, op, id, infoOf(c).principal.Team)
+	info, ok := s.runProgramOp(c, op, id, infoOf(c).principal.Team)
 	if ok {
 		s.writeJSON(c, http.StatusOK, viewProgram(info))
 	}
 }
 
-// programOp asks the core for an operation on a program. On failure it answers
+// runProgramOp asks the core for an operation on a program. On failure it answers
 // the request itself and returns false.
-func (s *Server) programOp(c *gin.Context, op structs.ProgramOp, id structs.ProgramID, team structs.Team) (structs.ProgramInfo, bool) {
+func (s *Server) runProgramOp(c *gin.Context, op structs.ProgramOp, id structs.ProgramID, team structs.Team) (structs.ProgramInfo, bool) {
 	info := infoOf(c)
 	info.program, info.team = id, team
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplyProgram](s, c, structs.CallerProgram{
+	reply, ok := postAndWait[structs.ReplyProgram](s, c, structs.CallerProgram{
 		Request: info.id, Op: op, Program: id, Team: team, Deadline: deadline,
 	}, deadline)
 	if !ok {
@@ -164,7 +164,7 @@
 		s.fail(c, problemOf(reply.Outcome))
 		return structs.ProgramInfo{}, false
 	}
-	s.noteAnswer(c, reply.Outcome)
+	s.recordAnswer(c, reply.Outcome)
 	return reply.Info, true
 }
 
@@ -183,7 +183,7 @@
 	}
 	info.team = team
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplyPrograms](s, c, structs.CallerPrograms{
+	reply, ok := postAndWait[structs.ReplyPrograms](s, c, structs.CallerPrograms{
 		Request: info.id, Team: team, Limit: limit, Deadline: deadline,
 	}, deadline)
 	if !ok {
@@ -202,7 +202,7 @@
 	}
 	limit, err := strconv.Atoi(value)
 	if err != nil || limit < 1 || limit > maxLimit {
-		return 0, refuse(structs.ReasonInvalid, "limit: expected a number from 1 to %d", maxLimit)
+		return 0, refusal(structs.ReasonInvalid, "limit: expected a number from 1 to %d", maxLimit)
 	}
 	return limit, nil
 }
--- a/internal/httpapi/programs_test.go
+++ b/internal/httpapi/programs_test.go
@@ -89,7 +89,7 @@
 	f.noEvents()
 }
 
-func TestProgramOpenKeyedIsTheSameEverywhere(t *testing.T) {
+func TestKeyedOpenNamesSameProgramOnAllInstances(t *testing.T) {
 	first, second := newFixture(t, nil), newFixture(t, func(c *Config) { c.Instance = "erie-1" })
 	key := ulid.Make().String()
 	var ids []structs.ProgramID
@@ -143,7 +143,7 @@
 	if _, problem := derive(testTeam, "any-key", now, true); problem == nil {
 		t.Error("an undated key taken where the time must be exact")
 	}
-	if _, problem := derive(testTeam, dated, now.Add(-maxKeyAhead-time.Second), true); problem == nil {
+	if _, problem := derive(testTeam, dated, now.Add(-maxKeyClockSkew-time.Second), true); problem == nil {
 		t.Error("a key of the future taken")
 	}
 	one, _ := derive(testTeam, "any-key", now, false)
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -40,7 +40,7 @@
 		metrics:   newServerMetrics(scope),
 		ids:       newRequestIDs(config.Instance, config.Incarnation),
 		exchanges: newRegistry(),
-		limits:    newLimits(config.MaxConcurrent, config.MaxBodies),
+		limits:    newLimits(config.MaxConcurrentRequests, config.MaxTotalBody),
 	}
 	s.engine = s.routes()
 	return s
@@ -78,13 +78,13 @@
 	engine.HandleMethodNotAllowed = true
 	engine.Use(s.observe, s.recoverPanic, s.checkRequest)
 	engine.NoRoute(func(c *gin.Context) {
-		s.fail(c, refuse(ReasonNotFound, "no route for this path"))
+		s.fail(c, refusal(ReasonNotFound, "no route for this path"))
 	})
 	engine.NoMethod(func(c *gin.Context) {
-		s.fail(c, refuse(ReasonMethodNotAllowed, "the path does not take this method"))
+		s.fail(c, refusal(ReasonMethodNotAllowed, "the path does not take this method"))
 	})
 	s.publicRoutes(engine)
-	s.callerRoutes(engine.Group("/v1", s.limit, s.authenticate, s.requireStarted))
+	s.callerRoutes(engine.Group("/v1", s.limitConcurrency, s.authenticate, s.requireStarted))
 	s.operatorRoutes(engine.Group("", s.authenticate, s.requireOperator))
 	return engine
 }
--- a/internal/httpapi/settings.go
+++ b/internal/httpapi/settings.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	teamsSubtree     = "teams/"
-	maxChanges       = 1000
-	maxChangeID      = 128
-	maxSettingLength = 512
+	teamsSubtree         = "teams/"
+	maxChanges           = 1000
+	maxChangeIDLength    = 128
+	maxSettingPathLength = 512
 )
 
 // changeRequest is one change in the body of PUT /v1/settings.
@@ -35,8 +35,8 @@
 	Changes []changeRequest `json:"changes"`
 }
 
-// changesReply is the answer to changes that are in force.
-type changesReply struct {
+// changesResponse is the answer to changes that are in force.
+type changesResponse struct {
 	Status  structs.SettingsStatus `json:"status"`
 	Version uint64                 `json:"version"`
 	Offset  uint64                 `json:"offset"`
@@ -44,21 +44,21 @@
 	ChangeIDs []string `json:"change_ids"`
 }
 
-// appliedReply tells which settings offset each instance has applied.
-type appliedReply struct {
+// appliedResponse tells which settings offset each instance has applied.
+type appliedResponse struct {
 	Applied map[structs.InstanceID]uint64 `json:"applied"`
 	Missing []structs.InstanceID          `json:"missing"`
 }
 
 func (s *Server) getSetting(c *gin.Context) {
-	s.readSetting(c, s.core.Setting)
+	s.writeSetting(c, s.core.Setting)
 }
 
 func (s *Server) settingHistory(c *gin.Context) {
-	s.readSetting(c, s.core.SettingHistory)
+	s.writeSetting(c, s.core.SettingHistory)
 }
 
-func (s *Server) readSetting(c *gin.Context, read func(string) (any, bool)) {
+func (s *Server) writeSetting(c *gin.Context, read func(string) (any, bool)) {
 	path := c.Query("path")
 	if problem := checkSettingPath(infoOf(c).principal, path); problem != nil {
 		s.fail(c, problem)
@@ -66,7 +66,7 @@
 	}
 	value, ok := read(path)
 	if !ok {
-		s.fail(c, refuse(ReasonNotFound, "there is nothing at this path"))
+		s.fail(c, refusal(ReasonNotFound, "there is nothing at this path"))
 		return
 	}
 	s.writeJSON(c, http.StatusOK, value)
@@ -75,15 +75,15 @@
 // checkSettingPath refuses a path that is malformed or that the principal does
 // not reach. The empty path is the whole tree.
 func checkSettingPath(principal Principal, path string) *Problem {
-	if path != "" && (len(path) > maxSettingLength || !validTreePath(path)) {
-		return refuse(structs.ReasonInvalid, "path: expected segments such as teams/lakeshore/priority")
+	if path != "" && (len(path) > maxSettingPathLength || !validTreePath(path)) {
+		return refusal(structs.ReasonInvalid, "path: expected segments such as teams/lakeshore/priority")
 	}
 	if principal.Root() {
 		return nil
 	}
 	team, found := strings.CutPrefix(path, teamsSubtree)
 	if !found || !principal.Team.Contains(structs.Team(team)) {
-		return refuse(structs.ReasonForbidden, "the key reaches %s%s only", teamsSubtree, principal.Team)
+		return refusal(structs.ReasonForbidden, "the key reaches %s%s only", teamsSubtree, principal.Team)
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 	}
 	info := infoOf(c)
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplySettings](s, c, structs.SettingsPropose{
+	reply, ok := postAndWait[structs.ReplySettings](s, c, structs.SettingsPropose{
 		Request: info.id, Changes: changes, Deadline: deadline,
 	}, deadline)
 	if !ok {
@@ -106,7 +106,7 @@
 		s.fail(c, settingsProblem(reply.Result))
 		return
 	}
-	answer := changesReply{
+	answer := changesResponse{
 		Status: reply.Result.Status, Version: reply.Result.Version, Offset: reply.Result.Offset,
 		ChangeIDs: make([]string, 0, len(changes)),
 	}
@@ -130,7 +130,7 @@
 		return nil, problem
 	}
 	if len(request.Changes) == 0 || len(request.Changes) > maxChanges {
-		return nil, refuse(structs.ReasonInvalid, "changes: expected 1 to %d", maxChanges)
+		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d", maxChanges)
 	}
 	principal := infoOf(c).principal
 	changes := make([]structs.SettingChange, 0, len(request.Changes))
@@ -146,15 +146,15 @@
 
 func newChange(principal Principal, request changeRequest) (structs.SettingChange, *Problem) {
 	if request.Path == "" {
-		return structs.SettingChange{}, refuse(structs.ReasonInvalid, "path: expected the path of a setting")
+		return structs.SettingChange{}, refusal(structs.ReasonInvalid, "path: expected the path of a setting")
 	}
 	if problem := checkSettingPath(principal, request.Path); problem != nil {
 		problem.Path = request.Path
 		return structs.SettingChange{}, problem
 	}
-	if len(request.ChangeID) > maxChangeID || !printable(request.ChangeID) {
-		return structs.SettingChange{}, refuse(structs.ReasonInvalid,
-			"change_id: expected printable ASCII, at most %d", maxChangeID)
+	if len(request.ChangeID) > maxChangeIDLength || !printable(request.ChangeID) {
+		return structs.SettingChange{}, refusal(structs.ReasonInvalid,
+			"change_id: expected printable ASCII, at most %d", maxChangeIDLength)
 	}
 	if request.ChangeID == "" {
 		request.ChangeID = ulid.Make().String()
@@ -174,11 +174,11 @@
 	var problem *Problem
 	switch result.Status {
 	case structs.SettingsLost:
-		problem = refuse(ReasonSettingsLost, "%s", result.Detail)
+		problem = refusal(ReasonSettingsLost, "%s", result.Detail)
 	case structs.SettingsInvalid:
-		problem = refuse(structs.ReasonInvalid, "%s", result.Detail)
+		problem = refusal(structs.ReasonInvalid, "%s", result.Detail)
 	case structs.SettingsNotPublished:
-		problem = refuse(structs.ReasonLogUnavailable, "%s", result.Detail).retryAfter(localRetryAfter)
+		problem = refusal(structs.ReasonLogUnavailable, "%s", result.Detail).retryAfter(localRetryAfter)
 	default:
 		problem = newProblem(ReasonSettingsUnknown, outcomeUnknown, result.Detail)
 	}
@@ -190,11 +190,11 @@
 // settingsApplied tells which instance has applied which settings offset.
 func (s *Server) settingsApplied(c *gin.Context) {
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplyApplied](s, c, structs.SettingsApplied{
+	reply, ok := postAndWait[structs.ReplyApplied](s, c, structs.SettingsApplied{
 		Request: infoOf(c).id, Deadline: deadline,
 	}, deadline)
 	if ok {
-		s.writeJSON(c, http.StatusOK, appliedReply{
+		s.writeJSON(c, http.StatusOK, appliedResponse{
 			Applied: reply.Applied, Missing: append([]structs.InstanceID{}, reply.Missing...),
 		})
 	}
--- a/internal/httpapi/settings_test.go
+++ b/internal/httpapi/settings_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSettingsReach(t *testing.T) {
+func TestSettingsAuthorization(t *testing.T) {
 	f := newFixture(t, nil)
 	forbidden := []string{"teams/partvedo/weight", "teams/lakeshore2/weight", "services/filing/kind", "teams", "lakeshore"}
 	malformed := []string{"teams/lakeshore/../partvedo/weight", "teams/lakeshore//weight", "/teams/lakeshore", "teams/lakeshore/a%20b", strings.Repeat("a", 600)}
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -14,8 +14,8 @@
 // deadline.
 var errNoReply = errors.New("no reply of the core")
 
-// pending is a request posted to the core.
-type pending struct {
+// pendingRequest is a request posted to the core.
+type pendingRequest struct {
 	server   *Server
 	ctx      context.Context
 	exchange *exchange
@@ -24,7 +24,7 @@
 
 // post registers the request and posts its event. On success the caller must
 // call close. limit bounds the waiting chunks in bytes, 0 for none wanted.
-func (s *Server) post(c *gin.Context, event structs.Event, deadline time.Time, limit int) (*pending, *Problem) {
+func (s *Server) post(c *gin.Context, event structs.Event, deadline time.Time, limit int) (*pendingRequest, *Problem) {
 	ctx, cancel := context.WithCancelCause(c.Request.Context())
 	e := newExchange(infoOf(c).id, limit, cancel)
 	s.exchanges.add(e)
@@ -38,15 +38,15 @@
 	}()
 	posted = s.core.Post(event)
 	if !posted {
-		return nil, busy(c.Request.Header, "the instance's queue is full or the instance has stopped")
+		return nil, overloaded(c.Request.Header, "the instance's queue is full or the instance has stopped")
 	}
 	wait := deadline.Sub(s.config.Now()) + s.config.ReplyGrace
-	return &pending{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(wait)}, nil
+	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(wait)}, nil
 }
 
 // close forgets the request, and tells the core if nobody waits for its answer
 // any more.
-func (p *pending) close() {
+func (p *pendingRequest) close() {
 	p.timer.Stop()
 	p.server.exchanges.remove(p.exchange.id)
 	p.exchange.cancel(nil)
@@ -54,13 +54,13 @@
 		return
 	}
 	if !p.server.core.Post(structs.CallerGone{Request: p.exchange.id}) {
-		p.server.metrics.lostGone.Inc(1)
+		p.server.metrics.goneNotPosted.Inc(1)
 	}
 }
 
 // next waits for chunks or for the command that ends the request. The error is
 // errNoReply, or the cause for which the request's context ended.
-func (p *pending) next() ([]structs.Chunk, structs.Command, error) {
+func (p *pendingRequest) next() ([]structs.Chunk, structs.Command, error) {
 	for {
 		chunks, final := p.exchange.take()
 		if len(chunks) > 0 || final != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// final waits for the command that ends the request.
-func (p *pending) final() (structs.Command, error) {
+// waitFinal waits for the command that ends the request.
+func (p *pendingRequest) waitFinal() (structs.Command, error) {
 	for {
 		_, command, err := p.next()
 		if err != nil || command != nil {
@@ -86,14 +86,14 @@
 	}
 }
 
-// noReply is the problem of a request that the core did not answer in time.
-func noReply() *Problem {
+// noReplyProblem is the problem of a request that the core did not answer in time.
+func noReplyProblem() *Problem {
 	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not answer by the deadline")
 }
 
-// ask posts an event and waits for its answer. On failure it answers the
+// postAndWait posts an event and waits for its answer. On failure it answers the
 // request itself and returns false.
-func ask[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
+func postAndWait[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
 	var none T
 	p, problem := s.post(c, event, deadline, 0)
 	if problem != nil {
@@ -101,13 +101,13 @@
 		return none, false
 	}
 	defer p.close()
-	command, err := p.final()
+	command, err := p.waitFinal()
 	if errors.Is(err, errNoReply) {
-		s.fail(c, noReply())
+		s.fail(c, noReplyProblem())
 		return none, false
 	}
 	if err != nil {
-		s.abandon(c, err)
+		s.abort(c, err)
 	}
 	reply, ok := command.(T)
 	if !ok {
--- a/internal/httpapi/write.go
+++ b/internal/httpapi/write.go
@@ -9,8 +9,8 @@
 	"github.com/gin-gonic/gin"
 )
 
-// writePiece is the most that one write deadline covers, in bytes.
-const writePiece = 64 << 10
+// maxWriteSize is the most that one write deadline covers, in bytes.
+const maxWriteSize = 64 << 10
 
 // writeBody answers with a whole body, each piece within the write timeout. A
 // caller that does not read it is cut off.
@@ -28,10 +28,10 @@
 	c.Writer.WriteHeader(status)
 	c.Writer.WriteHeaderNow()
 	for len(body) > 0 {
-		piece := body[:min(len(body), writePiece)]
+		piece := body[:min(len(body), maxWriteSize)]
 		s.setWriteDeadline(c.Writer)
 		if _, err := c.Writer.Write(piece); err != nil {
-			s.abandon(c, writeCause(c.Request.Context()))
+			s.abort(c, writeCause(c.Request.Context()))
 		}
 		body = body[len(piece):]
 	}
