--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -7,22 +7,23 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxFallbacks bounds the further instances that are asked for a shard whose
+// maxFallbacks limits how many further instances are tried for a shard whose
 // first candidate cannot read the log.
 const maxFallbacks = 3
 
-// rememberOwner notes who owns a shard by the answers it gives, so that a change of
-// the membership list does not take a program from its living owner while
-// nobody can claim the shard. The owner itself hands an idle shard over.
+// rememberOwner records the instance that answered as the owner of the shard.
+// Later requests go to it even if the membership list changes, since no other
+// instance may be able to claim the shard. The owner itself hands an idle shard
+// over.
 func (g *Gateway) rememberOwner(p *pending, from structs.InstanceID, out structs.Outcome) {
 	if out.Kind == structs.OutcomeAnswered {
 		g.owners[p.shard] = from
 	}
 }
 
-// tryFallback asks another instance if this one could not claim the shard for
-// want of the log: the shard's owner may be alive and serve without the log.
-// A second owner recognises the call by its key, so nothing is run twice.
+// tryFallback sends the request to another instance if this one could not claim
+// the shard because the log is unavailable: the current owner may be alive and
+// serve without the log. The call's key deduplicates it, so nothing runs twice.
 func (g *Gateway) tryFallback(now time.Time, p *pending, from structs.InstanceID, out structs.Outcome) bool {
 	if out.Reason != structs.ReasonLogUnavailable || p.stream.pieces > 0 {
 		return false
@@ -37,7 +38,8 @@
 	return true
 }
 
-// searchFallback asks the next candidate, or gives the first refusal to the caller.
+// searchFallback sends the request to the next candidate, or returns the first
+// refusal to the caller if none is left.
 func (g *Gateway) searchFallback(now time.Time, p *pending, from structs.InstanceID) {
 	p.fallbacks = append(p.fallbacks, from)
 	next := g.nextFallback(p)
@@ -60,7 +62,8 @@
 	return ""
 }
 
-// fallbackOutcome keeps the rule that "not run" needs the word of every holder.
+// fallbackOutcome returns the first refusal. If another instance may hold the
+// request, "not run" is replaced by an unknown outcome.
 func (g *Gateway) fallbackOutcome(p *pending) structs.Outcome {
 	if len(p.holders) > 0 && p.firstRefusal.Kind == structs.OutcomeNotRun {
 		return g.undeliveredOutcome(p, p.firstRefusal.Reason)
--- a/internal/gateway/fanout.go
+++ b/internal/gateway/fanout.go
@@ -7,16 +7,18 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// fanout is a question put to many instances, answered when all answered, are
-// lost, or the deadline passed.
+// fanout is a query to many instances. It ends once each of them has replied or
+// is down, or at the deadline.
 type fanout struct {
 	request  structs.RequestID
 	deadline time.Time
+	// waiting holds the instances that have not replied, missing those that
+	// will not.
 	waiting  map[structs.InstanceID]bool
 	missing  []structs.InstanceID
 	limit    int
 	programs []structs.ProgramInfo
-	// applied is nil for a question about programs.
+	// applied is nil for a query of programs.
 	applied map[structs.InstanceID]uint64
 }
 
@@ -113,7 +115,7 @@
 	return ids
 }
 
-// replyIfComplete answers if nothing is awaited any more.
+// replyIfComplete sends the reply and removes c once it waits for no peer.
 func (g *Gateway) replyIfComplete(c *fanout) {
 	if len(c.waiting) > 0 {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway is the part of an instance that callers meet: it finds the
-// owner of a program's shard, hands the call over, relays the answer and hands
-// the call over again when the owner is lost. It keeps nothing that must last.
+// Package gateway routes callers' requests to the owners of their programs. It
+// finds the owner of a program's shard, hands the call over, relays the reply,
+// and hands the call to another owner if the first one fails. Its state is
+// volatile.
 //
-// It answers each request exactly once. "Not run" is answered only when every
-// owner that was sent the call said that it did not take it; otherwise the
-// owner's own word or "outcome unknown" is answered.
+// Each request gets exactly one final reply. "Not run" is returned only if every
+// instance that was sent the call confirmed that it did not take it; otherwise
+// the caller gets the owner's outcome or "outcome unknown".
 package gateway
 
 import (
@@ -15,35 +16,37 @@
 )
 
 const (
-	// deadlineGrace is how long after a caller's deadline the gateway waits for
-	// the owner's own final word, which tells more than the gateway knows.
+	// deadlineGrace is how long after a caller's deadline the gateway waits
+	// for the owner's outcome, which is more specific than its own.
 	deadlineGrace = 250 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the time between two searches for an owner.
+	// minRetryDelay and maxRetryDelay bound the time between two searches for
+	// an owner.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// maxSearchTime is how long a gateway looks for an owner to take a call
-	// before it gives up.
+	// maxSearchTime is how long the gateway searches for an owner before it
+	// fails the request.
 	maxSearchTime = 8 * time.Second
-	// retryAfterNoOwner is what a caller is told when no owner was found.
+	// retryAfterNoOwner is the RetryAfter delay if no owner was found.
 	retryAfterNoOwner = 2 * time.Second
 )
 
-// Gateway is the table of the requests under way at this instance.
+// Gateway holds the requests in flight at this instance. It is not safe for
+// concurrent use.
 type Gateway struct {
 	cfg     structs.InstanceConfig
 	members structs.Members
 	pending map[structs.RequestID]*pending
 	fanouts map[structs.RequestID]*fanout
-	// owners remembers who took a request of a shard last.
+	// owners holds, by shard, the instance that last answered a call.
 	owners map[structs.ShardRef]structs.InstanceID
 	// nextTimer is a lower bound of the timers of the pending requests, zero if
-	// there are none: a tick without a due timer looks at no row.
+	// there are none. A tick before it skips the scan of pending.
 	nextTimer time.Time
-	// cmds collects the commands of the present tick.
+	// cmds collects the commands of the current tick.
 	cmds []structs.Command
 }
 
-// New returns a gateway without requests.
+// New returns an empty gateway.
 func New(cfg structs.InstanceConfig, members structs.Members) *Gateway {
 	return &Gateway{
 		cfg:     cfg,
@@ -54,10 +57,10 @@
 	}
 }
 
-// InFlight is the number of callers that wait for an answer.
+// InFlight returns the number of requests that have no final reply yet.
 func (g *Gateway) InFlight() int { return len(g.pending) + len(g.fanouts) }
 
-// Tick takes in events and runs the timers that are due.
+// Tick applies events, runs the due timers and returns the resulting commands.
 func (g *Gateway) Tick(now time.Time, events []structs.Event) []structs.Command {
 	g.cmds = nil
 	for _, ev := range events {
@@ -67,7 +70,7 @@
 	return g.cmds
 }
 
-// NextWake gives the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if there is none.
 func (g *Gateway) NextWake() time.Time {
 	next := g.nextTimer
 	for _, c := range g.fanouts {
@@ -123,8 +126,8 @@
 
 func (g *Gateway) emit(cmd structs.Command) { g.cmds = append(g.cmds, cmd) }
 
-// runTimers runs in order of request id, so that equal inputs give equal
-// outputs.
+// runTimers runs the due timers in order of request id, which keeps the output
+// deterministic.
 func (g *Gateway) runTimers(now time.Time) {
 	g.runFanoutTimers(now)
 	if g.nextTimer.IsZero() || g.nextTimer.After(now) {
@@ -139,7 +142,7 @@
 	}
 }
 
-// dueRequests lists the requests with a due timer in order of id.
+// dueRequests returns the requests with a due timer in order of id.
 func (g *Gateway) dueRequests(now time.Time) []structs.RequestID {
 	var due []structs.RequestID
 	for id, p := range g.pending {
@@ -151,5 +154,5 @@
 	return due
 }
 
-// scheduleTimer keeps the bound of the timers below a new one.
+// scheduleTimer lowers nextTimer to at if at is earlier.
 func (g *Gateway) scheduleTimer(at time.Time) { g.nextTimer = earliest(g.nextTimer, at) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -14,12 +14,12 @@
 
 const request = structs.RequestID("g-1")
 
-// harness is a gateway among three instances, with one streamed call submitted.
+// harness runs a gateway with three peers and one streamed call submitted.
 type harness struct {
 	t    *testing.T
 	view *members.View
 	g    *Gateway
-	// owner is the instance that was sent the call last.
+	// owner is the instance that was last sent the call.
 	owner structs.InstanceID
 }
 
@@ -39,8 +39,8 @@
 	return r
 }
 
-// tick runs one tick, the view's first as in the instance, and notes where the
-// call went.
+// tick ticks the view and then the gateway, as the instance does, and records
+// which instance was sent the call.
 func (r *harness) tick(now time.Time, events ...structs.Event) []structs.Command {
 	r.view.Tick(now, events)
 	cmds := r.g.Tick(now, events)
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(ends) != 1 {
-		r.t.Fatalf("%d final answers in %v, want 1", len(ends), cmds)
+		r.t.Fatalf("got %d final replies in %v, want 1", len(ends), cmds)
 	}
 	return ends[0]
 }
@@ -78,7 +78,7 @@
 	r.tick(start, r.from(&structs.CallChunk{Request: request, Chunk: structs.Chunk{Texts: []string{"one ", "two "}}}))
 	r.tick(start, structs.PeerDown{Peer: first})
 	if r.owner == first {
-		t.Fatal("the call stayed at the lost owner")
+		t.Fatal("the call was not handed to another instance")
 	}
 	cmds := r.tick(start, r.from(&structs.CallChunk{Request: request, Chunk: structs.Chunk{First: 1, Texts: []string{"two ", "three"}}}))
 	chunk, ok := cmds[0].(structs.ReplyChunk)
@@ -115,17 +115,17 @@
 	}
 }
 
-// TestSubmitListsSuspects: also a search after a wait, which starts from
-// the view alone, tells the receiver whom this instance finds unreachable.
+// TestSubmitListsSuspects checks that a search after a retry delay, which starts
+// from the membership view alone, still sends the unreachable instances.
 func TestSubmitListsSuspects(t *testing.T) {
 	r := newHarness(t)
-	lost := r.owner
-	r.tick(start, structs.PeerDown{Peer: lost})
-	r.tick(start, r.from(&structs.NotOwner{Request: request, Owner: lost}))
+	failed := r.owner
+	r.tick(start, structs.PeerDown{Peer: failed})
+	r.tick(start, r.from(&structs.NotOwner{Request: request, Owner: failed}))
 	cmds := r.tick(r.g.NextWake())
 	submit, ok := cmds[0].(structs.SendPeer).Msg.(*structs.Submit)
-	if !ok || !slices.Contains(submit.Suspects, lost) {
-		t.Fatalf("sent %+v, want %s among the suspects", cmds[0], lost)
+	if !ok || !slices.Contains(submit.Suspects, failed) {
+		t.Fatalf("sent %+v, want %s among the suspects", cmds[0], failed)
 	}
 }
 
@@ -135,7 +135,7 @@
 	r.tick(start, structs.PeerDown{Peer: first})
 	late := structs.PeerMessage{From: first, Msg: &structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered}}}
 	if cmds := r.tick(start, late); len(cmds) != 0 {
-		t.Fatalf("late answer relayed: %v", cmds)
+		t.Fatalf("late reply relayed: %v", cmds)
 	}
 }
 
@@ -144,7 +144,7 @@
 	r.tick(start, structs.PeerDown{Peer: r.owner})
 	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonOverloaded}})))
 	if out.Kind != structs.OutcomeUnknown {
-		t.Fatalf("outcome %+v: the lost owner may have run the call", out)
+		t.Fatalf("outcome %+v, want unknown: the failed owner may have run the call", out)
 	}
 }
 
@@ -164,7 +164,7 @@
 		now = r.g.NextWake()
 		r.tick(now)
 	}
-	t.Fatal("the gateway never gave up")
+	t.Fatal("the search for an owner did not end")
 }
 
 func TestDeadlineEndsTheRequestOnce(t *testing.T) {
@@ -174,7 +174,7 @@
 		t.Fatalf("outcome %+v", out)
 	}
 	if r.g.InFlight() != 0 {
-		t.Fatal("the request is still held")
+		t.Fatal("the request is still pending")
 	}
 }
 
@@ -184,7 +184,7 @@
 	refusal := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: time.Second}
 	r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: refusal}))
 	if r.owner == first {
-		t.Fatal("no other instance was asked")
+		t.Fatal("no other instance was tried")
 	}
 	out := r.finalOutcome(r.tick(start, r.from(&structs.CallEnd{Request: request, Outcome: structs.Outcome{Kind: structs.OutcomeAnswered}})))
 	if out.Kind != structs.OutcomeAnswered {
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -10,46 +10,48 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pending is one caller's request: a call, or an operation on a program.
+// pending is a caller's request: a call or an operation on a program.
 type pending struct {
 	request  structs.RequestID
 	shard    structs.ShardRef
 	deadline time.Time
 	started  time.Time
-	// call is the call, nil for an operation on a program.
+	// Either call or op is set.
 	call *structs.Call
 	op   *structs.CallerProgram
-	// owner is the instance that has the request now, empty while the
-	// gateway looks for one.
+	// owner is the instance that was sent the request last, empty while the
+	// gateway searches for one.
 	owner structs.InstanceID
 	// holders are the instances that may have taken the request: they were
-	// sent it and did not say otherwise.
+	// sent it and have not denied it.
 	holders map[structs.InstanceID]bool
-	// suspects are the instances lost while they had the request.
+	// suspects are the instances that went down while they had the request.
 	suspects []structs.InstanceID
-	// retryAt is when to look for an owner again, backoff the time between.
+	// retryAt is the time of the next search for an owner, backoff the delay
+	// before the one after it.
 	retryAt time.Time
 	backoff time.Duration
-	// fallbacks are the instances asked in a search for a living owner while
-	// the log is down, and refusal what the first of them answered.
+	// fallbacks are the instances tried while the log is unavailable, and
+	// firstRefusal is the outcome that the first of them returned.
 	fallbacks    []structs.InstanceID
 	firstRefusal structs.Outcome
 	// redirectAt is when a redirect was last followed.
 	redirectAt time.Time
-	// searchStarted is when the gateway last lost its owner.
+	// searchStarted is when the request was received or last lost its owner.
 	searchStarted time.Time
 	stream        relayState
 }
 
-// nextTimer gives the request's next timer.
+// nextTimer returns the time of the request's next timer.
 func (p *pending) nextTimer() time.Time {
 	return earliest(p.retryAt, p.deadline.Add(deadlineGrace))
 }
 
-// relayState is what of a streamed answer went to the caller. The running hash
-// proves that a second owner's text continues the first one's.
+// relayState describes the part of a streamed response that was sent to the
+// caller. The running hash verifies that the text of a second owner continues
+// that of the first.
 type relayState struct {
-	// run is the run that made the pieces.
+	// run is the run that produced the pieces.
 	run    structs.RunID
 	pieces int
 	bytes  int
@@ -67,7 +69,7 @@
 	r.pieces += len(texts)
 }
 
-// continues tells whether text begins with what was relayed.
+// continues reports whether text starts with what was relayed.
 func (r *relayState) continues(text string) bool {
 	if r.bytes == 0 {
 		return true
@@ -83,7 +85,7 @@
 	}
 	p.call = ev.Call
 	if p.call.Key == "" {
-		// A key of its own lets a second owner recognise the call.
+		// A generated key lets a second owner deduplicate the call.
 		p.call.Key = journal.KeylessPrefix + string(ev.Request)
 	}
 	g.add(p)
@@ -101,7 +103,7 @@
 	g.search(now, p, "")
 }
 
-// newPending returns nil if the program id is malformed.
+// newPending returns a pending request, or nil if the program id is malformed.
 func (g *Gateway) newPending(now time.Time, id structs.RequestID, program structs.ProgramID, deadline time.Time) *pending {
 	region, _, err := program.Parse()
 	if err != nil {
@@ -123,8 +125,8 @@
 	g.scheduleTimer(p.nextTimer())
 }
 
-// search sends the request to the preferred instance, or to the best that the
-// view knows, or waits.
+// search sends the request to the preferred instance if one is given, else to
+// the one that selectOwner returns. Without either it schedules a retry.
 func (g *Gateway) search(now time.Time, p *pending, prefer structs.InstanceID) {
 	p.retryAt = time.Time{}
 	owner := prefer
@@ -140,8 +142,8 @@
 	g.emit(structs.SendPeer{To: owner, Msg: g.handoverMessage(now, p)})
 }
 
-// selectOwner gives the instance that took a request of the shard last, or else the
-// best that is not suspected.
+// selectOwner returns the last known owner of the shard if it is usable, else
+// the usable instance that ranks highest, or "" if there is none.
 func (g *Gateway) selectOwner(p *pending) structs.InstanceID {
 	if last, ok := g.owners[p.shard]; ok && g.usable(p, last) {
 		return last
@@ -162,10 +164,10 @@
 	return !slices.Contains(p.suspects, id)
 }
 
-// suspectsOf lists the instances that the receiver of a request would name as
-// better owners but that this instance finds unreachable. Without them the
-// receiver answers with such an instance until it notices the loss itself, which
-// it may never do: it does not wait for that instance.
+// suspectsOf returns the instances that the receiver of a request may consider
+// better owners but that are unreachable from here. Without this list the
+// receiver would redirect to such an instance until it detects the failure
+// itself, which it may never do.
 func (g *Gateway) suspectsOf(p *pending) []structs.InstanceID {
 	suspects := slices.Clone(p.suspects)
 	for _, id := range g.members.Ranked(p.shard) {
@@ -176,7 +178,7 @@
 	return suspects
 }
 
-// handoverMessage is the message that hands the request to an owner.
+// handoverMessage returns the message that hands the request to an owner.
 func (g *Gateway) handoverMessage(now time.Time, p *pending) structs.Message {
 	remaining := p.deadline.Sub(now)
 	if p.op != nil {
@@ -192,7 +194,8 @@
 	}
 }
 
-// searchLater sets the timer of the next search, or gives up for good.
+// searchLater schedules the next search, or fails the request once
+// maxSearchTime has passed.
 func (g *Gateway) searchLater(now time.Time, p *pending) {
 	p.owner = ""
 	if now.Sub(p.searchStarted) >= maxSearchTime {
@@ -212,14 +215,14 @@
 		g.finish(p, g.undeliveredOutcome(p, structs.ReasonDeadline))
 		return
 	}
-	// The suspects may answer again by now: a search that found nobody
-	// starts from the view alone.
+	// The suspects may be reachable again: a new search relies on the
+	// membership view alone.
 	p.suspects = nil
 	g.search(now, p, "")
 }
 
-// undeliveredOutcome is the gateway's own final word. "Not run" needs that no instance may
-// hold the request.
+// undeliveredOutcome returns the outcome of a request that no owner completed:
+// "not run" only if no instance may hold the request, else unknown.
 func (g *Gateway) undeliveredOutcome(p *pending, reason structs.Reason) structs.Outcome {
 	if len(p.holders) == 0 && p.call != nil {
 		return p.call.Refusal(reason, retryAfterNoOwner)
@@ -229,7 +232,7 @@
 	}
 	return structs.Outcome{
 		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterNoOwner,
-		Detail: "The owner of the program did not answer; ask again with the same idempotency key.",
+		Detail: "The owner of the program did not respond; retry with the same idempotency key.",
 	}
 }
 
@@ -237,7 +240,7 @@
 	return structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// finish answers the caller and forgets the request.
+// finish sends the final reply and removes the request.
 func (g *Gateway) finish(p *pending, out structs.Outcome) {
 	delete(g.pending, p.request)
 	if p.op != nil {
@@ -259,17 +262,17 @@
 	}
 }
 
-// handlePeerDown hands the requests of a lost instance to the next one.
+// handlePeerDown hands the requests of a failed instance to another one.
 func (g *Gateway) handlePeerDown(now time.Time, peer structs.InstanceID) {
 	g.fanoutPeerDown(peer)
-	var lost []structs.RequestID
+	var affected []structs.RequestID
 	for id, p := range g.pending {
 		if p.owner == peer {
-			lost = append(lost, id)
+			affected = append(affected, id)
 		}
 	}
-	slices.Sort(lost)
-	for _, id := range lost {
+	slices.Sort(affected)
+	for _, id := range affected {
 		p := g.pending[id]
 		if !slices.Contains(p.suspects, peer) {
 			p.suspects = append(p.suspects, peer)
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -6,9 +6,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pendingOwnedBy finds the request that an owner speaks of; it returns nil for a
-// request that has ended or that another owner has by now: a late or crossed
-// answer must not reach the caller twice.
+// pendingOwnedBy returns the pending request id if from is its current owner.
+// It returns nil for a request that has ended or moved to another owner, so
+// that a late reply never reaches the caller.
 func (g *Gateway) pendingOwnedBy(from structs.InstanceID, id structs.RequestID) *pending {
 	p, ok := g.pending[id]
 	if !ok || p.owner != from {
@@ -23,8 +23,8 @@
 	}
 }
 
-// handleChunk relays the pieces that the caller lacks. Pieces behind a gap are left
-// for the end, which carries the whole text.
+// handleChunk relays the pieces that the caller has not received. Pieces after
+// a gap are dropped: the final outcome carries the whole text.
 func (g *Gateway) handleChunk(from structs.InstanceID, msg *structs.CallChunk) {
 	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil || p.call == nil || !p.call.Stream {
@@ -32,7 +32,7 @@
 	}
 	have := p.stream.pieces
 	if have > 0 && msg.Run != p.stream.run {
-		// Pieces of two runs are never joined.
+		// Never join pieces of two runs.
 		return
 	}
 	if msg.Chunk.First > have || msg.Chunk.Next() <= have {
@@ -59,12 +59,12 @@
 	g.rememberOwner(p, from, msg.Outcome)
 	out := msg.Outcome
 	if out.Kind == structs.OutcomeNotRun && p.stream.pieces > 0 {
-		// Part of the answer reached the caller, so the call did run.
+		// Part of the text reached the caller, so the call did run.
 		out.Kind = structs.OutcomeUnknown
 	}
 	if out.Kind == structs.OutcomeNotRun && p.heldElsewhere(from) {
-		// Only the log can tell what an earlier holder did with a call that
-		// may run again; the present owner speaks for itself alone.
+		// An earlier holder may have run the call; the reply of the current
+		// owner covers only itself.
 		out.Kind = structs.OutcomeUnknown
 	}
 	if p.call.Stream && out.Kind == structs.OutcomeAnswered {
@@ -73,8 +73,8 @@
 	g.finish(p, out)
 }
 
-// heldElsewhere tells whether an instance other than the speaker may have
-// taken the request.
+// heldElsewhere reports whether an instance other than from may have taken
+// the request.
 func (p *pending) heldElsewhere(from structs.InstanceID) bool {
 	for id := range p.holders {
 		if id != from {
@@ -84,13 +84,14 @@
 	return false
 }
 
-// relayRemainder sends the caller what it lacks of the whole text. A text that does
-// not continue what was sent is never spliced to it.
+// relayRemainder sends the caller the part of the whole text that it has not
+// received. If the text does not start with what was sent, the outcome becomes
+// unknown.
 func (g *Gateway) relayRemainder(p *pending, out structs.Outcome) structs.Outcome {
 	if !p.stream.continues(out.Text) {
 		return structs.Outcome{
 			Kind: structs.OutcomeUnknown, Reason: structs.ReasonOwnerLost,
-			Detail: "The answer was cut; ask again with the same idempotency key for the whole one.",
+			Detail: "The response was cut off; retry with the same idempotency key to get all of it.",
 		}
 	}
 	if rest := out.Text[p.stream.bytes:]; rest != "" {
@@ -110,8 +111,8 @@
 	g.emit(structs.ReplyProgram{Request: p.request, Outcome: msg.Outcome, Info: msg.Info})
 }
 
-// handleNotOwner takes the speaker's word that it does not have the request and
-// looks further.
+// handleNotOwner records that from did not take the request and searches for
+// another owner, following the redirect if there is one.
 func (g *Gateway) handleNotOwner(now time.Time, from structs.InstanceID, msg *structs.NotOwner) {
 	p := g.pendingOwnedBy(from, msg.Request)
 	if p == nil {
@@ -136,8 +137,9 @@
 	g.search(now, p, msg.Owner)
 }
 
-// redirectedRecently bounds the redirects that are followed at once: views of the
-// membership may differ for a while and send a request in circles.
+// redirectedRecently reports whether a redirect was followed within
+// minRetryDelay, and records this one if not. It prevents redirect loops while
+// instances have different membership views.
 func (p *pending) redirectedRecently(now time.Time) bool {
 	if !p.redirectAt.IsZero() && now.Sub(p.redirectAt) < minRetryDelay {
 		return true
