--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -17,8 +17,8 @@
 	rootName        = "root"
 )
 
-// authenticate finds the principal of a request. While the instance starts,
-// its keys are not known yet, so an unknown key is no reason for a 401.
+// authenticate sets the principal of a request. While the instance starts, its
+// keys are not loaded yet, so an unknown key gets a 503 rather than a 401.
 func (s *Server) authenticate(c *gin.Context) {
 	principal, ok := s.principalOf(c.GetHeader("Authorization"))
 	if ok {
@@ -34,7 +34,7 @@
 	}
 }
 
-// requireStarted refuses calls while the services are not known yet.
+// requireStarted rejects calls while the services are not loaded yet.
 func (s *Server) requireStarted(c *gin.Context) {
 	if s.core.Health().State == HealthStarting {
 		s.fail(c, s.startingProblem())
@@ -49,7 +49,7 @@
 }
 
 func (s *Server) principalOf(header string) (Principal, bool) {
-	// Authentication schemes are compared without case.
+	// Authentication schemes are case-insensitive.
 	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return Principal{}, false
 	}
@@ -93,7 +93,8 @@
 	c.Next()
 }
 
-// teamFor gives the team that a principal acts for: its own or one below it.
+// teamFor returns the team that a principal acts for: its own, or wanted if
+// that is the same or below.
 func teamFor(principal Principal, wanted structs.Team) (structs.Team, *Problem) {
 	if wanted == "" {
 		return principal.Team, nil
@@ -102,13 +103,13 @@
 		return "", refusal(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
 	}
 	if !principal.Team.Contains(wanted) {
-		return "", refusal(structs.ReasonForbidden, "the key does not reach this team")
+		return "", refusal(structs.ReasonForbidden, "the key does not grant access to this team")
 	}
 	return wanted, nil
 }
 
-// validTreePath tells whether a path of the settings tree has segments that
-// are neither empty nor relative.
+// validTreePath reports whether path is a valid path of the settings tree, in
+// which no segment is empty or relative.
 func validTreePath(path string) bool {
 	if !validName(path, maxTeamLength) {
 		return false
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -12,9 +12,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// readBody reads a request's body, bounded in size, time, and together with
-// all other bodies. release gives its room back and must be called at the end
-// of the request; it is never nil.
+// readBody reads a request's body within the limits on its size, its time and
+// the total size of all bodies. release returns its share of the total and must
+// be called at the end of the request; it is never nil.
 func (s *Server) readBody(c *gin.Context) (body []byte, release func(), problem *Problem) {
 	size := s.config.MaxBody
 	if length := c.Request.ContentLength; length > size {
@@ -23,7 +23,7 @@
 		size = length
 	}
 	if !s.limits.bodies.TryAcquire(size) {
-		return nil, func() {}, overloaded(c.Request.Header, "too many bytes of requests are in flight at this instance")
+		return nil, func() {}, overloaded(c.Request.Header, "too many request body bytes are in flight at this instance")
 	}
 	body, problem = s.readWithin(c, size)
 	unused := size - int64(len(body))
@@ -31,8 +31,8 @@
 	return body, func() { s.limits.bodies.Release(size - unused) }, problem
 }
 
-// readWithin reads at most size bytes of the body, before the deadline that
-// checkRequest has set.
+// readWithin reads at most size bytes of the body, before the deadline set by
+// checkRequest.
 func (s *Server) readWithin(c *gin.Context, size int64) ([]byte, *Problem) {
 	if c.Request.Body == http.NoBody {
 		return nil, nil
@@ -40,7 +40,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, size))
 	if err == nil {
 		infoOf(c).bodyRead = true
-		// From here on a read only waits for the caller to hang up.
+		// Later reads only detect that the caller disconnects.
 		_ = http.NewResponseController(c.Writer).SetReadDeadline(time.Time{})
 		return body, nil
 	}
@@ -51,5 +51,5 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, refusal(ReasonTimeout, "the body did not come within %s", s.config.BodyTimeout)
 	}
-	return nil, refusal(structs.ReasonInvalid, "the body could not be read to its end")
+	return nil, refusal(structs.ReasonInvalid, "the body could not be read completely")
 }
--- a/internal/httpapi/call.go
+++ b/internal/httpapi/call.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// newCall makes the part of a call that chat completions and plain requests
-// share, and the deadline of its answer.
+// newCall returns a call with the fields common to chat completions and plain
+// requests set, and the deadline of its response.
 func (s *Server) newCall(c *gin.Context, h callHeaders, service structs.Service) (*structs.Call, time.Time, *Problem) {
 	info := infoOf(c)
 	team, problem := teamFor(info.principal, h.team)
@@ -37,7 +37,7 @@
 	return call, now.Add(callTimeout(policy, h.timeout)), problem
 }
 
-// singleProgram names the program of a call that was made without one.
+// singleProgram returns the program id of a call that names no program.
 func (s *Server) singleProgram(call *structs.Call, policy structs.Policy, now time.Time) (structs.ProgramID, *Problem) {
 	if call.Key == "" {
 		return newProgramID(s.config.Region, now), nil
@@ -46,9 +46,9 @@
 		now, keyPeriod(policy), call.NotRepeatable)
 }
 
-// keyPeriod is the period of program identifiers made from undated keys. It is
-// half the idempotency window, since an identifier carries the period's start
-// as its creation time and must not be too old before the period ends.
+// keyPeriod returns the period of program ids derived from undated keys. It is
+// half the idempotency window: such an id has the start of the period as its
+// creation time and must not be too old by the end of it.
 func keyPeriod(policy structs.Policy) time.Duration {
 	period := policy.IdempotencyWindow / 2
 	if period <= 0 {
@@ -57,8 +57,8 @@
 	return period
 }
 
-// callKey gives the idempotency key of a call: the caller's, or one made from
-// lane and number.
+// callKey returns the idempotency key of a call: the caller's, or one derived
+// from lane and number.
 func callKey(h callHeaders) string {
 	if h.key != "" || h.number == 0 {
 		return h.key
@@ -66,8 +66,8 @@
 	return string(h.lane) + "/" + strconv.FormatUint(h.number, 10)
 }
 
-// callTimeout gives the policy's bound or the caller's, whichever ends first; 0
-// is no bound.
+// callTimeout returns the shorter of the policy's and the caller's timeout,
+// where 0 is unset.
 func callTimeout(policy structs.Policy, caller time.Duration) time.Duration {
 	timeout := policy.CallTimeout
 	if timeout <= 0 {
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -19,7 +19,7 @@
 	replyIDPrefix   = "chatcmpl-"
 )
 
-// chat runs a chat completion.
+// chat serves a chat completion.
 func (s *Server) chat(c *gin.Context) {
 	body, release, problem := s.readBody(c)
 	defer release()
@@ -53,13 +53,13 @@
 	s.writeJSON(c, http.StatusOK, chatResponse(infoOf(c), reply.Outcome))
 }
 
-// isEngineError tells whether an outcome is the engine's own refusal of a
-// request, an HTTP answer instead of a completion.
+// isEngineError reports whether an outcome is an HTTP error of the engine
+// rather than a completion.
 func isEngineError(outcome structs.Outcome) bool {
 	return outcome.Status != 0 && outcome.Status != http.StatusOK
 }
 
-// newChatCall makes the call of a chat completion request.
+// newChatCall returns the call of a chat completion request and its deadline.
 func (s *Server) newChatCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
 	if problem := requireJSON(c.Request); problem != nil {
 		return nil, time.Time{}, problem
@@ -86,8 +86,8 @@
 	return call, deadline, nil
 }
 
-// engineService finds the service of a chat completion: the header's, else the
-// one that the model names.
+// engineService returns the service of a chat completion, named by the header
+// or else by the model.
 func (s *Server) engineService(header structs.ServiceName, model string) (structs.Service, *Problem) {
 	name := header
 	if name == "" {
@@ -99,7 +99,7 @@
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "service %q does not exist", name)
 	}
 	if service.Kind != structs.ServiceEngine {
 		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q does not serve models", name)
@@ -114,7 +114,7 @@
 	}
 	encoded, err := request.encode(model)
 	if err != nil {
-		return refusal(structs.ReasonInvalid, "the body cannot be encoded again")
+		return refusal(structs.ReasonInvalid, "the body cannot be re-encoded")
 	}
 	call.Kind = structs.CallChat
 	call.Method, call.Path, call.ContentType = http.MethodPost, wire.ChatRoute, contentTypeJSON
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// requireJSON refuses a body that is declared as something else.
+// requireJSON rejects a request whose declared content type is not JSON.
 func requireJSON(r *http.Request) *Problem {
 	declared := r.Header.Get("Content-Type")
 	if declared == "" {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// chatResponse assembles the answer of a completion that is not streamed.
+// chatResponse returns the response to a completion that is not streamed.
 func chatResponse(info *requestInfo, outcome structs.Outcome) wire.ChatReply {
 	finish := outcome.Finish
 	return wire.ChatReply{
@@ -164,7 +164,8 @@
 	}
 }
 
-// recordAnswer sets the headers and the log's word of an answered call.
+// recordAnswer sets the outcome of an answered call in the response headers and
+// the access log.
 func (s *Server) recordAnswer(c *gin.Context, outcome structs.Outcome) {
 	info := infoOf(c)
 	info.outcome = outcomeAnswered
@@ -175,7 +176,7 @@
 	c.Header(HeaderProgram, string(info.program))
 }
 
-// writeJSON answers with a value as JSON.
+// writeJSON responds with value encoded as JSON.
 func (s *Server) writeJSON(c *gin.Context, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/httpapi/chatrequest.go
+++ b/internal/httpapi/chatrequest.go
@@ -16,18 +16,19 @@
 	roleAssistant = "assistant"
 	maxRoleLength = 32
 	textPartType  = "text"
-	// maxSafeInteger bounds numbers to those that JSON readers agree on.
+	// maxSafeInteger is the largest integer that all JSON decoders represent
+	// exactly.
 	maxSafeInteger = 1 << 53
 
 	maxFields       = 200
 	maxMessages     = 10_000
 	maxContentParts = 1000
-	// maxToolCallBytes bounds the tool calls of one message, in bytes.
+	// maxToolCallBytes limits the encoded tool calls of one message.
 	maxToolCallBytes = 256 << 10
 )
 
-// Fields of a chat request that the adapter reads. The others go to the engine
-// as they are.
+// Fields of a chat request that the adapter reads. Others are forwarded to the
+// engine unchanged.
 const (
 	fieldModel               = "model"
 	fieldMessages            = "messages"
@@ -43,19 +44,19 @@
 	fieldStream, fieldTools, fieldChoices,
 }
 
-// chatRequest is a chat completion request, checked.
+// chatRequest is a validated chat completion request.
 type chatRequest struct {
 	model     string
 	messages  []wire.ChatMessage
 	tools     []byte
 	maxTokens int64
 	stream    bool
-	// fields are all top-level fields, for the engine.
+	// fields holds all top-level fields, to be forwarded to the engine.
 	fields map[string]json.RawMessage
 }
 
-// parseChatRequest checks a chat completion request. A maxTokens above limit
-// is lowered to it.
+// parseChatRequest parses and validates a chat completion request. It caps
+// maxTokens at limit.
 func parseChatRequest(body []byte, limit int64) (*chatRequest, *Problem) {
 	if !utf8.Valid(body) {
 		return nil, refusal(structs.ReasonInvalid, "the body is not valid UTF-8")
@@ -79,8 +80,8 @@
 	return request, nil
 }
 
-// checkFieldCase refuses a field that differs from a known one in case only:
-// an engine with a lenient reader would take it for that field.
+// checkFieldCase rejects a field that differs from a known one in case only,
+// since an engine with a case-insensitive decoder would accept it as that field.
 func checkFieldCase(fields map[string]json.RawMessage) *Problem {
 	for name := range fields {
 		for _, known := range knownFields {
@@ -100,7 +101,8 @@
 	return r.decode(fieldStream, &r.stream, "true or false")
 }
 
-// parseChoices refuses several choices: their tokens are not in the budget.
+// parseChoices rejects more than one choice, since the budget covers the tokens
+// of one only.
 func (r *chatRequest) parseChoices() *Problem {
 	choices := int64(1)
 	if problem := r.decode(fieldChoices, &choices, "1"); problem != nil {
@@ -151,7 +153,7 @@
 	return !ok || bytes.Equal(raw, []byte("null"))
 }
 
-// decode reads a field into value, which keeps what it holds if the field is
+// decode decodes a field into value, and leaves value unchanged if the field is
 // absent or null.
 func (r *chatRequest) decode(field string, value any, expected string) *Problem {
 	if r.absent(field) {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// rawMessage is a message whose content is still undecoded.
+// rawMessage is a message whose content and tool calls are not decoded yet.
 type rawMessage struct {
 	Role       string          `json:"role"`
 	Content    json.RawMessage `json:"content"`
@@ -200,8 +202,8 @@
 	Text *string `json:"text"`
 }
 
-// parseContent reads a message's content: a string, null, or text parts, which
-// are joined.
+// parseContent returns the text of a message's content: a string, null, or a
+// list of text parts, which are joined.
 func parseContent(raw []byte) (string, bool) {
 	if len(raw) == 0 {
 		return "", true
@@ -228,9 +230,9 @@
 	return joined.String(), true
 }
 
-// parseToolCalls reads a list of tool calls and writes it again in one form, so
-// that the digest of a message does not depend on white space, escapes or the
-// order of fields.
+// parseToolCalls returns a list of tool calls in canonical form, so that the
+// digest of a message does not depend on white space, escapes or the order of
+// fields.
 func parseToolCalls(raw []byte) ([]byte, bool) {
 	if len(raw) == 0 {
 		return nil, true
@@ -251,8 +253,8 @@
 	return written, err == nil
 }
 
-// encode gives the request for the engine: the caller's fields, with those
-// that the adapter has read as it understood them.
+// encode returns the request for the engine: the caller's fields, in which those
+// that the adapter read have their parsed values.
 func (r *chatRequest) encode(model string) ([]byte, error) {
 	fields := make(map[string]any, len(r.fields))
 	for name, value := range r.fields {
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -19,13 +19,12 @@
 	streamEnd         = "data: [DONE]\n\n"
 )
 
-// errTextMismatch is the error of an outcome whose text does not begin with the
-// pieces that the caller has.
-var errTextMismatch = errors.New("the answer differs from the part already sent")
+// errTextMismatch means that the text of an outcome does not start with the
+// pieces already sent to the caller.
+var errTextMismatch = errors.New("the response does not start with the part already sent")
 
-// streamChat runs a streamed chat completion. Until the first piece has come
-// the answer may still be a problem document with its status; later a failure
-// is an event.
+// streamChat serves a streamed chat completion. A failure before the first piece
+// is sent as a problem document with its status, a later one as an event.
 func (s *Server) streamChat(c *gin.Context, call *structs.Call, deadline time.Time) {
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
 	p, problem := s.post(c, event, deadline, s.config.MaxBuffer)
@@ -56,7 +55,7 @@
 	}
 }
 
-// endStream writes the rest of a streamed answer, or its failure.
+// endStream writes the rest of a streamed response, or its failure.
 func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
 	reply, ok := final.(structs.ReplyEnd)
 	if !ok {
@@ -80,8 +79,8 @@
 	s.sendStream(c, p, stream)
 }
 
-// endWithEngineError passes on the engine's own refusal, which cannot follow a
-// part of an answer.
+// endWithEngineError forwards an HTTP error of the engine, or fails the stream
+// if part of the response was sent.
 func (s *Server) endWithEngineError(c *gin.Context, p *pendingRequest, stream *chatStream, outcome structs.Outcome) {
 	if stream.headersSent {
 		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed behind a part of its answer"))
@@ -90,7 +89,7 @@
 	s.writeOutcome(c, outcome)
 }
 
-// failStream gives a problem as a document if nothing was sent yet, else as an
+// failStream sends a problem as a document if nothing was sent yet, else as an
 // event.
 func (s *Server) failStream(c *gin.Context, p *pendingRequest, stream *chatStream, problem *Problem) {
 	if !stream.headersSent {
@@ -102,7 +101,7 @@
 	s.sendStream(c, p, stream)
 }
 
-// sendStream writes the events that are waiting in the stream.
+// sendStream writes the buffered events of the stream.
 func (s *Server) sendStream(c *gin.Context, p *pendingRequest, stream *chatStream) {
 	if stream.events.Len() == 0 {
 		return
@@ -113,7 +112,7 @@
 	}
 	s.setWriteDeadline(c.Writer)
 	if p.ctx.Err() != nil {
-		// The deadline above may have undone interruptWrites.
+		// The deadline set above may override that of interruptWrites.
 		s.abort(c, writeCause(p.ctx))
 	}
 	_, err := c.Writer.Write(stream.events.Bytes())
@@ -126,8 +125,8 @@
 	stream.events.Reset()
 }
 
-// startEvents writes the headers of a streamed answer. A replayed answer is
-// known before they are written; any other is on its way to being answered.
+// startEvents writes the headers of a streamed response. A replayed response is
+// known as such before that; any other is reported as answered.
 func (s *Server) startEvents(c *gin.Context) {
 	info := infoOf(c)
 	if info.outcome != outcomeReplayed {
@@ -139,19 +138,18 @@
 	c.Writer.WriteHeader(http.StatusOK)
 }
 
-// chatStream turns the chunks of an answer into server-sent events. It drops
-// pieces that come twice or behind a gap; what is then missing at the end comes
-// from the outcome, which holds the whole text.
+// chatStream encodes the chunks of a response as server-sent events. It drops
+// pieces that are repeated or follow a gap; finish adds the missing text from
+// the outcome, which holds all of it.
 type chatStream struct {
 	id      string
 	created int64
 	model   string
-	// events is the events to be written.
+	// events buffers the encoded events that are not written yet.
 	events bytes.Buffer
-	// headersSent tells that the headers are written.
 	headersSent bool
-	// next is the index of the next piece; text and length are the hash and
-	// the length in bytes of the pieces before it.
+	// next is the index of the next piece; hash and length, in bytes, cover
+	// the pieces before it.
 	next   int
 	hash   *xxhash.Digest
 	length int
@@ -164,8 +162,8 @@
 	}
 }
 
-// addChunk takes the pieces of a chunk that are new. Tool calls are taken whole
-// from the outcome.
+// addChunk adds the new pieces of a chunk. It ignores tool calls, which finish
+// takes from the outcome.
 func (s *chatStream) addChunk(chunk structs.Chunk) {
 	if chunk.First > s.next || chunk.Next() <= s.next {
 		return
@@ -175,7 +173,7 @@
 	}
 }
 
-// addPiece writes the event of one piece.
+// addPiece adds the event of one piece.
 func (s *chatStream) addPiece(text string) {
 	s.addEvent(&wire.ChatMessage{Role: roleAssistant, Content: text}, nil, nil)
 	// Writes to a hash do not fail.
@@ -184,8 +182,8 @@
 	s.next++
 }
 
-// finish writes what is left of an answer: text that did not come as a chunk,
-// tool calls, the finish reason and the usage.
+// finish adds the rest of a response: text that was not received in chunks, tool
+// calls, the finish reason and the usage.
 func (s *chatStream) finish(outcome structs.Outcome) error {
 	if s.length > len(outcome.Text) || xxhash.Sum64String(outcome.Text[:s.length]) != s.hash.Sum64() {
 		return errTextMismatch
@@ -208,8 +206,7 @@
 }
 
 func (s *chatStream) addEvent(delta *wire.ChatMessage, finish *string, usage *wire.Usage) {
-	// The chunk holds nothing that JSON cannot encode: indexToolCalls has
-	// checked the tool calls.
+	// Encoding cannot fail: indexToolCalls has validated the tool calls.
 	body, _ := json.Marshal(wire.ChatChunk{
 		ID: s.id, Object: objectChunk, Created: s.created, Model: s.model, Index: s.next,
 		Choices: []wire.ChatChoice{{Delta: delta, FinishReason: finish}}, Usage: usage,
@@ -219,30 +216,31 @@
 	s.events.WriteString("\n\n")
 }
 
-// addError writes the event of a failure. The stream then has no end mark.
+// addError adds the event of a failure, after which the stream has no end
+// marker.
 func (s *chatStream) addError(problem *Problem) {
 	s.events.WriteString("event: error\ndata: ")
 	s.events.Write(problem.encode())
 	s.events.WriteString("\n\n")
 }
 
-// indexToolCalls gives each tool call its index, which the protocol wants in a
-// streamed answer only.
+// indexToolCalls adds to each tool call its index, which the protocol requires
+// in streamed responses only.
 func indexToolCalls(raw []byte) ([]byte, error) {
 	if len(raw) == 0 {
 		return nil, nil
 	}
 	var calls []map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &calls); err != nil {
-		return nil, errors.Wrap(err, "tool calls of the answer")
+		return nil, errors.Wrap(err, "decode the tool calls of the response")
 	}
 	for i, call := range calls {
 		if call == nil {
-			return nil, errors.New("tool calls of the answer: expected objects")
+			return nil, errors.New("decode the tool calls of the response: expected objects, got null")
 		}
 		index, err := json.Marshal(i)
 		if err != nil {
-			return nil, errors.Wrap(err, "tool call index")
+			return nil, errors.Wrap(err, "encode a tool call index")
 		}
 		call["index"] = index
 	}
--- a/internal/httpapi/config.go
+++ b/internal/httpapi/config.go
@@ -24,43 +24,42 @@
 	defaultCompletionTokens      = 1024
 )
 
-// Config is the configuration of a Server. Zero values take the defaults.
+// Config configures a Server. Fields that are zero take their defaults.
 type Config struct {
-	// Instance and Incarnation make request identifiers unique over all
+	// Instance and Incarnation make request identifiers unique across
 	// instances and restarts.
 	Instance    structs.InstanceID
 	Incarnation string
-	// Region is the region of the programs opened here.
+	// Region is the region of programs opened at this instance.
 	Region structs.Region
 	// RootKeyHash is the hexadecimal SHA-256 of the root operator's key;
-	// empty for no root operator.
+	// empty means that there is no root operator.
 	RootKeyHash string
-	// MaxBody bounds one request body in bytes, and MaxTotalBody all bodies
-	// held at a time.
+	// MaxBody limits the size of a request body, and MaxTotalBody that of all
+	// bodies in memory, in bytes.
 	MaxBody      int64
 	MaxTotalBody int64
-	// MaxBuffer bounds the bytes of a streamed answer that wait for a slow
-	// caller.
+	// MaxBuffer limits the bytes of a streamed response that are buffered for
+	// a slow caller.
 	MaxBuffer int
-	// MaxConcurrentRequests bounds the callers' requests in flight.
+	// MaxConcurrentRequests limits the callers' requests in flight.
 	MaxConcurrentRequests int
-	// MaxTokens is the most tokens that one answer may ask for; more is
-	// lowered to it.
+	// MaxTokens caps the completion tokens that a request may ask for.
 	MaxTokens int64
-	// HeaderTimeout and BodyTimeout bound the reading of a request, and
-	// WriteTimeout each write of an answer.
+	// HeaderTimeout and BodyTimeout limit the reading of a request, and
+	// WriteTimeout each write of a response.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
 	WriteTimeout  time.Duration
-	// OperatorTimeout bounds requests about programs and settings.
+	// OperatorTimeout limits requests on programs and settings.
 	OperatorTimeout time.Duration
 	// ReplyGrace is how long past a request's deadline the adapter waits
-	// for the core's answer before it reports the outcome as unknown. It
-	// only guards against a core that has stopped.
+	// for the core's reply before it reports the outcome as unknown. It
+	// only takes effect if the core has stopped.
 	ReplyGrace time.Duration
-	// Metrics serves GET /metrics; nil leaves the route out.
+	// Metrics serves GET /metrics; nil disables the route.
 	Metrics *Metrics
-	// Now is the clock; nil takes time.Now.
+	// Now is the clock, time.Now if nil.
 	Now func() time.Time
 }
 
--- a/internal/httpapi/digest.go
+++ b/internal/httpapi/digest.go
@@ -17,8 +17,8 @@
 	sharedKeyPrefix = "prefix-"
 )
 
-// writeField hashes a field with its length, so that two lists of fields never
-// hash alike.
+// writeField hashes a field with its length, so that different lists of fields
+// have different digests.
 func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
@@ -26,7 +26,8 @@
 	h.Write(field)
 }
 
-// requestDigest identifies a request, for idempotency checks.
+// requestDigest returns the digest that identifies a request in idempotency
+// checks.
 func requestDigest(service structs.ServiceName, method, path, contentType string, body []byte) structs.Digest {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(service), []byte(method), []byte(path), []byte(contentType), body} {
@@ -35,7 +36,7 @@
 	return structs.Digest(h.Sum(nil))
 }
 
-// chainDigests gives the running digest of a conversation after each message.
+// chainDigests returns the running digest of a conversation after each message.
 func chainDigests(messages []wire.ChatMessage) []structs.ChainDigest {
 	chain := make([]structs.ChainDigest, 0, len(messages))
 	var last structs.ChainDigest
@@ -46,8 +47,8 @@
 	return chain
 }
 
-// nextDigest is the first 16 bytes of the SHA-256 of the digest before and the
-// message's fields, each with its length.
+// nextDigest returns the first 16 bytes of the SHA-256 of the previous digest
+// and the message's fields, each with its length.
 func nextDigest(previous structs.ChainDigest, message wire.ChatMessage) structs.ChainDigest {
 	h := sha256.New()
 	h.Write(previous[:])
@@ -61,12 +62,12 @@
 	return next
 }
 
-// estimateTokens gives the estimated length of a text in tokens, rounded up.
+// estimateTokens estimates the tokens of a text of length bytes, rounded up.
 func estimateTokens(length int) int64 {
 	return int64((length + bytesPerToken - 1) / bytesPerToken)
 }
 
-// promptTokens estimates the length of a prompt in tokens.
+// promptTokens estimates the tokens of a prompt.
 func promptTokens(messages []wire.ChatMessage, tools []byte) int64 {
 	total := estimateTokens(len(tools))
 	for _, message := range messages {
@@ -75,8 +76,8 @@
 	return total
 }
 
-// sharedPrefix names the system message and gives its estimated length; the
-// name is empty if the conversation begins with none.
+// sharedPrefix returns a key for the system message and its estimated tokens,
+// or zero values if the conversation does not start with one.
 func sharedPrefix(messages []wire.ChatMessage) (string, int64) {
 	if len(messages) == 0 || messages[0].Role != roleSystem {
 		return "", 0
--- a/internal/httpapi/exchange.go
+++ b/internal/httpapi/exchange.go
@@ -9,23 +9,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// errSlowCaller is the cause of a request cut off because its caller does not
-// read its answer.
+// errSlowCaller is the cause with which a request is cancelled if its caller
+// does not read the response.
 var errSlowCaller = errors.New("caller reads too slowly")
 
-// chunkOverhead is what a waiting chunk counts besides its texts, in bytes.
+// chunkOverhead is the size in bytes that a buffered chunk, and each of its
+// texts, counts in addition to its content.
 const chunkOverhead = 64
 
-// exchange is one request that waits for commands of the core. The core's
-// loop fills it without blocking and the request's handler empties it.
+// exchange buffers the commands of the core for one request. The core's loop
+// adds them without blocking and the request's handler takes them.
 type exchange struct {
 	id structs.RequestID
-	// limit is the bytes of waiting chunks from which on no other is taken; 0
-	// drops all chunks.
+	// limit is the size in bytes of the buffered chunks at which the next one
+	// cuts the request off; 0 drops all chunks.
 	limit int
 	// cancel ends the request's context, with errSlowCaller as cause.
 	cancel context.CancelCauseFunc
-	// wake has one element if there is something to take.
+	// wake holds one element if there may be something to take.
 	wake chan struct{}
 
 	mu     sync.Mutex
@@ -39,9 +40,9 @@
 	return &exchange{id: id, limit: limit, cancel: cancel, wake: make(chan struct{}, 1)}
 }
 
-// addChunk keeps a chunk for the handler, or cuts the request off if the
-// caller has left too many bytes of those before waiting. The last chunk may
-// exceed the limit: the rest of a replayed answer comes as one.
+// addChunk buffers a chunk for the handler, or cuts the request off if the
+// buffer has reached its limit. The last chunk may exceed the limit, since the
+// rest of a replayed response is one chunk.
 func (e *exchange) addChunk(chunk structs.Chunk) {
 	if e.limit == 0 {
 		return
@@ -62,7 +63,7 @@
 	e.signal()
 }
 
-// setFinal keeps the command that ends the request; later ones are dropped.
+// setFinal stores the command that ends the request; later ones are dropped.
 func (e *exchange) setFinal(command structs.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// take empties the exchange: the waiting chunks and, if it has come, the
-// command that ends the request.
+// take removes and returns the buffered chunks, and returns the command that
+// ends the request, nil if it has not arrived.
 func (e *exchange) take() ([]structs.Chunk, structs.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +105,7 @@
 	return size
 }
 
-// registry finds the exchanges by request.
+// registry holds the exchanges by request. It is safe for concurrent use.
 type registry struct {
 	mu        sync.Mutex
 	exchanges map[structs.RequestID]*exchange
@@ -133,8 +134,8 @@
 	return e, ok
 }
 
-// deliver routes a command to its request. Commands of other kinds and of
-// requests that are gone are dropped.
+// deliver routes a command to its request. It drops commands of other kinds and
+// those for requests that have ended.
 func (r *registry) deliver(command structs.Command) {
 	if chunk, ok := command.(structs.ReplyChunk); ok {
 		if e, ok := r.find(chunk.Request); ok {
@@ -151,8 +152,7 @@
 	}
 }
 
-// requestOf gives the request that a command ends, false for commands that
-// end none.
+// requestOf returns the request that a command ends, or false if it ends none.
 func requestOf(command structs.Command) (structs.RequestID, bool) {
 	switch reply := command.(type) {
 	case structs.ReplyEnd:
