--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -28,7 +28,7 @@
 	case !principal.Root() && s.core.Health().State == HealthStarting:
 		s.fail(c, s.startingProblem())
 	case !ok:
-		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer and a known key"))
+		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer with a known key"))
 	default:
 		c.Next()
 	}
@@ -79,7 +79,7 @@
 
 func (s *Server) requireOperator(c *gin.Context) {
 	if !infoOf(c).principal.Operator {
-		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator"))
 		return
 	}
 	c.Next()
@@ -87,7 +87,7 @@
 
 func (s *Server) requireRoot(c *gin.Context) {
 	if !infoOf(c).principal.Root() {
-		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators of the whole tree"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator of the whole tree"))
 		return
 	}
 	c.Next()
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -49,7 +49,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, refusal(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, refusal(ReasonTimeout, "the body did not come within %s", s.config.BodyTimeout)
+		return nil, refusal(ReasonTimeout, "the body was not received within %s", s.config.BodyTimeout)
 	}
 	return nil, refusal(structs.ReasonInvalid, "the body could not be read completely")
 }
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -180,8 +180,8 @@
 func (s *Server) writeJSON(c *gin.Context, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		s.log.Error("encode answer", "request", infoOf(c).id, "error", err)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the answer could not be encoded"))
+		s.log.Error("failed to encode the response", "request", infoOf(c).id, "error", err)
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the response could not be encoded"))
 		return
 	}
 	s.writeBody(c, status, contentTypeJSON, body)
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -59,7 +59,7 @@
 func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
 	reply, ok := final.(structs.ReplyEnd)
 	if !ok {
-		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
+		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
 		return
 	}
 	if reply.Outcome.Kind != structs.OutcomeAnswered {
@@ -83,7 +83,7 @@
 // if part of the response was sent.
 func (s *Server) endWithEngineError(c *gin.Context, p *pendingRequest, stream *chatStream, outcome structs.Outcome) {
 	if stream.headersSent {
-		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed behind a part of its answer"))
+		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed after part of its response was sent"))
 		return
 	}
 	s.writeOutcome(c, outcome)
@@ -146,7 +146,7 @@
 	created int64
 	model   string
 	// events buffers the encoded events that are not written yet.
-	events bytes.Buffer
+	events      bytes.Buffer
 	headersSent bool
 	// next is the index of the next piece; hash and length, in bytes, cover
 	// the pieces before it.
--- a/internal/httpapi/exposition.go
+++ b/internal/httpapi/exposition.go
@@ -15,7 +15,7 @@
 
 const contentTypeMetrics = "text/plain; version=0.0.4; charset=utf-8"
 
-// Types of metrics in the text format.
+// Metric types of the text format.
 const (
 	typeCounter   = "counter"
 	typeGauge     = "gauge"
@@ -23,32 +23,32 @@
 	typeSummary   = "summary"
 )
 
-// Metrics is a tally reporter that keeps the reported values in memory and
-// serves them in the text format that Prometheus scrapes. Give it to
-// tally.NewRootScope as the Reporter and to Config.Metrics.
+// Metrics is a tally reporter that holds the reported values in memory and
+// serves them in the Prometheus text format. It is to be set as the Reporter of
+// tally.NewRootScope and as Config.Metrics.
 //
-// A histogram has no _sum, since tally reports the samples of each bucket
-// only. A timer becomes a summary in seconds.
+// Histograms have no _sum, since tally reports only the samples of each bucket.
+// Timers are exposed as summaries in seconds.
 type Metrics struct {
 	mu       sync.Mutex
 	families map[string]*family
 }
 
-// family is all series of one name.
+// family holds all series of one metric name.
 type family struct {
 	kind   string
 	series map[string]*series
 }
 
-// series is one combination of labels.
+// series holds the values of one combination of labels.
 type series struct {
 	value float64
 	sum   float64
-	// buckets counts the samples by upper bound.
+	// buckets holds the sample counts by upper bound.
 	buckets map[float64]int64
 }
 
-// NewMetrics makes an empty reporter.
+// NewMetrics returns an empty reporter.
 func NewMetrics() *Metrics { return &Metrics{families: make(map[string]*family)} }
 
 var _ tally.StatsReporter = (*Metrics)(nil)
@@ -99,8 +99,8 @@
 	m.update(name, typeHistogram, tags, func(s *series) { s.addSamples(bounds, upper.Seconds(), samples) })
 }
 
-// addSamples counts the samples of one bucket. All bounds are shown from the
-// first sample on, so that every instance shows the same ones.
+// addSamples adds the samples of one bucket. The first call creates all buckets,
+// so that every instance exposes the same ones.
 func (s *series) addSamples(bounds []float64, upper float64, samples int64) {
 	if len(s.buckets) == 0 {
 		for _, bound := range bounds {
@@ -128,7 +128,7 @@
 	change(s)
 }
 
-// ServeHTTP writes all metrics.
+// ServeHTTP writes all metrics in the text format.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", contentTypeMetrics)
 	_, _ = io.WriteString(w, m.text())
@@ -161,7 +161,7 @@
 }
 
 // writeBuckets writes the cumulative buckets. The largest bound that tally
-// reports stands for infinity.
+// reports represents infinity.
 func (s *series) writeBuckets(out *strings.Builder, name, labels string) {
 	var total int64
 	for _, bound := range sortedKeys(s.buckets) {
@@ -175,7 +175,8 @@
 	writeSample(out, name+"_count", labels, float64(total))
 }
 
-// maxFiniteBound is above any bound in use and below tally's stand-ins for infinity.
+// maxFiniteBound is greater than any bound in use and less than the values that
+// tally uses for infinity.
 const maxFiniteBound = 1e9
 
 func writeSample(out *strings.Builder, name, labels string, value float64) {
@@ -201,7 +202,7 @@
 	return strings.Join(parts, ",")
 }
 
-// metricName replaces the characters that the format does not allow.
+// metricName replaces characters that are invalid in metric and label names.
 func metricName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' {
--- a/internal/httpapi/headers.go
+++ b/internal/httpapi/headers.go
@@ -11,36 +11,36 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	// HeaderProgram names the program of a call, in both directions.
+	// HeaderProgram is the program of a call, in requests and responses.
 	HeaderProgram = "Banyanglade-Program"
-	// HeaderTeam chooses a team below the key's own.
+	// HeaderTeam selects the key's own team or one below it.
 	HeaderTeam = "Banyanglade-Team"
-	// HeaderService names the service of a chat completion, in place of the
-	// model.
+	// HeaderService is the service of a chat completion, instead of the one
+	// named by the model.
 	HeaderService = "Banyanglade-Service"
-	// HeaderLane names the lane of a call.
+	// HeaderLane is the lane of a call.
 	HeaderLane = "Banyanglade-Lane"
 	// HeaderCall is the number of a call in its lane, from 1.
 	HeaderCall = "Banyanglade-Call"
-	// HeaderNotRepeatable marks a call that runs at most once.
+	// HeaderNotRepeatable marks a call that must run at most once.
 	HeaderNotRepeatable = "Banyanglade-Not-Repeatable"
-	// HeaderFork allows a call's messages to leave the known history.
+	// HeaderFork allows a call's messages to diverge from the known history.
 	HeaderFork = "Banyanglade-Fork"
-	// HeaderFresh declares that no earlier delivery of the key can have run:
-	// there was none, or each was refused as not run.
+	// HeaderFresh declares that no earlier request with the key can have run:
+	// there was none, or each was rejected as not run.
 	HeaderFresh = "Banyanglade-Fresh"
-	// HeaderDeadline is the most time for an answer, in milliseconds.
+	// HeaderDeadline is the timeout of a call in milliseconds.
 	HeaderDeadline = "Banyanglade-Deadline-Ms"
 	// HeaderFee is the cost of a call in the team's currency units.
 	HeaderFee = "Banyanglade-Fee"
-	// HeaderOutcome tells what became of a call: answered, replayed, not-run
-	// or unknown.
+	// HeaderOutcome is the outcome of a call: answered, replayed, not-run or
+	// unknown.
 	HeaderOutcome = "Banyanglade-Outcome"
-	// HeaderRequest is the identifier of the request, for the logs.
+	// HeaderRequest is the identifier of the request, as in the logs.
 	HeaderRequest = "Banyanglade-Request"
-	// HeaderIdempotencyKey is the usual idempotency header.
+	// HeaderIdempotencyKey is the standard idempotency header.
 	HeaderIdempotencyKey = wire.HeaderIdempotencyKey
 )
 
@@ -55,18 +55,18 @@
 	maxDeadlineMS    = 24 * 60 * 60 * 1000
 )
 
-// requestHeaders are the own headers that a request may carry. Any other is
-// refused: a misspelled mark must not be ignored.
+// requestHeaders are the Banyanglade headers allowed in requests. Others are
+// rejected, so that a misspelled header is not ignored.
 var requestHeaders = map[string]bool{
 	HeaderProgram: true, HeaderTeam: true, HeaderService: true, HeaderLane: true,
 	HeaderCall: true, HeaderNotRepeatable: true, HeaderFork: true,
 	HeaderDeadline: true, HeaderFee: true, HeaderFresh: true,
 }
 
-// singleHeaders may occur once only.
+// singleHeaders are other headers that must not be repeated.
 var singleHeaders = []string{HeaderIdempotencyKey, "Authorization", "Content-Type"}
 
-// callHeaders are the headers of a call, checked.
+// callHeaders holds the parsed headers of a call.
 type callHeaders struct {
 	program       structs.ProgramID
 	team          structs.Team
@@ -78,11 +78,11 @@
 	fork          bool
 	fresh         bool
 	fee           int64
-	// timeout is the most time for an answer; 0 if the caller gave none.
+	// timeout is the caller's timeout, 0 if unset.
 	timeout time.Duration
 }
 
-// checkHeaders refuses headers that are unknown or given more than once.
+// checkHeaders rejects unknown Banyanglade headers and repeated headers.
 func checkHeaders(header http.Header) *Problem {
 	for name, values := range header {
 		if !strings.HasPrefix(name, headerPrefix) {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// parseCallHeaders reads the headers of a call.
+// parseCallHeaders parses and validates the headers of a call.
 func parseCallHeaders(header http.Header) (callHeaders, *Problem) {
 	p := headerParser{header: header}
 	h := callHeaders{
@@ -124,12 +124,12 @@
 	}
 	if h.program == "" && (h.lane != "" || h.number != 0 || h.fork) {
 		return callHeaders{}, refusal(structs.ReasonInvalid,
-			"%s, %s and %s need %s", HeaderLane, HeaderCall, HeaderFork, HeaderProgram)
+			"%s, %s and %s require %s", HeaderLane, HeaderCall, HeaderFork, HeaderProgram)
 	}
 	return h, nil
 }
 
-// headerParser reads single headers and keeps the first problem.
+// headerParser parses individual headers and records the first problem.
 type headerParser struct {
 	header  http.Header
 	problem *Problem
@@ -144,7 +144,7 @@
 func (p *headerParser) program() structs.ProgramID {
 	id := structs.ProgramID(p.header.Get(HeaderProgram))
 	if id != "" && !validProgramID(id) {
-		p.fail(HeaderProgram, "a program id as this service gave it")
+		p.fail(HeaderProgram, "a program id issued by this service")
 	}
 	return id
 }
@@ -192,8 +192,8 @@
 	return number
 }
 
-// validName tells whether a name is made of the characters that names of
-// lanes, teams and services may have.
+// validName reports whether name is a valid name of a lane, team or service, of
+// at most limit bytes.
 func validName(name string, limit int) bool {
 	if name == "" || len(name) > limit {
 		return false
@@ -223,8 +223,8 @@
 	return true
 }
 
-// validProgramID tells whether an identifier has the only form that
-// structs.NewProgramID makes.
+// validProgramID reports whether id has the form that structs.NewProgramID
+// returns.
 func validProgramID(id structs.ProgramID) bool {
 	if !validName(string(id), maxLaneLength) || strings.ToLower(string(id)) != string(id) {
 		return false
--- a/internal/httpapi/identity.go
+++ b/internal/httpapi/identity.go
@@ -14,11 +14,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// maxKeyClockSkew bounds how far a dated idempotency key may lie in the future,
-// for clocks that differ.
+// maxKeyClockSkew limits how far in the future the time of a dated idempotency
+// key may be.
 const maxKeyClockSkew = 10 * time.Second
 
-// requestIDs makes request identifiers that are unique over all instances and
+// requestIDs generates request identifiers that are unique across instances and
 // restarts.
 type requestIDs struct {
 	prefix string
@@ -33,7 +33,7 @@
 	return structs.RequestID(r.prefix + strconv.FormatUint(r.last.Add(1), 36))
 }
 
-// newProgramID makes the identifier of a program opened now.
+// newProgramID returns a random identifier of a program created now.
 func newProgramID(region structs.Region, now time.Time) structs.ProgramID {
 	var random [10]byte
 	// Read never fails.
@@ -41,27 +41,27 @@
 	return structs.NewProgramID(region, now, random)
 }
 
-// Purposes of a keyed program, kept apart so that one key used for both names
-// two programs.
+// Purposes of keyed programs. They are part of the identifier, so that a key
+// used for both yields two programs.
 const (
 	purposeOpen   = "open"
 	purposeSingle = "single"
 )
 
-// keyedProgramID derives a program's identifier from an idempotency key, so
-// that a retry at any instance reaches the same record. The identifier's
-// creation time must then be the same too.
+// keyedProgramID derives a program's identifier, which includes its creation
+// time, from an idempotency key. A retry at any instance thus yields the same
+// program.
 //
-// A dated key (a ULID or a UUID of version 7) carries that time. For any other
-// key the time is the start of the present period: a retry in the next period
-// names another program and runs again. That is allowed for repeatable calls
-// only, so a not-repeatable one needs a dated key.
+// A dated key (a ULID or a UUID of version 7) contains the creation time. For any
+// other key it is the start of the current period, so a retry in the next period
+// yields another program and runs again. Calls that are not repeatable therefore
+// require a dated key.
 func keyedProgramID(region structs.Region, team structs.Team, purpose, key string,
 	now time.Time, period time.Duration, requireDated bool) (structs.ProgramID, *Problem) {
 	created, dated := keyTime(key)
 	switch {
 	case dated && created.After(now.Add(maxKeyClockSkew)):
-		return "", refusal(structs.ReasonInvalid, "the time in the idempotency key lies in the future")
+		return "", refusal(structs.ReasonInvalid, "the time in the idempotency key is in the future")
 	case !dated && requireDated:
 		return "", refusal(structs.ReasonInvalid,
 			"without a program this request needs an idempotency key that is a ULID or a UUID of version 7")
@@ -77,8 +77,8 @@
 	return structs.NewProgramID(region, created, random), nil
 }
 
-// keyTime gives the time that a ULID or a UUID of version 7 carries, false if
-// the key is neither.
+// keyTime returns the time in a key that is a ULID or a UUID of version 7, or
+// false for any other key.
 func keyTime(key string) (time.Time, bool) {
 	if id, err := ulid.ParseStrict(strings.ToUpper(key)); err == nil {
 		return ulid.Time(id.Time()), true
@@ -86,11 +86,11 @@
 	return uuidTime(key)
 }
 
-// The usual form of a UUID of version 7: 8-4-4-4-12 hexadecimal digits, of
-// which the first 12 are the time in Unix milliseconds.
+// uuidV7Pattern matches a UUID of version 7, whose first 12 hexadecimal digits
+// are the time in Unix milliseconds.
 var uuidV7Pattern = regexp.MustCompile(`^([0-9a-fA-F]{8})-([0-9a-fA-F]{4})-7[0-9a-fA-F]{3}-[89abAB][0-9a-fA-F]{3}-[0-9a-fA-F]{12}$`)
 
-// uuidTime gives the time of a UUID of version 7.
+// uuidTime returns the time in a UUID of version 7, or false for any other key.
 func uuidTime(key string) (time.Time, bool) {
 	parts := uuidV7Pattern.FindStringSubmatch(key)
 	if parts == nil {
--- a/internal/httpapi/json.go
+++ b/internal/httpapi/json.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Errors of bounded JSON reading.
+// Errors of decodeObject and decodeList.
 var (
 	errNotObject       = errors.New("expected an object")
 	errNotList         = errors.New("expected a list")
@@ -19,9 +19,9 @@
 	errTrailingJSON    = errors.New("more than one JSON value")
 )
 
-// decodeObject reads the fields of a JSON object without decoding their
-// values. It refuses repeated fields, of which readers differ in the one they
-// take, and more fields than limit before it has memory for them.
+// decodeObject returns the fields of a JSON object without decoding their
+// values. It rejects duplicate fields, which decoders handle differently, and
+// stops at more fields than limit to bound its memory.
 func decodeObject(body []byte, limit int) (map[string]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := expectOpen(decoder, '{', errNotObject); err != nil {
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, err
 		}
-		// Tokens where a field begins are strings.
+		// The token at the start of a field is a string.
 		name, _ := token.(string)
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
@@ -50,8 +50,8 @@
 	return fields, expectEnd(decoder)
 }
 
-// decodeList reads the elements of a JSON list without decoding them, at most
-// limit.
+// decodeList returns the elements of a JSON list without decoding them. It
+// rejects more than limit elements.
 func decodeList(raw []byte, limit int) ([]json.RawMessage, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if err := expectOpen(decoder, '[', errNotList); err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// expectEnd reads the closing mark and checks that nothing follows it.
+// expectEnd reads the closing delimiter and checks that nothing follows it.
 func expectEnd(decoder *json.Decoder) error {
 	if _, err := decoder.Token(); err != nil {
 		return err
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// decodeStrict reads a JSON body that may hold no other fields than value's.
+// decodeStrict decodes a JSON body into value and rejects unknown fields.
 func decodeStrict(body []byte, value any) *Problem {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
-		return refusal(structs.ReasonInvalid, "the body is not the JSON that the route expects: %v", err)
+		return refusal(structs.ReasonInvalid, "the body does not match the schema of the route: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return refusal(structs.ReasonInvalid, "the body holds more than one JSON value")
--- a/internal/httpapi/limits.go
+++ b/internal/httpapi/limits.go
@@ -9,10 +9,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// localRetryAfter is when to ask again after this instance alone was too busy.
+// localRetryAfter is the RetryAfter delay for conditions of this instance alone.
 const localRetryAfter = time.Second
 
-// limits bounds what callers' requests hold at a time.
+// limits holds the semaphores for requests in flight and body bytes in memory.
 type limits struct {
 	requests *semaphore.Weighted
 	bodies   *semaphore.Weighted
@@ -25,10 +25,10 @@
 	}
 }
 
-// overloaded is the refusal of a request that this instance has no room for. It
-// differs in its status from the core's refusal of a team with too much work.
-// An earlier delivery of the request's key is not looked up, so that "not run"
-// is said only of a request that can have none.
+// overloaded returns the problem of a request that exceeds the limits of this
+// instance. Its status, 503, differs from the 429 that the core returns for a
+// team with too much work. The outcome is unknown if the request may be a retry,
+// since the outcome of earlier attempts is not looked up here.
 func overloaded(header http.Header, detail string) *Problem {
 	outcome := outcomeNotRun
 	if mayBeRetry(header) {
@@ -38,7 +38,7 @@
 		withStatus(http.StatusServiceUnavailable).retryAfter(localRetryAfter)
 }
 
-// mayBeRetry tells whether a request may be a further delivery of its key.
+// mayBeRetry reports whether an earlier request with the same key may exist.
 func mayBeRetry(header http.Header) bool {
 	keyed := header.Get(HeaderIdempotencyKey) != "" || header.Get(HeaderCall) != ""
 	return keyed && header.Get(HeaderFresh) != "true"
--- a/internal/httpapi/metrics.go
+++ b/internal/httpapi/metrics.go
@@ -17,15 +17,15 @@
 	30 * time.Second, time.Minute, 2 * time.Minute,
 }
 
-// serverMetrics are the metrics of the HTTP adapter. Labels take values from
-// fixed sets only: routes, statuses and outcome words.
+// serverMetrics holds the metrics of the HTTP adapter. Labels have values of
+// fixed sets only: routes, statuses and outcomes.
 type serverMetrics struct {
 	scope    tally.Scope
 	inFlight atomic.Int64
 	gauge    tally.Gauge
 	// panics counts handlers that panicked, cutOff callers that read too
-	// slowly, and goneNotPosted the notices of gone callers that the core's queue
-	// had no room for.
+	// slowly, and goneNotPosted CallerGone events that the core's queue did
+	// not accept.
 	panics        tally.Counter
 	cutOff        tally.Counter
 	goneNotPosted tally.Counter
--- a/internal/httpapi/middleware.go
+++ b/internal/httpapi/middleware.go
@@ -14,19 +14,18 @@
 
 const infoKey = "banyanglade.request"
 
-// Outcome words of the access log besides those of answers.
+// Outcomes in the access log besides those of responses.
 const (
 	outcomeDone       = "done"
 	outcomeCallerGone = "caller-gone"
 	outcomeCutOff     = "cut-off"
 )
 
-// probeRoutes are asked every few seconds; their access log lines are for
-// debugging only.
+// probeRoutes are polled frequently, so their access log lines have debug level.
 var probeRoutes = map[string]bool{healthRoute: true, readyRoute: true, metricsRoute: true}
 
-// requestInfo is what the adapter knows of one request, for the answer's
-// headers, the access log and the metrics. It holds no keys and no bodies.
+// requestInfo describes a request for the response headers, the access log and
+// the metrics. It holds neither keys nor bodies.
 type requestInfo struct {
 	id        structs.RequestID
 	started   time.Time
@@ -36,7 +35,7 @@
 	service   structs.ServiceName
 	lane      structs.Lane
 	number    uint64
-	// bodyRead tells that the request's body was read to its end.
+	// bodyRead is set once the whole body has been read.
 	bodyRead bool
 	outcome  string
 	reason   structs.Reason
@@ -46,7 +45,7 @@
 	return c.MustGet(infoKey).(*requestInfo)
 }
 
-// observe gives each request its identifier, and logs and counts its end.
+// observe assigns a request its identifier, and logs and counts its end.
 func (s *Server) observe(c *gin.Context) {
 	info := &requestInfo{id: s.ids.next(), started: s.config.Now(), outcome: outcomeDone}
 	c.Set(infoKey, info)
@@ -81,8 +80,8 @@
 	)
 }
 
-// recoverPanic answers a request whose handler panicked. Whether its call ran
-// is not known.
+// recoverPanic responds with an unknown outcome if the handler of a request
+// panics.
 func (s *Server) recoverPanic(c *gin.Context) {
 	defer func() {
 		cause := recover()
@@ -102,8 +101,8 @@
 	c.Next()
 }
 
-// checkRequest refuses requests whose headers are not what they seem, and
-// bounds the time for the body, also where no handler reads it.
+// checkRequest rejects requests with invalid headers and sets the deadline for
+// reading the body, which also applies if no handler reads it.
 func (s *Server) checkRequest(c *gin.Context) {
 	if c.Request.Body != http.NoBody {
 		_ = http.NewResponseController(c.Writer).SetReadDeadline(s.config.Now().Add(s.config.BodyTimeout))
@@ -115,7 +114,7 @@
 	c.Next()
 }
 
-// limitConcurrency bounds the callers' requests in flight.
+// limitConcurrency limits the callers' requests in flight.
 func (s *Server) limitConcurrency(c *gin.Context) {
 	if !s.limits.requests.TryAcquire(1) {
 		s.fail(c, overloaded(c.Request.Header, "too many requests are in flight at this instance"))
@@ -125,7 +124,7 @@
 	c.Next()
 }
 
-// fail answers with a problem document and ends the request.
+// fail responds with a problem document and ends the request.
 func (s *Server) fail(c *gin.Context, problem *Problem) {
 	s.recordProblem(c, problem)
 	closeIfBodyUnread(c)
@@ -134,9 +133,9 @@
 	c.Abort()
 }
 
-// closeIfBodyUnread lets the answer go out before the request's body has come: without
-// it the server first waits for the rest of the body, to use the connection
-// again.
+// closeIfBodyUnread closes the connection after the response if the body was not
+// read. Otherwise the server would wait for the rest of the body before it sends
+// the response, in order to reuse the connection.
 func closeIfBodyUnread(c *gin.Context) {
 	if infoOf(c).bodyRead || c.Request.Body == http.NoBody {
 		return
@@ -144,7 +143,8 @@
 	c.Header("Connection", "close")
 }
 
-// recordProblem fills what the document and the log share.
+// recordProblem sets the request's identifier in a problem, and the outcome and
+// reason in the access log.
 func (s *Server) recordProblem(c *gin.Context, problem *Problem) {
 	info := infoOf(c)
 	problem.Instance = string(info.id)
@@ -155,8 +155,8 @@
 	}
 }
 
-// abort closes the connection of a request that cannot be answered any more.
-// It does not return.
+// abort closes the connection of a request that can no longer be answered. It
+// panics with http.ErrAbortHandler.
 func (s *Server) abort(c *gin.Context, cause error) {
 	info := infoOf(c)
 	info.outcome = outcomeCallerGone
@@ -168,6 +168,6 @@
 }
 
 func (s *Server) setWriteDeadline(w http.ResponseWriter) {
-	// Writers that have no deadline are those of tests.
+	// Only writers in tests do not support deadlines.
 	_ = http.NewResponseController(w).SetWriteDeadline(s.config.Now().Add(s.config.WriteTimeout))
 }
--- a/internal/httpapi/plain.go
+++ b/internal/httpapi/plain.go
@@ -16,10 +16,10 @@
 	maxContentTypeLength = 255
 	minFinalStatus       = 200
 	maxFinalStatus       = 599
-	statusNotFinalDetail = "the target answered with a status that is not final"
+	statusNotFinalDetail = "the target returned a status that is not final"
 )
 
-// plain runs a request to a tool or plain service.
+// plain serves a request to a tool or plain service.
 func (s *Server) plain(c *gin.Context) {
 	body, release, problem := s.readBody(c)
 	defer release()
@@ -53,8 +53,8 @@
 	s.writeBody(c, outcome.Status, outcome.ContentType, outcome.Body)
 }
 
-// newPlainCall makes the call of a request to a tool or plain service. Of the
-// request's headers only the content type goes on to the target.
+// newPlainCall returns the call of a request to a tool or plain service and its
+// deadline. The only header forwarded to the target is the content type.
 func (s *Server) newPlainCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
 	h, problem := parseCallHeaders(c.Request.Header)
 	if problem != nil {
@@ -82,15 +82,15 @@
 	return call, deadline, nil
 }
 
-// plainService finds the service of a plain request. A model engine is none:
-// its other routes are for banyanglade itself.
+// plainService returns the service of a plain request. Model engines are
+// rejected, since their other routes are internal to banyanglade.
 func (s *Server) plainService(header, name structs.ServiceName) (structs.Service, *Problem) {
 	if header != "" && header != name {
 		return structs.Service{}, refusal(structs.ReasonInvalid, "the header %s and the path differ", HeaderService)
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "service %q does not exist", name)
 	}
 	if service.Kind == structs.ServiceEngine {
 		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q serves models only", name)
@@ -98,8 +98,8 @@
 	return service, nil
 }
 
-// servicePath splits a request's address into the service and what its target
-// gets: the rest of the path as the caller escaped it, with the query string.
+// servicePath splits a request's URL into the service and the path for the
+// target, which retains the caller's escaping and the query string.
 func servicePath(address *url.URL) (structs.ServiceName, string, *Problem) {
 	rest, found := strings.CutPrefix(address.EscapedPath(), servicesRoute)
 	name, path, split := strings.Cut(rest, "/")
@@ -119,8 +119,8 @@
 	return structs.ServiceName(name), path, nil
 }
 
-// hasDotSegment tells whether a decoded path has a segment that a target could
-// read as a step to another path.
+// hasDotSegment reports whether a decoded path has a "." or ".." segment, where
+// backslashes count as slashes, with which it could escape its prefix.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(strings.ReplaceAll(path, `\`, "/"), "/") {
 		if segment == "." || segment == ".." {
--- a/internal/httpapi/problem.go
+++ b/internal/httpapi/problem.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Reasons that only the HTTP adapter gives.
+// Reasons specific to the HTTP adapter.
 const (
 	ReasonNotFound         structs.Reason = "not-found"
 	ReasonMethodNotAllowed structs.Reason = "method-not-allowed"
@@ -26,7 +26,7 @@
 	problemTypePrefix  = "urn:banyanglade:problem:"
 )
 
-// Outcome words, in problem documents and in the Banyanglade-Outcome header.
+// Outcomes in problem documents and in the Banyanglade-Outcome header.
 const (
 	outcomeAnswered = "answered"
 	outcomeReplayed = "replayed"
@@ -34,8 +34,8 @@
 	outcomeUnknown  = "unknown"
 )
 
-// Problem is a refusal or failure as callers see it: a problem document of RFC
-// 9457 with members of its own.
+// Problem is the error document that callers receive: an RFC 9457 problem with
+// extension members.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -46,11 +46,11 @@
 	// Outcome is "not-run" if the request did not run and will not, or
 	// "unknown" if it may have run.
 	Outcome string `json:"outcome"`
-	// RetryAfterMS is when to ask again, in milliseconds; absent if asking
-	// again does not help.
+	// RetryAfterMS is the delay before a retry in milliseconds; absent if a
+	// retry does not help.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Path, Expected, Version, Offset and Winner explain a refused change of
-	// the settings.
+	// Path, Expected, Version, Offset and Winner describe a rejected settings
+	// change.
 	Path     string `json:"path,omitempty"`
 	Expected string `json:"expected,omitempty"`
 	Version  uint64 `json:"version,omitempty"`
@@ -58,7 +58,7 @@
 	Winner   string `json:"winner,omitempty"`
 }
 
-// problemKind is the fixed part of the problems of one reason.
+// problemKind is the status and title of the problems of one reason.
 type problemKind struct {
 	status int
 	title  string
@@ -70,17 +70,17 @@
 	structs.ReasonUnauthorized:     {http.StatusUnauthorized, "The key is missing or unknown"},
 	structs.ReasonBudget:           {http.StatusPaymentRequired, "The budget is exhausted"},
 	structs.ReasonTurns:            {http.StatusPaymentRequired, "The program has had all its turns"},
-	structs.ReasonForbidden:        {http.StatusForbidden, "The key does not reach this"},
+	structs.ReasonForbidden:        {http.StatusForbidden, "The key does not grant access"},
 	structs.ReasonForeignProgram:   {http.StatusForbidden, "The program belongs to another team"},
 	structs.ReasonUnknownProgram:   {http.StatusNotFound, "The program is unknown"},
 	structs.ReasonUnknownService:   {http.StatusNotFound, "The service is unknown"},
 	ReasonNotFound:                 {http.StatusNotFound, "There is no such resource"},
 	ReasonMethodNotAllowed:         {http.StatusMethodNotAllowed, "The method is not allowed here"},
-	ReasonTimeout:                  {http.StatusRequestTimeout, "The request body came too slowly"},
+	ReasonTimeout:                  {http.StatusRequestTimeout, "The request body was not received in time"},
 	structs.ReasonKeyReused:        {http.StatusConflict, "The idempotency key was used for another request"},
-	structs.ReasonHistoryFork:      {http.StatusConflict, "The messages leave the known history"},
+	structs.ReasonHistoryFork:      {http.StatusConflict, "The messages diverge from the known history"},
 	structs.ReasonOrderGap:         {http.StatusConflict, "An earlier call of the lane is missing"},
-	structs.ReasonStaleNumber:      {http.StatusConflict, "The call's number has passed"},
+	structs.ReasonStaleNumber:      {http.StatusConflict, "The call's number is out of date"},
 	structs.ReasonLoop:             {http.StatusConflict, "The program repeats itself"},
 	structs.ReasonCancelled:        {http.StatusConflict, "The call was cancelled"},
 	ReasonSettingsLost:             {http.StatusConflict, "Another change came first"},
@@ -88,7 +88,7 @@
 	structs.ReasonTooOld:           {http.StatusGone, "The identifier is older than the idempotency window"},
 	structs.ReasonTooLarge:         {http.StatusRequestEntityTooLarge, "The request is too large"},
 	ReasonUnsupportedMedia:         {http.StatusUnsupportedMediaType, "The content type is not supported"},
-	structs.ReasonOverloaded:       {http.StatusTooManyRequests, "Too much work is waiting"},
+	structs.ReasonOverloaded:       {http.StatusTooManyRequests, "Too much work is queued"},
 	ReasonInternal:                 {http.StatusInternalServerError, "The instance failed"},
 	structs.ReasonTargetFailed:     {http.StatusBadGateway, "The target failed"},
 	structs.ReasonOwnerLost:        {http.StatusBadGateway, "The instance that ran the call was lost"},
@@ -101,7 +101,7 @@
 	ReasonSettingsUnknown:          {http.StatusGatewayTimeout, "The change could not be read back in time"},
 }
 
-// refusal makes the problem of a request that did not run.
+// refusal returns the problem of a request that did not run.
 func refusal(reason structs.Reason, format string, args ...any) *Problem {
 	return newProblem(reason, outcomeNotRun, fmt.Sprintf(format, args...))
 }
@@ -117,19 +117,19 @@
 	}
 }
 
-// retryAfter sets when to ask again.
+// retryAfter sets the delay before a retry.
 func (p *Problem) retryAfter(wait time.Duration) *Problem {
 	p.RetryAfterMS = wait.Milliseconds()
 	return p
 }
 
-// withStatus replaces the status that the reason gives.
+// withStatus overrides the status of the reason.
 func (p *Problem) withStatus(status int) *Problem {
 	p.Status = status
 	return p
 }
 
-// problemOf makes the problem of an outcome that is not an answer.
+// problemOf returns the problem of an outcome that is not OutcomeAnswered.
 func problemOf(outcome structs.Outcome) *Problem {
 	outcomeName := outcomeUnknown
 	if outcome.Kind == structs.OutcomeNotRun {
@@ -142,7 +142,7 @@
 	return newProblem(reason, outcomeName, outcome.Detail).retryAfter(outcome.RetryAfter)
 }
 
-// write answers with the problem document.
+// write responds with the problem document.
 func (p *Problem) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", problemContentType)
@@ -157,14 +157,15 @@
 	_, _ = w.Write(p.encode())
 }
 
-// encode gives the document as JSON. The fields are strings and numbers, so
-// that encoding cannot fail.
+// encode returns the document as JSON. Encoding cannot fail, since all fields
+// are strings and numbers.
 func (p *Problem) encode() []byte {
 	body, _ := json.Marshal(p)
 	return body
 }
 
-// retryAfterSeconds rounds up, so that a caller never returns too early.
+// retryAfterSeconds converts to seconds, rounded up so that a caller does not
+// retry too early.
 func retryAfterSeconds(milliseconds int64) string {
 	const second = 1000
 	return strconv.FormatInt((milliseconds+second-1)/second, 10)
--- a/internal/httpapi/programs.go
+++ b/internal/httpapi/programs.go
@@ -16,7 +16,7 @@
 	maxLimit      = 10_000
 )
 
-// programView is a program as the routes show it.
+// programView is the JSON representation of a program.
 type programView struct {
 	ID          structs.ProgramID       `json:"id"`
 	Team        structs.Team            `json:"team"`
@@ -49,10 +49,10 @@
 	}
 }
 
-// programList is the answer of GET /v1/programs.
+// programList is the response to GET /v1/programs.
 type programList struct {
 	Programs []programView `json:"programs"`
-	// Missing lists the instances that did not answer.
+	// Missing lists the instances that did not reply.
 	Missing []structs.InstanceID `json:"missing"`
 }
 
@@ -80,7 +80,7 @@
 	s.writeJSON(c, http.StatusCreated, viewProgram(info))
 }
 
-// openTeam gives the team of a program to open, from the body or the header.
+// openTeam returns the team of a program to open, from the body or the header.
 func (s *Server) openTeam(c *gin.Context) (structs.Team, *Problem) {
 	body, release, problem := s.readBody(c)
 	defer release()
@@ -110,8 +110,8 @@
 	return team, problem
 }
 
-// openID makes the identifier of a program to open. With an idempotency key a
-// retry opens the same program.
+// openID returns the identifier of a program to open. With an idempotency key,
+// retries get the same identifier.
 func (s *Server) openID(c *gin.Context, team structs.Team) (structs.ProgramID, *Problem) {
 	now := s.config.Now()
 	key := c.GetHeader(HeaderIdempotencyKey)
@@ -139,7 +139,7 @@
 func (s *Server) handleProgramOp(c *gin.Context, op structs.ProgramOp) {
 	id := structs.ProgramID(c.Param("id"))
 	if !validProgramID(id) {
-		s.fail(c, refusal(structs.ReasonUnknownProgram, "the path does not name a program"))
+		s.fail(c, refusal(structs.ReasonUnknownProgram, "expected a program id in the path"))
 		return
 	}
 	info, ok := s.runProgramOp(c, op, id, infoOf(c).principal.Team)
@@ -148,8 +148,8 @@
 	}
 }
 
-// runProgramOp asks the core for an operation on a program. On failure it answers
-// the request itself and returns false.
+// runProgramOp performs an operation on a program through the core. On failure
+// it responds with the problem and returns false.
 func (s *Server) runProgramOp(c *gin.Context, op structs.ProgramOp, id structs.ProgramID, team structs.Team) (structs.ProgramInfo, bool) {
 	info := infoOf(c)
 	info.program, info.team = id, team
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -10,14 +10,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Routes that need no key.
+// Routes without authentication.
 const (
 	healthRoute  = "/healthz"
 	readyRoute   = "/readyz"
 	metricsRoute = "/metrics"
 )
 
-// Server answers the HTTP requests of callers and operators.
+// Server serves the HTTP requests of callers and operators.
 type Server struct {
 	config    Config
 	core      Core
@@ -29,8 +29,7 @@
 	engine    *gin.Engine
 }
 
-// New makes a server. It starts nothing: the caller serves Handler, or uses
-// HTTPServer.
+// New returns a server. It does not listen: use Handler or HTTPServer for that.
 func New(config Config, core Core, scope tally.Scope, log *slog.Logger) *Server {
 	config = config.withDefaults()
 	s := &Server{
@@ -46,10 +45,10 @@
 	return s
 }
 
-// Handler gives the handler of all routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() http.Handler { return s.engine }
 
-// HTTPServer gives an http.Server for Handler with the configured timeouts.
+// HTTPServer returns an http.Server for Handler with the configured timeouts.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.Handler(),
@@ -60,12 +59,12 @@
 	}
 }
 
-// Deliver takes a command of the core that answers a request: ReplyChunk,
-// ReplyEnd, ReplyProgram, ReplyPrograms, ReplySettings or ReplyApplied. It
-// never blocks, and ignores other commands and requests that are gone.
+// Deliver passes a reply of the core to its request: a ReplyChunk, ReplyEnd,
+// ReplyProgram, ReplyPrograms, ReplySettings or ReplyApplied. It never blocks,
+// and ignores other commands and those for requests that have ended.
 func (s *Server) Deliver(command structs.Command) { s.exchanges.deliver(command) }
 
-// serviceMethods are the methods that callers may use towards services.
+// serviceMethods are the methods allowed in requests to services.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
@@ -81,7 +80,7 @@
 		s.fail(c, refusal(ReasonNotFound, "no route for this path"))
 	})
 	engine.NoMethod(func(c *gin.Context) {
-		s.fail(c, refusal(ReasonMethodNotAllowed, "the path does not take this method"))
+		s.fail(c, refusal(ReasonMethodNotAllowed, "the path does not support this method"))
 	})
 	s.publicRoutes(engine)
 	s.callerRoutes(engine.Group("/v1", s.limitConcurrency, s.authenticate, s.requireStarted))
--- a/internal/httpapi/settings.go
+++ b/internal/httpapi/settings.go
@@ -22,11 +22,11 @@
 // changeRequest is one change in the body of PUT /v1/settings.
 type changeRequest struct {
 	Path string `json:"path"`
-	// Base is the version that the author saw, 0 if none.
+	// Base is the version that the change is based on, 0 if there is none.
 	Base uint64 `json:"base"`
 	// Value is the new value; absent or null removes the value.
 	Value json.RawMessage `json:"value"`
-	// ChangeID makes a retry of the change apply once; one is made if absent.
+	// ChangeID deduplicates retries of the change; generated if absent.
 	ChangeID string `json:"change_id"`
 }
 
@@ -35,7 +35,7 @@
 	Changes []changeRequest `json:"changes"`
 }
 
-// changesResponse is the answer to changes that are in force.
+// changesResponse is the response to accepted changes.
 type changesResponse struct {
 	Status  structs.SettingsStatus `json:"status"`
 	Version uint64                 `json:"version"`
@@ -44,7 +44,7 @@
 	ChangeIDs []string `json:"change_ids"`
 }
 
-// appliedResponse tells which settings offset each instance has applied.
+// appliedResponse lists the settings offset that each instance has applied.
 type appliedResponse struct {
 	Applied map[structs.InstanceID]uint64 `json:"applied"`
 	Missing []structs.InstanceID          `json:"missing"`
@@ -66,14 +66,14 @@
 	}
 	value, ok := read(path)
 	if !ok {
-		s.fail(c, refusal(ReasonNotFound, "there is nothing at this path"))
+		s.fail(c, refusal(ReasonNotFound, "no setting exists at this path"))
 		return
 	}
 	s.writeJSON(c, http.StatusOK, value)
 }
 
-// checkSettingPath refuses a path that is malformed or that the principal does
-// not reach. The empty path is the whole tree.
+// checkSettingPath rejects a path that is malformed or that the principal has no
+// access to. The empty path is the whole tree.
 func checkSettingPath(principal Principal, path string) *Problem {
 	if path != "" && (len(path) > maxSettingPathLength || !validTreePath(path)) {
 		return refusal(structs.ReasonInvalid, "path: expected segments such as teams/lakeshore/priority")
@@ -83,7 +83,7 @@
 	}
 	team, found := strings.CutPrefix(path, teamsSubtree)
 	if !found || !principal.Team.Contains(structs.Team(team)) {
-		return refusal(structs.ReasonForbidden, "the key reaches %s%s only", teamsSubtree, principal.Team)
+		return refusal(structs.ReasonForbidden, "the key grants access to %s%s only", teamsSubtree, principal.Team)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		return nil, problem
 	}
 	if len(request.Changes) == 0 || len(request.Changes) > maxChanges {
-		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d", maxChanges)
+		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d entries", maxChanges)
 	}
 	principal := infoOf(c).principal
 	changes := make([]structs.SettingChange, 0, len(request.Changes))
@@ -169,7 +169,7 @@
 	}, nil
 }
 
-// settingsProblem makes the problem of a proposal that was not accepted.
+// settingsProblem returns the problem of a proposal that was not accepted.
 func settingsProblem(result structs.SettingsResult) *Problem {
 	var problem *Problem
 	switch result.Status {
@@ -187,7 +187,7 @@
 	return problem
 }
 
-// settingsApplied tells which instance has applied which settings offset.
+// settingsApplied returns the settings offset that each instance has applied.
 func (s *Server) settingsApplied(c *gin.Context) {
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
 	reply, ok := postAndWait[structs.ReplyApplied](s, c, structs.SettingsApplied{
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -10,9 +10,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// errNoReply is the error of a request that the core did not answer by its
-// deadline.
-var errNoReply = errors.New("no reply of the core")
+// errNoReply means that the core did not reply by the deadline of a request.
+var errNoReply = errors.New("no reply from the core")
 
 // pendingRequest is a request posted to the core.
 type pendingRequest struct {
@@ -23,14 +22,15 @@
 }
 
 // post registers the request and posts its event. On success the caller must
-// call close. limit bounds the waiting chunks in bytes, 0 for none wanted.
+// call close. limit is the size in bytes of the chunks to buffer, 0 to drop all
+// chunks.
 func (s *Server) post(c *gin.Context, event structs.Event, deadline time.Time, limit int) (*pendingRequest, *Problem) {
 	ctx, cancel := context.WithCancelCause(c.Request.Context())
 	e := newExchange(infoOf(c).id, limit, cancel)
 	s.exchanges.add(e)
 	posted := false
 	defer func() {
-		// Also if the core panicked.
+		// Also runs if the core panics.
 		if !posted {
 			s.exchanges.remove(e.id)
 			cancel(nil)
@@ -44,8 +44,8 @@
 	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(wait)}, nil
 }
 
-// close forgets the request, and tells the core if nobody waits for its answer
-// any more.
+// close removes the request, and posts CallerGone to the core if the request has
+// not ended.
 func (p *pendingRequest) close() {
 	p.timer.Stop()
 	p.server.exchanges.remove(p.exchange.id)
@@ -58,8 +58,8 @@
 	}
 }
 
-// next waits for chunks or for the command that ends the request. The error is
-// errNoReply, or the cause for which the request's context ended.
+// next waits for chunks or for the command that ends the request. It returns
+// errNoReply after the deadline, or the cause if the request's context ended.
 func (p *pendingRequest) next() ([]structs.Chunk, structs.Command, error) {
 	for {
 		chunks, final := p.exchange.take()
@@ -86,13 +86,13 @@
 	}
 }
 
-// noReplyProblem is the problem of a request that the core did not answer in time.
+// noReplyProblem returns the problem that corresponds to errNoReply.
 func noReplyProblem() *Problem {
-	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not answer by the deadline")
+	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not reply by the deadline")
 }
 
-// postAndWait posts an event and waits for its answer. On failure it answers the
-// request itself and returns false.
+// postAndWait posts an event and waits for the reply. On failure it responds
+// with the problem and returns false.
 func postAndWait[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
 	var none T
 	p, problem := s.post(c, event, deadline, 0)
@@ -111,8 +111,8 @@
 	}
 	reply, ok := command.(T)
 	if !ok {
-		s.log.Error("wrong kind of reply of the core", "request", infoOf(c).id)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
+		s.log.Error("unexpected type of reply from the core", "request", infoOf(c).id)
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
 	}
 	return reply, ok
 }
--- a/internal/httpapi/write.go
+++ b/internal/httpapi/write.go
@@ -9,11 +9,11 @@
 	"github.com/gin-gonic/gin"
 )
 
-// maxWriteSize is the most that one write deadline covers, in bytes.
+// maxWriteSize is the maximum number of bytes written under one deadline.
 const maxWriteSize = 64 << 10
 
-// writeBody answers with a whole body, each piece within the write timeout. A
-// caller that does not read it is cut off.
+// writeBody responds with a whole body and applies the write timeout to each
+// piece. It aborts the request if the caller reads too slowly.
 func (s *Server) writeBody(c *gin.Context, status int, contentType string, body []byte) {
 	if contentType != "" {
 		c.Header("Content-Type", contentType)
@@ -37,8 +37,8 @@
 	}
 }
 
-// writeCause gives the cause of a failed write: the one for which the request's
-// context ended, else a caller that reads too slowly.
+// writeCause returns the cause of a failed write: that of the context if it has
+// ended, else errSlowCaller.
 func writeCause(ctx context.Context) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -50,8 +50,8 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// interruptWrites ends a write that blocks once ctx ends. The function
-// returned must be called before the handler returns.
+// interruptWrites makes blocked and later writes fail once ctx ends. The handler
+// must call stop before it returns.
 func interruptWrites(ctx context.Context, w http.ResponseWriter) (stop func()) {
 	done := make(chan struct{})
 	cancel := context.AfterFunc(ctx, func() {
