--- a/internal/httpapi/auth_test.go
+++ b/internal/httpapi/auth_test.go
@@ -10,25 +10,25 @@
 
 func TestAuthentication(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	for _, header := range []string{"", "Bearer ", "Bearer wrong", "Basic " + callerKey, callerKey,
 		"Bearer nobody-key", "Bearer " + strings.Repeat("k", maxBearerLength+1)} {
 		response, body := f.do(http.MethodPost, chatRoute, chatBody, "Authorization", header)
 		checkProblem(t, response, body, structs.ReasonUnauthorized, http.StatusUnauthorized, outcomeNotRun)
 		if response.Header.Get("WWW-Authenticate") == "" {
-			t.Error("no WWW-Authenticate")
+			t.Error("no WWW-Authenticate header")
 		}
 	}
 	f.noEvents()
 	response, _ := f.do(http.MethodPost, chatRoute, chatBody, "Authorization", "bearer "+callerKey)
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("scheme in lower case: status %d", response.StatusCode)
+		t.Errorf("lower-case scheme: status %d", response.StatusCode)
 	}
 }
 
 func TestTeamOfCall(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	cases := []struct {
 		key, team string
 		reason    structs.Reason
@@ -95,12 +95,12 @@
 		response, body := f.do(http.MethodPost, chatRoute, chatBody, "Authorization", "Bearer "+key)
 		problem := checkProblem(t, response, body, structs.ReasonStarting, http.StatusServiceUnavailable, outcomeNotRun)
 		if problem.RetryAfterMS == 0 {
-			t.Error("no Retry-After")
+			t.Error("no Retry-After header")
 		}
 	}
 	response, _ := f.do(http.MethodGet, "/debug/state", "", "Authorization", "Bearer "+rootKey)
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("dump of a starting instance: status %d", response.StatusCode)
+		t.Errorf("dump while starting: status %d", response.StatusCode)
 	}
 	f.noEvents()
 }
@@ -108,32 +108,32 @@
 func TestDrainingInstancePassesCallsToCore(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) { c.health = Health{State: HealthDraining} })
-	f.answerWith(answered)
+	f.replyWith(answered)
 	response, _ := f.do(http.MethodPost, chatRoute, chatBody)
 	ready, _ := f.do(http.MethodGet, "/readyz", "")
 	if response.StatusCode != http.StatusOK || ready.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("call %d, ready %d", response.StatusCode, ready.StatusCode)
+		t.Errorf("call: status %d, readiness: status %d", response.StatusCode, ready.StatusCode)
 	}
 }
 
 func TestLogsContainNoSecrets(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	secrets := []string{callerKey, "idempotency-secret", "body-secret", "query-secret", "wrong-secret"}
 	body := strings.Replace(chatBody, "hello", "body-secret", 1)
 	_, _ = f.do(http.MethodPost, chatRoute, body, HeaderIdempotencyKey, "idempotency-secret")
 	_, _ = f.do(http.MethodPost, chatRoute, body+"{")
 	_, _ = f.do(http.MethodPost, chatRoute, body, "Authorization", "Bearer wrong-secret")
 	_, _ = f.do(http.MethodGet, "/v1/services/filing/x?token=query-secret", "")
-	f.core.set(func(c *fakeCore) { c.answer = func(structs.Event) []structs.Command { panic("broken") } })
+	f.core.set(func(c *fakeCore) { c.reply = func(structs.Event) []structs.Command { panic("broken") } })
 	_, _ = f.do(http.MethodPost, chatRoute, body)
 	logs := f.logs.String()
 	for _, secret := range secrets {
 		if strings.Contains(logs, secret) {
-			t.Errorf("%q in the logs", secret)
+			t.Errorf("secret %q found in the logs", secret)
 		}
 	}
 	if got := strings.Count(logs, `"msg":"request"`); got != 5 {
-		t.Errorf("%d access log lines, want 5:\n%s", got, logs)
+		t.Errorf("got %d access log lines, want 5:\n%s", got, logs)
 	}
 }
--- a/internal/httpapi/chat_test.go
+++ b/internal/httpapi/chat_test.go
@@ -27,7 +27,7 @@
 
 func TestChatResponse(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	response, body := f.do(http.MethodPost, chatRoute, chatBody)
 	if response.StatusCode != http.StatusOK || response.Header.Get(HeaderOutcome) != outcomeAnswered {
 		t.Fatalf("status %d, outcome %q: %s", response.StatusCode, response.Header.Get(HeaderOutcome), body)
@@ -48,7 +48,7 @@
 
 func TestChatCallFields(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	program := newProgramID(testRegion, f.api.config.Now())
 	_, _ = f.do(http.MethodPost, chatRoute, chatBody, HeaderProgram, string(program), HeaderLane, "sub",
 		HeaderCall, "7", HeaderNotRepeatable, "true", HeaderFork, "true", HeaderFee, "12", HeaderFresh, "true", HeaderTeam, "lakeshore/clearance")
@@ -57,10 +57,10 @@
 		t.Errorf("identity %+v", call)
 	}
 	if !call.NotRepeatable || !call.Fork || !call.Fresh || call.Fee != 12 || call.Team != "lakeshore/clearance" {
-		t.Errorf("marks %+v", call)
+		t.Errorf("flags and headers %+v", call)
 	}
 	if call.PromptTokens != 4 || call.MaxTokens != 1024 || call.SharedTokens != 2 || len(call.History) != 2 {
-		t.Errorf("lengths %+v", call)
+		t.Errorf("token counts and history %+v", call)
 	}
 	if want := fmt.Sprintf("prefix-%016x", xxhash.Sum64String("be brief")); call.SharedKey != want {
 		t.Errorf("shared key %q, want %q", call.SharedKey, want)
@@ -94,7 +94,7 @@
 	return chunk
 }
 
-// streamed joins the texts of events and checks their indexes.
+// streamed returns the joined text of events and checks their indexes.
 func streamed(t *testing.T, events []string) string {
 	t.Helper()
 	var text strings.Builder
@@ -121,7 +121,7 @@
 	for name, chunks := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil)
-			f.core.answer = func(event structs.Event) []structs.Command {
+			f.core.reply = func(event structs.Event) []structs.Command {
 				submit := event.(structs.CallerSubmit)
 				var commands []structs.Command
 				for _, chunk := range chunks {
@@ -143,11 +143,11 @@
 				t.Errorf("text %q", text)
 			}
 			if events[len(events)-1] != "data: [DONE]" {
-				t.Errorf("no end mark: %q", events)
+				t.Errorf("no end marker: %q", events)
 			}
 			last := decodeChunk(t, events[len(events)-2])
 			if last.Usage == nil || last.Choices[0].FinishReason == nil || *last.Choices[0].FinishReason != "stop" {
-				t.Errorf("last %+v", last)
+				t.Errorf("last chunk %+v", last)
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 
 func TestStreamFailureBeforeFirstPieceIsDocument(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonNoTarget})
+	f.replyWith(structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonNoTarget})
 	response, body := f.do(http.MethodPost, chatRoute, streamBody)
 	checkProblem(t, response, body, structs.ReasonNoTarget, http.StatusServiceUnavailable, outcomeNotRun)
 }
@@ -190,10 +190,11 @@
 	}
 }
 
-// startStream starts a streamed call and waits for the first piece, "x".
+// startStream starts a streamed call whose first piece is "x", and returns once
+// the response headers have arrived.
 func startStream(f *fixture) (*http.Response, error) {
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			submit, ok := event.(structs.CallerSubmit)
 			if !ok {
 				return nil
@@ -210,7 +211,7 @@
 	f := newFixture(t, nil)
 	outcome := answered
 	outcome.ToolCalls = []byte(`[{"id":"c1","type":"function"},{"id":"c2"}]`)
-	f.answerWith(outcome)
+	f.replyWith(outcome)
 	response, err := http.DefaultClient.Do(f.request(http.MethodPost, chatRoute, streamBody))
 	if err != nil {
 		t.Fatal(err)
@@ -222,11 +223,11 @@
 	}
 	_, body := f.do(http.MethodPost, chatRoute, chatBody)
 	if !strings.Contains(body, `"tool_calls":[{"id":"c1","type":"function"},{"id":"c2"}]`) {
-		t.Errorf("whole answer %s", body)
+		t.Errorf("response without streaming %s", body)
 	}
 	for _, bad := range []string{"{", "[1]", "[null]", "{}"} {
 		outcome.ToolCalls = []byte(bad)
-		f.answerWith(outcome)
+		f.replyWith(outcome)
 		for _, request := range []string{streamBody, chatBody} {
 			response, body := f.do(http.MethodPost, chatRoute, request)
 			checkProblem(t, response, body, structs.ReasonTargetFailed, http.StatusBadGateway, outcomeUnknown)
@@ -239,7 +240,7 @@
 	refusal := structs.Outcome{
 		Kind: structs.OutcomeAnswered, Status: http.StatusBadRequest, ContentType: contentTypeJSON, Body: []byte(`{"error":"model"}`),
 	}
-	f.answerWith(refusal)
+	f.replyWith(refusal)
 	for _, request := range []string{chatBody, streamBody} {
 		response, body := f.do(http.MethodPost, chatRoute, request)
 		if response.StatusCode != http.StatusBadRequest || body != `{"error":"model"}` || response.Header.Get(HeaderOutcome) != outcomeAnswered {
@@ -252,7 +253,7 @@
 	f := newFixture(t, nil)
 	outcome := answered
 	outcome.Text = "a" + strings.Repeat("x", 2*DefaultMaxBuffer)
-	f.core.answer = func(event structs.Event) []structs.Command {
+	f.core.reply = func(event structs.Event) []structs.Command {
 		id := event.(structs.CallerSubmit).Request
 		return []structs.Command{
 			structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"a"}}},
--- a/internal/httpapi/chatrequest.go
+++ b/internal/httpapi/chatrequest.go
@@ -174,21 +174,21 @@
 	ToolCalls  json.RawMessage `json:"tool_calls"`
 }
 
-func parseMessage(raw []byte, at string) (wire.ChatMessage, *Problem) {
+func parseMessage(raw []byte, path string) (wire.ChatMessage, *Problem) {
 	var message rawMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s: expected a message", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s: expected a message", path)
 	}
 	if message.Role == "" || len(message.Role) > maxRoleLength || !printable(message.Role) {
-		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.role: expected a role", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.role: expected a role", path)
 	}
 	content, ok := parseContent(message.Content)
 	if !ok {
-		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.content: expected a string or text parts", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.content: expected a string or text parts", path)
 	}
 	calls, ok := parseToolCalls(message.ToolCalls)
 	if !ok {
-		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.tool_calls: expected a list", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.tool_calls: expected a list", path)
 	}
 	return wire.ChatMessage{
 		Role: message.Role, Content: content, Name: message.Name,
@@ -249,8 +249,8 @@
 	if len(calls) == 0 {
 		return nil, true
 	}
-	written, err := json.Marshal(calls)
-	return written, err == nil
+	canonical, err := json.Marshal(calls)
+	return canonical, err == nil
 }
 
 // encode returns the request for the engine: the caller's fields, in which those
--- a/internal/httpapi/chatrequest_test.go
+++ b/internal/httpapi/chatrequest_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func mustParse(t *testing.T, body string) *chatRequest {
+func mustParseChat(t *testing.T, body string) *chatRequest {
 	t.Helper()
 	request, problem := parseChatRequest([]byte(body), DefaultMaxTokens)
 	if problem != nil {
@@ -26,19 +26,19 @@
 		`"max_tokens":9999999`:           DefaultMaxTokens,
 		`"max_completion_tokens":999999`: DefaultMaxTokens,
 	} {
-		request := mustParse(t, chatWith(fields))
+		request := mustParseChat(t, chatBodyWithFields(fields))
 		encoded, err := request.encode("model")
-		if err != nil || request.maxTokens != want || mustParse(t, string(encoded)).maxTokens != want {
+		if err != nil || request.maxTokens != want || mustParseChat(t, string(encoded)).maxTokens != want {
 			t.Errorf("%s: %d, encoded %s", fields, request.maxTokens, encoded)
 		}
 		if bytes.Contains(encoded, []byte(fieldMaxCompletionTokens)) {
-			t.Errorf("%s: two bounds in %s", fields, encoded)
+			t.Errorf("%s: two token limits in %s", fields, encoded)
 		}
 	}
 }
 
 func TestUnknownFieldsReachTheEngine(t *testing.T) {
-	encoded, err := mustParse(t, chatWith(`"temperature":0.25,"tools":[{"type":"function"}]`)).encode("m")
+	encoded, err := mustParseChat(t, chatBodyWithFields(`"temperature":0.25,"tools":[{"type":"function"}]`)).encode("m")
 	if err != nil || !bytes.Contains(encoded, []byte(`"temperature":0.25`)) || !bytes.Contains(encoded, []byte(`"tools":[{"type":"function"}]`)) {
 		t.Errorf("%s: %v", encoded, err)
 	}
@@ -48,7 +48,7 @@
 	for content, want := range map[string]string{
 		`"a"`: "a", `null`: "", `[{"type":"text","text":"a"},{"type":"text","text":"b"}]`: "ab", `[]`: "",
 	} {
-		request := mustParse(t, messagesOf(`[{"role":"user","content":`+content+`}]`))
+		request := mustParseChat(t, chatBodyWithMessages(`[{"role":"user","content":`+content+`}]`))
 		if request.messages[0].Content != want {
 			t.Errorf("%s: %q", content, request.messages[0].Content)
 		}
@@ -57,7 +57,7 @@
 
 func TestHistoryChain(t *testing.T) {
 	chain := func(list string) []structs.ChainDigest {
-		return chainDigests(mustParse(t, messagesOf(list)).messages)
+		return chainDigests(mustParseChat(t, chatBodyWithMessages(list)).messages)
 	}
 	base := chain(`[{"role":"user","content":"a"},{"role":"assistant","tool_calls":[{"id":"1","x":2}]}]`)
 	longer := chain(`[{"role":"user","content":"a"},{"role":"assistant","content":null,"tool_calls":[ {"x":2, "id":"\u0031"} ]},{"role":"user","content":"b"}]`)
@@ -83,18 +83,18 @@
 		requestDigest("s", "POST", "/p", "t", []byte("b2")),
 	} {
 		if other == base {
-			t.Error("two requests have one digest")
+			t.Error("two requests have the same digest")
 		}
 	}
 }
 
-// FuzzChatRequest checks that any body is refused or understood, and that what
-// the engine gets is understood in the same way.
+// FuzzChatRequest checks that any body is either rejected or parsed, and that the
+// request encoded for the engine parses to the same values.
 func FuzzChatRequest(f *testing.F) {
 	for _, seed := range []string{
-		chatBody, streamBody, chatWith(`"max_completion_tokens":3`), chatWith(`"n":1,"tools":[]`),
-		messagesOf(`[{"role":"assistant","content":null,"tool_calls":[{"id":"<","function":{"name":"f"}}]}]`),
-		messagesOf(`[{"role":"user","content":[{"type":"text","text":"\ud800"}]}]`),
+		chatBody, streamBody, chatBodyWithFields(`"max_completion_tokens":3`), chatBodyWithFields(`"n":1,"tools":[]`),
+		chatBodyWithMessages(`[{"role":"assistant","content":null,"tool_calls":[{"id":"<","function":{"name":"f"}}]}]`),
+		chatBodyWithMessages(`[{"role":"user","content":[{"type":"text","text":"\ud800"}]}]`),
 		`{"messages":[{"role":"a","content":1}]}`, `{"\u0000":{}}`, `[`, `{"a":1,"a":2}`, "\xff",
 	} {
 		f.Add([]byte(seed))
@@ -114,13 +114,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, problem := parseChatRequest(encoded, DefaultMaxTokens)
+		reparsed, problem := parseChatRequest(encoded, DefaultMaxTokens)
 		if problem != nil {
 			t.Fatalf("%s: %s", encoded, problem.Detail)
 		}
-		if !slices.Equal(chainDigests(request.messages), chainDigests(again.messages)) ||
-			request.maxTokens != again.maxTokens || request.stream != again.stream || request.model != again.model {
-			t.Errorf("%s is understood otherwise than %s", encoded, body)
+		if !slices.Equal(chainDigests(request.messages), chainDigests(reparsed.messages)) ||
+			request.maxTokens != reparsed.maxTokens || request.stream != reparsed.stream || request.model != reparsed.model {
+			t.Errorf("%s parses differently than %s", encoded, body)
 		}
 	})
 }
--- a/internal/httpapi/config.go
+++ b/internal/httpapi/config.go
@@ -44,7 +44,7 @@
 	MaxBuffer int
 	// MaxConcurrentRequests limits the callers' requests in flight.
 	MaxConcurrentRequests int
-	// MaxTokens caps the completion tokens that a request may ask for.
+	// MaxTokens caps the completion tokens of one response.
 	MaxTokens int64
 	// HeaderTimeout and BodyTimeout limit the reading of a request, and
 	// WriteTimeout each write of a response.
--- a/internal/httpapi/docs_test.go
+++ b/internal/httpapi/docs_test.go
@@ -14,8 +14,8 @@
 
 const operatorsHeading = "\n## Routes for operators"
 
-// examples gives the shell examples of a part of docs/API.md as one script.
-func examples(text string) string {
+// shellExamples joins the shell examples of a part of docs/API.md to one script.
+func shellExamples(text string) string {
 	var script strings.Builder
 	for _, block := range regexp.MustCompile("(?s)```sh\n(.*?)```").FindAllStringSubmatch(text, -1) {
 		script.WriteString(block[1])
@@ -30,12 +30,12 @@
 	}
 	callers, operators, found := strings.Cut(string(text), operatorsHeading)
 	if !found {
-		t.Fatalf("no heading %q", operatorsHeading)
+		t.Fatalf("heading %q not found", operatorsHeading)
 	}
 	f := newFixture(t, nil)
-	f.core.set(func(c *fakeCore) { c.answer = answerAll })
+	f.core.set(func(c *fakeCore) { c.reply = replyToAll })
 	for key, part := range map[string]string{callerKey: callers, rootKey: operators} {
-		command := exec.Command("bash", "-euo", "pipefail", "-c", examples(part))
+		command := exec.Command("bash", "-euo", "pipefail", "-c", shellExamples(part))
 		command.Env = append(os.Environ(), "SERVER="+f.url, "KEY="+key)
 		if output, err := command.CombinedOutput(); err != nil {
 			t.Errorf("%v: %s", err, output)
@@ -43,8 +43,8 @@
 	}
 }
 
-// answerAll answers every kind of event as done.
-func answerAll(event structs.Event) []structs.Command {
+// replyToAll replies to every kind of event with success.
+func replyToAll(event structs.Event) []structs.Command {
 	done := structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusOK, Body: []byte("filed\n"), Text: "yes", Finish: "stop"}
 	switch e := event.(type) {
 	case structs.CallerSubmit:
@@ -61,8 +61,7 @@
 	return nil
 }
 
-// TestAPIDocListsEveryHeaderAndReason checks that the document keeps up with
-// the code.
+// TestAPIDocListsEveryHeaderAndReason checks docs/API.md against the code.
 func TestAPIDocListsEveryHeaderAndReason(t *testing.T) {
 	text, err := os.ReadFile("../../docs/API.md")
 	if err != nil {
@@ -70,13 +69,13 @@
 	}
 	for name := range requestHeaders {
 		if !strings.Contains(string(text), "`"+name+"`") {
-			t.Errorf("header %s is not described", name)
+			t.Errorf("header %s is not documented", name)
 		}
 	}
 	for reason, kind := range problemKinds {
 		row := regexp.MustCompile(`(?m)^\| ` + strconv.Itoa(kind.status) + ` \|[^|]*` + "`" + string(reason) + "`")
 		if !row.MatchString(string(text)) {
-			t.Errorf("reason %s with status %d is not described", reason, kind.status)
+			t.Errorf("reason %s with status %d is not documented", reason, kind.status)
 		}
 	}
 }
--- a/internal/httpapi/exposition.go
+++ b/internal/httpapi/exposition.go
@@ -186,11 +186,11 @@
 	fmt.Fprintf(out, "%s%s %s\n", name, labels, strconv.FormatFloat(value, 'g', -1, 64))
 }
 
-func joinLabels(labels, more string) string {
+func joinLabels(labels, extra string) string {
 	if labels == "" {
-		return more
+		return extra
 	}
-	return labels + "," + more
+	return labels + "," + extra
 }
 
 func formatLabels(tags map[string]string) string {
--- a/internal/httpapi/failure_test.go
+++ b/internal/httpapi/failure_test.go
@@ -17,7 +17,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// hangUp starts a request, waits for its event, and closes its connection.
+// hangUp sends a request, waits for its event, and closes the connection.
 func hangUp(f *fixture, request *http.Request) structs.RequestID {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.t.Context())
@@ -43,7 +43,7 @@
 			if gone := nextEvent[structs.CallerGone](f); gone.Request != id {
 				t.Errorf("gone %q, want %q", gone.Request, id)
 			}
-			// Commands of a request that is gone are dropped.
+			// Commands for a request that has ended are dropped.
 			f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"x"}}})
 			f.api.Deliver(structs.ReplyEnd{Request: id, Outcome: answered})
 			f.api.Deliver(structs.DrainDone{})
@@ -54,8 +54,8 @@
 	}
 }
 
-// pipeListener gives one connection that holds no bytes in flight, so that a
-// write blocks until the other side reads.
+// pipeListener accepts one unbuffered connection, on which a write blocks until
+// the other side reads.
 type pipeListener struct{ conns chan net.Conn }
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -74,9 +74,9 @@
 		c.WriteTimeout = time.Hour
 		c.MaxBuffer = 8 << 10
 	})
-	conn, far := net.Pipe()
+	conn, serverConn := net.Pipe()
 	listener := pipeListener{conns: make(chan net.Conn, 1)}
-	listener.conns <- far
+	listener.conns <- serverConn
 	close(listener.conns)
 	server := f.api.HTTPServer()
 	go func() { _ = server.Serve(listener) }()
@@ -90,21 +90,21 @@
 	text := strings.Repeat("x", 4<<10)
 	f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{text}}})
 	waitEmptied(f, id)
-	// Nobody reads, so that the handler now blocks in a write for an hour
-	// unless the full buffer ends it.
+	// The caller does not read, so the handler blocks in a write until the
+	// full buffer cuts the request off; the write timeout is an hour.
 	for i := 1; i <= 3; i++ {
 		f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{First: i, Texts: []string{text}}})
 	}
 	if gone := nextEvent[structs.CallerGone](f); gone.Request != id {
 		t.Errorf("gone %q, want %q", gone.Request, id)
 	}
-	answer, err := io.ReadAll(conn)
-	if err != nil || strings.HasSuffix(string(answer), "0\r\n\r\n") || strings.Contains(string(answer), "[DONE]") {
-		t.Errorf("the answer looks whole: %v, %d bytes", err, len(answer))
+	response, err := io.ReadAll(conn)
+	if err != nil || strings.HasSuffix(string(response), "0\r\n\r\n") || strings.Contains(string(response), "[DONE]") {
+		t.Errorf("the response looks complete: %v, %d bytes", err, len(response))
 	}
 }
 
-// waitEmptied waits until a handler has emptied its exchange.
+// waitEmptied waits until the handler has taken all chunks of its exchange.
 func waitEmptied(f *fixture, id structs.RequestID) {
 	e, ok := f.api.exchanges.find(id)
 	if !ok {
@@ -138,7 +138,7 @@
 		response, text := f.do(http.MethodPost, chatRoute, body)
 		problem := checkProblem(t, response, text, structs.ReasonOverloaded, http.StatusServiceUnavailable, outcomeNotRun)
 		if problem.RetryAfterMS == 0 {
-			t.Error("no Retry-After")
+			t.Error("no Retry-After header")
 		}
 	}
 }
@@ -146,7 +146,7 @@
 func TestReplyOfAnotherKind(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			if submit, ok := event.(structs.CallerSubmit); ok {
 				return []structs.Command{structs.ReplyApplied{Request: submit.Request}}
 			}
@@ -161,7 +161,7 @@
 
 func TestPanicIsReportedAsUnknown(t *testing.T) {
 	f := newFixture(t, nil)
-	f.core.set(func(c *fakeCore) { c.answer = func(structs.Event) []structs.Command { panic("broken") } })
+	f.core.set(func(c *fakeCore) { c.reply = func(structs.Event) []structs.Command { panic("broken") } })
 	response, body := f.do(http.MethodPost, chatRoute, chatBody)
 	checkProblem(t, response, body, ReasonInternal, http.StatusInternalServerError, outcomeUnknown)
 	if len(f.api.exchanges.exchanges) != 0 {
@@ -180,16 +180,16 @@
 	response, body := f.do(http.MethodPost, chatRoute, chatBody)
 	problem := checkProblem(t, response, body, structs.ReasonOverloaded, http.StatusServiceUnavailable, outcomeNotRun)
 	if problem.RetryAfterMS == 0 {
-		t.Error("no Retry-After")
+		t.Error("no Retry-After header")
 	}
-	// Operators still get through.
+	// The limit does not apply to operators.
 	dump, _ := f.do(http.MethodGet, "/debug/state", "", "Authorization", "Bearer "+rootKey)
 	if dump.StatusCode != http.StatusOK {
 		t.Errorf("dump: status %d", dump.StatusCode)
 	}
 	f.api.Deliver(structs.ReplyEnd{Request: first.Request, Outcome: answered})
 	<-done
-	f.answerWith(answered)
+	f.replyWith(answered)
 	response, _ = f.do(http.MethodPost, chatRoute, chatBody)
 	if response.StatusCode != http.StatusOK {
 		t.Errorf("afterwards: status %d", response.StatusCode)
@@ -209,7 +209,7 @@
 	checkProblem(t, response, text, structs.ReasonOverloaded, http.StatusServiceUnavailable, outcomeNotRun)
 	f.api.Deliver(structs.ReplyEnd{Request: first.Request, Outcome: answered})
 	<-done
-	f.answerWith(answered)
+	f.replyWith(answered)
 	for range 3 {
 		request := f.request(http.MethodPost, chatRoute, "")
 		request.Body, request.ContentLength = io.NopCloser(strings.NewReader(body)), -1
@@ -221,7 +221,7 @@
 
 func TestSlowBody(t *testing.T) {
 	f := newFixture(t, func(c *Config) { c.BodyTimeout = time.Nanosecond })
-	response := f.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + callerKey +
+	response := f.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + callerKey +
 		"\r\nContent-Length: 100\r\n\r\n{")
 	body, _ := io.ReadAll(response.Body)
 	checkProblem(t, response, string(body), ReasonTimeout, http.StatusRequestTimeout, outcomeNotRun)
@@ -238,7 +238,7 @@
 		for range 1000 {
 			id := ids.next()
 			if seen[id] {
-				t.Fatalf("%q twice", id)
+				t.Fatalf("duplicate request id %q", id)
 			}
 			seen[id] = true
 		}
@@ -248,7 +248,7 @@
 func TestConcurrentCallersGetTheirOwnResponses(t *testing.T) {
 	f := newFixture(t, nil)
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			submit := event.(structs.CallerSubmit)
 			outcome := answered
 			outcome.Text = string(submit.Call.Program)
@@ -276,16 +276,16 @@
 
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
 	f := newFixture(t, nil)
-	response := f.raw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer wrong\r\nContent-Length: 100\r\n\r\n{")
+	response := f.sendRaw("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer wrong\r\nContent-Length: 100\r\n\r\n{")
 	if response.StatusCode != http.StatusUnauthorized || !response.Close {
-		t.Errorf("status %d, closes %t", response.StatusCode, response.Close)
+		t.Errorf("status %d, connection closes: %t", response.StatusCode, response.Close)
 	}
 }
 
 func TestUnreadBodyDoesNotDelayResponse(t *testing.T) {
 	f := newFixture(t, func(c *Config) { c.BodyTimeout = time.Nanosecond })
-	response := f.raw("GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
+	response := f.sendRaw("GET /healthz HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
 	if response.StatusCode != http.StatusOK || !response.Close {
-		t.Errorf("status %d, closes %t", response.StatusCode, response.Close)
+		t.Errorf("status %d, connection closes: %t", response.StatusCode, response.Close)
 	}
 }
--- a/internal/httpapi/fake_test.go
+++ b/internal/httpapi/fake_test.go
@@ -30,25 +30,25 @@
 	testTeam    = "lakeshore"
 )
 
-// fakeCore is a core whose answers a test gives.
+// fakeCore is a Core with replies set by the test.
 type fakeCore struct {
 	// events receives every event posted.
 	events chan structs.Event
-	// answer, if set, is called for each event; its commands are delivered.
-	answer  func(structs.Event) []structs.Command
+	// reply, if set, returns the commands to deliver for an event.
+	reply   func(structs.Event) []structs.Command
 	deliver func(structs.Command)
 
 	mu     sync.Mutex
 	health Health
 	full   bool
 	drains int
-	// dumpErr fails Dump.
+	// dumpErr is returned by Dump.
 	dumpErr error
 }
 
 func (f *fakeCore) Post(event structs.Event) bool {
 	f.mu.Lock()
-	full, answer := f.full, f.answer
+	full, answer := f.full, f.reply
 	f.mu.Unlock()
 	if full {
 		return false
@@ -172,10 +172,10 @@
 	return f
 }
 
-// answerWith lets the core answer each call with an outcome.
-func (f *fixture) answerWith(outcome structs.Outcome) {
+// replyWith makes the core end each call with outcome.
+func (f *fixture) replyWith(outcome structs.Outcome) {
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			if submit, ok := event.(structs.CallerSubmit); ok {
 				return []structs.Command{structs.ReplyEnd{Request: submit.Request, Outcome: outcome}}
 			}
@@ -184,7 +184,8 @@
 	})
 }
 
-// request makes a request; headers are name and value by turns.
+// request returns a request with a caller key; headers are alternating names and
+// values.
 func (f *fixture) request(method, path, body string, headers ...string) *http.Request {
 	f.t.Helper()
 	request, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
@@ -198,7 +199,7 @@
 	return request
 }
 
-// send sends a request and reads its whole answer.
+// send sends a request and reads the whole response.
 func (f *fixture) send(request *http.Request) (*http.Response, string) {
 	f.t.Helper()
 	response, err := http.DefaultClient.Do(request)
@@ -218,13 +219,13 @@
 	return f.send(f.request(method, path, body, headers...))
 }
 
-// submitted gives the next call that was posted.
+// submitted returns the next event, which must be a call.
 func (f *fixture) submitted() structs.CallerSubmit {
 	f.t.Helper()
 	return nextEvent[structs.CallerSubmit](f)
 }
 
-// nextEvent gives the next event, which must be of that type.
+// nextEvent returns the next event, which must be of type T.
 func nextEvent[T structs.Event](f *fixture) T {
 	f.t.Helper()
 	select {
@@ -235,12 +236,12 @@
 		}
 		return typed
 	case <-time.After(time.Minute):
-		f.t.Fatal("no event")
+		f.t.Fatal("no event within a minute")
 		panic("unreachable")
 	}
 }
 
-// noEvents checks that nothing was posted.
+// noEvents checks that no event was posted.
 func (f *fixture) noEvents() {
 	f.t.Helper()
 	select {
@@ -255,8 +256,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// raw sends bytes as they are, on a connection of their own.
-func (f *fixture) raw(text string) *http.Response {
+// sendRaw sends text unchanged on a new connection and returns the response.
+func (f *fixture) sendRaw(text string) *http.Response {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	if err != nil {
--- a/internal/httpapi/input_test.go
+++ b/internal/httpapi/input_test.go
@@ -11,11 +11,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func chatWith(fields string) string {
+func chatBodyWithFields(fields string) string {
 	return `{"model":"model","messages":[{"role":"user","content":"x"}],` + fields + `}`
 }
 
-func messagesOf(list string) string {
+func chatBodyWithMessages(list string) string {
 	return `{"model":"model","messages":` + list + `}`
 }
 
@@ -29,28 +29,28 @@
 		"null":                  "null",
 		"two values":            chatBody + "{}",
 		"not UTF-8":             strings.Replace(chatBody, "hello", "\xff\xfe", 1),
-		"repeated field":        chatWith(`"max_tokens":1,"max_tokens":9`),
-		"other case":            chatWith(`"Max_Tokens":9`),
-		"too many fields":       chatWith(strings.Repeat(`"a":1,`, 1) + manyFields(maxFields+1)),
+		"repeated field":        chatBodyWithFields(`"max_tokens":1,"max_tokens":9`),
+		"other case":            chatBodyWithFields(`"Max_Tokens":9`),
+		"too many fields":       chatBodyWithFields(strings.Repeat(`"a":1,`, 1) + manyFields(maxFields+1)),
 		"model a number":        `{"model":5,"messages":[{"role":"user"}]}`,
-		"stream a string":       chatWith(`"stream":"true"`),
-		"max_tokens zero":       chatWith(`"max_tokens":0`),
-		"max_tokens negative":   chatWith(`"max_tokens":-1`),
-		"max_tokens a fraction": chatWith(`"max_tokens":1.5`),
-		"max_tokens huge":       chatWith(`"max_tokens":99999999999999999999`),
-		"two choices":           chatWith(`"n":2`),
+		"stream a string":       chatBodyWithFields(`"stream":"true"`),
+		"max_tokens zero":       chatBodyWithFields(`"max_tokens":0`),
+		"max_tokens negative":   chatBodyWithFields(`"max_tokens":-1`),
+		"max_tokens a fraction": chatBodyWithFields(`"max_tokens":1.5`),
+		"max_tokens huge":       chatBodyWithFields(`"max_tokens":99999999999999999999`),
+		"two choices":           chatBodyWithFields(`"n":2`),
 		"no messages":           `{"model":"model"}`,
-		"messages empty":        messagesOf("[]"),
-		"messages an object":    messagesOf("{}"),
-		"message null":          messagesOf("[null]"),
-		"message a string":      messagesOf(`["x"]`),
-		"role missing":          messagesOf(`[{"content":"x"}]`),
-		"role with a newline":   messagesOf(`[{"role":"a\nb"}]`),
-		"content a number":      messagesOf(`[{"role":"user","content":5}]`),
-		"content an image":      messagesOf(`[{"role":"user","content":[{"type":"image_url"}]}]`),
-		"tool calls an object":  messagesOf(`[{"role":"assistant","tool_calls":{}}]`),
-		"too many messages":     messagesOf("[" + strings.Repeat(`{"role":"a"},`, maxMessages) + `{"role":"a"}]`),
-		"deep":                  messagesOf(strings.Repeat("[", 20_000)),
+		"messages empty":        chatBodyWithMessages("[]"),
+		"messages an object":    chatBodyWithMessages("{}"),
+		"message null":          chatBodyWithMessages("[null]"),
+		"message a string":      chatBodyWithMessages(`["x"]`),
+		"role missing":          chatBodyWithMessages(`[{"content":"x"}]`),
+		"role with a newline":   chatBodyWithMessages(`[{"role":"a\nb"}]`),
+		"content a number":      chatBodyWithMessages(`[{"role":"user","content":5}]`),
+		"content an image":      chatBodyWithMessages(`[{"role":"user","content":[{"type":"image_url"}]}]`),
+		"tool calls an object":  chatBodyWithMessages(`[{"role":"assistant","tool_calls":{}}]`),
+		"too many messages":     chatBodyWithMessages("[" + strings.Repeat(`{"role":"a"},`, maxMessages) + `{"role":"a"}]`),
+		"deep":                  chatBodyWithMessages(strings.Repeat("[", 20_000)),
 	}
 	for name, body := range invalid {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 
 func TestContentTypes(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(answered)
+	f.replyWith(answered)
 	for contentType, status := range map[string]int{
 		"": 200, "application/json": 200, "Application/JSON; charset=utf-8": 200,
 		"text/plain": 415, "application/json;;": 415, "multipart/form-data": 415,
@@ -143,7 +143,7 @@
 
 func TestTooLarge(t *testing.T) {
 	f := newFixture(t, func(c *Config) { c.MaxBody = 1000 })
-	f.answerWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: 200})
+	f.replyWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: 200})
 	for _, size := range []int{1001, 100_000} {
 		for _, declared := range []int64{int64(size), -1} {
 			request := f.request(http.MethodPost, "/v1/services/filing/", "")
@@ -155,7 +155,7 @@
 	f.noEvents()
 	response, _ := f.do(http.MethodPost, "/v1/services/filing/", strings.Repeat("x", 1000))
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("a body of the limit: status %d", response.StatusCode)
+		t.Errorf("body of the maximum size: status %d", response.StatusCode)
 	}
 }
 
@@ -173,7 +173,7 @@
 		"bad chunk":         "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
 		"cut chunk line":    "Transfer-Encoding: chunked\r\n\r\n5\r\nabcdeX\r\n",
 	} {
-		if status := f.raw(start + headers).StatusCode; status < 400 || status > 501 {
+		if status := f.sendRaw(start + headers).StatusCode; status < 400 || status > 501 {
 			t.Errorf("%s: status %d", name, status)
 		}
 	}
@@ -182,14 +182,14 @@
 
 func TestKeyedSingleCalls(t *testing.T) {
 	f, other := newFixture(t, nil), newFixture(t, func(c *Config) { c.Instance = "erie-1" })
-	f.answerWith(answered)
-	other.answerWith(answered)
+	f.replyWith(answered)
+	other.replyWith(answered)
 	dated := ulid.Make().String()
 	_, _ = f.do(http.MethodPost, chatRoute, chatBody, HeaderIdempotencyKey, dated, HeaderNotRepeatable, "true")
 	_, _ = other.do(http.MethodPost, chatRoute, chatBody, HeaderIdempotencyKey, dated, HeaderNotRepeatable, "true")
 	one, two := f.submitted().Call, other.submitted().Call
 	if one.Program != two.Program || one.Key != dated || one.Digest != two.Digest || !one.Single {
-		t.Errorf("a retry at another instance: %+v, %+v", one, two)
+		t.Errorf("retry at another instance differs: %+v, %+v", one, two)
 	}
 	response, body := f.do(http.MethodPost, chatRoute, chatBody, HeaderIdempotencyKey, "any", HeaderNotRepeatable, "true")
 	checkProblem(t, response, body, structs.ReasonInvalid, http.StatusBadRequest, outcomeNotRun)
--- a/internal/httpapi/metrics_test.go
+++ b/internal/httpapi/metrics_test.go
@@ -21,7 +21,7 @@
 	histogram.RecordDuration(time.Microsecond)
 	histogram.RecordDuration(200 * time.Millisecond)
 	histogram.RecordDuration(time.Minute)
-	// Closing reports what was recorded.
+	// Close reports the recorded values.
 	if err := closer.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpapi/plain_test.go
+++ b/internal/httpapi/plain_test.go
@@ -9,14 +9,14 @@
 
 func TestPlainForwarded(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(structs.Outcome{
+	f.replyWith(structs.Outcome{
 		Kind: structs.OutcomeAnswered, Status: http.StatusTeapot, ContentType: "text/x-mark",
 		Body: []byte("stamp"), Replayed: true,
 	})
 	response, body := f.do(http.MethodPut, "/v1/services/filing/a%2Fb/c?x=1&y=%20", "\x00\xff",
 		"Content-Type", "image/tiff", "Cookie", "secret", "Connection", "X-Hop", "X-Hop", "1")
 	if response.StatusCode != http.StatusTeapot || body != "stamp" || response.Header.Get("Content-Type") != "text/x-mark" {
-		t.Fatalf("answer %d %q", response.StatusCode, body)
+		t.Fatalf("status %d, body %q", response.StatusCode, body)
 	}
 	if response.Header.Get(HeaderOutcome) != outcomeReplayed {
 		t.Errorf("outcome %q", response.Header.Get(HeaderOutcome))
@@ -32,7 +32,7 @@
 
 func TestPlainNotRepeatableByService(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusNoContent})
+	f.replyWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusNoContent})
 	response, _ := f.do(http.MethodPost, "/v1/services/payments/fees", "{}", HeaderNotRepeatable, "false")
 	if response.StatusCode != http.StatusNoContent || !f.submitted().Call.NotRepeatable {
 		t.Errorf("status %d", response.StatusCode)
@@ -41,7 +41,7 @@
 
 func TestPlainMethods(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusOK, Body: []byte("x")})
+	f.replyWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusOK, Body: []byte("x")})
 	for _, method := range serviceMethods {
 		response, _ := f.do(method, "/v1/services/filing/", "")
 		if response.StatusCode != http.StatusOK || f.submitted().Call.Method != method {
@@ -52,10 +52,10 @@
 	checkProblem(t, response, body, ReasonMethodNotAllowed, http.StatusMethodNotAllowed, outcomeNotRun)
 }
 
-func TestPlainStatusThatIsNotFinal(t *testing.T) {
+func TestNonFinalStatusIsTargetFailure(t *testing.T) {
 	f := newFixture(t, nil)
 	for _, status := range []int{0, 101, 600} {
-		f.answerWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: status})
+		f.replyWith(structs.Outcome{Kind: structs.OutcomeAnswered, Status: status})
 		response, body := f.do(http.MethodGet, "/v1/services/filing/", "")
 		checkProblem(t, response, body, structs.ReasonTargetFailed, http.StatusBadGateway, outcomeUnknown)
 	}
--- a/internal/httpapi/problem.go
+++ b/internal/httpapi/problem.go
@@ -64,7 +64,7 @@
 	title  string
 }
 
-// problemKinds gives the status and title of each reason.
+// problemKinds maps each reason to its status and title.
 var problemKinds = map[structs.Reason]problemKind{
 	structs.ReasonInvalid:          {http.StatusBadRequest, "The request is invalid"},
 	structs.ReasonUnauthorized:     {http.StatusUnauthorized, "The key is missing or unknown"},
@@ -118,8 +118,8 @@
 }
 
 // retryAfter sets the delay before a retry.
-func (p *Problem) retryAfter(wait time.Duration) *Problem {
-	p.RetryAfterMS = wait.Milliseconds()
+func (p *Problem) retryAfter(delay time.Duration) *Problem {
+	p.RetryAfterMS = delay.Milliseconds()
 	return p
 }
 
--- a/internal/httpapi/problem_test.go
+++ b/internal/httpapi/problem_test.go
@@ -9,17 +9,17 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func checkProblem(t *testing.T, response *http.Response, body string, reason structs.Reason, status int, outcome string) Problem {
+func checkProblem(t *testing.T, response *http.Response, body string, wantReason structs.Reason, wantStatus int, wantOutcome string) Problem {
 	t.Helper()
 	var problem Problem
 	if err := json.Unmarshal([]byte(body), &problem); err != nil {
 		t.Fatalf("%q: %v", body, err)
 	}
-	if response.Header.Get("Content-Type") != problemContentType || response.StatusCode != status || problem.Status != status {
-		t.Errorf("status %d, want %d: %s", response.StatusCode, status, body)
+	if response.Header.Get("Content-Type") != problemContentType || response.StatusCode != wantStatus || problem.Status != wantStatus {
+		t.Errorf("status %d, want %d: %s", response.StatusCode, wantStatus, body)
 	}
-	if problem.Type != problemTypePrefix+string(reason) || problem.Outcome != outcome || response.Header.Get(HeaderOutcome) != outcome {
-		t.Errorf("want %s %s: %s", reason, outcome, body)
+	if problem.Type != problemTypePrefix+string(wantReason) || problem.Outcome != wantOutcome || response.Header.Get(HeaderOutcome) != wantOutcome {
+		t.Errorf("want reason %s and outcome %s: %s", wantReason, wantOutcome, body)
 	}
 	if problem.Title == "" || problem.Instance == "" || problem.Instance != response.Header.Get(HeaderRequest) {
 		t.Errorf("title or instance missing: %s", body)
@@ -27,8 +27,8 @@
 	return problem
 }
 
-// reasonStatuses is written out here once more, so that a change of the table
-// in the code is noticed.
+// reasonStatuses duplicates the statuses of problemKinds, so that a change of the
+// public API fails the test.
 var reasonStatuses = map[structs.Reason]int{
 	structs.ReasonInvalid: 400, structs.ReasonUnauthorized: 401, structs.ReasonBudget: 402,
 	structs.ReasonTurns: 402, structs.ReasonForbidden: 403, structs.ReasonForeignProgram: 403,
@@ -45,21 +45,21 @@
 func TestProblemOfEveryReason(t *testing.T) {
 	f := newFixture(t, nil)
 	for reason, status := range reasonStatuses {
-		for kind, word := range map[structs.OutcomeKind]string{
+		for kind, outcome := range map[structs.OutcomeKind]string{
 			structs.OutcomeNotRun: outcomeNotRun, structs.OutcomeUnknown: outcomeUnknown, 0: outcomeUnknown,
 		} {
-			f.answerWith(structs.Outcome{Kind: kind, Reason: reason, Detail: "why", RetryAfter: 1001 * time.Millisecond})
+			f.replyWith(structs.Outcome{Kind: kind, Reason: reason, Detail: "why", RetryAfter: 1001 * time.Millisecond})
 			response, body := f.do(http.MethodPost, chatRoute, chatBody)
 			want := reason
 			if reason == structs.ReasonNone {
 				want = ReasonInternal
 			}
-			problem := checkProblem(t, response, body, want, status, word)
+			problem := checkProblem(t, response, body, want, status, outcome)
 			if problem.RetryAfterMS != 1001 || response.Header.Get("Retry-After") != "2" || problem.Detail != "why" {
 				t.Errorf("%s: Retry-After %q: %s", reason, response.Header.Get("Retry-After"), body)
 			}
 			if response.Header.Get(HeaderProgram) != string(f.submitted().Call.Program) {
-				t.Errorf("%s: no program", reason)
+				t.Errorf("%s: wrong program header", reason)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 
 func TestNoRetryAfterForExhaustedBudget(t *testing.T) {
 	f := newFixture(t, nil)
-	f.answerWith(structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonBudget})
+	f.replyWith(structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonBudget})
 	response, _ := f.do(http.MethodPost, chatRoute, chatBody)
 	if got := response.Header.Values("Retry-After"); len(got) != 0 {
 		t.Errorf("Retry-After %q", got)
--- a/internal/httpapi/programs_test.go
+++ b/internal/httpapi/programs_test.go
@@ -11,10 +11,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// answerPrograms lets the core confirm every operation on a program.
-func answerPrograms(f *fixture) {
+// replyToPrograms makes the core confirm every operation on programs.
+func replyToPrograms(f *fixture) {
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			switch e := event.(type) {
 			case structs.CallerProgram:
 				return []structs.Command{structs.ReplyProgram{
@@ -33,7 +33,7 @@
 
 func TestProgramOpenShowClose(t *testing.T) {
 	f := newFixture(t, nil)
-	answerPrograms(f)
+	replyToPrograms(f)
 	response, body := f.do(http.MethodPost, "/v1/programs", `{"team":"lakeshore/clearance"}`)
 	var view programView
 	if err := json.Unmarshal([]byte(body), &view); err != nil || response.StatusCode != http.StatusCreated {
@@ -68,7 +68,7 @@
 
 func TestProgramRefusals(t *testing.T) {
 	f := newFixture(t, nil)
-	answerPrograms(f)
+	replyToPrograms(f)
 	cases := []struct {
 		method, path, body string
 		reason             structs.Reason
@@ -94,7 +94,7 @@
 	key := ulid.Make().String()
 	var ids []structs.ProgramID
 	for _, f := range []*fixture{first, second, second} {
-		answerPrograms(f)
+		replyToPrograms(f)
 		_, _ = f.do(http.MethodPost, "/v1/programs", "", HeaderIdempotencyKey, key)
 		ids = append(ids, nextEvent[structs.CallerProgram](f).Program)
 	}
@@ -105,7 +105,7 @@
 
 func TestProgramsList(t *testing.T) {
 	f := newFixture(t, nil)
-	answerPrograms(f)
+	replyToPrograms(f)
 	response, body := f.do(http.MethodGet, "/v1/programs?team=lakeshore/clearance&limit=5", "", "Authorization", "Bearer "+operatorKey)
 	event := nextEvent[structs.CallerPrograms](f)
 	if response.StatusCode != http.StatusOK || event.Team != "lakeshore/clearance" || event.Limit != 5 {
@@ -141,10 +141,10 @@
 		}
 	}
 	if _, problem := derive(testTeam, "any-key", now, true); problem == nil {
-		t.Error("an undated key taken where the time must be exact")
+		t.Error("undated key accepted where a dated one is required")
 	}
 	if _, problem := derive(testTeam, dated, now.Add(-maxKeyClockSkew-time.Second), true); problem == nil {
-		t.Error("a key of the future taken")
+		t.Error("key with a time in the future accepted")
 	}
 	one, _ := derive(testTeam, "any-key", now, false)
 	same, _ := derive(testTeam, "any-key", now.Add(28*time.Minute), false)
--- a/internal/httpapi/settings.go
+++ b/internal/httpapi/settings.go
@@ -22,7 +22,7 @@
 // changeRequest is one change in the body of PUT /v1/settings.
 type changeRequest struct {
 	Path string `json:"path"`
-	// Base is the version that the change is based on, 0 if there is none.
+	// Base is the version that the change is based on, 0 if the path has none.
 	Base uint64 `json:"base"`
 	// Value is the new value; absent or null removes the value.
 	Value json.RawMessage `json:"value"`
@@ -106,14 +106,14 @@
 		s.fail(c, settingsProblem(reply.Result))
 		return
 	}
-	answer := changesResponse{
+	response := changesResponse{
 		Status: reply.Result.Status, Version: reply.Result.Version, Offset: reply.Result.Offset,
 		ChangeIDs: make([]string, 0, len(changes)),
 	}
 	for _, change := range changes {
-		answer.ChangeIDs = append(answer.ChangeIDs, change.ChangeID)
+		response.ChangeIDs = append(response.ChangeIDs, change.ChangeID)
 	}
-	s.writeJSON(c, http.StatusOK, answer)
+	s.writeJSON(c, http.StatusOK, response)
 }
 
 func (s *Server) readChanges(c *gin.Context) ([]structs.SettingChange, *Problem) {
--- a/internal/httpapi/settings_test.go
+++ b/internal/httpapi/settings_test.go
@@ -9,10 +9,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// answerSettings lets the core answer each proposal with a result.
-func answerSettings(f *fixture, result structs.SettingsResult) {
+// replyToSettings makes the core reply to each proposal with result.
+func replyToSettings(f *fixture, result structs.SettingsResult) {
 	f.core.set(func(c *fakeCore) {
-		c.answer = func(event structs.Event) []structs.Command {
+		c.reply = func(event structs.Event) []structs.Command {
 			switch e := event.(type) {
 			case structs.SettingsPropose:
 				return []structs.Command{structs.ReplySettings{Request: e.Request, Result: result}}
@@ -26,15 +26,15 @@
 	})
 }
 
-func operator(f *fixture, method, path, body string) (*http.Response, string) {
+func doAsOperator(f *fixture, method, path, body string) (*http.Response, string) {
 	f.t.Helper()
 	return f.do(method, path, body, "Authorization", "Bearer "+operatorKey)
 }
 
 func TestSettingsAccepted(t *testing.T) {
 	f := newFixture(t, nil)
-	answerSettings(f, structs.SettingsResult{Status: structs.SettingsAccepted, Version: 4, Offset: 17})
-	response, body := operator(f, http.MethodPut, "/v1/settings", `{"changes":[
+	replyToSettings(f, structs.SettingsResult{Status: structs.SettingsAccepted, Version: 4, Offset: 17})
+	response, body := doAsOperator(f, http.MethodPut, "/v1/settings", `{"changes":[
 		{"path":"teams/lakeshore/clearance/priority","base":3,"value":1,"change_id":"c1"},
 		{"path":"teams/lakeshore/weight","value":null}]}`)
 	if response.StatusCode != http.StatusOK || !strings.Contains(body, `"version":4,"offset":17`) {
@@ -68,10 +68,10 @@
 		{"", ReasonSettingsUnknown, 504, outcomeUnknown},
 	}
 	for _, c := range cases {
-		answerSettings(f, structs.SettingsResult{
+		replyToSettings(f, structs.SettingsResult{
 			Status: c.status, Path: "teams/lakeshore/weight", Expected: "a number", Version: 8, Winner: "bela",
 		})
-		response, body := operator(f, http.MethodPut, "/v1/settings",
+		response, body := doAsOperator(f, http.MethodPut, "/v1/settings",
 			`{"changes":[{"path":"teams/lakeshore/weight","value":-1}]}`)
 		problem := checkProblem(t, response, body, c.reason, c.code, c.outcome)
 		if problem.Path != "teams/lakeshore/weight" || problem.Expected != "a number" || problem.Version != 8 || problem.Winner != "bela" {
@@ -92,23 +92,23 @@
 			}
 		}
 		for _, route := range []string{"/v1/settings?path=", "/v1/settings/history?path="} {
-			response, body := operator(f, http.MethodGet, route+path, "")
+			response, body := doAsOperator(f, http.MethodGet, route+path, "")
 			checkProblem(t, response, body, reason, status, outcomeNotRun)
 		}
 	}
 	for _, path := range forbidden {
-		response, body := operator(f, http.MethodPut, "/v1/settings",
+		response, body := doAsOperator(f, http.MethodPut, "/v1/settings",
 			`{"changes":[{"path":"teams/lakeshore/weight","value":1},{"path":"`+path+`","value":1}]}`)
 		checkProblem(t, response, body, structs.ReasonForbidden, http.StatusForbidden, outcomeNotRun)
 	}
 	f.noEvents()
 	for _, path := range []string{"teams/lakeshore", "teams/lakeshore/clearance/priority"} {
-		response, body := operator(f, http.MethodGet, "/v1/settings?path="+path, "")
+		response, body := doAsOperator(f, http.MethodGet, "/v1/settings?path="+path, "")
 		if response.StatusCode != http.StatusOK || !strings.Contains(body, path) {
 			t.Errorf("%s: %d %s", path, response.StatusCode, body)
 		}
 	}
-	response, body := operator(f, http.MethodGet, "/v1/settings?path=teams/lakeshore/absent", "")
+	response, body := doAsOperator(f, http.MethodGet, "/v1/settings?path=teams/lakeshore/absent", "")
 	checkProblem(t, response, body, ReasonNotFound, http.StatusNotFound, outcomeNotRun)
 	response, _ = f.do(http.MethodGet, "/v1/settings", "", "Authorization", "Bearer "+rootKey)
 	if response.StatusCode != http.StatusOK {
@@ -125,7 +125,7 @@
 		`{"changes":[` + strings.Repeat(`{"path":"teams/lakeshore/w"},`, maxChanges) + `{"path":"teams/lakeshore/w"}]}`,
 		`{"changes":[{"path":"teams/lakeshore/weight","value":1}]} {}`,
 	} {
-		response, text := operator(f, http.MethodPut, "/v1/settings", body)
+		response, text := doAsOperator(f, http.MethodPut, "/v1/settings", body)
 		checkProblem(t, response, text, structs.ReasonInvalid, http.StatusBadRequest, outcomeNotRun)
 	}
 	f.noEvents()
@@ -133,8 +133,8 @@
 
 func TestSettingsAppliedAndDrain(t *testing.T) {
 	f := newFixture(t, nil)
-	answerSettings(f, structs.SettingsResult{})
-	response, body := operator(f, http.MethodGet, "/v1/settings/applied", "")
+	replyToSettings(f, structs.SettingsResult{})
+	response, body := doAsOperator(f, http.MethodGet, "/v1/settings/applied", "")
 	if response.StatusCode != http.StatusOK || body != `{"applied":{"erie-1":9},"missing":[]}` {
 		t.Errorf("status %d: %s", response.StatusCode, body)
 	}
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -40,8 +40,8 @@
 	if !posted {
 		return nil, overloaded(c.Request.Header, "the instance's queue is full or the instance has stopped")
 	}
-	wait := deadline.Sub(s.config.Now()) + s.config.ReplyGrace
-	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(wait)}, nil
+	timeout := deadline.Sub(s.config.Now()) + s.config.ReplyGrace
+	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(timeout)}, nil
 }
 
 // close removes the request, and posts CallerGone to the core if the request has
@@ -94,17 +94,17 @@
 // postAndWait posts an event and waits for the reply. On failure it responds
 // with the problem and returns false.
 func postAndWait[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
-	var none T
+	var zero T
 	p, problem := s.post(c, event, deadline, 0)
 	if problem != nil {
 		s.fail(c, problem)
-		return none, false
+		return zero, false
 	}
 	defer p.close()
 	command, err := p.waitFinal()
 	if errors.Is(err, errNoReply) {
 		s.fail(c, noReplyProblem())
-		return none, false
+		return zero, false
 	}
 	if err != nil {
 		s.abort(c, err)
