--- a/internal/httpapi/write.go
+++ b/internal/httpapi/write.go
@@ -50,8 +50,8 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// interruptWrites makes blocked and later writes fail once ctx ends. The handler
-// must call stop before it returns.
+// interruptWrites makes a blocked write fail once ctx ends. The handler must call
+// stop before it returns.
 func interruptWrites(ctx context.Context, w http.ResponseWriter) (stop func()) {
 	done := make(chan struct{})
 	cancel := context.AfterFunc(ctx, func() {
