--- a/internal/allowance/bucket.go
+++ b/internal/allowance/bucket.go
@@ -51,7 +51,7 @@
 }
 
 // setLimit applies the limit of the newest settings that any instance knows.
-func (b *bucket) setLimit(request *structs.AllowanceAsk, t Tolerance) {
+func (b *bucket) setLimit(request *structs.AllowanceRequest, t Tolerance) {
 	if request.Version < b.version || (request.Version == b.version && b.limit.Limited()) {
 		return
 	}
@@ -79,19 +79,19 @@
 }
 
 // allocate replies to a request.
-func (b *bucket) allocate(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
-	b.level -= float64(max(request.Debt, 0))
-	b.release(max(request.Returned, 0), max(request.ReturnedStarts, 0), now)
+func (b *bucket) allocate(request *structs.AllowanceRequest, now time.Time) *structs.AllowanceReply {
+	b.level -= float64(max(request.Reruns, 0))
+	b.release(max(request.Returned, 0), max(request.ReturnedFirstTurns, 0), now)
 	reply := new(structs.AllowanceReply)
-	reply.Granted = b.take(request.Want, 0)
-	refused, refusedStarts := request.Want-reply.Granted, 0
-	for rank, want := range request.Starts {
-		reply.Starts[rank] = b.takeStarts(want, rank)
-		refusedStarts += want - reply.Starts[rank]
+	reply.Granted = b.take(request.Requests, 0)
+	refused, refusedStarts := request.Requests-reply.Granted, 0
+	for rank, want := range request.FirstTurns {
+		reply.FirstTurns[rank] = b.takeStarts(want, rank)
+		refusedStarts += want - reply.FirstTurns[rank]
 	}
 	b.observePrograms(request, reply, now)
 	b.recordUsage(request, reply, now)
-	reply.Use = b.usage.rate(now) / b.limit.PerSecond
+	reply.Utilization = b.usage.rate(now) / b.limit.PerSecond
 	reply.RetryAfter = b.retryAfter(refused, refusedStarts, now)
 	return reply
 }
@@ -104,9 +104,9 @@
 }
 
 // recordUsage counts allocated requests and reruns.
-func (b *bucket) recordUsage(request *structs.AllowanceAsk, reply *structs.AllowanceReply, now time.Time) {
-	used := reply.Granted + max(request.Debt, 0)
-	for _, n := range reply.Starts {
+func (b *bucket) recordUsage(request *structs.AllowanceRequest, reply *structs.AllowanceReply, now time.Time) {
+	used := reply.Granted + max(request.Reruns, 0)
+	for _, n := range reply.FirstTurns {
 		used += n
 	}
 	b.usage.add(used, now)
@@ -114,13 +114,13 @@
 
 // observePrograms updates the estimate with the programs named in the request: those
 // whose first turn was admitted and those in progress.
-func (b *bucket) observePrograms(request *structs.AllowanceAsk, reply *structs.AllowanceReply, now time.Time) {
-	for rank, programs := range request.Begins {
-		for _, program := range programs[:min(reply.Starts[rank], len(programs))] {
+func (b *bucket) observePrograms(request *structs.AllowanceRequest, reply *structs.AllowanceReply, now time.Time) {
+	for rank, programs := range request.FirstTurnPrograms {
+		for _, program := range programs[:min(reply.FirstTurns[rank], len(programs))] {
 			b.demand.track(program, now)
 		}
 	}
-	for _, program := range request.Calls {
+	for _, program := range request.RequestPrograms {
 		b.demand.add(program, now)
 	}
 	b.demand.update(now)
--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -57,7 +57,7 @@
 // Send sends a message. With grantAll set it grants vote requests itself.
 func (p *peers) Send(to structs.InstanceID, msg structs.Message) {
 	if m, ok := msg.(*structs.VoteRequest); ok && p.cluster.grantAll {
-		p.Node.Post(structs.PeerMessage{From: to, Msg: &structs.VoteReply{Number: m.Number, Granted: true, Moved: true}})
+		p.Node.Post(structs.PeerMessage{From: to, Msg: &structs.VoteReply{Number: m.Number, Granted: true, Reassigned: true}})
 		return
 	}
 	p.Node.Send(to, msg)
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -212,7 +212,7 @@
 	limit := q.limit
 	m.mu.Unlock()
 	return nil, &serve.OverLimitError{
-		RetryAfter: got.reply.RetryAfter, Limit: limit, Remaining: got.reply.Left, Votes: got.reply.Votes,
+		RetryAfter: got.reply.RetryAfter, Limit: limit, Remaining: got.reply.Remaining, Votes: got.reply.Votes,
 		Coordinator: got.coordinator,
 	}
 }
@@ -297,7 +297,7 @@
 	}
 	pause := noVotesRetryInterval
 	switch {
-	case reply.Outcome != structs.AllowanceDealt:
+	case reply.Outcome != structs.AllowanceAllocated:
 	case newcomers:
 		pause = 0
 	default:
@@ -311,12 +311,12 @@
 }
 
 // handleRequest replies to a request as the coordinator. The mutex is held.
-func (m *Manager) handleRequest(request *structs.AllowanceAsk, now time.Time) *structs.AllowanceReply {
+func (m *Manager) handleRequest(request *structs.AllowanceRequest, now time.Time) *structs.AllowanceReply {
 	if request.Slot < 0 || request.Slot >= len(m.slots) || !(org.Limit{PerSecond: request.PerSecond}).Limited() {
-		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
+		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNotCoordinator}
 	}
 	reply := m.slots[request.Slot].allocate(request, m.Tolerance, now)
-	if reply.Outcome == structs.AllowanceNoShare {
+	if reply.Outcome == structs.AllowanceNotCoordinator {
 		m.probePreferred(request.Slot)
 	}
 	return reply
@@ -334,7 +334,7 @@
 // Handles reports whether a message is handled by this package.
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
-	case structs.KindAllowanceAsk, structs.KindAllowanceReply, structs.KindVoteRequest, structs.KindVoteReply:
+	case structs.KindAllowanceRequest, structs.KindAllowanceReply, structs.KindVoteRequest, structs.KindVoteReply:
 		return true
 	}
 	return false
@@ -357,7 +357,7 @@
 
 func (m *Manager) receiveMessage(from structs.InstanceID, message structs.Message, now time.Time) {
 	switch msg := message.(type) {
-	case *structs.AllowanceAsk:
+	case *structs.AllowanceRequest:
 		m.Peers.Send(from, m.handleRequest(msg, now))
 	case *structs.AllowanceReply:
 		if m.pending[msg.Number].to == from {
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -54,7 +54,7 @@
 
 // requestTo builds the next request to a coordinator. Permits allocated by another one
 // are not returned to it.
-func (q *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceAsk {
+func (q *queue) requestTo(to structs.InstanceID, number uint64, slot int) *structs.AllowanceRequest {
 	if to != q.allocatedBy {
 		q.returned, q.returnedStarts = 0, 0
 	}
@@ -62,11 +62,11 @@
 }
 
 // newRequest builds the next request from the current waiters.
-func (q *queue) newRequest(number uint64, slot int) *structs.AllowanceAsk {
-	request := &structs.AllowanceAsk{
+func (q *queue) newRequest(number uint64, slot int) *structs.AllowanceRequest {
+	request := &structs.AllowanceRequest{
 		Number: number, Slot: slot, Organisation: q.organisation,
-		PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Version: q.version, Debt: q.reruns,
-		Returned: q.returned, ReturnedStarts: q.returnedStarts,
+		PerSecond: q.limit.PerSecond, Burst: q.limit.Burst, Version: q.version, Reruns: q.reruns,
+		Returned: q.returned, ReturnedFirstTurns: q.returnedStarts,
 	}
 	q.reruns, q.returned, q.returnedStarts = 0, 0, 0
 	q.pendingNumber, q.pendingWaiters = number, slices.Clone(q.waiting)
@@ -77,15 +77,15 @@
 }
 
 // addTo adds a waiter to a request.
-func (w *waiter) addTo(request *structs.AllowanceAsk) {
+func (w *waiter) addTo(request *structs.AllowanceRequest) {
 	if w.first {
-		request.Starts[w.rank]++
-		request.Begins[w.rank] = append(request.Begins[w.rank], w.program)
+		request.FirstTurns[w.rank]++
+		request.FirstTurnPrograms[w.rank] = append(request.FirstTurnPrograms[w.rank], w.program)
 		return
 	}
-	request.Want++
+	request.Requests++
 	if w.program != 0 && !w.reported {
-		request.Calls = append(request.Calls, w.program)
+		request.RequestPrograms = append(request.RequestPrograms, w.program)
 		w.reported = true
 	}
 }
@@ -94,13 +94,13 @@
 func (q *queue) applyReply(reply *structs.AllowanceReply, from structs.InstanceID, now time.Time) {
 	waiters := q.pendingWaiters
 	q.pendingNumber, q.pendingWaiters = 0, nil
-	if reply.Outcome != structs.AllowanceDealt {
+	if reply.Outcome != structs.AllowanceAllocated {
 		q.returned, q.returnedStarts = 0, 0
 		return
 	}
 	q.allocatedBy = from
-	q.usage = reportedUsage{use: reply.Use, at: now}
-	granted, starts := reply.Granted, reply.Starts
+	q.usage = reportedUsage{use: reply.Utilization, at: now}
+	granted, starts := reply.Granted, reply.FirstTurns
 	for _, w := range waiters {
 		left := &granted
 		if w.first {
--- a/internal/allowance/slot.go
+++ b/internal/allowance/slot.go
@@ -63,10 +63,10 @@
 	if !until.After(now) {
 		return
 	}
-	if reply.Moved {
+	if reply.Reassigned {
 		s.moved += 1 / float64(max(s.voters, 1))
 	}
-	s.votes[voter] = vote{until: until, fresh: reply.Fresh}
+	s.votes[voter] = vote{until: until, fresh: reply.Restarted}
 }
 
 // dropVotes stops coordinating the slot.
@@ -89,10 +89,10 @@
 }
 
 // allocate replies to a request. Without votes this instance is not the coordinator.
-func (s *slot) allocate(request *structs.AllowanceAsk, t Tolerance, now time.Time) *structs.AllowanceReply {
+func (s *slot) allocate(request *structs.AllowanceRequest, t Tolerance, now time.Time) *structs.AllowanceReply {
 	s.advance(now)
 	if len(s.votes) == 0 {
-		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNoShare}
+		return &structs.AllowanceReply{Number: request.Number, Outcome: structs.AllowanceNotCoordinator}
 	}
 	b, known := s.buckets[request.Organisation]
 	if !known {
@@ -107,7 +107,7 @@
 		b.starts = b.startsCap
 	}
 	reply := b.allocate(request, now)
-	reply.Number, reply.Outcome = request.Number, structs.AllowanceDealt
-	reply.Left, reply.Votes = b.level, len(s.votes)
+	reply.Number, reply.Outcome = request.Number, structs.AllowanceAllocated
+	reply.Remaining, reply.Votes = b.level, len(s.votes)
 	return reply
 }
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -111,7 +111,7 @@
 // allocate what its votes never allowed.
 func TestPermitsAreReleasedToTheirCoordinatorOnly(t *testing.T) {
 	q := &queue{organisation: "o", limit: org.Limit{PerSecond: 10}}
-	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceDealt}, "a", time.Unix(100, 0))
+	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceAllocated}, "a", time.Unix(100, 0))
 	if q.allocatedBy != "a" {
 		t.Fatalf("allocated by %q", q.allocatedBy)
 	}
@@ -124,7 +124,7 @@
 		t.Errorf("%d permits returned to another coordinator", got)
 	}
 	q.returned = 3
-	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNoShare}, "a", time.Unix(100, 0))
+	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNotCoordinator}, "a", time.Unix(100, 0))
 	if q.returned != 0 {
 		t.Error("permits are kept for the next coordinator")
 	}
--- a/internal/allowance/voter.go
+++ b/internal/allowance/voter.go
@@ -36,9 +36,9 @@
 	if l.coordinator != to && now.Before(l.until) && !ended(l.coordinator) {
 		return structs.VoteReply{}
 	}
-	reply := structs.VoteReply{Granted: true, Fresh: now.Sub(v.startedAt) < voteTTL}
+	reply := structs.VoteReply{Granted: true, Restarted: now.Sub(v.startedAt) < voteTTL}
 	if l.coordinator != to {
-		reply.Moved = l.movedAt.IsZero() || now.Sub(l.movedAt) > v.window
+		reply.Reassigned = l.movedAt.IsZero() || now.Sub(l.movedAt) > v.window
 		l.coordinator, l.movedAt = to, now
 	}
 	l.until = now.Add(voteTTL)
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -79,6 +79,6 @@
 	had := len(s.votes)
 	s.addVote(sent.to, reply, sent.at, now)
 	if had == 0 {
-		m.Log.Info("allowances coordinated here", "slot", s.number, "voters", s.voters, "start_carried", reply.Moved)
+		m.Log.Info("allowances coordinated here", "slot", s.number, "voters", s.voters, "start_carried", reply.Reassigned)
 	}
 }
--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -186,6 +186,6 @@
 	}
 	d.clock.after(wait, func() {
 		d.open--
-		d.toDispatcher(&structs.ProgramGone{Pool: benchPool, Program: p.spec.ID})
+		d.toDispatcher(&structs.ProgramEnded{Pool: benchPool, Program: p.spec.ID})
 	})
 }
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -27,7 +27,7 @@
 	used int
 	// leased is the sum of the leases of turns in progress.
 	leased int
-	leases map[structs.RoomLease]lease
+	leases map[structs.LeaseID]lease
 	// limit is the upper bound of used + leased.
 	limit int
 	// recorded indicates that the store holds a record. pendingLimit is the limit of
@@ -52,7 +52,7 @@
 
 // waiter is a turn that waits for an allotment. reply is called once.
 type waiter struct {
-	lease     structs.RoomLease
+	lease     structs.LeaseID
 	maxTokens int
 	reply     func(result)
 }
@@ -63,7 +63,7 @@
 	return &account{
 		program: program, budget: budget, maxTurn: maxTurn, crashes: crashes,
 		used: unrecordedLimit(budget, crashes), limit: unrecordedLimit(budget, crashes+1),
-		leases: make(map[structs.RoomLease]lease),
+		leases: make(map[structs.LeaseID]lease),
 	}
 }
 
@@ -73,7 +73,7 @@
 func restoreAccount(program string, r accountRecord, crashes int, retention time.Duration, now time.Time) *account {
 	a := &account{
 		program: program, budget: r.Budget, maxTurn: r.MaxTurn, crashes: max(crashes, 1), recorded: true,
-		leases: make(map[structs.RoomLease]lease), retention: retention, lastUsed: now,
+		leases: make(map[structs.LeaseID]lease), retention: retention, lastUsed: now,
 	}
 	past := r.Limit + unrecordedLimit(r.Budget, crashes) - unrecordedLimit(r.Budget, r.Crashes+1)
 	a.used = min(max(past, r.Limit), max(a.hardLimit(), r.Limit))
@@ -140,7 +140,7 @@
 }
 
 // settle ends a lease and reports whether it existed.
-func (a *account) settle(id structs.RoomLease, used int) bool {
+func (a *account) settle(id structs.LeaseID, used int) bool {
 	l, ok := a.leases[id]
 	if !ok {
 		return false
@@ -189,15 +189,15 @@
 }
 
 // export returns the account in the form of a handover message.
-func (a *account) export(now time.Time) structs.RoomAccount {
-	out := structs.RoomAccount{
-		Program: a.program, Budget: a.budget, Most: a.maxTurn, Charged: a.crashes > 0, Losses: a.crashes,
+func (a *account) export(now time.Time) structs.BudgetAccount {
+	out := structs.BudgetAccount{
+		Program: a.program, Budget: a.budget, MaxTurn: a.maxTurn, AfterCrash: a.crashes > 0, Crashes: a.crashes,
 		Used: a.used, Limit: a.limit, Recorded: a.recorded,
-		Retention: a.retention, Idle: now.Sub(a.lastUsed), Target: a.lastTarget,
+		Retention: a.retention, Idle: now.Sub(a.lastUsed), LastTarget: a.lastTarget,
 	}
 	for id, l := range a.leases {
 		if !l.holderDown {
-			out.Leases = append(out.Leases, structs.RoomLeaseSize{Lease: id, Tokens: l.tokens})
+			out.Leases = append(out.Leases, structs.Lease{ID: id, Tokens: l.tokens})
 		}
 	}
 	return out
@@ -213,15 +213,15 @@
 }
 
 // importAccount creates an account from a handover message.
-func importAccount(in structs.RoomAccount, now time.Time) *account {
+func importAccount(in structs.BudgetAccount, now time.Time) *account {
 	a := &account{
-		program: in.Program, budget: in.Budget, maxTurn: in.Most, crashes: reportedCrashes(in.Losses, in.Charged),
+		program: in.Program, budget: in.Budget, maxTurn: in.MaxTurn, crashes: reportedCrashes(in.Crashes, in.AfterCrash),
 		used: in.Used, limit: in.Limit, recorded: in.Recorded,
-		retention: in.Retention, lastUsed: now.Add(-in.Idle), lastTarget: in.Target,
-		leases: make(map[structs.RoomLease]lease, len(in.Leases)),
+		retention: in.Retention, lastUsed: now.Add(-in.Idle), lastTarget: in.LastTarget,
+		leases: make(map[structs.LeaseID]lease, len(in.Leases)),
 	}
 	for _, l := range in.Leases {
-		a.leases[l.Lease] = lease{tokens: l.Tokens}
+		a.leases[l.ID] = lease{tokens: l.Tokens}
 		a.leased += l.Tokens
 	}
 	return a
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -22,7 +22,7 @@
 // runTurn runs a turn, writing a record if needed, and reports whether it was
 // admitted.
 func runTurn(a *account, maxTurn, used int) bool {
-	id := structs.RoomLease{Number: 1}
+	id := structs.LeaseID{Number: 1}
 	verdict := a.decide(maxTurn)
 	if verdict == awaitRecord {
 		a.requestRecord(maxTurn)
@@ -128,8 +128,8 @@
 		a := newAccount("p", budget, maxTurn, crashes)
 		turns := 0
 		for a.decide(maxTurn) == granted {
-			a.grant(&waiter{lease: structs.RoomLease{Number: 1}, maxTokens: maxTurn})
-			a.settle(structs.RoomLease{Number: 1}, maxTurn/3)
+			a.grant(&waiter{lease: structs.LeaseID{Number: 1}, maxTokens: maxTurn})
+			a.settle(structs.LeaseID{Number: 1}, maxTurn/3)
 			turns++
 		}
 		if turns < 4 {
@@ -140,7 +140,7 @@
 
 func TestChargedLeaseIsRefundedWhenItsHolderSettles(t *testing.T) {
 	a := newAccount("p", 1000, 100, 0)
-	id := structs.RoomLease{Holder: "x", Number: 7}
+	id := structs.LeaseID{Holder: "x", Number: 7}
 	a.grant(&waiter{lease: id, maxTokens: 100})
 	a.chargeLeasesOf("x")
 	if a.used != 100 || a.leased != 0 {
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -60,9 +60,9 @@
 		case owned:
 			m.admit(p, waiting.request, waiting.reply)
 		case m.ownerUsable(p):
-			waiting.reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
+			waiting.reply(result{outcome: structs.ReservationNotOwner, owner: p.owner})
 		default:
-			waiting.reply(result{outcome: structs.RoomUnavailable})
+			waiting.reply(result{outcome: structs.ReservationUnavailable})
 		}
 	}
 	m.mu.Unlock()
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -44,12 +44,12 @@
 	names []string
 }
 
-func (b *breakList) Breaks(time.Time) []structs.TargetBreak {
+func (b *breakList) Breaks(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var breaks []structs.TargetBreak
+	var breaks []structs.TargetFailure
 	for _, name := range b.names {
-		breaks = append(breaks, structs.TargetBreak{Target: name})
+		breaks = append(breaks, structs.TargetFailure{Target: name})
 	}
 	return breaks
 }
@@ -61,7 +61,7 @@
 func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
 func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) MergeBreaks(breaks []structs.TargetBreak, _ time.Time) {
+func (b *breakList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range breaks {
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -118,7 +118,7 @@
 	p.own = nil
 	m.setOwner(p, successor, own.epoch)
 	for _, a := range own.accounts {
-		m.refuseWaiters(a, structs.RoomNotOwner, successor)
+		m.refuseWaiters(a, structs.ReservationNotOwner, successor)
 	}
 	m.mu.Unlock()
 	m.peers.Send(successor, message)
@@ -138,10 +138,10 @@
 func (m *Manager) exportPartition(p *partition) *structs.PartitionHandover {
 	now := time.Now()
 	message := &structs.PartitionHandover{
-		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Losses: p.own.crashes,
+		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Crashes: p.own.crashes,
 	}
 	if l := p.own.crash; l != nil {
-		message.LostBy, message.LostFor = l.owner, now.Sub(l.at)
+		message.CrashedOwner, message.SinceCrash = l.owner, now.Sub(l.at)
 	}
 	for _, a := range p.own.accounts {
 		message.Accounts = append(message.Accounts, a.export(now))
@@ -232,9 +232,9 @@
 	}
 	now := time.Now()
 	p.own = newOwnership(msg.Epoch)
-	p.own.crashes = reportedCrashes(msg.Losses, msg.LostBy != "")
-	if msg.LostBy != "" {
-		p.own.crash = &crash{owner: msg.LostBy, at: now.Add(-msg.LostFor)}
+	p.own.crashes = reportedCrashes(msg.Crashes, msg.CrashedOwner != "")
+	if msg.CrashedOwner != "" {
+		p.own.crash = &crash{owner: msg.CrashedOwner, at: now.Add(-msg.SinceCrash)}
 	}
 	for _, a := range msg.Accounts {
 		p.own.accounts[a.Program] = importAccount(a, now)
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -36,8 +36,8 @@
 // Breaks holds the targets that recently broke connections. Owners pass them on with
 // their replies.
 type Breaks interface {
-	Breaks(now time.Time) []structs.TargetBreak
-	MergeBreaks(breaks []structs.TargetBreak, now time.Time)
+	Breaks(now time.Time) []structs.TargetFailure
+	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
 }
 
 // Loads holds the load reports of targets. Instances share them in allotment requests
@@ -83,7 +83,7 @@
 	stopped    bool
 	partitions []*partition
 	// pending are the requests to other owners in flight.
-	pending    map[structs.RoomLease]*pendingRequest
+	pending    map[structs.LeaseID]*pendingRequest
 	handovers  map[uint64]chan bool
 	lastNumber uint64
 	// watchVersion is the version of the directory when the watched instances were
@@ -114,7 +114,7 @@
 
 // parkedRequest is a request that waits for a claim.
 type parkedRequest struct {
-	request structs.RoomRequest
+	request structs.ReservationRequest
 	reply   func(result)
 }
 
@@ -140,7 +140,7 @@
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
 		breaks: config.Breaks, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
 		listed: config.Listed, started: time.Now(),
-		pending:   make(map[structs.RoomLease]*pendingRequest),
+		pending:   make(map[structs.LeaseID]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
 		probes:    make(map[structs.InstanceID][]chan struct{}),
 	}
@@ -195,11 +195,11 @@
 
 func (m *Manager) receiveMessage(from structs.InstanceID, message structs.Message) {
 	switch msg := message.(type) {
-	case *structs.RoomRequest:
+	case *structs.ReservationRequest:
 		m.receiveRequest(from, *msg)
-	case *structs.RoomReply:
+	case *structs.ReservationReply:
 		m.receiveReply(from, msg)
-	case *structs.RoomSettle:
+	case *structs.ReservationSettle:
 		m.receiveSettle(msg)
 	case *structs.OwnerNotice:
 		m.receiveNotice(from, msg)
@@ -207,8 +207,8 @@
 		m.receiveHandover(from, msg)
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
-	case *structs.TargetNotice:
-		m.breaks.MergeBreaks(msg.Breaks, time.Now())
+	case *structs.TargetFailureNotice:
+		m.breaks.MergeBreaks(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -383,7 +383,7 @@
 		}
 		first := c.all()[0]
 		runAll(first)
-		first.breaks.MergeBreaks([]structs.TargetBreak{{Target: "down"}}, time.Now())
+		first.breaks.MergeBreaks([]structs.TargetFailure{{Target: "down"}}, time.Now())
 		first.manager.ReportTargetBreaks()
 		time.Sleep(2 * simnet.LinkTime)
 		for _, n := range c.all() {
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -52,16 +52,16 @@
 }
 
 // admit handles an allotment request at the owner. The mutex is held.
-func (m *Manager) admit(p *partition, r structs.RoomRequest, reply func(result)) {
+func (m *Manager) admit(p *partition, r structs.ReservationRequest, reply func(result)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
-		a = newAccount(r.Program, r.Budget, r.Most, p.own.initialCrashes())
+		a = newAccount(r.Program, r.Budget, r.MaxTokens, p.own.initialCrashes())
 		p.own.accounts[r.Program] = a
 	}
 	a.lastUsed = time.Now()
-	a.maxTurn = max(a.maxTurn, r.Most)
+	a.maxTurn = max(a.maxTurn, r.MaxTokens)
 	a.retention = max(a.retention, r.Retention)
-	a.waiters = append(a.waiters, &waiter{lease: r.Lease, maxTokens: r.Most, reply: reply})
+	a.waiters = append(a.waiters, &waiter{lease: r.Lease, maxTokens: r.MaxTokens, reply: reply})
 	m.serveWaiters(p, a)
 }
 
@@ -75,19 +75,19 @@
 			first := a.unused()
 			a.grant(next)
 			m.metrics.granted.Inc(1)
-			next.reply(result{outcome: structs.RoomGranted, target: a.lastTarget, first: first})
+			next.reply(result{outcome: structs.ReservationGranted, target: a.lastTarget, first: first})
 		case exhausted:
 			m.metrics.exhausted.Inc(1)
 			m.log.Info("budget spent", "program", a.program, "partition", p.number, "budget", a.budget,
 				"used", a.used, "most", next.maxTokens, "losses", a.crashes, "recorded", a.recorded, "epoch", p.own.epoch)
-			next.reply(result{outcome: structs.RoomSpent})
+			next.reply(result{outcome: structs.ReservationOverBudget})
 		case awaitSettle:
 			return
 		case awaitRecord:
 			a.requestRecord(next.maxTokens)
 			m.scheduleWrite(p, a)
 			if a.leased == 0 && m.unwritable(p) {
-				m.refuseWaiters(a, structs.RoomNoRecord, "")
+				m.refuseWaiters(a, structs.ReservationNotRecorded, "")
 			}
 			return
 		}
@@ -106,9 +106,9 @@
 
 // refuseWaiters sends the same refusal to all waiters of an account. The mutex is
 // held.
-func (m *Manager) refuseWaiters(a *account, outcome structs.RoomOutcome, owner structs.InstanceID) {
+func (m *Manager) refuseWaiters(a *account, outcome structs.ReservationOutcome, owner structs.InstanceID) {
 	for _, waiting := range a.waiters {
-		if outcome == structs.RoomNoRecord {
+		if outcome == structs.ReservationNotRecorded {
 			m.metrics.unavailable.Inc(1)
 		}
 		waiting.reply(result{outcome: outcome, owner: owner})
@@ -117,7 +117,7 @@
 }
 
 // receiveSettle settles a lease, or forwards the message to the newest owner.
-func (m *Manager) receiveSettle(msg *structs.RoomSettle) {
+func (m *Manager) receiveSettle(msg *structs.ReservationSettle) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
@@ -134,7 +134,7 @@
 }
 
 // settle ends a lease at the owner. The mutex is held.
-func (m *Manager) settle(p *partition, msg *structs.RoomSettle) {
+func (m *Manager) settle(p *partition, msg *structs.ReservationSettle) {
 	a, ok := p.own.accounts[msg.Program]
 	if !ok || !a.settle(msg.Lease, msg.Used) {
 		return
@@ -210,6 +210,6 @@
 	p.own = nil
 	m.log.Warn("partition lost", "partition", p.number, "epoch", own.epoch, "owner", owner, "reason", reason)
 	for _, a := range own.accounts {
-		m.refuseWaiters(a, structs.RoomNotOwner, owner)
+		m.refuseWaiters(a, structs.ReservationNotOwner, owner)
 	}
 }
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -95,7 +95,7 @@
 	for lease, pending := range m.pending {
 		if pending.request.Partition == p.number && pending.owner != p.owner {
 			delete(m.pending, lease)
-			pending.result <- result{outcome: structs.RoomNotOwner, owner: p.owner}
+			pending.result <- result{outcome: structs.ReservationNotOwner, owner: p.owner}
 		}
 	}
 }
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -29,7 +29,7 @@
 
 // result is the outcome of one allotment request.
 type result struct {
-	outcome structs.RoomOutcome
+	outcome structs.ReservationOutcome
 	// owner is the owner named in the reply; empty if unknown.
 	owner structs.InstanceID
 	// target ran the program's last turn; empty if unknown.
@@ -39,19 +39,19 @@
 }
 
 // noReply is the outcome of a request to an owner that became unresponsive.
-const noReply structs.RoomOutcome = 0
+const noReply structs.ReservationOutcome = 0
 
 // pendingRequest is a request to another owner in flight.
 type pendingRequest struct {
 	owner   structs.InstanceID
-	request structs.RoomRequest
+	request structs.ReservationRequest
 	result  chan result
 }
 
 // reservation is the allotment of a turn of this instance.
 type reservation struct {
 	manager *Manager
-	request structs.RoomRequest
+	request structs.ReservationRequest
 	target  string
 	first   bool
 }
@@ -65,7 +65,7 @@
 
 // Settle returns the unused tokens and reports how the turn ended.
 func (h reservation) Settle(end serve.TurnResult) {
-	h.manager.receiveSettle(&structs.RoomSettle{
+	h.manager.receiveSettle(&structs.ReservationSettle{
 		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
 		Target: end.Target, Failed: end.Failed,
 	})
@@ -88,8 +88,8 @@
 // reserve waits for an allotment until the context ends.
 func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := m.partitionOf(turn.Program)
-	request := structs.RoomRequest{
-		Partition: p.number, Program: turn.Program, Budget: turn.Budget, Most: turn.MaxTokens, Retention: turn.Retention,
+	request := structs.ReservationRequest{
+		Partition: p.number, Program: turn.Program, Budget: turn.Budget, MaxTokens: turn.MaxTokens, Retention: turn.Retention,
 	}
 	search := ownerSearch{manager: m, partition: p}
 	started := time.Now()
@@ -99,11 +99,11 @@
 			return nil, err
 		}
 		switch got.outcome {
-		case structs.RoomGranted:
+		case structs.ReservationGranted:
 			return reservation{m, request, got.target, got.first}, nil
-		case structs.RoomSpent:
+		case structs.ReservationOverBudget:
 			return nil, serve.ErrBudgetSpent
-		case structs.RoomNoRecord:
+		case structs.ReservationNotRecorded:
 			return nil, serve.ErrStoreUnavailable
 		}
 		if len(search.unavailable) >= maxUnavailable {
@@ -138,14 +138,14 @@
 
 // try sends the request to the candidate. Each attempt has its own lease, so that late
 // replies to earlier attempts are distinguished.
-func (s *ownerSearch) try(ctx context.Context, request *structs.RoomRequest) (result, error) {
+func (s *ownerSearch) try(ctx context.Context, request *structs.ReservationRequest) (result, error) {
 	m := s.manager
 	results := make(chan result, 1)
 	m.mu.Lock()
-	request.Lease = structs.RoomLease{Holder: m.self.ID, Number: m.nextNumber()}
+	request.Lease = structs.LeaseID{Holder: m.self.ID, Number: m.nextNumber()}
 	request.Suspect = s.suspect
 	to := s.candidate()
-	request.Named = to != "" && to == s.redirect
+	request.Redirected = to != "" && to == s.redirect
 	if to == m.self.ID {
 		m.request(s.partition, *request, func(got result) { results <- got })
 	} else if to != "" {
@@ -166,7 +166,7 @@
 // noCandidate returns the result if no instance is left to try.
 func (s *ownerSearch) noCandidate() result {
 	if len(s.unavailable) > 0 {
-		return result{outcome: structs.RoomNoRecord}
+		return result{outcome: structs.ReservationNotRecorded}
 	}
 	return result{outcome: noReply}
 }
@@ -188,7 +188,7 @@
 
 // await waits for the reply.
 func (s *ownerSearch) await(
-	ctx context.Context, request *structs.RoomRequest, to structs.InstanceID, results chan result,
+	ctx context.Context, request *structs.ReservationRequest, to structs.InstanceID, results chan result,
 ) (result, error) {
 	m := s.manager
 	timer := time.NewTimer(replyTimeout)
@@ -214,10 +214,10 @@
 // update records the result of an attempt.
 func (s *ownerSearch) update(to structs.InstanceID, got result) {
 	switch got.outcome {
-	case structs.RoomUnavailable:
+	case structs.ReservationUnavailable:
 		s.unavailable = append(s.unavailable, to)
 		s.redirect = ""
-	case structs.RoomNotOwner:
+	case structs.ReservationNotOwner:
 		s.redirect = got.owner
 		s.manager.learnOwner(s.partition, got.owner)
 	case noReply:
@@ -236,7 +236,7 @@
 
 // abandon withdraws a request whose turn is no longer wanted and returns tokens that
 // were or will be granted.
-func (m *Manager) abandon(request *structs.RoomRequest, to structs.InstanceID, results chan result) {
+func (m *Manager) abandon(request *structs.ReservationRequest, to structs.InstanceID, results chan result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.pending, request.Lease)
@@ -246,7 +246,7 @@
 	m.spawn(func() {
 		select {
 		case got := <-results:
-			if got.outcome == structs.RoomGranted {
+			if got.outcome == structs.ReservationGranted {
 				reservation{manager: m, request: *request}.Settle(serve.TurnResult{})
 			}
 		case <-m.ctx.Done():
@@ -255,8 +255,8 @@
 }
 
 // receiveReply handles the reply of another owner.
-func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.RoomReply) {
-	m.breaks.MergeBreaks(msg.Breaks, time.Now())
+func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.ReservationReply) {
+	m.breaks.MergeBreaks(msg.Failures, time.Now())
 	m.loads.MergeLoadReports(msg.Loads, time.Now())
 	m.loads.MergePoolReports(msg.Pools, time.Now())
 	m.mu.Lock()
@@ -264,16 +264,16 @@
 	delete(m.pending, msg.Lease)
 	m.mu.Unlock()
 	if ok {
-		pending.result <- result{outcome: msg.Outcome, owner: msg.Owner, target: msg.Target, first: msg.First}
+		pending.result <- result{outcome: msg.Outcome, owner: msg.Owner, target: msg.LastTarget, first: msg.FirstTurn}
 		return
 	}
-	if msg.Outcome == structs.RoomGranted {
-		m.peers.Send(from, &structs.RoomSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
+	if msg.Outcome == structs.ReservationGranted {
+		m.peers.Send(from, &structs.ReservationSettle{Lease: msg.Lease, Partition: msg.Partition, Program: msg.Program})
 	}
 }
 
 // receiveRequest handles the request of another instance.
-func (m *Manager) receiveRequest(from structs.InstanceID, r structs.RoomRequest) {
+func (m *Manager) receiveRequest(from structs.InstanceID, r structs.ReservationRequest) {
 	if r.Partition < 0 || r.Partition >= len(m.partitions) {
 		m.log.Warn("ignored request for unknown partition", "peer", from, "partition", r.Partition)
 		return
@@ -282,9 +282,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.request(m.partitions[r.Partition], r, func(got result) {
-		m.peers.Send(from, &structs.RoomReply{
+		m.peers.Send(from, &structs.ReservationReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
-			Breaks: m.breaks.Breaks(time.Now()), Target: got.target, First: got.first,
+			Failures: m.breaks.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
 			Loads: m.loads.LoadReports(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
@@ -293,8 +293,8 @@
 // request admits the turn if this instance owns the partition, names the owner if
 // another available instance does, and claims the partition otherwise. The mutex is
 // held.
-func (m *Manager) request(p *partition, r structs.RoomRequest, reply func(result)) {
-	if r.Named && p.own == nil {
+func (m *Manager) request(p *partition, r structs.ReservationRequest, reply func(result)) {
+	if r.Redirected && p.own == nil {
 		// Either a claim of this instance took effect without a response, or the
 		// sender is mistaken. Forget the owner, so that the store is read again.
 		m.setOwner(p, "", 0)
@@ -306,9 +306,9 @@
 		if r.Suspect == p.owner {
 			m.peers.Probe(p.owner)
 		}
-		reply(result{outcome: structs.RoomNotOwner, owner: p.owner})
+		reply(result{outcome: structs.ReservationNotOwner, owner: p.owner})
 	case m.leaving.Load() || time.Now().Before(p.claimAfter) || !m.mayClaim():
-		reply(result{outcome: structs.RoomUnavailable})
+		reply(result{outcome: structs.ReservationUnavailable})
 	default:
 		p.waitingForClaim = append(p.waitingForClaim, parkedRequest{r, reply})
 		m.startClaim(p)
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -86,7 +86,7 @@
 		m := c.all()[0].manager
 		waiting := func(lease uint64, partition int, owner structs.InstanceID) chan result {
 			results := make(chan result, 1)
-			request := structs.RoomRequest{Partition: partition, Lease: structs.RoomLease{Holder: m.self.ID, Number: lease}}
+			request := structs.ReservationRequest{Partition: partition, Lease: structs.LeaseID{Holder: m.self.ID, Number: lease}}
 			m.pending[request.Lease] = &pendingRequest{owner: owner, request: request, result: results}
 			return results
 		}
@@ -99,7 +99,7 @@
 		m.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
 		select {
 		case got := <-unresponsive:
-			if got.outcome != structs.RoomNotOwner || got.owner != "claimant" {
+			if got.outcome != structs.ReservationNotOwner || got.owner != "claimant" {
 				t.Errorf("got %+v", got)
 			}
 		default:
--- a/internal/budget/write.go
+++ b/internal/budget/write.go
@@ -164,7 +164,7 @@
 	}
 	for _, a := range p.own.accounts {
 		if len(a.waiters) > 0 && a.leased == 0 {
-			m.refuseWaiters(a, structs.RoomNoRecord, "")
+			m.refuseWaiters(a, structs.ReservationNotRecorded, "")
 		}
 	}
 }
--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -251,14 +251,14 @@
 // notice has done so. The caller must hold m.mu.
 func (m *Manager) notifySlow(took time.Duration, now time.Time) {
 	if m.path.ShouldNotifySlow(now) {
-		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, News: structs.StoreSlow}) })
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, StoreEvent: structs.StoreSlow}) })
 	}
 }
 
 // notifyRecovery notifies other instances that the store accepts appends again.
 // The caller must hold m.mu.
 func (m *Manager) notifyRecovery() {
-	m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreBack}) })
+	m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreRecovered}) })
 }
 
 // notifyHang notifies other instances that an append of this instance hangs.
@@ -267,7 +267,7 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	if m.path.AppendHangs(since, now) && m.path.ShouldNotifyHang(now) {
-		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{News: structs.StoreSlow}) })
+		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreSlow}) })
 	}
 }
 
@@ -278,10 +278,10 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	switch {
-	case msg.News == structs.StoreSlow:
+	case msg.StoreEvent == structs.StoreSlow:
 		m.path.ObserveNotice(msg.Took, now)
 		m.updateState(nil)
-	case msg.News == structs.StoreBack:
+	case msg.StoreEvent == structs.StoreRecovered:
 		m.handleRecovery()
 	}
 	if len(msg.Turns) > 0 {
@@ -338,9 +338,9 @@
 // store took and whether the other instance considers that slow.
 func (w *turnWrite) appendThrough(ctx context.Context, helper structs.InstanceID) (took time.Duration, slow bool, err error) {
 	msg := w.manager.queryWithin(ctx, helper, w.manager.batchTimeout, func(number uint64) structs.Message {
-		return &structs.KeepRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
+		return &structs.StoreTurnsRequest{Number: number, Partition: w.partition.number, Turns: w.turns}
 	})
-	if reply, ok := msg.(*structs.KeepReply); ok && reply.Kept {
+	if reply, ok := msg.(*structs.StoreTurnsReply); ok && reply.Stored {
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
@@ -364,7 +364,7 @@
 }
 
 // receiveAppendRequest appends turns for another instance.
-func (m *Manager) receiveAppendRequest(from structs.InstanceID, msg *structs.KeepRequest) {
+func (m *Manager) receiveAppendRequest(from structs.InstanceID, msg *structs.StoreTurnsRequest) {
 	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
 		m.log.Warn("turns for an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
@@ -373,13 +373,13 @@
 	defer m.mu.Unlock()
 	m.spawn(func() {
 		result := m.appendForPeer(m.partitions[msg.Partition], msg.Turns)
-		m.peers.Send(from, &structs.KeepReply{Number: msg.Number, Kept: result.err == nil, Took: result.took, Slow: result.slow})
+		m.peers.Send(from, &structs.StoreTurnsReply{Number: msg.Number, Stored: result.err == nil, Took: result.took, Slow: result.slow})
 	})
 }
 
 // appendForPeer appends turns of another instance. While this instance's
 // appends fail it refuses, except for an occasional direct attempt.
-func (m *Manager) appendForPeer(p *partition, turns []structs.KeptTurn) appendResult {
+func (m *Manager) appendForPeer(p *partition, turns []structs.StoredTurn) appendResult {
 	m.mu.Lock()
 	failing := m.path.Failing()
 	m.mu.Unlock()
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -53,7 +53,7 @@
 // appendRequest is a set of turns that must be appended together.
 type appendRequest struct {
 	ctx     context.Context
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	records []platform.Record
 	bytes   int
 	// done receives the outcome. It is buffered.
@@ -74,7 +74,7 @@
 
 // appendBatched appends turns, batched with other requests for the partition.
 // If the context ends first, the store may still receive them.
-func (m *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.KeptTurn, records []platform.Record) appendResult {
+func (m *Manager) appendBatched(ctx context.Context, p *partition, turns []structs.StoredTurn, records []platform.Record) appendResult {
 	r := &appendRequest{ctx: ctx, turns: turns, records: records, done: make(chan appendResult, 1)}
 	for _, record := range records {
 		r.bytes += len(record.Key) + len(record.Value) + recordOverhead
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -15,7 +15,7 @@
 // lookupResult is the result of looking up a turn in one partition.
 type lookupResult struct {
 	outcome structs.ConversationOutcome
-	turns   []structs.KeptTurn
+	turns   []structs.StoredTurn
 	// partition holds the turns if they were found.
 	partition int
 }
@@ -30,7 +30,7 @@
 			return structs.ConversationFound
 		case structs.ConversationUnknown:
 		default:
-			outcome = structs.ConversationUnread
+			outcome = structs.ConversationUnreadable
 		}
 	}
 	return outcome
@@ -96,13 +96,13 @@
 			break
 		}
 		found := m.findAt(ctx, id, p, turn)
-		if found.outcome != structs.ConversationUnread || ctx.Err() != nil {
+		if found.outcome != structs.ConversationUnreadable || ctx.Err() != nil {
 			return found
 		}
 		m.markUnable(id)
 		exclude = append(exclude, id)
 	}
-	return lookupResult{outcome: structs.ConversationUnread}
+	return lookupResult{outcome: structs.ConversationUnreadable}
 }
 
 // findAt looks up a turn at one instance and adds the turns found to memory.
@@ -115,7 +115,7 @@
 	})
 	reply, ok := msg.(*structs.ConversationReply)
 	if !ok {
-		return lookupResult{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnreadable}
 	}
 	if reply.Outcome == structs.ConversationFound {
 		m.addTurns(reply.Turns, reply.Partition)
@@ -129,7 +129,7 @@
 		return found
 	}
 	if err := m.catchUp(ctx, p); err != nil {
-		return lookupResult{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnreadable}
 	}
 	if found, ok := m.findInMemory(turn); ok {
 		return found
@@ -143,7 +143,7 @@
 		// A predecessor is missing or cannot be decoded, which violates the
 		// package's invariant: the conversation exists but is incomplete.
 		m.log.Error("conversation is not whole", "partition", p.number, "turn", turn)
-		return lookupResult{outcome: structs.ConversationUnread}
+		return lookupResult{outcome: structs.ConversationUnreadable}
 	}
 	return lookupResult{outcome: structs.ConversationUnknown}
 }
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -231,15 +231,15 @@
 func TestCombineOutcomes(t *testing.T) {
 	found := lookupResult{outcome: structs.ConversationFound}
 	unknown := lookupResult{outcome: structs.ConversationUnknown}
-	unread := lookupResult{outcome: structs.ConversationUnread}
+	unread := lookupResult{outcome: structs.ConversationUnreadable}
 	for _, tt := range []struct {
 		results []lookupResult
 		want    structs.ConversationOutcome
 	}{
 		{[]lookupResult{unknown, unknown}, structs.ConversationUnknown},
-		{[]lookupResult{unknown, unread}, structs.ConversationUnread},
+		{[]lookupResult{unknown, unread}, structs.ConversationUnreadable},
 		{[]lookupResult{unread, found, unknown}, structs.ConversationFound},
-		{[]lookupResult{{}, unknown}, structs.ConversationUnread},
+		{[]lookupResult{{}, unknown}, structs.ConversationUnreadable},
 	} {
 		if got := combineOutcomes(tt.results); got != tt.want {
 			t.Errorf("%v: got %d, want %d", tt.results, got, tt.want)
@@ -252,7 +252,7 @@
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
 		now := time.Now().UnixMilli()
-		records, err := encodeTurns([]structs.KeptTurn{
+		records, err := encodeTurns([]structs.StoredTurn{
 			{ID: "x", Previous: "y", Ended: now, Retention: testRetention},
 			{ID: "y", Previous: "x", Ended: now, Retention: testRetention},
 		})
--- a/internal/conversation/manager.go
+++ b/internal/conversation/manager.go
@@ -169,9 +169,9 @@
 		m.deliverReply(from, msg.Number, msg)
 	case *structs.TurnsNotice:
 		m.receiveNotice(msg)
-	case *structs.KeepRequest:
+	case *structs.StoreTurnsRequest:
 		m.receiveAppendRequest(from, msg)
-	case *structs.KeepReply:
+	case *structs.StoreTurnsReply:
 		m.deliverReply(from, msg.Number, msg)
 	}
 }
@@ -180,21 +180,21 @@
 func Handles(msg structs.Message) bool {
 	switch msg.Kind() {
 	case structs.KindConversationRequest, structs.KindConversationReply, structs.KindTurnsNotice,
-		structs.KindKeepRequest, structs.KindKeepReply:
+		structs.KindStoreTurnsRequest, structs.KindStoreTurnsReply:
 		return true
 	}
 	return false
 }
 
 // addTurns adds turns that a partition of the store holds to memory.
-func (m *Manager) addTurns(turns []structs.KeptTurn, partition int) {
+func (m *Manager) addTurns(turns []structs.StoredTurn, partition int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.addTurnsLocked(turns, partition)
 }
 
 // addTurnsLocked is addTurns for callers that hold m.mu.
-func (m *Manager) addTurnsLocked(turns []structs.KeptTurn, partition int) {
+func (m *Manager) addTurnsLocked(turns []structs.StoredTurn, partition int) {
 	now := time.Now()
 	for _, turn := range turns {
 		m.memory.add(turn, partition, now)
@@ -203,10 +203,10 @@
 	m.metrics.turns.Update(float64(len(m.memory.turns)))
 }
 
-func turnsOf(entries []*entry) []structs.KeptTurn {
-	turns := make([]structs.KeptTurn, len(entries))
+func turnsOf(entries []*entry) []structs.StoredTurn {
+	turns := make([]structs.StoredTurn, len(entries))
 	for i, e := range entries {
-		turns[i] = e.KeptTurn
+		turns[i] = e.StoredTurn
 	}
 	return turns
 }
--- a/internal/conversation/memory.go
+++ b/internal/conversation/memory.go
@@ -9,7 +9,7 @@
 
 // entry is a turn in memory and the partitions that hold it.
 type entry struct {
-	structs.KeptTurn
+	structs.StoredTurn
 	// partitions rarely has more than one element.
 	partitions []int
 	// expires is when neither the turn nor any known continuation of it can be
@@ -28,10 +28,10 @@
 func newMemory() memory { return memory{turns: make(map[string]*entry)} }
 
 // add adds a turn that a partition holds.
-func (m *memory) add(turn structs.KeptTurn, partition int, now time.Time) {
+func (m *memory) add(turn structs.StoredTurn, partition int, now time.Time) {
 	e, ok := m.turns[turn.ID]
 	if !ok {
-		e = &entry{KeptTurn: turn, expires: expiry(turn, now)}
+		e = &entry{StoredTurn: turn, expires: expiry(turn, now)}
 		m.turns[turn.ID] = e
 		m.bytes += len(turn.Input) + len(turn.Output)
 	}
@@ -42,7 +42,7 @@
 
 // expiry returns when a turn expires if none continues it. An end time in the
 // future, from an instance whose clock is ahead, counts as now.
-func expiry(turn structs.KeptTurn, now time.Time) time.Time {
+func expiry(turn structs.StoredTurn, now time.Time) time.Time {
 	ended := time.UnixMilli(turn.Ended)
 	if ended.After(now) {
 		ended = now
--- a/internal/conversation/memory_test.go
+++ b/internal/conversation/memory_test.go
@@ -20,7 +20,7 @@
 		runtime.ReadMemStats(&before)
 		now := time.Now()
 		for i := range turns {
-			m.add(structs.KeptTurn{
+			m.add(structs.StoredTurn{
 				ID: fmt.Sprintf("%016x", i), Previous: fmt.Sprintf("%016x", i-1),
 				Input: make([]byte, text/2), Output: make([]byte, text/2), Ended: now.UnixMilli(), Retention: time.Minute,
 			}, 1, now)
@@ -34,7 +34,7 @@
 
 func TestExpiryIgnoresFutureEndTimes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ahead := structs.KeptTurn{Ended: now.Add(time.Hour).UnixMilli(), Retention: time.Minute}
+	ahead := structs.StoredTurn{Ended: now.Add(time.Hour).UnixMilli(), Retention: time.Minute}
 	if got := expiry(ahead, now); !got.Equal(now.Add(time.Minute)) {
 		t.Errorf("got %s", got)
 	}
--- a/internal/conversation/record.go
+++ b/internal/conversation/record.go
@@ -24,7 +24,7 @@
 }
 
 // encodeTurn encodes a turn as a record.
-func encodeTurn(turn structs.KeptTurn) (platform.Record, error) {
+func encodeTurn(turn structs.StoredTurn) (platform.Record, error) {
 	value := []byte{recordVersion}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, recordHandle).Encode(turn); err != nil {
@@ -35,8 +35,8 @@
 
 // decodeTurn decodes the record of a turn. It fails for records of another
 // version.
-func decodeTurn(record platform.Record) (structs.KeptTurn, error) {
-	var turn structs.KeptTurn
+func decodeTurn(record platform.Record) (structs.StoredTurn, error) {
+	var turn structs.StoredTurn
 	if len(record.Value) == 0 || record.Value[0] != recordVersion {
 		return turn, errors.Newf("record of turn %s has an unknown version", record.Key)
 	}
@@ -49,7 +49,7 @@
 	return turn, nil
 }
 
-func encodeTurns(turns []structs.KeptTurn) ([]platform.Record, error) {
+func encodeTurns(turns []structs.StoredTurn) ([]platform.Record, error) {
 	records := make([]platform.Record, 0, len(turns))
 	for _, turn := range turns {
 		record, err := encodeTurn(turn)
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -27,7 +27,7 @@
 // with the context's error, in which case the store may still receive it.
 func (m *Manager) StoreTurn(ctx context.Context, program string, turn serve.CompletedTurn) error {
 	home := m.partitionOf(program)
-	w := &turnWrite{manager: m, home: home, turn: structs.KeptTurn{
+	w := &turnWrite{manager: m, home: home, turn: structs.StoredTurn{
 		ID: turn.ID, Previous: turn.Previous, Input: turn.Input, Output: turn.Output,
 		Ended: time.Now().UnixMilli(), Retention: turn.Retention,
 	}}
@@ -50,7 +50,7 @@
 // missingFrom lists the turns up to the given one that a partition does not
 // hold, because they belong to another program or were stored elsewhere while
 // the partition was unavailable.
-func (m *Manager) missingFrom(p *partition, turn string) []structs.KeptTurn {
+func (m *Manager) missingFrom(p *partition, turn string) []structs.StoredTurn {
 	if turn == "" {
 		return nil
 	}
@@ -67,15 +67,15 @@
 // missingTurns lists the turns of a conversation that a partition may lack. A
 // partition holds a turn for its retention, and longer while a later turn in
 // the same partition continues it; after that the indexer may have dropped it.
-func missingTurns(entries []*entry, partition int, now time.Time) []structs.KeptTurn {
-	var turns []structs.KeptTurn
+func missingTurns(entries []*entry, partition int, now time.Time) []structs.StoredTurn {
+	var turns []structs.StoredTurn
 	continued := false
 	for _, e := range slices.Backward(entries) {
-		if e.storedIn(partition) && (continued || now.Before(expiry(e.KeptTurn, now))) {
+		if e.storedIn(partition) && (continued || now.Before(expiry(e.StoredTurn, now))) {
 			continued = true
 			continue
 		}
-		turns = append(turns, e.KeptTurn)
+		turns = append(turns, e.StoredTurn)
 	}
 	slices.Reverse(turns)
 	return turns
@@ -85,12 +85,12 @@
 type turnWrite struct {
 	manager *Manager
 	home    *partition
-	turn    structs.KeptTurn
+	turn    structs.StoredTurn
 
 	// partition is the partition being tried. turns holds the turn and its
 	// predecessors that the partition lacks, records their encoding.
 	partition *partition
-	turns     []structs.KeptTurn
+	turns     []structs.StoredTurn
 	records   []platform.Record
 	// helpers are the instances asked to append the turns since helpersResetAt.
 	helpers        []structs.InstanceID
--- a/internal/dispatch/cache_test.go
+++ b/internal/dispatch/cache_test.go
@@ -93,7 +93,7 @@
 	f.runAt("1", "p", 1000)
 	stored := cacheEvent(1, wire.CacheStored, "q", 5000)
 	f.after(time.Second, structs.TargetCache{Target: "t0", Events: []wire.CacheEvent{stored}})
-	released := releases(f.send(&structs.ProgramGone{Pool: testPool, Program: "q"}))
+	released := releases(f.send(&structs.ProgramEnded{Pool: testPool, Program: "q"}))
 	if len(released) != 1 || released[0].Program != "q" {
 		t.Fatalf("releases %v, want q", released)
 	}
@@ -113,7 +113,7 @@
 func TestReleaseIsRepeatedUntilConfirmed(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	target := f.runAt("1", "p", 1000)
-	sent := len(releases(f.send(&structs.ProgramGone{Pool: testPool, Program: "p"})))
+	sent := len(releases(f.send(&structs.ProgramEnded{Pool: testPool, Program: "p"})))
 	for range 20 {
 		sent += len(releases(f.after(100*time.Millisecond, structs.CacheReleased{Target: target, Program: "p"})))
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -88,7 +88,7 @@
 		d.cancel(now, m)
 	case *structs.PermitFinish:
 		d.finish(now, m)
-	case *structs.ProgramGone:
+	case *structs.ProgramEnded:
 		if p := d.findPool(m.Pool); p != nil {
 			p.programGone(now, m.Program)
 		}
--- a/internal/dispatch/property_test.go
+++ b/internal/dispatch/property_test.go
@@ -131,7 +131,7 @@
 	case 3:
 		w.check(w.tick(structs.TargetLoad{Target: target, Load: wire.EngineLoad{Running: subject % 4}}))
 	case 4:
-		w.check(w.send(&structs.ProgramGone{Pool: testPool, Program: structs.ProgramID(program)}))
+		w.check(w.send(&structs.ProgramEnded{Pool: testPool, Program: structs.ProgramID(program)}))
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,7 +96,7 @@
 		g.queryPrograms(now, ev)
 	case structs.SettingsApplied:
 		g.queryApplied(now, ev)
-	case structs.CallerGone:
+	case structs.CallerDisconnected:
 		g.handleCallerGone(ev.Request)
 	case structs.PeerDown:
 		g.handlePeerDown(now, ev.Peer)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -62,7 +62,7 @@
 	r.t.Helper()
 	var ends []structs.Outcome
 	for _, cmd := range cmds {
-		if end, ok := cmd.(structs.ReplyEnd); ok {
+		if end, ok := cmd.(structs.ReplyOutcome); ok {
 			ends = append(ends, end.Outcome)
 		}
 	}
@@ -106,7 +106,7 @@
 	r.tick(start, r.from(&structs.CallChunk{Request: request, Run: "run-1", Chunk: structs.Chunk{Texts: []string{"one "}}}))
 	cmds := r.tick(start, structs.PeerDown{Peer: r.owner})
 	submit, ok := cmds[0].(structs.SendPeer).Msg.(*structs.Submit)
-	if !ok || submit.Have != 1 || submit.HaveRun != "run-1" {
+	if !ok || submit.NextPiece != 1 || submit.ReceivedRun != "run-1" {
 		t.Fatalf("handed over as %+v", cmds)
 	}
 	cmds = r.tick(start, r.from(&structs.CallChunk{Request: request, Run: "run-2", Chunk: structs.Chunk{First: 1, Texts: []string{"due"}}}))
@@ -154,7 +154,7 @@
 	for i := 0; i < 100; i++ {
 		cmds := r.tick(now, r.from(&structs.NotOwner{Request: request}))
 		if len(cmds) > 0 {
-			if _, ok := cmds[0].(structs.ReplyEnd); ok {
+			if _, ok := cmds[0].(structs.ReplyOutcome); ok {
 				if out := r.finalOutcome(cmds); out.Kind != structs.OutcomeNotRun || out.RetryAfter == 0 {
 					t.Fatalf("outcome %+v", out)
 				}
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -80,7 +80,7 @@
 func (g *Gateway) handleSubmit(now time.Time, ev structs.CallerSubmit) {
 	p := g.newPending(now, ev.Request, ev.Call.Program, ev.Deadline)
 	if p == nil {
-		g.emit(structs.ReplyEnd{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
+		g.emit(structs.ReplyOutcome{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
 		return
 	}
 	p.call = ev.Call
@@ -189,7 +189,7 @@
 	}
 	return &structs.Submit{
 		Request: p.request, Call: p.call, Remaining: remaining,
-		Have: p.stream.pieces, HaveRun: p.stream.run, Suspects: g.suspectsOf(p),
+		NextPiece: p.stream.pieces, ReceivedRun: p.stream.run, Suspects: g.suspectsOf(p),
 		Resubmitted: p.heldElsewhere(p.owner),
 	}
 }
@@ -247,7 +247,7 @@
 		g.emit(structs.ReplyProgram{Request: p.request, Outcome: out})
 		return
 	}
-	g.emit(structs.ReplyEnd{Request: p.request, Outcome: out})
+	g.emit(structs.ReplyOutcome{Request: p.request, Outcome: out})
 }
 
 func (g *Gateway) handleCallerGone(id structs.RequestID) {
--- a/internal/httpapi/chat_test.go
+++ b/internal/httpapi/chat_test.go
@@ -129,7 +129,7 @@
 				}
 				outcome := answered
 				outcome.Replayed = chunks == nil
-				return append(commands, structs.ReplyEnd{Request: submit.Request, Outcome: outcome})
+				return append(commands, structs.ReplyOutcome{Request: submit.Request, Outcome: outcome})
 			}
 			response, err := http.DefaultClient.Do(f.request(http.MethodPost, chatRoute, streamBody))
 			if err != nil {
@@ -174,7 +174,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.api.Deliver(structs.ReplyEnd{Request: structs.RequestID(response.Header.Get(HeaderRequest)), Outcome: outcome})
+			f.api.Deliver(structs.ReplyOutcome{Request: structs.RequestID(response.Header.Get(HeaderRequest)), Outcome: outcome})
 			events := readEvents(t, response)
 			if len(events) != 3 || events[1] != "event: error" {
 				t.Fatalf("events %q", events)
@@ -258,7 +258,7 @@
 		return []structs.Command{
 			structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"a"}}},
 			structs.ReplyChunk{Request: id, Chunk: structs.Chunk{First: 1, Texts: []string{outcome.Text[1:]}}},
-			structs.ReplyEnd{Request: id, Outcome: outcome},
+			structs.ReplyOutcome{Request: id, Outcome: outcome},
 		}
 	}
 	response, body := f.do(http.MethodPost, chatRoute, streamBody)
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -57,7 +57,7 @@
 
 // endStream writes the rest of a streamed response, or its failure.
 func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
-	reply, ok := final.(structs.ReplyEnd)
+	reply, ok := final.(structs.ReplyOutcome)
 	if !ok {
 		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
 		return
--- a/internal/httpapi/docs_test.go
+++ b/internal/httpapi/docs_test.go
@@ -48,7 +48,7 @@
 	done := structs.Outcome{Kind: structs.OutcomeAnswered, Status: http.StatusOK, Body: []byte("filed\n"), Text: "yes", Finish: "stop"}
 	switch e := event.(type) {
 	case structs.CallerSubmit:
-		return []structs.Command{structs.ReplyEnd{Request: e.Request, Outcome: done}}
+		return []structs.Command{structs.ReplyOutcome{Request: e.Request, Outcome: done}}
 	case structs.CallerProgram:
 		return []structs.Command{structs.ReplyProgram{Request: e.Request, Outcome: done, Info: structs.ProgramInfo{ID: e.Program}}}
 	case structs.CallerPrograms:
--- a/internal/httpapi/exchange.go
+++ b/internal/httpapi/exchange.go
@@ -155,7 +155,7 @@
 // requestOf returns the request that a command ends, or false if it ends none.
 func requestOf(command structs.Command) (structs.RequestID, bool) {
 	switch reply := command.(type) {
-	case structs.ReplyEnd:
+	case structs.ReplyOutcome:
 		return reply.Request, true
 	case structs.ReplyProgram:
 		return reply.Request, true
--- a/internal/httpapi/failure_test.go
+++ b/internal/httpapi/failure_test.go
@@ -40,12 +40,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil)
 			id := hangUp(f, f.request(http.MethodPost, chatRoute, body))
-			if gone := nextEvent[structs.CallerGone](f); gone.Request != id {
+			if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
 				t.Errorf("gone %q, want %q", gone.Request, id)
 			}
 			// Commands for a request that has ended are dropped.
 			f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"x"}}})
-			f.api.Deliver(structs.ReplyEnd{Request: id, Outcome: answered})
+			f.api.Deliver(structs.ReplyOutcome{Request: id, Outcome: answered})
 			f.api.Deliver(structs.DrainDone{})
 			if len(f.api.exchanges.exchanges) != 0 {
 				t.Error("the request is still registered")
@@ -95,7 +95,7 @@
 	for i := 1; i <= 3; i++ {
 		f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{First: i, Texts: []string{text}}})
 	}
-	if gone := nextEvent[structs.CallerGone](f); gone.Request != id {
+	if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
 		t.Errorf("gone %q, want %q", gone.Request, id)
 	}
 	response, err := io.ReadAll(conn)
@@ -126,7 +126,7 @@
 	response, body := f.do(http.MethodPost, chatRoute, chatBody, HeaderDeadline, "1")
 	checkProblem(t, response, body, structs.ReasonDeadline, http.StatusGatewayTimeout, outcomeUnknown)
 	id := f.submitted().Request
-	if gone := nextEvent[structs.CallerGone](f); gone.Request != id {
+	if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
 		t.Errorf("gone %q", gone.Request)
 	}
 }
@@ -187,7 +187,7 @@
 	if dump.StatusCode != http.StatusOK {
 		t.Errorf("dump: status %d", dump.StatusCode)
 	}
-	f.api.Deliver(structs.ReplyEnd{Request: first.Request, Outcome: answered})
+	f.api.Deliver(structs.ReplyOutcome{Request: first.Request, Outcome: answered})
 	<-done
 	f.replyWith(answered)
 	response, _ = f.do(http.MethodPost, chatRoute, chatBody)
@@ -207,7 +207,7 @@
 	first := f.submitted()
 	response, text := f.do(http.MethodPost, chatRoute, body)
 	checkProblem(t, response, text, structs.ReasonOverloaded, http.StatusServiceUnavailable, outcomeNotRun)
-	f.api.Deliver(structs.ReplyEnd{Request: first.Request, Outcome: answered})
+	f.api.Deliver(structs.ReplyOutcome{Request: first.Request, Outcome: answered})
 	<-done
 	f.replyWith(answered)
 	for range 3 {
@@ -252,7 +252,7 @@
 			submit := event.(structs.CallerSubmit)
 			outcome := answered
 			outcome.Text = string(submit.Call.Program)
-			return []structs.Command{structs.ReplyEnd{Request: submit.Request, Outcome: outcome}}
+			return []structs.Command{structs.ReplyOutcome{Request: submit.Request, Outcome: outcome}}
 		}
 	})
 	var group sync.WaitGroup
--- a/internal/httpapi/fake_test.go
+++ b/internal/httpapi/fake_test.go
@@ -177,7 +177,7 @@
 	f.core.set(func(c *fakeCore) {
 		c.reply = func(event structs.Event) []structs.Command {
 			if submit, ok := event.(structs.CallerSubmit); ok {
-				return []structs.Command{structs.ReplyEnd{Request: submit.Request, Outcome: outcome}}
+				return []structs.Command{structs.ReplyOutcome{Request: submit.Request, Outcome: outcome}}
 			}
 			return nil
 		}
--- a/internal/httpapi/plain.go
+++ b/internal/httpapi/plain.go
@@ -33,7 +33,7 @@
 		return
 	}
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
-	reply, ok := postAndWait[structs.ReplyEnd](s, c, event, deadline)
+	reply, ok := postAndWait[structs.ReplyOutcome](s, c, event, deadline)
 	if !ok {
 		return
 	}
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -44,7 +44,7 @@
 	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(timeout)}, nil
 }
 
-// close removes the request, and posts CallerGone to the core if the request has
+// close removes the request, and posts CallerDisconnected to the core if the request has
 // not ended.
 func (p *pendingRequest) close() {
 	p.timer.Stop()
@@ -53,7 +53,7 @@
 	if p.exchange.ended() {
 		return
 	}
-	if !p.server.core.Post(structs.CallerGone{Request: p.exchange.id}) {
+	if !p.server.core.Post(structs.CallerDisconnected{Request: p.exchange.id}) {
 		p.server.metrics.goneNotPosted.Inc(1)
 	}
 }
--- a/internal/instance/bench_harness_test.go
+++ b/internal/instance/bench_harness_test.go
@@ -138,7 +138,7 @@
 		if c.Outcome.Kind != structs.OutcomeAnswered {
 			h.b.Fatalf("open: %+v", c.Outcome)
 		}
-	case structs.ReplyEnd:
+	case structs.ReplyOutcome:
 		if c.Outcome.Kind != structs.OutcomeAnswered {
 			h.b.Fatalf("call: %+v", c.Outcome)
 		}
--- a/internal/instance/cluster_test.go
+++ b/internal/instance/cluster_test.go
@@ -263,9 +263,9 @@
 		c.after(netDelay, func() {
 			n.deliver(structs.CacheReleased{Target: cmd.Target.ID, Program: cmd.Program, Done: true})
 		})
-	case structs.AskOutcome:
-		c.after(netDelay, func() { n.deliver(structs.OutcomeAsked{Run: cmd.Run}) })
-	case structs.ReplyEnd:
+	case structs.QueryOutcome:
+		c.after(netDelay, func() { n.deliver(structs.OutcomeQueried{Run: cmd.Run}) })
+	case structs.ReplyOutcome:
 		c.reply(cmd.Request, cmd.Outcome)
 	case structs.ReplyProgram:
 		c.reply(cmd.Request, cmd.Outcome)
--- a/internal/instance/lifecycle.go
+++ b/internal/instance/lifecycle.go
@@ -38,7 +38,7 @@
 	}
 	switch ev := ev.(type) {
 	case structs.CallerSubmit:
-		in.commands = append(in.commands, structs.ReplyEnd{Request: ev.Request, Outcome: ev.Call.Refusal(reason, notReadyRetryAfter)})
+		in.commands = append(in.commands, structs.ReplyOutcome{Request: ev.Request, Outcome: ev.Call.Refusal(reason, notReadyRetryAfter)})
 	case structs.CallerProgram:
 		out := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: notReadyRetryAfter}
 		in.commands = append(in.commands, structs.ReplyProgram{Request: ev.Request, Outcome: out})
--- a/internal/instance/route.go
+++ b/internal/instance/route.go
@@ -40,7 +40,7 @@
 	switch ev := ev.(type) {
 	case structs.CallerSubmit, structs.CallerProgram:
 		i.admit(now, in, ev)
-	case structs.CallerPrograms, structs.SettingsApplied, structs.CallerGone:
+	case structs.CallerPrograms, structs.SettingsApplied, structs.CallerDisconnected:
 		in.gateway = append(in.gateway, ev)
 	case structs.SettingsPropose:
 		in.settings = append(in.settings, ev)
@@ -61,7 +61,7 @@
 		in.routeLogEvent(ev.Stream, ev)
 	case structs.LogReadFailed:
 		in.routeLogEvent(ev.Stream, ev)
-	case structs.RunChunk, structs.RunEnded, structs.OutcomeAsked:
+	case structs.RunChunk, structs.RunEnded, structs.OutcomeQueried:
 		in.owner = append(in.owner, ev)
 	case structs.CacheReleased:
 		in.owner = append(in.owner, ev)
@@ -97,7 +97,7 @@
 	case *structs.ProgramsRequest:
 		reply := &structs.ProgramsReply{Request: msg.Request, Programs: i.owner.Programs(msg.Team, msg.Limit)}
 		in.commands = append(in.commands, structs.SendPeer{To: ev.From, Msg: reply})
-	case *structs.PermitRequest, *structs.PermitCancel, *structs.PermitFinish, *structs.ProgramGone:
+	case *structs.PermitRequest, *structs.PermitCancel, *structs.PermitFinish, *structs.ProgramEnded:
 		in.dispatch = append(in.dispatch, ev)
 	case *structs.SettingsRequest, *structs.SettingsState, *structs.AppliedRequest:
 		in.settings = append(in.settings, ev)
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -9,7 +9,7 @@
 func (n *node) carry(cmd structs.Command) {
 	a := n.adapters
 	switch cmd := cmd.(type) {
-	case structs.ReplyChunk, structs.ReplyEnd, structs.ReplyProgram,
+	case structs.ReplyChunk, structs.ReplyOutcome, structs.ReplyProgram,
 		structs.ReplyPrograms, structs.ReplySettings, structs.ReplyApplied:
 		n.gauges.count(cmd)
 		a.http.Deliver(cmd)
@@ -45,7 +45,7 @@
 		targets.ResumeRun(cmd)
 	case structs.CancelRun:
 		targets.CancelRun(cmd)
-	case structs.AskOutcome:
+	case structs.QueryOutcome:
 		targets.AskOutcome(cmd)
 	case structs.WatchTargets:
 		targets.WatchTargets(cmd)
--- a/internal/orders/controller.go
+++ b/internal/orders/controller.go
@@ -109,7 +109,7 @@
 	var kept []*pool
 	for _, service := range c.settings.Services() {
 		id := structs.PoolID{Service: service.Name, Region: c.cfg.Self.Region}
-		if service.Kind != structs.ServiceEngine || !service.Orders.Wanted() || !c.shouldControl(id) {
+		if service.Kind != structs.ServiceEngine || !service.Orders.IsSet() || !c.shouldControl(id) {
 			continue
 		}
 		p := c.find(id)
--- a/internal/owner/ask.go
+++ b/internal/owner/ask.go
@@ -45,11 +45,11 @@
 	}
 	target := a.targets[0]
 	a.targets = a.targets[1:]
-	o.emit(structs.AskOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
+	o.emit(structs.QueryOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
 	a.timer = o.after(askTimeout, func() { o.askNext(a) })
 }
 
-func (o *Owner) onOutcomeAsked(e structs.OutcomeAsked) {
+func (o *Owner) onOutcomeAsked(e structs.OutcomeQueried) {
 	a := o.asks[e.Run]
 	if a == nil {
 		return
--- a/internal/owner/call.go
+++ b/internal/owner/call.go
@@ -120,8 +120,8 @@
 // attach adds a gateway that waits for the call.
 func (c *call) attach(from structs.InstanceID, m *structs.Submit) {
 	o := c.shard.o
-	c.resubmitted = c.resubmitted || m.Resubmitted || m.Have > 0
-	w := &waiter{request: m.Request, from: from, next: m.Have, run: m.HaveRun, deadline: o.now.Add(m.Remaining)}
+	c.resubmitted = c.resubmitted || m.Resubmitted || m.NextPiece > 0
+	w := &waiter{request: m.Request, from: from, next: m.NextPiece, run: m.ReceivedRun, deadline: o.now.Add(m.Remaining)}
 	w.timer = o.after(max(0, m.Remaining-answerMargin), func() { c.onDeadline(w) })
 	c.waiters = append(c.waiters, w)
 	o.requests[m.Request] = c
@@ -151,10 +151,10 @@
 
 // reattach takes a repeated Submit of a request that is waiting already.
 func (c *call) reattach(from structs.InstanceID, m *structs.Submit) {
-	c.resubmitted = c.resubmitted || m.Resubmitted || m.Have > 0
+	c.resubmitted = c.resubmitted || m.Resubmitted || m.NextPiece > 0
 	for _, w := range c.waiters {
 		if w.request == m.Request {
-			w.from, w.next, w.run, w.detached = from, m.Have, m.HaveRun, false
+			w.from, w.next, w.run, w.detached = from, m.NextPiece, m.ReceivedRun, false
 			c.shard.o.timers.stop(c.linger)
 			if c.started() {
 				c.dropStrangers()
--- a/internal/owner/idempotency.go
+++ b/internal/owner/idempotency.go
@@ -34,7 +34,7 @@
 	}
 	out := record.Outcome
 	out.Replayed = true
-	if m.Have > 0 && m.HaveRun != record.Run {
+	if m.NextPiece > 0 && m.ReceivedRun != record.Run {
 		out = unknown(structs.ReasonTargetFailed)
 	}
 	o.send(from, &structs.CallEnd{Request: m.Request, Run: record.Run, Outcome: out})
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -113,7 +113,7 @@
 		o.onRunChunk(e)
 	case structs.RunEnded:
 		o.onRunEnded(e)
-	case structs.OutcomeAsked:
+	case structs.OutcomeQueried:
 		o.onOutcomeAsked(e)
 	case structs.CacheReleased:
 		o.onCacheReleased(e)
--- a/internal/owner/proof_test.go
+++ b/internal/owner/proof_test.go
@@ -42,7 +42,7 @@
 	r := w.submit(c, time.Minute)
 	w.run(2 * time.Second)
 	cmds := w.nodes["o1"].o.Tick(w.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
-		Request: "stranger", Call: c, Remaining: time.Minute, Have: 1, HaveRun: "another", Resubmitted: true,
+		Request: "stranger", Call: c, Remaining: time.Minute, NextPiece: 1, ReceivedRun: "another", Resubmitted: true,
 	}}})
 	if out := lastEnd(cmds, "stranger"); out == nil || out.Kind != structs.OutcomeUnknown {
 		t.Errorf("outcome %+v, want unknown", out)
--- a/internal/owner/refuse.go
+++ b/internal/owner/refuse.go
@@ -81,7 +81,7 @@
 
 // refuseSubmit refuses a request without having looked its key up.
 func (o *Owner) refuseSubmit(from structs.InstanceID, m *structs.Submit, reason structs.Reason, after time.Duration) {
-	out := refusal(m.Call, reason, after, m.Resubmitted || m.Have > 0, false)
+	out := refusal(m.Call, reason, after, m.Resubmitted || m.NextPiece > 0, false)
 	o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 }
 
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -92,7 +92,7 @@
 	for _, service := range journal.SortedKeys(row.Services) {
 		pool := structs.PoolID{Service: service, Region: p.shard.o.cfg.Self.Region}
 		if d, ok := p.shard.o.members.DispatcherOf(pool); ok {
-			p.shard.o.send(d, &structs.ProgramGone{Pool: pool, Program: p.id})
+			p.shard.o.send(d, &structs.ProgramEnded{Pool: pool, Program: p.id})
 		}
 	}
 }
--- a/internal/owner/resubmit_test.go
+++ b/internal/owner/resubmit_test.go
@@ -72,7 +72,7 @@
 		first.run: structs.OutcomeAnswered, "another": structs.OutcomeUnknown, "": structs.OutcomeUnknown,
 	} {
 		cmds := o.Tick(w.now, []structs.Event{structs.PeerMessage{From: testGateway, Msg: &structs.Submit{
-			Request: "again", Call: c, Remaining: time.Minute, Have: 1, HaveRun: run, Resubmitted: true,
+			Request: "again", Call: c, Remaining: time.Minute, NextPiece: 1, ReceivedRun: run, Resubmitted: true,
 		}}})
 		if out := lastEnd(cmds, "again"); out == nil || out.Kind != want {
 			t.Errorf("pieces of %q: %+v, want kind %d", run, out, want)
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if reason != structs.ReasonNone {
-		out := refusal(m.Call, reason, 0, m.Resubmitted || m.Have > 0, s.lookedUp())
+		out := refusal(m.Call, reason, 0, m.Resubmitted || m.NextPiece > 0, s.lookedUp())
 		o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
 		return
 	}
@@ -96,7 +96,7 @@
 				p.dropIfEmpty()
 				return
 			}
-			elsewhere := m.Resubmitted || m.Have > 0 || p.mayRedo(key) || p.passed(m.Call)
+			elsewhere := m.Resubmitted || m.NextPiece > 0 || p.mayRedo(key) || p.passed(m.Call)
 			out := refusal(m.Call, reason, after, elsewhere, s.lookedUp() && p.sees(notRepeatable))
 			p.told(m.Call, out)
 			o.send(from, &structs.CallEnd{Request: m.Request, Outcome: out})
--- a/internal/owner/world_callers_test.go
+++ b/internal/owner/world_callers_test.go
@@ -31,7 +31,7 @@
 	r.to = to
 	r.tried++
 	m := &structs.Submit{
-		Request: r.id, Call: r.call, Remaining: r.deadline.Sub(w.now), Have: len(r.pieces), HaveRun: r.run,
+		Request: r.id, Call: r.call, Remaining: r.deadline.Sub(w.now), NextPiece: len(r.pieces), ReceivedRun: r.run,
 		Suspects: suspects, Resubmitted: r.resub,
 	}
 	w.log("submit %s %s %d key %s to %s resubmitted %v", r.id, r.call.Lane, r.call.Number, r.call.Key, to, r.resub)
--- a/internal/owner/world_targets_test.go
+++ b/internal/owner/world_targets_test.go
@@ -102,7 +102,7 @@
 	case *structs.PermitFinish:
 		w.finishes[m.Ref.Run]++
 		delete(w.grants, m.Ref.Run)
-	case *structs.ProgramGone:
+	case *structs.ProgramEnded:
 		w.gone = append(w.gone, *m)
 	}
 }
--- a/internal/owner/world_test.go
+++ b/internal/owner/world_test.go
@@ -58,7 +58,7 @@
 	requests  map[structs.RequestID]*request
 	all       []*request
 	programs  map[structs.RequestID]structs.ProgramReply
-	gone      []structs.ProgramGone
+	gone      []structs.ProgramEnded
 	finishes  map[structs.RunID]int
 	released  map[structs.TargetID]int
 	keepCache bool
@@ -335,11 +335,11 @@
 		w.after(networkTime, func() {
 			w.deliverTo(n.id, life, structs.RunEnded{Run: c.Run, Target: c.Target.ID, Failure: structs.RunCancelled})
 		})
-	case structs.AskOutcome:
+	case structs.QueryOutcome:
 		life := n.life
 		w.after(networkTime, func() {
 			out, ok := w.outcomes[string(c.Program)+"/"+c.Key]
-			w.deliverTo(n.id, life, structs.OutcomeAsked{Run: c.Run, Reached: true, Found: ok, Outcome: out})
+			w.deliverTo(n.id, life, structs.OutcomeQueried{Run: c.Run, Reached: true, Found: ok, Outcome: out})
 		})
 	case structs.ReleaseCache:
 		w.released[c.Target.ID]++
--- a/internal/structs/commands.go
+++ b/internal/structs/commands.go
@@ -15,9 +15,9 @@
 	Chunk   Chunk
 }
 
-// ReplyEnd gives a caller of this instance its outcome. It is sent exactly
+// ReplyOutcome gives a caller of this instance its outcome. It is sent exactly
 // once for each CallerSubmit.
-type ReplyEnd struct {
+type ReplyOutcome struct {
 	Request RequestID
 	Outcome Outcome
 }
@@ -114,8 +114,8 @@
 	Target Target
 }
 
-// AskOutcome asks a target whether it ran a request with that key.
-type AskOutcome struct {
+// QueryOutcome asks a target whether it ran a request with that key.
+type QueryOutcome struct {
 	Run    RunID
 	Target Target
 	// Program scopes Key, as in StartRun's Call.
@@ -176,7 +176,7 @@
 type DrainDone struct{}
 
 func (ReplyChunk) command()    {}
-func (ReplyEnd) command()      {}
+func (ReplyOutcome) command()  {}
 func (ReplyProgram) command()  {}
 func (ReplyPrograms) command() {}
 func (ReplySettings) command() {}
@@ -191,7 +191,7 @@
 func (StartRun) command()      {}
 func (ResumeRun) command()     {}
 func (CancelRun) command()     {}
-func (AskOutcome) command()    {}
+func (QueryOutcome) command()  {}
 func (WatchTargets) command()  {}
 func (ReleaseCache) command()  {}
 func (ReadOrders) command()    {}
--- a/internal/structs/conversation.go
+++ b/internal/structs/conversation.go
@@ -7,12 +7,12 @@
 	KindConversationRequest MessageKind = 34
 	KindConversationReply   MessageKind = 35
 	KindTurnsNotice         MessageKind = 36
-	KindKeepRequest         MessageKind = 37
-	KindKeepReply           MessageKind = 38
+	KindStoreTurnsRequest   MessageKind = 37
+	KindStoreTurnsReply     MessageKind = 38
 )
 
-// KeptTurn is one turn of a conversation. It never changes.
-type KeptTurn struct {
+// StoredTurn is one turn of a conversation. It never changes.
+type StoredTurn struct {
 	// ID is that of the request which ran the turn, Previous that of the turn
 	// before it, empty at the start of a conversation.
 	ID       string
@@ -38,8 +38,8 @@
 	// ConversationUnknown: the partition was read to its end after the request
 	// came, and the turn is not in it.
 	ConversationUnknown ConversationOutcome = 2
-	// ConversationUnread: the partition could not be read.
-	ConversationUnread ConversationOutcome = 3
+	// ConversationUnreadable: the partition could not be read.
+	ConversationUnreadable ConversationOutcome = 3
 )
 
 // ConversationRequest asks for a turn of a partition with all before it.
@@ -54,7 +54,7 @@
 	Number  uint64
 	Outcome ConversationOutcome
 	// Turns are the oldest first.
-	Turns []KeptTurn
+	Turns []StoredTurn
 	// Partition holds them.
 	Partition int
 }
@@ -63,13 +63,13 @@
 // store holds.
 type TurnsNotice struct {
 	Partition int
-	Turns     []KeptTurn
+	Turns     []StoredTurn
 	// Took is how long the store took for an append with StoreSlow, 0 if one
 	// hangs.
 	Took time.Duration
-	// News is what the sender has found out about the store. A notice may hold
+	// StoreEvent is what the sender has found out about the store. A notice may hold
 	// nothing else.
-	News StoreNews
+	StoreEvent StoreNews
 }
 
 // StoreNews is what an instance tells others about the store.
@@ -79,23 +79,23 @@
 const (
 	// StoreSlow means that the store takes long for appends.
 	StoreSlow StoreNews = iota + 1
-	// StoreBack means that it takes appends again after it took none.
-	StoreBack
+	// StoreRecovered means that it takes appends again after it took none.
+	StoreRecovered
 )
 
-// KeepRequest asks an instance to append turns to the store for one that does
+// StoreTurnsRequest asks an instance to append turns to the store for one that does
 // not reach it.
-type KeepRequest struct {
+type StoreTurnsRequest struct {
 	Number    uint64
 	Partition int
-	Turns     []KeptTurn
+	Turns     []StoredTurn
 }
 
-// KeepReply answers a KeepRequest.
-type KeepReply struct {
+// StoreTurnsReply answers a StoreTurnsRequest.
+type StoreTurnsReply struct {
 	Number uint64
-	// Kept tells that the store holds the turns; if not, it may still.
-	Kept bool
+	// Stored tells that the store holds the turns; if not, it may still.
+	Stored bool
 	// Took is how long the store took for the append, 0 if it is unknown. Slow
 	// tells that this is long for the instance that made it.
 	Took time.Duration
@@ -106,5 +106,5 @@
 func (*ConversationRequest) Kind() MessageKind { return KindConversationRequest }
 func (*ConversationReply) Kind() MessageKind   { return KindConversationReply }
 func (*TurnsNotice) Kind() MessageKind         { return KindTurnsNotice }
-func (*KeepRequest) Kind() MessageKind         { return KindKeepRequest }
-func (*KeepReply) Kind() MessageKind           { return KindKeepReply }
+func (*StoreTurnsRequest) Kind() MessageKind   { return KindStoreTurnsRequest }
+func (*StoreTurnsReply) Kind() MessageKind     { return KindStoreTurnsReply }
--- a/internal/structs/events.go
+++ b/internal/structs/events.go
@@ -17,8 +17,8 @@
 	Deadline time.Time
 }
 
-// CallerGone tells that a caller closed its connection.
-type CallerGone struct{ Request RequestID }
+// CallerDisconnected tells that a caller closed its connection.
+type CallerDisconnected struct{ Request RequestID }
 
 // CallerProgram is a caller's or operator's request about one program.
 type CallerProgram struct {
@@ -143,9 +143,9 @@
 	FirstToken time.Duration
 }
 
-// OutcomeAsked answers AskOutcome: Found tells that the target ran the
+// OutcomeQueried answers QueryOutcome: Found tells that the target ran the
 // request and Outcome is its answer; Reached is false if it could not be asked.
-type OutcomeAsked struct {
+type OutcomeQueried struct {
 	Run     RunID
 	Reached bool
 	Found   bool
@@ -209,27 +209,27 @@
 	Detail  string
 }
 
-func (CallerSubmit) event()      {}
-func (CallerGone) event()        {}
-func (CallerProgram) event()     {}
-func (CallerPrograms) event()    {}
-func (SettingsPropose) event()   {}
-func (SettingsApplied) event()   {}
-func (DrainStart) event()        {}
-func (PeerMessage) event()       {}
-func (PeerUp) event()            {}
-func (PeerDown) event()          {}
-func (LogAppended) event()       {}
-func (LogAppendFailed) event()   {}
-func (LogRead) event()           {}
-func (LogReadFailed) event()     {}
-func (MembersListed) event()     {}
-func (RunChunk) event()          {}
-func (RunEnded) event()          {}
-func (OutcomeAsked) event()      {}
-func (TargetLoad) event()        {}
-func (TargetUnreachable) event() {}
-func (TargetCache) event()       {}
-func (CacheReleased) event()     {}
-func (OrderSent) event()         {}
-func (OrdersRead) event()        {}
+func (CallerSubmit) event()       {}
+func (CallerDisconnected) event() {}
+func (CallerProgram) event()      {}
+func (CallerPrograms) event()     {}
+func (SettingsPropose) event()    {}
+func (SettingsApplied) event()    {}
+func (DrainStart) event()         {}
+func (PeerMessage) event()        {}
+func (PeerUp) event()             {}
+func (PeerDown) event()           {}
+func (LogAppended) event()        {}
+func (LogAppendFailed) event()    {}
+func (LogRead) event()            {}
+func (LogReadFailed) event()      {}
+func (MembersListed) event()      {}
+func (RunChunk) event()           {}
+func (RunEnded) event()           {}
+func (OutcomeQueried) event()     {}
+func (TargetLoad) event()         {}
+func (TargetUnreachable) event()  {}
+func (TargetCache) event()        {}
+func (CacheReleased) event()      {}
+func (OrderSent) event()          {}
+func (OrdersRead) event()         {}
--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -48,12 +48,12 @@
 	Call    *Call
 	// Remaining is the time to the caller's deadline at the sending.
 	Remaining time.Duration
-	// Have is the index of the first chunk piece that the gateway lacks:
+	// NextPiece is the index of the first chunk piece that the gateway lacks:
 	// greater than 0 when it submits again after an owner was lost.
-	Have int
-	// HaveRun is CallChunk.Run of the pieces that the gateway has; pieces of
+	NextPiece int
+	// ReceivedRun is CallChunk.Run of the pieces that the gateway has; pieces of
 	// another run must not follow them.
-	HaveRun RunID
+	ReceivedRun RunID
 	// Suspects are instances that the gateway finds unreachable.
 	Suspects []InstanceID
 	// Resubmitted tells that the gateway handed this request to another
@@ -210,8 +210,8 @@
 	Pausing bool
 }
 
-// ProgramGone tells a pool's dispatcher that a program ended.
-type ProgramGone struct {
+// ProgramEnded tells a pool's dispatcher that a program ended.
+type ProgramEnded struct {
 	Pool    PoolID
 	Program ProgramID
 }
@@ -298,7 +298,7 @@
 func (*PermitRefuse) Kind() MessageKind     { return KindPermitRefuse }
 func (*PermitCancel) Kind() MessageKind     { return KindPermitCancel }
 func (*PermitFinish) Kind() MessageKind     { return KindPermitFinish }
-func (*ProgramGone) Kind() MessageKind      { return KindProgramGone }
+func (*ProgramEnded) Kind() MessageKind     { return KindProgramGone }
 func (*BudgetRequest) Kind() MessageKind    { return KindBudgetRequest }
 func (*BudgetGrant) Kind() MessageKind      { return KindBudgetGrant }
 func (*BudgetReturn) Kind() MessageKind     { return KindBudgetReturn }
@@ -336,7 +336,7 @@
 	KindPermitRefuse:     func() Message { return new(PermitRefuse) },
 	KindPermitCancel:     func() Message { return new(PermitCancel) },
 	KindPermitFinish:     func() Message { return new(PermitFinish) },
-	KindProgramGone:      func() Message { return new(ProgramGone) },
+	KindProgramGone:      func() Message { return new(ProgramEnded) },
 	KindBudgetRequest:    func() Message { return new(BudgetRequest) },
 	KindBudgetGrant:      func() Message { return new(BudgetGrant) },
 	KindBudgetReturn:     func() Message { return new(BudgetReturn) },
@@ -347,20 +347,20 @@
 	KindAppliedReply:     func() Message { return new(AppliedReply) },
 	KindLeaving:          func() Message { return new(Leaving) },
 
-	KindRoomRequest:       func() Message { return new(RoomRequest) },
-	KindRoomReply:         func() Message { return new(RoomReply) },
-	KindRoomSettle:        func() Message { return new(RoomSettle) },
+	KindRoomRequest:       func() Message { return new(ReservationRequest) },
+	KindRoomReply:         func() Message { return new(ReservationReply) },
+	KindRoomSettle:        func() Message { return new(ReservationSettle) },
 	KindOwnerNotice:       func() Message { return new(OwnerNotice) },
 	KindPartitionHandover: func() Message { return new(PartitionHandover) },
 	KindHandoverReply:     func() Message { return new(HandoverReply) },
-	KindTargetNotice:      func() Message { return new(TargetNotice) },
+	KindTargetNotice:      func() Message { return new(TargetFailureNotice) },
 
 	KindConversationRequest: func() Message { return new(ConversationRequest) },
 	KindConversationReply:   func() Message { return new(ConversationReply) },
 	KindTurnsNotice:         func() Message { return new(TurnsNotice) },
-	KindKeepRequest:         func() Message { return new(KeepRequest) },
-	KindKeepReply:           func() Message { return new(KeepReply) },
-	KindAllowanceAsk:        func() Message { return new(AllowanceAsk) },
+	KindStoreTurnsRequest:   func() Message { return new(StoreTurnsRequest) },
+	KindStoreTurnsReply:     func() Message { return new(StoreTurnsReply) },
+	KindAllowanceRequest:    func() Message { return new(AllowanceRequest) },
 	KindAllowanceReply:      func() Message { return new(AllowanceReply) },
 	KindVoteRequest:         func() Message { return new(VoteRequest) },
 	KindVoteReply:           func() Message { return new(VoteReply) },
--- a/internal/structs/policy.go
+++ b/internal/structs/policy.go
@@ -88,8 +88,8 @@
 	Interval time.Duration
 }
 
-// Wanted tells whether any order is to be given.
-func (o Orders) Wanted() bool {
+// IsSet tells whether any order is to be given.
+func (o Orders) IsSet() bool {
 	return o.Model != "" || o.Adapter != "" || o.Version != "" || o.Role != ""
 }
 
--- a/internal/structs/targetreport.go
+++ b/internal/structs/targetreport.go
@@ -11,24 +11,24 @@
 	// Running and Waiting count the target's requests.
 	Running int
 	Waiting int
-	// Pace is how long work takes at the target, in percent of the usual.
-	Pace int
+	// Slowdown is how long work takes at the target, in percent of the usual.
+	Slowdown int
 	// Age is the time since the target sent the report.
 	Age time.Duration
-	// Speed is the time that the target takes for a unit of its service's work,
+	// UnitTime is the time that the target takes for a unit of its service's work,
 	// in millionths, as some instance learned it, without what may be noise; 0 if
-	// unknown. SpeedAge is the time since its last sample.
-	Speed    int
-	SpeedAge time.Duration
+	// unknown. UnitTimeAge is the time since its last sample.
+	UnitTime    int
+	UnitTimeAge time.Duration
 }
 
 // PoolReport is what the sender knows of the load of a service as a whole.
 type PoolReport struct {
 	// Service is the hash of the service's name.
 	Service uint64
-	// Fill is what runs and waits, in thousandths of the slots; Known targets told
+	// Utilization is what runs and waits, in thousandths of the slots; Known targets told
 	// of it, in the mean at Age.
-	Fill  int
-	Known int
-	Age   time.Duration
+	Utilization int
+	Reporting   int
+	Age         time.Duration
 }
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -24,17 +24,17 @@
 		}
 	})
 	paid := structs.Outcome{Kind: structs.OutcomeAnswered, Status: 201, ContentType: "text/plain", Body: []byte("paid")}
-	for key, want := range map[string]structs.OutcomeAsked{
+	for key, want := range map[string]structs.OutcomeQueried{
 		"ran": {Run: "r", Reached: true, Found: true, Outcome: paid}, "not/ran": {Run: "r", Reached: true}, "fails": {Run: "r"},
 	} {
-		f.AskOutcome(structs.AskOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: key})
-		if got := next[structs.OutcomeAsked](f); !reflect.DeepEqual(got, want) {
+		f.AskOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: key})
+		if got := next[structs.OutcomeQueried](f); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v", key, got)
 		}
 	}
 	f.server.Close()
-	f.AskOutcome(structs.AskOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: "ran"})
-	if got := next[structs.OutcomeAsked](f); got.Reached {
+	f.AskOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: "ran"})
+	if got := next[structs.OutcomeQueried](f); got.Reached {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// AskOutcome queries a target for the outcome of the request that StartRun sent with
-// a program's idempotency key, and delivers the result as OutcomeAsked.
-func (r *Runner) AskOutcome(command structs.AskOutcome) {
+// QueryOutcome queries a target for the outcome of the request that StartRun sent with
+// a program's idempotency key, and delivers the result as OutcomeQueried.
+func (r *Runner) AskOutcome(command structs.QueryOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spawn(func() {
@@ -94,8 +94,8 @@
 	})
 }
 
-func (r *Runner) askOutcome(command structs.AskOutcome) structs.OutcomeAsked {
-	event := structs.OutcomeAsked{Run: command.Run}
+func (r *Runner) askOutcome(command structs.QueryOutcome) structs.OutcomeQueried {
+	event := structs.OutcomeQueried{Run: command.Run}
 	ctx, cancel := context.WithTimeout(r.ctx, r.cfg.ControlTimeout)
 	defer cancel()
 	sent := structs.Call{Program: command.Program, Key: command.Key}
--- a/internal/targets/breaks.go
+++ b/internal/targets/breaks.go
@@ -42,20 +42,20 @@
 
 // Breaks returns the targets that recently broke connections of this or other
 // instances.
-func (r *Registry) Breaks(now time.Time) []structs.TargetBreak {
+func (r *Registry) Breaks(now time.Time) []structs.TargetFailure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.broken) == 0 {
 		return nil
 	}
-	var breaks []structs.TargetBreak
+	var breaks []structs.TargetFailure
 	for incarnation, t := range r.broken {
 		age := now.Sub(t.lastBreakAt)
 		if age >= peerAvoidance || r.byIncarnation[incarnation] != t {
 			delete(r.broken, incarnation)
 			continue
 		}
-		breaks = append(breaks, structs.TargetBreak{Target: incarnation, Age: age})
+		breaks = append(breaks, structs.TargetFailure{Target: incarnation, Age: age})
 	}
 	return breaks
 }
@@ -63,7 +63,7 @@
 // MergeBreaks applies another instance's report of broken connections. Later
 // observations of this instance take precedence, and reports of other incarnations
 // are ignored.
-func (r *Registry) MergeBreaks(breaks []structs.TargetBreak, now time.Time) {
+func (r *Registry) MergeBreaks(breaks []structs.TargetFailure, now time.Time) {
 	if len(breaks) == 0 {
 		return
 	}
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -9,10 +9,10 @@
 )
 
 // peerBreaks returns another instance's report of broken connections.
-func peerBreaks(age time.Duration, ids ...string) []structs.TargetBreak {
-	var breaks []structs.TargetBreak
+func peerBreaks(age time.Duration, ids ...string) []structs.TargetFailure {
+	var breaks []structs.TargetFailure
 	for _, id := range ids {
-		breaks = append(breaks, structs.TargetBreak{Target: id, Age: age})
+		breaks = append(breaks, structs.TargetFailure{Target: id, Age: age})
 	}
 	return breaks
 }
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Fill: int(pool.Utilization / utilizationUnit), Known: pool.Reporting, Age: pool.ReportAge,
+			Service: xxhash.Sum64String(service), Utilization: int(pool.Utilization / utilizationUnit), Reporting: pool.Reporting, Age: pool.ReportAge,
 		})
 	}
 	return reports
@@ -123,15 +123,15 @@
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.views, func(_ uint64, v poolView) bool { return now.Sub(v.receivedAt) > maxViewAge })
 	for _, p := range reports {
-		if p.Fill < 0 || p.Known <= 0 {
+		if p.Utilization < 0 || p.Reporting <= 0 {
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.reporting > p.Known && now.Sub(before.receivedAt) < maxViewAge/2 {
+		if ok && before.reporting > p.Reporting && now.Sub(before.receivedAt) < maxViewAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			utilization: float64(p.Fill) * utilizationUnit, reporting: p.Known, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
+			utilization: float64(p.Utilization) * utilizationUnit, reporting: p.Reporting, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
 		}
 	}
 }
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -104,10 +104,10 @@
 		}
 		r.mergeSpeed(t, l, now)
 		at := now.Add(-max(l.Age, 0))
-		if l.Running < 0 || l.Waiting < 0 || l.Pace < 0 || !at.After(t.loadAt) {
+		if l.Running < 0 || l.Waiting < 0 || l.Slowdown < 0 || !at.After(t.loadAt) {
 			continue
 		}
-		r.setLoad(t, call.Load{Running: l.Running, Waiting: l.Waiting, Slots: t.Slots, Pace: l.Pace}, at)
+		r.setLoad(t, call.Load{Running: l.Running, Waiting: l.Waiting, Slots: t.Slots, Pace: l.Slowdown}, at)
 		t.relayed = true
 	}
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -241,17 +241,17 @@
 // report returns what other instances are sent about a target.
 func (t *Target) report(means serviceMeans, now time.Time) structs.TargetReport {
 	report := structs.TargetReport{
-		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Pace: t.load.Pace, Age: now.Sub(t.loadAt),
+		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Slowdown: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
 	if speed := t.speed.AdvertisedMean(means.speed, t.relativePace(means)); speed > 0 {
-		report.Speed, report.SpeedAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
+		report.UnitTime, report.UnitTimeAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
 	}
 	return report
 }
 
 // mergeSpeed applies a speed measured by another instance. The mutex must be held.
 func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
-	if report.Speed > 0 {
-		t.speed.MergeRemote(float64(report.Speed)*speedUnit, now.Add(-max(report.SpeedAge, 0)))
+	if report.UnitTime > 0 {
+		t.speed.MergeRemote(float64(report.UnitTime)*speedUnit, now.Add(-max(report.UnitTimeAge, 0)))
 	}
 }
