--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,10 +1,11 @@
-// Package gateway is the part of an instance that callers meet: it finds the
-// owner of a program's shard, hands the call over, relays the answer and hands
-// the call over again when the owner is lost. It keeps nothing that must last.
+// Package gateway routes callers' requests to the owners of their programs. It
+// finds the owner of a program's shard, hands the call over, relays the reply,
+// and hands the call to another owner if the first one fails. Its state is
+// volatile.
 //
-// It answers each request exactly once. "Not run" is answered only when every
-// owner that was sent the call said that it did not take it; otherwise the
-// owner's own word or "outcome unknown" is answered.
+// Each request gets exactly one final reply. "Not run" is returned only if every
+// instance that was sent the call confirmed that it did not take it; otherwise
+// the caller gets the owner's outcome or "outcome unknown".
 package gateway
 
 import (
@@ -15,49 +16,51 @@
 )
 
 const (
-	// endGrace is how long after a caller's deadline the gateway waits for
-	// the owner's own final word, which tells more than the gateway knows.
-	endGrace = 250 * time.Millisecond
-	// retryMin and retryMax bound the time between two searches for an owner.
-	retryMin = 20 * time.Millisecond
-	retryMax = 500 * time.Millisecond
-	// searchLimit is how long a gateway looks for an owner to take a call
-	// before it gives up.
-	searchLimit = 8 * time.Second
-	// retryAfterSearch is what a caller is told when no owner was found.
-	retryAfterSearch = 2 * time.Second
+	// deadlineGrace is how long after a caller's deadline the gateway waits
+	// for the owner's outcome, which is more specific than its own.
+	deadlineGrace = 250 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the time between two searches for
+	// an owner.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// maxSearchTime is how long the gateway searches for an owner before it
+	// fails the request.
+	maxSearchTime = 8 * time.Second
+	// retryAfterNoOwner is the RetryAfter delay if no owner was found.
+	retryAfterNoOwner = 2 * time.Second
 )
 
-// Gateway is the table of the requests under way at this instance.
+// Gateway holds the requests in flight at this instance. It is not safe for
+// concurrent use.
 type Gateway struct {
 	cfg     structs.InstanceConfig
 	members structs.Members
 	pending map[structs.RequestID]*pending
-	gathers map[structs.RequestID]*gather
-	// owners remembers who took a request of a shard last.
+	fanouts map[structs.RequestID]*fanout
+	// owners holds, by shard, the instance that last answered a call.
 	owners map[structs.ShardRef]structs.InstanceID
-	// wake is a lower bound of the timers of the pending requests, zero if
-	// there are none: a tick without a due timer looks at no row.
-	wake time.Time
-	// cmds collects the commands of the present tick.
+	// nextTimer is a lower bound of the timers of the pending requests, zero if
+	// there are none. A tick before it skips the scan of pending.
+	nextTimer time.Time
+	// cmds collects the commands of the current tick.
 	cmds []structs.Command
 }
 
-// New returns a gateway without requests.
+// New returns an empty gateway.
 func New(cfg structs.InstanceConfig, members structs.Members) *Gateway {
 	return &Gateway{
 		cfg:     cfg,
 		members: members,
 		pending: map[structs.RequestID]*pending{},
-		gathers: map[structs.RequestID]*gather{},
+		fanouts: map[structs.RequestID]*fanout{},
 		owners:  map[structs.ShardRef]structs.InstanceID{},
 	}
 }
 
-// InFlight is the number of callers that wait for an answer.
-func (g *Gateway) InFlight() int { return len(g.pending) + len(g.gathers) }
+// InFlight returns the number of requests that have no final reply yet.
+func (g *Gateway) InFlight() int { return len(g.pending) + len(g.fanouts) }
 
-// Tick takes in events and runs the timers that are due.
+// Tick applies events, runs the due timers and returns the resulting commands.
 func (g *Gateway) Tick(now time.Time, events []structs.Event) []structs.Command {
 	g.cmds = nil
 	for _, ev := range events {
@@ -67,10 +70,10 @@
 	return g.cmds
 }
 
-// NextWake gives the earliest timer, zero if there is none.
+// NextWake returns the time of the earliest timer, zero if there is none.
 func (g *Gateway) NextWake() time.Time {
-	next := g.wake
-	for _, c := range g.gathers {
+	next := g.nextTimer
+	for _, c := range g.fanouts {
 		next = earliest(next, c.deadline)
 	}
 	return next
@@ -86,64 +89,64 @@
 func (g *Gateway) apply(now time.Time, ev structs.Event) {
 	switch ev := ev.(type) {
 	case structs.CallerSubmit:
-		g.submit(now, ev)
+		g.handleSubmit(now, ev)
 	case structs.CallerProgram:
-		g.programRequest(now, ev)
+		g.handleProgram(now, ev)
 	case structs.CallerPrograms:
-		g.gatherPrograms(now, ev)
+		g.queryPrograms(now, ev)
 	case structs.SettingsApplied:
-		g.gatherApplied(now, ev)
+		g.queryApplied(now, ev)
 	case structs.CallerDisconnected:
-		g.callerGone(ev.Request)
+		g.handleCallerGone(ev.Request)
 	case structs.PeerDown:
-		g.peerDown(now, ev.Peer)
+		g.handlePeerDown(now, ev.Peer)
 	case structs.PeerMessage:
-		g.message(now, ev)
+		g.handleMessage(now, ev)
 	}
 }
 
-func (g *Gateway) message(now time.Time, ev structs.PeerMessage) {
+func (g *Gateway) handleMessage(now time.Time, ev structs.PeerMessage) {
 	switch msg := ev.Msg.(type) {
 	case *structs.SubmitAccepted:
-		g.accepted(ev.From, msg.Request)
+		g.handleAccepted(ev.From, msg.Request)
 	case *structs.CallChunk:
-		g.chunk(ev.From, msg)
+		g.handleChunk(ev.From, msg)
 	case *structs.CallEnd:
-		g.callEnd(now, ev.From, msg)
+		g.handleCallEnd(now, ev.From, msg)
 	case *structs.ProgramReply:
-		g.programReply(ev.From, msg)
+		g.handleProgramReply(ev.From, msg)
 	case *structs.NotOwner:
-		g.notOwner(now, ev.From, msg)
+		g.handleNotOwner(now, ev.From, msg)
 	case *structs.ProgramsReply:
-		g.programsReply(ev.From, msg)
+		g.handleProgramsReply(ev.From, msg)
 	case *structs.AppliedReply:
-		g.appliedReply(ev.From, msg)
+		g.handleAppliedReply(ev.From, msg)
 	}
 }
 
 func (g *Gateway) emit(cmd structs.Command) { g.cmds = append(g.cmds, cmd) }
 
-// runTimers runs in order of request id, so that equal inputs give equal
-// outputs.
+// runTimers runs the due timers in order of request id, which keeps the output
+// deterministic.
 func (g *Gateway) runTimers(now time.Time) {
-	g.gatherTimers(now)
-	if g.wake.IsZero() || g.wake.After(now) {
+	g.runFanoutTimers(now)
+	if g.nextTimer.IsZero() || g.nextTimer.After(now) {
 		return
 	}
-	for _, id := range g.due(now) {
-		g.pendingTimer(now, g.pending[id])
+	for _, id := range g.dueRequests(now) {
+		g.runPendingTimer(now, g.pending[id])
 	}
-	g.wake = time.Time{}
+	g.nextTimer = time.Time{}
 	for _, p := range g.pending {
-		g.wakeAt(p.wake())
+		g.scheduleTimer(p.nextTimer())
 	}
 }
 
-// due lists the requests with a due timer in order of id.
-func (g *Gateway) due(now time.Time) []structs.RequestID {
+// dueRequests returns the requests with a due timer in order of id.
+func (g *Gateway) dueRequests(now time.Time) []structs.RequestID {
 	var due []structs.RequestID
 	for id, p := range g.pending {
-		if !p.wake().After(now) {
+		if !p.nextTimer().After(now) {
 			due = append(due, id)
 		}
 	}
@@ -151,5 +154,5 @@
 	return due
 }
 
-// wakeAt keeps the bound of the timers below a new one.
-func (g *Gateway) wakeAt(at time.Time) { g.wake = earliest(g.wake, at) }
+// scheduleTimer lowers nextTimer to at if at is earlier.
+func (g *Gateway) scheduleTimer(at time.Time) { g.nextTimer = earliest(g.nextTimer, at) }
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -10,53 +10,55 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pending is one caller's request: a call, or an operation on a program.
+// pending is a caller's request: a call or an operation on a program.
 type pending struct {
 	request  structs.RequestID
 	shard    structs.ShardRef
 	deadline time.Time
 	started  time.Time
-	// call is the call, nil for an operation on a program.
+	// Either call or op is set.
 	call *structs.Call
 	op   *structs.CallerProgram
-	// owner is the instance that has the request now, empty while the
-	// gateway looks for one.
+	// owner is the instance that was sent the request last, empty while the
+	// gateway searches for one.
 	owner structs.InstanceID
 	// holders are the instances that may have taken the request: they were
-	// sent it and did not say otherwise.
+	// sent it and have not denied it.
 	holders map[structs.InstanceID]bool
-	// suspects are the instances lost while they had the request.
+	// suspects are the instances that went down while they had the request.
 	suspects []structs.InstanceID
-	// retryAt is when to look for an owner again, backoff the time between.
+	// retryAt is the time of the next search for an owner, backoff the delay
+	// before the one after it.
 	retryAt time.Time
 	backoff time.Duration
-	// refused are the instances asked in a search for a living owner while
-	// the log is down, and refusal what the first of them answered.
-	refused []structs.InstanceID
-	refusal structs.Outcome
+	// fallbacks are the instances tried while the log is unavailable, and
+	// firstRefusal is the outcome that the first of them returned.
+	fallbacks    []structs.InstanceID
+	firstRefusal structs.Outcome
 	// redirectAt is when a redirect was last followed.
 	redirectAt time.Time
-	// searching is when the gateway last lost its owner.
-	searching time.Time
-	stream    relay
+	// searchStarted is when the request was received or last lost its owner.
+	searchStarted time.Time
+	stream        relayState
 }
 
-// wake gives the request's next timer.
-func (p *pending) wake() time.Time {
-	return earliest(p.retryAt, p.deadline.Add(endGrace))
+// nextTimer returns the time of the request's next timer.
+func (p *pending) nextTimer() time.Time {
+	return earliest(p.retryAt, p.deadline.Add(deadlineGrace))
 }
 
-// relay is what of a streamed answer went to the caller. The running hash
-// proves that a second owner's text continues the first one's.
-type relay struct {
-	// run is the run that made the pieces.
+// relayState describes the part of a streamed response that was sent to the
+// caller. The running hash verifies that the text of a second owner continues
+// that of the first.
+type relayState struct {
+	// run is the run that produced the pieces.
 	run    structs.RunID
 	pieces int
 	bytes  int
 	hash   *xxhash.Digest
 }
 
-func (r *relay) add(texts []string) {
+func (r *relayState) add(texts []string) {
 	if r.hash == nil {
 		r.hash = xxhash.New()
 	}
@@ -67,15 +69,15 @@
 	r.pieces += len(texts)
 }
 
-// continues tells whether text begins with what was relayed.
-func (r *relay) continues(text string) bool {
+// continues reports whether text starts with what was relayed.
+func (r *relayState) continues(text string) bool {
 	if r.bytes == 0 {
 		return true
 	}
 	return len(text) >= r.bytes && xxhash.Sum64String(text[:r.bytes]) == r.hash.Sum64()
 }
 
-func (g *Gateway) submit(now time.Time, ev structs.CallerSubmit) {
+func (g *Gateway) handleSubmit(now time.Time, ev structs.CallerSubmit) {
 	p := g.newPending(now, ev.Request, ev.Call.Program, ev.Deadline)
 	if p == nil {
 		g.emit(structs.ReplyOutcome{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
@@ -83,53 +85,53 @@
 	}
 	p.call = ev.Call
 	if p.call.Key == "" {
-		// A key of its own lets a second owner recognise the call.
+		// A generated key lets a second owner deduplicate the call.
 		p.call.Key = journal.KeylessPrefix + string(ev.Request)
 	}
-	g.hold(p)
+	g.add(p)
 	g.search(now, p, "")
 }
 
-func (g *Gateway) programRequest(now time.Time, ev structs.CallerProgram) {
+func (g *Gateway) handleProgram(now time.Time, ev structs.CallerProgram) {
 	p := g.newPending(now, ev.Request, ev.Program, ev.Deadline)
 	if p == nil {
 		g.emit(structs.ReplyProgram{Request: ev.Request, Outcome: notRun(structs.ReasonUnknownProgram, 0)})
 		return
 	}
 	p.op = &ev
-	g.hold(p)
+	g.add(p)
 	g.search(now, p, "")
 }
 
-// newPending returns nil if the program id is malformed.
+// newPending returns a pending request, or nil if the program id is malformed.
 func (g *Gateway) newPending(now time.Time, id structs.RequestID, program structs.ProgramID, deadline time.Time) *pending {
 	region, _, err := program.Parse()
 	if err != nil {
 		return nil
 	}
 	return &pending{
-		request:   id,
-		shard:     structs.ShardRef{Region: region, Shard: structs.ShardOf(program, g.cfg.Shards)},
-		deadline:  deadline,
-		started:   now,
-		searching: now,
-		backoff:   retryMin,
-		holders:   map[structs.InstanceID]bool{},
+		request:       id,
+		shard:         structs.ShardRef{Region: region, Shard: structs.ShardOf(program, g.cfg.Shards)},
+		deadline:      deadline,
+		started:       now,
+		searchStarted: now,
+		backoff:       minRetryDelay,
+		holders:       map[structs.InstanceID]bool{},
 	}
 }
 
-func (g *Gateway) hold(p *pending) {
+func (g *Gateway) add(p *pending) {
 	g.pending[p.request] = p
-	g.wakeAt(p.wake())
+	g.scheduleTimer(p.nextTimer())
 }
 
-// search sends the request to the preferred instance, or to the best that the
-// view knows, or waits.
+// search sends the request to the preferred instance if one is given, else to
+// the one that selectOwner returns. Without either it schedules a retry.
 func (g *Gateway) search(now time.Time, p *pending, prefer structs.InstanceID) {
 	p.retryAt = time.Time{}
 	owner := prefer
 	if owner == "" {
-		owner = g.pick(p)
+		owner = g.selectOwner(p)
 	}
 	if owner == "" {
 		g.searchLater(now, p)
@@ -137,12 +139,12 @@
 	}
 	p.owner = owner
 	p.holders[owner] = true
-	g.emit(structs.SendPeer{To: owner, Msg: g.handover(now, p)})
+	g.emit(structs.SendPeer{To: owner, Msg: g.handoverMessage(now, p)})
 }
 
-// pick gives the instance that took a request of the shard last, or else the
-// best that is not suspected.
-func (g *Gateway) pick(p *pending) structs.InstanceID {
+// selectOwner returns the last known owner of the shard if it is usable, else
+// the usable instance that ranks highest, or "" if there is none.
+func (g *Gateway) selectOwner(p *pending) structs.InstanceID {
 	if last, ok := g.owners[p.shard]; ok && g.usable(p, last) {
 		return last
 	}
@@ -162,10 +164,10 @@
 	return !slices.Contains(p.suspects, id)
 }
 
-// suspectsOf lists the instances that the receiver of a request would name as
-// better owners but that this instance finds unreachable. Without them the
-// receiver answers with such an instance until it notices the loss itself, which
-// it may never do: it does not wait for that instance.
+// suspectsOf returns the instances that the receiver of a request may consider
+// better owners but that are unreachable from here. Without this list the
+// receiver would redirect to such an instance until it detects the failure
+// itself, which it may never do.
 func (g *Gateway) suspectsOf(p *pending) []structs.InstanceID {
 	suspects := slices.Clone(p.suspects)
 	for _, id := range g.members.Ranked(p.shard) {
@@ -176,8 +178,8 @@
 	return suspects
 }
 
-// handover is the message that hands the request to an owner.
-func (g *Gateway) handover(now time.Time, p *pending) structs.Message {
+// handoverMessage returns the message that hands the request to an owner.
+func (g *Gateway) handoverMessage(now time.Time, p *pending) structs.Message {
 	remaining := p.deadline.Sub(now)
 	if p.op != nil {
 		return &structs.ProgramRequest{
@@ -192,52 +194,53 @@
 	}
 }
 
-// searchLater sets the timer of the next search, or gives up for good.
+// searchLater schedules the next search, or fails the request once
+// maxSearchTime has passed.
 func (g *Gateway) searchLater(now time.Time, p *pending) {
 	p.owner = ""
-	if now.Sub(p.searching) >= searchLimit {
-		g.finish(p, g.giveUp(p, structs.ReasonOwnerUnavailable))
+	if now.Sub(p.searchStarted) >= maxSearchTime {
+		g.finish(p, g.undeliveredOutcome(p, structs.ReasonOwnerUnavailable))
 		return
 	}
 	p.retryAt = now.Add(p.backoff)
-	g.wakeAt(p.retryAt)
-	p.backoff = min(2*p.backoff, retryMax)
+	g.scheduleTimer(p.retryAt)
+	p.backoff = min(2*p.backoff, maxRetryDelay)
 }
 
-func (g *Gateway) pendingTimer(now time.Time, p *pending) {
-	if !now.Before(p.deadline.Add(endGrace)) {
+func (g *Gateway) runPendingTimer(now time.Time, p *pending) {
+	if !now.Before(p.deadline.Add(deadlineGrace)) {
 		if p.owner != "" && p.call != nil {
 			g.emit(structs.SendPeer{To: p.owner, Msg: &structs.Withdraw{Request: p.request}})
 		}
-		g.finish(p, g.giveUp(p, structs.ReasonDeadline))
+		g.finish(p, g.undeliveredOutcome(p, structs.ReasonDeadline))
 		return
 	}
-	// The suspects may answer again by now: a search that found nobody
-	// starts from the view alone.
+	// The suspects may be reachable again: a new search relies on the
+	// membership view alone.
 	p.suspects = nil
 	g.search(now, p, "")
 }
 
-// giveUp is the gateway's own final word. "Not run" needs that no instance may
-// hold the request.
-func (g *Gateway) giveUp(p *pending, reason structs.Reason) structs.Outcome {
+// undeliveredOutcome returns the outcome of a request that no owner completed:
+// "not run" only if no instance may hold the request, else unknown.
+func (g *Gateway) undeliveredOutcome(p *pending, reason structs.Reason) structs.Outcome {
 	if len(p.holders) == 0 && p.call != nil {
-		return p.call.Refusal(reason, retryAfterSearch)
+		return p.call.Refusal(reason, retryAfterNoOwner)
 	}
 	if len(p.holders) == 0 {
-		return notRun(reason, retryAfterSearch)
+		return notRun(reason, retryAfterNoOwner)
 	}
 	return structs.Outcome{
-		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterSearch,
-		Detail: "The owner of the program did not answer; ask again with the same idempotency key.",
+		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterNoOwner,
+		Detail: "The owner of the program did not respond; retry with the same idempotency key.",
 	}
 }
 
-func notRun(reason structs.Reason, after time.Duration) structs.Outcome {
-	return structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: after}
+func notRun(reason structs.Reason, retryAfter time.Duration) structs.Outcome {
+	return structs.Outcome{Kind: structs.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// finish answers the caller and forgets the request.
+// finish sends the final reply and removes the request.
 func (g *Gateway) finish(p *pending, out structs.Outcome) {
 	delete(g.pending, p.request)
 	if p.op != nil {
@@ -247,10 +250,10 @@
 	g.emit(structs.ReplyOutcome{Request: p.request, Outcome: out})
 }
 
-func (g *Gateway) callerGone(id structs.RequestID) {
+func (g *Gateway) handleCallerGone(id structs.RequestID) {
 	p, ok := g.pending[id]
 	if !ok {
-		delete(g.gathers, id)
+		delete(g.fanouts, id)
 		return
 	}
 	delete(g.pending, id)
@@ -259,23 +262,23 @@
 	}
 }
 
-// peerDown hands the requests of a lost instance to the next one.
-func (g *Gateway) peerDown(now time.Time, peer structs.InstanceID) {
-	g.gatherPeerDown(peer)
-	var lost []structs.RequestID
+// handlePeerDown hands the requests of a failed instance to another one.
+func (g *Gateway) handlePeerDown(now time.Time, peer structs.InstanceID) {
+	g.fanoutPeerDown(peer)
+	var affected []structs.RequestID
 	for id, p := range g.pending {
 		if p.owner == peer {
-			lost = append(lost, id)
+			affected = append(affected, id)
 		}
 	}
-	slices.Sort(lost)
-	for _, id := range lost {
+	slices.Sort(affected)
+	for _, id := range affected {
 		p := g.pending[id]
 		if !slices.Contains(p.suspects, peer) {
 			p.suspects = append(p.suspects, peer)
 		}
-		p.searching = now
-		p.backoff = retryMin
+		p.searchStarted = now
+		p.backoff = minRetryDelay
 		g.search(now, p, "")
 	}
 }
--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	bearerPrefix = "Bearer "
-	maxBearer    = 1024
-	rootName     = "root"
+	bearerPrefix    = "Bearer "
+	maxBearerLength = 1024
+	rootName        = "root"
 )
 
-// authenticate finds the principal of a request. While the instance starts,
-// its keys are not known yet, so an unknown key is no reason for a 401.
+// authenticate sets the principal of a request. While the instance starts, its
+// keys are not loaded yet, so an unknown key gets a 503 rather than a 401.
 func (s *Server) authenticate(c *gin.Context) {
 	principal, ok := s.principalOf(c.GetHeader("Authorization"))
 	if ok {
@@ -26,35 +26,35 @@
 	}
 	switch {
 	case !principal.Root() && s.core.Health().State == HealthStarting:
-		s.fail(c, s.starting())
+		s.fail(c, s.startingProblem())
 	case !ok:
-		s.fail(c, refuse(structs.ReasonUnauthorized, "expected the header Authorization: Bearer and a known key"))
+		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer with a known key"))
 	default:
 		c.Next()
 	}
 }
 
-// requireStarted refuses calls while the services are not known yet.
+// requireStarted rejects calls while the services are not loaded yet.
 func (s *Server) requireStarted(c *gin.Context) {
 	if s.core.Health().State == HealthStarting {
-		s.fail(c, s.starting())
+		s.fail(c, s.startingProblem())
 		return
 	}
 	c.Next()
 }
 
-func (s *Server) starting() *Problem {
+func (s *Server) startingProblem() *Problem {
 	detail := s.core.Health().Detail
-	return refuse(structs.ReasonStarting, "%s", detail).retryAfter(localRetryAfter)
+	return refusal(structs.ReasonStarting, "%s", detail).retryAfter(localRetryAfter)
 }
 
 func (s *Server) principalOf(header string) (Principal, bool) {
-	// Authentication schemes are compared without case.
+	// Authentication schemes are case-insensitive.
 	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return Principal{}, false
 	}
 	key := header[len(bearerPrefix):]
-	if len(key) > maxBearer {
+	if len(key) > maxBearerLength {
 		return Principal{}, false
 	}
 	if s.isRootKey(key) {
@@ -79,7 +79,7 @@
 
 func (s *Server) requireOperator(c *gin.Context) {
 	if !infoOf(c).principal.Operator {
-		s.fail(c, refuse(structs.ReasonForbidden, "the route is for operators"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator"))
 		return
 	}
 	c.Next()
@@ -87,28 +87,29 @@
 
 func (s *Server) requireRoot(c *gin.Context) {
 	if !infoOf(c).principal.Root() {
-		s.fail(c, refuse(structs.ReasonForbidden, "the route is for operators of the whole tree"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator of the whole tree"))
 		return
 	}
 	c.Next()
 }
 
-// teamFor gives the team that a principal acts for: its own or one below it.
+// teamFor returns the team that a principal acts for: its own, or wanted if
+// that is the same or below.
 func teamFor(principal Principal, wanted structs.Team) (structs.Team, *Problem) {
 	if wanted == "" {
 		return principal.Team, nil
 	}
 	if !validTreePath(string(wanted)) {
-		return "", refuse(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
+		return "", refusal(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
 	}
 	if !principal.Team.Contains(wanted) {
-		return "", refuse(structs.ReasonForbidden, "the key does not reach this team")
+		return "", refusal(structs.ReasonForbidden, "the key does not grant access to this team")
 	}
 	return wanted, nil
 }
 
-// validTreePath tells whether a path of the settings tree has segments that
-// are neither empty nor relative.
+// validTreePath reports whether path is a valid path of the settings tree, in
+// which no segment is empty or relative.
 func validTreePath(path string) bool {
 	if !validName(path, maxTeamLength) {
 		return false
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -19,7 +19,7 @@
 	replyIDPrefix   = "chatcmpl-"
 )
 
-// chat runs a chat completion.
+// chat serves a chat completion.
 func (s *Server) chat(c *gin.Context) {
 	body, release, problem := s.readBody(c)
 	defer release()
@@ -27,7 +27,7 @@
 		s.fail(c, problem)
 		return
 	}
-	call, deadline, problem := s.chatCall(c, body)
+	call, deadline, problem := s.newChatCall(c, body)
 	if problem != nil {
 		s.fail(c, problem)
 		return
@@ -37,30 +37,30 @@
 		return
 	}
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
-	reply, ok := ask[structs.ReplyOutcome](s, c, event, deadline)
+	reply, ok := postAndWait[structs.ReplyOutcome](s, c, event, deadline)
 	if !ok {
 		return
 	}
 	if reply.Outcome.Kind != structs.OutcomeAnswered || isEngineError(reply.Outcome) {
-		s.answerPlain(c, reply.Outcome)
+		s.writeOutcome(c, reply.Outcome)
 		return
 	}
 	if _, err := indexToolCalls(reply.Outcome.ToolCalls); err != nil {
 		s.fail(c, newProblem(structs.ReasonTargetFailed, outcomeUnknown, err.Error()))
 		return
 	}
-	s.noteAnswer(c, reply.Outcome)
-	s.writeJSON(c, http.StatusOK, chatReply(infoOf(c), reply.Outcome))
+	s.recordAnswer(c, reply.Outcome)
+	s.writeJSON(c, http.StatusOK, chatResponse(infoOf(c), reply.Outcome))
 }
 
-// isEngineError tells whether an outcome is the engine's own refusal of a
-// request, an HTTP answer instead of a completion.
+// isEngineError reports whether an outcome is an HTTP error of the engine
+// rather than a completion.
 func isEngineError(outcome structs.Outcome) bool {
 	return outcome.Status != 0 && outcome.Status != http.StatusOK
 }
 
-// chatCall makes the call of a chat completion request.
-func (s *Server) chatCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
+// newChatCall returns the call of a chat completion request and its deadline.
+func (s *Server) newChatCall(c *gin.Context, body []byte) (*structs.Call, time.Time, *Problem) {
 	if problem := requireJSON(c.Request); problem != nil {
 		return nil, time.Time{}, problem
 	}
@@ -80,41 +80,41 @@
 	if problem != nil {
 		return nil, time.Time{}, problem
 	}
-	if problem := fillChat(call, request, body); problem != nil {
+	if problem := setChatFields(call, request, body); problem != nil {
 		return nil, time.Time{}, problem
 	}
 	return call, deadline, nil
 }
 
-// engineService finds the service of a chat completion: the header's, else the
-// one that the model names.
+// engineService returns the service of a chat completion, named by the header
+// or else by the model.
 func (s *Server) engineService(header structs.ServiceName, model string) (structs.Service, *Problem) {
 	name := header
 	if name == "" {
 		name = structs.ServiceName(model)
 	}
 	if !validName(string(name), maxServiceLength) {
-		return structs.Service{}, refuse(structs.ReasonUnknownService,
+		return structs.Service{}, refusal(structs.ReasonUnknownService,
 			"expected a service in the field model or the header %s", HeaderService)
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refuse(structs.ReasonUnknownService, "there is no service %q", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "service %q does not exist", name)
 	}
 	if service.Kind != structs.ServiceEngine {
-		return structs.Service{}, refuse(structs.ReasonInvalid, "service %q does not serve models", name)
+		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q does not serve models", name)
 	}
 	return service, nil
 }
 
-func fillChat(call *structs.Call, request *chatRequest, body []byte) *Problem {
+func setChatFields(call *structs.Call, request *chatRequest, body []byte) *Problem {
 	model := request.model
 	if model == "" {
 		model = string(call.Service)
 	}
 	encoded, err := request.encode(model)
 	if err != nil {
-		return refuse(structs.ReasonInvalid, "the body cannot be encoded again")
+		return refusal(structs.ReasonInvalid, "the body cannot be re-encoded")
 	}
 	call.Kind = structs.CallChat
 	call.Method, call.Path, call.ContentType = http.MethodPost, wire.ChatRoute, contentTypeJSON
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// requireJSON refuses a body that is declared as something else.
+// requireJSON rejects a request whose declared content type is not JSON.
 func requireJSON(r *http.Request) *Problem {
 	declared := r.Header.Get("Content-Type")
 	if declared == "" {
@@ -136,13 +136,13 @@
 	}
 	media, _, err := mime.ParseMediaType(declared)
 	if err != nil || media != contentTypeJSON {
-		return refuse(ReasonUnsupportedMedia, "expected the content type %s", contentTypeJSON)
+		return refusal(ReasonUnsupportedMedia, "expected the content type %s", contentTypeJSON)
 	}
 	return nil
 }
 
-// chatReply assembles the answer of a completion that is not streamed.
-func chatReply(info *requestInfo, outcome structs.Outcome) wire.ChatReply {
+// chatResponse returns the response to a completion that is not streamed.
+func chatResponse(info *requestInfo, outcome structs.Outcome) wire.ChatReply {
 	finish := outcome.Finish
 	return wire.ChatReply{
 		ID: replyIDPrefix + string(info.id), Object: objectReply,
@@ -164,8 +164,9 @@
 	}
 }
 
-// noteAnswer sets the headers and the log's word of an answered call.
-func (s *Server) noteAnswer(c *gin.Context, outcome structs.Outcome) {
+// recordAnswer sets the outcome of an answered call in the response headers and
+// the access log.
+func (s *Server) recordAnswer(c *gin.Context, outcome structs.Outcome) {
 	info := infoOf(c)
 	info.outcome = outcomeAnswered
 	if outcome.Replayed {
@@ -175,12 +176,12 @@
 	c.Header(HeaderProgram, string(info.program))
 }
 
-// writeJSON answers with a value as JSON.
+// writeJSON responds with value encoded as JSON.
 func (s *Server) writeJSON(c *gin.Context, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		s.log.Error("encode answer", "request", infoOf(c).id, "error", err)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the answer could not be encoded"))
+		s.log.Error("failed to encode the response", "request", infoOf(c).id, "error", err)
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the response could not be encoded"))
 		return
 	}
 	s.writeBody(c, status, contentTypeJSON, body)
--- a/internal/httpapi/chatrequest.go
+++ b/internal/httpapi/chatrequest.go
@@ -16,18 +16,19 @@
 	roleAssistant = "assistant"
 	maxRoleLength = 32
 	textPartType  = "text"
-	// maxSafeInteger bounds numbers to those that JSON readers agree on.
+	// maxSafeInteger is the largest integer that all JSON decoders represent
+	// exactly.
 	maxSafeInteger = 1 << 53
 
 	maxFields       = 200
 	maxMessages     = 10_000
 	maxContentParts = 1000
-	// maxToolCalls bounds the tool calls of one message, in bytes.
-	maxToolCalls = 256 << 10
+	// maxToolCallBytes limits the encoded tool calls of one message.
+	maxToolCallBytes = 256 << 10
 )
 
-// Fields of a chat request that the adapter reads. The others go to the engine
-// as they are.
+// Fields of a chat request that the adapter reads. Others are forwarded to the
+// engine unchanged.
 const (
 	fieldModel               = "model"
 	fieldMessages            = "messages"
@@ -43,26 +44,26 @@
 	fieldStream, fieldTools, fieldChoices,
 }
 
-// chatRequest is a chat completion request, checked.
+// chatRequest is a validated chat completion request.
 type chatRequest struct {
 	model     string
 	messages  []wire.ChatMessage
 	tools     []byte
 	maxTokens int64
 	stream    bool
-	// fields are all top-level fields, for the engine.
+	// fields holds all top-level fields, to be forwarded to the engine.
 	fields map[string]json.RawMessage
 }
 
-// parseChatRequest checks a chat completion request. A maxTokens above limit
-// is lowered to it.
+// parseChatRequest parses and validates a chat completion request. It caps
+// maxTokens at limit.
 func parseChatRequest(body []byte, limit int64) (*chatRequest, *Problem) {
 	if !utf8.Valid(body) {
-		return nil, refuse(structs.ReasonInvalid, "the body is not valid UTF-8")
+		return nil, refusal(structs.ReasonInvalid, "the body is not valid UTF-8")
 	}
 	fields, err := decodeObject(body, maxFields)
 	if err != nil {
-		return nil, refuse(structs.ReasonInvalid, "the body is not a JSON object: %v", err)
+		return nil, refusal(structs.ReasonInvalid, "the body is not a JSON object: %v", err)
 	}
 	if problem := checkFieldCase(fields); problem != nil {
 		return nil, problem
@@ -79,13 +80,13 @@
 	return request, nil
 }
 
-// checkFieldCase refuses a field that differs from a known one in case only:
-// an engine with a lenient reader would take it for that field.
+// checkFieldCase rejects a field that differs from a known one in case only,
+// since an engine with a case-insensitive decoder would accept it as that field.
 func checkFieldCase(fields map[string]json.RawMessage) *Problem {
 	for name := range fields {
 		for _, known := range knownFields {
 			if name != known && strings.EqualFold(name, known) {
-				return refuse(structs.ReasonInvalid, "field %q: expected %q", name, known)
+				return refusal(structs.ReasonInvalid, "field %q: expected %q", name, known)
 			}
 		}
 	}
@@ -100,14 +101,15 @@
 	return r.decode(fieldStream, &r.stream, "true or false")
 }
 
-// parseChoices refuses several choices: their tokens are not in the budget.
+// parseChoices rejects more than one choice, since the budget covers the tokens
+// of one only.
 func (r *chatRequest) parseChoices() *Problem {
 	choices := int64(1)
 	if problem := r.decode(fieldChoices, &choices, "1"); problem != nil {
 		return problem
 	}
 	if choices != 1 {
-		return refuse(structs.ReasonInvalid, "field %q: expected 1", fieldChoices)
+		return refusal(structs.ReasonInvalid, "field %q: expected 1", fieldChoices)
 	}
 	return nil
 }
@@ -123,7 +125,7 @@
 			return problem
 		}
 		if r.maxTokens <= 0 || r.maxTokens > maxSafeInteger {
-			return refuse(structs.ReasonInvalid, "field %q: expected %s", field, expected)
+			return refusal(structs.ReasonInvalid, "field %q: expected %s", field, expected)
 		}
 	}
 	r.maxTokens = min(r.maxTokens, limit)
@@ -133,7 +135,7 @@
 func (r *chatRequest) parseMessages() *Problem {
 	raw, err := decodeList(r.fields[fieldMessages], maxMessages)
 	if err != nil || len(raw) == 0 {
-		return refuse(structs.ReasonInvalid, "field %q: expected a list of 1 to %d messages", fieldMessages, maxMessages)
+		return refusal(structs.ReasonInvalid, "field %q: expected a list of 1 to %d messages", fieldMessages, maxMessages)
 	}
 	r.messages = make([]wire.ChatMessage, 0, len(raw))
 	for i, one := range raw {
@@ -151,19 +153,19 @@
 	return !ok || bytes.Equal(raw, []byte("null"))
 }
 
-// decode reads a field into value, which keeps what it holds if the field is
+// decode decodes a field into value, and leaves value unchanged if the field is
 // absent or null.
 func (r *chatRequest) decode(field string, value any, expected string) *Problem {
 	if r.absent(field) {
 		return nil
 	}
 	if err := json.Unmarshal(r.fields[field], value); err != nil {
-		return refuse(structs.ReasonInvalid, "field %q: expected %s", field, expected)
+		return refusal(structs.ReasonInvalid, "field %q: expected %s", field, expected)
 	}
 	return nil
 }
 
-// rawMessage is a message whose content is still undecoded.
+// rawMessage is a message whose content and tool calls are not decoded yet.
 type rawMessage struct {
 	Role       string          `json:"role"`
 	Content    json.RawMessage `json:"content"`
@@ -172,21 +174,21 @@
 	ToolCalls  json.RawMessage `json:"tool_calls"`
 }
 
-func parseMessage(raw []byte, at string) (wire.ChatMessage, *Problem) {
+func parseMessage(raw []byte, path string) (wire.ChatMessage, *Problem) {
 	var message rawMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s: expected a message", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s: expected a message", path)
 	}
 	if message.Role == "" || len(message.Role) > maxRoleLength || !printable(message.Role) {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.role: expected a role", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.role: expected a role", path)
 	}
 	content, ok := parseContent(message.Content)
 	if !ok {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.content: expected a string or text parts", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.content: expected a string or text parts", path)
 	}
 	calls, ok := parseToolCalls(message.ToolCalls)
 	if !ok {
-		return wire.ChatMessage{}, refuse(structs.ReasonInvalid, "%s.tool_calls: expected a list", at)
+		return wire.ChatMessage{}, refusal(structs.ReasonInvalid, "%s.tool_calls: expected a list", path)
 	}
 	return wire.ChatMessage{
 		Role: message.Role, Content: content, Name: message.Name,
@@ -200,8 +202,8 @@
 	Text *string `json:"text"`
 }
 
-// parseContent reads a message's content: a string, null, or text parts, which
-// are joined.
+// parseContent returns the text of a message's content: a string, null, or a
+// list of text parts, which are joined.
 func parseContent(raw []byte) (string, bool) {
 	if len(raw) == 0 {
 		return "", true
@@ -228,14 +230,14 @@
 	return joined.String(), true
 }
 
-// parseToolCalls reads a list of tool calls and writes it again in one form, so
-// that the digest of a message does not depend on white space, escapes or the
-// order of fields.
+// parseToolCalls returns a list of tool calls in canonical form, so that the
+// digest of a message does not depend on white space, escapes or the order of
+// fields.
 func parseToolCalls(raw []byte) ([]byte, bool) {
 	if len(raw) == 0 {
 		return nil, true
 	}
-	if len(raw) > maxToolCalls {
+	if len(raw) > maxToolCallBytes {
 		return nil, false
 	}
 	var calls []any
@@ -247,12 +249,12 @@
 	if len(calls) == 0 {
 		return nil, true
 	}
-	written, err := json.Marshal(calls)
-	return written, err == nil
+	canonical, err := json.Marshal(calls)
+	return canonical, err == nil
 }
 
-// encode gives the request for the engine: the caller's fields, with those
-// that the adapter has read as it understood them.
+// encode returns the request for the engine: the caller's fields, in which those
+// that the adapter read have their parsed values.
 func (r *chatRequest) encode(model string) ([]byte, error) {
 	fields := make(map[string]any, len(r.fields))
 	for name, value := range r.fields {
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -19,13 +19,12 @@
 	streamEnd         = "data: [DONE]\n\n"
 )
 
-// errSpliced is the error of an outcome whose text does not begin with the
-// pieces that the caller has.
-var errSpliced = errors.New("the answer differs from the part already sent")
+// errTextMismatch means that the text of an outcome does not start with the
+// pieces already sent to the caller.
+var errTextMismatch = errors.New("the response does not start with the part already sent")
 
-// streamChat runs a streamed chat completion. Until the first piece has come
-// the answer may still be a problem document with its status; later a failure
-// is an event.
+// streamChat serves a streamed chat completion. A failure before the first piece
+// is sent as a problem document with its status, a later one as an event.
 func (s *Server) streamChat(c *gin.Context, call *structs.Call, deadline time.Time) {
 	event := structs.CallerSubmit{Request: infoOf(c).id, Call: call, Deadline: deadline}
 	p, problem := s.post(c, event, deadline, s.config.MaxBuffer)
@@ -39,11 +38,11 @@
 	for {
 		chunks, final, err := p.next()
 		if errors.Is(err, errNoReply) {
-			s.failStream(c, p, stream, noReply())
+			s.failStream(c, p, stream, noReplyProblem())
 			return
 		}
 		if err != nil {
-			s.abandon(c, err)
+			s.abort(c, err)
 		}
 		for _, chunk := range chunks {
 			stream.addChunk(chunk)
@@ -56,11 +55,11 @@
 	}
 }
 
-// endStream writes the rest of a streamed answer, or its failure.
-func (s *Server) endStream(c *gin.Context, p *pending, stream *chatStream, final structs.Command) {
+// endStream writes the rest of a streamed response, or its failure.
+func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
 	reply, ok := final.(structs.ReplyOutcome)
 	if !ok {
-		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
+		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
 		return
 	}
 	if reply.Outcome.Kind != structs.OutcomeAnswered {
@@ -76,58 +75,58 @@
 		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, err.Error()))
 		return
 	}
-	s.noteAnswer(c, reply.Outcome)
+	s.recordAnswer(c, reply.Outcome)
 	s.sendStream(c, p, stream)
 }
 
-// endWithEngineError passes on the engine's own refusal, which cannot follow a
-// part of an answer.
-func (s *Server) endWithEngineError(c *gin.Context, p *pending, stream *chatStream, outcome structs.Outcome) {
-	if stream.sent {
-		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed behind a part of its answer"))
+// endWithEngineError forwards an HTTP error of the engine, or fails the stream
+// if part of the response was sent.
+func (s *Server) endWithEngineError(c *gin.Context, p *pendingRequest, stream *chatStream, outcome structs.Outcome) {
+	if stream.headersSent {
+		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed after part of its response was sent"))
 		return
 	}
-	s.answerPlain(c, outcome)
+	s.writeOutcome(c, outcome)
 }
 
-// failStream gives a problem as a document if nothing was sent yet, else as an
+// failStream sends a problem as a document if nothing was sent yet, else as an
 // event.
-func (s *Server) failStream(c *gin.Context, p *pending, stream *chatStream, problem *Problem) {
-	if !stream.sent {
+func (s *Server) failStream(c *gin.Context, p *pendingRequest, stream *chatStream, problem *Problem) {
+	if !stream.headersSent {
 		s.fail(c, problem)
 		return
 	}
-	s.noteProblem(c, problem)
+	s.recordProblem(c, problem)
 	stream.addError(problem)
 	s.sendStream(c, p, stream)
 }
 
-// sendStream writes the events that are waiting in the stream.
-func (s *Server) sendStream(c *gin.Context, p *pending, stream *chatStream) {
-	if stream.out.Len() == 0 {
+// sendStream writes the buffered events of the stream.
+func (s *Server) sendStream(c *gin.Context, p *pendingRequest, stream *chatStream) {
+	if stream.events.Len() == 0 {
 		return
 	}
-	if !stream.sent {
-		stream.sent = true
+	if !stream.headersSent {
+		stream.headersSent = true
 		s.startEvents(c)
 	}
 	s.setWriteDeadline(c.Writer)
 	if p.ctx.Err() != nil {
-		// The deadline above may have undone interruptWrites.
-		s.abandon(c, writeCause(p.ctx))
+		// The deadline set above may override that of interruptWrites.
+		s.abort(c, writeCause(p.ctx))
 	}
-	_, err := c.Writer.Write(stream.out.Bytes())
+	_, err := c.Writer.Write(stream.events.Bytes())
 	if err == nil {
 		err = http.NewResponseController(c.Writer).Flush()
 	}
 	if err != nil {
-		s.abandon(c, writeCause(p.ctx))
+		s.abort(c, writeCause(p.ctx))
 	}
-	stream.out.Reset()
+	stream.events.Reset()
 }
 
-// startEvents writes the headers of a streamed answer. A replayed answer is
-// known before they are written; any other is on its way to being answered.
+// startEvents writes the headers of a streamed response. A replayed response is
+// known as such before that; any other is reported as answered.
 func (s *Server) startEvents(c *gin.Context) {
 	info := infoOf(c)
 	if info.outcome != outcomeReplayed {
@@ -139,33 +138,32 @@
 	c.Writer.WriteHeader(http.StatusOK)
 }
 
-// chatStream turns the chunks of an answer into server-sent events. It drops
-// pieces that come twice or behind a gap; what is then missing at the end comes
-// from the outcome, which holds the whole text.
+// chatStream encodes the chunks of a response as server-sent events. It drops
+// pieces that are repeated or follow a gap; finish adds the missing text from
+// the outcome, which holds all of it.
 type chatStream struct {
 	id      string
 	created int64
 	model   string
-	// out is the events to be written.
-	out bytes.Buffer
-	// sent tells that the headers are written.
-	sent bool
-	// next is the index of the next piece; text and length are the hash and
-	// the length in bytes of the pieces before it.
+	// events buffers the encoded events that are not written yet.
+	events      bytes.Buffer
+	headersSent bool
+	// next is the index of the next piece; hash and length, in bytes, cover
+	// the pieces before it.
 	next   int
-	text   *xxhash.Digest
+	hash   *xxhash.Digest
 	length int
 }
 
 func newChatStream(info *requestInfo) *chatStream {
 	return &chatStream{
 		id: replyIDPrefix + string(info.id), created: info.started.Unix(),
-		model: string(info.service), text: xxhash.New(),
+		model: string(info.service), hash: xxhash.New(),
 	}
 }
 
-// addChunk takes the pieces of a chunk that are new. Tool calls are taken whole
-// from the outcome.
+// addChunk adds the new pieces of a chunk. It ignores tool calls, which finish
+// takes from the outcome.
 func (s *chatStream) addChunk(chunk structs.Chunk) {
 	if chunk.First > s.next || chunk.Next() <= s.next {
 		return
@@ -175,20 +173,20 @@
 	}
 }
 
-// addPiece writes the event of one piece.
+// addPiece adds the event of one piece.
 func (s *chatStream) addPiece(text string) {
 	s.addEvent(&wire.ChatMessage{Role: roleAssistant, Content: text}, nil, nil)
 	// Writes to a hash do not fail.
-	_, _ = s.text.WriteString(text)
+	_, _ = s.hash.WriteString(text)
 	s.length += len(text)
 	s.next++
 }
 
-// finish writes what is left of an answer: text that did not come as a chunk,
-// tool calls, the finish reason and the usage.
+// finish adds the rest of a response: text that was not received in chunks, tool
+// calls, the finish reason and the usage.
 func (s *chatStream) finish(outcome structs.Outcome) error {
-	if s.length > len(outcome.Text) || xxhash.Sum64String(outcome.Text[:s.length]) != s.text.Sum64() {
-		return errSpliced
+	if s.length > len(outcome.Text) || xxhash.Sum64String(outcome.Text[:s.length]) != s.hash.Sum64() {
+		return errTextMismatch
 	}
 	calls, err := indexToolCalls(outcome.ToolCalls)
 	if err != nil {
@@ -203,46 +201,46 @@
 	finish := outcome.Finish
 	usage := wireUsage(outcome.Usage)
 	s.addEvent(&wire.ChatMessage{Role: roleAssistant}, &finish, &usage)
-	s.out.WriteString(streamEnd)
+	s.events.WriteString(streamEnd)
 	return nil
 }
 
 func (s *chatStream) addEvent(delta *wire.ChatMessage, finish *string, usage *wire.Usage) {
-	// The chunk holds nothing that JSON cannot encode: indexToolCalls has
-	// checked the tool calls.
+	// Encoding cannot fail: indexToolCalls has validated the tool calls.
 	body, _ := json.Marshal(wire.ChatChunk{
 		ID: s.id, Object: objectChunk, Created: s.created, Model: s.model, Index: s.next,
 		Choices: []wire.ChatChoice{{Delta: delta, FinishReason: finish}}, Usage: usage,
 	})
-	s.out.WriteString("data: ")
-	s.out.Write(body)
-	s.out.WriteString("\n\n")
+	s.events.WriteString("data: ")
+	s.events.Write(body)
+	s.events.WriteString("\n\n")
 }
 
-// addError writes the event of a failure. The stream then has no end mark.
+// addError adds the event of a failure, after which the stream has no end
+// marker.
 func (s *chatStream) addError(problem *Problem) {
-	s.out.WriteString("event: error\ndata: ")
-	s.out.Write(problem.encode())
-	s.out.WriteString("\n\n")
+	s.events.WriteString("event: error\ndata: ")
+	s.events.Write(problem.encode())
+	s.events.WriteString("\n\n")
 }
 
-// indexToolCalls gives each tool call its index, which the protocol wants in a
-// streamed answer only.
+// indexToolCalls adds to each tool call its index, which the protocol requires
+// in streamed responses only.
 func indexToolCalls(raw []byte) ([]byte, error) {
 	if len(raw) == 0 {
 		return nil, nil
 	}
 	var calls []map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &calls); err != nil {
-		return nil, errors.Wrap(err, "tool calls of the answer")
+		return nil, errors.Wrap(err, "decode the tool calls of the response")
 	}
 	for i, call := range calls {
 		if call == nil {
-			return nil, errors.New("tool calls of the answer: expected objects")
+			return nil, errors.New("decode the tool calls of the response: expected objects, got null")
 		}
 		index, err := json.Marshal(i)
 		if err != nil {
-			return nil, errors.Wrap(err, "tool call index")
+			return nil, errors.Wrap(err, "encode a tool call index")
 		}
 		call["index"] = index
 	}
--- a/internal/httpapi/settings.go
+++ b/internal/httpapi/settings.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	teamsSubtree     = "teams/"
-	maxChanges       = 1000
-	maxChangeID      = 128
-	maxSettingLength = 512
+	teamsSubtree         = "teams/"
+	maxChanges           = 1000
+	maxChangeIDLength    = 128
+	maxSettingPathLength = 512
 )
 
 // changeRequest is one change in the body of PUT /v1/settings.
 type changeRequest struct {
 	Path string `json:"path"`
-	// Base is the version that the author saw, 0 if none.
+	// Base is the version that the change is based on, 0 if the path has none.
 	Base uint64 `json:"base"`
 	// Value is the new value; absent or null removes the value.
 	Value json.RawMessage `json:"value"`
-	// ChangeID makes a retry of the change apply once; one is made if absent.
+	// ChangeID deduplicates retries of the change; generated if absent.
 	ChangeID string `json:"change_id"`
 }
 
@@ -35,8 +35,8 @@
 	Changes []changeRequest `json:"changes"`
 }
 
-// changesReply is the answer to changes that are in force.
-type changesReply struct {
+// changesResponse is the response to accepted changes.
+type changesResponse struct {
 	Status  structs.SettingsStatus `json:"status"`
 	Version uint64                 `json:"version"`
 	Offset  uint64                 `json:"offset"`
@@ -44,21 +44,21 @@
 	ChangeIDs []string `json:"change_ids"`
 }
 
-// appliedReply tells which settings offset each instance has applied.
-type appliedReply struct {
+// appliedResponse lists the settings offset that each instance has applied.
+type appliedResponse struct {
 	Applied map[structs.InstanceID]uint64 `json:"applied"`
 	Missing []structs.InstanceID          `json:"missing"`
 }
 
 func (s *Server) getSetting(c *gin.Context) {
-	s.readSetting(c, s.core.Setting)
+	s.writeSetting(c, s.core.Setting)
 }
 
 func (s *Server) settingHistory(c *gin.Context) {
-	s.readSetting(c, s.core.SettingHistory)
+	s.writeSetting(c, s.core.SettingHistory)
 }
 
-func (s *Server) readSetting(c *gin.Context, read func(string) (any, bool)) {
+func (s *Server) writeSetting(c *gin.Context, read func(string) (any, bool)) {
 	path := c.Query("path")
 	if problem := checkSettingPath(infoOf(c).principal, path); problem != nil {
 		s.fail(c, problem)
@@ -66,24 +66,24 @@
 	}
 	value, ok := read(path)
 	if !ok {
-		s.fail(c, refuse(ReasonNotFound, "there is nothing at this path"))
+		s.fail(c, refusal(ReasonNotFound, "no setting exists at this path"))
 		return
 	}
 	s.writeJSON(c, http.StatusOK, value)
 }
 
-// checkSettingPath refuses a path that is malformed or that the principal does
-// not reach. The empty path is the whole tree.
+// checkSettingPath rejects a path that is malformed or that the principal has no
+// access to. The empty path is the whole tree.
 func checkSettingPath(principal Principal, path string) *Problem {
-	if path != "" && (len(path) > maxSettingLength || !validTreePath(path)) {
-		return refuse(structs.ReasonInvalid, "path: expected segments such as teams/lakeshore/priority")
+	if path != "" && (len(path) > maxSettingPathLength || !validTreePath(path)) {
+		return refusal(structs.ReasonInvalid, "path: expected segments such as teams/lakeshore/priority")
 	}
 	if principal.Root() {
 		return nil
 	}
 	team, found := strings.CutPrefix(path, teamsSubtree)
 	if !found || !principal.Team.Contains(structs.Team(team)) {
-		return refuse(structs.ReasonForbidden, "the key reaches %s%s only", teamsSubtree, principal.Team)
+		return refusal(structs.ReasonForbidden, "the key grants access to %s%s only", teamsSubtree, principal.Team)
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 	}
 	info := infoOf(c)
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplySettings](s, c, structs.SettingsPropose{
+	reply, ok := postAndWait[structs.ReplySettings](s, c, structs.SettingsPropose{
 		Request: info.id, Changes: changes, Deadline: deadline,
 	}, deadline)
 	if !ok {
@@ -106,14 +106,14 @@
 		s.fail(c, settingsProblem(reply.Result))
 		return
 	}
-	answer := changesReply{
+	response := changesResponse{
 		Status: reply.Result.Status, Version: reply.Result.Version, Offset: reply.Result.Offset,
 		ChangeIDs: make([]string, 0, len(changes)),
 	}
 	for _, change := range changes {
-		answer.ChangeIDs = append(answer.ChangeIDs, change.ChangeID)
+		response.ChangeIDs = append(response.ChangeIDs, change.ChangeID)
 	}
-	s.writeJSON(c, http.StatusOK, answer)
+	s.writeJSON(c, http.StatusOK, response)
 }
 
 func (s *Server) readChanges(c *gin.Context) ([]structs.SettingChange, *Problem) {
@@ -130,7 +130,7 @@
 		return nil, problem
 	}
 	if len(request.Changes) == 0 || len(request.Changes) > maxChanges {
-		return nil, refuse(structs.ReasonInvalid, "changes: expected 1 to %d", maxChanges)
+		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d entries", maxChanges)
 	}
 	principal := infoOf(c).principal
 	changes := make([]structs.SettingChange, 0, len(request.Changes))
@@ -146,15 +146,15 @@
 
 func newChange(principal Principal, request changeRequest) (structs.SettingChange, *Problem) {
 	if request.Path == "" {
-		return structs.SettingChange{}, refuse(structs.ReasonInvalid, "path: expected the path of a setting")
+		return structs.SettingChange{}, refusal(structs.ReasonInvalid, "path: expected the path of a setting")
 	}
 	if problem := checkSettingPath(principal, request.Path); problem != nil {
 		problem.Path = request.Path
 		return structs.SettingChange{}, problem
 	}
-	if len(request.ChangeID) > maxChangeID || !printable(request.ChangeID) {
-		return structs.SettingChange{}, refuse(structs.ReasonInvalid,
-			"change_id: expected printable ASCII, at most %d", maxChangeID)
+	if len(request.ChangeID) > maxChangeIDLength || !printable(request.ChangeID) {
+		return structs.SettingChange{}, refusal(structs.ReasonInvalid,
+			"change_id: expected printable ASCII, at most %d", maxChangeIDLength)
 	}
 	if request.ChangeID == "" {
 		request.ChangeID = ulid.Make().String()
@@ -169,16 +169,16 @@
 	}, nil
 }
 
-// settingsProblem makes the problem of a proposal that was not accepted.
+// settingsProblem returns the problem of a proposal that was not accepted.
 func settingsProblem(result structs.SettingsResult) *Problem {
 	var problem *Problem
 	switch result.Status {
 	case structs.SettingsLost:
-		problem = refuse(ReasonSettingsLost, "%s", result.Detail)
+		problem = refusal(ReasonSettingsLost, "%s", result.Detail)
 	case structs.SettingsInvalid:
-		problem = refuse(structs.ReasonInvalid, "%s", result.Detail)
+		problem = refusal(structs.ReasonInvalid, "%s", result.Detail)
 	case structs.SettingsNotPublished:
-		problem = refuse(structs.ReasonLogUnavailable, "%s", result.Detail).retryAfter(localRetryAfter)
+		problem = refusal(structs.ReasonLogUnavailable, "%s", result.Detail).retryAfter(localRetryAfter)
 	default:
 		problem = newProblem(ReasonSettingsUnknown, outcomeUnknown, result.Detail)
 	}
@@ -187,14 +187,14 @@
 	return problem
 }
 
-// settingsApplied tells which instance has applied which settings offset.
+// settingsApplied returns the settings offset that each instance has applied.
 func (s *Server) settingsApplied(c *gin.Context) {
 	deadline := s.config.Now().Add(s.config.OperatorTimeout)
-	reply, ok := ask[structs.ReplyApplied](s, c, structs.SettingsApplied{
+	reply, ok := postAndWait[structs.ReplyApplied](s, c, structs.SettingsApplied{
 		Request: infoOf(c).id, Deadline: deadline,
 	}, deadline)
 	if ok {
-		s.writeJSON(c, http.StatusOK, appliedReply{
+		s.writeJSON(c, http.StatusOK, appliedResponse{
 			Applied: reply.Applied, Missing: append([]structs.InstanceID{}, reply.Missing...),
 		})
 	}
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -10,12 +10,11 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// errNoReply is the error of a request that the core did not answer by its
-// deadline.
-var errNoReply = errors.New("no reply of the core")
+// errNoReply means that the core did not reply by the deadline of a request.
+var errNoReply = errors.New("no reply from the core")
 
-// pending is a request posted to the core.
-type pending struct {
+// pendingRequest is a request posted to the core.
+type pendingRequest struct {
 	server   *Server
 	ctx      context.Context
 	exchange *exchange
@@ -23,14 +22,15 @@
 }
 
 // post registers the request and posts its event. On success the caller must
-// call close. limit bounds the waiting chunks in bytes, 0 for none wanted.
-func (s *Server) post(c *gin.Context, event structs.Event, deadline time.Time, limit int) (*pending, *Problem) {
+// call close. limit is the size in bytes of the chunks to buffer, 0 to drop all
+// chunks.
+func (s *Server) post(c *gin.Context, event structs.Event, deadline time.Time, limit int) (*pendingRequest, *Problem) {
 	ctx, cancel := context.WithCancelCause(c.Request.Context())
 	e := newExchange(infoOf(c).id, limit, cancel)
 	s.exchanges.add(e)
 	posted := false
 	defer func() {
-		// Also if the core panicked.
+		// Also runs if the core panics.
 		if !posted {
 			s.exchanges.remove(e.id)
 			cancel(nil)
@@ -38,15 +38,15 @@
 	}()
 	posted = s.core.Post(event)
 	if !posted {
-		return nil, busy(c.Request.Header, "the instance's queue is full or the instance has stopped")
+		return nil, overloaded(c.Request.Header, "the instance's queue is full or the instance has stopped")
 	}
-	wait := deadline.Sub(s.config.Now()) + s.config.ReplyGrace
-	return &pending{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(wait)}, nil
+	timeout := deadline.Sub(s.config.Now()) + s.config.ReplyGrace
+	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(timeout)}, nil
 }
 
-// close forgets the request, and tells the core if nobody waits for its answer
-// any more.
-func (p *pending) close() {
+// close removes the request, and posts CallerDisconnected to the core if the request has
+// not ended.
+func (p *pendingRequest) close() {
 	p.timer.Stop()
 	p.server.exchanges.remove(p.exchange.id)
 	p.exchange.cancel(nil)
@@ -54,13 +54,13 @@
 		return
 	}
 	if !p.server.core.Post(structs.CallerDisconnected{Request: p.exchange.id}) {
-		p.server.metrics.lostGone.Inc(1)
+		p.server.metrics.goneNotPosted.Inc(1)
 	}
 }
 
-// next waits for chunks or for the command that ends the request. The error is
-// errNoReply, or the cause for which the request's context ended.
-func (p *pending) next() ([]structs.Chunk, structs.Command, error) {
+// next waits for chunks or for the command that ends the request. It returns
+// errNoReply after the deadline, or the cause if the request's context ended.
+func (p *pendingRequest) next() ([]structs.Chunk, structs.Command, error) {
 	for {
 		chunks, final := p.exchange.take()
 		if len(chunks) > 0 || final != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// final waits for the command that ends the request.
-func (p *pending) final() (structs.Command, error) {
+// waitFinal waits for the command that ends the request.
+func (p *pendingRequest) waitFinal() (structs.Command, error) {
 	for {
 		_, command, err := p.next()
 		if err != nil || command != nil {
@@ -86,33 +86,33 @@
 	}
 }
 
-// noReply is the problem of a request that the core did not answer in time.
-func noReply() *Problem {
-	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not answer by the deadline")
+// noReplyProblem returns the problem that corresponds to errNoReply.
+func noReplyProblem() *Problem {
+	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not reply by the deadline")
 }
 
-// ask posts an event and waits for its answer. On failure it answers the
-// request itself and returns false.
-func ask[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
-	var none T
+// postAndWait posts an event and waits for the reply. On failure it responds
+// with the problem and returns false.
+func postAndWait[T structs.Command](s *Server, c *gin.Context, event structs.Event, deadline time.Time) (T, bool) {
+	var zero T
 	p, problem := s.post(c, event, deadline, 0)
 	if problem != nil {
 		s.fail(c, problem)
-		return none, false
+		return zero, false
 	}
 	defer p.close()
-	command, err := p.final()
+	command, err := p.waitFinal()
 	if errors.Is(err, errNoReply) {
-		s.fail(c, noReply())
-		return none, false
+		s.fail(c, noReplyProblem())
+		return zero, false
 	}
 	if err != nil {
-		s.abandon(c, err)
+		s.abort(c, err)
 	}
 	reply, ok := command.(T)
 	if !ok {
-		s.log.Error("wrong kind of reply of the core", "request", infoOf(c).id)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
+		s.log.Error("unexpected type of reply from the core", "request", infoOf(c).id)
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
 	}
 	return reply, ok
 }
