--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -86,7 +86,7 @@
 	p.call = ev.Call
 	if p.call.Key == "" {
 		// A generated key lets a second owner deduplicate the call.
-		p.call.Key = journal.KeylessPrefix + string(ev.Request)
+		p.call.Key = journal.GeneratedKeyPrefix + string(ev.Request)
 	}
 	g.add(p)
 	g.search(now, p, "")
