--- a/internal/logclient/config.go
+++ b/internal/logclient/config.go
@@ -14,14 +14,14 @@
 	DefaultAppendQueueRecords = 256
 	DefaultAppendQueueBytes   = 32 << 20
 	DefaultPollWait           = 5 * time.Second
-	DefaultReplySlack         = time.Second
+	DefaultReplyTimeout       = time.Second
 	DefaultEmptyReadInterval  = time.Second
 	DefaultMinBackoff         = 100 * time.Millisecond
 	DefaultMaxBackoff         = 2 * time.Second
-	DefaultReadRecords        = 256
-	DefaultMaxReply           = 32 << 20
+	DefaultMaxReadRecords     = 256
+	DefaultMaxReplyBytes      = 32 << 20
 	DefaultMembersInterval    = time.Second
-	DefaultMembersRepeat      = 30
+	DefaultMembersRepostPolls = 30
 	DefaultMembersTimeout     = time.Second
 )
 
@@ -41,18 +41,18 @@
 	AppendQueueBytes   int
 	// PollWait is how long the log holds a read at the end of a stream.
 	PollWait time.Duration
-	// ReplySlack is how long after PollWait the answer must be there.
-	ReplySlack time.Duration
+	// ReplyTimeout is how long after PollWait the answer must be there.
+	ReplyTimeout time.Duration
 	// EmptyReadInterval is the least time between two LogRead events without
 	// records for one stream.
 	EmptyReadInterval time.Duration
 	// MinBackoff and MaxBackoff bound the wait after a failed read.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// ReadRecords is the largest number of records asked for in one read.
-	ReadRecords int
-	// MaxReply bounds the body of a reply, in bytes.
-	MaxReply int64
+	// MaxReadRecords is the largest number of records asked for in one read.
+	MaxReadRecords int
+	// MaxReplyBytes bounds the body of a reply, in bytes.
+	MaxReplyBytes int64
 }
 
 func (c LogConfig) withDefaults() LogConfig {
@@ -60,12 +60,12 @@
 	c.AppendQueueRecords = cmp.Or(c.AppendQueueRecords, DefaultAppendQueueRecords)
 	c.AppendQueueBytes = cmp.Or(c.AppendQueueBytes, DefaultAppendQueueBytes)
 	c.PollWait = cmp.Or(c.PollWait, DefaultPollWait)
-	c.ReplySlack = cmp.Or(c.ReplySlack, DefaultReplySlack)
+	c.ReplyTimeout = cmp.Or(c.ReplyTimeout, DefaultReplyTimeout)
 	c.EmptyReadInterval = cmp.Or(c.EmptyReadInterval, DefaultEmptyReadInterval)
 	c.MinBackoff = cmp.Or(c.MinBackoff, DefaultMinBackoff)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, DefaultMaxBackoff)
-	c.ReadRecords = cmp.Or(c.ReadRecords, DefaultReadRecords)
-	c.MaxReply = cmp.Or(c.MaxReply, DefaultMaxReply)
+	c.MaxReadRecords = cmp.Or(c.MaxReadRecords, DefaultMaxReadRecords)
+	c.MaxReplyBytes = cmp.Or(c.MaxReplyBytes, DefaultMaxReplyBytes)
 	return c
 }
 
@@ -77,16 +77,16 @@
 	// Interval is the time between two polls; jitter changes it by up to a
 	// tenth.
 	Interval time.Duration
-	// Repeat is the number of polls after which an unchanged list is posted
+	// RepostPolls is the number of polls after which an unchanged list is posted
 	// again.
-	Repeat int
+	RepostPolls int
 	// Timeout bounds one poll.
 	Timeout time.Duration
 }
 
 func (c MembersConfig) withDefaults() MembersConfig {
 	c.Interval = cmp.Or(c.Interval, DefaultMembersInterval)
-	c.Repeat = cmp.Or(c.Repeat, DefaultMembersRepeat)
+	c.RepostPolls = cmp.Or(c.RepostPolls, DefaultMembersRepostPolls)
 	c.Timeout = cmp.Or(c.Timeout, DefaultMembersTimeout)
 	return c
 }
--- a/internal/logclient/log_test.go
+++ b/internal/logclient/log_test.go
@@ -135,7 +135,7 @@
 			}
 			next.ServeHTTP(w, r)
 		})
-	}, func(c *LogConfig) { c.ReadRecords = 3 })
+	}, func(c *LogConfig) { c.MaxReadRecords = 3 })
 	l.Tail(structs.LogTail{Stream: stream, From: 0})
 	const appends = 40
 	go func() {
@@ -232,7 +232,7 @@
 	} {
 		l := newPlatformLog(t, func(http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) })
-		}, func(c *LogConfig) { c.MaxReply = 1000 })
+		}, func(c *LogConfig) { c.MaxReplyBytes = 1000 })
 		l.Tail(structs.LogTail{Stream: stream})
 		if got := l.next(); got != (structs.LogReadFailed{Stream: stream}) {
 			t.Errorf("%s: got %+v", name, got)
@@ -241,7 +241,7 @@
 }
 
 func TestLargeRepliesAreReadInSmallerParts(t *testing.T) {
-	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReply = 4096 })
+	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReplyBytes = 4096 })
 	const count = 64
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{make([]byte, 500)})
@@ -251,9 +251,9 @@
 }
 
 func TestFullLoopHoldsReadsBack(t *testing.T) {
-	l := newPlatformLog(t, nil, func(c *LogConfig) { c.ReadRecords = 1 })
+	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReadRecords = 1 })
 	small := newEvents(t, 1)
-	tailing := startLog(t, LogConfig{URL: l.server.URL, ReadRecords: 1}, small)
+	tailing := startLog(t, LogConfig{URL: l.server.URL, MaxReadRecords: 1}, small)
 	const count = 20
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
--- a/internal/logclient/members.go
+++ b/internal/logclient/members.go
@@ -93,7 +93,7 @@
 		}
 		sincePosted++
 		list, ok := m.poll(ctx)
-		due := ok && (sincePosted >= m.cfg.Repeat || changed(posted, list))
+		due := ok && (sincePosted >= m.cfg.RepostPolls || changed(posted, list))
 		if due && m.sink.Offer(structs.MembersListed{List: list}) {
 			posted, sincePosted = &list, 0
 		}
--- a/internal/logclient/members_test.go
+++ b/internal/logclient/members_test.go
@@ -29,7 +29,7 @@
 	t.Cleanup(server.Close)
 	list.Store(&wire.MemberList{Version: 1, Members: []wire.Member{{ID: "a"}}})
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 1 << 20}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 1 << 20}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}))
 	t.Cleanup(server.Close)
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 2}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 2}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	}))
 	t.Cleanup(server.Close)
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 2}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 2}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -90,7 +90,7 @@
 	return &tail{
 		log: l, stream: stream, ctx: ctx, cancel: cancel,
 		done:    make(chan struct{}),
-		records: l.cfg.ReadRecords,
+		records: l.cfg.MaxReadRecords,
 		backoff: backoff.NewExponentialBackOff(
 			backoff.WithInitialInterval(l.cfg.MinBackoff),
 			backoff.WithMaxInterval(l.cfg.MaxBackoff),
@@ -119,7 +119,7 @@
 }
 
 func (t *tail) readInfo() (wire.StreamInfo, error) {
-	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.ReplySlack)
+	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.ReplyTimeout)
 	defer cancel()
 	var info wire.StreamInfo
 	err := getJSON(ctx, t.log.reads, t.log.streamURL(t.stream), infoReplyLimit, &info)
@@ -154,11 +154,11 @@
 
 // read reads once from the next offset, waiting at the end of the stream.
 func (t *tail) read() (wire.ReadReply, error) {
-	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplySlack)
+	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplyTimeout)
 	defer cancel()
 	t.log.metrics.reads.Inc(1)
 	var body readBody
-	err := getJSON(ctx, t.log.reads, t.readURL(), t.log.cfg.MaxReply, &body)
+	err := getJSON(ctx, t.log.reads, t.readURL(), t.log.cfg.MaxReplyBytes, &body)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
 		return wire.ReadReply{}, &truncatedError{first: body.First}
