--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -34,10 +34,10 @@
 		w.Ahead = slices.Delete(w.Ahead, i, i+1)
 		return Applied
 	}
-	if !s.allowed(r) {
+	if !s.passesFencing(r) {
 		return Rejected
 	}
-	s.effect(r)
+	s.applyBody(r)
 	return Applied
 }
 
@@ -46,7 +46,7 @@
 func (s *State) ApplyAhead(r Record) {
 	w := s.writer(r.Writer)
 	w.Ahead = append(w.Ahead, r.Sequence)
-	s.effect(r)
+	s.applyBody(r)
 }
 
 func (s *State) writer(nonce string) *Writer {
@@ -58,9 +58,9 @@
 	return w
 }
 
-// allowed keeps the fencing invariant: of the fenced records only those of the
+// passesFencing keeps the fencing invariant: of the fenced records only those of the
 // newest epoch's first claimant count, and a claim only if it is the next.
-func (s *State) allowed(r Record) bool {
+func (s *State) passesFencing(r Record) bool {
 	kind := r.Body.Kind()
 	switch {
 	case !kind.Fenced():
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *State) effect(r Record) {
+func (s *State) applyBody(r Record) {
 	switch b := r.Body.(type) {
 	case *Claim:
 		s.Epoch, s.Writer, s.Owner = r.Epoch, r.Writer, b.Instance
@@ -130,7 +130,7 @@
 	return p
 }
 
-func (p *Program) chunk(epoch structs.Epoch) *Chunk {
+func (p *Program) chunkOf(epoch structs.Epoch) *Chunk {
 	c := p.Chunks[epoch]
 	if c == nil {
 		c = new(Chunk)
@@ -144,7 +144,7 @@
 	if p == nil {
 		return
 	}
-	c := p.chunk(h.Epoch)
+	c := p.chunkOf(h.Epoch)
 	c.Reserved = c.Reserved.Add(b.Amount)
 	c.Writer = h.Writer
 }
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -69,7 +69,7 @@
 	if err := codec.NewDecoderBytes(data, handle).Decode(s); err != nil {
 		return nil, errors.Mark(err, ErrRecord)
 	}
-	if !s.complete() {
+	if !s.normalize() {
 		return nil, ErrRecord
 	}
 	return s, nil
--- a/internal/journal/done.go
+++ b/internal/journal/done.go
@@ -14,10 +14,10 @@
 		epoch = run.Epoch
 	}
 	delete(p.Open, b.Run)
-	p.dropRuns(b.Key)
+	p.dropRepeatableRuns(b.Key)
 	old := p.Calls[b.Key]
 	if old != nil && old.Run == b.Run {
-		s.correct(p, old, h, b)
+		s.resolveUnknown(p, old, h, b)
 		return
 	}
 	s.charge(p, epoch, b, b.Cost)
@@ -27,16 +27,16 @@
 	if old == nil {
 		p.advance(b)
 	}
-	s.record(p, h, b, epoch)
+	s.recordCall(p, h, b, epoch)
 }
 
-// correct replaces the unknown outcome of a run by what was learnt later.
-func (s *State) correct(p *Program, old *Call, h Header, b *Done) {
+// resolveUnknown replaces the unknown outcome of a run by what was learnt later.
+func (s *State) resolveUnknown(p *Program, old *Call, h Header, b *Done) {
 	if old.Outcome.Kind != structs.OutcomeUnknown || b.Outcome.Kind != structs.OutcomeAnswered {
 		return
 	}
 	s.charge(p, old.Charged, b, b.Cost.Sub(old.Cost))
-	s.record(p, h, b, old.Charged)
+	s.recordCall(p, h, b, old.Charged)
 }
 
 // charge books the cost of a run and what its target holds since.
@@ -51,15 +51,15 @@
 		p.Direct = p.Direct.Add(cost)
 		return
 	}
-	c := p.chunk(epoch)
+	c := p.chunkOf(epoch)
 	c.Used = c.Used.Add(cost)
 }
 
-func (s *State) record(p *Program, h Header, b *Done, charged structs.Epoch) {
+func (s *State) recordCall(p *Program, h Header, b *Done, charged structs.Epoch) {
 	if old := p.Calls[b.Key]; old != nil {
-		s.Bytes -= size(&old.Outcome)
+		s.Bytes -= outcomeSize(&old.Outcome)
 	}
-	s.Bytes += size(&b.Outcome)
+	s.Bytes += outcomeSize(&b.Outcome)
 	p.Calls[b.Key] = newCall(h, b, charged)
 }
 
@@ -83,7 +83,7 @@
 func (p *Program) advance(b *Done) {
 	p.Turns++
 	l := p.Lane(b.Lane)
-	l.skip(b.Number)
+	l.recordSkipped(b.Number)
 	l.Last = max(l.Last, b.Number)
 	// A late record of an earlier call must not set the history back.
 	if b.HistoryCount > 0 && (b.Number == 0 || b.Number >= l.Last) {
@@ -96,8 +96,8 @@
 	l.RepeatDigest, l.RepeatCount = b.Digest, 1
 }
 
-// dropRuns forgets the repeatable runs of a call that is done.
-func (p *Program) dropRuns(key string) {
+// dropRepeatableRuns forgets the repeatable runs of a call that is done.
+func (p *Program) dropRepeatableRuns(key string) {
 	for id, run := range p.Open {
 		if run.Key == key && !run.NotRepeatable {
 			delete(p.Open, id)
--- a/internal/journal/ledger.go
+++ b/internal/journal/ledger.go
@@ -87,11 +87,11 @@
 		return
 	}
 	a.Grants[b.Grant] = b.Amount
-	c := a.chunk(h.Epoch)
+	c := a.chunkOf(h.Epoch)
 	c.Reserved = c.Reserved.Add(b.Amount)
 }
 
-func (a *Account) chunk(epoch structs.Epoch) *Chunk {
+func (a *Account) chunkOf(epoch structs.Epoch) *Chunk {
 	c := a.Chunks[epoch]
 	if c == nil {
 		c = new(Chunk)
--- a/internal/journal/check.go
+++ b/internal/journal/normalize.go
@@ -1,27 +1,27 @@
 package journal
 
-// complete makes a decoded state fit for use: missing maps become empty ones.
+// normalize makes a decoded state fit for use: missing maps become empty ones.
 // It returns false if a row is missing, which no writer of this package does.
 // A snapshot from the log may hold anything; a reader must not fail on it.
-func (s *State) complete() bool {
-	ensure(&s.Writers)
-	ensure(&s.Programs)
-	ensure(&s.Ledgers)
-	ensure(&s.Accounts)
+func (s *State) normalize() bool {
+	initMap(&s.Writers)
+	initMap(&s.Programs)
+	initMap(&s.Ledgers)
+	initMap(&s.Accounts)
 	if hasNil(s.Writers) || hasNil(s.Programs) || hasNil(s.Ledgers) || hasNil(s.Accounts) {
 		return false
 	}
 	for _, p := range s.Programs {
-		if !p.complete() {
+		if !p.normalize() {
 			return false
 		}
 	}
 	for _, l := range s.Ledgers {
-		ensure(&l.Grants)
+		initMap(&l.Grants)
 	}
 	for _, a := range s.Accounts {
-		ensure(&a.Chunks)
-		ensure(&a.Grants)
+		initMap(&a.Chunks)
+		initMap(&a.Grants)
 		if hasNil(a.Chunks) {
 			return false
 		}
@@ -29,17 +29,17 @@
 	return true
 }
 
-func (p *Program) complete() bool {
-	ensure(&p.Lanes)
-	ensure(&p.Calls)
-	ensure(&p.Open)
-	ensure(&p.Chunks)
-	ensure(&p.Placements)
-	ensure(&p.Services)
+func (p *Program) normalize() bool {
+	initMap(&p.Lanes)
+	initMap(&p.Calls)
+	initMap(&p.Open)
+	initMap(&p.Chunks)
+	initMap(&p.Placements)
+	initMap(&p.Services)
 	return !hasNil(p.Lanes) && !hasNil(p.Calls) && !hasNil(p.Open) && !hasNil(p.Chunks) && !hasNil(p.Placements)
 }
 
-func ensure[K comparable, V any](m *map[K]V) {
+func initMap[K comparable, V any](m *map[K]V) {
 	if *m == nil {
 		*m = make(map[K]V)
 	}
--- a/internal/journal/purge.go
+++ b/internal/journal/purge.go
@@ -14,14 +14,14 @@
 // before a time, in Unix milliseconds; those without a caller's key from before
 // a later one. It tells whether the program itself is to be forgotten: it is
 // closed, nothing of it is open and no target holds its cache.
-func (s *State) PurgeProgram(p *Program, beforeMS, keylessMS int64) bool {
+func (s *State) PurgeProgram(p *Program, beforeMS, generatedBeforeMS int64) bool {
 	for key, call := range p.Calls {
 		limit := beforeMS
 		if strings.HasPrefix(key, GeneratedKeyPrefix) {
-			limit = keylessMS
+			limit = generatedBeforeMS
 		}
 		if call.TimeMS < limit {
-			s.Bytes -= size(&call.Outcome)
+			s.Bytes -= outcomeSize(&call.Outcome)
 			delete(p.Calls, key)
 		}
 	}
@@ -32,16 +32,16 @@
 	}
 	limit := beforeMS
 	if p.Single {
-		limit = keylessMS
+		limit = generatedBeforeMS
 	}
 	return p.Closed && p.UpdatedMS < limit && len(p.Calls) == 0 && len(p.Open) == 0 && len(p.Placements) == 0
 }
 
 // PurgeWriters forgets writers not seen since a time, except the present owner
 // and the given one, and the ledger grants from before it.
-func (s *State) PurgeWriters(keep string, beforeMS int64) {
+func (s *State) PurgeWriters(exempt string, beforeMS int64) {
 	for nonce, w := range s.Writers {
-		if nonce != keep && nonce != s.Writer && w.TimeMS < beforeMS {
+		if nonce != exempt && nonce != s.Writer && w.TimeMS < beforeMS {
 			delete(s.Writers, nonce)
 		}
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-// size is the memory that an outcome takes.
-func size(out *structs.Outcome) int64 {
+// outcomeSize is the memory that an outcome takes.
+func outcomeSize(out *structs.Outcome) int64 {
 	return int64(len(out.Body) + len(out.Text) + len(out.ToolCalls))
 }
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -89,18 +89,18 @@
 	Last  uint64
 }
 
-// maxSpans bounds Lane.Skipped.
-const maxSpans = 32
+// maxSkippedSpans bounds Lane.Skipped.
+const maxSkippedSpans = 32
 
-// skip notes the missing numbers before a call's. Beyond the bound the oldest
+// recordSkipped notes the missing numbers before a call's. Beyond the bound the oldest
 // two spans become one, which errs on the safe side: a number that is called
 // skipped is never said not to have run.
-func (l *Lane) skip(number uint64) {
+func (l *Lane) recordSkipped(number uint64) {
 	if number <= l.Last+1 {
 		return
 	}
 	l.Skipped = append(l.Skipped, Span{First: l.Last + 1, Last: number - 1})
-	if len(l.Skipped) > maxSpans {
+	if len(l.Skipped) > maxSkippedSpans {
 		l.Skipped[1].First = l.Skipped[0].First
 		l.Skipped = slices.Delete(l.Skipped, 0, 1)
 	}
--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -15,8 +15,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// appendReplyLimit bounds the reply to an append, in bytes.
-const appendReplyLimit = 64 << 10
+// maxAppendReplyBytes bounds the reply to an append, in bytes.
+const maxAppendReplyBytes = 64 << 10
 
 // appender sends the appends of one stream one after another. The Log's mutex
 // guards its queue; it has a goroutine only while the queue is not empty.
@@ -81,7 +81,7 @@
 		if !ok {
 			return
 		}
-		event := l.carryOut(a.stream, queued)
+		event := l.execute(a.stream, queued)
 		if !l.sink.Deliver(l.ctx, event) {
 			return
 		}
@@ -111,17 +111,17 @@
 	a.waiting = a.waiting[1:]
 }
 
-// carryOut sends one append, once, and gives the event that reports it.
-func (l *Log) carryOut(stream string, queued queuedAppend) structs.Event {
+// execute sends one append, once, and gives the event that reports it.
+func (l *Log) execute(stream string, queued queuedAppend) structs.Event {
 	failed := structs.LogAppendFailed{ID: queued.id, Stream: stream}
 	if queued.overflow {
 		l.metrics.appendsRefused.Inc(1)
 		failed.Refused = true
 		return failed
 	}
-	watch := l.metrics.appendTime.Start()
+	stopwatch := l.metrics.appendTime.Start()
 	first, refused, err := l.send(stream, queued.records)
-	watch.Stop()
+	stopwatch.Stop()
 	l.metrics.appends.Inc(1)
 	if err == nil {
 		l.metrics.recordsAppended.Inc(int64(len(queued.records)))
@@ -167,12 +167,12 @@
 
 func readAppendReply(status int, body io.Reader) (first uint64, refused bool, err error) {
 	if status != http.StatusOK {
-		return 0, refusesAppend(status), &StatusError{Status: status}
+		return 0, isRefusal(status), &StatusError{Status: status}
 	}
 	var reply struct {
 		First *uint64 `json:"first"`
 	}
-	if err := decodeJSON(body, appendReplyLimit, &reply); err != nil {
+	if err := decodeJSON(body, maxAppendReplyBytes, &reply); err != nil {
 		return 0, false, err
 	}
 	if reply.First == nil {
@@ -181,9 +181,9 @@
 	return *reply.First, false, nil
 }
 
-// refusesAppend tells whether a status says that the append took no effect. A
+// isRefusal tells whether a status says that the append took no effect. A
 // request timeout (408) may come from something on the way.
-func refusesAppend(status int) bool {
+func isRefusal(status int) bool {
 	if status == http.StatusServiceUnavailable {
 		return true
 	}
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -47,14 +47,14 @@
 // getJSON reads a JSON reply of at most limit bytes into target. A status other
 // than 200 is a *StatusError; its body is read into target too if it is 410.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, target any) error {
-	_, err := getTagged(ctx, client, url, limit, "", target)
+	_, err := getIfChanged(ctx, client, url, limit, "", target)
 	return err
 }
 
-// getTagged is getJSON for a resource that was read before with an entity tag:
+// getIfChanged is getJSON for a resource that was read before with an entity tag:
 // it returns errNotModified if the resource is still the same, else its tag.
 // An empty tag asks for the resource in any case.
-func getTagged(ctx context.Context, client *http.Client, url string, limit int64, tag string, target any) (string, error) {
+func getIfChanged(ctx context.Context, client *http.Client, url string, limit int64, tag string, target any) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return "", err
@@ -103,11 +103,11 @@
 // errNotModified tells that a resource is as it was when its tag was given.
 var errNotModified = errors.New("not modified")
 
-// drainLimit is how much of an unread body is read so that the connection can
+// maxDiscardBytes is how much of an unread body is read so that the connection can
 // be used again, in bytes.
-const drainLimit = 64 << 10
+const maxDiscardBytes = 64 << 10
 
 func closeBody(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, drainLimit)
+	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 	_ = body.Close()
 }
--- a/internal/logclient/harness_test.go
+++ b/internal/logclient/harness_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	patience = 20 * time.Second
-	stream   = "shard.great-lakes.7"
+	testTimeout = 20 * time.Second
+	stream      = "shard.great-lakes.7"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -46,7 +46,7 @@
 	select {
 	case event := <-e.channel:
 		return event
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		e.t.Fatal("no event")
 		return nil
 	}
--- a/internal/logclient/log_test.go
+++ b/internal/logclient/log_test.go
@@ -18,10 +18,10 @@
 )
 
 func TestAppendsOfOneStreamStayInOrder(t *testing.T) {
-	var inFlight, most atomic.Int32
+	var inFlight, maxInFlight atomic.Int32
 	l := newPlatformLog(t, func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			most.Store(max(most.Load(), inFlight.Add(1)))
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			defer inFlight.Add(-1)
 			next.ServeHTTP(w, r)
 		})
@@ -36,8 +36,8 @@
 			t.Fatalf("got %+v, wanted %+v", got, want)
 		}
 	}
-	if most.Load() != 1 {
-		t.Fatalf("%d appends in flight at once", most.Load())
+	if maxInFlight.Load() != 1 {
+		t.Fatalf("%d appends in flight at once", maxInFlight.Load())
 	}
 }
 
@@ -111,7 +111,7 @@
 			<-proceed
 			next.ServeHTTP(w, r)
 		})
-	}, func(c *LogConfig) { c.AppendQueueRecords, c.AppendTimeout = 2, patience })
+	}, func(c *LogConfig) { c.AppendQueueRecords, c.AppendTimeout = 2, testTimeout })
 	for i := range 4 {
 		l.Append(appendOf(i, "x"))
 	}
@@ -252,14 +252,14 @@
 
 func TestFullLoopHoldsReadsBack(t *testing.T) {
 	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReadRecords = 1 })
-	small := newEvents(t, 1)
-	tailing := startLog(t, LogConfig{URL: l.server.URL, MaxReadRecords: 1}, small)
+	full := newEvents(t, 1)
+	tailing := startLog(t, LogConfig{URL: l.server.URL, MaxReadRecords: 1}, full)
 	const count = 20
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
 	}
 	tailing.Tail(structs.LogTail{Stream: stream})
-	small.records(0, count)
+	full.records(0, count)
 }
 
 func TestInvalidURLIsRefused(t *testing.T) {
--- a/internal/logclient/members.go
+++ b/internal/logclient/members.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// membersReplyLimit bounds a membership list, in bytes.
-	membersReplyLimit = 8 << 20
-	// jitterShare is the part of the poll interval that jitter may add or
+	// maxMembersReplyBytes bounds a membership list, in bytes.
+	maxMembersReplyBytes = 8 << 20
+	// jitterDivisor is the part of the poll interval that jitter may add or
 	// take away.
-	jitterShare = 10
+	jitterDivisor = 10
 )
 
 // Members polls the membership list and posts MembersListed when it changes,
 // and every so often when it does not. It asks with the entity tag of the last
 // list, so that an unchanged list costs the same at any length.
 type Members struct {
-	cfg    MembersConfig
-	sink   *eventsink.Sink
-	client *http.Client
-	logger *slog.Logger
-	polls  tally.Counter
-	failed tally.Counter
-	// unchanged counts the polls that were answered with status 304.
-	unchanged tally.Counter
+	cfg         MembersConfig
+	sink        *eventsink.Sink
+	client      *http.Client
+	logger      *slog.Logger
+	polls       tally.Counter
+	pollsFailed tally.Counter
+	// pollsUnchanged counts the polls that were answered with status 304.
+	pollsUnchanged tally.Counter
 	// tag and last are the entity tag and content of the last list read.
 	tag  string
 	last wire.MemberList
@@ -59,15 +59,15 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	m := &Members{
-		cfg:    cfg.withDefaults(),
-		sink:   eventsink.New(post, scope),
-		client: newClient(),
-		logger: logger,
-		polls:  scope.Counter("polls"),
-		failed: scope.Counter("polls_failed"),
+		cfg:         cfg.withDefaults(),
+		sink:        eventsink.New(post, scope),
+		client:      newClient(),
+		logger:      logger,
+		polls:       scope.Counter("polls"),
+		pollsFailed: scope.Counter("polls_failed"),
 
-		unchanged: scope.Counter("polls_unchanged"),
-		cancel:    cancel,
+		pollsUnchanged: scope.Counter("polls_unchanged"),
+		cancel:         cancel,
 	}
 	m.work.Go(func() { m.run(ctx) })
 	return m, nil
@@ -97,7 +97,7 @@
 		if due && m.sink.Offer(structs.MembersListed{List: list}) {
 			posted, sincePosted = &list, 0
 		}
-		timer.Reset(m.wait())
+		timer.Reset(m.nextInterval())
 	}
 }
 
@@ -107,14 +107,14 @@
 	var list wire.MemberList
 	m.polls.Inc(1)
 	url := strings.TrimSuffix(m.cfg.URL, "/") + wire.MembersRoute
-	tag, err := getTagged(ctx, m.client, url, membersReplyLimit, m.tag, &list)
+	tag, err := getIfChanged(ctx, m.client, url, maxMembersReplyBytes, m.tag, &list)
 	if errors.Is(err, errNotModified) {
 		m.failing = false
-		m.unchanged.Inc(1)
+		m.pollsUnchanged.Inc(1)
 		return m.last, true
 	}
 	if err != nil {
-		m.failed.Inc(1)
+		m.pollsFailed.Inc(1)
 		if !m.failing {
 			m.logger.Warn("membership polls fail", "error", err)
 		}
@@ -130,7 +130,7 @@
 	return posted == nil || posted.Version != list.Version || !slices.Equal(posted.Members, list.Members)
 }
 
-func (m *Members) wait() time.Duration {
-	jitter := m.cfg.Interval / jitterShare
+func (m *Members) nextInterval() time.Duration {
+	jitter := m.cfg.Interval / jitterDivisor
 	return m.cfg.Interval - jitter + rand.N(2*jitter+1)
 }
--- a/internal/logclient/members_test.go
+++ b/internal/logclient/members_test.go
@@ -62,14 +62,14 @@
 }
 
 func TestUnchangedMembersAreNotSentAgain(t *testing.T) {
-	var whole atomic.Int32
+	var fullReplies atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", `"7"`)
 		if r.Header.Get("If-None-Match") == `"7"` {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		whole.Add(1)
+		fullReplies.Add(1)
 		_ = json.NewEncoder(w).Encode(wire.MemberList{Version: 7, Members: []wire.Member{{ID: "a"}}})
 	}))
 	t.Cleanup(server.Close)
@@ -85,7 +85,7 @@
 			t.Fatalf("got %+v", got)
 		}
 	}
-	if n := whole.Load(); n != 1 {
+	if n := fullReplies.Load(); n != 1 {
 		t.Fatalf("the list was sent %d times", n)
 	}
 }
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -13,8 +13,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// infoReplyLimit bounds the reply that describes a stream, in bytes.
-const infoReplyLimit = 64 << 10
+// maxInfoReplyBytes bounds the reply that describes a stream, in bytes.
+const maxInfoReplyBytes = 64 << 10
 
 // tail reads one stream.
 type tail struct {
@@ -26,15 +26,15 @@
 	done chan struct{}
 
 	next uint64
-	// records is the number of records to ask for; it shrinks when replies
+	// maxRecords is the number of records to ask for; it shrinks when replies
 	// are too large.
-	records int
-	backoff *backoff.ExponentialBackOff
-	// failed tells that the last read failed, end is the last end posted, and
+	maxRecords int
+	backoff    *backoff.ExponentialBackOff
+	// failing tells that the last read failed, end is the last end posted, and
 	// posted the time of the last LogRead.
-	failed bool
-	end    uint64
-	posted time.Time
+	failing    bool
+	lastEnd    uint64
+	lastPosted time.Time
 }
 
 // Tail starts reading a stream from an offset, or moves the offset.
@@ -89,8 +89,8 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	return &tail{
 		log: l, stream: stream, ctx: ctx, cancel: cancel,
-		done:    make(chan struct{}),
-		records: l.cfg.MaxReadRecords,
+		done:       make(chan struct{}),
+		maxRecords: l.cfg.MaxReadRecords,
 		backoff: backoff.NewExponentialBackOff(
 			backoff.WithInitialInterval(l.cfg.MinBackoff),
 			backoff.WithMaxInterval(l.cfg.MaxBackoff),
@@ -104,14 +104,14 @@
 	for t.ctx.Err() == nil {
 		info, err := t.readInfo()
 		if err == nil {
-			return newest(info), true
+			return newestOffset(info), true
 		}
-		t.fail(structs.LogReadFailed{Stream: t.stream}, err)
+		t.reportFailure(structs.LogReadFailed{Stream: t.stream}, err)
 	}
 	return 0, false
 }
 
-func newest(info wire.StreamInfo) uint64 {
+func newestOffset(info wire.StreamInfo) uint64 {
 	if info.End > info.First {
 		return info.End - 1
 	}
@@ -122,7 +122,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.ReplyTimeout)
 	defer cancel()
 	var info wire.StreamInfo
-	err := getJSON(ctx, t.log.reads, t.log.streamURL(t.stream), infoReplyLimit, &info)
+	err := getJSON(ctx, t.log.reads, t.log.streamURL(t.stream), maxInfoReplyBytes, &info)
 	return info, err
 }
 
@@ -132,15 +132,15 @@
 	for t.ctx.Err() == nil {
 		reply, err := t.read()
 		if err != nil {
-			t.readFailed(err)
+			t.handleReadError(err)
 			continue
 		}
 		t.deliver(reply)
 	}
 }
 
-// readBody is the body of an answer to a read: a reply, or what is retained.
-type readBody struct {
+// readResponse is the body of an answer to a read: a reply, or what is retained.
+type readResponse struct {
 	wire.ReadReply
 	First uint64 `json:"first"`
 }
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplyTimeout)
 	defer cancel()
 	t.log.metrics.reads.Inc(1)
-	var body readBody
+	var body readResponse
 	err := getJSON(ctx, t.log.reads, t.readURL(), t.log.cfg.MaxReplyBytes, &body)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
@@ -171,13 +171,13 @@
 
 func (t *tail) readURL() string {
 	wait := t.log.cfg.PollWait
-	if t.posted.IsZero() || t.failed {
+	if t.lastPosted.IsZero() || t.failing {
 		// The first answer tells where the stream ends and that the log
 		// answers again: the log must not hold it.
 		wait = 0
 	}
 	query := "?from=" + strconv.FormatUint(t.next, 10) +
-		"&max=" + strconv.Itoa(t.records) +
+		"&max=" + strconv.Itoa(t.maxRecords) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	return t.log.streamURL(t.stream, wire.LogRecordsSegment) + query
 }
@@ -203,11 +203,11 @@
 func (t *tail) deliver(reply wire.ReadReply) {
 	t.backoff.Reset()
 	now := time.Now()
-	quiet := len(reply.Records) == 0 && !t.failed && reply.End == t.end &&
-		now.Sub(t.posted) < t.log.cfg.EmptyReadInterval
-	if quiet {
+	redundant := len(reply.Records) == 0 && !t.failing && reply.End == t.lastEnd &&
+		now.Sub(t.lastPosted) < t.log.cfg.EmptyReadInterval
+	if redundant {
 		// The log answered at once instead of holding the read.
-		t.pause(t.log.cfg.MinBackoff)
+		t.sleep(t.log.cfg.MinBackoff)
 		return
 	}
 	event := structs.LogRead{
@@ -218,19 +218,19 @@
 		return
 	}
 	t.log.metrics.recordsRead.Inc(int64(len(reply.Records)))
-	if t.failed {
+	if t.failing {
 		t.log.logger.Info("log reads work again", "stream", t.stream)
 	}
-	t.next, t.end, t.posted, t.failed = reply.Next, reply.End, now, false
+	t.next, t.lastEnd, t.lastPosted, t.failing = reply.Next, reply.End, now, false
 }
 
-// readFailed posts the failure and waits before the next read.
-func (t *tail) readFailed(err error) {
+// handleReadError posts the failure and waits before the next read.
+func (t *tail) handleReadError(err error) {
 	if t.ctx.Err() != nil {
 		return
 	}
-	if errors.Is(err, ErrReplyTooLarge) && t.records > 1 {
-		t.records /= 2
+	if errors.Is(err, ErrReplyTooLarge) && t.maxRecords > 1 {
+		t.maxRecords /= 2
 		return
 	}
 	event := structs.LogReadFailed{Stream: t.stream}
@@ -238,23 +238,23 @@
 	if errors.As(err, &truncated) {
 		event.Truncated, event.First = true, truncated.first
 	}
-	t.fail(event, err)
+	t.reportFailure(event, err)
 }
 
-func (t *tail) fail(event structs.LogReadFailed, err error) {
+func (t *tail) reportFailure(event structs.LogReadFailed, err error) {
 	if t.ctx.Err() != nil {
 		return
 	}
 	t.log.metrics.readsFailed.Inc(1)
-	if !t.failed {
+	if !t.failing {
 		t.log.logger.Warn("log reads fail", "stream", t.stream, "error", err)
 	}
-	t.failed = true
+	t.failing = true
 	t.log.sink.Deliver(t.ctx, event)
-	t.pause(t.backoff.NextBackOff())
+	t.sleep(t.backoff.NextBackOff())
 }
 
-func (t *tail) pause(wait time.Duration) {
+func (t *tail) sleep(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -17,10 +17,10 @@
 	// probeInterval is the time between two heartbeats asked of a suspected
 	// peer.
 	probeInterval = time.Second
-	// announcementLife is how long a peer's own word that it leaves counts.
+	// announcementTTL is how long a peer's own word that it leaves counts.
 	// It exceeds the lag of the membership list; after it the list decides,
 	// so that an instance that starts again under its id is used again.
-	announcementLife = 30 * time.Second
+	announcementTTL = 30 * time.Second
 )
 
 // View is the membership as this instance sees it. It implements
@@ -30,12 +30,12 @@
 	// generation counts the changes of the tables of peers.
 	generation uint64
 	// list holds the peers as the membership list last showed them.
-	list     []structs.Peer
-	version  uint64
-	listed   bool
-	peers    []structs.Peer
-	byID     map[structs.InstanceID]structs.Peer
-	suspects map[structs.InstanceID]time.Time
+	list         []structs.Peer
+	version      uint64
+	listReceived bool
+	peers        []structs.Peer
+	byID         map[structs.InstanceID]structs.Peer
+	suspects     map[structs.InstanceID]time.Time
 	// announced are peers that said themselves that they leave, with the
 	// time until which that counts.
 	announced map[structs.InstanceID]time.Time
@@ -62,7 +62,7 @@
 func (v *View) Generation() uint64 { return v.generation }
 
 // ListReceived tells whether a membership list was ever received.
-func (v *View) ListReceived() bool { return v.listed }
+func (v *View) ListReceived() bool { return v.listReceived }
 
 // Tick takes in membership lists, liveness and announcements, and asks
 // suspected peers for a heartbeat from time to time.
@@ -88,23 +88,23 @@
 func (v *View) apply(now time.Time, ev structs.Event) {
 	switch ev := ev.(type) {
 	case structs.MembersListed:
-		v.takeList(ev.List)
+		v.applyList(ev.List)
 	case structs.PeerUp:
 		delete(v.suspects, ev.Peer)
 	case structs.PeerDown:
-		v.suspect(now, ev.Peer)
+		v.markSuspected(now, ev.Peer)
 	case structs.DrainStart:
 		v.self.Leaving = true
 		v.rebuild()
 	case structs.PeerMessage:
 		if _, ok := ev.Msg.(*structs.Leaving); ok {
-			v.announced[ev.From] = now.Add(announcementLife)
+			v.announced[ev.From] = now.Add(announcementTTL)
 			v.rebuild()
 		}
 	}
 }
 
-func (v *View) suspect(now time.Time, id structs.InstanceID) {
+func (v *View) markSuspected(now time.Time, id structs.InstanceID) {
 	if id == v.self.ID {
 		return
 	}
@@ -132,13 +132,13 @@
 	return cmds
 }
 
-// takeList replaces the view by a list. An older version than the one in use
+// applyList replaces the view by a list. An older version than the one in use
 // is dropped: the list may come from a lagging replica of the platform.
-func (v *View) takeList(list wire.MemberList) {
-	if v.listed && list.Version < v.version {
+func (v *View) applyList(list wire.MemberList) {
+	if v.listReceived && list.Version < v.version {
 		return
 	}
-	v.listed = true
+	v.listReceived = true
 	v.version = list.Version
 	var peers []structs.Peer
 	targets := map[structs.ServiceName][]structs.Target{}
@@ -207,7 +207,7 @@
 		return strings.Compare(string(a.ID), string(b.ID))
 	})
 	v.ranked = map[string][]structs.InstanceID{}
-	v.forgetUnlisted()
+	v.removeUnlisted()
 }
 
 func (v *View) expireAnnouncements(now time.Time) {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (v *View) forgetUnlisted() {
+func (v *View) removeUnlisted() {
 	for id := range v.suspects {
 		if _, ok := v.byID[id]; !ok {
 			delete(v.suspects, id)
--- a/internal/members/view_test.go
+++ b/internal/members/view_test.go
@@ -70,7 +70,7 @@
 	if p, _ := v.Peer("b"); !p.Leaving {
 		t.Fatal("announcement ignored")
 	}
-	v.Tick(start.Add(announcementLife+time.Second), nil)
+	v.Tick(start.Add(announcementTTL+time.Second), nil)
 	if p, _ := v.Peer("b"); p.Leaving {
 		t.Fatal("announcement outlived its time")
 	}
--- a/internal/node/carry.go
+++ b/internal/node/commands.go
@@ -4,14 +4,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// carry hands one command of the core to the adapter that carries it out. It
+// execute hands one command of the core to the adapter that carries it out. It
 // runs on the loop and does not block.
-func (n *node) carry(cmd structs.Command) {
+func (n *node) execute(cmd structs.Command) {
 	a := n.adapters
 	switch cmd := cmd.(type) {
 	case structs.ReplyChunk, structs.ReplyOutcome, structs.ReplyProgram,
 		structs.ReplyPrograms, structs.ReplySettings, structs.ReplyApplied:
-		n.gauges.count(cmd)
+		n.gauges.countOutcome(cmd)
 		a.http.Deliver(cmd)
 	case structs.SendPeer:
 		a.peers.Send(cmd.To, cmd.Msg)
@@ -28,12 +28,12 @@
 	case structs.LogStop:
 		a.log.Stop(cmd)
 	default:
-		n.carryTarget(cmd)
+		n.executeTarget(cmd)
 	}
 }
 
-// carryTarget handles the commands towards targets and the instance's own life.
-func (n *node) carryTarget(cmd structs.Command) {
+// executeTarget handles the commands towards targets and the instance's own life.
+func (n *node) executeTarget(cmd structs.Command) {
 	targets := n.adapters.targets
 	switch cmd := cmd.(type) {
 	case structs.Note:
@@ -57,7 +57,7 @@
 		targets.SendOrder(cmd)
 	case structs.Ready:
 		n.log.Info("readiness", "ready", cmd.Ready, "reason", cmd.Reason)
-		n.mirror.setReady(cmd)
+		n.shared.setReady(cmd)
 	case structs.DrainDone:
 		close(n.drained)
 	default:
--- a/internal/node/facade.go
+++ b/internal/node/facade.go
@@ -12,7 +12,7 @@
 // facade is the core as the HTTP adapter sees it.
 type facade struct {
 	loop   *loop
-	mirror *mirror
+	shared *sharedState
 	tree   *settings.Tree
 }
 
@@ -40,13 +40,13 @@
 // Dump gives the state of the instance through the loop.
 func (f *facade) Dump(ctx context.Context) (any, error) {
 	var state instance.State
-	err := f.loop.ask(ctx, func(core *instance.Instance) { state = core.Dump() })
+	err := f.loop.query(ctx, func(core *instance.Instance) { state = core.Dump() })
 	return state, err
 }
 
 // Health tells whether the instance takes traffic.
 func (f *facade) Health() httpapi.Health {
-	ready := f.mirror.readiness()
+	ready := f.shared.readiness()
 	switch {
 	case ready.Ready:
 		return httpapi.Health{State: httpapi.HealthReady}
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -46,8 +46,8 @@
 	structs.OutcomeAnswered: "answered", structs.OutcomeNotRun: "not-run", structs.OutcomeUnknown: "unknown",
 }
 
-// count counts the final answers by outcome and reason.
-func (g *gauges) count(cmd structs.Command) {
+// countOutcome counts the final answers by outcome and reason.
+func (g *gauges) countOutcome(cmd structs.Command) {
 	end, ok := cmd.(structs.ReplyOutcome)
 	if !ok {
 		return
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// queueLength bounds the events that wait for the loop.
-	queueLength = 16384
-	// maxBatch bounds the events of one tick.
-	maxBatch = 1024
+	// maxQueuedEvents bounds the events that wait for the loop.
+	maxQueuedEvents = 16384
+	// maxBatchEvents bounds the events of one tick.
+	maxBatchEvents = 1024
 )
 
 // ErrStopped is the error of a request to a loop that has stopped.
@@ -25,16 +25,16 @@
 // loop runs the core: the only goroutine that touches it. An event wakes it at
 // once; without events it sleeps until the core's next timer.
 type loop struct {
-	core   *instance.Instance
-	events chan structs.Event
-	asks   chan func(*instance.Instance)
-	// carry carries out one command. It must not block.
-	carry func(structs.Command)
-	// after runs after each tick, on the loop.
-	after   func(*instance.Instance)
-	stopped chan struct{}
-	closed  atomic.Bool
-	metrics loopMetrics
+	core    *instance.Instance
+	events  chan structs.Event
+	queries chan func(*instance.Instance)
+	// execute carries out one command. It must not block.
+	execute func(structs.Command)
+	// afterTick runs after each tick, on the loop.
+	afterTick func(*instance.Instance)
+	stopped   chan struct{}
+	closed    atomic.Bool
+	metrics   loopMetrics
 }
 
 type loopMetrics struct {
@@ -50,8 +50,8 @@
 	buckets := tally.MustMakeExponentialDurationBuckets(10*time.Microsecond, 2, 16)
 	return &loop{
 		core:    core,
-		events:  make(chan structs.Event, queueLength),
-		asks:    make(chan func(*instance.Instance)),
+		events:  make(chan structs.Event, maxQueuedEvents),
+		queries: make(chan func(*instance.Instance)),
 		stopped: make(chan struct{}),
 		metrics: loopMetrics{
 			ticks:    scope.Counter("core_ticks"),
@@ -78,16 +78,16 @@
 	}
 }
 
-// ask runs f on the loop between two ticks. It returns ErrStopped or the
+// query runs f on the loop between two ticks. It returns ErrStopped or the
 // context's error if f did not run.
-func (l *loop) ask(ctx context.Context, f func(*instance.Instance)) error {
+func (l *loop) query(ctx context.Context, f func(*instance.Instance)) error {
 	done := make(chan struct{})
 	wrapped := func(core *instance.Instance) {
 		f(core)
 		close(done)
 	}
 	select {
-	case l.asks <- wrapped:
+	case l.queries <- wrapped:
 	case <-l.stopped:
 		return ErrStopped
 	case <-ctx.Done():
@@ -119,19 +119,19 @@
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case f := <-l.asks:
+		case f := <-l.queries:
 			f(l.core)
 		case ev := <-l.events:
-			return l.drain(ev), true
+			return l.collect(ev), true
 		case <-timer.C:
 			return nil, true
 		}
 	}
 }
 
-func (l *loop) drain(first structs.Event) []structs.Event {
+func (l *loop) collect(first structs.Event) []structs.Event {
 	batch := []structs.Event{first}
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchEvents {
 		select {
 		case ev := <-l.events:
 			batch = append(batch, ev)
@@ -146,9 +146,9 @@
 	started := time.Now()
 	cmds := l.core.Tick(started, batch)
 	for _, cmd := range cmds {
-		l.carry(cmd)
+		l.execute(cmd)
 	}
-	l.after(l.core)
+	l.afterTick(l.core)
 	l.metrics.ticks.Inc(1)
 	l.metrics.events.Inc(int64(len(batch)))
 	l.metrics.commands.Inc(int64(len(cmds)))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,7 @@
 	var n *node
 	app := fx.New(
 		fx.Supply(cfg, log),
-		fx.Provide(newListeners, newMetrics, newInstance, newLoop, newMirror, newAdapters, newNode),
+		fx.Provide(newListeners, newMetrics, newInstance, newLoop, newSharedState, newAdapters, newNode),
 		fx.Invoke(register),
 		fx.Populate(&n),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -52,30 +52,30 @@
 
 // node is a running instance.
 type node struct {
-	cfg      Config
-	log      *slog.Logger
-	loop     *loop
-	mirror   *mirror
-	adapters *adapters
-	gauges   *gauges
-	drained  chan struct{}
-	failed   chan error
+	cfg          Config
+	log          *slog.Logger
+	loop         *loop
+	shared       *sharedState
+	adapters     *adapters
+	gauges       *gauges
+	drained      chan struct{}
+	serverErrors chan error
 }
 
-func newNode(cfg Config, log *slog.Logger, l *loop, m *mirror, a *adapters, counts *metrics) *node {
+func newNode(cfg Config, log *slog.Logger, l *loop, m *sharedState, a *adapters, counts *metrics) *node {
 	n := &node{
-		cfg: cfg, log: log, loop: l, mirror: m, adapters: a,
+		cfg: cfg, log: log, loop: l, shared: m, adapters: a,
 		gauges:  &gauges{scope: counts.scope},
-		drained: make(chan struct{}), failed: make(chan error, 1),
+		drained: make(chan struct{}), serverErrors: make(chan error, 1),
 	}
-	l.carry = n.carry
-	l.after = n.afterTick
+	l.execute = n.execute
+	l.afterTick = n.afterTick
 	return n
 }
 
 // afterTick brings what others read of the core up to date.
 func (n *node) afterTick(core *instance.Instance) {
-	n.mirror.update(core)
+	n.shared.update(core)
 	n.gauges.report(time.Now(), core)
 }
 
@@ -87,7 +87,7 @@
 		n.startDrain()
 	case <-n.drained:
 		return
-	case err := <-n.failed:
+	case err := <-n.serverErrors:
 		n.log.Error("a server failed", "error", err)
 		return
 	}
--- a/internal/node/mirror.go
+++ b/internal/node/shared.go
@@ -7,24 +7,24 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// mirror holds copies of the core's peers and readiness for the adapters, which
+// sharedState holds copies of the core's peers and readiness for the adapters, which
 // read them from their own goroutines. The loop brings it up to date.
-type mirror struct {
+type sharedState struct {
 	mu         sync.RWMutex
 	generation uint64
 	peers      map[structs.InstanceID]structs.Peer
 	ready      structs.Ready
 }
 
-func newMirror() *mirror {
-	return &mirror{
+func newSharedState() *sharedState {
+	return &sharedState{
 		peers: map[structs.InstanceID]structs.Peer{},
 		ready: structs.Ready{Reason: "starting"},
 	}
 }
 
 // update copies the peers if the last tick changed them.
-func (m *mirror) update(core *instance.Instance) {
+func (m *sharedState) update(core *instance.Instance) {
 	peers, generation := core.Peers()
 	if generation == m.generation {
 		return
@@ -40,20 +40,20 @@
 }
 
 // peer finds an instance by id.
-func (m *mirror) peer(id structs.InstanceID) (structs.Peer, bool) {
+func (m *sharedState) peer(id structs.InstanceID) (structs.Peer, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	p, ok := m.peers[id]
 	return p, ok
 }
 
-func (m *mirror) setReady(ready structs.Ready) {
+func (m *sharedState) setReady(ready structs.Ready) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ready = ready
 }
 
-func (m *mirror) readiness() structs.Ready {
+func (m *sharedState) readiness() structs.Ready {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.ready
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -86,15 +86,15 @@
 	return PeerTLS{CertFile: file("cert.pem"), KeyFile: file("key.pem"), CAFile: file("ca.pem")}
 }
 
-// shake makes a TLS connection from one configuration to another and returns
+// handshake makes a TLS connection from one configuration to another and returns
 // the errors of both sides.
-func shake(t *testing.T, from, to PeerTLS) (client, server error) {
+func handshake(t *testing.T, from, to PeerTLS) (client, server error) {
 	t.Helper()
-	dial, err := from.load()
+	clientConfig, err := from.load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	serve, err := to.load()
+	serverConfig, err := to.load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,39 +107,39 @@
 	defer func() { _ = listener.Close() }()
 	done := make(chan error, 1)
 	go func() {
-		far, err := listener.Accept()
+		serverConn, err := listener.Accept()
 		if err != nil {
 			done <- err
 			return
 		}
-		done <- tls.Server(far, serve).HandshakeContext(ctx)
-		_ = far.Close()
+		done <- tls.Server(serverConn, serverConfig).HandshakeContext(ctx)
+		_ = serverConn.Close()
 	}()
-	near, err := net.Dial("tcp", listener.Addr().String())
+	clientConn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn := tls.Client(near, dial)
+	conn := tls.Client(clientConn, clientConfig)
 	client = conn.HandshakeContext(ctx)
 	if client == nil {
 		// With TLS 1.3 a refused client hears of it at its first read.
 		_, client = conn.Read(make([]byte, 1))
 	}
-	_ = near.Close()
+	_ = clientConn.Close()
 	return client, <-done
 }
 
 func TestInstancesOfOneAuthorityTrustEachOther(t *testing.T) {
 	a := newAuthority(t)
 	files := a.instance()
-	if _, err := shake(t, files, files); err != nil {
+	if _, err := handshake(t, files, files); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestAnotherAuthorityIsRefused(t *testing.T) {
 	ours, theirs := newAuthority(t).instance(), newAuthority(t).instance()
-	client, server := shake(t, theirs, ours)
+	client, server := handshake(t, theirs, ours)
 	if client == nil && server == nil {
 		t.Fatal("a certificate of another authority was accepted")
 	}
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -26,8 +26,8 @@
 const (
 	// metricsInterval is the time between two reports of the metrics scope.
 	metricsInterval = time.Second
-	// headerTimeout bounds the reading of a peer's request header.
-	headerTimeout = 5 * time.Second
+	// readHeaderTimeout bounds the reading of a peer's request header.
+	readHeaderTimeout = 5 * time.Second
 	// maxCallerConns and maxPeerConns bound the open connections.
 	maxCallerConns = 8192
 	maxPeerConns   = 2048
@@ -44,7 +44,7 @@
 }
 
 func newListeners(cfg Config) (*listeners, error) {
-	security, err := cfg.PeerTLS.load()
+	tlsConfig, err := cfg.PeerTLS.load()
 	if err != nil {
 		return nil, err
 	}
@@ -59,8 +59,8 @@
 	}
 	return &listeners{
 		callers: netutil.LimitListener(callers, maxCallerConns),
-		peers:   wrapTLS(netutil.LimitListener(peers, maxPeerConns), security),
-		tls:     security,
+		peers:   wrapTLS(netutil.LimitListener(peers, maxPeerConns), tlsConfig),
+		tls:     tlsConfig,
 	}, nil
 }
 
@@ -70,12 +70,12 @@
 	scope  tally.Scope
 }
 
-func newMetrics(life fx.Lifecycle) *metrics {
+func newMetrics(lifecycle fx.Lifecycle) *metrics {
 	report := httpapi.NewMetrics()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "banyanglade", Separator: "_", Reporter: report,
 	}, metricsInterval)
-	life.Append(fx.StopHook(closer.Close))
+	lifecycle.Append(fx.StopHook(closer.Close))
 	return &metrics{report: report, scope: scope}
 }
 
@@ -109,7 +109,7 @@
 	Instance structs.InstanceConfig
 	Core     *instance.Instance
 	Loop     *loop
-	Mirror   *mirror
+	Shared   *sharedState
 	Metrics  *metrics
 	Log      *slog.Logger
 }
@@ -122,7 +122,7 @@
 	a.peers, err = peer.New(ctx, peer.Config{
 		Self: p.Instance.Self, Incarnation: p.Instance.Incarnation,
 		Key: p.Config.PeerKey, TLS: p.Listen.tls, PeerTimeout: p.Instance.PeerTimeout,
-	}, p.Loop.post, p.Mirror.peer, scope.SubScope("peer"), p.Log)
+	}, p.Loop.post, p.Shared.peer, scope.SubScope("peer"), p.Log)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	a.targets = target.New(ctx, target.Config{}, p.kind, p.Loop.post, scope.SubScope("target"), p.Log)
-	a.http = httpapi.New(p.httpConfig(), &facade{loop: p.Loop, mirror: p.Mirror, tree: p.Core.Tree()},
+	a.http = httpapi.New(p.httpConfig(), &facade{loop: p.Loop, shared: p.Shared, tree: p.Core.Tree()},
 		scope.SubScope("http"), p.Log)
 	return &a, nil
 }
@@ -157,11 +157,11 @@
 
 // register starts the loop and the servers with the app and stops them in
 // reverse order.
-func register(life fx.Lifecycle, n *node, l *listeners) {
+func register(lifecycle fx.Lifecycle, n *node, l *listeners) {
 	ctx, cancel := context.WithCancel(context.Background())
 	callers := n.adapters.http.HTTPServer()
-	peers := &http.Server{Handler: n.adapters.peers.Handler(), ReadHeaderTimeout: headerTimeout}
-	life.Append(fx.Hook{
+	peers := &http.Server{Handler: n.adapters.peers.Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go n.loop.run(ctx)
 			go n.serve(callers, l.callers)
@@ -186,7 +186,7 @@
 		return
 	}
 	select {
-	case n.failed <- err:
+	case n.serverErrors <- err:
 	default:
 	}
 }
