--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -6,21 +6,22 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ApplyResult tells what became of a record that was read.
+// ApplyResult is the result of applying a record read from the log.
 type ApplyResult uint8
 
-// Verdicts on a record.
+// Results of Apply.
 const (
-	// Applied: the record took effect, now or when its writer applied it
-	// ahead of its reading.
+	// Applied means that the record took effect, now or earlier through
+	// ApplyAhead.
 	Applied ApplyResult = iota + 1
-	// Duplicate: the record was read before.
+	// Duplicate means that the record was read before.
 	Duplicate
-	// Rejected: the record is fenced and its writer does not own the shard.
+	// Rejected means that the record is fenced and its writer does not own the
+	// shard.
 	Rejected
 )
 
-// Apply takes the record read at an offset. Offsets must ascend.
+// Apply applies the record read at an offset. Offsets must ascend.
 func (s *State) Apply(offset uint64, r Record) ApplyResult {
 	s.Next = offset + 1
 	s.TimeMS = max(s.TimeMS, r.TimeMS)
@@ -41,8 +42,8 @@
 	return Applied
 }
 
-// ApplyAhead takes an unfenced record of the owner itself before it is read
-// back. Its later reading has no second effect.
+// ApplyAhead applies an unfenced record of the owner before it is read back from
+// the log. Reading it back has no further effect.
 func (s *State) ApplyAhead(r Record) {
 	w := s.writer(r.Writer)
 	w.Ahead = append(w.Ahead, r.Sequence)
@@ -58,8 +59,8 @@
 	return w
 }
 
-// passesFencing keeps the fencing invariant: of the fenced records only those of the
-// newest epoch's first claimant count, and a claim only if it is the next.
+// passesFencing enforces the fencing invariant: a claim must name the next epoch,
+// and any other fenced record must come from the winner of the newest epoch.
 func (s *State) passesFencing(r Record) bool {
 	kind := r.Body.Kind()
 	switch {
@@ -105,14 +106,15 @@
 	}
 }
 
-// applySnapshot notes where the newest snapshot is found.
+// applySnapshot records the offset of the newest snapshot once its last part is
+// read.
 func (s *State) applySnapshot(b *Snapshot) {
 	if b.Part == b.Parts-1 {
 		s.Snapshot = b.Next + 1
 	}
 }
 
-// program gives the row of a program, made if missing.
+// program returns the row of a program and creates it if missing.
 func (s *State) program(h Header, id CallID) *Program {
 	p := s.Programs[id.Program]
 	if p != nil {
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -8,30 +8,30 @@
 // formatVersion is the first byte of every record.
 const formatVersion = 1
 
-// ErrRecord is the error of a record that cannot be decoded. Readers skip and
-// count such records.
+// ErrRecord is returned for a record or snapshot that cannot be decoded. Readers
+// skip and count such records.
 var ErrRecord = errors.New("malformed journal record")
 
 var handle = newHandle()
 
 func newHandle() *codec.CborHandle {
 	h := new(codec.CborHandle)
-	// Canonical keeps equal values equal in bytes, so that a run can be
-	// replayed from its seed.
+	// Equal values must encode to equal bytes so that simulations replay
+	// deterministically from their seed.
 	h.Canonical = true
 	h.StructToArray = true
 	return h
 }
 
-// Encode gives the bytes of a record: the version, the kind, then header and
-// body as CBOR.
+// Encode encodes a record as the format version and the kind, one byte each,
+// followed by the header and the body in CBOR.
 func Encode(r Record) []byte {
 	out := []byte{formatVersion, byte(r.Body.Kind())}
 	out = append(out, marshal(r.Header)...)
 	return append(out, marshal(r.Body)...)
 }
 
-// Decode reads a record. It returns ErrRecord for anything else.
+// Decode decodes a record. It returns ErrRecord if the data is malformed.
 func Decode(data []byte) (Record, error) {
 	if len(data) < 2 || data[0] != formatVersion {
 		return Record{}, ErrRecord
@@ -50,8 +50,8 @@
 	return r, nil
 }
 
-// marshal encodes a value of this package; failing is a broken invariant,
-// since all its types are plain data.
+// marshal encodes a value. It panics on an error, since all types of this
+// package are plain data.
 func marshal(v any) []byte {
 	var out []byte
 	if err := codec.NewEncoderBytes(&out, handle).Encode(v); err != nil {
@@ -60,10 +60,10 @@
 	return out
 }
 
-// EncodeState gives the bytes of a snapshot of the state.
+// EncodeState encodes a snapshot of the state.
 func EncodeState(s *State) []byte { return marshal(s) }
 
-// DecodeState reads a snapshot. It returns ErrRecord if it is malformed.
+// DecodeState decodes a snapshot. It returns ErrRecord if it is malformed.
 func DecodeState(data []byte) (*State, error) {
 	s := NewState()
 	if err := codec.NewDecoderBytes(data, handle).Decode(s); err != nil {
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,10 +1,10 @@
-// Package journal holds the records of a shard's journal stream and the state
-// that replaying them gives.
+// Package journal defines the records of a shard's journal stream and the state
+// machine that replays them.
 //
-// The log is the only arbiter of who owns a shard. A claim names the next
-// epoch; the first claim of an epoch in offset order wins, and a fenced record
-// of an older epoch behind a newer claim is void to every reader. Unfenced
-// records state what has happened or never will, so they count from any epoch.
+// The log alone decides who owns a shard. A claim names the next epoch, and the
+// first claim of an epoch in offset order wins. Every reader rejects a fenced
+// record of an older epoch that follows a newer claim. Unfenced records state
+// facts, so they are applied whatever their epoch.
 //
-// Everything here is a function of values: no I/O, clock or randomness.
+// The package is deterministic: it uses no I/O, clock or randomness.
 package journal
--- a/internal/journal/done.go
+++ b/internal/journal/done.go
@@ -2,13 +2,13 @@
 
 import "github.com/banyanglade/banyanglade/internal/structs"
 
-// applyDone records an outcome. Which of two outcomes of one key stands does
-// not depend on the order in which a live owner and a reader of the log meet
-// them: an answer beats "unknown", then the newer epoch beats the older.
+// applyDone records an outcome. Of two outcomes of one key, an answer supersedes
+// "unknown", then the newer epoch supersedes the older one. The result does not
+// depend on the order in which an owner and a reader of the log apply them.
 func (s *State) applyDone(h Header, b *Done) {
 	p := s.program(h, b.CallID)
 	p.Services[b.Service] = true
-	// The cost comes from what the owner that began the run had reserved.
+	// The cost is charged to the epoch whose owner started the run.
 	epoch := h.Epoch
 	if run := p.Open[b.Run]; run != nil {
 		epoch = run.Epoch
@@ -30,7 +30,8 @@
 	s.recordCall(p, h, b, epoch)
 }
 
-// resolveUnknown replaces the unknown outcome of a run by what was learnt later.
+// resolveUnknown replaces the unknown outcome of a run by an answer that became
+// known later.
 func (s *State) resolveUnknown(p *Program, old *Call, h Header, b *Done) {
 	if old.Outcome.Kind != structs.OutcomeUnknown || b.Outcome.Kind != structs.OutcomeAnswered {
 		return
@@ -39,7 +40,8 @@
 	s.recordCall(p, h, b, old.Charged)
 }
 
-// charge books the cost of a run and what its target holds since.
+// charge adds the cost of a run to the accounting and updates the placement of
+// its target.
 func (s *State) charge(p *Program, epoch structs.Epoch, b *Done, cost Amount) {
 	p.Spent = p.Spent.Add(cost)
 	p.ServedNS += b.TookNS
@@ -79,13 +81,13 @@
 	return h.Epoch > old.Epoch
 }
 
-// advance moves the lane past a call that was done for the first time.
+// advance moves the lane past a call that completed for the first time.
 func (p *Program) advance(b *Done) {
 	p.Turns++
 	l := p.Lane(b.Lane)
 	l.recordSkipped(b.Number)
 	l.Last = max(l.Last, b.Number)
-	// A late record of an earlier call must not set the history back.
+	// An out-of-order record of an earlier call must not revert the history.
 	if b.HistoryCount > 0 && (b.Number == 0 || b.Number >= l.Last) {
 		l.HistoryCount, l.HistoryDigest = b.HistoryCount, b.HistoryDigest
 	}
@@ -96,7 +98,7 @@
 	l.RepeatDigest, l.RepeatCount = b.Digest, 1
 }
 
-// dropRepeatableRuns forgets the repeatable runs of a call that is done.
+// dropRepeatableRuns removes the open repeatable runs of a completed call.
 func (p *Program) dropRepeatableRuns(key string) {
 	for id, run := range p.Open {
 		if run.Key == key && !run.NotRepeatable {
--- a/internal/journal/fuzz_test.go
+++ b/internal/journal/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// FuzzDecode feeds what a log may hold to the decoder: it must give a record or
-// an error, and a record must survive another round.
+// FuzzDecode checks that Decode returns a record or an error for any input, and
+// that a decoded record survives a round trip.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(Record{Header: Header{Epoch: 1, Writer: "a/1", Sequence: 1}, Body: &Claim{Instance: "a"}}))
 	f.Add(Encode(Record{
@@ -24,15 +24,15 @@
 		if err != nil {
 			return
 		}
-		again, err := Decode(Encode(rec))
-		if err != nil || again.Header != rec.Header || again.Body.Kind() != rec.Body.Kind() {
-			t.Fatalf("%+v became %+v, %v", rec, again, err)
+		got, err := Decode(Encode(rec))
+		if err != nil || got.Header != rec.Header || got.Body.Kind() != rec.Body.Kind() {
+			t.Fatalf("round trip of %+v: got %+v, error %v", rec, got, err)
 		}
 		NewState().Apply(0, rec)
 	})
 }
 
-// FuzzDecodeState feeds snapshots to the decoder.
+// FuzzDecodeState checks that a decoded snapshot accepts further records.
 func FuzzDecodeState(f *testing.F) {
 	state := NewState()
 	state.Apply(0, Record{Header: Header{Epoch: 1, Writer: "a/1", Sequence: 1}, Body: &Claim{Instance: "a"}})
--- a/internal/journal/ledger.go
+++ b/internal/journal/ledger.go
@@ -6,22 +6,22 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Ledger is the budget of a team path, kept in the shard that the path hashes
-// to. Grants stay in it for a while, so that a repeated request gets the same
-// grant.
+// Ledger is the budget of a team path, stored in the shard that the path hashes
+// to. Grants are retained until PurgeWriters removes them, so that a repeated
+// request gets the same grant.
 type Ledger struct {
 	Granted Amount
 	Grants  map[string]Grant
 }
 
-// Grant is a part of a team path's budget that a shard got.
+// Grant is a part of a team path's budget that a shard received.
 type Grant struct {
 	Amount Amount
 	TimeMS int64
 }
 
-// Account is what a shard got from a team path's ledger and used of it, by the
-// epoch of the owner that got it.
+// Account tracks what a shard received from a team path's ledger and used of it,
+// by the epoch of the owner that received it.
 type Account struct {
 	Chunks map[structs.Epoch]*Chunk
 	// Grants holds the grants of the newest epoch.
@@ -29,7 +29,7 @@
 	Epoch  structs.Epoch
 }
 
-// Ancestors lists the path of a team and those above it, its own first.
+// Ancestors returns the path of a team and its parent paths, its own first.
 func Ancestors(team structs.Team) []structs.Team {
 	var list []structs.Team
 	for path := string(team); path != ""; {
@@ -56,8 +56,8 @@
 	l.Granted = l.Granted.Add(b.Amount)
 }
 
-// applyLedgerReturn gives back at most what the grant still holds, so that a
-// repeated return cannot raise the budget.
+// applyLedgerReturn returns budget to the ledger. A return that exceeds the grant
+// is ignored, so that a repeated return cannot raise the budget.
 func (s *State) applyLedgerReturn(b *LedgerReturn) {
 	l := s.Ledgers[b.Team]
 	if l == nil {
@@ -67,7 +67,7 @@
 	if !ok || !b.Amount.LessOrEqual(g.Amount) {
 		return
 	}
-	// The grant can be returned once.
+	// With a zero amount the grant cannot be returned a second time.
 	l.Grants[b.Grant] = Grant{TimeMS: g.TimeMS}
 	l.Granted = l.Granted.Sub(b.Amount)
 }
@@ -79,8 +79,8 @@
 		s.Accounts[b.Team] = a
 	}
 	if a.Epoch != h.Epoch {
-		// An owner of an older epoch keeps what it got; it is counted as
-		// spent in the ledger until that owner returns it.
+		// Grants of an older epoch stay with that epoch's owner. The ledger
+		// counts them as spent until that owner returns them.
 		a.Epoch, a.Grants = h.Epoch, make(map[string]Amount)
 	}
 	if _, ok := a.Grants[b.Grant]; ok {
@@ -100,8 +100,8 @@
 	return c
 }
 
-// chargeAccounts takes a cost from the accounts of a team's paths, in the epoch
-// of the owner that held it.
+// chargeAccounts charges a cost to the accounts of a team and its parents, in the
+// given epoch.
 func (s *State) chargeAccounts(team structs.Team, epoch structs.Epoch, cost Amount) {
 	for _, path := range Ancestors(team) {
 		if a := s.Accounts[path]; a != nil && a.Chunks[epoch] != nil {
--- a/internal/journal/normalize.go
+++ b/internal/journal/normalize.go
@@ -1,8 +1,7 @@
 package journal
 
-// normalize makes a decoded state fit for use: missing maps become empty ones.
-// It returns false if a row is missing, which no writer of this package does.
-// A snapshot from the log may hold anything; a reader must not fail on it.
+// normalize initializes the nil maps of a decoded state. It returns false if a
+// map holds a nil row: a malformed snapshot must not make a reader panic.
 func (s *State) normalize() bool {
 	initMap(&s.Writers)
 	initMap(&s.Programs)
--- a/internal/journal/purge.go
+++ b/internal/journal/purge.go
@@ -6,14 +6,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// GeneratedKeyPrefix begins the keys that stand in for the missing key of a caller;
-// gateways make such keys, too.
+// GeneratedKeyPrefix is the prefix of idempotency keys generated for calls whose
+// caller gave none. Owners and gateways generate such keys.
 const GeneratedKeyPrefix = "request/"
 
-// PurgeProgram forgets a program's idempotency records and repeatable runs from
-// before a time, in Unix milliseconds; those without a caller's key from before
-// a later one. It tells whether the program itself is to be forgotten: it is
-// closed, nothing of it is open and no target holds its cache.
+// PurgeProgram removes a program's idempotency records and repeatable runs older
+// than beforeMS; generatedBeforeMS applies to calls with a generated key. Both are
+// in Unix milliseconds. It reports whether the program itself can be removed: it
+// is closed, has no calls or open runs and no target may hold its cache.
 func (s *State) PurgeProgram(p *Program, beforeMS, generatedBeforeMS int64) bool {
 	for key, call := range p.Calls {
 		limit := beforeMS
@@ -37,8 +37,8 @@
 	return p.Closed && p.UpdatedMS < limit && len(p.Calls) == 0 && len(p.Open) == 0 && len(p.Placements) == 0
 }
 
-// PurgeWriters forgets writers not seen since a time, except the present owner
-// and the given one, and the ledger grants from before it.
+// PurgeWriters removes ledger grants and writers older than beforeMS, except the
+// current owner and the exempt writer.
 func (s *State) PurgeWriters(exempt string, beforeMS int64) {
 	for nonce, w := range s.Writers {
 		if nonce != exempt && nonce != s.Writer && w.TimeMS < beforeMS {
@@ -54,7 +54,7 @@
 	}
 }
 
-// outcomeSize is the memory that an outcome takes.
+// outcomeSize returns the size of an outcome in bytes.
 func outcomeSize(out *structs.Outcome) int64 {
 	return int64(len(out.Body) + len(out.Text) + len(out.ToolCalls))
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -4,7 +4,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Kind tags a record in the log. Numbers are part of the format.
+// Kind is the type of a record. The numbers are part of the stored format.
 type Kind uint8
 
 // Kinds of records.
@@ -26,8 +26,8 @@
 	KindCheck        Kind = 15
 )
 
-// Fenced tells whether a record of the kind is void behind a newer claim. The
-// others state facts that stay true whoever owns the shard.
+// Fenced reports whether a record of the kind is rejected after a newer claim.
+// The others state facts that hold whoever owns the shard.
 func (k Kind) Fenced() bool {
 	switch k {
 	case KindStarted, KindDone, KindAbandoned, KindSettled, KindLedgerReturn:
@@ -37,20 +37,20 @@
 	}
 }
 
-// Header identifies a record. A writer's sequence numbers ascend in the log,
-// so that a repeat of an append whose reply was lost is seen as a duplicate.
+// Header identifies a record. A writer's sequence numbers ascend in the log, so
+// that a repeated append whose first reply was lost is detected as a duplicate.
 type Header struct {
 	Epoch    structs.Epoch
 	Writer   string
 	Sequence uint64
-	// Snapshot is the offset to read from to find the newest snapshot known
-	// to the writer, plus one; 0 if there is none.
+	// Snapshot is the offset, plus one, from which to read the newest snapshot
+	// known to the writer; 0 if unset.
 	Snapshot uint64
 	// TimeMS is the writer's clock in Unix milliseconds.
 	TimeMS int64
 }
 
-// Body is the kind-specific part of a record.
+// Body is the part of a record that depends on its kind.
 type Body interface{ Kind() Kind }
 
 // Record is one decoded journal record.
@@ -66,7 +66,7 @@
 type Open struct {
 	Program structs.ProgramID
 	Team    structs.Team
-	// Single marks the program of a single call: it ends with the call.
+	// Single marks the program of a single call, which ends with that call.
 	Single bool
 }
 
@@ -76,74 +76,74 @@
 	Fees   int64
 }
 
-// Add adds two amounts.
+// Add returns a+b.
 func (a Amount) Add(b Amount) Amount {
 	return Amount{Tokens: a.Tokens + b.Tokens, Fees: a.Fees + b.Fees}
 }
 
-// Sub subtracts an amount.
+// Sub returns a-b.
 func (a Amount) Sub(b Amount) Amount {
 	return Amount{Tokens: a.Tokens - b.Tokens, Fees: a.Fees - b.Fees}
 }
 
-// LessOrEqual tells whether no part of a exceeds b.
+// LessOrEqual reports whether neither tokens nor fees of a exceed those of b.
 func (a Amount) LessOrEqual(b Amount) bool { return a.Tokens <= b.Tokens && a.Fees <= b.Fees }
 
-// IsZero tells whether both parts are zero.
+// IsZero reports whether tokens and fees are zero.
 func (a Amount) IsZero() bool { return a == Amount{} }
 
-// Min takes the smaller of each part.
+// Min returns the minimum of tokens and of fees.
 func (a Amount) Min(b Amount) Amount {
 	return Amount{Tokens: min(a.Tokens, b.Tokens), Fees: min(a.Fees, b.Fees)}
 }
 
-// Max takes the larger of each part.
+// Max returns the maximum of tokens and of fees.
 func (a Amount) Max(b Amount) Amount {
 	return Amount{Tokens: max(a.Tokens, b.Tokens), Fees: max(a.Fees, b.Fees)}
 }
 
-// Reserve adds a chunk to what the owner of the epoch may spend on repeatable
-// calls of a program. It must count before any of it is spent.
+// Reserve adds to the chunk that the owner of the epoch may spend on repeatable
+// calls of a program. It must be applied before any of it is spent.
 type Reserve struct {
 	Program structs.ProgramID
 	Amount  Amount
 }
 
-// CallID names a call within a shard. Team and Single let a record create the
-// row of a program that was never opened (a single call).
+// CallID identifies a call within a shard. Team and Single allow a record to
+// create the row of a program without an Open record (a single call).
 type CallID struct {
 	Program structs.ProgramID
 	Team    structs.Team
 	Single  bool
 	Lane    structs.Lane
 	Number  uint64
-	// Key is the idempotency key; the run id stands in if the caller gave
-	// none.
+	// Key is the idempotency key, generated if the caller gave none.
 	Key    string
 	Digest structs.Digest
 	Run    structs.RunID
 }
 
-// Intent precedes the only send of a not-repeatable call. Hold is the worst
-// case of its cost, counted as spent until the call is done or abandoned.
+// Intent precedes the only send of a not-repeatable call. Hold is the maximum
+// cost, counted as spent until the call is done or abandoned.
 type Intent struct {
 	CallID
 	Service structs.ServiceName
 	Hold    Amount
-	// HistoryCount and HistoryDigest are the conversation after the call's
-	// request, for the lane's history if the outcome is never known.
+	// HistoryCount and HistoryDigest describe the conversation including the
+	// call's request. They become the lane's history if the outcome stays
+	// unknown.
 	HistoryCount  int
 	HistoryDigest structs.ChainDigest
 }
 
-// Started tells that a run was or is about to be sent to a target, which may
-// hold cache of the program from now on.
+// Started records that a run was or is about to be sent to a target, which may
+// hold cache of the program from then on.
 type Started struct {
 	CallID
 	Service       structs.ServiceName
 	Target        structs.TargetID
 	NotRepeatable bool
-	// Cache tells that the target keeps prefix cache for programs.
+	// Cache indicates that the target keeps a prefix cache for programs.
 	Cache bool
 }
 
@@ -153,49 +153,50 @@
 	Service       structs.ServiceName
 	Target        structs.TargetID
 	NotRepeatable bool
-	// Chunk tells that the cost comes from the writer's chunk (see Reserve).
+	// Chunk indicates that the cost is charged to the writer's chunk (see
+	// Reserve).
 	Chunk   bool
 	Cost    Amount
 	Outcome structs.Outcome
-	// CacheTokens is the prefix that the target holds afterwards.
+	// CacheTokens is the size of the prefix cached by the target afterwards.
 	CacheTokens   int64
 	TookNS        int64
 	HistoryCount  int
 	HistoryDigest structs.ChainDigest
 }
 
-// Abandoned tells that a call with an Intent was not sent and never will be.
+// Abandoned records that a call with an Intent was not sent and never will be.
 type Abandoned struct {
 	Program structs.ProgramID
 	Run     structs.RunID
 }
 
-// Settled tells that the owner of the header's epoch spends no more from its
-// chunk of a program: what it used stands in its Done records.
+// Settled records that the owner of the header's epoch spends no more from its
+// chunk of a program. What it used is in its Done records.
 type Settled struct{ Program structs.ProgramID }
 
 // Closed ends a program.
 type Closed struct {
 	Program structs.ProgramID
 	Reason  structs.Reason
-	// Targets may hold cache of the program without a record that says so:
-	// an earlier owner may have died before it was in the log.
+	// Targets may hold cache of the program without a Started record: an
+	// earlier owner may have crashed before appending it.
 	Targets []CacheTarget
 }
 
-// CacheTarget names a target that keeps prefix cache for programs.
+// CacheTarget is a target that keeps a prefix cache for programs.
 type CacheTarget struct {
 	Target  structs.TargetID
 	Service structs.ServiceName
 }
 
-// Released tells that a target confirmed that it holds no cache of a program.
+// Released records that a target confirmed that it holds no cache of a program.
 type Released struct {
 	Program structs.ProgramID
 	Target  structs.TargetID
 }
 
-// LedgerGrant hands a part of a team path's budget to a shard.
+// LedgerGrant grants a part of a team path's budget to a shard.
 type LedgerGrant struct {
 	Team    structs.Team
 	Account structs.ShardRef
@@ -203,7 +204,7 @@
 	Amount  Amount
 }
 
-// LedgerReturn gives back what was left of a grant.
+// LedgerReturn returns the unused part of a grant.
 type LedgerReturn struct {
 	Team   structs.Team
 	Grant  string
@@ -217,11 +218,12 @@
 	Amount Amount
 }
 
-// Check has no effect. Reading it back proves that its writer owns the shard.
+// Check has no effect on the state. Its writer owns the shard if it is applied
+// when read back.
 type Check struct{}
 
-// Snapshot is one part of an encoded State, taken when the stream was applied
-// up to Next. All parts are appended in one batch.
+// Snapshot is one part of an encoded State that covers the stream up to Next. All
+// parts are appended in one batch.
 type Snapshot struct {
 	Next  uint64
 	Part  int
@@ -229,7 +231,7 @@
 	Data  []byte
 }
 
-// Kind tags of the bodies.
+// Kinds of the bodies.
 func (*Claim) Kind() Kind        { return KindClaim }
 func (*Open) Kind() Kind         { return KindOpen }
 func (*Reserve) Kind() Kind      { return KindReserve }
@@ -246,7 +248,7 @@
 func (*Snapshot) Kind() Kind     { return KindSnapshot }
 func (*Check) Kind() Kind        { return KindCheck }
 
-// newBody makes an empty body of a kind, nil if the kind is unknown.
+// newBody returns an empty body of a kind, or nil if the kind is unknown.
 func newBody(kind Kind) Body {
 	switch kind {
 	case KindClaim:
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -6,33 +6,33 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// State is what the counted records of a shard's stream amount to. It is the
-// same for every reader that applied the stream up to Next.
+// State is the result of applying a shard's stream up to Next. It is the same for
+// every reader.
 type State struct {
-	// Next is the offset after the last record applied.
+	// Next is the offset after the last record read.
 	Next uint64
-	// Epoch, Writer and Owner are those of the newest claim that won.
+	// Epoch, Writer and Owner are those of the newest winning claim.
 	Epoch  structs.Epoch
 	Writer string
 	Owner  structs.InstanceID
-	// Snapshot is Header.Snapshot of the next records.
+	// Snapshot is the value of Header.Snapshot for the next records.
 	Snapshot uint64
 	Writers  map[string]*Writer
 	Programs map[structs.ProgramID]*Program
 	Ledgers  map[structs.Team]*Ledger
 	Accounts map[structs.Team]*Account
-	// Bytes is the size of all recorded answers.
+	// Bytes is the size of all recorded outcomes.
 	Bytes int64
-	// TimeMS is the greatest time of any record, Unix milliseconds.
+	// TimeMS is the maximum time of any record, in Unix milliseconds.
 	TimeMS int64
 }
 
-// Writer is what was seen of one writer's records, to drop duplicates.
+// Writer tracks the sequence numbers of one writer to drop duplicates.
 type Writer struct {
-	// High is the greatest sequence number read from the log.
+	// High is the maximum sequence number read from the log.
 	High uint64
-	// Ahead lists, in ascending order, the records applied by the writer
-	// itself before they were read back.
+	// Ahead lists, in ascending order, the sequence numbers of records that
+	// the writer applied before reading them back.
 	Ahead  []uint64
 	TimeMS int64
 }
@@ -47,39 +47,40 @@
 	Closed    bool
 	Reason    structs.Reason
 	Turns     int64
-	// ServedNS is the attained service in nanoseconds of target time.
+	// ServedNS is the attained service: target time in nanoseconds.
 	ServedNS int64
 	Lanes    map[structs.Lane]*Lane
 	// Calls holds the idempotency records by key.
 	Calls map[string]*Call
-	// Open holds the runs that have an Intent or Started record and no Done
-	// or Abandoned.
+	// Open holds the runs that have an Intent or Started record but no Done
+	// or Abandoned record.
 	Open map[structs.RunID]*OpenRun
 	// Chunks holds the reservations for repeatable calls by epoch.
 	Chunks map[structs.Epoch]*Chunk
-	// Spent is the cost of all done calls; Direct the part of it that was
-	// not spent from chunks.
+	// Spent is the cost of all completed calls. Direct is the part of it that
+	// was not charged to chunks.
 	Spent  Amount
 	Direct Amount
 	// Placements holds the targets that may hold cache of the program.
 	Placements map[structs.TargetID]*Placement
 	Services   map[structs.ServiceName]bool
-	// Epoch is that of the program's first record. It is the last field, as
-	// new ones must be: records and snapshots hold fields by position.
+	// Epoch is the epoch of the program's first record. New fields must be
+	// appended at the end: records and snapshots encode fields by position.
 	Epoch structs.Epoch
 }
 
 // Lane is the durable row of a lane.
 type Lane struct {
-	// Last is the number of the last call that was done.
+	// Last is the highest number of a completed call.
 	Last          uint64
 	HistoryCount  int
 	HistoryDigest structs.ChainDigest
-	// RepeatDigest was sent RepeatCount times in a row.
+	// RepeatDigest is the digest of the last call, completed RepeatCount times
+	// in a row.
 	RepeatDigest structs.Digest
 	RepeatCount  int
-	// Skipped holds the numbers up to Last that were passed without a record
-	// of their calls, in ascending order: these may have run.
+	// Skipped holds, in ascending order, the numbers below Last without a
+	// record of their call. These calls may have run.
 	Skipped []Span
 }
 
@@ -92,9 +93,9 @@
 // maxSkippedSpans bounds Lane.Skipped.
 const maxSkippedSpans = 32
 
-// recordSkipped notes the missing numbers before a call's. Beyond the bound the oldest
-// two spans become one, which errs on the safe side: a number that is called
-// skipped is never said not to have run.
+// recordSkipped records the numbers missing between Last and a call's number.
+// Above maxSkippedSpans the two oldest spans are merged. This is safe: a number
+// wrongly listed as skipped is only treated as one that may have run.
 func (l *Lane) recordSkipped(number uint64) {
 	if number <= l.Last+1 {
 		return
@@ -106,16 +107,16 @@
 	}
 }
 
-// HasSkipped tells whether a number was passed without a record of its call.
+// HasSkipped reports whether a number was skipped without a record of its call.
 func (l *Lane) HasSkipped(number uint64) bool {
 	return slices.ContainsFunc(l.Skipped, func(s Span) bool { return s.First <= number && number <= s.Last })
 }
 
-// Call is an idempotency record: a call that was done.
+// Call is the idempotency record of a completed call.
 type Call struct {
 	Run   structs.RunID
 	Epoch structs.Epoch
-	// Charged is the epoch whose reservations paid for the call.
+	// Charged is the epoch whose reservations the call was charged to.
 	Charged       structs.Epoch
 	TimeMS        int64
 	Lane          structs.Lane
@@ -126,7 +127,7 @@
 	Outcome       structs.Outcome
 }
 
-// OpenRun is a run whose end is not known.
+// OpenRun is a run without a known outcome.
 type OpenRun struct {
 	CallID
 	Epoch         structs.Epoch
@@ -139,23 +140,23 @@
 	HistoryDigest structs.ChainDigest
 }
 
-// Chunk is what the owner of one epoch may spend, and did.
+// Chunk is the amount that the owner of one epoch reserved and used.
 type Chunk struct {
 	Reserved Amount
 	Used     Amount
 	Settled  bool
-	// Writer reserved it; only that writer can settle it.
+	// Writer made the reservation; only that writer can settle it.
 	Writer string
 }
 
-// Placement tells how much prefix cache a target held last.
+// Placement is the last known prefix cache of a program at a target.
 type Placement struct {
 	Service structs.ServiceName
 	Tokens  int64
 	TimeMS  int64
 }
 
-// NewState is the state of an empty stream.
+// NewState returns the state of an empty stream.
 func NewState() *State {
 	return &State{
 		Writers:  make(map[string]*Writer),
@@ -165,8 +166,8 @@
 	}
 }
 
-// Committed is the most that the program may have spent: an open chunk counts
-// as spent until it is settled, and so does the hold of an open Intent.
+// Committed returns the maximum that the program may have spent: a chunk counts
+// as spent until it is settled, and so does the hold of an open run.
 func (p *Program) Committed() Amount {
 	sum := p.Direct
 	for _, c := range p.Chunks {
@@ -182,7 +183,7 @@
 	return sum
 }
 
-// Lane gives the row of a lane, made if missing.
+// Lane returns the row of a lane and creates it if missing.
 func (p *Program) Lane(name structs.Lane) *Lane {
 	l := p.Lanes[name]
 	if l == nil {
@@ -192,7 +193,7 @@
 	return l
 }
 
-// OpenRuns lists the open runs in order of id.
+// OpenRuns returns the open runs ordered by id.
 func (p *Program) OpenRuns() []*OpenRun {
 	runs := make([]*OpenRun, 0, len(p.Open))
 	for _, id := range SortedKeys(p.Open) {
@@ -201,8 +202,8 @@
 	return runs
 }
 
-// SortedKeys lists a table's keys in order, so that no decision depends on the
-// order of a map.
+// SortedKeys returns the keys of a map in order, so that no decision depends on
+// map iteration order.
 func SortedKeys[K ~string | ~uint64 | ~uint16, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/journal/state_test.go
+++ b/internal/journal/state_test.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// stream applies records with ascending offsets; each writer's sequence
-// numbers ascend unless given.
+// stream applies records at ascending offsets. Each writer's sequence numbers
+// ascend.
 type stream struct {
 	t     *testing.T
 	state *State
@@ -25,7 +25,7 @@
 	return Record{Header: Header{Epoch: epoch, Writer: writer, Sequence: s.seq[writer], TimeMS: 1}, Body: body}
 }
 
-// add applies a record after a trip through the codec.
+// add applies a record after a round trip through the codec.
 func (s *stream) add(r Record, want ApplyResult) {
 	s.t.Helper()
 	decoded, err := Decode(Encode(r))
@@ -33,7 +33,7 @@
 		s.t.Fatal(err)
 	}
 	if got := s.state.Apply(s.state.Next, decoded); got != want {
-		s.t.Errorf("%T of %s epoch %d: verdict %d, want %d", r.Body, r.Writer, r.Epoch, got, want)
+		s.t.Errorf("%T of %s epoch %d: result %d, want %d", r.Body, r.Writer, r.Epoch, got, want)
 	}
 }
 
@@ -126,8 +126,8 @@
 		order []Record
 		want  string
 	}{
-		{"answer beats unknown", []Record{doneBy("b", 2, "r", unknown), doneBy("a", 1, "r", answered)}, "first"},
-		{"unknown never beats an answer", []Record{doneBy("a", 1, "r", answered), doneBy("b", 2, "q", unknown)}, "first"},
+		{"answer supersedes unknown", []Record{doneBy("b", 2, "r", unknown), doneBy("a", 1, "r", answered)}, "first"},
+		{"unknown never supersedes an answer", []Record{doneBy("a", 1, "r", answered), doneBy("b", 2, "q", unknown)}, "first"},
 		{"newer epoch", []Record{doneBy("a", 1, "r", answered), doneBy("b", 2, "q", later)}, "second"},
 		{"newer epoch read first", []Record{doneBy("b", 2, "q", later), doneBy("a", 1, "r", answered)}, "second"},
 	} {
