--- a/internal/journal/state_test.go
+++ b/internal/journal/state_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestFactsOfAnOldOwnerCount(t *testing.T) {
+func TestUnfencedRecordsOfAnOldOwnerAreApplied(t *testing.T) {
 	s := newStream(t)
 	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
 	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Key: "k", Run: "r"}}), Applied)
@@ -117,7 +117,7 @@
 	committed(10)
 }
 
-func TestWhichOutcomeStands(t *testing.T) {
+func TestOutcomePrecedence(t *testing.T) {
 	answered := structs.Outcome{Kind: structs.OutcomeAnswered, Text: "first"}
 	later := structs.Outcome{Kind: structs.OutcomeAnswered, Text: "second"}
 	unknown := structs.Outcome{Kind: structs.OutcomeUnknown}
@@ -145,7 +145,7 @@
 	return Record{Header: Header{Writer: writer, Epoch: epoch, Sequence: 1}, Body: done(run, out)}
 }
 
-func TestLedgerReturnsOnce(t *testing.T) {
+func TestRepeatedLedgerReturnHasNoEffect(t *testing.T) {
 	s := newStream(t)
 	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
 	s.add(s.record("a", 1, &LedgerGrant{Team: "t", Grant: "g", Amount: Amount{Fees: 10}}), Applied)
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestGarbageIsRefused(t *testing.T) {
+func TestMalformedDataIsRejected(t *testing.T) {
 	good := Encode(Record{Body: &Claim{Instance: "a"}})
 	for _, data := range [][]byte{nil, {1}, {9, 1}, {1, 99, 0}, good[:len(good)-2], []byte("hello")} {
 		if _, err := Decode(data); !errors.Is(err, ErrRecord) {
--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -22,7 +22,7 @@
 // guards its queue; it has a goroutine only while the queue is not empty.
 type appender struct {
 	stream  string
-	waiting []queuedAppend
+	queue   []queuedAppend
 	records int
 	bytes   int
 }
@@ -56,7 +56,7 @@
 	}
 	l.enqueue(a, command)
 	if !running {
-		l.work.Go(func() { l.runAppender(a) })
+		l.goroutines.Go(func() { l.runAppender(a) })
 	}
 }
 
@@ -67,12 +67,12 @@
 	records, size := queued.size()
 	full := a.records+records > l.cfg.AppendQueueRecords || a.bytes+size > l.cfg.AppendQueueBytes
 	if full && a.records > 0 {
-		a.waiting = append(a.waiting, queuedAppend{id: command.ID, overflow: true})
+		a.queue = append(a.queue, queuedAppend{id: command.ID, overflow: true})
 		return
 	}
 	a.records += records
 	a.bytes += size
-	a.waiting = append(a.waiting, queued)
+	a.queue = append(a.queue, queued)
 }
 
 func (l *Log) runAppender(a *appender) {
@@ -94,11 +94,11 @@
 func (l *Log) nextAppend(a *appender) (queuedAppend, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(a.waiting) == 0 || l.closed {
+	if len(a.queue) == 0 || l.closed {
 		delete(l.appenders, a.stream)
 		return queuedAppend{}, false
 	}
-	return a.waiting[0], true
+	return a.queue[0], true
 }
 
 func (l *Log) appendDone(a *appender, queued queuedAppend) {
@@ -107,8 +107,8 @@
 	records, size := queued.size()
 	a.records -= records
 	a.bytes -= size
-	a.waiting[0] = queuedAppend{}
-	a.waiting = a.waiting[1:]
+	a.queue[0] = queuedAppend{}
+	a.queue = a.queue[1:]
 }
 
 // execute sends one append, once, and gives the event that reports it.
@@ -161,7 +161,7 @@
 	if err != nil {
 		return 0, !connected.Load(), err
 	}
-	defer closeBody(reply.Body)
+	defer discardBody(reply.Body)
 	return readAppendReply(reply.StatusCode, reply.Body)
 }
 
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer closeBody(reply.Body)
+	defer discardBody(reply.Body)
 	if reply.StatusCode == http.StatusNotModified && tag != "" {
 		return tag, errNotModified
 	}
@@ -107,7 +107,7 @@
 // be used again, in bytes.
 const maxDiscardBytes = 64 << 10
 
-func closeBody(body io.ReadCloser) {
+func discardBody(body io.ReadCloser) {
 	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 	_ = body.Close()
 }
--- a/internal/logclient/harness_test.go
+++ b/internal/logclient/harness_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// records skips other events until count records were read, and checks that
+// nextRecords skips other events until count records were read, and checks that
 // they come from the offset on without a gap.
-func (e *events) records(from uint64, count int) [][]byte {
+func (e *events) nextRecords(from uint64, count int) [][]byte {
 	e.t.Helper()
 	var data [][]byte
 	for len(data) < count {
@@ -112,6 +112,6 @@
 	return log
 }
 
-func appendOf(id int, data string) structs.LogAppend {
+func newAppend(id int, data string) structs.LogAppend {
 	return structs.LogAppend{ID: structs.AppendID(id), Stream: stream, Records: [][]byte{[]byte(data)}}
 }
--- a/internal/logclient/log.go
+++ b/internal/logclient/log.go
@@ -27,9 +27,9 @@
 	reads   *http.Client
 	metrics logMetrics
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	closed    bool
@@ -92,7 +92,7 @@
 	l.closed = true
 	l.mu.Unlock()
 	l.cancel()
-	l.work.Wait()
+	l.goroutines.Wait()
 	l.appends.CloseIdleConnections()
 	l.reads.CloseIdleConnections()
 }
--- a/internal/logclient/log_test.go
+++ b/internal/logclient/log_test.go
@@ -28,7 +28,7 @@
 	})
 	const appends = 50
 	for i := range appends {
-		l.Append(appendOf(i, fmt.Sprint(i)))
+		l.Append(newAppend(i, fmt.Sprint(i)))
 	}
 	for i := range appends {
 		want := structs.LogAppended{ID: structs.AppendID(i), Stream: stream, First: uint64(i)}
@@ -43,15 +43,15 @@
 
 func TestLostRepliesAreUnknownAndNotRepeated(t *testing.T) {
 	l := newPlatformLog(t, nil)
-	l.Append(appendOf(1, "warm up the connection"))
+	l.Append(newAppend(1, "warm up the connection"))
 	l.next()
 	l.service.DropAppendReplies(stream, 1)
-	l.Append(appendOf(2, "took effect"))
+	l.Append(newAppend(2, "took effect"))
 	if got := l.next(); got != (structs.LogAppendFailed{ID: 2, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
 	l.service.DropAppends(stream, 1)
-	l.Append(appendOf(3, "took none"))
+	l.Append(newAppend(3, "took none"))
 	if got := l.next(); got != (structs.LogAppendFailed{ID: 3, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
@@ -72,7 +72,7 @@
 				w.WriteHeader(status)
 			})
 		})
-		l.Append(appendOf(1, "x"))
+		l.Append(newAppend(1, "x"))
 		if got := l.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream, Refused: refused}) {
 			t.Errorf("status %d: %+v", status, got)
 		}
@@ -87,7 +87,7 @@
 	defer func() { _ = listener.Close() }()
 	e := newEvents(t, 10)
 	l := startLog(t, LogConfig{URL: "http://" + listener.Addr().String(), AppendTimeout: 50 * time.Millisecond}, e)
-	l.Append(appendOf(1, "x"))
+	l.Append(newAppend(1, "x"))
 	if got := e.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
@@ -98,7 +98,7 @@
 	server.Close()
 	e := newEvents(t, 10)
 	l := startLog(t, LogConfig{URL: server.URL}, e)
-	l.Append(appendOf(1, "x"))
+	l.Append(newAppend(1, "x"))
 	if got := e.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream, Refused: true}) {
 		t.Fatalf("got %+v", got)
 	}
@@ -113,7 +113,7 @@
 		})
 	}, func(c *LogConfig) { c.AppendQueueRecords, c.AppendTimeout = 2, testTimeout })
 	for i := range 4 {
-		l.Append(appendOf(i, "x"))
+		l.Append(newAppend(i, "x"))
 	}
 	close(proceed)
 	for i, want := range []structs.Event{
@@ -143,7 +143,7 @@
 			_, _ = l.service.Append(stream, [][]byte{fmt.Append(nil, i)})
 		}
 	}()
-	for i, data := range l.records(0, appends) {
+	for i, data := range l.nextRecords(0, appends) {
 		if string(data) != fmt.Sprint(i) {
 			t.Fatalf("record %d holds %q", i, data)
 		}
@@ -179,7 +179,7 @@
 	l.TailEnd(structs.LogTailEnd{Stream: stream})
 	l.next()
 	l.service.SetDown(false)
-	if got := l.records(4, 1); string(got[0]) != "4" {
+	if got := l.nextRecords(4, 1); string(got[0]) != "4" {
 		t.Fatalf("got %q", got)
 	}
 	l.TailEnd(structs.LogTailEnd{Stream: "shard.empty.1"})
@@ -199,13 +199,13 @@
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
 	}
 	l.Tail(structs.LogTail{Stream: stream, From: 0})
-	l.records(0, 5)
+	l.nextRecords(0, 5)
 	l.Tail(structs.LogTail{Stream: stream, From: 3})
-	l.records(3, 2)
+	l.nextRecords(3, 2)
 	l.Stop(structs.LogStop{Stream: stream})
 	l.Tail(structs.LogTail{Stream: stream, From: 5})
 	_, _ = l.service.Append(stream, [][]byte{[]byte("y")})
-	l.records(5, 1)
+	l.nextRecords(5, 1)
 }
 
 func TestTruncatedOffsetIsReported(t *testing.T) {
@@ -240,17 +240,17 @@
 	}
 }
 
-func TestLargeRepliesAreReadInSmallerParts(t *testing.T) {
+func TestReadSizeIsReducedForLargeReplies(t *testing.T) {
 	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReplyBytes = 4096 })
 	const count = 64
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{make([]byte, 500)})
 	}
 	l.Tail(structs.LogTail{Stream: stream})
-	l.records(0, count)
+	l.nextRecords(0, count)
 }
 
-func TestFullLoopHoldsReadsBack(t *testing.T) {
+func TestFullEventQueueBlocksReads(t *testing.T) {
 	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReadRecords = 1 })
 	full := newEvents(t, 1)
 	tailing := startLog(t, LogConfig{URL: l.server.URL, MaxReadRecords: 1}, full)
@@ -259,7 +259,7 @@
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
 	}
 	tailing.Tail(structs.LogTail{Stream: stream})
-	full.records(0, count)
+	full.nextRecords(0, count)
 }
 
 func TestInvalidURLIsRefused(t *testing.T) {
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestStreamURLCannotLeaveItsRoute(t *testing.T) {
+func TestStreamNameIsEscapedInURL(t *testing.T) {
 	l := startLog(t, LogConfig{URL: "http://host/base/"}, newEvents(t, 1))
 	if got := l.streamURL("../x?y", wire.LogRecordsSegment); got != "http://host/base/v1/streams/..%2Fx%3Fy/records" {
 		t.Fatal(got)
--- a/internal/logclient/members.go
+++ b/internal/logclient/members.go
@@ -44,8 +44,8 @@
 	// failing tells that the last poll failed.
 	failing bool
 
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 // NewMembers starts polling until Close or until the context ends. It returns
@@ -69,14 +69,14 @@
 		pollsUnchanged: scope.Counter("polls_unchanged"),
 		cancel:         cancel,
 	}
-	m.work.Go(func() { m.run(ctx) })
+	m.goroutines.Go(func() { m.run(ctx) })
 	return m, nil
 }
 
 // Close stops polling and waits for the goroutine.
 func (m *Members) Close() {
 	m.cancel()
-	m.work.Wait()
+	m.goroutines.Wait()
 	m.client.CloseIdleConnections()
 }
 
--- a/internal/logclient/members_test.go
+++ b/internal/logclient/members_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestUnchangedMembersAreRepeated(t *testing.T) {
+func TestUnchangedMembersArePostedPeriodically(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(wire.MemberList{Version: 1})
 	}))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestUnchangedMembersAreNotSentAgain(t *testing.T) {
+func TestUnchangedMembersAreNotFetched(t *testing.T) {
 	var fullReplies atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", `"7"`)
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -75,7 +75,7 @@
 	if old != nil {
 		old.cancel()
 	}
-	l.work.Go(func() {
+	l.goroutines.Go(func() {
 		defer close(t.done)
 		defer t.cancel()
 		if old != nil {
--- a/internal/members/view_test.go
+++ b/internal/members/view_test.go
@@ -10,23 +10,23 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func instance(id string) wire.Member {
+func instanceMember(id string) wire.Member {
 	return wire.Member{ID: id, Role: wire.MemberRoleInstance, State: wire.MemberStateLive, Region: "r", DataCentre: "d"}
 }
 
-func viewOf(t *testing.T, ids ...string) *View {
+func newView(t *testing.T, ids ...string) *View {
 	t.Helper()
 	v := New(structs.Peer{ID: structs.InstanceID(ids[0]), Region: "r"})
 	list := wire.MemberList{Version: 1}
 	for _, id := range ids {
-		list.Members = append(list.Members, instance(id))
+		list.Members = append(list.Members, instanceMember(id))
 	}
 	v.Tick(start, []structs.Event{structs.MembersListed{List: list}})
 	return v
 }
 
 func TestAllInstancesAgreeOnOwners(t *testing.T) {
-	a, b := viewOf(t, "a", "b", "c"), viewOf(t, "c", "b", "a")
+	a, b := newView(t, "a", "b", "c"), newView(t, "c", "b", "a")
 	for shard := structs.ShardID(0); shard < 64; shard++ {
 		ref := structs.ShardRef{Region: "r", Shard: shard}
 		x, _ := a.OwnerOf(ref)
@@ -38,10 +38,10 @@
 }
 
 func TestSuspectLosesOnlyItsOwnShards(t *testing.T) {
-	v := viewOf(t, "a", "b", "c")
-	before := owners(v)
+	v := newView(t, "a", "b", "c")
+	before := ownersByShard(v)
 	v.Tick(start, []structs.Event{structs.PeerDown{Peer: "b"}})
-	for ref, owner := range owners(v) {
+	for ref, owner := range ownersByShard(v) {
 		if before[ref] != "b" && owner != before[ref] {
 			t.Fatalf("%v moved from %s to %s", ref, before[ref], owner)
 		}
@@ -52,7 +52,7 @@
 }
 
 func TestSuspectIsProbedAndCleared(t *testing.T) {
-	v := viewOf(t, "a", "b")
+	v := newView(t, "a", "b")
 	v.Tick(start, []structs.Event{structs.PeerDown{Peer: "b"}})
 	cmds := v.Tick(start.Add(probeInterval), nil)
 	if len(cmds) != 1 || cmds[0] != (structs.ProbePeer{To: "b"}) {
@@ -65,7 +65,7 @@
 }
 
 func TestAnnouncedLeavingExpires(t *testing.T) {
-	v := viewOf(t, "a", "b")
+	v := newView(t, "a", "b")
 	v.Tick(start, []structs.Event{structs.PeerMessage{From: "b", Msg: &structs.Leaving{}}})
 	if p, _ := v.Peer("b"); !p.Leaving {
 		t.Fatal("announcement ignored")
@@ -77,14 +77,14 @@
 }
 
 func TestOlderListIsDropped(t *testing.T) {
-	v := viewOf(t, "a", "b")
+	v := newView(t, "a", "b")
 	v.Tick(start, []structs.Event{structs.MembersListed{List: wire.MemberList{Version: 0}}})
 	if len(v.Peers()) != 2 {
 		t.Fatalf("peers %v", v.Peers())
 	}
 }
 
-func owners(v *View) map[structs.ShardRef]structs.InstanceID {
+func ownersByShard(v *View) map[structs.ShardRef]structs.InstanceID {
 	all := map[structs.ShardRef]structs.InstanceID{}
 	for shard := structs.ShardID(0); shard < 64; shard++ {
 		ref := structs.ShardRef{Region: "r", Shard: shard}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -109,7 +109,7 @@
 			return
 		}
 		l.tick(batch)
-		timer.Reset(l.untilWake())
+		timer.Reset(l.untilNextWake())
 	}
 }
 
@@ -155,9 +155,9 @@
 	l.metrics.duration.RecordDuration(time.Since(started))
 }
 
-// untilWake gives the time to the core's next timer, at most the interval of
+// untilNextWake gives the time to the core's next timer, at most the interval of
 // the gauges.
-func (l *loop) untilWake() time.Duration {
+func (l *loop) untilNextWake() time.Duration {
 	next := l.core.NextWake()
 	if next.IsZero() {
 		return gaugeInterval
--- a/internal/node/notes_test.go
+++ b/internal/node/notes_test.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-func TestNoteNamesProgramCallAndEpoch(t *testing.T) {
+func TestNoteIsLoggedWithItsFields(t *testing.T) {
 	var out bytes.Buffer
 	logNote(slog.New(slog.NewJSONHandler(&out, nil)), structs.Note{
 		Message: "outcome stays unknown", Shard: structs.ShardRef{Region: "lakes", Shard: 7}, Epoch: 3,
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -17,17 +17,17 @@
 	"time"
 )
 
-// authority signs certificates for tests.
-type authority struct {
+// testCA signs certificates for tests.
+type testCA struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
-	a := &authority{t: t, dir: t.TempDir(), key: newKey(t)}
+	a := &testCA{t: t, dir: t.TempDir(), key: newKey(t)}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -46,7 +46,7 @@
 	return key
 }
 
-func (a *authority) sign(template, parent *x509.Certificate, public *ecdsa.PublicKey, name string) *x509.Certificate {
+func (a *testCA) sign(template, parent *x509.Certificate, public *ecdsa.PublicKey, name string) *x509.Certificate {
 	a.t.Helper()
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, public, a.key)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return cert
 }
 
-func (a *authority) write(name, kind string, der []byte) {
+func (a *testCA) write(name, kind string, der []byte) {
 	a.t.Helper()
 	data := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	if err := os.WriteFile(filepath.Join(a.dir, name), data, 0o600); err != nil {
@@ -69,7 +69,7 @@
 }
 
 // instance makes the files of an instance's certificate.
-func (a *authority) instance() PeerTLS {
+func (a *testCA) instance() PeerTLS {
 	a.t.Helper()
 	key := newKey(a.t)
 	a.sign(&x509.Certificate{
@@ -129,24 +129,24 @@
 	return client, <-done
 }
 
-func TestInstancesOfOneAuthorityTrustEachOther(t *testing.T) {
-	a := newAuthority(t)
+func TestInstancesOfOneCATrustEachOther(t *testing.T) {
+	a := newTestCA(t)
 	files := a.instance()
 	if _, err := handshake(t, files, files); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestAnotherAuthorityIsRefused(t *testing.T) {
-	ours, theirs := newAuthority(t).instance(), newAuthority(t).instance()
+func TestCertificateOfAnotherCAIsRejected(t *testing.T) {
+	ours, theirs := newTestCA(t).instance(), newTestCA(t).instance()
 	client, server := handshake(t, theirs, ours)
 	if client == nil && server == nil {
 		t.Fatal("a certificate of another authority was accepted")
 	}
 }
 
-func TestIncompleteFilesAreRefused(t *testing.T) {
-	files := newAuthority(t).instance()
+func TestIncompleteTLSFilesAreRejected(t *testing.T) {
+	files := newTestCA(t).instance()
 	files.CAFile = ""
 	if _, err := files.load(); err == nil {
 		t.Fatal("accepted without an authority")
