--- a/internal/logclient/append.go
+++ b/internal/logclient/append.go
@@ -18,8 +18,8 @@
 // maxAppendReplyBytes bounds the reply to an append, in bytes.
 const maxAppendReplyBytes = 64 << 10
 
-// appender sends the appends of one stream one after another. The Log's mutex
-// guards its queue; it has a goroutine only while the queue is not empty.
+// appender sends the appends of one stream one at a time. Log.mu guards its
+// queue. Its goroutine runs only while the queue is not empty.
 type appender struct {
 	stream  string
 	queue   []queuedAppend
@@ -27,8 +27,8 @@
 	bytes   int
 }
 
-// queuedAppend is an append that waits. One that found the queue full keeps
-// its place but not its records.
+// queuedAppend is an append in the queue. With overflow set, the queue was full:
+// its records are dropped and it is refused in order.
 type queuedAppend struct {
 	id       structs.AppendID
 	records  [][]byte
@@ -42,7 +42,8 @@
 	return len(q.records), bytes
 }
 
-// Append queues an append. The answer is LogAppended or LogAppendFailed.
+// Append queues an append. The result is posted as LogAppended or
+// LogAppendFailed.
 func (l *Log) Append(command structs.LogAppend) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// enqueue adds an append to the queue; one that does not fit is refused when
-// its turn comes. An append is always taken into an empty queue.
+// enqueue adds an append to the queue. One that does not fit is marked as overflow.
+// An empty queue accepts an append of any size.
 func (l *Log) enqueue(a *appender, command structs.LogAppend) {
 	queued := queuedAppend{id: command.ID, records: command.Records}
 	records, size := queued.size()
@@ -89,8 +90,8 @@
 	}
 }
 
-// nextAppend gives the first waiting append; with none, or once the Log closes,
-// the appender ends.
+// nextAppend returns the first queued append. It returns false and removes the
+// appender if the queue is empty or the Log is closed.
 func (l *Log) nextAppend(a *appender) (queuedAppend, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +112,7 @@
 	a.queue = a.queue[1:]
 }
 
-// execute sends one append, once, and gives the event that reports it.
+// execute sends an append once and returns the event that reports its result.
 func (l *Log) execute(stream string, queued queuedAppend) structs.Event {
 	failed := structs.LogAppendFailed{ID: queued.id, Stream: stream}
 	if queued.overflow {
@@ -137,8 +138,8 @@
 	return failed
 }
 
-// send sends one append. On an error, refused tells that it certainly took no
-// effect: it was never written to a connection, or the log refused it.
+// send sends one append. On an error, refused reports that the append certainly
+// had no effect: it was never written to a connection, or the log refused it.
 func (l *Log) send(stream string, records [][]byte) (first uint64, refused bool, err error) {
 	body, err := json.Marshal(wire.AppendRequest{Records: records})
 	if err != nil {
@@ -155,7 +156,7 @@
 		return 0, true, err
 	}
 	request.Header.Set("Content-Type", "application/json")
-	// Without GetBody the transport cannot send the request a second time.
+	// Without GetBody the transport cannot retry the request.
 	request.GetBody = nil
 	reply, err := l.appends.Do(request)
 	if err != nil {
@@ -176,13 +177,13 @@
 		return 0, false, err
 	}
 	if reply.First == nil {
-		return 0, false, errors.Wrap(ErrProtocol, "append reply without an offset")
+		return 0, false, errors.Wrap(ErrProtocol, "append reply has no first offset")
 	}
 	return *reply.First, false, nil
 }
 
-// isRefusal tells whether a status says that the append took no effect. A
-// request timeout (408) may come from something on the way.
+// isRefusal reports whether a status means that the append had no effect. A
+// request timeout (408) does not, since a proxy may have sent it.
 func isRefusal(status int) bool {
 	if status == http.StatusServiceUnavailable {
 		return true
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -19,18 +19,19 @@
 
 // Errors of a request to the platform.
 var (
-	// ErrReplyTooLarge is the error of a reply above the limit.
+	// ErrReplyTooLarge is returned for a reply that exceeds the size limit.
 	ErrReplyTooLarge = errors.New("reply is too large")
-	// ErrProtocol is the error of a reply that breaks the service's protocol.
-	ErrProtocol = errors.New("reply breaks the protocol")
+	// ErrProtocol is returned for a reply that violates the service's protocol.
+	ErrProtocol = errors.New("reply violates the protocol")
 )
 
-// StatusError is an answer other than 200.
+// StatusError is returned for a response with a status other than 200.
 type StatusError struct{ Status int }
 
-func (e *StatusError) Error() string { return "status " + http.StatusText(e.Status) }
+func (e *StatusError) Error() string { return "unexpected status " + http.StatusText(e.Status) }
 
-// newClient makes a client with connections of its own. Redirects are answers.
+// newClient returns a client with its own connection pool. It does not follow
+// redirects.
 func newClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -44,16 +45,16 @@
 	}
 }
 
-// getJSON reads a JSON reply of at most limit bytes into target. A status other
-// than 200 is a *StatusError; its body is read into target too if it is 410.
+// getJSON decodes a JSON reply of at most limit bytes into target. It returns a
+// *StatusError for a status other than 200; the body of status 410 is decoded too.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, target any) error {
 	_, err := getIfChanged(ctx, client, url, limit, "", target)
 	return err
 }
 
-// getIfChanged is getJSON for a resource that was read before with an entity tag:
-// it returns errNotModified if the resource is still the same, else its tag.
-// An empty tag asks for the resource in any case.
+// getIfChanged is getJSON with the entity tag of an earlier read: it returns
+// errNotModified if the resource is unchanged, otherwise the new tag. An empty tag
+// makes the request unconditional.
 func getIfChanged(ctx context.Context, client *http.Client, url string, limit int64, tag string, target any) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -100,11 +101,11 @@
 	return nil
 }
 
-// errNotModified tells that a resource is as it was when its tag was given.
+// errNotModified indicates that a resource is unchanged since its entity tag.
 var errNotModified = errors.New("not modified")
 
-// maxDiscardBytes is how much of an unread body is read so that the connection can
-// be used again, in bytes.
+// maxDiscardBytes bounds how much of an unread body is discarded so that the
+// connection can be reused.
 const maxDiscardBytes = 64 << 10
 
 func discardBody(body io.ReadCloser) {
--- a/internal/logclient/config.go
+++ b/internal/logclient/config.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Defaults of the configurations.
+// Defaults of LogConfig and MembersConfig.
 const (
 	DefaultAppendTimeout      = time.Second
 	DefaultAppendQueueRecords = 256
@@ -25,33 +25,34 @@
 	DefaultMembersTimeout     = time.Second
 )
 
-// ErrConfig is the error of a configuration that cannot be used.
+// ErrConfig is returned for an invalid configuration.
 var ErrConfig = errors.New("invalid platform configuration")
 
-// LogConfig holds the settings of a Log. Zero values of all but URL take the
-// defaults above.
+// LogConfig configures a Log. Zero values of all fields but URL are replaced by
+// the defaults.
 type LogConfig struct {
 	// URL is the base URL of the log service.
 	URL string
 	// AppendTimeout bounds one append.
 	AppendTimeout time.Duration
-	// AppendQueueRecords and AppendQueueBytes bound what waits to be
-	// appended to one stream.
+	// AppendQueueRecords and AppendQueueBytes bound the append queue of one
+	// stream.
 	AppendQueueRecords int
 	AppendQueueBytes   int
-	// PollWait is how long the log holds a read at the end of a stream.
+	// PollWait is how long the log service holds a read at the end of a stream
+	// (long poll).
 	PollWait time.Duration
-	// ReplyTimeout is how long after PollWait the answer must be there.
+	// ReplyTimeout bounds the wait for a reply, in addition to PollWait.
 	ReplyTimeout time.Duration
-	// EmptyReadInterval is the least time between two LogRead events without
+	// EmptyReadInterval is the minimum time between two LogRead events without
 	// records for one stream.
 	EmptyReadInterval time.Duration
-	// MinBackoff and MaxBackoff bound the wait after a failed read.
+	// MinBackoff and MaxBackoff bound the backoff after a failed read.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
-	// MaxReadRecords is the largest number of records asked for in one read.
+	// MaxReadRecords is the maximum number of records requested in one read.
 	MaxReadRecords int
-	// MaxReplyBytes bounds the body of a reply, in bytes.
+	// MaxReplyBytes bounds the body of a reply.
 	MaxReplyBytes int64
 }
 
@@ -69,16 +70,15 @@
 	return c
 }
 
-// MembersConfig holds the settings of Members. Zero values of all but URL take
-// the defaults above.
+// MembersConfig configures Members. Zero values of all fields but URL are replaced
+// by the defaults.
 type MembersConfig struct {
 	// URL is the base URL of the membership service.
 	URL string
-	// Interval is the time between two polls; jitter changes it by up to a
-	// tenth.
+	// Interval is the time between two polls, with a jitter of up to 10%.
 	Interval time.Duration
-	// RepostPolls is the number of polls after which an unchanged list is posted
-	// again.
+	// RepostPolls is the number of polls after which an unchanged list is
+	// posted again.
 	RepostPolls int
 	// Timeout bounds one poll.
 	Timeout time.Duration
@@ -98,7 +98,7 @@
 		return errors.Mark(err, ErrConfig)
 	}
 	if parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		return errors.Wrap(ErrConfig, "the URL of a platform service must be http://host or https://host")
+		return errors.Wrap(ErrConfig, "URL of a platform service must have the form http://host or https://host")
 	}
 	return nil
 }
--- a/internal/logclient/harness_test.go
+++ b/internal/logclient/harness_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// events holds what an adapter posted.
+// events receives the events that a client posts.
 type events struct {
 	t       *testing.T
 	channel chan structs.Event
@@ -47,13 +47,13 @@
 	case event := <-e.channel:
 		return event
 	case <-time.After(testTimeout):
-		e.t.Fatal("no event")
+		e.t.Fatal("timed out waiting for an event")
 		return nil
 	}
 }
 
-// nextRecords skips other events until count records were read, and checks that
-// they come from the offset on without a gap.
+// nextRecords waits until count records were read, skipping other events. It
+// checks that their offsets start at from and have no gap.
 func (e *events) nextRecords(from uint64, count int) [][]byte {
 	e.t.Helper()
 	var data [][]byte
@@ -63,11 +63,11 @@
 			continue
 		}
 		if read.From != from {
-			e.t.Fatalf("read from %d, wanted %d", read.From, from)
+			e.t.Fatalf("read from offset %d, want %d", read.From, from)
 		}
 		for _, record := range read.Records {
 			if record.Offset != from {
-				e.t.Fatalf("offset %d, wanted %d", record.Offset, from)
+				e.t.Fatalf("record offset %d, want %d", record.Offset, from)
 			}
 			data = append(data, record.Data)
 			from++
@@ -76,7 +76,7 @@
 	return data
 }
 
-// platformLog is a Log and the service behind it.
+// platformLog is a Log connected to a log service.
 type platformLog struct {
 	*Log
 	*events
--- a/internal/logclient/log.go
+++ b/internal/logclient/log.go
@@ -15,14 +15,14 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Log carries out the log commands: LogAppend, LogTail, LogTailEnd and LogStop.
-// Its methods never block, but for Close.
+// Log executes the log commands: LogAppend, LogTail, LogTailEnd and LogStop. Its
+// methods do not block, except Close.
 type Log struct {
 	cfg    LogConfig
 	sink   *eventsink.Sink
 	logger *slog.Logger
-	// appends and reads have connections of their own, so that long polls
-	// never hold up an append.
+	// appends and reads use separate connections so that long polls do not
+	// delay appends.
 	appends *http.Client
 	reads   *http.Client
 	metrics logMetrics
@@ -61,8 +61,8 @@
 	}
 }
 
-// NewLog makes a Log that runs until Close or until the context ends. It
-// returns ErrConfig if the configuration cannot be used.
+// NewLog returns a Log that runs until Close is called or the context ends. It
+// returns ErrConfig if the configuration is invalid.
 func NewLog(
 	ctx context.Context, cfg LogConfig, post func(structs.Event) bool,
 	scope tally.Scope, logger *slog.Logger,
@@ -86,7 +86,7 @@
 }
 
 // Close stops all appends and reads and waits for the goroutines. An append in
-// flight may have taken effect.
+// flight may still take effect.
 func (l *Log) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -97,7 +97,7 @@
 	l.reads.CloseIdleConnections()
 }
 
-// streamURL is the URL of a stream, with further segments.
+// streamURL returns the URL of a stream with optional path segments.
 func (l *Log) streamURL(stream string, segments ...string) string {
 	parts := append([]string{strings.TrimSuffix(l.cfg.URL, "/") + wire.LogStreamsRoute, url.PathEscape(stream)}, segments...)
 	return strings.Join(parts, "/")
--- a/internal/logclient/log_test.go
+++ b/internal/logclient/log_test.go
@@ -33,7 +33,7 @@
 	for i := range appends {
 		want := structs.LogAppended{ID: structs.AppendID(i), Stream: stream, First: uint64(i)}
 		if got := l.next(); got != want {
-			t.Fatalf("got %+v, wanted %+v", got, want)
+			t.Fatalf("got %+v, want %+v", got, want)
 		}
 	}
 	if maxInFlight.Load() != 1 {
@@ -56,7 +56,7 @@
 		t.Fatalf("got %+v", got)
 	}
 	if info, err := l.service.Info(stream); err != nil || info.End != 2 {
-		t.Fatalf("%+v %v, wanted two records", info, err)
+		t.Fatalf("stream %+v, error %v, want two records", info, err)
 	}
 }
 
@@ -121,7 +121,7 @@
 		structs.LogAppendFailed{ID: 2, Stream: stream, Refused: true}, structs.LogAppendFailed{ID: 3, Stream: stream, Refused: true},
 	} {
 		if got := l.next(); got != want {
-			t.Fatalf("append %d: got %+v, wanted %+v", i, got, want)
+			t.Fatalf("append %d: got %+v, want %+v", i, got, want)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	}
 	l.service.SetDown(false)
 	for {
-		// An empty read proves that the log is reachable again.
+		// An empty read means that the log is available again.
 		if read, ok := l.next().(structs.LogRead); ok && len(read.Records) == 0 {
 			return
 		}
@@ -226,7 +226,7 @@
 		"gap":          `{"records":[{"offset":1}],"next":2,"end":2}`,
 		"out of order": `{"records":[{"offset":0},{"offset":0}],"next":1,"end":2}`,
 		"wrong next":   `{"records":[{"offset":0}],"next":5,"end":5}`,
-		"back":         `{"records":[],"next":0,"end":0`,
+		"truncated":    `{"records":[],"next":0,"end":0`,
 		"not JSON":     `<html>`,
 		"too large":    `{"records":[],"next":0,"end":0,"x":"` + strings.Repeat("x", 2000) + `"}`,
 	} {
--- a/internal/logclient/members.go
+++ b/internal/logclient/members.go
@@ -19,16 +19,15 @@
 )
 
 const (
-	// maxMembersReplyBytes bounds a membership list, in bytes.
+	// maxMembersReplyBytes bounds the size of a membership list.
 	maxMembersReplyBytes = 8 << 20
-	// jitterDivisor is the part of the poll interval that jitter may add or
-	// take away.
+	// jitterDivisor divides the poll interval to give the maximum jitter.
 	jitterDivisor = 10
 )
 
-// Members polls the membership list and posts MembersListed when it changes,
-// and every so often when it does not. It asks with the entity tag of the last
-// list, so that an unchanged list costs the same at any length.
+// Members polls the membership list and posts MembersListed when it changes, and
+// periodically when it does not. Polls are conditional on the entity tag of the
+// last list, so that an unchanged list is not transferred.
 type Members struct {
 	cfg         MembersConfig
 	sink        *eventsink.Sink
@@ -36,20 +35,20 @@
 	logger      *slog.Logger
 	polls       tally.Counter
 	pollsFailed tally.Counter
-	// pollsUnchanged counts the polls that were answered with status 304.
+	// pollsUnchanged counts the polls with status 304 (Not Modified).
 	pollsUnchanged tally.Counter
 	// tag and last are the entity tag and content of the last list read.
 	tag  string
 	last wire.MemberList
-	// failing tells that the last poll failed.
+	// failing indicates that the last poll failed.
 	failing bool
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// NewMembers starts polling until Close or until the context ends. It returns
-// ErrConfig if the configuration cannot be used.
+// NewMembers starts polling until Close is called or the context ends. It returns
+// ErrConfig if the configuration is invalid.
 func NewMembers(
 	ctx context.Context, cfg MembersConfig, post func(structs.Event) bool,
 	scope tally.Scope, logger *slog.Logger,
@@ -116,7 +115,7 @@
 	if err != nil {
 		m.pollsFailed.Inc(1)
 		if !m.failing {
-			m.logger.Warn("membership polls fail", "error", err)
+			m.logger.Warn("membership poll failed", "error", err)
 		}
 		m.failing = true
 		return wire.MemberList{}, false
--- a/internal/logclient/members_test.go
+++ b/internal/logclient/members_test.go
@@ -86,6 +86,6 @@
 		}
 	}
 	if n := fullReplies.Load(); n != 1 {
-		t.Fatalf("the list was sent %d times", n)
+		t.Fatalf("list was sent %d times, want 1", n)
 	}
 }
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -13,7 +13,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// maxInfoReplyBytes bounds the reply that describes a stream, in bytes.
+// maxInfoReplyBytes bounds the reply that describes a stream.
 const maxInfoReplyBytes = 64 << 10
 
 // tail reads one stream.
@@ -22,22 +22,22 @@
 	stream string
 	ctx    context.Context
 	cancel context.CancelFunc
-	// done is closed when the tail posts no more.
+	// done is closed after the tail posted its last event.
 	done chan struct{}
 
 	next uint64
-	// maxRecords is the number of records to ask for; it shrinks when replies
-	// are too large.
+	// maxRecords is the number of records to request. It is halved when a
+	// reply is too large.
 	maxRecords int
 	backoff    *backoff.ExponentialBackOff
-	// failing tells that the last read failed, end is the last end posted, and
-	// posted the time of the last LogRead.
+	// failing indicates that the last read failed. lastEnd is the End of the
+	// last LogRead posted, and lastPosted its time.
 	failing    bool
 	lastEnd    uint64
 	lastPosted time.Time
 }
 
-// Tail starts reading a stream from an offset, or moves the offset.
+// Tail starts reading a stream from an offset. It replaces a running tail.
 func (l *Log) Tail(command structs.LogTail) {
 	l.startTail(command.Stream, func(t *tail) { t.run(command.From) })
 }
@@ -62,7 +62,7 @@
 }
 
 // startTail replaces the tail of a stream. The new one starts after the old one
-// has posted its last event.
+// posted its last event.
 func (l *Log) startTail(stream string, run func(*tail)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// findEnd gives the offset of the newest record, or the end of an empty stream.
+// findEnd returns the offset of the newest record, or the end of an empty stream.
 func (t *tail) findEnd() (from uint64, ok bool) {
 	for t.ctx.Err() == nil {
 		info, err := t.readInfo()
@@ -139,20 +139,22 @@
 	}
 }
 
-// readResponse is the body of an answer to a read: a reply, or what is retained.
+// readResponse is the body of the response to a read: the records, or with status
+// 410 the first retained offset.
 type readResponse struct {
 	wire.ReadReply
 	First uint64 `json:"first"`
 }
 
-// truncatedError tells that the log no longer retains the offset.
+// truncatedError indicates that the log no longer retains the offset.
 type truncatedError struct{ first uint64 }
 
 func (e *truncatedError) Error() string {
-	return "not retained, the first offset is " + strconv.FormatUint(e.first, 10)
+	return "offset is no longer retained, the first retained offset is " + strconv.FormatUint(e.first, 10)
 }
 
-// read reads once from the next offset, waiting at the end of the stream.
+// read sends one read from the next offset, with a long poll at the end of the
+// stream.
 func (t *tail) read() (wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplyTimeout)
 	defer cancel()
@@ -172,8 +174,8 @@
 func (t *tail) readURL() string {
 	wait := t.log.cfg.PollWait
 	if t.lastPosted.IsZero() || t.failing {
-		// The first answer tells where the stream ends and that the log
-		// answers again: the log must not hold it.
+		// The first read, and the first after a failure, reports the end of
+		// the stream and the recovery without delay.
 		wait = 0
 	}
 	query := "?from=" + strconv.FormatUint(t.next, 10) +
@@ -182,31 +184,31 @@
 	return t.log.streamURL(t.stream, wire.LogRecordsSegment) + query
 }
 
-// checkRead returns ErrProtocol unless the records follow each other from the
-// offset asked for.
+// checkRead returns ErrProtocol unless the offsets are consecutive and start at
+// the requested one.
 func checkRead(from uint64, reply wire.ReadReply) error {
 	next := from
 	for _, record := range reply.Records {
 		if record.Offset != next {
-			return errors.Wrapf(ErrProtocol, "record %d where %d was due", record.Offset, next)
+			return errors.Wrapf(ErrProtocol, "got record offset %d, expected %d", record.Offset, next)
 		}
 		next++
 	}
 	if reply.Next != next {
-		return errors.Wrapf(ErrProtocol, "next offset %d after record %d", reply.Next, next)
+		return errors.Wrapf(ErrProtocol, "got next offset %d, expected %d", reply.Next, next)
 	}
 	return nil
 }
 
-// deliver posts what was read. A read without records is posted only if it
-// tells something new or the last event is some time ago.
+// deliver posts a read. An empty read is posted only if it reports a new end or a
+// recovery, or if EmptyReadInterval has passed since the last LogRead.
 func (t *tail) deliver(reply wire.ReadReply) {
 	t.backoff.Reset()
 	now := time.Now()
 	redundant := len(reply.Records) == 0 && !t.failing && reply.End == t.lastEnd &&
 		now.Sub(t.lastPosted) < t.log.cfg.EmptyReadInterval
 	if redundant {
-		// The log answered at once instead of holding the read.
+		// Do not spin if the log did not hold the read.
 		t.sleep(t.log.cfg.MinBackoff)
 		return
 	}
@@ -219,7 +221,7 @@
 	}
 	t.log.metrics.recordsRead.Inc(int64(len(reply.Records)))
 	if t.failing {
-		t.log.logger.Info("log reads work again", "stream", t.stream)
+		t.log.logger.Info("log reads recovered", "stream", t.stream)
 	}
 	t.next, t.lastEnd, t.lastPosted, t.failing = reply.Next, reply.End, now, false
 }
@@ -247,7 +249,7 @@
 	}
 	t.log.metrics.readsFailed.Inc(1)
 	if !t.failing {
-		t.log.logger.Warn("log reads fail", "stream", t.stream, "error", err)
+		t.log.logger.Warn("log read failed", "stream", t.stream, "error", err)
 	}
 	t.failing = true
 	t.log.sink.Deliver(t.ctx, event)
--- a/internal/members/rendezvous.go
+++ b/internal/members/rendezvous.go
@@ -7,20 +7,21 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// OwnerOf gives the instance that should own a shard, false if there is none.
+// OwnerOf returns the instance that should own a shard, or false if no instance is
+// available.
 func (v *View) OwnerOf(shard structs.ShardRef) (structs.InstanceID, bool) {
 	return v.firstUsable(v.Ranked(shard))
 }
 
-// DispatcherOf gives the instance that should queue for a pool, false if there
-// is none.
+// DispatcherOf returns the instance that should run the queue of a pool, or false
+// if no instance is available.
 func (v *View) DispatcherOf(pool structs.PoolID) (structs.InstanceID, bool) {
 	key := "pool/" + string(pool.Region) + "/" + string(pool.Service)
 	return v.firstUsable(v.rank(pool.Region, key))
 }
 
-// Ranked lists all instances of a shard's region by rendezvous hashing, best
-// first, whether usable or not.
+// Ranked returns all instances of a shard's region ordered by rendezvous hashing,
+// highest score first, including leaving and suspected ones.
 func (v *View) Ranked(shard structs.ShardRef) []structs.InstanceID {
 	key := "shard/" + string(shard.Region) + "/" + strconv.Itoa(int(shard.Shard))
 	return v.rank(shard.Region, key)
@@ -36,8 +37,8 @@
 	return "", false
 }
 
-// rank orders the instances of a region by the hash of key and instance, so
-// that a change of one instance moves only what it held.
+// rank orders the instances of a region by rendezvous hashing, so that a change of
+// one instance moves only the keys assigned to it.
 func (v *View) rank(region structs.Region, key string) []structs.InstanceID {
 	if ids, ok := v.ranked[key]; ok {
 		return ids
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -1,7 +1,7 @@
-// Package members keeps an instance's view of the other instances and of the
-// targets: the platform's membership list, corrected by what peers say of
-// themselves and by missed heartbeats. The view decides what is fast, never
-// what is safe: the log alone decides who owns a shard.
+// Package members maintains an instance's view of the other instances and of the
+// targets: the platform's membership list, corrected by the announcements of peers
+// and by missed heartbeats. The view is advisory: the log alone decides who owns
+// a shard.
 package members
 
 import (
@@ -14,39 +14,38 @@
 )
 
 const (
-	// probeInterval is the time between two heartbeats asked of a suspected
-	// peer.
+	// probeInterval is the time between two probes of a suspected peer.
 	probeInterval = time.Second
-	// announcementTTL is how long a peer's own word that it leaves counts.
-	// It exceeds the lag of the membership list; after it the list decides,
-	// so that an instance that starts again under its id is used again.
+	// announcementTTL is how long a peer's announcement that it leaves is
+	// valid. It exceeds the lag of the membership list. Afterwards the list
+	// decides, so that an instance restarted under the same id is used again.
 	announcementTTL = 30 * time.Second
 )
 
-// View is the membership as this instance sees it. It implements
+// View is the membership as observed by this instance. It implements
 // structs.Members and changes only in Tick.
 type View struct {
 	self structs.Peer
-	// generation counts the changes of the tables of peers.
+	// generation counts the changes of peers.
 	generation uint64
-	// list holds the peers as the membership list last showed them.
+	// list holds the peers of the last membership list.
 	list         []structs.Peer
 	version      uint64
 	listReceived bool
 	peers        []structs.Peer
 	byID         map[structs.InstanceID]structs.Peer
 	suspects     map[structs.InstanceID]time.Time
-	// announced are peers that said themselves that they leave, with the
-	// time until which that counts.
+	// announced maps peers that announced that they leave to the expiry of the
+	// announcement.
 	announced map[structs.InstanceID]time.Time
 	targets   map[structs.ServiceName][]structs.Target
-	// ranked caches rank by key until the peers change.
+	// ranked caches the results of rank by key until the peers change.
 	ranked map[string][]structs.InstanceID
 }
 
 var _ structs.Members = (*View)(nil)
 
-// New returns a view that holds this instance alone.
+// New returns a view that contains only this instance.
 func New(self structs.Peer) *View {
 	v := &View{
 		self:      self,
@@ -61,11 +60,11 @@
 // Generation counts the changes of Peers.
 func (v *View) Generation() uint64 { return v.generation }
 
-// ListReceived tells whether a membership list was ever received.
+// ListReceived reports whether a membership list was received.
 func (v *View) ListReceived() bool { return v.listReceived }
 
-// Tick takes in membership lists, liveness and announcements, and asks
-// suspected peers for a heartbeat from time to time.
+// Tick applies membership lists, liveness events and announcements, and returns
+// the probes of suspected peers that are due.
 func (v *View) Tick(now time.Time, events []structs.Event) []structs.Command {
 	for _, ev := range events {
 		v.apply(now, ev)
@@ -74,7 +73,7 @@
 	return v.probeSuspects(now)
 }
 
-// NextWake gives the time of the next heartbeat to ask for, zero if none.
+// NextWake returns the time of the next probe, or the zero time if none is due.
 func (v *View) NextWake() time.Time {
 	var next time.Time
 	for _, at := range v.suspects {
@@ -132,8 +131,8 @@
 	return cmds
 }
 
-// applyList replaces the view by a list. An older version than the one in use
-// is dropped: the list may come from a lagging replica of the platform.
+// applyList replaces the view by a membership list. A list older than the current
+// one is dropped: it may come from a lagging replica of the platform.
 func (v *View) applyList(list wire.MemberList) {
 	if v.listReceived && list.Version < v.version {
 		return
@@ -185,8 +184,8 @@
 	}
 }
 
-// rebuild makes the tables of peers anew. This instance is always in them,
-// since a lagging list may lack it.
+// rebuild recomputes the peers. This instance is always included, since a lagging
+// list may lack it.
 func (v *View) rebuild() {
 	v.generation++
 	byID := map[structs.InstanceID]structs.Peer{}
@@ -232,25 +231,25 @@
 	}
 }
 
-// Self is this instance.
+// Self returns this instance.
 func (v *View) Self() structs.Peer { return v.byID[v.self.ID] }
 
-// Peer finds an instance by id.
+// Peer returns an instance by id.
 func (v *View) Peer(id structs.InstanceID) (structs.Peer, bool) {
 	p, ok := v.byID[id]
 	return p, ok
 }
 
-// Peers lists the instances in order of id, this one included.
+// Peers returns the instances ordered by id, including this one.
 func (v *View) Peers() []structs.Peer { return v.peers }
 
-// Suspected tells whether the instance does not answer.
+// Suspected reports whether the instance is unresponsive.
 func (v *View) Suspected(id structs.InstanceID) bool {
 	_, ok := v.suspects[id]
 	return ok
 }
 
-// Targets lists a service's targets in this region in order of id.
+// Targets returns the targets of a service in this region, ordered by id.
 func (v *View) Targets(service structs.ServiceName) []structs.Target {
 	return v.targets[service]
 }
--- a/internal/members/view_test.go
+++ b/internal/members/view_test.go
@@ -32,7 +32,7 @@
 		x, _ := a.OwnerOf(ref)
 		y, _ := b.OwnerOf(ref)
 		if x != y {
-			t.Fatalf("shard %d: %s and %s", shard, x, y)
+			t.Fatalf("shard %d: owners %s and %s differ", shard, x, y)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 			t.Fatalf("%v moved from %s to %s", ref, before[ref], owner)
 		}
 		if owner == "b" {
-			t.Fatalf("%v still at the suspected instance", ref)
+			t.Fatalf("%v is still assigned to the suspected instance", ref)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	v.Tick(start.Add(probeInterval), []structs.Event{structs.PeerUp{Peer: "b"}})
 	if v.Suspected("b") {
-		t.Fatal("still suspected after an answer")
+		t.Fatal("still suspected after PeerUp")
 	}
 }
 
@@ -68,11 +68,11 @@
 	v := newView(t, "a", "b")
 	v.Tick(start, []structs.Event{structs.PeerMessage{From: "b", Msg: &structs.Leaving{}}})
 	if p, _ := v.Peer("b"); !p.Leaving {
-		t.Fatal("announcement ignored")
+		t.Fatal("announcement was ignored")
 	}
 	v.Tick(start.Add(announcementTTL+time.Second), nil)
 	if p, _ := v.Peer("b"); p.Leaving {
-		t.Fatal("announcement outlived its time")
+		t.Fatal("announcement did not expire")
 	}
 }
 
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -4,8 +4,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// execute hands one command of the core to the adapter that carries it out. It
-// runs on the loop and does not block.
+// execute passes a command of the core to its adapter. It runs on the loop and does
+// not block.
 func (n *node) execute(cmd structs.Command) {
 	a := n.adapters
 	switch cmd := cmd.(type) {
@@ -32,7 +32,8 @@
 	}
 }
 
-// executeTarget handles the commands towards targets and the instance's own life.
+// executeTarget handles the commands for targets, logging and the lifecycle of the
+// instance.
 func (n *node) executeTarget(cmd structs.Command) {
 	targets := n.adapters.targets
 	switch cmd := cmd.(type) {
@@ -61,6 +62,6 @@
 	case structs.DrainDone:
 		close(n.drained)
 	default:
-		panic("invariant broken: a command without an adapter")
+		panic("invariant violated: no adapter for the command")
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,10 +9,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ErrConfig is the error of a Config that cannot be used.
+// ErrConfig is returned for an invalid Config.
 var ErrConfig = errors.New("invalid instance configuration")
 
-// Config is what a process learns from its flags and environment variables.
+// Config configures an instance. It is set from flags and environment variables.
 type Config struct {
 	ID         string
 	Region     string
@@ -20,16 +20,16 @@
 	// CallerListen and PeerListen are the listen addresses, IP:port.
 	CallerListen string
 	PeerListen   string
-	// PeerAdvertise is the address that other instances use, as the
-	// membership list shows it; empty takes the listen address.
+	// PeerAdvertise is the address advertised to other instances; the listen
+	// address if empty.
 	PeerAdvertise string
 	// LogURL and MembersURL are the base URLs of the platform's services.
 	LogURL     string
 	MembersURL string
 	Shards     int
-	// PeerKey authenticates the instances to each other.
+	// PeerKey is the shared key that authenticates instances to each other.
 	PeerKey []byte
-	// PeerTLS adds mutual TLS between the instances.
+	// PeerTLS enables mutual TLS between instances.
 	PeerTLS PeerTLS
 	// RootKeyHash is the hexadecimal SHA-256 of the root operator's key.
 	RootKeyHash string
@@ -37,15 +37,15 @@
 	Retention time.Duration
 	// DrainTimeout bounds a graceful shutdown.
 	DrainTimeout time.Duration
-	// MaxBody bounds a request body in bytes.
+	// MaxBody bounds a request body, in bytes.
 	MaxBody int64
 }
 
-// check returns ErrConfig with the reason if the configuration cannot be used.
+// check returns ErrConfig with the reason if the configuration is invalid.
 func (c Config) check() error {
 	switch {
 	case c.ID == "" || c.Region == "" || c.DataCentre == "":
-		return errors.Wrap(ErrConfig, "the instance's id, region and data centre must be given")
+		return errors.Wrap(ErrConfig, "id, region and data centre of the instance are required")
 	case c.Shards < 1 || c.Shards > 1<<16:
 		return errors.Wrapf(ErrConfig, "shards is %d, expected 1 to 65536", c.Shards)
 	case c.DrainTimeout <= 0:
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// self is this instance as a peer, at the address it listens on.
+// self returns this instance as a peer, at its advertised address.
 func (c Config) self(listen net.Addr) structs.Peer {
 	address := c.PeerAdvertise
 	if address == "" {
--- a/internal/node/facade.go
+++ b/internal/node/facade.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// facade is the core as the HTTP adapter sees it.
+// facade implements httpapi.Core on the loop and the state shared by it.
 type facade struct {
 	loop   *loop
 	shared *sharedState
@@ -18,13 +18,13 @@
 
 var _ httpapi.Core = (*facade)(nil)
 
-// Post hands an event to the loop without blocking.
+// Post queues an event for the loop without blocking.
 func (f *facade) Post(event structs.Event) bool { return f.loop.post(event) }
 
-// Settings gives the settings tree, which is safe for concurrent reads.
+// Settings returns the settings tree, which is safe for concurrent reads.
 func (f *facade) Settings() structs.Settings { return f.tree }
 
-// Authenticate finds the principal of a key.
+// Authenticate returns the principal of a key.
 func (f *facade) Authenticate(key string) (httpapi.Principal, bool) {
 	credential, ok := f.tree.Authenticate(key)
 	if !ok {
@@ -37,14 +37,14 @@
 	}, true
 }
 
-// Dump gives the state of the instance through the loop.
+// Dump returns the state of the instance, read on the loop.
 func (f *facade) Dump(ctx context.Context) (any, error) {
 	var state instance.State
 	err := f.loop.query(ctx, func(core *instance.Instance) { state = core.Dump() })
 	return state, err
 }
 
-// Health tells whether the instance takes traffic.
+// Health reports whether the instance accepts traffic.
 func (f *facade) Health() httpapi.Health {
 	ready := f.shared.readiness()
 	switch {
@@ -57,11 +57,11 @@
 	}
 }
 
-// Drain begins the graceful shutdown.
+// Drain starts the graceful shutdown.
 func (f *facade) Drain() { f.loop.post(structs.DrainStart{}) }
 
-// Setting gives a part of the settings tree.
+// Setting returns a part of the settings tree.
 func (f *facade) Setting(path string) (any, bool) { return f.tree.Listing(path) }
 
-// SettingHistory gives the retained changes of a part of the settings tree.
+// SettingHistory returns the retained changes of a part of the settings tree.
 func (f *facade) SettingHistory(path string) (any, bool) { return f.tree.HistoryListing(path) }
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -9,16 +9,16 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// gaugeInterval is the time between two reports of the core's sizes.
+// gaugeInterval is the time between two updates of the gauges.
 const gaugeInterval = time.Second
 
-// gauges report the sizes of the core's tables and count the outcomes.
+// gauges reports the table sizes of the core and counts outcomes.
 type gauges struct {
 	scope    tally.Scope
 	reported time.Time
 }
 
-// report writes the gauges if the last report is some time ago.
+// report updates the gauges once per gaugeInterval.
 func (g *gauges) report(now time.Time, core *instance.Instance) {
 	if now.Sub(g.reported) < gaugeInterval {
 		return
@@ -41,12 +41,12 @@
 	set("settings_offset", int(sizes.SettingsNext))
 }
 
-// outcomeNames name the kinds of outcomes in the metrics.
+// outcomeNames maps outcome kinds to metric label values.
 var outcomeNames = map[structs.OutcomeKind]string{
 	structs.OutcomeAnswered: "answered", structs.OutcomeNotRun: "not-run", structs.OutcomeUnknown: "unknown",
 }
 
-// countOutcome counts the final answers by outcome and reason.
+// countOutcome counts completed calls by outcome and reason.
 func (g *gauges) countOutcome(cmd structs.Command) {
 	end, ok := cmd.(structs.ReplyOutcome)
 	if !ok {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// maxQueuedEvents bounds the events that wait for the loop.
+	// maxQueuedEvents bounds the event queue of the loop.
 	maxQueuedEvents = 16384
-	// maxBatchEvents bounds the events of one tick.
+	// maxBatchEvents bounds the events processed in one tick.
 	maxBatchEvents = 1024
 )
 
-// ErrStopped is the error of a request to a loop that has stopped.
+// ErrStopped is returned for a query to a stopped loop.
 var ErrStopped = errors.New("the instance has stopped")
 
-// loop runs the core: the only goroutine that touches it. An event wakes it at
-// once; without events it sleeps until the core's next timer.
+// loop runs the core on a single goroutine, the only one that accesses it. It wakes
+// on events and on the core's next timer.
 type loop struct {
 	core    *instance.Instance
 	events  chan structs.Event
 	queries chan func(*instance.Instance)
-	// execute carries out one command. It must not block.
+	// execute executes a command. It must not block.
 	execute func(structs.Command)
-	// afterTick runs after each tick, on the loop.
+	// afterTick is called on the loop after each tick.
 	afterTick func(*instance.Instance)
 	stopped   chan struct{}
 	closed    atomic.Bool
@@ -63,8 +63,8 @@
 	}
 }
 
-// post hands an event to the loop without blocking. False means that the queue
-// is full or the loop has stopped, and that the event was dropped.
+// post queues an event without blocking. It returns false if the event was dropped
+// because the queue is full or the loop has stopped.
 func (l *loop) post(ev structs.Event) bool {
 	if l.closed.Load() {
 		return false
@@ -78,8 +78,8 @@
 	}
 }
 
-// query runs f on the loop between two ticks. It returns ErrStopped or the
-// context's error if f did not run.
+// query runs f on the loop between two ticks and waits for it. It returns
+// ErrStopped or the context's error if f did not run.
 func (l *loop) query(ctx context.Context, f func(*instance.Instance)) error {
 	done := make(chan struct{})
 	wrapped := func(core *instance.Instance) {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// run ticks until the context ends.
+// run processes events and timers until the context ends.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	defer l.closed.Store(true)
@@ -113,7 +113,8 @@
 	}
 }
 
-// wait blocks for an event or a timer and returns what is queued by then.
+// wait blocks until an event arrives or the timer fires, and returns the queued
+// events. It runs queries meanwhile.
 func (l *loop) wait(ctx context.Context, timer *time.Timer) ([]structs.Event, bool) {
 	for {
 		select {
@@ -155,8 +156,8 @@
 	l.metrics.duration.RecordDuration(time.Since(started))
 }
 
-// untilNextWake gives the time to the core's next timer, at most the interval of
-// the gauges.
+// untilNextWake returns the time until the core's next timer, at most
+// gaugeInterval.
 func (l *loop) untilNextWake() time.Duration {
 	next := l.core.NextWake()
 	if next.IsZero() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs an instance as a process: it joins the pure core with the
-// adapters (callers, peers, log, membership, targets) and gives it a clock. It
-// holds no policy. The parts are put together by fx.
+// Package node runs an instance as a process: it connects the deterministic core
+// to its adapters (callers, peers, log, membership, targets) and to the clock. The
+// components are assembled with fx.
 package node
 
 import (
@@ -15,15 +15,16 @@
 	"github.com/banyanglade/banyanglade/internal/instance"
 )
 
-// startTimeout and stopTimeout bound the hooks of fx; the drain has its own
-// limit.
+// startTimeout and stopTimeout bound the fx lifecycle hooks. The drain is bounded
+// by Config.DrainTimeout.
 const (
 	startTimeout = 10 * time.Second
 	stopTimeout  = 10 * time.Second
 )
 
-// Run runs an instance until the context ends and the instance has drained. A
-// second signal must end the process by other means.
+// Run runs an instance until the context ends, then drains and stops it. It also
+// returns after a drain that an operator requested or a server failure. The drain
+// is not interrupted by a second signal; the caller handles that.
 func Run(ctx context.Context, cfg Config, log *slog.Logger) error {
 	if err := cfg.check(); err != nil {
 		return err
@@ -73,13 +74,13 @@
 	return n
 }
 
-// afterTick brings what others read of the core up to date.
+// afterTick updates the shared state and the gauges.
 func (n *node) afterTick(core *instance.Instance) {
 	n.shared.update(core)
 	n.gauges.report(time.Now(), core)
 }
 
-// waitDrained waits for the signal to end, then until nothing is in flight or
+// waitDrained waits until the context ends, then until the instance has drained or
 // the drain timeout has passed.
 func (n *node) waitDrained(ctx context.Context) {
 	select {
@@ -88,13 +89,13 @@
 	case <-n.drained:
 		return
 	case err := <-n.serverErrors:
-		n.log.Error("a server failed", "error", err)
+		n.log.Error("HTTP server failed", "error", err)
 		return
 	}
 	select {
 	case <-n.drained:
 		n.log.Info("drained")
 	case <-time.After(n.cfg.DrainTimeout):
-		n.log.Warn("drain timeout passed with calls in flight", "timeout", n.cfg.DrainTimeout.String())
+		n.log.Warn("drain timed out with calls in flight", "timeout", n.cfg.DrainTimeout.String())
 	}
 }
--- a/internal/node/notes.go
+++ b/internal/node/notes.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Names of the fields that all log lines share.
+// Keys of the log attributes.
 const (
 	fieldShard   = "shard"
 	fieldEpoch   = "epoch"
@@ -21,7 +21,7 @@
 	fieldOther   = "other"
 )
 
-// logNote writes a note of the core, without its empty fields.
+// logNote logs a note of the core and omits its empty fields.
 func logNote(log *slog.Logger, note structs.Note) {
 	attrs := []slog.Attr{
 		slog.Any(fieldShard, note.Shard.Shard),
@@ -45,7 +45,7 @@
 	log.LogAttrs(context.Background(), slog.LevelInfo, note.Message, attrs...)
 }
 
-// logRun writes each send to a target, for the level DEBUG.
+// logRun logs a send to a target at level DEBUG.
 func logRun(log *slog.Logger, cmd structs.StartRun) {
 	log.LogAttrs(context.Background(), slog.LevelDebug, "run sent",
 		slog.String(fieldProgram, string(cmd.Call.Program)),
--- a/internal/node/notes_test.go
+++ b/internal/node/notes_test.go
@@ -26,6 +26,6 @@
 		}
 	}
 	if _, ok := line[fieldTarget]; ok {
-		t.Error("an empty field was written")
+		t.Error("empty field was logged")
 	}
 }
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// sharedState holds copies of the core's peers and readiness for the adapters, which
-// read them from their own goroutines. The loop brings it up to date.
+// sharedState holds copies of the core's peers and readiness that the adapters read
+// from their own goroutines. The loop updates it.
 type sharedState struct {
 	mu         sync.RWMutex
 	generation uint64
@@ -23,7 +23,7 @@
 	}
 }
 
-// update copies the peers if the last tick changed them.
+// update copies the peers if they changed.
 func (m *sharedState) update(core *instance.Instance) {
 	peers, generation := core.Peers()
 	if generation == m.generation {
@@ -39,7 +39,7 @@
 	m.peers = byID
 }
 
-// peer finds an instance by id.
+// peer returns an instance by id.
 func (m *sharedState) peer(id structs.InstanceID) (structs.Peer, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/internal/node/tls.go
+++ b/internal/node/tls.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PeerTLS names the PEM files of mutual TLS between instances. All are given or
-// none.
+// PeerTLS holds the paths of the PEM files for mutual TLS between instances. Either
+// all or none are set.
 type PeerTLS struct {
 	CertFile string
 	KeyFile  string
@@ -19,44 +19,44 @@
 
 func (p PeerTLS) empty() bool { return p == PeerTLS{} }
 
-// load reads the files. The configuration serves both directions: each side
-// demands a certificate of the other that the authority signed. The name in it
-// is not compared with the address, since an instance may be replaced at
-// another address at any time; the handshake names the instance.
+// load reads the files and returns a configuration for clients and servers, or nil
+// if none are set. Both sides require a certificate signed by the CA. Its name is
+// not matched with the address, since an instance may be replaced at another
+// address; instances are identified in the peer handshake.
 func (p PeerTLS) load() (*tls.Config, error) {
 	if p.empty() {
 		return nil, nil
 	}
 	if p.CertFile == "" || p.KeyFile == "" || p.CAFile == "" {
-		return nil, errors.Wrap(ErrConfig, "mutual TLS between instances needs a certificate, a key and an authority")
+		return nil, errors.Wrap(ErrConfig, "mutual TLS between instances requires a certificate, a key and a certificate authority")
 	}
 	pair, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "certificate of the instance"), ErrConfig)
+		return nil, errors.Mark(errors.Wrap(err, "load the certificate of the instance"), ErrConfig)
 	}
 	pem, err := os.ReadFile(p.CAFile)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "certificate authority"), ErrConfig)
+		return nil, errors.Mark(errors.Wrap(err, "read the certificate authority"), ErrConfig)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, errors.Wrapf(ErrConfig, "certificate authority: %s holds no certificate", p.CAFile)
+		return nil, errors.Wrapf(ErrConfig, "certificate authority file %s contains no certificate", p.CAFile)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{pair},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    roots,
-		// The chain is verified below, without the name.
+		// VerifyConnection verifies the chain without the host name.
 		InsecureSkipVerify: true,
 		VerifyConnection:   func(state tls.ConnectionState) error { return verifyChain(state, roots) },
 	}, nil
 }
 
-// verifyChain demands a certificate that the authority signed.
+// verifyChain verifies that the peer's certificate is signed by one of the roots.
 func verifyChain(state tls.ConnectionState, roots *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the instance showed no certificate")
+		return errors.New("peer instance presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
@@ -66,10 +66,10 @@
 		Roots: roots, Intermediates: intermediates,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	})
-	return errors.Wrap(err, "certificate of the instance")
+	return errors.Wrap(err, "verify the certificate of the peer instance")
 }
 
-// wrap makes the listener for other instances speak TLS if it is configured.
+// wrapTLS wraps a listener in TLS if it is configured.
 func wrapTLS(listener net.Listener, cfg *tls.Config) net.Listener {
 	if cfg == nil {
 		return listener
--- a/internal/node/tls_test.go
+++ b/internal/node/tls_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// testCA signs certificates for tests.
+// testCA is a certificate authority for tests.
 type testCA struct {
 	t    *testing.T
 	dir  string
@@ -68,7 +68,7 @@
 	}
 }
 
-// instance makes the files of an instance's certificate.
+// instance writes the certificate files of an instance.
 func (a *testCA) instance() PeerTLS {
 	a.t.Helper()
 	key := newKey(a.t)
@@ -86,8 +86,8 @@
 	return PeerTLS{CertFile: file("cert.pem"), KeyFile: file("key.pem"), CAFile: file("ca.pem")}
 }
 
-// handshake makes a TLS connection from one configuration to another and returns
-// the errors of both sides.
+// handshake opens a TLS connection between two configurations and returns the
+// errors of both sides.
 func handshake(t *testing.T, from, to PeerTLS) (client, server error) {
 	t.Helper()
 	clientConfig, err := from.load()
@@ -122,7 +122,7 @@
 	conn := tls.Client(clientConn, clientConfig)
 	client = conn.HandshakeContext(ctx)
 	if client == nil {
-		// With TLS 1.3 a refused client hears of it at its first read.
+		// With TLS 1.3 a rejected client gets the error on its first read.
 		_, client = conn.Read(make([]byte, 1))
 	}
 	_ = clientConn.Close()
@@ -141,7 +141,7 @@
 	ours, theirs := newTestCA(t).instance(), newTestCA(t).instance()
 	client, server := handshake(t, theirs, ours)
 	if client == nil && server == nil {
-		t.Fatal("a certificate of another authority was accepted")
+		t.Fatal("certificate of another authority was accepted")
 	}
 }
 
@@ -149,6 +149,6 @@
 	files := newTestCA(t).instance()
 	files.CAFile = ""
 	if _, err := files.load(); err == nil {
-		t.Fatal("accepted without an authority")
+		t.Fatal("accepted without a certificate authority")
 	}
 }
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -24,22 +24,22 @@
 )
 
 const (
-	// metricsInterval is the time between two reports of the metrics scope.
+	// metricsInterval is the reporting interval of the metrics scope.
 	metricsInterval = time.Second
-	// readHeaderTimeout bounds the reading of a peer's request header.
+	// readHeaderTimeout bounds the time to read a request header of a peer.
 	readHeaderTimeout = 5 * time.Second
 	// maxCallerConns and maxPeerConns bound the open connections.
 	maxCallerConns = 8192
 	maxPeerConns   = 2048
-	// incarnationBytes is the length of the random part of an incarnation.
+	// incarnationBytes is the length of a random incarnation id.
 	incarnationBytes = 8
 )
 
-// listeners are the open sockets of an instance.
+// listeners holds the open listeners of an instance.
 type listeners struct {
 	callers net.Listener
 	peers   net.Listener
-	// tls is the configuration between instances, nil for none.
+	// tls is the TLS configuration between instances; nil if disabled.
 	tls *tls.Config
 }
 
@@ -64,7 +64,7 @@
 	}, nil
 }
 
-// metrics are the scope that all parts count in, and its report.
+// metrics holds the scope shared by all components and its reporter.
 type metrics struct {
 	report *httpapi.Metrics
 	scope  tally.Scope
@@ -82,7 +82,7 @@
 func newInstance(cfg Config, l *listeners) (*instance.Instance, structs.InstanceConfig, error) {
 	random := make([]byte, incarnationBytes)
 	if _, err := rand.Read(random); err != nil {
-		return nil, structs.InstanceConfig{}, errors.Wrap(err, "random incarnation")
+		return nil, structs.InstanceConfig{}, errors.Wrap(err, "generate the incarnation")
 	}
 	config := structs.DefaultInstanceConfig(cfg.self(l.peers.Addr()), hex.EncodeToString(random))
 	config.Shards = cfg.Shards
@@ -91,7 +91,7 @@
 	return instance.New(config), config, nil
 }
 
-// adapters carry out the core's commands.
+// adapters execute the core's commands.
 type adapters struct {
 	http    *httpapi.Server
 	peers   *peer.Transport
@@ -100,7 +100,7 @@
 	targets *target.Runner
 }
 
-// adapterParams are what the adapters are made of.
+// adapterParams holds the dependencies of newAdapters.
 type adapterParams struct {
 	fx.In
 
@@ -155,8 +155,7 @@
 	}
 }
 
-// register starts the loop and the servers with the app and stops them in
-// reverse order.
+// register adds lifecycle hooks that start and stop the loop and the servers.
 func register(lifecycle fx.Lifecycle, n *node, l *listeners) {
 	ctx, cancel := context.WithCancel(context.Background())
 	callers := n.adapters.http.HTTPServer()
@@ -179,7 +178,7 @@
 	})
 }
 
-// serve reports a server's failure; a closed server is none.
+// serve runs a server and reports its failure; closing it is not a failure.
 func (n *node) serve(server *http.Server, listener net.Listener) {
 	err := server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
