--- a/internal/logclient/log.go
+++ b/internal/logclient/log.go
@@ -15,21 +15,21 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Log carries out the log commands: LogAppend, LogTail, LogTailEnd and LogStop.
-// Its methods never block, but for Close.
+// Log executes the log commands: LogAppend, LogTail, LogTailEnd and LogStop. Its
+// methods do not block, except Close.
 type Log struct {
 	cfg    LogConfig
 	sink   *eventsink.Sink
 	logger *slog.Logger
-	// appends and reads have connections of their own, so that long polls
-	// never hold up an append.
+	// appends and reads use separate connections so that long polls do not
+	// delay appends.
 	appends *http.Client
 	reads   *http.Client
 	metrics logMetrics
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mu        sync.Mutex
 	closed    bool
@@ -61,8 +61,8 @@
 	}
 }
 
-// NewLog makes a Log that runs until Close or until the context ends. It
-// returns ErrConfig if the configuration cannot be used.
+// NewLog returns a Log that runs until Close is called or the context ends. It
+// returns ErrConfig if the configuration is invalid.
 func NewLog(
 	ctx context.Context, cfg LogConfig, post func(structs.Event) bool,
 	scope tally.Scope, logger *slog.Logger,
@@ -86,18 +86,18 @@
 }
 
 // Close stops all appends and reads and waits for the goroutines. An append in
-// flight may have taken effect.
+// flight may still take effect.
 func (l *Log) Close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
 	l.cancel()
-	l.work.Wait()
+	l.goroutines.Wait()
 	l.appends.CloseIdleConnections()
 	l.reads.CloseIdleConnections()
 }
 
-// streamURL is the URL of a stream, with further segments.
+// streamURL returns the URL of a stream with optional path segments.
 func (l *Log) streamURL(stream string, segments ...string) string {
 	parts := append([]string{strings.TrimSuffix(l.cfg.URL, "/") + wire.LogStreamsRoute, url.PathEscape(stream)}, segments...)
 	return strings.Join(parts, "/")
--- a/internal/logclient/log_test.go
+++ b/internal/logclient/log_test.go
@@ -18,45 +18,45 @@
 )
 
 func TestAppendsOfOneStreamStayInOrder(t *testing.T) {
-	var inFlight, most atomic.Int32
+	var inFlight, maxInFlight atomic.Int32
 	l := newPlatformLog(t, func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			most.Store(max(most.Load(), inFlight.Add(1)))
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			defer inFlight.Add(-1)
 			next.ServeHTTP(w, r)
 		})
 	})
 	const appends = 50
 	for i := range appends {
-		l.Append(appendOf(i, fmt.Sprint(i)))
+		l.Append(newAppend(i, fmt.Sprint(i)))
 	}
 	for i := range appends {
 		want := structs.LogAppended{ID: structs.AppendID(i), Stream: stream, First: uint64(i)}
 		if got := l.next(); got != want {
-			t.Fatalf("got %+v, wanted %+v", got, want)
+			t.Fatalf("got %+v, want %+v", got, want)
 		}
 	}
-	if most.Load() != 1 {
-		t.Fatalf("%d appends in flight at once", most.Load())
+	if maxInFlight.Load() != 1 {
+		t.Fatalf("%d appends in flight at once", maxInFlight.Load())
 	}
 }
 
 func TestLostRepliesAreUnknownAndNotRepeated(t *testing.T) {
 	l := newPlatformLog(t, nil)
-	l.Append(appendOf(1, "warm up the connection"))
+	l.Append(newAppend(1, "warm up the connection"))
 	l.next()
 	l.service.DropAppendReplies(stream, 1)
-	l.Append(appendOf(2, "took effect"))
+	l.Append(newAppend(2, "took effect"))
 	if got := l.next(); got != (structs.LogAppendFailed{ID: 2, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
 	l.service.DropAppends(stream, 1)
-	l.Append(appendOf(3, "took none"))
+	l.Append(newAppend(3, "took none"))
 	if got := l.next(); got != (structs.LogAppendFailed{ID: 3, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
 	if info, err := l.service.Info(stream); err != nil || info.End != 2 {
-		t.Fatalf("%+v %v, wanted two records", info, err)
+		t.Fatalf("stream %+v, error %v, want two records", info, err)
 	}
 }
 
@@ -72,7 +72,7 @@
 				w.WriteHeader(status)
 			})
 		})
-		l.Append(appendOf(1, "x"))
+		l.Append(newAppend(1, "x"))
 		if got := l.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream, Refused: refused}) {
 			t.Errorf("status %d: %+v", status, got)
 		}
@@ -87,7 +87,7 @@
 	defer func() { _ = listener.Close() }()
 	e := newEvents(t, 10)
 	l := startLog(t, LogConfig{URL: "http://" + listener.Addr().String(), AppendTimeout: 50 * time.Millisecond}, e)
-	l.Append(appendOf(1, "x"))
+	l.Append(newAppend(1, "x"))
 	if got := e.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream}) {
 		t.Fatalf("got %+v", got)
 	}
@@ -98,7 +98,7 @@
 	server.Close()
 	e := newEvents(t, 10)
 	l := startLog(t, LogConfig{URL: server.URL}, e)
-	l.Append(appendOf(1, "x"))
+	l.Append(newAppend(1, "x"))
 	if got := e.next(); got != (structs.LogAppendFailed{ID: 1, Stream: stream, Refused: true}) {
 		t.Fatalf("got %+v", got)
 	}
@@ -111,9 +111,9 @@
 			<-proceed
 			next.ServeHTTP(w, r)
 		})
-	}, func(c *LogConfig) { c.AppendQueueRecords, c.AppendTimeout = 2, patience })
+	}, func(c *LogConfig) { c.AppendQueueRecords, c.AppendTimeout = 2, testTimeout })
 	for i := range 4 {
-		l.Append(appendOf(i, "x"))
+		l.Append(newAppend(i, "x"))
 	}
 	close(proceed)
 	for i, want := range []structs.Event{
@@ -121,7 +121,7 @@
 		structs.LogAppendFailed{ID: 2, Stream: stream, Refused: true}, structs.LogAppendFailed{ID: 3, Stream: stream, Refused: true},
 	} {
 		if got := l.next(); got != want {
-			t.Fatalf("append %d: got %+v, wanted %+v", i, got, want)
+			t.Fatalf("append %d: got %+v, want %+v", i, got, want)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			}
 			next.ServeHTTP(w, r)
 		})
-	}, func(c *LogConfig) { c.ReadRecords = 3 })
+	}, func(c *LogConfig) { c.MaxReadRecords = 3 })
 	l.Tail(structs.LogTail{Stream: stream, From: 0})
 	const appends = 40
 	go func() {
@@ -143,7 +143,7 @@
 			_, _ = l.service.Append(stream, [][]byte{fmt.Append(nil, i)})
 		}
 	}()
-	for i, data := range l.records(0, appends) {
+	for i, data := range l.nextRecords(0, appends) {
 		if string(data) != fmt.Sprint(i) {
 			t.Fatalf("record %d holds %q", i, data)
 		}
@@ -161,7 +161,7 @@
 	}
 	l.service.SetDown(false)
 	for {
-		// An empty read proves that the log is reachable again.
+		// An empty read means that the log is available again.
 		if read, ok := l.next().(structs.LogRead); ok && len(read.Records) == 0 {
 			return
 		}
@@ -179,7 +179,7 @@
 	l.TailEnd(structs.LogTailEnd{Stream: stream})
 	l.next()
 	l.service.SetDown(false)
-	if got := l.records(4, 1); string(got[0]) != "4" {
+	if got := l.nextRecords(4, 1); string(got[0]) != "4" {
 		t.Fatalf("got %q", got)
 	}
 	l.TailEnd(structs.LogTailEnd{Stream: "shard.empty.1"})
@@ -199,13 +199,13 @@
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
 	}
 	l.Tail(structs.LogTail{Stream: stream, From: 0})
-	l.records(0, 5)
+	l.nextRecords(0, 5)
 	l.Tail(structs.LogTail{Stream: stream, From: 3})
-	l.records(3, 2)
+	l.nextRecords(3, 2)
 	l.Stop(structs.LogStop{Stream: stream})
 	l.Tail(structs.LogTail{Stream: stream, From: 5})
 	_, _ = l.service.Append(stream, [][]byte{[]byte("y")})
-	l.records(5, 1)
+	l.nextRecords(5, 1)
 }
 
 func TestTruncatedOffsetIsReported(t *testing.T) {
@@ -226,13 +226,13 @@
 		"gap":          `{"records":[{"offset":1}],"next":2,"end":2}`,
 		"out of order": `{"records":[{"offset":0},{"offset":0}],"next":1,"end":2}`,
 		"wrong next":   `{"records":[{"offset":0}],"next":5,"end":5}`,
-		"back":         `{"records":[],"next":0,"end":0`,
+		"truncated":    `{"records":[],"next":0,"end":0`,
 		"not JSON":     `<html>`,
 		"too large":    `{"records":[],"next":0,"end":0,"x":"` + strings.Repeat("x", 2000) + `"}`,
 	} {
 		l := newPlatformLog(t, func(http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(body)) })
-		}, func(c *LogConfig) { c.MaxReply = 1000 })
+		}, func(c *LogConfig) { c.MaxReplyBytes = 1000 })
 		l.Tail(structs.LogTail{Stream: stream})
 		if got := l.next(); got != (structs.LogReadFailed{Stream: stream}) {
 			t.Errorf("%s: got %+v", name, got)
@@ -240,26 +240,26 @@
 	}
 }
 
-func TestLargeRepliesAreReadInSmallerParts(t *testing.T) {
-	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReply = 4096 })
+func TestReadSizeIsReducedForLargeReplies(t *testing.T) {
+	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReplyBytes = 4096 })
 	const count = 64
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{make([]byte, 500)})
 	}
 	l.Tail(structs.LogTail{Stream: stream})
-	l.records(0, count)
+	l.nextRecords(0, count)
 }
 
-func TestFullLoopHoldsReadsBack(t *testing.T) {
-	l := newPlatformLog(t, nil, func(c *LogConfig) { c.ReadRecords = 1 })
-	small := newEvents(t, 1)
-	tailing := startLog(t, LogConfig{URL: l.server.URL, ReadRecords: 1}, small)
+func TestFullEventQueueBlocksReads(t *testing.T) {
+	l := newPlatformLog(t, nil, func(c *LogConfig) { c.MaxReadRecords = 1 })
+	full := newEvents(t, 1)
+	tailing := startLog(t, LogConfig{URL: l.server.URL, MaxReadRecords: 1}, full)
 	const count = 20
 	for range count {
 		_, _ = l.service.Append(stream, [][]byte{[]byte("x")})
 	}
 	tailing.Tail(structs.LogTail{Stream: stream})
-	small.records(0, count)
+	full.nextRecords(0, count)
 }
 
 func TestInvalidURLIsRefused(t *testing.T) {
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestStreamURLCannotLeaveItsRoute(t *testing.T) {
+func TestStreamNameIsEscapedInURL(t *testing.T) {
 	l := startLog(t, LogConfig{URL: "http://host/base/"}, newEvents(t, 1))
 	if got := l.streamURL("../x?y", wire.LogRecordsSegment); got != "http://host/base/v1/streams/..%2Fx%3Fy/records" {
 		t.Fatal(got)
--- a/internal/logclient/members.go
+++ b/internal/logclient/members.go
@@ -19,37 +19,36 @@
 )
 
 const (
-	// membersReplyLimit bounds a membership list, in bytes.
-	membersReplyLimit = 8 << 20
-	// jitterShare is the part of the poll interval that jitter may add or
-	// take away.
-	jitterShare = 10
+	// maxMembersReplyBytes bounds the size of a membership list.
+	maxMembersReplyBytes = 8 << 20
+	// jitterDivisor divides the poll interval to give the maximum jitter.
+	jitterDivisor = 10
 )
 
-// Members polls the membership list and posts MembersListed when it changes,
-// and every so often when it does not. It asks with the entity tag of the last
-// list, so that an unchanged list costs the same at any length.
+// Members polls the membership list and posts MembersListed when it changes, and
+// periodically when it does not. Polls are conditional on the entity tag of the
+// last list, so that an unchanged list is not transferred.
 type Members struct {
-	cfg    MembersConfig
-	sink   *eventsink.Sink
-	client *http.Client
-	logger *slog.Logger
-	polls  tally.Counter
-	failed tally.Counter
-	// unchanged counts the polls that were answered with status 304.
-	unchanged tally.Counter
+	cfg         MembersConfig
+	sink        *eventsink.Sink
+	client      *http.Client
+	logger      *slog.Logger
+	polls       tally.Counter
+	pollsFailed tally.Counter
+	// pollsUnchanged counts the polls with status 304 (Not Modified).
+	pollsUnchanged tally.Counter
 	// tag and last are the entity tag and content of the last list read.
 	tag  string
 	last wire.MemberList
-	// failing tells that the last poll failed.
+	// failing indicates that the last poll failed.
 	failing bool
 
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// NewMembers starts polling until Close or until the context ends. It returns
-// ErrConfig if the configuration cannot be used.
+// NewMembers starts polling until Close is called or the context ends. It returns
+// ErrConfig if the configuration is invalid.
 func NewMembers(
 	ctx context.Context, cfg MembersConfig, post func(structs.Event) bool,
 	scope tally.Scope, logger *slog.Logger,
@@ -59,24 +58,24 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	m := &Members{
-		cfg:    cfg.withDefaults(),
-		sink:   eventsink.New(post, scope),
-		client: newClient(),
-		logger: logger,
-		polls:  scope.Counter("polls"),
-		failed: scope.Counter("polls_failed"),
+		cfg:         cfg.withDefaults(),
+		sink:        eventsink.New(post, scope),
+		client:      newClient(),
+		logger:      logger,
+		polls:       scope.Counter("polls"),
+		pollsFailed: scope.Counter("polls_failed"),
 
-		unchanged: scope.Counter("polls_unchanged"),
-		cancel:    cancel,
+		pollsUnchanged: scope.Counter("polls_unchanged"),
+		cancel:         cancel,
 	}
-	m.work.Go(func() { m.run(ctx) })
+	m.goroutines.Go(func() { m.run(ctx) })
 	return m, nil
 }
 
 // Close stops polling and waits for the goroutine.
 func (m *Members) Close() {
 	m.cancel()
-	m.work.Wait()
+	m.goroutines.Wait()
 	m.client.CloseIdleConnections()
 }
 
@@ -93,11 +92,11 @@
 		}
 		sincePosted++
 		list, ok := m.poll(ctx)
-		due := ok && (sincePosted >= m.cfg.Repeat || changed(posted, list))
+		due := ok && (sincePosted >= m.cfg.RepostPolls || changed(posted, list))
 		if due && m.sink.Offer(structs.MembersListed{List: list}) {
 			posted, sincePosted = &list, 0
 		}
-		timer.Reset(m.wait())
+		timer.Reset(m.nextInterval())
 	}
 }
 
@@ -107,16 +106,16 @@
 	var list wire.MemberList
 	m.polls.Inc(1)
 	url := strings.TrimSuffix(m.cfg.URL, "/") + wire.MembersRoute
-	tag, err := getTagged(ctx, m.client, url, membersReplyLimit, m.tag, &list)
+	tag, err := getIfChanged(ctx, m.client, url, maxMembersReplyBytes, m.tag, &list)
 	if errors.Is(err, errNotModified) {
 		m.failing = false
-		m.unchanged.Inc(1)
+		m.pollsUnchanged.Inc(1)
 		return m.last, true
 	}
 	if err != nil {
-		m.failed.Inc(1)
+		m.pollsFailed.Inc(1)
 		if !m.failing {
-			m.logger.Warn("membership polls fail", "error", err)
+			m.logger.Warn("membership poll failed", "error", err)
 		}
 		m.failing = true
 		return wire.MemberList{}, false
@@ -130,7 +129,7 @@
 	return posted == nil || posted.Version != list.Version || !slices.Equal(posted.Members, list.Members)
 }
 
-func (m *Members) wait() time.Duration {
-	jitter := m.cfg.Interval / jitterShare
+func (m *Members) nextInterval() time.Duration {
+	jitter := m.cfg.Interval / jitterDivisor
 	return m.cfg.Interval - jitter + rand.N(2*jitter+1)
 }
--- a/internal/logclient/members_test.go
+++ b/internal/logclient/members_test.go
@@ -29,7 +29,7 @@
 	t.Cleanup(server.Close)
 	list.Store(&wire.MemberList{Version: 1, Members: []wire.Member{{ID: "a"}}})
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 1 << 20}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 1 << 20}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -44,13 +44,13 @@
 	}
 }
 
-func TestUnchangedMembersAreRepeated(t *testing.T) {
+func TestUnchangedMembersArePostedPeriodically(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(wire.MemberList{Version: 1})
 	}))
 	t.Cleanup(server.Close)
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 2}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 2}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -61,20 +61,20 @@
 	}
 }
 
-func TestUnchangedMembersAreNotSentAgain(t *testing.T) {
-	var whole atomic.Int32
+func TestUnchangedMembersAreNotFetched(t *testing.T) {
+	var fullReplies atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", `"7"`)
 		if r.Header.Get("If-None-Match") == `"7"` {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		whole.Add(1)
+		fullReplies.Add(1)
 		_ = json.NewEncoder(w).Encode(wire.MemberList{Version: 7, Members: []wire.Member{{ID: "a"}}})
 	}))
 	t.Cleanup(server.Close)
 	e := newEvents(t, 16)
-	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, Repeat: 2}
+	cfg := MembersConfig{URL: server.URL, Interval: time.Millisecond, RepostPolls: 2}
 	m, err := NewMembers(context.Background(), cfg, e.post, tally.NoopScope, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 			t.Fatalf("got %+v", got)
 		}
 	}
-	if n := whole.Load(); n != 1 {
-		t.Fatalf("the list was sent %d times", n)
+	if n := fullReplies.Load(); n != 1 {
+		t.Fatalf("list was sent %d times, want 1", n)
 	}
 }
--- a/internal/logclient/tail.go
+++ b/internal/logclient/tail.go
@@ -13,8 +13,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// infoReplyLimit bounds the reply that describes a stream, in bytes.
-const infoReplyLimit = 64 << 10
+// maxInfoReplyBytes bounds the reply that describes a stream.
+const maxInfoReplyBytes = 64 << 10
 
 // tail reads one stream.
 type tail struct {
@@ -22,22 +22,22 @@
 	stream string
 	ctx    context.Context
 	cancel context.CancelFunc
-	// done is closed when the tail posts no more.
+	// done is closed after the tail posted its last event.
 	done chan struct{}
 
 	next uint64
-	// records is the number of records to ask for; it shrinks when replies
-	// are too large.
-	records int
-	backoff *backoff.ExponentialBackOff
-	// failed tells that the last read failed, end is the last end posted, and
-	// posted the time of the last LogRead.
-	failed bool
-	end    uint64
-	posted time.Time
+	// maxRecords is the number of records to request. It is halved when a
+	// reply is too large.
+	maxRecords int
+	backoff    *backoff.ExponentialBackOff
+	// failing indicates that the last read failed. lastEnd is the End of the
+	// last LogRead posted, and lastPosted its time.
+	failing    bool
+	lastEnd    uint64
+	lastPosted time.Time
 }
 
-// Tail starts reading a stream from an offset, or moves the offset.
+// Tail starts reading a stream from an offset. It replaces a running tail.
 func (l *Log) Tail(command structs.LogTail) {
 	l.startTail(command.Stream, func(t *tail) { t.run(command.From) })
 }
@@ -62,7 +62,7 @@
 }
 
 // startTail replaces the tail of a stream. The new one starts after the old one
-// has posted its last event.
+// posted its last event.
 func (l *Log) startTail(stream string, run func(*tail)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +75,7 @@
 	if old != nil {
 		old.cancel()
 	}
-	l.work.Go(func() {
+	l.goroutines.Go(func() {
 		defer close(t.done)
 		defer t.cancel()
 		if old != nil {
@@ -89,8 +89,8 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	return &tail{
 		log: l, stream: stream, ctx: ctx, cancel: cancel,
-		done:    make(chan struct{}),
-		records: l.cfg.ReadRecords,
+		done:       make(chan struct{}),
+		maxRecords: l.cfg.MaxReadRecords,
 		backoff: backoff.NewExponentialBackOff(
 			backoff.WithInitialInterval(l.cfg.MinBackoff),
 			backoff.WithMaxInterval(l.cfg.MaxBackoff),
@@ -99,19 +99,19 @@
 	}
 }
 
-// findEnd gives the offset of the newest record, or the end of an empty stream.
+// findEnd returns the offset of the newest record, or the end of an empty stream.
 func (t *tail) findEnd() (from uint64, ok bool) {
 	for t.ctx.Err() == nil {
 		info, err := t.readInfo()
 		if err == nil {
-			return newest(info), true
+			return newestOffset(info), true
 		}
-		t.fail(structs.LogReadFailed{Stream: t.stream}, err)
+		t.reportFailure(structs.LogReadFailed{Stream: t.stream}, err)
 	}
 	return 0, false
 }
 
-func newest(info wire.StreamInfo) uint64 {
+func newestOffset(info wire.StreamInfo) uint64 {
 	if info.End > info.First {
 		return info.End - 1
 	}
@@ -119,10 +119,10 @@
 }
 
 func (t *tail) readInfo() (wire.StreamInfo, error) {
-	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.ReplySlack)
+	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.ReplyTimeout)
 	defer cancel()
 	var info wire.StreamInfo
-	err := getJSON(ctx, t.log.reads, t.log.streamURL(t.stream), infoReplyLimit, &info)
+	err := getJSON(ctx, t.log.reads, t.log.streamURL(t.stream), maxInfoReplyBytes, &info)
 	return info, err
 }
 
@@ -132,33 +132,35 @@
 	for t.ctx.Err() == nil {
 		reply, err := t.read()
 		if err != nil {
-			t.readFailed(err)
+			t.handleReadError(err)
 			continue
 		}
 		t.deliver(reply)
 	}
 }
 
-// readBody is the body of an answer to a read: a reply, or what is retained.
-type readBody struct {
+// readResponse is the body of the response to a read: the records, or with status
+// 410 the first retained offset.
+type readResponse struct {
 	wire.ReadReply
 	First uint64 `json:"first"`
 }
 
-// truncatedError tells that the log no longer retains the offset.
+// truncatedError indicates that the log no longer retains the offset.
 type truncatedError struct{ first uint64 }
 
 func (e *truncatedError) Error() string {
-	return "not retained, the first offset is " + strconv.FormatUint(e.first, 10)
+	return "offset is no longer retained, the first retained offset is " + strconv.FormatUint(e.first, 10)
 }
 
-// read reads once from the next offset, waiting at the end of the stream.
+// read sends one read from the next offset, with a long poll at the end of the
+// stream.
 func (t *tail) read() (wire.ReadReply, error) {
-	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplySlack)
+	ctx, cancel := context.WithTimeout(t.ctx, t.log.cfg.PollWait+t.log.cfg.ReplyTimeout)
 	defer cancel()
 	t.log.metrics.reads.Inc(1)
-	var body readBody
-	err := getJSON(ctx, t.log.reads, t.readURL(), t.log.cfg.MaxReply, &body)
+	var body readResponse
+	err := getJSON(ctx, t.log.reads, t.readURL(), t.log.cfg.MaxReplyBytes, &body)
 	var status *StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
 		return wire.ReadReply{}, &truncatedError{first: body.First}
@@ -171,43 +173,43 @@
 
 func (t *tail) readURL() string {
 	wait := t.log.cfg.PollWait
-	if t.posted.IsZero() || t.failed {
-		// The first answer tells where the stream ends and that the log
-		// answers again: the log must not hold it.
+	if t.lastPosted.IsZero() || t.failing {
+		// The first read, and the first after a failure, reports the end of
+		// the stream and the recovery without delay.
 		wait = 0
 	}
 	query := "?from=" + strconv.FormatUint(t.next, 10) +
-		"&max=" + strconv.Itoa(t.records) +
+		"&max=" + strconv.Itoa(t.maxRecords) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	return t.log.streamURL(t.stream, wire.LogRecordsSegment) + query
 }
 
-// checkRead returns ErrProtocol unless the records follow each other from the
-// offset asked for.
+// checkRead returns ErrProtocol unless the offsets are consecutive and start at
+// the requested one.
 func checkRead(from uint64, reply wire.ReadReply) error {
 	next := from
 	for _, record := range reply.Records {
 		if record.Offset != next {
-			return errors.Wrapf(ErrProtocol, "record %d where %d was due", record.Offset, next)
+			return errors.Wrapf(ErrProtocol, "got record offset %d, expected %d", record.Offset, next)
 		}
 		next++
 	}
 	if reply.Next != next {
-		return errors.Wrapf(ErrProtocol, "next offset %d after record %d", reply.Next, next)
+		return errors.Wrapf(ErrProtocol, "got next offset %d, expected %d", reply.Next, next)
 	}
 	return nil
 }
 
-// deliver posts what was read. A read without records is posted only if it
-// tells something new or the last event is some time ago.
+// deliver posts a read. An empty read is posted only if it reports a new end or a
+// recovery, or if EmptyReadInterval has passed since the last LogRead.
 func (t *tail) deliver(reply wire.ReadReply) {
 	t.backoff.Reset()
 	now := time.Now()
-	quiet := len(reply.Records) == 0 && !t.failed && reply.End == t.end &&
-		now.Sub(t.posted) < t.log.cfg.EmptyReadInterval
-	if quiet {
-		// The log answered at once instead of holding the read.
-		t.pause(t.log.cfg.MinBackoff)
+	redundant := len(reply.Records) == 0 && !t.failing && reply.End == t.lastEnd &&
+		now.Sub(t.lastPosted) < t.log.cfg.EmptyReadInterval
+	if redundant {
+		// Do not spin if the log did not hold the read.
+		t.sleep(t.log.cfg.MinBackoff)
 		return
 	}
 	event := structs.LogRead{
@@ -218,19 +220,19 @@
 		return
 	}
 	t.log.metrics.recordsRead.Inc(int64(len(reply.Records)))
-	if t.failed {
-		t.log.logger.Info("log reads work again", "stream", t.stream)
+	if t.failing {
+		t.log.logger.Info("log reads recovered", "stream", t.stream)
 	}
-	t.next, t.end, t.posted, t.failed = reply.Next, reply.End, now, false
+	t.next, t.lastEnd, t.lastPosted, t.failing = reply.Next, reply.End, now, false
 }
 
-// readFailed posts the failure and waits before the next read.
-func (t *tail) readFailed(err error) {
+// handleReadError posts the failure and waits before the next read.
+func (t *tail) handleReadError(err error) {
 	if t.ctx.Err() != nil {
 		return
 	}
-	if errors.Is(err, ErrReplyTooLarge) && t.records > 1 {
-		t.records /= 2
+	if errors.Is(err, ErrReplyTooLarge) && t.maxRecords > 1 {
+		t.maxRecords /= 2
 		return
 	}
 	event := structs.LogReadFailed{Stream: t.stream}
@@ -238,23 +240,23 @@
 	if errors.As(err, &truncated) {
 		event.Truncated, event.First = true, truncated.first
 	}
-	t.fail(event, err)
+	t.reportFailure(event, err)
 }
 
-func (t *tail) fail(event structs.LogReadFailed, err error) {
+func (t *tail) reportFailure(event structs.LogReadFailed, err error) {
 	if t.ctx.Err() != nil {
 		return
 	}
 	t.log.metrics.readsFailed.Inc(1)
-	if !t.failed {
-		t.log.logger.Warn("log reads fail", "stream", t.stream, "error", err)
+	if !t.failing {
+		t.log.logger.Warn("log read failed", "stream", t.stream, "error", err)
 	}
-	t.failed = true
+	t.failing = true
 	t.log.sink.Deliver(t.ctx, event)
-	t.pause(t.backoff.NextBackOff())
+	t.sleep(t.backoff.NextBackOff())
 }
 
-func (t *tail) pause(wait time.Duration) {
+func (t *tail) sleep(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// queueLength bounds the events that wait for the loop.
-	queueLength = 16384
-	// maxBatch bounds the events of one tick.
-	maxBatch = 1024
+	// maxQueuedEvents bounds the event queue of the loop.
+	maxQueuedEvents = 16384
+	// maxBatchEvents bounds the events processed in one tick.
+	maxBatchEvents = 1024
 )
 
-// ErrStopped is the error of a request to a loop that has stopped.
+// ErrStopped is returned for a query to a stopped loop.
 var ErrStopped = errors.New("the instance has stopped")
 
-// loop runs the core: the only goroutine that touches it. An event wakes it at
-// once; without events it sleeps until the core's next timer.
+// loop runs the core on a single goroutine, the only one that accesses it. It wakes
+// on events and on the core's next timer.
 type loop struct {
-	core   *instance.Instance
-	events chan structs.Event
-	asks   chan func(*instance.Instance)
-	// carry carries out one command. It must not block.
-	carry func(structs.Command)
-	// after runs after each tick, on the loop.
-	after   func(*instance.Instance)
-	stopped chan struct{}
-	closed  atomic.Bool
-	metrics loopMetrics
+	core    *instance.Instance
+	events  chan structs.Event
+	queries chan func(*instance.Instance)
+	// execute executes a command. It must not block.
+	execute func(structs.Command)
+	// afterTick is called on the loop after each tick.
+	afterTick func(*instance.Instance)
+	stopped   chan struct{}
+	closed    atomic.Bool
+	metrics   loopMetrics
 }
 
 type loopMetrics struct {
@@ -50,8 +50,8 @@
 	buckets := tally.MustMakeExponentialDurationBuckets(10*time.Microsecond, 2, 16)
 	return &loop{
 		core:    core,
-		events:  make(chan structs.Event, queueLength),
-		asks:    make(chan func(*instance.Instance)),
+		events:  make(chan structs.Event, maxQueuedEvents),
+		queries: make(chan func(*instance.Instance)),
 		stopped: make(chan struct{}),
 		metrics: loopMetrics{
 			ticks:    scope.Counter("core_ticks"),
@@ -63,8 +63,8 @@
 	}
 }
 
-// post hands an event to the loop without blocking. False means that the queue
-// is full or the loop has stopped, and that the event was dropped.
+// post queues an event without blocking. It returns false if the event was dropped
+// because the queue is full or the loop has stopped.
 func (l *loop) post(ev structs.Event) bool {
 	if l.closed.Load() {
 		return false
@@ -78,16 +78,16 @@
 	}
 }
 
-// ask runs f on the loop between two ticks. It returns ErrStopped or the
-// context's error if f did not run.
-func (l *loop) ask(ctx context.Context, f func(*instance.Instance)) error {
+// query runs f on the loop between two ticks and waits for it. It returns
+// ErrStopped or the context's error if f did not run.
+func (l *loop) query(ctx context.Context, f func(*instance.Instance)) error {
 	done := make(chan struct{})
 	wrapped := func(core *instance.Instance) {
 		f(core)
 		close(done)
 	}
 	select {
-	case l.asks <- wrapped:
+	case l.queries <- wrapped:
 	case <-l.stopped:
 		return ErrStopped
 	case <-ctx.Done():
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// run ticks until the context ends.
+// run processes events and timers until the context ends.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	defer l.closed.Store(true)
@@ -109,29 +109,30 @@
 			return
 		}
 		l.tick(batch)
-		timer.Reset(l.untilWake())
+		timer.Reset(l.untilNextWake())
 	}
 }
 
-// wait blocks for an event or a timer and returns what is queued by then.
+// wait blocks until an event arrives or the timer fires, and returns the queued
+// events. It runs queries meanwhile.
 func (l *loop) wait(ctx context.Context, timer *time.Timer) ([]structs.Event, bool) {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case f := <-l.asks:
+		case f := <-l.queries:
 			f(l.core)
 		case ev := <-l.events:
-			return l.drain(ev), true
+			return l.collect(ev), true
 		case <-timer.C:
 			return nil, true
 		}
 	}
 }
 
-func (l *loop) drain(first structs.Event) []structs.Event {
+func (l *loop) collect(first structs.Event) []structs.Event {
 	batch := []structs.Event{first}
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchEvents {
 		select {
 		case ev := <-l.events:
 			batch = append(batch, ev)
@@ -146,18 +147,18 @@
 	started := time.Now()
 	cmds := l.core.Tick(started, batch)
 	for _, cmd := range cmds {
-		l.carry(cmd)
+		l.execute(cmd)
 	}
-	l.after(l.core)
+	l.afterTick(l.core)
 	l.metrics.ticks.Inc(1)
 	l.metrics.events.Inc(int64(len(batch)))
 	l.metrics.commands.Inc(int64(len(cmds)))
 	l.metrics.duration.RecordDuration(time.Since(started))
 }
 
-// untilWake gives the time to the core's next timer, at most the interval of
-// the gauges.
-func (l *loop) untilWake() time.Duration {
+// untilNextWake returns the time until the core's next timer, at most
+// gaugeInterval.
+func (l *loop) untilNextWake() time.Duration {
 	next := l.core.NextWake()
 	if next.IsZero() {
 		return gaugeInterval
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// metricsInterval is the time between two reports of the metrics scope.
+	// metricsInterval is the reporting interval of the metrics scope.
 	metricsInterval = time.Second
-	// headerTimeout bounds the reading of a peer's request header.
-	headerTimeout = 5 * time.Second
+	// readHeaderTimeout bounds the time to read a request header of a peer.
+	readHeaderTimeout = 5 * time.Second
 	// maxCallerConns and maxPeerConns bound the open connections.
 	maxCallerConns = 8192
 	maxPeerConns   = 2048
-	// incarnationBytes is the length of the random part of an incarnation.
+	// incarnationBytes is the length of a random incarnation id.
 	incarnationBytes = 8
 )
 
-// listeners are the open sockets of an instance.
+// listeners holds the open listeners of an instance.
 type listeners struct {
 	callers net.Listener
 	peers   net.Listener
-	// tls is the configuration between instances, nil for none.
+	// tls is the TLS configuration between instances; nil if disabled.
 	tls *tls.Config
 }
 
 func newListeners(cfg Config) (*listeners, error) {
-	security, err := cfg.PeerTLS.load()
+	tlsConfig, err := cfg.PeerTLS.load()
 	if err != nil {
 		return nil, err
 	}
@@ -59,30 +59,30 @@
 	}
 	return &listeners{
 		callers: netutil.LimitListener(callers, maxCallerConns),
-		peers:   wrapTLS(netutil.LimitListener(peers, maxPeerConns), security),
-		tls:     security,
+		peers:   wrapTLS(netutil.LimitListener(peers, maxPeerConns), tlsConfig),
+		tls:     tlsConfig,
 	}, nil
 }
 
-// metrics are the scope that all parts count in, and its report.
+// metrics holds the scope shared by all components and its reporter.
 type metrics struct {
 	report *httpapi.Metrics
 	scope  tally.Scope
 }
 
-func newMetrics(life fx.Lifecycle) *metrics {
+func newMetrics(lifecycle fx.Lifecycle) *metrics {
 	report := httpapi.NewMetrics()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "banyanglade", Separator: "_", Reporter: report,
 	}, metricsInterval)
-	life.Append(fx.StopHook(closer.Close))
+	lifecycle.Append(fx.StopHook(closer.Close))
 	return &metrics{report: report, scope: scope}
 }
 
 func newInstance(cfg Config, l *listeners) (*instance.Instance, structs.InstanceConfig, error) {
 	random := make([]byte, incarnationBytes)
 	if _, err := rand.Read(random); err != nil {
-		return nil, structs.InstanceConfig{}, errors.Wrap(err, "random incarnation")
+		return nil, structs.InstanceConfig{}, errors.Wrap(err, "generate the incarnation")
 	}
 	config := structs.DefaultInstanceConfig(cfg.self(l.peers.Addr()), hex.EncodeToString(random))
 	config.Shards = cfg.Shards
@@ -91,7 +91,7 @@
 	return instance.New(config), config, nil
 }
 
-// adapters carry out the core's commands.
+// adapters execute the core's commands.
 type adapters struct {
 	http    *httpapi.Server
 	peers   *peer.Transport
@@ -100,7 +100,7 @@
 	targets *target.Runner
 }
 
-// adapterParams are what the adapters are made of.
+// adapterParams holds the dependencies of newAdapters.
 type adapterParams struct {
 	fx.In
 
@@ -109,7 +109,7 @@
 	Instance structs.InstanceConfig
 	Core     *instance.Instance
 	Loop     *loop
-	Mirror   *mirror
+	Shared   *sharedState
 	Metrics  *metrics
 	Log      *slog.Logger
 }
@@ -122,7 +122,7 @@
 	a.peers, err = peer.New(ctx, peer.Config{
 		Self: p.Instance.Self, Incarnation: p.Instance.Incarnation,
 		Key: p.Config.PeerKey, TLS: p.Listen.tls, PeerTimeout: p.Instance.PeerTimeout,
-	}, p.Loop.post, p.Mirror.peer, scope.SubScope("peer"), p.Log)
+	}, p.Loop.post, p.Shared.peer, scope.SubScope("peer"), p.Log)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	a.targets = target.New(ctx, target.Config{}, p.kind, p.Loop.post, scope.SubScope("target"), p.Log)
-	a.http = httpapi.New(p.httpConfig(), &facade{loop: p.Loop, mirror: p.Mirror, tree: p.Core.Tree()},
+	a.http = httpapi.New(p.httpConfig(), &facade{loop: p.Loop, shared: p.Shared, tree: p.Core.Tree()},
 		scope.SubScope("http"), p.Log)
 	return &a, nil
 }
@@ -155,13 +155,12 @@
 	}
 }
 
-// register starts the loop and the servers with the app and stops them in
-// reverse order.
-func register(life fx.Lifecycle, n *node, l *listeners) {
+// register adds lifecycle hooks that start and stop the loop and the servers.
+func register(lifecycle fx.Lifecycle, n *node, l *listeners) {
 	ctx, cancel := context.WithCancel(context.Background())
 	callers := n.adapters.http.HTTPServer()
-	peers := &http.Server{Handler: n.adapters.peers.Handler(), ReadHeaderTimeout: headerTimeout}
-	life.Append(fx.Hook{
+	peers := &http.Server{Handler: n.adapters.peers.Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go n.loop.run(ctx)
 			go n.serve(callers, l.callers)
@@ -179,14 +178,14 @@
 	})
 }
 
-// serve reports a server's failure; a closed server is none.
+// serve runs a server and reports its failure; closing it is not a failure.
 func (n *node) serve(server *http.Server, listener net.Listener) {
 	err := server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return
 	}
 	select {
-	case n.failed <- err:
+	case n.serverErrors <- err:
 	default:
 	}
 }
