--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -64,7 +64,7 @@
 	if len(engine.runs) != 0 || len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
 		t.Errorf("%d runs, settled tokens %v", len(engine.runs), w.budgets.settled)
 	}
-	if log := w.log.String(); !strings.Contains(log, "pool_full") || !strings.Contains(log, "fill of 1.70") {
+	if log := w.log.String(); !strings.Contains(log, "pool_full") || !strings.Contains(log, "utilization 1.70") {
 		t.Errorf("log %q", log)
 	}
 	w.budgets.target = "e"
