--- a/internal/proofs/agent.go
+++ b/internal/proofs/agent.go
@@ -109,7 +109,7 @@
 // is free for the next.
 func (a *agent) do(ctx context.Context, q request) Attempt {
 	attempt := a.rig.do(ctx, a.rng, q)
-	if attempt.Word == NotRun {
+	if attempt.Outcome == NotRun {
 		a.number--
 	}
 	return attempt
@@ -118,7 +118,7 @@
 // chat makes the next call a chat of the given length.
 func (a *agent) chat(ctx context.Context, tokens int, stream bool) Attempt {
 	attempt := a.do(ctx, a.chatRequest(tokens, stream))
-	if attempt.Word.whole() {
+	if attempt.Outcome.whole() {
 		a.messages = append(a.messages, wire.ChatMessage{Role: "assistant", Content: attempt.Text})
 	} else {
 		a.messages = a.messages[:len(a.messages)-1]
@@ -151,7 +151,7 @@
 func (a *agent) fileAgain(ctx context.Context, fee int, runTime time.Duration) Attempt {
 	q := filingRequest(a.freeCall(), fee, runTime)
 	first := a.rig.do(ctx, a.rng, q)
-	if !first.Word.whole() {
+	if !first.Outcome.whole() {
 		return first
 	}
 	return a.rig.retry(ctx, a.rng, q, patience)
@@ -168,7 +168,7 @@
 		group.Go(func() { attempts[i] = a.rig.retry(ctx, rng, q, patience) })
 	}
 	group.Wait()
-	if attempts[0].Word.whole() {
+	if attempts[0].Outcome.whole() {
 		return attempts[0]
 	}
 	return attempts[1]
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -57,7 +57,7 @@
 	for {
 		attempt := r.attempt(ctx, r.pick(rng, silent), q)
 		silent = ""
-		if !attempt.Word.final() {
+		if !attempt.Outcome.final() {
 			silent = attempt.Instance
 		}
 		wait, again := nextTry(attempt, &unknowns)
@@ -69,7 +69,7 @@
 
 // nextTry tells whether to try again after an attempt, and when.
 func nextTry(a Attempt, unknowns *int) (time.Duration, bool) {
-	switch a.Word {
+	switch a.Outcome {
 	case Answered, Replayed:
 		return 0, false
 	case NotRun:
@@ -101,9 +101,9 @@
 		Attempt: r.History.nextDelivery(q.call),
 	})
 	a.End = time.Now()
-	a.Word = wordOf(limited, answer, err)
-	if a.Word == Silent && q.leave > 0 {
-		a.Word = Left
+	a.Outcome = wordOf(limited, answer, err)
+	if a.Outcome == NoResponse && q.leave > 0 {
+		a.Outcome = Canceled
 	}
 	if answer != nil {
 		if answer.Problem == nil && answer.Status >= http.StatusBadRequest {
@@ -119,12 +119,12 @@
 	return a
 }
 
-func wordOf(ctx context.Context, answer *testkit.Answer, err error) Word {
+func wordOf(ctx context.Context, answer *testkit.Answer, err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Unreached
+		return Unreachable
 	case err != nil && ctx.Err() != nil, err == nil && answer.Cut && ctx.Err() != nil:
-		return Silent
+		return NoResponse
 	case err != nil || answer.Cut:
 		return Broken
 	case answer.Problem != nil && answer.Problem.Outcome == string(NotRun):
--- a/internal/proofs/check.go
+++ b/internal/proofs/check.go
@@ -10,19 +10,19 @@
 
 // Properties.
 const (
-	PropertyOrder    Property = "order in a lane"
-	PropertyAnswers  Property = "whole answer to its own request"
-	PropertyBudget   Property = "spending within the budget"
-	PropertyHistory  Property = "no program's history lost"
-	PropertyCache    Property = "no cache held for programs that are gone"
-	PropertyNotRun   Property = "not run means not run"
-	PropertyOnce     Property = "not repeatable runs at most once"
-	PropertyIntent   Property = "a not-repeatable run has its intent in the log first"
-	PropertyLost     Property = "no lost answer"
-	PropertyLeaving  Property = "no new work to a leaving target"
-	PropertySettings Property = "accepted settings in force and never reverted"
-	PropertyOrders   Property = "no order of an older controller after a newer one's"
-	PropertyScenario Property = "scenario"
+	PropertyOrder      Property = "order in a lane"
+	PropertyAnswers    Property = "whole answer to its own request"
+	PropertyBudget     Property = "spending within the budget"
+	PropertyHistory    Property = "no program's history lost"
+	PropertyCache      Property = "no cache held for programs that are gone"
+	PropertyNotRun     Property = "not run means not run"
+	PropertyAtMostOnce Property = "not repeatable runs at most once"
+	PropertyIntent     Property = "a not-repeatable run has its intent in the log first"
+	PropertyLostAnswer Property = "no lost answer"
+	PropertyLeaving    Property = "no new work to a leaving target"
+	PropertySettings   Property = "accepted settings in force and never reverted"
+	PropertyOrders     Property = "no order of an older controller after a newer one's"
+	PropertyScenario   Property = "scenario"
 )
 
 // Violation is one breach of a property.
@@ -71,8 +71,8 @@
 
 func count(e Evidence, found []Violation) Counts {
 	counts := Counts{
-		Calls: len(e.Calls), Duplicates: countOf(found, PropertyOnce),
-		Lost: countOf(found, PropertyLost), WrongRefusals: countOf(found, PropertyNotRun),
+		Calls: len(e.Calls), Duplicates: countOf(found, PropertyAtMostOnce),
+		Lost: countOf(found, PropertyLostAnswer), WrongRefusals: countOf(found, PropertyNotRun),
 	}
 	for _, call := range e.Calls {
 		switch call.lastWord() {
@@ -109,17 +109,17 @@
 
 // lastWord is the best word that the caller has in the end: an answer if any
 // attempt got one, else that of the last attempt.
-func (c Call) lastWord() Word {
+func (c Call) lastWord() Outcome {
 	for _, a := range c.Attempts {
-		if a.Word.whole() {
-			return a.Word
+		if a.Outcome.whole() {
+			return a.Outcome
 		}
 	}
 	last, ok := c.last()
 	if !ok {
-		return Silent
+		return NoResponse
 	}
-	return last.Word
+	return last.Outcome
 }
 
 func (c Call) name() string {
--- a/internal/proofs/check_order.go
+++ b/internal/proofs/check_order.go
@@ -64,7 +64,7 @@
 // not known: it went on in that knowledge, while the call may still run.
 func (c Call) givenUp(by int64) bool {
 	return slices.ContainsFunc(c.Attempts, func(a Attempt) bool {
-		return a.Word == Unknown && a.End.UnixMilli() <= by+clockSlackMS
+		return a.Outcome == Unknown && a.End.UnixMilli() <= by+clockSlackMS
 	})
 }
 
@@ -73,7 +73,7 @@
 	var found []Violation
 	for i, call := range e.Calls {
 		for _, a := range call.Attempts {
-			if !a.Word.whole() {
+			if !a.Outcome.whole() {
 				continue
 			}
 			if detail := wrongAnswer(call, a, runs.byCall[i]); detail != "" {
@@ -90,8 +90,8 @@
 		return "answered, but no target ran it"
 	}
 	if call.Kind == Chat {
-		if a.Text != call.Want {
-			return "answer " + clip(a.Text) + ", want " + clip(call.Want)
+		if a.Text != call.WantText {
+			return "answer " + clip(a.Text) + ", want " + clip(call.WantText)
 		}
 		return ""
 	}
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -93,7 +93,7 @@
 	var found []Violation
 	for i, call := range e.Calls {
 		if call.NotRepeatable && len(runs.byCall[i]) > 1 {
-			found = append(found, violation(PropertyOnce, "%s ran %d times: %s", call.name(),
+			found = append(found, violation(PropertyAtMostOnce, "%s ran %d times: %s", call.name(),
 				len(runs.byCall[i]), describeRuns(runs.byCall[i])))
 		}
 	}
@@ -119,7 +119,7 @@
 				continue
 			}
 			last, _ := call.last()
-			if last.Word == NotRun && run.TimeMS > last.End.UnixMilli()+clockSlackMS {
+			if last.Outcome == NotRun && run.TimeMS > last.End.UnixMilli()+clockSlackMS {
 				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, after its last word %s",
 					call.name(), run.Target, run.TimeMS, describeAttempts(call)))
 			}
@@ -133,10 +133,10 @@
 // one.
 func (c Call) explains(run wire.LedgerEntry) bool {
 	for _, a := range c.Attempts {
-		if a.Word == NotRun || a.Word == Unreached || run.TimeMS < a.Start.UnixMilli()-clockSlackMS {
+		if a.Outcome == NotRun || a.Outcome == Unreachable || run.TimeMS < a.Start.UnixMilli()-clockSlackMS {
 			continue
 		}
-		if !a.Word.whole() || run.TimeMS <= a.End.UnixMilli()+clockSlackMS {
+		if !a.Outcome.whole() || run.TimeMS <= a.End.UnixMilli()+clockSlackMS {
 			return true
 		}
 	}
@@ -147,7 +147,7 @@
 // hears that may ask for the same under another key.
 func (c Call) deniedAfter(run wire.LedgerEntry) (Attempt, bool) {
 	for _, a := range c.Attempts {
-		if a.Word == NotRun && a.End.UnixMilli() > run.TimeMS+clockSlackMS {
+		if a.Outcome == NotRun && a.End.UnixMilli() > run.TimeMS+clockSlackMS {
 			return a, true
 		}
 	}
@@ -160,13 +160,13 @@
 	var found []Violation
 	for _, call := range e.Calls {
 		if word := call.lastWord(); !word.final() {
-			found = append(found, violation(PropertyLost, "%s ended without a word: %s", call.name(), describeAttempts(call)))
+			found = append(found, violation(PropertyLostAnswer, "%s ended without a word: %s", call.name(), describeAttempts(call)))
 			continue
 		}
 		for _, a := range call.Attempts {
-			if (a.Word == Broken || a.Word == Silent) && !e.disturbed(a) {
-				found = append(found, violation(PropertyLost, "%s: attempt at %s, to which nothing was done, was %s after %s",
-					call.name(), a.Instance, a.Word, a.End.Sub(a.Start)))
+			if (a.Outcome == Broken || a.Outcome == NoResponse) && !e.disturbed(a) {
+				found = append(found, violation(PropertyLostAnswer, "%s: attempt at %s, to which nothing was done, was %s after %s",
+					call.name(), a.Instance, a.Outcome, a.End.Sub(a.Start)))
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 func (e Evidence) disturbed(a Attempt) bool {
-	return slices.ContainsFunc(e.Disturbed, func(d Disturbance) bool { return d.covers(a) })
+	return slices.ContainsFunc(e.FaultWindows, func(d FaultWindow) bool { return d.covers(a) })
 }
 
 // Reasons that deny a program which was opened.
@@ -205,7 +205,7 @@
 func checkLeaving(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, d := range e.Leaving {
-		limit := d.At.Add(d.Within).UnixMilli()
+		limit := d.At.Add(d.Grace).UnixMilli()
 		for _, run := range slices.Concat(e.Engines[d.Target], e.Services[d.Target]) {
 			if run.TimeMS > limit {
 				found = append(found, violation(PropertyLeaving, "target %s got program %s %d ms after it was leaving",
@@ -256,7 +256,7 @@
 	var found []Violation
 	for _, p := range e.Programs {
 		for target, state := range e.Caches {
-			if p.Gone && state.Programs[p.ID] > 0 {
+			if p.Closed && state.Programs[p.ID] > 0 {
 				found = append(found, violation(PropertyCache, "engine %s holds %d tokens for program %s, which is gone",
 					target, state.Programs[p.ID], p.ID))
 			}
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -33,7 +33,7 @@
 	filingRequest(&filing, 2, 20*time.Millisecond)
 
 	e := Evidence{
-		Programs: []Program{{ID: testProgram, Gone: true, Tokens: 100, Fees: 2}},
+		Programs: []Program{{ID: testProgram, Closed: true, Tokens: 100, Fees: 2}},
 		Engines: map[string][]wire.LedgerEntry{"engine": {
 			{TimeMS: ms(10), Target: "engine", Program: testProgram, BodyHash: chat.BodyHash, Finished: true, Tokens: 10},
 		}},
@@ -54,9 +54,9 @@
 		InForce:  map[string]map[string]Setting{"one": {"p": {Value: "2", Version: 7}}},
 		Readings: []Reading{{Instance: "one", Path: "p", Version: 4, At: at(1)}, {Instance: "one", Path: "p", Version: 7, At: at(2)}},
 	}
-	chat.Attempts = []Attempt{{Instance: "one", Start: at(5), End: at(50), Word: Answered, Text: chat.Want}}
-	tool.Attempts = []Attempt{{Instance: "one", Start: at(105), End: at(150), Word: Answered, Body: plainAnswer("tool", tool)}}
-	filing.Attempts = []Attempt{{Instance: "one", Start: at(200), End: at(250), Word: Answered, Body: plainAnswer("filing", filing)}}
+	chat.Attempts = []Attempt{{Instance: "one", Start: at(5), End: at(50), Outcome: Answered, Text: chat.WantText}}
+	tool.Attempts = []Attempt{{Instance: "one", Start: at(105), End: at(150), Outcome: Answered, Body: plainAnswer("tool", tool)}}
+	filing.Attempts = []Attempt{{Instance: "one", Start: at(200), End: at(250), Outcome: Answered, Body: plainAnswer("filing", filing)}}
 	e.Calls = []Call{chat, tool, filing}
 	return e
 }
@@ -98,7 +98,7 @@
 
 // refused makes attempts of the call that heard "not run".
 func refused(c *Call, start, end int) {
-	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Word: NotRun}}
+	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Outcome: NotRun}}
 }
 
 // badHistories seeds one breach each into the good history.
@@ -111,37 +111,37 @@
 		second := plainEntry("filing", e.Calls[2], 215)
 		second.Sequence = 1
 		e.Services["filing"] = append(e.Services["filing"], second)
-	}, PropertyOnce},
+	}, PropertyAtMostOnce},
 	{"a filing runs once at each of two targets", func(e *Evidence) {
 		e.Services["other"] = []wire.LedgerEntry{plainEntry("other", e.Calls[2], 240)}
-	}, PropertyOnce},
+	}, PropertyAtMostOnce},
 	{"a call that heard not run ran", func(e *Evidence) { refused(&e.Calls[1], 105, 150) }, PropertyNotRun},
 	{"a call that heard not run ran later", func(e *Evidence) { refused(&e.Calls[2], 200, 205) }, PropertyNotRun},
 	{"a broken attempt ran after the last one heard not run", func(e *Evidence) {
 		e.Calls[2].Attempts = []Attempt{
-			{Instance: "dead", Start: at(190), End: at(195), Word: Broken},
-			{Instance: "one", Start: at(196), End: at(200), Word: NotRun},
+			{Instance: "dead", Start: at(190), End: at(195), Outcome: Broken},
+			{Instance: "one", Start: at(196), End: at(200), Outcome: NotRun},
 		}
-		e.Disturbed = []Disturbance{{Instance: "dead", From: at(194)}}
+		e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(194)}}
 	}, PropertyNotRun},
 	{"a retry heard not run after an earlier attempt had run", func(e *Evidence) {
 		e.Calls[2].Attempts = []Attempt{
-			{Instance: "dead", Start: at(200), End: at(212), Word: Broken},
-			{Instance: "one", Start: at(213), End: at(220), Word: NotRun},
+			{Instance: "dead", Start: at(200), End: at(212), Outcome: Broken},
+			{Instance: "one", Start: at(213), End: at(220), Outcome: NotRun},
 		}
-		e.Disturbed = []Disturbance{{Instance: "dead", From: at(211)}}
+		e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(211)}}
 	}, PropertyNotRun},
 	{"a program that was opened is called unknown", func(e *Evidence) {
-		unknown := Attempt{Instance: "one", Start: at(190), End: at(195), Word: NotRun, Reason: "unknown-program"}
+		unknown := Attempt{Instance: "one", Start: at(190), End: at(195), Outcome: NotRun, Reason: "unknown-program"}
 		e.Calls[2].Attempts = append([]Attempt{unknown}, e.Calls[2].Attempts...)
 	}, PropertyHistory},
 	{"a team pays more fees than its budget", func(e *Evidence) { e.TeamFees = 1 }, PropertyBudget},
-	{"a call ends without a word", func(e *Evidence) { e.Calls[1].Attempts[0].Word = Silent }, PropertyLost},
+	{"a call ends without a word", func(e *Evidence) { e.Calls[1].Attempts[0].Outcome = NoResponse }, PropertyLostAnswer},
 	{"an attempt breaks at an instance that no fault touched", func(e *Evidence) {
-		broken := Attempt{Instance: "two", Start: at(101), End: at(103), Word: Broken}
+		broken := Attempt{Instance: "two", Start: at(101), End: at(103), Outcome: Broken}
 		e.Calls[1].Attempts = append([]Attempt{broken}, e.Calls[1].Attempts...)
-	}, PropertyLost},
-	{"a call was never answered at all", func(e *Evidence) { e.Calls[0].Attempts = nil }, PropertyLost},
+	}, PropertyLostAnswer},
+	{"a call was never answered at all", func(e *Evidence) { e.Calls[0].Attempts = nil }, PropertyLostAnswer},
 	{"a call runs after the next of its lane", func(e *Evidence) {
 		again := plainEntry("tool", e.Calls[1], 230)
 		e.Services["tool"] = append(e.Services["tool"], again)
@@ -149,12 +149,12 @@
 	}, PropertyOrder},
 	{"a call begins before the one before it ended", func(e *Evidence) { e.Services["filing"][0].TimeMS = ms(115) }, PropertyOrder},
 	{"the end of an answer is missing", func(e *Evidence) {
-		text := e.Calls[0].Want
+		text := e.Calls[0].WantText
 		e.Calls[0].Attempts[0].Text = text[:len(text)-4]
 	}, PropertyAnswers},
 	{"an answer is spliced with that of another prompt", func(e *Evidence) {
 		other := engine.Answer{Program: testProgram, PromptHash: 1}
-		text := e.Calls[0].Want
+		text := e.Calls[0].WantText
 		e.Calls[0].Attempts[0].Text = text[:len(text)/2] + other.Text(5, 10)
 	}, PropertyAnswers},
 	{"an answer is that of another program", func(e *Evidence) {
@@ -192,7 +192,7 @@
 		}
 	}, PropertyIntent},
 	{"a leaving target gets work", func(e *Evidence) {
-		e.Leaving = []Departure{{Target: "tool", At: at(50), Within: 10 * time.Millisecond}}
+		e.Leaving = []LeavingTarget{{Target: "tool", At: at(50), Grace: 10 * time.Millisecond}}
 	}, PropertyLeaving},
 	{"an engine applies an order of an older controller", func(e *Evidence) {
 		e.Orders = map[string][]wire.Order{"engine": {{Value: "2", Fencing: 5}, {Value: "1", Fencing: 3}}}
@@ -234,24 +234,24 @@
 			e.Services["tool"] = append(e.Services["tool"], plainEntry("tool", e.Calls[1], 130))
 		}},
 		{"a refusal before the attempt that ran", func(e *Evidence) {
-			e.Calls[2].Attempts = append([]Attempt{{Instance: "one", Start: at(190), End: at(195), Word: NotRun}}, e.Calls[2].Attempts...)
+			e.Calls[2].Attempts = append([]Attempt{{Instance: "one", Start: at(190), End: at(195), Outcome: NotRun}}, e.Calls[2].Attempts...)
 		}},
 		{"a broken attempt at a killed instance", func(e *Evidence) {
-			e.Disturbed = []Disturbance{{Instance: "dead", From: at(104)}}
-			e.Calls[1].Attempts = append([]Attempt{{Instance: "dead", Start: at(101), End: at(105), Word: Broken}}, e.Calls[1].Attempts...)
+			e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(104)}}
+			e.Calls[1].Attempts = append([]Attempt{{Instance: "dead", Start: at(101), End: at(105), Outcome: Broken}}, e.Calls[1].Attempts...)
 		}},
 		{"cache of a program that is not gone", func(e *Evidence) {
-			e.Programs[0].Gone = false
+			e.Programs[0].Closed = false
 			e.Caches["engine"] = wire.CacheState{Programs: map[string]int64{testProgram: 5}}
 		}},
 		{"a call that begins while one still runs that its caller gave up", func(e *Evidence) {
 			e.Services["filing"][0].TimeMS = ms(115)
 			e.Log[shardStream(testProgram)][1].TimeMS = ms(114)
-			e.Calls[1].Attempts[0] = Attempt{Instance: "one", Start: at(105), End: at(112), Word: Unknown}
+			e.Calls[1].Attempts[0] = Attempt{Instance: "one", Start: at(105), End: at(112), Outcome: Unknown}
 			e.Calls[2].Attempts[0].Start = at(113)
 		}},
 		{"an outcome that is not known, with a run", func(e *Evidence) {
-			e.Calls[2].Attempts = []Attempt{{Instance: "one", Start: at(200), End: at(205), Word: Unknown}}
+			e.Calls[2].Attempts = []Attempt{{Instance: "one", Start: at(200), End: at(205), Outcome: Unknown}}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -15,7 +15,7 @@
 func describeAttempts(c Call) string {
 	parts := make([]string, 0, len(c.Attempts))
 	for _, a := range c.Attempts {
-		word := string(a.Word)
+		word := string(a.Outcome)
 		if a.Reason != "" {
 			word += "(" + a.Reason + ")"
 		}
@@ -58,7 +58,7 @@
 	for i, c := range e.Calls {
 		fmt.Fprintf(&out, "%s\n  attempts %s\n  runs %s\n", c.name(), describeAttempts(c), describeRuns(runs.byCall[i]))
 	}
-	for _, d := range e.Disturbed {
+	for _, d := range e.FaultWindows {
 		fmt.Fprintf(&out, "disturbed %s from %d to %d\n", d.Instance, d.From.UnixMilli(), d.To.UnixMilli())
 	}
 	for _, c := range e.Changes {
--- a/internal/proofs/evidence.go
+++ b/internal/proofs/evidence.go
@@ -24,19 +24,19 @@
 	// Dropped are the streams whose first records the log keeps no more, so
 	// that what is missing in them proves nothing.
 	Dropped map[string]bool
-	// Disturbed are the times in which a broken connection or silence of an
+	// FaultWindows are the times in which a broken connection or silence of an
 	// instance is the fault's doing.
-	Disturbed []Disturbance
-	Leaving   []Departure
-	Changes   []Change
-	Readings  []Reading
+	FaultWindows []FaultWindow
+	Leaving      []LeavingTarget
+	Changes      []Change
+	Readings     []Reading
 	// InForce are the settings at each instance at the end, by instance and
 	// path; only paths that a scenario changed.
 	InForce map[string]map[string]Setting
 }
 
-// Disturbance is a time in which an instance was killed or paused.
-type Disturbance struct {
+// FaultWindow is a time in which an instance was killed or paused.
+type FaultWindow struct {
 	Instance string
 	From     time.Time
 	// To is zero if it never came back.
@@ -44,16 +44,16 @@
 }
 
 // covers tells whether the disturbance overlaps an attempt.
-func (d Disturbance) covers(a Attempt) bool {
+func (d FaultWindow) covers(a Attempt) bool {
 	return d.Instance == a.Instance && !a.End.Before(d.From) && (d.To.IsZero() || !a.Start.After(d.To))
 }
 
-// Departure is a target that was marked as leaving.
-type Departure struct {
+// LeavingTarget is a target that was marked as leaving.
+type LeavingTarget struct {
 	Target string
 	At     time.Time
-	// Within is the time after which it may get nothing.
-	Within time.Duration
+	// Grace is the time after which it may get nothing.
+	Grace time.Duration
 }
 
 // Change is an operator's proposal and what the operator heard.
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -15,11 +15,11 @@
 const resumeSlack = 2 * time.Second
 
 // disturb notes that an instance is about to be killed or paused.
-func (r *Rig) disturb(p *testkit.Process) *Disturbance {
+func (r *Rig) disturb(p *testkit.Process) *FaultWindow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults++
-	d := &Disturbance{Instance: p.ID, From: time.Now()}
+	d := &FaultWindow{Instance: p.ID, From: time.Now()}
 	r.disturbed = append(r.disturbed, d)
 	return d
 }
@@ -116,24 +116,24 @@
 	return nil
 }
 
-// SetLog changes the faults of the log service.
-func (r *Rig) SetLog(faults wire.LogFaults) {
+// SetLogFaults changes the faults of the log service.
+func (r *Rig) SetLogFaults(faults wire.LogFaults) {
 	if faults != (wire.LogFaults{}) {
 		r.fault()
 	}
 	r.Log.SetFaults(faults)
 }
 
-// SetMembers changes the faults of the membership list.
-func (r *Rig) SetMembers(faults wire.MemberFaults) {
+// SetMemberFaults changes the faults of the membership list.
+func (r *Rig) SetMemberFaults(faults wire.MemberFaults) {
 	if faults != (wire.MemberFaults{}) {
 		r.fault()
 	}
 	r.Members.SetFaults(faults)
 }
 
-// SetTarget changes the faults of one target.
-func (r *Rig) SetTarget(id string, faults wire.ServiceFaults) {
+// SetTargetFaults changes the faults of one target.
+func (r *Rig) SetTargetFaults(id string, faults wire.ServiceFaults) {
 	if faults != (wire.ServiceFaults{}) {
 		r.fault()
 	}
@@ -145,11 +145,11 @@
 	}
 }
 
-// Leave marks a target as leaving.
-func (r *Rig) Leave(id string, within time.Duration) {
+// MarkLeaving marks a target as leaving.
+func (r *Rig) MarkLeaving(id string, within time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults++
-	r.leaving = append(r.leaving, Departure{Target: id, At: time.Now(), Within: within})
+	r.leaving = append(r.leaving, LeavingTarget{Target: id, At: time.Now(), Grace: within})
 	r.Members.SetLeaving(id)
 }
--- a/internal/proofs/history.go
+++ b/internal/proofs/history.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Word is what a caller heard of one attempt.
-type Word string
+// Outcome is what a caller heard of one attempt.
+type Outcome string
 
 // Words of an attempt.
 const (
 	// Answered and Replayed: a whole answer.
-	Answered Word = "answered"
-	Replayed Word = "replayed"
+	Answered Outcome = "answered"
+	Replayed Outcome = "replayed"
 	// NotRun and Unknown: a final refusal with that outcome.
-	NotRun  Word = "not-run"
-	Unknown Word = "unknown"
+	NotRun  Outcome = "not-run"
+	Unknown Outcome = "unknown"
 	// Broken: the connection ended before the answer did.
-	Broken Word = "broken"
-	// Unreached: no connection came about, so nothing was sent.
-	Unreached Word = "unreached"
-	// Left: the caller closed the connection before it had an answer.
-	Left Word = "left"
-	// Silent: no answer came until the attempt's deadline and a grace.
-	Silent Word = "silent"
+	Broken Outcome = "broken"
+	// Unreachable: no connection came about, so nothing was sent.
+	Unreachable Outcome = "unreached"
+	// Canceled: the caller closed the connection before it had an answer.
+	Canceled Outcome = "left"
+	// NoResponse: no answer came until the attempt's deadline and a grace.
+	NoResponse Outcome = "silent"
 )
 
 // whole tells whether the attempt got an answer.
-func (w Word) whole() bool { return w == Answered || w == Replayed }
+func (w Outcome) whole() bool { return w == Answered || w == Replayed }
 
 // final tells whether the attempt got any final word.
-func (w Word) final() bool { return w.whole() || w == NotRun || w == Unknown }
+func (w Outcome) final() bool { return w.whole() || w == NotRun || w == Unknown }
 
 // Kind tells what a call asks for.
 type Kind string
@@ -47,7 +47,7 @@
 type Attempt struct {
 	Instance   string
 	Start, End time.Time
-	Word       Word
+	Outcome    Outcome
 	// Reason is the last part of the problem's type.
 	Reason string
 	Status int
@@ -75,8 +75,8 @@
 	Path string
 	// BodyHash is the hash of the body that the target must get.
 	BodyHash string
-	// Want is the text of a chat's whole answer.
-	Want string
+	// WantText is the text of a chat's whole answer.
+	WantText string
 	// PromptTokens is the length of a chat's prompt in tokens.
 	PromptTokens int64
 	// RunTime is the least time that a call that is no chat takes at its
@@ -91,9 +91,9 @@
 // Program is one program of a caller.
 type Program struct {
 	ID string
-	// Gone tells that the program was closed, by its caller or by a policy,
+	// Closed tells that the program was closed, by its caller or by a policy,
 	// so that no cache may stay held for it.
-	Gone bool
+	Closed bool
 	// Tokens and Fees are its budget, 0 for no bound.
 	Tokens int64
 	Fees   int64
@@ -133,10 +133,10 @@
 	defer h.mu.Unlock()
 	call.Attempts = append(call.Attempts, attempt)
 	h.ended++
-	if attempt.Word.whole() {
+	if attempt.Outcome.whole() {
 		h.answered++
 	}
-	if attempt.Word == NotRun {
+	if attempt.Outcome == NotRun {
 		h.refused++
 	}
 }
@@ -152,7 +152,7 @@
 func (h *History) setGone(program *Program) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	program.Gone = true
+	program.Closed = true
 }
 
 func (h *History) addChange(change Change) {
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -86,9 +86,9 @@
 	l.errs = append(l.errs, err)
 }
 
-// Finish lets the programs end after their present call, waits for them, and
+// Stop lets the programs end after their present call, waits for them, and
 // gives the first error.
-func (l *Load) Finish() error {
+func (l *Load) Stop() error {
 	close(l.stop)
 	return l.Wait()
 }
@@ -132,38 +132,38 @@
 }
 
 func stepChat(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(40), false).Word.whole()
+	return a.chat(ctx, 5+a.rng.IntN(40), false).Outcome.whole()
 }
 
 func stepStream(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(200), true).Word.whole()
+	return a.chat(ctx, 5+a.rng.IntN(200), true).Outcome.whole()
 }
 
 func stepTool(ctx context.Context, a *agent) bool {
-	return a.tool(ctx, a.runTime()).Word.whole()
+	return a.tool(ctx, a.runTime()).Outcome.whole()
 }
 
 // stepFile goes on after an outcome that is not known: a person looks into it,
 // and the number is used up.
 func stepFile(ctx context.Context, a *agent) bool {
-	word := a.file(ctx, 1, a.runTime()).Word
+	word := a.file(ctx, 1, a.runTime()).Outcome
 	return word.whole() || word == Unknown
 }
 
 func stepFileTwice(ctx context.Context, a *agent) bool {
-	word := a.fileTwice(ctx, 1, a.runTime()).Word
+	word := a.fileTwice(ctx, 1, a.runTime()).Outcome
 	return word.whole() || word == Unknown
 }
 
 func stepFileAgain(ctx context.Context, a *agent) bool {
-	word := a.fileAgain(ctx, 1, a.runTime()).Word
+	word := a.fileAgain(ctx, 1, a.runTime()).Outcome
 	return word.whole() || word == Unknown
 }
 
 // stepSingle files without a program.
 func stepSingle(ctx context.Context, a *agent) bool {
 	call := &Call{Key: ulid.Make().String()}
-	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Word
+	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
 	return word.whole() || word == Unknown
 }
 
@@ -173,10 +173,10 @@
 	a.rig.History.addCall(q.call)
 	left := q
 	left.leave = a.runTime()
-	if a.rig.retry(ctx, a.rng, left, 0).Word.whole() {
+	if a.rig.retry(ctx, a.rng, left, 0).Outcome.whole() {
 		return true
 	}
-	word := a.rig.retry(ctx, a.rng, q, patience).Word
+	word := a.rig.retry(ctx, a.rng, q, patience).Outcome
 	return word.whole() || word == Unknown
 }
 
@@ -185,7 +185,7 @@
 	a.fans++
 	lane := fmt.Sprintf("sub-%d", a.fans)
 	for _, attempt := range a.fan(ctx, lane, count, a.runTime()) {
-		if !attempt.Word.whole() {
+		if !attempt.Outcome.whole() {
 			return false
 		}
 	}
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -106,7 +106,7 @@
 // untilInForce waits until every instance has a version of a path.
 func (r *Rig) untilInForce(ctx context.Context, path string, version uint64) error {
 	for _, p := range r.others(nil) {
-		err := r.Until(ctx, "the change at "+p.ID, func() bool {
+		err := r.WaitUntil(ctx, "the change at "+p.ID, func() bool {
 			found, ok := r.setting(ctx, p, path)
 			return ok && found.Version >= version
 		})
--- a/internal/proofs/recovery.go
+++ b/internal/proofs/recovery.go
@@ -56,8 +56,8 @@
 	// A filing is in the log before its answer, so that the time is that of the
 	// takeover alone. What a call means whose record was lost with the owner is
 	// the matter of the scenario "kill-owner".
-	if got := a.file(ctx, 0, 0); !got.Word.whole() {
-		return 0, errors.Newf("before the kill a call got %s %s", got.Word, got.Reason)
+	if got := a.file(ctx, 0, 0); !got.Outcome.whole() {
+		return 0, errors.Newf("before the kill a call got %s %s", got.Outcome, got.Reason)
 	}
 	owner, err := r.untilOwned(ctx, a.program.ID)
 	if err != nil {
@@ -73,7 +73,7 @@
 		}
 	}
 	// A call that is refused for good is made anew until one is answered.
-	for !a.tool(ctx, 0).Word.whole() {
+	for !a.tool(ctx, 0).Outcome.whole() {
 		if ctx.Err() != nil {
 			return 0, errors.Newf("no answer after the kill of %s", owner.ID)
 		}
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -38,8 +38,8 @@
 	rng       *rand.Rand
 	doors     []door
 	faults    int
-	disturbed []*Disturbance
-	leaving   []Departure
+	disturbed []*FaultWindow
+	leaving   []LeavingTarget
 	// ended are the processes that were removed, kept for their logs.
 	ended []*testkit.Process
 }
@@ -82,7 +82,7 @@
 // membership list, so that owners do not move for that reason alone.
 func (r *Rig) untilListed(ctx context.Context) error {
 	for _, p := range r.Instances {
-		err := r.Until(ctx, "the members at "+p.ID, func() bool { return r.peersOf(ctx, p) >= len(r.Instances) })
+		err := r.WaitUntil(ctx, "the members at "+p.ID, func() bool { return r.peersOf(ctx, p) >= len(r.Instances) })
 		if err != nil {
 			return err
 		}
@@ -164,8 +164,8 @@
 	}
 }
 
-// Until polls a condition.
-func (r *Rig) Until(ctx context.Context, what string, met func() bool) error {
+// WaitUntil polls a condition.
+func (r *Rig) WaitUntil(ctx context.Context, what string, met func() bool) error {
 	err := testkit.Poll(ctx, func() error {
 		if met() {
 			return nil
@@ -175,10 +175,10 @@
 	return err
 }
 
-// UntilAnswered waits until callers got so many more answers.
-func (r *Rig) UntilAnswered(ctx context.Context, more int) error {
+// WaitAnswered waits until callers got so many more answers.
+func (r *Rig) WaitAnswered(ctx context.Context, more int) error {
 	want := r.History.Answered() + more
-	return r.Until(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
+	return r.WaitUntil(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
 }
 
 // stream gives the retained records of a log stream; none during an outage.
@@ -289,7 +289,7 @@
 	}
 	r.mu.Lock()
 	for _, d := range r.disturbed {
-		e.Disturbed = append(e.Disturbed, *d)
+		e.FaultWindows = append(e.FaultWindows, *d)
 	}
 	e.Leaving = append(e.Leaving, r.leaving...)
 	r.mu.Unlock()
@@ -304,7 +304,7 @@
 func (r *Rig) untilReleased(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, releaseLimit)
 	defer cancel()
-	_ = r.Until(limited, "released caches", func() bool {
+	_ = r.WaitUntil(limited, "released caches", func() bool {
 		_, programs := r.History.snapshot()
 		e := Evidence{Programs: programs, Caches: map[string]wire.CacheState{}}
 		for id, target := range r.Engines {
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -20,9 +20,9 @@
 // Scenario is a set of instances under load and faults.
 type Scenario struct {
 	Name string
-	// Proves names what the scenario is about.
-	Proves    string
-	Instances int
+	// Description names what the scenario is about.
+	Description string
+	Instances   int
 	// Quick scenarios are run by the Go test of the package.
 	Quick bool
 	// Relayed puts relays between the instances and in front of the log.
@@ -37,9 +37,9 @@
 	Env []string
 	// Standins changes the usual stand-ins.
 	Standins func(*cluster.Settings)
-	// AllAnswered tells that nothing excuses a refusal: every call must be
+	// RequireAnswers tells that nothing excuses a refusal: every call must be
 	// answered.
-	AllAnswered bool
+	RequireAnswers bool
 	// Run brings about the load and the faults. It returns once the load has
 	// ended.
 	Run func(ctx context.Context, r *Rig) error
@@ -71,15 +71,15 @@
 	Faults   int
 	Took     time.Duration
 	Verdict
-	// Kept is the directory of the evidence of a failed scenario.
-	Kept string
+	// EvidenceDir is the directory of the evidence of a failed scenario.
+	EvidenceDir string
 }
 
 // OK tells whether nothing was violated.
 func (r Result) OK() bool { return len(r.Violations) == 0 }
 
-// Keep tells where the evidence of a scenario goes.
-type Keep struct {
+// EvidenceConfig tells where the evidence of a scenario goes.
+type EvidenceConfig struct {
 	// Dir is the directory; empty keeps nothing.
 	Dir string
 	// Always keeps also that of a scenario that violated nothing.
@@ -87,7 +87,7 @@
 }
 
 // Run runs one scenario. Its load and the drawn faults depend on the seed.
-func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep Keep) Result {
+func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
 	started := time.Now()
 	limited, cancel := context.WithTimeout(ctx, scenarioLimit)
 	defer cancel()
@@ -107,13 +107,13 @@
 	if err != nil {
 		result.Violations = append(result.Violations, violation(PropertyScenario, "%v", err))
 	}
-	if s.AllAnswered {
+	if s.RequireAnswers {
 		result.Violations = append(result.Violations, refusals(evidence)...)
 	}
 	result.Faults = rig.faults
 	result.Took = time.Since(started)
 	if keep.Dir != "" && (keep.Always || !result.OK()) {
-		result.Kept = keepEvidence(keep.Dir, rig, evidence, result)
+		result.EvidenceDir = keepEvidence(keep.Dir, rig, evidence, result)
 	}
 	return result
 }
--- a/internal/proofs/scenarios_instances.go
+++ b/internal/proofs/scenarios_instances.go
@@ -25,13 +25,13 @@
 
 func instanceScenarios() []Scenario {
 	return []Scenario{
-		{Name: "steady", Proves: "all points, without a fault", Instances: 3, Quick: true, AllAnswered: true, Run: runSteady},
-		{Name: "kill-owner", Proves: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: usualBudget, Run: runKillOwner},
-		{Name: "kill-owner-twice", Proves: "owner and its successor die in one call", Instances: 4, Run: runKillOwnerTwice},
-		{Name: "kill-gateway-and-owner", Proves: "gateway and owner die in one call", Instances: 5, Quick: true, Run: runKillBoth},
-		{Name: "pause-owner", Proves: "owner paused longer than any timeout, twice", Instances: 3, Budget: usualBudget, Run: runPauseOwner},
-		{Name: "pause-before-send", Proves: "owner paused between the log's acknowledgement and its send", Instances: 3, Quick: true, Relayed: true, Run: runPauseBeforeSend},
-		{Name: "rolling-drain", Proves: "graceful shutdown of every instance under load", Instances: 3, Run: runRollingDrain},
+		{Name: "steady", Description: "all points, without a fault", Instances: 3, Quick: true, RequireAnswers: true, Run: runSteady},
+		{Name: "kill-owner", Description: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: usualBudget, Run: runKillOwner},
+		{Name: "kill-owner-twice", Description: "owner and its successor die in one call", Instances: 4, Run: runKillOwnerTwice},
+		{Name: "kill-gateway-and-owner", Description: "gateway and owner die in one call", Instances: 5, Quick: true, Run: runKillBoth},
+		{Name: "pause-owner", Description: "owner paused longer than any timeout, twice", Instances: 3, Budget: usualBudget, Run: runPauseOwner},
+		{Name: "pause-before-send", Description: "owner paused between the log's acknowledgement and its send", Instances: 3, Quick: true, Relayed: true, Run: runPauseBeforeSend},
+		{Name: "rolling-drain", Description: "graceful shutdown of every instance under load", Instances: 3, Run: runRollingDrain},
 	}
 }
 
@@ -42,7 +42,7 @@
 // ownerOfLoad finds the owner of one of the newest programs of a load.
 func (r *Rig) ownerOfLoad(ctx context.Context, l *Load) (*testkit.Process, error) {
 	var owner *testkit.Process
-	err := r.Until(ctx, "an owner", func() bool {
+	err := r.WaitUntil(ctx, "an owner", func() bool {
 		programs := l.Programs()
 		for i := len(programs) - 1; i >= 0 && owner == nil; i-- {
 			owner = r.OwnerOf(programs[i])
@@ -55,19 +55,19 @@
 func runKillOwner(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	for range 3 {
-		if err := r.UntilAnswered(ctx, someAnswers); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+			return errors.CombineErrors(err, l.Stop())
 		}
 		owner, err := r.ownerOfLoad(ctx, l)
 		if err == nil {
 			err = r.Replace(ctx, owner)
 		}
 		if err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 // later runs a call beside the scenario.
@@ -79,7 +79,7 @@
 
 // untilRuns waits until the targets have so many runs of a program.
 func (r *Rig) untilRuns(ctx context.Context, program string, count int) error {
-	return r.Until(ctx, "a run at a target", func() bool { return r.runsOf(program) >= count })
+	return r.WaitUntil(ctx, "a run at a target", func() bool { return r.runsOf(program) >= count })
 }
 
 func (r *Rig) runsOf(program string) int {
@@ -105,7 +105,7 @@
 // it.
 func (r *Rig) untilOwned(ctx context.Context, program string) (*testkit.Process, error) {
 	var owner *testkit.Process
-	err := r.Until(ctx, "an owner of "+program, func() bool {
+	err := r.WaitUntil(ctx, "an owner of "+program, func() bool {
 		owner = r.OwnerOf(program)
 		return owner != nil
 	})
@@ -143,8 +143,8 @@
 	file := a.file(ctx, 1, a.runTime())
 	chat := a.chat(ctx, 20, true)
 	for _, attempt := range []Attempt{tool, file, chat} {
-		if !attempt.Word.whole() {
-			return errors.CombineErrors(errors.Newf("after the faults a call got %s %s", attempt.Word, attempt.Reason), a.close(ctx))
+		if !attempt.Outcome.whole() {
+			return errors.CombineErrors(errors.Newf("after the faults a call got %s %s", attempt.Outcome, attempt.Reason), a.close(ctx))
 		}
 	}
 	return a.close(ctx)
@@ -193,15 +193,15 @@
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	for range 2 {
 		if err := r.pauseOwnerOnce(ctx, l); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) pauseOwnerOnce(ctx context.Context, l *Load) error {
-	if err := r.UntilAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
 		return err
 	}
 	owner, err := r.ownerOfLoad(ctx, l)
@@ -213,7 +213,7 @@
 		return err
 	}
 	r.hold(ctx, longPause)
-	err = r.UntilAnswered(ctx, someAnswers)
+	err = r.WaitAnswered(ctx, someAnswers)
 	return errors.CombineErrors(err, resume())
 }
 
@@ -255,8 +255,8 @@
 	// had the time to make it.
 	r.hold(ctx, resumeSlack)
 	r.openDoor(owner)
-	if !next.Word.whole() {
-		return errors.Newf("after the owner was replaced a call got %s %s", next.Word, next.Reason)
+	if !next.Outcome.whole() {
+		return errors.Newf("after the owner was replaced a call got %s %s", next.Outcome, next.Reason)
 	}
 	return r.WaitReady(ctx, owner)
 }
@@ -278,12 +278,12 @@
 func (r *Rig) fileUntilIntent(ctx context.Context, a *agent) (<-chan Attempt, error) {
 	q := filingRequest(a.newCall(), 1, 50*time.Millisecond)
 	done := later(func() Attempt { return a.do(ctx, q) })
-	err := r.Until(ctx, "the intent in the log", func() bool {
+	err := r.WaitUntil(ctx, "the intent in the log", func() bool {
 		return r.intentInLog(a.program.ID, q.call.Key) || len(done) > 0
 	})
 	if err == nil && !r.intentInLog(a.program.ID, q.call.Key) {
 		got := <-done
-		err = errors.Newf("the filing got %s %s and has no intent in the log", got.Word, got.Reason)
+		err = errors.Newf("the filing got %s %s and has no intent in the log", got.Outcome, got.Reason)
 	}
 	return done, err
 }
@@ -292,7 +292,7 @@
 func runRollingDrain(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	for _, p := range r.others(nil) {
-		err := r.UntilAnswered(ctx, someAnswers)
+		err := r.WaitAnswered(ctx, someAnswers)
 		if err == nil {
 			_, err = r.Add(ctx)
 		}
@@ -300,11 +300,11 @@
 			err = r.Drain(ctx, p)
 		}
 		if err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 // intentInLog tells whether an Intent of the call counts in the log.
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -21,12 +21,12 @@
 
 func logScenarios() []Scenario {
 	return []Scenario{
-		{Name: "log-outage", Proves: "log down under load", Instances: 3, Quick: true, Run: runLogOutage},
-		{Name: "log-lossy", Proves: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: usualBudget, Run: runLogLossy},
-		{Name: "lost-reply-owner-dies", Proves: "append reply lost, then the owner dies", Instances: 4, Relayed: true, Quick: true, Run: runLostReply},
-		{Name: "outage-across-owner-death", Proves: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossDeath},
-		{Name: "owner-cut-from-log", Proves: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: usualBudget, Run: runOwnerCutFromLog},
-		{Name: "retention", Proves: "records dropped by the log, then the owner dies", Instances: 3,
+		{Name: "log-outage", Description: "log down under load", Instances: 3, Quick: true, Run: runLogOutage},
+		{Name: "log-lossy", Description: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: usualBudget, Run: runLogLossy},
+		{Name: "lost-reply-owner-dies", Description: "append reply lost, then the owner dies", Instances: 4, Relayed: true, Quick: true, Run: runLostReply},
+		{Name: "outage-across-owner-death", Description: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossDeath},
+		{Name: "owner-cut-from-log", Description: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: usualBudget, Run: runOwnerCutFromLog},
+		{Name: "retention", Description: "records dropped by the log, then the owner dies", Instances: 3,
 			Standins: func(s *cluster.Settings) { s.Log.RetainAge = retention },
 			Env:      []string{"BANYANGLADE_RETENTION=" + retention.String()}, Run: runRetention},
 	}
@@ -38,9 +38,9 @@
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	err := r.outageUnderLoad(ctx)
 	if err == nil {
-		err = r.UntilAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, someAnswers)
 	}
-	return errors.CombineErrors(err, l.Finish())
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) outageUnderLoad(ctx context.Context) error {
@@ -48,16 +48,16 @@
 	if err != nil {
 		return err
 	}
-	if err := r.UntilAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
 		return err
 	}
-	if got := a.chat(ctx, 20, false); !got.Word.whole() {
-		return errors.Newf("before the outage a call got %s %s", got.Word, got.Reason)
+	if got := a.chat(ctx, 20, false); !got.Outcome.whole() {
+		return errors.Newf("before the outage a call got %s %s", got.Outcome, got.Reason)
 	}
-	r.SetLog(wire.LogFaults{Down: true})
+	r.SetLogFaults(wire.LogFaults{Down: true})
 	err = a.throughOutage(ctx)
 	r.hold(ctx, outage)
-	r.SetLog(wire.LogFaults{})
+	r.SetLogFaults(wire.LogFaults{})
 	return errors.CombineErrors(err, a.goOn(ctx))
 }
 
@@ -66,14 +66,14 @@
 func (a *agent) throughOutage(ctx context.Context) error {
 	const calls = 5
 	for range calls {
-		if got := a.tool(ctx, a.runTime()); !got.Word.whole() {
-			return errors.Newf("a repeatable call during the outage got %s %s", got.Word, got.Reason)
+		if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+			return errors.Newf("a repeatable call during the outage got %s %s", got.Outcome, got.Reason)
 		}
 	}
 	q := filingRequest(&Call{Program: a.program.ID, Lane: "filings", Key: "outage"}, 1, 10*time.Millisecond)
 	a.rig.History.addCall(q.call)
-	if got := a.rig.retry(ctx, a.rng, q, 0); got.Word != NotRun || got.RetryAfter == 0 {
-		return errors.Newf("a filing during the outage got %s %s, retry after %s", got.Word, got.Reason, got.RetryAfter)
+	if got := a.rig.retry(ctx, a.rng, q, 0); got.Outcome != NotRun || got.RetryAfter == 0 {
+		return errors.Newf("a filing during the outage got %s %s, retry after %s", got.Outcome, got.Reason, got.RetryAfter)
 	}
 	return nil
 }
@@ -86,22 +86,22 @@
 			{DropAppendReplies: count}, {DropAppends: count}, {DropAppendReplies: count, DropAppends: count, DelayMS: 200},
 		} {
 			if err := r.lossyOnce(ctx, f); err != nil {
-				return errors.CombineErrors(err, l.Finish())
+				return errors.CombineErrors(err, l.Stop())
 			}
 		}
 	}
-	r.SetLog(wire.LogFaults{})
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	r.SetLogFaults(wire.LogFaults{})
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 // lossyOnce sets the faults and waits until they are used up.
 func (r *Rig) lossyOnce(ctx context.Context, f wire.LogFaults) error {
-	if err := r.UntilAnswered(ctx, someAnswers/3); err != nil {
+	if err := r.WaitAnswered(ctx, someAnswers/3); err != nil {
 		return err
 	}
-	r.SetLog(f)
-	return r.Until(ctx, "lost appends", func() bool {
+	r.SetLogFaults(f)
+	return r.WaitUntil(ctx, "lost appends", func() bool {
 		left := r.Log.Faults()
 		return left.DropAppendReplies == 0 && left.DropAppends == 0
 	})
@@ -138,9 +138,9 @@
 	l := r.StartLoad(ctx, usualPrograms/2, 0)
 	err := r.deathInOutage(ctx)
 	if err == nil {
-		err = r.UntilAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, someAnswers)
 	}
-	return errors.CombineErrors(err, l.Finish())
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) deathInOutage(ctx context.Context) error {
@@ -148,23 +148,23 @@
 	if err != nil {
 		return err
 	}
-	if got := a.tool(ctx, a.runTime()); !got.Word.whole() {
-		return errors.Newf("before the outage a call got %s %s", got.Word, got.Reason)
+	if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+		return errors.Newf("before the outage a call got %s %s", got.Outcome, got.Reason)
 	}
 	owner, err := r.untilOwned(ctx, a.program.ID)
 	if err != nil {
 		return err
 	}
-	r.SetLog(wire.LogFaults{Down: true})
+	r.SetLogFaults(wire.LogFaults{Down: true})
 	r.hold(ctx, outage/4)
 	r.Kill(owner, false)
 	q := filingRequest(&Call{Program: a.program.ID, Lane: "filings", Key: "orphan"}, 1, 10*time.Millisecond)
 	r.History.addCall(q.call)
 	got := r.retry(ctx, a.rng, q, 0)
 	r.hold(ctx, outage/2)
-	r.SetLog(wire.LogFaults{})
-	if got.Word != NotRun {
-		err = errors.Newf("a filing without an owner during the outage got %s %s", got.Word, got.Reason)
+	r.SetLogFaults(wire.LogFaults{})
+	if got.Outcome != NotRun {
+		err = errors.Newf("a filing without an owner during the outage got %s %s", got.Outcome, got.Reason)
 	}
 	_, added := r.Add(ctx)
 	return errors.CombineErrors(errors.CombineErrors(err, added), a.goOn(ctx))
@@ -176,15 +176,15 @@
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	for _, towards := range []bool{true, false} {
 		if err := r.cutLogOnce(ctx, l, towards); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) cutLogOnce(ctx context.Context, l *Load, towards bool) error {
-	if err := r.UntilAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
 		return err
 	}
 	owner, err := r.ownerOfLoad(ctx, l)
@@ -195,7 +195,7 @@
 	r.Net.CutLog(owner.ID, towards, true)
 	r.hold(ctx, outage)
 	r.Net.CutLog(owner.ID, false, false)
-	return r.UntilAnswered(ctx, someAnswers)
+	return r.WaitAnswered(ctx, someAnswers)
 }
 
 // runRetention lets the log drop the records of a filing, kills the owner, and
@@ -204,7 +204,7 @@
 	const programs = 2
 	l := r.StartLoad(ctx, programs, 0)
 	err := r.fileAcrossRetention(ctx)
-	return errors.CombineErrors(err, l.Finish())
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) fileAcrossRetention(ctx context.Context) error {
@@ -213,12 +213,12 @@
 		return err
 	}
 	q := filingRequest(a.newCall(), 1, 10*time.Millisecond)
-	if got := r.do(ctx, a.rng, q); !got.Word.whole() {
-		return errors.Newf("the filing got %s %s", got.Word, got.Reason)
+	if got := r.do(ctx, a.rng, q); !got.Outcome.whole() {
+		return errors.Newf("the filing got %s %s", got.Outcome, got.Reason)
 	}
 	for r.intentInLog(a.program.ID, q.call.Key) && ctx.Err() == nil {
-		if got := a.tool(ctx, a.runTime()); !got.Word.whole() {
-			return errors.Newf("a call got %s %s", got.Word, got.Reason)
+		if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+			return errors.Newf("a call got %s %s", got.Outcome, got.Reason)
 		}
 		r.hold(ctx, time.Second)
 	}
@@ -229,8 +229,8 @@
 	if err := r.Replace(ctx, owner); err != nil {
 		return err
 	}
-	if got := r.retry(ctx, a.rng, q, patience); got.Word != Replayed {
-		return errors.Newf("the filing again got %s %s", got.Word, got.Reason)
+	if got := r.retry(ctx, a.rng, q, patience); got.Outcome != Replayed {
+		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
 	return a.goOn(ctx)
 }
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -25,10 +25,10 @@
 
 func orderScenarios() []Scenario {
 	return []Scenario{
-		{Name: "orders-fenced", Proves: "a paused controller wakes; engines check fencing numbers", Instances: 3,
+		{Name: "orders-fenced", Description: "a paused controller wakes; engines check fencing numbers", Instances: 3,
 			Settings: map[string]any{modelPath + "/checks_fencing": true},
 			Standins: func(s *cluster.Settings) { s.Engines.Settings.ChecksFencing = true }, Run: runOrders},
-		{Name: "orders-unfenced", Proves: "a paused controller wakes; engines ignore fencing numbers", Instances: 3, Run: runOrders},
+		{Name: "orders-unfenced", Description: "a paused controller wakes; engines ignore fencing numbers", Instances: 3, Run: runOrders},
 	}
 }
 
@@ -39,7 +39,7 @@
 	// Under load the others notice that the controller is silent.
 	l := r.StartLoad(ctx, 2, 0)
 	err := r.orderAcrossPause(ctx)
-	return errors.CombineErrors(err, l.Finish())
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) orderAcrossPause(ctx context.Context) error {
@@ -99,7 +99,7 @@
 // the fault, so that the instances' own word will do.
 func (r *Rig) controller(ctx context.Context) (*testkit.Process, error) {
 	var found *testkit.Process
-	err := r.Until(ctx, "a controller", func() bool {
+	err := r.WaitUntil(ctx, "a controller", func() bool {
 		for _, p := range r.others(nil) {
 			if r.holds(ctx, p) {
 				found = p
@@ -131,7 +131,7 @@
 // untilVersion waits until all engines have a version.
 func (r *Rig) untilVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
-	return r.Until(ctx, "version "+want+" at all engines", func() bool {
+	return r.WaitUntil(ctx, "version "+want+" at all engines", func() bool {
 		for _, m := range r.Ready().Targets {
 			var state wire.OrderState
 			if m.Service == testkit.ModelService && (!getJSON(ctx, m.Address+wire.OrdersRoute, &state) || state.Version != want) {
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -27,17 +27,17 @@
 
 func programScenarios() []Scenario {
 	return []Scenario{
-		{Name: "key-reuse", Proves: "a retried call with the same key and another body", Instances: 3, Quick: true, Run: runKeyReuse},
-		{Name: "tool-pause-forever", Proves: "a program that never returns from its tool pause", Instances: 3,
+		{Name: "key-reuse", Description: "a retried call with the same key and another body", Instances: 3, Quick: true, Run: runKeyReuse},
+		{Name: "tool-pause-forever", Description: "a program that never returns from its tool pause", Instances: 3,
 			Settings: map[string]any{teamPath + "/idle_timeout": "2s"}, Run: runToolPause},
-		{Name: "endless-loop", Proves: "a program that repeats itself without end", Instances: 3,
+		{Name: "endless-loop", Description: "a program that repeats itself without end", Instances: 3,
 			Settings: map[string]any{teamPath + "/loop_repeats": 4}, Run: runEndlessLoop},
-		{Name: "budget", Proves: "spending within the budget while owners die", Instances: 3,
+		{Name: "budget", Description: "spending within the budget while owners die", Instances: 3,
 			Budget: Program{Tokens: 2500, Fees: 6}, Run: runBudget},
-		{Name: "team-budget", Proves: "spending of a team within its budget while owners die", Instances: 3,
+		{Name: "team-budget", Description: "spending of a team within its budget while owners die", Instances: 3,
 			TeamFees: 40, Run: runTeamBudget},
-		{Name: "history", Proves: "a program's history is not mixed with another's, also after its owner died", Instances: 3, Quick: true, Run: runHistory},
-		{Name: "dead-programs", Proves: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runDeadPrograms},
+		{Name: "history", Description: "a program's history is not mixed with another's, also after its owner died", Instances: 3, Quick: true, Run: runHistory},
+		{Name: "dead-programs", Description: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runDeadPrograms},
 	}
 }
 
@@ -57,8 +57,8 @@
 		other := plainRequest(&Call{
 			Program: a.program.ID, Number: first.call.Number, Key: first.call.Key, NotRepeatable: true,
 		}, Filing, testkit.FilingService, path, 0)
-		if got := r.do(ctx, r.newRand(), other); got.Word != NotRun || got.Reason != reasonKeyReused {
-			return errors.Newf("another request with the key %s got %s %s", when, got.Word, got.Reason)
+		if got := r.do(ctx, r.newRand(), other); got.Outcome != NotRun || got.Reason != reasonKeyReused {
+			return errors.Newf("another request with the key %s got %s %s", when, got.Outcome, got.Reason)
 		}
 		return nil
 	}
@@ -81,8 +81,8 @@
 		if err != nil {
 			return err
 		}
-		if got := a.chat(ctx, 30, true); !got.Word.whole() {
-			return errors.Newf("the chat got %s %s", got.Word, got.Reason)
+		if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+			return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 		}
 		r.History.setGone(a.program)
 	}
@@ -97,8 +97,8 @@
 	if err != nil {
 		return err
 	}
-	if got := a.chat(ctx, 30, true); !got.Word.whole() {
-		return errors.Newf("the chat got %s %s", got.Word, got.Reason)
+	if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+		return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 	}
 	for i := range most {
 		call := &Call{Program: a.program.ID, Lane: "loop", Key: fmt.Sprintf("loop-%d", i)}
@@ -106,12 +106,12 @@
 		q.body = []byte("again")
 		call.BodyHash = ledger.BodyHash(q.body)
 		got := r.do(ctx, a.rng, q)
-		if got.Word == NotRun && got.Reason == reasonLoop {
+		if got.Outcome == NotRun && got.Reason == reasonLoop {
 			r.History.setGone(a.program)
 			return r.refusedAsClosed(ctx, a)
 		}
-		if !got.Word.whole() {
-			return errors.Newf("a repeat got %s %s", got.Word, got.Reason)
+		if !got.Outcome.whole() {
+			return errors.Newf("a repeat got %s %s", got.Outcome, got.Reason)
 		}
 	}
 	return errors.Newf("%d repeats were not noticed", most)
@@ -119,8 +119,8 @@
 
 // refusedAsClosed checks that a program takes no call any more.
 func (r *Rig) refusedAsClosed(ctx context.Context, a *agent) error {
-	if got := a.tool(ctx, 0); got.Word != NotRun || got.Reason != reasonClosed {
-		return errors.Newf("a call of the closed program got %s %s", got.Word, got.Reason)
+	if got := a.tool(ctx, 0); got.Outcome != NotRun || got.Reason != reasonClosed {
+		return errors.Newf("a call of the closed program got %s %s", got.Outcome, got.Reason)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	}
 	var killed error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.UntilAnswered(ctx, someAnswers))
+		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, someAnswers))
 		killed = errors.CombineErrors(killed, r.Replace(ctx, r.random()))
 	}
 	group.Wait()
@@ -158,7 +158,7 @@
 		} else {
 			got = a.file(ctx, 1, 0)
 		}
-		if got.Word == NotRun && got.Reason == reasonBudget {
+		if got.Outcome == NotRun && got.Reason == reasonBudget {
 			spent[i%2] = true
 		}
 		if spent[0] && spent[1] {
@@ -179,7 +179,7 @@
 	}
 	var killed error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.UntilAnswered(ctx, someAnswers/3))
+		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, someAnswers/3))
 		killed = errors.CombineErrors(killed, r.Replace(ctx, r.random()))
 	}
 	group.Wait()
@@ -194,7 +194,7 @@
 		return err
 	}
 	for range most {
-		if got := a.file(ctx, 1, 0); got.Word == NotRun && got.Reason == reasonBudget {
+		if got := a.file(ctx, 1, 0); got.Outcome == NotRun && got.Reason == reasonBudget {
 			return a.close(ctx)
 		}
 	}
@@ -212,8 +212,8 @@
 			return err
 		}
 		for range 2 {
-			if got := a.chat(ctx, 10+i, true); !got.Word.whole() {
-				return errors.Newf("a chat got %s %s", got.Word, got.Reason)
+			if got := a.chat(ctx, 10+i, true); !got.Outcome.whole() {
+				return errors.Newf("a chat got %s %s", got.Outcome, got.Reason)
 			}
 		}
 		agents[i] = a
@@ -226,8 +226,8 @@
 	// A filing is in the log before its answer, so that the death of the owner
 	// forgets no call; what it may forget is the matter of "kill-owner".
 	for _, a := range agents {
-		if got := a.file(ctx, 1, 0); !got.Word.whole() {
-			return errors.Newf("a filing got %s %s", got.Word, got.Reason)
+		if got := a.file(ctx, 1, 0); !got.Outcome.whole() {
+			return errors.Newf("a filing got %s %s", got.Outcome, got.Reason)
 		}
 	}
 	err = errors.CombineErrors(err, r.mixedDuringKill(ctx, agents[0], agents[1], owner))
@@ -240,8 +240,8 @@
 // refused.
 func (r *Rig) mixed(ctx context.Context, other, own *agent) error {
 	got, ran := r.chatAs(ctx, other, own)
-	if got.Word != NotRun || got.Reason != reasonFork || ran {
-		return errors.Newf("another program's history got %s %s, run: %t", got.Word, got.Reason, ran)
+	if got.Outcome != NotRun || got.Reason != reasonFork || ran {
+		return errors.Newf("another program's history got %s %s, run: %t", got.Outcome, got.Reason, ran)
 	}
 	return nil
 }
@@ -280,13 +280,13 @@
 	r.hold(ctx, handoverPause)
 	replaced := r.Replace(ctx, owner)
 	d := <-done
-	told := d.got.Word == NotRun || d.got.Word == Unknown
+	told := d.got.Outcome == NotRun || d.got.Outcome == Unknown
 	if !told || d.got.Reason != reasonFork || d.ran {
 		return errors.CombineErrors(
-			errors.Newf("while the owner died, another program's history got %s %s, run: %t", d.got.Word, d.got.Reason, d.ran),
+			errors.Newf("while the owner died, another program's history got %s %s, run: %t", d.got.Outcome, d.got.Reason, d.ran),
 			replaced)
 	}
-	if d.got.Word == Unknown {
+	if d.got.Outcome == Unknown {
 		// The number was not used, as the history could not be continued.
 		own.number--
 	}
@@ -295,7 +295,7 @@
 
 // untilAgreed waits until all instances name the living owner of a program.
 func (r *Rig) untilAgreed(ctx context.Context, program string) error {
-	return r.Until(ctx, "one owner of "+program, func() bool {
+	return r.WaitUntil(ctx, "one owner of "+program, func() bool {
 		owner := r.OwnerOf(program)
 		for _, p := range r.others(nil) {
 			if owner == nil || r.ownerSaidBy(ctx, p, program) != owner {
@@ -315,8 +315,8 @@
 		if err != nil {
 			return err
 		}
-		if got := a.chat(ctx, 30, true); !got.Word.whole() {
-			return errors.Newf("the chat got %s %s", got.Word, got.Reason)
+		if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+			return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 		}
 		agents = append(agents, a)
 	}
@@ -334,6 +334,6 @@
 
 func (r *Rig) setEngines(faults wire.ServiceFaults) {
 	for _, id := range r.targetsOf(testkit.ModelService) {
-		r.SetTarget(id, faults)
+		r.SetTargetFaults(id, faults)
 	}
 }
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -26,7 +26,7 @@
 	var list []Scenario
 	for _, name := range []string{"random-1", "random-2", "random-3"} {
 		list = append(list, Scenario{
-			Name: name, Proves: "a random schedule of all faults, two at a time", Instances: 5, Relayed: true,
+			Name: name, Description: "a random schedule of all faults, two at a time", Instances: 5, Relayed: true,
 			Budget: usualBudget, Run: runRandom,
 		})
 	}
@@ -91,9 +91,9 @@
 	group.Wait()
 	err := errors.CombineErrors(errs[0], errs[1])
 	if err == nil {
-		err = r.UntilAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, someAnswers)
 	}
-	return errors.CombineErrors(err, l.Finish())
+	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) sequence(ctx context.Context, v *victims, rng *rand.Rand, choices []randomFault) error {
@@ -101,7 +101,7 @@
 		if err := choices[rng.IntN(len(choices))](ctx, r, v, rng); err != nil {
 			return err
 		}
-		if err := r.UntilAnswered(ctx, someAnswers/5); err != nil {
+		if err := r.WaitAnswered(ctx, someAnswers/5); err != nil {
 			return err
 		}
 	}
@@ -178,18 +178,18 @@
 
 func randomLog(faults wire.LogFaults) randomFault {
 	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
-		r.SetLog(faults)
+		r.SetLogFaults(faults)
 		r.hold(ctx, some(rng))
-		r.SetLog(wire.LogFaults{})
+		r.SetLogFaults(wire.LogFaults{})
 		return nil
 	}
 }
 
 func randomMembers(faults wire.MemberFaults) randomFault {
 	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
-		r.SetMembers(faults)
+		r.SetMemberFaults(faults)
 		r.hold(ctx, some(rng))
-		r.SetMembers(wire.MemberFaults{})
+		r.SetMemberFaults(wire.MemberFaults{})
 		return nil
 	}
 }
@@ -198,9 +198,9 @@
 	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
 		targets := r.targetsOf(everyService[rng.IntN(len(everyService))])
 		id := targets[rng.IntN(len(targets))]
-		r.SetTarget(id, faults)
+		r.SetTargetFaults(id, faults)
 		r.hold(ctx, some(rng))
-		r.SetTarget(id, wire.ServiceFaults{})
+		r.SetTargetFaults(id, wire.ServiceFaults{})
 		return nil
 	}
 }
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -17,10 +17,10 @@
 
 func settingsScenarios() []Scenario {
 	return []Scenario{
-		{Name: "settings-race", Proves: "operators race from two instances, with lost replies of the log", Instances: 3, Quick: true, Run: runSettingsRace},
-		{Name: "settings-replaced", Proves: "a change accepted just before every instance is replaced", Instances: 3, Run: runSettingsReplaced},
-		{Name: "start-while-log-down", Proves: "a new instance starts while the log is down", Instances: 3, Run: runStartWhileLogDown},
-		{Name: "budget-takeover", Proves: "budget raised and lowered during takeovers", Instances: 3,
+		{Name: "settings-race", Description: "operators race from two instances, with lost replies of the log", Instances: 3, Quick: true, Run: runSettingsRace},
+		{Name: "settings-replaced", Description: "a change accepted just before every instance is replaced", Instances: 3, Run: runSettingsReplaced},
+		{Name: "start-while-log-down", Description: "a new instance starts while the log is down", Instances: 3, Run: runStartWhileLogDown},
+		{Name: "budget-takeover", Description: "budget raised and lowered during takeovers", Instances: 3,
 			Budget: Program{Fees: 4}, Run: runBudgetTakeover},
 	}
 }
@@ -33,7 +33,7 @@
 	base := uint64(0)
 	for round := range rounds {
 		if round%3 == 1 {
-			r.SetLog(wire.LogFaults{DropAppendReplies: 1, Stream: "settings"})
+			r.SetLogFaults(wire.LogFaults{DropAppendReplies: 1, Stream: "settings"})
 		}
 		var heard [2]Change
 		var group sync.WaitGroup
@@ -59,7 +59,7 @@
 // it.
 func (r *Rig) nextBase(ctx context.Context, instances []*testkit.Process, base uint64) (uint64, error) {
 	newest := uint64(0)
-	err := r.Until(ctx, "a newer version at all instances", func() bool {
+	err := r.WaitUntil(ctx, "a newer version at all instances", func() bool {
 		for _, p := range instances {
 			found, ok := r.setting(ctx, p, racedPath)
 			if !ok || found.Version <= base {
@@ -113,7 +113,7 @@
 		}
 		agents = append(agents, a)
 	}
-	r.SetLog(wire.LogFaults{Down: true})
+	r.SetLogFaults(wire.LogFaults{Down: true})
 	r.hold(ctx, outage/4)
 	p, err := r.AddUnready()
 	if err != nil {
@@ -123,11 +123,11 @@
 	// The programs of living owners go on, also those that the list now gives
 	// to the new instance.
 	for _, a := range agents {
-		if got := a.tool(ctx, 0); err == nil && !got.Word.whole() {
-			err = errors.Newf("a repeatable call during the outage got %s %s", got.Word, got.Reason)
+		if got := a.tool(ctx, 0); err == nil && !got.Outcome.whole() {
+			err = errors.Newf("a repeatable call during the outage got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	r.SetLog(wire.LogFaults{})
+	r.SetLogFaults(wire.LogFaults{})
 	if err != nil {
 		return err
 	}
@@ -190,8 +190,8 @@
 			return err
 		}
 		if i == 0 {
-			if got := a.file(ctx, 1, 0); !got.Word.whole() {
-				return errors.Newf("a filing within the raised limit got %s %s", got.Word, got.Reason)
+			if got := a.file(ctx, 1, 0); !got.Outcome.whole() {
+				return errors.Newf("a filing within the raised limit got %s %s", got.Outcome, got.Reason)
 			}
 		}
 	}
@@ -209,10 +209,10 @@
 	for i := 0; ; i++ {
 		got := a.file(ctx, 1, 0)
 		switch {
-		case got.Word == NotRun && got.Reason == reasonBudget && i >= least:
+		case got.Outcome == NotRun && got.Reason == reasonBudget && i >= least:
 			return nil
-		case !got.Word.whole():
-			return errors.Newf("after %d filings one got %s %s", i, got.Word, got.Reason)
+		case !got.Outcome.whole():
+			return errors.Newf("after %d filings one got %s %s", i, got.Outcome, got.Reason)
 		case i >= most:
 			return errors.Newf("more than %d filings were answered", most)
 		}
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -15,9 +15,9 @@
 
 func targetScenarios() []Scenario {
 	return []Scenario{
-		{Name: "target-faults", Proves: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
-		{Name: "target-leaving", Proves: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
-		{Name: "late-answer", Proves: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
+		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
+		{Name: "target-leaving", Description: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
+		{Name: "late-answer", Description: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
 	}
 }
 
@@ -40,27 +40,27 @@
 	for round, faults := range []wire.ServiceFaults{
 		{DropReplies: 4}, {FailNext: 4}, {Hang: true}, {Slow: 20}, {DropReplies: 4, Slow: 5},
 	} {
-		if err := r.UntilAnswered(ctx, someAnswers); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
 			targets := r.targetsOf(service)
-			r.SetTarget(targets[round%len(targets)], faults)
+			r.SetTargetFaults(targets[round%len(targets)], faults)
 		}
 		if faults.Hang {
 			r.hold(ctx, attemptDeadline/2)
 		}
-		err := r.UntilAnswered(ctx, someAnswers/2)
+		err := r.WaitAnswered(ctx, someAnswers/2)
 		for _, service := range everyService {
 			targets := r.targetsOf(service)
-			r.SetTarget(targets[round%len(targets)], wire.ServiceFaults{})
+			r.SetTargetFaults(targets[round%len(targets)], wire.ServiceFaults{})
 		}
 		if err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 // leavingWithin is the time after which a leaving target may get nothing: the
@@ -69,19 +69,19 @@
 
 func runTargetLeaving(ctx context.Context, r *Rig) error {
 	const lagMS = 500
-	r.SetMembers(wire.MemberFaults{LagMS: lagMS})
+	r.SetMemberFaults(wire.MemberFaults{LagMS: lagMS})
 	l := r.StartLoad(ctx, usualPrograms, 0)
 	for i := range 2 {
-		if err := r.UntilAnswered(ctx, someAnswers); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
-			r.Leave(r.targetsOf(service)[i], leavingWithin)
+			r.MarkLeaving(r.targetsOf(service)[i], leavingWithin)
 		}
 		r.hold(ctx, leavingWithin)
 	}
-	err := r.UntilAnswered(ctx, 2*someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, 2*someAnswers)
+	return errors.CombineErrors(err, l.Stop())
 }
 
 // runLateAnswer gives calls a deadline that ends before their run does. Their
@@ -98,18 +98,18 @@
 	for _, q := range []request{filing, tool} {
 		r.History.addCall(q.call)
 		q.deadline = deadline
-		if got := r.retry(ctx, a.rng, q, 0); got.Word != Unknown {
-			return errors.Newf("a call given up while it ran got %s %s", got.Word, got.Reason)
+		if got := r.retry(ctx, a.rng, q, 0); got.Outcome != Unknown {
+			return errors.Newf("a call given up while it ran got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	if got := a.chat(ctx, 20, true); !got.Word.whole() {
-		return errors.Newf("the next call got %s %s", got.Word, got.Reason)
+	if got := a.chat(ctx, 20, true); !got.Outcome.whole() {
+		return errors.Newf("the next call got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, filing, patience); !got.Word.whole() && got.Word != Unknown {
-		return errors.Newf("the filing again got %s %s", got.Word, got.Reason)
+	if got := r.retry(ctx, a.rng, filing, patience); !got.Outcome.whole() && got.Outcome != Unknown {
+		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, tool, patience); !got.Word.whole() {
-		return errors.Newf("the repeatable call again got %s %s", got.Word, got.Reason)
+	if got := r.retry(ctx, a.rng, tool, patience); !got.Outcome.whole() {
+		return errors.Newf("the repeatable call again got %s %s", got.Outcome, got.Reason)
 	}
 	return a.goOn(ctx)
 }
