--- a/internal/proofs/agent.go
+++ b/internal/proofs/agent.go
@@ -21,14 +21,14 @@
 // agent is a caller that runs one program: a chain of calls, each after the
 // answer of the one before.
 type agent struct {
-	rig     *Rig
-	rng     *rand.Rand
-	program *Program
-	number  int
-	// made counts the calls, for their keys.
-	made int
-	// fans counts the lanes of sub-agents.
-	fans     int
+	rig        *Rig
+	rng        *rand.Rand
+	program    *Program
+	lastNumber int
+	// callCount counts the calls, for their keys.
+	callCount int
+	// fanCount counts the lanes of sub-agents.
+	fanCount int
 	messages []wire.ChatMessage
 }
 
@@ -37,7 +37,7 @@
 	a := &agent{rig: r, rng: rng, messages: []wire.ChatMessage{
 		{Role: "system", Content: "You draft trademark applications for small makers."},
 	}}
-	id, err := r.open(ctx, rng)
+	id, err := r.openProgram(ctx, rng)
 	if err != nil {
 		return nil, err
 	}
@@ -46,18 +46,18 @@
 	return a, nil
 }
 
-// open opens a program at any instance, with one key for all tries.
-func (r *Rig) open(ctx context.Context, rng *rand.Rand) (string, error) {
+// openProgram opens a program at any instance, with one key for all tries.
+func (r *Rig) openProgram(ctx context.Context, rng *rand.Rand) (string, error) {
 	key := ulid.Make().String()
-	limited, cancel := context.WithTimeout(ctx, patience)
+	limited, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	var id string
-	var at door
+	var at endpoint
 	err := testkit.Poll(limited, func() error {
 		short, stop := context.WithTimeout(limited, attemptDeadline+attemptGrace)
 		defer stop()
-		at = r.pick(rng, at.id)
-		answer, err := testkit.NewClient(at.server, r.key).
+		at = r.pickEndpoint(rng, at.id)
+		answer, err := testkit.NewClient(at.server, r.callerKey).
 			Do(short, http.MethodPost, programsRoute, []byte("{}"), testkit.Call{Key: key})
 		if err != nil {
 			return err
@@ -76,14 +76,14 @@
 
 // close closes the program; it is gone once an instance said so.
 func (a *agent) close(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, patience)
+	limited, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	var at door
+	var at endpoint
 	err := testkit.Poll(limited, func() error {
 		short, stop := context.WithTimeout(limited, attemptDeadline+attemptGrace)
 		defer stop()
-		at = a.rig.pick(a.rng, at.id)
-		answer, err := testkit.NewClient(at.server, a.rig.key).Close(short, a.program.ID)
+		at = a.rig.pickEndpoint(a.rng, at.id)
+		answer, err := testkit.NewClient(at.server, a.rig.callerKey).Close(short, a.program.ID)
 		if err != nil {
 			return err
 		}
@@ -93,16 +93,16 @@
 		return nil
 	})
 	if err == nil {
-		a.rig.History.setGone(a.program)
+		a.rig.History.setClosed(a.program)
 	}
 	return err
 }
 
 // newCall is the next call of the program's own lane.
 func (a *agent) newCall() *Call {
-	a.number++
-	a.made++
-	return &Call{Program: a.program.ID, Number: a.number, Key: fmt.Sprintf("k%d", a.made)}
+	a.lastNumber++
+	a.callCount++
+	return &Call{Program: a.program.ID, Number: a.lastNumber, Key: fmt.Sprintf("k%d", a.callCount)}
 }
 
 // do makes a call of the program's own lane. The number of one that did not run
@@ -110,7 +110,7 @@
 func (a *agent) do(ctx context.Context, q request) Attempt {
 	attempt := a.rig.do(ctx, a.rng, q)
 	if attempt.Outcome == NotRun {
-		a.number--
+		a.lastNumber--
 	}
 	return attempt
 }
@@ -118,7 +118,7 @@
 // chat makes the next call a chat of the given length.
 func (a *agent) chat(ctx context.Context, tokens int, stream bool) Attempt {
 	attempt := a.do(ctx, a.chatRequest(tokens, stream))
-	if attempt.Outcome.whole() {
+	if attempt.Outcome.answered() {
 		a.messages = append(a.messages, wire.ChatMessage{Role: "assistant", Content: attempt.Text})
 	} else {
 		a.messages = a.messages[:len(a.messages)-1]
@@ -128,7 +128,7 @@
 
 func (a *agent) chatRequest(tokens int, stream bool) request {
 	call := a.newCall()
-	prompt := fmt.Sprintf("Step %d of the application. tokens=%d", a.made, tokens)
+	prompt := fmt.Sprintf("Step %d of the application. tokens=%d", a.callCount, tokens)
 	a.messages = append(a.messages, wire.ChatMessage{Role: "user", Content: prompt})
 	return chatRequest(call, append([]wire.ChatMessage(nil), a.messages...), tokens, stream)
 }
@@ -137,46 +137,46 @@
 	return a.do(ctx, toolRequest(a.newCall(), runTime))
 }
 
-func (a *agent) file(ctx context.Context, fee int, runTime time.Duration) Attempt {
+func (a *agent) submitFiling(ctx context.Context, fee int, runTime time.Duration) Attempt {
 	return a.do(ctx, filingRequest(a.newCall(), fee, runTime))
 }
 
-// freeCall is a call without a number: only its key tells a repeat.
-func (a *agent) freeCall() *Call {
-	a.made++
-	return &Call{Program: a.program.ID, Lane: "free", Key: fmt.Sprintf("k%d", a.made)}
+// unnumberedCall is a call without a number: only its key tells a repeat.
+func (a *agent) unnumberedCall() *Call {
+	a.callCount++
+	return &Call{Program: a.program.ID, Lane: "free", Key: fmt.Sprintf("k%d", a.callCount)}
 }
 
-// fileAgain submits a filing and, once it has a word, submits it again.
-func (a *agent) fileAgain(ctx context.Context, fee int, runTime time.Duration) Attempt {
-	q := filingRequest(a.freeCall(), fee, runTime)
+// resubmitFiling submits a filing and, once it has a word, submits it again.
+func (a *agent) resubmitFiling(ctx context.Context, fee int, runTime time.Duration) Attempt {
+	q := filingRequest(a.unnumberedCall(), fee, runTime)
 	first := a.rig.do(ctx, a.rng, q)
-	if !first.Outcome.whole() {
+	if !first.Outcome.answered() {
 		return first
 	}
-	return a.rig.retry(ctx, a.rng, q, patience)
+	return a.rig.retry(ctx, a.rng, q, retryTimeout)
 }
 
-// fileTwice submits one filing at two instances at once, with one key.
-func (a *agent) fileTwice(ctx context.Context, fee int, runTime time.Duration) Attempt {
-	q := filingRequest(a.freeCall(), fee, runTime)
+// submitFilingConcurrently submits one filing at two instances at once, with one key.
+func (a *agent) submitFilingConcurrently(ctx context.Context, fee int, runTime time.Duration) Attempt {
+	q := filingRequest(a.unnumberedCall(), fee, runTime)
 	a.rig.History.addCall(q.call)
 	var attempts [2]Attempt
 	var group sync.WaitGroup
 	for i := range attempts {
 		rng := rand.New(rand.NewPCG(a.rng.Uint64(), a.rng.Uint64()))
-		group.Go(func() { attempts[i] = a.rig.retry(ctx, rng, q, patience) })
+		group.Go(func() { attempts[i] = a.rig.retry(ctx, rng, q, retryTimeout) })
 	}
 	group.Wait()
-	if attempts[0].Outcome.whole() {
+	if attempts[0].Outcome.answered() {
 		return attempts[0]
 	}
 	return attempts[1]
 }
 
-// fan makes several numbered tool calls of a lane of its own at once, as a
+// fanOut makes several numbered tool calls of a lane of its own at once, as a
 // sub-agent that does not wait; they run in the order of their numbers.
-func (a *agent) fan(ctx context.Context, lane string, count int, runTime time.Duration) []Attempt {
+func (a *agent) fanOut(ctx context.Context, lane string, count int, runTime time.Duration) []Attempt {
 	attempts := make([]Attempt, count)
 	var group sync.WaitGroup
 	for _, i := range a.rng.Perm(count) {
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -20,13 +20,13 @@
 	attemptDeadline = 6 * time.Second
 	// attemptGrace is how much longer the caller waits for it.
 	attemptGrace = 4 * time.Second
-	// patience is how long a caller tries a call again.
-	patience = 40 * time.Second
-	// pace is the wait before another try when no refusal gave one.
-	pace = 50 * time.Millisecond
-	// unknownTries is how often a caller asks again for what became of a
+	// retryTimeout is how long a caller tries a call again.
+	retryTimeout = 40 * time.Second
+	// retryInterval is the wait before another try when no refusal gave one.
+	retryInterval = 50 * time.Millisecond
+	// maxUnknownAttempts is how often a caller asks again for what became of a
 	// call.
-	unknownTries = 3
+	maxUnknownAttempts = 3
 )
 
 const problemPrefix = "urn:banyanglade:problem:"
@@ -38,9 +38,9 @@
 	path     string
 	body     []byte
 	deadline time.Duration
-	// leave is the time after which the caller closes the connection, 0 for
+	// cancelAfter is the time after which the caller closes the connection, 0 for
 	// never.
-	leave time.Duration
+	cancelAfter time.Duration
 }
 
 // do makes the call until it has a final word or the patience ends, and gives
@@ -48,27 +48,27 @@
 // tried elsewhere with the same key; a refusal says when to come back.
 func (r *Rig) do(ctx context.Context, rng *rand.Rand, q request) Attempt {
 	r.History.addCall(q.call)
-	return r.retry(ctx, rng, q, patience)
+	return r.retry(ctx, rng, q, retryTimeout)
 }
 
 func (r *Rig) retry(ctx context.Context, rng *rand.Rand, q request, limit time.Duration) Attempt {
 	until := time.Now().Add(limit)
 	unknowns, silent := 0, ""
 	for {
-		attempt := r.attempt(ctx, r.pick(rng, silent), q)
+		attempt := r.attempt(ctx, r.pickEndpoint(rng, silent), q)
 		silent = ""
 		if !attempt.Outcome.final() {
 			silent = attempt.Instance
 		}
-		wait, again := nextTry(attempt, &unknowns)
+		wait, again := nextRetry(attempt, &unknowns)
 		if !again || time.Now().Add(wait).After(until) || !delay.Sleep(ctx, wait) {
 			return attempt
 		}
 	}
 }
 
-// nextTry tells whether to try again after an attempt, and when.
-func nextTry(a Attempt, unknowns *int) (time.Duration, bool) {
+// nextRetry tells whether to try again after an attempt, and when.
+func nextRetry(a Attempt, unknowns *int) (time.Duration, bool) {
 	switch a.Outcome {
 	case Answered, Replayed:
 		return 0, false
@@ -76,33 +76,33 @@
 		return a.RetryAfter, a.RetryAfter > 0
 	case Unknown:
 		*unknowns++
-		return max(pace, a.RetryAfter), *unknowns < unknownTries
+		return max(retryInterval, a.RetryAfter), *unknowns < maxUnknownAttempts
 	default:
-		return pace, true
+		return retryInterval, true
 	}
 }
 
 // attempt makes one request at one instance and records it.
-func (r *Rig) attempt(ctx context.Context, to door, q request) Attempt {
+func (r *Rig) attempt(ctx context.Context, to endpoint, q request) Attempt {
 	deadline := q.deadline
 	if deadline == 0 {
 		deadline = attemptDeadline
 	}
 	wait := deadline + attemptGrace
-	if q.leave > 0 {
-		wait = q.leave
+	if q.cancelAfter > 0 {
+		wait = q.cancelAfter
 	}
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	a := Attempt{Instance: to.id, Start: time.Now()}
-	answer, err := testkit.NewClient(to.server, r.key).Do(limited, q.method, q.path, q.body, testkit.Call{
+	answer, err := testkit.NewClient(to.server, r.callerKey).Do(limited, q.method, q.path, q.body, testkit.Call{
 		Program: q.call.Program, Lane: q.call.Lane, Number: q.call.Number, Key: q.call.Key,
 		NotRepeatable: q.call.NotRepeatable, Deadline: deadline, Fee: q.call.Fee,
-		Attempt: r.History.nextDelivery(q.call),
+		Attempt: r.History.nextAttempt(q.call),
 	})
 	a.End = time.Now()
-	a.Outcome = wordOf(limited, answer, err)
-	if a.Outcome == NoResponse && q.leave > 0 {
+	a.Outcome = outcomeOf(limited, answer, err)
+	if a.Outcome == NoResponse && q.cancelAfter > 0 {
 		a.Outcome = Canceled
 	}
 	if answer != nil {
@@ -119,7 +119,7 @@
 	return a
 }
 
-func wordOf(ctx context.Context, answer *testkit.Answer, err error) Outcome {
+func outcomeOf(ctx context.Context, answer *testkit.Answer, err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Unreachable
--- a/internal/proofs/check.go
+++ b/internal/proofs/check.go
@@ -61,7 +61,7 @@
 	runs := indexRuns(e)
 	var found []Violation
 	for _, check := range []func(Evidence, *runIndex) []Violation{
-		checkExplained, checkOnce, checkNotRun, checkLost, checkKnown, checkOrder, checkAnswers,
+		checkStrayRuns, checkOnce, checkNotRun, checkLostAnswers, checkHistory, checkOrder, checkAnswers,
 		checkBudget, checkCache, checkIntents, checkLeaving, checkOrders, checkSettings,
 	} {
 		found = append(found, check(e, runs)...)
@@ -75,7 +75,7 @@
 		Lost: countOf(found, PropertyLostAnswer), WrongRefusals: countOf(found, PropertyNotRun),
 	}
 	for _, call := range e.Calls {
-		switch call.lastWord() {
+		switch call.finalOutcome() {
 		case Answered:
 			counts.Answered++
 		case Replayed:
@@ -99,23 +99,23 @@
 	return n
 }
 
-// last is the attempt that ended last, false if there is none.
-func (c Call) last() (Attempt, bool) {
+// lastAttempt is the attempt that ended last, false if there is none.
+func (c Call) lastAttempt() (Attempt, bool) {
 	if len(c.Attempts) == 0 {
 		return Attempt{}, false
 	}
 	return slices.MaxFunc(c.Attempts, func(a, b Attempt) int { return a.End.Compare(b.End) }), true
 }
 
-// lastWord is the best word that the caller has in the end: an answer if any
+// finalOutcome is the best word that the caller has in the end: an answer if any
 // attempt got one, else that of the last attempt.
-func (c Call) lastWord() Outcome {
+func (c Call) finalOutcome() Outcome {
 	for _, a := range c.Attempts {
-		if a.Outcome.whole() {
+		if a.Outcome.answered() {
 			return a.Outcome
 		}
 	}
-	last, ok := c.last()
+	last, ok := c.lastAttempt()
 	if !ok {
 		return NoResponse
 	}
--- a/internal/proofs/check_order.go
+++ b/internal/proofs/check_lanes.go
@@ -32,14 +32,14 @@
 	for _, calls := range lanes {
 		slices.SortStableFunc(calls, func(a, b numberedCall) int { return cmp.Compare(a.call.Number, b.call.Number) })
 		for i := 1; i < len(calls); i++ {
-			found = append(found, checkPair(calls[i-1], calls[i])...)
+			found = append(found, checkSuccessive(calls[i-1], calls[i])...)
 		}
 	}
 	return found
 }
 
-// checkPair judges two calls of a lane that follow each other.
-func checkPair(earlier, later numberedCall) []Violation {
+// checkSuccessive judges two calls of a lane that follow each other.
+func checkSuccessive(earlier, later numberedCall) []Violation {
 	if earlier.call.Number == later.call.Number {
 		return nil
 	}
@@ -52,7 +52,7 @@
 			continue
 		}
 		end := run.TimeMS + earlier.call.RunTime.Milliseconds()
-		if run.Finished && begin+clockSlackMS < end && !earlier.call.givenUp(begin) {
+		if run.Finished && begin+clockSlackMS < end && !earlier.call.abandonedBy(begin) {
 			found = append(found, violation(PropertyOrder, "%s began at time %d, before number %d ended at %d",
 				later.call.name(), begin, earlier.call.Number, end))
 		}
@@ -60,9 +60,9 @@
 	return found
 }
 
-// givenUp tells whether the caller had heard by then that the call's outcome is
+// abandonedBy tells whether the caller had heard by then that the call's outcome is
 // not known: it went on in that knowledge, while the call may still run.
-func (c Call) givenUp(by int64) bool {
+func (c Call) abandonedBy(by int64) bool {
 	return slices.ContainsFunc(c.Attempts, func(a Attempt) bool {
 		return a.Outcome == Unknown && a.End.UnixMilli() <= by+clockSlackMS
 	})
@@ -73,10 +73,10 @@
 	var found []Violation
 	for i, call := range e.Calls {
 		for _, a := range call.Attempts {
-			if !a.Outcome.whole() {
+			if !a.Outcome.answered() {
 				continue
 			}
-			if detail := wrongAnswer(call, a, runs.byCall[i]); detail != "" {
+			if detail := answerMismatch(call, a, runs.byCall[i]); detail != "" {
 				found = append(found, violation(PropertyAnswers, "%s: %s", call.name(), detail))
 			}
 		}
@@ -84,31 +84,31 @@
 	return found
 }
 
-// wrongAnswer tells what is wrong with an answer, empty if nothing.
-func wrongAnswer(call Call, a Attempt, runs []wire.LedgerEntry) string {
+// answerMismatch tells what is wrong with an answer, empty if nothing.
+func answerMismatch(call Call, a Attempt, runs []wire.LedgerEntry) string {
 	if len(runs) == 0 {
 		return "answered, but no target ran it"
 	}
 	if call.Kind == Chat {
 		if a.Text != call.WantText {
-			return "answer " + clip(a.Text) + ", want " + clip(call.WantText)
+			return "answer " + truncate(a.Text) + ", want " + truncate(call.WantText)
 		}
 		return ""
 	}
 	var answer service.Answer
 	if err := json.Unmarshal(a.Body, &answer); err != nil {
-		return "answer is not the target's: " + clip(string(a.Body))
+		return "answer is not the target's: " + truncate(string(a.Body))
 	}
 	made := slices.ContainsFunc(runs, func(run wire.LedgerEntry) bool {
 		return run.Target == answer.Target && run.Sequence == answer.Sequence
 	})
 	if !made || answer.Path != call.Path || answer.BodyHash != call.BodyHash {
-		return "answer is that of another request: " + clip(string(a.Body))
+		return "answer is that of another request: " + truncate(string(a.Body))
 	}
 	return ""
 }
 
-func clip(text string) string {
+func truncate(text string) string {
 	const limit = 160
 	if len(text) > limit {
 		return text[:limit] + "…"
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -78,8 +78,8 @@
 	return all
 }
 
-// checkExplained finds runs of requests that no caller made.
-func checkExplained(_ Evidence, runs *runIndex) []Violation {
+// checkStrayRuns finds runs of requests that no caller made.
+func checkStrayRuns(_ Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for _, run := range runs.stray {
 		found = append(found, violation(PropertyAnswers, "target %s ran a request that no caller made: program %s path %s body %s",
@@ -108,17 +108,17 @@
 			continue
 		}
 		for _, run := range runs.byCall[i] {
-			if !call.explains(run) {
+			if !call.allowsRun(run) {
 				found = append(found, violation(PropertyNotRun, "%s heard %s but ran at %s, time %d",
 					call.name(), describeAttempts(call), run.Target, run.TimeMS))
 				continue
 			}
-			if heard, ok := call.deniedAfter(run); ok {
+			if heard, ok := call.refusedAfter(run); ok {
 				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, and then heard not run (%s) at %s: %s",
 					call.name(), run.Target, run.TimeMS, heard.Reason, heard.Instance, describeAttempts(call)))
 				continue
 			}
-			last, _ := call.last()
+			last, _ := call.lastAttempt()
 			if last.Outcome == NotRun && run.TimeMS > last.End.UnixMilli()+clockSlackMS {
 				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, after its last word %s",
 					call.name(), run.Target, run.TimeMS, describeAttempts(call)))
@@ -128,24 +128,24 @@
 	return found
 }
 
-// explains tells whether the run can be that of an attempt which did not hear
+// allowsRun tells whether the run can be that of an attempt which did not hear
 // "not run": the run began after the attempt, and before its answer if it had
 // one.
-func (c Call) explains(run wire.LedgerEntry) bool {
+func (c Call) allowsRun(run wire.LedgerEntry) bool {
 	for _, a := range c.Attempts {
 		if a.Outcome == NotRun || a.Outcome == Unreachable || run.TimeMS < a.Start.UnixMilli()-clockSlackMS {
 			continue
 		}
-		if !a.Outcome.whole() || run.TimeMS <= a.End.UnixMilli()+clockSlackMS {
+		if !a.Outcome.answered() || run.TimeMS <= a.End.UnixMilli()+clockSlackMS {
 			return true
 		}
 	}
 	return false
 }
 
-// deniedAfter finds an attempt that heard "not run" after the run began: whoever
+// refusedAfter finds an attempt that heard "not run" after the run began: whoever
 // hears that may ask for the same under another key.
-func (c Call) deniedAfter(run wire.LedgerEntry) (Attempt, bool) {
+func (c Call) refusedAfter(run wire.LedgerEntry) (Attempt, bool) {
 	for _, a := range c.Attempts {
 		if a.Outcome == NotRun && a.End.UnixMilli() > run.TimeMS+clockSlackMS {
 			return a, true
@@ -154,17 +154,17 @@
 	return Attempt{}, false
 }
 
-// checkLost finds calls without a final word and attempts that broke or fell
+// checkLostAnswers finds calls without a final word and attempts that broke or fell
 // silent at an instance that no fault touched.
-func checkLost(e Evidence, _ *runIndex) []Violation {
+func checkLostAnswers(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, call := range e.Calls {
-		if word := call.lastWord(); !word.final() {
+		if word := call.finalOutcome(); !word.final() {
 			found = append(found, violation(PropertyLostAnswer, "%s ended without a word: %s", call.name(), describeAttempts(call)))
 			continue
 		}
 		for _, a := range call.Attempts {
-			if (a.Outcome == Broken || a.Outcome == NoResponse) && !e.disturbed(a) {
+			if (a.Outcome == Broken || a.Outcome == NoResponse) && !e.duringFault(a) {
 				found = append(found, violation(PropertyLostAnswer, "%s: attempt at %s, to which nothing was done, was %s after %s",
 					call.name(), a.Instance, a.Outcome, a.End.Sub(a.Start)))
 			}
@@ -173,7 +173,7 @@
 	return found
 }
 
-func (e Evidence) disturbed(a Attempt) bool {
+func (e Evidence) duringFault(a Attempt) bool {
 	return slices.ContainsFunc(e.FaultWindows, func(d FaultWindow) bool { return d.covers(a) })
 }
 
@@ -183,8 +183,8 @@
 	reasonTooOld         = "too-old"
 )
 
-// checkKnown finds programs that were opened and then called unknown.
-func checkKnown(e Evidence, _ *runIndex) []Violation {
+// checkHistory finds programs that were opened and then called unknown.
+func checkHistory(e Evidence, _ *runIndex) []Violation {
 	opened := make(map[string]bool)
 	for _, p := range e.Programs {
 		opened[p.ID] = true
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	found := checkTeam(e, fees)
+	found := checkTeamBudget(e, fees)
 	for _, p := range e.Programs {
 		if p.Tokens > 0 && tokens[p.ID] > p.Tokens {
 			found = append(found, violation(PropertyBudget, "program %s spent %d tokens of %d", p.ID, tokens[p.ID], p.Tokens))
@@ -239,8 +239,8 @@
 	return found
 }
 
-// checkTeam adds up what all programs of the team paid.
-func checkTeam(e Evidence, fees map[string]int64) []Violation {
+// checkTeamBudget adds up what all programs of the team paid.
+func checkTeamBudget(e Evidence, fees map[string]int64) []Violation {
 	total := int64(0)
 	for _, fee := range fees {
 		total += fee
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -21,9 +21,9 @@
 
 func ms(t int) int64 { return at(t).UnixMilli() }
 
-// goodEvidence is a history in which everything holds: a chat, a tool call and
+// validEvidence is a history in which everything holds: a chat, a tool call and
 // a filing of one program, one after the other.
-func goodEvidence() Evidence {
+func validEvidence() Evidence {
 	messages := []wire.ChatMessage{{Role: "user", Content: "Draft it. tokens=10"}}
 	chat := Call{Program: testProgram, Number: 1, Key: "k1"}
 	chatRequest(&chat, messages, 10, false)
@@ -87,7 +87,7 @@
 }
 
 func TestCheckerAcceptsAGoodHistory(t *testing.T) {
-	verdict := Check(goodEvidence())
+	verdict := Check(validEvidence())
 	if len(verdict.Violations) > 0 {
 		t.Fatalf("violations in a good history: %v", verdict.Violations)
 	}
@@ -96,13 +96,13 @@
 	}
 }
 
-// refused makes attempts of the call that heard "not run".
-func refused(c *Call, start, end int) {
+// refuse makes attempts of the call that heard "not run".
+func refuse(c *Call, start, end int) {
 	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Outcome: NotRun}}
 }
 
-// badHistories seeds one breach each into the good history.
-var badHistories = []struct {
+// invalidHistories seeds one breach each into the good history.
+var invalidHistories = []struct {
 	name     string
 	breaks   func(e *Evidence)
 	property Property
@@ -115,8 +115,8 @@
 	{"a filing runs once at each of two targets", func(e *Evidence) {
 		e.Services["other"] = []wire.LedgerEntry{plainEntry("other", e.Calls[2], 240)}
 	}, PropertyAtMostOnce},
-	{"a call that heard not run ran", func(e *Evidence) { refused(&e.Calls[1], 105, 150) }, PropertyNotRun},
-	{"a call that heard not run ran later", func(e *Evidence) { refused(&e.Calls[2], 200, 205) }, PropertyNotRun},
+	{"a call that heard not run ran", func(e *Evidence) { refuse(&e.Calls[1], 105, 150) }, PropertyNotRun},
+	{"a call that heard not run ran later", func(e *Evidence) { refuse(&e.Calls[2], 200, 205) }, PropertyNotRun},
 	{"a broken attempt ran after the last one heard not run", func(e *Evidence) {
 		e.Calls[2].Attempts = []Attempt{
 			{Instance: "dead", Start: at(190), End: at(195), Outcome: Broken},
@@ -212,9 +212,9 @@
 }
 
 func TestCheckerFindsEachBreach(t *testing.T) {
-	for _, bad := range badHistories {
+	for _, bad := range invalidHistories {
 		t.Run(bad.name, func(t *testing.T) {
-			e := goodEvidence()
+			e := validEvidence()
 			bad.breaks(&e)
 			found := Check(e).Violations
 			if countOf(found, bad.property) == 0 {
@@ -255,7 +255,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := goodEvidence()
+			e := validEvidence()
 			c.change(&e)
 			if found := Check(e).Violations; len(found) > 0 {
 				t.Fatalf("violations: %v", found)
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -44,7 +44,7 @@
 				continue
 			}
 			body, _ := json.Marshal(rec.Body)
-			fmt.Fprintf(&out, "  %d at %d: epoch %d of %s, %T %s\n", r.Offset, r.TimeMS, rec.Epoch, rec.Writer, rec.Body, clip(string(body)))
+			fmt.Fprintf(&out, "  %d at %d: epoch %d of %s, %T %s\n", r.Offset, r.TimeMS, rec.Epoch, rec.Writer, rec.Body, truncate(string(body)))
 		}
 	}
 	return out.String()
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -14,30 +14,30 @@
 // the requests that it had.
 const resumeSlack = 2 * time.Second
 
-// disturb notes that an instance is about to be killed or paused.
-func (r *Rig) disturb(p *testkit.Process) *FaultWindow {
+// openFaultWindow notes that an instance is about to be killed or paused.
+func (r *Rig) openFaultWindow(p *testkit.Process) *FaultWindow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
+	r.faultCount++
 	d := &FaultWindow{Instance: p.ID, From: time.Now()}
-	r.disturbed = append(r.disturbed, d)
+	r.faultWindows = append(r.faultWindows, d)
 	return d
 }
 
 // Kill ends an instance at once (SIGKILL). The balancer and the membership list
 // lose it afterwards, unless listed keeps it in the list.
 func (r *Rig) Kill(p *testkit.Process, listed bool) {
-	r.disturb(p)
+	r.openFaultWindow(p)
 	p.Kill()
-	r.closeDoor(p)
-	r.drop(p, listed)
+	r.removeEndpoint(p)
+	r.removeInstance(p, listed)
 }
 
-// drop takes an ended process off the instances.
-func (r *Rig) drop(p *testkit.Process, listed bool) {
+// removeInstance takes an ended process off the instances.
+func (r *Rig) removeInstance(p *testkit.Process, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = append(r.ended, p)
+	r.removed = append(r.removed, p)
 	r.Remove(p)
 	if listed {
 		r.Members.Put(r.Member(p, wire.MemberStateLive))
@@ -49,7 +49,7 @@
 
 // Pause freezes an instance (SIGSTOP); the result lets it go on (SIGCONT).
 func (r *Rig) Pause(p *testkit.Process) (resume func() error, err error) {
-	d := r.disturb(p)
+	d := r.openFaultWindow(p)
 	if err := p.Pause(); err != nil {
 		return nil, errors.Wrap(err, "pause")
 	}
@@ -72,7 +72,7 @@
 	if err := r.WaitReady(ctx, p); err != nil {
 		return nil, err
 	}
-	r.openDoor(p)
+	r.addEndpoint(p)
 	return p, nil
 }
 
@@ -91,25 +91,25 @@
 	return err
 }
 
-// drainLimit bounds the wait for a graceful shutdown.
-const drainLimit = 40 * time.Second
+// drainTimeout bounds the wait for a graceful shutdown.
+const drainTimeout = 40 * time.Second
 
 // Drain asks an instance to shut down (SIGTERM) and waits for its end. It is no
 // disturbance: it may break no request.
 func (r *Rig) Drain(ctx context.Context, p *testkit.Process) error {
-	r.fault()
-	r.closeDoor(p)
+	r.countFault()
+	r.removeEndpoint(p)
 	if err := p.Terminate(); err != nil {
 		return errors.Wrap(err, "terminate")
 	}
-	limited, cancel := context.WithTimeout(ctx, drainLimit)
+	limited, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	select {
 	case <-p.Exited():
 	case <-limited.Done():
 		return errors.Newf("instance %s did not end after SIGTERM", p.ID)
 	}
-	r.drop(p, false)
+	r.removeInstance(p, false)
 	if code := p.ExitCode(); code != 0 {
 		return errors.Newf("instance %s ended with code %d after SIGTERM", p.ID, code)
 	}
@@ -119,7 +119,7 @@
 // SetLogFaults changes the faults of the log service.
 func (r *Rig) SetLogFaults(faults wire.LogFaults) {
 	if faults != (wire.LogFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	r.Log.SetFaults(faults)
 }
@@ -127,7 +127,7 @@
 // SetMemberFaults changes the faults of the membership list.
 func (r *Rig) SetMemberFaults(faults wire.MemberFaults) {
 	if faults != (wire.MemberFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	r.Members.SetFaults(faults)
 }
@@ -135,7 +135,7 @@
 // SetTargetFaults changes the faults of one target.
 func (r *Rig) SetTargetFaults(id string, faults wire.ServiceFaults) {
 	if faults != (wire.ServiceFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	if target, ok := r.Engines[id]; ok {
 		target.Faults().Set(faults)
@@ -149,7 +149,7 @@
 func (r *Rig) MarkLeaving(id string, within time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
+	r.faultCount++
 	r.leaving = append(r.leaving, LeavingTarget{Target: id, At: time.Now(), Grace: within})
 	r.Members.SetLeaving(id)
 }
--- a/internal/proofs/history.go
+++ b/internal/proofs/history.go
@@ -26,11 +26,11 @@
 	NoResponse Outcome = "silent"
 )
 
-// whole tells whether the attempt got an answer.
-func (w Outcome) whole() bool { return w == Answered || w == Replayed }
+// answered tells whether the attempt got an answer.
+func (w Outcome) answered() bool { return w == Answered || w == Replayed }
 
 // final tells whether the attempt got any final word.
-func (w Outcome) final() bool { return w.whole() || w == NotRun || w == Unknown }
+func (w Outcome) final() bool { return w.answered() || w == NotRun || w == Unknown }
 
 // Kind tells what a call asks for.
 type Kind string
@@ -84,8 +84,8 @@
 	RunTime  time.Duration
 	Attempts []Attempt
 
-	// deliveries counts the attempts begun.
-	deliveries int
+	// attemptCount counts the attempts begun.
+	attemptCount int
 }
 
 // Program is one program of a caller.
@@ -119,12 +119,12 @@
 	h.calls = append(h.calls, call)
 }
 
-// nextDelivery counts an attempt that is about to be made, from 1.
-func (h *History) nextDelivery(call *Call) int {
+// nextAttempt counts an attempt that is about to be made, from 1.
+func (h *History) nextAttempt(call *Call) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	call.deliveries++
-	return call.deliveries
+	call.attemptCount++
+	return call.attemptCount
 }
 
 // addAttempt records the end of an attempt.
@@ -133,7 +133,7 @@
 	defer h.mu.Unlock()
 	call.Attempts = append(call.Attempts, attempt)
 	h.ended++
-	if attempt.Outcome.whole() {
+	if attempt.Outcome.answered() {
 		h.answered++
 	}
 	if attempt.Outcome == NotRun {
@@ -148,8 +148,8 @@
 	h.programs = append(h.programs, program)
 }
 
-// setGone records that a program was closed.
-func (h *History) setGone(program *Program) {
+// setClosed records that a program was closed.
+func (h *History) setClosed(program *Program) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	program.Closed = true
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -25,8 +25,8 @@
 	weight int
 	step   func(ctx context.Context, a *agent) bool
 }{
-	{3, stepChat}, {3, stepStream}, {3, stepTool}, {3, stepFile}, {1, stepFileTwice}, {1, stepFileAgain}, {1, stepFan},
-	{1, stepSingle}, {1, stepLeave},
+	{3, stepChat}, {3, stepStream}, {3, stepTool}, {3, stepFiling}, {1, stepConcurrentFiling}, {1, stepResubmittedFiling}, {1, stepFanOut},
+	{1, stepWithoutProgram}, {1, stepCancel},
 }
 
 // StartLoad starts programs that each make a number of calls, or go on until
@@ -55,7 +55,7 @@
 func (l *Load) runProgram(ctx context.Context, r *Rig, rng *rand.Rand, calls int) {
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
-		l.fail(err)
+		l.addError(err)
 		return
 	}
 	l.mu.Lock()
@@ -67,7 +67,7 @@
 		}
 	}
 	if err := a.close(ctx); err != nil {
-		l.fail(err)
+		l.addError(err)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-func (l *Load) fail(err error) {
+func (l *Load) addError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.errs = append(l.errs, err)
@@ -132,60 +132,60 @@
 }
 
 func stepChat(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(40), false).Outcome.whole()
+	return a.chat(ctx, 5+a.rng.IntN(40), false).Outcome.answered()
 }
 
 func stepStream(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(200), true).Outcome.whole()
+	return a.chat(ctx, 5+a.rng.IntN(200), true).Outcome.answered()
 }
 
 func stepTool(ctx context.Context, a *agent) bool {
-	return a.tool(ctx, a.runTime()).Outcome.whole()
+	return a.tool(ctx, a.runTime()).Outcome.answered()
 }
 
-// stepFile goes on after an outcome that is not known: a person looks into it,
+// stepFiling goes on after an outcome that is not known: a person looks into it,
 // and the number is used up.
-func stepFile(ctx context.Context, a *agent) bool {
-	word := a.file(ctx, 1, a.runTime()).Outcome
-	return word.whole() || word == Unknown
+func stepFiling(ctx context.Context, a *agent) bool {
+	word := a.submitFiling(ctx, 1, a.runTime()).Outcome
+	return word.answered() || word == Unknown
 }
 
-func stepFileTwice(ctx context.Context, a *agent) bool {
-	word := a.fileTwice(ctx, 1, a.runTime()).Outcome
-	return word.whole() || word == Unknown
+func stepConcurrentFiling(ctx context.Context, a *agent) bool {
+	word := a.submitFilingConcurrently(ctx, 1, a.runTime()).Outcome
+	return word.answered() || word == Unknown
 }
 
-func stepFileAgain(ctx context.Context, a *agent) bool {
-	word := a.fileAgain(ctx, 1, a.runTime()).Outcome
-	return word.whole() || word == Unknown
+func stepResubmittedFiling(ctx context.Context, a *agent) bool {
+	word := a.resubmitFiling(ctx, 1, a.runTime()).Outcome
+	return word.answered() || word == Unknown
 }
 
-// stepSingle files without a program.
-func stepSingle(ctx context.Context, a *agent) bool {
+// stepWithoutProgram files without a program.
+func stepWithoutProgram(ctx context.Context, a *agent) bool {
 	call := &Call{Key: ulid.Make().String()}
 	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
-	return word.whole() || word == Unknown
+	return word.answered() || word == Unknown
 }
 
-// stepLeave closes the connection of a filing early and submits it again.
-func stepLeave(ctx context.Context, a *agent) bool {
-	q := filingRequest(a.freeCall(), 1, a.runTime())
+// stepCancel closes the connection of a filing early and submits it again.
+func stepCancel(ctx context.Context, a *agent) bool {
+	q := filingRequest(a.unnumberedCall(), 1, a.runTime())
 	a.rig.History.addCall(q.call)
 	left := q
-	left.leave = a.runTime()
-	if a.rig.retry(ctx, a.rng, left, 0).Outcome.whole() {
+	left.cancelAfter = a.runTime()
+	if a.rig.retry(ctx, a.rng, left, 0).Outcome.answered() {
 		return true
 	}
-	word := a.rig.retry(ctx, a.rng, q, patience).Outcome
-	return word.whole() || word == Unknown
+	word := a.rig.retry(ctx, a.rng, q, retryTimeout).Outcome
+	return word.answered() || word == Unknown
 }
 
-func stepFan(ctx context.Context, a *agent) bool {
+func stepFanOut(ctx context.Context, a *agent) bool {
 	const count = 3
-	a.fans++
-	lane := fmt.Sprintf("sub-%d", a.fans)
-	for _, attempt := range a.fan(ctx, lane, count, a.runTime()) {
-		if !attempt.Outcome.whole() {
+	a.fanCount++
+	lane := fmt.Sprintf("sub-%d", a.fanCount)
+	for _, attempt := range a.fanOut(ctx, lane, count, a.runTime()) {
+		if !attempt.Outcome.answered() {
 			return false
 		}
 	}
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -13,8 +13,8 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// operatorLimit bounds an operator's request.
-const operatorLimit = 15 * time.Second
+// operatorTimeout bounds an operator's request.
+const operatorTimeout = 15 * time.Second
 
 // settingView is one entry of the answer of GET /v1/settings.
 type settingView struct {
@@ -26,21 +26,21 @@
 // propose publishes one change at an instance and records what was heard. The
 // value is JSON.
 func (r *Rig) propose(ctx context.Context, at *testkit.Process, path string, base uint64, value string) Change {
-	limited, cancel := context.WithTimeout(ctx, operatorLimit)
+	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	change := Change{Instance: at.ID, Path: path, Base: base, Value: value, ChangeID: ulid.Make().String()}
 	answer, err := operatorAt(at).Publish(limited, testkit.SettingsChange{
 		Path: path, Base: base, Value: json.RawMessage(value), ChangeID: change.ChangeID,
 	})
 	if err == nil {
-		change.hear(answer)
+		change.setOutcome(answer)
 	}
 	r.History.addChange(change)
 	return change
 }
 
-// hear takes the answer of a proposal.
-func (c *Change) hear(answer *testkit.Answer) {
+// setOutcome takes the answer of a proposal.
+func (c *Change) setOutcome(answer *testkit.Answer) {
 	if answer.Status == http.StatusOK {
 		var accepted struct {
 			Version uint64 `json:"version"`
@@ -54,7 +54,7 @@
 
 // setting reads a path at an instance, false if it has none or does not answer.
 func (r *Rig) setting(ctx context.Context, at *testkit.Process, path string) (Setting, bool) {
-	limited, cancel := context.WithTimeout(ctx, operatorLimit)
+	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	answer, err := operatorAt(at).Do(limited, http.MethodGet, "/v1/settings?path="+url.QueryEscape(path), nil, testkit.Call{})
 	if err != nil || answer.Status != http.StatusOK {
@@ -89,7 +89,7 @@
 	if len(changes) == 0 {
 		return result
 	}
-	for _, p := range r.others(nil) {
+	for _, p := range r.instancesExcept(nil) {
 		result[p.ID] = make(map[string]Setting)
 		for _, c := range changes {
 			if _, known := result[p.ID][c.Path]; known {
@@ -103,9 +103,9 @@
 	return result
 }
 
-// untilInForce waits until every instance has a version of a path.
-func (r *Rig) untilInForce(ctx context.Context, path string, version uint64) error {
-	for _, p := range r.others(nil) {
+// waitInForce waits until every instance has a version of a path.
+func (r *Rig) waitInForce(ctx context.Context, path string, version uint64) error {
+	for _, p := range r.instancesExcept(nil) {
 		err := r.WaitUntil(ctx, "the change at "+p.ID, func() bool {
 			found, ok := r.setting(ctx, p, path)
 			return ok && found.Version >= version
--- a/internal/proofs/recovery.go
+++ b/internal/proofs/recovery.go
@@ -26,9 +26,9 @@
 // many instances. With one instance, another is started at the kill. The
 // membership list shows the killed instance until the answer has come.
 func MeasureRecovery(ctx context.Context, binary string, instances, kills int, seed uint64) (Recovery, error) {
-	limited, cancel := context.WithTimeout(ctx, scenarioLimit)
+	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
-	rig, err := start(limited, binary, Scenario{Name: "recovery", Instances: instances}, seed)
+	rig, err := startRig(limited, binary, Scenario{Name: "recovery", Instances: instances}, seed)
 	if err != nil {
 		return Recovery{}, err
 	}
@@ -39,7 +39,7 @@
 		return result, err
 	}
 	for range kills {
-		took, err := a.recoveryOnce(limited)
+		took, err := a.measureRecovery(limited)
 		if err != nil {
 			return result, err
 		}
@@ -49,31 +49,31 @@
 	return result, nil
 }
 
-// recoveryOnce kills the owner and times the next answer, then starts another
+// measureRecovery kills the owner and times the next answer, then starts another
 // instance in its place.
-func (a *agent) recoveryOnce(ctx context.Context) (time.Duration, error) {
+func (a *agent) measureRecovery(ctx context.Context) (time.Duration, error) {
 	r := a.rig
 	// A filing is in the log before its answer, so that the time is that of the
 	// takeover alone. What a call means whose record was lost with the owner is
 	// the matter of the scenario "kill-owner".
-	if got := a.file(ctx, 0, 0); !got.Outcome.whole() {
+	if got := a.submitFiling(ctx, 0, 0); !got.Outcome.answered() {
 		return 0, errors.Newf("before the kill a call got %s %s", got.Outcome, got.Reason)
 	}
-	owner, err := r.untilOwned(ctx, a.program.ID)
+	owner, err := r.waitOwner(ctx, a.program.ID)
 	if err != nil {
 		return 0, err
 	}
-	alone := len(r.others(nil)) == 1
+	alone := len(r.instancesExcept(nil)) == 1
 	killed := time.Now()
 	r.Kill(owner, true)
 	if alone {
-		r.setDoors()
+		r.setEndpoints()
 		if _, err := r.Add(ctx); err != nil {
 			return 0, err
 		}
 	}
 	// A call that is refused for good is made anew until one is answered.
-	for !a.tool(ctx, 0).Outcome.whole() {
+	for !a.tool(ctx, 0).Outcome.answered() {
 		if ctx.Err() != nil {
 			return 0, errors.Newf("no answer after the kill of %s", owner.ID)
 		}
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -19,9 +19,9 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// shards is the number of shards of the region, as instances have it by
+// shardCount is the number of shards of the region, as instances have it by
 // default.
-const shards = 64
+const shardCount = 64
 
 // Rig is what a scenario works with: the instances, the stand-ins, the callers'
 // history and the faults.
@@ -31,25 +31,25 @@
 	// Net holds the relays, nil if the scenario wants none.
 	Net *Network
 
-	key    string
-	budget Program
-
-	mu        sync.Mutex
-	rng       *rand.Rand
-	doors     []door
-	faults    int
-	disturbed []*FaultWindow
-	leaving   []LeavingTarget
-	// ended are the processes that were removed, kept for their logs.
-	ended []*testkit.Process
+	callerKey string
+	budget    Program
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	endpoints    []endpoint
+	faultCount   int
+	faultWindows []*FaultWindow
+	leaving      []LeavingTarget
+	// removed are the processes that were removed, kept for their logs.
+	removed []*testkit.Process
 }
 
-// door is an instance as callers see it behind their balancer.
-type door struct{ id, server string }
+// endpoint is an instance as callers see it behind their balancer.
+type endpoint struct{ id, server string }
 
-// start starts the instances of a scenario and its settings.
-func start(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
-	r := &Rig{History: &History{}, key: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
+// startRig starts the instances of a scenario and its settings.
+func startRig(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
+	r := &Rig{History: &History{}, callerKey: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
 	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.UsualStandins(), Env: s.Env}
 	if s.Standins != nil {
 		s.Standins(&options.Standins)
@@ -65,24 +65,24 @@
 	}
 	r.Cluster = cluster
 	for _, p := range cluster.Instances {
-		r.doors = append(r.doors, door{p.ID, p.Server})
+		r.endpoints = append(r.endpoints, endpoint{p.ID, p.Server})
 	}
 	if err := cluster.Configure(ctx, append(testkit.UsualSettings(), testkit.Changes(s.settings())...)); err != nil {
 		r.Close()
 		return nil, err
 	}
-	if err := r.untilListed(ctx); err != nil {
+	if err := r.waitListed(ctx); err != nil {
 		r.Close()
 		return nil, err
 	}
 	return r, nil
 }
 
-// untilListed waits until every instance has seen every other one in the
+// waitListed waits until every instance has seen every other one in the
 // membership list, so that owners do not move for that reason alone.
-func (r *Rig) untilListed(ctx context.Context) error {
+func (r *Rig) waitListed(ctx context.Context) error {
 	for _, p := range r.Instances {
-		err := r.WaitUntil(ctx, "the members at "+p.ID, func() bool { return r.peersOf(ctx, p) >= len(r.Instances) })
+		err := r.WaitUntil(ctx, "the members at "+p.ID, func() bool { return r.peerCount(ctx, p) >= len(r.Instances) })
 		if err != nil {
 			return err
 		}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// peersOf is the number of instances that an instance knows, itself included.
-func (r *Rig) peersOf(ctx context.Context, p *testkit.Process) int {
+// peerCount is the number of instances that an instance knows, itself included.
+func (r *Rig) peerCount(ctx context.Context, p *testkit.Process) int {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct{ Peers []struct{ ID string } }
 	if err != nil || json.Unmarshal(answer.Body, &state) != nil {
@@ -121,46 +121,46 @@
 	return rand.New(rand.NewPCG(r.rng.Uint64(), r.rng.Uint64()))
 }
 
-// pick chooses an instance as a balancer does, another than the one given if
+// pickEndpoint chooses an instance as a balancer does, another than the one given if
 // there is one: whoever got no answer tries elsewhere.
-func (r *Rig) pick(rng *rand.Rand, other string) door {
+func (r *Rig) pickEndpoint(rng *rand.Rand, other string) endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	choices := slices.DeleteFunc(slices.Clone(r.doors), func(d door) bool { return d.id == other })
+	choices := slices.DeleteFunc(slices.Clone(r.endpoints), func(d endpoint) bool { return d.id == other })
 	if len(choices) == 0 {
-		choices = r.doors
+		choices = r.endpoints
 	}
 	return choices[rng.IntN(len(choices))]
 }
 
-// doorOf gives an instance as callers see it.
-func doorOf(p *testkit.Process) door { return door{p.ID, p.Server} }
+// endpointOf gives an instance as callers see it.
+func endpointOf(p *testkit.Process) endpoint { return endpoint{p.ID, p.Server} }
 
-// setDoors replaces the instances that the balancer offers.
-func (r *Rig) setDoors(doors ...door) {
+// setEndpoints replaces the instances that the balancer offers.
+func (r *Rig) setEndpoints(doors ...endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doors = doors
+	r.endpoints = doors
 }
 
-func (r *Rig) openDoor(p *testkit.Process) {
+func (r *Rig) addEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doors = append(r.doors, doorOf(p))
+	r.endpoints = append(r.endpoints, endpointOf(p))
 }
 
-// closeDoor takes an instance off the balancer, unless it is the last.
-func (r *Rig) closeDoor(p *testkit.Process) {
+// removeEndpoint takes an instance off the balancer, unless it is the last.
+func (r *Rig) removeEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var left []door
-	for _, d := range r.doors {
+	var left []endpoint
+	for _, d := range r.endpoints {
 		if d.id != p.ID {
 			left = append(left, d)
 		}
 	}
 	if len(left) > 0 {
-		r.doors = left
+		r.endpoints = left
 	}
 }
 
@@ -181,8 +181,8 @@
 	return r.WaitUntil(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
 }
 
-// stream gives the retained records of a log stream; none during an outage.
-func (r *Rig) stream(name string) []wire.LogRecord {
+// readStream gives the retained records of a log stream; none during an outage.
+func (r *Rig) readStream(name string) []wire.LogRecord {
 	const all = 1 << 30
 	info, err := r.Log.Info(name)
 	if err != nil {
@@ -199,24 +199,24 @@
 func shardStream(program string) string {
 	id := structs.ProgramID(program)
 	region, _, _ := id.Parse()
-	return structs.ShardRef{Region: region, Shard: structs.ShardOf(id, shards)}.Stream()
+	return structs.ShardRef{Region: region, Shard: structs.ShardOf(id, shardCount)}.Stream()
 }
 
 // OwnerOf finds the process whose claim of the program's shard is the newest in
 // the log, nil if it has ended.
 func (r *Rig) OwnerOf(program string) *testkit.Process {
-	return r.process(string(ownerInLog(r.stream(shardStream(program)))))
+	return r.process(string(ownerInLog(r.readStream(shardStream(program)))))
 }
 
-// ownerSaid gives the process that the instances name as the program's owner,
+// reportedOwner gives the process that the instances name as the program's owner,
 // nil if none does: the log may have dropped the claim.
-func (r *Rig) ownerSaid(ctx context.Context, program string) *testkit.Process {
-	return r.ownerSaidBy(ctx, r.random(), program)
+func (r *Rig) reportedOwner(ctx context.Context, program string) *testkit.Process {
+	return r.ownerReportedBy(ctx, r.randomInstance(), program)
 }
 
-// ownerSaidBy gives the process that one instance names as the program's owner.
-func (r *Rig) ownerSaidBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
-	answer, err := testkit.NewClient(p.Server, r.key).
+// ownerReportedBy gives the process that one instance names as the program's owner.
+func (r *Rig) ownerReportedBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
+	answer, err := testkit.NewClient(p.Server, r.callerKey).
 		Do(ctx, http.MethodGet, programsRoute+"/"+program, nil, testkit.Call{})
 	var view struct {
 		Owner string `json:"owner"`
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// others lists the processes but one.
-func (r *Rig) others(than *testkit.Process) []*testkit.Process {
+// instancesExcept lists the processes but one.
+func (r *Rig) instancesExcept(than *testkit.Process) []*testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*testkit.Process
@@ -251,25 +251,25 @@
 	return list
 }
 
-// random picks a process.
-func (r *Rig) random() *testkit.Process {
+// randomInstance picks a process.
+func (r *Rig) randomInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Instances[r.rng.IntN(len(r.Instances))]
 }
 
-// hold lets a fault last.
-func (r *Rig) hold(ctx context.Context, d time.Duration) { delay.Sleep(ctx, d) }
+// sleep lets a fault last.
+func (r *Rig) sleep(ctx context.Context, d time.Duration) { delay.Sleep(ctx, d) }
 
-// fault counts a fault.
-func (r *Rig) fault() {
+// countFault counts a fault.
+func (r *Rig) countFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
+	r.faultCount++
 }
 
-// collect reads the evidence.
-func (r *Rig) collect(ctx context.Context) Evidence {
+// collectEvidence reads the evidence.
+func (r *Rig) collectEvidence(ctx context.Context) Evidence {
 	e := Evidence{
 		Engines: map[string][]wire.LedgerEntry{}, Services: map[string][]wire.LedgerEntry{},
 		Caches: map[string]wire.CacheState{}, Log: map[string][]wire.LogRecord{}, Dropped: map[string]bool{},
@@ -283,12 +283,12 @@
 		e.Services[id] = target.Ledger().Entries()
 	}
 	for name := range maps.Keys(r.Log.Stats().Streams) {
-		e.Log[name] = r.stream(name)
+		e.Log[name] = r.readStream(name)
 		info, err := r.Log.Info(name)
 		e.Dropped[name] = err != nil || info.First > 0
 	}
 	r.mu.Lock()
-	for _, d := range r.disturbed {
+	for _, d := range r.faultWindows {
 		e.FaultWindows = append(e.FaultWindows, *d)
 	}
 	e.Leaving = append(e.Leaving, r.leaving...)
@@ -299,10 +299,10 @@
 	return e
 }
 
-// untilReleased waits until no engine holds cache of a program that is gone.
+// waitReleased waits until no engine holds cache of a program that is gone.
 // The checker judges what is left when the time is over.
-func (r *Rig) untilReleased(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, releaseLimit)
+func (r *Rig) waitReleased(ctx context.Context) {
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	_ = r.WaitUntil(limited, "released caches", func() bool {
 		_, programs := r.History.snapshot()
@@ -314,17 +314,17 @@
 	})
 }
 
-// releaseLimit bounds the wait for the release of cache; the product repeats
+// releaseTimeout bounds the wait for the release of cache; the product repeats
 // a release up to every 30 s.
-const releaseLimit = 40 * time.Second
+const releaseTimeout = 40 * time.Second
 
 // operatorAt gives the client of the root operator at an instance.
 func operatorAt(p *testkit.Process) *testkit.Client {
 	return testkit.NewClient(p.Server, testkit.RootKey)
 }
 
-// ready tells whether an instance says that it takes traffic.
-func ready(ctx context.Context, p *testkit.Process) bool {
+// isReady tells whether an instance says that it takes traffic.
+func isReady(ctx context.Context, p *testkit.Process) bool {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/readyz", nil, testkit.Call{})
 	return err == nil && answer.Status == http.StatusOK
 }
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -14,8 +14,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// scenarioLimit bounds one scenario with its start and its end.
-const scenarioLimit = 150 * time.Second
+// scenarioTimeout bounds one scenario with its start and its end.
+const scenarioTimeout = 150 * time.Second
 
 // Scenario is a set of instances under load and faults.
 type Scenario struct {
@@ -89,10 +89,10 @@
 // Run runs one scenario. Its load and the drawn faults depend on the seed.
 func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
 	started := time.Now()
-	limited, cancel := context.WithTimeout(ctx, scenarioLimit)
+	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
 	result := Result{Scenario: s, Seed: seed}
-	rig, err := start(limited, binary, s, seed)
+	rig, err := startRig(limited, binary, s, seed)
 	if err != nil {
 		result.Violations = []Violation{violation(PropertyScenario, "%v", err)}
 		return result
@@ -100,38 +100,38 @@
 	defer rig.Close()
 	err = s.Run(limited, rig)
 	rig.Log.SetFaults(wire.LogFaults{})
-	rig.untilReleased(limited)
-	evidence := rig.collect(ctx)
+	rig.waitReleased(limited)
+	evidence := rig.collectEvidence(ctx)
 	evidence.TeamFees = s.TeamFees
 	result.Verdict = Check(evidence)
 	if err != nil {
 		result.Violations = append(result.Violations, violation(PropertyScenario, "%v", err))
 	}
 	if s.RequireAnswers {
-		result.Violations = append(result.Violations, refusals(evidence)...)
+		result.Violations = append(result.Violations, unanswered(evidence)...)
 	}
-	result.Faults = rig.faults
+	result.Faults = rig.faultCount
 	result.Took = time.Since(started)
 	if keep.Dir != "" && (keep.Always || !result.OK()) {
-		result.EvidenceDir = keepEvidence(keep.Dir, rig, evidence, result)
+		result.EvidenceDir = writeEvidence(keep.Dir, rig, evidence, result)
 	}
 	return result
 }
 
-// refusals lists the calls that were not answered.
-func refusals(e Evidence) []Violation {
+// unanswered lists the calls that were not answered.
+func unanswered(e Evidence) []Violation {
 	var found []Violation
 	for _, c := range e.Calls {
-		if !c.lastWord().whole() {
+		if !c.finalOutcome().answered() {
 			found = append(found, violation(PropertyScenario, "%s was not answered: %s", c.name(), describeAttempts(c)))
 		}
 	}
 	return found
 }
 
-// keepEvidence writes the logs of the instances, what the callers saw and the
+// writeEvidence writes the logs of the instances, what the callers saw and the
 // violations.
-func keepEvidence(parent string, rig *Rig, e Evidence, result Result) string {
+func writeEvidence(parent string, rig *Rig, e Evidence, result Result) string {
 	dir := filepath.Join(parent, result.Scenario.Name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err.Error()
@@ -139,7 +139,7 @@
 	write := func(name, text string) {
 		_ = os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644)
 	}
-	for _, p := range append(rig.ended, rig.Instances...) {
+	for _, p := range append(rig.removed, rig.Instances...) {
 		write(p.ID+".log", p.Log())
 	}
 	write("history.txt", describeEvidence(e))
--- a/internal/proofs/scenarios_instances.go
+++ b/internal/proofs/scenarios_instances.go
@@ -11,32 +11,32 @@
 
 // Sizes of the usual load.
 const (
-	usualPrograms = 8
-	usualCalls    = 8
-	// someAnswers is a part of the load that a fault falls into.
-	someAnswers = 30
+	typicalPrograms = 8
+	typicalCalls    = 8
+	// answersPerFault is a part of the load that a fault falls into.
+	answersPerFault = 30
 	// longPause is longer than every timeout between instances: the liveness
 	// timeout, the send window and the recovery wait.
 	longPause = 6 * time.Second
 )
 
-// usualBudget is one that some programs of the load use up.
-var usualBudget = Program{Tokens: 1500, Fees: 4}
+// typicalBudget is one that some programs of the load use up.
+var typicalBudget = Program{Tokens: 1500, Fees: 4}
 
 func instanceScenarios() []Scenario {
 	return []Scenario{
 		{Name: "steady", Description: "all points, without a fault", Instances: 3, Quick: true, RequireAnswers: true, Run: runSteady},
-		{Name: "kill-owner", Description: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: usualBudget, Run: runKillOwner},
+		{Name: "kill-owner", Description: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: typicalBudget, Run: runKillOwner},
 		{Name: "kill-owner-twice", Description: "owner and its successor die in one call", Instances: 4, Run: runKillOwnerTwice},
 		{Name: "kill-gateway-and-owner", Description: "gateway and owner die in one call", Instances: 5, Quick: true, Run: runKillBoth},
-		{Name: "pause-owner", Description: "owner paused longer than any timeout, twice", Instances: 3, Budget: usualBudget, Run: runPauseOwner},
+		{Name: "pause-owner", Description: "owner paused longer than any timeout, twice", Instances: 3, Budget: typicalBudget, Run: runPauseOwner},
 		{Name: "pause-before-send", Description: "owner paused between the log's acknowledgement and its send", Instances: 3, Quick: true, Relayed: true, Run: runPauseBeforeSend},
 		{Name: "rolling-drain", Description: "graceful shutdown of every instance under load", Instances: 3, Run: runRollingDrain},
 	}
 }
 
 func runSteady(ctx context.Context, r *Rig) error {
-	return r.StartLoad(ctx, usualPrograms, usualCalls).Wait()
+	return r.StartLoad(ctx, typicalPrograms, typicalCalls).Wait()
 }
 
 // ownerOfLoad finds the owner of one of the newest programs of a load.
@@ -53,9 +53,9 @@
 }
 
 func runKillOwner(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for range 3 {
-		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+		if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 		owner, err := r.ownerOfLoad(ctx, l)
@@ -66,19 +66,19 @@
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// later runs a call beside the scenario.
-func later(call func() Attempt) <-chan Attempt {
+// runAsync runs a call beside the scenario.
+func runAsync(call func() Attempt) <-chan Attempt {
 	done := make(chan Attempt, 1)
 	go func() { done <- call() }()
 	return done
 }
 
-// untilRuns waits until the targets have so many runs of a program.
-func (r *Rig) untilRuns(ctx context.Context, program string, count int) error {
+// waitRuns waits until the targets have so many runs of a program.
+func (r *Rig) waitRuns(ctx context.Context, program string, count int) error {
 	return r.WaitUntil(ctx, "a run at a target", func() bool { return r.runsOf(program) >= count })
 }
 
@@ -101,9 +101,9 @@
 	return n
 }
 
-// untilOwned waits until a living instance owns the program's shard and gives
+// waitOwner waits until a living instance owns the program's shard and gives
 // it.
-func (r *Rig) untilOwned(ctx context.Context, program string) (*testkit.Process, error) {
+func (r *Rig) waitOwner(ctx context.Context, program string) (*testkit.Process, error) {
 	var owner *testkit.Process
 	err := r.WaitUntil(ctx, "an owner of "+program, func() bool {
 		owner = r.OwnerOf(program)
@@ -112,8 +112,8 @@
 	return owner, err
 }
 
-// longAnswer is a chat long enough to be hit by a fault, in tokens.
-const longAnswer = 1200
+// longChatTokens is a chat long enough to be hit by a fault, in tokens.
+const longChatTokens = 1200
 
 // runKillOwnerTwice kills the owner of a stream, then the instance that took
 // the stream over.
@@ -122,28 +122,28 @@
 	if err != nil {
 		return err
 	}
-	done := later(func() Attempt { return a.chat(ctx, longAnswer, true) })
+	done := runAsync(func() Attempt { return a.chat(ctx, longChatTokens, true) })
 	for range 2 {
-		if err := r.untilRuns(ctx, a.program.ID, 1); err != nil {
+		if err := r.waitRuns(ctx, a.program.ID, 1); err != nil {
 			return err
 		}
-		owner, err := r.untilOwned(ctx, a.program.ID)
+		owner, err := r.waitOwner(ctx, a.program.ID)
 		if err != nil {
 			return err
 		}
 		r.Kill(owner, false)
 	}
 	<-done
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
 
-// goOn shows that the program can still be used, then closes it.
-func (a *agent) goOn(ctx context.Context) error {
+// verifyUsable shows that the program can still be used, then closes it.
+func (a *agent) verifyUsable(ctx context.Context) error {
 	tool := a.tool(ctx, a.runTime())
-	file := a.file(ctx, 1, a.runTime())
+	file := a.submitFiling(ctx, 1, a.runTime())
 	chat := a.chat(ctx, 20, true)
 	for _, attempt := range []Attempt{tool, file, chat} {
-		if !attempt.Outcome.whole() {
+		if !attempt.Outcome.answered() {
 			return errors.CombineErrors(errors.Newf("after the faults a call got %s %s", attempt.Outcome, attempt.Reason), a.close(ctx))
 		}
 	}
@@ -157,31 +157,31 @@
 	if err != nil {
 		return err
 	}
-	stream := func() Attempt { return a.chat(ctx, longAnswer, true) }
-	file := func() Attempt { return a.file(ctx, 1, time.Second) }
+	stream := func() Attempt { return a.chat(ctx, longChatTokens, true) }
+	file := func() Attempt { return a.submitFiling(ctx, 1, time.Second) }
 	for _, call := range []func() Attempt{stream, file} {
 		if err := r.killBothDuring(ctx, a, call); err != nil {
 			return err
 		}
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
 
 func (r *Rig) killBothDuring(ctx context.Context, a *agent, call func() Attempt) error {
-	owner, err := r.untilOwned(ctx, a.program.ID)
+	owner, err := r.waitOwner(ctx, a.program.ID)
 	if err != nil {
 		return err
 	}
-	rest := r.others(owner)
+	rest := r.instancesExcept(owner)
 	gateway := rest[0]
-	r.setDoors(doorOf(gateway))
+	r.setEndpoints(endpointOf(gateway))
 	runs := r.runsOf(a.program.ID)
-	done := later(call)
-	if err := r.untilRuns(ctx, a.program.ID, runs+1); err != nil {
+	done := runAsync(call)
+	if err := r.waitRuns(ctx, a.program.ID, runs+1); err != nil {
 		return err
 	}
 	for _, p := range rest[1:] {
-		r.openDoor(p)
+		r.addEndpoint(p)
 	}
 	r.Kill(owner, false)
 	r.Kill(gateway, false)
@@ -190,18 +190,18 @@
 }
 
 func runPauseOwner(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for range 2 {
 		if err := r.pauseOwnerOnce(ctx, l); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) pauseOwnerOnce(ctx context.Context, l *Load) error {
-	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 		return err
 	}
 	owner, err := r.ownerOfLoad(ctx, l)
@@ -212,8 +212,8 @@
 	if err != nil {
 		return err
 	}
-	r.hold(ctx, longPause)
-	err = r.WaitAnswered(ctx, someAnswers)
+	r.sleep(ctx, longPause)
+	err = r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, resume())
 }
 
@@ -229,7 +229,7 @@
 			return err
 		}
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
 
 // pauseBeforeSendOnce freezes the owner with its Intent in the log, lets the
@@ -237,11 +237,11 @@
 // given the filing's outcome and run the next call. Then it lets the first owner
 // go on, which now knows that its Intent counts.
 func (r *Rig) pauseBeforeSendOnce(ctx context.Context, a *agent) error {
-	owner, err := r.untilOwned(ctx, a.program.ID)
+	owner, err := r.waitOwner(ctx, a.program.ID)
 	if err != nil {
 		return err
 	}
-	r.closeDoor(owner)
+	r.removeEndpoint(owner)
 	resume, done, err := r.pauseWithIntent(ctx, a, owner)
 	if err != nil {
 		return err
@@ -253,9 +253,9 @@
 	}
 	// The resumed instance has what it needs for a late send; it must have
 	// had the time to make it.
-	r.hold(ctx, resumeSlack)
-	r.openDoor(owner)
-	if !next.Outcome.whole() {
+	r.sleep(ctx, resumeSlack)
+	r.addEndpoint(owner)
+	if !next.Outcome.answered() {
 		return errors.Newf("after the owner was replaced a call got %s %s", next.Outcome, next.Reason)
 	}
 	return r.WaitReady(ctx, owner)
@@ -265,7 +265,7 @@
 // log and the owner does not know it yet, and then passes the log's words on.
 func (r *Rig) pauseWithIntent(ctx context.Context, a *agent, owner *testkit.Process) (func() error, <-chan Attempt, error) {
 	r.Net.CutLog(owner.ID, false, true)
-	done, err := r.fileUntilIntent(ctx, a)
+	done, err := r.submitUntilIntent(ctx, a)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -274,10 +274,10 @@
 	return resume, done, err
 }
 
-// fileUntilIntent starts a filing and waits until its Intent is in the log.
-func (r *Rig) fileUntilIntent(ctx context.Context, a *agent) (<-chan Attempt, error) {
+// submitUntilIntent starts a filing and waits until its Intent is in the log.
+func (r *Rig) submitUntilIntent(ctx context.Context, a *agent) (<-chan Attempt, error) {
 	q := filingRequest(a.newCall(), 1, 50*time.Millisecond)
-	done := later(func() Attempt { return a.do(ctx, q) })
+	done := runAsync(func() Attempt { return a.do(ctx, q) })
 	err := r.WaitUntil(ctx, "the intent in the log", func() bool {
 		return r.intentInLog(a.program.ID, q.call.Key) || len(done) > 0
 	})
@@ -290,9 +290,9 @@
 
 // runRollingDrain replaces each instance by a new one under load.
 func runRollingDrain(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
-	for _, p := range r.others(nil) {
-		err := r.WaitAnswered(ctx, someAnswers)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
+	for _, p := range r.instancesExcept(nil) {
+		err := r.WaitAnswered(ctx, answersPerFault)
 		if err == nil {
 			_, err = r.Add(ctx)
 		}
@@ -303,14 +303,14 @@
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
 // intentInLog tells whether an Intent of the call counts in the log.
 func (r *Rig) intentInLog(program, key string) bool {
 	intents := make(map[intentID]int64)
-	collectIntents(r.stream(shardStream(program)), intents)
+	collectIntents(r.readStream(shardStream(program)), intents)
 	_, ok := intents[intentID{program, key}]
 	return ok
 }
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// outage is how long the log is down. Outages of minutes differ in
+	// outageDuration is how long the log is down. Outages of minutes differ in
 	// length only: every timeout of an instance is shorter than this one.
-	outage = 8 * time.Second
-	// retention is how long the log keeps records in the scenario about it, the
+	outageDuration = 8 * time.Second
+	// logRetention is how long the log keeps records in the scenario about it, the
 	// least that an instance takes.
-	retention = 10 * time.Second
+	logRetention = 10 * time.Second
 )
 
 func logScenarios() []Scenario {
 	return []Scenario{
 		{Name: "log-outage", Description: "log down under load", Instances: 3, Quick: true, Run: runLogOutage},
-		{Name: "log-lossy", Description: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: usualBudget, Run: runLogLossy},
+		{Name: "log-lossy", Description: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: typicalBudget, Run: runLogLossy},
 		{Name: "lost-reply-owner-dies", Description: "append reply lost, then the owner dies", Instances: 4, Relayed: true, Quick: true, Run: runLostReply},
-		{Name: "outage-across-owner-death", Description: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossDeath},
-		{Name: "owner-cut-from-log", Description: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: usualBudget, Run: runOwnerCutFromLog},
+		{Name: "outage-across-owner-death", Description: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossKill},
+		{Name: "owner-cut-from-log", Description: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: typicalBudget, Run: runOwnerCutFromLog},
 		{Name: "retention", Description: "records dropped by the log, then the owner dies", Instances: 3,
-			Standins: func(s *cluster.Settings) { s.Log.RetainAge = retention },
-			Env:      []string{"BANYANGLADE_RETENTION=" + retention.String()}, Run: runRetention},
+			Standins: func(s *cluster.Settings) { s.Log.RetainAge = logRetention },
+			Env:      []string{"BANYANGLADE_RETENTION=" + logRetention.String()}, Run: runRetention},
 	}
 }
 
 // runLogOutage takes the log away under load. Repeatable calls of programs that
 // have an owner go on; filings are refused at once as not run.
 func runLogOutage(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	err := r.outageUnderLoad(ctx)
 	if err == nil {
-		err = r.WaitAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, answersPerFault)
 	}
 	return errors.CombineErrors(err, l.Stop())
 }
@@ -48,25 +48,25 @@
 	if err != nil {
 		return err
 	}
-	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 		return err
 	}
-	if got := a.chat(ctx, 20, false); !got.Outcome.whole() {
+	if got := a.chat(ctx, 20, false); !got.Outcome.answered() {
 		return errors.Newf("before the outage a call got %s %s", got.Outcome, got.Reason)
 	}
 	r.SetLogFaults(wire.LogFaults{Down: true})
-	err = a.throughOutage(ctx)
-	r.hold(ctx, outage)
+	err = a.callsDuringOutage(ctx)
+	r.sleep(ctx, outageDuration)
 	r.SetLogFaults(wire.LogFaults{})
-	return errors.CombineErrors(err, a.goOn(ctx))
+	return errors.CombineErrors(err, a.verifyUsable(ctx))
 }
 
-// throughOutage makes repeatable calls, which must be served, and a filing,
+// callsDuringOutage makes repeatable calls, which must be served, and a filing,
 // which must be refused as not run.
-func (a *agent) throughOutage(ctx context.Context) error {
+func (a *agent) callsDuringOutage(ctx context.Context) error {
 	const calls = 5
 	for range calls {
-		if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+		if got := a.tool(ctx, a.runTime()); !got.Outcome.answered() {
 			return errors.Newf("a repeatable call during the outage got %s %s", got.Outcome, got.Reason)
 		}
 	}
@@ -80,24 +80,24 @@
 
 func runLogLossy(ctx context.Context, r *Rig) error {
 	const count = 6
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for range 2 {
 		for _, f := range []wire.LogFaults{
 			{DropAppendReplies: count}, {DropAppends: count}, {DropAppendReplies: count, DropAppends: count, DelayMS: 200},
 		} {
-			if err := r.lossyOnce(ctx, f); err != nil {
+			if err := r.loseAppends(ctx, f); err != nil {
 				return errors.CombineErrors(err, l.Stop())
 			}
 		}
 	}
 	r.SetLogFaults(wire.LogFaults{})
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// lossyOnce sets the faults and waits until they are used up.
-func (r *Rig) lossyOnce(ctx context.Context, f wire.LogFaults) error {
-	if err := r.WaitAnswered(ctx, someAnswers/3); err != nil {
+// loseAppends sets the faults and waits until they are used up.
+func (r *Rig) loseAppends(ctx context.Context, f wire.LogFaults) error {
+	if err := r.WaitAnswered(ctx, answersPerFault/3); err != nil {
 		return err
 	}
 	r.SetLogFaults(f)
@@ -116,86 +116,86 @@
 		return err
 	}
 	for range 2 {
-		owner, err := r.untilOwned(ctx, a.program.ID)
+		owner, err := r.waitOwner(ctx, a.program.ID)
 		if err != nil {
 			return err
 		}
-		r.closeDoor(owner)
+		r.removeEndpoint(owner)
 		r.Net.CutLog(owner.ID, false, true)
-		done, err := r.fileUntilIntent(ctx, a)
+		done, err := r.submitUntilIntent(ctx, a)
 		if err != nil {
 			return err
 		}
 		r.Kill(owner, false)
 		<-done
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
 
-// runOutageAcrossDeath kills an owner while the log is down. Nobody can claim
+// runOutageAcrossKill kills an owner while the log is down. Nobody can claim
 // the shard: a filing is refused as not run until the log is back.
-func runOutageAcrossDeath(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms/2, 0)
-	err := r.deathInOutage(ctx)
+func runOutageAcrossKill(ctx context.Context, r *Rig) error {
+	l := r.StartLoad(ctx, typicalPrograms/2, 0)
+	err := r.killDuringOutage(ctx)
 	if err == nil {
-		err = r.WaitAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, answersPerFault)
 	}
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) deathInOutage(ctx context.Context) error {
+func (r *Rig) killDuringOutage(ctx context.Context) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
 		return err
 	}
-	if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+	if got := a.tool(ctx, a.runTime()); !got.Outcome.answered() {
 		return errors.Newf("before the outage a call got %s %s", got.Outcome, got.Reason)
 	}
-	owner, err := r.untilOwned(ctx, a.program.ID)
+	owner, err := r.waitOwner(ctx, a.program.ID)
 	if err != nil {
 		return err
 	}
 	r.SetLogFaults(wire.LogFaults{Down: true})
-	r.hold(ctx, outage/4)
+	r.sleep(ctx, outageDuration/4)
 	r.Kill(owner, false)
 	q := filingRequest(&Call{Program: a.program.ID, Lane: "filings", Key: "orphan"}, 1, 10*time.Millisecond)
 	r.History.addCall(q.call)
 	got := r.retry(ctx, a.rng, q, 0)
-	r.hold(ctx, outage/2)
+	r.sleep(ctx, outageDuration/2)
 	r.SetLogFaults(wire.LogFaults{})
 	if got.Outcome != NotRun {
 		err = errors.Newf("a filing without an owner during the outage got %s %s", got.Outcome, got.Reason)
 	}
 	_, added := r.Add(ctx)
-	return errors.CombineErrors(errors.CombineErrors(err, added), a.goOn(ctx))
+	return errors.CombineErrors(errors.CombineErrors(err, added), a.verifyUsable(ctx))
 }
 
 // runOwnerCutFromLog cuts an owner off from the log only, once both ways and
 // once one way. It cannot tell this from an outage.
 func runOwnerCutFromLog(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for _, towards := range []bool{true, false} {
 		if err := r.cutLogOnce(ctx, l, towards); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
 func (r *Rig) cutLogOnce(ctx context.Context, l *Load, towards bool) error {
-	if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+	if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 		return err
 	}
 	owner, err := r.ownerOfLoad(ctx, l)
 	if err != nil {
 		return err
 	}
-	r.fault()
+	r.countFault()
 	r.Net.CutLog(owner.ID, towards, true)
-	r.hold(ctx, outage)
+	r.sleep(ctx, outageDuration)
 	r.Net.CutLog(owner.ID, false, false)
-	return r.WaitAnswered(ctx, someAnswers)
+	return r.WaitAnswered(ctx, answersPerFault)
 }
 
 // runRetention lets the log drop the records of a filing, kills the owner, and
@@ -203,34 +203,34 @@
 func runRetention(ctx context.Context, r *Rig) error {
 	const programs = 2
 	l := r.StartLoad(ctx, programs, 0)
-	err := r.fileAcrossRetention(ctx)
+	err := r.submitAcrossRetention(ctx)
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) fileAcrossRetention(ctx context.Context) error {
+func (r *Rig) submitAcrossRetention(ctx context.Context) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
 		return err
 	}
 	q := filingRequest(a.newCall(), 1, 10*time.Millisecond)
-	if got := r.do(ctx, a.rng, q); !got.Outcome.whole() {
+	if got := r.do(ctx, a.rng, q); !got.Outcome.answered() {
 		return errors.Newf("the filing got %s %s", got.Outcome, got.Reason)
 	}
 	for r.intentInLog(a.program.ID, q.call.Key) && ctx.Err() == nil {
-		if got := a.tool(ctx, a.runTime()); !got.Outcome.whole() {
+		if got := a.tool(ctx, a.runTime()); !got.Outcome.answered() {
 			return errors.Newf("a call got %s %s", got.Outcome, got.Reason)
 		}
-		r.hold(ctx, time.Second)
+		r.sleep(ctx, time.Second)
 	}
-	owner := r.ownerSaid(ctx, a.program.ID)
+	owner := r.reportedOwner(ctx, a.program.ID)
 	if owner == nil {
 		return errors.New("no instance names the program's owner")
 	}
 	if err := r.Replace(ctx, owner); err != nil {
 		return err
 	}
-	if got := r.retry(ctx, a.rng, q, patience); got.Outcome != Replayed {
+	if got := r.retry(ctx, a.rng, q, retryTimeout); got.Outcome != Replayed {
 		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -38,39 +38,39 @@
 func runOrders(ctx context.Context, r *Rig) error {
 	// Under load the others notice that the controller is silent.
 	l := r.StartLoad(ctx, 2, 0)
-	err := r.orderAcrossPause(ctx)
+	err := r.publishAcrossPause(ctx)
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) orderAcrossPause(ctx context.Context) error {
-	if err := r.order(ctx, 1); err != nil {
+func (r *Rig) publishAcrossPause(ctx context.Context) error {
+	if err := r.publishVersion(ctx, 1); err != nil {
 		return err
 	}
-	if err := r.untilVersion(ctx, 1); err != nil {
+	if err := r.waitEngineVersion(ctx, 1); err != nil {
 		return err
 	}
 	controller, err := r.controller(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.order(ctx, 2); err != nil {
+	if err := r.publishVersion(ctx, 2); err != nil {
 		return err
 	}
 	resume, err := r.Pause(controller)
 	if err != nil {
 		return err
 	}
-	if err := r.order(ctx, 3); err != nil {
+	if err := r.publishVersion(ctx, 3); err != nil {
 		return errors.CombineErrors(err, resume())
 	}
-	err = errors.CombineErrors(r.untilVersion(ctx, 3), resume())
-	r.hold(ctx, longPause)
-	return errors.CombineErrors(err, r.untilVersion(ctx, 3))
+	err = errors.CombineErrors(r.waitEngineVersion(ctx, 3), resume())
+	r.sleep(ctx, longPause)
+	return errors.CombineErrors(err, r.waitEngineVersion(ctx, 3))
 }
 
-// order publishes the version that the engines shall have.
-func (r *Rig) order(ctx context.Context, number int) error {
-	at := r.doorProcess()
+// publishVersion publishes the version that the engines shall have.
+func (r *Rig) publishVersion(ctx context.Context, number int) error {
+	at := r.unaffectedInstance()
 	now, _ := r.setting(ctx, at, versionPath)
 	change := r.propose(ctx, at, versionPath, now.Version, strconv.Quote("v"+strconv.Itoa(number)))
 	if !change.Accepted {
@@ -79,13 +79,13 @@
 	return nil
 }
 
-// doorProcess gives an instance that no fault touches.
-func (r *Rig) doorProcess() *testkit.Process {
+// unaffectedInstance gives an instance that no fault touches.
+func (r *Rig) unaffectedInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.Instances {
 		touched := false
-		for _, d := range r.disturbed {
+		for _, d := range r.faultWindows {
 			touched = touched || d.Instance == p.ID
 		}
 		if !touched {
@@ -100,8 +100,8 @@
 func (r *Rig) controller(ctx context.Context) (*testkit.Process, error) {
 	var found *testkit.Process
 	err := r.WaitUntil(ctx, "a controller", func() bool {
-		for _, p := range r.others(nil) {
-			if r.holds(ctx, p) {
+		for _, p := range r.instancesExcept(nil) {
+			if r.isController(ctx, p) {
 				found = p
 			}
 		}
@@ -110,7 +110,7 @@
 	return found, err
 }
 
-func (r *Rig) holds(ctx context.Context, p *testkit.Process) bool {
+func (r *Rig) isController(ctx context.Context, p *testkit.Process) bool {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct {
 		Orders struct {
@@ -128,8 +128,8 @@
 	return false
 }
 
-// untilVersion waits until all engines have a version.
-func (r *Rig) untilVersion(ctx context.Context, number int) error {
+// waitEngineVersion waits until all engines have a version.
+func (r *Rig) waitEngineVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
 	return r.WaitUntil(ctx, "version "+want+" at all engines", func() bool {
 		for _, m := range r.Ready().Targets {
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -37,7 +37,7 @@
 		{Name: "team-budget", Description: "spending of a team within its budget while owners die", Instances: 3,
 			TeamFees: 40, Run: runTeamBudget},
 		{Name: "history", Description: "a program's history is not mixed with another's, also after its owner died", Instances: 3, Quick: true, Run: runHistory},
-		{Name: "dead-programs", Description: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runDeadPrograms},
+		{Name: "dead-programs", Description: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runClosedPrograms},
 	}
 }
 
@@ -49,8 +49,8 @@
 		return err
 	}
 	first := filingRequest(a.newCall(), 1, 500*time.Millisecond)
-	done := later(func() Attempt { return r.do(ctx, a.rng, first) })
-	if err := r.untilRuns(ctx, a.program.ID, 1); err != nil {
+	done := runAsync(func() Attempt { return r.do(ctx, a.rng, first) })
+	if err := r.waitRuns(ctx, a.program.ID, 1); err != nil {
 		return err
 	}
 	check := func(when, path string) error {
@@ -65,28 +65,28 @@
 	err = check("while the first ran", "/other/1/"+a.program.ID)
 	<-done
 	err = errors.CombineErrors(err, check("after the first", "/other/2/"+a.program.ID))
-	owner, ownerErr := r.untilOwned(ctx, a.program.ID)
+	owner, ownerErr := r.waitOwner(ctx, a.program.ID)
 	if ownerErr != nil {
 		return ownerErr
 	}
 	r.Kill(owner, false)
 	err = errors.CombineErrors(err, check("after its owner died", "/other/3/"+a.program.ID))
-	return errors.CombineErrors(err, a.goOn(ctx))
+	return errors.CombineErrors(err, a.verifyUsable(ctx))
 }
 
 // runToolPause lets programs fall silent; their cache must be given back.
 func runToolPause(ctx context.Context, r *Rig) error {
-	for range usualPrograms {
+	for range typicalPrograms {
 		a, err := r.newAgent(ctx, r.newRand())
 		if err != nil {
 			return err
 		}
-		if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+		if got := a.chat(ctx, 30, true); !got.Outcome.answered() {
 			return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 		}
-		r.History.setGone(a.program)
+		r.History.setClosed(a.program)
 	}
-	owner := r.random()
+	owner := r.randomInstance()
 	return r.Replace(ctx, owner)
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+	if got := a.chat(ctx, 30, true); !got.Outcome.answered() {
 		return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 	}
 	for i := range most {
@@ -107,18 +107,18 @@
 		call.BodyHash = ledger.BodyHash(q.body)
 		got := r.do(ctx, a.rng, q)
 		if got.Outcome == NotRun && got.Reason == reasonLoop {
-			r.History.setGone(a.program)
-			return r.refusedAsClosed(ctx, a)
+			r.History.setClosed(a.program)
+			return r.checkClosed(ctx, a)
 		}
-		if !got.Outcome.whole() {
+		if !got.Outcome.answered() {
 			return errors.Newf("a repeat got %s %s", got.Outcome, got.Reason)
 		}
 	}
 	return errors.Newf("%d repeats were not noticed", most)
 }
 
-// refusedAsClosed checks that a program takes no call any more.
-func (r *Rig) refusedAsClosed(ctx context.Context, a *agent) error {
+// checkClosed checks that a program takes no call any more.
+func (r *Rig) checkClosed(ctx context.Context, a *agent) error {
 	if got := a.tool(ctx, 0); got.Outcome != NotRun || got.Reason != reasonClosed {
 		return errors.Newf("a call of the closed program got %s %s", got.Outcome, got.Reason)
 	}
@@ -128,23 +128,23 @@
 // runBudget lets programs spend until they are refused, while owners die.
 func runBudget(ctx context.Context, r *Rig) error {
 	var group sync.WaitGroup
-	errs := make([]error, usualPrograms)
+	errs := make([]error, typicalPrograms)
 	for i := range errs {
 		rng := r.newRand()
-		group.Go(func() { errs[i] = r.spendAll(ctx, rng) })
+		group.Go(func() { errs[i] = r.exhaustBudget(ctx, rng) })
 	}
 	var killed error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, someAnswers))
-		killed = errors.CombineErrors(killed, r.Replace(ctx, r.random()))
+		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, answersPerFault))
+		killed = errors.CombineErrors(killed, r.Replace(ctx, r.randomInstance()))
 	}
 	group.Wait()
 	return errors.CombineErrors(killed, errors.Join(errs...))
 }
 
-// spendAll spends in turns on chats and filings until both are refused for want
+// exhaustBudget spends in turns on chats and filings until both are refused for want
 // of budget.
-func (r *Rig) spendAll(ctx context.Context, rng *rand.Rand) error {
+func (r *Rig) exhaustBudget(ctx context.Context, rng *rand.Rand) error {
 	const most = 100
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
@@ -156,7 +156,7 @@
 		if i%2 == 0 {
 			got = a.chat(ctx, 60+rng.IntN(60), rng.IntN(2) == 0)
 		} else {
-			got = a.file(ctx, 1, 0)
+			got = a.submitFiling(ctx, 1, 0)
 		}
 		if got.Outcome == NotRun && got.Reason == reasonBudget {
 			spent[i%2] = true
@@ -172,29 +172,29 @@
 // while owners die.
 func runTeamBudget(ctx context.Context, r *Rig) error {
 	var group sync.WaitGroup
-	errs := make([]error, usualPrograms)
+	errs := make([]error, typicalPrograms)
 	for i := range errs {
 		rng := r.newRand()
-		group.Go(func() { errs[i] = r.fileAll(ctx, rng) })
+		group.Go(func() { errs[i] = r.exhaustTeamBudget(ctx, rng) })
 	}
 	var killed error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, someAnswers/3))
-		killed = errors.CombineErrors(killed, r.Replace(ctx, r.random()))
+		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, answersPerFault/3))
+		killed = errors.CombineErrors(killed, r.Replace(ctx, r.randomInstance()))
 	}
 	group.Wait()
 	return errors.CombineErrors(killed, errors.Join(errs...))
 }
 
-// fileAll files until the budget refuses.
-func (r *Rig) fileAll(ctx context.Context, rng *rand.Rand) error {
+// exhaustTeamBudget files until the budget refuses.
+func (r *Rig) exhaustTeamBudget(ctx context.Context, rng *rand.Rand) error {
 	const most = 100
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
 		return err
 	}
 	for range most {
-		if got := a.file(ctx, 1, 0); got.Outcome == NotRun && got.Reason == reasonBudget {
+		if got := a.submitFiling(ctx, 1, 0); got.Outcome == NotRun && got.Reason == reasonBudget {
 			return a.close(ctx)
 		}
 	}
@@ -212,33 +212,33 @@
 			return err
 		}
 		for range 2 {
-			if got := a.chat(ctx, 10+i, true); !got.Outcome.whole() {
+			if got := a.chat(ctx, 10+i, true); !got.Outcome.answered() {
 				return errors.Newf("a chat got %s %s", got.Outcome, got.Reason)
 			}
 		}
 		agents[i] = a
 	}
-	err := r.mixed(ctx, agents[0], agents[1])
-	owner, owned := r.untilOwned(ctx, agents[1].program.ID)
+	err := r.checkForeignHistory(ctx, agents[0], agents[1])
+	owner, owned := r.waitOwner(ctx, agents[1].program.ID)
 	if owned != nil {
 		return owned
 	}
 	// A filing is in the log before its answer, so that the death of the owner
 	// forgets no call; what it may forget is the matter of "kill-owner".
 	for _, a := range agents {
-		if got := a.file(ctx, 1, 0); !got.Outcome.whole() {
+		if got := a.submitFiling(ctx, 1, 0); !got.Outcome.answered() {
 			return errors.Newf("a filing got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	err = errors.CombineErrors(err, r.mixedDuringKill(ctx, agents[0], agents[1], owner))
-	err = errors.CombineErrors(err, r.untilAgreed(ctx, agents[1].program.ID))
-	err = errors.CombineErrors(err, r.mixed(ctx, agents[0], agents[1]))
-	return errors.Join(err, agents[0].goOn(ctx), agents[1].goOn(ctx))
+	err = errors.CombineErrors(err, r.checkForeignHistoryDuringKill(ctx, agents[0], agents[1], owner))
+	err = errors.CombineErrors(err, r.waitOwnerAgreed(ctx, agents[1].program.ID))
+	err = errors.CombineErrors(err, r.checkForeignHistory(ctx, agents[0], agents[1]))
+	return errors.Join(err, agents[0].verifyUsable(ctx), agents[1].verifyUsable(ctx))
 }
 
-// mixed makes a call of a program with the messages of another, which must be
+// checkForeignHistory makes a call of a program with the messages of another, which must be
 // refused.
-func (r *Rig) mixed(ctx context.Context, other, own *agent) error {
+func (r *Rig) checkForeignHistory(ctx context.Context, other, own *agent) error {
 	got, ran := r.chatAs(ctx, other, own)
 	if got.Outcome != NotRun || got.Reason != reasonFork || ran {
 		return errors.Newf("another program's history got %s %s, run: %t", got.Outcome, got.Reason, ran)
@@ -260,11 +260,11 @@
 // the call is handed to the next owner alone, and the outcome is as good.
 const handoverPause = 200 * time.Millisecond
 
-// mixedDuringKill makes such a call while the owner does not answer, and then
+// checkForeignHistoryDuringKill makes such a call while the owner does not answer, and then
 // kills the owner. The call was handed to it, so that nobody can say any more
 // that it has not run; but it must not run.
-func (r *Rig) mixedDuringKill(ctx context.Context, other, own *agent, owner *testkit.Process) error {
-	r.closeDoor(owner)
+func (r *Rig) checkForeignHistoryDuringKill(ctx context.Context, other, own *agent, owner *testkit.Process) error {
+	r.removeEndpoint(owner)
 	if _, err := r.Pause(owner); err != nil {
 		return err
 	}
@@ -277,7 +277,7 @@
 		got, ran := r.chatAs(ctx, other, own)
 		done <- result{got, ran}
 	}()
-	r.hold(ctx, handoverPause)
+	r.sleep(ctx, handoverPause)
 	replaced := r.Replace(ctx, owner)
 	d := <-done
 	told := d.got.Outcome == NotRun || d.got.Outcome == Unknown
@@ -288,17 +288,17 @@
 	}
 	if d.got.Outcome == Unknown {
 		// The number was not used, as the history could not be continued.
-		own.number--
+		own.lastNumber--
 	}
 	return replaced
 }
 
-// untilAgreed waits until all instances name the living owner of a program.
-func (r *Rig) untilAgreed(ctx context.Context, program string) error {
+// waitOwnerAgreed waits until all instances name the living owner of a program.
+func (r *Rig) waitOwnerAgreed(ctx context.Context, program string) error {
 	return r.WaitUntil(ctx, "one owner of "+program, func() bool {
 		owner := r.OwnerOf(program)
-		for _, p := range r.others(nil) {
-			if owner == nil || r.ownerSaidBy(ctx, p, program) != owner {
+		for _, p := range r.instancesExcept(nil) {
+			if owner == nil || r.ownerReportedBy(ctx, p, program) != owner {
 				return false
 			}
 		}
@@ -306,16 +306,16 @@
 	})
 }
 
-// runDeadPrograms closes programs while the engines do not answer, and replaces
+// runClosedPrograms closes programs while the engines do not answer, and replaces
 // every instance before an engine could confirm a release.
-func runDeadPrograms(ctx context.Context, r *Rig) error {
+func runClosedPrograms(ctx context.Context, r *Rig) error {
 	var agents []*agent
-	for range usualPrograms {
+	for range typicalPrograms {
 		a, err := r.newAgent(ctx, r.newRand())
 		if err != nil {
 			return err
 		}
-		if got := a.chat(ctx, 30, true); !got.Outcome.whole() {
+		if got := a.chat(ctx, 30, true); !got.Outcome.answered() {
 			return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 		}
 		agents = append(agents, a)
@@ -325,7 +325,7 @@
 	for _, a := range agents {
 		err = errors.CombineErrors(err, a.close(ctx))
 	}
-	for _, p := range r.others(nil) {
+	for _, p := range r.instancesExcept(nil) {
 		err = errors.CombineErrors(err, r.Replace(ctx, p))
 	}
 	r.setEngines(wire.ServiceFaults{})
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -14,12 +14,12 @@
 
 // Sizes of a random schedule.
 const (
-	// randomFaults is the number of faults that each of two sequences draws;
+	// faultsPerSequence is the number of faults that each of two sequences draws;
 	// the sequences run at once, so that faults fall together.
-	randomFaults = 5
-	// leastUntouched is the number of instances that no fault touches at a
+	faultsPerSequence = 5
+	// minUnaffected is the number of instances that no fault touches at a
 	// time.
-	leastUntouched = 2
+	minUnaffected = 2
 )
 
 func randomScenarios() []Scenario {
@@ -27,30 +27,30 @@
 	for _, name := range []string{"random-1", "random-2", "random-3"} {
 		list = append(list, Scenario{
 			Name: name, Description: "a random schedule of all faults, two at a time", Instances: 5, Relayed: true,
-			Budget: usualBudget, Run: runRandom,
+			Budget: typicalBudget, Run: runRandom,
 		})
 	}
 	return list
 }
 
-// victims hands out instances so that enough stay untouched.
-type victims struct {
+// instancePool hands out instances so that enough stay untouched.
+type instancePool struct {
 	mu   sync.Mutex
 	rig  *Rig
 	busy map[string]bool
 }
 
-// take gives an instance that no fault touches, nil if too few are left.
-func (v *victims) take(rng *rand.Rand) *testkit.Process {
+// acquire gives an instance that no fault touches, nil if too few are left.
+func (v *instancePool) acquire(rng *rand.Rand) *testkit.Process {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var free []*testkit.Process
-	for _, p := range v.rig.others(nil) {
+	for _, p := range v.rig.instancesExcept(nil) {
 		if !v.busy[p.ID] {
 			free = append(free, p)
 		}
 	}
-	if len(free) <= leastUntouched {
+	if len(free) <= minUnaffected {
 		return nil
 	}
 	p := free[rng.IntN(len(free))]
@@ -58,14 +58,14 @@
 	return p
 }
 
-func (v *victims) give(p *testkit.Process) {
+func (v *instancePool) release(p *testkit.Process) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.busy, p.ID)
 }
 
 // randomFault is a fault that ends by itself. The duration is drawn.
-type randomFault func(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error
+type randomFault func(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error
 
 var instanceFaults = []randomFault{randomKill, randomPause, randomDrain, randomCutLog, randomCutPeer}
 
@@ -80,8 +80,8 @@
 // runRandom runs one sequence of faults of instances beside one of faults of
 // the platform and the targets, under load.
 func runRandom(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
-	v := &victims{rig: r, busy: map[string]bool{}}
+	l := r.StartLoad(ctx, typicalPrograms, 0)
+	v := &instancePool{rig: r, busy: map[string]bool{}}
 	var group sync.WaitGroup
 	var errs [2]error
 	for i, choices := range [][]randomFault{instanceFaults, platformFaults} {
@@ -91,57 +91,57 @@
 	group.Wait()
 	err := errors.CombineErrors(errs[0], errs[1])
 	if err == nil {
-		err = r.WaitAnswered(ctx, someAnswers)
+		err = r.WaitAnswered(ctx, answersPerFault)
 	}
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) sequence(ctx context.Context, v *victims, rng *rand.Rand, choices []randomFault) error {
-	for range randomFaults {
+func (r *Rig) sequence(ctx context.Context, v *instancePool, rng *rand.Rand, choices []randomFault) error {
+	for range faultsPerSequence {
 		if err := choices[rng.IntN(len(choices))](ctx, r, v, rng); err != nil {
 			return err
 		}
-		if err := r.WaitAnswered(ctx, someAnswers/5); err != nil {
+		if err := r.WaitAnswered(ctx, answersPerFault/5); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// some is the length of a drawn fault.
-func some(rng *rand.Rand) time.Duration {
+// faultDuration is the length of a drawn fault.
+func faultDuration(rng *rand.Rand) time.Duration {
 	return time.Duration(500+rng.IntN(4500)) * time.Millisecond
 }
 
-func randomKill(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error {
-	p := v.take(rng)
+func randomKill(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
+	p := v.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.give(p)
+	defer v.release(p)
 	return r.Replace(ctx, p)
 }
 
-func randomPause(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error {
-	p := v.take(rng)
+func randomPause(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
+	p := v.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.give(p)
+	defer v.release(p)
 	resume, err := r.Pause(p)
 	if err != nil {
 		return err
 	}
-	r.hold(ctx, some(rng))
+	r.sleep(ctx, faultDuration(rng))
 	return resume()
 }
 
-func randomDrain(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error {
-	p := v.take(rng)
+func randomDrain(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
+	p := v.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.give(p)
+	defer v.release(p)
 	if err := r.Drain(ctx, p); err != nil {
 		return err
 	}
@@ -149,57 +149,57 @@
 	return err
 }
 
-func randomCutLog(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error {
-	p := v.take(rng)
+func randomCutLog(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
+	p := v.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.give(p)
-	r.fault()
+	defer v.release(p)
+	r.countFault()
 	r.Net.CutLog(p.ID, rng.IntN(2) == 0, true)
-	r.hold(ctx, some(rng))
+	r.sleep(ctx, faultDuration(rng))
 	r.Net.CutLog(p.ID, false, false)
 	return nil
 }
 
-func randomCutPeer(ctx context.Context, r *Rig, v *victims, rng *rand.Rand) error {
-	p := v.take(rng)
+func randomCutPeer(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
+	p := v.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.give(p)
-	r.fault()
+	defer v.release(p)
+	r.countFault()
 	one := rng.IntN(3)
 	r.Net.CutPeer(p.ID, one != 0, one != 1)
-	r.hold(ctx, some(rng))
+	r.sleep(ctx, faultDuration(rng))
 	r.Net.CutPeer(p.ID, false, false)
 	return nil
 }
 
 func randomLog(faults wire.LogFaults) randomFault {
-	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
+	return func(ctx context.Context, r *Rig, _ *instancePool, rng *rand.Rand) error {
 		r.SetLogFaults(faults)
-		r.hold(ctx, some(rng))
+		r.sleep(ctx, faultDuration(rng))
 		r.SetLogFaults(wire.LogFaults{})
 		return nil
 	}
 }
 
 func randomMembers(faults wire.MemberFaults) randomFault {
-	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
+	return func(ctx context.Context, r *Rig, _ *instancePool, rng *rand.Rand) error {
 		r.SetMemberFaults(faults)
-		r.hold(ctx, some(rng))
+		r.sleep(ctx, faultDuration(rng))
 		r.SetMemberFaults(wire.MemberFaults{})
 		return nil
 	}
 }
 
 func randomTarget(faults wire.ServiceFaults) randomFault {
-	return func(ctx context.Context, r *Rig, _ *victims, rng *rand.Rand) error {
+	return func(ctx context.Context, r *Rig, _ *instancePool, rng *rand.Rand) error {
 		targets := r.targetsOf(everyService[rng.IntN(len(everyService))])
 		id := targets[rng.IntN(len(targets))]
 		r.SetTargetFaults(id, faults)
-		r.hold(ctx, some(rng))
+		r.sleep(ctx, faultDuration(rng))
 		r.SetTargetFaults(id, wire.ServiceFaults{})
 		return nil
 	}
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -12,8 +12,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// racedPath is the setting that operators race for.
-const racedPath = teamPath + "/max_queued"
+// contendedPath is the setting that operators race for.
+const contendedPath = teamPath + "/max_queued"
 
 func settingsScenarios() []Scenario {
 	return []Scenario{
@@ -29,7 +29,7 @@
 // at the same time, again and again.
 func runSettingsRace(ctx context.Context, r *Rig) error {
 	const rounds = 12
-	instances := r.others(nil)
+	instances := r.instancesExcept(nil)
 	base := uint64(0)
 	for round := range rounds {
 		if round%3 == 1 {
@@ -40,7 +40,7 @@
 		for i := range heard {
 			value := strconv.Itoa(1000 + 2*round + i)
 			at := instances[(round+i)%len(instances)]
-			group.Go(func() { heard[i] = r.propose(ctx, at, racedPath, base, value) })
+			group.Go(func() { heard[i] = r.propose(ctx, at, contendedPath, base, value) })
 		}
 		group.Wait()
 		if heard[0].Accepted && heard[1].Accepted {
@@ -52,7 +52,7 @@
 		}
 		base = next
 	}
-	return r.untilInForce(ctx, racedPath, base)
+	return r.waitInForce(ctx, contendedPath, base)
 }
 
 // nextBase waits until every instance has a newer version than base, and gives
@@ -61,7 +61,7 @@
 	newest := uint64(0)
 	err := r.WaitUntil(ctx, "a newer version at all instances", func() bool {
 		for _, p := range instances {
-			found, ok := r.setting(ctx, p, racedPath)
+			found, ok := r.setting(ctx, p, contendedPath)
 			if !ok || found.Version <= base {
 				return false
 			}
@@ -76,21 +76,21 @@
 func runSettingsReplaced(ctx context.Context, r *Rig) error {
 	base := uint64(0)
 	for round := range 2 {
-		old := r.others(nil)
-		change := r.propose(ctx, old[round], racedPath, base, strconv.Itoa(2000+round))
+		old := r.instancesExcept(nil)
+		change := r.propose(ctx, old[round], contendedPath, base, strconv.Itoa(2000+round))
 		if !change.Accepted {
 			return errors.Newf("the change was not accepted: %+v", change)
 		}
 		for _, p := range old {
 			r.Kill(p, false)
 		}
-		r.setDoors()
+		r.setEndpoints()
 		for range old {
 			if _, err := r.Add(ctx); err != nil {
 				return err
 			}
 		}
-		if err := r.untilInForce(ctx, racedPath, change.Version); err != nil {
+		if err := r.waitInForce(ctx, contendedPath, change.Version); err != nil {
 			return err
 		}
 		base = change.Version
@@ -101,12 +101,12 @@
 // runStartWhileLogDown starts an instance during an outage. It may take traffic
 // only with the settings that were accepted before.
 func runStartWhileLogDown(ctx context.Context, r *Rig) error {
-	change := r.propose(ctx, r.random(), racedPath, 0, "3000")
+	change := r.propose(ctx, r.randomInstance(), contendedPath, 0, "3000")
 	if !change.Accepted {
 		return errors.Newf("the change was not accepted: %+v", change)
 	}
 	var agents []*agent
-	for range usualPrograms {
+	for range typicalPrograms {
 		a, err := r.newAgent(ctx, r.newRand())
 		if err != nil {
 			return err
@@ -114,7 +114,7 @@
 		agents = append(agents, a)
 	}
 	r.SetLogFaults(wire.LogFaults{Down: true})
-	r.hold(ctx, outage/4)
+	r.sleep(ctx, outageDuration/4)
 	p, err := r.AddUnready()
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 	// The programs of living owners go on, also those that the list now gives
 	// to the new instance.
 	for _, a := range agents {
-		if got := a.tool(ctx, 0); err == nil && !got.Outcome.whole() {
+		if got := a.tool(ctx, 0); err == nil && !got.Outcome.answered() {
 			err = errors.Newf("a repeatable call during the outage got %s %s", got.Outcome, got.Reason)
 		}
 	}
@@ -134,10 +134,10 @@
 	if err := r.WaitReady(ctx, p); err != nil {
 		return err
 	}
-	r.setDoors(doorOf(p))
-	err = r.untilInForce(ctx, racedPath, change.Version)
+	r.setEndpoints(endpointOf(p))
+	err = r.waitInForce(ctx, contendedPath, change.Version)
 	for _, a := range agents {
-		err = errors.CombineErrors(err, a.goOn(ctx))
+		err = errors.CombineErrors(err, a.verifyUsable(ctx))
 	}
 	return err
 }
@@ -145,11 +145,11 @@
 // watchStart looks at a starting instance for the length of an outage: as soon
 // as it says that it is ready it must know the accepted change.
 func (r *Rig) watchStart(ctx context.Context, p *testkit.Process, version uint64) error {
-	for until := time.Now().Add(outage); time.Now().Before(until); r.hold(ctx, pace) {
-		if !ready(ctx, p) {
+	for until := time.Now().Add(outageDuration); time.Now().Before(until); r.sleep(ctx, retryInterval) {
+		if !isReady(ctx, p) {
 			continue
 		}
-		found, ok := r.setting(ctx, p, racedPath)
+		found, ok := r.setting(ctx, p, contendedPath)
 		if !ok || found.Version < version {
 			return errors.Newf("the instance is ready with version %d, accepted was %d", found.Version, version)
 		}
@@ -167,51 +167,51 @@
 	if err != nil {
 		return err
 	}
-	if err := a.fileUntilRefused(ctx, 4, 4); err != nil {
+	if err := a.submitUntilRefused(ctx, 4, 4); err != nil {
 		return err
 	}
 	for i, limit := range []int{raised, lowered} {
-		now, ok := r.setting(ctx, r.random(), path)
+		now, ok := r.setting(ctx, r.randomInstance(), path)
 		if !ok {
 			return errors.New("the limit cannot be read")
 		}
-		change := r.propose(ctx, r.random(), path, now.Version, strconv.Itoa(limit))
+		change := r.propose(ctx, r.randomInstance(), path, now.Version, strconv.Itoa(limit))
 		if !change.Accepted {
 			return errors.Newf("the change was not accepted: %+v", change)
 		}
-		owner, err := r.untilOwned(ctx, a.program.ID)
+		owner, err := r.waitOwner(ctx, a.program.ID)
 		if err != nil {
 			return err
 		}
 		if err := r.Replace(ctx, owner); err != nil {
 			return err
 		}
-		if err := r.untilInForce(ctx, path, change.Version); err != nil {
+		if err := r.waitInForce(ctx, path, change.Version); err != nil {
 			return err
 		}
 		if i == 0 {
-			if got := a.file(ctx, 1, 0); !got.Outcome.whole() {
+			if got := a.submitFiling(ctx, 1, 0); !got.Outcome.answered() {
 				return errors.Newf("a filing within the raised limit got %s %s", got.Outcome, got.Reason)
 			}
 		}
 	}
 	// A takeover counts what the dead owner had reserved as spent, so that
 	// fewer may be left than were paid.
-	if err := a.fileUntilRefused(ctx, 0, lowered-5); err != nil {
+	if err := a.submitUntilRefused(ctx, 0, lowered-5); err != nil {
 		return err
 	}
 	return a.close(ctx)
 }
 
-// fileUntilRefused makes filings of fee 1 until the budget refuses one, and wants
+// submitUntilRefused makes filings of fee 1 until the budget refuses one, and wants
 // a number of answers before in that range.
-func (a *agent) fileUntilRefused(ctx context.Context, least, most int) error {
+func (a *agent) submitUntilRefused(ctx context.Context, least, most int) error {
 	for i := 0; ; i++ {
-		got := a.file(ctx, 1, 0)
+		got := a.submitFiling(ctx, 1, 0)
 		switch {
 		case got.Outcome == NotRun && got.Reason == reasonBudget && i >= least:
 			return nil
-		case !got.Outcome.whole():
+		case !got.Outcome.answered():
 			return errors.Newf("after %d filings one got %s %s", i, got.Outcome, got.Reason)
 		case i >= most:
 			return errors.Newf("more than %d filings were answered", most)
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -15,7 +15,7 @@
 
 func targetScenarios() []Scenario {
 	return []Scenario{
-		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
+		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: typicalBudget, Run: runTargetFaults},
 		{Name: "target-leaving", Description: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
 		{Name: "late-answer", Description: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
 	}
@@ -36,11 +36,11 @@
 var everyService = []string{testkit.ModelService, testkit.ToolService, testkit.FilingService}
 
 func runTargetFaults(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for round, faults := range []wire.ServiceFaults{
 		{DropReplies: 4}, {FailNext: 4}, {Hang: true}, {Slow: 20}, {DropReplies: 4, Slow: 5},
 	} {
-		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+		if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
@@ -48,9 +48,9 @@
 			r.SetTargetFaults(targets[round%len(targets)], faults)
 		}
 		if faults.Hang {
-			r.hold(ctx, attemptDeadline/2)
+			r.sleep(ctx, attemptDeadline/2)
 		}
-		err := r.WaitAnswered(ctx, someAnswers/2)
+		err := r.WaitAnswered(ctx, answersPerFault/2)
 		for _, service := range everyService {
 			targets := r.targetsOf(service)
 			r.SetTargetFaults(targets[round%len(targets)], wire.ServiceFaults{})
@@ -59,7 +59,7 @@
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.WaitAnswered(ctx, someAnswers)
+	err := r.WaitAnswered(ctx, answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
@@ -70,17 +70,17 @@
 func runTargetLeaving(ctx context.Context, r *Rig) error {
 	const lagMS = 500
 	r.SetMemberFaults(wire.MemberFaults{LagMS: lagMS})
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for i := range 2 {
-		if err := r.WaitAnswered(ctx, someAnswers); err != nil {
+		if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
 			r.MarkLeaving(r.targetsOf(service)[i], leavingWithin)
 		}
-		r.hold(ctx, leavingWithin)
+		r.sleep(ctx, leavingWithin)
 	}
-	err := r.WaitAnswered(ctx, 2*someAnswers)
+	err := r.WaitAnswered(ctx, 2*answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
 }
 
@@ -102,14 +102,14 @@
 			return errors.Newf("a call given up while it ran got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	if got := a.chat(ctx, 20, true); !got.Outcome.whole() {
+	if got := a.chat(ctx, 20, true); !got.Outcome.answered() {
 		return errors.Newf("the next call got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, filing, patience); !got.Outcome.whole() && got.Outcome != Unknown {
+	if got := r.retry(ctx, a.rng, filing, retryTimeout); !got.Outcome.answered() && got.Outcome != Unknown {
 		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, tool, patience); !got.Outcome.whole() {
+	if got := r.retry(ctx, a.rng, tool, retryTimeout); !got.Outcome.answered() {
 		return errors.Newf("the repeatable call again got %s %s", got.Outcome, got.Reason)
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
--- a/internal/proofs/scenarios_test.go
+++ b/internal/proofs/scenarios_test.go
@@ -38,12 +38,12 @@
 	return m.Run()
 }
 
-// atOnce is the number of scenarios that run at a time.
-const atOnce = 3
+// maxParallelScenarios is the number of scenarios that run at a time.
+const maxParallelScenarios = 3
 
 // TestQuickScenarios runs the scenarios marked as quick; "make proofs" runs all.
 func TestQuickScenarios(t *testing.T) {
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallelScenarios)
 	for _, s := range All() {
 		if !s.Quick {
 			continue
