--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -52,16 +52,16 @@
 }
 
 func (r *Rig) retry(ctx context.Context, rng *rand.Rand, q request, limit time.Duration) Attempt {
-	until := time.Now().Add(limit)
-	unknowns, silent := 0, ""
+	deadline := time.Now().Add(limit)
+	unknowns, unresponsive := 0, ""
 	for {
-		attempt := r.attempt(ctx, r.pickEndpoint(rng, silent), q)
-		silent = ""
+		attempt := r.attempt(ctx, r.pickEndpoint(rng, unresponsive), q)
+		unresponsive = ""
 		if !attempt.Outcome.final() {
-			silent = attempt.Instance
+			unresponsive = attempt.Instance
 		}
 		wait, again := nextRetry(attempt, &unknowns)
-		if !again || time.Now().Add(wait).After(until) || !delay.Sleep(ctx, wait) {
+		if !again || time.Now().Add(wait).After(deadline) || !delay.Sleep(ctx, wait) {
 			return attempt
 		}
 	}
--- a/internal/proofs/check_lanes.go
+++ b/internal/proofs/check_lanes.go
@@ -99,10 +99,10 @@
 	if err := json.Unmarshal(a.Body, &answer); err != nil {
 		return "answer is not the target's: " + truncate(string(a.Body))
 	}
-	made := slices.ContainsFunc(runs, func(run wire.LedgerEntry) bool {
+	found := slices.ContainsFunc(runs, func(run wire.LedgerEntry) bool {
 		return run.Target == answer.Target && run.Sequence == answer.Sequence
 	})
-	if !made || answer.Path != call.Path || answer.BodyHash != call.BodyHash {
+	if !found || answer.Path != call.Path || answer.BodyHash != call.BodyHash {
 		return "answer is that of another request: " + truncate(string(a.Body))
 	}
 	return ""
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -113,9 +113,9 @@
 					call.name(), describeAttempts(call), run.Target, run.TimeMS))
 				continue
 			}
-			if heard, ok := call.refusedAfter(run); ok {
+			if refusal, ok := call.refusedAfter(run); ok {
 				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, and then heard not run (%s) at %s: %s",
-					call.name(), run.Target, run.TimeMS, heard.Reason, heard.Instance, describeAttempts(call)))
+					call.name(), run.Target, run.TimeMS, refusal.Reason, refusal.Instance, describeAttempts(call)))
 				continue
 			}
 			last, _ := call.lastAttempt()
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -121,12 +121,12 @@
 	for _, s := range stepWeights {
 		total += s.weight
 	}
-	drawn := a.rng.IntN(total)
+	pick := a.rng.IntN(total)
 	for _, s := range stepWeights {
-		if drawn < s.weight {
+		if pick < s.weight {
 			return s.step(ctx, a)
 		}
-		drawn -= s.weight
+		pick -= s.weight
 	}
 	return false
 }
@@ -171,9 +171,9 @@
 func stepCancel(ctx context.Context, a *agent) bool {
 	q := filingRequest(a.unnumberedCall(), 1, a.runTime())
 	a.rig.History.addCall(q.call)
-	left := q
-	left.cancelAfter = a.runTime()
-	if a.rig.retry(ctx, a.rng, left, 0).Outcome.answered() {
+	canceled := q
+	canceled.cancelAfter = a.runTime()
+	if a.rig.retry(ctx, a.rng, canceled, 0).Outcome.answered() {
 		return true
 	}
 	word := a.rig.retry(ctx, a.rng, q, retryTimeout).Outcome
--- a/internal/proofs/network.go
+++ b/internal/proofs/network.go
@@ -19,20 +19,20 @@
 type Network struct {
 	mu      sync.Mutex
 	logs    map[string]*relay.Relay
-	pairs   map[pair]*relay.Relay
+	links   map[link]*relay.Relay
 	servers []*standin.Server
-	// cut holds the instances cut off from the others, for relays made later.
-	cut map[string]cut
+	// blocked holds the instances cut off from the others, for relays made later.
+	blocked map[string]blocked
 }
 
-// pair is a connection that one instance dials to another.
-type pair struct{ from, to string }
+// link is a connection that one instance dials to another.
+type link struct{ from, to string }
 
-// cut tells which bytes of an instance do not pass.
-type cut struct{ out, in bool }
+// blocked tells which bytes of an instance do not pass.
+type blocked struct{ out, in bool }
 
 func newNetwork() *Network {
-	return &Network{logs: map[string]*relay.Relay{}, pairs: map[pair]*relay.Relay{}, cut: map[string]cut{}}
+	return &Network{logs: map[string]*relay.Relay{}, links: map[link]*relay.Relay{}, blocked: map[string]blocked{}}
 }
 
 // env gives an instance the addresses of its relays.
@@ -58,20 +58,20 @@
 // the others replaced by relays.
 func (n *Network) memberList(id, source string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		reply, err := http.Get(source + r.URL.Path)
+		resp, err := http.Get(source + r.URL.Path)
 		if err != nil {
 			standin.DropConnection()
 		}
-		defer func() { _ = reply.Body.Close() }()
-		body, _ := io.ReadAll(reply.Body)
+		defer func() { _ = resp.Body.Close() }()
+		body, _ := io.ReadAll(resp.Body)
 		var list wire.MemberList
-		if reply.StatusCode != http.StatusOK || json.Unmarshal(body, &list) != nil {
+		if resp.StatusCode != http.StatusOK || json.Unmarshal(body, &list) != nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		for i, m := range list.Members {
 			if m.Role == wire.MemberRoleInstance && m.ID != id {
-				list.Members[i].Address = n.relayTo(pair{id, m.ID}, m.Address)
+				list.Members[i].Address = n.relayTo(link{id, m.ID}, m.Address)
 			}
 		}
 		standin.WriteJSON(w, http.StatusOK, list)
@@ -79,24 +79,24 @@
 }
 
 // relayTo gives the address of the relay of a connection.
-func (n *Network) relayTo(p pair, address string) string {
+func (n *Network) relayTo(p link, address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if known, ok := n.pairs[p]; ok {
+	if known, ok := n.links[p]; ok {
 		return known.Address()
 	}
-	made, err := relay.New(address)
+	created, err := relay.New(address)
 	if err != nil {
 		return address
 	}
-	n.pairs[p] = made
-	n.apply(p, made)
-	return made.Address()
+	n.links[p] = created
+	n.apply(p, created)
+	return created.Address()
 }
 
 // apply blocks a relay as its two ends are cut. The mutex is held.
-func (n *Network) apply(p pair, r *relay.Relay) {
-	from, to := n.cut[p.from], n.cut[p.to]
+func (n *Network) apply(p link, r *relay.Relay) {
+	from, to := n.blocked[p.from], n.blocked[p.to]
 	r.Block(from.out || to.in, to.out || from.in)
 }
 
@@ -113,8 +113,8 @@
 func (n *Network) CutPeer(id string, out, in bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[id] = cut{out, in}
-	for p, r := range n.pairs {
+	n.blocked[id] = blocked{out, in}
+	for p, r := range n.links {
 		n.apply(p, r)
 	}
 }
@@ -129,7 +129,7 @@
 	for _, r := range n.logs {
 		r.Close()
 	}
-	for _, r := range n.pairs {
+	for _, r := range n.links {
 		r.Close()
 	}
 	for _, s := range n.servers {
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -108,11 +108,11 @@
 
 // newRand makes a generator that depends on the seed and a name alone.
 func newRand(seed uint64, name string) *rand.Rand {
-	var second uint64
+	var hash uint64
 	for _, c := range []byte(name) {
-		second = second*131 + uint64(c)
+		hash = hash*131 + uint64(c)
 	}
-	return rand.New(rand.NewPCG(seed, second))
+	return rand.New(rand.NewPCG(seed, hash))
 }
 
 func (r *Rig) newRand() *rand.Rand {
@@ -123,14 +123,14 @@
 
 // pickEndpoint chooses an instance as a balancer does, another than the one given if
 // there is one: whoever got no answer tries elsewhere.
-func (r *Rig) pickEndpoint(rng *rand.Rand, other string) endpoint {
+func (r *Rig) pickEndpoint(rng *rand.Rand, excluded string) endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	choices := slices.DeleteFunc(slices.Clone(r.endpoints), func(d endpoint) bool { return d.id == other })
-	if len(choices) == 0 {
-		choices = r.endpoints
+	candidates := slices.DeleteFunc(slices.Clone(r.endpoints), func(d endpoint) bool { return d.id == excluded })
+	if len(candidates) == 0 {
+		candidates = r.endpoints
 	}
-	return choices[rng.IntN(len(choices))]
+	return candidates[rng.IntN(len(candidates))]
 }
 
 // endpointOf gives an instance as callers see it.
@@ -153,24 +153,24 @@
 func (r *Rig) removeEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var left []endpoint
+	var remaining []endpoint
 	for _, d := range r.endpoints {
 		if d.id != p.ID {
-			left = append(left, d)
+			remaining = append(remaining, d)
 		}
 	}
-	if len(left) > 0 {
-		r.endpoints = left
+	if len(remaining) > 0 {
+		r.endpoints = remaining
 	}
 }
 
 // WaitUntil polls a condition.
-func (r *Rig) WaitUntil(ctx context.Context, what string, met func() bool) error {
+func (r *Rig) WaitUntil(ctx context.Context, condition string, holds func() bool) error {
 	err := testkit.Poll(ctx, func() error {
-		if met() {
+		if holds() {
 			return nil
 		}
-		return errors.Newf("waiting for %s", what)
+		return errors.Newf("waiting for %s", condition)
 	})
 	return err
 }
@@ -239,12 +239,12 @@
 }
 
 // instancesExcept lists the processes but one.
-func (r *Rig) instancesExcept(than *testkit.Process) []*testkit.Process {
+func (r *Rig) instancesExcept(excluded *testkit.Process) []*testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*testkit.Process
 	for _, p := range r.Instances {
-		if p != than {
+		if p != excluded {
 			list = append(list, p)
 		}
 	}
--- a/internal/proofs/scenarios_instances.go
+++ b/internal/proofs/scenarios_instances.go
@@ -172,15 +172,15 @@
 	if err != nil {
 		return err
 	}
-	rest := r.instancesExcept(owner)
-	gateway := rest[0]
+	others := r.instancesExcept(owner)
+	gateway := others[0]
 	r.setEndpoints(endpointOf(gateway))
 	runs := r.runsOf(a.program.ID)
 	done := runAsync(call)
 	if err := r.waitRuns(ctx, a.program.ID, runs+1); err != nil {
 		return err
 	}
-	for _, p := range rest[1:] {
+	for _, p := range others[1:] {
 		r.addEndpoint(p)
 	}
 	r.Kill(owner, false)
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -102,8 +102,8 @@
 	}
 	r.SetLogFaults(f)
 	return r.WaitUntil(ctx, "lost appends", func() bool {
-		left := r.Log.Faults()
-		return left.DropAppendReplies == 0 && left.DropAppends == 0
+		remaining := r.Log.Faults()
+		return remaining.DropAppendReplies == 0 && remaining.DropAppends == 0
 	})
 }
 
@@ -166,8 +166,8 @@
 	if got.Outcome != NotRun {
 		err = errors.Newf("a filing without an owner during the outage got %s %s", got.Outcome, got.Reason)
 	}
-	_, added := r.Add(ctx)
-	return errors.CombineErrors(errors.CombineErrors(err, added), a.verifyUsable(ctx))
+	_, addErr := r.Add(ctx)
+	return errors.CombineErrors(errors.CombineErrors(err, addErr), a.verifyUsable(ctx))
 }
 
 // runOwnerCutFromLog cuts an owner off from the log only, once both ways and
--- a/internal/proofs/scenarios_network.go
+++ b/internal/proofs/scenarios_network.go
@@ -17,7 +17,7 @@
 
 func runPeersCut(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
-	for _, c := range []cut{{out: true, in: true}, {out: true}, {in: true}} {
+	for _, c := range []blocked{{out: true, in: true}, {out: true}, {in: true}} {
 		if err := r.cutPeerOnce(ctx, l, c); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
@@ -26,7 +26,7 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) cutPeerOnce(ctx context.Context, l *Load, c cut) error {
+func (r *Rig) cutPeerOnce(ctx context.Context, l *Load, direction blocked) error {
 	if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 		return err
 	}
 	r.countFault()
-	r.Net.CutPeer(owner.ID, c.out, c.in)
+	r.Net.CutPeer(owner.ID, direction.out, direction.in)
 	r.sleep(ctx, longPause)
 	r.Net.CutPeer(owner.ID, false, false)
 	return nil
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -84,11 +84,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.Instances {
-		touched := false
+		affected := false
 		for _, d := range r.faultWindows {
-			touched = touched || d.Instance == p.ID
+			affected = affected || d.Instance == p.ID
 		}
-		if !touched {
+		if !affected {
 			return p
 		}
 	}
@@ -156,17 +156,17 @@
 
 // getJSON reads a value from a target.
 func getJSON(ctx context.Context, address string, value any) bool {
-	const limit = 2 * time.Second
-	limited, cancel := context.WithTimeout(ctx, limit)
+	const timeout = 2 * time.Second
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limited, http.MethodGet, address, nil)
+	req, err := http.NewRequestWithContext(limited, http.MethodGet, address, nil)
 	if err != nil {
 		return false
 	}
-	reply, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = reply.Body.Close() }()
-	return reply.StatusCode == http.StatusOK && json.NewDecoder(reply.Body).Decode(value) == nil
+	defer func() { _ = resp.Body.Close() }()
+	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(value) == nil
 }
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -92,7 +92,7 @@
 
 // runEndlessLoop repeats one request under new keys until it is refused.
 func runEndlessLoop(ctx context.Context, r *Rig) error {
-	const most = 12
+	const maxRepeats = 12
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	if got := a.chat(ctx, 30, true); !got.Outcome.answered() {
 		return errors.Newf("the chat got %s %s", got.Outcome, got.Reason)
 	}
-	for i := range most {
+	for i := range maxRepeats {
 		call := &Call{Program: a.program.ID, Lane: "loop", Key: fmt.Sprintf("loop-%d", i)}
 		q := plainRequest(call, Tool, testkit.ToolService, "/loop/"+a.program.ID, 0)
 		q.body = []byte("again")
@@ -114,7 +114,7 @@
 			return errors.Newf("a repeat got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	return errors.Newf("%d repeats were not noticed", most)
+	return errors.Newf("%d repeats were not noticed", maxRepeats)
 }
 
 // checkClosed checks that a program takes no call any more.
@@ -133,25 +133,25 @@
 		rng := r.newRand()
 		group.Go(func() { errs[i] = r.exhaustBudget(ctx, rng) })
 	}
-	var killed error
+	var killErr error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, answersPerFault))
-		killed = errors.CombineErrors(killed, r.Replace(ctx, r.randomInstance()))
+		killErr = errors.CombineErrors(killErr, r.WaitAnswered(ctx, answersPerFault))
+		killErr = errors.CombineErrors(killErr, r.Replace(ctx, r.randomInstance()))
 	}
 	group.Wait()
-	return errors.CombineErrors(killed, errors.Join(errs...))
+	return errors.CombineErrors(killErr, errors.Join(errs...))
 }
 
 // exhaustBudget spends in turns on chats and filings until both are refused for want
 // of budget.
 func (r *Rig) exhaustBudget(ctx context.Context, rng *rand.Rand) error {
-	const most = 100
+	const maxCalls = 100
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
 		return err
 	}
 	spent := [2]bool{}
-	for i := range most {
+	for i := range maxCalls {
 		var got Attempt
 		if i%2 == 0 {
 			got = a.chat(ctx, 60+rng.IntN(60), rng.IntN(2) == 0)
@@ -165,7 +165,7 @@
 			return a.close(ctx)
 		}
 	}
-	return errors.CombineErrors(errors.Newf("%d calls and the budget was not used up", most), a.close(ctx))
+	return errors.CombineErrors(errors.Newf("%d calls and the budget was not used up", maxCalls), a.close(ctx))
 }
 
 // runTeamBudget lets programs of a team file until the team's budget refuses,
@@ -177,28 +177,28 @@
 		rng := r.newRand()
 		group.Go(func() { errs[i] = r.exhaustTeamBudget(ctx, rng) })
 	}
-	var killed error
+	var killErr error
 	for range 2 {
-		killed = errors.CombineErrors(killed, r.WaitAnswered(ctx, answersPerFault/3))
-		killed = errors.CombineErrors(killed, r.Replace(ctx, r.randomInstance()))
+		killErr = errors.CombineErrors(killErr, r.WaitAnswered(ctx, answersPerFault/3))
+		killErr = errors.CombineErrors(killErr, r.Replace(ctx, r.randomInstance()))
 	}
 	group.Wait()
-	return errors.CombineErrors(killed, errors.Join(errs...))
+	return errors.CombineErrors(killErr, errors.Join(errs...))
 }
 
 // exhaustTeamBudget files until the budget refuses.
 func (r *Rig) exhaustTeamBudget(ctx context.Context, rng *rand.Rand) error {
-	const most = 100
+	const maxFilings = 100
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
 		return err
 	}
-	for range most {
+	for range maxFilings {
 		if got := a.submitFiling(ctx, 1, 0); got.Outcome == NotRun && got.Reason == reasonBudget {
 			return a.close(ctx)
 		}
 	}
-	return errors.CombineErrors(errors.Newf("%d filings and the budget was not used up", most), a.close(ctx))
+	return errors.CombineErrors(errors.Newf("%d filings and the budget was not used up", maxFilings), a.close(ctx))
 }
 
 // runHistory sends one program's conversation as another's: before the owner of
@@ -219,9 +219,9 @@
 		agents[i] = a
 	}
 	err := r.checkForeignHistory(ctx, agents[0], agents[1])
-	owner, owned := r.waitOwner(ctx, agents[1].program.ID)
-	if owned != nil {
-		return owned
+	owner, ownerErr := r.waitOwner(ctx, agents[1].program.ID)
+	if ownerErr != nil {
+		return ownerErr
 	}
 	// A filing is in the log before its answer, so that the death of the owner
 	// forgets no call; what it may forget is the matter of "kill-owner".
@@ -278,19 +278,19 @@
 		done <- result{got, ran}
 	}()
 	r.sleep(ctx, handoverPause)
-	replaced := r.Replace(ctx, owner)
+	replaceErr := r.Replace(ctx, owner)
 	d := <-done
-	told := d.got.Outcome == NotRun || d.got.Outcome == Unknown
-	if !told || d.got.Reason != reasonFork || d.ran {
+	refused := d.got.Outcome == NotRun || d.got.Outcome == Unknown
+	if !refused || d.got.Reason != reasonFork || d.ran {
 		return errors.CombineErrors(
 			errors.Newf("while the owner died, another program's history got %s %s, run: %t", d.got.Outcome, d.got.Reason, d.ran),
-			replaced)
+			replaceErr)
 	}
 	if d.got.Outcome == Unknown {
 		// The number was not used, as the history could not be continued.
 		own.lastNumber--
 	}
-	return replaced
+	return replaceErr
 }
 
 // waitOwnerAgreed waits until all instances name the living owner of a program.
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -169,8 +169,8 @@
 	}
 	defer v.release(p)
 	r.countFault()
-	one := rng.IntN(3)
-	r.Net.CutPeer(p.ID, one != 0, one != 1)
+	direction := rng.IntN(3)
+	r.Net.CutPeer(p.ID, direction != 0, direction != 1)
 	r.sleep(ctx, faultDuration(rng))
 	r.Net.CutPeer(p.ID, false, false)
 	return nil
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -35,15 +35,15 @@
 		if round%3 == 1 {
 			r.SetLogFaults(wire.LogFaults{DropAppendReplies: 1, Stream: "settings"})
 		}
-		var heard [2]Change
+		var changes [2]Change
 		var group sync.WaitGroup
-		for i := range heard {
+		for i := range changes {
 			value := strconv.Itoa(1000 + 2*round + i)
 			at := instances[(round+i)%len(instances)]
-			group.Go(func() { heard[i] = r.propose(ctx, at, contendedPath, base, value) })
+			group.Go(func() { changes[i] = r.propose(ctx, at, contendedPath, base, value) })
 		}
 		group.Wait()
-		if heard[0].Accepted && heard[1].Accepted {
+		if changes[0].Accepted && changes[1].Accepted {
 			return errors.Newf("both proposals on base %d were accepted", base)
 		}
 		next, err := r.nextBase(ctx, instances, base)
@@ -205,16 +205,16 @@
 
 // submitUntilRefused makes filings of fee 1 until the budget refuses one, and wants
 // a number of answers before in that range.
-func (a *agent) submitUntilRefused(ctx context.Context, least, most int) error {
+func (a *agent) submitUntilRefused(ctx context.Context, minFilings, maxFilings int) error {
 	for i := 0; ; i++ {
 		got := a.submitFiling(ctx, 1, 0)
 		switch {
-		case got.Outcome == NotRun && got.Reason == reasonBudget && i >= least:
+		case got.Outcome == NotRun && got.Reason == reasonBudget && i >= minFilings:
 			return nil
 		case !got.Outcome.answered():
 			return errors.Newf("after %d filings one got %s %s", i, got.Outcome, got.Reason)
-		case i >= most:
-			return errors.Newf("more than %d filings were answered", most)
+		case i >= maxFilings:
+			return errors.Newf("more than %d filings were answered", maxFilings)
 		}
 	}
 }
