--- a/internal/proofs/agent.go
+++ b/internal/proofs/agent.go
@@ -18,21 +18,21 @@
 
 const programsRoute = "/v1/programs"
 
-// agent is a caller that runs one program: a chain of calls, each after the
-// answer of the one before.
+// agent is a caller that runs one program: a chain of calls, each made after the
+// response to the previous one.
 type agent struct {
 	rig        *Rig
 	rng        *rand.Rand
 	program    *Program
 	lastNumber int
-	// callCount counts the calls, for their keys.
+	// callCount numbers the idempotency keys.
 	callCount int
-	// fanCount counts the lanes of sub-agents.
+	// fanCount numbers the lanes of sub-agents.
 	fanCount int
 	messages []wire.ChatMessage
 }
 
-// newAgent opens a program.
+// newAgent opens a program and returns an agent for it.
 func (r *Rig) newAgent(ctx context.Context, rng *rand.Rand) (*agent, error) {
 	a := &agent{rig: r, rng: rng, messages: []wire.ChatMessage{
 		{Role: "system", Content: "You draft trademark applications for small makers."},
@@ -46,7 +46,8 @@
 	return a, nil
 }
 
-// openProgram opens a program at any instance, with one key for all tries.
+// openProgram opens a program and returns its ID. It retries at other instances
+// with the same idempotency key.
 func (r *Rig) openProgram(ctx context.Context, rng *rand.Rand) (string, error) {
 	key := ulid.Make().String()
 	limited, cancel := context.WithTimeout(ctx, retryTimeout)
@@ -74,7 +75,8 @@
 	return id, err
 }
 
-// close closes the program; it is gone once an instance said so.
+// close closes the program, and records it as closed once an instance confirmed
+// that.
 func (a *agent) close(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
@@ -98,15 +100,15 @@
 	return err
 }
 
-// newCall is the next call of the program's own lane.
+// newCall returns the next call of the program's own lane.
 func (a *agent) newCall() *Call {
 	a.lastNumber++
 	a.callCount++
 	return &Call{Program: a.program.ID, Number: a.lastNumber, Key: fmt.Sprintf("k%d", a.callCount)}
 }
 
-// do makes a call of the program's own lane. The number of one that did not run
-// is free for the next.
+// do makes a call of the program's own lane. The number of a call that did not
+// run is reused.
 func (a *agent) do(ctx context.Context, q request) Attempt {
 	attempt := a.rig.do(ctx, a.rng, q)
 	if attempt.Outcome == NotRun {
@@ -115,7 +117,7 @@
 	return attempt
 }
 
-// chat makes the next call a chat of the given length.
+// chat makes a chat call whose answer has the given number of tokens.
 func (a *agent) chat(ctx context.Context, tokens int, stream bool) Attempt {
 	attempt := a.do(ctx, a.chatRequest(tokens, stream))
 	if attempt.Outcome.answered() {
@@ -141,13 +143,15 @@
 	return a.do(ctx, filingRequest(a.newCall(), fee, runTime))
 }
 
-// unnumberedCall is a call without a number: only its key tells a repeat.
+// unnumberedCall returns a call without a number: only its key identifies a
+// repeat.
 func (a *agent) unnumberedCall() *Call {
 	a.callCount++
 	return &Call{Program: a.program.ID, Lane: "free", Key: fmt.Sprintf("k%d", a.callCount)}
 }
 
-// resubmitFiling submits a filing and, once it has a word, submits it again.
+// resubmitFiling submits a filing and, once it is answered, submits it again with
+// the same key.
 func (a *agent) resubmitFiling(ctx context.Context, fee int, runTime time.Duration) Attempt {
 	q := filingRequest(a.unnumberedCall(), fee, runTime)
 	first := a.rig.do(ctx, a.rng, q)
@@ -157,7 +161,8 @@
 	return a.rig.retry(ctx, a.rng, q, retryTimeout)
 }
 
-// submitFilingConcurrently submits one filing at two instances at once, with one key.
+// submitFilingConcurrently submits one filing twice at once with the same key,
+// each time at an instance of its own choice.
 func (a *agent) submitFilingConcurrently(ctx context.Context, fee int, runTime time.Duration) Attempt {
 	q := filingRequest(a.unnumberedCall(), fee, runTime)
 	a.rig.History.addCall(q.call)
@@ -174,8 +179,8 @@
 	return attempts[1]
 }
 
-// fanOut makes several numbered tool calls of a lane of its own at once, as a
-// sub-agent that does not wait; they run in the order of their numbers.
+// fanOut makes several numbered tool calls of a separate lane concurrently and in
+// random order. They must run in the order of their numbers.
 func (a *agent) fanOut(ctx context.Context, lane string, count int, runTime time.Duration) []Attempt {
 	attempts := make([]Attempt, count)
 	var group sync.WaitGroup
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -14,38 +14,37 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Times of a caller.
 const (
-	// attemptDeadline is the deadline that a caller gives an instance.
+	// attemptDeadline is the default deadline sent with a request.
 	attemptDeadline = 6 * time.Second
-	// attemptGrace is how much longer the caller waits for it.
+	// attemptGrace is how long a caller waits after the deadline.
 	attemptGrace = 4 * time.Second
-	// retryTimeout is how long a caller tries a call again.
+	// retryTimeout bounds the retries of a call.
 	retryTimeout = 40 * time.Second
-	// retryInterval is the wait before another try when no refusal gave one.
+	// retryInterval is the delay before a retry without a RetryAfter.
 	retryInterval = 50 * time.Millisecond
-	// maxUnknownAttempts is how often a caller asks again for what became of a
-	// call.
+	// maxUnknownAttempts bounds the attempts of a call that end with an unknown
+	// outcome.
 	maxUnknownAttempts = 3
 )
 
 const problemPrefix = "urn:banyanglade:problem:"
 
-// request is a call with what is sent for it.
+// request is a call with the HTTP request that is sent for it.
 type request struct {
 	call     *Call
 	method   string
 	path     string
 	body     []byte
-	deadline time.Duration
-	// cancelAfter is the time after which the caller closes the connection, 0 for
-	// never.
+	deadline time.Duration // attemptDeadline if 0
+	// cancelAfter is the time after which the caller closes the connection; never
+	// if 0.
 	cancelAfter time.Duration
 }
 
-// do makes the call until it has a final word or the patience ends, and gives
-// its last attempt. A broken connection and an outcome that is not known are
-// tried elsewhere with the same key; a refusal says when to come back.
+// do makes attempts of the call until nextRetry ends them or retryTimeout elapses,
+// and returns the last one. All attempts carry the same key. A retry after an
+// attempt without a final outcome goes to another instance.
 func (r *Rig) do(ctx context.Context, rng *rand.Rand, q request) Attempt {
 	r.History.addCall(q.call)
 	return r.retry(ctx, rng, q, retryTimeout)
@@ -67,7 +66,7 @@
 	}
 }
 
-// nextRetry tells whether to try again after an attempt, and when.
+// nextRetry reports whether to retry after the attempt, and after which delay.
 func nextRetry(a Attempt, unknowns *int) (time.Duration, bool) {
 	switch a.Outcome {
 	case Answered, Replayed:
--- a/internal/proofs/check.go
+++ b/internal/proofs/check.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// Property names a point of what must always hold.
+// Property names an invariant.
 type Property string
 
-// Properties.
+// Properties that Check verifies. PropertyScenario stands for a scenario's own
+// expectations.
 const (
 	PropertyOrder      Property = "order in a lane"
 	PropertyAnswers    Property = "whole answer to its own request"
@@ -25,7 +26,7 @@
 	PropertyScenario   Property = "scenario"
 )
 
-// Violation is one breach of a property.
+// Violation describes one violation of a property.
 type Violation struct {
 	Property Property
 	Detail   string
@@ -37,26 +38,27 @@
 	return Violation{Property: property, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Verdict is what the checker found.
+// Verdict is the result of Check.
 type Verdict struct {
 	Counts     Counts
 	Violations []Violation
 }
 
-// Counts are the figures of a scenario's line.
+// Counts summarizes a scenario. The calls are counted by their final outcome.
 type Counts struct {
 	Calls    int
 	Answered int
 	Replayed int
 	NotRun   int
 	Unknown  int
-	// Duplicates, Lost and WrongRefusals are violations of their properties.
+	// Duplicates, Lost and WrongRefusals count the violations of
+	// PropertyAtMostOnce, PropertyLostAnswer and PropertyNotRun.
 	Duplicates    int
 	Lost          int
 	WrongRefusals int
 }
 
-// Check judges the evidence.
+// Check verifies all properties against the evidence.
 func Check(e Evidence) Verdict {
 	runs := indexRuns(e)
 	var found []Violation
@@ -99,7 +101,7 @@
 	return n
 }
 
-// lastAttempt is the attempt that ended last, false if there is none.
+// lastAttempt returns the attempt that ended last, false if there is none.
 func (c Call) lastAttempt() (Attempt, bool) {
 	if len(c.Attempts) == 0 {
 		return Attempt{}, false
@@ -107,8 +109,8 @@
 	return slices.MaxFunc(c.Attempts, func(a, b Attempt) int { return a.End.Compare(b.End) }), true
 }
 
-// finalOutcome is the best word that the caller has in the end: an answer if any
-// attempt got one, else that of the last attempt.
+// finalOutcome returns the outcome of the first answered attempt, else that of the
+// attempt that ended last.
 func (c Call) finalOutcome() Outcome {
 	for _, a := range c.Attempts {
 		if a.Outcome.answered() {
--- a/internal/proofs/check_lanes.go
+++ b/internal/proofs/check_lanes.go
@@ -9,16 +9,17 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// laneID names a lane of a program.
+// laneID identifies a lane of a program.
 type laneID struct{ program, lane string }
 
-// numberedCall is a call that has runs, with them.
+// numberedCall is a numbered call with its runs, of which there is at least one.
 type numberedCall struct {
 	call Call
 	runs []wire.LedgerEntry
 }
 
-// checkOrder finds calls of a lane that ran before an earlier one had ended.
+// checkOrder finds calls that began before an earlier call of their lane had
+// ended.
 func checkOrder(e Evidence, runs *runIndex) []Violation {
 	lanes := make(map[laneID][]numberedCall)
 	for i, call := range e.Calls {
@@ -38,7 +39,7 @@
 	return found
 }
 
-// checkSuccessive judges two calls of a lane that follow each other.
+// checkSuccessive checks the order of two successive calls of a lane.
 func checkSuccessive(earlier, later numberedCall) []Violation {
 	if earlier.call.Number == later.call.Number {
 		return nil
@@ -60,15 +61,16 @@
 	return found
 }
 
-// abandonedBy tells whether the caller had heard by then that the call's outcome is
-// not known: it went on in that knowledge, while the call may still run.
+// abandonedBy reports whether the caller had received an unknown outcome by that
+// time. Such a call may still run while the caller makes the next one.
 func (c Call) abandonedBy(by int64) bool {
 	return slices.ContainsFunc(c.Attempts, func(a Attempt) bool {
 		return a.Outcome == Unknown && a.End.UnixMilli() <= by+clockSlackMS
 	})
 }
 
-// checkAnswers compares each answer with what its target made for that call.
+// checkAnswers compares each answer with the one that its target generated for the
+// call.
 func checkAnswers(e Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for i, call := range e.Calls {
@@ -84,7 +86,8 @@
 	return found
 }
 
-// answerMismatch tells what is wrong with an answer, empty if nothing.
+// answerMismatch describes how an answer differs from the expected one; empty if
+// it does not.
 func answerMismatch(call Call, a Attempt, runs []wire.LedgerEntry) string {
 	if len(runs) == 0 {
 		return "answered, but no target ran it"
--- a/internal/proofs/check_log.go
+++ b/internal/proofs/check_log.go
@@ -6,11 +6,10 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// intentID names a not-repeatable call in the log.
+// intentID identifies a not-repeatable call in the log.
 type intentID struct{ program, key string }
 
-// checkIntents finds not-repeatable runs without an Intent that counted in the
-// log before them.
+// checkIntents finds not-repeatable runs that no valid Intent in the log precedes.
 func checkIntents(e Evidence, runs *runIndex) []Violation {
 	intents := make(map[intentID]int64)
 	for stream, records := range e.Log {
@@ -38,8 +37,8 @@
 	return found
 }
 
-// collectIntents reads a journal stream by the rule of the log: the first claim
-// of an epoch wins, and an Intent of an older epoch behind it is void.
+// collectIntents adds the times of the valid Intents of a journal stream. The
+// first claim of an epoch wins, and an Intent of an older epoch after it is void.
 func collectIntents(records []wire.LogRecord, intents map[intentID]int64) {
 	var epoch structs.Epoch
 	var writer string
@@ -62,7 +61,7 @@
 	}
 }
 
-// ownerInLog is the instance whose claim of a shard is the newest in the log.
+// ownerInLog returns the instance with the newest claim of a shard in the log.
 func ownerInLog(records []wire.LogRecord) structs.InstanceID {
 	var epoch structs.Epoch
 	var owner structs.InstanceID
--- a/internal/proofs/check_orders.go
+++ b/internal/proofs/check_orders.go
@@ -1,7 +1,7 @@
 package proofs
 
-// checkOrders finds engines that applied an order of an older controller after
-// one of a newer controller.
+// checkOrders finds engines that applied an order after one with a higher fencing
+// number.
 func checkOrders(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for target, orders := range e.Orders {
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -8,25 +8,26 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// clockSlackMS covers the truncation of times to milliseconds.
+// clockSlackMS allows for the truncation of times to milliseconds.
 const clockSlackMS = 1
 
-// runIndex finds the runs of each call in the ledgers.
+// runIndex maps each call to its runs in the ledgers.
 type runIndex struct {
-	// byCall holds the runs of each call of Evidence.Calls, by its index.
+	// byCall holds the runs of each call, by its index in Evidence.Calls.
 	byCall [][]wire.LedgerEntry
-	// stray are runs that belong to no call.
+	// stray holds the runs that belong to no call.
 	stray []wire.LedgerEntry
 }
 
-// chatIdentity names a chat at an engine: the program and the body.
+// chatIdentity identifies a chat in an engine's ledger.
 type chatIdentity struct{ program, body string }
 
-// plainIdentity names a call at a tool or plain service: the path and the key
-// that the target got, which is the caller's made unique over all programs.
+// plainIdentity identifies a call in the ledger of a tool or plain service: the
+// path and the key that the target receives (see targetKey).
 type plainIdentity struct{ path, key string }
 
-// targetKey is the idempotency key that a target gets.
+// targetKey returns the idempotency key that a target receives: the caller's key,
+// made unique over all programs.
 func targetKey(call Call) string {
 	if call.Program == "" {
 		return call.Key
@@ -52,7 +53,7 @@
 	for _, entry := range allEntries(e.Services) {
 		i, ok := plain[plainIdentity{entry.Path, entry.Key}]
 		if !ok {
-			// A call without a program runs as a program of its own.
+			// A call without a program runs in an implicit program.
 			i, ok = plain[plainIdentity{entry.Path, strings.TrimPrefix(entry.Key, entry.Program+":")}]
 		}
 		index.add(entry, i, ok)
@@ -68,7 +69,7 @@
 	x.byCall[call] = append(x.byCall[call], entry)
 }
 
-// allEntries joins ledgers, in order of time.
+// allEntries merges the ledgers, ordered by time.
 func allEntries(ledgers map[string][]wire.LedgerEntry) []wire.LedgerEntry {
 	var all []wire.LedgerEntry
 	for _, entries := range ledgers {
@@ -78,7 +79,7 @@
 	return all
 }
 
-// checkStrayRuns finds runs of requests that no caller made.
+// checkStrayRuns finds runs that belong to no call.
 func checkStrayRuns(_ Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for _, run := range runs.stray {
@@ -88,7 +89,7 @@
 	return found
 }
 
-// checkOnce finds not-repeatable calls that ran twice.
+// checkOnce finds not-repeatable calls that ran more than once.
 func checkOnce(e Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for i, call := range e.Calls {
@@ -100,7 +101,7 @@
 	return found
 }
 
-// checkNotRun finds runs of attempts that heard "not run".
+// checkNotRun finds runs of calls that were refused as not run.
 func checkNotRun(e Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for i, call := range e.Calls {
@@ -109,18 +110,18 @@
 		}
 		for _, run := range runs.byCall[i] {
 			if !call.allowsRun(run) {
-				found = append(found, violation(PropertyNotRun, "%s heard %s but ran at %s, time %d",
+				found = append(found, violation(PropertyNotRun, "%s got %s but ran at %s, time %d",
 					call.name(), describeAttempts(call), run.Target, run.TimeMS))
 				continue
 			}
 			if refusal, ok := call.refusedAfter(run); ok {
-				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, and then heard not run (%s) at %s: %s",
+				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, and then got not run (%s) at %s: %s",
 					call.name(), run.Target, run.TimeMS, refusal.Reason, refusal.Instance, describeAttempts(call)))
 				continue
 			}
 			last, _ := call.lastAttempt()
 			if last.Outcome == NotRun && run.TimeMS > last.End.UnixMilli()+clockSlackMS {
-				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, after its last word %s",
+				found = append(found, violation(PropertyNotRun, "%s ran at %s, time %d, after its last attempt: %s",
 					call.name(), run.Target, run.TimeMS, describeAttempts(call)))
 			}
 		}
@@ -128,8 +129,8 @@
 	return found
 }
 
-// allowsRun tells whether the run can be that of an attempt which did not hear
-// "not run": the run began after the attempt, and before its answer if it had
+// allowsRun reports whether the run can belong to an attempt that was not refused
+// as not run: it began after the attempt did, and before the answer if there was
 // one.
 func (c Call) allowsRun(run wire.LedgerEntry) bool {
 	for _, a := range c.Attempts {
@@ -143,8 +144,8 @@
 	return false
 }
 
-// refusedAfter finds an attempt that heard "not run" after the run began: whoever
-// hears that may ask for the same under another key.
+// refusedAfter finds an attempt that was refused as not run after the run began.
+// A caller may then make the same call under another key.
 func (c Call) refusedAfter(run wire.LedgerEntry) (Attempt, bool) {
 	for _, a := range c.Attempts {
 		if a.Outcome == NotRun && a.End.UnixMilli() > run.TimeMS+clockSlackMS {
@@ -154,18 +155,18 @@
 	return Attempt{}, false
 }
 
-// checkLostAnswers finds calls without a final word and attempts that broke or fell
-// silent at an instance that no fault touched.
+// checkLostAnswers finds calls without a final outcome, and attempts that broke or
+// got no response at an instance that was not killed or paused.
 func checkLostAnswers(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, call := range e.Calls {
 		if word := call.finalOutcome(); !word.final() {
-			found = append(found, violation(PropertyLostAnswer, "%s ended without a word: %s", call.name(), describeAttempts(call)))
+			found = append(found, violation(PropertyLostAnswer, "%s ended without an outcome: %s", call.name(), describeAttempts(call)))
 			continue
 		}
 		for _, a := range call.Attempts {
 			if (a.Outcome == Broken || a.Outcome == NoResponse) && !e.duringFault(a) {
-				found = append(found, violation(PropertyLostAnswer, "%s: attempt at %s, to which nothing was done, was %s after %s",
+				found = append(found, violation(PropertyLostAnswer, "%s: attempt at %s, which was not killed or paused, was %s after %s",
 					call.name(), a.Instance, a.Outcome, a.End.Sub(a.Start)))
 			}
 		}
@@ -173,17 +174,19 @@
 	return found
 }
 
+// duringFault reports whether the attempt overlaps a fault window of its instance.
 func (e Evidence) duringFault(a Attempt) bool {
 	return slices.ContainsFunc(e.FaultWindows, func(d FaultWindow) bool { return d.covers(a) })
 }
 
-// Reasons that deny a program which was opened.
+// Reasons that a program which was opened must not get.
 const (
 	reasonUnknownProgram = "unknown-program"
 	reasonTooOld         = "too-old"
 )
 
-// checkHistory finds programs that were opened and then called unknown.
+// checkHistory finds calls of opened programs that were refused because the program
+// is unknown or too old.
 func checkHistory(e Evidence, _ *runIndex) []Violation {
 	opened := make(map[string]bool)
 	for _, p := range e.Programs {
@@ -193,7 +196,7 @@
 	for _, call := range e.Calls {
 		for _, a := range call.Attempts {
 			if opened[call.Program] && (a.Reason == reasonUnknownProgram || a.Reason == reasonTooOld) {
-				found = append(found, violation(PropertyHistory, "%s heard %s at %s, ended at %d",
+				found = append(found, violation(PropertyHistory, "%s got %s at %s, ended at %d",
 					call.name(), a.Reason, a.Instance, a.End.UnixMilli()))
 			}
 		}
@@ -201,7 +204,7 @@
 	return found
 }
 
-// checkLeaving finds runs at targets that had left.
+// checkLeaving finds runs at leaving targets after their grace period.
 func checkLeaving(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, d := range e.Leaving {
@@ -216,7 +219,7 @@
 	return found
 }
 
-// checkBudget adds up what ran of each program.
+// checkBudget compares what each program and the team spent with their budgets.
 func checkBudget(e Evidence, runs *runIndex) []Violation {
 	tokens, fees := make(map[string]int64), make(map[string]int64)
 	for i, call := range e.Calls {
@@ -239,7 +242,7 @@
 	return found
 }
 
-// checkTeamBudget adds up what all programs of the team paid.
+// checkTeamBudget compares the fees of all programs with the team's budget.
 func checkTeamBudget(e Evidence, fees map[string]int64) []Violation {
 	total := int64(0)
 	for _, fee := range fees {
@@ -251,7 +254,7 @@
 	return []Violation{violation(PropertyBudget, "the team paid %d in fees of %d", total, e.TeamFees)}
 }
 
-// checkCache finds cache held for programs that are gone.
+// checkCache finds cache held for closed programs.
 func checkCache(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, p := range e.Programs {
@@ -265,5 +268,5 @@
 	return found
 }
 
-// promptTokens is the length of a prompt as the engines count it.
+// promptTokens returns the length of a prompt as the engines count it.
 func promptTokens(messages []wire.ChatMessage) int64 { return int64(engine.PromptTokens(messages)) }
--- a/internal/proofs/check_settings.go
+++ b/internal/proofs/check_settings.go
@@ -8,9 +8,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// checkSettings judges the operators' changes: one value for each accepted
-// version, each accepted change in the log, the newest one in force at every
-// instance, none of those told "lost" in force, and no version that went back.
+// checkSettings checks the operators' changes: each accepted version has one value,
+// each accepted change is in the log, the newest accepted one is in force at every
+// instance, none that was reported as lost is in force, and no version decreases.
 func checkSettings(e Evidence, _ *runIndex) []Violation {
 	found := checkAccepted(e)
 	for instance, paths := range e.InForce {
@@ -21,7 +21,7 @@
 	return append(found, checkReadings(e)...)
 }
 
-// version names one version of a path.
+// version identifies a version of a setting.
 type version struct {
 	path   string
 	number uint64
@@ -56,7 +56,8 @@
 	return false
 }
 
-// checkInForce judges one path at one instance at the end.
+// checkInForce compares a setting that an instance has in the end with the changes
+// of its path.
 func checkInForce(e Evidence, instance, path string, setting Setting) []Violation {
 	var found []Violation
 	newest := Change{}
@@ -65,7 +66,7 @@
 			continue
 		}
 		if c.Lost && c.Value == setting.Value {
-			found = append(found, violation(PropertySettings, "%s has %s = %s, which its author was told lost", instance, path, setting.Value))
+			found = append(found, violation(PropertySettings, "%s has %s = %s, a change reported as lost", instance, path, setting.Value))
 		}
 		if c.Accepted && c.Version > newest.Version {
 			newest = c
@@ -82,7 +83,7 @@
 	return found
 }
 
-// checkReadings finds versions that went back at an instance.
+// checkReadings finds versions that decreased at an instance.
 func checkReadings(e Evidence) []Violation {
 	type place struct{ instance, path string }
 	newest := make(map[place]uint64)
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -16,13 +16,13 @@
 
 var epochStart = time.UnixMilli(1_000_000)
 
-// at is a time of a test's history, in milliseconds from its start.
+// at returns a time in milliseconds after epochStart.
 func at(ms int) time.Time { return epochStart.Add(time.Duration(ms) * time.Millisecond) }
 
 func ms(t int) int64 { return at(t).UnixMilli() }
 
-// validEvidence is a history in which everything holds: a chat, a tool call and
-// a filing of one program, one after the other.
+// validEvidence returns evidence without violations: a chat, a tool call and a filing
+// of one program in sequence.
 func validEvidence() Evidence {
 	messages := []wire.ChatMessage{{Role: "user", Content: "Draft it. tokens=10"}}
 	chat := Call{Program: testProgram, Number: 1, Key: "k1"}
@@ -89,19 +89,19 @@
 func TestCheckerAcceptsAGoodHistory(t *testing.T) {
 	verdict := Check(validEvidence())
 	if len(verdict.Violations) > 0 {
-		t.Fatalf("violations in a good history: %v", verdict.Violations)
+		t.Fatalf("violations in a valid history: %v", verdict.Violations)
 	}
 	if verdict.Counts.Answered != 3 {
 		t.Fatalf("counts %+v", verdict.Counts)
 	}
 }
 
-// refuse makes attempts of the call that heard "not run".
+// refuse replaces the attempts of the call by one that was refused as not run.
 func refuse(c *Call, start, end int) {
 	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Outcome: NotRun}}
 }
 
-// invalidHistories seeds one breach each into the good history.
+// invalidHistories each add one violation to validEvidence.
 var invalidHistories = []struct {
 	name     string
 	breaks   func(e *Evidence)
@@ -115,29 +115,29 @@
 	{"a filing runs once at each of two targets", func(e *Evidence) {
 		e.Services["other"] = []wire.LedgerEntry{plainEntry("other", e.Calls[2], 240)}
 	}, PropertyAtMostOnce},
-	{"a call that heard not run ran", func(e *Evidence) { refuse(&e.Calls[1], 105, 150) }, PropertyNotRun},
-	{"a call that heard not run ran later", func(e *Evidence) { refuse(&e.Calls[2], 200, 205) }, PropertyNotRun},
-	{"a broken attempt ran after the last one heard not run", func(e *Evidence) {
+	{"a call that was refused as not run ran", func(e *Evidence) { refuse(&e.Calls[1], 105, 150) }, PropertyNotRun},
+	{"a call that was refused as not run ran later", func(e *Evidence) { refuse(&e.Calls[2], 200, 205) }, PropertyNotRun},
+	{"a broken attempt ran after the last one was refused as not run", func(e *Evidence) {
 		e.Calls[2].Attempts = []Attempt{
 			{Instance: "dead", Start: at(190), End: at(195), Outcome: Broken},
 			{Instance: "one", Start: at(196), End: at(200), Outcome: NotRun},
 		}
 		e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(194)}}
 	}, PropertyNotRun},
-	{"a retry heard not run after an earlier attempt had run", func(e *Evidence) {
+	{"a retry was refused as not run after an earlier attempt had run", func(e *Evidence) {
 		e.Calls[2].Attempts = []Attempt{
 			{Instance: "dead", Start: at(200), End: at(212), Outcome: Broken},
 			{Instance: "one", Start: at(213), End: at(220), Outcome: NotRun},
 		}
 		e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(211)}}
 	}, PropertyNotRun},
-	{"a program that was opened is called unknown", func(e *Evidence) {
+	{"an opened program is reported as unknown", func(e *Evidence) {
 		unknown := Attempt{Instance: "one", Start: at(190), End: at(195), Outcome: NotRun, Reason: "unknown-program"}
 		e.Calls[2].Attempts = append([]Attempt{unknown}, e.Calls[2].Attempts...)
 	}, PropertyHistory},
 	{"a team pays more fees than its budget", func(e *Evidence) { e.TeamFees = 1 }, PropertyBudget},
-	{"a call ends without a word", func(e *Evidence) { e.Calls[1].Attempts[0].Outcome = NoResponse }, PropertyLostAnswer},
-	{"an attempt breaks at an instance that no fault touched", func(e *Evidence) {
+	{"a call ends without an outcome", func(e *Evidence) { e.Calls[1].Attempts[0].Outcome = NoResponse }, PropertyLostAnswer},
+	{"an attempt breaks at an instance without a fault", func(e *Evidence) {
 		broken := Attempt{Instance: "two", Start: at(101), End: at(103), Outcome: Broken}
 		e.Calls[1].Attempts = append([]Attempt{broken}, e.Calls[1].Attempts...)
 	}, PropertyLostAnswer},
@@ -168,25 +168,25 @@
 		e.Calls[1].Attempts[0].Body = body
 	}, PropertyAnswers},
 	{"a call is answered that no target ran", func(e *Evidence) { e.Engines["engine"] = nil }, PropertyAnswers},
-	{"a target runs what nobody asked for", func(e *Evidence) {
+	{"a target runs a request that no caller made", func(e *Evidence) {
 		e.Services["tool"] = append(e.Services["tool"], wire.LedgerEntry{TimeMS: ms(300), Target: "tool", Path: "/made-up"})
 	}, PropertyAnswers},
 	{"a target gets another body", func(e *Evidence) { e.Engines["engine"][0].BodyHash = "0" }, PropertyAnswers},
 	{"a program spends more tokens than its budget", func(e *Evidence) { e.Engines["engine"][0].Tokens = 99 }, PropertyBudget},
 	{"a program pays more fees than its budget", func(e *Evidence) { e.Programs[0].Fees = 1 }, PropertyBudget},
-	{"cache is held for a program that is gone", func(e *Evidence) {
+	{"cache is held for a closed program", func(e *Evidence) {
 		e.Caches["engine"] = wire.CacheState{Programs: map[string]int64{testProgram: 5}}
 	}, PropertyCache},
 	{"a filing runs without an intent", func(e *Evidence) {
 		e.Log[shardStream(testProgram)] = e.Log[shardStream(testProgram)][:1]
 	}, PropertyIntent},
 	{"a filing runs before its intent", func(e *Evidence) { e.Services["filing"][0].TimeMS = ms(201) }, PropertyIntent},
-	{"a filing runs on an intent behind a newer claim", func(e *Evidence) {
+	{"a filing runs on an intent after a newer claim", func(e *Evidence) {
 		e.Log[shardStream(testProgram)] = []wire.LogRecord{
 			claimRecord(1, "first", 0), claimRecord(2, "second", 100), intentRecord(1, "first", "k3", 205),
 		}
 	}, PropertyIntent},
-	{"a filing runs on the intent of one who lost the claim", func(e *Evidence) {
+	{"a filing runs on the intent of an instance whose claim failed", func(e *Evidence) {
 		e.Log[shardStream(testProgram)] = []wire.LogRecord{
 			claimRecord(1, "first", 0), claimRecord(1, "second", 1), intentRecord(1, "second", "k3", 205),
 		}
@@ -208,7 +208,7 @@
 	{"a lost change is in force", func(e *Evidence) {
 		e.InForce["one"]["p"] = Setting{Value: "3", Version: 8}
 	}, PropertySettings},
-	{"a setting goes back", func(e *Evidence) { e.Readings[1].Version = 3 }, PropertySettings},
+	{"the version of a setting decreases", func(e *Evidence) { e.Readings[1].Version = 3 }, PropertySettings},
 }
 
 func TestCheckerFindsEachBreach(t *testing.T) {
@@ -218,13 +218,13 @@
 			bad.breaks(&e)
 			found := Check(e).Violations
 			if countOf(found, bad.property) == 0 {
-				t.Fatalf("not found: %s; violations %v", bad.property, found)
+				t.Fatalf("missing violation: %s; got %v", bad.property, found)
 			}
 		})
 	}
 }
 
-// What the checker must not call a breach.
+// TestCheckerAllows checks that Check accepts unusual but valid evidence.
 func TestCheckerAllows(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -240,17 +240,17 @@
 			e.FaultWindows = []FaultWindow{{Instance: "dead", From: at(104)}}
 			e.Calls[1].Attempts = append([]Attempt{{Instance: "dead", Start: at(101), End: at(105), Outcome: Broken}}, e.Calls[1].Attempts...)
 		}},
-		{"cache of a program that is not gone", func(e *Evidence) {
+		{"cache of a program that is not closed", func(e *Evidence) {
 			e.Programs[0].Closed = false
 			e.Caches["engine"] = wire.CacheState{Programs: map[string]int64{testProgram: 5}}
 		}},
-		{"a call that begins while one still runs that its caller gave up", func(e *Evidence) {
+		{"a call that begins while an abandoned one still runs", func(e *Evidence) {
 			e.Services["filing"][0].TimeMS = ms(115)
 			e.Log[shardStream(testProgram)][1].TimeMS = ms(114)
 			e.Calls[1].Attempts[0] = Attempt{Instance: "one", Start: at(105), End: at(112), Outcome: Unknown}
 			e.Calls[2].Attempts[0].Start = at(113)
 		}},
-		{"an outcome that is not known, with a run", func(e *Evidence) {
+		{"an unknown outcome with a run", func(e *Evidence) {
 			e.Calls[2].Attempts = []Attempt{{Instance: "one", Start: at(200), End: at(205), Outcome: Unknown}}
 		}},
 	} {
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// describeAttempts lists what a caller heard, attempt by attempt.
+// describeAttempts lists the attempts of a call with their outcomes.
 func describeAttempts(c Call) string {
 	parts := make([]string, 0, len(c.Attempts))
 	for _, a := range c.Attempts {
@@ -50,8 +50,8 @@
 	return out.String()
 }
 
-// describeEvidence lists the calls with their attempts and runs, and the owners
-// and changes, for reading after a failure.
+// describeEvidence lists the calls with their attempts and runs, the fault windows,
+// and the changes and readings of settings.
 func describeEvidence(e Evidence) string {
 	runs := indexRuns(e)
 	var out strings.Builder
--- a/internal/proofs/doc.go
+++ b/internal/proofs/doc.go
@@ -1,12 +1,12 @@
-// Package proofs runs scenarios of failure against real instances beside
-// stand-ins of the outside systems, and checks what must always hold.
+// Package proofs runs failure scenarios against real instances and stand-ins of
+// the external systems, and checks invariants.
 //
-// A scenario starts instances as processes (internal/testkit), lets callers run
-// programs, brings about faults, and then collects evidence: what the callers
-// saw, what the targets' ledgers hold, what the log holds, and what the engines
-// still cache. The checker (Check) is a function of that evidence alone. It
-// never reads what an instance claims about itself, except for the settings in
-// force, which nothing else shows.
+// A scenario starts instances as processes (internal/testkit), runs programs
+// against them, injects faults, and then collects evidence: the responses that
+// callers received, the targets' ledgers, the records of the log, and the
+// engines' caches. The checker (Check) is a pure function of that evidence. It
+// does not rely on what instances report about themselves, except for the
+// settings in force, which cannot be observed otherwise.
 //
-// The package is no part of the product.
+// The package is used for testing only.
 package proofs
--- a/internal/proofs/evidence.go
+++ b/internal/proofs/evidence.go
@@ -6,44 +6,44 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Evidence is all that the checker judges.
+// Evidence is the input of Check.
 type Evidence struct {
 	Calls    []Call
 	Programs []Program
-	// TeamFees is the budget of all programs together, 0 for no bound.
+	// TeamFees is the budget of all programs together; unlimited if 0.
 	TeamFees int64
 	// Engines and Services are the ledgers of the targets, by target.
 	Engines  map[string][]wire.LedgerEntry
 	Services map[string][]wire.LedgerEntry
-	// Caches is what the engines hold at the end, by target.
+	// Caches holds the engines' caches at the end, by target.
 	Caches map[string]wire.CacheState
-	// Orders are those that each engine applied, in that order.
+	// Orders holds the orders that each engine applied, in sequence.
 	Orders map[string][]wire.Order
-	// Log holds the records of every stream read.
+	// Log holds the retained records of each stream.
 	Log map[string][]wire.LogRecord
-	// Dropped are the streams whose first records the log keeps no more, so
-	// that what is missing in them proves nothing.
+	// Dropped holds the streams whose first records the log no longer retains, so
+	// that a missing record is no violation.
 	Dropped map[string]bool
-	// FaultWindows are the times in which a broken connection or silence of an
-	// instance is the fault's doing.
+	// FaultWindows are the periods in which a fault explains a broken connection
+	// or a missing response.
 	FaultWindows []FaultWindow
 	Leaving      []LeavingTarget
 	Changes      []Change
 	Readings     []Reading
-	// InForce are the settings at each instance at the end, by instance and
-	// path; only paths that a scenario changed.
+	// InForce holds the settings at the end by instance and path; only paths that
+	// the scenario changed.
 	InForce map[string]map[string]Setting
 }
 
-// FaultWindow is a time in which an instance was killed or paused.
+// FaultWindow is a period in which an instance was killed or paused.
 type FaultWindow struct {
 	Instance string
 	From     time.Time
-	// To is zero if it never came back.
+	// To is zero if the instance did not resume.
 	To time.Time
 }
 
-// covers tells whether the disturbance overlaps an attempt.
+// covers reports whether the window overlaps an attempt at its instance.
 func (d FaultWindow) covers(a Attempt) bool {
 	return d.Instance == a.Instance && !a.End.Before(d.From) && (d.To.IsZero() || !a.Start.After(d.To))
 }
@@ -52,11 +52,11 @@
 type LeavingTarget struct {
 	Target string
 	At     time.Time
-	// Grace is the time after which it may get nothing.
+	// Grace is the time after At from which the target may receive no requests.
 	Grace time.Duration
 }
 
-// Change is an operator's proposal and what the operator heard.
+// Change is an operator's proposal of a setting and its outcome.
 type Change struct {
 	Instance string
 	Path     string
@@ -64,14 +64,14 @@
 	// Value is unique to the change, as JSON.
 	Value    string
 	ChangeID string
-	// Accepted and Lost are what the operator was told; neither if the
-	// outcome is not known.
+	// Accepted and Lost are the outcome that the operator received; neither is set
+	// if the outcome is unknown.
 	Accepted bool
 	Lost     bool
 	Version  uint64
 }
 
-// Setting is one value in force.
+// Setting is a value in force.
 type Setting struct {
 	Value   string
 	Version uint64
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -10,11 +10,11 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// resumeSlack is how long after a pause an instance may still break or ignore
-// the requests that it had.
+// resumeSlack is how long a resumed instance may still break or ignore requests
+// from before the pause.
 const resumeSlack = 2 * time.Second
 
-// openFaultWindow notes that an instance is about to be killed or paused.
+// openFaultWindow records that an instance is about to be killed or paused.
 func (r *Rig) openFaultWindow(p *testkit.Process) *FaultWindow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,8 +24,8 @@
 	return d
 }
 
-// Kill ends an instance at once (SIGKILL). The balancer and the membership list
-// lose it afterwards, unless listed keeps it in the list.
+// Kill kills an instance (SIGKILL) and removes it from the balancer and, unless
+// listed is set, from the membership list.
 func (r *Rig) Kill(p *testkit.Process, listed bool) {
 	r.openFaultWindow(p)
 	p.Kill()
@@ -33,7 +33,8 @@
 	r.removeInstance(p, listed)
 }
 
-// removeInstance takes an ended process off the instances.
+// removeInstance removes a process that has ended. With listed set, it stays in the
+// membership list.
 func (r *Rig) removeInstance(p *testkit.Process, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,10 +45,10 @@
 	}
 }
 
-// Unlist takes an instance off the membership list.
+// Unlist removes an instance from the membership list.
 func (r *Rig) Unlist(p *testkit.Process) { r.Members.Remove(p.ID) }
 
-// Pause freezes an instance (SIGSTOP); the result lets it go on (SIGCONT).
+// Pause stops an instance (SIGSTOP); resume continues it (SIGCONT).
 func (r *Rig) Pause(p *testkit.Process) (resume func() error, err error) {
 	d := r.openFaultWindow(p)
 	if err := p.Pause(); err != nil {
@@ -62,8 +63,8 @@
 	}, nil
 }
 
-// Add starts a further instance and lets the balancer offer it once it is
-// ready.
+// Add starts another instance, waits until it is ready, and adds it to the
+// balancer.
 func (r *Rig) Add(ctx context.Context) (*testkit.Process, error) {
 	p, err := r.AddUnready()
 	if err != nil {
@@ -76,7 +77,7 @@
 	return p, nil
 }
 
-// AddUnready starts a further instance and does not wait for it.
+// AddUnready starts another instance without waiting for it to become ready.
 func (r *Rig) AddUnready() (*testkit.Process, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,8 +95,8 @@
 // drainTimeout bounds the wait for a graceful shutdown.
 const drainTimeout = 40 * time.Second
 
-// Drain asks an instance to shut down (SIGTERM) and waits for its end. It is no
-// disturbance: it may break no request.
+// Drain shuts an instance down gracefully (SIGTERM) and waits for its exit. It opens
+// no fault window, since a graceful shutdown must not break any request.
 func (r *Rig) Drain(ctx context.Context, p *testkit.Process) error {
 	r.countFault()
 	r.removeEndpoint(p)
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// SetLogFaults changes the faults of the log service.
+// SetLogFaults sets the faults of the log service.
 func (r *Rig) SetLogFaults(faults wire.LogFaults) {
 	if faults != (wire.LogFaults{}) {
 		r.countFault()
@@ -124,7 +125,7 @@
 	r.Log.SetFaults(faults)
 }
 
-// SetMemberFaults changes the faults of the membership list.
+// SetMemberFaults sets the faults of the membership service.
 func (r *Rig) SetMemberFaults(faults wire.MemberFaults) {
 	if faults != (wire.MemberFaults{}) {
 		r.countFault()
@@ -132,7 +133,7 @@
 	r.Members.SetFaults(faults)
 }
 
-// SetTargetFaults changes the faults of one target.
+// SetTargetFaults sets the faults of one target.
 func (r *Rig) SetTargetFaults(id string, faults wire.ServiceFaults) {
 	if faults != (wire.ServiceFaults{}) {
 		r.countFault()
@@ -145,7 +146,8 @@
 	}
 }
 
-// MarkLeaving marks a target as leaving.
+// MarkLeaving marks a target as leaving. After the grace period it may receive no
+// requests.
 func (r *Rig) MarkLeaving(id string, within time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proofs/history.go
+++ b/internal/proofs/history.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Outcome is what a caller heard of one attempt.
+// Outcome is the outcome of an attempt as its caller observed it.
 type Outcome string
 
-// Words of an attempt.
+// Outcomes of an attempt.
 const (
-	// Answered and Replayed: a whole answer.
+	// Answered and Replayed: a complete answer.
 	Answered Outcome = "answered"
 	Replayed Outcome = "replayed"
 	// NotRun and Unknown: a final refusal with that outcome.
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
-	// Broken: the connection ended before the answer did.
+	// Broken: the connection closed before the answer was complete.
 	Broken Outcome = "broken"
-	// Unreachable: no connection came about, so nothing was sent.
+	// Unreachable: the connection was refused, so nothing was sent.
 	Unreachable Outcome = "unreached"
-	// Canceled: the caller closed the connection before it had an answer.
+	// Canceled: the caller closed the connection before it received an answer.
 	Canceled Outcome = "left"
-	// NoResponse: no answer came until the attempt's deadline and a grace.
+	// NoResponse: no answer arrived within the deadline and attemptGrace.
 	NoResponse Outcome = "silent"
 )
 
-// answered tells whether the attempt got an answer.
+// answered reports whether the attempt got a complete answer.
 func (w Outcome) answered() bool { return w == Answered || w == Replayed }
 
-// final tells whether the attempt got any final word.
+// final reports whether the attempt got an answer or a final refusal.
 func (w Outcome) final() bool { return w.answered() || w == NotRun || w == Unknown }
 
-// Kind tells what a call asks for.
+// Kind is the kind of a call.
 type Kind string
 
 // Kinds of calls.
@@ -42,8 +42,8 @@
 	Filing Kind = "filing"
 )
 
-// Attempt is one request of a caller for a call. All attempts of a call carry
-// the same idempotency key.
+// Attempt is one request for a call. All attempts of a call carry the same
+// idempotency key.
 type Attempt struct {
 	Instance   string
 	Start, End time.Time
@@ -51,14 +51,14 @@
 	// Reason is the last part of the problem's type.
 	Reason string
 	Status int
-	// Text is the answer of a chat, Body that of another call.
+	// Text is the answer of a chat, Body the answer of any other call.
 	Text string
 	Body []byte
-	// RetryAfter is when the refusal said to ask again, 0 for never.
+	// RetryAfter is the delay that a refusal gives for a retry; no retry if 0.
 	RetryAfter time.Duration
 }
 
-// Call is one call of a program as its caller made it.
+// Call is one call of a program as the caller made it.
 type Call struct {
 	// Program is empty for a call made without one.
 	Program string
@@ -66,41 +66,39 @@
 	Number  int
 	Key     string
 	Kind    Kind
-	// NotRepeatable calls run at most once.
+	// NotRepeatable calls may run at most once.
 	NotRepeatable bool
 	// Fee is the declared cost in currency units.
 	Fee int
-	// Path is the path at the target of a call that is no chat; it is unique
-	// to the call.
+	// Path is the path at the target, unique to the call; empty for a chat.
 	Path string
-	// BodyHash is the hash of the body that the target must get.
+	// BodyHash is the hash of the body that the target must receive.
 	BodyHash string
-	// WantText is the text of a chat's whole answer.
+	// WantText is the expected text of a chat's complete answer.
 	WantText string
 	// PromptTokens is the length of a chat's prompt in tokens.
 	PromptTokens int64
-	// RunTime is the least time that a call that is no chat takes at its
-	// target.
+	// RunTime is the minimum time that the target takes; unset for a chat.
 	RunTime  time.Duration
 	Attempts []Attempt
 
-	// attemptCount counts the attempts begun.
+	// attemptCount is the number of attempts begun.
 	attemptCount int
 }
 
-// Program is one program of a caller.
+// Program is a program of a caller.
 type Program struct {
 	ID string
-	// Closed tells that the program was closed, by its caller or by a policy,
-	// so that no cache may stay held for it.
+	// Closed reports that the program was closed by its caller or by a policy, so
+	// that no cache may remain held for it.
 	Closed bool
-	// Tokens and Fees are its budget, 0 for no bound.
+	// Tokens and Fees are its budget; unlimited if 0.
 	Tokens int64
 	Fees   int64
 }
 
-// History is what the callers and operators of a scenario saw. It is safe for
-// concurrent use.
+// History records what the callers and operators of a scenario observed. It is
+// safe for concurrent use.
 type History struct {
 	mu       sync.Mutex
 	calls    []*Call
@@ -112,14 +110,13 @@
 	ended    int
 }
 
-// addCall records a call that is about to be made.
 func (h *History) addCall(call *Call) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, call)
 }
 
-// nextAttempt counts an attempt that is about to be made, from 1.
+// nextAttempt returns the number of the call's next attempt, counted from 1.
 func (h *History) nextAttempt(call *Call) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,7 +124,7 @@
 	return call.attemptCount
 }
 
-// addAttempt records the end of an attempt.
+// addAttempt records an attempt that has ended.
 func (h *History) addAttempt(call *Call, attempt Attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,14 +138,12 @@
 	}
 }
 
-// addProgram records a program.
 func (h *History) addProgram(program *Program) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.programs = append(h.programs, program)
 }
 
-// setClosed records that a program was closed.
 func (h *History) setClosed(program *Program) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,28 +162,28 @@
 	h.readings = append(h.readings, reading)
 }
 
-// Answered is the number of attempts that got a whole answer so far.
+// Answered returns the number of attempts so far that got a complete answer.
 func (h *History) Answered() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.answered
 }
 
-// Refused is the number of attempts that heard "not run" so far.
+// Refused returns the number of attempts so far that were refused as not run.
 func (h *History) Refused() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.refused
 }
 
-// Ended is the number of attempts that ended so far.
+// Ended returns the number of attempts that have ended so far.
 func (h *History) Ended() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
-// snapshot copies the calls and programs.
+// snapshot returns copies of the calls and programs.
 func (h *History) snapshot() ([]Call, []Program) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -10,7 +10,7 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Load is a set of agents that run programs at once.
+// Load is a set of agents that run programs concurrently.
 type Load struct {
 	group sync.WaitGroup
 	mu    sync.Mutex
@@ -20,7 +20,7 @@
 	stop   chan struct{}
 }
 
-// Steps of a program are drawn with these weights.
+// stepWeights are the relative frequencies of the steps of a program.
 var stepWeights = []struct {
 	weight int
 	step   func(ctx context.Context, a *agent) bool
@@ -29,8 +29,8 @@
 	{1, stepWithoutProgram}, {1, stepCancel},
 }
 
-// StartLoad starts programs that each make a number of calls, or go on until
-// Finish if calls is 0.
+// StartLoad starts agents that each run one program with the given number of steps,
+// or one program after another until Stop if calls is 0.
 func (r *Rig) StartLoad(ctx context.Context, programs, calls int) *Load {
 	l := &Load{stop: make(chan struct{})}
 	for range programs {
@@ -40,7 +40,7 @@
 	return l
 }
 
-// runPrograms runs one program, or one after the other if calls is 0.
+// runPrograms runs one program, or one after another until Stop if calls is 0.
 func (l *Load) runPrograms(ctx context.Context, r *Rig, rng *rand.Rand, calls int) {
 	const callsOfEndless = 8
 	if calls > 0 {
@@ -86,14 +86,14 @@
 	l.errs = append(l.errs, err)
 }
 
-// Stop lets the programs end after their present call, waits for them, and
-// gives the first error.
+// Stop lets the programs end after their current step, waits for them, and returns
+// the first error.
 func (l *Load) Stop() error {
 	close(l.stop)
 	return l.Wait()
 }
 
-// Wait waits for the programs and gives the first error.
+// Wait waits for the programs and returns the first error.
 func (l *Load) Wait() error {
 	l.group.Wait()
 	l.mu.Lock()
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Programs lists the programs opened so far, newest last.
+// Programs returns the programs opened so far, newest last.
 func (l *Load) Programs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +115,7 @@
 	return ids
 }
 
-// randomStep makes one step; false ends the program.
+// randomStep makes one step and reports whether the program can continue.
 func randomStep(ctx context.Context, a *agent) bool {
 	total := 0
 	for _, s := range stepWeights {
@@ -143,8 +143,7 @@
 	return a.tool(ctx, a.runTime()).Outcome.answered()
 }
 
-// stepFiling goes on after an outcome that is not known: a person looks into it,
-// and the number is used up.
+// stepFiling continues after an unknown outcome, which uses up the call's number.
 func stepFiling(ctx context.Context, a *agent) bool {
 	word := a.submitFiling(ctx, 1, a.runTime()).Outcome
 	return word.answered() || word == Unknown
@@ -160,14 +159,15 @@
 	return word.answered() || word == Unknown
 }
 
-// stepWithoutProgram files without a program.
+// stepWithoutProgram submits a filing outside any program.
 func stepWithoutProgram(ctx context.Context, a *agent) bool {
 	call := &Call{Key: ulid.Make().String()}
 	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
 	return word.answered() || word == Unknown
 }
 
-// stepCancel closes the connection of a filing early and submits it again.
+// stepCancel closes the connection of a filing early and then submits it again with
+// the same key.
 func stepCancel(ctx context.Context, a *agent) bool {
 	q := filingRequest(a.unnumberedCall(), 1, a.runTime())
 	a.rig.History.addCall(q.call)
--- a/internal/proofs/network.go
+++ b/internal/proofs/network.go
@@ -13,29 +13,30 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Network puts a relay on each connection that can be cut: from each instance
-// to the log, and from each instance to each other one. For the latter every
-// instance reads a membership list of its own, whose addresses are the relays'.
+// Network places a relay on each connection that can be cut: from each instance to
+// the log, and from each instance to each other one. For the latter, every instance
+// reads its own membership list, which holds the addresses of the relays.
 type Network struct {
 	mu      sync.Mutex
 	logs    map[string]*relay.Relay
 	links   map[link]*relay.Relay
 	servers []*standin.Server
-	// blocked holds the instances cut off from the others, for relays made later.
+	// blocked holds the directions that are blocked for each instance, also for
+	// relays that are created later.
 	blocked map[string]blocked
 }
 
-// link is a connection that one instance dials to another.
+// link identifies the connections that one instance dials to another.
 type link struct{ from, to string }
 
-// blocked tells which bytes of an instance do not pass.
+// blocked holds the directions in which an instance's traffic is blocked.
 type blocked struct{ out, in bool }
 
 func newNetwork() *Network {
 	return &Network{logs: map[string]*relay.Relay{}, links: map[link]*relay.Relay{}, blocked: map[string]blocked{}}
 }
 
-// env gives an instance the addresses of its relays.
+// env returns the environment that points an instance to its relays.
 func (n *Network) env(c *testkit.Cluster, id string) []string {
 	ready := c.Ready()
 	log, err := relay.New(strings.TrimPrefix(ready.Log, "http://"))
@@ -54,8 +55,8 @@
 	return []string{"BANYANGLADE_LOG_URL=http://" + log.Address(), "BANYANGLADE_MEMBERS_URL=" + list.URL}
 }
 
-// memberList shows the membership list to one instance, with the addresses of
-// the others replaced by relays.
+// memberList serves the membership list to one instance, with the addresses of the
+// others replaced by those of relays.
 func (n *Network) memberList(id, source string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		resp, err := http.Get(source + r.URL.Path)
@@ -78,7 +79,8 @@
 	})
 }
 
-// relayTo gives the address of the relay of a connection.
+// relayTo returns the address of the relay of a link, and creates the relay if
+// needed.
 func (n *Network) relayTo(p link, address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,22 +96,23 @@
 	return created.Address()
 }
 
-// apply blocks a relay as its two ends are cut. The mutex is held.
+// apply blocks the directions of a relay that are blocked at either end. The caller
+// holds n.mu.
 func (n *Network) apply(p link, r *relay.Relay) {
 	from, to := n.blocked[p.from], n.blocked[p.to]
 	r.Block(from.out || to.in, to.out || from.in)
 }
 
-// CutLog holds the bytes between an instance and the log: those towards the
-// log, those from it, or both.
+// CutLog blocks the traffic from an instance to the log, from the log to the
+// instance, or both; with neither it unblocks them.
 func (n *Network) CutLog(id string, blockTowards, blockBack bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.logs[id].Block(blockTowards, blockBack)
 }
 
-// CutPeer holds what an instance sends to the others, what it gets from them,
-// or both.
+// CutPeer blocks the traffic from an instance to the others, from the others to it,
+// or both; with neither it unblocks them.
 func (n *Network) CutPeer(id string, out, in bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,7 +122,7 @@
 	}
 }
 
-// Close ends all relays; a nil Network has none.
+// Close closes all relays. It does nothing on a nil Network.
 func (n *Network) Close() {
 	if n == nil {
 		return
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -13,18 +13,18 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// operatorTimeout bounds an operator's request.
+// operatorTimeout bounds a request of an operator.
 const operatorTimeout = 15 * time.Second
 
-// settingView is one entry of the answer of GET /v1/settings.
+// settingView is one entry of the response of GET /v1/settings.
 type settingView struct {
 	Path    string          `json:"path"`
 	Value   json.RawMessage `json:"value"`
 	Version uint64          `json:"version"`
 }
 
-// propose publishes one change at an instance and records what was heard. The
-// value is JSON.
+// propose publishes a change at an instance, and records and returns it with its
+// outcome. The value is JSON.
 func (r *Rig) propose(ctx context.Context, at *testkit.Process, path string, base uint64, value string) Change {
 	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 	return change
 }
 
-// setOutcome takes the answer of a proposal.
+// setOutcome sets the outcome from the response to the proposal.
 func (c *Change) setOutcome(answer *testkit.Answer) {
 	if answer.Status == http.StatusOK {
 		var accepted struct {
@@ -52,7 +52,8 @@
 	c.Lost = answer.Problem != nil && strings.HasSuffix(answer.Problem.Type, "settings-lost")
 }
 
-// setting reads a path at an instance, false if it has none or does not answer.
+// setting reads a setting at an instance. It returns false if the setting is unset
+// or the instance does not respond.
 func (r *Rig) setting(ctx context.Context, at *testkit.Process, path string) (Setting, bool) {
 	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -67,7 +68,7 @@
 	return found, ok
 }
 
-// findSetting finds a path in the answer, which holds it and what lies below.
+// findSetting finds a path in the response, which also lists the paths below it.
 func findSetting(body []byte, path string) (Setting, bool) {
 	var list struct {
 		Entries []settingView `json:"entries"`
@@ -83,7 +84,7 @@
 	return Setting{}, false
 }
 
-// inForce reads the changed paths at every instance.
+// inForce reads the changed paths at each instance.
 func (r *Rig) inForce(ctx context.Context, changes []Change) map[string]map[string]Setting {
 	result := make(map[string]map[string]Setting)
 	if len(changes) == 0 {
@@ -95,7 +96,7 @@
 			if _, known := result[p.ID][c.Path]; known {
 				continue
 			}
-			// A path that the instance does not have reads as version 0.
+			// A path that is unset at the instance is recorded as version 0.
 			found, _ := r.setting(ctx, p, c.Path)
 			result[p.ID][c.Path] = found
 		}
@@ -103,7 +104,7 @@
 	return result
 }
 
-// waitInForce waits until every instance has a version of a path.
+// waitInForce waits until every instance has at least the given version of a path.
 func (r *Rig) waitInForce(ctx context.Context, path string, version uint64) error {
 	for _, p := range r.instancesExcept(nil) {
 		err := r.WaitUntil(ctx, "the change at "+p.ID, func() bool {
--- a/internal/proofs/recovery.go
+++ b/internal/proofs/recovery.go
@@ -8,23 +8,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Recovery is the time from the SIGKILL of a program's owner to the program's
-// next answer.
+// Recovery holds measured times from the SIGKILL of a program's owner to the
+// program's next answer.
 type Recovery struct {
 	Instances int
-	// Times are those of the single kills, in ascending order.
+	// Times holds one time per kill, in ascending order.
 	Times []time.Duration
 }
 
-// Median is the middle time; of an even number the greater.
+// Median returns the median time, the greater of the middle two if their number is
+// even.
 func (r Recovery) Median() time.Duration { return r.Times[len(r.Times)/2] }
 
-// Max is the longest time.
+// Max returns the longest time.
 func (r Recovery) Max() time.Duration { return r.Times[len(r.Times)-1] }
 
-// MeasureRecovery kills the owner of a program again and again in a set of so
-// many instances. With one instance, another is started at the kill. The
-// membership list shows the killed instance until the answer has come.
+// MeasureRecovery kills the owner of a program repeatedly in a cluster of the given
+// size. If it was the only instance, another one is started right after the kill.
+// The membership list contains the killed instance until the next answer.
 func MeasureRecovery(ctx context.Context, binary string, instances, kills int, seed uint64) (Recovery, error) {
 	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
@@ -49,13 +50,12 @@
 	return result, nil
 }
 
-// measureRecovery kills the owner and times the next answer, then starts another
-// instance in its place.
+// measureRecovery kills the owner, measures the time to the next answer, and
+// replaces the instance.
 func (a *agent) measureRecovery(ctx context.Context) (time.Duration, error) {
 	r := a.rig
-	// A filing is in the log before its answer, so that the time is that of the
-	// takeover alone. What a call means whose record was lost with the owner is
-	// the matter of the scenario "kill-owner".
+	// The log holds a filing before its answer is sent. No record is lost with the
+	// owner then, so that the takeover alone is measured.
 	if got := a.submitFiling(ctx, 0, 0); !got.Outcome.answered() {
 		return 0, errors.Newf("before the kill a call got %s %s", got.Outcome, got.Reason)
 	}
@@ -72,7 +72,7 @@
 			return 0, err
 		}
 	}
-	// A call that is refused for good is made anew until one is answered.
+	// A call that is finally refused is made anew until one is answered.
 	for !a.tool(ctx, 0).Outcome.answered() {
 		if ctx.Err() != nil {
 			return 0, errors.Newf("no answer after the kill of %s", owner.ID)
--- a/internal/proofs/request.go
+++ b/internal/proofs/request.go
@@ -14,7 +14,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// chatRequest makes the request of a chat whose answer has so many tokens.
+// chatRequest returns the request of a chat whose answer has the given number of
+// tokens.
 func chatRequest(call *Call, messages []wire.ChatMessage, tokens int, stream bool) request {
 	call.Kind = Chat
 	call.PromptTokens = promptTokens(messages)
@@ -26,8 +27,8 @@
 	return request{call: call, method: http.MethodPost, path: wire.ChatRoute, body: body}
 }
 
-// engineBodyHash is the hash of the body that an engine gets for a chat: the
-// caller's fields in order of name, streamed.
+// engineBodyHash returns the hash of the body that an engine receives for a chat:
+// the caller's fields ordered by name, always with streaming.
 func engineBodyHash(messages []wire.ChatMessage, tokens int) string {
 	fields := map[string]any{
 		"model": testkit.ModelService, "messages": messages, "max_tokens": tokens, "stream": true,
@@ -35,8 +36,8 @@
 	return ledger.BodyHash(append(encode(fields), '\n'))
 }
 
-// plainRequest makes the request of a call to a tool or plain service that
-// takes the run time.
+// plainRequest returns the request of a call to a tool or plain service that takes
+// runTime at its target.
 func plainRequest(call *Call, kind Kind, name, path string, runTime time.Duration) request {
 	call.Kind = kind
 	call.Path = path
@@ -57,13 +58,13 @@
 	return plainRequest(call, Filing, testkit.FilingService, uniquePath("filing", call), runTime)
 }
 
-// uniquePath names one call among all.
+// uniquePath returns a path that no other call uses.
 func uniquePath(what string, call *Call) string {
 	return fmt.Sprintf("/%s/program-%s/%s", what, call.Program, call.Key)
 }
 
-// encode gives the JSON of a value that has one. HTML is not escaped, as in
-// the bodies that callers send.
+// encode returns the JSON of a value. HTML is not escaped, as in the bodies that
+// callers send.
 func encode(value any) []byte {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -19,16 +19,15 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// shardCount is the number of shards of the region, as instances have it by
-// default.
+// shardCount is the default number of shards of a region.
 const shardCount = 64
 
-// Rig is what a scenario works with: the instances, the stand-ins, the callers'
-// history and the faults.
+// Rig runs a scenario: it holds the instances, the stand-ins, the callers' history
+// and the injected faults.
 type Rig struct {
 	*testkit.Cluster
 	History *History
-	// Net holds the relays, nil if the scenario wants none.
+	// Net holds the relays; nil unless the scenario is Relayed.
 	Net *Network
 
 	callerKey string
@@ -40,14 +39,14 @@
 	faultCount   int
 	faultWindows []*FaultWindow
 	leaving      []LeavingTarget
-	// removed are the processes that were removed, kept for their logs.
+	// removed holds the processes that have ended, for their logs.
 	removed []*testkit.Process
 }
 
-// endpoint is an instance as callers see it behind their balancer.
+// endpoint is an instance in the callers' balancer.
 type endpoint struct{ id, server string }
 
-// startRig starts the instances of a scenario and its settings.
+// startRig starts the instances of a scenario and applies its settings.
 func startRig(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
 	r := &Rig{History: &History{}, callerKey: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
 	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.UsualStandins(), Env: s.Env}
@@ -78,8 +77,8 @@
 	return r, nil
 }
 
-// waitListed waits until every instance has seen every other one in the
-// membership list, so that owners do not move for that reason alone.
+// waitListed waits until every instance knows all others, so that no shard changes
+// its owner because instances discover each other.
 func (r *Rig) waitListed(ctx context.Context) error {
 	for _, p := range r.Instances {
 		err := r.WaitUntil(ctx, "the members at "+p.ID, func() bool { return r.peerCount(ctx, p) >= len(r.Instances) })
@@ -90,7 +89,7 @@
 	return nil
 }
 
-// peerCount is the number of instances that an instance knows, itself included.
+// peerCount returns the number of instances that p knows, itself included.
 func (r *Rig) peerCount(ctx context.Context, p *testkit.Process) int {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct{ Peers []struct{ ID string } }
@@ -100,13 +99,13 @@
 	return len(state.Peers)
 }
 
-// Close ends everything.
+// Close stops the instances, the stand-ins and the relays.
 func (r *Rig) Close() {
 	r.Cluster.Close()
 	r.Net.Close()
 }
 
-// newRand makes a generator that depends on the seed and a name alone.
+// newRand returns a generator that is determined by the seed and the name.
 func newRand(seed uint64, name string) *rand.Rand {
 	var hash uint64
 	for _, c := range []byte(name) {
@@ -121,8 +120,8 @@
 	return rand.New(rand.NewPCG(r.rng.Uint64(), r.rng.Uint64()))
 }
 
-// pickEndpoint chooses an instance as a balancer does, another than the one given if
-// there is one: whoever got no answer tries elsewhere.
+// pickEndpoint picks a random instance as a balancer does, other than the excluded
+// one if there is another.
 func (r *Rig) pickEndpoint(rng *rand.Rand, excluded string) endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,10 +132,9 @@
 	return candidates[rng.IntN(len(candidates))]
 }
 
-// endpointOf gives an instance as callers see it.
 func endpointOf(p *testkit.Process) endpoint { return endpoint{p.ID, p.Server} }
 
-// setEndpoints replaces the instances that the balancer offers.
+// setEndpoints replaces the instances in the balancer.
 func (r *Rig) setEndpoints(doors ...endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +147,7 @@
 	r.endpoints = append(r.endpoints, endpointOf(p))
 }
 
-// removeEndpoint takes an instance off the balancer, unless it is the last.
+// removeEndpoint removes an instance from the balancer, unless it is the last.
 func (r *Rig) removeEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +162,7 @@
 	}
 }
 
-// WaitUntil polls a condition.
+// WaitUntil polls until the condition holds.
 func (r *Rig) WaitUntil(ctx context.Context, condition string, holds func() bool) error {
 	err := testkit.Poll(ctx, func() error {
 		if holds() {
@@ -175,13 +173,14 @@
 	return err
 }
 
-// WaitAnswered waits until callers got so many more answers.
+// WaitAnswered waits until callers have received the given number of further
+// answers.
 func (r *Rig) WaitAnswered(ctx context.Context, more int) error {
 	want := r.History.Answered() + more
 	return r.WaitUntil(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
 }
 
-// readStream gives the retained records of a log stream; none during an outage.
+// readStream returns the retained records of a log stream; none during an outage.
 func (r *Rig) readStream(name string) []wire.LogRecord {
 	const all = 1 << 30
 	info, err := r.Log.Info(name)
@@ -195,26 +194,27 @@
 	return reply.Records
 }
 
-// shardStream is the journal stream of a program.
+// shardStream returns the journal stream of a program's shard.
 func shardStream(program string) string {
 	id := structs.ProgramID(program)
 	region, _, _ := id.Parse()
 	return structs.ShardRef{Region: region, Shard: structs.ShardOf(id, shardCount)}.Stream()
 }
 
-// OwnerOf finds the process whose claim of the program's shard is the newest in
-// the log, nil if it has ended.
+// OwnerOf returns the instance with the newest claim of the program's shard in the
+// log, nil if it has ended.
 func (r *Rig) OwnerOf(program string) *testkit.Process {
 	return r.process(string(ownerInLog(r.readStream(shardStream(program)))))
 }
 
-// reportedOwner gives the process that the instances name as the program's owner,
-// nil if none does: the log may have dropped the claim.
+// reportedOwner returns the owner of a program as a random instance reports it, nil
+// if it reports none. Unlike OwnerOf it works when the log has dropped the claim.
 func (r *Rig) reportedOwner(ctx context.Context, program string) *testkit.Process {
 	return r.ownerReportedBy(ctx, r.randomInstance(), program)
 }
 
-// ownerReportedBy gives the process that one instance names as the program's owner.
+// ownerReportedBy returns the owner of a program as p reports it, nil if it reports
+// none.
 func (r *Rig) ownerReportedBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
 	answer, err := testkit.NewClient(p.Server, r.callerKey).
 		Do(ctx, http.MethodGet, programsRoute+"/"+program, nil, testkit.Call{})
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// instancesExcept lists the processes but one.
+// instancesExcept returns the instances without the excluded one, all if it is nil.
 func (r *Rig) instancesExcept(excluded *testkit.Process) []*testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,24 +251,22 @@
 	return list
 }
 
-// randomInstance picks a process.
 func (r *Rig) randomInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Instances[r.rng.IntN(len(r.Instances))]
 }
 
-// sleep lets a fault last.
 func (r *Rig) sleep(ctx context.Context, d time.Duration) { delay.Sleep(ctx, d) }
 
-// countFault counts a fault.
 func (r *Rig) countFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultCount++
 }
 
-// collectEvidence reads the evidence.
+// collectEvidence reads the evidence from the stand-ins, the history and the
+// instances.
 func (r *Rig) collectEvidence(ctx context.Context) Evidence {
 	e := Evidence{
 		Engines: map[string][]wire.LedgerEntry{}, Services: map[string][]wire.LedgerEntry{},
@@ -299,8 +297,8 @@
 	return e
 }
 
-// waitReleased waits until no engine holds cache of a program that is gone.
-// The checker judges what is left when the time is over.
+// waitReleased waits until no engine holds cache of a closed program, for
+// releaseTimeout at most. Check reports what is still held then.
 func (r *Rig) waitReleased(ctx context.Context) {
 	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -314,16 +312,16 @@
 	})
 }
 
-// releaseTimeout bounds the wait for the release of cache; the product repeats
-// a release up to every 30 s.
+// releaseTimeout exceeds the longest interval between two attempts of an instance
+// to release cache, 30 s.
 const releaseTimeout = 40 * time.Second
 
-// operatorAt gives the client of the root operator at an instance.
+// operatorAt returns a client of the root operator at an instance.
 func operatorAt(p *testkit.Process) *testkit.Client {
 	return testkit.NewClient(p.Server, testkit.RootKey)
 }
 
-// isReady tells whether an instance says that it takes traffic.
+// isReady reports whether the readiness probe of an instance succeeds.
 func isReady(ctx context.Context, p *testkit.Process) bool {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/readyz", nil, testkit.Call{})
 	return err == nil && answer.Status == http.StatusOK
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -14,38 +14,38 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// scenarioTimeout bounds one scenario with its start and its end.
+// scenarioTimeout bounds a scenario, including its start.
 const scenarioTimeout = 150 * time.Second
 
-// Scenario is a set of instances under load and faults.
+// Scenario describes a cluster with its load and faults.
 type Scenario struct {
 	Name string
-	// Description names what the scenario is about.
+	// Description is what the scenario tests.
 	Description string
 	Instances   int
-	// Quick scenarios are run by the Go test of the package.
+	// Quick scenarios are run by the package's Go test.
 	Quick bool
 	// Relayed puts relays between the instances and in front of the log.
 	Relayed bool
-	// Budget is the budget of each program; its settings are made from it.
+	// Budget is the budget of each program. It is published as settings.
 	Budget Program
-	// TeamFees is the budget of all programs together, likewise.
+	// TeamFees is the budget of all programs together, also published as a
+	// setting; unlimited if 0.
 	TeamFees int64
-	// Settings are further settings, by path.
+	// Settings holds additional settings by path.
 	Settings map[string]any
-	// Env are further environment variables of the instances, NAME=value.
+	// Env holds additional environment variables of the instances, NAME=value.
 	Env []string
-	// Standins changes the usual stand-ins.
+	// Standins modifies the default settings of the stand-ins.
 	Standins func(*cluster.Settings)
-	// RequireAnswers tells that nothing excuses a refusal: every call must be
-	// answered.
+	// RequireAnswers reports each call that is not answered as a violation.
 	RequireAnswers bool
-	// Run brings about the load and the faults. It returns once the load has
+	// Run generates the load and injects the faults. It returns once the load has
 	// ended.
 	Run func(ctx context.Context, r *Rig) error
 }
 
-// settings gives the scenario's settings with those of its budget.
+// settings returns the scenario's settings, including those of the budgets.
 func (s Scenario) settings() map[string]any {
 	settings := make(map[string]any, len(s.Settings))
 	for path, value := range s.Settings {
@@ -71,22 +71,23 @@
 	Faults   int
 	Took     time.Duration
 	Verdict
-	// EvidenceDir is the directory of the evidence of a failed scenario.
+	// EvidenceDir is the directory that the evidence was written to, if any.
 	EvidenceDir string
 }
 
-// OK tells whether nothing was violated.
+// OK reports whether there are no violations.
 func (r Result) OK() bool { return len(r.Violations) == 0 }
 
-// EvidenceConfig tells where the evidence of a scenario goes.
+// EvidenceConfig configures where the evidence of scenarios is written.
 type EvidenceConfig struct {
-	// Dir is the directory; empty keeps nothing.
+	// Dir is the parent directory. Nothing is written if it is empty.
 	Dir string
-	// Always keeps also that of a scenario that violated nothing.
+	// Always writes the evidence of scenarios without violations, too.
 	Always bool
 }
 
-// Run runs one scenario. Its load and the drawn faults depend on the seed.
+// Run runs a scenario and checks its evidence. The seed determines the load and the
+// random faults.
 func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
 	started := time.Now()
 	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
@@ -118,7 +119,7 @@
 	return result
 }
 
-// unanswered lists the calls that were not answered.
+// unanswered returns a violation for each call that was not answered.
 func unanswered(e Evidence) []Violation {
 	var found []Violation
 	for _, c := range e.Calls {
@@ -129,8 +130,9 @@
 	return found
 }
 
-// writeEvidence writes the logs of the instances, what the callers saw and the
-// violations.
+// writeEvidence writes the logs of the instances, the history, the journal and the
+// violations to a directory named after the scenario. It returns the directory, or
+// the text of an error.
 func writeEvidence(parent string, rig *Rig, e Evidence, result Result) string {
 	dir := filepath.Join(parent, result.Scenario.Name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -152,7 +154,8 @@
 	return dir
 }
 
-// Find gives the scenarios of the given names, all if there are none.
+// Find returns the scenarios with the given names, all scenarios if there are no
+// names.
 func Find(names []string) ([]Scenario, error) {
 	all := All()
 	if len(names) == 0 {
--- a/internal/proofs/scenarios.go
+++ b/internal/proofs/scenarios.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// All lists the scenarios in the order in which they are reported.
+// All returns all scenarios in the order of the report.
 func All() []Scenario {
 	return slices.Concat(
 		instanceScenarios(), logScenarios(), networkScenarios(), targetScenarios(),
--- a/internal/proofs/scenarios_instances.go
+++ b/internal/proofs/scenarios_instances.go
@@ -9,18 +9,19 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Sizes of the usual load.
+// Sizes of the typical load.
 const (
 	typicalPrograms = 8
 	typicalCalls    = 8
-	// answersPerFault is a part of the load that a fault falls into.
+	// answersPerFault is the number of answers that a scenario waits for between
+	// faults.
 	answersPerFault = 30
 	// longPause is longer than every timeout between instances: the liveness
 	// timeout, the send window and the recovery wait.
 	longPause = 6 * time.Second
 )
 
-// typicalBudget is one that some programs of the load use up.
+// typicalBudget is small enough for some programs of the load to exhaust it.
 var typicalBudget = Program{Tokens: 1500, Fees: 4}
 
 func instanceScenarios() []Scenario {
@@ -39,7 +40,7 @@
 	return r.StartLoad(ctx, typicalPrograms, typicalCalls).Wait()
 }
 
-// ownerOfLoad finds the owner of one of the newest programs of a load.
+// ownerOfLoad returns the owner of the newest program of a load that has one.
 func (r *Rig) ownerOfLoad(ctx context.Context, l *Load) (*testkit.Process, error) {
 	var owner *testkit.Process
 	err := r.WaitUntil(ctx, "an owner", func() bool {
@@ -70,14 +71,14 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// runAsync runs a call beside the scenario.
+// runAsync makes a call in the background.
 func runAsync(call func() Attempt) <-chan Attempt {
 	done := make(chan Attempt, 1)
 	go func() { done <- call() }()
 	return done
 }
 
-// waitRuns waits until the targets have so many runs of a program.
+// waitRuns waits until the targets have started at least count runs of a program.
 func (r *Rig) waitRuns(ctx context.Context, program string, count int) error {
 	return r.WaitUntil(ctx, "a run at a target", func() bool { return r.runsOf(program) >= count })
 }
@@ -101,8 +102,7 @@
 	return n
 }
 
-// waitOwner waits until a living instance owns the program's shard and gives
-// it.
+// waitOwner waits until a running instance owns the program's shard and returns it.
 func (r *Rig) waitOwner(ctx context.Context, program string) (*testkit.Process, error) {
 	var owner *testkit.Process
 	err := r.WaitUntil(ctx, "an owner of "+program, func() bool {
@@ -112,11 +112,12 @@
 	return owner, err
 }
 
-// longChatTokens is a chat long enough to be hit by a fault, in tokens.
+// longChatTokens is the length of a chat that is still in progress when a fault is
+// injected.
 const longChatTokens = 1200
 
-// runKillOwnerTwice kills the owner of a stream, then the instance that took
-// the stream over.
+// runKillOwnerTwice kills the owner of a program during a stream, and then the
+// instance that took it over.
 func runKillOwnerTwice(ctx context.Context, r *Rig) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
@@ -137,7 +138,8 @@
 	return a.verifyUsable(ctx)
 }
 
-// verifyUsable shows that the program can still be used, then closes it.
+// verifyUsable checks that the program still takes calls of each kind, and closes
+// it.
 func (a *agent) verifyUsable(ctx context.Context) error {
 	tool := a.tool(ctx, a.runTime())
 	file := a.submitFiling(ctx, 1, a.runTime())
@@ -217,8 +219,8 @@
 	return errors.CombineErrors(err, resume())
 }
 
-// runPauseBeforeSend freezes owners between the log's acknowledgement of a
-// filing's Intent and the filing's send.
+// runPauseBeforeSend pauses owners between the log's acknowledgement of a filing's
+// Intent and the filing's send.
 func runPauseBeforeSend(ctx context.Context, r *Rig) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
@@ -232,10 +234,10 @@
 	return a.verifyUsable(ctx)
 }
 
-// pauseBeforeSendOnce freezes the owner with its Intent in the log, lets the
-// log's words through to the frozen process, and waits until another owner has
-// given the filing's outcome and run the next call. Then it lets the first owner
-// go on, which now knows that its Intent counts.
+// pauseBeforeSendOnce pauses the owner once its Intent is in the log, unblocks the
+// log's replies to the paused process, and waits until another owner has reported
+// the filing's outcome and run the next call. Then it resumes the first owner, which
+// now receives the acknowledgement of its Intent and must not send the filing.
 func (r *Rig) pauseBeforeSendOnce(ctx context.Context, a *agent) error {
 	owner, err := r.waitOwner(ctx, a.program.ID)
 	if err != nil {
@@ -251,8 +253,8 @@
 	if err := resume(); err != nil {
 		return err
 	}
-	// The resumed instance has what it needs for a late send; it must have
-	// had the time to make it.
+	// Leave the resumed instance enough time to send the filing, as a faulty one
+	// would.
 	r.sleep(ctx, resumeSlack)
 	r.addEndpoint(owner)
 	if !next.Outcome.answered() {
@@ -261,8 +263,8 @@
 	return r.WaitReady(ctx, owner)
 }
 
-// pauseWithIntent starts a filing, freezes its owner when the Intent is in the
-// log and the owner does not know it yet, and then passes the log's words on.
+// pauseWithIntent starts a filing, pauses its owner once the Intent is in the log
+// but not yet acknowledged to the owner, and then unblocks the log's replies.
 func (r *Rig) pauseWithIntent(ctx context.Context, a *agent, owner *testkit.Process) (func() error, <-chan Attempt, error) {
 	r.Net.CutLog(owner.ID, false, true)
 	done, err := r.submitUntilIntent(ctx, a)
@@ -288,7 +290,7 @@
 	return done, err
 }
 
-// runRollingDrain replaces each instance by a new one under load.
+// runRollingDrain replaces each instance gracefully under load.
 func runRollingDrain(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for _, p := range r.instancesExcept(nil) {
@@ -307,7 +309,7 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// intentInLog tells whether an Intent of the call counts in the log.
+// intentInLog reports whether the log holds a valid Intent of the call.
 func (r *Rig) intentInLog(program, key string) bool {
 	intents := make(map[intentID]int64)
 	collectIntents(r.readStream(shardStream(program)), intents)
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// outageDuration is how long the log is down. Outages of minutes differ in
-	// length only: every timeout of an instance is shorter than this one.
+	// outageDuration is how long the log is down; longer than every timeout of an
+	// instance.
 	outageDuration = 8 * time.Second
-	// logRetention is how long the log keeps records in the scenario about it, the
-	// least that an instance takes.
+	// logRetention is the log's retention in the scenario "retention", the minimum
+	// that an instance accepts.
 	logRetention = 10 * time.Second
 )
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// runLogOutage takes the log away under load. Repeatable calls of programs that
-// have an owner go on; filings are refused at once as not run.
+// runLogOutage makes the log unavailable under load. Repeatable calls of programs
+// with an owner are still served; filings are refused immediately as not run.
 func runLogOutage(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
 	err := r.outageUnderLoad(ctx)
@@ -95,7 +95,7 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// loseAppends sets the faults and waits until they are used up.
+// loseAppends sets faults of appends and waits until all of them have occurred.
 func (r *Rig) loseAppends(ctx context.Context, f wire.LogFaults) error {
 	if err := r.WaitAnswered(ctx, answersPerFault/3); err != nil {
 		return err
@@ -107,9 +107,9 @@
 	})
 }
 
-// runLostReply holds the log's words to the owner back, waits until the Intent
-// of a filing is in the log, and kills the owner: the filing was never sent, and
-// the next owner cannot know that.
+// runLostReply blocks the log's replies to the owner, waits until the Intent of a
+// filing is in the log, and kills the owner. The filing was never sent, but the next
+// owner cannot know that.
 func runLostReply(ctx context.Context, r *Rig) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
@@ -132,8 +132,8 @@
 	return a.verifyUsable(ctx)
 }
 
-// runOutageAcrossKill kills an owner while the log is down. Nobody can claim
-// the shard: a filing is refused as not run until the log is back.
+// runOutageAcrossKill kills an owner while the log is down. No instance can claim
+// the shard, and a filing is refused as not run until the log recovers.
 func runOutageAcrossKill(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms/2, 0)
 	err := r.killDuringOutage(ctx)
@@ -170,8 +170,8 @@
 	return errors.CombineErrors(errors.CombineErrors(err, addErr), a.verifyUsable(ctx))
 }
 
-// runOwnerCutFromLog cuts an owner off from the log only, once both ways and
-// once one way. It cannot tell this from an outage.
+// runOwnerCutFromLog cuts an owner off from the log only, first in both directions,
+// then for replies only. To the owner this looks like an outage.
 func runOwnerCutFromLog(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for _, towards := range []bool{true, false} {
@@ -198,8 +198,8 @@
 	return r.WaitAnswered(ctx, answersPerFault)
 }
 
-// runRetention lets the log drop the records of a filing, kills the owner, and
-// submits the filing again: it is known and is not run again.
+// runRetention waits until the log has dropped the records of a filing, kills the
+// owner, and submits the filing again: it must be replayed, not run again.
 func runRetention(ctx context.Context, r *Rig) error {
 	const programs = 2
 	l := r.StartLoad(ctx, programs, 0)
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -17,9 +17,9 @@
 
 const (
 	modelPath = "services/" + testkit.ModelService
-	// versionPath is the setting that orders an engine's version.
+	// versionPath is the setting of the version that the engines are to have.
 	versionPath = modelPath + "/orders/version"
-	// phaseHolding is the phase of an instance that gives orders, in its dump.
+	// phaseHolding is the phase of the controller in its state dump.
 	phaseHolding = "holding"
 )
 
@@ -32,11 +32,11 @@
 	}
 }
 
-// runOrders pauses the controller of the engines as soon as a change of their
-// version is accepted, waits until another one has brought the change into
-// force, and lets the first go on.
+// runOrders pauses the controller of the engines right after a change of their
+// version is accepted, waits until another controller has applied the next change,
+// and resumes the first one.
 func runOrders(ctx context.Context, r *Rig) error {
-	// Under load the others notice that the controller is silent.
+	// The other instances detect an unresponsive controller only under load.
 	l := r.StartLoad(ctx, 2, 0)
 	err := r.publishAcrossPause(ctx)
 	return errors.CombineErrors(err, l.Stop())
@@ -68,7 +68,7 @@
 	return errors.CombineErrors(err, r.waitEngineVersion(ctx, 3))
 }
 
-// publishVersion publishes the version that the engines shall have.
+// publishVersion publishes the version that the engines are to have.
 func (r *Rig) publishVersion(ctx context.Context, number int) error {
 	at := r.unaffectedInstance()
 	now, _ := r.setting(ctx, at, versionPath)
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// unaffectedInstance gives an instance that no fault touches.
+// unaffectedInstance returns an instance that was never killed or paused, the first
+// one if there is none.
 func (r *Rig) unaffectedInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +96,8 @@
 	return r.Instances[0]
 }
 
-// controller finds the instance that gives orders to the engines. It only aims
-// the fault, so that the instances' own word will do.
+// controller returns the instance that gives orders to the engines. It relies on
+// the instances' own reports, since it only selects where the fault is injected.
 func (r *Rig) controller(ctx context.Context) (*testkit.Process, error) {
 	var found *testkit.Process
 	err := r.WaitUntil(ctx, "a controller", func() bool {
@@ -128,7 +129,7 @@
 	return false
 }
 
-// waitEngineVersion waits until all engines have a version.
+// waitEngineVersion waits until all engines have the given version.
 func (r *Rig) waitEngineVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
 	return r.WaitUntil(ctx, "version "+want+" at all engines", func() bool {
@@ -142,7 +143,7 @@
 	})
 }
 
-// appliedOrders reads what each engine applied.
+// appliedOrders returns the orders that each engine applied, in sequence.
 func (r *Rig) appliedOrders(ctx context.Context) map[string][]wire.Order {
 	applied := make(map[string][]wire.Order)
 	for _, m := range r.Ready().Targets {
@@ -154,7 +155,7 @@
 	return applied
 }
 
-// getJSON reads a value from a target.
+// getJSON reads a JSON value from a target and reports whether that succeeded.
 func getJSON(ctx context.Context, address string, value any) bool {
 	const timeout = 2 * time.Second
 	limited, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// runKeyReuse submits a filing and then another one under the same key: while
-// the first runs, after it, and after its owner died.
+// runKeyReuse submits a filing, and then other filings with the same key: while the
+// first runs, after it, and after its owner was killed.
 func runKeyReuse(ctx context.Context, r *Rig) error {
 	a, err := r.newAgent(ctx, r.newRand())
 	if err != nil {
@@ -74,7 +74,8 @@
 	return errors.CombineErrors(err, a.verifyUsable(ctx))
 }
 
-// runToolPause lets programs fall silent; their cache must be given back.
+// runToolPause stops calling programs after one chat. Their cache must be released
+// after the idle timeout.
 func runToolPause(ctx context.Context, r *Rig) error {
 	for range typicalPrograms {
 		a, err := r.newAgent(ctx, r.newRand())
@@ -90,7 +91,7 @@
 	return r.Replace(ctx, owner)
 }
 
-// runEndlessLoop repeats one request under new keys until it is refused.
+// runEndlessLoop repeats one request with new keys until it is refused as a loop.
 func runEndlessLoop(ctx context.Context, r *Rig) error {
 	const maxRepeats = 12
 	a, err := r.newAgent(ctx, r.newRand())
@@ -117,7 +118,7 @@
 	return errors.Newf("%d repeats were not noticed", maxRepeats)
 }
 
-// checkClosed checks that a program takes no call any more.
+// checkClosed checks that calls of a closed program are refused.
 func (r *Rig) checkClosed(ctx context.Context, a *agent) error {
 	if got := a.tool(ctx, 0); got.Outcome != NotRun || got.Reason != reasonClosed {
 		return errors.Newf("a call of the closed program got %s %s", got.Outcome, got.Reason)
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// runBudget lets programs spend until they are refused, while owners die.
+// runBudget lets programs exhaust their budgets while owners are killed.
 func runBudget(ctx context.Context, r *Rig) error {
 	var group sync.WaitGroup
 	errs := make([]error, typicalPrograms)
@@ -142,8 +143,7 @@
 	return errors.CombineErrors(killErr, errors.Join(errs...))
 }
 
-// exhaustBudget spends in turns on chats and filings until both are refused for want
-// of budget.
+// exhaustBudget alternates chats and filings until the budget has refused both.
 func (r *Rig) exhaustBudget(ctx context.Context, rng *rand.Rand) error {
 	const maxCalls = 100
 	a, err := r.newAgent(ctx, rng)
@@ -168,8 +168,8 @@
 	return errors.CombineErrors(errors.Newf("%d calls and the budget was not used up", maxCalls), a.close(ctx))
 }
 
-// runTeamBudget lets programs of a team file until the team's budget refuses,
-// while owners die.
+// runTeamBudget lets programs of a team exhaust the team's budget with filings while
+// owners are killed.
 func runTeamBudget(ctx context.Context, r *Rig) error {
 	var group sync.WaitGroup
 	errs := make([]error, typicalPrograms)
@@ -186,7 +186,7 @@
 	return errors.CombineErrors(killErr, errors.Join(errs...))
 }
 
-// exhaustTeamBudget files until the budget refuses.
+// exhaustTeamBudget submits filings of one program until the budget refuses one.
 func (r *Rig) exhaustTeamBudget(ctx context.Context, rng *rand.Rand) error {
 	const maxFilings = 100
 	a, err := r.newAgent(ctx, rng)
@@ -201,9 +201,9 @@
 	return errors.CombineErrors(errors.Newf("%d filings and the budget was not used up", maxFilings), a.close(ctx))
 }
 
-// runHistory sends one program's conversation as another's: before the owner of
-// the second dies, while it dies, and once all instances know the next owner.
-// The second then goes on with its own.
+// runHistory sends one program's conversation in a call of another: before the owner
+// of the latter is killed, during that, and once all instances know the next owner.
+// Both programs must remain usable with their own conversations.
 func runHistory(ctx context.Context, r *Rig) error {
 	var agents [2]*agent
 	for i := range agents {
@@ -223,8 +223,8 @@
 	if ownerErr != nil {
 		return ownerErr
 	}
-	// A filing is in the log before its answer, so that the death of the owner
-	// forgets no call; what it may forget is the matter of "kill-owner".
+	// The log holds a filing before its answer is sent, so that no call is lost with
+	// the owner. "kill-owner" covers calls that can be.
 	for _, a := range agents {
 		if got := a.submitFiling(ctx, 1, 0); !got.Outcome.answered() {
 			return errors.Newf("a filing got %s %s", got.Outcome, got.Reason)
@@ -236,8 +236,8 @@
 	return errors.Join(err, agents[0].verifyUsable(ctx), agents[1].verifyUsable(ctx))
 }
 
-// checkForeignHistory makes a call of a program with the messages of another, which must be
-// refused.
+// checkForeignHistory makes a call of a program with the messages of another, which
+// must be refused.
 func (r *Rig) checkForeignHistory(ctx context.Context, other, own *agent) error {
 	got, ran := r.chatAs(ctx, other, own)
 	if got.Outcome != NotRun || got.Reason != reasonFork || ran {
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// chatAs makes a call of a program with the messages of another, and tells
-// whether a target ran it.
+// chatAs makes a call of a program with the messages of another, and reports whether
+// a target ran it.
 func (r *Rig) chatAs(ctx context.Context, other, own *agent) (got Attempt, ran bool) {
 	messages, runs := own.messages, r.runsOf(own.program.ID)
 	own.messages = append([]wire.ChatMessage(nil), other.messages...)
@@ -256,13 +256,13 @@
 	return got, r.runsOf(own.program.ID) > runs
 }
 
-// handoverPause lets a call reach an instance that is paused. If it does not,
-// the call is handed to the next owner alone, and the outcome is as good.
+// handoverPause leaves a call time to be forwarded to the paused instance. The check
+// also holds if it only reaches the next owner.
 const handoverPause = 200 * time.Millisecond
 
-// checkForeignHistoryDuringKill makes such a call while the owner does not answer, and then
-// kills the owner. The call was handed to it, so that nobody can say any more
-// that it has not run; but it must not run.
+// checkForeignHistoryDuringKill makes such a call while the owner is paused, and
+// then kills the owner. The call was forwarded to the owner, so that its outcome may
+// be reported as unknown, but it must not run.
 func (r *Rig) checkForeignHistoryDuringKill(ctx context.Context, other, own *agent, owner *testkit.Process) error {
 	r.removeEndpoint(owner)
 	if _, err := r.Pause(owner); err != nil {
@@ -287,13 +287,13 @@
 			replaceErr)
 	}
 	if d.got.Outcome == Unknown {
-		// The number was not used, as the history could not be continued.
+		// A fork of the history does not use up the number.
 		own.lastNumber--
 	}
 	return replaceErr
 }
 
-// waitOwnerAgreed waits until all instances name the living owner of a program.
+// waitOwnerAgreed waits until all instances report the running owner of a program.
 func (r *Rig) waitOwnerAgreed(ctx context.Context, program string) error {
 	return r.WaitUntil(ctx, "one owner of "+program, func() bool {
 		owner := r.OwnerOf(program)
@@ -306,8 +306,8 @@
 	})
 }
 
-// runClosedPrograms closes programs while the engines do not answer, and replaces
-// every instance before an engine could confirm a release.
+// runClosedPrograms closes programs while the engines are unresponsive, and replaces
+// every instance before an engine can confirm a release.
 func runClosedPrograms(ctx context.Context, r *Rig) error {
 	var agents []*agent
 	for range typicalPrograms {
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -12,13 +12,11 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Sizes of a random schedule.
 const (
-	// faultsPerSequence is the number of faults that each of two sequences draws;
-	// the sequences run at once, so that faults fall together.
+	// faultsPerSequence is the number of random faults in each of the two concurrent
+	// sequences.
 	faultsPerSequence = 5
-	// minUnaffected is the number of instances that no fault touches at a
-	// time.
+	// minUnaffected is the number of instances that are free of faults at any time.
 	minUnaffected = 2
 )
 
@@ -33,14 +31,16 @@
 	return list
 }
 
-// instancePool hands out instances so that enough stay untouched.
+// instancePool selects the instances for faults, so that at least minUnaffected
+// remain free of faults.
 type instancePool struct {
 	mu   sync.Mutex
 	rig  *Rig
 	busy map[string]bool
 }
 
-// acquire gives an instance that no fault touches, nil if too few are left.
+// acquire returns a random instance that is free of faults, nil if no more than
+// minUnaffected are.
 func (v *instancePool) acquire(rng *rand.Rand) *testkit.Process {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -64,7 +64,7 @@
 	delete(v.busy, p.ID)
 }
 
-// randomFault is a fault that ends by itself. The duration is drawn.
+// randomFault injects a fault and ends it after a random duration.
 type randomFault func(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error
 
 var instanceFaults = []randomFault{randomKill, randomPause, randomDrain, randomCutLog, randomCutPeer}
@@ -77,8 +77,8 @@
 	randomTarget(wire.ServiceFaults{FailNext: 3}), randomTarget(wire.ServiceFaults{Slow: 10}),
 }
 
-// runRandom runs one sequence of faults of instances beside one of faults of
-// the platform and the targets, under load.
+// runRandom runs, under load, a sequence of instance faults concurrently with a
+// sequence of faults of the platform and the targets.
 func runRandom(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
 	v := &instancePool{rig: r, busy: map[string]bool{}}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// faultDuration is the length of a drawn fault.
+// faultDuration returns a random duration of a fault.
 func faultDuration(rng *rand.Rand) time.Duration {
 	return time.Duration(500+rng.IntN(4500)) * time.Millisecond
 }
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// contendedPath is the setting that operators race for.
+// contendedPath is the setting that operators change concurrently.
 const contendedPath = teamPath + "/max_queued"
 
 func settingsScenarios() []Scenario {
@@ -25,8 +25,8 @@
 	}
 }
 
-// runSettingsRace lets two operators propose different values on the same base
-// at the same time, again and again.
+// runSettingsRace lets two operators repeatedly propose different values for the same
+// base version at the same time.
 func runSettingsRace(ctx context.Context, r *Rig) error {
 	const rounds = 12
 	instances := r.instancesExcept(nil)
@@ -55,8 +55,8 @@
 	return r.waitInForce(ctx, contendedPath, base)
 }
 
-// nextBase waits until every instance has a newer version than base, and gives
-// it.
+// nextBase waits until every instance has a newer version than base, and returns the
+// newest.
 func (r *Rig) nextBase(ctx context.Context, instances []*testkit.Process, base uint64) (uint64, error) {
 	newest := uint64(0)
 	err := r.WaitUntil(ctx, "a newer version at all instances", func() bool {
@@ -72,7 +72,7 @@
 	return newest, err
 }
 
-// runSettingsReplaced kills every instance as soon as a change is accepted.
+// runSettingsReplaced replaces all instances right after a change is accepted.
 func runSettingsReplaced(ctx context.Context, r *Rig) error {
 	base := uint64(0)
 	for round := range 2 {
@@ -98,8 +98,8 @@
 	return r.StartLoad(ctx, 2, 3).Wait()
 }
 
-// runStartWhileLogDown starts an instance during an outage. It may take traffic
-// only with the settings that were accepted before.
+// runStartWhileLogDown starts an instance during an outage of the log. It may become
+// ready only with the settings that were accepted before.
 func runStartWhileLogDown(ctx context.Context, r *Rig) error {
 	change := r.propose(ctx, r.randomInstance(), contendedPath, 0, "3000")
 	if !change.Accepted {
@@ -120,8 +120,8 @@
 		return err
 	}
 	err = r.watchStart(ctx, p, change.Version)
-	// The programs of living owners go on, also those that the list now gives
-	// to the new instance.
+	// Programs with a running owner are still served, including those whose shards
+	// are now assigned to the new instance.
 	for _, a := range agents {
 		if got := a.tool(ctx, 0); err == nil && !got.Outcome.answered() {
 			err = errors.Newf("a repeatable call during the outage got %s %s", got.Outcome, got.Reason)
@@ -142,8 +142,8 @@
 	return err
 }
 
-// watchStart looks at a starting instance for the length of an outage: as soon
-// as it says that it is ready it must know the accepted change.
+// watchStart polls a starting instance for the duration of an outage. Whenever it is
+// ready it must have the accepted version.
 func (r *Rig) watchStart(ctx context.Context, p *testkit.Process, version uint64) error {
 	for until := time.Now().Add(outageDuration); time.Now().Before(until); r.sleep(ctx, retryInterval) {
 		if !isReady(ctx, p) {
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// runBudgetTakeover raises and then lowers the fees that a program may spend,
-// and kills the owner each time right after the change was accepted.
+// runBudgetTakeover raises and then lowers the fees that a program may spend, and
+// kills the owner right after each change is accepted.
 func runBudgetTakeover(ctx context.Context, r *Rig) error {
 	const path = teamPath + "/program_fees"
 	const raised, lowered = 10, 7
@@ -195,16 +195,16 @@
 			}
 		}
 	}
-	// A takeover counts what the dead owner had reserved as spent, so that
-	// fewer may be left than were paid.
+	// A takeover counts the reservations of the killed owner as spent, so that less
+	// than the unpaid rest may be left.
 	if err := a.submitUntilRefused(ctx, 0, lowered-5); err != nil {
 		return err
 	}
 	return a.close(ctx)
 }
 
-// submitUntilRefused makes filings of fee 1 until the budget refuses one, and wants
-// a number of answers before in that range.
+// submitUntilRefused submits filings of fee 1 until the budget refuses one. The number
+// of answered filings must be between minFilings and maxFilings.
 func (a *agent) submitUntilRefused(ctx context.Context, minFilings, maxFilings int) error {
 	for i := 0; ; i++ {
 		got := a.submitFiling(ctx, 1, 0)
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// targetsOf lists the targets of a service in order of name.
+// targetsOf returns the targets of a service, ordered by ID.
 func (r *Rig) targetsOf(service string) []string {
 	var ids []string
 	for _, id := range slices.Concat(slices.Collect(maps.Keys(r.Engines)), slices.Collect(maps.Keys(r.Services))) {
@@ -63,8 +63,8 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// leavingWithin is the time after which a leaving target may get nothing: the
-// lag of the membership list, the time between two reads of it, and some slack.
+// leavingWithin is the grace period of a leaving target. It covers the lag of the
+// membership list, the interval between two reads of it, and some slack.
 const leavingWithin = 4 * time.Second
 
 func runTargetLeaving(ctx context.Context, r *Rig) error {
@@ -84,9 +84,8 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// runLateAnswer gives calls a deadline that ends before their run does. Their
-// answers come late: they reach the one who asks again with the same key, and
-// nobody else.
+// runLateAnswer makes calls whose deadline passes while they run. Their late answers
+// must be returned only to retries with the same key.
 func runLateAnswer(ctx context.Context, r *Rig) error {
 	const runTime, deadline = 5 * time.Second, 2 * time.Second
 	a, err := r.newAgent(ctx, r.newRand())
--- a/internal/proofs/scenarios_test.go
+++ b/internal/proofs/scenarios_test.go
@@ -9,13 +9,12 @@
 	"testing"
 )
 
-// productPackage is the package of the product's binary.
+// productPackage is the main package of the instances.
 const productPackage = "github.com/banyanglade/banyanglade/cmd/banyanglade"
 
-// testSeed is the seed of the load; the verdict does not depend on it.
 const testSeed = 1
 
-// binary is the path of the product's binary, built by TestMain.
+// binary is the path of the executable that TestMain builds from productPackage.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -38,10 +37,9 @@
 	return m.Run()
 }
 
-// maxParallelScenarios is the number of scenarios that run at a time.
 const maxParallelScenarios = 3
 
-// TestQuickScenarios runs the scenarios marked as quick; "make proofs" runs all.
+// TestQuickScenarios runs the quick scenarios; "make proofs" runs all.
 func TestQuickScenarios(t *testing.T) {
 	slots := make(chan struct{}, maxParallelScenarios)
 	for _, s := range All() {
@@ -65,7 +63,7 @@
 	seen := make(map[string]bool)
 	for _, s := range All() {
 		if seen[s.Name] {
-			t.Errorf("two scenarios are named %q", s.Name)
+			t.Errorf("duplicate scenario name %q", s.Name)
 		}
 		seen[s.Name] = true
 	}
