--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -59,8 +59,8 @@
 		if !attempt.Outcome.final() {
 			unresponsive = attempt.Instance
 		}
-		wait, again := nextRetry(attempt, &unknowns)
-		if !again || time.Now().Add(wait).After(deadline) || !delay.Sleep(ctx, wait) {
+		wait, retry := nextRetry(attempt, &unknowns)
+		if !retry || time.Now().Add(wait).After(deadline) || !delay.Sleep(ctx, wait) {
 			return attempt
 		}
 	}
--- a/internal/proofs/check_log.go
+++ b/internal/proofs/check_log.go
@@ -30,7 +30,7 @@
 			if !ok {
 				found = append(found, violation(PropertyIntent, "%s ran at %s without one", call.name(), run.Target))
 			} else if at > run.TimeMS+clockSlackMS {
-				found = append(found, violation(PropertyIntent, "%s ran at %d, its intent is of %d", call.name(), run.TimeMS, at))
+				found = append(found, violation(PropertyIntent, "%s ran at %d, before its intent at %d", call.name(), run.TimeMS, at))
 			}
 		}
 	}
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -160,7 +160,7 @@
 func checkLostAnswers(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
 	for _, call := range e.Calls {
-		if word := call.finalOutcome(); !word.final() {
+		if outcome := call.finalOutcome(); !outcome.final() {
 			found = append(found, violation(PropertyLostAnswer, "%s ended without an outcome: %s", call.name(), describeAttempts(call)))
 			continue
 		}
@@ -211,7 +211,7 @@
 		limit := d.At.Add(d.Grace).UnixMilli()
 		for _, run := range slices.Concat(e.Engines[d.Target], e.Services[d.Target]) {
 			if run.TimeMS > limit {
-				found = append(found, violation(PropertyLeaving, "target %s got program %s %d ms after it was leaving",
+				found = append(found, violation(PropertyLeaving, "target %s got a call of program %s %d ms after it was marked as leaving",
 					d.Target, run.Program, run.TimeMS-d.At.UnixMilli()))
 			}
 		}
@@ -260,7 +260,7 @@
 	for _, p := range e.Programs {
 		for target, state := range e.Caches {
 			if p.Closed && state.Programs[p.ID] > 0 {
-				found = append(found, violation(PropertyCache, "engine %s holds %d tokens for program %s, which is gone",
+				found = append(found, violation(PropertyCache, "engine %s holds %d tokens for program %s, which is closed",
 					target, state.Programs[p.ID], p.ID))
 			}
 		}
--- a/internal/proofs/check_settings.go
+++ b/internal/proofs/check_settings.go
@@ -74,10 +74,10 @@
 	}
 	switch {
 	case setting.Version < newest.Version:
-		found = append(found, violation(PropertySettings, "%s has version %d of %s, accepted was %d",
+		found = append(found, violation(PropertySettings, "%s has version %d of %s, but version %d was accepted",
 			instance, setting.Version, path, newest.Version))
 	case setting.Version == newest.Version && newest.Version > 0 && setting.Value != newest.Value:
-		found = append(found, violation(PropertySettings, "%s has %s = %s, accepted was %s",
+		found = append(found, violation(PropertySettings, "%s has %s = %s, but %s was accepted",
 			instance, path, setting.Value, newest.Value))
 	}
 	return found
@@ -93,7 +93,7 @@
 	for _, r := range readings {
 		at := place{r.Instance, r.Path}
 		if r.Version < newest[at] {
-			found = append(found, violation(PropertySettings, "%s went back from version %d of %s to %d",
+			found = append(found, violation(PropertySettings, "%s reverted from version %d of %s to %d",
 				r.Instance, newest[at], r.Path, r.Version))
 		}
 		newest[at] = max(newest[at], r.Version)
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -104,7 +104,7 @@
 // invalidHistories each add one violation to validEvidence.
 var invalidHistories = []struct {
 	name     string
-	breaks   func(e *Evidence)
+	alter    func(e *Evidence)
 	property Property
 }{
 	{"a filing runs twice at one target", func(e *Evidence) {
@@ -215,7 +215,7 @@
 	for _, bad := range invalidHistories {
 		t.Run(bad.name, func(t *testing.T) {
 			e := validEvidence()
-			bad.breaks(&e)
+			bad.alter(&e)
 			found := Check(e).Violations
 			if countOf(found, bad.property) == 0 {
 				t.Fatalf("missing violation: %s; got %v", bad.property, found)
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -15,11 +15,11 @@
 func describeAttempts(c Call) string {
 	parts := make([]string, 0, len(c.Attempts))
 	for _, a := range c.Attempts {
-		word := string(a.Outcome)
+		outcome := string(a.Outcome)
 		if a.Reason != "" {
-			word += "(" + a.Reason + ")"
+			outcome += "(" + a.Reason + ")"
 		}
-		parts = append(parts, fmt.Sprintf("%s at %s from %d to %d", word, a.Instance, a.Start.UnixMilli(), a.End.UnixMilli()))
+		parts = append(parts, fmt.Sprintf("%s at %s from %d to %d", outcome, a.Instance, a.Start.UnixMilli(), a.End.UnixMilli()))
 	}
 	return "[" + strings.Join(parts, "; ") + "]"
 }
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -108,11 +108,11 @@
 	select {
 	case <-p.Exited():
 	case <-limited.Done():
-		return errors.Newf("instance %s did not end after SIGTERM", p.ID)
+		return errors.Newf("instance %s did not exit after SIGTERM", p.ID)
 	}
 	r.removeInstance(p, false)
 	if code := p.ExitCode(); code != 0 {
-		return errors.Newf("instance %s ended with code %d after SIGTERM", p.ID, code)
+		return errors.Newf("instance %s exited with code %d after SIGTERM", p.ID, code)
 	}
 	return nil
 }
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -145,25 +145,25 @@
 
 // stepFiling continues after an unknown outcome, which uses up the call's number.
 func stepFiling(ctx context.Context, a *agent) bool {
-	word := a.submitFiling(ctx, 1, a.runTime()).Outcome
-	return word.answered() || word == Unknown
+	outcome := a.submitFiling(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
 func stepConcurrentFiling(ctx context.Context, a *agent) bool {
-	word := a.submitFilingConcurrently(ctx, 1, a.runTime()).Outcome
-	return word.answered() || word == Unknown
+	outcome := a.submitFilingConcurrently(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
 func stepResubmittedFiling(ctx context.Context, a *agent) bool {
-	word := a.resubmitFiling(ctx, 1, a.runTime()).Outcome
-	return word.answered() || word == Unknown
+	outcome := a.resubmitFiling(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
 // stepWithoutProgram submits a filing outside any program.
 func stepWithoutProgram(ctx context.Context, a *agent) bool {
 	call := &Call{Key: ulid.Make().String()}
-	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
-	return word.answered() || word == Unknown
+	outcome := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
 // stepCancel closes the connection of a filing early and then submits it again with
@@ -176,8 +176,8 @@
 	if a.rig.retry(ctx, a.rng, canceled, 0).Outcome.answered() {
 		return true
 	}
-	word := a.rig.retry(ctx, a.rng, q, retryTimeout).Outcome
-	return word.answered() || word == Unknown
+	outcome := a.rig.retry(ctx, a.rng, q, retryTimeout).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
 func stepFanOut(ctx context.Context, a *agent) bool {
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -81,7 +81,7 @@
 // its owner because instances discover each other.
 func (r *Rig) waitListed(ctx context.Context) error {
 	for _, p := range r.Instances {
-		err := r.WaitUntil(ctx, "the members at "+p.ID, func() bool { return r.peerCount(ctx, p) >= len(r.Instances) })
+		err := r.WaitUntil(ctx, "all members at "+p.ID, func() bool { return r.peerCount(ctx, p) >= len(r.Instances) })
 		if err != nil {
 			return err
 		}
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -115,7 +115,7 @@
 			return errors.Newf("a repeat got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	return errors.Newf("%d repeats were not noticed", maxRepeats)
+	return errors.Newf("%d repeats were not refused as a loop", maxRepeats)
 }
 
 // checkClosed checks that calls of a closed program are refused.
@@ -165,7 +165,7 @@
 			return a.close(ctx)
 		}
 	}
-	return errors.CombineErrors(errors.Newf("%d calls and the budget was not used up", maxCalls), a.close(ctx))
+	return errors.CombineErrors(errors.Newf("%d calls did not exhaust the budget", maxCalls), a.close(ctx))
 }
 
 // runTeamBudget lets programs of a team exhaust the team's budget with filings while
@@ -198,7 +198,7 @@
 			return a.close(ctx)
 		}
 	}
-	return errors.CombineErrors(errors.Newf("%d filings and the budget was not used up", maxFilings), a.close(ctx))
+	return errors.CombineErrors(errors.Newf("%d filings did not exhaust the budget", maxFilings), a.close(ctx))
 }
 
 // runHistory sends one program's conversation in a call of another: before the owner
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -151,7 +151,7 @@
 		}
 		found, ok := r.setting(ctx, p, contendedPath)
 		if !ok || found.Version < version {
-			return errors.Newf("the instance is ready with version %d, accepted was %d", found.Version, version)
+			return errors.Newf("the instance is ready with version %d, but version %d was accepted", found.Version, version)
 		}
 	}
 	return nil
@@ -173,7 +173,7 @@
 	for i, limit := range []int{raised, lowered} {
 		now, ok := r.setting(ctx, r.randomInstance(), path)
 		if !ok {
-			return errors.New("the limit cannot be read")
+			return errors.New("cannot read the fee limit")
 		}
 		change := r.propose(ctx, r.randomInstance(), path, now.Version, strconv.Itoa(limit))
 		if !change.Accepted {
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -98,7 +98,7 @@
 		r.History.addCall(q.call)
 		q.deadline = deadline
 		if got := r.retry(ctx, a.rng, q, 0); got.Outcome != Unknown {
-			return errors.Newf("a call given up while it ran got %s %s", got.Outcome, got.Reason)
+			return errors.Newf("a call past its deadline got %s %s", got.Outcome, got.Reason)
 		}
 	}
 	if got := a.chat(ctx, 20, true); !got.Outcome.answered() {
@@ -108,7 +108,7 @@
 		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
 	if got := r.retry(ctx, a.rng, tool, retryTimeout); !got.Outcome.answered() {
-		return errors.Newf("the repeatable call again got %s %s", got.Outcome, got.Reason)
+		return errors.Newf("the retried repeatable call got %s %s", got.Outcome, got.Reason)
 	}
 	return a.verifyUsable(ctx)
 }
--- a/internal/proofs/scenarios_test.go
+++ b/internal/proofs/scenarios_test.go
@@ -31,7 +31,7 @@
 	binary = filepath.Join(dir, "banyanglade")
 	output, err := exec.Command("go", "build", "-o", binary, productPackage).CombinedOutput()
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "build the product: %v\n%s", err, output)
+		fmt.Fprintf(os.Stderr, "build the instance executable: %v\n%s", err, output)
 		return 1
 	}
 	return m.Run()
