--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -14,96 +14,95 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Times of a caller.
 const (
-	// attemptDeadline is the deadline that a caller gives an instance.
+	// attemptDeadline is the default deadline sent with a request.
 	attemptDeadline = 6 * time.Second
-	// attemptGrace is how much longer the caller waits for it.
+	// attemptGrace is how long a caller waits after the deadline.
 	attemptGrace = 4 * time.Second
-	// patience is how long a caller tries a call again.
-	patience = 40 * time.Second
-	// pace is the wait before another try when no refusal gave one.
-	pace = 50 * time.Millisecond
-	// unknownTries is how often a caller asks again for what became of a
-	// call.
-	unknownTries = 3
+	// retryTimeout bounds the retries of a call.
+	retryTimeout = 40 * time.Second
+	// retryInterval is the delay before a retry without a RetryAfter.
+	retryInterval = 50 * time.Millisecond
+	// maxUnknownAttempts bounds the attempts of a call that end with an unknown
+	// outcome.
+	maxUnknownAttempts = 3
 )
 
 const problemPrefix = "urn:banyanglade:problem:"
 
-// request is a call with what is sent for it.
+// request is a call with the HTTP request that is sent for it.
 type request struct {
 	call     *Call
 	method   string
 	path     string
 	body     []byte
-	deadline time.Duration
-	// leave is the time after which the caller closes the connection, 0 for
-	// never.
-	leave time.Duration
+	deadline time.Duration // attemptDeadline if 0
+	// cancelAfter is the time after which the caller closes the connection; never
+	// if 0.
+	cancelAfter time.Duration
 }
 
-// do makes the call until it has a final word or the patience ends, and gives
-// its last attempt. A broken connection and an outcome that is not known are
-// tried elsewhere with the same key; a refusal says when to come back.
+// do makes attempts of the call until nextRetry ends them or retryTimeout elapses,
+// and returns the last one. All attempts carry the same key. A retry after an
+// attempt without a final outcome goes to another instance.
 func (r *Rig) do(ctx context.Context, rng *rand.Rand, q request) Attempt {
 	r.History.addCall(q.call)
-	return r.retry(ctx, rng, q, patience)
+	return r.retry(ctx, rng, q, retryTimeout)
 }
 
 func (r *Rig) retry(ctx context.Context, rng *rand.Rand, q request, limit time.Duration) Attempt {
-	until := time.Now().Add(limit)
-	unknowns, silent := 0, ""
+	deadline := time.Now().Add(limit)
+	unknowns, unresponsive := 0, ""
 	for {
-		attempt := r.attempt(ctx, r.pick(rng, silent), q)
-		silent = ""
-		if !attempt.Word.final() {
-			silent = attempt.Instance
+		attempt := r.attempt(ctx, r.pickEndpoint(rng, unresponsive), q)
+		unresponsive = ""
+		if !attempt.Outcome.final() {
+			unresponsive = attempt.Instance
 		}
-		wait, again := nextTry(attempt, &unknowns)
-		if !again || time.Now().Add(wait).After(until) || !delay.Sleep(ctx, wait) {
+		wait, retry := nextRetry(attempt, &unknowns)
+		if !retry || time.Now().Add(wait).After(deadline) || !delay.Sleep(ctx, wait) {
 			return attempt
 		}
 	}
 }
 
-// nextTry tells whether to try again after an attempt, and when.
-func nextTry(a Attempt, unknowns *int) (time.Duration, bool) {
-	switch a.Word {
+// nextRetry reports whether to retry after the attempt, and after which delay.
+func nextRetry(a Attempt, unknowns *int) (time.Duration, bool) {
+	switch a.Outcome {
 	case Answered, Replayed:
 		return 0, false
 	case NotRun:
 		return a.RetryAfter, a.RetryAfter > 0
 	case Unknown:
 		*unknowns++
-		return max(pace, a.RetryAfter), *unknowns < unknownTries
+		return max(retryInterval, a.RetryAfter), *unknowns < maxUnknownAttempts
 	default:
-		return pace, true
+		return retryInterval, true
 	}
 }
 
 // attempt makes one request at one instance and records it.
-func (r *Rig) attempt(ctx context.Context, to door, q request) Attempt {
+func (r *Rig) attempt(ctx context.Context, to endpoint, q request) Attempt {
 	deadline := q.deadline
 	if deadline == 0 {
 		deadline = attemptDeadline
 	}
 	wait := deadline + attemptGrace
-	if q.leave > 0 {
-		wait = q.leave
+	if q.cancelAfter > 0 {
+		wait = q.cancelAfter
 	}
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	a := Attempt{Instance: to.id, Start: time.Now()}
-	answer, err := testkit.NewClient(to.server, r.key).Do(limited, q.method, q.path, q.body, testkit.Call{
+	answer, err := testkit.NewClient(to.server, r.callerKey).Do(limited, q.method, q.path, q.body, testkit.Call{
 		Program: q.call.Program, Lane: q.call.Lane, Number: q.call.Number, Key: q.call.Key,
 		NotRepeatable: q.call.NotRepeatable, Deadline: deadline, Fee: q.call.Fee,
-		Attempt: r.History.nextDelivery(q.call),
+		Attempt: r.History.nextAttempt(q.call),
 	})
 	a.End = time.Now()
-	a.Word = wordOf(limited, answer, err)
-	if a.Word == Silent && q.leave > 0 {
-		a.Word = Left
+	a.Outcome = outcomeOf(limited, answer, err)
+	if a.Outcome == NoResponse && q.cancelAfter > 0 {
+		a.Outcome = Canceled
 	}
 	if answer != nil {
 		if answer.Problem == nil && answer.Status >= http.StatusBadRequest {
@@ -119,12 +118,12 @@
 	return a
 }
 
-func wordOf(ctx context.Context, answer *testkit.Answer, err error) Word {
+func outcomeOf(ctx context.Context, answer *testkit.Answer, err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Unreached
+		return Unreachable
 	case err != nil && ctx.Err() != nil, err == nil && answer.Cut && ctx.Err() != nil:
-		return Silent
+		return NoResponse
 	case err != nil || answer.Cut:
 		return Broken
 	case answer.Problem != nil && answer.Problem.Outcome == string(NotRun):
--- a/internal/proofs/check.go
+++ b/internal/proofs/check.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// Property names a point of what must always hold.
+// Property names an invariant.
 type Property string
 
-// Properties.
+// Properties that Check verifies. PropertyScenario stands for a scenario's own
+// expectations.
 const (
-	PropertyOrder    Property = "order in a lane"
-	PropertyAnswers  Property = "whole answer to its own request"
-	PropertyBudget   Property = "spending within the budget"
-	PropertyHistory  Property = "no program's history lost"
-	PropertyCache    Property = "no cache held for programs that are gone"
-	PropertyNotRun   Property = "not run means not run"
-	PropertyOnce     Property = "not repeatable runs at most once"
-	PropertyIntent   Property = "a not-repeatable run has its intent in the log first"
-	PropertyLost     Property = "no lost answer"
-	PropertyLeaving  Property = "no new work to a leaving target"
-	PropertySettings Property = "accepted settings in force and never reverted"
-	PropertyOrders   Property = "no order of an older controller after a newer one's"
-	PropertyScenario Property = "scenario"
+	PropertyOrder      Property = "order in a lane"
+	PropertyAnswers    Property = "whole answer to its own request"
+	PropertyBudget     Property = "spending within the budget"
+	PropertyHistory    Property = "no program's history lost"
+	PropertyCache      Property = "no cache held for programs that are gone"
+	PropertyNotRun     Property = "not run means not run"
+	PropertyAtMostOnce Property = "not repeatable runs at most once"
+	PropertyIntent     Property = "a not-repeatable run has its intent in the log first"
+	PropertyLostAnswer Property = "no lost answer"
+	PropertyLeaving    Property = "no new work to a leaving target"
+	PropertySettings   Property = "accepted settings in force and never reverted"
+	PropertyOrders     Property = "no order of an older controller after a newer one's"
+	PropertyScenario   Property = "scenario"
 )
 
-// Violation is one breach of a property.
+// Violation describes one violation of a property.
 type Violation struct {
 	Property Property
 	Detail   string
@@ -37,31 +38,32 @@
 	return Violation{Property: property, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Verdict is what the checker found.
+// Verdict is the result of Check.
 type Verdict struct {
 	Counts     Counts
 	Violations []Violation
 }
 
-// Counts are the figures of a scenario's line.
+// Counts summarizes a scenario. The calls are counted by their final outcome.
 type Counts struct {
 	Calls    int
 	Answered int
 	Replayed int
 	NotRun   int
 	Unknown  int
-	// Duplicates, Lost and WrongRefusals are violations of their properties.
+	// Duplicates, Lost and WrongRefusals count the violations of
+	// PropertyAtMostOnce, PropertyLostAnswer and PropertyNotRun.
 	Duplicates    int
 	Lost          int
 	WrongRefusals int
 }
 
-// Check judges the evidence.
+// Check verifies all properties against the evidence.
 func Check(e Evidence) Verdict {
 	runs := indexRuns(e)
 	var found []Violation
 	for _, check := range []func(Evidence, *runIndex) []Violation{
-		checkExplained, checkOnce, checkNotRun, checkLost, checkKnown, checkOrder, checkAnswers,
+		checkStrayRuns, checkOnce, checkNotRun, checkLostAnswers, checkHistory, checkOrder, checkAnswers,
 		checkBudget, checkCache, checkIntents, checkLeaving, checkOrders, checkSettings,
 	} {
 		found = append(found, check(e, runs)...)
@@ -71,11 +73,11 @@
 
 func count(e Evidence, found []Violation) Counts {
 	counts := Counts{
-		Calls: len(e.Calls), Duplicates: countOf(found, PropertyOnce),
-		Lost: countOf(found, PropertyLost), WrongRefusals: countOf(found, PropertyNotRun),
+		Calls: len(e.Calls), Duplicates: countOf(found, PropertyAtMostOnce),
+		Lost: countOf(found, PropertyLostAnswer), WrongRefusals: countOf(found, PropertyNotRun),
 	}
 	for _, call := range e.Calls {
-		switch call.lastWord() {
+		switch call.finalOutcome() {
 		case Answered:
 			counts.Answered++
 		case Replayed:
@@ -99,27 +101,27 @@
 	return n
 }
 
-// last is the attempt that ended last, false if there is none.
-func (c Call) last() (Attempt, bool) {
+// lastAttempt returns the attempt that ended last, false if there is none.
+func (c Call) lastAttempt() (Attempt, bool) {
 	if len(c.Attempts) == 0 {
 		return Attempt{}, false
 	}
 	return slices.MaxFunc(c.Attempts, func(a, b Attempt) int { return a.End.Compare(b.End) }), true
 }
 
-// lastWord is the best word that the caller has in the end: an answer if any
-// attempt got one, else that of the last attempt.
-func (c Call) lastWord() Word {
+// finalOutcome returns the outcome of the first answered attempt, else that of the
+// attempt that ended last.
+func (c Call) finalOutcome() Outcome {
 	for _, a := range c.Attempts {
-		if a.Word.whole() {
-			return a.Word
+		if a.Outcome.answered() {
+			return a.Outcome
 		}
 	}
-	last, ok := c.last()
+	last, ok := c.lastAttempt()
 	if !ok {
-		return Silent
+		return NoResponse
 	}
-	return last.Word
+	return last.Outcome
 }
 
 func (c Call) name() string {
--- a/internal/proofs/check_order.go
+++ b/internal/proofs/check_lanes.go
@@ -9,16 +9,17 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// laneID names a lane of a program.
+// laneID identifies a lane of a program.
 type laneID struct{ program, lane string }
 
-// numberedCall is a call that has runs, with them.
+// numberedCall is a numbered call with its runs, of which there is at least one.
 type numberedCall struct {
 	call Call
 	runs []wire.LedgerEntry
 }
 
-// checkOrder finds calls of a lane that ran before an earlier one had ended.
+// checkOrder finds calls that began before an earlier call of their lane had
+// ended.
 func checkOrder(e Evidence, runs *runIndex) []Violation {
 	lanes := make(map[laneID][]numberedCall)
 	for i, call := range e.Calls {
@@ -32,14 +33,14 @@
 	for _, calls := range lanes {
 		slices.SortStableFunc(calls, func(a, b numberedCall) int { return cmp.Compare(a.call.Number, b.call.Number) })
 		for i := 1; i < len(calls); i++ {
-			found = append(found, checkPair(calls[i-1], calls[i])...)
+			found = append(found, checkSuccessive(calls[i-1], calls[i])...)
 		}
 	}
 	return found
 }
 
-// checkPair judges two calls of a lane that follow each other.
-func checkPair(earlier, later numberedCall) []Violation {
+// checkSuccessive checks the order of two successive calls of a lane.
+func checkSuccessive(earlier, later numberedCall) []Violation {
 	if earlier.call.Number == later.call.Number {
 		return nil
 	}
@@ -52,7 +53,7 @@
 			continue
 		}
 		end := run.TimeMS + earlier.call.RunTime.Milliseconds()
-		if run.Finished && begin+clockSlackMS < end && !earlier.call.givenUp(begin) {
+		if run.Finished && begin+clockSlackMS < end && !earlier.call.abandonedBy(begin) {
 			found = append(found, violation(PropertyOrder, "%s began at time %d, before number %d ended at %d",
 				later.call.name(), begin, earlier.call.Number, end))
 		}
@@ -60,23 +61,24 @@
 	return found
 }
 
-// givenUp tells whether the caller had heard by then that the call's outcome is
-// not known: it went on in that knowledge, while the call may still run.
-func (c Call) givenUp(by int64) bool {
+// abandonedBy reports whether the caller had received an unknown outcome by that
+// time. Such a call may still run while the caller makes the next one.
+func (c Call) abandonedBy(by int64) bool {
 	return slices.ContainsFunc(c.Attempts, func(a Attempt) bool {
-		return a.Word == Unknown && a.End.UnixMilli() <= by+clockSlackMS
+		return a.Outcome == Unknown && a.End.UnixMilli() <= by+clockSlackMS
 	})
 }
 
-// checkAnswers compares each answer with what its target made for that call.
+// checkAnswers compares each answer with the one that its target generated for the
+// call.
 func checkAnswers(e Evidence, runs *runIndex) []Violation {
 	var found []Violation
 	for i, call := range e.Calls {
 		for _, a := range call.Attempts {
-			if !a.Word.whole() {
+			if !a.Outcome.answered() {
 				continue
 			}
-			if detail := wrongAnswer(call, a, runs.byCall[i]); detail != "" {
+			if detail := answerMismatch(call, a, runs.byCall[i]); detail != "" {
 				found = append(found, violation(PropertyAnswers, "%s: %s", call.name(), detail))
 			}
 		}
@@ -84,31 +86,32 @@
 	return found
 }
 
-// wrongAnswer tells what is wrong with an answer, empty if nothing.
-func wrongAnswer(call Call, a Attempt, runs []wire.LedgerEntry) string {
+// answerMismatch describes how an answer differs from the expected one; empty if
+// it does not.
+func answerMismatch(call Call, a Attempt, runs []wire.LedgerEntry) string {
 	if len(runs) == 0 {
 		return "answered, but no target ran it"
 	}
 	if call.Kind == Chat {
-		if a.Text != call.Want {
-			return "answer " + clip(a.Text) + ", want " + clip(call.Want)
+		if a.Text != call.WantText {
+			return "answer " + truncate(a.Text) + ", want " + truncate(call.WantText)
 		}
 		return ""
 	}
 	var answer service.Answer
 	if err := json.Unmarshal(a.Body, &answer); err != nil {
-		return "answer is not the target's: " + clip(string(a.Body))
+		return "answer is not the target's: " + truncate(string(a.Body))
 	}
-	made := slices.ContainsFunc(runs, func(run wire.LedgerEntry) bool {
+	found := slices.ContainsFunc(runs, func(run wire.LedgerEntry) bool {
 		return run.Target == answer.Target && run.Sequence == answer.Sequence
 	})
-	if !made || answer.Path != call.Path || answer.BodyHash != call.BodyHash {
-		return "answer is that of another request: " + clip(string(a.Body))
+	if !found || answer.Path != call.Path || answer.BodyHash != call.BodyHash {
+		return "answer is that of another request: " + truncate(string(a.Body))
 	}
 	return ""
 }
 
-func clip(text string) string {
+func truncate(text string) string {
 	const limit = 160
 	if len(text) > limit {
 		return text[:limit] + "…"
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -11,15 +11,15 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// describeAttempts lists what a caller heard, attempt by attempt.
+// describeAttempts lists the attempts of a call with their outcomes.
 func describeAttempts(c Call) string {
 	parts := make([]string, 0, len(c.Attempts))
 	for _, a := range c.Attempts {
-		word := string(a.Word)
+		outcome := string(a.Outcome)
 		if a.Reason != "" {
-			word += "(" + a.Reason + ")"
+			outcome += "(" + a.Reason + ")"
 		}
-		parts = append(parts, fmt.Sprintf("%s at %s from %d to %d", word, a.Instance, a.Start.UnixMilli(), a.End.UnixMilli()))
+		parts = append(parts, fmt.Sprintf("%s at %s from %d to %d", outcome, a.Instance, a.Start.UnixMilli(), a.End.UnixMilli()))
 	}
 	return "[" + strings.Join(parts, "; ") + "]"
 }
@@ -44,21 +44,21 @@
 				continue
 			}
 			body, _ := json.Marshal(rec.Body)
-			fmt.Fprintf(&out, "  %d at %d: epoch %d of %s, %T %s\n", r.Offset, r.TimeMS, rec.Epoch, rec.Writer, rec.Body, clip(string(body)))
+			fmt.Fprintf(&out, "  %d at %d: epoch %d of %s, %T %s\n", r.Offset, r.TimeMS, rec.Epoch, rec.Writer, rec.Body, truncate(string(body)))
 		}
 	}
 	return out.String()
 }
 
-// describeEvidence lists the calls with their attempts and runs, and the owners
-// and changes, for reading after a failure.
+// describeEvidence lists the calls with their attempts and runs, the fault windows,
+// and the changes and readings of settings.
 func describeEvidence(e Evidence) string {
 	runs := indexRuns(e)
 	var out strings.Builder
 	for i, c := range e.Calls {
 		fmt.Fprintf(&out, "%s\n  attempts %s\n  runs %s\n", c.name(), describeAttempts(c), describeRuns(runs.byCall[i]))
 	}
-	for _, d := range e.Disturbed {
+	for _, d := range e.FaultWindows {
 		fmt.Fprintf(&out, "disturbed %s from %d to %d\n", d.Instance, d.From.UnixMilli(), d.To.UnixMilli())
 	}
 	for _, c := range e.Changes {
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -10,46 +10,47 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// resumeSlack is how long after a pause an instance may still break or ignore
-// the requests that it had.
+// resumeSlack is how long a resumed instance may still break or ignore requests
+// from before the pause.
 const resumeSlack = 2 * time.Second
 
-// disturb notes that an instance is about to be killed or paused.
-func (r *Rig) disturb(p *testkit.Process) *Disturbance {
+// openFaultWindow records that an instance is about to be killed or paused.
+func (r *Rig) openFaultWindow(p *testkit.Process) *FaultWindow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
-	d := &Disturbance{Instance: p.ID, From: time.Now()}
-	r.disturbed = append(r.disturbed, d)
+	r.faultCount++
+	d := &FaultWindow{Instance: p.ID, From: time.Now()}
+	r.faultWindows = append(r.faultWindows, d)
 	return d
 }
 
-// Kill ends an instance at once (SIGKILL). The balancer and the membership list
-// lose it afterwards, unless listed keeps it in the list.
+// Kill kills an instance (SIGKILL) and removes it from the balancer and, unless
+// listed is set, from the membership list.
 func (r *Rig) Kill(p *testkit.Process, listed bool) {
-	r.disturb(p)
+	r.openFaultWindow(p)
 	p.Kill()
-	r.closeDoor(p)
-	r.drop(p, listed)
+	r.removeEndpoint(p)
+	r.removeInstance(p, listed)
 }
 
-// drop takes an ended process off the instances.
-func (r *Rig) drop(p *testkit.Process, listed bool) {
+// removeInstance removes a process that has ended. With listed set, it stays in the
+// membership list.
+func (r *Rig) removeInstance(p *testkit.Process, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = append(r.ended, p)
+	r.removed = append(r.removed, p)
 	r.Remove(p)
 	if listed {
 		r.Members.Put(r.Member(p, wire.MemberStateLive))
 	}
 }
 
-// Unlist takes an instance off the membership list.
+// Unlist removes an instance from the membership list.
 func (r *Rig) Unlist(p *testkit.Process) { r.Members.Remove(p.ID) }
 
-// Pause freezes an instance (SIGSTOP); the result lets it go on (SIGCONT).
+// Pause stops an instance (SIGSTOP); resume continues it (SIGCONT).
 func (r *Rig) Pause(p *testkit.Process) (resume func() error, err error) {
-	d := r.disturb(p)
+	d := r.openFaultWindow(p)
 	if err := p.Pause(); err != nil {
 		return nil, errors.Wrap(err, "pause")
 	}
@@ -62,8 +63,8 @@
 	}, nil
 }
 
-// Add starts a further instance and lets the balancer offer it once it is
-// ready.
+// Add starts another instance, waits until it is ready, and adds it to the
+// balancer.
 func (r *Rig) Add(ctx context.Context) (*testkit.Process, error) {
 	p, err := r.AddUnready()
 	if err != nil {
@@ -72,11 +73,11 @@
 	if err := r.WaitReady(ctx, p); err != nil {
 		return nil, err
 	}
-	r.openDoor(p)
+	r.addEndpoint(p)
 	return p, nil
 }
 
-// AddUnready starts a further instance and does not wait for it.
+// AddUnready starts another instance without waiting for it to become ready.
 func (r *Rig) AddUnready() (*testkit.Process, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,51 +92,51 @@
 	return err
 }
 
-// drainLimit bounds the wait for a graceful shutdown.
-const drainLimit = 40 * time.Second
+// drainTimeout bounds the wait for a graceful shutdown.
+const drainTimeout = 40 * time.Second
 
-// Drain asks an instance to shut down (SIGTERM) and waits for its end. It is no
-// disturbance: it may break no request.
+// Drain shuts an instance down gracefully (SIGTERM) and waits for its exit. It opens
+// no fault window, since a graceful shutdown must not break any request.
 func (r *Rig) Drain(ctx context.Context, p *testkit.Process) error {
-	r.fault()
-	r.closeDoor(p)
+	r.countFault()
+	r.removeEndpoint(p)
 	if err := p.Terminate(); err != nil {
 		return errors.Wrap(err, "terminate")
 	}
-	limited, cancel := context.WithTimeout(ctx, drainLimit)
+	limited, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	select {
 	case <-p.Exited():
 	case <-limited.Done():
-		return errors.Newf("instance %s did not end after SIGTERM", p.ID)
+		return errors.Newf("instance %s did not exit after SIGTERM", p.ID)
 	}
-	r.drop(p, false)
+	r.removeInstance(p, false)
 	if code := p.ExitCode(); code != 0 {
-		return errors.Newf("instance %s ended with code %d after SIGTERM", p.ID, code)
+		return errors.Newf("instance %s exited with code %d after SIGTERM", p.ID, code)
 	}
 	return nil
 }
 
-// SetLog changes the faults of the log service.
-func (r *Rig) SetLog(faults wire.LogFaults) {
+// SetLogFaults sets the faults of the log service.
+func (r *Rig) SetLogFaults(faults wire.LogFaults) {
 	if faults != (wire.LogFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	r.Log.SetFaults(faults)
 }
 
-// SetMembers changes the faults of the membership list.
-func (r *Rig) SetMembers(faults wire.MemberFaults) {
+// SetMemberFaults sets the faults of the membership service.
+func (r *Rig) SetMemberFaults(faults wire.MemberFaults) {
 	if faults != (wire.MemberFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	r.Members.SetFaults(faults)
 }
 
-// SetTarget changes the faults of one target.
-func (r *Rig) SetTarget(id string, faults wire.ServiceFaults) {
+// SetTargetFaults sets the faults of one target.
+func (r *Rig) SetTargetFaults(id string, faults wire.ServiceFaults) {
 	if faults != (wire.ServiceFaults{}) {
-		r.fault()
+		r.countFault()
 	}
 	if target, ok := r.Engines[id]; ok {
 		target.Faults().Set(faults)
@@ -145,11 +146,12 @@
 	}
 }
 
-// Leave marks a target as leaving.
-func (r *Rig) Leave(id string, within time.Duration) {
+// MarkLeaving marks a target as leaving. After the grace period it may receive no
+// requests.
+func (r *Rig) MarkLeaving(id string, within time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
-	r.leaving = append(r.leaving, Departure{Target: id, At: time.Now(), Within: within})
+	r.faultCount++
+	r.leaving = append(r.leaving, LeavingTarget{Target: id, At: time.Now(), Grace: within})
 	r.Members.SetLeaving(id)
 }
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -10,7 +10,7 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Load is a set of agents that run programs at once.
+// Load is a set of agents that run programs concurrently.
 type Load struct {
 	group sync.WaitGroup
 	mu    sync.Mutex
@@ -20,17 +20,17 @@
 	stop   chan struct{}
 }
 
-// Steps of a program are drawn with these weights.
+// stepWeights are the relative frequencies of the steps of a program.
 var stepWeights = []struct {
 	weight int
 	step   func(ctx context.Context, a *agent) bool
 }{
-	{3, stepChat}, {3, stepStream}, {3, stepTool}, {3, stepFile}, {1, stepFileTwice}, {1, stepFileAgain}, {1, stepFan},
-	{1, stepSingle}, {1, stepLeave},
+	{3, stepChat}, {3, stepStream}, {3, stepTool}, {3, stepFiling}, {1, stepConcurrentFiling}, {1, stepResubmittedFiling}, {1, stepFanOut},
+	{1, stepWithoutProgram}, {1, stepCancel},
 }
 
-// StartLoad starts programs that each make a number of calls, or go on until
-// Finish if calls is 0.
+// StartLoad starts agents that each run one program with the given number of steps,
+// or one program after another until Stop if calls is 0.
 func (r *Rig) StartLoad(ctx context.Context, programs, calls int) *Load {
 	l := &Load{stop: make(chan struct{})}
 	for range programs {
@@ -40,7 +40,7 @@
 	return l
 }
 
-// runPrograms runs one program, or one after the other if calls is 0.
+// runPrograms runs one program, or one after another until Stop if calls is 0.
 func (l *Load) runPrograms(ctx context.Context, r *Rig, rng *rand.Rand, calls int) {
 	const callsOfEndless = 8
 	if calls > 0 {
@@ -55,7 +55,7 @@
 func (l *Load) runProgram(ctx context.Context, r *Rig, rng *rand.Rand, calls int) {
 	a, err := r.newAgent(ctx, rng)
 	if err != nil {
-		l.fail(err)
+		l.addError(err)
 		return
 	}
 	l.mu.Lock()
@@ -67,7 +67,7 @@
 		}
 	}
 	if err := a.close(ctx); err != nil {
-		l.fail(err)
+		l.addError(err)
 	}
 }
 
@@ -80,20 +80,20 @@
 	}
 }
 
-func (l *Load) fail(err error) {
+func (l *Load) addError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.errs = append(l.errs, err)
 }
 
-// Finish lets the programs end after their present call, waits for them, and
-// gives the first error.
-func (l *Load) Finish() error {
+// Stop lets the programs end after their current step, waits for them, and returns
+// the first error.
+func (l *Load) Stop() error {
 	close(l.stop)
 	return l.Wait()
 }
 
-// Wait waits for the programs and gives the first error.
+// Wait waits for the programs and returns the first error.
 func (l *Load) Wait() error {
 	l.group.Wait()
 	l.mu.Lock()
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// Programs lists the programs opened so far, newest last.
+// Programs returns the programs opened so far, newest last.
 func (l *Load) Programs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,77 +115,77 @@
 	return ids
 }
 
-// randomStep makes one step; false ends the program.
+// randomStep makes one step and reports whether the program can continue.
 func randomStep(ctx context.Context, a *agent) bool {
 	total := 0
 	for _, s := range stepWeights {
 		total += s.weight
 	}
-	drawn := a.rng.IntN(total)
+	pick := a.rng.IntN(total)
 	for _, s := range stepWeights {
-		if drawn < s.weight {
+		if pick < s.weight {
 			return s.step(ctx, a)
 		}
-		drawn -= s.weight
+		pick -= s.weight
 	}
 	return false
 }
 
 func stepChat(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(40), false).Word.whole()
+	return a.chat(ctx, 5+a.rng.IntN(40), false).Outcome.answered()
 }
 
 func stepStream(ctx context.Context, a *agent) bool {
-	return a.chat(ctx, 5+a.rng.IntN(200), true).Word.whole()
+	return a.chat(ctx, 5+a.rng.IntN(200), true).Outcome.answered()
 }
 
 func stepTool(ctx context.Context, a *agent) bool {
-	return a.tool(ctx, a.runTime()).Word.whole()
+	return a.tool(ctx, a.runTime()).Outcome.answered()
 }
 
-// stepFile goes on after an outcome that is not known: a person looks into it,
-// and the number is used up.
-func stepFile(ctx context.Context, a *agent) bool {
-	word := a.file(ctx, 1, a.runTime()).Word
-	return word.whole() || word == Unknown
+// stepFiling continues after an unknown outcome, which uses up the call's number.
+func stepFiling(ctx context.Context, a *agent) bool {
+	outcome := a.submitFiling(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
-func stepFileTwice(ctx context.Context, a *agent) bool {
-	word := a.fileTwice(ctx, 1, a.runTime()).Word
-	return word.whole() || word == Unknown
+func stepConcurrentFiling(ctx context.Context, a *agent) bool {
+	outcome := a.submitFilingConcurrently(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
-func stepFileAgain(ctx context.Context, a *agent) bool {
-	word := a.fileAgain(ctx, 1, a.runTime()).Word
-	return word.whole() || word == Unknown
+func stepResubmittedFiling(ctx context.Context, a *agent) bool {
+	outcome := a.resubmitFiling(ctx, 1, a.runTime()).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
-// stepSingle files without a program.
-func stepSingle(ctx context.Context, a *agent) bool {
+// stepWithoutProgram submits a filing outside any program.
+func stepWithoutProgram(ctx context.Context, a *agent) bool {
 	call := &Call{Key: ulid.Make().String()}
-	word := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Word
-	return word.whole() || word == Unknown
+	outcome := a.rig.do(ctx, a.rng, filingRequest(call, 1, a.runTime())).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
-// stepLeave closes the connection of a filing early and submits it again.
-func stepLeave(ctx context.Context, a *agent) bool {
-	q := filingRequest(a.freeCall(), 1, a.runTime())
+// stepCancel closes the connection of a filing early and then submits it again with
+// the same key.
+func stepCancel(ctx context.Context, a *agent) bool {
+	q := filingRequest(a.unnumberedCall(), 1, a.runTime())
 	a.rig.History.addCall(q.call)
-	left := q
-	left.leave = a.runTime()
-	if a.rig.retry(ctx, a.rng, left, 0).Word.whole() {
+	canceled := q
+	canceled.cancelAfter = a.runTime()
+	if a.rig.retry(ctx, a.rng, canceled, 0).Outcome.answered() {
 		return true
 	}
-	word := a.rig.retry(ctx, a.rng, q, patience).Word
-	return word.whole() || word == Unknown
+	outcome := a.rig.retry(ctx, a.rng, q, retryTimeout).Outcome
+	return outcome.answered() || outcome == Unknown
 }
 
-func stepFan(ctx context.Context, a *agent) bool {
+func stepFanOut(ctx context.Context, a *agent) bool {
 	const count = 3
-	a.fans++
-	lane := fmt.Sprintf("sub-%d", a.fans)
-	for _, attempt := range a.fan(ctx, lane, count, a.runTime()) {
-		if !attempt.Word.whole() {
+	a.fanCount++
+	lane := fmt.Sprintf("sub-%d", a.fanCount)
+	for _, attempt := range a.fanOut(ctx, lane, count, a.runTime()) {
+		if !attempt.Outcome.answered() {
 			return false
 		}
 	}
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -13,34 +13,34 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// operatorLimit bounds an operator's request.
-const operatorLimit = 15 * time.Second
+// operatorTimeout bounds a request of an operator.
+const operatorTimeout = 15 * time.Second
 
-// settingView is one entry of the answer of GET /v1/settings.
+// settingView is one entry of the response of GET /v1/settings.
 type settingView struct {
 	Path    string          `json:"path"`
 	Value   json.RawMessage `json:"value"`
 	Version uint64          `json:"version"`
 }
 
-// propose publishes one change at an instance and records what was heard. The
-// value is JSON.
+// propose publishes a change at an instance, and records and returns it with its
+// outcome. The value is JSON.
 func (r *Rig) propose(ctx context.Context, at *testkit.Process, path string, base uint64, value string) Change {
-	limited, cancel := context.WithTimeout(ctx, operatorLimit)
+	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	change := Change{Instance: at.ID, Path: path, Base: base, Value: value, ChangeID: ulid.Make().String()}
 	answer, err := operatorAt(at).Publish(limited, testkit.SettingsChange{
 		Path: path, Base: base, Value: json.RawMessage(value), ChangeID: change.ChangeID,
 	})
 	if err == nil {
-		change.hear(answer)
+		change.setOutcome(answer)
 	}
 	r.History.addChange(change)
 	return change
 }
 
-// hear takes the answer of a proposal.
-func (c *Change) hear(answer *testkit.Answer) {
+// setOutcome sets the outcome from the response to the proposal.
+func (c *Change) setOutcome(answer *testkit.Answer) {
 	if answer.Status == http.StatusOK {
 		var accepted struct {
 			Version uint64 `json:"version"`
@@ -52,9 +52,10 @@
 	c.Lost = answer.Problem != nil && strings.HasSuffix(answer.Problem.Type, "settings-lost")
 }
 
-// setting reads a path at an instance, false if it has none or does not answer.
+// setting reads a setting at an instance. It returns false if the setting is unset
+// or the instance does not respond.
 func (r *Rig) setting(ctx context.Context, at *testkit.Process, path string) (Setting, bool) {
-	limited, cancel := context.WithTimeout(ctx, operatorLimit)
+	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	answer, err := operatorAt(at).Do(limited, http.MethodGet, "/v1/settings?path="+url.QueryEscape(path), nil, testkit.Call{})
 	if err != nil || answer.Status != http.StatusOK {
@@ -67,7 +68,7 @@
 	return found, ok
 }
 
-// findSetting finds a path in the answer, which holds it and what lies below.
+// findSetting finds a path in the response, which also lists the paths below it.
 func findSetting(body []byte, path string) (Setting, bool) {
 	var list struct {
 		Entries []settingView `json:"entries"`
@@ -83,19 +84,19 @@
 	return Setting{}, false
 }
 
-// inForce reads the changed paths at every instance.
+// inForce reads the changed paths at each instance.
 func (r *Rig) inForce(ctx context.Context, changes []Change) map[string]map[string]Setting {
 	result := make(map[string]map[string]Setting)
 	if len(changes) == 0 {
 		return result
 	}
-	for _, p := range r.others(nil) {
+	for _, p := range r.instancesExcept(nil) {
 		result[p.ID] = make(map[string]Setting)
 		for _, c := range changes {
 			if _, known := result[p.ID][c.Path]; known {
 				continue
 			}
-			// A path that the instance does not have reads as version 0.
+			// A path that is unset at the instance is recorded as version 0.
 			found, _ := r.setting(ctx, p, c.Path)
 			result[p.ID][c.Path] = found
 		}
@@ -103,10 +104,10 @@
 	return result
 }
 
-// untilInForce waits until every instance has a version of a path.
-func (r *Rig) untilInForce(ctx context.Context, path string, version uint64) error {
-	for _, p := range r.others(nil) {
-		err := r.Until(ctx, "the change at "+p.ID, func() bool {
+// waitInForce waits until every instance has at least the given version of a path.
+func (r *Rig) waitInForce(ctx context.Context, path string, version uint64) error {
+	for _, p := range r.instancesExcept(nil) {
+		err := r.WaitUntil(ctx, "the change at "+p.ID, func() bool {
 			found, ok := r.setting(ctx, p, path)
 			return ok && found.Version >= version
 		})
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -19,37 +19,36 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// shards is the number of shards of the region, as instances have it by
-// default.
-const shards = 64
+// shardCount is the default number of shards of a region.
+const shardCount = 64
 
-// Rig is what a scenario works with: the instances, the stand-ins, the callers'
-// history and the faults.
+// Rig runs a scenario: it holds the instances, the stand-ins, the callers' history
+// and the injected faults.
 type Rig struct {
 	*testkit.Cluster
 	History *History
-	// Net holds the relays, nil if the scenario wants none.
+	// Net holds the relays; nil unless the scenario is Relayed.
 	Net *Network
 
-	key    string
-	budget Program
-
-	mu        sync.Mutex
-	rng       *rand.Rand
-	doors     []door
-	faults    int
-	disturbed []*Disturbance
-	leaving   []Departure
-	// ended are the processes that were removed, kept for their logs.
-	ended []*testkit.Process
+	callerKey string
+	budget    Program
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	endpoints    []endpoint
+	faultCount   int
+	faultWindows []*FaultWindow
+	leaving      []LeavingTarget
+	// removed holds the processes that have ended, for their logs.
+	removed []*testkit.Process
 }
 
-// door is an instance as callers see it behind their balancer.
-type door struct{ id, server string }
+// endpoint is an instance in the callers' balancer.
+type endpoint struct{ id, server string }
 
-// start starts the instances of a scenario and its settings.
-func start(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
-	r := &Rig{History: &History{}, key: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
+// startRig starts the instances of a scenario and applies its settings.
+func startRig(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
+	r := &Rig{History: &History{}, callerKey: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
 	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.UsualStandins(), Env: s.Env}
 	if s.Standins != nil {
 		s.Standins(&options.Standins)
@@ -65,24 +64,24 @@
 	}
 	r.Cluster = cluster
 	for _, p := range cluster.Instances {
-		r.doors = append(r.doors, door{p.ID, p.Server})
+		r.endpoints = append(r.endpoints, endpoint{p.ID, p.Server})
 	}
 	if err := cluster.Configure(ctx, append(testkit.UsualSettings(), testkit.Changes(s.settings())...)); err != nil {
 		r.Close()
 		return nil, err
 	}
-	if err := r.untilListed(ctx); err != nil {
+	if err := r.waitListed(ctx); err != nil {
 		r.Close()
 		return nil, err
 	}
 	return r, nil
 }
 
-// untilListed waits until every instance has seen every other one in the
-// membership list, so that owners do not move for that reason alone.
-func (r *Rig) untilListed(ctx context.Context) error {
+// waitListed waits until every instance knows all others, so that no shard changes
+// its owner because instances discover each other.
+func (r *Rig) waitListed(ctx context.Context) error {
 	for _, p := range r.Instances {
-		err := r.Until(ctx, "the members at "+p.ID, func() bool { return r.peersOf(ctx, p) >= len(r.Instances) })
+		err := r.WaitUntil(ctx, "all members at "+p.ID, func() bool { return r.peerCount(ctx, p) >= len(r.Instances) })
 		if err != nil {
 			return err
 		}
@@ -90,8 +89,8 @@
 	return nil
 }
 
-// peersOf is the number of instances that an instance knows, itself included.
-func (r *Rig) peersOf(ctx context.Context, p *testkit.Process) int {
+// peerCount returns the number of instances that p knows, itself included.
+func (r *Rig) peerCount(ctx context.Context, p *testkit.Process) int {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct{ Peers []struct{ ID string } }
 	if err != nil || json.Unmarshal(answer.Body, &state) != nil {
@@ -100,19 +99,19 @@
 	return len(state.Peers)
 }
 
-// Close ends everything.
+// Close stops the instances, the stand-ins and the relays.
 func (r *Rig) Close() {
 	r.Cluster.Close()
 	r.Net.Close()
 }
 
-// newRand makes a generator that depends on the seed and a name alone.
+// newRand returns a generator that is determined by the seed and the name.
 func newRand(seed uint64, name string) *rand.Rand {
-	var second uint64
+	var hash uint64
 	for _, c := range []byte(name) {
-		second = second*131 + uint64(c)
+		hash = hash*131 + uint64(c)
 	}
-	return rand.New(rand.NewPCG(seed, second))
+	return rand.New(rand.NewPCG(seed, hash))
 }
 
 func (r *Rig) newRand() *rand.Rand {
@@ -121,68 +120,68 @@
 	return rand.New(rand.NewPCG(r.rng.Uint64(), r.rng.Uint64()))
 }
 
-// pick chooses an instance as a balancer does, another than the one given if
-// there is one: whoever got no answer tries elsewhere.
-func (r *Rig) pick(rng *rand.Rand, other string) door {
+// pickEndpoint picks a random instance as a balancer does, other than the excluded
+// one if there is another.
+func (r *Rig) pickEndpoint(rng *rand.Rand, excluded string) endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	choices := slices.DeleteFunc(slices.Clone(r.doors), func(d door) bool { return d.id == other })
-	if len(choices) == 0 {
-		choices = r.doors
+	candidates := slices.DeleteFunc(slices.Clone(r.endpoints), func(d endpoint) bool { return d.id == excluded })
+	if len(candidates) == 0 {
+		candidates = r.endpoints
 	}
-	return choices[rng.IntN(len(choices))]
+	return candidates[rng.IntN(len(candidates))]
 }
 
-// doorOf gives an instance as callers see it.
-func doorOf(p *testkit.Process) door { return door{p.ID, p.Server} }
+func endpointOf(p *testkit.Process) endpoint { return endpoint{p.ID, p.Server} }
 
-// setDoors replaces the instances that the balancer offers.
-func (r *Rig) setDoors(doors ...door) {
+// setEndpoints replaces the instances in the balancer.
+func (r *Rig) setEndpoints(doors ...endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doors = doors
+	r.endpoints = doors
 }
 
-func (r *Rig) openDoor(p *testkit.Process) {
+func (r *Rig) addEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doors = append(r.doors, doorOf(p))
+	r.endpoints = append(r.endpoints, endpointOf(p))
 }
 
-// closeDoor takes an instance off the balancer, unless it is the last.
-func (r *Rig) closeDoor(p *testkit.Process) {
+// removeEndpoint removes an instance from the balancer, unless it is the last.
+func (r *Rig) removeEndpoint(p *testkit.Process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var left []door
-	for _, d := range r.doors {
+	var remaining []endpoint
+	for _, d := range r.endpoints {
 		if d.id != p.ID {
-			left = append(left, d)
+			remaining = append(remaining, d)
 		}
 	}
-	if len(left) > 0 {
-		r.doors = left
+	if len(remaining) > 0 {
+		r.endpoints = remaining
 	}
 }
 
-// Until polls a condition.
-func (r *Rig) Until(ctx context.Context, what string, met func() bool) error {
+// WaitUntil polls until the condition holds.
+func (r *Rig) WaitUntil(ctx context.Context, condition string, holds func() bool) error {
 	err := testkit.Poll(ctx, func() error {
-		if met() {
+		if holds() {
 			return nil
 		}
-		return errors.Newf("waiting for %s", what)
+		return errors.Newf("waiting for %s", condition)
 	})
 	return err
 }
 
-// UntilAnswered waits until callers got so many more answers.
-func (r *Rig) UntilAnswered(ctx context.Context, more int) error {
+// WaitAnswered waits until callers have received the given number of further
+// answers.
+func (r *Rig) WaitAnswered(ctx context.Context, more int) error {
 	want := r.History.Answered() + more
-	return r.Until(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
+	return r.WaitUntil(ctx, fmt.Sprintf("%d answers", want), func() bool { return r.History.Answered() >= want })
 }
 
-// stream gives the retained records of a log stream; none during an outage.
-func (r *Rig) stream(name string) []wire.LogRecord {
+// readStream returns the retained records of a log stream; none during an outage.
+func (r *Rig) readStream(name string) []wire.LogRecord {
 	const all = 1 << 30
 	info, err := r.Log.Info(name)
 	if err != nil {
@@ -195,28 +194,29 @@
 	return reply.Records
 }
 
-// shardStream is the journal stream of a program.
+// shardStream returns the journal stream of a program's shard.
 func shardStream(program string) string {
 	id := structs.ProgramID(program)
 	region, _, _ := id.Parse()
-	return structs.ShardRef{Region: region, Shard: structs.ShardOf(id, shards)}.Stream()
+	return structs.ShardRef{Region: region, Shard: structs.ShardOf(id, shardCount)}.Stream()
 }
 
-// OwnerOf finds the process whose claim of the program's shard is the newest in
-// the log, nil if it has ended.
+// OwnerOf returns the instance with the newest claim of the program's shard in the
+// log, nil if it has ended.
 func (r *Rig) OwnerOf(program string) *testkit.Process {
-	return r.process(string(ownerInLog(r.stream(shardStream(program)))))
+	return r.process(string(ownerInLog(r.readStream(shardStream(program)))))
 }
 
-// ownerSaid gives the process that the instances name as the program's owner,
-// nil if none does: the log may have dropped the claim.
-func (r *Rig) ownerSaid(ctx context.Context, program string) *testkit.Process {
-	return r.ownerSaidBy(ctx, r.random(), program)
+// reportedOwner returns the owner of a program as a random instance reports it, nil
+// if it reports none. Unlike OwnerOf it works when the log has dropped the claim.
+func (r *Rig) reportedOwner(ctx context.Context, program string) *testkit.Process {
+	return r.ownerReportedBy(ctx, r.randomInstance(), program)
 }
 
-// ownerSaidBy gives the process that one instance names as the program's owner.
-func (r *Rig) ownerSaidBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
-	answer, err := testkit.NewClient(p.Server, r.key).
+// ownerReportedBy returns the owner of a program as p reports it, nil if it reports
+// none.
+func (r *Rig) ownerReportedBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
+	answer, err := testkit.NewClient(p.Server, r.callerKey).
 		Do(ctx, http.MethodGet, programsRoute+"/"+program, nil, testkit.Call{})
 	var view struct {
 		Owner string `json:"owner"`
@@ -238,38 +238,36 @@
 	return nil
 }
 
-// others lists the processes but one.
-func (r *Rig) others(than *testkit.Process) []*testkit.Process {
+// instancesExcept returns the instances without the excluded one, all if it is nil.
+func (r *Rig) instancesExcept(excluded *testkit.Process) []*testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []*testkit.Process
 	for _, p := range r.Instances {
-		if p != than {
+		if p != excluded {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-// random picks a process.
-func (r *Rig) random() *testkit.Process {
+func (r *Rig) randomInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Instances[r.rng.IntN(len(r.Instances))]
 }
 
-// hold lets a fault last.
-func (r *Rig) hold(ctx context.Context, d time.Duration) { delay.Sleep(ctx, d) }
+func (r *Rig) sleep(ctx context.Context, d time.Duration) { delay.Sleep(ctx, d) }
 
-// fault counts a fault.
-func (r *Rig) fault() {
+func (r *Rig) countFault() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
+	r.faultCount++
 }
 
-// collect reads the evidence.
-func (r *Rig) collect(ctx context.Context) Evidence {
+// collectEvidence reads the evidence from the stand-ins, the history and the
+// instances.
+func (r *Rig) collectEvidence(ctx context.Context) Evidence {
 	e := Evidence{
 		Engines: map[string][]wire.LedgerEntry{}, Services: map[string][]wire.LedgerEntry{},
 		Caches: map[string]wire.CacheState{}, Log: map[string][]wire.LogRecord{}, Dropped: map[string]bool{},
@@ -283,13 +281,13 @@
 		e.Services[id] = target.Ledger().Entries()
 	}
 	for name := range maps.Keys(r.Log.Stats().Streams) {
-		e.Log[name] = r.stream(name)
+		e.Log[name] = r.readStream(name)
 		info, err := r.Log.Info(name)
 		e.Dropped[name] = err != nil || info.First > 0
 	}
 	r.mu.Lock()
-	for _, d := range r.disturbed {
-		e.Disturbed = append(e.Disturbed, *d)
+	for _, d := range r.faultWindows {
+		e.FaultWindows = append(e.FaultWindows, *d)
 	}
 	e.Leaving = append(e.Leaving, r.leaving...)
 	r.mu.Unlock()
@@ -299,12 +297,12 @@
 	return e
 }
 
-// untilReleased waits until no engine holds cache of a program that is gone.
-// The checker judges what is left when the time is over.
-func (r *Rig) untilReleased(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, releaseLimit)
+// waitReleased waits until no engine holds cache of a closed program, for
+// releaseTimeout at most. Check reports what is still held then.
+func (r *Rig) waitReleased(ctx context.Context) {
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_ = r.Until(limited, "released caches", func() bool {
+	_ = r.WaitUntil(limited, "released caches", func() bool {
 		_, programs := r.History.snapshot()
 		e := Evidence{Programs: programs, Caches: map[string]wire.CacheState{}}
 		for id, target := range r.Engines {
@@ -314,17 +312,17 @@
 	})
 }
 
-// releaseLimit bounds the wait for the release of cache; the product repeats
-// a release up to every 30 s.
-const releaseLimit = 40 * time.Second
+// releaseTimeout exceeds the longest interval between two attempts of an instance
+// to release cache, 30 s.
+const releaseTimeout = 40 * time.Second
 
-// operatorAt gives the client of the root operator at an instance.
+// operatorAt returns a client of the root operator at an instance.
 func operatorAt(p *testkit.Process) *testkit.Client {
 	return testkit.NewClient(p.Server, testkit.RootKey)
 }
 
-// ready tells whether an instance says that it takes traffic.
-func ready(ctx context.Context, p *testkit.Process) bool {
+// isReady reports whether the readiness probe of an instance succeeds.
+func isReady(ctx context.Context, p *testkit.Process) bool {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/readyz", nil, testkit.Call{})
 	return err == nil && answer.Status == http.StatusOK
 }
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -14,38 +14,38 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// scenarioLimit bounds one scenario with its start and its end.
-const scenarioLimit = 150 * time.Second
+// scenarioTimeout bounds a scenario, including its start.
+const scenarioTimeout = 150 * time.Second
 
-// Scenario is a set of instances under load and faults.
+// Scenario describes a cluster with its load and faults.
 type Scenario struct {
 	Name string
-	// Description names what the scenario is about.
+	// Description is what the scenario tests.
 	Description string
 	Instances   int
-	// Quick scenarios are run by the Go test of the package.
+	// Quick scenarios are run by the package's Go test.
 	Quick bool
 	// Relayed puts relays between the instances and in front of the log.
 	Relayed bool
-	// Budget is the budget of each program; its settings are made from it.
+	// Budget is the budget of each program. It is published as settings.
 	Budget Program
-	// TeamFees is the budget of all programs together, likewise.
+	// TeamFees is the budget of all programs together, also published as a
+	// setting; unlimited if 0.
 	TeamFees int64
-	// Settings are further settings, by path.
+	// Settings holds additional settings by path.
 	Settings map[string]any
-	// Env are further environment variables of the instances, NAME=value.
+	// Env holds additional environment variables of the instances, NAME=value.
 	Env []string
-	// Standins changes the usual stand-ins.
+	// Standins modifies the default settings of the stand-ins.
 	Standins func(*cluster.Settings)
-	// AllAnswered tells that nothing excuses a refusal: every call must be
-	// answered.
-	AllAnswered bool
-	// Run brings about the load and the faults. It returns once the load has
+	// RequireAnswers reports each call that is not answered as a violation.
+	RequireAnswers bool
+	// Run generates the load and injects the faults. It returns once the load has
 	// ended.
 	Run func(ctx context.Context, r *Rig) error
 }
 
-// settings gives the scenario's settings with those of its budget.
+// settings returns the scenario's settings, including those of the budgets.
 func (s Scenario) settings() map[string]any {
 	settings := make(map[string]any, len(s.Settings))
 	for path, value := range s.Settings {
@@ -71,28 +71,29 @@
 	Faults   int
 	Took     time.Duration
 	Verdict
-	// EvidenceDir is the directory of the evidence of a failed scenario.
+	// EvidenceDir is the directory that the evidence was written to, if any.
 	EvidenceDir string
 }
 
-// OK tells whether nothing was violated.
+// OK reports whether there are no violations.
 func (r Result) OK() bool { return len(r.Violations) == 0 }
 
-// EvidenceConfig tells where the evidence of a scenario goes.
+// EvidenceConfig configures where the evidence of scenarios is written.
 type EvidenceConfig struct {
-	// Dir is the directory; empty keeps nothing.
+	// Dir is the parent directory. Nothing is written if it is empty.
 	Dir string
-	// Always keeps also that of a scenario that violated nothing.
+	// Always writes the evidence of scenarios without violations, too.
 	Always bool
 }
 
-// Run runs one scenario. Its load and the drawn faults depend on the seed.
+// Run runs a scenario and checks its evidence. The seed determines the load and the
+// random faults.
 func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
 	started := time.Now()
-	limited, cancel := context.WithTimeout(ctx, scenarioLimit)
+	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
 	result := Result{Scenario: s, Seed: seed}
-	rig, err := start(limited, binary, s, seed)
+	rig, err := startRig(limited, binary, s, seed)
 	if err != nil {
 		result.Violations = []Violation{violation(PropertyScenario, "%v", err)}
 		return result
@@ -100,38 +101,39 @@
 	defer rig.Close()
 	err = s.Run(limited, rig)
 	rig.Log.SetFaults(wire.LogFaults{})
-	rig.untilReleased(limited)
-	evidence := rig.collect(ctx)
+	rig.waitReleased(limited)
+	evidence := rig.collectEvidence(ctx)
 	evidence.TeamFees = s.TeamFees
 	result.Verdict = Check(evidence)
 	if err != nil {
 		result.Violations = append(result.Violations, violation(PropertyScenario, "%v", err))
 	}
-	if s.AllAnswered {
-		result.Violations = append(result.Violations, refusals(evidence)...)
+	if s.RequireAnswers {
+		result.Violations = append(result.Violations, unanswered(evidence)...)
 	}
-	result.Faults = rig.faults
+	result.Faults = rig.faultCount
 	result.Took = time.Since(started)
 	if keep.Dir != "" && (keep.Always || !result.OK()) {
-		result.EvidenceDir = keepEvidence(keep.Dir, rig, evidence, result)
+		result.EvidenceDir = writeEvidence(keep.Dir, rig, evidence, result)
 	}
 	return result
 }
 
-// refusals lists the calls that were not answered.
-func refusals(e Evidence) []Violation {
+// unanswered returns a violation for each call that was not answered.
+func unanswered(e Evidence) []Violation {
 	var found []Violation
 	for _, c := range e.Calls {
-		if !c.lastWord().whole() {
+		if !c.finalOutcome().answered() {
 			found = append(found, violation(PropertyScenario, "%s was not answered: %s", c.name(), describeAttempts(c)))
 		}
 	}
 	return found
 }
 
-// keepEvidence writes the logs of the instances, what the callers saw and the
-// violations.
-func keepEvidence(parent string, rig *Rig, e Evidence, result Result) string {
+// writeEvidence writes the logs of the instances, the history, the journal and the
+// violations to a directory named after the scenario. It returns the directory, or
+// the text of an error.
+func writeEvidence(parent string, rig *Rig, e Evidence, result Result) string {
 	dir := filepath.Join(parent, result.Scenario.Name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err.Error()
@@ -139,7 +141,7 @@
 	write := func(name, text string) {
 		_ = os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644)
 	}
-	for _, p := range append(rig.ended, rig.Instances...) {
+	for _, p := range append(rig.removed, rig.Instances...) {
 		write(p.ID+".log", p.Log())
 	}
 	write("history.txt", describeEvidence(e))
@@ -152,7 +154,8 @@
 	return dir
 }
 
-// Find gives the scenarios of the given names, all if there are none.
+// Find returns the scenarios with the given names, all scenarios if there are no
+// names.
 func Find(names []string) ([]Scenario, error) {
 	all := All()
 	if len(names) == 0 {
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -17,9 +17,9 @@
 
 const (
 	modelPath = "services/" + testkit.ModelService
-	// versionPath is the setting that orders an engine's version.
+	// versionPath is the setting of the version that the engines are to have.
 	versionPath = modelPath + "/orders/version"
-	// phaseHolding is the phase of an instance that gives orders, in its dump.
+	// phaseHolding is the phase of the controller in its state dump.
 	phaseHolding = "holding"
 )
 
@@ -32,45 +32,45 @@
 	}
 }
 
-// runOrders pauses the controller of the engines as soon as a change of their
-// version is accepted, waits until another one has brought the change into
-// force, and lets the first go on.
+// runOrders pauses the controller of the engines right after a change of their
+// version is accepted, waits until another controller has applied the next change,
+// and resumes the first one.
 func runOrders(ctx context.Context, r *Rig) error {
-	// Under load the others notice that the controller is silent.
+	// The other instances detect an unresponsive controller only under load.
 	l := r.StartLoad(ctx, 2, 0)
-	err := r.orderAcrossPause(ctx)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.publishAcrossPause(ctx)
+	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) orderAcrossPause(ctx context.Context) error {
-	if err := r.order(ctx, 1); err != nil {
+func (r *Rig) publishAcrossPause(ctx context.Context) error {
+	if err := r.publishVersion(ctx, 1); err != nil {
 		return err
 	}
-	if err := r.untilVersion(ctx, 1); err != nil {
+	if err := r.waitEngineVersion(ctx, 1); err != nil {
 		return err
 	}
 	controller, err := r.controller(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.order(ctx, 2); err != nil {
+	if err := r.publishVersion(ctx, 2); err != nil {
 		return err
 	}
 	resume, err := r.Pause(controller)
 	if err != nil {
 		return err
 	}
-	if err := r.order(ctx, 3); err != nil {
+	if err := r.publishVersion(ctx, 3); err != nil {
 		return errors.CombineErrors(err, resume())
 	}
-	err = errors.CombineErrors(r.untilVersion(ctx, 3), resume())
-	r.hold(ctx, longPause)
-	return errors.CombineErrors(err, r.untilVersion(ctx, 3))
+	err = errors.CombineErrors(r.waitEngineVersion(ctx, 3), resume())
+	r.sleep(ctx, longPause)
+	return errors.CombineErrors(err, r.waitEngineVersion(ctx, 3))
 }
 
-// order publishes the version that the engines shall have.
-func (r *Rig) order(ctx context.Context, number int) error {
-	at := r.doorProcess()
+// publishVersion publishes the version that the engines are to have.
+func (r *Rig) publishVersion(ctx context.Context, number int) error {
+	at := r.unaffectedInstance()
 	now, _ := r.setting(ctx, at, versionPath)
 	change := r.propose(ctx, at, versionPath, now.Version, strconv.Quote("v"+strconv.Itoa(number)))
 	if !change.Accepted {
@@ -79,29 +79,30 @@
 	return nil
 }
 
-// doorProcess gives an instance that no fault touches.
-func (r *Rig) doorProcess() *testkit.Process {
+// unaffectedInstance returns an instance that was never killed or paused, the first
+// one if there is none.
+func (r *Rig) unaffectedInstance() *testkit.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.Instances {
-		touched := false
-		for _, d := range r.disturbed {
-			touched = touched || d.Instance == p.ID
+		affected := false
+		for _, d := range r.faultWindows {
+			affected = affected || d.Instance == p.ID
 		}
-		if !touched {
+		if !affected {
 			return p
 		}
 	}
 	return r.Instances[0]
 }
 
-// controller finds the instance that gives orders to the engines. It only aims
-// the fault, so that the instances' own word will do.
+// controller returns the instance that gives orders to the engines. It relies on
+// the instances' own reports, since it only selects where the fault is injected.
 func (r *Rig) controller(ctx context.Context) (*testkit.Process, error) {
 	var found *testkit.Process
-	err := r.Until(ctx, "a controller", func() bool {
-		for _, p := range r.others(nil) {
-			if r.holds(ctx, p) {
+	err := r.WaitUntil(ctx, "a controller", func() bool {
+		for _, p := range r.instancesExcept(nil) {
+			if r.isController(ctx, p) {
 				found = p
 			}
 		}
@@ -110,7 +111,7 @@
 	return found, err
 }
 
-func (r *Rig) holds(ctx context.Context, p *testkit.Process) bool {
+func (r *Rig) isController(ctx context.Context, p *testkit.Process) bool {
 	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct {
 		Orders struct {
@@ -128,10 +129,10 @@
 	return false
 }
 
-// untilVersion waits until all engines have a version.
-func (r *Rig) untilVersion(ctx context.Context, number int) error {
+// waitEngineVersion waits until all engines have the given version.
+func (r *Rig) waitEngineVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
-	return r.Until(ctx, "version "+want+" at all engines", func() bool {
+	return r.WaitUntil(ctx, "version "+want+" at all engines", func() bool {
 		for _, m := range r.Ready().Targets {
 			var state wire.OrderState
 			if m.Service == testkit.ModelService && (!getJSON(ctx, m.Address+wire.OrdersRoute, &state) || state.Version != want) {
@@ -142,7 +143,7 @@
 	})
 }
 
-// appliedOrders reads what each engine applied.
+// appliedOrders returns the orders that each engine applied, in sequence.
 func (r *Rig) appliedOrders(ctx context.Context) map[string][]wire.Order {
 	applied := make(map[string][]wire.Order)
 	for _, m := range r.Ready().Targets {
@@ -154,19 +155,19 @@
 	return applied
 }
 
-// getJSON reads a value from a target.
+// getJSON reads a JSON value from a target and reports whether that succeeded.
 func getJSON(ctx context.Context, address string, value any) bool {
-	const limit = 2 * time.Second
-	limited, cancel := context.WithTimeout(ctx, limit)
+	const timeout = 2 * time.Second
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(limited, http.MethodGet, address, nil)
+	req, err := http.NewRequestWithContext(limited, http.MethodGet, address, nil)
 	if err != nil {
 		return false
 	}
-	reply, err := http.DefaultClient.Do(request)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = reply.Body.Close() }()
-	return reply.StatusCode == http.StatusOK && json.NewDecoder(reply.Body).Decode(value) == nil
+	defer func() { _ = resp.Body.Close() }()
+	return resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(value) == nil
 }
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -15,13 +15,13 @@
 
 func targetScenarios() []Scenario {
 	return []Scenario{
-		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
+		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: typicalBudget, Run: runTargetFaults},
 		{Name: "target-leaving", Description: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
 		{Name: "late-answer", Description: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
 	}
 }
 
-// targetsOf lists the targets of a service in order of name.
+// targetsOf returns the targets of a service, ordered by ID.
 func (r *Rig) targetsOf(service string) []string {
 	var ids []string
 	for _, id := range slices.Concat(slices.Collect(maps.Keys(r.Engines)), slices.Collect(maps.Keys(r.Services))) {
@@ -36,57 +36,56 @@
 var everyService = []string{testkit.ModelService, testkit.ToolService, testkit.FilingService}
 
 func runTargetFaults(ctx context.Context, r *Rig) error {
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for round, faults := range []wire.ServiceFaults{
 		{DropReplies: 4}, {FailNext: 4}, {Hang: true}, {Slow: 20}, {DropReplies: 4, Slow: 5},
 	} {
-		if err := r.UntilAnswered(ctx, someAnswers); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+		if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
+			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
 			targets := r.targetsOf(service)
-			r.SetTarget(targets[round%len(targets)], faults)
+			r.SetTargetFaults(targets[round%len(targets)], faults)
 		}
 		if faults.Hang {
-			r.hold(ctx, attemptDeadline/2)
+			r.sleep(ctx, attemptDeadline/2)
 		}
-		err := r.UntilAnswered(ctx, someAnswers/2)
+		err := r.WaitAnswered(ctx, answersPerFault/2)
 		for _, service := range everyService {
 			targets := r.targetsOf(service)
-			r.SetTarget(targets[round%len(targets)], wire.ServiceFaults{})
+			r.SetTargetFaults(targets[round%len(targets)], wire.ServiceFaults{})
 		}
 		if err != nil {
-			return errors.CombineErrors(err, l.Finish())
+			return errors.CombineErrors(err, l.Stop())
 		}
 	}
-	err := r.UntilAnswered(ctx, someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, answersPerFault)
+	return errors.CombineErrors(err, l.Stop())
 }
 
-// leavingWithin is the time after which a leaving target may get nothing: the
-// lag of the membership list, the time between two reads of it, and some slack.
+// leavingWithin is the grace period of a leaving target. It covers the lag of the
+// membership list, the interval between two reads of it, and some slack.
 const leavingWithin = 4 * time.Second
 
 func runTargetLeaving(ctx context.Context, r *Rig) error {
 	const lagMS = 500
-	r.SetMembers(wire.MemberFaults{LagMS: lagMS})
-	l := r.StartLoad(ctx, usualPrograms, 0)
+	r.SetMemberFaults(wire.MemberFaults{LagMS: lagMS})
+	l := r.StartLoad(ctx, typicalPrograms, 0)
 	for i := range 2 {
-		if err := r.UntilAnswered(ctx, someAnswers); err != nil {
-			return errors.CombineErrors(err, l.Finish())
+		if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
+			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
-			r.Leave(r.targetsOf(service)[i], leavingWithin)
+			r.MarkLeaving(r.targetsOf(service)[i], leavingWithin)
 		}
-		r.hold(ctx, leavingWithin)
+		r.sleep(ctx, leavingWithin)
 	}
-	err := r.UntilAnswered(ctx, 2*someAnswers)
-	return errors.CombineErrors(err, l.Finish())
+	err := r.WaitAnswered(ctx, 2*answersPerFault)
+	return errors.CombineErrors(err, l.Stop())
 }
 
-// runLateAnswer gives calls a deadline that ends before their run does. Their
-// answers come late: they reach the one who asks again with the same key, and
-// nobody else.
+// runLateAnswer makes calls whose deadline passes while they run. Their late answers
+// must be returned only to retries with the same key.
 func runLateAnswer(ctx context.Context, r *Rig) error {
 	const runTime, deadline = 5 * time.Second, 2 * time.Second
 	a, err := r.newAgent(ctx, r.newRand())
@@ -98,18 +97,18 @@
 	for _, q := range []request{filing, tool} {
 		r.History.addCall(q.call)
 		q.deadline = deadline
-		if got := r.retry(ctx, a.rng, q, 0); got.Word != Unknown {
-			return errors.Newf("a call given up while it ran got %s %s", got.Word, got.Reason)
+		if got := r.retry(ctx, a.rng, q, 0); got.Outcome != Unknown {
+			return errors.Newf("a call past its deadline got %s %s", got.Outcome, got.Reason)
 		}
 	}
-	if got := a.chat(ctx, 20, true); !got.Word.whole() {
-		return errors.Newf("the next call got %s %s", got.Word, got.Reason)
+	if got := a.chat(ctx, 20, true); !got.Outcome.answered() {
+		return errors.Newf("the next call got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, filing, patience); !got.Word.whole() && got.Word != Unknown {
-		return errors.Newf("the filing again got %s %s", got.Word, got.Reason)
+	if got := r.retry(ctx, a.rng, filing, retryTimeout); !got.Outcome.answered() && got.Outcome != Unknown {
+		return errors.Newf("the filing again got %s %s", got.Outcome, got.Reason)
 	}
-	if got := r.retry(ctx, a.rng, tool, patience); !got.Word.whole() {
-		return errors.Newf("the repeatable call again got %s %s", got.Word, got.Reason)
+	if got := r.retry(ctx, a.rng, tool, retryTimeout); !got.Outcome.answered() {
+		return errors.Newf("the retried repeatable call got %s %s", got.Outcome, got.Reason)
 	}
-	return a.goOn(ctx)
+	return a.verifyUsable(ctx)
 }
