--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -23,8 +23,8 @@
 func TestAloneMatchesTheModel(t *testing.T) {
 	o := small()
 	spec := &Program{ID: "p", Team: "a", Chain: Chain{
-		{Input: 1500, Output: 40, Pause: time.Second}, {Input: 300, Output: 20, Pause: time.Second},
-		{Input: 10, Output: 5},
+		{InputTokens: 1500, OutputTokens: 40, Pause: time.Second}, {InputTokens: 300, OutputTokens: 20, Pause: time.Second},
+		{InputTokens: 10, OutputTokens: 5},
 	}}
 	d := newDriver(o, Workload{}, structs.DefaultRules(), 1)
 	sample := d.run([]*Program{spec})
--- a/internal/bench/driver.go
+++ b/internal/bench/driver.go
@@ -92,7 +92,7 @@
 
 // repeat does something at each load report interval while programs are open.
 func (d *driver) repeat(do func()) {
-	d.clock.after(d.options.LoadEvery, func() {
+	d.clock.after(d.options.LoadInterval, func() {
 		do()
 		if d.open > 0 {
 			d.repeat(do)
@@ -107,7 +107,7 @@
 	for _, command := range d.dispatcher.Tick(d.wall(), events) {
 		switch c := command.(type) {
 		case structs.SendPeer:
-			d.clock.after(d.options.Hop, func() { d.ownerGets(c.Msg) })
+			d.clock.after(d.options.HopDelay, func() { d.ownerGets(c.Msg) })
 		case structs.ReleaseCache:
 			d.byTarget[c.Target.ID].release(c.Program)
 		}
@@ -135,7 +135,7 @@
 
 // toDispatcher sends a message of the owner.
 func (d *driver) toDispatcher(msg structs.Message) {
-	d.clock.after(d.options.Hop, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
+	d.clock.after(d.options.HopDelay, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
 }
 
 // ownerGets handles a message of the dispatcher as an owner does.
@@ -146,7 +146,7 @@
 		c.target = m.Target.ID
 		c.granted = d.clock.now
 		c.program.enter(d.byTarget[c.target])
-		d.clock.after(d.options.Hop, func() { d.byTarget[c.target].submit(c) })
+		d.clock.after(d.options.HopDelay, func() { d.byTarget[c.target].submit(c) })
 	case *structs.PermitRefuse:
 		d.refused(d.calls[m.Ref.Run], m)
 	}
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -18,32 +18,32 @@
 	Seeds []uint64
 	// Runners is the number of engines.
 	Runners int
-	// Load multiplies the arrival rate of the workloads.
-	Load float64
+	// LoadFactor multiplies the arrival rate of the workloads.
+	LoadFactor float64
 	// Duration is the time in which programs arrive, and Warmup its part
 	// that is not measured.
 	Duration, Warmup time.Duration
-	// Hop is the delay of one message.
-	Hop time.Duration
+	// HopDelay is the delay of one message.
+	HopDelay time.Duration
 	// Engine is the model of the engines.
 	Engine engine.ModelSettings
 	// Settings for the faults of the engines' reports.
-	LoadEvery, LoadLag, CacheLag time.Duration
-	// CacheLoss is the share of cache event pages that are lost, and
-	// CacheRepeat of those that come twice.
-	CacheLoss, CacheRepeat float64
+	LoadInterval, LoadLag, CacheLag time.Duration
+	// CacheLossRate is the share of cache event pages that are lost, and
+	// CacheDuplicateRate of those that come twice.
+	CacheLossRate, CacheDuplicateRate float64
 	// Parallel is the number of runs at a time.
 	Parallel int
-	// JSON is the file for the figures, empty for none.
-	JSON string
+	// JSONFile is the file for the figures, empty for none.
+	JSONFile string
 }
 
 // DefaultOptions are the options of the reported figures, but for the seeds.
 func DefaultOptions() Options {
 	return Options{
-		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, Load: 1,
+		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, LoadFactor: 1,
 		Duration: 150 * time.Second, Warmup: 30 * time.Second,
-		Hop: 1500 * time.Microsecond,
+		HopDelay: 1500 * time.Microsecond,
 		Engine: engine.ModelSettings{
 			Slots: engine.DefaultSlots, StepBase: engine.DefaultStepBase,
 			StepPerSequence:     engine.DefaultStepPerSequence,
@@ -51,8 +51,8 @@
 			PrefillChunk:        engine.DefaultPrefillChunk,
 			CacheCapacity:       engine.DefaultCacheCapacity,
 		},
-		LoadEvery: 200 * time.Millisecond, LoadLag: 300 * time.Millisecond,
-		CacheLag: 300 * time.Millisecond, CacheLoss: 0.05, CacheRepeat: 0.05,
+		LoadInterval: 200 * time.Millisecond, LoadLag: 300 * time.Millisecond,
+		CacheLag: 300 * time.Millisecond, CacheLossRate: 0.05, CacheDuplicateRate: 0.05,
 		Parallel: 4,
 	}
 }
--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -45,13 +45,13 @@
 	usage                      structs.Usage
 }
 
-func (c *liveCall) prompt() int { return c.program.spec.Shared + c.context + c.step.Input }
+func (c *liveCall) prompt() int { return c.program.spec.SharedTokens + c.context + c.step.InputTokens }
 
 func (c *liveCall) engineRequest() engine.Request {
 	return engine.Request{
 		ID: string(c.run), Program: string(c.program.spec.ID),
-		SharedKey: c.sharedKey(), SharedTokens: c.program.spec.Shared,
-		PromptTokens: c.prompt(), OutputTokens: c.step.Output,
+		SharedKey: c.sharedKey(), SharedTokens: c.program.spec.SharedTokens,
+		PromptTokens: c.prompt(), OutputTokens: c.step.OutputTokens,
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	step, rest := chain[0], chain[1:]
 	d.call(p, step, context, func() {
-		grown := context + step.Input + step.Output
+		grown := context + step.InputTokens + step.OutputTokens
 		d.runAgents(p, step.Agents, grown, func() {
 			if len(rest) == 0 {
 				then(grown)
@@ -123,7 +123,7 @@
 		Served: p.served, Age: age, Slack: p.spec.Deadline - age, HasDeadline: p.spec.Deadline > 0,
 		Turns: p.turns, Attempt: c.attempt, Remaining: timeout,
 		PromptTokens: int64(c.prompt()), MaxTokens: 4096,
-		SharedKey: c.sharedKey(), SharedTokens: int64(p.spec.Shared),
+		SharedKey: c.sharedKey(), SharedTokens: int64(p.spec.SharedTokens),
 	})
 }
 
@@ -181,7 +181,7 @@
 	p.left = true
 	d.figures.program(d, p)
 	wait := closeDelay
-	if p.spec.Dies {
+	if p.spec.Abandoned {
 		wait = idleTimeout
 	}
 	d.clock.after(wait, func() {
--- a/internal/bench/program.go
+++ b/internal/bench/program.go
@@ -8,9 +8,9 @@
 
 // Step is one call of a chain and what follows it.
 type Step struct {
-	// Input is the number of prompt tokens new in this call and Output the
+	// InputTokens is the number of prompt tokens new in this call and Output the
 	// number of tokens of the answer.
-	Input, Output int
+	InputTokens, OutputTokens int
 	// Pause is the time until the chain's next call.
 	Pause time.Duration
 	// Agents are sub-agents that run at once after the call; the next call
@@ -23,32 +23,32 @@
 
 // Program is one synthetic program.
 type Program struct {
-	ID       structs.ProgramID
-	Team     structs.Team
-	Arrival  time.Duration
-	Shared   int
-	Chain    Chain
-	Priority int
-	Weight   float64
+	ID           structs.ProgramID
+	Team         structs.Team
+	Arrival      time.Duration
+	SharedTokens int
+	Chain        Chain
+	Priority     int
+	Weight       float64
 	// Deadline is the wanted latency, 0 for none.
 	Deadline time.Duration
 	// CallTimeout bounds each call.
 	CallTimeout time.Duration
-	// Dies marks a program that never returns after its chain; its owner
+	// Abandoned marks a program that never returns after its chain; its owner
 	// closes it only after the idle timeout.
-	Dies bool
-	// Loops marks a program that the loop check closes; it counts as load
+	Abandoned bool
+	// Looping marks a program that the loop check closes; it counts as load
 	// but not in the latencies.
-	Loops bool
+	Looping bool
 }
 
-// Counted tells whether the program's latency is measured.
-func (p *Program) Counted() bool { return !p.Dies && !p.Loops }
+// Measured tells whether the program's latency is measured.
+func (p *Program) Measured() bool { return !p.Abandoned && !p.Looping }
 
-// Alone is the program's latency on an idle system whose engines hold the
+// IdleLatency is the program's latency on an idle system whose engines hold the
 // shared prefix and all of the program's own. It is a lower bound: sub-agents
 // do not slow each other.
-func (p *Program) Alone(o Options) time.Duration {
+func (p *Program) IdleLatency(o Options) time.Duration {
 	total, _ := aloneChain(o, p.Chain, 0)
 	return total
 }
@@ -59,7 +59,7 @@
 	var total time.Duration
 	for i, step := range chain {
 		total += aloneCall(o, step)
-		context += step.Input + step.Output
+		context += step.InputTokens + step.OutputTokens
 		var longest time.Duration
 		for _, agent := range step.Agents {
 			took, _ := aloneChain(o, agent, context)
@@ -77,11 +77,11 @@
 // tokens and its answer.
 func aloneCall(o Options, step Step) time.Duration {
 	e := o.Engine
-	steps := (max(1, step.Input)+e.PrefillChunk-1)/e.PrefillChunk - 1 + step.Output
+	steps := (max(1, step.InputTokens)+e.PrefillChunk-1)/e.PrefillChunk - 1 + step.OutputTokens
 	engine := time.Duration(steps)*e.StepBase +
-		time.Duration(step.Input)*e.StepPerPrefillToken +
-		time.Duration(step.Output)*e.StepPerSequence
-	return hopsPerCall*o.Hop + engine
+		time.Duration(step.InputTokens)*e.StepPerPrefillToken +
+		time.Duration(step.OutputTokens)*e.StepPerSequence
+	return hopsPerCall*o.HopDelay + engine
 }
 
 // hopsPerCall counts the messages one after another of a call that need not
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -16,7 +16,7 @@
 // their mean and spread.
 type Result struct {
 	Workload, Variant string
-	Seeds             []Figures
+	Seeds             []Stats
 }
 
 // ErrUnknownName is returned for a workload or variant that does not exist.
@@ -31,14 +31,14 @@
 	if err := writeTable(w, o, results); err != nil {
 		return err
 	}
-	if o.JSON == "" {
+	if o.JSONFile == "" {
 		return nil
 	}
 	encoded, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return errors.Wrap(err, "encode the figures")
 	}
-	return errors.Wrap(os.WriteFile(o.JSON, encoded, 0o644), "write the figures")
+	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write the figures")
 }
 
 // Measure runs every chosen workload under every chosen variant and seed.
@@ -55,7 +55,7 @@
 	for _, workload := range workloads {
 		for _, variant := range variants {
 			results = append(results, Result{
-				Workload: workload.Name, Variant: variant.Name, Seeds: make([]Figures, len(o.Seeds)),
+				Workload: workload.Name, Variant: variant.Name, Seeds: make([]Stats, len(o.Seeds)),
 			})
 		}
 	}
@@ -102,41 +102,41 @@
 type column struct {
 	name   string
 	format string
-	value  func(Figures) float64
+	value  func(Stats) float64
 }
 
 func columns(classes []int) []column {
-	list := []column{{"mean", "%.2f", func(f Figures) float64 { return f.Mean }}}
+	list := []column{{"mean", "%.2f", func(f Stats) float64 { return f.Mean }}}
 	for _, class := range classes {
 		prefix := fmt.Sprintf("c%d ", class)
-		of := func(get func(ClassFigures) float64) func(Figures) float64 {
-			return func(f Figures) float64 { return get(f.Classes[class]) }
+		of := func(get func(ClassStats) float64) func(Stats) float64 {
+			return func(f Stats) float64 { return get(f.Classes[class]) }
 		}
 		list = append(list,
-			column{prefix + "mean", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.Mean })},
-			column{prefix + "p50", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P50 })},
-			column{prefix + "p95", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P95 })},
-			column{prefix + "p99", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P99 })},
-			column{prefix + "max", "%.1f", of(func(c ClassFigures) float64 { return c.Slowdown.Max })},
-			column{prefix + "lat mean s", "%.2f", of(func(c ClassFigures) float64 { return c.Latency.Mean })},
-			column{prefix + "lat p50 s", "%.2f", of(func(c ClassFigures) float64 { return c.Latency.P50 })},
-			column{prefix + "lat p95 s", "%.1f", of(func(c ClassFigures) float64 { return c.Latency.P95 })},
-			column{prefix + "lat p99 s", "%.1f", of(func(c ClassFigures) float64 { return c.Latency.P99 })},
+			column{prefix + "mean", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.Mean })},
+			column{prefix + "p50", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P50 })},
+			column{prefix + "p95", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P95 })},
+			column{prefix + "p99", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P99 })},
+			column{prefix + "max", "%.1f", of(func(c ClassStats) float64 { return c.Slowdown.Max })},
+			column{prefix + "lat mean s", "%.2f", of(func(c ClassStats) float64 { return c.Latency.Mean })},
+			column{prefix + "lat p50 s", "%.2f", of(func(c ClassStats) float64 { return c.Latency.P50 })},
+			column{prefix + "lat p95 s", "%.1f", of(func(c ClassStats) float64 { return c.Latency.P95 })},
+			column{prefix + "lat p99 s", "%.1f", of(func(c ClassStats) float64 { return c.Latency.P99 })},
 		)
 	}
 	return append(list,
-		column{"met %", "%.1f", func(f Figures) float64 { return 100 * f.Met }},
-		column{"prefilled %", "%.1f", func(f Figures) float64 { return 100 * f.Prefilled }},
-		column{"recomputed %", "%.1f", func(f Figures) float64 { return 100 * f.Recomputed }},
-		column{"waste gone", "%.0f", func(f Figures) float64 { return f.WasteGone }},
-		column{"waste paused", "%.0f", func(f Figures) float64 { return f.WastePaused }},
-		column{"team low", "%.2f", func(f Figures) float64 { return f.TeamLow }},
-		column{"team high", "%.2f", func(f Figures) float64 { return f.TeamHigh }},
-		column{"not sent /prog", "%.2f", func(f Figures) float64 { return f.NotSent }},
-		column{"refused %", "%.1f", func(f Figures) float64 { return 100 * f.Refused }},
-		column{"refused p50 s", "%.3f", func(f Figures) float64 { return f.RefusedMedian }},
-		column{"refused p99 s", "%.3f", func(f Figures) float64 { return f.RefusedAfter }},
-		column{"failed %", "%.1f", func(f Figures) float64 { return 100 * f.Failed }},
+		column{"met %", "%.1f", func(f Stats) float64 { return 100 * f.Met }},
+		column{"prefilled %", "%.1f", func(f Stats) float64 { return 100 * f.Prefilled }},
+		column{"recomputed %", "%.1f", func(f Stats) float64 { return 100 * f.Recomputed }},
+		column{"waste gone", "%.0f", func(f Stats) float64 { return f.WasteGone }},
+		column{"waste paused", "%.0f", func(f Stats) float64 { return f.WastePaused }},
+		column{"team low", "%.2f", func(f Stats) float64 { return f.TeamLow }},
+		column{"team high", "%.2f", func(f Stats) float64 { return f.TeamHigh }},
+		column{"not sent /prog", "%.2f", func(f Stats) float64 { return f.NotSent }},
+		column{"refused %", "%.1f", func(f Stats) float64 { return 100 * f.Refused }},
+		column{"refused p50 s", "%.3f", func(f Stats) float64 { return f.RefusedMedian }},
+		column{"refused p99 s", "%.3f", func(f Stats) float64 { return f.RefusedAfter }},
+		column{"failed %", "%.1f", func(f Stats) float64 { return 100 * f.Failed }},
 	)
 }
 
@@ -145,7 +145,7 @@
 func writeTable(w io.Writer, o Options, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "runners %d, load %.2f, arrivals %v after %v, seeds %v; mean [lowest..highest] over seeds\n",
-		o.Runners, o.Load, o.Duration, o.Warmup, o.Seeds)
+		o.Runners, o.LoadFactor, o.Duration, o.Warmup, o.Seeds)
 	for start := 0; start < len(results); {
 		end := start
 		for end < len(results) && results[end].Workload == results[start].Workload {
@@ -189,7 +189,7 @@
 	}
 }
 
-func spread(seeds []Figures, value func(Figures) float64) (mean, low, high float64) {
+func spread(seeds []Stats, value func(Stats) float64) (mean, low, high float64) {
 	for i, f := range seeds {
 		v := value(f)
 		if i == 0 {
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -22,7 +22,7 @@
 
 func (r *runner) submit(c *liveCall) {
 	if r.driver.workload.FailingRunner && r.faulty() {
-		r.driver.clock.after(r.driver.options.Hop, func() { r.driver.notSent(c) })
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.notSent(c) })
 		return
 	}
 	r.runs[string(c.run)] = c
@@ -72,8 +72,8 @@
 			CompletionTokens: int64(finished.CompletionTokens),
 		}
 		c.took = now - c.submitted
-		r.holds.used(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.Shared))
-		r.driver.clock.after(r.driver.options.Hop, func() { r.driver.answered(c) })
+		r.holds.used(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.answered(c) })
 	}
 	r.reportCache()
 	r.startStep()
@@ -86,8 +86,8 @@
 	if len(events) == 0 {
 		return
 	}
-	lost := d.random.Float64() < d.options.CacheLoss
-	repeated := d.random.Float64() < d.options.CacheRepeat
+	lost := d.random.Float64() < d.options.CacheLossRate
+	repeated := d.random.Float64() < d.options.CacheDuplicateRate
 	if lost {
 		return
 	}
@@ -105,7 +105,7 @@
 		Running: r.model.Running(), Waiting: r.model.Waiting(), Slots: r.model.Slots(),
 		CacheTokens: state.Used, CacheCapacity: state.Capacity,
 	}
-	r.holds.sample(r, state, r.driver.options.LoadEvery)
+	r.holds.sample(r, state, r.driver.options.LoadInterval)
 	r.driver.clock.after(r.driver.options.LoadLag, func() {
 		r.driver.tick(structs.TargetLoad{Target: r.target.ID, Load: load})
 	})
@@ -114,9 +114,9 @@
 // release drops a program's cache as a ReleaseCache asks.
 func (r *runner) release(program structs.ProgramID) {
 	d := r.driver
-	d.clock.after(d.options.Hop, func() {
+	d.clock.after(d.options.HopDelay, func() {
 		held := r.model.Release(string(program))
-		d.clock.after(d.options.Hop, func() {
+		d.clock.after(d.options.HopDelay, func() {
 			d.tick(structs.CacheReleased{Target: r.target.ID, Program: program, Done: held == 0})
 		})
 	})
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -14,19 +14,19 @@
 	// Slowdowns and Latencies (in seconds) are by class.
 	Slowdowns, Latencies map[int][]float64
 	// Teams are slowdowns by team.
-	Teams            map[structs.Team][]float64
-	Deadlines, Met   int
-	Programs, Failed int
-	Calls, Refused   int
+	Teams                   map[structs.Team][]float64
+	Deadlines, DeadlinesMet int
+	Programs, Failed        int
+	Calls, Refused          int
 	// NotSent counts the calls that an engine refused.
 	NotSent int
-	// RefusedAfter is the time from each request to its refusal, in
+	// RefusalDelays is the time from each request to its refusal, in
 	// seconds.
-	RefusedAfter []float64
-	// Prompt, Prefilled and Fresh are tokens: of all prompts, of those
+	RefusalDelays []float64
+	// PromptTokens, Prefilled and Fresh are tokens: of all prompts, of those
 	// processed, and of those that were new in their calls.
-	Prompt, Prefilled, Fresh int64
-	Waste                    Waste
+	PromptTokens, PrefilledTokens, NewTokens int64
+	Waste                                    Waste
 }
 
 func newSample() *Sample {
@@ -45,9 +45,9 @@
 		return
 	}
 	s.Calls++
-	s.Prompt += c.usage.PromptTokens
-	s.Prefilled += c.usage.PromptTokens - c.usage.CachedTokens
-	s.Fresh += int64(c.step.Input)
+	s.PromptTokens += c.usage.PromptTokens
+	s.PrefilledTokens += c.usage.PromptTokens - c.usage.CachedTokens
+	s.NewTokens += int64(c.step.InputTokens)
 }
 
 func (s *Sample) refuse(d *driver, c *liveCall, after time.Duration) {
@@ -55,12 +55,12 @@
 		return
 	}
 	s.Refused++
-	s.RefusedAfter = append(s.RefusedAfter, after.Seconds())
+	s.RefusalDelays = append(s.RefusalDelays, after.Seconds())
 }
 
 func (s *Sample) program(d *driver, p *liveProgram) {
 	spec := p.spec
-	if !s.measured(d, p) || !spec.Counted() {
+	if !s.measured(d, p) || !spec.Measured() {
 		return
 	}
 	s.Programs++
@@ -68,14 +68,14 @@
 	if spec.Deadline > 0 {
 		s.Deadlines++
 		if !p.failed && latency <= spec.Deadline {
-			s.Met++
+			s.DeadlinesMet++
 		}
 	}
 	if p.failed {
 		s.Failed++
 		return
 	}
-	slowdown := float64(latency) / float64(spec.Alone(d.options))
+	slowdown := float64(latency) / float64(spec.IdleLatency(d.options))
 	s.Slowdowns[spec.Priority] = append(s.Slowdowns[spec.Priority], slowdown)
 	s.Latencies[spec.Priority] = append(s.Latencies[spec.Priority], latency.Seconds())
 	s.Teams[spec.Team] = append(s.Teams[spec.Team], slowdown)
@@ -84,18 +84,18 @@
 func (s *Sample) finish(d *driver) {
 	for _, r := range d.runners {
 		r.holds.settle()
-		s.Waste.Gone += r.holds.waste.Gone
+		s.Waste.Ended += r.holds.waste.Ended
 		s.Waste.Paused += r.holds.waste.Paused
 		s.Waste.Held += r.holds.waste.Held
 	}
 }
 
-// Figures are the figures of one run, or of several taken together.
-type Figures struct {
+// Stats are the figures of one run, or of several taken together.
+type Stats struct {
 	// Mean is the mean slowdown of all programs.
 	Mean float64
 	// Classes are by priority.
-	Classes map[int]ClassFigures
+	Classes map[int]ClassStats
 	// Met is the share of deadlines met.
 	Met float64
 	// Prefilled is the share of prompt tokens that were processed and
@@ -108,7 +108,7 @@
 	TeamLow, TeamHigh float64
 	// NotSent is the number of attempts that an engine refused, per program.
 	NotSent float64
-	// Refused is the share of requests refused, RefusedAfter the 99th
+	// Refused is the share of requests refused, RefusalDelays the 99th
 	// percentile of the time to the refusal in seconds, and Failed the
 	// share of programs that gave up.
 	Refused, RefusedAfter, Failed float64
@@ -117,29 +117,29 @@
 	Programs      int
 }
 
-// ClassFigures are the figures of one class.
-type ClassFigures struct {
+// ClassStats are the figures of one class.
+type ClassStats struct {
 	Slowdown, Latency Quantiles
 }
 
 // Quantiles summarize a distribution.
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
-func (s *Sample) figures() Figures {
-	f := Figures{
-		Classes: make(map[int]ClassFigures), Programs: s.Programs,
-		Met:        share(s.Met, s.Deadlines),
-		Prefilled:  share(s.Prefilled, s.Prompt),
-		Recomputed: share(max(0, s.Prefilled-s.Fresh), s.Prompt),
+func (s *Sample) figures() Stats {
+	f := Stats{
+		Classes: make(map[int]ClassStats), Programs: s.Programs,
+		Met:        share(s.DeadlinesMet, s.Deadlines),
+		Prefilled:  share(s.PrefilledTokens, s.PromptTokens),
+		Recomputed: share(max(0, s.PrefilledTokens-s.NewTokens), s.PromptTokens),
 		Refused:    share(s.Refused, s.Refused+s.Calls),
 		Failed:     share(s.Failed, s.Programs),
-		WasteGone:  s.Waste.Gone / float64(max(1, s.Programs)), WastePaused: s.Waste.Paused / float64(max(1, s.Programs)),
-		RefusedAfter: quantiles(s.RefusedAfter).P99, RefusedMedian: quantiles(s.RefusedAfter).P50,
+		WasteGone:  s.Waste.Ended / float64(max(1, s.Programs)), WastePaused: s.Waste.Paused / float64(max(1, s.Programs)),
+		RefusedAfter: quantiles(s.RefusalDelays).P99, RefusedMedian: quantiles(s.RefusalDelays).P50,
 	}
 	var all []float64
 	for _, class := range slices.Sorted(maps.Keys(s.Slowdowns)) {
 		slowdowns := s.Slowdowns[class]
-		f.Classes[class] = ClassFigures{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
+		f.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
 		all = append(all, slowdowns...)
 	}
 	f.Mean = quantiles(all).Mean
--- a/internal/bench/waste.go
+++ b/internal/bench/waste.go
@@ -11,8 +11,8 @@
 
 // Waste is cache memory that was held without use, in token-seconds.
 type Waste struct {
-	// Gone was held for programs that had ended, with or without a close.
-	Gone float64
+	// Ended was held for programs that had ended, with or without a close.
+	Ended float64
 	// Paused was held in pauses and not used after them.
 	Paused float64
 	// Held is all that was held for programs.
@@ -20,7 +20,7 @@
 }
 
 // Total is the whole waste.
-func (w Waste) Total() float64 { return w.Gone + w.Paused }
+func (w Waste) Total() float64 { return w.Ended + w.Paused }
 
 // holdMeter measures the waste at one engine by samples.
 type holdMeter struct {
@@ -45,7 +45,7 @@
 		h.waste.Held += charge
 		switch {
 		case program.left:
-			h.waste.Gone += charge
+			h.waste.Ended += charge
 		case !program.runsAt(r):
 			h.unused[program.spec.ID] += charge
 		}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -28,25 +28,25 @@
 	Team     structs.Team
 	Priority int
 	Weight   float64
-	// Rate is the number of programs a second.
-	Rate float64
+	// ArrivalRate is the number of programs a second.
+	ArrivalRate float64
 	// BurstRate is added in the burst, the middle fifth of the run.
 	BurstRate float64
 	Deadline  time.Duration
-	// Turns is the least number of turns; TurnsTail is the shape of its
-	// Pareto tail and TurnsMax the most.
-	Turns, TurnsMax int
-	TurnsTail       float64
-	// Shared, First, Input and Output are token counts; the last three are
+	// MinTurns is the least number of turns; TurnsShape is the shape of its
+	// Pareto tail and MaxTurns the most.
+	MinTurns, MaxTurns int
+	TurnsShape         float64
+	// SharedTokens, First, Input and Output are token counts; the last three are
 	// medians of log-normal distributions.
-	Shared, First, Input, Output int
+	SharedTokens, FirstTokens, InputTokens, OutputTokens int
 	// Pause is the median pause.
 	Pause time.Duration
-	// Agents is the chance that a turn starts sub-agents.
-	Agents float64
-	// Dying and Looping are the chances that a program never returns from a
+	// AgentProbability is the chance that a turn starts sub-agents.
+	AgentProbability float64
+	// AbandonProbability and Looping are the chances that a program never returns from a
 	// pause, or loops.
-	Dying, Looping float64
+	AbandonProbability, LoopProbability float64
 	// Teams spreads the programs over that many teams below Team, if more
 	// than 1, the first ones more often.
 	Teams       int
@@ -78,9 +78,9 @@
 	var programs []*Program
 	at := time.Duration(0)
 	for {
-		rate := k.Rate * o.Load
+		rate := k.ArrivalRate * o.LoadFactor
 		if at > 2*o.Duration/5 && at < 3*o.Duration/5 {
-			rate += k.BurstRate * o.Load
+			rate += k.BurstRate * o.LoadFactor
 		}
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 		if at > o.Duration {
@@ -92,19 +92,19 @@
 
 func (k Kind) program(random *rand.Rand, at time.Duration, id string) *Program {
 	p := &Program{
-		ID: structs.ProgramID(id), Team: k.team(random), Arrival: at, Shared: k.Shared,
+		ID: structs.ProgramID(id), Team: k.team(random), Arrival: at, SharedTokens: k.SharedTokens,
 		Priority: k.Priority, Weight: max(k.Weight, 1), Deadline: k.Deadline, CallTimeout: k.CallTimeout,
-		Dies: random.Float64() < k.Dying, Loops: random.Float64() < k.Looping,
+		Abandoned: random.Float64() < k.AbandonProbability, Looping: random.Float64() < k.LoopProbability,
 	}
 	turns := k.turns(random)
-	if p.Dies {
+	if p.Abandoned {
 		turns = 1 + random.IntN(turns)
 	}
-	if p.Loops {
+	if p.Looping {
 		turns = loopTurns
 	}
-	p.Chain = k.chain(random, turns, k.Agents)
-	p.Chain[0].Input += logNormal(random, k.First, sigmaTokens)
+	p.Chain = k.chain(random, turns, k.AgentProbability)
+	p.Chain[0].InputTokens += logNormal(random, k.FirstTokens, sigmaTokens)
 	return p
 }
 
@@ -118,20 +118,20 @@
 
 // turns draws the number of turns, with a Pareto tail.
 func (k Kind) turns(random *rand.Rand) int {
-	if k.TurnsTail == 0 {
-		return k.Turns + random.IntN(k.TurnsMax-k.Turns+1)
+	if k.TurnsShape == 0 {
+		return k.MinTurns + random.IntN(k.MaxTurns-k.MinTurns+1)
 	}
-	drawn := float64(k.Turns) / math.Pow(1-random.Float64(), 1/k.TurnsTail)
-	return min(k.TurnsMax, int(drawn))
+	drawn := float64(k.MinTurns) / math.Pow(1-random.Float64(), 1/k.TurnsShape)
+	return min(k.MaxTurns, int(drawn))
 }
 
 func (k Kind) chain(random *rand.Rand, turns int, agents float64) Chain {
 	chain := make(Chain, turns)
 	for i := range chain {
 		chain[i] = Step{
-			Input:  logNormal(random, k.Input, sigmaTokens),
-			Output: logNormal(random, k.Output, sigmaTokens),
-			Pause:  time.Duration(logNormal(random, int(k.Pause/time.Microsecond), sigmaPause)) * time.Microsecond,
+			InputTokens:  logNormal(random, k.InputTokens, sigmaTokens),
+			OutputTokens: logNormal(random, k.OutputTokens, sigmaTokens),
+			Pause:        time.Duration(logNormal(random, int(k.Pause/time.Microsecond), sigmaPause)) * time.Microsecond,
 		}
 		if random.Float64() < agents {
 			for range 2 + random.IntN(2) {
@@ -149,14 +149,14 @@
 // Workloads lists the workloads of the reported figures.
 func Workloads() []Workload {
 	clearance := Kind{
-		Team: "clearance", Priority: 0, Rate: 5.3, Deadline: 20 * time.Second,
-		Turns: 2, TurnsMax: 40, TurnsTail: 1.5,
-		Shared: 2000, First: 1000, Input: 400, Output: 80, Pause: 400 * time.Millisecond, Agents: 0.1,
+		Team: "clearance", Priority: 0, ArrivalRate: 5.3, Deadline: 20 * time.Second,
+		MinTurns: 2, MaxTurns: 40, TurnsShape: 1.5,
+		SharedTokens: 2000, FirstTokens: 1000, InputTokens: 400, OutputTokens: 80, Pause: 400 * time.Millisecond, AgentProbability: 0.1,
 	}
 	status := Kind{
-		Team: "status", Priority: 5, Rate: 10.6, Deadline: 30 * time.Second,
-		Turns: 2, TurnsMax: 60, TurnsTail: 1.3,
-		Shared: 2000, First: 800, Input: 500, Output: 60, Pause: 400 * time.Millisecond, Agents: 0.05,
+		Team: "status", Priority: 5, ArrivalRate: 10.6, Deadline: 30 * time.Second,
+		MinTurns: 2, MaxTurns: 60, TurnsShape: 1.3,
+		SharedTokens: 2000, FirstTokens: 800, InputTokens: 500, OutputTokens: 60, Pause: 400 * time.Millisecond, AgentProbability: 0.05,
 	}
 	return []Workload{
 		{Name: "chains", Kinds: []Kind{clearance, status}},
@@ -176,7 +176,7 @@
 
 // busy is more than the baseline can serve in time.
 func busy(clearance, status Kind) []Kind {
-	clearance.Rate, status.Rate = 11, 22
+	clearance.ArrivalRate, status.ArrivalRate = 11, 22
 	return []Kind{clearance, status}
 }
 
@@ -184,43 +184,43 @@
 // work, so that cached prefixes help little.
 func longAnswers(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
-		kind.Output, kind.Input, kind.First, kind.Shared = 300, 100, 300, 500
+		kind.OutputTokens, kind.InputTokens, kind.FirstTokens, kind.SharedTokens = 300, 100, 300, 500
 	}
-	clearance.Rate, status.Rate = 5.6, 11.2
+	clearance.ArrivalRate, status.ArrivalRate = 5.6, 11.2
 	return []Kind{clearance, status}
 }
 
 // tightCache has contexts that the engines' caches cannot hold all at once.
 func tightCache(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
-		kind.First, kind.Input, kind.Pause = 6000, 1000, 3*time.Second
+		kind.FirstTokens, kind.InputTokens, kind.Pause = 6000, 1000, 3*time.Second
 	}
-	clearance.Rate, status.Rate = 3.5, 7
+	clearance.ArrivalRate, status.ArrivalRate = 3.5, 7
 	return []Kind{clearance, status}
 }
 
 // filingWeek is a burst of clearance searches with short status lookups
 // behind.
 func filingWeek(clearance, status Kind) []Kind {
-	clearance.Rate, clearance.BurstRate = 5, 20
-	status.Rate, status.TurnsMax, status.TurnsTail = 25, 4, 0
-	status.Turns = 1
+	clearance.ArrivalRate, clearance.BurstRate = 5, 20
+	status.ArrivalRate, status.MaxTurns, status.TurnsShape = 25, 4, 0
+	status.MinTurns = 1
 	return []Kind{clearance, status}
 }
 
 // sharedPrefixes has many teams with long system messages.
 func sharedPrefixes(clearance, status Kind) []Kind {
-	clearance.Rate, status.Rate = 4.2, 8.4
-	clearance.Teams, clearance.Shared = 8, 6000
-	status.Teams, status.Shared = 16, 6000
+	clearance.ArrivalRate, status.ArrivalRate = 4.2, 8.4
+	clearance.Teams, clearance.SharedTokens = 8, 6000
+	status.Teams, status.SharedTokens = 16, 6000
 	return []Kind{clearance, status}
 }
 
 // dying has programs that never return from a pause, and loops.
 func dying(clearance, status Kind) []Kind {
-	clearance.Rate, status.Rate = 6, 12
-	clearance.Dying, clearance.Looping = 0.15, 0.05
-	status.Dying, status.Looping = 0.25, 0.05
+	clearance.ArrivalRate, status.ArrivalRate = 6, 12
+	clearance.AbandonProbability, clearance.LoopProbability = 0.15, 0.05
+	status.AbandonProbability, status.LoopProbability = 0.25, 0.05
 	return []Kind{clearance, status}
 }
 
@@ -228,8 +228,8 @@
 // does not, of the same class and weight, in a burst that is too much for all.
 func greedyTeam(status Kind) []Kind {
 	modest, greedy := status, status
-	modest.Team, modest.Rate = "modest", 7
-	greedy.Team, greedy.Rate, greedy.BurstRate = "greedy", 14, 110
+	modest.Team, modest.ArrivalRate = "modest", 7
+	greedy.Team, greedy.ArrivalRate, greedy.BurstRate = "greedy", 14, 110
 	return []Kind{modest, greedy}
 }
 
@@ -237,21 +237,21 @@
 func survey() []Kind {
 	return []Kind{
 		{
-			Team: "cliff", Priority: 0, Rate: 14, Deadline: 5 * time.Second,
-			Turns: 1, TurnsMax: 4, Shared: 1500, First: 800, Input: 300, Output: 50,
+			Team: "cliff", Priority: 0, ArrivalRate: 14, Deadline: 5 * time.Second,
+			MinTurns: 1, MaxTurns: 4, SharedTokens: 1500, FirstTokens: 800, InputTokens: 300, OutputTokens: 50,
 			Pause: 300 * time.Millisecond,
 		},
 		{
-			Team: "bank", Priority: 5, Rate: 1.6, Deadline: 2 * time.Minute,
-			Turns: 12, TurnsMax: 60, TurnsTail: 1.8, Shared: 3000, First: 3000, Input: 700, Output: 150,
-			Pause: time.Second, Agents: 0.1, Dying: 0.05,
+			Team: "bank", Priority: 5, ArrivalRate: 1.6, Deadline: 2 * time.Minute,
+			MinTurns: 12, MaxTurns: 60, TurnsShape: 1.8, SharedTokens: 3000, FirstTokens: 3000, InputTokens: 700, OutputTokens: 150,
+			Pause: time.Second, AgentProbability: 0.1, AbandonProbability: 0.05,
 		},
 	}
 }
 
 // overload is more than the engines can do, with short call timeouts.
 func overload(clearance, status Kind) []Kind {
-	clearance.Rate, status.Rate = 25, 100
+	clearance.ArrivalRate, status.ArrivalRate = 25, 100
 	clearance.CallTimeout, status.CallTimeout = 10*time.Second, 10*time.Second
 	return []Kind{clearance, status}
 }
--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -68,13 +68,13 @@
 
 // chat makes one streamed chat completion.
 func (l *lane) chat(ctx context.Context, step Step) (time.Duration, error) {
-	directive := fmt.Sprintf("tokens=%d ", step.Output)
-	l.messages = append(l.messages, wire.ChatMessage{Role: "user", Content: directive + filler(step.Input)})
+	directive := fmt.Sprintf("tokens=%d ", step.OutputTokens)
+	l.messages = append(l.messages, wire.ChatMessage{Role: "user", Content: directive + filler(step.InputTokens)})
 	prompt := engine.PromptTokens(l.messages)
 	fresh := prompt - min(l.context, prompt)
-	alone := l.run.alone(fresh, step.Output)
+	alone := l.run.alone(fresh, step.OutputTokens)
 	request := wire.ChatRequest{
-		Model: testkit.ModelService, Messages: l.messages, MaxTokens: step.Output, Stream: true,
+		Model: testkit.ModelService, Messages: l.messages, MaxTokens: step.OutputTokens, Stream: true,
 	}
 	answer, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
 		return c.Chat(ctx, request, l.call(step, attempt))
@@ -85,7 +85,7 @@
 	l.caller.figures.pieces(answer.PieceTimes)
 	l.caller.figures.prompt.Add(int64(prompt))
 	l.caller.figures.recomputed.Add(int64(max(0, prompt-fresh-answer.Usage.CachedTokens)))
-	l.context = prompt + step.Output
+	l.context = prompt + step.OutputTokens
 	l.messages = append(l.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
 	return alone, nil
 }
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -18,10 +18,10 @@
 	Setup
 	// Sizes are the numbers of instances.
 	Sizes []int
-	// ListEntries is the number of further entries in the membership list.
-	ListEntries []int
-	Window      time.Duration
-	Repeats     int
+	// ListSizes is the number of further entries in the membership list.
+	ListSizes []int
+	Window    time.Duration
+	Repeats   int
 	// Seed is the workload's.
 	Seed uint64
 }
@@ -40,9 +40,9 @@
 	metricTicks           = "banyanglade_core_ticks"
 )
 
-// CostFigures are means over the instances in one window, a second and
+// CostStats are means over the instances in one window, a second and
 // instance.
-type CostFigures struct {
+type CostStats struct {
 	// CPU is the share of a core in per cent, RSS in MiB, IO the bytes a
 	// second of all reads and writes, sockets included.
 	CPU, RSS, IO float64
@@ -89,23 +89,23 @@
 }
 
 // window measures for a while.
-func (r *run) window(ctx context.Context, length time.Duration) (CostFigures, error) {
+func (r *run) window(ctx context.Context, length time.Duration) (CostStats, error) {
 	before, err := r.read()
 	if err != nil {
-		return CostFigures{}, err
+		return CostStats{}, err
 	}
 	delay.Sleep(ctx, length)
 	after, err := r.read()
 	if err != nil {
-		return CostFigures{}, err
+		return CostStats{}, err
 	}
 	return costBetween(before, after), nil
 }
 
-func costBetween(before, after *reading) CostFigures {
+func costBetween(before, after *reading) CostStats {
 	n := float64(len(after.usage))
 	seconds := after.at.Sub(before.at).Seconds()
-	var f CostFigures
+	var f CostStats
 	for i, u := range after.usage {
 		from := before.usage[i]
 		took := u.at.Sub(from.at).Seconds()
@@ -131,7 +131,7 @@
 // costSample is the figures of all windows of one cluster.
 type costSample struct {
 	x          float64
-	idle, load []CostFigures
+	idle, load []CostStats
 }
 
 // RunCost measures clusters of several sizes, idle and under a fixed load, and
@@ -159,7 +159,7 @@
 func RunList(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "list entries")
-	for _, entries := range o.ListEntries {
+	for _, entries := range o.ListSizes {
 		sample, err := o.measure(ctx, o.Setup, entries)
 		if err != nil {
 			return errors.Wrapf(err, "%d entries", entries)
@@ -207,8 +207,8 @@
 	return sample, err
 }
 
-func (o CostOptions) windows(ctx context.Context, r *run) ([]CostFigures, error) {
-	var figures []CostFigures
+func (o CostOptions) windows(ctx context.Context, r *run) ([]CostStats, error) {
+	var figures []CostStats
 	for range o.Repeats {
 		f, err := r.window(ctx, o.Window)
 		if err != nil {
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -10,20 +10,20 @@
 type costColumn struct {
 	name     string
 	decimals int
-	of       func(CostFigures) float64
+	of       func(CostStats) float64
 }
 
 var costColumns = []costColumn{
-	{"CPU % of a core", 2, func(f CostFigures) float64 { return f.CPU }},
-	{"RSS MiB", 1, func(f CostFigures) float64 { return f.RSS }},
-	{"all I/O B/s", 0, func(f CostFigures) float64 { return f.IO }},
-	{"peer control B/s", 0, func(f CostFigures) float64 { return f.Control }},
-	{"peer data B/s", 0, func(f CostFigures) float64 { return f.Data }},
-	{"log reads/s", 2, func(f CostFigures) float64 { return f.Reads }},
-	{"list polls/s", 2, func(f CostFigures) float64 { return f.Polls }},
-	{"ticks/s", 0, func(f CostFigures) float64 { return f.Ticks }},
-	{"log appends/s, all", 1, func(f CostFigures) float64 { return f.Appends }},
-	{"calls/s, all", 1, func(f CostFigures) float64 { return f.Calls }},
+	{"CPU % of a core", 2, func(f CostStats) float64 { return f.CPU }},
+	{"RSS MiB", 1, func(f CostStats) float64 { return f.RSS }},
+	{"all I/O B/s", 0, func(f CostStats) float64 { return f.IO }},
+	{"peer control B/s", 0, func(f CostStats) float64 { return f.Control }},
+	{"peer data B/s", 0, func(f CostStats) float64 { return f.Data }},
+	{"log reads/s", 2, func(f CostStats) float64 { return f.Reads }},
+	{"list polls/s", 2, func(f CostStats) float64 { return f.Polls }},
+	{"ticks/s", 0, func(f CostStats) float64 { return f.Ticks }},
+	{"log appends/s, all", 1, func(f CostStats) float64 { return f.Appends }},
+	{"calls/s, all", 1, func(f CostStats) float64 { return f.Calls }},
 }
 
 func printCostHeader(out io.Writer, x string) {
@@ -36,7 +36,7 @@
 	fmt.Fprintln(out, row(slices.Repeat([]string{"---"}, len(cells))...))
 }
 
-func printCost(out io.Writer, state string, x float64, figures []CostFigures) {
+func printCost(out io.Writer, state string, x float64, figures []CostStats) {
 	cells := []string{state, fmt.Sprint(x)}
 	for _, column := range costColumns {
 		cells = append(cells, Spread(values(figures, column), column.decimals))
@@ -44,7 +44,7 @@
 	fmt.Fprintln(out, row(append(cells, LoadAverage())...))
 }
 
-func values(figures []CostFigures, column costColumn) []float64 {
+func values(figures []CostStats, column costColumn) []float64 {
 	list := make([]float64, 0, len(figures))
 	for _, f := range figures {
 		list = append(list, column.of(f))
@@ -57,10 +57,10 @@
 	for _, column := range costColumns {
 		for _, state := range []struct {
 			name    string
-			figures func(costSample) []CostFigures
+			figures func(costSample) []CostStats
 		}{
-			{"idle", func(s costSample) []CostFigures { return s.idle }},
-			{"load", func(s costSample) []CostFigures { return s.load }},
+			{"idle", func(s costSample) []CostStats { return s.idle }},
+			{"load", func(s costSample) []CostStats { return s.load }},
 		} {
 			var at, value []float64
 			for _, s := range samples {
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -124,7 +124,7 @@
 		return err
 	}
 	l := &lane{run: r, caller: c, program: id}
-	_, err = l.steps(ctx, []Step{{Kind: StepChat, Input: 1, Output: output}})
+	_, err = l.steps(ctx, []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: output}})
 	return err
 }
 
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ClassFigures are the figures of one class. Times are in milliseconds.
-type ClassFigures struct {
+// ClassStats are the figures of one class. Times are in milliseconds.
+type ClassStats struct {
 	Started, Finished, Failed int64
 	Latency, Slowdown         Quantiles
 	FirstToken, BetweenTokens Quantiles
@@ -15,9 +15,9 @@
 	Unknown                   int64
 	Refused                   map[string]int64
 	PromptTokens              int64
-	// Recomputed are prompt tokens that the program had sent before and that
+	// RecomputedTokens are prompt tokens that the program had sent before and that
 	// no cache held.
-	Recomputed int64
+	RecomputedTokens int64
 }
 
 // classRecorder collects the figures of one class.
@@ -86,18 +86,18 @@
 	}
 }
 
-func (c *classRecorder) figures() ClassFigures {
+func (c *classRecorder) figures() ClassStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	refused := make(map[string]int64, len(c.refused))
 	for reason, count := range c.refused {
 		refused[reason] = count
 	}
-	return ClassFigures{
+	return ClassStats{
 		Started: c.started.Load(), Finished: c.finished.Load(), Failed: c.failed.Load(),
 		Latency: c.latency.quantiles(), Slowdown: c.slowdown.quantiles(),
 		FirstToken: c.firstToken.quantiles(), BetweenTokens: c.token.quantiles(),
 		Refusals: c.refusals.Load(), Retries: c.retries.Load(), Unknown: c.unknown.Load(),
-		Refused: refused, PromptTokens: c.prompt.Load(), Recomputed: c.recomputed.Load(),
+		Refused: refused, PromptTokens: c.prompt.Load(), RecomputedTokens: c.recomputed.Load(),
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -29,9 +29,9 @@
 		for _, r := range results {
 			pooled.merge(r.pooled[class.Name])
 			tails = append(tails, r.Classes[class.Name].Slowdown.P99)
-			gone = append(gone, share(r.Waste.Gone, r.Waste.Held))
-			left = append(left, float64(r.Waste.Left))
-			appends = append(appends, r.Appends)
+			gone = append(gone, share(r.Waste.Ended, r.Waste.Held))
+			left = append(left, float64(r.Waste.Remaining))
+			appends = append(appends, r.AppendRate)
 		}
 		f := pooled.figures()
 		fmt.Fprintln(out, row(
@@ -42,7 +42,7 @@
 			fmt.Sprintf("%.1f/%.1f", f.FirstToken.P50, f.FirstToken.P95),
 			fmt.Sprintf("%.1f/%.1f", f.BetweenTokens.P50, f.BetweenTokens.P95),
 			refusals(f), fmt.Sprint(f.Retries),
-			fmt.Sprintf("%.1f", share(float64(f.Recomputed), float64(f.PromptTokens))),
+			fmt.Sprintf("%.1f", share(float64(f.RecomputedTokens), float64(f.PromptTokens))),
 			Spread(gone, 1), Spread(left, 0), Spread(appends, 0),
 		))
 	}
@@ -59,7 +59,7 @@
 }
 
 // refusals lists the refusals by the last segment of their problem type.
-func refusals(f ClassFigures) string {
+func refusals(f ClassStats) string {
 	var parts []string
 	for _, problem := range slices.Sorted(maps.Keys(f.Refused)) {
 		name := problem[strings.LastIndexAny(problem, ":/")+1:]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -100,7 +100,7 @@
 		return
 	}
 	l := &lane{run: r, caller: c, program: id, messages: []wire.ChatMessage{
-		{Role: "system", Content: filler(r.classes[p.Class].Shared)},
+		{Role: "system", Content: filler(r.classes[p.Class].SharedTokens)},
 	}}
 	// The engines hold the shared message after the first program.
 	l.context = engine.PromptTokens(l.messages)
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -16,8 +16,8 @@
 	Setup
 	Duration time.Duration
 	Seeds    []uint64
-	// Names choose among Faults.
-	Names []string
+	// Scenarios choose among Faults.
+	Scenarios []string
 }
 
 // faultShare is the part of the run before a fault, and that a fault lasts.
@@ -34,12 +34,12 @@
 type Result struct {
 	Scenario string
 	Seed     uint64
-	Classes  map[string]ClassFigures
+	Classes  map[string]ClassStats
 	Waste    Waste
-	// Appends is the number of appends a second at the log.
-	Appends float64
-	Errors  []string
-	pooled  map[string]*classRecorder
+	// AppendRate is the number of appends a second at the log.
+	AppendRate float64
+	Errors     []string
+	pooled     map[string]*classRecorder
 }
 
 // RunScenarios runs each scenario with each seed and prints the figures.
@@ -47,7 +47,7 @@
 	fmt.Fprintf(out, "instances %d, engines %d, slots %d, step %s, programs arrive for %s, load average %s\n",
 		o.Instances, o.Engines*dataCentres, o.Model.Slots, o.Model.StepBase, o.Duration, LoadAverage())
 	printScenarioHeader(out)
-	for _, name := range o.Names {
+	for _, name := range o.Scenarios {
 		fault, err := findFault(name)
 		if err != nil {
 			return err
@@ -107,7 +107,7 @@
 	const duration, factor, callers = 2 * time.Second, 10, 4
 	var classes []Class
 	for _, class := range r.classes {
-		class.Rate = factor
+		class.ArrivalRate = factor
 		classes = append(classes, class)
 	}
 	r.closed(ctx, Generate(classes, duration, 0), callers)
@@ -118,8 +118,8 @@
 
 func (r *run) result(name string, seed uint64, waste Waste, appends float64) *Result {
 	result := &Result{
-		Scenario: name, Seed: seed, Waste: waste, Appends: appends,
-		Classes: make(map[string]ClassFigures), pooled: r.figures,
+		Scenario: name, Seed: seed, Waste: waste, AppendRate: appends,
+		Classes: make(map[string]ClassStats), pooled: r.figures,
 	}
 	for class, recorder := range r.figures {
 		result.Classes[class] = recorder.figures()
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -99,7 +99,7 @@
 }
 
 func TestRefusalsAreNamed(t *testing.T) {
-	got := refusals(ClassFigures{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
+	got := refusals(ClassStats{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
 	if !strings.Contains(got, "overloaded 2") || !strings.Contains(got, "deadline 1") {
 		t.Error(got)
 	}
--- a/internal/load/tokens.go
+++ b/internal/load/tokens.go
@@ -69,7 +69,7 @@
 	for i := range o.Calls {
 		programs = append(programs, &Program{
 			Class: o.Classes[0].Name, Seed: uint64(i),
-			Steps: []Step{{Kind: StepChat, Input: 1, Output: tokens}},
+			Steps: []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: tokens}},
 		})
 	}
 	before, err := r.read()
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -21,9 +21,9 @@
 type Waste struct {
 	// Held is what they held of programs, Gone the part of programs that
 	// made no more calls.
-	Held, Gone float64
-	// Left is the tokens still held of gone programs at the end.
-	Left int64
+	Held, Ended float64
+	// Remaining is the tokens still held of gone programs at the end.
+	Remaining int64
 }
 
 // wasteSampler looks into the engines' caches while a run is under way.
@@ -57,8 +57,8 @@
 		last = now
 		held, gone := w.look()
 		w.waste.Held += float64(held) * seconds
-		w.waste.Gone += float64(gone) * seconds
-		w.waste.Left = gone
+		w.waste.Ended += float64(gone) * seconds
+		w.waste.Remaining = gone
 	}
 }
 
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -20,9 +20,9 @@
 // Step is one call of a lane and what follows it.
 type Step struct {
 	Kind StepKind
-	// Input is the number of prompt tokens that are new in a chat, Output the
+	// InputTokens is the number of prompt tokens that are new in a chat, Output the
 	// number of tokens of its answer.
-	Input, Output int
+	InputTokens, OutputTokens int
 	// RunTime is how long a tool or filing call takes at its target.
 	RunTime time.Duration
 	// Agents are sub-agents that run at once after the call, each in a lane
@@ -60,21 +60,21 @@
 type Class struct {
 	Name     string
 	Priority int
-	// Rate is the number of programs that arrive a second.
-	Rate float64
-	// Turns and TurnsMax bound the chats of a program; the number has a
-	// Pareto tail of shape TurnsTail.
-	Turns, TurnsMax int
-	TurnsTail       float64
-	// Shared is the length of the system message, in tokens.
-	Shared int
-	// Input, Output and Pause are medians of log-normal distributions.
-	Input, Output int
-	Pause         time.Duration
-	// Tool, Filing, Agents and Abandon are chances: of a tool call or a
+	// ArrivalRate is the number of programs that arrive a second.
+	ArrivalRate float64
+	// MinTurns and MaxTurns bound the chats of a program; the number has a
+	// Pareto tail of shape TurnsShape.
+	MinTurns, MaxTurns int
+	TurnsShape         float64
+	// SharedTokens is the length of the system message, in tokens.
+	SharedTokens int
+	// InputTokens, Output and Pause are medians of log-normal distributions.
+	InputTokens, OutputTokens int
+	Pause                     time.Duration
+	// ToolProbability, Filing, Agents and Abandon are chances: of a tool call or a
 	// filing after a chat, of sub-agents after a chat, and that the caller
 	// never closes the program.
-	Tool, Filing, Agents, Abandon float64
+	ToolProbability, FilingProbability, AgentProbability, AbandonProbability float64
 }
 
 // Names of the classes of the usual workload, which are paths of teams below
@@ -95,21 +95,21 @@
 	agentTurns   = 2
 )
 
-// UsualClasses are clearance searches before status lookups, at an arrival
+// DefaultClasses are clearance searches before status lookups, at an arrival
 // rate multiplied by a factor.
-func UsualClasses(factor float64) []Class {
+func DefaultClasses(factor float64) []Class {
 	return []Class{
 		{
-			Name: ClassClearance, Priority: 0, Rate: 1.2 * factor,
-			Turns: 2, TurnsMax: 12, TurnsTail: 1.5, Shared: 400,
-			Input: 120, Output: 40, Pause: 150 * time.Millisecond,
-			Tool: 0.3, Filing: 0.15, Agents: 0.1, Abandon: 0.05,
+			Name: ClassClearance, Priority: 0, ArrivalRate: 1.2 * factor,
+			MinTurns: 2, MaxTurns: 12, TurnsShape: 1.5, SharedTokens: 400,
+			InputTokens: 120, OutputTokens: 40, Pause: 150 * time.Millisecond,
+			ToolProbability: 0.3, FilingProbability: 0.15, AgentProbability: 0.1, AbandonProbability: 0.05,
 		},
 		{
-			Name: ClassStatus, Priority: 5, Rate: 2.4 * factor,
-			Turns: 1, TurnsMax: 12, TurnsTail: 1.3, Shared: 300,
-			Input: 100, Output: 30, Pause: 150 * time.Millisecond,
-			Tool: 0.2, Agents: 0.05, Abandon: 0.1,
+			Name: ClassStatus, Priority: 5, ArrivalRate: 2.4 * factor,
+			MinTurns: 1, MaxTurns: 12, TurnsShape: 1.3, SharedTokens: 300,
+			InputTokens: 100, OutputTokens: 30, Pause: 150 * time.Millisecond,
+			ToolProbability: 0.2, AgentProbability: 0.05, AbandonProbability: 0.1,
 		},
 	}
 }
@@ -130,20 +130,20 @@
 	var programs []*Program
 	at := time.Duration(0)
 	for {
-		at += time.Duration(random.ExpFloat64() / c.Rate * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / c.ArrivalRate * float64(time.Second))
 		if at >= duration {
 			return programs
 		}
 		p := &Program{Class: c.Name, Arrival: at, Seed: random.Uint64()}
-		p.Abandoned = random.Float64() < c.Abandon
+		p.Abandoned = random.Float64() < c.AbandonProbability
 		p.Steps = c.steps(random, c.turns(random), true)
 		programs = append(programs, p)
 	}
 }
 
 func (c Class) turns(random *rand.Rand) int {
-	drawn := float64(c.Turns) / math.Pow(1-random.Float64(), 1/c.TurnsTail)
-	return min(c.TurnsMax, int(drawn))
+	drawn := float64(c.MinTurns) / math.Pow(1-random.Float64(), 1/c.TurnsShape)
+	return min(c.MaxTurns, int(drawn))
 }
 
 // steps makes the steps of a lane; only the program's own has sub-agents and
@@ -153,9 +153,9 @@
 	for range turns {
 		steps = append(steps, c.chat(random, own))
 		switch drawn := random.Float64(); {
-		case own && drawn < c.Filing:
+		case own && drawn < c.FilingProbability:
 			steps = append(steps, plainStep(random, StepFiling))
-		case drawn < c.Filing+c.Tool:
+		case drawn < c.FilingProbability+c.ToolProbability:
 			steps = append(steps, plainStep(random, StepTool))
 		}
 	}
@@ -164,12 +164,12 @@
 
 func (c Class) chat(random *rand.Rand, own bool) Step {
 	step := Step{
-		Kind:   StepChat,
-		Input:  int(logNormal(random, float64(c.Input), sigmaTokens)),
-		Output: int(logNormal(random, float64(c.Output), sigmaTokens)),
-		Pause:  time.Duration(logNormal(random, float64(c.Pause), sigmaPause)),
+		Kind:         StepChat,
+		InputTokens:  int(logNormal(random, float64(c.InputTokens), sigmaTokens)),
+		OutputTokens: int(logNormal(random, float64(c.OutputTokens), sigmaTokens)),
+		Pause:        time.Duration(logNormal(random, float64(c.Pause), sigmaPause)),
 	}
-	if own && random.Float64() < c.Agents {
+	if own && random.Float64() < c.AgentProbability {
 		for range 1 + random.IntN(maxAgents) {
 			step.Agents = append(step.Agents, c.steps(random, 1+random.IntN(agentTurns), false))
 		}
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -8,18 +8,18 @@
 
 func TestGenerateIsDeterministic(t *testing.T) {
 	const duration = 20 * time.Second
-	first := Generate(UsualClasses(3), duration, 7)
-	if again := Generate(UsualClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
+	first := Generate(DefaultClasses(3), duration, 7)
+	if again := Generate(DefaultClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
 		t.Error("the same seed gave other programs")
 	}
-	if other := Generate(UsualClasses(3), duration, 8); reflect.DeepEqual(first, other) {
+	if other := Generate(DefaultClasses(3), duration, 8); reflect.DeepEqual(first, other) {
 		t.Error("another seed gave the same programs")
 	}
 }
 
 func TestGenerateKeepsBounds(t *testing.T) {
 	const duration = time.Minute
-	classes := UsualClasses(5)
+	classes := DefaultClasses(5)
 	last := time.Duration(0)
 	kinds := make(map[StepKind]int)
 	programs := Generate(classes, duration, 1)
@@ -35,14 +35,14 @@
 				chats++
 			}
 		}
-		if chats < 1 || chats > classes[0].TurnsMax || p.Calls() < len(p.Steps) {
+		if chats < 1 || chats > classes[0].MaxTurns || p.Calls() < len(p.Steps) {
 			t.Fatalf("%d chats, %d calls", chats, p.Calls())
 		}
 	}
 	if kinds[StepChat] == 0 || kinds[StepTool] == 0 || kinds[StepFiling] == 0 {
 		t.Errorf("kinds of steps: %v", kinds)
 	}
-	want := (classes[0].Rate + classes[1].Rate) * duration.Seconds()
+	want := (classes[0].ArrivalRate + classes[1].ArrivalRate) * duration.Seconds()
 	if got := float64(len(programs)); got < want*0.8 || got > want*1.2 {
 		t.Errorf("%v programs, want about %v", got, want)
 	}
