--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -30,68 +30,68 @@
 	name     string
 	number   int
 	messages []wire.ChatMessage
-	// context is the number of tokens that an engine may hold of the
+	// contextTokens is the number of tokens that an engine may hold of the
 	// program after the last chat of this lane.
-	context int
-	agents  int
+	contextTokens int
+	agentCount    int
 }
 
-// steps runs the steps and gives the time they would take on an idle system.
-func (l *lane) steps(ctx context.Context, steps []Step) (time.Duration, error) {
-	var alone time.Duration
+// runSteps runs the steps and gives the time they would take on an idle system.
+func (l *lane) runSteps(ctx context.Context, steps []Step) (time.Duration, error) {
+	var idle time.Duration
 	for i, step := range steps {
-		took, err := l.step(ctx, step)
-		alone += took
+		took, err := l.runStep(ctx, step)
+		idle += took
 		if err != nil {
-			return alone, err
+			return idle, err
 		}
 		if i < len(steps)-1 {
-			alone += step.Pause
+			idle += step.Pause
 			delay.Sleep(ctx, step.Pause)
 		}
 	}
-	return alone, ctx.Err()
+	return idle, ctx.Err()
 }
 
-func (l *lane) step(ctx context.Context, step Step) (time.Duration, error) {
+func (l *lane) runStep(ctx context.Context, step Step) (time.Duration, error) {
 	l.number++
 	if step.Kind != StepChat {
-		return step.RunTime, l.plain(ctx, step)
+		return step.RunTime, l.callService(ctx, step)
 	}
-	alone, err := l.chat(ctx, step)
+	idle, err := l.runChat(ctx, step)
 	if err != nil || len(step.Agents) == 0 {
-		return alone, err
+		return idle, err
 	}
-	agents, err := l.fan(ctx, step.Agents)
-	return alone + agents, err
+	agents, err := l.runAgents(ctx, step.Agents)
+	return idle + agents, err
 }
 
-// chat makes one streamed chat completion.
-func (l *lane) chat(ctx context.Context, step Step) (time.Duration, error) {
+// runChat makes one streamed chat completion.
+func (l *lane) runChat(ctx context.Context, step Step) (time.Duration, error) {
 	directive := fmt.Sprintf("tokens=%d ", step.OutputTokens)
-	l.messages = append(l.messages, wire.ChatMessage{Role: "user", Content: directive + filler(step.InputTokens)})
-	prompt := engine.PromptTokens(l.messages)
-	fresh := prompt - min(l.context, prompt)
-	alone := l.run.alone(fresh, step.OutputTokens)
+	l.messages = append(l.messages, wire.ChatMessage{Role: "user", Content: directive + fillerText(step.InputTokens)})
+	promptTokens := engine.PromptTokens(l.messages)
+	newTokens := promptTokens - min(l.contextTokens, promptTokens)
+	idle := l.run.idleLatency(newTokens, step.OutputTokens)
 	request := wire.ChatRequest{
 		Model: testkit.ModelService, Messages: l.messages, MaxTokens: step.OutputTokens, Stream: true,
 	}
-	answer, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
-		return c.Chat(ctx, request, l.call(step, attempt))
+	response, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
+		return c.Chat(ctx, request, l.callOptions(step, attempt))
 	})
 	if err != nil {
-		return alone, err
+		return idle, err
 	}
-	l.caller.figures.pieces(answer.PieceTimes)
-	l.caller.figures.prompt.Add(int64(prompt))
-	l.caller.figures.recomputed.Add(int64(max(0, prompt-fresh-answer.Usage.CachedTokens)))
-	l.context = prompt + step.OutputTokens
-	l.messages = append(l.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
-	return alone, nil
+	l.caller.recorder.recordChunks(response.PieceTimes)
+	l.caller.recorder.promptTokens.Add(int64(promptTokens))
+	l.caller.recorder.recomputedTokens.Add(int64(max(0, promptTokens-newTokens-response.Usage.CachedTokens)))
+	l.contextTokens = promptTokens + step.OutputTokens
+	l.messages = append(l.messages, wire.ChatMessage{Role: "assistant", Content: response.Text})
+	return idle, nil
 }
 
-// plain makes one call to a tool or plain service.
-func (l *lane) plain(ctx context.Context, step Step) error {
+// callService makes one call to a tool or plain service.
+func (l *lane) callService(ctx context.Context, step Step) error {
 	name := testkit.ToolService
 	if step.Kind == StepFiling {
 		name = testkit.FilingService
@@ -99,31 +99,31 @@
 	path := fmt.Sprintf("/v1/services/%s/run?%s=%d", name, service.DelayParameter, step.RunTime.Milliseconds())
 	body := []byte(fmt.Sprintf(`{"number":%d}`, l.number))
 	_, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
-		return c.Do(ctx, http.MethodPost, path, body, l.call(step, attempt))
+		return c.Do(ctx, http.MethodPost, path, body, l.callOptions(step, attempt))
 	})
 	return err
 }
 
-func (l *lane) call(step Step, attempt int) testkit.Call {
+func (l *lane) callOptions(step Step, attempt int) testkit.Call {
 	return testkit.Call{
 		Program: l.program, Lane: l.name, Number: l.number, Attempt: attempt,
 		Key: fmt.Sprintf("%s-%d", l.name, l.number), NotRepeatable: step.Kind == StepFiling,
 	}
 }
 
-// fan runs sub-agents at once and gives the time of the longest on an idle
+// runAgents runs sub-agents at once and gives the time of the longest on an idle
 // system. Each starts with a copy of the lane's history.
-func (l *lane) fan(ctx context.Context, agents [][]Step) (time.Duration, error) {
+func (l *lane) runAgents(ctx context.Context, agents [][]Step) (time.Duration, error) {
 	times := make([]time.Duration, len(agents))
 	failures := make([]error, len(agents))
 	var group sync.WaitGroup
 	for i, steps := range agents {
-		l.agents++
+		l.agentCount++
 		sub := &lane{
-			run: l.run, caller: l.caller.fork(), program: l.program, name: fmt.Sprintf("agent-%d", l.agents),
-			messages: append([]wire.ChatMessage(nil), l.messages...), context: l.context,
+			run: l.run, caller: l.caller.fork(), program: l.program, name: fmt.Sprintf("agent-%d", l.agentCount),
+			messages: append([]wire.ChatMessage(nil), l.messages...), contextTokens: l.contextTokens,
 		}
-		group.Go(func() { times[i], failures[i] = sub.steps(ctx, steps) })
+		group.Go(func() { times[i], failures[i] = sub.runSteps(ctx, steps) })
 	}
 	group.Wait()
 	var longest time.Duration
@@ -143,27 +143,27 @@
 	return &other
 }
 
-// open opens a program at any instance, with one key for all attempts.
-func (c *caller) open(ctx context.Context) (string, error) {
+// openProgram opens a program at any instance, with one key for all attempts.
+func (c *caller) openProgram(ctx context.Context) (string, error) {
 	key := ulid.Make().String()
-	answer, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
+	response, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
 		return client.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), testkit.Call{Key: key})
 	})
 	if err != nil {
 		return "", errors.Wrap(err, "open")
 	}
-	return answer.Program, nil
+	return response.Program, nil
 }
 
-func (c *caller) close(ctx context.Context, program string) error {
+func (c *caller) closeProgram(ctx context.Context, program string) error {
 	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
 		return client.Close(ctx, program)
 	})
 	return errors.Wrap(err, "close")
 }
 
-// filler is a text of so many prompt tokens.
-func filler(tokens int) string {
+// fillerText is a text of so many prompt tokens.
+func fillerText(tokens int) string {
 	const text = "shore "
 	length := tokens * bytesPerToken
 	return strings.Repeat(text, length/len(text)+1)[:length]
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -56,10 +56,10 @@
 			return
 		case <-ticker.C:
 		}
-		reply, err := b.client.Get(p.Server + "/readyz")
-		ready := err == nil && reply.StatusCode == http.StatusOK
+		response, err := b.client.Get(p.Server + "/readyz")
+		ready := err == nil && response.StatusCode == http.StatusOK
 		if err == nil {
-			_ = reply.Body.Close()
+			_ = response.Body.Close()
 		}
 		b.set(p.Server, !ready)
 	}
--- a/internal/load/balancer_test.go
+++ b/internal/load/balancer_test.go
@@ -27,7 +27,7 @@
 	m := r.model
 	// Two chunks of prompt; the second makes the first of three tokens.
 	want := 4*m.StepBase + 600*m.StepPerPrefillToken + 3*m.StepPerSequence
-	if got := r.alone(600, 3); got != want {
+	if got := r.idleLatency(600, 3); got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -15,8 +15,8 @@
 // How a caller repeats a request: with the same key, at another instance.
 const (
 	maxAttempts    = 12
-	firstWait      = 20 * time.Millisecond
-	maxWait        = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 	attemptTimeout = 45 * time.Second
 )
 
@@ -25,8 +25,8 @@
 	outcomeUnknown = "unknown"
 )
 
-// errGaveUp is the error of a call without an answer after all attempts.
-var errGaveUp = errors.New("no answer after all attempts")
+// errAttemptsExhausted is the error of a call without an answer after all attempts.
+var errAttemptsExhausted = errors.New("no answer after all attempts")
 
 // caller makes the calls of one program.
 type caller struct {
@@ -34,62 +34,62 @@
 	http     *http.Client
 	balancer *balancer
 	random   *rand.Rand
-	figures  *classRecorder
+	recorder *classRecorder
 }
 
-// attemptFunc makes one attempt of a call.
-type attemptFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error)
+// callFunc makes one attempt of a call.
+type callFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error)
 
 // do makes attempts until one is answered or told for good.
-func (c *caller) do(ctx context.Context, f attemptFunc) (*testkit.Answer, error) {
-	c.figures.calls.Add(1)
-	wait := firstWait
+func (c *caller) do(ctx context.Context, f callFunc) (*testkit.Answer, error) {
+	c.recorder.calls.Add(1)
+	backoff := initialBackoff
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
-		answer, pause, err := c.attempt(ctx, f, attempt)
+		response, retryAfter, err := c.attempt(ctx, f, attempt)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
-		if !errors.Is(err, errRetry) {
+		if !errors.Is(err, errRetryable) {
 			return nil, err
 		}
-		c.figures.retries.Add(1)
-		delay.Sleep(ctx, max(wait, pause))
-		wait = min(2*wait, maxWait)
+		c.recorder.retries.Add(1)
+		delay.Sleep(ctx, max(backoff, retryAfter))
+		backoff = min(2*backoff, maxBackoff)
 	}
-	return nil, errGaveUp
+	return nil, errAttemptsExhausted
 }
 
-// errRetry marks an attempt that may be repeated with the same key.
-var errRetry = errors.New("attempt failed")
+// errRetryable marks an attempt that may be repeated with the same key.
+var errRetryable = errors.New("attempt failed")
 
-func (c *caller) attempt(ctx context.Context, f attemptFunc, attempt int) (*testkit.Answer, time.Duration, error) {
-	limited, cancel := context.WithTimeout(ctx, attemptTimeout)
+func (c *caller) attempt(ctx context.Context, f callFunc, attempt int) (*testkit.Answer, time.Duration, error) {
+	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	server := c.balancer.pick(c.random)
-	answer, err := f(limited, &testkit.Client{Server: server, Key: c.key, HTTP: c.http}, attempt)
+	response, err := f(attemptCtx, &testkit.Client{Server: server, Key: c.key, HTTP: c.http}, attempt)
 	switch {
 	case ctx.Err() != nil:
 		return nil, 0, ctx.Err()
 	case err != nil:
 		c.balancer.set(server, true)
-		return nil, 0, errRetry
-	case answer.Cut:
-		return nil, 0, errRetry
-	case answer.Problem == nil:
-		return answer, 0, nil
+		return nil, 0, errRetryable
+	case response.Cut:
+		return nil, 0, errRetryable
+	case response.Problem == nil:
+		return response, 0, nil
 	}
-	return nil, time.Duration(answer.Problem.RetryAfterMS) * time.Millisecond, c.refused(answer.Problem)
+	return nil, time.Duration(response.Problem.RetryAfterMS) * time.Millisecond, c.problemError(response.Problem)
 }
 
-// refused gives the error of a problem document.
-func (c *caller) refused(p *testkit.Problem) error {
-	c.figures.refuse(p.Type)
+// problemError gives the error of a problem document.
+func (c *caller) problemError(p *testkit.Problem) error {
+	c.recorder.recordRefusal(p.Type)
 	switch {
 	case p.Outcome == outcomeUnknown && p.Status != http.StatusServiceUnavailable:
-		c.figures.unknown.Add(1)
-		return errRetry
+		c.recorder.unknown.Add(1)
+		return errRetryable
 	case p.RetryAfterMS > 0, p.Status >= http.StatusInternalServerError, p.Status == http.StatusTooManyRequests:
-		return errRetry
+		return errRetryable
 	default:
 		return errors.Newf("refused: %d %s: %s", p.Status, p.Type, p.Detail)
 	}
--- a/internal/load/change.go
+++ b/internal/load/change.go
@@ -41,18 +41,18 @@
 	defer r.close()
 	r.balancer.close()
 	accepted, inForce := newDurations(), newDurations()
-	before, err := r.read()
+	before, err := r.takeReading()
 	if err != nil {
 		return err
 	}
 	for i := range o.Changes {
 		next := time.Now().Add(time.Duration(float64(time.Second) / o.Rate))
-		if err := o.change(ctx, cluster, i, accepted, inForce); err != nil {
+		if err := o.measureChange(ctx, cluster, i, accepted, inForce); err != nil {
 			return err
 		}
 		delay.Sleep(ctx, time.Until(next))
 	}
-	after, err := r.read()
+	after, err := r.takeReading()
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func (o ChangeOptions) change(ctx context.Context, c *testkit.Cluster, number int, accepted, inForce *histogram) error {
+func (o ChangeOptions) measureChange(ctx context.Context, c *testkit.Cluster, number int, accepted, inForce *histogram) error {
 	root := testkit.NewClient(c.Instances[number%len(c.Instances)].Server, testkit.RootKey)
 	before, err := readApplied(ctx, root)
 	if err != nil {
@@ -72,18 +72,18 @@
 	}
 	path := fmt.Sprintf("teams/%s/made-%d/weight", testkit.TeamPath, number)
 	started := time.Now()
-	answer, err := root.Publish(ctx, testkit.Changes(map[string]any{path: 2})...)
+	response, err := root.Publish(ctx, testkit.Changes(map[string]any{path: 2})...)
 	if err != nil {
 		return err
 	}
-	if answer.Status != http.StatusOK {
-		return errors.Newf("change %d: status %d: %s", number, answer.Status, answer.Body)
+	if response.Status != http.StatusOK {
+		return errors.Newf("change %d: status %d: %s", number, response.Status, response.Body)
 	}
-	accepted.duration(time.Since(started))
-	if err := waitApplied(ctx, root, highest(before)+1, len(c.Instances)); err != nil {
+	accepted.recordDuration(time.Since(started))
+	if err := waitApplied(ctx, root, maxOffset(before)+1, len(c.Instances)); err != nil {
 		return err
 	}
-	inForce.duration(time.Since(started))
+	inForce.recordDuration(time.Since(started))
 	return nil
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-func highest(a applied) uint64 {
+func maxOffset(a applied) uint64 {
 	var top uint64
 	for _, at := range a.Applied {
 		top = max(top, at)
@@ -119,9 +119,9 @@
 
 func readApplied(ctx context.Context, root *testkit.Client) (applied, error) {
 	var a applied
-	answer, err := root.Do(ctx, http.MethodGet, "/v1/settings/applied", nil, testkit.Call{})
+	response, err := root.Do(ctx, http.MethodGet, "/v1/settings/applied", nil, testkit.Call{})
 	if err != nil {
 		return a, err
 	}
-	return a, errors.Wrap(json.Unmarshal(answer.Body, &a), "applied")
+	return a, errors.Wrap(json.Unmarshal(response.Body, &a), "applied")
 }
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -26,8 +26,8 @@
 	Seed uint64
 }
 
-// settleWindow is the time that a cluster is left alone before it is measured.
-const settleWindow = 4 * time.Second
+// clusterSettleTime is the time that a cluster is left alone before it is measured.
+const clusterSettleTime = 4 * time.Second
 
 // Names of the metrics that the driver reads.
 const (
@@ -64,7 +64,7 @@
 	calls   int64
 }
 
-func (r *run) read() (*reading, error) {
+func (r *run) takeReading() (*reading, error) {
 	reading := &reading{at: time.Now(), metrics: make(map[string]float64), appends: r.cluster.Log.Stats().Total.Appends}
 	for _, p := range r.cluster.Instances {
 		u, err := readUsage(p.PID())
@@ -82,20 +82,20 @@
 			reading.metrics[name] += value
 		}
 	}
-	for _, f := range r.figures {
+	for _, f := range r.recorders {
 		reading.calls += f.calls.Load()
 	}
 	return reading, nil
 }
 
-// window measures for a while.
-func (r *run) window(ctx context.Context, length time.Duration) (CostStats, error) {
-	before, err := r.read()
+// measureWindow measures for a while.
+func (r *run) measureWindow(ctx context.Context, length time.Duration) (CostStats, error) {
+	before, err := r.takeReading()
 	if err != nil {
 		return CostStats{}, err
 	}
 	delay.Sleep(ctx, length)
-	after, err := r.read()
+	after, err := r.takeReading()
 	if err != nil {
 		return CostStats{}, err
 	}
@@ -109,7 +109,7 @@
 	for i, u := range after.usage {
 		from := before.usage[i]
 		took := u.at.Sub(from.at).Seconds()
-		f.CPU += share((u.cpu-from.cpu).Seconds(), took) / n
+		f.CPU += percentOf((u.cpu-from.cpu).Seconds(), took) / n
 		f.IO += float64(u.io-from.io) / took / n
 		f.RSS += float64(u.rss) / (1 << 20) / n
 	}
@@ -181,52 +181,52 @@
 		return sample, err
 	}
 	defer cluster.Close()
-	addEntries(cluster, entries)
+	addListEntries(cluster, entries)
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
 	if entries == 0 {
-		r.warm(ctx)
+		r.warmUp(ctx)
 	}
 	// The health checks of the balancer would count as control.
 	r.balancer.close()
-	delay.Sleep(ctx, settleWindow)
-	if sample.idle, err = o.windows(ctx, r); err != nil || entries > 0 {
+	delay.Sleep(ctx, clusterSettleTime)
+	if sample.idle, err = o.measureWindows(ctx, r); err != nil || entries > 0 {
 		return sample, err
 	}
 	loaded, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		length := time.Duration(o.Repeats+1)*o.Window + settleWindow
-		r.open(loaded, Generate(o.Classes, length, o.Seed))
+		length := time.Duration(o.Repeats+1)*o.Window + clusterSettleTime
+		r.runOpenLoop(loaded, Generate(o.Classes, length, o.Seed))
 	}()
-	delay.Sleep(ctx, settleWindow)
-	sample.load, err = o.windows(ctx, r)
+	delay.Sleep(ctx, clusterSettleTime)
+	sample.load, err = o.measureWindows(ctx, r)
 	stop()
 	<-done
 	return sample, err
 }
 
-func (o CostOptions) windows(ctx context.Context, r *run) ([]CostStats, error) {
-	var figures []CostStats
+func (o CostOptions) measureWindows(ctx context.Context, r *run) ([]CostStats, error) {
+	var stats []CostStats
 	for range o.Repeats {
-		f, err := r.window(ctx, o.Window)
+		f, err := r.measureWindow(ctx, o.Window)
 		if err != nil {
 			return nil, err
 		}
-		figures = append(figures, f)
+		stats = append(stats, f)
 	}
-	return figures, ctx.Err()
+	return stats, ctx.Err()
 }
 
-// addEntries lists targets of a service that the settings do not name, so that
+// addListEntries lists targets of a service that the settings do not name, so that
 // nobody calls or watches them.
-func addEntries(c *testkit.Cluster, entries int) {
-	place := c.Ready().Targets[0]
+func addListEntries(c *testkit.Cluster, entries int) {
+	first := c.Ready().Targets[0]
 	for i := range entries {
 		c.Members.Put(wire.Member{
 			ID: fmt.Sprintf("other-service-runner-%04d", i), Role: wire.MemberRoleTarget,
-			State: wire.MemberStateLive, Region: place.Region, DataCentre: place.DataCentre,
+			State: wire.MemberStateLive, Region: first.Region, DataCentre: first.DataCentre,
 			Address: fmt.Sprintf("http://10.1.%d.%d:8000", i>>8, i&0xff), Service: "other-service",
 		})
 	}
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -10,7 +10,7 @@
 type costColumn struct {
 	name     string
 	decimals int
-	of       func(CostStats) float64
+	value    func(CostStats) float64
 }
 
 var costColumns = []costColumn{
@@ -32,22 +32,22 @@
 		cells = append(cells, column.name)
 	}
 	cells = append(cells, "load average")
-	fmt.Fprintln(out, row(cells...))
-	fmt.Fprintln(out, row(slices.Repeat([]string{"---"}, len(cells))...))
+	fmt.Fprintln(out, markdownRow(cells...))
+	fmt.Fprintln(out, markdownRow(slices.Repeat([]string{"---"}, len(cells))...))
 }
 
-func printCost(out io.Writer, state string, x float64, figures []CostStats) {
+func printCost(out io.Writer, state string, x float64, windows []CostStats) {
 	cells := []string{state, fmt.Sprint(x)}
 	for _, column := range costColumns {
-		cells = append(cells, Spread(values(figures, column), column.decimals))
+		cells = append(cells, Spread(values(windows, column), column.decimals))
 	}
-	fmt.Fprintln(out, row(append(cells, LoadAverage())...))
+	fmt.Fprintln(out, markdownRow(append(cells, LoadAverage())...))
 }
 
-func values(figures []CostStats, column costColumn) []float64 {
-	list := make([]float64, 0, len(figures))
-	for _, f := range figures {
-		list = append(list, column.of(f))
+func values(windows []CostStats, column costColumn) []float64 {
+	list := make([]float64, 0, len(windows))
+	for _, f := range windows {
+		list = append(list, column.value(f))
 	}
 	return list
 }
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -20,8 +20,8 @@
 // slowFactor is how much slower the slow runner is.
 const slowFactor = 10
 
-// listLag is the time after which the membership list loses what died.
-const listLag = 2 * time.Second
+// membershipLag is the time after which the membership list loses what died.
+const membershipLag = 2 * time.Second
 
 // Faults lists the faults by name; the quiet run is the first.
 func Faults() []Fault {
@@ -30,8 +30,8 @@
 		{Name: "kill", apply: killOne},
 		{Name: "pause", apply: pauseOne},
 		{Name: "slow-runner", apply: slowRunner},
-		{Name: "log-down", apply: logDown},
-		{Name: "data-centre", apply: dataCentreGone},
+		{Name: "log-down", apply: stopLog},
+		{Name: "data-centre", apply: killDataCentre},
 	}
 }
 
@@ -39,58 +39,58 @@
 func killOne(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
 	p := c.Instances[1]
 	p.Kill()
-	delay.Sleep(ctx, listLag)
+	delay.Sleep(ctx, membershipLag)
 	c.Remove(p)
 }
 
 // pauseOne freezes an instance for a while.
-func pauseOne(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+func pauseOne(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	p := c.Instances[1]
 	if p.Pause() != nil {
 		return
 	}
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	_ = p.Resume()
 }
 
 // slowRunner slows one engine.
-func slowRunner(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+func slowRunner(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	id := c.Ready().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	c.Engines[id].Faults().Set(wire.ServiceFaults{})
 }
 
-// logDown takes the platform's log down for a while.
-func logDown(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+// stopLog takes the platform's log down for a while.
+func stopLog(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	c.Log.SetDown(true)
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	c.Log.SetDown(false)
 }
 
-// dataCentreGone kills the instances and targets of the last data centre.
-func dataCentreGone(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
-	place := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
-	var lost []*testkit.Process
+// killDataCentre kills the instances and targets of the last data centre.
+func killDataCentre(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
+	dataCentre := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
+	var killed []*testkit.Process
 	for _, p := range c.Instances {
-		if p.DataCentre == place {
-			lost = append(lost, p)
+		if p.DataCentre == dataCentre {
+			killed = append(killed, p)
 		}
 	}
-	for _, p := range lost {
+	for _, p := range killed {
 		p.Kill()
 	}
 	for _, target := range c.Ready().Targets {
-		if target.DataCentre == place {
+		if target.DataCentre == dataCentre {
 			c.StopTarget(target.ID)
 		}
 	}
-	delay.Sleep(ctx, listLag)
-	for _, p := range lost {
+	delay.Sleep(ctx, membershipLag)
+	for _, p := range killed {
 		c.Remove(p)
 	}
 	for _, target := range c.Ready().Targets {
-		if target.DataCentre == place {
+		if target.DataCentre == dataCentre {
 			c.Members.Remove(target.ID)
 		}
 	}
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -27,11 +27,11 @@
 	Programs, Calls []int
 }
 
-// heldSettle lets the journals flush before memory is read.
-const heldSettle = 2 * time.Second
+// journalSettleTime lets the journals flush before memory is read.
+const journalSettleTime = 2 * time.Second
 
-// openers is the number of programs opened at once.
-const openers = 32
+// openWorkers is the number of programs opened at once.
+const openWorkers = 32
 
 // RunHeld opens programs with one call each and leaves them paused, then holds
 // calls, and prints the memory and goroutines of the instances.
@@ -43,22 +43,22 @@
 	defer func() { _ = os.RemoveAll(dir) }()
 	o.LogDir = dir
 	fmt.Fprintf(out, "instances %d; means an instance; load average %s\n", o.Instances, LoadAverage())
-	fmt.Fprintln(out, row("held, all instances", "RSS MiB", "goroutines"))
-	fmt.Fprintln(out, row("---", "---", "---"))
+	fmt.Fprintln(out, markdownRow("held, all instances", "RSS MiB", "goroutines"))
+	fmt.Fprintln(out, markdownRow("---", "---", "---"))
 	for _, programs := range o.Programs {
-		if err := o.held(ctx, out, programs, 0); err != nil {
+		if err := o.measure(ctx, out, programs, 0); err != nil {
 			return err
 		}
 	}
 	for _, calls := range o.Calls {
-		if err := o.held(ctx, out, 0, calls); err != nil {
+		if err := o.measure(ctx, out, 0, calls); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (o HeldOptions) held(ctx context.Context, out io.Writer, programs, calls int) error {
+func (o HeldOptions) measure(ctx context.Context, out io.Writer, programs, calls int) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
 		return err
@@ -78,8 +78,8 @@
 	for i := range calls {
 		group.Go(func() { r.longCall(waiting, uint64(i)) })
 	}
-	delay.Sleep(ctx, heldSettle)
-	reading, err := r.read()
+	delay.Sleep(ctx, journalSettleTime)
+	reading, err := r.takeReading()
 	if err != nil {
 		return err
 	}
@@ -89,18 +89,18 @@
 		return err
 	}
 	name := fmt.Sprintf("%d programs, %d calls", programs, calls)
-	fmt.Fprintln(out, row(name, fmt.Sprintf("%.1f", f.RSS), fmt.Sprintf("%.0f", count)))
+	fmt.Fprintln(out, markdownRow(name, fmt.Sprintf("%.1f", f.RSS), fmt.Sprintf("%.0f", count)))
 	return nil
 }
 
 // openPrograms opens programs and makes one short chat in each.
 func (r *run) openPrograms(ctx context.Context, programs int) error {
 	var group sync.WaitGroup
-	failures := make([]error, openers)
-	for worker := range openers {
+	failures := make([]error, openWorkers)
+	for worker := range openWorkers {
 		group.Go(func() {
 			c := r.anyCaller(uint64(worker))
-			for n := worker; n < programs && failures[worker] == nil; n += openers {
+			for n := worker; n < programs && failures[worker] == nil; n += openWorkers {
 				failures[worker] = r.shortProgram(ctx, c)
 			}
 		})
@@ -112,19 +112,19 @@
 func (r *run) anyCaller(seed uint64) *caller {
 	return &caller{
 		key: callerKey(ClassClearance), http: r.http, balancer: r.balancer,
-		figures: r.figures[ClassClearance], random: rand.New(rand.NewPCG(seed, 1)),
+		recorder: r.recorders[ClassClearance], random: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
 // shortProgram opens a program and makes one chat.
 func (r *run) shortProgram(ctx context.Context, c *caller) error {
 	const output = 4
-	id, err := c.open(ctx)
+	id, err := c.openProgram(ctx)
 	if err != nil {
 		return err
 	}
 	l := &lane{run: r, caller: c, program: id}
-	_, err = l.steps(ctx, []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: output}})
+	_, err = l.runSteps(ctx, []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: output}})
 	return err
 }
 
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -10,30 +10,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxReply bounds the replies that the driver reads.
-const maxReply = 64 << 20
+// maxResponse bounds the replies that the driver reads.
+const maxResponse = 64 << 20
 
 // getJSON reads a JSON document.
 func getJSON(client *http.Client, url string, value any) error {
-	reply, err := client.Get(url)
+	response, err := client.Get(url)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = reply.Body.Close() }()
-	if reply.StatusCode != http.StatusOK {
-		return errors.Newf("%s: %s", url, reply.Status)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return errors.Newf("%s: %s", url, response.Status)
 	}
-	return json.NewDecoder(io.LimitReader(reply.Body, maxReply)).Decode(value)
+	return json.NewDecoder(io.LimitReader(response.Body, maxResponse)).Decode(value)
 }
 
 // readMetrics reads an instance's metrics, summed over their labels.
 func readMetrics(client *http.Client, server string) (map[string]float64, error) {
-	reply, err := client.Get(server + "/metrics")
+	response, err := client.Get(server + "/metrics")
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = reply.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(reply.Body, maxReply))
+	defer func() { _ = response.Body.Close() }()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/load/overhead.go
+++ b/internal/load/overhead.go
@@ -26,28 +26,28 @@
 	Repeats                 int
 }
 
-// path is one way to the engines.
-type path struct {
-	cold, first, token *histogram
+// pathLatencies is one way to the engines.
+type pathLatencies struct {
+	coldFirstToken, firstToken, tokenGap *histogram
 }
 
-func newPath() *path {
-	return &path{cold: newDurations(), first: newDurations(), token: newDurations()}
+func newPathLatencies() *pathLatencies {
+	return &pathLatencies{coldFirstToken: newDurations(), firstToken: newDurations(), tokenGap: newDurations()}
 }
 
-// note takes in an answer; the first call of a program counts apart.
-func (p *path) note(answer *testkit.Answer, isFirst bool) {
-	times := answer.PieceTimes
+// record takes in an answer; the first call of a program counts apart.
+func (p *pathLatencies) record(response *testkit.Answer, firstCall bool) {
+	times := response.PieceTimes
 	if len(times) == 0 {
 		return
 	}
-	if isFirst {
-		p.cold.duration(times[0])
+	if firstCall {
+		p.coldFirstToken.recordDuration(times[0])
 	} else {
-		p.first.duration(times[0])
+		p.firstToken.recordDuration(times[0])
 	}
 	for i := 1; i < len(times); i++ {
-		p.token.duration(times[i] - times[i-1])
+		p.tokenGap.recordDuration(times[i] - times[i-1])
 	}
 }
 
@@ -61,38 +61,38 @@
 	defer cluster.Close()
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
-	r.warm(ctx)
+	r.warmUp(ctx)
 	fmt.Fprintf(out, "instances %d, callers %d, step %s; milliseconds; load average %s\n",
 		o.Instances, o.Callers, o.Model.StepBase, LoadAverage())
-	fmt.Fprintln(out, row("figure", "direct p50/p99", "through p50/p99", "added p50", "added p99"))
-	fmt.Fprintln(out, row("---", "---", "---", "---", "---"))
+	fmt.Fprintln(out, markdownRow("figure", "direct p50/p99", "through p50/p99", "added p50", "added p99"))
+	fmt.Fprintln(out, markdownRow("---", "---", "---", "---", "---"))
 	for range o.Repeats {
-		direct, through := newPath(), newPath()
+		direct, through := newPathLatencies(), newPathLatencies()
 		if err := o.measure(ctx, r, direct, through); err != nil {
 			return err
 		}
-		printAdded(out, "first token", direct.first, through.first)
-		printAdded(out, "first token, first call of a program", direct.cold, through.cold)
-		printAdded(out, "between tokens", direct.token, through.token)
+		printAddedLatency(out, "first token", direct.firstToken, through.firstToken)
+		printAddedLatency(out, "first token, first call of a program", direct.coldFirstToken, through.coldFirstToken)
+		printAddedLatency(out, "between tokens", direct.tokenGap, through.tokenGap)
 	}
 	return nil
 }
 
-func printAdded(out io.Writer, name string, direct, through *histogram) {
+func printAddedLatency(out io.Writer, name string, direct, through *histogram) {
 	d, t := direct.quantiles(), through.quantiles()
-	fmt.Fprintln(out, row(name,
+	fmt.Fprintln(out, markdownRow(name,
 		fmt.Sprintf("%.2f/%.2f", d.P50, d.P99), fmt.Sprintf("%.2f/%.2f", t.P50, t.P99),
 		fmt.Sprintf("%.2f", t.P50-d.P50), fmt.Sprintf("%.2f", t.P99-d.P99)))
 }
 
-func (o OverheadOptions) measure(ctx context.Context, r *run, direct, through *path) error {
+func (o OverheadOptions) measure(ctx context.Context, r *run, direct, through *pathLatencies) error {
 	var group sync.WaitGroup
 	failures := make([]error, o.Callers)
 	for i := range o.Callers {
 		group.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(i), 0))
 			for range o.Programs {
-				if failures[i] = o.pair(ctx, r, random, direct, through); failures[i] != nil {
+				if failures[i] = o.measurePair(ctx, r, random, direct, through); failures[i] != nil {
 					return
 				}
 			}
@@ -107,10 +107,10 @@
 	return nil
 }
 
-// pair runs one program directly and one through an instance.
-func (o OverheadOptions) pair(ctx context.Context, r *run, random *rand.Rand, direct, through *path) error {
+// measurePair runs one program directly and one through an instance.
+func (o OverheadOptions) measurePair(ctx context.Context, r *run, random *rand.Rand, direct, through *pathLatencies) error {
 	engine := r.anyEngine(random)
-	if err := o.chats(ctx, &testkit.Client{Server: engine, HTTP: r.http}, "", direct); err != nil {
+	if err := o.runChats(ctx, &testkit.Client{Server: engine, HTTP: r.http}, "", direct); err != nil {
 		return errors.Wrap(err, "direct")
 	}
 	server := r.balancer.pick(random)
@@ -119,15 +119,15 @@
 	if err != nil {
 		return err
 	}
-	if err := o.chats(ctx, client, program, through); err != nil {
+	if err := o.runChats(ctx, client, program, through); err != nil {
 		return errors.Wrap(err, "through an instance")
 	}
 	_, err = client.Close(ctx, program)
 	return err
 }
 
-// chats makes the chats of one program.
-func (o OverheadOptions) chats(ctx context.Context, client *testkit.Client, program string, p *path) error {
+// runChats makes the chats of one program.
+func (o OverheadOptions) runChats(ctx context.Context, client *testkit.Client, program string, p *pathLatencies) error {
 	var messages []wire.ChatMessage
 	for number := 1; number <= o.Calls; number++ {
 		messages = append(messages, wire.ChatMessage{Role: "user", Content: fmt.Sprintf("tokens=%d step %d", o.Tokens, number)})
@@ -135,17 +135,17 @@
 		if program != "" {
 			call = testkit.Call{Program: program, Number: number}
 		}
-		answer, err := client.Chat(ctx, wire.ChatRequest{
+		response, err := client.Chat(ctx, wire.ChatRequest{
 			Model: testkit.ModelService, Messages: messages, MaxTokens: o.Tokens, Stream: true,
 		}, call)
 		if err != nil {
 			return err
 		}
-		if answer.Status != http.StatusOK || answer.Cut || answer.Problem != nil {
-			return errors.Newf("status %d: %s", answer.Status, answer.Body)
+		if response.Status != http.StatusOK || response.Cut || response.Problem != nil {
+			return errors.Newf("status %d: %s", response.Status, response.Body)
 		}
-		p.note(answer, number == 1)
-		messages = append(messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
+		p.record(response, number == 1)
+		messages = append(messages, wire.ChatMessage{Role: "assistant", Content: response.Text})
 		delay.Sleep(ctx, time.Duration(number%3)*time.Millisecond)
 	}
 	return nil
--- a/internal/load/procfs.go
+++ b/internal/load/procfs.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// clockTicks is the number of ticks a second of the times in /proc, which is
+// ticksPerSecond is the number of ticks a second of the times in /proc, which is
 // the same on all Linux systems of this architecture.
-const clockTicks = 100
+const ticksPerSecond = 100
 
 // usage is what a process has used since its start.
 type usage struct {
@@ -64,7 +64,7 @@
 	if userErr != nil || systemErr != nil {
 		return 0, errProcFormat
 	}
-	return time.Duration(user+system) * time.Second / clockTicks, nil
+	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
 // parseRSS gives the resident memory of a statm file in bytes.
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -22,11 +22,11 @@
 
 // classRecorder collects the figures of one class.
 type classRecorder struct {
-	started, finished, failed  atomic.Int64
-	latency, firstToken, token *histogram
-	slowdown                   *histogram
-	refusals, retries, unknown atomic.Int64
-	prompt, recomputed, calls  atomic.Int64
+	started, finished, failed             atomic.Int64
+	latency, firstToken, tokenGap         *histogram
+	slowdown                              *histogram
+	refusals, retries, unknown            atomic.Int64
+	promptTokens, recomputedTokens, calls atomic.Int64
 
 	mu      sync.Mutex
 	refused map[string]int64
@@ -34,34 +34,34 @@
 
 func newClassRecorder() *classRecorder {
 	return &classRecorder{
-		latency: newDurations(), firstToken: newDurations(), token: newDurations(),
+		latency: newDurations(), firstToken: newDurations(), tokenGap: newDurations(),
 		slowdown: newRatios(), refused: make(map[string]int64),
 	}
 }
 
-// ended notes a program that ended after its latency; alone is its latency on
+// recordFinished notes a program that ended after its latency; alone is its latency on
 // an idle system.
-func (c *classRecorder) ended(latency, alone time.Duration) {
+func (c *classRecorder) recordFinished(latency, idle time.Duration) {
 	c.finished.Add(1)
-	c.latency.duration(latency)
-	c.slowdown.ratio(float64(latency) / float64(alone))
+	c.latency.recordDuration(latency)
+	c.slowdown.recordRatio(float64(latency) / float64(idle))
 }
 
-func (c *classRecorder) refuse(reason string) {
+func (c *classRecorder) recordRefusal(reason string) {
 	c.refusals.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused[reason]++
 }
 
-// pieces notes the times of the pieces of a streamed answer, from the request.
-func (c *classRecorder) pieces(times []time.Duration) {
+// recordChunks notes the times of the pieces of a streamed answer, from the request.
+func (c *classRecorder) recordChunks(times []time.Duration) {
 	if len(times) == 0 {
 		return
 	}
-	c.firstToken.duration(times[0])
+	c.firstToken.recordDuration(times[0])
 	for i := 1; i < len(times); i++ {
-		c.token.duration(times[i] - times[i-1])
+		c.tokenGap.recordDuration(times[i] - times[i-1])
 	}
 }
 
@@ -70,15 +70,15 @@
 	c.latency.merge(other.latency)
 	c.slowdown.merge(other.slowdown)
 	c.firstToken.merge(other.firstToken)
-	c.token.merge(other.token)
+	c.tokenGap.merge(other.tokenGap)
 	for _, counter := range []struct{ to, from *atomic.Int64 }{
 		{&c.started, &other.started}, {&c.finished, &other.finished}, {&c.failed, &other.failed},
 		{&c.refusals, &other.refusals}, {&c.retries, &other.retries}, {&c.unknown, &other.unknown},
-		{&c.prompt, &other.prompt}, {&c.recomputed, &other.recomputed},
+		{&c.promptTokens, &other.promptTokens}, {&c.recomputedTokens, &other.recomputedTokens},
 	} {
 		counter.to.Add(counter.from.Load())
 	}
-	from := other.figures().Refused
+	from := other.stats().Refused
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for reason, count := range from {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (c *classRecorder) figures() ClassStats {
+func (c *classRecorder) stats() ClassStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	refused := make(map[string]int64, len(c.refused))
@@ -96,8 +96,8 @@
 	return ClassStats{
 		Started: c.started.Load(), Finished: c.finished.Load(), Failed: c.failed.Load(),
 		Latency: c.latency.quantiles(), Slowdown: c.slowdown.quantiles(),
-		FirstToken: c.firstToken.quantiles(), BetweenTokens: c.token.quantiles(),
+		FirstToken: c.firstToken.quantiles(), BetweenTokens: c.tokenGap.quantiles(),
 		Refusals: c.refusals.Load(), Retries: c.retries.Load(), Unknown: c.unknown.Load(),
-		Refused: refused, PromptTokens: c.prompt.Load(), RecomputedTokens: c.recomputed.Load(),
+		Refused: refused, PromptTokens: c.promptTokens.Load(), RecomputedTokens: c.recomputedTokens.Load(),
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -17,40 +17,40 @@
 		"latency p99 ms", "first token p50/p95 ms", "between tokens p50/p95 ms", "refusals", "retries", "recomputed %",
 		"gone cache %", "left tokens", "appends/s",
 	}
-	fmt.Fprintln(out, row(columns...))
-	fmt.Fprintln(out, row(slices.Repeat([]string{"---"}, len(columns))...))
+	fmt.Fprintln(out, markdownRow(columns...))
+	fmt.Fprintln(out, markdownRow(slices.Repeat([]string{"---"}, len(columns))...))
 }
 
 // printScenario prints one row a class over all seeds.
 func printScenario(out io.Writer, o ScenarioOptions, results []*Result) {
 	for _, class := range o.Classes {
 		pooled := newClassRecorder()
-		var tails, gone, left, appends []float64
+		var p99s, ended, remaining, appends []float64
 		for _, r := range results {
 			pooled.merge(r.pooled[class.Name])
-			tails = append(tails, r.Classes[class.Name].Slowdown.P99)
-			gone = append(gone, share(r.Waste.Ended, r.Waste.Held))
-			left = append(left, float64(r.Waste.Remaining))
+			p99s = append(p99s, r.Classes[class.Name].Slowdown.P99)
+			ended = append(ended, percentOf(r.Waste.Ended, r.Waste.Held))
+			remaining = append(remaining, float64(r.Waste.Remaining))
 			appends = append(appends, r.AppendRate)
 		}
-		f := pooled.figures()
-		fmt.Fprintln(out, row(
+		f := pooled.stats()
+		fmt.Fprintln(out, markdownRow(
 			results[0].Scenario, class.Name, fmt.Sprint(f.Started), fmt.Sprint(f.Failed),
 			fmt.Sprintf("%.2f", f.Slowdown.Mean), fmt.Sprintf("%.2f", f.Slowdown.P50),
-			fmt.Sprintf("%.2f", f.Slowdown.P95), fmt.Sprintf("%.2f", f.Slowdown.P99), Spread(tails, 2),
+			fmt.Sprintf("%.2f", f.Slowdown.P95), fmt.Sprintf("%.2f", f.Slowdown.P99), Spread(p99s, 2),
 			fmt.Sprintf("%.0f", f.Latency.P99),
 			fmt.Sprintf("%.1f/%.1f", f.FirstToken.P50, f.FirstToken.P95),
 			fmt.Sprintf("%.1f/%.1f", f.BetweenTokens.P50, f.BetweenTokens.P95),
-			refusals(f), fmt.Sprint(f.Retries),
-			fmt.Sprintf("%.1f", share(float64(f.RecomputedTokens), float64(f.PromptTokens))),
-			Spread(gone, 1), Spread(left, 0), Spread(appends, 0),
+			formatRefusals(f), fmt.Sprint(f.Retries),
+			fmt.Sprintf("%.1f", percentOf(float64(f.RecomputedTokens), float64(f.PromptTokens))),
+			Spread(ended, 1), Spread(remaining, 0), Spread(appends, 0),
 		))
 	}
 	printErrors(out, results)
 }
 
-// share is a part in per cent of the whole.
-func share(part, whole float64) float64 {
+// percentOf is a part in per cent of the whole.
+func percentOf(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
 	}
@@ -58,8 +58,8 @@
 	return perCent * part / whole
 }
 
-// refusals lists the refusals by the last segment of their problem type.
-func refusals(f ClassStats) string {
+// formatRefusals lists the refusals by the last segment of their problem type.
+func formatRefusals(f ClassStats) string {
 	var parts []string
 	for _, problem := range slices.Sorted(maps.Keys(f.Refused)) {
 		name := problem[strings.LastIndexAny(problem, ":/")+1:]
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -15,29 +15,29 @@
 
 // run is one run of programs against a cluster.
 type run struct {
-	cluster  *testkit.Cluster
-	balancer *balancer
-	model    engine.ModelSettings
-	classes  map[string]Class
-	figures  map[string]*classRecorder
-	http     *http.Client
+	cluster   *testkit.Cluster
+	balancer  *balancer
+	model     engine.ModelSettings
+	classes   map[string]Class
+	recorders map[string]*classRecorder
+	http      *http.Client
 
 	mu sync.Mutex
-	// gone holds the programs that ended.
-	gone   map[string]bool
+	// ended holds the programs that ended.
+	ended  map[string]bool
 	errors []error
 }
 
 func newRun(ctx context.Context, c *testkit.Cluster, model engine.ModelSettings, classes []Class) *run {
 	r := &run{
 		cluster: c, balancer: newBalancer(ctx, c.Instances), model: model,
-		classes: make(map[string]Class), figures: make(map[string]*classRecorder),
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
-		gone: make(map[string]bool),
+		classes: make(map[string]Class), recorders: make(map[string]*classRecorder),
+		http:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		ended: make(map[string]bool),
 	}
 	for _, class := range classes {
 		r.classes[class.Name] = class
-		r.figures[class.Name] = newClassRecorder()
+		r.recorders[class.Name] = newClassRecorder()
 	}
 	return r
 }
@@ -47,8 +47,8 @@
 	r.http.CloseIdleConnections()
 }
 
-// open runs programs at their arrival times and waits for all.
-func (r *run) open(ctx context.Context, programs []*Program) {
+// runOpenLoop runs programs at their arrival times and waits for all.
+func (r *run) runOpenLoop(ctx context.Context, programs []*Program) {
 	started := time.Now()
 	var group sync.WaitGroup
 	for _, p := range programs {
@@ -56,20 +56,20 @@
 		if ctx.Err() != nil {
 			break
 		}
-		group.Go(func() { r.program(ctx, p) })
+		group.Go(func() { r.runProgram(ctx, p) })
 	}
 	group.Wait()
 }
 
-// closed runs programs one after the other in each of a number of callers
+// runClosedLoop runs programs one after the other in each of a number of callers
 // until the context ends or all have run.
-func (r *run) closed(ctx context.Context, programs []*Program, callers int) {
+func (r *run) runClosedLoop(ctx context.Context, programs []*Program, callers int) {
 	next := make(chan *Program)
 	var group sync.WaitGroup
 	for range callers {
 		group.Go(func() {
 			for p := range next {
-				r.program(ctx, p)
+				r.runProgram(ctx, p)
 			}
 		})
 	}
@@ -85,68 +85,68 @@
 	group.Wait()
 }
 
-// program runs one program and notes its latency.
-func (r *run) program(ctx context.Context, p *Program) {
-	figures := r.figures[p.Class]
-	figures.started.Add(1)
+// runProgram runs one program and notes its latency.
+func (r *run) runProgram(ctx context.Context, p *Program) {
+	recorder := r.recorders[p.Class]
+	recorder.started.Add(1)
 	started := time.Now()
 	c := &caller{
-		key: callerKey(p.Class), http: r.http, balancer: r.balancer, figures: figures,
+		key: callerKey(p.Class), http: r.http, balancer: r.balancer, recorder: recorder,
 		random: rand.New(rand.NewPCG(p.Seed, 0)),
 	}
-	id, err := c.open(ctx)
+	id, err := c.openProgram(ctx)
 	if err != nil {
-		r.fail(ctx, figures, err)
+		r.recordFailure(ctx, recorder, err)
 		return
 	}
 	l := &lane{run: r, caller: c, program: id, messages: []wire.ChatMessage{
-		{Role: "system", Content: filler(r.classes[p.Class].SharedTokens)},
+		{Role: "system", Content: fillerText(r.classes[p.Class].SharedTokens)},
 	}}
 	// The engines hold the shared message after the first program.
-	l.context = engine.PromptTokens(l.messages)
-	alone, err := l.steps(ctx, p.Steps)
+	l.contextTokens = engine.PromptTokens(l.messages)
+	idle, err := l.runSteps(ctx, p.Steps)
 	if err != nil {
-		r.fail(ctx, figures, err)
+		r.recordFailure(ctx, recorder, err)
 	} else {
-		figures.ended(time.Since(started), alone)
+		recorder.recordFinished(time.Since(started), idle)
 	}
 	if !p.Abandoned {
-		_ = c.close(ctx, id)
+		_ = c.closeProgram(ctx, id)
 	}
-	r.end(id)
+	r.markEnded(id)
 }
 
-// end notes that a program makes no more calls.
-func (r *run) end(id string) {
+// markEnded notes that a program makes no more calls.
+func (r *run) markEnded(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gone[id] = true
+	r.ended[id] = true
 }
 
-func (r *run) isGone(id string) bool {
+func (r *run) hasEnded(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gone[id]
+	return r.ended[id]
 }
 
-// fail notes a program without its answers; one cut off by the end of the run
+// recordFailure notes a program without its answers; one cut off by the end of the run
 // is none.
-func (r *run) fail(ctx context.Context, figures *classRecorder, err error) {
+func (r *run) recordFailure(ctx context.Context, recorder *classRecorder, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	figures.failed.Add(1)
+	recorder.failed.Add(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errors = append(r.errors, err)
 }
 
-// alone is the time of a chat on an idle engine: the prefill of its new tokens
+// idleLatency is the time of a chat on an idle engine: the prefill of its new tokens
 // in chunks, then one step a token. The last chunk makes the first token.
-func (r *run) alone(fresh, output int) time.Duration {
+func (r *run) idleLatency(newTokens, outputTokens int) time.Duration {
 	m := r.model
-	chunks := (max(1, fresh) + m.PrefillChunk - 1) / m.PrefillChunk
-	steps := chunks + output - 1
-	return time.Duration(steps)*m.StepBase + time.Duration(fresh)*m.StepPerPrefillToken +
-		time.Duration(output)*m.StepPerSequence
+	chunks := (max(1, newTokens) + m.PrefillChunk - 1) / m.PrefillChunk
+	steps := chunks + outputTokens - 1
+	return time.Duration(steps)*m.StepBase + time.Duration(newTokens)*m.StepPerPrefillToken +
+		time.Duration(outputTokens)*m.StepPerSequence
 }
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -20,15 +20,15 @@
 	Scenarios []string
 }
 
-// faultShare is the part of the run before a fault, and that a fault lasts.
-const faultShare = 4
+// faultDivisor is the part of the run before a fault, and that a fault lasts.
+const faultDivisor = 4
 
-// runLimit bounds a run beyond the time in which programs arrive.
-const runLimit = 90 * time.Second
+// drainLimit bounds a run beyond the time in which programs arrive.
+const drainLimit = 90 * time.Second
 
-// settleTime is the time between the end of the programs and the last look
+// cacheSettleTime is the time between the end of the programs and the last look
 // into the engines' caches.
-const settleTime = 3 * time.Second
+const cacheSettleTime = 3 * time.Second
 
 // Result is what one run gave.
 type Result struct {
@@ -76,7 +76,7 @@
 
 // run runs one scenario with one seed in a cluster of its own.
 func (o ScenarioOptions) run(ctx context.Context, fault Fault, seed uint64) (*Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, o.Duration+runLimit)
+	ctx, cancel := context.WithTimeout(ctx, o.Duration+drainLimit)
 	defer cancel()
 	cluster, err := o.start(ctx)
 	if err != nil {
@@ -85,44 +85,44 @@
 	defer cluster.Close()
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
-	r.warm(ctx)
-	waste := startWaste(ctx, r)
+	r.warmUp(ctx)
+	waste := startWasteSampler(ctx, r)
 	faulted := make(chan struct{})
 	go func() {
 		defer close(faulted)
-		delay.Sleep(ctx, o.Duration/faultShare)
-		fault.apply(ctx, cluster, o.Duration/faultShare)
+		delay.Sleep(ctx, o.Duration/faultDivisor)
+		fault.apply(ctx, cluster, o.Duration/faultDivisor)
 	}()
 	before, started := cluster.Log.Stats().Total.Appends, time.Now()
-	r.open(ctx, Generate(o.Classes, o.Duration, seed))
+	r.runOpenLoop(ctx, Generate(o.Classes, o.Duration, seed))
 	appends := float64(cluster.Log.Stats().Total.Appends-before) / time.Since(started).Seconds()
 	<-faulted
-	delay.Sleep(ctx, settleTime)
+	delay.Sleep(ctx, cacheSettleTime)
 	return r.result(fault.Name, seed, waste.stop(), appends), nil
 }
 
-// warm runs a few programs of each class that are not counted, so that shards
+// warmUp runs a few programs of each class that are not counted, so that shards
 // are owned and the shared prefixes cached.
-func (r *run) warm(ctx context.Context) {
+func (r *run) warmUp(ctx context.Context) {
 	const duration, factor, callers = 2 * time.Second, 10, 4
 	var classes []Class
 	for _, class := range r.classes {
 		class.ArrivalRate = factor
 		classes = append(classes, class)
 	}
-	r.closed(ctx, Generate(classes, duration, 0), callers)
-	for name := range r.figures {
-		r.figures[name] = newClassRecorder()
+	r.runClosedLoop(ctx, Generate(classes, duration, 0), callers)
+	for name := range r.recorders {
+		r.recorders[name] = newClassRecorder()
 	}
 }
 
 func (r *run) result(name string, seed uint64, waste Waste, appends float64) *Result {
 	result := &Result{
 		Scenario: name, Seed: seed, Waste: waste, AppendRate: appends,
-		Classes: make(map[string]ClassStats), pooled: r.figures,
+		Classes: make(map[string]ClassStats), pooled: r.recorders,
 	}
-	for class, recorder := range r.figures {
-		result.Classes[class] = recorder.figures()
+	for class, recorder := range r.recorders {
+		result.Classes[class] = recorder.stats()
 	}
 	for _, err := range r.errors {
 		result.Errors = append(result.Errors, err.Error())
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -13,9 +13,9 @@
 // Bounds and precision of the histograms.
 const (
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
-	maxSlowdownMille  = 10_000_000
+	maxSlowdownMilli  = 10_000_000
 	significantDigits = 3
-	mille             = 1000
+	milli             = 1000
 )
 
 // Quantiles are figures of one distribution.
@@ -42,12 +42,12 @@
 
 // newRatios collects ratios.
 func newRatios() *histogram {
-	return &histogram{hdr: hdrhistogram.New(1, maxSlowdownMille, significantDigits), max: maxSlowdownMille, unit: mille}
+	return &histogram{hdr: hdrhistogram.New(1, maxSlowdownMilli, significantDigits), max: maxSlowdownMilli, unit: milli}
 }
 
-func (h *histogram) duration(d time.Duration) { h.record(d.Microseconds()) }
+func (h *histogram) recordDuration(d time.Duration) { h.record(d.Microseconds()) }
 
-func (h *histogram) ratio(r float64) { h.record(int64(r * mille)) }
+func (h *histogram) recordRatio(r float64) { h.record(int64(r * milli)) }
 
 // record clamps a value to the histogram's range.
 func (h *histogram) record(value int64) {
@@ -126,5 +126,5 @@
 // At gives the line's value at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// row joins the cells of a table row in Markdown.
-func row(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |" }
+// markdownRow joins the cells of a table row in Markdown.
+func markdownRow(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |" }
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -16,7 +16,7 @@
 func TestQuantilesOfDurations(t *testing.T) {
 	h := newDurations()
 	for i := 1; i <= 1000; i++ {
-		h.duration(time.Duration(i) * time.Millisecond)
+		h.recordDuration(time.Duration(i) * time.Millisecond)
 	}
 	q := h.quantiles()
 	if q.Count != 1000 || !near(q.Mean, 500.5, 2) || !near(q.P50, 500, 2) || !near(q.P95, 950, 3) || !near(q.P99, 990, 3) {
@@ -26,8 +26,8 @@
 
 func TestHistogramClamps(t *testing.T) {
 	h := newRatios()
-	h.ratio(0)
-	h.ratio(1e12)
+	h.recordRatio(0)
+	h.recordRatio(1e12)
 	if q := h.quantiles(); q.Count != 2 {
 		t.Errorf("%+v", q)
 	}
@@ -35,11 +35,11 @@
 
 func TestMergeAddsAll(t *testing.T) {
 	one, other := newClassRecorder(), newClassRecorder()
-	one.ended(2*time.Second, time.Second)
-	other.ended(8*time.Second, 2*time.Second)
-	other.refuse("urn:x:overloaded")
+	one.recordFinished(2*time.Second, time.Second)
+	other.recordFinished(8*time.Second, 2*time.Second)
+	other.recordRefusal("urn:x:overloaded")
 	one.merge(other)
-	f := one.figures()
+	f := one.stats()
 	if f.Finished != 2 || !near(f.Slowdown.Mean, 3, 0.01) || f.Refused["urn:x:overloaded"] != 1 || f.Refusals != 1 {
 		t.Errorf("%+v", f)
 	}
@@ -99,7 +99,7 @@
 }
 
 func TestRefusalsAreNamed(t *testing.T) {
-	got := refusals(ClassStats{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
+	got := formatRefusals(ClassStats{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
 	if !strings.Contains(got, "overloaded 2") || !strings.Contains(got, "deadline 1") {
 		t.Error(got)
 	}
--- a/internal/load/tokens.go
+++ b/internal/load/tokens.go
@@ -35,11 +35,11 @@
 	defer cluster.Close()
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
-	r.warm(ctx)
+	r.warmUp(ctx)
 	r.balancer.close()
 	fmt.Fprintf(out, "instances %d, callers %d; a call, all instances together\n", o.Instances, o.Callers)
-	fmt.Fprintln(out, row("tokens", "CPU ms", "peer control B", "peer data B", "log appends", "load average"))
-	fmt.Fprintln(out, row("---", "---", "---", "---", "---", "---"))
+	fmt.Fprintln(out, markdownRow("tokens", "CPU ms", "peer control B", "peer data B", "log appends", "load average"))
+	fmt.Fprintln(out, markdownRow("---", "---", "---", "---", "---", "---"))
 	var x, cpu, control, data []float64
 	for _, tokens := range o.Tokens {
 		for range o.Repeats {
@@ -47,7 +47,7 @@
 			if err != nil {
 				return errors.Wrapf(err, "%d tokens", tokens)
 			}
-			fmt.Fprintln(out, row(fmt.Sprint(tokens), fmt.Sprintf("%.2f", cost.milliseconds),
+			fmt.Fprintln(out, markdownRow(fmt.Sprint(tokens), fmt.Sprintf("%.2f", cost.milliseconds),
 				fmt.Sprintf("%.0f", cost.control), fmt.Sprintf("%.0f", cost.data),
 				fmt.Sprintf("%.2f", cost.appends), LoadAverage()))
 			x, cpu = append(x, float64(tokens)), append(cpu, cost.milliseconds)
@@ -72,21 +72,21 @@
 			Steps: []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: tokens}},
 		})
 	}
-	before, err := r.read()
+	before, err := r.takeReading()
 	if err != nil {
 		return callCost{}, err
 	}
-	r.closed(ctx, programs, o.Callers)
+	r.runClosedLoop(ctx, programs, o.Callers)
 	// The journals and the metrics trail the calls.
-	delay.Sleep(ctx, heldSettle)
-	after, err := r.read()
+	delay.Sleep(ctx, journalSettleTime)
+	after, err := r.takeReading()
 	if err != nil {
 		return callCost{}, err
 	}
 	calls := float64(o.Calls)
 	var cost callCost
 	for i, u := range after.usage {
-		cost.milliseconds += (u.cpu - before.usage[i].cpu).Seconds() * mille / calls
+		cost.milliseconds += (u.cpu - before.usage[i].cpu).Seconds() * milli / calls
 	}
 	sum := func(names ...string) (total float64) {
 		for _, name := range names {
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -34,7 +34,7 @@
 	waste  Waste
 }
 
-func startWaste(ctx context.Context, r *run) *wasteSampler {
+func startWasteSampler(ctx context.Context, r *run) *wasteSampler {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &wasteSampler{run: r, cancel: cancel}
 	w.work.Go(func() { w.sample(ctx) })
@@ -55,15 +55,15 @@
 		now := time.Now()
 		seconds := now.Sub(last).Seconds()
 		last = now
-		held, gone := w.look()
+		held, gone := w.readCaches()
 		w.waste.Held += float64(held) * seconds
 		w.waste.Ended += float64(gone) * seconds
 		w.waste.Remaining = gone
 	}
 }
 
-// look gives the tokens that the engines hold of programs, and of gone ones.
-func (w *wasteSampler) look() (held, gone int64) {
+// readCaches gives the tokens that the engines hold of programs, and of gone ones.
+func (w *wasteSampler) readCaches() (held, ended int64) {
 	for _, target := range w.run.cluster.Ready().Targets {
 		if target.Service != testkit.ModelService {
 			continue
@@ -77,10 +77,10 @@
 				continue
 			}
 			held += tokens
-			if w.run.isGone(key) {
-				gone += tokens
+			if w.run.hasEnded(key) {
+				ended += tokens
 			}
 		}
 	}
-	return held, gone
+	return held, ended
 }
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -142,34 +142,34 @@
 }
 
 func (c Class) turns(random *rand.Rand) int {
-	drawn := float64(c.MinTurns) / math.Pow(1-random.Float64(), 1/c.TurnsShape)
-	return min(c.MaxTurns, int(drawn))
+	turns := float64(c.MinTurns) / math.Pow(1-random.Float64(), 1/c.TurnsShape)
+	return min(c.MaxTurns, int(turns))
 }
 
 // steps makes the steps of a lane; only the program's own has sub-agents and
 // filings.
-func (c Class) steps(random *rand.Rand, turns int, own bool) []Step {
+func (c Class) steps(random *rand.Rand, turns int, topLevel bool) []Step {
 	var steps []Step
 	for range turns {
-		steps = append(steps, c.chat(random, own))
-		switch drawn := random.Float64(); {
-		case own && drawn < c.FilingProbability:
+		steps = append(steps, c.chat(random, topLevel))
+		switch sample := random.Float64(); {
+		case topLevel && sample < c.FilingProbability:
 			steps = append(steps, plainStep(random, StepFiling))
-		case drawn < c.FilingProbability+c.ToolProbability:
+		case sample < c.FilingProbability+c.ToolProbability:
 			steps = append(steps, plainStep(random, StepTool))
 		}
 	}
 	return steps
 }
 
-func (c Class) chat(random *rand.Rand, own bool) Step {
+func (c Class) chat(random *rand.Rand, topLevel bool) Step {
 	step := Step{
 		Kind:         StepChat,
 		InputTokens:  int(logNormal(random, float64(c.InputTokens), sigmaTokens)),
 		OutputTokens: int(logNormal(random, float64(c.OutputTokens), sigmaTokens)),
 		Pause:        time.Duration(logNormal(random, float64(c.Pause), sigmaPause)),
 	}
-	if own && random.Float64() < c.AgentProbability {
+	if topLevel && random.Float64() < c.AgentProbability {
 		for range 1 + random.IntN(maxAgents) {
 			step.Agents = append(step.Agents, c.steps(random, 1+random.IntN(agentTurns), false))
 		}
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -50,7 +50,7 @@
 
 func TestFillerHasLength(t *testing.T) {
 	for _, tokens := range []int{0, 1, 7, 400} {
-		if got := len(filler(tokens)); got != tokens*bytesPerToken {
+		if got := len(fillerText(tokens)); got != tokens*bytesPerToken {
 			t.Errorf("%d tokens give %d bytes", tokens, got)
 		}
 	}
