--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// small are options of a short run.
-func small(workloads ...string) Options {
+// smallOptions are options of a short run.
+func smallOptions(workloads ...string) Options {
 	o := DefaultOptions()
 	o.Duration, o.Warmup, o.Seeds = 10*time.Second, 0, []uint64{1}
 	o.Workloads, o.Variants = workloads, []string{Baseline, Full}
@@ -20,8 +20,8 @@
 
 // A program without sub-agents, alone on an idle system, must take what Alone
 // says, but for its first shared prefix.
-func TestAloneMatchesTheModel(t *testing.T) {
-	o := small()
+func TestIdleLatencyMatchesEngineModel(t *testing.T) {
+	o := smallOptions()
 	spec := &Program{ID: "p", Team: "a", Chain: Chain{
 		{InputTokens: 1500, OutputTokens: 40, Pause: time.Second}, {InputTokens: 300, OutputTokens: 20, Pause: time.Second},
 		{InputTokens: 10, OutputTokens: 5},
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestSameSeedSameFigures(t *testing.T) {
-	o := small("dying", "overload")
+func TestSameSeedGivesSameResults(t *testing.T) {
+	o := smallOptions("dying", "overload")
 	first, err := Measure(o)
 	if err != nil {
 		t.Fatal(err)
@@ -48,9 +48,9 @@
 	}
 }
 
-func TestRunWritesEveryVariant(t *testing.T) {
+func TestRunWritesAllVariants(t *testing.T) {
 	var out bytes.Buffer
-	if err := Run(&out, small("survey")); err != nil {
+	if err := Run(&out, smallOptions("survey")); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"survey", Baseline, Full, "recomputed %"} {
@@ -58,7 +58,7 @@
 			t.Errorf("the table lacks %q", name)
 		}
 	}
-	if err := Run(&out, small("none")); err == nil {
+	if err := Run(&out, smallOptions("none")); err == nil {
 		t.Error("an unknown workload gives no error")
 	}
 }
--- a/internal/bench/clock.go
+++ b/internal/bench/clock.go
@@ -7,24 +7,24 @@
 
 // clock runs actions in order of virtual time.
 type clock struct {
-	now    time.Duration
-	queue  actionHeap
-	number uint64
+	now      time.Duration
+	queue    actionHeap
+	sequence uint64
 }
 
 type action struct {
-	at     time.Duration
-	number uint64
-	do     func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 // at schedules an action; those of the same time run in order of scheduling.
-func (c *clock) at(at time.Duration, do func()) {
-	c.number++
-	heap.Push(&c.queue, action{at: max(at, c.now), number: c.number, do: do})
+func (c *clock) at(at time.Duration, run func()) {
+	c.sequence++
+	heap.Push(&c.queue, action{at: max(at, c.now), sequence: c.sequence, run: run})
 }
 
-func (c *clock) after(wait time.Duration, do func()) { c.at(c.now+wait, do) }
+func (c *clock) after(wait time.Duration, run func()) { c.at(c.now+wait, run) }
 
 // step runs the next action; false if there is none.
 func (c *clock) step() bool {
@@ -33,7 +33,7 @@
 	}
 	next := heap.Pop(&c.queue).(action)
 	c.now = next.at
-	next.do()
+	next.run()
 	return true
 }
 
@@ -47,7 +47,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/bench/driver.go
+++ b/internal/bench/driver.go
@@ -30,31 +30,31 @@
 
 // driver runs one workload under one rule set.
 type driver struct {
-	options    Options
-	workload   Workload
-	clock      clock
-	random     *rand.Rand
-	dispatcher *dispatch.Dispatcher
-	runners    []*runner
-	byTarget   map[structs.TargetID]*runner
-	programs   map[structs.ProgramID]*liveProgram
-	calls      map[structs.RunID]*liveCall
-	open       int
-	wake       time.Duration
-	runs       int
-	figures    *Sample
+	options         Options
+	workload        Workload
+	clock           clock
+	random          *rand.Rand
+	dispatcher      *dispatch.Dispatcher
+	runners         []*runner
+	runnersByTarget map[structs.TargetID]*runner
+	programs        map[structs.ProgramID]*liveProgram
+	calls           map[structs.RunID]*liveCall
+	openPrograms    int
+	wakeAt          time.Duration
+	runCount        int
+	sample          *Sample
 }
 
-// start is the wall time of virtual time 0.
-var start = time.Unix(1_700_000_000, 0)
+// wallStart is the wall time of virtual time 0.
+var wallStart = time.Unix(1_700_000_000, 0)
 
 func newDriver(o Options, w Workload, rules structs.Rules, seed uint64) *driver {
 	d := &driver{
 		options: o, workload: w, random: rand.New(rand.NewPCG(seed, 0)),
-		byTarget: make(map[structs.TargetID]*runner),
-		programs: make(map[structs.ProgramID]*liveProgram),
-		calls:    make(map[structs.RunID]*liveCall),
-		figures:  newSample(),
+		runnersByTarget: make(map[structs.TargetID]*runner),
+		programs:        make(map[structs.ProgramID]*liveProgram),
+		calls:           make(map[structs.RunID]*liveCall),
+		sample:          newSample(),
 	}
 	view := &benchMembers{}
 	for i := range o.Runners {
@@ -63,10 +63,10 @@
 		}
 		r := &runner{
 			driver: d, target: target, model: engine.NewModel(o.Engine),
-			runs: make(map[string]*liveCall), holds: newHoldMeter(),
+			calls: make(map[string]*liveCall), wasteMeter: newWasteMeter(),
 		}
 		d.runners = append(d.runners, r)
-		d.byTarget[target.ID] = r
+		d.runnersByTarget[target.ID] = r
 		view.targets = append(view.targets, target)
 	}
 	config := structs.DefaultInstanceConfig(structs.Peer{ID: selfID}, "bench")
@@ -78,38 +78,38 @@
 // run plays a workload to its end and gives its figures.
 func (d *driver) run(programs []*Program) *Sample {
 	for _, spec := range programs {
-		d.open++
-		d.clock.at(spec.Arrival, func() { d.arrive(spec) })
+		d.openPrograms++
+		d.clock.at(spec.Arrival, func() { d.startProgram(spec) })
 	}
 	for _, r := range d.runners {
-		d.repeat(r.reportLoad)
+		d.everyLoadInterval(r.reportLoad)
 	}
-	for d.open > 0 && d.clock.step() {
+	for d.openPrograms > 0 && d.clock.step() {
 	}
-	d.figures.finish(d)
-	return d.figures
+	d.sample.collectWaste(d)
+	return d.sample
 }
 
-// repeat does something at each load report interval while programs are open.
-func (d *driver) repeat(do func()) {
+// everyLoadInterval does something at each load report interval while programs are open.
+func (d *driver) everyLoadInterval(run func()) {
 	d.clock.after(d.options.LoadInterval, func() {
-		do()
-		if d.open > 0 {
-			d.repeat(do)
+		run()
+		if d.openPrograms > 0 {
+			d.everyLoadInterval(run)
 		}
 	})
 }
 
-func (d *driver) wall() time.Time { return start.Add(d.clock.now) }
+func (d *driver) wallTime() time.Time { return wallStart.Add(d.clock.now) }
 
 // tick gives the dispatcher events and carries out its commands.
 func (d *driver) tick(events ...structs.Event) {
-	for _, command := range d.dispatcher.Tick(d.wall(), events) {
+	for _, command := range d.dispatcher.Tick(d.wallTime(), events) {
 		switch c := command.(type) {
 		case structs.SendPeer:
-			d.clock.after(d.options.HopDelay, func() { d.ownerGets(c.Msg) })
+			d.clock.after(d.options.HopDelay, func() { d.handleOwnerMessage(c.Msg) })
 		case structs.ReleaseCache:
-			d.byTarget[c.Target.ID].release(c.Program)
+			d.runnersByTarget[c.Target.ID].release(c.Program)
 		}
 	}
 	d.scheduleWake()
@@ -120,35 +120,35 @@
 	if next.IsZero() {
 		return
 	}
-	at := max(next.Sub(start), d.clock.now)
-	if d.wake > d.clock.now && d.wake <= at {
+	at := max(next.Sub(wallStart), d.clock.now)
+	if d.wakeAt > d.clock.now && d.wakeAt <= at {
 		return
 	}
-	d.wake = at
+	d.wakeAt = at
 	d.clock.at(at, func() {
-		if d.wake == at {
-			d.wake = 0
+		if d.wakeAt == at {
+			d.wakeAt = 0
 			d.tick()
 		}
 	})
 }
 
-// toDispatcher sends a message of the owner.
-func (d *driver) toDispatcher(msg structs.Message) {
+// sendToDispatcher sends a message of the owner.
+func (d *driver) sendToDispatcher(msg structs.Message) {
 	d.clock.after(d.options.HopDelay, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
 }
 
-// ownerGets handles a message of the dispatcher as an owner does.
-func (d *driver) ownerGets(msg structs.Message) {
+// handleOwnerMessage handles a message of the dispatcher as an owner does.
+func (d *driver) handleOwnerMessage(msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitGrant:
 		c := d.calls[m.Ref.Run]
 		c.target = m.Target.ID
-		c.granted = d.clock.now
-		c.program.enter(d.byTarget[c.target])
-		d.clock.after(d.options.HopDelay, func() { d.byTarget[c.target].submit(c) })
+		c.grantedAt = d.clock.now
+		c.program.callPlaced(d.runnersByTarget[c.target])
+		d.clock.after(d.options.HopDelay, func() { d.runnersByTarget[c.target].submit(c) })
 	case *structs.PermitRefuse:
-		d.refused(d.calls[m.Ref.Run], m)
+		d.callRefused(d.calls[m.Ref.Run], m)
 	}
 }
 
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -73,10 +73,10 @@
 func Variants() []Variant {
 	plain := structs.Rules{Order: "fcfs", Placement: "least-loaded", Retention: "all"}
 	return []Variant{
-		{"fcfs/round-robin", with(plain, func(r *structs.Rules) { r.Placement = "round-robin" })},
+		{"fcfs/round-robin", modify(plain, func(r *structs.Rules) { r.Placement = "round-robin" })},
 		{Baseline, plain},
-		{"fcfs/least-loaded late", with(plain, func(r *structs.Rules) { r.LateBinding = true })},
-		{"las/affinity late", with(plain, func(r *structs.Rules) {
+		{"fcfs/least-loaded late", modify(plain, func(r *structs.Rules) { r.LateBinding = true })},
+		{"las/affinity late", modify(plain, func(r *structs.Rules) {
 			r.Order, r.Aging, r.Classes, r.Placement, r.LateBinding = "las", 1, true, "affinity", true
 		})},
 		{Full, structs.DefaultRules()},
@@ -87,7 +87,7 @@
 func Ablations() []Variant {
 	full := structs.DefaultRules()
 	off := func(name string, change func(*structs.Rules)) Variant {
-		return Variant{Name: "full, " + name, Rules: with(full, change)}
+		return Variant{Name: "full, " + name, Rules: modify(full, change)}
 	}
 	return []Variant{
 		off("order fcfs", func(r *structs.Rules) { r.Order = "fcfs" }),
@@ -107,7 +107,7 @@
 	}
 }
 
-func with(rules structs.Rules, change func(*structs.Rules)) structs.Rules {
+func modify(rules structs.Rules, change func(*structs.Rules)) structs.Rules {
 	change(&rules)
 	return rules
 }
--- a/internal/bench/program.go
+++ b/internal/bench/program.go
@@ -49,20 +49,20 @@
 // shared prefix and all of the program's own. It is a lower bound: sub-agents
 // do not slow each other.
 func (p *Program) IdleLatency(o Options) time.Duration {
-	total, _ := aloneChain(o, p.Chain, 0)
+	total, _ := idleChainLatency(o, p.Chain, 0)
 	return total
 }
 
-// aloneChain gives the latency of a chain that starts with own context tokens
+// idleChainLatency gives the latency of a chain that starts with own context tokens
 // and the context after it.
-func aloneChain(o Options, chain Chain, context int) (time.Duration, int) {
+func idleChainLatency(o Options, chain Chain, context int) (time.Duration, int) {
 	var total time.Duration
 	for i, step := range chain {
-		total += aloneCall(o, step)
+		total += idleCallLatency(o, step)
 		context += step.InputTokens + step.OutputTokens
 		var longest time.Duration
 		for _, agent := range step.Agents {
-			took, _ := aloneChain(o, agent, context)
+			took, _ := idleChainLatency(o, agent, context)
 			longest = max(longest, took)
 		}
 		total += longest
@@ -73,9 +73,9 @@
 	return total, context
 }
 
-// aloneCall is the latency of one call: its messages, the prefill of its new
+// idleCallLatency is the latency of one call: its messages, the prefill of its new
 // tokens and its answer.
-func aloneCall(o Options, step Step) time.Duration {
+func idleCallLatency(o Options, step Step) time.Duration {
 	e := o.Engine
 	steps := (max(1, step.InputTokens)+e.PrefillChunk-1)/e.PrefillChunk - 1 + step.OutputTokens
 	engine := time.Duration(steps)*e.StepBase +
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -43,7 +43,7 @@
 
 // Measure runs every chosen workload under every chosen variant and seed.
 func Measure(o Options) ([]Result, error) {
-	workloads, err := choose(Workloads(), o.Workloads, func(w Workload) string { return w.Name })
+	workloads, err := selectByName(Workloads(), o.Workloads, func(w Workload) string { return w.Name })
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		for j, seed := range o.Seeds {
 			group.Go(func() error {
 				d := newDriver(o, workload, variant.Rules, seed)
-				result.Seeds[j] = d.run(workload.Generate(o, seed)).figures()
+				result.Seeds[j] = d.run(workload.Generate(o, seed)).stats()
 				return nil
 			})
 		}
@@ -80,10 +80,10 @@
 		return Variants(), nil
 	}
 	all := append(Variants(), Ablations()...)
-	return choose(all, o.Variants, func(v Variant) string { return v.Name })
+	return selectByName(all, o.Variants, func(v Variant) string { return v.Name })
 }
 
-func choose[T any](all []T, names []string, name func(T) string) ([]T, error) {
+func selectByName[T any](all []T, names []string, name func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
@@ -182,14 +182,14 @@
 	for _, c := range list {
 		fmt.Fprint(w, c.name)
 		for _, result := range results {
-			mean, low, high := spread(result.Seeds, c.value)
+			mean, low, high := meanAndRange(result.Seeds, c.value)
 			fmt.Fprintf(w, "\t"+c.format+" ["+c.format+".."+c.format+"]", mean, low, high)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-func spread(seeds []Stats, value func(Stats) float64) (mean, low, high float64) {
+func meanAndRange(seeds []Stats, value func(Stats) float64) (mean, low, high float64) {
 	for i, f := range seeds {
 		v := value(f)
 		if i == 0 {
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -14,19 +14,19 @@
 	target   structs.Target
 	model    *engine.Model
 	stepping bool
-	// runs are the calls there by run.
-	runs map[string]*liveCall
-	// holds measures the waste of its cache.
-	holds holdMeter
+	// calls are the calls there by run.
+	calls map[string]*liveCall
+	// wasteMeter measures the waste of its cache.
+	wasteMeter wasteMeter
 }
 
 func (r *runner) submit(c *liveCall) {
-	if r.driver.workload.FailingRunner && r.faulty() {
-		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.notSent(c) })
+	if r.driver.workload.FailingRunner && r.faultActive() {
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callNotSent(c) })
 		return
 	}
-	r.runs[string(c.run)] = c
-	c.submitted = r.driver.clock.now
+	r.calls[string(c.run)] = c
+	c.submittedAt = r.driver.clock.now
 	if err := r.model.Submit(c.engineRequest()); err != nil {
 		panic(err) // a run is submitted once
 	}
@@ -38,19 +38,19 @@
 		return
 	}
 	r.stepping = true
-	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowness()), r.endStep)
+	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowdownFactor()), r.endStep)
 }
 
-// faulty tells whether this is the engine with a fault, in the time of it.
-func (r *runner) faulty() bool {
+// faultActive tells whether this is the engine with a fault, in the time of it.
+func (r *runner) faultActive() bool {
 	now, third := r.driver.clock.now, r.driver.options.Duration/3
 	return r == r.driver.runners[0] && now > third && now < 2*third
 }
 
-// slowness is the factor of a slow runner.
-func (r *runner) slowness() int {
-	if slow := r.driver.workload.SlowRunner; slow > 0 && r.faulty() {
-		return slow
+// slowdownFactor is the factor of a slow runner.
+func (r *runner) slowdownFactor() int {
+	if factor := r.driver.workload.SlowRunner; factor > 0 && r.faultActive() {
+		return factor
 	}
 	return 1
 }
@@ -61,19 +61,19 @@
 	now := r.driver.clock.now
 	for _, token := range result.Tokens {
 		if token.Index == 0 {
-			r.runs[token.ID].firstToken = now - r.runs[token.ID].submitted
+			r.calls[token.ID].timeToFirstToken = now - r.calls[token.ID].submittedAt
 		}
 	}
 	for _, finished := range result.Finished {
-		c := r.runs[finished.ID]
-		delete(r.runs, finished.ID)
+		c := r.calls[finished.ID]
+		delete(r.calls, finished.ID)
 		c.usage = structs.Usage{
 			PromptTokens: int64(finished.PromptTokens), CachedTokens: int64(finished.CachedTokens),
 			CompletionTokens: int64(finished.CompletionTokens),
 		}
-		c.took = now - c.submitted
-		r.holds.used(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
-		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.answered(c) })
+		c.duration = now - c.submittedAt
+		r.wasteMeter.recordUse(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callFinished(c) })
 	}
 	r.reportCache()
 	r.startStep()
@@ -105,7 +105,7 @@
 		Running: r.model.Running(), Waiting: r.model.Waiting(), Slots: r.model.Slots(),
 		CacheTokens: state.Used, CacheCapacity: state.Capacity,
 	}
-	r.holds.sample(r, state, r.driver.options.LoadInterval)
+	r.wasteMeter.sample(r, state, r.driver.options.LoadInterval)
 	r.driver.clock.after(r.driver.options.LoadLag, func() {
 		r.driver.tick(structs.TargetLoad{Target: r.target.ID, Load: load})
 	})
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -36,12 +36,12 @@
 	}
 }
 
-func (s *Sample) measured(d *driver, p *liveProgram) bool {
+func (s *Sample) inMeasurement(d *driver, p *liveProgram) bool {
 	return p.spec.Arrival >= d.options.Warmup
 }
 
-func (s *Sample) call(d *driver, c *liveCall) {
-	if !s.measured(d, c.program) {
+func (s *Sample) recordCall(d *driver, c *liveCall) {
+	if !s.inMeasurement(d, c.program) {
 		return
 	}
 	s.Calls++
@@ -50,17 +50,17 @@
 	s.NewTokens += int64(c.step.InputTokens)
 }
 
-func (s *Sample) refuse(d *driver, c *liveCall, after time.Duration) {
-	if !s.measured(d, c.program) {
+func (s *Sample) recordRefusal(d *driver, c *liveCall, after time.Duration) {
+	if !s.inMeasurement(d, c.program) {
 		return
 	}
 	s.Refused++
 	s.RefusalDelays = append(s.RefusalDelays, after.Seconds())
 }
 
-func (s *Sample) program(d *driver, p *liveProgram) {
+func (s *Sample) recordProgram(d *driver, p *liveProgram) {
 	spec := p.spec
-	if !s.measured(d, p) || !spec.Measured() {
+	if !s.inMeasurement(d, p) || !spec.Measured() {
 		return
 	}
 	s.Programs++
@@ -81,12 +81,12 @@
 	s.Teams[spec.Team] = append(s.Teams[spec.Team], slowdown)
 }
 
-func (s *Sample) finish(d *driver) {
+func (s *Sample) collectWaste(d *driver) {
 	for _, r := range d.runners {
-		r.holds.settle()
-		s.Waste.Ended += r.holds.waste.Ended
-		s.Waste.Paused += r.holds.waste.Paused
-		s.Waste.Held += r.holds.waste.Held
+		r.wasteMeter.finish()
+		s.Waste.Ended += r.wasteMeter.waste.Ended
+		s.Waste.Paused += r.wasteMeter.waste.Paused
+		s.Waste.Held += r.wasteMeter.waste.Held
 	}
 }
 
@@ -125,14 +125,14 @@
 // Quantiles summarize a distribution.
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
-func (s *Sample) figures() Stats {
+func (s *Sample) stats() Stats {
 	f := Stats{
 		Classes: make(map[int]ClassStats), Programs: s.Programs,
-		Met:        share(s.DeadlinesMet, s.Deadlines),
-		Prefilled:  share(s.PrefilledTokens, s.PromptTokens),
-		Recomputed: share(max(0, s.PrefilledTokens-s.NewTokens), s.PromptTokens),
-		Refused:    share(s.Refused, s.Refused+s.Calls),
-		Failed:     share(s.Failed, s.Programs),
+		Met:        ratio(s.DeadlinesMet, s.Deadlines),
+		Prefilled:  ratio(s.PrefilledTokens, s.PromptTokens),
+		Recomputed: ratio(max(0, s.PrefilledTokens-s.NewTokens), s.PromptTokens),
+		Refused:    ratio(s.Refused, s.Refused+s.Calls),
+		Failed:     ratio(s.Failed, s.Programs),
 		WasteGone:  s.Waste.Ended / float64(max(1, s.Programs)), WastePaused: s.Waste.Paused / float64(max(1, s.Programs)),
 		RefusedAfter: quantiles(s.RefusalDelays).P99, RefusedMedian: quantiles(s.RefusalDelays).P50,
 	}
@@ -144,7 +144,7 @@
 	}
 	f.Mean = quantiles(all).Mean
 	f.TeamLow, f.TeamHigh = s.teamRange()
-	f.NotSent = share(s.NotSent, s.Programs)
+	f.NotSent = ratio(s.NotSent, s.Programs)
 	return f
 }
 
@@ -157,7 +157,7 @@
 	return min(low, high), high
 }
 
-func share[N int | int64](part, whole N) float64 {
+func ratio[N int | int64](part, whole N) float64 {
 	if whole == 0 {
 		return 0
 	}
--- a/internal/bench/waste.go
+++ b/internal/bench/waste.go
@@ -22,19 +22,19 @@
 // Total is the whole waste.
 func (w Waste) Total() float64 { return w.Ended + w.Paused }
 
-// holdMeter measures the waste at one engine by samples.
-type holdMeter struct {
+// wasteMeter measures the waste at one engine by samples.
+type wasteMeter struct {
 	waste Waste
 	// unused is what each program's entry has held since its last use.
 	unused map[structs.ProgramID]float64
 }
 
-func newHoldMeter() holdMeter {
-	return holdMeter{unused: make(map[structs.ProgramID]float64)}
+func newWasteMeter() wasteMeter {
+	return wasteMeter{unused: make(map[structs.ProgramID]float64)}
 }
 
 // sample charges one interval of what the engine holds.
-func (h *holdMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
+func (h *wasteMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
 	for _, key := range slices.Sorted(maps.Keys(state.Programs)) {
 		tokens := state.Programs[key]
 		program := r.driver.programs[structs.ProgramID(key)]
@@ -44,31 +44,31 @@
 		charge := float64(tokens) * interval.Seconds()
 		h.waste.Held += charge
 		switch {
-		case program.left:
+		case program.finished:
 			h.waste.Ended += charge
-		case !program.runsAt(r):
+		case !program.isRunningAt(r):
 			h.unused[program.spec.ID] += charge
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
 		charge := h.unused[id]
-		if _, ok := state.Programs[string(id)]; !ok || r.driver.programs[id].left {
+		if _, ok := state.Programs[string(id)]; !ok || r.driver.programs[id].finished {
 			h.waste.Paused += charge
 			delete(h.unused, id)
 		}
 	}
 }
 
-// used settles what was held before a run: used if the run hit it.
-func (h *holdMeter) used(id structs.ProgramID, hit bool) {
+// recordUse settles what was held before a run: used if the run hit it.
+func (h *wasteMeter) recordUse(id structs.ProgramID, hit bool) {
 	if !hit {
 		h.waste.Paused += h.unused[id]
 	}
 	delete(h.unused, id)
 }
 
-// settle counts what was never used by the end of the run.
-func (h *holdMeter) settle() {
+// finish counts what was never used by the end of the run.
+func (h *wasteMeter) finish() {
 	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
 		h.waste.Paused += h.unused[id]
 	}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -121,8 +121,8 @@
 	if k.TurnsShape == 0 {
 		return k.MinTurns + random.IntN(k.MaxTurns-k.MinTurns+1)
 	}
-	drawn := float64(k.MinTurns) / math.Pow(1-random.Float64(), 1/k.TurnsShape)
-	return min(k.MaxTurns, int(drawn))
+	turns := float64(k.MinTurns) / math.Pow(1-random.Float64(), 1/k.TurnsShape)
+	return min(k.MaxTurns, int(turns))
 }
 
 func (k Kind) chain(random *rand.Rand, turns int, agents float64) Chain {
@@ -160,29 +160,29 @@
 	}
 	return []Workload{
 		{Name: "chains", Kinds: []Kind{clearance, status}},
-		{Name: "busy", Kinds: busy(clearance, status)},
-		{Name: "long-answers", Kinds: longAnswers(clearance, status)},
-		{Name: "tight-cache", Kinds: tightCache(clearance, status)},
-		{Name: "filing-week", Kinds: filingWeek(clearance, status)},
-		{Name: "shared-prefixes", Kinds: sharedPrefixes(clearance, status)},
-		{Name: "dying", Kinds: dying(clearance, status)},
-		{Name: "survey", Kinds: survey()},
-		{Name: "greedy-team", Kinds: greedyTeam(status)},
+		{Name: "busy", Kinds: busyKinds(clearance, status)},
+		{Name: "long-answers", Kinds: longAnswerKinds(clearance, status)},
+		{Name: "tight-cache", Kinds: tightCacheKinds(clearance, status)},
+		{Name: "filing-week", Kinds: burstKinds(clearance, status)},
+		{Name: "shared-prefixes", Kinds: sharedPrefixKinds(clearance, status)},
+		{Name: "dying", Kinds: abandonedKinds(clearance, status)},
+		{Name: "survey", Kinds: surveyKinds()},
+		{Name: "greedy-team", Kinds: greedyTeamKinds(status)},
 		{Name: "slow-runner", Kinds: []Kind{clearance, status}, SlowRunner: 10},
 		{Name: "failing-runner", Kinds: []Kind{clearance, status}, FailingRunner: true},
-		{Name: "overload", Kinds: overload(clearance, status)},
+		{Name: "overload", Kinds: overloadKinds(clearance, status)},
 	}
 }
 
-// busy is more than the baseline can serve in time.
-func busy(clearance, status Kind) []Kind {
+// busyKinds is more than the baseline can serve in time.
+func busyKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 11, 22
 	return []Kind{clearance, status}
 }
 
-// longAnswers is bound by the slots of the engines: decoding is most of the
+// longAnswerKinds is bound by the slots of the engines: decoding is most of the
 // work, so that cached prefixes help little.
-func longAnswers(clearance, status Kind) []Kind {
+func longAnswerKinds(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
 		kind.OutputTokens, kind.InputTokens, kind.FirstTokens, kind.SharedTokens = 300, 100, 300, 500
 	}
@@ -190,8 +190,8 @@
 	return []Kind{clearance, status}
 }
 
-// tightCache has contexts that the engines' caches cannot hold all at once.
-func tightCache(clearance, status Kind) []Kind {
+// tightCacheKinds has contexts that the engines' caches cannot hold all at once.
+func tightCacheKinds(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
 		kind.FirstTokens, kind.InputTokens, kind.Pause = 6000, 1000, 3*time.Second
 	}
@@ -199,42 +199,42 @@
 	return []Kind{clearance, status}
 }
 
-// filingWeek is a burst of clearance searches with short status lookups
+// burstKinds is a burst of clearance searches with short status lookups
 // behind.
-func filingWeek(clearance, status Kind) []Kind {
+func burstKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, clearance.BurstRate = 5, 20
 	status.ArrivalRate, status.MaxTurns, status.TurnsShape = 25, 4, 0
 	status.MinTurns = 1
 	return []Kind{clearance, status}
 }
 
-// sharedPrefixes has many teams with long system messages.
-func sharedPrefixes(clearance, status Kind) []Kind {
+// sharedPrefixKinds has many teams with long system messages.
+func sharedPrefixKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 4.2, 8.4
 	clearance.Teams, clearance.SharedTokens = 8, 6000
 	status.Teams, status.SharedTokens = 16, 6000
 	return []Kind{clearance, status}
 }
 
-// dying has programs that never return from a pause, and loops.
-func dying(clearance, status Kind) []Kind {
+// abandonedKinds has programs that never return from a pause, and loops.
+func abandonedKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 6, 12
 	clearance.AbandonProbability, clearance.LoopProbability = 0.15, 0.05
 	status.AbandonProbability, status.LoopProbability = 0.25, 0.05
 	return []Kind{clearance, status}
 }
 
-// greedyTeam is one team that asks for far more than its share beside one that
+// greedyTeamKinds is one team that asks for far more than its share beside one that
 // does not, of the same class and weight, in a burst that is too much for all.
-func greedyTeam(status Kind) []Kind {
+func greedyTeamKinds(status Kind) []Kind {
 	modest, greedy := status, status
 	modest.Team, modest.ArrivalRate = "modest", 7
 	greedy.Team, greedy.ArrivalRate, greedy.BurstRate = "greedy", 14, 110
 	return []Kind{modest, greedy}
 }
 
-// survey is quick checks from the boat before long reviews.
-func survey() []Kind {
+// surveyKinds is quick checks from the boat before long reviews.
+func surveyKinds() []Kind {
 	return []Kind{
 		{
 			Team: "cliff", Priority: 0, ArrivalRate: 14, Deadline: 5 * time.Second,
@@ -249,8 +249,8 @@
 	}
 }
 
-// overload is more than the engines can do, with short call timeouts.
-func overload(clearance, status Kind) []Kind {
+// overloadKinds is more than the engines can do, with short call timeouts.
+func overloadKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 25, 100
 	clearance.CallTimeout, status.CallTimeout = 10*time.Second, 10*time.Second
 	return []Kind{clearance, status}
--- a/internal/load/balancer_test.go
+++ b/internal/load/balancer_test.go
@@ -7,7 +7,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-func TestBalancerSkipsWhatIsDown(t *testing.T) {
+func TestBalancerSkipsInstancesThatAreDown(t *testing.T) {
 	b := &balancer{all: []*testkit.Process{{Server: "a"}, {Server: "b"}}, down: make(map[string]bool)}
 	random := rand.New(rand.NewPCG(1, 1))
 	b.set("a", true)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestAloneCountsSteps(t *testing.T) {
+func TestIdleLatencyCountsSteps(t *testing.T) {
 	r := &run{model: DefaultModel()}
 	m := r.model
 	// Two chunks of prompt; the second makes the first of three tokens.
--- a/internal/load/cost_test.go
+++ b/internal/load/cost_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestCostBetweenGivesRatesAnInstance(t *testing.T) {
+func TestCostBetweenReturnsRatesPerInstance(t *testing.T) {
 	start := time.Unix(100, 0)
 	end := start.Add(2 * time.Second)
 	before := &reading{
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestMergeAddsAll(t *testing.T) {
+func TestMergeAddsAllRecords(t *testing.T) {
 	one, other := newClassRecorder(), newClassRecorder()
 	one.recordFinished(2*time.Second, time.Second)
 	other.recordFinished(8*time.Second, 2*time.Second)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFitFindsLine(t *testing.T) {
+func TestFitLineRecoversLine(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
 	properties.Property("a line is found from its points", prop.ForAll(func(slope, intercept float64) bool {
 		x := []float64{3, 6, 12, 24, 48}
@@ -59,7 +59,7 @@
 	properties.TestingRun(t)
 }
 
-func TestFitOfOnePointIsFlat(t *testing.T) {
+func TestFitLineOfOnePointIsFlat(t *testing.T) {
 	if fit := FitLine([]float64{3, 3}, []float64{1, 2}); fit.Slope != 0 || fit.Intercept != 1.5 {
 		t.Errorf("%+v", fit)
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestRefusalsAreNamed(t *testing.T) {
+func TestFormatRefusalsUsesProblemNames(t *testing.T) {
 	got := formatRefusals(ClassStats{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
 	if !strings.Contains(got, "overloaded 2") || !strings.Contains(got, "deadline 1") {
 		t.Error(got)
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestGenerateKeepsBounds(t *testing.T) {
+func TestGenerateStaysWithinBounds(t *testing.T) {
 	const duration = time.Minute
 	classes := DefaultClasses(5)
 	last := time.Duration(0)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFillerHasLength(t *testing.T) {
+func TestFillerTextLength(t *testing.T) {
 	for _, tokens := range []int{0, 1, 7, 400} {
 		if got := len(fillerText(tokens)); got != tokens*bytesPerToken {
 			t.Errorf("%d tokens give %d bytes", tokens, got)
