--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -19,10 +19,10 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// bytesPerToken is the length of a prompt token at the stand-in engines.
+// bytesPerToken is the size of a prompt token at the stand-in engines.
 const bytesPerToken = 4
 
-// lane is one ordered sequence of calls of a program under way.
+// lane is one ordered sequence of calls of a running program.
 type lane struct {
 	run      *run
 	caller   *caller
@@ -30,13 +30,13 @@
 	name     string
 	number   int
 	messages []wire.ChatMessage
-	// contextTokens is the number of tokens that an engine may hold of the
-	// program after the last chat of this lane.
+	// contextTokens is the number of tokens of the program that an engine
+	// may have cached after the last chat of this lane.
 	contextTokens int
 	agentCount    int
 }
 
-// runSteps runs the steps and gives the time they would take on an idle system.
+// runSteps runs the steps and returns the time they would take on an idle system.
 func (l *lane) runSteps(ctx context.Context, steps []Step) (time.Duration, error) {
 	var idle time.Duration
 	for i, step := range steps {
@@ -111,8 +111,8 @@
 	}
 }
 
-// runAgents runs sub-agents at once and gives the time of the longest on an idle
-// system. Each starts with a copy of the lane's history.
+// runAgents runs sub-agents concurrently and returns the time of the longest
+// one on an idle system. Each starts with a copy of the lane's history.
 func (l *lane) runAgents(ctx context.Context, agents [][]Step) (time.Duration, error) {
 	times := make([]time.Duration, len(agents))
 	failures := make([]error, len(agents))
@@ -136,14 +136,15 @@
 	return longest, nil
 }
 
-// fork gives a caller with random choices of its own.
+// fork returns a copy of the caller with its own random source.
 func (c *caller) fork() *caller {
 	other := *c
 	other.random = rand.New(rand.NewPCG(c.random.Uint64(), c.random.Uint64()))
 	return &other
 }
 
-// openProgram opens a program at any instance, with one key for all attempts.
+// openProgram opens a program at any instance, with the same idempotency key
+// for all attempts.
 func (c *caller) openProgram(ctx context.Context) (string, error) {
 	key := ulid.Make().String()
 	response, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
@@ -162,7 +163,7 @@
 	return errors.Wrap(err, "close")
 }
 
-// fillerText is a text of so many prompt tokens.
+// fillerText returns a text of the given number of prompt tokens.
 func fillerText(tokens int) string {
 	const text = "shore "
 	length := tokens * bytesPerToken
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -10,14 +10,14 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Health checks of the balancer.
+// Timing of the balancer's health checks.
 const (
 	healthInterval = 250 * time.Millisecond
 	healthTimeout  = 500 * time.Millisecond
 )
 
-// balancer stands for the platform's: it offers the instances whose readiness
-// check answers.
+// balancer simulates the platform's load balancer: it picks among the instances
+// whose readiness check succeeds.
 type balancer struct {
 	all    []*testkit.Process
 	client *http.Client
@@ -46,7 +46,7 @@
 	b.client.CloseIdleConnections()
 }
 
-// check asks one instance for its readiness until the context ends.
+// check polls the readiness of one instance until the context ends.
 func (b *balancer) check(ctx context.Context, p *testkit.Process) {
 	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
@@ -71,8 +71,8 @@
 	b.down[server] = down
 }
 
-// pick gives the base URL of an instance that is not known to be down, or of
-// any if all are.
+// pick returns the base URL of a random instance that is not marked down, or of
+// any instance if all are.
 func (b *balancer) pick(random *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/load/balancer_test.go
+++ b/internal/load/balancer_test.go
@@ -13,21 +13,21 @@
 	b.set("a", true)
 	for range 20 {
 		if got := b.pick(random); got != "b" {
-			t.Fatalf("picked %s", got)
+			t.Fatalf("picked %s, want b", got)
 		}
 	}
 	b.set("b", true)
 	if got := b.pick(random); got == "" {
-		t.Error("none picked while all are down")
+		t.Error("no instance picked while all are down")
 	}
 }
 
 func TestIdleLatencyCountsSteps(t *testing.T) {
 	r := &run{model: DefaultModel()}
 	m := r.model
-	// Two chunks of prompt; the second makes the first of three tokens.
+	// Two prefill chunks; the second one also yields the first of three tokens.
 	want := 4*m.StepBase + 600*m.StepPerPrefillToken + 3*m.StepPerSequence
 	if got := r.idleLatency(600, 3); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("idle latency is %s, want %s", got, want)
 	}
 }
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// How a caller repeats a request: with the same key, at another instance.
+// Retries of a call. Each attempt uses the same key and picks an instance anew.
 const (
 	maxAttempts    = 12
 	initialBackoff = 20 * time.Millisecond
@@ -20,12 +20,12 @@
 	attemptTimeout = 45 * time.Second
 )
 
-// Outcomes that callers see in a problem document.
+// Outcomes in problem documents.
 const (
 	outcomeUnknown = "unknown"
 )
 
-// errAttemptsExhausted is the error of a call without an answer after all attempts.
+// errAttemptsExhausted is returned when no attempt of a call succeeded.
 var errAttemptsExhausted = errors.New("no answer after all attempts")
 
 // caller makes the calls of one program.
@@ -40,7 +40,8 @@
 // callFunc makes one attempt of a call.
 type callFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error)
 
-// do makes attempts until one is answered or told for good.
+// do makes attempts until one succeeds, fails permanently, or maxAttempts is
+// reached.
 func (c *caller) do(ctx context.Context, f callFunc) (*testkit.Answer, error) {
 	c.recorder.calls.Add(1)
 	backoff := initialBackoff
@@ -59,7 +60,7 @@
 	return nil, errAttemptsExhausted
 }
 
-// errRetryable marks an attempt that may be repeated with the same key.
+// errRetryable marks a failed attempt that may be retried with the same key.
 var errRetryable = errors.New("attempt failed")
 
 func (c *caller) attempt(ctx context.Context, f callFunc, attempt int) (*testkit.Answer, time.Duration, error) {
@@ -81,7 +82,8 @@
 	return nil, time.Duration(response.Problem.RetryAfterMS) * time.Millisecond, c.problemError(response.Problem)
 }
 
-// problemError gives the error of a problem document.
+// problemError records a problem document and returns its error, errRetryable if
+// the call may be retried.
 func (c *caller) problemError(p *testkit.Problem) error {
 	c.recorder.recordRefusal(p.Type)
 	switch {
--- a/internal/load/change.go
+++ b/internal/load/change.go
@@ -14,11 +14,11 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// ChangeOptions describe the measurement of changes of the settings.
+// ChangeOptions configures the measurement of settings changes.
 type ChangeOptions struct {
 	Setup
-	// Changes is the number of changes, made one after the other at most
-	// Rate a second.
+	// Changes is the number of changes. They are made sequentially, at most
+	// Rate per second.
 	Changes int
 	Rate    float64
 }
@@ -29,8 +29,8 @@
 	Missing []string          `json:"missing"`
 }
 
-// RunChanges changes settings and measures the time from the request to the
-// acceptance, and until the change is in force at every instance.
+// RunChanges changes settings and measures the time until a change is accepted
+// and the time until every instance has applied it.
 func RunChanges(ctx context.Context, out io.Writer, o ChangeOptions) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// waitApplied asks until all instances have applied the stream up to an offset.
+// waitApplied polls until all instances have applied the settings stream up to
+// an offset.
 func waitApplied(ctx context.Context, root *testkit.Client, offset uint64, instances int) error {
 	for {
 		now, err := readApplied(ctx, root)
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -13,23 +13,24 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// CostOptions describe the measurement of what control costs an instance.
+// CostOptions configures the measurement of the control overhead per instance.
 type CostOptions struct {
 	Setup
-	// Sizes are the numbers of instances.
+	// Sizes are the cluster sizes to measure, in instances.
 	Sizes []int
-	// ListSizes is the number of further entries in the membership list.
+	// ListSizes are the numbers of extra entries in the membership list.
 	ListSizes []int
 	Window    time.Duration
 	Repeats   int
-	// Seed is the workload's.
+	// Seed is the seed of the workload.
 	Seed uint64
 }
 
-// clusterSettleTime is the time that a cluster is left alone before it is measured.
+// clusterSettleTime is how long a cluster runs undisturbed before it is
+// measured.
 const clusterSettleTime = 4 * time.Second
 
-// Names of the metrics that the driver reads.
+// Metrics read from the instances.
 const (
 	metricControlSent     = "banyanglade_peer_sent_control_bytes"
 	metricControlReceived = "banyanglade_peer_received_control_bytes"
@@ -40,22 +41,23 @@
 	metricTicks           = "banyanglade_core_ticks"
 )
 
-// CostStats are means over the instances in one window, a second and
-// instance.
+// CostStats holds the rates of one window, per second and per instance unless noted
+// otherwise.
 type CostStats struct {
-	// CPU is the share of a core in per cent, RSS in MiB, IO the bytes a
-	// second of all reads and writes, sockets included.
+	// CPU is in percent of a core, RSS in MiB, and IO in bytes per second of
+	// all reads and writes, sockets included.
 	CPU, RSS, IO float64
-	// Control and Data are the bytes a second between instances, both ways.
+	// Control and Data are the bytes per second between instances, sent and
+	// received.
 	Control, Data float64
-	// Reads and Polls are the requests a second for the log and the
-	// membership list, Ticks those of the core.
+	// Reads and Polls are the requests per second to the log and the
+	// membership list, Ticks the ticks per second of the core.
 	Reads, Polls, Ticks float64
-	// Appends and Calls are for all instances together.
+	// Appends and Calls are totals per second over all instances.
 	Appends, Calls float64
 }
 
-// reading is what was read of all instances at one time.
+// reading holds the counters of all instances at one time.
 type reading struct {
 	at      time.Time
 	usage   []usage
@@ -88,7 +90,7 @@
 	return reading, nil
 }
 
-// measureWindow measures for a while.
+// measureWindow measures the cluster for the given time.
 func (r *run) measureWindow(ctx context.Context, length time.Duration) (CostStats, error) {
 	before, err := r.takeReading()
 	if err != nil {
@@ -128,14 +130,14 @@
 	return f
 }
 
-// costSample is the figures of all windows of one cluster.
+// costSample holds the windows of one cluster; x is the varied quantity.
 type costSample struct {
 	x          float64
 	idle, load []CostStats
 }
 
 // RunCost measures clusters of several sizes, idle and under a fixed load, and
-// prints the figures with straight lines through them.
+// prints the results with linear fits.
 func RunCost(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "instances")
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// RunList measures one cluster beside membership lists of several lengths.
+// RunList measures one cluster with membership lists of several lengths.
 func RunList(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "list entries")
@@ -172,8 +174,8 @@
 	return nil
 }
 
-// measure starts a cluster and measures it idle and, without further entries
-// in the list, under load.
+// measure starts a cluster and measures it idle. Without extra list entries it
+// is also measured under load.
 func (o CostOptions) measure(ctx context.Context, setup Setup, entries int) (costSample, error) {
 	var sample costSample
 	cluster, err := setup.start(ctx)
@@ -187,7 +189,7 @@
 	if entries == 0 {
 		r.warmUp(ctx)
 	}
-	// The health checks of the balancer would count as control.
+	// The health checks of the balancer would count as control overhead.
 	r.balancer.close()
 	delay.Sleep(ctx, clusterSettleTime)
 	if sample.idle, err = o.measureWindows(ctx, r); err != nil || entries > 0 {
@@ -219,8 +221,8 @@
 	return stats, ctx.Err()
 }
 
-// addListEntries lists targets of a service that the settings do not name, so that
-// nobody calls or watches them.
+// addListEntries adds targets of a service that the settings do not name, so
+// that no instance calls or watches them.
 func addListEntries(c *testkit.Cluster, entries int) {
 	first := c.Ready().Targets[0]
 	for i := range entries {
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// costColumn is a figure of a cost table.
+// costColumn is one column of the cost table.
 type costColumn struct {
 	name     string
 	decimals int
@@ -52,7 +52,7 @@
 	return list
 }
 
-// printFits prints a line through the windows of all samples for each figure.
+// printFits prints a linear fit over the windows of all samples for each column.
 func printFits(out io.Writer, x string, samples []costSample) {
 	for _, column := range costColumns {
 		for _, state := range []struct {
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,6 +1,6 @@
-// Package load drives real instances beside stand-in targets with synthetic
-// programs and measures what callers see: program latency and slowdown, time
-// to first token, time between tokens, refusals, wasted cache, and what
-// control costs each instance. It is bounded in time and count, uses loopback
-// only, and is no part of the product.
+// Package load is a load generator for real instances. It runs synthetic
+// programs through them against stand-in targets and measures program latency
+// and slowdown, time to first token, time between tokens, refusals, wasted
+// cache, and the control overhead of each instance. Runs are bounded in time
+// and count and use the loopback interface only.
 package load
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -9,21 +9,21 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Fault is something that happens to a cluster under load. It returns at once
-// or when the context ends.
+// Fault is a fault that is injected into a cluster under load.
 type Fault struct {
 	Name string
-	// apply brings the fault about; held is how long it lasts if it ends.
-	apply func(ctx context.Context, c *testkit.Cluster, held time.Duration)
+	// apply injects the fault and returns after it ends or with the context.
+	// A temporary fault lasts for the given duration.
+	apply func(ctx context.Context, c *testkit.Cluster, duration time.Duration)
 }
 
-// slowFactor is how much slower the slow runner is.
+// slowFactor is the slowdown of the slow engine.
 const slowFactor = 10
 
-// membershipLag is the time after which the membership list loses what died.
+// membershipLag is the time until the membership list drops a failed member.
 const membershipLag = 2 * time.Second
 
-// Faults lists the faults by name; the quiet run is the first.
+// Faults returns all faults. The first one is a run without faults.
 func Faults() []Fault {
 	return []Fault{
 		{Name: "quiet", apply: func(context.Context, *testkit.Cluster, time.Duration) {}},
@@ -35,7 +35,8 @@
 	}
 }
 
-// killOne kills the second instance and takes it off the list later.
+// killOne kills the second instance and removes it from the membership list
+// after membershipLag.
 func killOne(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
 	p := c.Instances[1]
 	p.Kill()
@@ -43,7 +44,7 @@
 	c.Remove(p)
 }
 
-// pauseOne freezes an instance for a while.
+// pauseOne suspends the second instance temporarily.
 func pauseOne(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	p := c.Instances[1]
 	if p.Pause() != nil {
@@ -53,7 +54,7 @@
 	_ = p.Resume()
 }
 
-// slowRunner slows one engine.
+// slowRunner slows one engine down temporarily.
 func slowRunner(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	id := c.Ready().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
@@ -61,7 +62,7 @@
 	c.Engines[id].Faults().Set(wire.ServiceFaults{})
 }
 
-// stopLog takes the platform's log down for a while.
+// stopLog makes the platform's log unavailable temporarily.
 func stopLog(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	c.Log.SetDown(true)
 	delay.Sleep(ctx, duration)
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -19,26 +19,26 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// HeldOptions describe the measurement of programs and calls that are held.
+// HeldOptions configures the measurement of open programs and calls.
 type HeldOptions struct {
 	Setup
-	// Programs are the numbers of programs that are opened and left paused,
-	// Calls the numbers of calls that wait or run at once.
+	// Programs are the numbers of programs that stay open between calls,
+	// Calls the numbers of concurrent calls, waiting or running.
 	Programs, Calls []int
 }
 
-// journalSettleTime lets the journals flush before memory is read.
+// journalSettleTime is the time for the journals to flush before a reading.
 const journalSettleTime = 2 * time.Second
 
-// openWorkers is the number of programs opened at once.
+// openWorkers is the number of programs opened concurrently.
 const openWorkers = 32
 
-// RunHeld opens programs with one call each and leaves them paused, then holds
-// calls, and prints the memory and goroutines of the instances.
+// RunHeld measures the memory and goroutines of the instances, first with open
+// programs that have made one call each, then with concurrent calls.
 func RunHeld(ctx context.Context, out io.Writer, o HeldOptions) error {
 	dir, err := os.MkdirTemp("", "banyanglade-load-")
 	if err != nil {
-		return errors.Wrap(err, "folder for logs")
+		return errors.Wrap(err, "create log directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	o.LogDir = dir
@@ -116,7 +116,7 @@
 	}
 }
 
-// shortProgram opens a program and makes one chat.
+// shortProgram opens a program, makes one chat and leaves the program open.
 func (r *run) shortProgram(ctx context.Context, c *caller) error {
 	const output = 4
 	id, err := c.openProgram(ctx)
@@ -128,7 +128,7 @@
 	return err
 }
 
-// longCall makes a chat that runs until it is cancelled.
+// longCall makes a chat that lasts until it is cancelled.
 func (r *run) longCall(ctx context.Context, seed uint64) {
 	const tokens = 30_000
 	c := r.anyCaller(seed)
@@ -139,7 +139,8 @@
 	}, testkit.Call{})
 }
 
-// meanGoroutines ends all instances and gives their mean number of goroutines.
+// meanGoroutines returns the mean number of goroutines per instance. It ends
+// all instances.
 func (o HeldOptions) meanGoroutines(c *testkit.Cluster) (float64, error) {
 	total := 0
 	for _, p := range c.Instances {
@@ -152,8 +153,8 @@
 	return float64(total) / float64(len(c.Instances)), nil
 }
 
-// goroutines asks a process for a dump of its goroutines, which ends it, and
-// counts them.
+// goroutines counts the goroutines of a process by the dump that SIGQUIT
+// triggers, which ends the process.
 func (o HeldOptions) goroutines(p *testkit.Process) (int, error) {
 	if err := syscall.Kill(p.PID(), syscall.SIGQUIT); err != nil {
 		return 0, errors.Wrap(err, "signal")
@@ -163,7 +164,7 @@
 	return countGoroutines(string(dump)), errors.Wrap(err, "dump")
 }
 
-// countGoroutines counts the headers of a dump.
+// countGoroutines counts the goroutine headers of a dump.
 func countGoroutines(dump string) int {
 	count := 0
 	for _, line := range strings.Split(dump, "\n") {
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxResponse bounds the replies that the driver reads.
+// maxResponse is the maximum size of a response body in bytes.
 const maxResponse = 64 << 20
 
-// getJSON reads a JSON document.
+// getJSON fetches and decodes a JSON document.
 func getJSON(client *http.Client, url string, value any) error {
 	response, err := client.Get(url)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxResponse)).Decode(value)
 }
 
-// readMetrics reads an instance's metrics, summed over their labels.
+// readMetrics fetches the metrics of an instance, summed over their labels.
 func readMetrics(client *http.Client, server string) (map[string]float64, error) {
 	response, err := client.Get(server + "/metrics")
 	if err != nil {
@@ -40,7 +40,8 @@
 	return parseMetrics(string(text)), nil
 }
 
-// parseMetrics reads the text format of Prometheus and sums over labels.
+// parseMetrics parses the Prometheus text format and sums each metric over its
+// labels.
 func parseMetrics(text string) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/load/overhead.go
+++ b/internal/load/overhead.go
@@ -16,17 +16,17 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// OverheadOptions describe the measurement of the path's own time.
+// OverheadOptions configures the measurement of the latency that instances add.
 type OverheadOptions struct {
 	Setup
-	// Programs is the number of programs of each of Callers callers, each of
-	// Calls chats of Tokens tokens.
+	// Programs is the number of programs per caller. Each program makes Calls
+	// chats of Tokens tokens.
 	Programs, Calls, Tokens int
 	Callers                 int
 	Repeats                 int
 }
 
-// pathLatencies is one way to the engines.
+// pathLatencies holds the latencies of one path to the engines.
 type pathLatencies struct {
 	coldFirstToken, firstToken, tokenGap *histogram
 }
@@ -35,7 +35,8 @@
 	return &pathLatencies{coldFirstToken: newDurations(), firstToken: newDurations(), tokenGap: newDurations()}
 }
 
-// record takes in an answer; the first call of a program counts apart.
+// record records the latencies of a response. The first call of a program is
+// recorded separately.
 func (p *pathLatencies) record(response *testkit.Answer, firstCall bool) {
 	times := response.PieceTimes
 	if len(times) == 0 {
@@ -51,8 +52,8 @@
 	}
 }
 
-// RunOverhead makes the same chats directly at the engines and through
-// instances, in turns, and prints the added time.
+// RunOverhead makes the same chats alternately directly at the engines and
+// through instances, and prints the added latency.
 func RunOverhead(ctx context.Context, out io.Writer, o OverheadOptions) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// anyEngine gives the base URL of an engine.
+// anyEngine returns the base URL of a random engine.
 func (r *run) anyEngine(random *rand.Rand) string {
 	var addresses []string
 	for _, target := range r.cluster.Ready().Targets {
--- a/internal/load/procfs.go
+++ b/internal/load/procfs.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ticksPerSecond is the number of ticks a second of the times in /proc, which is
-// the same on all Linux systems of this architecture.
+// ticksPerSecond is the unit of CPU times in /proc (USER_HZ), which is 100
+// on all Linux systems of this architecture.
 const ticksPerSecond = 100
 
-// usage is what a process has used since its start.
+// usage is the resource usage of a process since its start.
 type usage struct {
 	at time.Time
-	// cpu is user and system time, rss the resident memory in bytes.
+	// cpu is user and system time, rss is resident memory in bytes.
 	cpu time.Duration
 	rss int64
-	// io is the bytes of all read and write calls, those on sockets included.
+	// io is the number of bytes read and written, sockets included.
 	io int64
 }
 
@@ -49,10 +49,11 @@
 	return u, nil
 }
 
-var errProcFormat = errors.New("unexpected format below /proc")
+var errProcFormat = errors.New("unexpected format of a file in /proc")
 
-// parseCPU gives the sum of user and system time of a stat file. The command's
-// name stands in parentheses and may hold blanks.
+// parseCPU returns the user and system time of a stat file. The fields are
+// counted after the command name, which is in parentheses and may contain
+// spaces.
 func parseCPU(stat string) (time.Duration, error) {
 	const userField, systemField = 11, 12
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
@@ -67,7 +68,7 @@
 	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// parseRSS gives the resident memory of a statm file in bytes.
+// parseRSS returns the resident memory of a statm file in bytes.
 func parseRSS(statm string) (int64, error) {
 	const residentField = 1
 	fields := strings.Fields(statm)
@@ -81,7 +82,7 @@
 	return pages * int64(os.Getpagesize()), nil
 }
 
-// parseIO gives the bytes read and written of an io file.
+// parseIO returns the number of bytes read and written of an io file.
 func parseIO(io string) int64 {
 	var total int64
 	for _, line := range strings.Split(io, "\n") {
@@ -95,8 +96,7 @@
 	return total
 }
 
-// LoadAverage gives the machine's load average of the last minute as text, to
-// be printed beside figures.
+// LoadAverage returns the one-minute load average of the machine as text.
 func LoadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ClassStats are the figures of one class. Times are in milliseconds.
+// ClassStats holds the results of one class. Times are in milliseconds.
 type ClassStats struct {
 	Started, Finished, Failed int64
 	Latency, Slowdown         Quantiles
@@ -15,12 +15,12 @@
 	Unknown                   int64
 	Refused                   map[string]int64
 	PromptTokens              int64
-	// RecomputedTokens are prompt tokens that the program had sent before and that
-	// no cache held.
+	// RecomputedTokens is the number of prompt tokens that the program had sent
+	// before and that were not cached.
 	RecomputedTokens int64
 }
 
-// classRecorder collects the figures of one class.
+// classRecorder collects the measurements of one class.
 type classRecorder struct {
 	started, finished, failed             atomic.Int64
 	latency, firstToken, tokenGap         *histogram
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordFinished notes a program that ended after its latency; alone is its latency on
-// an idle system.
+// recordFinished records a program that finished; idle is its latency on an
+// idle system.
 func (c *classRecorder) recordFinished(latency, idle time.Duration) {
 	c.finished.Add(1)
 	c.latency.recordDuration(latency)
@@ -54,7 +54,8 @@
 	c.refused[reason]++
 }
 
-// recordChunks notes the times of the pieces of a streamed answer, from the request.
+// recordChunks records the arrival times of the chunks of a streamed response,
+// relative to the request.
 func (c *classRecorder) recordChunks(times []time.Duration) {
 	if len(times) == 0 {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// merge adds what another recorder collected.
+// merge adds the measurements of another recorder.
 func (c *classRecorder) merge(other *classRecorder) {
 	c.latency.merge(other.latency)
 	c.slowdown.merge(other.slowdown)
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxErrorsShown bounds the failures printed for one scenario.
+// maxErrorsShown is the maximum number of errors printed per run.
 const maxErrorsShown = 3
 
 func printScenarioHeader(out io.Writer) {
@@ -21,7 +21,7 @@
 	fmt.Fprintln(out, markdownRow(slices.Repeat([]string{"---"}, len(columns))...))
 }
 
-// printScenario prints one row a class over all seeds.
+// printScenario prints one row per class over all seeds.
 func printScenario(out io.Writer, o ScenarioOptions, results []*Result) {
 	for _, class := range o.Classes {
 		pooled := newClassRecorder()
@@ -49,7 +49,7 @@
 	printErrors(out, results)
 }
 
-// percentOf is a part in per cent of the whole.
+// percentOf returns part as a percentage of whole.
 func percentOf(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
@@ -58,7 +58,8 @@
 	return perCent * part / whole
 }
 
-// formatRefusals lists the refusals by the last segment of their problem type.
+// formatRefusals lists the refusals by the last segment of their problem
+// type.
 func formatRefusals(f ClassStats) string {
 	var parts []string
 	for _, problem := range slices.Sorted(maps.Keys(f.Refused)) {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -13,7 +13,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// run is one run of programs against a cluster.
+// run executes programs against a cluster.
 type run struct {
 	cluster   *testkit.Cluster
 	balancer  *balancer
@@ -23,7 +23,7 @@
 	http      *http.Client
 
 	mu sync.Mutex
-	// ended holds the programs that ended.
+	// ended holds the IDs of programs that make no more calls.
 	ended  map[string]bool
 	errors []error
 }
@@ -47,7 +47,7 @@
 	r.http.CloseIdleConnections()
 }
 
-// runOpenLoop runs programs at their arrival times and waits for all.
+// runOpenLoop runs programs at their arrival times and waits for all of them.
 func (r *run) runOpenLoop(ctx context.Context, programs []*Program) {
 	started := time.Now()
 	var group sync.WaitGroup
@@ -61,8 +61,8 @@
 	group.Wait()
 }
 
-// runClosedLoop runs programs one after the other in each of a number of callers
-// until the context ends or all have run.
+// runClosedLoop runs programs sequentially in each of a number of callers
+// until the context ends or all programs have run.
 func (r *run) runClosedLoop(ctx context.Context, programs []*Program, callers int) {
 	next := make(chan *Program)
 	var group sync.WaitGroup
@@ -85,7 +85,7 @@
 	group.Wait()
 }
 
-// runProgram runs one program and notes its latency.
+// runProgram runs one program and records its latency.
 func (r *run) runProgram(ctx context.Context, p *Program) {
 	recorder := r.recorders[p.Class]
 	recorder.started.Add(1)
@@ -102,7 +102,7 @@
 	l := &lane{run: r, caller: c, program: id, messages: []wire.ChatMessage{
 		{Role: "system", Content: fillerText(r.classes[p.Class].SharedTokens)},
 	}}
-	// The engines hold the shared message after the first program.
+	// The engines have the shared message cached after the first program.
 	l.contextTokens = engine.PromptTokens(l.messages)
 	idle, err := l.runSteps(ctx, p.Steps)
 	if err != nil {
@@ -116,7 +116,7 @@
 	r.markEnded(id)
 }
 
-// markEnded notes that a program makes no more calls.
+// markEnded records that a program makes no more calls.
 func (r *run) markEnded(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,8 +129,8 @@
 	return r.ended[id]
 }
 
-// recordFailure notes a program without its answers; one cut off by the end of the run
-// is none.
+// recordFailure records a failed program, unless it was cut off by the end of
+// the run.
 func (r *run) recordFailure(ctx context.Context, recorder *classRecorder, err error) {
 	if ctx.Err() != nil {
 		return
@@ -141,8 +141,9 @@
 	r.errors = append(r.errors, err)
 }
 
-// idleLatency is the time of a chat on an idle engine: the prefill of its new tokens
-// in chunks, then one step a token. The last chunk makes the first token.
+// idleLatency returns the time of a chat on an idle engine: the prefill of its
+// new tokens in chunks, then one step per token. The last chunk yields the
+// first token.
 func (r *run) idleLatency(newTokens, outputTokens int) time.Duration {
 	m := r.model
 	chunks := (max(1, newTokens) + m.PrefillChunk - 1) / m.PrefillChunk
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -11,38 +11,39 @@
 	"github.com/banyanglade/banyanglade/internal/delay"
 )
 
-// ScenarioOptions describe runs of the usual workload under faults.
+// ScenarioOptions configures runs of the default workload under faults.
 type ScenarioOptions struct {
 	Setup
 	Duration time.Duration
 	Seeds    []uint64
-	// Scenarios choose among Faults.
+	// Scenarios are names of Faults.
 	Scenarios []string
 }
 
-// faultDivisor is the part of the run before a fault, and that a fault lasts.
+// faultDivisor divides the duration of a run: a fault starts after that part
+// and lasts as long.
 const faultDivisor = 4
 
-// drainLimit bounds a run beyond the time in which programs arrive.
+// drainLimit is the maximum time of a run after the last arrival.
 const drainLimit = 90 * time.Second
 
-// cacheSettleTime is the time between the end of the programs and the last look
-// into the engines' caches.
+// cacheSettleTime is the time between the end of the programs and the last
+// sample of the engines' caches.
 const cacheSettleTime = 3 * time.Second
 
-// Result is what one run gave.
+// Result is the result of one run.
 type Result struct {
 	Scenario string
 	Seed     uint64
 	Classes  map[string]ClassStats
 	Waste    Waste
-	// AppendRate is the number of appends a second at the log.
+	// AppendRate is the number of log appends per second.
 	AppendRate float64
 	Errors     []string
 	pooled     map[string]*classRecorder
 }
 
-// RunScenarios runs each scenario with each seed and prints the figures.
+// RunScenarios runs each scenario with each seed and prints the results.
 func RunScenarios(ctx context.Context, out io.Writer, o ScenarioOptions) error {
 	fmt.Fprintf(out, "instances %d, engines %d, slots %d, step %s, programs arrive for %s, load average %s\n",
 		o.Instances, o.Engines*dataCentres, o.Model.Slots, o.Model.StepBase, o.Duration, LoadAverage())
@@ -74,7 +75,7 @@
 	return Fault{}, errors.Newf("no scenario %q", name)
 }
 
-// run runs one scenario with one seed in a cluster of its own.
+// run runs one scenario with one seed in a new cluster.
 func (o ScenarioOptions) run(ctx context.Context, fault Fault, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.Duration+drainLimit)
 	defer cancel()
@@ -101,8 +102,8 @@
 	return r.result(fault.Name, seed, waste.stop(), appends), nil
 }
 
-// warmUp runs a few programs of each class that are not counted, so that shards
-// are owned and the shared prefixes cached.
+// warmUp runs a few programs of each class and discards their measurements,
+// so that shards are owned and the shared prefixes are cached.
 func (r *run) warmUp(ctx context.Context) {
 	const duration, factor, callers = 2 * time.Second, 10, 4
 	var classes []Class
--- a/internal/load/setup.go
+++ b/internal/load/setup.go
@@ -7,20 +7,22 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Setup describes the cluster of a measurement.
+// Setup configures the cluster of a measurement.
 type Setup struct {
-	// Binary is the path of the product's binary.
+	// Binary is the path of the instance binary.
 	Binary    string
 	Instances int
 	// Engines is the number of engines in each of the three data centres.
 	Engines int
 	Model   engine.ModelSettings
 	Classes []Class
-	// IdleTimeout closes abandoned programs, as text of the settings.
+	// IdleTimeout is the value of the idle_timeout setting, which closes
+	// abandoned programs; empty keeps the default.
 	IdleTimeout string
-	// Rules are settings below the model service's rules, for baselines.
+	// Rules override rules of the model service, for baselines.
 	Rules map[string]any
-	// LogDir keeps the instances' whole logs; empty keeps their last lines.
+	// LogDir is the directory for the full logs of the instances. If empty,
+	// only the last lines are kept.
 	LogDir string
 }
 
@@ -63,13 +65,13 @@
 	return values
 }
 
-// callerKey is the key of a class's callers. It protects nothing.
+// callerKey returns the test key of the callers of a class.
 func callerKey(class string) string { return testkit.CallerKey + "-" + class }
 
-// dataCentres is the number of data centres of the kit's usual cluster.
+// dataCentres is the number of data centres of the default test cluster.
 const dataCentres = 3
 
-// DefaultModel is the stand-in engine with its usual costs.
+// DefaultModel returns the default cost model of the stand-in engine.
 func DefaultModel() engine.ModelSettings {
 	return engine.ModelSettings{
 		Slots: engine.DefaultSlots, StepBase: engine.DefaultStepBase,
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds and precision of the histograms.
+// Range and precision of the histograms.
 const (
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	maxSlowdownMilli  = 10_000_000
@@ -18,13 +18,13 @@
 	milli             = 1000
 )
 
-// Quantiles are figures of one distribution.
+// Quantiles summarizes a distribution.
 type Quantiles struct {
 	Count               int64
 	Mean, P50, P95, P99 float64
 }
 
-// histogram collects values from many goroutines.
+// histogram is safe for concurrent use.
 type histogram struct {
 	mu   sync.Mutex
 	hdr  *hdrhistogram.Histogram
@@ -32,7 +32,7 @@
 	unit float64
 }
 
-// newDurations collects durations and gives milliseconds.
+// newDurations returns a histogram of durations, reported in milliseconds.
 func newDurations() *histogram {
 	return &histogram{
 		hdr: hdrhistogram.New(1, maxMicroseconds, significantDigits),
@@ -40,7 +40,7 @@
 	}
 }
 
-// newRatios collects ratios.
+// newRatios returns a histogram of ratios.
 func newRatios() *histogram {
 	return &histogram{hdr: hdrhistogram.New(1, maxSlowdownMilli, significantDigits), max: maxSlowdownMilli, unit: milli}
 }
@@ -49,11 +49,11 @@
 
 func (h *histogram) recordRatio(r float64) { h.record(int64(r * milli)) }
 
-// record clamps a value to the histogram's range.
+// record adds a value, clamped to the range of the histogram.
 func (h *histogram) record(value int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The value is within the range, the only cause of an error.
+	// RecordValue fails only for values out of range.
 	_ = h.hdr.RecordValue(min(max(value, 1), h.max))
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-// Spread gives the median of values and their range, as "m (low-high)".
+// Spread formats the median and range of values as "median (low-high)".
 func Spread(values []float64, decimals int) string {
 	if len(values) == 0 {
 		return "-"
@@ -86,7 +86,7 @@
 		decimals, sorted[0], decimals, sorted[len(sorted)-1])
 }
 
-// Median gives the middle of values, 0 if there is none.
+// Median returns the median of values, or 0 if there are none.
 func Median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -99,10 +99,10 @@
 	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-// Fit is a straight line through points by least squares.
+// Fit is a straight line fitted by least squares.
 type Fit struct{ Slope, Intercept float64 }
 
-// FitLine fits y over x. Fewer than two different x give a flat line.
+// FitLine fits y over x. With fewer than two distinct x the line is flat.
 func FitLine(x, y []float64) Fit {
 	n := float64(len(x))
 	if n == 0 {
@@ -123,8 +123,8 @@
 	return Fit{Slope: slope, Intercept: (sumY - slope*sumX) / n}
 }
 
-// At gives the line's value at x.
+// At returns the value of the line at x.
 func (f Fit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// markdownRow joins the cells of a table row in Markdown.
+// markdownRow formats cells as a Markdown table row.
 func markdownRow(cells ...string) string { return "| " + strings.Join(cells, " | ") + " |" }
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -47,7 +47,7 @@
 
 func TestFitLineRecoversLine(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("a line is found from its points", prop.ForAll(func(slope, intercept float64) bool {
+	properties.Property("the line is recovered from its points", prop.ForAll(func(slope, intercept float64) bool {
 		x := []float64{3, 6, 12, 24, 48}
 		var y []float64
 		for _, at := range x {
@@ -67,7 +67,7 @@
 
 func TestMedianAndSpread(t *testing.T) {
 	if Median([]float64{3, 1, 2}) != 2 || Median([]float64{4, 1, 2, 3}) != 2.5 || Median(nil) != 0 {
-		t.Error("median")
+		t.Error("wrong median")
 	}
 	if got := Spread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
 		t.Error(got)
@@ -80,7 +80,7 @@
 		t.Errorf("%s, %v", cpu, err)
 	}
 	if _, err := parseCPU("12 (a) S 1"); err == nil {
-		t.Error("a short line was taken")
+		t.Error("parseCPU accepted a line with too few fields")
 	}
 	if rss, err := parseRSS("100 20 3"); err != nil || rss <= 0 || rss%20 != 0 {
 		t.Errorf("%d, %v", rss, err)
--- a/internal/load/tokens.go
+++ b/internal/load/tokens.go
@@ -10,23 +10,23 @@
 	"github.com/banyanglade/banyanglade/internal/delay"
 )
 
-// TokenOptions describe the measurement of what a call and a token cost.
+// TokenOptions configures the measurement of the cost per call and per token.
 type TokenOptions struct {
 	Setup
-	// Tokens are the lengths of the answers; Calls calls of each length are
-	// made by Callers callers, Repeats times.
+	// Tokens are the response lengths to measure. For each length, Callers
+	// callers make Calls calls in total, Repeats times.
 	Tokens         []int
 	Calls, Callers int
 	Repeats        int
 }
 
-// callCost is what one call costs all instances together.
+// callCost is the cost of one call, summed over all instances.
 type callCost struct {
 	milliseconds, control, data, appends float64
 }
 
-// RunTokens makes calls of several lengths and prints what each costs all
-// instances together, with lines through the figures.
+// RunTokens makes calls of several response lengths and prints the cost per
+// call, summed over all instances, with linear fits.
 func RunTokens(ctx context.Context, out io.Writer, o TokenOptions) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return callCost{}, err
 	}
 	r.runClosedLoop(ctx, programs, o.Callers)
-	// The journals and the metrics trail the calls.
+	// Journals and metrics are updated after the calls end.
 	delay.Sleep(ctx, journalSettleTime)
 	after, err := r.takeReading()
 	if err != nil {
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -11,22 +11,22 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// sharedKeyPrefix starts the cache keys of shared prefixes.
+// sharedKeyPrefix is the prefix of the cache keys of shared prompt prefixes.
 const sharedKeyPrefix = "prefix-"
 
-// sampleInterval is the time between two looks into the engines' caches.
+// sampleInterval is the time between two samples of the engines' caches.
 const sampleInterval = 200 * time.Millisecond
 
-// Waste is what engines held, in token-seconds.
+// Waste is the cache usage of the engines, in token-seconds.
 type Waste struct {
-	// Held is what they held of programs, Gone the part of programs that
-	// made no more calls.
+	// Held is the usage of all programs, Ended the part of programs that make
+	// no more calls.
 	Held, Ended float64
-	// Remaining is the tokens still held of gone programs at the end.
+	// Remaining is the number of tokens of ended programs in the last sample.
 	Remaining int64
 }
 
-// wasteSampler looks into the engines' caches while a run is under way.
+// wasteSampler samples the engines' caches during a run.
 type wasteSampler struct {
 	run    *run
 	cancel context.CancelFunc
@@ -41,7 +41,7 @@
 	return w
 }
 
-// stop ends the sampling and gives the result.
+// stop ends the sampling and returns the result.
 func (w *wasteSampler) stop() Waste {
 	w.cancel()
 	w.work.Wait()
@@ -62,7 +62,7 @@
 	}
 }
 
-// readCaches gives the tokens that the engines hold of programs, and of gone ones.
+// readCaches returns the cached tokens of all programs and of ended ones.
 func (w *wasteSampler) readCaches() (held, ended int64) {
 	for _, target := range w.run.cluster.Ready().Targets {
 		if target.Service != testkit.ModelService {
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// StepKind tells what a step of a program calls.
+// StepKind is the kind of service that a step calls.
 type StepKind string
 
 // Kinds of steps.
@@ -17,18 +17,18 @@
 	StepFiling StepKind = "filing"
 )
 
-// Step is one call of a lane and what follows it.
+// Step is one call of a lane, with the sub-agents and the pause after it.
 type Step struct {
 	Kind StepKind
-	// InputTokens is the number of prompt tokens that are new in a chat, Output the
-	// number of tokens of its answer.
+	// InputTokens is the number of new prompt tokens of a chat, OutputTokens
+	// the length of its response.
 	InputTokens, OutputTokens int
-	// RunTime is how long a tool or filing call takes at its target.
+	// RunTime is the execution time of a tool or filing call at its target.
 	RunTime time.Duration
-	// Agents are sub-agents that run at once after the call, each in a lane
-	// of its own; the next step waits for all of them.
+	// Agents are the steps of sub-agents that run concurrently after the call,
+	// each in its own lane. The next step waits for all of them.
 	Agents [][]Step
-	// Pause is the time until the lane's next step.
+	// Pause is the delay before the next step of the lane.
 	Pause time.Duration
 }
 
@@ -37,13 +37,14 @@
 	Class   string
 	Arrival time.Duration
 	Steps   []Step
-	// Abandoned marks a program that its caller never closes, as if it died.
+	// Abandoned reports whether the caller never closes the program, as after
+	// a crash.
 	Abandoned bool
-	// Seed feeds the program's choices of instances.
+	// Seed seeds the choice of instances.
 	Seed uint64
 }
 
-// Calls is the number of calls of a program, sub-agents included.
+// Calls returns the number of calls of the program, sub-agents included.
 func (p *Program) Calls() int { return countCalls(p.Steps) }
 
 func countCalls(steps []Step) int {
@@ -60,32 +61,32 @@
 type Class struct {
 	Name     string
 	Priority int
-	// ArrivalRate is the number of programs that arrive a second.
+	// ArrivalRate is the number of programs that arrive per second.
 	ArrivalRate float64
-	// MinTurns and MaxTurns bound the chats of a program; the number has a
-	// Pareto tail of shape TurnsShape.
+	// MinTurns and MaxTurns bound the number of chats of a program, which is
+	// Pareto distributed with shape TurnsShape.
 	MinTurns, MaxTurns int
 	TurnsShape         float64
 	// SharedTokens is the length of the system message, in tokens.
 	SharedTokens int
-	// InputTokens, Output and Pause are medians of log-normal distributions.
+	// InputTokens, OutputTokens and Pause are medians of log-normal distributions.
 	InputTokens, OutputTokens int
 	Pause                     time.Duration
-	// ToolProbability, Filing, Agents and Abandon are chances: of a tool call or a
-	// filing after a chat, of sub-agents after a chat, and that the caller
-	// never closes the program.
+	// ToolProbability, FilingProbability and AgentProbability apply after each
+	// chat: to a tool call, a filing call, and sub-agents.
+	// AbandonProbability is that of a program that is never closed.
 	ToolProbability, FilingProbability, AgentProbability, AbandonProbability float64
 }
 
-// Names of the classes of the usual workload, which are paths of teams below
-// the kit's team.
+// Names of the classes of the default workload. Each is also the path of a
+// team below testkit.TeamPath.
 const (
 	ClassClearance = "clearance"
 	ClassStatus    = "status"
 )
 
-// Widths of the log-normal distributions, the range of the run time of plain
-// calls, and the bounds of sub-agents.
+// Widths of the log-normal distributions, the range of run times of service
+// calls, and limits on the number and turns of sub-agents.
 const (
 	sigmaTokens  = 0.6
 	sigmaPause   = 0.6
@@ -95,8 +96,9 @@
 	agentTurns   = 2
 )
 
-// DefaultClasses are clearance searches before status lookups, at an arrival
-// rate multiplied by a factor.
+// DefaultClasses returns the classes of the default workload, clearance
+// searches with priority over status lookups, with the arrival rates multiplied
+// by factor.
 func DefaultClasses(factor float64) []Class {
 	return []Class{
 		{
@@ -114,8 +116,8 @@
 	}
 }
 
-// Generate makes the programs that arrive within a duration, in order of
-// arrival. The same arguments give the same programs.
+// Generate returns the programs that arrive within a duration, in order of
+// arrival. It is deterministic.
 func Generate(classes []Class, duration time.Duration, seed uint64) []*Program {
 	var programs []*Program
 	for i, class := range classes {
@@ -146,8 +148,8 @@
 	return min(c.MaxTurns, int(turns))
 }
 
-// steps makes the steps of a lane; only the program's own has sub-agents and
-// filings.
+// steps generates the steps of a lane. Only the top-level lane has sub-agents
+// and filings.
 func (c Class) steps(random *rand.Rand, turns int, topLevel bool) []Step {
 	var steps []Step
 	for range turns {
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -10,7 +10,7 @@
 	const duration = 20 * time.Second
 	first := Generate(DefaultClasses(3), duration, 7)
 	if again := Generate(DefaultClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
-		t.Error("the same seed gave other programs")
+		t.Error("the same seed gave different programs")
 	}
 	if other := Generate(DefaultClasses(3), duration, 8); reflect.DeepEqual(first, other) {
 		t.Error("another seed gave the same programs")
