--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// smallOptions are options of a short run.
+// smallOptions returns options for a short run.
 func smallOptions(workloads ...string) Options {
 	o := DefaultOptions()
 	o.Duration, o.Warmup, o.Seeds = 10*time.Second, 0, []uint64{1}
@@ -18,8 +18,8 @@
 	return o
 }
 
-// A program without sub-agents, alone on an idle system, must take what Alone
-// says, but for its first shared prefix.
+// A program without sub-agents on an idle system must take exactly its
+// IdleLatency.
 func TestIdleLatencyMatchesEngineModel(t *testing.T) {
 	o := smallOptions()
 	spec := &Program{ID: "p", Team: "a", Chain: Chain{
@@ -29,7 +29,7 @@
 	d := newDriver(o, Workload{}, structs.DefaultRules(), 1)
 	sample := d.run([]*Program{spec})
 	if slowdown := sample.Slowdowns[0][0]; math.Abs(slowdown-1) > 0.001 {
-		t.Fatalf("slowdown alone is %v, want 1", slowdown)
+		t.Fatalf("slowdown on an idle system is %v, want 1", slowdown)
 	}
 }
 
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(first, second) {
-		t.Fatalf("two runs of one seed differ:\n%+v\n%+v", first, second)
+		t.Fatalf("two runs with the same seed differ:\n%+v\n%+v", first, second)
 	}
 }
 
@@ -55,10 +55,10 @@
 	}
 	for _, name := range []string{"survey", Baseline, Full, "recomputed %"} {
 		if !bytes.Contains(out.Bytes(), []byte(name)) {
-			t.Errorf("the table lacks %q", name)
+			t.Errorf("the table does not contain %q", name)
 		}
 	}
 	if err := Run(&out, smallOptions("none")); err == nil {
-		t.Error("an unknown workload gives no error")
+		t.Error("no error for an unknown workload")
 	}
 }
--- a/internal/bench/clock.go
+++ b/internal/bench/clock.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock runs actions in order of virtual time.
+// clock is a virtual clock that runs scheduled actions in order of time.
 type clock struct {
 	now      time.Duration
 	queue    actionHeap
@@ -18,7 +18,8 @@
 	run      func()
 }
 
-// at schedules an action; those of the same time run in order of scheduling.
+// at schedules an action. Actions at the same time run in the order in which they
+// were scheduled.
 func (c *clock) at(at time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, action{at: max(at, c.now), sequence: c.sequence, run: run})
@@ -26,7 +27,7 @@
 
 func (c *clock) after(wait time.Duration, run func()) { c.at(c.now+wait, run) }
 
-// step runs the next action; false if there is none.
+// step runs the next action. It returns false if there is none.
 func (c *clock) step() bool {
 	if len(c.queue) == 0 {
 		return false
--- a/internal/bench/driver.go
+++ b/internal/bench/driver.go
@@ -15,20 +15,20 @@
 	benchRegion  = structs.Region("bench")
 	selfID       = structs.InstanceID("dispatcher")
 	ownerID      = structs.InstanceID("owner")
-	// idleTimeout closes programs that never come back.
+	// idleTimeout is the time until abandoned programs are closed.
 	idleTimeout = 60 * time.Second
-	// closeDelay is the time from a program's last answer to its close.
+	// closeDelay is the time from the last response of a program to its close.
 	closeDelay = 20 * time.Millisecond
-	// defaultCallTimeout bounds a call of a kind that names no bound.
+	// defaultCallTimeout applies to programs without a CallTimeout.
 	defaultCallTimeout = 2 * time.Minute
-	// maxRefusals is the number of refusals in a row after which a program
-	// gives up.
+	// maxRefusals is the number of consecutive refusals after which a program
+	// fails.
 	maxRefusals = 5
 )
 
 var benchPool = structs.PoolID{Service: benchService, Region: benchRegion}
 
-// driver runs one workload under one rule set.
+// driver runs one workload with one rule set.
 type driver struct {
 	options         Options
 	workload        Workload
@@ -45,7 +45,7 @@
 	sample          *Sample
 }
 
-// wallStart is the wall time of virtual time 0.
+// wallStart is the wall time at virtual time 0.
 var wallStart = time.Unix(1_700_000_000, 0)
 
 func newDriver(o Options, w Workload, rules structs.Rules, seed uint64) *driver {
@@ -75,7 +75,8 @@
 	return d
 }
 
-// run plays a workload to its end and gives its figures.
+// run simulates the programs until all have been closed and returns the
+// measurements.
 func (d *driver) run(programs []*Program) *Sample {
 	for _, spec := range programs {
 		d.openPrograms++
@@ -90,7 +91,8 @@
 	return d.sample
 }
 
-// everyLoadInterval does something at each load report interval while programs are open.
+// everyLoadInterval calls run at each load report interval while programs are
+// open.
 func (d *driver) everyLoadInterval(run func()) {
 	d.clock.after(d.options.LoadInterval, func() {
 		run()
@@ -102,12 +104,12 @@
 
 func (d *driver) wallTime() time.Time { return wallStart.Add(d.clock.now) }
 
-// tick gives the dispatcher events and carries out its commands.
+// tick passes events to the dispatcher and executes its commands.
 func (d *driver) tick(events ...structs.Event) {
 	for _, command := range d.dispatcher.Tick(d.wallTime(), events) {
 		switch c := command.(type) {
 		case structs.SendPeer:
-			d.clock.after(d.options.HopDelay, func() { d.handleOwnerMessage(c.Msg) })
+			d.clock.after(d.options.HopDelay, func() { d.deliverToOwner(c.Msg) })
 		case structs.ReleaseCache:
 			d.runnersByTarget[c.Target.ID].release(c.Program)
 		}
@@ -133,38 +135,39 @@
 	})
 }
 
-// sendToDispatcher sends a message of the owner.
+// sendToDispatcher delivers a message from the owner after the hop delay.
 func (d *driver) sendToDispatcher(msg structs.Message) {
 	d.clock.after(d.options.HopDelay, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
 }
 
-// handleOwnerMessage handles a message of the dispatcher as an owner does.
-func (d *driver) handleOwnerMessage(msg structs.Message) {
+// deliverToOwner handles a message from the dispatcher as an owner would.
+func (d *driver) deliverToOwner(msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitGrant:
 		c := d.calls[m.Ref.Run]
 		c.target = m.Target.ID
 		c.grantedAt = d.clock.now
-		c.program.callPlaced(d.runnersByTarget[c.target])
+		c.program.callStarted(d.runnersByTarget[c.target])
 		d.clock.after(d.options.HopDelay, func() { d.runnersByTarget[c.target].submit(c) })
 	case *structs.PermitRefuse:
 		d.callRefused(d.calls[m.Ref.Run], m)
 	}
 }
 
-// benchMembers is a membership with fixed targets and one dispatcher.
+// benchMembers implements structs.Members with fixed targets and one dispatcher.
 type benchMembers struct {
 	structs.Members
 	targets []structs.Target
 }
 
-// Targets lists the engines.
+// Targets returns the engines.
 func (m *benchMembers) Targets(structs.ServiceName) []structs.Target { return m.targets }
 
-// DispatcherOf names the one dispatcher.
+// DispatcherOf returns the only dispatcher.
 func (m *benchMembers) DispatcherOf(structs.PoolID) (structs.InstanceID, bool) { return selfID, true }
 
-// benchSettings is one service and one policy.
+// benchSettings implements structs.Settings with one service and the default
+// policy.
 type benchSettings struct {
 	structs.Settings
 	service structs.Service
@@ -178,8 +181,8 @@
 	return &benchSettings{service: service}
 }
 
-// Service gives the one service.
+// Service returns the only service.
 func (s *benchSettings) Service(structs.ServiceName) (structs.Service, bool) { return s.service, true }
 
-// Policy gives the default policy.
+// Policy returns the default policy.
 func (s *benchSettings) Policy(structs.Team) structs.Policy { return structs.DefaultPolicy() }
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -7,38 +7,41 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Options describe a measurement.
+// Options configures a measurement.
 type Options struct {
-	// Workloads and Variants choose by name; empty means all workloads, and
-	// the baselines and the full rule set.
+	// Workloads and Variants select by name. If empty, all workloads are run,
+	// with the baselines and the full rule set.
 	Workloads, Variants []string
-	// Ablations adds the full rule set with each rule switched off alone.
+	// Ablations adds variants of the full rule set, each with one rule changed
+	// or disabled.
 	Ablations bool
-	// Seeds are the seeds of the workloads; each figure is over all.
+	// Seeds are the seeds of the workloads. Results are aggregated over them.
 	Seeds []uint64
 	// Runners is the number of engines.
 	Runners int
-	// LoadFactor multiplies the arrival rate of the workloads.
+	// LoadFactor multiplies the arrival rates of the workloads.
 	LoadFactor float64
-	// Duration is the time in which programs arrive, and Warmup its part
-	// that is not measured.
+	// Duration is the time in which programs arrive. Programs that arrive
+	// within Warmup are not measured.
 	Duration, Warmup time.Duration
-	// HopDelay is the delay of one message.
+	// HopDelay is the one-way delay of a message.
 	HopDelay time.Duration
 	// Engine is the model of the engines.
 	Engine engine.ModelSettings
-	// Settings for the faults of the engines' reports.
+	// LoadInterval and LoadLag are the interval and delay of load reports,
+	// CacheLag is the delay of cache events.
 	LoadInterval, LoadLag, CacheLag time.Duration
-	// CacheLossRate is the share of cache event pages that are lost, and
-	// CacheDuplicateRate of those that come twice.
+	// CacheLossRate is the fraction of cache event reports that are lost,
+	// CacheDuplicateRate the fraction that is delivered twice.
 	CacheLossRate, CacheDuplicateRate float64
-	// Parallel is the number of runs at a time.
+	// Parallel is the maximum number of concurrent runs.
 	Parallel int
-	// JSONFile is the file for the figures, empty for none.
+	// JSONFile is the file to which results are written, empty for none.
 	JSONFile string
 }
 
-// DefaultOptions are the options of the reported figures, but for the seeds.
+// DefaultOptions returns the options of the published measurements, except for
+// their seeds.
 func DefaultOptions() Options {
 	return Options{
 		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, LoadFactor: 1,
@@ -57,19 +60,19 @@
 	}
 }
 
-// Variant is a rule set under a name.
+// Variant is a named rule set.
 type Variant struct {
 	Name  string
 	Rules structs.Rules
 }
 
-// Names of the variants that others are compared with.
+// Names of the reference variants.
 const (
 	Baseline = "fcfs/least-loaded"
 	Full     = "full"
 )
 
-// Variants lists the baselines and the full rule set.
+// Variants returns the baselines and the full rule set.
 func Variants() []Variant {
 	plain := structs.Rules{Order: "fcfs", Placement: "least-loaded", Retention: "all"}
 	return []Variant{
@@ -83,7 +86,8 @@
 	}
 }
 
-// Ablations lists the full rule set with each rule switched off alone.
+// Ablations returns variants of the full rule set, each with one rule changed or
+// disabled.
 func Ablations() []Variant {
 	full := structs.DefaultRules()
 	off := func(name string, change func(*structs.Rules)) Variant {
--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -8,29 +8,29 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// liveProgram is a program that runs.
+// liveProgram is the state of a program in a run.
 type liveProgram struct {
 	spec   *Program
 	served time.Duration
 	turns  int64
-	// activeCalls counts its calls that wait or run.
+	// activeCalls is the number of calls that wait or run.
 	activeCalls int
-	// runningAt counts its running calls by engine.
+	// runningAt is the number of running calls by engine.
 	runningAt map[*runner]int
-	// finished is set when the program makes no further call, whether or not
-	// it said so.
+	// finished is set when the program makes no further calls, even if it is
+	// not closed yet.
 	finished            bool
 	consecutiveRefusals int
 	failed              bool
 }
 
-func (p *liveProgram) callPlaced(r *runner) { p.runningAt[r]++ }
+func (p *liveProgram) callStarted(r *runner) { p.runningAt[r]++ }
 
-func (p *liveProgram) callLeft(r *runner) { p.runningAt[r]-- }
+func (p *liveProgram) callEnded(r *runner) { p.runningAt[r]-- }
 
 func (p *liveProgram) isRunningAt(r *runner) bool { return p.runningAt[r] > 0 }
 
-// liveCall is a call that waits or runs.
+// liveCall is the state of a call that waits or runs.
 type liveCall struct {
 	program       *liveProgram
 	run           structs.RunID
@@ -66,7 +66,7 @@
 	d.runChain(p, spec.Chain, 0, func(int) { d.programFinished(p) })
 }
 
-// runChain makes the calls of a chain one after another.
+// runChain makes the calls of a chain sequentially.
 func (d *driver) runChain(p *liveProgram, chain Chain, contextTokens int, onDone func(contextTokens int)) {
 	if len(chain) == 0 || p.failed {
 		onDone(contextTokens)
@@ -85,7 +85,7 @@
 	})
 }
 
-// runAgents runs sub-agents at once and goes on when all are done.
+// runAgents runs sub-agents concurrently and calls onDone when all are done.
 func (d *driver) runAgents(p *liveProgram, agents []Chain, contextTokens int, onDone func()) {
 	if len(agents) == 0 {
 		onDone()
@@ -102,7 +102,7 @@
 	}
 }
 
-// startCall asks the dispatcher for a permit and runs the call once it has one.
+// startCall requests a permit for a new call, which runs once the permit is granted.
 func (d *driver) startCall(p *liveProgram, step Step, contextTokens int, onDone func()) {
 	d.requestPermit(&liveCall{program: p, step: step, contextTokens: contextTokens, onDone: onDone, firstRequestedAt: d.clock.now})
 }
@@ -129,11 +129,11 @@
 	})
 }
 
-// callFinished ends a call that ran.
+// callFinished handles the end of a call that ran.
 func (d *driver) callFinished(c *liveCall) {
 	p := c.program
 	delete(d.calls, c.run)
-	p.callLeft(d.runnersByTarget[c.target])
+	p.callEnded(d.runnersByTarget[c.target])
 	p.activeCalls--
 	p.served += c.duration
 	p.turns++
@@ -147,11 +147,11 @@
 	c.onDone()
 }
 
-// callNotSent tries a call again that its engine refused without running it.
+// callNotSent retries a call that its engine refused to run.
 func (d *driver) callNotSent(c *liveCall) {
 	p := c.program
 	delete(d.calls, c.run)
-	p.callLeft(d.runnersByTarget[c.target])
+	p.callEnded(d.runnersByTarget[c.target])
 	p.activeCalls--
 	d.sample.NotSent++
 	d.sendToDispatcher(&structs.PermitFinish{
@@ -162,7 +162,7 @@
 	d.requestPermit(c)
 }
 
-// callRefused tries a refused call again when it was told to.
+// callRefused retries a call that the dispatcher refused after the given delay.
 func (d *driver) callRefused(c *liveCall, m *structs.PermitRefuse) {
 	p := c.program
 	delete(d.calls, c.run)
@@ -178,7 +178,7 @@
 	d.clock.after(max(m.RetryAfter, time.Millisecond), func() { d.requestPermit(c) })
 }
 
-// programFinished closes a program, or leaves it to the idle timeout.
+// programFinished closes a program, after the idle timeout if it was abandoned.
 func (d *driver) programFinished(p *liveProgram) {
 	p.finished = true
 	d.sample.recordProgram(d, p)
--- a/internal/bench/program.go
+++ b/internal/bench/program.go
@@ -6,15 +6,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Step is one call of a chain and what follows it.
+// Step is one call of a chain, with the sub-agents and the pause after it.
 type Step struct {
-	// InputTokens is the number of prompt tokens new in this call and Output the
-	// number of tokens of the answer.
+	// InputTokens is the number of new prompt tokens of the call, OutputTokens
+	// the length of its response.
 	InputTokens, OutputTokens int
-	// Pause is the time until the chain's next call.
+	// Pause is the delay before the next call of the chain.
 	Pause time.Duration
-	// Agents are sub-agents that run at once after the call; the next call
-	// waits for all of them. Each starts from a copy of the chain's context.
+	// Agents are sub-agents that run concurrently after the call, each with a
+	// copy of the chain's context. The next call waits for all of them.
 	Agents []Chain
 }
 
@@ -30,31 +30,31 @@
 	Chain        Chain
 	Priority     int
 	Weight       float64
-	// Deadline is the wanted latency, 0 for none.
+	// Deadline is the target latency, 0 for none.
 	Deadline time.Duration
-	// CallTimeout bounds each call.
+	// CallTimeout is the timeout of each call, 0 for the default.
 	CallTimeout time.Duration
-	// Abandoned marks a program that never returns after its chain; its owner
-	// closes it only after the idle timeout.
+	// Abandoned reports whether the program is never closed by its caller. Its
+	// owner closes it after the idle timeout.
 	Abandoned bool
-	// Looping marks a program that the loop check closes; it counts as load
-	// but not in the latencies.
+	// Looping reports whether the loop check closes the program. It adds load but
+	// its latency is not measured.
 	Looping bool
 }
 
-// Measured tells whether the program's latency is measured.
+// Measured reports whether the latency of the program is measured.
 func (p *Program) Measured() bool { return !p.Abandoned && !p.Looping }
 
-// IdleLatency is the program's latency on an idle system whose engines hold the
-// shared prefix and all of the program's own. It is a lower bound: sub-agents
-// do not slow each other.
+// IdleLatency returns the latency of the program on an idle system whose engines
+// have all of its earlier tokens cached. It is a lower bound, as it ignores that
+// sub-agents slow each other down.
 func (p *Program) IdleLatency(o Options) time.Duration {
 	total, _ := idleChainLatency(o, p.Chain, 0)
 	return total
 }
 
-// idleChainLatency gives the latency of a chain that starts with own context tokens
-// and the context after it.
+// idleChainLatency returns the latency of a chain that starts with the given
+// number of context tokens, and the number of context tokens after it.
 func idleChainLatency(o Options, chain Chain, context int) (time.Duration, int) {
 	var total time.Duration
 	for i, step := range chain {
@@ -73,8 +73,8 @@
 	return total, context
 }
 
-// idleCallLatency is the latency of one call: its messages, the prefill of its new
-// tokens and its answer.
+// idleCallLatency returns the latency of one call: its messages, the prefill of
+// its new tokens, and the decoding.
 func idleCallLatency(o Options, step Step) time.Duration {
 	e := o.Engine
 	steps := (max(1, step.InputTokens)+e.PrefillChunk-1)/e.PrefillChunk - 1 + step.OutputTokens
@@ -84,6 +84,6 @@
 	return hopsPerCall*o.HopDelay + engine
 }
 
-// hopsPerCall counts the messages one after another of a call that need not
-// wait: request, grant, start and answer.
+// hopsPerCall is the number of sequential messages of a call that does not queue:
+// request, grant, start and response.
 const hopsPerCall = 4
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -12,17 +12,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Result is one workload under one variant: the figures of each seed and
-// their mean and spread.
+// Result holds the results of one workload with one variant, by seed.
 type Result struct {
 	Workload, Variant string
 	Seeds             []Stats
 }
 
-// ErrUnknownName is returned for a workload or variant that does not exist.
+// ErrUnknownName is returned if a selected workload or variant does not exist.
 var ErrUnknownName = errors.New("unknown workload or variant")
 
-// Run measures the chosen workloads and variants and writes a table.
+// Run measures the selected workloads and variants and writes a table.
 func Run(w io.Writer, o Options) error {
 	results, err := Measure(o)
 	if err != nil {
@@ -36,12 +35,12 @@
 	}
 	encoded, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
-		return errors.Wrap(err, "encode the figures")
+		return errors.Wrap(err, "encode results")
 	}
-	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write the figures")
+	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write results file")
 }
 
-// Measure runs every chosen workload under every chosen variant and seed.
+// Measure runs each selected workload with each selected variant and seed.
 func Measure(o Options) ([]Result, error) {
 	workloads, err := selectByName(Workloads(), o.Workloads, func(w Workload) string { return w.Name })
 	if err != nil {
@@ -74,7 +73,7 @@
 	return results, group.Wait()
 }
 
-// variants gives the chosen variants.
+// variants returns the selected variants.
 func (o Options) variants() ([]Variant, error) {
 	if len(o.Variants) == 0 && !o.Ablations {
 		return Variants(), nil
@@ -98,7 +97,7 @@
 	return chosen, nil
 }
 
-// column is one figure of the table.
+// column is one statistic of the table, which is printed as a row.
 type column struct {
 	name   string
 	format string
@@ -140,8 +139,8 @@
 	)
 }
 
-// writeTable writes, for each workload, one row a figure and one column a
-// variant: the mean over the seeds, and the lowest and highest.
+// writeTable writes one row per statistic and one column per variant for each
+// workload, with the mean, minimum and maximum over the seeds.
 func writeTable(w io.Writer, o Options, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "runners %d, load %.2f, arrivals %v after %v, seeds %v; mean [lowest..highest] over seeds\n",
@@ -154,7 +153,7 @@
 		writeWorkload(table, results[start:end])
 		start = end
 	}
-	return errors.Wrap(table.Flush(), "write the table")
+	return errors.Wrap(table.Flush(), "write table")
 }
 
 func writeWorkload(w io.Writer, results []Result) {
@@ -170,7 +169,7 @@
 	}
 }
 
-// variantsPerBlock is the number of variants side by side.
+// variantsPerBlock is the maximum number of variants side by side.
 const variantsPerBlock = 6
 
 func writeBlock(w io.Writer, list []column, results []Result) {
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -8,27 +8,26 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// runner is one engine on the virtual clock.
+// runner simulates one engine on the virtual clock.
 type runner struct {
 	driver   *driver
 	target   structs.Target
 	model    *engine.Model
 	stepping bool
-	// calls are the calls there by run.
-	calls map[string]*liveCall
-	// wasteMeter measures the waste of its cache.
+	// calls holds the submitted calls by run ID.
+	calls      map[string]*liveCall
 	wasteMeter wasteMeter
 }
 
 func (r *runner) submit(c *liveCall) {
-	if r.driver.workload.FailingRunner && r.faultActive() {
+	if r.driver.workload.FailingRunner && r.isFaulty() {
 		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callNotSent(c) })
 		return
 	}
 	r.calls[string(c.run)] = c
 	c.submittedAt = r.driver.clock.now
 	if err := r.model.Submit(c.engineRequest()); err != nil {
-		panic(err) // a run is submitted once
+		panic(err) // each run is submitted only once
 	}
 	r.startStep()
 }
@@ -41,15 +40,16 @@
 	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowdownFactor()), r.endStep)
 }
 
-// faultActive tells whether this is the engine with a fault, in the time of it.
-func (r *runner) faultActive() bool {
+// isFaulty reports whether the engine currently has the fault of the workload. Only
+// the first engine has it, in the middle third of the run.
+func (r *runner) isFaulty() bool {
 	now, third := r.driver.clock.now, r.driver.options.Duration/3
 	return r == r.driver.runners[0] && now > third && now < 2*third
 }
 
-// slowdownFactor is the factor of a slow runner.
+// slowdownFactor returns the factor by which steps take longer.
 func (r *runner) slowdownFactor() int {
-	if factor := r.driver.workload.SlowRunner; factor > 0 && r.faultActive() {
+	if factor := r.driver.workload.SlowRunner; factor > 0 && r.isFaulty() {
 		return factor
 	}
 	return 1
@@ -79,7 +79,8 @@
 	r.startStep()
 }
 
-// reportCache delivers cache events late, some not at all and some twice.
+// reportCache delivers cache events with a delay. Some reports are lost or
+// delivered twice.
 func (r *runner) reportCache() {
 	events := r.model.DrainCacheEvents()
 	d := r.driver
@@ -98,7 +99,7 @@
 	}
 }
 
-// reportLoad delivers the load of now after the lag.
+// reportLoad samples the load and delivers it with a delay.
 func (r *runner) reportLoad() {
 	state := r.model.CacheState()
 	load := wire.EngineLoad{
@@ -111,7 +112,7 @@
 	})
 }
 
-// release drops a program's cache as a ReleaseCache asks.
+// release executes a ReleaseCache command.
 func (r *runner) release(program structs.ProgramID) {
 	d := r.driver
 	d.clock.after(d.options.HopDelay, func() {
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -9,19 +9,18 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Sample is the raw figures of one run.
+// Sample holds the raw measurements of one run.
 type Sample struct {
-	// Slowdowns and Latencies (in seconds) are by class.
+	// Slowdowns and Latencies (in seconds) are by priority.
 	Slowdowns, Latencies map[int][]float64
-	// Teams are slowdowns by team.
+	// Teams holds the slowdowns by team.
 	Teams                   map[structs.Team][]float64
 	Deadlines, DeadlinesMet int
 	Programs, Failed        int
 	Calls, Refused          int
-	// NotSent counts the calls that an engine refused.
+	// NotSent is the number of attempts that an engine refused to run.
 	NotSent int
-	// RefusalDelays is the time from each request to its refusal, in
-	// seconds.
+	// RefusalDelays are the times from a request to its refusal, in seconds.
 	RefusalDelays []float64
 	// PromptTokens, Prefilled and Fresh are tokens: of all prompts, of those
 	// processed, and of those that were new in their calls.
@@ -90,39 +89,39 @@
 	}
 }
 
-// Stats are the figures of one run, or of several taken together.
+// Stats holds the results of one run.
 type Stats struct {
 	// Mean is the mean slowdown of all programs.
 	Mean float64
-	// Classes are by priority.
+	// Classes holds the results by priority.
 	Classes map[int]ClassStats
-	// Met is the share of deadlines met.
+	// Met is the fraction of deadlines met.
 	Met float64
-	// Prefilled is the share of prompt tokens that were processed and
-	// Recomputed the part of it that was not new.
+	// Prefilled is the fraction of prompt tokens that were processed,
+	// Recomputed the fraction that was processed but not new.
 	Prefilled, Recomputed float64
-	// WasteGone and WastePaused are in token-seconds per program.
+	// WasteGone and WastePaused are in token-seconds per program, see Waste.
 	WasteGone, WastePaused float64
-	// TeamLow and TeamHigh are the lowest and highest mean slowdown of a
+	// TeamLow and TeamHigh are the lowest and highest mean slowdown of any
 	// team.
 	TeamLow, TeamHigh float64
-	// NotSent is the number of attempts that an engine refused, per program.
+	// NotSent is the number of attempts that an engine refused to run, per program.
 	NotSent float64
-	// Refused is the share of requests refused, RefusalDelays the 99th
+	// Refused is the fraction of requests refused, RefusedAfter the 99th
 	// percentile of the time to the refusal in seconds, and Failed the
-	// share of programs that gave up.
+	// fraction of programs that failed.
 	Refused, RefusedAfter, Failed float64
 	// RefusedMedian is the median of the time to the refusal in seconds.
 	RefusedMedian float64
 	Programs      int
 }
 
-// ClassStats are the figures of one class.
+// ClassStats holds the results of one priority class.
 type ClassStats struct {
 	Slowdown, Latency Quantiles
 }
 
-// Quantiles summarize a distribution.
+// Quantiles summarizes a distribution.
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
 func (s *Sample) stats() Stats {
@@ -164,7 +163,7 @@
 	return float64(part) / float64(whole)
 }
 
-// quantiles gives exact quantiles by the nearest rank.
+// quantiles returns exact quantiles by the nearest-rank method.
 func quantiles(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
--- a/internal/bench/waste.go
+++ b/internal/bench/waste.go
@@ -9,23 +9,23 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Waste is cache memory that was held without use, in token-seconds.
+// Waste is cache usage by programs, in token-seconds.
 type Waste struct {
-	// Ended was held for programs that had ended, with or without a close.
+	// Ended is the usage by programs that make no more calls, closed or not.
 	Ended float64
-	// Paused was held in pauses and not used after them.
+	// Paused is the usage in pauses without a cache hit afterwards.
 	Paused float64
-	// Held is all that was held for programs.
+	// Held is the total usage by programs.
 	Held float64
 }
 
-// Total is the whole waste.
+// Total returns the usage that was of no benefit.
 func (w Waste) Total() float64 { return w.Ended + w.Paused }
 
-// wasteMeter measures the waste at one engine by samples.
+// wasteMeter measures the waste at one engine by sampling.
 type wasteMeter struct {
 	waste Waste
-	// unused is what each program's entry has held since its last use.
+	// unused is the usage by each program since its last call at the engine.
 	unused map[structs.ProgramID]float64
 }
 
@@ -33,7 +33,7 @@
 	return wasteMeter{unused: make(map[structs.ProgramID]float64)}
 }
 
-// sample charges one interval of what the engine holds.
+// sample charges one interval of the cache state.
 func (h *wasteMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
 	for _, key := range slices.Sorted(maps.Keys(state.Programs)) {
 		tokens := state.Programs[key]
@@ -59,7 +59,8 @@
 	}
 }
 
-// recordUse settles what was held before a run: used if the run hit it.
+// recordUse settles the unused usage before a run: it is waste unless the run hit
+// the cache.
 func (h *wasteMeter) recordUse(id structs.ProgramID, hit bool) {
 	if !hit {
 		h.waste.Paused += h.unused[id]
@@ -67,7 +68,7 @@
 	delete(h.unused, id)
 }
 
-// finish counts what was never used by the end of the run.
+// finish charges usage that is still unused at the end of the run as waste.
 func (h *wasteMeter) finish() {
 	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
 		h.waste.Paused += h.unused[id]
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -10,45 +10,46 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Workload makes the programs of a run.
+// Workload generates the programs of a run.
 type Workload struct {
 	Name string
-	// Kinds of programs arrive independently.
+	// Kinds are the kinds of programs. They arrive independently.
 	Kinds []Kind
-	// SlowRunner slows the first engine by this factor, 0 for none, in the
-	// middle third of the run.
+	// SlowRunner is the slowdown factor of the first engine in the middle
+	// third of the run, 0 for none.
 	SlowRunner int
-	// FailingRunner makes the first engine refuse every call at once in the
-	// middle third of the run.
+	// FailingRunner makes the first engine refuse every call in the middle third
+	// of the run.
 	FailingRunner bool
 }
 
-// Kind is a kind of programs with the same distributions.
+// Kind describes programs with the same distributions.
 type Kind struct {
 	Team     structs.Team
 	Priority int
 	Weight   float64
-	// ArrivalRate is the number of programs a second.
+	// ArrivalRate is the number of programs per second.
 	ArrivalRate float64
-	// BurstRate is added in the burst, the middle fifth of the run.
+	// BurstRate is added to ArrivalRate in the middle fifth of the run.
 	BurstRate float64
 	Deadline  time.Duration
-	// MinTurns is the least number of turns; TurnsShape is the shape of its
-	// Pareto tail and MaxTurns the most.
+	// MinTurns and MaxTurns bound the number of turns. It is Pareto distributed
+	// with shape TurnsShape, or uniform if TurnsShape is 0.
 	MinTurns, MaxTurns int
 	TurnsShape         float64
-	// SharedTokens, First, Input and Output are token counts; the last three are
-	// medians of log-normal distributions.
+	// SharedTokens is the length of the system message. FirstTokens (added to
+	// the first input), InputTokens and OutputTokens are medians of log-normal
+	// distributions.
 	SharedTokens, FirstTokens, InputTokens, OutputTokens int
 	// Pause is the median pause.
 	Pause time.Duration
-	// AgentProbability is the chance that a turn starts sub-agents.
+	// AgentProbability is the probability that a turn starts sub-agents.
 	AgentProbability float64
-	// AbandonProbability and Looping are the chances that a program never returns from a
-	// pause, or loops.
+	// AbandonProbability and LoopProbability are the probabilities that a
+	// program is abandoned or loops.
 	AbandonProbability, LoopProbability float64
-	// Teams spreads the programs over that many teams below Team, if more
-	// than 1, the first ones more often.
+	// Teams is the number of teams below Team over which the programs are
+	// spread, if more than 1. Lower-numbered teams get more programs.
 	Teams       int
 	CallTimeout time.Duration
 }
@@ -63,7 +64,8 @@
 	sigmaPause  = 0.8
 )
 
-// Generate makes the programs of a run, ordered by arrival.
+// Generate returns the programs of a run in order of arrival. It is
+// deterministic.
 func (w Workload) Generate(o Options, seed uint64) []*Program {
 	var programs []*Program
 	for i, kind := range w.Kinds {
@@ -116,7 +118,8 @@
 	return k.Team + structs.Team(fmt.Sprintf("/t%d", index))
 }
 
-// turns draws the number of turns, with a Pareto tail.
+// turns picks the number of turns, Pareto distributed if TurnsShape is set and
+// uniform otherwise.
 func (k Kind) turns(random *rand.Rand) int {
 	if k.TurnsShape == 0 {
 		return k.MinTurns + random.IntN(k.MaxTurns-k.MinTurns+1)
@@ -146,7 +149,7 @@
 	return max(1, int(float64(median)*math.Exp(sigma*random.NormFloat64())))
 }
 
-// Workloads lists the workloads of the reported figures.
+// Workloads returns all workloads.
 func Workloads() []Workload {
 	clearance := Kind{
 		Team: "clearance", Priority: 0, ArrivalRate: 5.3, Deadline: 20 * time.Second,
@@ -174,14 +177,14 @@
 	}
 }
 
-// busyKinds is more than the baseline can serve in time.
+// busyKinds exceeds the load that the baseline can serve in time.
 func busyKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 11, 22
 	return []Kind{clearance, status}
 }
 
-// longAnswerKinds is bound by the slots of the engines: decoding is most of the
-// work, so that cached prefixes help little.
+// longAnswerKinds is bound by the slots of the engines. Most of the work is
+// decoding, so that cached prefixes help little.
 func longAnswerKinds(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
 		kind.OutputTokens, kind.InputTokens, kind.FirstTokens, kind.SharedTokens = 300, 100, 300, 500
@@ -190,7 +193,7 @@
 	return []Kind{clearance, status}
 }
 
-// tightCacheKinds has contexts that the engines' caches cannot hold all at once.
+// tightCacheKinds has more context in total than the engines can cache.
 func tightCacheKinds(clearance, status Kind) []Kind {
 	for _, kind := range []*Kind{&clearance, &status} {
 		kind.FirstTokens, kind.InputTokens, kind.Pause = 6000, 1000, 3*time.Second
@@ -199,8 +202,8 @@
 	return []Kind{clearance, status}
 }
 
-// burstKinds is a burst of clearance searches with short status lookups
-// behind.
+// burstKinds has a burst of clearance searches and short status lookups of
+// lower priority.
 func burstKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, clearance.BurstRate = 5, 20
 	status.ArrivalRate, status.MaxTurns, status.TurnsShape = 25, 4, 0
@@ -216,7 +219,7 @@
 	return []Kind{clearance, status}
 }
 
-// abandonedKinds has programs that never return from a pause, and loops.
+// abandonedKinds has programs that are never closed, and loops.
 func abandonedKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 6, 12
 	clearance.AbandonProbability, clearance.LoopProbability = 0.15, 0.05
@@ -224,8 +227,9 @@
 	return []Kind{clearance, status}
 }
 
-// greedyTeamKinds is one team that asks for far more than its share beside one that
-// does not, of the same class and weight, in a burst that is too much for all.
+// greedyTeamKinds has one team that demands far more than its fair share next to
+// one that does not, with the same priority and weight, in a burst that exceeds
+// the capacity.
 func greedyTeamKinds(status Kind) []Kind {
 	modest, greedy := status, status
 	modest.Team, modest.ArrivalRate = "modest", 7
@@ -233,7 +237,8 @@
 	return []Kind{modest, greedy}
 }
 
-// surveyKinds is quick checks from the boat before long reviews.
+// surveyKinds has short programs of high priority and long ones of low
+// priority.
 func surveyKinds() []Kind {
 	return []Kind{
 		{
@@ -249,7 +254,7 @@
 	}
 }
 
-// overloadKinds is more than the engines can do, with short call timeouts.
+// overloadKinds exceeds the capacity of the engines, with short call timeouts.
 func overloadKinds(clearance, status Kind) []Kind {
 	clearance.ArrivalRate, status.ArrivalRate = 25, 100
 	clearance.CallTimeout, status.CallTimeout = 10*time.Second, 10*time.Second
--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -165,7 +165,7 @@
 
 // fillerText returns a text of the given number of prompt tokens.
 func fillerText(tokens int) string {
-	const text = "shore "
+	const pattern = "shore "
 	length := tokens * bytesPerToken
-	return strings.Repeat(text, length/len(text)+1)[:length]
+	return strings.Repeat(pattern, length/len(pattern)+1)[:length]
 }
