--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -22,8 +22,8 @@
 	NotSent int
 	// RefusalDelays are the times from a request to its refusal, in seconds.
 	RefusalDelays []float64
-	// PromptTokens, Prefilled and Fresh are tokens: of all prompts, of those
-	// processed, and of those that were new in their calls.
+	// PromptTokens counts the tokens of all prompts, PrefilledTokens those that
+	// were processed, and NewTokens those that were new in their calls.
 	PromptTokens, PrefilledTokens, NewTokens int64
 	Waste                                    Waste
 }
--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -143,9 +143,9 @@
 	return &other
 }
 
-// openProgram opens a program at any instance, with the same idempotency key
-// for all attempts.
-func (c *caller) openProgram(ctx context.Context) (string, error) {
+// open opens a program at any instance. All attempts use the same idempotency
+// key.
+func (c *caller) open(ctx context.Context) (string, error) {
 	key := ulid.Make().String()
 	response, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
 		return client.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), testkit.Call{Key: key})
@@ -156,7 +156,7 @@
 	return response.Program, nil
 }
 
-func (c *caller) closeProgram(ctx context.Context, program string) error {
+func (c *caller) close(ctx context.Context, program string) error {
 	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
 		return client.Close(ctx, program)
 	})
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,7 +12,8 @@
 	"github.com/banyanglade/banyanglade/internal/testkit"
 )
 
-// Retries of a call. Each attempt uses the same key and picks an instance anew.
+// Retry settings of a call. Each attempt uses the same idempotency key and picks
+// an instance at random.
 const (
 	maxAttempts    = 12
 	initialBackoff = 20 * time.Millisecond
@@ -60,7 +61,7 @@
 	return nil, errAttemptsExhausted
 }
 
-// errRetryable marks a failed attempt that may be retried with the same key.
+// errRetryable marks a failed attempt that may be retried with the same idempotency key.
 var errRetryable = errors.New("attempt failed")
 
 func (c *caller) attempt(ctx context.Context, f callFunc, attempt int) (*testkit.Answer, time.Duration, error) {
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -119,7 +119,7 @@
 // shortProgram opens a program, makes one chat and leaves the program open.
 func (r *run) shortProgram(ctx context.Context, c *caller) error {
 	const output = 4
-	id, err := c.openProgram(ctx)
+	id, err := c.open(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -94,7 +94,7 @@
 		key: callerKey(p.Class), http: r.http, balancer: r.balancer, recorder: recorder,
 		random: rand.New(rand.NewPCG(p.Seed, 0)),
 	}
-	id, err := c.openProgram(ctx)
+	id, err := c.open(ctx)
 	if err != nil {
 		r.recordFailure(ctx, recorder, err)
 		return
@@ -111,7 +111,7 @@
 		recorder.recordFinished(time.Since(started), idle)
 	}
 	if !p.Abandoned {
-		_ = c.closeProgram(ctx, id)
+		_ = c.close(ctx, id)
 	}
 	r.markEnded(id)
 }
