--- a/internal/bench/driver.go
+++ b/internal/bench/driver.go
@@ -15,46 +15,46 @@
 	benchRegion  = structs.Region("bench")
 	selfID       = structs.InstanceID("dispatcher")
 	ownerID      = structs.InstanceID("owner")
-	// idleTimeout closes programs that never come back.
+	// idleTimeout is the time until abandoned programs are closed.
 	idleTimeout = 60 * time.Second
-	// closeDelay is the time from a program's last answer to its close.
+	// closeDelay is the time from the last response of a program to its close.
 	closeDelay = 20 * time.Millisecond
-	// defaultCallTimeout bounds a call of a kind that names no bound.
+	// defaultCallTimeout applies to programs without a CallTimeout.
 	defaultCallTimeout = 2 * time.Minute
-	// maxRefusals is the number of refusals in a row after which a program
-	// gives up.
+	// maxRefusals is the number of consecutive refusals after which a program
+	// fails.
 	maxRefusals = 5
 )
 
 var benchPool = structs.PoolID{Service: benchService, Region: benchRegion}
 
-// driver runs one workload under one rule set.
+// driver runs one workload with one rule set.
 type driver struct {
-	options    Options
-	workload   Workload
-	clock      clock
-	random     *rand.Rand
-	dispatcher *dispatch.Dispatcher
-	runners    []*runner
-	byTarget   map[structs.TargetID]*runner
-	programs   map[structs.ProgramID]*liveProgram
-	calls      map[structs.RunID]*liveCall
-	open       int
-	wake       time.Duration
-	runs       int
-	figures    *Sample
+	options         Options
+	workload        Workload
+	clock           clock
+	random          *rand.Rand
+	dispatcher      *dispatch.Dispatcher
+	runners         []*runner
+	runnersByTarget map[structs.TargetID]*runner
+	programs        map[structs.ProgramID]*liveProgram
+	calls           map[structs.RunID]*liveCall
+	openPrograms    int
+	wakeAt          time.Duration
+	runCount        int
+	sample          *Sample
 }
 
-// start is the wall time of virtual time 0.
-var start = time.Unix(1_700_000_000, 0)
+// wallStart is the wall time at virtual time 0.
+var wallStart = time.Unix(1_700_000_000, 0)
 
 func newDriver(o Options, w Workload, rules structs.Rules, seed uint64) *driver {
 	d := &driver{
 		options: o, workload: w, random: rand.New(rand.NewPCG(seed, 0)),
-		byTarget: make(map[structs.TargetID]*runner),
-		programs: make(map[structs.ProgramID]*liveProgram),
-		calls:    make(map[structs.RunID]*liveCall),
-		figures:  newSample(),
+		runnersByTarget: make(map[structs.TargetID]*runner),
+		programs:        make(map[structs.ProgramID]*liveProgram),
+		calls:           make(map[structs.RunID]*liveCall),
+		sample:          newSample(),
 	}
 	view := &benchMembers{}
 	for i := range o.Runners {
@@ -63,10 +63,10 @@
 		}
 		r := &runner{
 			driver: d, target: target, model: engine.NewModel(o.Engine),
-			runs: make(map[string]*liveCall), holds: newHoldMeter(),
+			calls: make(map[string]*liveCall), wasteMeter: newWasteMeter(),
 		}
 		d.runners = append(d.runners, r)
-		d.byTarget[target.ID] = r
+		d.runnersByTarget[target.ID] = r
 		view.targets = append(view.targets, target)
 	}
 	config := structs.DefaultInstanceConfig(structs.Peer{ID: selfID}, "bench")
@@ -75,41 +75,43 @@
 	return d
 }
 
-// run plays a workload to its end and gives its figures.
+// run simulates the programs until all have been closed and returns the
+// measurements.
 func (d *driver) run(programs []*Program) *Sample {
 	for _, spec := range programs {
-		d.open++
-		d.clock.at(spec.Arrival, func() { d.arrive(spec) })
+		d.openPrograms++
+		d.clock.at(spec.Arrival, func() { d.startProgram(spec) })
 	}
 	for _, r := range d.runners {
-		d.repeat(r.reportLoad)
+		d.everyLoadInterval(r.reportLoad)
 	}
-	for d.open > 0 && d.clock.step() {
+	for d.openPrograms > 0 && d.clock.step() {
 	}
-	d.figures.finish(d)
-	return d.figures
+	d.sample.collectWaste(d)
+	return d.sample
 }
 
-// repeat does something at each load report interval while programs are open.
-func (d *driver) repeat(do func()) {
-	d.clock.after(d.options.LoadEvery, func() {
-		do()
-		if d.open > 0 {
-			d.repeat(do)
+// everyLoadInterval calls run at each load report interval while programs are
+// open.
+func (d *driver) everyLoadInterval(run func()) {
+	d.clock.after(d.options.LoadInterval, func() {
+		run()
+		if d.openPrograms > 0 {
+			d.everyLoadInterval(run)
 		}
 	})
 }
 
-func (d *driver) wall() time.Time { return start.Add(d.clock.now) }
+func (d *driver) wallTime() time.Time { return wallStart.Add(d.clock.now) }
 
-// tick gives the dispatcher events and carries out its commands.
+// tick passes events to the dispatcher and executes its commands.
 func (d *driver) tick(events ...structs.Event) {
-	for _, command := range d.dispatcher.Tick(d.wall(), events) {
+	for _, command := range d.dispatcher.Tick(d.wallTime(), events) {
 		switch c := command.(type) {
 		case structs.SendPeer:
-			d.clock.after(d.options.Hop, func() { d.ownerGets(c.Msg) })
+			d.clock.after(d.options.HopDelay, func() { d.deliverToOwner(c.Msg) })
 		case structs.ReleaseCache:
-			d.byTarget[c.Target.ID].release(c.Program)
+			d.runnersByTarget[c.Target.ID].release(c.Program)
 		}
 	}
 	d.scheduleWake()
@@ -120,51 +122,52 @@
 	if next.IsZero() {
 		return
 	}
-	at := max(next.Sub(start), d.clock.now)
-	if d.wake > d.clock.now && d.wake <= at {
+	at := max(next.Sub(wallStart), d.clock.now)
+	if d.wakeAt > d.clock.now && d.wakeAt <= at {
 		return
 	}
-	d.wake = at
+	d.wakeAt = at
 	d.clock.at(at, func() {
-		if d.wake == at {
-			d.wake = 0
+		if d.wakeAt == at {
+			d.wakeAt = 0
 			d.tick()
 		}
 	})
 }
 
-// toDispatcher sends a message of the owner.
-func (d *driver) toDispatcher(msg structs.Message) {
-	d.clock.after(d.options.Hop, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
+// sendToDispatcher delivers a message from the owner after the hop delay.
+func (d *driver) sendToDispatcher(msg structs.Message) {
+	d.clock.after(d.options.HopDelay, func() { d.tick(structs.PeerMessage{From: ownerID, Msg: msg}) })
 }
 
-// ownerGets handles a message of the dispatcher as an owner does.
-func (d *driver) ownerGets(msg structs.Message) {
+// deliverToOwner handles a message from the dispatcher as an owner would.
+func (d *driver) deliverToOwner(msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.PermitGrant:
 		c := d.calls[m.Ref.Run]
 		c.target = m.Target.ID
-		c.granted = d.clock.now
-		c.program.enter(d.byTarget[c.target])
-		d.clock.after(d.options.Hop, func() { d.byTarget[c.target].submit(c) })
+		c.grantedAt = d.clock.now
+		c.program.callStarted(d.runnersByTarget[c.target])
+		d.clock.after(d.options.HopDelay, func() { d.runnersByTarget[c.target].submit(c) })
 	case *structs.PermitRefuse:
-		d.refused(d.calls[m.Ref.Run], m)
+		d.callRefused(d.calls[m.Ref.Run], m)
 	}
 }
 
-// benchMembers is a membership with fixed targets and one dispatcher.
+// benchMembers implements structs.Members with fixed targets and one dispatcher.
 type benchMembers struct {
 	structs.Members
 	targets []structs.Target
 }
 
-// Targets lists the engines.
+// Targets returns the engines.
 func (m *benchMembers) Targets(structs.ServiceName) []structs.Target { return m.targets }
 
-// DispatcherOf names the one dispatcher.
+// DispatcherOf returns the only dispatcher.
 func (m *benchMembers) DispatcherOf(structs.PoolID) (structs.InstanceID, bool) { return selfID, true }
 
-// benchSettings is one service and one policy.
+// benchSettings implements structs.Settings with one service and the default
+// policy.
 type benchSettings struct {
 	structs.Settings
 	service structs.Service
@@ -178,8 +181,8 @@
 	return &benchSettings{service: service}
 }
 
-// Service gives the one service.
+// Service returns the only service.
 func (s *benchSettings) Service(structs.ServiceName) (structs.Service, bool) { return s.service, true }
 
-// Policy gives the default policy.
+// Policy returns the default policy.
 func (s *benchSettings) Policy(structs.Team) structs.Policy { return structs.DefaultPolicy() }
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -12,17 +12,16 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Result is one workload under one variant: the figures of each seed and
-// their mean and spread.
+// Result holds the results of one workload with one variant, by seed.
 type Result struct {
 	Workload, Variant string
-	Seeds             []Figures
+	Seeds             []Stats
 }
 
-// ErrUnknownName is returned for a workload or variant that does not exist.
+// ErrUnknownName is returned if a selected workload or variant does not exist.
 var ErrUnknownName = errors.New("unknown workload or variant")
 
-// Run measures the chosen workloads and variants and writes a table.
+// Run measures the selected workloads and variants and writes a table.
 func Run(w io.Writer, o Options) error {
 	results, err := Measure(o)
 	if err != nil {
@@ -36,14 +35,14 @@
 	}
 	encoded, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
-		return errors.Wrap(err, "encode the figures")
+		return errors.Wrap(err, "encode results")
 	}
-	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write the figures")
+	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write results file")
 }
 
-// Measure runs every chosen workload under every chosen variant and seed.
+// Measure runs each selected workload with each selected variant and seed.
 func Measure(o Options) ([]Result, error) {
-	workloads, err := choose(Workloads(), o.Workloads, func(w Workload) string { return w.Name })
+	workloads, err := selectByName(Workloads(), o.Workloads, func(w Workload) string { return w.Name })
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +54,7 @@
 	for _, workload := range workloads {
 		for _, variant := range variants {
 			results = append(results, Result{
-				Workload: workload.Name, Variant: variant.Name, Seeds: make([]Figures, len(o.Seeds)),
+				Workload: workload.Name, Variant: variant.Name, Seeds: make([]Stats, len(o.Seeds)),
 			})
 		}
 	}
@@ -66,7 +65,7 @@
 		for j, seed := range o.Seeds {
 			group.Go(func() error {
 				d := newDriver(o, workload, variant.Rules, seed)
-				result.Seeds[j] = d.run(workload.Generate(o, seed)).figures()
+				result.Seeds[j] = d.run(workload.Generate(o, seed)).stats()
 				return nil
 			})
 		}
@@ -74,16 +73,16 @@
 	return results, group.Wait()
 }
 
-// variants gives the chosen variants.
+// variants returns the selected variants.
 func (o Options) variants() ([]Variant, error) {
 	if len(o.Variants) == 0 && !o.Ablations {
 		return Variants(), nil
 	}
 	all := append(Variants(), Ablations()...)
-	return choose(all, o.Variants, func(v Variant) string { return v.Name })
+	return selectByName(all, o.Variants, func(v Variant) string { return v.Name })
 }
 
-func choose[T any](all []T, names []string, name func(T) string) ([]T, error) {
+func selectByName[T any](all []T, names []string, name func(T) string) ([]T, error) {
 	if len(names) == 0 {
 		return all, nil
 	}
@@ -98,50 +97,50 @@
 	return chosen, nil
 }
 
-// column is one figure of the table.
+// column is one statistic of the table, which is printed as a row.
 type column struct {
 	name   string
 	format string
-	value  func(Figures) float64
+	value  func(Stats) float64
 }
 
 func columns(classes []int) []column {
-	list := []column{{"mean", "%.2f", func(f Figures) float64 { return f.Mean }}}
+	list := []column{{"mean", "%.2f", func(f Stats) float64 { return f.Mean }}}
 	for _, class := range classes {
 		prefix := fmt.Sprintf("c%d ", class)
-		of := func(get func(ClassFigures) float64) func(Figures) float64 {
-			return func(f Figures) float64 { return get(f.Classes[class]) }
+		of := func(get func(ClassStats) float64) func(Stats) float64 {
+			return func(f Stats) float64 { return get(f.Classes[class]) }
 		}
 		list = append(list,
-			column{prefix + "mean", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.Mean })},
-			column{prefix + "p50", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P50 })},
-			column{prefix + "p95", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P95 })},
-			column{prefix + "p99", "%.2f", of(func(c ClassFigures) float64 { return c.Slowdown.P99 })},
-			column{prefix + "max", "%.1f", of(func(c ClassFigures) float64 { return c.Slowdown.Max })},
-			column{prefix + "lat mean s", "%.2f", of(func(c ClassFigures) float64 { return c.Latency.Mean })},
-			column{prefix + "lat p50 s", "%.2f", of(func(c ClassFigures) float64 { return c.Latency.P50 })},
-			column{prefix + "lat p95 s", "%.1f", of(func(c ClassFigures) float64 { return c.Latency.P95 })},
-			column{prefix + "lat p99 s", "%.1f", of(func(c ClassFigures) float64 { return c.Latency.P99 })},
+			column{prefix + "mean", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.Mean })},
+			column{prefix + "p50", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P50 })},
+			column{prefix + "p95", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P95 })},
+			column{prefix + "p99", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.P99 })},
+			column{prefix + "max", "%.1f", of(func(c ClassStats) float64 { return c.Slowdown.Max })},
+			column{prefix + "lat mean s", "%.2f", of(func(c ClassStats) float64 { return c.Latency.Mean })},
+			column{prefix + "lat p50 s", "%.2f", of(func(c ClassStats) float64 { return c.Latency.P50 })},
+			column{prefix + "lat p95 s", "%.1f", of(func(c ClassStats) float64 { return c.Latency.P95 })},
+			column{prefix + "lat p99 s", "%.1f", of(func(c ClassStats) float64 { return c.Latency.P99 })},
 		)
 	}
 	return append(list,
-		column{"met %", "%.1f", func(f Figures) float64 { return 100 * f.Met }},
-		column{"prefilled %", "%.1f", func(f Figures) float64 { return 100 * f.Prefilled }},
-		column{"recomputed %", "%.1f", func(f Figures) float64 { return 100 * f.Recomputed }},
-		column{"waste gone", "%.0f", func(f Figures) float64 { return f.WasteGone }},
-		column{"waste paused", "%.0f", func(f Figures) float64 { return f.WastePaused }},
-		column{"team low", "%.2f", func(f Figures) float64 { return f.TeamLow }},
-		column{"team high", "%.2f", func(f Figures) float64 { return f.TeamHigh }},
-		column{"not sent /prog", "%.2f", func(f Figures) float64 { return f.NotSent }},
-		column{"refused %", "%.1f", func(f Figures) float64 { return 100 * f.Refused }},
-		column{"refused p50 s", "%.3f", func(f Figures) float64 { return f.RefusedMedian }},
-		column{"refused p99 s", "%.3f", func(f Figures) float64 { return f.RefusedAfter }},
-		column{"failed %", "%.1f", func(f Figures) float64 { return 100 * f.Failed }},
+		column{"met %", "%.1f", func(f Stats) float64 { return 100 * f.Met }},
+		column{"prefilled %", "%.1f", func(f Stats) float64 { return 100 * f.Prefilled }},
+		column{"recomputed %", "%.1f", func(f Stats) float64 { return 100 * f.Recomputed }},
+		column{"waste gone", "%.0f", func(f Stats) float64 { return f.WasteGone }},
+		column{"waste paused", "%.0f", func(f Stats) float64 { return f.WastePaused }},
+		column{"team low", "%.2f", func(f Stats) float64 { return f.TeamLow }},
+		column{"team high", "%.2f", func(f Stats) float64 { return f.TeamHigh }},
+		column{"not sent /prog", "%.2f", func(f Stats) float64 { return f.NotSent }},
+		column{"refused %", "%.1f", func(f Stats) float64 { return 100 * f.Refused }},
+		column{"refused p50 s", "%.3f", func(f Stats) float64 { return f.RefusedMedian }},
+		column{"refused p99 s", "%.3f", func(f Stats) float64 { return f.RefusedAfter }},
+		column{"failed %", "%.1f", func(f Stats) float64 { return 100 * f.Failed }},
 	)
 }
 
-// writeTable writes, for each workload, one row a figure and one column a
-// variant: the mean over the seeds, and the lowest and highest.
+// writeTable writes one row per statistic and one column per variant for each
+// workload, with the mean, minimum and maximum over the seeds.
 func writeTable(w io.Writer, o Options, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "runners %d, load %.2f, arrivals %v after %v, seeds %v; mean [lowest..highest] over seeds\n",
@@ -154,7 +153,7 @@
 		writeWorkload(table, results[start:end])
 		start = end
 	}
-	return errors.Wrap(table.Flush(), "write the table")
+	return errors.Wrap(table.Flush(), "write table")
 }
 
 func writeWorkload(w io.Writer, results []Result) {
@@ -170,7 +169,7 @@
 	}
 }
 
-// variantsPerBlock is the number of variants side by side.
+// variantsPerBlock is the maximum number of variants side by side.
 const variantsPerBlock = 6
 
 func writeBlock(w io.Writer, list []column, results []Result) {
@@ -182,14 +181,14 @@
 	for _, c := range list {
 		fmt.Fprint(w, c.name)
 		for _, result := range results {
-			mean, low, high := spread(result.Seeds, c.value)
+			mean, low, high := meanAndRange(result.Seeds, c.value)
 			fmt.Fprintf(w, "\t"+c.format+" ["+c.format+".."+c.format+"]", mean, low, high)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-func spread(seeds []Figures, value func(Figures) float64) (mean, low, high float64) {
+func meanAndRange(seeds []Stats, value func(Stats) float64) (mean, low, high float64) {
 	for i, f := range seeds {
 		v := value(f)
 		if i == 0 {
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -8,27 +8,26 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// runner is one engine on the virtual clock.
+// runner simulates one engine on the virtual clock.
 type runner struct {
 	driver   *driver
 	target   structs.Target
 	model    *engine.Model
 	stepping bool
-	// runs are the calls there by run.
-	runs map[string]*liveCall
-	// holds measures the waste of its cache.
-	holds holdMeter
+	// calls holds the submitted calls by run ID.
+	calls      map[string]*liveCall
+	wasteMeter wasteMeter
 }
 
 func (r *runner) submit(c *liveCall) {
-	if r.driver.workload.FailingRunner && r.faulty() {
-		r.driver.clock.after(r.driver.options.Hop, func() { r.driver.notSent(c) })
+	if r.driver.workload.FailingRunner && r.isFaulty() {
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callNotSent(c) })
 		return
 	}
-	r.runs[string(c.run)] = c
-	c.submitted = r.driver.clock.now
+	r.calls[string(c.run)] = c
+	c.submittedAt = r.driver.clock.now
 	if err := r.model.Submit(c.engineRequest()); err != nil {
-		panic(err) // a run is submitted once
+		panic(err) // each run is submitted only once
 	}
 	r.startStep()
 }
@@ -38,19 +37,20 @@
 		return
 	}
 	r.stepping = true
-	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowness()), r.endStep)
+	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowdownFactor()), r.endStep)
 }
 
-// faulty tells whether this is the engine with a fault, in the time of it.
-func (r *runner) faulty() bool {
+// isFaulty reports whether the engine currently has the fault of the workload. Only
+// the first engine has it, in the middle third of the run.
+func (r *runner) isFaulty() bool {
 	now, third := r.driver.clock.now, r.driver.options.Duration/3
 	return r == r.driver.runners[0] && now > third && now < 2*third
 }
 
-// slowness is the factor of a slow runner.
-func (r *runner) slowness() int {
-	if slow := r.driver.workload.SlowRunner; slow > 0 && r.faulty() {
-		return slow
+// slowdownFactor returns the factor by which steps take longer.
+func (r *runner) slowdownFactor() int {
+	if factor := r.driver.workload.SlowRunner; factor > 0 && r.isFaulty() {
+		return factor
 	}
 	return 1
 }
@@ -61,33 +61,34 @@
 	now := r.driver.clock.now
 	for _, token := range result.Tokens {
 		if token.Index == 0 {
-			r.runs[token.ID].firstToken = now - r.runs[token.ID].submitted
+			r.calls[token.ID].timeToFirstToken = now - r.calls[token.ID].submittedAt
 		}
 	}
 	for _, finished := range result.Finished {
-		c := r.runs[finished.ID]
-		delete(r.runs, finished.ID)
+		c := r.calls[finished.ID]
+		delete(r.calls, finished.ID)
 		c.usage = structs.Usage{
 			PromptTokens: int64(finished.PromptTokens), CachedTokens: int64(finished.CachedTokens),
 			CompletionTokens: int64(finished.CompletionTokens),
 		}
-		c.took = now - c.submitted
-		r.holds.used(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.Shared))
-		r.driver.clock.after(r.driver.options.Hop, func() { r.driver.answered(c) })
+		c.duration = now - c.submittedAt
+		r.wasteMeter.recordUse(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
+		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callFinished(c) })
 	}
 	r.reportCache()
 	r.startStep()
 }
 
-// reportCache delivers cache events late, some not at all and some twice.
+// reportCache delivers cache events with a delay. Some reports are lost or
+// delivered twice.
 func (r *runner) reportCache() {
 	events := r.model.DrainCacheEvents()
 	d := r.driver
 	if len(events) == 0 {
 		return
 	}
-	lost := d.random.Float64() < d.options.CacheLoss
-	repeated := d.random.Float64() < d.options.CacheRepeat
+	lost := d.random.Float64() < d.options.CacheLossRate
+	repeated := d.random.Float64() < d.options.CacheDuplicateRate
 	if lost {
 		return
 	}
@@ -98,25 +99,25 @@
 	}
 }
 
-// reportLoad delivers the load of now after the lag.
+// reportLoad samples the load and delivers it with a delay.
 func (r *runner) reportLoad() {
 	state := r.model.CacheState()
 	load := wire.EngineLoad{
 		Running: r.model.Running(), Waiting: r.model.Waiting(), Slots: r.model.Slots(),
 		CacheTokens: state.Used, CacheCapacity: state.Capacity,
 	}
-	r.holds.sample(r, state, r.driver.options.LoadEvery)
+	r.wasteMeter.sample(r, state, r.driver.options.LoadInterval)
 	r.driver.clock.after(r.driver.options.LoadLag, func() {
 		r.driver.tick(structs.TargetLoad{Target: r.target.ID, Load: load})
 	})
 }
 
-// release drops a program's cache as a ReleaseCache asks.
+// release executes a ReleaseCache command.
 func (r *runner) release(program structs.ProgramID) {
 	d := r.driver
-	d.clock.after(d.options.Hop, func() {
+	d.clock.after(d.options.HopDelay, func() {
 		held := r.model.Release(string(program))
-		d.clock.after(d.options.Hop, func() {
+		d.clock.after(d.options.HopDelay, func() {
 			d.tick(structs.CacheReleased{Target: r.target.ID, Program: program, Done: held == 0})
 		})
 	})
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -9,24 +9,23 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Sample is the raw figures of one run.
+// Sample holds the raw measurements of one run.
 type Sample struct {
-	// Slowdowns and Latencies (in seconds) are by class.
+	// Slowdowns and Latencies (in seconds) are by priority.
 	Slowdowns, Latencies map[int][]float64
-	// Teams are slowdowns by team.
-	Teams            map[structs.Team][]float64
-	Deadlines, Met   int
-	Programs, Failed int
-	Calls, Refused   int
-	// NotSent counts the calls that an engine refused.
+	// Teams holds the slowdowns by team.
+	Teams                   map[structs.Team][]float64
+	Deadlines, DeadlinesMet int
+	Programs, Failed        int
+	Calls, Refused          int
+	// NotSent is the number of attempts that an engine refused to run.
 	NotSent int
-	// RefusedAfter is the time from each request to its refusal, in
-	// seconds.
-	RefusedAfter []float64
-	// Prompt, Prefilled and Fresh are tokens: of all prompts, of those
-	// processed, and of those that were new in their calls.
-	Prompt, Prefilled, Fresh int64
-	Waste                    Waste
+	// RefusalDelays are the times from a request to its refusal, in seconds.
+	RefusalDelays []float64
+	// PromptTokens counts the tokens of all prompts, PrefilledTokens those that
+	// were processed, and NewTokens those that were new in their calls.
+	PromptTokens, PrefilledTokens, NewTokens int64
+	Waste                                    Waste
 }
 
 func newSample() *Sample {
@@ -36,31 +35,31 @@
 	}
 }
 
-func (s *Sample) measured(d *driver, p *liveProgram) bool {
+func (s *Sample) inMeasurement(d *driver, p *liveProgram) bool {
 	return p.spec.Arrival >= d.options.Warmup
 }
 
-func (s *Sample) call(d *driver, c *liveCall) {
-	if !s.measured(d, c.program) {
+func (s *Sample) recordCall(d *driver, c *liveCall) {
+	if !s.inMeasurement(d, c.program) {
 		return
 	}
 	s.Calls++
-	s.Prompt += c.usage.PromptTokens
-	s.Prefilled += c.usage.PromptTokens - c.usage.CachedTokens
-	s.Fresh += int64(c.step.Input)
+	s.PromptTokens += c.usage.PromptTokens
+	s.PrefilledTokens += c.usage.PromptTokens - c.usage.CachedTokens
+	s.NewTokens += int64(c.step.InputTokens)
 }
 
-func (s *Sample) refuse(d *driver, c *liveCall, after time.Duration) {
-	if !s.measured(d, c.program) {
+func (s *Sample) recordRefusal(d *driver, c *liveCall, after time.Duration) {
+	if !s.inMeasurement(d, c.program) {
 		return
 	}
 	s.Refused++
-	s.RefusedAfter = append(s.RefusedAfter, after.Seconds())
+	s.RefusalDelays = append(s.RefusalDelays, after.Seconds())
 }
 
-func (s *Sample) program(d *driver, p *liveProgram) {
+func (s *Sample) recordProgram(d *driver, p *liveProgram) {
 	spec := p.spec
-	if !s.measured(d, p) || !spec.Counted() {
+	if !s.inMeasurement(d, p) || !spec.Measured() {
 		return
 	}
 	s.Programs++
@@ -68,83 +67,83 @@
 	if spec.Deadline > 0 {
 		s.Deadlines++
 		if !p.failed && latency <= spec.Deadline {
-			s.Met++
+			s.DeadlinesMet++
 		}
 	}
 	if p.failed {
 		s.Failed++
 		return
 	}
-	slowdown := float64(latency) / float64(spec.Alone(d.options))
+	slowdown := float64(latency) / float64(spec.IdleLatency(d.options))
 	s.Slowdowns[spec.Priority] = append(s.Slowdowns[spec.Priority], slowdown)
 	s.Latencies[spec.Priority] = append(s.Latencies[spec.Priority], latency.Seconds())
 	s.Teams[spec.Team] = append(s.Teams[spec.Team], slowdown)
 }
 
-func (s *Sample) finish(d *driver) {
+func (s *Sample) collectWaste(d *driver) {
 	for _, r := range d.runners {
-		r.holds.settle()
-		s.Waste.Gone += r.holds.waste.Gone
-		s.Waste.Paused += r.holds.waste.Paused
-		s.Waste.Held += r.holds.waste.Held
+		r.wasteMeter.finish()
+		s.Waste.Ended += r.wasteMeter.waste.Ended
+		s.Waste.Paused += r.wasteMeter.waste.Paused
+		s.Waste.Held += r.wasteMeter.waste.Held
 	}
 }
 
-// Figures are the figures of one run, or of several taken together.
-type Figures struct {
+// Stats holds the results of one run.
+type Stats struct {
 	// Mean is the mean slowdown of all programs.
 	Mean float64
-	// Classes are by priority.
-	Classes map[int]ClassFigures
-	// Met is the share of deadlines met.
+	// Classes holds the results by priority.
+	Classes map[int]ClassStats
+	// Met is the fraction of deadlines met.
 	Met float64
-	// Prefilled is the share of prompt tokens that were processed and
-	// Recomputed the part of it that was not new.
+	// Prefilled is the fraction of prompt tokens that were processed,
+	// Recomputed the fraction that was processed but not new.
 	Prefilled, Recomputed float64
-	// WasteGone and WastePaused are in token-seconds per program.
+	// WasteGone and WastePaused are in token-seconds per program, see Waste.
 	WasteGone, WastePaused float64
-	// TeamLow and TeamHigh are the lowest and highest mean slowdown of a
+	// TeamLow and TeamHigh are the lowest and highest mean slowdown of any
 	// team.
 	TeamLow, TeamHigh float64
-	// NotSent is the number of attempts that an engine refused, per program.
+	// NotSent is the number of attempts that an engine refused to run, per program.
 	NotSent float64
-	// Refused is the share of requests refused, RefusedAfter the 99th
+	// Refused is the fraction of requests refused, RefusedAfter the 99th
 	// percentile of the time to the refusal in seconds, and Failed the
-	// share of programs that gave up.
+	// fraction of programs that failed.
 	Refused, RefusedAfter, Failed float64
 	// RefusedMedian is the median of the time to the refusal in seconds.
 	RefusedMedian float64
 	Programs      int
 }
 
-// ClassFigures are the figures of one class.
-type ClassFigures struct {
+// ClassStats holds the results of one priority class.
+type ClassStats struct {
 	Slowdown, Latency Quantiles
 }
 
-// Quantiles summarize a distribution.
+// Quantiles summarizes a distribution.
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
-func (s *Sample) figures() Figures {
-	f := Figures{
-		Classes: make(map[int]ClassFigures), Programs: s.Programs,
-		Met:        share(s.Met, s.Deadlines),
-		Prefilled:  share(s.Prefilled, s.Prompt),
-		Recomputed: share(max(0, s.Prefilled-s.Fresh), s.Prompt),
-		Refused:    share(s.Refused, s.Refused+s.Calls),
-		Failed:     share(s.Failed, s.Programs),
-		WasteGone:  s.Waste.Gone / float64(max(1, s.Programs)), WastePaused: s.Waste.Paused / float64(max(1, s.Programs)),
-		RefusedAfter: quantiles(s.RefusedAfter).P99, RefusedMedian: quantiles(s.RefusedAfter).P50,
+func (s *Sample) stats() Stats {
+	f := Stats{
+		Classes: make(map[int]ClassStats), Programs: s.Programs,
+		Met:        ratio(s.DeadlinesMet, s.Deadlines),
+		Prefilled:  ratio(s.PrefilledTokens, s.PromptTokens),
+		Recomputed: ratio(max(0, s.PrefilledTokens-s.NewTokens), s.PromptTokens),
+		Refused:    ratio(s.Refused, s.Refused+s.Calls),
+		Failed:     ratio(s.Failed, s.Programs),
+		WasteGone:  s.Waste.Ended / float64(max(1, s.Programs)), WastePaused: s.Waste.Paused / float64(max(1, s.Programs)),
+		RefusedAfter: quantiles(s.RefusalDelays).P99, RefusedMedian: quantiles(s.RefusalDelays).P50,
 	}
 	var all []float64
 	for _, class := range slices.Sorted(maps.Keys(s.Slowdowns)) {
 		slowdowns := s.Slowdowns[class]
-		f.Classes[class] = ClassFigures{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
+		f.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
 		all = append(all, slowdowns...)
 	}
 	f.Mean = quantiles(all).Mean
 	f.TeamLow, f.TeamHigh = s.teamRange()
-	f.NotSent = share(s.NotSent, s.Programs)
+	f.NotSent = ratio(s.NotSent, s.Programs)
 	return f
 }
 
@@ -157,14 +156,14 @@
 	return min(low, high), high
 }
 
-func share[N int | int64](part, whole N) float64 {
+func ratio[N int | int64](part, whole N) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-// quantiles gives exact quantiles by the nearest rank.
+// quantiles returns exact quantiles by the nearest-rank method.
 func quantiles(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
--- a/internal/bench/waste.go
+++ b/internal/bench/waste.go
@@ -9,32 +9,32 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Waste is cache memory that was held without use, in token-seconds.
+// Waste is cache usage by programs, in token-seconds.
 type Waste struct {
-	// Gone was held for programs that had ended, with or without a close.
-	Gone float64
-	// Paused was held in pauses and not used after them.
+	// Ended is the usage by programs that make no more calls, closed or not.
+	Ended float64
+	// Paused is the usage in pauses without a cache hit afterwards.
 	Paused float64
-	// Held is all that was held for programs.
+	// Held is the total usage by programs.
 	Held float64
 }
 
-// Total is the whole waste.
-func (w Waste) Total() float64 { return w.Gone + w.Paused }
+// Total returns the usage that was of no benefit.
+func (w Waste) Total() float64 { return w.Ended + w.Paused }
 
-// holdMeter measures the waste at one engine by samples.
-type holdMeter struct {
+// wasteMeter measures the waste at one engine by sampling.
+type wasteMeter struct {
 	waste Waste
-	// unused is what each program's entry has held since its last use.
+	// unused is the usage by each program since its last call at the engine.
 	unused map[structs.ProgramID]float64
 }
 
-func newHoldMeter() holdMeter {
-	return holdMeter{unused: make(map[structs.ProgramID]float64)}
+func newWasteMeter() wasteMeter {
+	return wasteMeter{unused: make(map[structs.ProgramID]float64)}
 }
 
-// sample charges one interval of what the engine holds.
-func (h *holdMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
+// sample charges one interval of the cache state.
+func (h *wasteMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
 	for _, key := range slices.Sorted(maps.Keys(state.Programs)) {
 		tokens := state.Programs[key]
 		program := r.driver.programs[structs.ProgramID(key)]
@@ -44,31 +44,32 @@
 		charge := float64(tokens) * interval.Seconds()
 		h.waste.Held += charge
 		switch {
-		case program.left:
-			h.waste.Gone += charge
-		case !program.runsAt(r):
+		case program.finished:
+			h.waste.Ended += charge
+		case !program.isRunningAt(r):
 			h.unused[program.spec.ID] += charge
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
 		charge := h.unused[id]
-		if _, ok := state.Programs[string(id)]; !ok || r.driver.programs[id].left {
+		if _, ok := state.Programs[string(id)]; !ok || r.driver.programs[id].finished {
 			h.waste.Paused += charge
 			delete(h.unused, id)
 		}
 	}
 }
 
-// used settles what was held before a run: used if the run hit it.
-func (h *holdMeter) used(id structs.ProgramID, hit bool) {
+// recordUse settles the unused usage before a run: it is waste unless the run hit
+// the cache.
+func (h *wasteMeter) recordUse(id structs.ProgramID, hit bool) {
 	if !hit {
 		h.waste.Paused += h.unused[id]
 	}
 	delete(h.unused, id)
 }
 
-// settle counts what was never used by the end of the run.
-func (h *holdMeter) settle() {
+// finish charges usage that is still unused at the end of the run as waste.
+func (h *wasteMeter) finish() {
 	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
 		h.waste.Paused += h.unused[id]
 	}
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -13,23 +13,24 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// CostOptions describe the measurement of what control costs an instance.
+// CostOptions configures the measurement of the control overhead per instance.
 type CostOptions struct {
 	Setup
-	// Sizes are the numbers of instances.
+	// Sizes are the cluster sizes to measure, in instances.
 	Sizes []int
-	// ListSizes is the number of further entries in the membership list.
+	// ListSizes are the numbers of extra entries in the membership list.
 	ListSizes []int
 	Window    time.Duration
 	Repeats   int
-	// Seed is the workload's.
+	// Seed is the seed of the workload.
 	Seed uint64
 }
 
-// settleWindow is the time that a cluster is left alone before it is measured.
-const settleWindow = 4 * time.Second
+// clusterSettleTime is how long a cluster runs undisturbed before it is
+// measured.
+const clusterSettleTime = 4 * time.Second
 
-// Names of the metrics that the driver reads.
+// Metrics read from the instances.
 const (
 	metricControlSent     = "banyanglade_peer_sent_control_bytes"
 	metricControlReceived = "banyanglade_peer_received_control_bytes"
@@ -40,22 +41,23 @@
 	metricTicks           = "banyanglade_core_ticks"
 )
 
-// CostFigures are means over the instances in one window, a second and
-// instance.
-type CostFigures struct {
-	// CPU is the share of a core in per cent, RSS in MiB, IO the bytes a
-	// second of all reads and writes, sockets included.
+// CostStats holds the rates of one window, per second and per instance unless noted
+// otherwise.
+type CostStats struct {
+	// CPU is in percent of a core, RSS in MiB, and IO in bytes per second of
+	// all reads and writes, sockets included.
 	CPU, RSS, IO float64
-	// Control and Data are the bytes a second between instances, both ways.
+	// Control and Data are the bytes per second between instances, sent and
+	// received.
 	Control, Data float64
-	// Reads and Polls are the requests a second for the log and the
-	// membership list, Ticks those of the core.
+	// Reads and Polls are the requests per second to the log and the
+	// membership list, Ticks the ticks per second of the core.
 	Reads, Polls, Ticks float64
-	// Appends and Calls are for all instances together.
+	// Appends and Calls are totals per second over all instances.
 	Appends, Calls float64
 }
 
-// reading is what was read of all instances at one time.
+// reading holds the counters of all instances at one time.
 type reading struct {
 	at      time.Time
 	usage   []usage
@@ -64,7 +66,7 @@
 	calls   int64
 }
 
-func (r *run) read() (*reading, error) {
+func (r *run) takeReading() (*reading, error) {
 	reading := &reading{at: time.Now(), metrics: make(map[string]float64), appends: r.cluster.Log.Stats().Total.Appends}
 	for _, p := range r.cluster.Instances {
 		u, err := readUsage(p.PID())
@@ -82,34 +84,34 @@
 			reading.metrics[name] += value
 		}
 	}
-	for _, f := range r.figures {
+	for _, f := range r.recorders {
 		reading.calls += f.calls.Load()
 	}
 	return reading, nil
 }
 
-// window measures for a while.
-func (r *run) window(ctx context.Context, length time.Duration) (CostFigures, error) {
-	before, err := r.read()
+// measureWindow measures the cluster for the given time.
+func (r *run) measureWindow(ctx context.Context, length time.Duration) (CostStats, error) {
+	before, err := r.takeReading()
 	if err != nil {
-		return CostFigures{}, err
+		return CostStats{}, err
 	}
 	delay.Sleep(ctx, length)
-	after, err := r.read()
+	after, err := r.takeReading()
 	if err != nil {
-		return CostFigures{}, err
+		return CostStats{}, err
 	}
 	return costBetween(before, after), nil
 }
 
-func costBetween(before, after *reading) CostFigures {
+func costBetween(before, after *reading) CostStats {
 	n := float64(len(after.usage))
 	seconds := after.at.Sub(before.at).Seconds()
-	var f CostFigures
+	var f CostStats
 	for i, u := range after.usage {
 		from := before.usage[i]
 		took := u.at.Sub(from.at).Seconds()
-		f.CPU += share((u.cpu-from.cpu).Seconds(), took) / n
+		f.CPU += percentOf((u.cpu-from.cpu).Seconds(), took) / n
 		f.IO += float64(u.io-from.io) / took / n
 		f.RSS += float64(u.rss) / (1 << 20) / n
 	}
@@ -128,14 +130,14 @@
 	return f
 }
 
-// costSample is the figures of all windows of one cluster.
+// costSample holds the windows of one cluster; x is the varied quantity.
 type costSample struct {
 	x          float64
-	idle, load []CostFigures
+	idle, load []CostStats
 }
 
 // RunCost measures clusters of several sizes, idle and under a fixed load, and
-// prints the figures with straight lines through them.
+// prints the results with linear fits.
 func RunCost(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "instances")
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// RunList measures one cluster beside membership lists of several lengths.
+// RunList measures one cluster with membership lists of several lengths.
 func RunList(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "list entries")
@@ -172,8 +174,8 @@
 	return nil
 }
 
-// measure starts a cluster and measures it idle and, without further entries
-// in the list, under load.
+// measure starts a cluster and measures it idle. Without extra list entries it
+// is also measured under load.
 func (o CostOptions) measure(ctx context.Context, setup Setup, entries int) (costSample, error) {
 	var sample costSample
 	cluster, err := setup.start(ctx)
@@ -181,52 +183,52 @@
 		return sample, err
 	}
 	defer cluster.Close()
-	addEntries(cluster, entries)
+	addListEntries(cluster, entries)
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
 	if entries == 0 {
-		r.warm(ctx)
+		r.warmUp(ctx)
 	}
-	// The health checks of the balancer would count as control.
+	// The health checks of the balancer would count as control overhead.
 	r.balancer.close()
-	delay.Sleep(ctx, settleWindow)
-	if sample.idle, err = o.windows(ctx, r); err != nil || entries > 0 {
+	delay.Sleep(ctx, clusterSettleTime)
+	if sample.idle, err = o.measureWindows(ctx, r); err != nil || entries > 0 {
 		return sample, err
 	}
 	loaded, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		length := time.Duration(o.Repeats+1)*o.Window + settleWindow
-		r.open(loaded, Generate(o.Classes, length, o.Seed))
+		length := time.Duration(o.Repeats+1)*o.Window + clusterSettleTime
+		r.runOpenLoop(loaded, Generate(o.Classes, length, o.Seed))
 	}()
-	delay.Sleep(ctx, settleWindow)
-	sample.load, err = o.windows(ctx, r)
+	delay.Sleep(ctx, clusterSettleTime)
+	sample.load, err = o.measureWindows(ctx, r)
 	stop()
 	<-done
 	return sample, err
 }
 
-func (o CostOptions) windows(ctx context.Context, r *run) ([]CostFigures, error) {
-	var figures []CostFigures
+func (o CostOptions) measureWindows(ctx context.Context, r *run) ([]CostStats, error) {
+	var stats []CostStats
 	for range o.Repeats {
-		f, err := r.window(ctx, o.Window)
+		f, err := r.measureWindow(ctx, o.Window)
 		if err != nil {
 			return nil, err
 		}
-		figures = append(figures, f)
+		stats = append(stats, f)
 	}
-	return figures, ctx.Err()
+	return stats, ctx.Err()
 }
 
-// addEntries lists targets of a service that the settings do not name, so that
-// nobody calls or watches them.
-func addEntries(c *testkit.Cluster, entries int) {
-	place := c.Ready().Targets[0]
+// addListEntries adds targets of a service that the settings do not name, so
+// that no instance calls or watches them.
+func addListEntries(c *testkit.Cluster, entries int) {
+	first := c.Ready().Targets[0]
 	for i := range entries {
 		c.Members.Put(wire.Member{
 			ID: fmt.Sprintf("other-service-runner-%04d", i), Role: wire.MemberRoleTarget,
-			State: wire.MemberStateLive, Region: place.Region, DataCentre: place.DataCentre,
+			State: wire.MemberStateLive, Region: first.Region, DataCentre: first.DataCentre,
 			Address: fmt.Sprintf("http://10.1.%d.%d:8000", i>>8, i&0xff), Service: "other-service",
 		})
 	}
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// costColumn is a figure of a cost table.
+// costColumn is one column of the cost table.
 type costColumn struct {
 	name     string
 	decimals int
-	of       func(CostFigures) float64
+	value    func(CostStats) float64
 }
 
 var costColumns = []costColumn{
-	{"CPU % of a core", 2, func(f CostFigures) float64 { return f.CPU }},
-	{"RSS MiB", 1, func(f CostFigures) float64 { return f.RSS }},
-	{"all I/O B/s", 0, func(f CostFigures) float64 { return f.IO }},
-	{"peer control B/s", 0, func(f CostFigures) float64 { return f.Control }},
-	{"peer data B/s", 0, func(f CostFigures) float64 { return f.Data }},
-	{"log reads/s", 2, func(f CostFigures) float64 { return f.Reads }},
-	{"list polls/s", 2, func(f CostFigures) float64 { return f.Polls }},
-	{"ticks/s", 0, func(f CostFigures) float64 { return f.Ticks }},
-	{"log appends/s, all", 1, func(f CostFigures) float64 { return f.Appends }},
-	{"calls/s, all", 1, func(f CostFigures) float64 { return f.Calls }},
+	{"CPU % of a core", 2, func(f CostStats) float64 { return f.CPU }},
+	{"RSS MiB", 1, func(f CostStats) float64 { return f.RSS }},
+	{"all I/O B/s", 0, func(f CostStats) float64 { return f.IO }},
+	{"peer control B/s", 0, func(f CostStats) float64 { return f.Control }},
+	{"peer data B/s", 0, func(f CostStats) float64 { return f.Data }},
+	{"log reads/s", 2, func(f CostStats) float64 { return f.Reads }},
+	{"list polls/s", 2, func(f CostStats) float64 { return f.Polls }},
+	{"ticks/s", 0, func(f CostStats) float64 { return f.Ticks }},
+	{"log appends/s, all", 1, func(f CostStats) float64 { return f.Appends }},
+	{"calls/s, all", 1, func(f CostStats) float64 { return f.Calls }},
 }
 
 func printCostHeader(out io.Writer, x string) {
@@ -32,35 +32,35 @@
 		cells = append(cells, column.name)
 	}
 	cells = append(cells, "load average")
-	fmt.Fprintln(out, row(cells...))
-	fmt.Fprintln(out, row(slices.Repeat([]string{"---"}, len(cells))...))
+	fmt.Fprintln(out, markdownRow(cells...))
+	fmt.Fprintln(out, markdownRow(slices.Repeat([]string{"---"}, len(cells))...))
 }
 
-func printCost(out io.Writer, state string, x float64, figures []CostFigures) {
+func printCost(out io.Writer, state string, x float64, windows []CostStats) {
 	cells := []string{state, fmt.Sprint(x)}
 	for _, column := range costColumns {
-		cells = append(cells, Spread(values(figures, column), column.decimals))
+		cells = append(cells, Spread(values(windows, column), column.decimals))
 	}
-	fmt.Fprintln(out, row(append(cells, LoadAverage())...))
+	fmt.Fprintln(out, markdownRow(append(cells, LoadAverage())...))
 }
 
-func values(figures []CostFigures, column costColumn) []float64 {
-	list := make([]float64, 0, len(figures))
-	for _, f := range figures {
-		list = append(list, column.of(f))
+func values(windows []CostStats, column costColumn) []float64 {
+	list := make([]float64, 0, len(windows))
+	for _, f := range windows {
+		list = append(list, column.value(f))
 	}
 	return list
 }
 
-// printFits prints a line through the windows of all samples for each figure.
+// printFits prints a linear fit over the windows of all samples for each column.
 func printFits(out io.Writer, x string, samples []costSample) {
 	for _, column := range costColumns {
 		for _, state := range []struct {
 			name    string
-			figures func(costSample) []CostFigures
+			figures func(costSample) []CostStats
 		}{
-			{"idle", func(s costSample) []CostFigures { return s.idle }},
-			{"load", func(s costSample) []CostFigures { return s.load }},
+			{"idle", func(s costSample) []CostStats { return s.idle }},
+			{"load", func(s costSample) []CostStats { return s.load }},
 		} {
 			var at, value []float64
 			for _, s := range samples {
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -9,88 +9,89 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Fault is something that happens to a cluster under load. It returns at once
-// or when the context ends.
+// Fault is a fault that is injected into a cluster under load.
 type Fault struct {
 	Name string
-	// apply brings the fault about; held is how long it lasts if it ends.
-	apply func(ctx context.Context, c *testkit.Cluster, held time.Duration)
+	// apply injects the fault and returns after it ends or with the context.
+	// A temporary fault lasts for the given duration.
+	apply func(ctx context.Context, c *testkit.Cluster, duration time.Duration)
 }
 
-// slowFactor is how much slower the slow runner is.
+// slowFactor is the slowdown of the slow engine.
 const slowFactor = 10
 
-// listLag is the time after which the membership list loses what died.
-const listLag = 2 * time.Second
+// membershipLag is the time until the membership list drops a failed member.
+const membershipLag = 2 * time.Second
 
-// Faults lists the faults by name; the quiet run is the first.
+// Faults returns all faults. The first one is a run without faults.
 func Faults() []Fault {
 	return []Fault{
 		{Name: "quiet", apply: func(context.Context, *testkit.Cluster, time.Duration) {}},
 		{Name: "kill", apply: killOne},
 		{Name: "pause", apply: pauseOne},
 		{Name: "slow-runner", apply: slowRunner},
-		{Name: "log-down", apply: logDown},
-		{Name: "data-centre", apply: dataCentreGone},
+		{Name: "log-down", apply: stopLog},
+		{Name: "data-centre", apply: killDataCentre},
 	}
 }
 
-// killOne kills the second instance and takes it off the list later.
+// killOne kills the second instance and removes it from the membership list
+// after membershipLag.
 func killOne(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
 	p := c.Instances[1]
 	p.Kill()
-	delay.Sleep(ctx, listLag)
+	delay.Sleep(ctx, membershipLag)
 	c.Remove(p)
 }
 
-// pauseOne freezes an instance for a while.
-func pauseOne(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+// pauseOne suspends the second instance temporarily.
+func pauseOne(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	p := c.Instances[1]
 	if p.Pause() != nil {
 		return
 	}
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	_ = p.Resume()
 }
 
-// slowRunner slows one engine.
-func slowRunner(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+// slowRunner slows one engine down temporarily.
+func slowRunner(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	id := c.Ready().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	c.Engines[id].Faults().Set(wire.ServiceFaults{})
 }
 
-// logDown takes the platform's log down for a while.
-func logDown(ctx context.Context, c *testkit.Cluster, held time.Duration) {
+// stopLog makes the platform's log unavailable temporarily.
+func stopLog(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	c.Log.SetDown(true)
-	delay.Sleep(ctx, held)
+	delay.Sleep(ctx, duration)
 	c.Log.SetDown(false)
 }
 
-// dataCentreGone kills the instances and targets of the last data centre.
-func dataCentreGone(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
-	place := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
-	var lost []*testkit.Process
+// killDataCentre kills the instances and targets of the last data centre.
+func killDataCentre(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
+	dataCentre := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
+	var killed []*testkit.Process
 	for _, p := range c.Instances {
-		if p.DataCentre == place {
-			lost = append(lost, p)
+		if p.DataCentre == dataCentre {
+			killed = append(killed, p)
 		}
 	}
-	for _, p := range lost {
+	for _, p := range killed {
 		p.Kill()
 	}
 	for _, target := range c.Ready().Targets {
-		if target.DataCentre == place {
+		if target.DataCentre == dataCentre {
 			c.StopTarget(target.ID)
 		}
 	}
-	delay.Sleep(ctx, listLag)
-	for _, p := range lost {
+	delay.Sleep(ctx, membershipLag)
+	for _, p := range killed {
 		c.Remove(p)
 	}
 	for _, target := range c.Ready().Targets {
-		if target.DataCentre == place {
+		if target.DataCentre == dataCentre {
 			c.Members.Remove(target.ID)
 		}
 	}
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -19,46 +19,46 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// HeldOptions describe the measurement of programs and calls that are held.
+// HeldOptions configures the measurement of open programs and calls.
 type HeldOptions struct {
 	Setup
-	// Programs are the numbers of programs that are opened and left paused,
-	// Calls the numbers of calls that wait or run at once.
+	// Programs are the numbers of programs that stay open between calls,
+	// Calls the numbers of concurrent calls, waiting or running.
 	Programs, Calls []int
 }
 
-// heldSettle lets the journals flush before memory is read.
-const heldSettle = 2 * time.Second
+// journalSettleTime is the time for the journals to flush before a reading.
+const journalSettleTime = 2 * time.Second
 
-// openers is the number of programs opened at once.
-const openers = 32
+// openWorkers is the number of programs opened concurrently.
+const openWorkers = 32
 
-// RunHeld opens programs with one call each and leaves them paused, then holds
-// calls, and prints the memory and goroutines of the instances.
+// RunHeld measures the memory and goroutines of the instances, first with open
+// programs that have made one call each, then with concurrent calls.
 func RunHeld(ctx context.Context, out io.Writer, o HeldOptions) error {
 	dir, err := os.MkdirTemp("", "banyanglade-load-")
 	if err != nil {
-		return errors.Wrap(err, "folder for logs")
+		return errors.Wrap(err, "create log directory")
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	o.LogDir = dir
 	fmt.Fprintf(out, "instances %d; means an instance; load average %s\n", o.Instances, LoadAverage())
-	fmt.Fprintln(out, row("held, all instances", "RSS MiB", "goroutines"))
-	fmt.Fprintln(out, row("---", "---", "---"))
+	fmt.Fprintln(out, markdownRow("held, all instances", "RSS MiB", "goroutines"))
+	fmt.Fprintln(out, markdownRow("---", "---", "---"))
 	for _, programs := range o.Programs {
-		if err := o.held(ctx, out, programs, 0); err != nil {
+		if err := o.measure(ctx, out, programs, 0); err != nil {
 			return err
 		}
 	}
 	for _, calls := range o.Calls {
-		if err := o.held(ctx, out, 0, calls); err != nil {
+		if err := o.measure(ctx, out, 0, calls); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (o HeldOptions) held(ctx context.Context, out io.Writer, programs, calls int) error {
+func (o HeldOptions) measure(ctx context.Context, out io.Writer, programs, calls int) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
 		return err
@@ -78,8 +78,8 @@
 	for i := range calls {
 		group.Go(func() { r.longCall(waiting, uint64(i)) })
 	}
-	delay.Sleep(ctx, heldSettle)
-	reading, err := r.read()
+	delay.Sleep(ctx, journalSettleTime)
+	reading, err := r.takeReading()
 	if err != nil {
 		return err
 	}
@@ -89,18 +89,18 @@
 		return err
 	}
 	name := fmt.Sprintf("%d programs, %d calls", programs, calls)
-	fmt.Fprintln(out, row(name, fmt.Sprintf("%.1f", f.RSS), fmt.Sprintf("%.0f", count)))
+	fmt.Fprintln(out, markdownRow(name, fmt.Sprintf("%.1f", f.RSS), fmt.Sprintf("%.0f", count)))
 	return nil
 }
 
 // openPrograms opens programs and makes one short chat in each.
 func (r *run) openPrograms(ctx context.Context, programs int) error {
 	var group sync.WaitGroup
-	failures := make([]error, openers)
-	for worker := range openers {
+	failures := make([]error, openWorkers)
+	for worker := range openWorkers {
 		group.Go(func() {
 			c := r.anyCaller(uint64(worker))
-			for n := worker; n < programs && failures[worker] == nil; n += openers {
+			for n := worker; n < programs && failures[worker] == nil; n += openWorkers {
 				failures[worker] = r.shortProgram(ctx, c)
 			}
 		})
@@ -112,11 +112,11 @@
 func (r *run) anyCaller(seed uint64) *caller {
 	return &caller{
 		key: callerKey(ClassClearance), http: r.http, balancer: r.balancer,
-		figures: r.figures[ClassClearance], random: rand.New(rand.NewPCG(seed, 1)),
+		recorder: r.recorders[ClassClearance], random: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
-// shortProgram opens a program and makes one chat.
+// shortProgram opens a program, makes one chat and leaves the program open.
 func (r *run) shortProgram(ctx context.Context, c *caller) error {
 	const output = 4
 	id, err := c.open(ctx)
@@ -124,11 +124,11 @@
 		return err
 	}
 	l := &lane{run: r, caller: c, program: id}
-	_, err = l.steps(ctx, []Step{{Kind: StepChat, Input: 1, Output: output}})
+	_, err = l.runSteps(ctx, []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: output}})
 	return err
 }
 
-// longCall makes a chat that runs until it is cancelled.
+// longCall makes a chat that lasts until it is cancelled.
 func (r *run) longCall(ctx context.Context, seed uint64) {
 	const tokens = 30_000
 	c := r.anyCaller(seed)
@@ -139,7 +139,8 @@
 	}, testkit.Call{})
 }
 
-// meanGoroutines ends all instances and gives their mean number of goroutines.
+// meanGoroutines returns the mean number of goroutines per instance. It ends
+// all instances.
 func (o HeldOptions) meanGoroutines(c *testkit.Cluster) (float64, error) {
 	total := 0
 	for _, p := range c.Instances {
@@ -152,8 +153,8 @@
 	return float64(total) / float64(len(c.Instances)), nil
 }
 
-// goroutines asks a process for a dump of its goroutines, which ends it, and
-// counts them.
+// goroutines counts the goroutines of a process by the dump that SIGQUIT
+// triggers, which ends the process.
 func (o HeldOptions) goroutines(p *testkit.Process) (int, error) {
 	if err := syscall.Kill(p.PID(), syscall.SIGQUIT); err != nil {
 		return 0, errors.Wrap(err, "signal")
@@ -163,7 +164,7 @@
 	return countGoroutines(string(dump)), errors.Wrap(err, "dump")
 }
 
-// countGoroutines counts the headers of a dump.
+// countGoroutines counts the goroutine headers of a dump.
 func countGoroutines(dump string) int {
 	count := 0
 	for _, line := range strings.Split(dump, "\n") {
--- a/internal/load/recorder.go
+++ b/internal/load/recorder.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// ClassFigures are the figures of one class. Times are in milliseconds.
-type ClassFigures struct {
+// ClassStats holds the results of one class. Times are in milliseconds.
+type ClassStats struct {
 	Started, Finished, Failed int64
 	Latency, Slowdown         Quantiles
 	FirstToken, BetweenTokens Quantiles
@@ -15,18 +15,18 @@
 	Unknown                   int64
 	Refused                   map[string]int64
 	PromptTokens              int64
-	// Recomputed are prompt tokens that the program had sent before and that
-	// no cache held.
-	Recomputed int64
+	// RecomputedTokens is the number of prompt tokens that the program had sent
+	// before and that were not cached.
+	RecomputedTokens int64
 }
 
-// classRecorder collects the figures of one class.
+// classRecorder collects the measurements of one class.
 type classRecorder struct {
-	started, finished, failed  atomic.Int64
-	latency, firstToken, token *histogram
-	slowdown                   *histogram
-	refusals, retries, unknown atomic.Int64
-	prompt, recomputed, calls  atomic.Int64
+	started, finished, failed             atomic.Int64
+	latency, firstToken, tokenGap         *histogram
+	slowdown                              *histogram
+	refusals, retries, unknown            atomic.Int64
+	promptTokens, recomputedTokens, calls atomic.Int64
 
 	mu      sync.Mutex
 	refused map[string]int64
@@ -34,51 +34,52 @@
 
 func newClassRecorder() *classRecorder {
 	return &classRecorder{
-		latency: newDurations(), firstToken: newDurations(), token: newDurations(),
+		latency: newDurations(), firstToken: newDurations(), tokenGap: newDurations(),
 		slowdown: newRatios(), refused: make(map[string]int64),
 	}
 }
 
-// ended notes a program that ended after its latency; alone is its latency on
-// an idle system.
-func (c *classRecorder) ended(latency, alone time.Duration) {
+// recordFinished records a program that finished; idle is its latency on an
+// idle system.
+func (c *classRecorder) recordFinished(latency, idle time.Duration) {
 	c.finished.Add(1)
-	c.latency.duration(latency)
-	c.slowdown.ratio(float64(latency) / float64(alone))
+	c.latency.recordDuration(latency)
+	c.slowdown.recordRatio(float64(latency) / float64(idle))
 }
 
-func (c *classRecorder) refuse(reason string) {
+func (c *classRecorder) recordRefusal(reason string) {
 	c.refusals.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused[reason]++
 }
 
-// pieces notes the times of the pieces of a streamed answer, from the request.
-func (c *classRecorder) pieces(times []time.Duration) {
+// recordChunks records the arrival times of the chunks of a streamed response,
+// relative to the request.
+func (c *classRecorder) recordChunks(times []time.Duration) {
 	if len(times) == 0 {
 		return
 	}
-	c.firstToken.duration(times[0])
+	c.firstToken.recordDuration(times[0])
 	for i := 1; i < len(times); i++ {
-		c.token.duration(times[i] - times[i-1])
+		c.tokenGap.recordDuration(times[i] - times[i-1])
 	}
 }
 
-// merge adds what another recorder collected.
+// merge adds the measurements of another recorder.
 func (c *classRecorder) merge(other *classRecorder) {
 	c.latency.merge(other.latency)
 	c.slowdown.merge(other.slowdown)
 	c.firstToken.merge(other.firstToken)
-	c.token.merge(other.token)
+	c.tokenGap.merge(other.tokenGap)
 	for _, counter := range []struct{ to, from *atomic.Int64 }{
 		{&c.started, &other.started}, {&c.finished, &other.finished}, {&c.failed, &other.failed},
 		{&c.refusals, &other.refusals}, {&c.retries, &other.retries}, {&c.unknown, &other.unknown},
-		{&c.prompt, &other.prompt}, {&c.recomputed, &other.recomputed},
+		{&c.promptTokens, &other.promptTokens}, {&c.recomputedTokens, &other.recomputedTokens},
 	} {
 		counter.to.Add(counter.from.Load())
 	}
-	from := other.figures().Refused
+	from := other.stats().Refused
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for reason, count := range from {
@@ -86,18 +87,18 @@
 	}
 }
 
-func (c *classRecorder) figures() ClassFigures {
+func (c *classRecorder) stats() ClassStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	refused := make(map[string]int64, len(c.refused))
 	for reason, count := range c.refused {
 		refused[reason] = count
 	}
-	return ClassFigures{
+	return ClassStats{
 		Started: c.started.Load(), Finished: c.finished.Load(), Failed: c.failed.Load(),
 		Latency: c.latency.quantiles(), Slowdown: c.slowdown.quantiles(),
-		FirstToken: c.firstToken.quantiles(), BetweenTokens: c.token.quantiles(),
+		FirstToken: c.firstToken.quantiles(), BetweenTokens: c.tokenGap.quantiles(),
 		Refusals: c.refusals.Load(), Retries: c.retries.Load(), Unknown: c.unknown.Load(),
-		Refused: refused, PromptTokens: c.prompt.Load(), Recomputed: c.recomputed.Load(),
+		Refused: refused, PromptTokens: c.promptTokens.Load(), RecomputedTokens: c.recomputedTokens.Load(),
 	}
 }
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -16,7 +16,7 @@
 func TestQuantilesOfDurations(t *testing.T) {
 	h := newDurations()
 	for i := 1; i <= 1000; i++ {
-		h.duration(time.Duration(i) * time.Millisecond)
+		h.recordDuration(time.Duration(i) * time.Millisecond)
 	}
 	q := h.quantiles()
 	if q.Count != 1000 || !near(q.Mean, 500.5, 2) || !near(q.P50, 500, 2) || !near(q.P95, 950, 3) || !near(q.P99, 990, 3) {
@@ -26,28 +26,28 @@
 
 func TestHistogramClamps(t *testing.T) {
 	h := newRatios()
-	h.ratio(0)
-	h.ratio(1e12)
+	h.recordRatio(0)
+	h.recordRatio(1e12)
 	if q := h.quantiles(); q.Count != 2 {
 		t.Errorf("%+v", q)
 	}
 }
 
-func TestMergeAddsAll(t *testing.T) {
+func TestMergeAddsAllRecords(t *testing.T) {
 	one, other := newClassRecorder(), newClassRecorder()
-	one.ended(2*time.Second, time.Second)
-	other.ended(8*time.Second, 2*time.Second)
-	other.refuse("urn:x:overloaded")
+	one.recordFinished(2*time.Second, time.Second)
+	other.recordFinished(8*time.Second, 2*time.Second)
+	other.recordRefusal("urn:x:overloaded")
 	one.merge(other)
-	f := one.figures()
+	f := one.stats()
 	if f.Finished != 2 || !near(f.Slowdown.Mean, 3, 0.01) || f.Refused["urn:x:overloaded"] != 1 || f.Refusals != 1 {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestFitFindsLine(t *testing.T) {
+func TestFitLineRecoversLine(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParameters())
-	properties.Property("a line is found from its points", prop.ForAll(func(slope, intercept float64) bool {
+	properties.Property("the line is recovered from its points", prop.ForAll(func(slope, intercept float64) bool {
 		x := []float64{3, 6, 12, 24, 48}
 		var y []float64
 		for _, at := range x {
@@ -59,7 +59,7 @@
 	properties.TestingRun(t)
 }
 
-func TestFitOfOnePointIsFlat(t *testing.T) {
+func TestFitLineOfOnePointIsFlat(t *testing.T) {
 	if fit := FitLine([]float64{3, 3}, []float64{1, 2}); fit.Slope != 0 || fit.Intercept != 1.5 {
 		t.Errorf("%+v", fit)
 	}
@@ -67,7 +67,7 @@
 
 func TestMedianAndSpread(t *testing.T) {
 	if Median([]float64{3, 1, 2}) != 2 || Median([]float64{4, 1, 2, 3}) != 2.5 || Median(nil) != 0 {
-		t.Error("median")
+		t.Error("wrong median")
 	}
 	if got := Spread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
 		t.Error(got)
@@ -80,7 +80,7 @@
 		t.Errorf("%s, %v", cpu, err)
 	}
 	if _, err := parseCPU("12 (a) S 1"); err == nil {
-		t.Error("a short line was taken")
+		t.Error("parseCPU accepted a line with too few fields")
 	}
 	if rss, err := parseRSS("100 20 3"); err != nil || rss <= 0 || rss%20 != 0 {
 		t.Errorf("%d, %v", rss, err)
@@ -98,8 +98,8 @@
 	}
 }
 
-func TestRefusalsAreNamed(t *testing.T) {
-	got := refusals(ClassFigures{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
+func TestFormatRefusalsUsesProblemNames(t *testing.T) {
+	got := formatRefusals(ClassStats{Refused: map[string]int64{"https://x/problems/overloaded": 2, "urn:y:deadline": 1}})
 	if !strings.Contains(got, "overloaded 2") || !strings.Contains(got, "deadline 1") {
 		t.Error(got)
 	}
--- a/internal/load/tokens.go
+++ b/internal/load/tokens.go
@@ -10,23 +10,23 @@
 	"github.com/banyanglade/banyanglade/internal/delay"
 )
 
-// TokenOptions describe the measurement of what a call and a token cost.
+// TokenOptions configures the measurement of the cost per call and per token.
 type TokenOptions struct {
 	Setup
-	// Tokens are the lengths of the answers; Calls calls of each length are
-	// made by Callers callers, Repeats times.
+	// Tokens are the response lengths to measure. For each length, Callers
+	// callers make Calls calls in total, Repeats times.
 	Tokens         []int
 	Calls, Callers int
 	Repeats        int
 }
 
-// callCost is what one call costs all instances together.
+// callCost is the cost of one call, summed over all instances.
 type callCost struct {
 	milliseconds, control, data, appends float64
 }
 
-// RunTokens makes calls of several lengths and prints what each costs all
-// instances together, with lines through the figures.
+// RunTokens makes calls of several response lengths and prints the cost per
+// call, summed over all instances, with linear fits.
 func RunTokens(ctx context.Context, out io.Writer, o TokenOptions) error {
 	cluster, err := o.start(ctx)
 	if err != nil {
@@ -35,11 +35,11 @@
 	defer cluster.Close()
 	r := newRun(ctx, cluster, o.Model, o.Classes)
 	defer r.close()
-	r.warm(ctx)
+	r.warmUp(ctx)
 	r.balancer.close()
 	fmt.Fprintf(out, "instances %d, callers %d; a call, all instances together\n", o.Instances, o.Callers)
-	fmt.Fprintln(out, row("tokens", "CPU ms", "peer control B", "peer data B", "log appends", "load average"))
-	fmt.Fprintln(out, row("---", "---", "---", "---", "---", "---"))
+	fmt.Fprintln(out, markdownRow("tokens", "CPU ms", "peer control B", "peer data B", "log appends", "load average"))
+	fmt.Fprintln(out, markdownRow("---", "---", "---", "---", "---", "---"))
 	var x, cpu, control, data []float64
 	for _, tokens := range o.Tokens {
 		for range o.Repeats {
@@ -47,7 +47,7 @@
 			if err != nil {
 				return errors.Wrapf(err, "%d tokens", tokens)
 			}
-			fmt.Fprintln(out, row(fmt.Sprint(tokens), fmt.Sprintf("%.2f", cost.milliseconds),
+			fmt.Fprintln(out, markdownRow(fmt.Sprint(tokens), fmt.Sprintf("%.2f", cost.milliseconds),
 				fmt.Sprintf("%.0f", cost.control), fmt.Sprintf("%.0f", cost.data),
 				fmt.Sprintf("%.2f", cost.appends), LoadAverage()))
 			x, cpu = append(x, float64(tokens)), append(cpu, cost.milliseconds)
@@ -69,24 +69,24 @@
 	for i := range o.Calls {
 		programs = append(programs, &Program{
 			Class: o.Classes[0].Name, Seed: uint64(i),
-			Steps: []Step{{Kind: StepChat, Input: 1, Output: tokens}},
+			Steps: []Step{{Kind: StepChat, InputTokens: 1, OutputTokens: tokens}},
 		})
 	}
-	before, err := r.read()
+	before, err := r.takeReading()
 	if err != nil {
 		return callCost{}, err
 	}
-	r.closed(ctx, programs, o.Callers)
-	// The journals and the metrics trail the calls.
-	delay.Sleep(ctx, heldSettle)
-	after, err := r.read()
+	r.runClosedLoop(ctx, programs, o.Callers)
+	// Journals and metrics are updated after the calls end.
+	delay.Sleep(ctx, journalSettleTime)
+	after, err := r.takeReading()
 	if err != nil {
 		return callCost{}, err
 	}
 	calls := float64(o.Calls)
 	var cost callCost
 	for i, u := range after.usage {
-		cost.milliseconds += (u.cpu - before.usage[i].cpu).Seconds() * mille / calls
+		cost.milliseconds += (u.cpu - before.usage[i].cpu).Seconds() * milli / calls
 	}
 	sum := func(names ...string) (total float64) {
 		for _, name := range names {
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -11,22 +11,22 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// sharedKeyPrefix starts the cache keys of shared prefixes.
+// sharedKeyPrefix is the prefix of the cache keys of shared prompt prefixes.
 const sharedKeyPrefix = "prefix-"
 
-// sampleInterval is the time between two looks into the engines' caches.
+// sampleInterval is the time between two samples of the engines' caches.
 const sampleInterval = 200 * time.Millisecond
 
-// Waste is what engines held, in token-seconds.
+// Waste is the cache usage of the engines, in token-seconds.
 type Waste struct {
-	// Held is what they held of programs, Gone the part of programs that
-	// made no more calls.
-	Held, Gone float64
-	// Left is the tokens still held of gone programs at the end.
-	Left int64
+	// Held is the usage of all programs, Ended the part of programs that make
+	// no more calls.
+	Held, Ended float64
+	// Remaining is the number of tokens of ended programs in the last sample.
+	Remaining int64
 }
 
-// wasteSampler looks into the engines' caches while a run is under way.
+// wasteSampler samples the engines' caches during a run.
 type wasteSampler struct {
 	run    *run
 	cancel context.CancelFunc
@@ -34,14 +34,14 @@
 	waste  Waste
 }
 
-func startWaste(ctx context.Context, r *run) *wasteSampler {
+func startWasteSampler(ctx context.Context, r *run) *wasteSampler {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &wasteSampler{run: r, cancel: cancel}
 	w.work.Go(func() { w.sample(ctx) })
 	return w
 }
 
-// stop ends the sampling and gives the result.
+// stop ends the sampling and returns the result.
 func (w *wasteSampler) stop() Waste {
 	w.cancel()
 	w.work.Wait()
@@ -55,15 +55,15 @@
 		now := time.Now()
 		seconds := now.Sub(last).Seconds()
 		last = now
-		held, gone := w.look()
+		held, gone := w.readCaches()
 		w.waste.Held += float64(held) * seconds
-		w.waste.Gone += float64(gone) * seconds
-		w.waste.Left = gone
+		w.waste.Ended += float64(gone) * seconds
+		w.waste.Remaining = gone
 	}
 }
 
-// look gives the tokens that the engines hold of programs, and of gone ones.
-func (w *wasteSampler) look() (held, gone int64) {
+// readCaches returns the cached tokens of all programs and of ended ones.
+func (w *wasteSampler) readCaches() (held, ended int64) {
 	for _, target := range w.run.cluster.Ready().Targets {
 		if target.Service != testkit.ModelService {
 			continue
@@ -77,10 +77,10 @@
 				continue
 			}
 			held += tokens
-			if w.run.isGone(key) {
-				gone += tokens
+			if w.run.hasEnded(key) {
+				ended += tokens
 			}
 		}
 	}
-	return held, gone
+	return held, ended
 }
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// StepKind tells what a step of a program calls.
+// StepKind is the kind of service that a step calls.
 type StepKind string
 
 // Kinds of steps.
@@ -17,18 +17,18 @@
 	StepFiling StepKind = "filing"
 )
 
-// Step is one call of a lane and what follows it.
+// Step is one call of a lane, with the sub-agents and the pause after it.
 type Step struct {
 	Kind StepKind
-	// Input is the number of prompt tokens that are new in a chat, Output the
-	// number of tokens of its answer.
-	Input, Output int
-	// RunTime is how long a tool or filing call takes at its target.
+	// InputTokens is the number of new prompt tokens of a chat, OutputTokens
+	// the length of its response.
+	InputTokens, OutputTokens int
+	// RunTime is the execution time of a tool or filing call at its target.
 	RunTime time.Duration
-	// Agents are sub-agents that run at once after the call, each in a lane
-	// of its own; the next step waits for all of them.
+	// Agents are the steps of sub-agents that run concurrently after the call,
+	// each in its own lane. The next step waits for all of them.
 	Agents [][]Step
-	// Pause is the time until the lane's next step.
+	// Pause is the delay before the next step of the lane.
 	Pause time.Duration
 }
 
@@ -37,13 +37,14 @@
 	Class   string
 	Arrival time.Duration
 	Steps   []Step
-	// Abandoned marks a program that its caller never closes, as if it died.
+	// Abandoned reports whether the caller never closes the program, as after
+	// a crash.
 	Abandoned bool
-	// Seed feeds the program's choices of instances.
+	// Seed seeds the choice of instances.
 	Seed uint64
 }
 
-// Calls is the number of calls of a program, sub-agents included.
+// Calls returns the number of calls of the program, sub-agents included.
 func (p *Program) Calls() int { return countCalls(p.Steps) }
 
 func countCalls(steps []Step) int {
@@ -60,32 +61,32 @@
 type Class struct {
 	Name     string
 	Priority int
-	// Rate is the number of programs that arrive a second.
-	Rate float64
-	// Turns and TurnsMax bound the chats of a program; the number has a
-	// Pareto tail of shape TurnsTail.
-	Turns, TurnsMax int
-	TurnsTail       float64
-	// Shared is the length of the system message, in tokens.
-	Shared int
-	// Input, Output and Pause are medians of log-normal distributions.
-	Input, Output int
-	Pause         time.Duration
-	// Tool, Filing, Agents and Abandon are chances: of a tool call or a
-	// filing after a chat, of sub-agents after a chat, and that the caller
-	// never closes the program.
-	Tool, Filing, Agents, Abandon float64
+	// ArrivalRate is the number of programs that arrive per second.
+	ArrivalRate float64
+	// MinTurns and MaxTurns bound the number of chats of a program, which is
+	// Pareto distributed with shape TurnsShape.
+	MinTurns, MaxTurns int
+	TurnsShape         float64
+	// SharedTokens is the length of the system message, in tokens.
+	SharedTokens int
+	// InputTokens, OutputTokens and Pause are medians of log-normal distributions.
+	InputTokens, OutputTokens int
+	Pause                     time.Duration
+	// ToolProbability, FilingProbability and AgentProbability apply after each
+	// chat: to a tool call, a filing call, and sub-agents.
+	// AbandonProbability is that of a program that is never closed.
+	ToolProbability, FilingProbability, AgentProbability, AbandonProbability float64
 }
 
-// Names of the classes of the usual workload, which are paths of teams below
-// the kit's team.
+// Names of the classes of the default workload. Each is also the path of a
+// team below testkit.TeamPath.
 const (
 	ClassClearance = "clearance"
 	ClassStatus    = "status"
 )
 
-// Widths of the log-normal distributions, the range of the run time of plain
-// calls, and the bounds of sub-agents.
+// Widths of the log-normal distributions, the range of run times of service
+// calls, and limits on the number and turns of sub-agents.
 const (
 	sigmaTokens  = 0.6
 	sigmaPause   = 0.6
@@ -95,27 +96,28 @@
 	agentTurns   = 2
 )
 
-// DefaultClasses are clearance searches before status lookups, at an arrival
-// rate multiplied by a factor.
+// DefaultClasses returns the classes of the default workload, clearance
+// searches with priority over status lookups, with the arrival rates multiplied
+// by factor.
 func DefaultClasses(factor float64) []Class {
 	return []Class{
 		{
-			Name: ClassClearance, Priority: 0, Rate: 1.2 * factor,
-			Turns: 2, TurnsMax: 12, TurnsTail: 1.5, Shared: 400,
-			Input: 120, Output: 40, Pause: 150 * time.Millisecond,
-			Tool: 0.3, Filing: 0.15, Agents: 0.1, Abandon: 0.05,
+			Name: ClassClearance, Priority: 0, ArrivalRate: 1.2 * factor,
+			MinTurns: 2, MaxTurns: 12, TurnsShape: 1.5, SharedTokens: 400,
+			InputTokens: 120, OutputTokens: 40, Pause: 150 * time.Millisecond,
+			ToolProbability: 0.3, FilingProbability: 0.15, AgentProbability: 0.1, AbandonProbability: 0.05,
 		},
 		{
-			Name: ClassStatus, Priority: 5, Rate: 2.4 * factor,
-			Turns: 1, TurnsMax: 12, TurnsTail: 1.3, Shared: 300,
-			Input: 100, Output: 30, Pause: 150 * time.Millisecond,
-			Tool: 0.2, Agents: 0.05, Abandon: 0.1,
+			Name: ClassStatus, Priority: 5, ArrivalRate: 2.4 * factor,
+			MinTurns: 1, MaxTurns: 12, TurnsShape: 1.3, SharedTokens: 300,
+			InputTokens: 100, OutputTokens: 30, Pause: 150 * time.Millisecond,
+			ToolProbability: 0.2, AgentProbability: 0.05, AbandonProbability: 0.1,
 		},
 	}
 }
 
-// Generate makes the programs that arrive within a duration, in order of
-// arrival. The same arguments give the same programs.
+// Generate returns the programs that arrive within a duration, in order of
+// arrival. It is deterministic.
 func Generate(classes []Class, duration time.Duration, seed uint64) []*Program {
 	var programs []*Program
 	for i, class := range classes {
@@ -130,46 +132,46 @@
 	var programs []*Program
 	at := time.Duration(0)
 	for {
-		at += time.Duration(random.ExpFloat64() / c.Rate * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / c.ArrivalRate * float64(time.Second))
 		if at >= duration {
 			return programs
 		}
 		p := &Program{Class: c.Name, Arrival: at, Seed: random.Uint64()}
-		p.Abandoned = random.Float64() < c.Abandon
+		p.Abandoned = random.Float64() < c.AbandonProbability
 		p.Steps = c.steps(random, c.turns(random), true)
 		programs = append(programs, p)
 	}
 }
 
 func (c Class) turns(random *rand.Rand) int {
-	drawn := float64(c.Turns) / math.Pow(1-random.Float64(), 1/c.TurnsTail)
-	return min(c.TurnsMax, int(drawn))
+	turns := float64(c.MinTurns) / math.Pow(1-random.Float64(), 1/c.TurnsShape)
+	return min(c.MaxTurns, int(turns))
 }
 
-// steps makes the steps of a lane; only the program's own has sub-agents and
-// filings.
-func (c Class) steps(random *rand.Rand, turns int, own bool) []Step {
+// steps generates the steps of a lane. Only the top-level lane has sub-agents
+// and filings.
+func (c Class) steps(random *rand.Rand, turns int, topLevel bool) []Step {
 	var steps []Step
 	for range turns {
-		steps = append(steps, c.chat(random, own))
-		switch drawn := random.Float64(); {
-		case own && drawn < c.Filing:
+		steps = append(steps, c.chat(random, topLevel))
+		switch sample := random.Float64(); {
+		case topLevel && sample < c.FilingProbability:
 			steps = append(steps, plainStep(random, StepFiling))
-		case drawn < c.Filing+c.Tool:
+		case sample < c.FilingProbability+c.ToolProbability:
 			steps = append(steps, plainStep(random, StepTool))
 		}
 	}
 	return steps
 }
 
-func (c Class) chat(random *rand.Rand, own bool) Step {
+func (c Class) chat(random *rand.Rand, topLevel bool) Step {
 	step := Step{
-		Kind:   StepChat,
-		Input:  int(logNormal(random, float64(c.Input), sigmaTokens)),
-		Output: int(logNormal(random, float64(c.Output), sigmaTokens)),
-		Pause:  time.Duration(logNormal(random, float64(c.Pause), sigmaPause)),
+		Kind:         StepChat,
+		InputTokens:  int(logNormal(random, float64(c.InputTokens), sigmaTokens)),
+		OutputTokens: int(logNormal(random, float64(c.OutputTokens), sigmaTokens)),
+		Pause:        time.Duration(logNormal(random, float64(c.Pause), sigmaPause)),
 	}
-	if own && random.Float64() < c.Agents {
+	if topLevel && random.Float64() < c.AgentProbability {
 		for range 1 + random.IntN(maxAgents) {
 			step.Agents = append(step.Agents, c.steps(random, 1+random.IntN(agentTurns), false))
 		}
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -10,14 +10,14 @@
 	const duration = 20 * time.Second
 	first := Generate(DefaultClasses(3), duration, 7)
 	if again := Generate(DefaultClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
-		t.Error("the same seed gave other programs")
+		t.Error("the same seed gave different programs")
 	}
 	if other := Generate(DefaultClasses(3), duration, 8); reflect.DeepEqual(first, other) {
 		t.Error("another seed gave the same programs")
 	}
 }
 
-func TestGenerateKeepsBounds(t *testing.T) {
+func TestGenerateStaysWithinBounds(t *testing.T) {
 	const duration = time.Minute
 	classes := DefaultClasses(5)
 	last := time.Duration(0)
@@ -35,22 +35,22 @@
 				chats++
 			}
 		}
-		if chats < 1 || chats > classes[0].TurnsMax || p.Calls() < len(p.Steps) {
+		if chats < 1 || chats > classes[0].MaxTurns || p.Calls() < len(p.Steps) {
 			t.Fatalf("%d chats, %d calls", chats, p.Calls())
 		}
 	}
 	if kinds[StepChat] == 0 || kinds[StepTool] == 0 || kinds[StepFiling] == 0 {
 		t.Errorf("kinds of steps: %v", kinds)
 	}
-	want := (classes[0].Rate + classes[1].Rate) * duration.Seconds()
+	want := (classes[0].ArrivalRate + classes[1].ArrivalRate) * duration.Seconds()
 	if got := float64(len(programs)); got < want*0.8 || got > want*1.2 {
 		t.Errorf("%v programs, want about %v", got, want)
 	}
 }
 
-func TestFillerHasLength(t *testing.T) {
+func TestFillerTextLength(t *testing.T) {
 	for _, tokens := range []int{0, 1, 7, 400} {
-		if got := len(filler(tokens)); got != tokens*bytesPerToken {
+		if got := len(fillerText(tokens)); got != tokens*bytesPerToken {
 			t.Errorf("%d tokens give %d bytes", tokens, got)
 		}
 	}
