--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -76,13 +76,13 @@
 	request := wire.ChatRequest{
 		Model: testkit.ModelService, Messages: l.messages, MaxTokens: step.OutputTokens, Stream: true,
 	}
-	response, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
+	response, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Response, error) {
 		return c.Chat(ctx, request, l.callOptions(step, attempt))
 	})
 	if err != nil {
 		return idle, err
 	}
-	l.caller.recorder.recordChunks(response.PieceTimes)
+	l.caller.recorder.recordChunks(response.ChunkTimes)
 	l.caller.recorder.promptTokens.Add(int64(promptTokens))
 	l.caller.recorder.recomputedTokens.Add(int64(max(0, promptTokens-newTokens-response.Usage.CachedTokens)))
 	l.contextTokens = promptTokens + step.OutputTokens
@@ -98,7 +98,7 @@
 	}
 	path := fmt.Sprintf("/v1/services/%s/run?%s=%d", name, service.DelayParameter, step.RunTime.Milliseconds())
 	body := []byte(fmt.Sprintf(`{"number":%d}`, l.number))
-	_, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
+	_, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Response, error) {
 		return c.Do(ctx, http.MethodPost, path, body, l.callOptions(step, attempt))
 	})
 	return err
@@ -147,7 +147,7 @@
 // key.
 func (c *caller) open(ctx context.Context) (string, error) {
 	key := ulid.Make().String()
-	response, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
+	response, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error) {
 		return client.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), testkit.Call{Key: key})
 	})
 	if err != nil {
@@ -157,7 +157,7 @@
 }
 
 func (c *caller) close(ctx context.Context, program string) error {
-	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
+	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error) {
 		return client.Close(ctx, program)
 	})
 	return errors.Wrap(err, "close")
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -39,11 +39,11 @@
 }
 
 // callFunc makes one attempt of a call.
-type callFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error)
+type callFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error)
 
 // do makes attempts until one succeeds, fails permanently, or maxAttempts is
 // reached.
-func (c *caller) do(ctx context.Context, f callFunc) (*testkit.Answer, error) {
+func (c *caller) do(ctx context.Context, f callFunc) (*testkit.Response, error) {
 	c.recorder.calls.Add(1)
 	backoff := initialBackoff
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
@@ -64,7 +64,7 @@
 // errRetryable marks a failed attempt that may be retried with the same idempotency key.
 var errRetryable = errors.New("attempt failed")
 
-func (c *caller) attempt(ctx context.Context, f callFunc, attempt int) (*testkit.Answer, time.Duration, error) {
+func (c *caller) attempt(ctx context.Context, f callFunc, attempt int) (*testkit.Response, time.Duration, error) {
 	attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	server := c.balancer.pick(c.random)
@@ -75,7 +75,7 @@
 	case err != nil:
 		c.balancer.set(server, true)
 		return nil, 0, errRetryable
-	case response.Cut:
+	case response.Truncated:
 		return nil, 0, errRetryable
 	case response.Problem == nil:
 		return response, 0, nil
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -224,7 +224,7 @@
 // addListEntries adds targets of a service that the settings do not name, so
 // that no instance calls or watches them.
 func addListEntries(c *testkit.Cluster, entries int) {
-	first := c.Ready().Targets[0]
+	first := c.Endpoints().Targets[0]
 	for i := range entries {
 		c.Members.Put(wire.Member{
 			ID: fmt.Sprintf("other-service-runner-%04d", i), Role: wire.MemberRoleTarget,
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -56,7 +56,7 @@
 
 // slowRunner slows one engine down temporarily.
 func slowRunner(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
-	id := c.Ready().Targets[0].ID
+	id := c.Endpoints().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
 	delay.Sleep(ctx, duration)
 	c.Engines[id].Faults().Set(wire.ServiceFaults{})
@@ -71,7 +71,7 @@
 
 // killDataCentre kills the instances and targets of the last data centre.
 func killDataCentre(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
-	dataCentre := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
+	dataCentre := c.Endpoints().Targets[len(c.Endpoints().Targets)-1].DataCentre
 	var killed []*testkit.Process
 	for _, p := range c.Instances {
 		if p.DataCentre == dataCentre {
@@ -81,7 +81,7 @@
 	for _, p := range killed {
 		p.Kill()
 	}
-	for _, target := range c.Ready().Targets {
+	for _, target := range c.Endpoints().Targets {
 		if target.DataCentre == dataCentre {
 			c.StopTarget(target.ID)
 		}
@@ -90,7 +90,7 @@
 	for _, p := range killed {
 		c.Remove(p)
 	}
-	for _, target := range c.Ready().Targets {
+	for _, target := range c.Endpoints().Targets {
 		if target.DataCentre == dataCentre {
 			c.Members.Remove(target.ID)
 		}
--- a/internal/load/overhead.go
+++ b/internal/load/overhead.go
@@ -37,8 +37,8 @@
 
 // record records the latencies of a response. The first call of a program is
 // recorded separately.
-func (p *pathLatencies) record(response *testkit.Answer, firstCall bool) {
-	times := response.PieceTimes
+func (p *pathLatencies) record(response *testkit.Response, firstCall bool) {
+	times := response.ChunkTimes
 	if len(times) == 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 		if err != nil {
 			return err
 		}
-		if response.Status != http.StatusOK || response.Cut || response.Problem != nil {
+		if response.Status != http.StatusOK || response.Truncated || response.Problem != nil {
 			return errors.Newf("status %d: %s", response.Status, response.Body)
 		}
 		p.record(response, number == 1)
@@ -155,7 +155,7 @@
 // anyEngine returns the base URL of a random engine.
 func (r *run) anyEngine(random *rand.Rand) string {
 	var addresses []string
-	for _, target := range r.cluster.Ready().Targets {
+	for _, target := range r.cluster.Endpoints().Targets {
 		if target.Service == testkit.ModelService {
 			addresses = append(addresses, target.Address)
 		}
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -64,7 +64,7 @@
 
 // readCaches returns the cached tokens of all programs and of ended ones.
 func (w *wasteSampler) readCaches() (held, ended int64) {
-	for _, target := range w.run.cluster.Ready().Targets {
+	for _, target := range w.run.cluster.Endpoints().Targets {
 		if target.Service != testkit.ModelService {
 			continue
 		}
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -118,13 +118,13 @@
 	return a
 }
 
-func outcomeOf(ctx context.Context, answer *testkit.Answer, err error) Outcome {
+func outcomeOf(ctx context.Context, answer *testkit.Response, err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Unreachable
-	case err != nil && ctx.Err() != nil, err == nil && answer.Cut && ctx.Err() != nil:
+	case err != nil && ctx.Err() != nil, err == nil && answer.Truncated && ctx.Err() != nil:
 		return NoResponse
-	case err != nil || answer.Cut:
+	case err != nil || answer.Truncated:
 		return Broken
 	case answer.Problem != nil && answer.Problem.Outcome == string(NotRun):
 		return NotRun
--- a/internal/proofs/network.go
+++ b/internal/proofs/network.go
@@ -38,7 +38,7 @@
 
 // env returns the environment that points an instance to its relays.
 func (n *Network) env(c *testkit.Cluster, id string) []string {
-	ready := c.Ready()
+	ready := c.Endpoints()
 	log, err := relay.New(strings.TrimPrefix(ready.Log, "http://"))
 	if err != nil {
 		return nil
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -40,7 +40,7 @@
 }
 
 // setOutcome sets the outcome from the response to the proposal.
-func (c *Change) setOutcome(answer *testkit.Answer) {
+func (c *Change) setOutcome(answer *testkit.Response) {
 	if answer.Status == http.StatusOK {
 		var accepted struct {
 			Version uint64 `json:"version"`
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -49,7 +49,7 @@
 // startRig starts the instances of a scenario and applies its settings.
 func startRig(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
 	r := &Rig{History: &History{}, callerKey: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
-	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.UsualStandins(), Env: s.Env}
+	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.DefaultStandins(), Env: s.Env}
 	if s.Standins != nil {
 		s.Standins(&options.Standins)
 	}
@@ -66,7 +66,7 @@
 	for _, p := range cluster.Instances {
 		r.endpoints = append(r.endpoints, endpoint{p.ID, p.Server})
 	}
-	if err := cluster.Configure(ctx, append(testkit.UsualSettings(), testkit.Changes(s.settings())...)); err != nil {
+	if err := cluster.Configure(ctx, append(testkit.DefaultSettings(), testkit.Changes(s.settings())...)); err != nil {
 		r.Close()
 		return nil, err
 	}
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -133,7 +133,7 @@
 func (r *Rig) waitEngineVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
 	return r.WaitUntil(ctx, "version "+want+" at all engines", func() bool {
-		for _, m := range r.Ready().Targets {
+		for _, m := range r.Endpoints().Targets {
 			var state wire.OrderState
 			if m.Service == testkit.ModelService && (!getJSON(ctx, m.Address+wire.OrdersRoute, &state) || state.Version != want) {
 				return false
@@ -146,7 +146,7 @@
 // appliedOrders returns the orders that each engine applied, in sequence.
 func (r *Rig) appliedOrders(ctx context.Context) map[string][]wire.Order {
 	applied := make(map[string][]wire.Order)
-	for _, m := range r.Ready().Targets {
+	for _, m := range r.Endpoints().Targets {
 		var orders []wire.Order
 		if m.Service == testkit.ModelService && getJSON(ctx, m.Address+engine.OrderLogRoute, &orders) {
 			applied[m.ID] = orders
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -156,7 +156,7 @@
 
 // forgetStreams drops the streams that ended too long ago.
 func (s *Server) forgetStreams(now time.Time) {
-	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.KeepStreams {
+	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.StreamRetention {
 		delete(s.streams, s.ended[0].id)
 		s.ended = s.ended[1:]
 	}
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -65,7 +65,7 @@
 		return f, ctx.Err()
 	}
 	switch {
-	case f.Silent:
+	case f.Unresponsive:
 		<-ctx.Done()
 		return f, ctx.Err()
 	case f.Reset:
@@ -126,12 +126,12 @@
 	if a.Writer != nil {
 		request.writer, request.epoch, request.sequence = a.Writer.Name, a.Writer.Epoch, &a.Writer.Sequence
 	}
-	if f.LoseAnswer {
+	if f.DropResponse {
 		m.Work.Go(func() {
-			time.Sleep(f.Late)
+			time.Sleep(f.ApplyDelay)
 			m.log.append(request)
 		})
-		if f.Late == 0 {
+		if f.ApplyDelay == 0 {
 			m.Work.Wait()
 		}
 		return 0, errCut
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -21,8 +21,8 @@
 type Settings struct {
 	// ID is the target's id, as in the ledger and the answers.
 	ID string
-	// AskByKey serves GET /v1/outcomes/{key}.
-	AskByKey bool
+	// ServeOutcomes serves GET /v1/outcomes/{key}.
+	ServeOutcomes bool
 	// Dedupe answers a repeated idempotency key with the first answer,
 	// without running it again. Otherwise both are run and recorded.
 	Dedupe bool
@@ -39,8 +39,8 @@
 	closing  chan struct{}
 }
 
-// Answer is the body of an answer.
-type Answer struct {
+// Response is the body of an answer.
+type Response struct {
 	Target   string `json:"target"`
 	Sequence uint64 `json:"sequence"`
 	Program  string `json:"program"`
@@ -80,7 +80,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serveAny)
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
-	if s.settings.AskByKey {
+	if s.settings.ServeOutcomes {
 		mux.HandleFunc("GET "+wire.OutcomesRoute+"/{key}", s.serveOutcome)
 	}
 	s.gate.Register(mux)
@@ -132,8 +132,8 @@
 	}
 }
 
-func answer(entry wire.LedgerEntry, sequence uint64) Answer {
-	return Answer{
+func answer(entry wire.LedgerEntry, sequence uint64) Response {
+	return Response{
 		Target:   entry.Target,
 		Sequence: sequence,
 		Program:  entry.Program,
