--- a/cmd/quickstart/main.go
+++ b/cmd/quickstart/main.go
@@ -27,7 +27,7 @@
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := run(ctx, testkit.Options{Binary: *binary, Instances: 3, Standins: testkit.UsualStandins(), LogDir: *logs}, *keep); err != nil {
+	if err := run(ctx, testkit.Options{Binary: *binary, Instances: 3, Standins: testkit.DefaultStandins(), LogDir: *logs}, *keep); err != nil {
 		fmt.Fprintln(os.Stderr, "quickstart:", err)
 		stop()
 		os.Exit(1)
@@ -43,7 +43,7 @@
 		return errors.Wrap(err, "start")
 	}
 	defer cluster.Close()
-	if err := cluster.Configure(tourCtx, testkit.UsualSettings()); err != nil {
+	if err := cluster.Configure(tourCtx, testkit.DefaultSettings()); err != nil {
 		return err
 	}
 	fmt.Printf("Three instances and the stand-ins are ready after %s.\n", time.Since(started).Round(time.Millisecond))
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -126,18 +126,18 @@
 	t.messages = append(t.messages, wire.ChatMessage{Role: "user", Content: prompt})
 	request := wire.ChatRequest{Model: testkit.ModelService, Messages: t.messages, MaxTokens: 100, Stream: stream}
 	client := t.client(instance)
-	client.OnPiece = t.onChunk
+	client.OnChunk = t.onChunk
 	answer, err := client.Chat(ctx, request, testkit.Call{Program: t.program, Number: t.number})
 	if err != nil {
 		return err
 	}
 	if !answer.OK() {
-		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, answer.Status, answer.Cut, answer.Body, answer.Problem)
+		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, answer.Status, answer.Truncated, answer.Body, answer.Problem)
 	}
 	t.messages = append(t.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
 	what := "chat, not streamed"
 	if stream {
-		what = fmt.Sprintf("chat, streamed in %d chunks", answer.Pieces)
+		what = fmt.Sprintf("chat, streamed in %d chunks", answer.Chunks)
 	}
 	t.print(what, instance, answer)
 	return nil
@@ -158,9 +158,9 @@
 	return nil
 }
 
-func (t *tour) print(what string, instance int, answer *testkit.Answer) {
+func (t *tour) print(what string, instance int, answer *testkit.Response) {
 	p := t.cluster.Instances[instance%len(t.cluster.Instances)]
-	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, answer.Outcome, answer.Took.Round(time.Millisecond))
+	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, answer.Outcome, answer.Duration.Round(time.Millisecond))
 }
 
 // checkLedger checks the ledgers of the targets: the filing must have run once.
--- a/cmd/standins/args.go
+++ b/cmd/standins/args.go
@@ -74,7 +74,7 @@
 	args.StepPrefill = engine.DefaultStepPerPrefillToken
 	args.PrefillChunk = engine.DefaultPrefillChunk
 	args.CacheCapacity = engine.DefaultCacheCapacity
-	args.KeepStreams = engine.DefaultKeepStreams
+	args.KeepStreams = engine.DefaultStreamRetention
 	return args
 }
 
@@ -115,7 +115,7 @@
 			CacheGap:         a.CacheGap,
 			CacheDuplicate:   a.CacheDuplicate,
 			Seed:             a.Seed,
-			KeepStreams:      a.KeepStreams,
+			StreamRetention:  a.KeepStreams,
 			AttachDuplicates: a.AttachDuplicate,
 			ChecksFencing:    a.ChecksFencing,
 		},
@@ -138,9 +138,9 @@
 		Service: name,
 		Count:   count,
 		Settings: service.Settings{
-			AskByKey: a.AskByKey,
-			Dedupe:   a.Dedupe,
-			Faults:   wire.ServiceFaults{DelayMS: int(delay.Milliseconds())},
+			ServeOutcomes: a.AskByKey,
+			Dedupe:        a.Dedupe,
+			Faults:        wire.ServiceFaults{DelayMS: int(delay.Milliseconds())},
 		},
 	}
 }
--- a/cmd/standins/main.go
+++ b/cmd/standins/main.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	defer started.Close()
-	if err := json.NewEncoder(output).Encode(started.Ready()); err != nil {
+	if err := json.NewEncoder(output).Encode(started.Endpoints()); err != nil {
 		return errors.Wrap(err, "write the ready line")
 	}
 	<-ctx.Done()
--- a/cmd/standins/main_test.go
+++ b/cmd/standins/main_test.go
@@ -26,7 +26,7 @@
 	ended := make(chan error)
 	go func() { ended <- run(withInputClose(context.Background(), parent), args, standardOutput) }()
 
-	var ready cluster.Ready
+	var ready cluster.Endpoints
 	if err := json.NewDecoder(output).Decode(&ready); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -25,7 +25,7 @@
 // cluster simulates instances with a network, in virtual time.
 type cluster struct {
 	*simnet.Net
-	lives simnet.Lives[*node]
+	lives simnet.NodeValues[*node]
 	t     *testing.T
 	// grantAll grants every vote to every coordinator at once, so that each allocates
 	// the whole limit.
@@ -71,7 +71,7 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
+func (c *cluster) start(machine string) *node { return c.lives.Get(c.Start(machine, c.run)) }
 
 // run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
@@ -85,7 +85,7 @@
 	link.manager = n.manager
 	n.manager.SetActive(true)
 	c.lives.Put(sim, n)
-	c.Work.Go(func() { n.manager.Run(ctx) })
+	c.Background.Go(func() { n.manager.Run(ctx) })
 	return n.receive
 }
 
@@ -138,7 +138,7 @@
 
 // leaveSlowly shuts an instance down, which still admits requests for a while.
 func (c *cluster) leaveSlowly(n *node, d time.Duration) {
-	c.Work.Go(func() {
+	c.Background.Go(func() {
 		n.Directory.SetLeaving(n.ID)
 		n.manager.Leave()
 		for _, p := range n.Directory.Others() {
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -31,7 +31,7 @@
 	var mu sync.Mutex
 	for ends := time.Now().Add(lasts); time.Now().Before(ends); {
 		time.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
-		n := simnet.Any(r, c.all())
+		n := simnet.Pick(r, c.all())
 		started++
 		id := fmt.Sprint("program", started)
 		work.Go(func() {
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -58,7 +58,7 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		c := newCluster(t)
 		c.grantAll, c.releaseSome = grantAll, seed%2 == 1
-		c.ListDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
+		c.DiscoveryDelay = func() time.Duration { return time.Duration(rand.N(600)) * time.Millisecond }
 		names := machines(instances)
 		for _, m := range names {
 			c.start(m)
@@ -98,7 +98,7 @@
 		if len(nodes) == 0 {
 			continue
 		}
-		n, first := simnet.Any(r, nodes), r.IntN(10) == 0
+		n, first := simnet.Pick(r, nodes), r.IntN(10) == 0
 		work.Go(func() { c.request(n, name, limit, 1, first) })
 	}
 	work.Wait()
@@ -113,7 +113,7 @@
 		}
 		return
 	}
-	n := simnet.Any(r, nodes)
+	n := simnet.Pick(r, nodes)
 	switch r.IntN(11) {
 	case 0, 1:
 		c.Restart(n.Node)
@@ -125,10 +125,10 @@
 		c.leaveSlowly(n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5, 6:
 		for _, n := range nodes[:r.IntN(len(nodes))] {
-			c.CutFor(n.Node, simnet.Both, time.Duration(r.IntN(4000))*time.Millisecond)
+			c.IsolateFor(n.Node, simnet.IsolateBoth, time.Duration(r.IntN(4000))*time.Millisecond)
 		}
 	case 7:
-		c.CutFor(n.Node, simnet.Mute, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.IsolateFor(n.Node, simnet.IsolateOutbound, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 9:
 		c.start(fmt.Sprint("new", r.IntN(6)))
 	case 8:
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -24,7 +24,7 @@
 		limit := org.Limit{PerSecond: 60, Burst: 60}
 		uses := make(map[string]float64)
 		for name, factor := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
-			c.Work.Go(func() {
+			c.Background.Go(func() {
 				runPrograms(c, name, limit, typicalProgram, limit.PerSecond*factor/26, 14*time.Second, 1)
 			})
 		}
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -21,7 +21,7 @@
 // cluster simulates instances with a store and a network, in virtual time.
 type cluster struct {
 	*simnet.Net
-	lives simnet.Lives[*node]
+	lives simnet.NodeValues[*node]
 	t     *testing.T
 	// listed reports whether a starting instance knows the list of instances.
 	listed func() bool
@@ -79,7 +79,7 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (c *cluster) start(machine string) *node { return c.lives.Of(c.Start(machine, c.run)) }
+func (c *cluster) start(machine string) *node { return c.lives.Get(c.Start(machine, c.run)) }
 
 // run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
@@ -89,7 +89,7 @@
 		Health: sim, Listed: c.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	c.lives.Put(sim, n)
-	c.Work.Go(func() { n.manager.Run(ctx) })
+	c.Background.Go(func() { n.manager.Run(ctx) })
 	return n.manager.Receive
 }
 
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -37,7 +37,7 @@
 		owner := c.ownerOf("p")
 		others := c.others(owner)
 		for _, other := range others {
-			c.SetCut(other.ID, simnet.Mute)
+			c.SetIsolation(other.ID, simnet.IsolateOutbound)
 		}
 		owner.manager.Leave(t.Context())
 		if owner.own("p") != nil {
@@ -63,15 +63,15 @@
 		c.Kill(owner.Node)
 		third := c.others(successor)[0]
 		c.Store.Set(metastore.Fault{})
-		successor.Refused.Store(true)
-		c.SetCut(third.ID, simnet.Mute)
+		successor.StoreRefused.Store(true)
+		c.SetIsolation(third.ID, simnet.IsolateOutbound)
 		third.Post(structs.PeerDown{Peer: successor.ID})
 		time.Sleep(time.Second)
 		if third.own("p") == nil {
 			t.Fatal("the third instance did not claim the partition")
 		}
 		c.Kill(third.Node)
-		successor.Refused.Store(false)
+		successor.StoreRefused.Store(false)
 		time.Sleep(2 * claimInterval)
 		own := successor.own("p")
 		if own == nil || !own.claimed {
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -88,7 +88,7 @@
 
 func TestOrdinaryProgramNeedsNoRecord(t *testing.T) {
 	runInCluster(t, 2, func(t *testing.T, c *cluster) {
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 		for range 5 {
 			if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 40, time.Millisecond); err != nil {
 				t.Fatalf("turn while the store is unavailable: %v", err)
@@ -231,7 +231,7 @@
 			t.Fatal(err)
 		}
 		old := c.ownerOf("p")
-		c.SetCut(old.ID, simnet.Both)
+		c.SetIsolation(old.ID, simnet.IsolateBoth)
 		var work sync.WaitGroup
 		for _, n := range c.all() {
 			work.Go(func() {
@@ -253,7 +253,7 @@
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		dead := c.ownerOf("p")
 		c.Kill(dead.Node)
-		c.all()[0].Refused.Store(true)
+		c.all()[0].StoreRefused.Store(true)
 		for _, n := range c.all() {
 			if err := c.turn(n, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 				t.Errorf("turn at %s: %v", n.ID, err)
@@ -267,7 +267,7 @@
 func TestOwnerRefusedByTheStoreHandsOver(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		owner := c.ownerOf("p")
-		owner.Refused.Store(true)
+		owner.StoreRefused.Store(true)
 		time.Sleep(5 * evacuateInterval)
 		for range 8 {
 			if err := c.turn(owner, "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
@@ -285,7 +285,7 @@
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		owner := c.ownerOf("p")
 		for _, n := range c.all() {
-			n.Refused.Store(true)
+			n.StoreRefused.Store(true)
 		}
 		time.Sleep(5 * evacuateInterval)
 		if c.ownerOf("p") != owner {
@@ -385,7 +385,7 @@
 		runAll(first)
 		first.breaks.MergeBreaks([]structs.TargetFailure{{Target: "down"}}, time.Now())
 		first.manager.ReportTargetBreaks()
-		time.Sleep(2 * simnet.LinkTime)
+		time.Sleep(2 * simnet.LinkLatency)
 		for _, n := range c.all() {
 			runAll(n)
 			if got := n.breaks.Breaks(time.Now()); len(got) != 1 || got[0].Target != "down" {
@@ -483,17 +483,17 @@
 				t.Errorf("%s got target %q", n.ID, got)
 			}
 			lease.Settle(serve.TurnResult{}) // ran nowhere
-			time.Sleep(2 * simnet.LinkTime)
+			time.Sleep(2 * simnet.LinkLatency)
 		}
 		n := c.all()[0]
 		reserve(n).Settle(serve.TurnResult{Target: "engine2", Failed: true})
-		time.Sleep(2 * simnet.LinkTime)
+		time.Sleep(2 * simnet.LinkLatency)
 		last := reserve(n)
 		if got := last.LastTarget(); got != "engine1" {
 			t.Errorf("after a failure of another target: got %q", got)
 		}
 		last.Settle(serve.TurnResult{Target: "engine1", Failed: true})
-		time.Sleep(2 * simnet.LinkTime)
+		time.Sleep(2 * simnet.LinkLatency)
 		if got := reserve(n).LastTarget(); got != "" {
 			t.Errorf("got a target that failed the program: %q", got)
 		}
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -85,7 +85,7 @@
 		}
 		runs := time.Duration(20+r.IntN(200)) * time.Millisecond
 		used := testMaxTurn - 10*r.IntN(8)
-		err := c.turn(simnet.Any(r, nodes), program, budget, testMaxTurn, used, runs)
+		err := c.turn(simnet.Pick(r, nodes), program, budget, testMaxTurn, used, runs)
 		if err != nil || r.IntN(3) == 0 {
 			time.Sleep(time.Duration(50+r.IntN(900)) * time.Millisecond)
 		}
@@ -94,7 +94,7 @@
 
 // leaveSlowly shuts an instance down, which still serves turns for a while.
 func leaveSlowly(c *cluster, n *node, d time.Duration) {
-	c.Work.Go(func() {
+	c.Background.Go(func() {
 		n.manager.Leave(n.manager.ctx)
 		time.Sleep(d)
 		c.Restart(n.Node)
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	n := simnet.Any(r, nodes)
+	n := simnet.Pick(r, nodes)
 	switch r.IntN(12) {
 	case 0, 1:
 		c.Restart(n.Node)
@@ -121,15 +121,15 @@
 	case 3, 4:
 		leaveSlowly(c, n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5:
-		cut := simnet.Both
+		cut := simnet.IsolateBoth
 		if r.IntN(2) == 0 {
-			cut = simnet.Mute
+			cut = simnet.IsolateOutbound
 		}
-		c.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.IsolateFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 6:
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 	case 7:
-		c.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{DropResponse: true, ApplyDelay: time.Duration(r.IntN(3000)) * time.Millisecond})
 	case 8:
 		c.Store.Set(metastore.Fault{Status: 503})
 	case 9:
--- a/internal/budget/restart_test.go
+++ b/internal/budget/restart_test.go
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := rand.New(rand.NewPCG(1, 1))
 				c := newCluster(t)
-				c.ListDelay = func() time.Duration { return time.Duration(r.IntN(600)) * time.Millisecond }
+				c.DiscoveryDelay = func() time.Duration { return time.Duration(r.IntN(600)) * time.Millisecond }
 				for i := range instances {
 					c.start(fmt.Sprint("m", i))
 				}
@@ -51,7 +51,7 @@
 					time.Sleep(time.Second / time.Duration(instances))
 					n := c.start(fmt.Sprint("m", i))
 					program := fmt.Sprint("p", i)
-					c.Work.Go(func() { _ = c.turn(n, program, 1000, testMaxTurn, testMaxTurn, 100*time.Millisecond) })
+					c.Background.Go(func() { _ = c.turn(n, program, 1000, testMaxTurn, testMaxTurn, 100*time.Millisecond) })
 				}
 				time.Sleep(4 * time.Second)
 				claims := int64(0)
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -167,10 +167,10 @@
 			t.Fatal("the program's partition has no owner")
 		}
 		c.PowerOff(owner.Node)
-		if wait := longest(c.all()[:20]); wait > simnet.SilentTime+200*time.Millisecond {
+		if wait := longest(c.all()[:20]); wait > simnet.DetectionDelay+200*time.Millisecond {
 			t.Errorf("a turn waited %s after the owner lost power", wait)
 		}
-		time.Sleep(simnet.SilentTime)
+		time.Sleep(simnet.DetectionDelay)
 		if wait := longest(c.all()[100:]); wait > 100*time.Millisecond {
 			t.Errorf("a turn waited %s long after the owner lost power", wait)
 		}
--- a/internal/conversation/cluster_test.go
+++ b/internal/conversation/cluster_test.go
@@ -30,7 +30,7 @@
 // records the turns acknowledged to callers.
 type cluster struct {
 	*simnet.Net
-	incarnations simnet.Lives[*node]
+	incarnations simnet.NodeValues[*node]
 	t            *testing.T
 	partitions   int
 
@@ -78,7 +78,7 @@
 // machineName returns a, b, c, and so on.
 func machineName(i int) string { return string(rune('a' + i)) }
 
-func (c *cluster) start(machine string) *node { return c.incarnations.Of(c.Start(machine, c.run)) }
+func (c *cluster) start(machine string) *node { return c.incarnations.Get(c.Start(machine, c.run)) }
 
 // run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
@@ -88,7 +88,7 @@
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	c.incarnations.Put(sim, n)
-	c.Work.Go(func() { n.manager.Run(ctx) })
+	c.Background.Go(func() { n.manager.Run(ctx) })
 	return func(event structs.Event) {
 		switch e := event.(type) {
 		case structs.PeerDown:
@@ -107,7 +107,7 @@
 func (c *cluster) indexer(program string) *node {
 	first := c.running()[0]
 	p := first.manager.partitionOf(program)
-	return c.incarnations.Of(c.nodeByID(first.manager.indexer(p, nil)))
+	return c.incarnations.Get(c.nodeByID(first.manager.indexer(p, nil)))
 }
 
 func (c *cluster) nodeByID(id structs.InstanceID) *simnet.Node {
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -39,7 +39,7 @@
 		for range 4 {
 			c.runTurns("p", parent, 3)
 		}
-		time.Sleep(2 * simnet.LinkTime) // the last notice is on its way
+		time.Sleep(2 * simnet.LinkLatency) // the last notice is on its way
 		if got, want := c.indexer("p").manager.Dump().Turns, 3+4*3; got != want {
 			t.Errorf("the indexer holds %d turns, want %d", got, want)
 		}
@@ -106,11 +106,11 @@
 		}
 		// The indexer receives no notices of the following turns.
 		other := c.others(indexer)[0]
-		c.SetCut(other.ID, simnet.Mute)
+		c.SetIsolation(other.ID, simnet.IsolateOutbound)
 		for range 23 {
 			last = c.mustTurn(other, "p", last)
 		}
-		c.SetCut(other.ID, 0)
+		c.SetIsolation(other.ID, 0)
 		c.mustLookUp(indexer, "p", last)
 	})
 }
@@ -124,11 +124,11 @@
 			t.Fatal(err)
 		}
 		other := c.others(indexer)[0]
-		c.SetCut(other.ID, simnet.Mute)
+		c.SetIsolation(other.ID, simnet.IsolateOutbound)
 		for range 8 {
 			last = c.mustTurn(other, "p", last)
 		}
-		c.SetCut(other.ID, 0)
+		c.SetIsolation(other.ID, 0)
 		c.Store.DropHistory(topic, p.number)
 		c.mustLookUp(indexer, "p", last)
 	})
@@ -141,9 +141,9 @@
 		last := c.runTurns("p", "", 5)
 		c.restartAll()
 		for _, refused := range c.running() {
-			refused.Refused.Store(true)
+			refused.StoreRefused.Store(true)
 			c.mustLookUp(refused, "p", last)
-			refused.Refused.Store(false)
+			refused.StoreRefused.Store(false)
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		c.Restart(indexer.Node)
 		last := c.mustTurn(c.others(indexer)[0], "p", before)
 		c.Store.Set(metastore.Fault{})
-		time.Sleep(2 * simnet.LinkTime)
+		time.Sleep(2 * simnet.LinkLatency)
 		indexer = c.indexer("p")
 		indexer.manager.mu.Lock()
 		indexer.manager.memory.drop(before)
@@ -183,7 +183,7 @@
 func TestConversationsInMemoryAreServedDuringOutage(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 6)
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 		for _, n := range c.running() {
 			c.mustLookUp(n, "p", last)
 		}
@@ -219,7 +219,7 @@
 			n.manager.memory = newMemory()
 			n.manager.mu.Unlock()
 		}
-		c.SetCut(indexer.ID, simnet.Mute)
+		c.SetIsolation(indexer.ID, simnet.IsolateOutbound)
 		start := time.Now()
 		c.mustLookUp(others[0], "p", last)
 		if took := time.Since(start); took > 2*replyTimeout {
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -89,9 +89,9 @@
 				continue
 			}
 			if r.IntN(12) == 0 {
-				c.lookUpUnknownTurn(r, simnet.Any(r, nodes), program)
+				c.lookUpUnknownTurn(r, simnet.Pick(r, nodes), program)
 			}
-			id, err := c.turn(simnet.Any(r, nodes), program, previous, time.Duration(300+r.IntN(3000))*time.Millisecond)
+			id, err := c.turn(simnet.Pick(r, nodes), program, previous, time.Duration(300+r.IntN(3000))*time.Millisecond)
 			if err == nil {
 				previous = id
 			}
@@ -113,29 +113,29 @@
 	if len(nodes) == 0 {
 		return
 	}
-	n := simnet.Any(r, nodes)
+	n := simnet.Pick(r, nodes)
 	switch r.IntN(17) {
 	case 0, 1:
 		c.Restart(n.Node)
 	case 2:
 		c.restartAll()
 	case 3:
-		cut := simnet.Both
+		cut := simnet.IsolateBoth
 		if r.IntN(2) == 0 {
-			cut = simnet.Mute
+			cut = simnet.IsolateOutbound
 		}
-		c.CutFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.IsolateFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 4, 5:
-		n.Refused.Store(true)
+		n.StoreRefused.Store(true)
 		refusedFor := time.Duration(r.IntN(4000)) * time.Millisecond
-		c.Work.Go(func() {
+		c.Background.Go(func() {
 			time.Sleep(refusedFor)
-			n.Refused.Store(false)
+			n.StoreRefused.Store(false)
 		})
 	case 6:
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 	case 7:
-		c.Store.Set(metastore.Fault{LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond})
+		c.Store.Set(metastore.Fault{DropResponse: true, ApplyDelay: time.Duration(r.IntN(3000)) * time.Millisecond})
 	case 8:
 		c.Store.Set(metastore.Fault{Status: 503})
 	case 9:
@@ -147,7 +147,7 @@
 		c.Store.Set(metastore.Fault{AppendTime: time.Duration(50+r.IntN(250)) * time.Millisecond})
 	case 12:
 		c.Store.Set(metastore.Fault{
-			AppendTime: 120 * time.Millisecond, LoseAnswer: true, Late: time.Duration(r.IntN(3000)) * time.Millisecond,
+			AppendTime: 120 * time.Millisecond, DropResponse: true, ApplyDelay: time.Duration(r.IntN(3000)) * time.Millisecond,
 		})
 	case 13:
 		c.Store.DropHistory(topic, r.IntN(testPartitions))
--- a/internal/conversation/slow_test.go
+++ b/internal/conversation/slow_test.go
@@ -54,10 +54,10 @@
 func TestStoreRecoveryIsBroadcast(t *testing.T) {
 	runClusterOf(t, 61, 24, func(t *testing.T, c *cluster) {
 		c.generateLoad(600, time.Second)
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 		before := c.Store.Calls()
 		var recovered time.Time
-		c.Work.Go(func() {
+		c.Background.Go(func() {
 			time.Sleep(2500 * time.Millisecond)
 			c.Store.Set(metastore.Fault{})
 			recovered = time.Now()
@@ -110,9 +110,9 @@
 	runClusterOf(t, 3, 4, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
 		c.Store.Set(metastore.Fault{Status: 503})
-		c.Work.Go(func() {
+		c.Background.Go(func() {
 			time.Sleep(5 * time.Second)
-			n.Refused.Store(true)
+			n.StoreRefused.Store(true)
 			c.Store.Set(metastore.Fault{})
 		})
 		start := time.Now()
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -13,7 +13,7 @@
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		refused := c.indexer("p")
 		last := c.runTurns("p", "", 3)
-		refused.Refused.Store(true)
+		refused.StoreRefused.Store(true)
 		for range 4 {
 			last = c.mustTurn(refused, "p", last)
 		}
@@ -41,7 +41,7 @@
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
 		last := c.runTurns("p", "", 3)
-		n.Unheard.Store(true)
+		n.StoreUnresponsive.Store(true)
 		last = c.mustTurn(n, "p", last)
 		start := time.Now()
 		for range 8 {
@@ -50,7 +50,7 @@
 		if took := time.Since(start) / 8; took > 30*time.Millisecond {
 			t.Errorf("a turn took %s", took)
 		}
-		n.Unheard.Store(false)
+		n.StoreUnresponsive.Store(false)
 		time.Sleep(directRetryInterval)
 		last = c.mustTurn(n, "p", last)
 		last = c.mustTurn(n, "p", last)
@@ -66,7 +66,7 @@
 // it in memory.
 func TestTurnDoesNotEndBeforeItIsDurable(t *testing.T) {
 	for name, fault := range map[string]metastore.Fault{
-		"refused": {Status: 503}, "unresponsive": {Silent: true}, "reset": {Reset: true},
+		"refused": {Status: 503}, "unresponsive": {Unresponsive: true}, "reset": {Reset: true},
 	} {
 		runCluster(t, 3, func(t *testing.T, c *cluster) {
 			c.Store.Set(fault)
@@ -149,7 +149,7 @@
 func TestTurnsAreNotAcceptedInALongOutage(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
-		c.Store.Set(metastore.Fault{Silent: true})
+		c.Store.Set(metastore.Fault{Unresponsive: true})
 		if _, err := c.turn(n, "p", "", 9*time.Second); err == nil {
 			t.Fatal("the turn was acknowledged")
 		}
--- a/internal/load/agent.go
+++ b/internal/load/agent.go
@@ -76,13 +76,13 @@
 	request := wire.ChatRequest{
 		Model: testkit.ModelService, Messages: l.messages, MaxTokens: step.Output, Stream: true,
 	}
-	answer, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
+	answer, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Response, error) {
 		return c.Chat(ctx, request, l.call(step, attempt))
 	})
 	if err != nil {
 		return alone, err
 	}
-	l.caller.figures.pieces(answer.PieceTimes)
+	l.caller.figures.pieces(answer.ChunkTimes)
 	l.caller.figures.prompt.Add(int64(prompt))
 	l.caller.figures.recomputed.Add(int64(max(0, prompt-fresh-answer.Usage.CachedTokens)))
 	l.context = prompt + step.Output
@@ -98,7 +98,7 @@
 	}
 	path := fmt.Sprintf("/v1/services/%s/run?%s=%d", name, service.DelayParameter, step.RunTime.Milliseconds())
 	body := []byte(fmt.Sprintf(`{"number":%d}`, l.number))
-	_, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Answer, error) {
+	_, err := l.caller.do(ctx, func(ctx context.Context, c *testkit.Client, attempt int) (*testkit.Response, error) {
 		return c.Do(ctx, http.MethodPost, path, body, l.call(step, attempt))
 	})
 	return err
@@ -146,7 +146,7 @@
 // open opens a program at any instance, with one key for all attempts.
 func (c *caller) open(ctx context.Context) (string, error) {
 	key := ulid.Make().String()
-	answer, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
+	answer, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error) {
 		return client.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), testkit.Call{Key: key})
 	})
 	if err != nil {
@@ -156,7 +156,7 @@
 }
 
 func (c *caller) close(ctx context.Context, program string) error {
-	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error) {
+	_, err := c.do(ctx, func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error) {
 		return client.Close(ctx, program)
 	})
 	return errors.Wrap(err, "close")
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -38,10 +38,10 @@
 }
 
 // attemptFunc makes one attempt of a call.
-type attemptFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Answer, error)
+type attemptFunc func(ctx context.Context, client *testkit.Client, attempt int) (*testkit.Response, error)
 
 // do makes attempts until one is answered or told for good.
-func (c *caller) do(ctx context.Context, f attemptFunc) (*testkit.Answer, error) {
+func (c *caller) do(ctx context.Context, f attemptFunc) (*testkit.Response, error) {
 	c.figures.calls.Add(1)
 	wait := firstWait
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
@@ -62,7 +62,7 @@
 // errRetry marks an attempt that may be repeated with the same key.
 var errRetry = errors.New("attempt failed")
 
-func (c *caller) attempt(ctx context.Context, f attemptFunc, attempt int) (*testkit.Answer, time.Duration, error) {
+func (c *caller) attempt(ctx context.Context, f attemptFunc, attempt int) (*testkit.Response, time.Duration, error) {
 	limited, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	server := c.balancer.pick(c.random)
@@ -73,7 +73,7 @@
 	case err != nil:
 		c.balancer.set(server, true)
 		return nil, 0, errRetry
-	case answer.Cut:
+	case answer.Truncated:
 		return nil, 0, errRetry
 	case answer.Problem == nil:
 		return answer, 0, nil
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -222,7 +222,7 @@
 // addEntries lists targets of a service that the settings do not name, so that
 // nobody calls or watches them.
 func addEntries(c *testkit.Cluster, entries int) {
-	place := c.Ready().Targets[0]
+	place := c.Endpoints().Targets[0]
 	for i := range entries {
 		c.Members.Put(wire.Member{
 			ID: fmt.Sprintf("other-service-runner-%04d", i), Role: wire.MemberRoleTarget,
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -55,7 +55,7 @@
 
 // slowRunner slows one engine.
 func slowRunner(ctx context.Context, c *testkit.Cluster, held time.Duration) {
-	id := c.Ready().Targets[0].ID
+	id := c.Endpoints().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
 	delay.Sleep(ctx, held)
 	c.Engines[id].Faults().Set(wire.ServiceFaults{})
@@ -70,7 +70,7 @@
 
 // dataCentreGone kills the instances and targets of the last data centre.
 func dataCentreGone(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
-	place := c.Ready().Targets[len(c.Ready().Targets)-1].DataCentre
+	place := c.Endpoints().Targets[len(c.Endpoints().Targets)-1].DataCentre
 	var lost []*testkit.Process
 	for _, p := range c.Instances {
 		if p.DataCentre == place {
@@ -80,7 +80,7 @@
 	for _, p := range lost {
 		p.Kill()
 	}
-	for _, target := range c.Ready().Targets {
+	for _, target := range c.Endpoints().Targets {
 		if target.DataCentre == place {
 			c.StopTarget(target.ID)
 		}
@@ -89,7 +89,7 @@
 	for _, p := range lost {
 		c.Remove(p)
 	}
-	for _, target := range c.Ready().Targets {
+	for _, target := range c.Endpoints().Targets {
 		if target.DataCentre == place {
 			c.Members.Remove(target.ID)
 		}
--- a/internal/load/overhead.go
+++ b/internal/load/overhead.go
@@ -36,8 +36,8 @@
 }
 
 // note takes in an answer; the first call of a program counts apart.
-func (p *path) note(answer *testkit.Answer, isFirst bool) {
-	times := answer.PieceTimes
+func (p *path) note(answer *testkit.Response, isFirst bool) {
+	times := answer.ChunkTimes
 	if len(times) == 0 {
 		return
 	}
@@ -141,7 +141,7 @@
 		if err != nil {
 			return err
 		}
-		if answer.Status != http.StatusOK || answer.Cut || answer.Problem != nil {
+		if answer.Status != http.StatusOK || answer.Truncated || answer.Problem != nil {
 			return errors.Newf("status %d: %s", answer.Status, answer.Body)
 		}
 		p.note(answer, number == 1)
@@ -154,7 +154,7 @@
 // anyEngine gives the base URL of an engine.
 func (r *run) anyEngine(random *rand.Rand) string {
 	var addresses []string
-	for _, target := range r.cluster.Ready().Targets {
+	for _, target := range r.cluster.Endpoints().Targets {
 		if target.Service == testkit.ModelService {
 			addresses = append(addresses, target.Address)
 		}
--- a/internal/load/setup.go
+++ b/internal/load/setup.go
@@ -26,14 +26,14 @@
 
 // start starts and configures the cluster.
 func (s Setup) start(ctx context.Context) (*testkit.Cluster, error) {
-	standins := testkit.UsualStandins()
+	standins := testkit.DefaultStandins()
 	standins.Engines.Count = s.Engines
 	standins.Engines.Settings.Model = s.Model
 	c, err := testkit.Start(ctx, testkit.Options{Binary: s.Binary, Instances: s.Instances, Standins: standins, LogDir: s.LogDir})
 	if err != nil {
 		return nil, err
 	}
-	changes := append(testkit.UsualSettings(), testkit.Changes(s.settings())...)
+	changes := append(testkit.DefaultSettings(), testkit.Changes(s.settings())...)
 	if err := c.Configure(ctx, changes); err != nil {
 		c.Close()
 		return nil, err
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -64,7 +64,7 @@
 
 // look gives the tokens that the engines hold of programs, and of gone ones.
 func (w *wasteSampler) look() (held, gone int64) {
-	for _, target := range w.run.cluster.Ready().Targets {
+	for _, target := range w.run.cluster.Endpoints().Targets {
 		if target.Service != testkit.ModelService {
 			continue
 		}
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -119,13 +119,13 @@
 	return a
 }
 
-func wordOf(ctx context.Context, answer *testkit.Answer, err error) Word {
+func wordOf(ctx context.Context, answer *testkit.Response, err error) Word {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Unreached
-	case err != nil && ctx.Err() != nil, err == nil && answer.Cut && ctx.Err() != nil:
+	case err != nil && ctx.Err() != nil, err == nil && answer.Truncated && ctx.Err() != nil:
 		return Silent
-	case err != nil || answer.Cut:
+	case err != nil || answer.Truncated:
 		return Broken
 	case answer.Problem != nil && answer.Problem.Outcome == string(NotRun):
 		return NotRun
--- a/internal/proofs/check_order.go
+++ b/internal/proofs/check_order.go
@@ -95,7 +95,7 @@
 		}
 		return ""
 	}
-	var answer service.Answer
+	var answer service.Response
 	if err := json.Unmarshal(a.Body, &answer); err != nil {
 		return "answer is not the target's: " + clip(string(a.Body))
 	}
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -69,7 +69,7 @@
 }
 
 func plainAnswer(target string, call Call) []byte {
-	body, _ := json.Marshal(service.Answer{Target: target, Path: call.Path, BodyHash: call.BodyHash})
+	body, _ := json.Marshal(service.Response{Target: target, Path: call.Path, BodyHash: call.BodyHash})
 	return body
 }
 
@@ -153,18 +153,18 @@
 		e.Calls[0].Attempts[0].Text = text[:len(text)-4]
 	}, PropertyAnswers},
 	{"an answer is spliced with that of another prompt", func(e *Evidence) {
-		other := engine.Answer{Program: testProgram, PromptHash: 1}
+		other := engine.Completion{Program: testProgram, PromptHash: 1}
 		text := e.Calls[0].Want
 		e.Calls[0].Attempts[0].Text = text[:len(text)/2] + other.Text(5, 10)
 	}, PropertyAnswers},
 	{"an answer is that of another program", func(e *Evidence) {
-		e.Calls[0].Attempts[0].Text = engine.Answer{Program: "other"}.Text(0, 10)
+		e.Calls[0].Attempts[0].Text = engine.Completion{Program: "other"}.Text(0, 10)
 	}, PropertyAnswers},
 	{"an answer is that of another call", func(e *Evidence) {
 		e.Calls[1].Attempts[0].Body = plainAnswer("filing", e.Calls[2])
 	}, PropertyAnswers},
 	{"an answer names a run that the target does not have", func(e *Evidence) {
-		body, _ := json.Marshal(service.Answer{Target: "tool", Sequence: 9, Path: e.Calls[1].Path, BodyHash: e.Calls[1].BodyHash})
+		body, _ := json.Marshal(service.Response{Target: "tool", Sequence: 9, Path: e.Calls[1].Path, BodyHash: e.Calls[1].BodyHash})
 		e.Calls[1].Attempts[0].Body = body
 	}, PropertyAnswers},
 	{"a call is answered that no target ran", func(e *Evidence) { e.Engines["engine"] = nil }, PropertyAnswers},
--- a/internal/proofs/network.go
+++ b/internal/proofs/network.go
@@ -37,7 +37,7 @@
 
 // env gives an instance the addresses of its relays.
 func (n *Network) env(c *testkit.Cluster, id string) []string {
-	ready := c.Ready()
+	ready := c.Endpoints()
 	log, err := relay.New(strings.TrimPrefix(ready.Log, "http://"))
 	if err != nil {
 		return nil
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -40,7 +40,7 @@
 }
 
 // hear takes the answer of a proposal.
-func (c *Change) hear(answer *testkit.Answer) {
+func (c *Change) hear(answer *testkit.Response) {
 	if answer.Status == http.StatusOK {
 		var accepted struct {
 			Version uint64 `json:"version"`
--- a/internal/proofs/request.go
+++ b/internal/proofs/request.go
@@ -18,7 +18,7 @@
 func chatRequest(call *Call, messages []wire.ChatMessage, tokens int, stream bool) request {
 	call.Kind = Chat
 	call.PromptTokens = promptTokens(messages)
-	call.Want = engine.Answer{Program: call.Program, PromptHash: engine.PromptHash(messages)}.Text(0, tokens)
+	call.Want = engine.Completion{Program: call.Program, PromptHash: engine.PromptHash(messages)}.Text(0, tokens)
 	call.BodyHash = engineBodyHash(messages, tokens)
 	body := encode(wire.ChatRequest{
 		Model: testkit.ModelService, Messages: messages, MaxTokens: tokens, Stream: stream,
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -50,7 +50,7 @@
 // start starts the instances of a scenario and its settings.
 func start(ctx context.Context, binary string, s Scenario, seed uint64) (*Rig, error) {
 	r := &Rig{History: &History{}, key: testkit.CallerKey, budget: s.Budget, rng: newRand(seed, s.Name)}
-	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.UsualStandins(), Env: s.Env}
+	options := testkit.Options{Binary: binary, Instances: s.Instances, Standins: testkit.DefaultStandins(), Env: s.Env}
 	if s.Standins != nil {
 		s.Standins(&options.Standins)
 	}
@@ -67,7 +67,7 @@
 	for _, p := range cluster.Instances {
 		r.doors = append(r.doors, door{p.ID, p.Server})
 	}
-	if err := cluster.Configure(ctx, append(testkit.UsualSettings(), testkit.Changes(s.settings())...)); err != nil {
+	if err := cluster.Configure(ctx, append(testkit.DefaultSettings(), testkit.Changes(s.settings())...)); err != nil {
 		r.Close()
 		return nil, err
 	}
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -132,7 +132,7 @@
 func (r *Rig) untilVersion(ctx context.Context, number int) error {
 	want := "v" + strconv.Itoa(number)
 	return r.Until(ctx, "version "+want+" at all engines", func() bool {
-		for _, m := range r.Ready().Targets {
+		for _, m := range r.Endpoints().Targets {
 			var state wire.OrderState
 			if m.Service == testkit.ModelService && (!getJSON(ctx, m.Address+wire.OrdersRoute, &state) || state.Version != want) {
 				return false
@@ -145,7 +145,7 @@
 // appliedOrders reads what each engine applied.
 func (r *Rig) appliedOrders(ctx context.Context) map[string][]wire.Order {
 	applied := make(map[string][]wire.Order)
-	for _, m := range r.Ready().Targets {
+	for _, m := range r.Endpoints().Targets {
 		var orders []wire.Order
 		if m.Service == testkit.ModelService && getJSON(ctx, m.Address+engine.OrderLogRoute, &orders) {
 			applied[m.ID] = orders
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -159,8 +159,8 @@
 // failStore injects a random fault of the store, for all or some topics.
 func (inj *injector) failStore(duration time.Duration) {
 	fault := []metastore.Fault{
-		{Status: 503}, {Status: 429}, {Silent: true}, {Reset: true}, {LoseAnswer: true},
-		{LoseAnswer: true, Late: duration}, {Delay: 150 * time.Millisecond},
+		{Status: 503}, {Status: 429}, {Unresponsive: true}, {Reset: true}, {DropResponse: true},
+		{DropResponse: true, ApplyDelay: duration}, {Delay: 150 * time.Millisecond},
 	}[inj.rng.IntN(7)]
 	if inj.rng.IntN(3) == 0 {
 		fault.Topics = []string{platform.TopicOperator, platform.TopicTargets}
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -26,7 +26,7 @@
 	Engines  map[string]*engine.Server
 	Services map[string]*service.Service
 
-	ready   Ready
+	ready   Endpoints
 	servers []*standin.Server
 
 	mu sync.Mutex
@@ -44,8 +44,8 @@
 	close  func()
 }
 
-// Ready tells where the stand-ins listen.
-type Ready struct {
+// Endpoints tells where the stand-ins listen.
+type Endpoints struct {
 	// Log and Members are base URLs.
 	Log     string        `json:"log"`
 	Members string        `json:"members"`
@@ -60,7 +60,7 @@
 		Engines:  make(map[string]*engine.Server),
 		Services: make(map[string]*service.Service),
 		targets:  make(map[string]runningTarget),
-		ready:    Ready{Targets: []wire.Member{}},
+		ready:    Endpoints{Targets: []wire.Member{}},
 	}
 	if err := cluster.start(settings); err != nil {
 		cluster.Close()
@@ -168,8 +168,8 @@
 	}
 }
 
-// Ready tells where the stand-ins listen, also those stopped since.
-func (c *Cluster) Ready() Ready {
+// Endpoints tells where the stand-ins listen, also those stopped since.
+func (c *Cluster) Endpoints() Endpoints {
 	return c.ready
 }
 
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	ready := cluster.Ready()
+	ready := cluster.Endpoints()
 	if got := len(cluster.Members.Current().Members); got != 6 || len(ready.Targets) != 6 {
 		t.Fatalf("%d members, ready %+v", got, ready)
 	}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	target := cluster.Ready().Targets[0]
+	target := cluster.Endpoints().Targets[0]
 	response, err := http.Post(target.Address+StopRoute, "", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	engine, plain := cluster.Ready().Targets[0], cluster.Ready().Targets[1]
+	engine, plain := cluster.Endpoints().Targets[0], cluster.Endpoints().Targets[1]
 	chat := `{"messages":[{"role":"user","content":"tokens=999999"}]}`
 	for url, stop := range map[string]struct {
 		id      string
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -50,7 +50,7 @@
 		id:      id,
 		model:   s.modelName(chat),
 		created: now,
-		answer:  Answer{Program: program, PromptHash: PromptHash(chat.Messages)},
+		answer:  Completion{Program: program, PromptHash: PromptHash(chat.Messages)},
 		length:  request.limit(),
 		changed: make(chan struct{}),
 	}
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -12,7 +12,7 @@
 // mutex.
 func (s *Server) recordLoad() {
 	now := time.Now()
-	s.loads.Forget(now.Add(-s.settings.LoadLag))
+	s.loads.DropBefore(now.Add(-s.settings.LoadLag))
 	s.loads.Record(now, wire.EngineLoad{
 		Running:       s.model.Running(),
 		Waiting:       s.model.Waiting(),
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -72,7 +72,7 @@
 	ended.wake()
 	tokens := int64(finished.CompletionTokens)
 	if finished.Reason == FinishCancelled {
-		s.ledger.Cancelled(ended.sequence, tokens)
+		s.ledger.Cancel(ended.sequence, tokens)
 		return
 	}
 	s.ledger.Finish(ended.sequence, tokens)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -14,7 +14,7 @@
 // Server runs a Model in real time behind HTTP. It is safe for concurrent use.
 type Server struct {
 	settings Settings
-	gate     *faults.Gate
+	gate     *faults.Injector
 	ledger   *ledger.Ledger
 
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	settings = settings.withDefaults()
 	server := &Server{
 		settings:    settings,
-		gate:        faults.NewGate(settings.Faults),
+		gate:        faults.NewInjector(settings.Faults),
 		ledger:      &ledger.Ledger{},
 		model:       NewModel(settings.Model),
 		streams:     make(map[string]*stream),
@@ -60,7 +60,7 @@
 }
 
 // Faults returns the gate that holds the engine's faults.
-func (s *Server) Faults() *faults.Gate {
+func (s *Server) Faults() *faults.Injector {
 	return s.gate
 }
 
@@ -156,7 +156,7 @@
 
 // forgetStreams drops the streams that ended too long ago.
 func (s *Server) forgetStreams(now time.Time) {
-	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.KeepStreams {
+	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.StreamRetention {
 		delete(s.streams, s.ended[0].id)
 		s.ended = s.ended[1:]
 	}
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -58,8 +58,8 @@
 	return wire.ChatRequest{Stream: stream, Messages: []wire.ChatMessage{{Role: "user", Content: content}}}
 }
 
-func answerOf(chat wire.ChatRequest) Answer {
-	return Answer{Program: "p1", PromptHash: PromptHash(chat.Messages)}
+func answerOf(chat wire.ChatRequest) Completion {
+	return Completion{Program: "p1", PromptHash: PromptHash(chat.Messages)}
 }
 
 // readEvents returns the chunks of a stream and whether it ended with [DONE].
@@ -85,7 +85,7 @@
 
 // checkTokens checks that the chunks are the tokens from one index up to
 // before another, then the last chunk.
-func checkTokens(t *testing.T, chunks []wire.ChatChunk, answer Answer, from, to int) {
+func checkTokens(t *testing.T, chunks []wire.ChatChunk, answer Completion, from, to int) {
 	t.Helper()
 	if len(chunks) != to-from+1 {
 		t.Fatalf("%d chunks, want %d", len(chunks), to-from+1)
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -8,8 +8,8 @@
 
 // Defaults of Settings.
 const (
-	DefaultKeepStreams = time.Minute
-	DefaultModelName   = "standin"
+	DefaultStreamRetention = time.Minute
+	DefaultModelName       = "standin"
 )
 
 // Settings are the settings of a Server.
@@ -29,9 +29,9 @@
 	CacheDuplicate float64
 	// Seed seeds the choice of lost and doubled cache events.
 	Seed uint64
-	// KeepStreams is how long an ended stream can be resumed,
-	// DefaultKeepStreams if 0.
-	KeepStreams time.Duration
+	// StreamRetention is how long an ended stream can be resumed,
+	// DefaultStreamRetention if 0.
+	StreamRetention time.Duration
 	// AttachDuplicates lets a second request with the id of a known stream
 	// attach to that stream. Otherwise it is refused with status 409.
 	AttachDuplicates bool
@@ -43,6 +43,6 @@
 
 func (s Settings) withDefaults() Settings {
 	s.ModelName = orDefault(s.ModelName, DefaultModelName)
-	s.KeepStreams = orDefault(s.KeepStreams, DefaultKeepStreams)
+	s.StreamRetention = orDefault(s.StreamRetention, DefaultStreamRetention)
 	return s
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,7 +13,7 @@
 	id      string
 	model   string
 	created time.Time
-	answer  Answer
+	answer  Completion
 	// length is the number of tokens that the stream makes if not cancelled.
 	length int
 	// sequence is the stream's place in the ledger.
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -31,8 +31,8 @@
 	return none, false
 }
 
-// Forget drops the values that At needs only for times before the given one.
-func (h *History[T]) Forget(before time.Time) {
+// DropBefore drops the values that At needs only for times before the given one.
+func (h *History[T]) DropBefore(before time.Time) {
 	keep := 0
 	for keep+1 < len(h.entries) && !h.entries[keep+1].at.After(before) {
 		keep++
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -40,9 +40,9 @@
 	l.entries[sequence].Tokens = tokens
 }
 
-// Cancelled notes the tokens made by a request that was cancelled. It stays
+// Cancel notes the tokens made by a request that was cancelled. It stays
 // unfinished.
-func (l *Ledger) Cancelled(sequence uint64, tokens int64) {
+func (l *Ledger) Cancel(sequence uint64, tokens int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entries[sequence].Tokens = tokens
--- a/internal/standin/members/handler.go
+++ b/internal/standin/members/handler.go
@@ -27,7 +27,7 @@
 }
 
 func (l *List) serveShown(w http.ResponseWriter, r *http.Request) {
-	shown, err := l.Shown()
+	shown, err := l.Visible()
 	if err != nil {
 		standin.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
--- a/internal/standin/members/list.go
+++ b/internal/standin/members/list.go
@@ -90,8 +90,8 @@
 	return l.current()
 }
 
-// Shown returns the list with its lag, or ErrDown.
-func (l *List) Shown() (wire.MemberList, error) {
+// Visible returns the list with its lag, or ErrDown.
+func (l *List) Visible() (wire.MemberList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Down {
--- a/internal/standin/members/list_test.go
+++ b/internal/standin/members/list_test.go
@@ -14,7 +14,7 @@
 	list := New(Settings{Lag: 10 * time.Second, Now: func() time.Time { return now }})
 	shown := func() wire.MemberList {
 		t.Helper()
-		got, err := list.Shown()
+		got, err := list.Visible()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -45,7 +45,7 @@
 		t.Errorf("without lag: %+v", got)
 	}
 	list.SetFaults(wire.MemberFaults{Down: true})
-	if _, err := list.Shown(); !errors.Is(err, ErrDown) {
+	if _, err := list.Visible(); !errors.Is(err, ErrDown) {
 		t.Errorf("down: %v", err)
 	}
 }
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -25,8 +25,8 @@
 	calls int
 	// freeAt is when a partition has done the appends that it was given.
 	freeAt map[partitionID]time.Time
-	// Work counts the writes that are to take effect late.
-	Work sync.WaitGroup
+	// DelayedWrites counts the writes that are to take effect late.
+	DelayedWrites sync.WaitGroup
 }
 
 // NewMemory makes an empty store.
@@ -65,7 +65,7 @@
 		return f, ctx.Err()
 	}
 	switch {
-	case f.Silent:
+	case f.Unresponsive:
 		<-ctx.Done()
 		return f, ctx.Err()
 	case f.Reset:
@@ -126,13 +126,13 @@
 	if a.Writer != nil {
 		request.writer, request.epoch, request.sequence = a.Writer.Name, a.Writer.Epoch, &a.Writer.Sequence
 	}
-	if f.LoseAnswer {
-		m.Work.Go(func() {
-			time.Sleep(f.Late)
+	if f.DropResponse {
+		m.DelayedWrites.Go(func() {
+			time.Sleep(f.ApplyDelay)
 			m.log.append(request)
 		})
-		if f.Late == 0 {
-			m.Work.Wait()
+		if f.ApplyDelay == 0 {
+			m.DelayedWrites.Wait()
 		}
 		return 0, errCut
 	}
--- a/internal/standin/metastore/service.go
+++ b/internal/standin/metastore/service.go
@@ -19,14 +19,14 @@
 type Fault struct {
 	// Status refuses calls without doing anything: 429 or 503; 0 for none.
 	Status int
-	// Silent leaves calls unanswered and undone.
-	Silent bool
+	// Unresponsive leaves calls unanswered and undone.
+	Unresponsive bool
 	// Reset cuts connections without doing anything.
 	Reset bool
-	// LoseAnswer does writes and cuts the connection in place of an answer.
-	LoseAnswer bool
-	// Late does writes that lose their answer after this time.
-	Late time.Duration
+	// DropResponse does writes and cuts the connection in place of an answer.
+	DropResponse bool
+	// ApplyDelay does writes that lose their answer after this time.
+	ApplyDelay time.Duration
 	// Delay is added to each call.
 	Delay time.Duration
 	// AppendTime is how long a partition takes for each append, one after the
@@ -82,7 +82,7 @@
 	s.mu.Lock()
 	s.fault = f
 	s.mu.Unlock()
-	if f.Reset || f.Silent {
+	if f.Reset || f.Unresponsive {
 		s.server.CloseClientConnections()
 	}
 }
@@ -118,8 +118,8 @@
 	s.log.trim(partitionID{topic, part}, 1<<62)
 }
 
-// DealAnew gives all partitions of all groups to other members.
-func (s *Service) DealAnew() { s.groups.dealAnew() }
+// Rebalance gives all partitions of all groups to other members.
+func (s *Service) Rebalance() { s.groups.dealAnew() }
 
 // answer is a status with a body.
 type answer struct {
@@ -145,7 +145,7 @@
 		f := s.faultFor(kind, r)
 		time.Sleep(f.Delay)
 		switch {
-		case f.Silent:
+		case f.Unresponsive:
 			<-r.Context().Done()
 			return
 		case f.Reset:
@@ -153,7 +153,7 @@
 		case f.Status != 0:
 			w.WriteHeader(f.Status)
 			return
-		case writes && f.LoseAnswer:
+		case writes && f.DropResponse:
 			s.loseAnswer(f, r, body, do)
 			panic(http.ErrAbortHandler)
 		}
@@ -178,12 +178,12 @@
 
 // loseAnswer does a write now, or later.
 func (s *Service) loseAnswer(f Fault, r *http.Request, body []byte, do func(*http.Request, []byte) answer) {
-	if f.Late == 0 {
+	if f.ApplyDelay == 0 {
 		do(r, body)
 		return
 	}
 	s.work.Go(func() {
-		time.Sleep(f.Late)
+		time.Sleep(f.ApplyDelay)
 		do(r, body)
 	})
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -21,8 +21,8 @@
 type Settings struct {
 	// ID is the target's id, as in the ledger and the answers.
 	ID string
-	// AskByKey serves GET /v1/outcomes/{key}.
-	AskByKey bool
+	// ServeOutcomes serves GET /v1/outcomes/{key}.
+	ServeOutcomes bool
 	// Dedupe answers a repeated idempotency key with the first answer,
 	// without running it again. Otherwise both are run and recorded.
 	Dedupe bool
@@ -33,14 +33,14 @@
 // Service is a tool or plain service. It is safe for concurrent use.
 type Service struct {
 	settings Settings
-	gate     *faults.Gate
+	gate     *faults.Injector
 	ledger   *ledger.Ledger
 	outcomes *outcomes
 	closing  chan struct{}
 }
 
-// Answer is the body of an answer.
-type Answer struct {
+// Response is the body of an answer.
+type Response struct {
 	Target   string `json:"target"`
 	Sequence uint64 `json:"sequence"`
 	Program  string `json:"program"`
@@ -53,7 +53,7 @@
 func New(settings Settings) *Service {
 	return &Service{
 		settings: settings,
-		gate:     faults.NewGate(settings.Faults),
+		gate:     faults.NewInjector(settings.Faults),
 		ledger:   &ledger.Ledger{},
 		outcomes: newOutcomes(),
 		closing:  make(chan struct{}),
@@ -66,7 +66,7 @@
 }
 
 // Faults returns the gate that holds the service's faults.
-func (s *Service) Faults() *faults.Gate {
+func (s *Service) Faults() *faults.Injector {
 	return s.gate
 }
 
@@ -80,7 +80,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serveAny)
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
-	if s.settings.AskByKey {
+	if s.settings.ServeOutcomes {
 		mux.HandleFunc("GET "+wire.OutcomesRoute+"/{key}", s.serveOutcome)
 	}
 	s.gate.Register(mux)
@@ -132,8 +132,8 @@
 	}
 }
 
-func answer(entry wire.LedgerEntry, sequence uint64) Answer {
-	return Answer{
+func answer(entry wire.LedgerEntry, sequence uint64) Response {
+	return Response{
 		Target:   entry.Target,
 		Sequence: sequence,
 		Program:  entry.Program,
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -32,12 +32,12 @@
 		if same := first.Body.String() == second.Body.String(); same != dedupe {
 			t.Errorf("dedupe %v: answers %s and %s", dedupe, first.Body, second.Body)
 		}
-		var got Answer
+		var got Response
 		if err := json.Unmarshal(first.Body.Bytes(), &got); err != nil {
 			t.Fatal(err)
 		}
 		entry := service.Ledger().Entries()[0]
-		want := Answer{Target: "t1", Program: "p1", Key: "k", Path: "/any/path", BodyHash: entry.BodyHash}
+		want := Response{Target: "t1", Program: "p1", Key: "k", Path: "/any/path", BodyHash: entry.BodyHash}
 		if got != want || !entry.Finished {
 			t.Errorf("answer %+v, ledger %+v", got, entry)
 		}
@@ -46,7 +46,7 @@
 
 func TestAskByKeyWaitsForRunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		service := New(Settings{AskByKey: true, Faults: wire.ServiceFaults{DelayMS: 50}})
+		service := New(Settings{ServeOutcomes: true, Faults: wire.ServiceFaults{DelayMS: 50}})
 		asked := make(chan int)
 		go send(service, "POST", "/run", "k")
 		synctest.Wait()
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -21,9 +21,9 @@
 	Server string
 	Key    string
 	HTTP   *http.Client
-	// OnPiece, if set, hears the number of each piece of a streamed answer as
+	// OnChunk, if set, hears the number of each piece of a streamed answer as
 	// it comes.
-	OnPiece func(number int)
+	OnChunk func(number int)
 }
 
 // NewClient returns a client that opens a connection for each request, as
@@ -47,8 +47,8 @@
 	Attempt int
 }
 
-// Answer is what a caller got.
-type Answer struct {
+// Response is what a caller got.
+type Response struct {
 	Status int
 	// Outcome is the header Banyanglade-Outcome.
 	Outcome string
@@ -56,19 +56,19 @@
 	Body    []byte
 	// Text is the text of a chat answer and Pieces its streamed pieces.
 	Text   string
-	Pieces int
+	Chunks int
 	// Problem is the problem document of a refusal.
 	Problem *Problem
-	// FirstPiece is the time to the first piece of a streamed answer, Took
+	// FirstChunk is the time to the first piece of a streamed answer, Took
 	// the time to the end.
-	FirstPiece time.Duration
-	Took       time.Duration
-	// PieceTimes are the times of all pieces of a streamed answer, and Usage
+	FirstChunk time.Duration
+	Duration   time.Duration
+	// ChunkTimes are the times of all pieces of a streamed answer, and Usage
 	// what its last event counts.
-	PieceTimes []time.Duration
+	ChunkTimes []time.Duration
 	Usage      wire.Usage
-	// Cut tells that the connection ended before the answer did.
-	Cut bool
+	// Truncated tells that the connection ended before the answer did.
+	Truncated bool
 }
 
 // Problem is a problem document (RFC 9457) as instances write it.
@@ -82,7 +82,7 @@
 }
 
 // OK tells whether the call was answered whole.
-func (a *Answer) OK() bool { return a.Status == http.StatusOK && a.Problem == nil && !a.Cut }
+func (a *Response) OK() bool { return a.Status == http.StatusOK && a.Problem == nil && !a.Truncated }
 
 // SettingsChange is one change in the body of PUT /v1/settings.
 type SettingsChange struct {
@@ -93,7 +93,7 @@
 }
 
 // Publish proposes changes and returns the reply's body.
-func (c *Client) Publish(ctx context.Context, changes ...SettingsChange) (*Answer, error) {
+func (c *Client) Publish(ctx context.Context, changes ...SettingsChange) (*Response, error) {
 	body, err := json.Marshal(map[string]any{"changes": changes})
 	if err != nil {
 		return nil, err
@@ -114,12 +114,12 @@
 }
 
 // Close closes a program.
-func (c *Client) Close(ctx context.Context, program string) (*Answer, error) {
+func (c *Client) Close(ctx context.Context, program string) (*Response, error) {
 	return c.Do(ctx, http.MethodDelete, "/v1/programs/"+program, nil, Call{})
 }
 
 // Chat makes a chat completion.
-func (c *Client) Chat(ctx context.Context, request wire.ChatRequest, call Call) (*Answer, error) {
+func (c *Client) Chat(ctx context.Context, request wire.ChatRequest, call Call) (*Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 
 // Do makes one request. A connection that broke before the status line is an
 // error; one that broke later is an Answer with Cut set.
-func (c *Client) Do(ctx context.Context, method, path string, body []byte, call Call) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, method, path string, body []byte, call Call) (*Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.Server+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -138,27 +138,27 @@
 	if len(body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	setCall(request.Header, call)
+	setCallHeaders(request.Header, call)
 	started := time.Now()
 	reply, err := c.HTTP.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = reply.Body.Close() }()
-	answer := &Answer{
+	answer := &Response{
 		Status: reply.StatusCode, Outcome: reply.Header.Get("Banyanglade-Outcome"),
 		Program: reply.Header.Get("Banyanglade-Program"),
 	}
 	if strings.HasPrefix(reply.Header.Get("Content-Type"), "text/event-stream") {
-		answer.readStream(reply.Body, started, c.OnPiece)
+		answer.readStream(reply.Body, started, c.OnChunk)
 	} else {
-		answer.readWhole(reply.Body)
+		answer.readBody(reply.Body)
 	}
-	answer.Took = time.Since(started)
+	answer.Duration = time.Since(started)
 	return answer, nil
 }
 
-func setCall(header http.Header, call Call) {
+func setCallHeaders(header http.Header, call Call) {
 	set := func(name, value string) {
 		if value != "" && value != "0" {
 			header.Set(name, value)
@@ -178,12 +178,12 @@
 	}
 }
 
-func (a *Answer) readWhole(body io.Reader) {
+func (a *Response) readBody(body io.Reader) {
 	var err error
 	a.Body, err = io.ReadAll(body)
-	a.Cut = err != nil
+	a.Truncated = err != nil
 	if a.Status >= http.StatusBadRequest {
-		a.takeProblem(a.Body)
+		a.parseProblem(a.Body)
 		return
 	}
 	var chat wire.ChatReply
@@ -192,7 +192,7 @@
 	}
 }
 
-func (a *Answer) takeProblem(body []byte) {
+func (a *Response) parseProblem(body []byte) {
 	var p Problem
 	if json.Unmarshal(body, &p) == nil && p.Type != "" {
 		a.Problem = &p
@@ -200,10 +200,10 @@
 }
 
 // readStream reads server-sent events until the end mark.
-func (a *Answer) readStream(body io.Reader, started time.Time, onPiece func(int)) {
+func (a *Response) readStream(body io.Reader, started time.Time, onPiece func(int)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), 16<<20)
-	a.Cut = true
+	a.Truncated = true
 	isError := false
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -216,19 +216,19 @@
 			continue
 		}
 		if isError {
-			a.takeProblem([]byte(data))
-			a.Cut = false
+			a.parseProblem([]byte(data))
+			a.Truncated = false
 			return
 		}
 		if data == "[DONE]" {
-			a.Cut = false
+			a.Truncated = false
 			return
 		}
-		a.takePiece(data, started, onPiece)
+		a.addChunk(data, started, onPiece)
 	}
 }
 
-func (a *Answer) takePiece(data string, started time.Time, onPiece func(int)) {
+func (a *Response) addChunk(data string, started time.Time, onPiece func(int)) {
 	at := time.Since(started)
 	var chunk wire.ChatChunk
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) == 0 {
@@ -241,13 +241,13 @@
 	if delta == nil || delta.Content == "" {
 		return
 	}
-	if a.Pieces == 0 {
-		a.FirstPiece = at
+	if a.Chunks == 0 {
+		a.FirstChunk = at
 	}
-	a.PieceTimes = append(a.PieceTimes, at)
-	a.Pieces++
+	a.ChunkTimes = append(a.ChunkTimes, at)
+	a.Chunks++
 	a.Text += delta.Content
 	if onPiece != nil {
-		onPiece(a.Pieces)
+		onPiece(a.Chunks)
 	}
 }
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -98,7 +98,7 @@
 }
 
 func (c *Cluster) env(p *Process, place cluster.Place) []string {
-	ready := c.Ready()
+	ready := c.Endpoints()
 	return []string{
 		"BANYANGLADE_ID=" + p.ID,
 		"BANYANGLADE_REGION=" + place.Region,
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -21,9 +21,9 @@
 	OperatorKey   = "testkit-operator-key"
 )
 
-// UsualStandins are the stand-ins of the kit's usual cluster: three data
+// DefaultStandins are the stand-ins of the kit's usual cluster: three data
 // centres, each with an engine, a tool target and a filing target.
-func UsualStandins() cluster.Settings {
+func DefaultStandins() cluster.Settings {
 	return cluster.Settings{
 		Places: []cluster.Place{
 			{Region: "lakes", DataCentre: "north"},
@@ -32,16 +32,16 @@
 		},
 		Engines: cluster.EngineGroup{
 			Service: ModelService, Count: 1,
-			Settings: engine.Settings{KeepStreams: engine.DefaultKeepStreams},
+			Settings: engine.Settings{StreamRetention: engine.DefaultStreamRetention},
 		},
 		Tools: cluster.ServiceGroup{Service: ToolService, Count: 1},
 		Plain: cluster.ServiceGroup{Service: FilingService, Count: 1},
 	}
 }
 
-// UsualSettings are the changes that name the usual services and one team with
+// DefaultSettings are the changes that name the usual services and one team with
 // a caller's and an operator's key.
-func UsualSettings() []SettingsChange {
+func DefaultSettings() []SettingsChange {
 	return Changes(map[string]any{
 		"services/" + ModelService + "/kind":            "engine",
 		"services/" + ToolService + "/kind":             "tool",
@@ -73,14 +73,14 @@
 		return errors.Newf("publish the settings: status %d: %s", answer.Status, answer.Body)
 	}
 	for _, p := range c.Instances {
-		if err := c.waitKey(ctx, p); err != nil {
+		if err := c.waitForKey(ctx, p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) waitKey(ctx context.Context, p *Process) error {
+func (c *Cluster) waitForKey(ctx context.Context, p *Process) error {
 	caller := NewClient(p.Server, CallerKey)
 	return Poll(ctx, func() error {
 		answer, err := caller.Do(ctx, http.MethodGet, "/v1/programs/unknown", nil, Call{})
--- a/internal/testkit/simnet/lives.go
+++ b/internal/testkit/simnet/lives.go
@@ -7,15 +7,15 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Lives holds what a test keeps of each life of an instance. It is safe for
+// NodeValues holds what a test keeps of each life of an instance. It is safe for
 // concurrent use; the zero value is empty.
-type Lives[T any] struct {
+type NodeValues[T any] struct {
 	mu   sync.Mutex
 	byID map[structs.InstanceID]T
 }
 
 // Put keeps something of a life.
-func (l *Lives[T]) Put(n *Node, kept T) {
+func (l *NodeValues[T]) Put(n *Node, kept T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byID == nil {
@@ -24,24 +24,24 @@
 	l.byID[n.ID] = kept
 }
 
-// Of is what was kept of a life.
-func (l *Lives[T]) Of(n *Node) T { return l.ByID(n.ID) }
+// Get is what was kept of a life.
+func (l *NodeValues[T]) Get(n *Node) T { return l.ByID(n.ID) }
 
 // ByID is what was kept of the life with an id.
-func (l *Lives[T]) ByID(id structs.InstanceID) T {
+func (l *NodeValues[T]) ByID(id structs.InstanceID) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.byID[id]
 }
 
 // All lists what was kept of the instances that live, in the order of their ids.
-func (l *Lives[T]) All(w *Net) []T {
+func (l *NodeValues[T]) All(w *Net) []T {
 	var all []T
 	for _, n := range w.Nodes() {
-		all = append(all, l.Of(n))
+		all = append(all, l.Get(n))
 	}
 	return all
 }
 
-// Any chooses one of a list.
-func Any[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
+// Pick chooses one of a list.
+func Pick[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -19,39 +19,39 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// LinkTime is how long a message is on its way.
-const LinkTime = time.Millisecond
+// LinkLatency is how long a message is on its way.
+const LinkLatency = time.Millisecond
 
-// SilentTime is how long an instance without power goes unnoticed: by those that
+// DetectionDelay is how long an instance without power goes unnoticed: by those that
 // watch it from its loss on, by the others from their next message on.
-const SilentTime = 600 * time.Millisecond
+const DetectionDelay = 600 * time.Millisecond
 
 // inboxSize bounds the events that wait at an instance; tests stay below it.
 const inboxSize = 10000
 
-// Cut is how an instance is cut off.
-type Cut uint8
+// Isolation is how an instance is cut off.
+type Isolation uint8
 
 // Kinds of cuts.
 const (
-	// Both loses all messages to and from the instance.
-	Both Cut = iota + 1
-	// Mute loses those that it sends, while it receives what others send.
-	Mute
+	// IsolateBoth loses all messages to and from the instance.
+	IsolateBoth Isolation = iota + 1
+	// IsolateOutbound loses those that it sends, while it receives what others send.
+	IsolateOutbound
 )
 
 // Net is instances with the links between them and to a store.
 type Net struct {
 	Store *metastore.Memory
-	// Work counts what goes on in the background.
-	Work sync.WaitGroup
-	// ListDelay is how long it takes until an instance hears of another's start;
+	// Background counts what goes on in the background.
+	Background sync.WaitGroup
+	// DiscoveryDelay is how long it takes until an instance hears of another's start;
 	// nil for no time. It is set before the first start.
-	ListDelay func() time.Duration
+	DiscoveryDelay func() time.Duration
 
 	mu    sync.Mutex
 	nodes map[structs.InstanceID]*Node
-	cut   map[structs.InstanceID]Cut
+	cut   map[structs.InstanceID]Isolation
 	// dark are the instances that lost power.
 	dark  map[structs.InstanceID]bool
 	lives int
@@ -67,10 +67,10 @@
 type Node struct {
 	ID        structs.InstanceID
 	Directory *directory.Directory
-	// Refused tells that the store refuses this instance's calls.
-	Refused atomic.Bool
-	// Unheard tells that its calls get no answer and do nothing.
-	Unheard atomic.Bool
+	// StoreRefused tells that the store refuses this instance's calls.
+	StoreRefused atomic.Bool
+	// StoreUnresponsive tells that its calls get no answer and do nothing.
+	StoreUnresponsive atomic.Bool
 	// FeedsFail tells that its reads of other topics fail.
 	FeedsFail atomic.Bool
 
@@ -86,7 +86,7 @@
 func New() *Net {
 	return &Net{
 		Store: metastore.NewMemory(),
-		nodes: make(map[structs.InstanceID]*Node), cut: make(map[structs.InstanceID]Cut),
+		nodes: make(map[structs.InstanceID]*Node), cut: make(map[structs.InstanceID]Isolation),
 		dark: make(map[structs.InstanceID]bool),
 	}
 }
@@ -111,7 +111,7 @@
 		w.list(n, other)
 		w.list(other, n)
 	}
-	w.Work.Go(func() {
+	w.Background.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
@@ -127,12 +127,12 @@
 // list tells an instance of another one.
 func (w *Net) list(at, listed *Node) {
 	peer := structs.Peer{ID: listed.ID, Address: listed.Machine()}
-	if w.ListDelay == nil {
+	if w.DiscoveryDelay == nil {
 		at.Directory.Put(peer)
 		return
 	}
-	delay := w.ListDelay()
-	w.Work.Go(func() {
+	delay := w.DiscoveryDelay()
+	w.Background.Go(func() {
 		time.Sleep(delay)
 		at.Directory.Put(peer)
 	})
@@ -164,15 +164,15 @@
 }
 
 // PowerOff ends an instance without a word: those that watch it notice after
-// SilentTime, the others when they send to it.
+// DetectionDelay, the others when they send to it.
 func (w *Net) PowerOff(n *Node) {
 	w.mu.Lock()
 	delete(w.nodes, n.ID)
 	w.dark[n.ID] = true
 	w.mu.Unlock()
 	n.cancel()
-	w.Work.Go(func() {
-		time.Sleep(SilentTime)
+	w.Background.Go(func() {
+		time.Sleep(DetectionDelay)
 		for _, other := range w.Nodes() {
 			if slices.Contains(other.Watched(), n.ID) {
 				other.Post(structs.PeerDown{Peer: n.ID})
@@ -186,7 +186,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dark[to] {
-		return SilentTime
+		return DetectionDelay
 	}
 	return 0
 }
@@ -200,8 +200,8 @@
 	for _, n := range w.Nodes() {
 		w.Kill(n)
 	}
-	w.Work.Wait()
-	w.Store.Work.Wait()
+	w.Background.Wait()
+	w.Store.DelayedWrites.Wait()
 }
 
 // Nodes lists the instances that live, in the order of their ids.
@@ -213,8 +213,8 @@
 	return nodes
 }
 
-// SetCut cuts an instance off, or ends its cut if how is 0. Nobody is told.
-func (w *Net) SetCut(id structs.InstanceID, how Cut) {
+// SetIsolation cuts an instance off, or ends its cut if how is 0. Nobody is told.
+func (w *Net) SetIsolation(id structs.InstanceID, how Isolation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if how == 0 {
@@ -224,13 +224,13 @@
 	w.cut[id] = how
 }
 
-// CutFor cuts an instance off for a while. The others notice, and so does it.
-func (w *Net) CutFor(n *Node, how Cut, d time.Duration) {
-	w.SetCut(n.ID, how)
+// IsolateFor cuts an instance off for a while. The others notice, and so does it.
+func (w *Net) IsolateFor(n *Node, how Isolation, d time.Duration) {
+	w.SetIsolation(n.ID, how)
 	w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
-	w.Work.Go(func() {
+	w.Background.Go(func() {
 		time.Sleep(d)
-		w.SetCut(n.ID, 0)
+		w.SetIsolation(n.ID, 0)
 		w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerUp{Peer: peer} })
 	})
 }
@@ -253,10 +253,10 @@
 
 // Send sends a message, like the transport between instances.
 func (n *Node) Send(to structs.InstanceID, msg structs.Message) {
-	n.net.Work.Go(func() {
-		time.Sleep(LinkTime)
+	n.net.Background.Go(func() {
+		time.Sleep(LinkLatency)
 		target, ok := n.reach(to)
-		if !ok || n.net.cutOf(n.ID) == Mute {
+		if !ok || n.net.cutOf(n.ID) == IsolateOutbound {
 			time.Sleep(n.net.silence(to))
 			n.Post(structs.PeerDown{Peer: to})
 			return
@@ -297,17 +297,17 @@
 }
 
 // OK tells whether the store answers this instance.
-func (n *Node) OK() bool { return !n.Refused.Load() && !n.FeedsFail.Load() }
+func (n *Node) OK() bool { return !n.StoreRefused.Load() && !n.FeedsFail.Load() }
 
 // reach finds an instance to which there is a path.
 func (n *Node) reach(to structs.InstanceID) (*Node, bool) {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
 	target, ok := n.net.nodes[to]
-	return target, ok && n.net.cut[to] != Both && n.net.cut[n.ID] != Both
+	return target, ok && n.net.cut[to] != IsolateBoth && n.net.cut[n.ID] != IsolateBoth
 }
 
-func (w *Net) cutOf(id structs.InstanceID) Cut {
+func (w *Net) cutOf(id structs.InstanceID) Isolation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cut[id]
@@ -321,11 +321,11 @@
 
 // fails is what befalls a call on the way to the store.
 func (s Store) fails(ctx context.Context) error {
-	if s.node.Unheard.Load() {
+	if s.node.StoreUnresponsive.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if s.node.Refused.Load() {
+	if s.node.StoreRefused.Load() {
 		return platform.ErrBusy
 	}
 	return nil
