--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -26,8 +26,8 @@
 	Engines  map[string]*engine.Server
 	Services map[string]*service.Service
 
-	ready   Endpoints
-	servers []*standin.Server
+	endpoints Endpoints
+	servers   []*standin.Server
 
 	mu sync.Mutex
 	// targets holds those not stopped.
@@ -55,12 +55,12 @@
 // Start starts the stand-ins. On an error nothing is left running.
 func Start(settings Settings) (*Cluster, error) {
 	cluster := &Cluster{
-		Log:      logservice.New(settings.Log),
-		Members:  members.New(settings.Members),
-		Engines:  make(map[string]*engine.Server),
-		Services: make(map[string]*service.Service),
-		targets:  make(map[string]runningTarget),
-		ready:    Endpoints{Targets: []wire.Member{}},
+		Log:       logservice.New(settings.Log),
+		Members:   members.New(settings.Members),
+		Engines:   make(map[string]*engine.Server),
+		Services:  make(map[string]*service.Service),
+		targets:   make(map[string]runningTarget),
+		endpoints: Endpoints{Targets: []wire.Member{}},
 	}
 	if err := cluster.start(settings); err != nil {
 		cluster.Close()
@@ -71,10 +71,10 @@
 
 func (c *Cluster) start(settings Settings) error {
 	var err error
-	if c.ready.Log, err = c.listen(settings.LogAddress, c.Log.Handler()); err != nil {
+	if c.endpoints.Log, err = c.listen(settings.LogAddress, c.Log.Handler()); err != nil {
 		return errors.Wrap(err, "log service")
 	}
-	if c.ready.Members, err = c.listen(settings.MembersAddress, c.Members.Handler()); err != nil {
+	if c.endpoints.Members, err = c.listen(settings.MembersAddress, c.Members.Handler()); err != nil {
 		return errors.Wrap(err, "membership list")
 	}
 	for _, place := range settings.Places {
@@ -131,7 +131,7 @@
 
 // register serves a target and puts it into the membership list.
 func (c *Cluster) register(member wire.Member, handler http.Handler, closeTarget func()) error {
-	server, err := standin.Listen(standin.LoopbackAddress, c.stoppable(member.ID, handler))
+	server, err := standin.Listen(standin.LoopbackAddress, c.withStopRoute(member.ID, handler))
 	if err != nil {
 		closeTarget()
 		return errors.Wrapf(err, "target %s", member.ID)
@@ -140,13 +140,13 @@
 	c.mu.Lock()
 	c.targets[member.ID] = runningTarget{server: server, close: closeTarget}
 	c.mu.Unlock()
-	c.ready.Targets = append(c.ready.Targets, member)
+	c.endpoints.Targets = append(c.endpoints.Targets, member)
 	c.Members.Put(member)
 	return nil
 }
 
-// stoppable adds the route that stops a target.
-func (c *Cluster) stoppable(id string, handler http.Handler) http.Handler {
+// withStopRoute adds the route that stops a target.
+func (c *Cluster) withStopRoute(id string, handler http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
 	mux.HandleFunc("POST "+StopRoute, func(w http.ResponseWriter, _ *http.Request) {
@@ -170,14 +170,14 @@
 
 // Endpoints tells where the stand-ins listen, also those stopped since.
 func (c *Cluster) Endpoints() Endpoints {
-	return c.ready
+	return c.endpoints
 }
 
 // StopTarget ends a target as a crash does: its port closes and its streams
 // are gone, while the membership list still shows it. It returns false for an
 // unknown or stopped target.
 func (c *Cluster) StopTarget(id string) bool {
-	target, ok := c.takeTarget(id)
+	target, ok := c.removeTarget(id)
 	if !ok {
 		return false
 	}
@@ -186,8 +186,8 @@
 	return true
 }
 
-// takeTarget removes a target from those to be stopped.
-func (c *Cluster) takeTarget(id string) (runningTarget, bool) {
+// removeTarget removes a target from those to be stopped.
+func (c *Cluster) removeTarget(id string) (runningTarget, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target, ok := c.targets[id]
@@ -195,8 +195,8 @@
 	return target, ok
 }
 
-// running returns the ids of the targets not stopped.
-func (c *Cluster) running() []string {
+// runningIDs returns the ids of the targets not stopped.
+func (c *Cluster) runningIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Keys(c.targets))
@@ -204,7 +204,7 @@
 
 // Close stops everything.
 func (c *Cluster) Close() {
-	for _, id := range c.running() {
+	for _, id := range c.runningIDs() {
 		c.StopTarget(id)
 	}
 	for _, server := range c.servers {
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -20,11 +20,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	ready := cluster.Endpoints()
-	if got := len(cluster.Members.Current().Members); got != 6 || len(ready.Targets) != 6 {
-		t.Fatalf("%d members, ready %+v", got, ready)
+	endpoints := cluster.Endpoints()
+	if got := len(cluster.Members.Current().Members); got != 6 || len(endpoints.Targets) != 6 {
+		t.Fatalf("%d members, ready %+v", got, endpoints)
 	}
-	for _, target := range ready.Targets {
+	for _, target := range endpoints.Targets {
 		if !healthy(target) {
 			t.Errorf("target %s does not answer", target.ID)
 		}
@@ -32,7 +32,7 @@
 	if !cluster.StopTarget("dc2-model-1") || cluster.StopTarget("dc2-model-1") {
 		t.Error("a target must stop once")
 	}
-	for _, target := range ready.Targets {
+	for _, target := range endpoints.Targets {
 		if stopped := target.ID == "dc2-model-1"; healthy(target) == stopped {
 			t.Errorf("target %s stopped: %v", target.ID, stopped)
 		}
@@ -56,12 +56,12 @@
 	// The body ends when the connection does.
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	for len(cluster.running()) > 0 || healthy(target) {
+	for len(cluster.runningIDs()) > 0 || healthy(target) {
 		runtime.Gosched()
 	}
 }
 
-func TestStopLeavesNoWholeReply(t *testing.T) {
+func TestStoppedTargetSendsNoCompleteResponse(t *testing.T) {
 	cluster, err := Start(Settings{
 		Places:  []Place{{Region: "r1", DataCentre: "dc1"}},
 		Engines: EngineGroup{Service: "model", Count: 1},
@@ -80,20 +80,20 @@
 		engine.Address + wire.ChatRoute:      {engine.ID, cluster.Engines[engine.ID].Ledger().Entries},
 		plain.Address + "/x?delay_ms=999999": {plain.ID, cluster.Services[plain.ID].Ledger().Entries},
 	} {
-		whole := make(chan bool)
-		go func() { whole <- postsWhole(url, chat) }()
+		complete := make(chan bool)
+		go func() { complete <- postSucceeds(url, chat) }()
 		for len(stop.entries()) == 0 {
 			runtime.Gosched()
 		}
 		cluster.StopTarget(stop.id)
-		if <-whole {
+		if <-complete {
 			t.Errorf("%s: a stopped target gave a whole reply", stop.id)
 		}
 	}
 }
 
-// postsWhole tells whether a reply came with its whole body.
-func postsWhole(url, body string) bool {
+// postSucceeds tells whether a reply came with its whole body.
+func postSucceeds(url, body string) bool {
 	response, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
 		return false
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -91,7 +91,7 @@
 	if tokens <= held {
 		return
 	}
-	c.makeRoom(tokens-held, key)
+	c.evict(tokens-held, key)
 	tokens = min(tokens, held+c.capacity-c.used)
 	if tokens <= held {
 		return
@@ -100,14 +100,14 @@
 	c.emit(wire.CacheStored, key, tokens)
 }
 
-// makeRoom evicts unpinned entries other than keep until there is room for
+// evict evicts unpinned entries other than keep until there is room for
 // the given tokens or nothing is left to evict.
-func (c *cache) makeRoom(tokens int64, keep string) {
+func (c *cache) evict(tokens int64, except string) {
 	element := c.recent.Back()
 	for element != nil && c.capacity-c.used < tokens {
 		entry := element.Value.(*cacheEntry)
 		element = element.Prev()
-		if entry.key == keep || c.pins[entry.key] > 0 {
+		if entry.key == except || c.pins[entry.key] > 0 {
 			continue
 		}
 		missing := tokens - (c.capacity - c.used)
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -47,26 +47,26 @@
 	request := NewRequest(id, program, chat)
 	now := time.Now()
 	added := &stream{
-		id:      id,
-		model:   s.modelName(chat),
-		created: now,
-		answer:  Completion{Program: program, PromptHash: PromptHash(chat.Messages)},
-		length:  request.limit(),
-		changed: make(chan struct{}),
-	}
-	known, err := s.startStream(request, added, s.ledgerEntry(r, id, body, now))
+		id:         id,
+		model:      s.modelName(chat),
+		created:    now,
+		completion: Completion{Program: program, PromptHash: PromptHash(chat.Messages)},
+		length:     request.limit(),
+		changed:    make(chan struct{}),
+	}
+	existing, err := s.startStream(request, added, s.ledgerEntry(r, id, body, now))
 	if err != nil {
 		standin.WriteError(w, http.StatusConflict, err.Error())
 		return nil, false
 	}
-	if known == nil {
+	if existing == nil {
 		return added, true
 	}
 	if !s.settings.AttachDuplicates {
 		standin.WriteError(w, http.StatusConflict, "a stream with this id is known")
 		return nil, false
 	}
-	return known, true
+	return existing, true
 }
 
 // streamID returns the stream id of a request, or a new one.
@@ -130,14 +130,14 @@
 
 // writeReply waits for the end of a stream and sends the whole answer, or
 // drops the connection instead.
-func (s *Server) writeReply(w http.ResponseWriter, r *http.Request, of *stream, drop bool) {
+func (s *Server) writeReply(w http.ResponseWriter, r *http.Request, st *stream, drop bool) {
 	for {
-		_, finished, changed := s.progress(of)
+		_, finished, changed := s.progress(st)
 		if finished != nil && drop {
 			standin.DropConnection()
 		}
 		if finished != nil {
-			standin.WriteJSON(w, http.StatusOK, of.reply(*finished))
+			standin.WriteJSON(w, http.StatusOK, st.reply(*finished))
 			return
 		}
 		s.wait(r, changed)
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -10,9 +10,9 @@
 const (
 	// eventPageSize is the number of events of one page.
 	eventPageSize = 1000
-	// maxEventsKept is the number of events kept for readers; older ones are
+	// maxRetainedEvents is the number of events kept for readers; older ones are
 	// a gap.
-	maxEventsKept = 100_000
+	maxRetainedEvents = 100_000
 )
 
 // eventLog shows cache events late, with some lost and some doubled.
@@ -21,14 +21,14 @@
 	gap       float64
 	duplicate float64
 	random    *rand.Rand
-	events    []shownEvent
+	events    []delayedEvent
 }
 
-type shownEvent struct {
-	event   wire.CacheEvent
-	showAt  time.Time
-	lost    bool
-	doubled bool
+type delayedEvent struct {
+	event      wire.CacheEvent
+	visibleAt  time.Time
+	lost       bool
+	duplicated bool
 }
 
 func newEventLog(settings Settings) *eventLog {
@@ -43,14 +43,14 @@
 
 func (l *eventLog) add(now time.Time, events []wire.CacheEvent) {
 	for _, event := range events {
-		l.events = append(l.events, shownEvent{
-			event:   event,
-			showAt:  now.Add(l.lag),
-			lost:    l.random.Float64() < l.gap,
-			doubled: l.random.Float64() < l.duplicate,
+		l.events = append(l.events, delayedEvent{
+			event:      event,
+			visibleAt:  now.Add(l.lag),
+			lost:       l.random.Float64() < l.gap,
+			duplicated: l.random.Float64() < l.duplicate,
 		})
 	}
-	if excess := len(l.events) - maxEventsKept; excess > 0 {
+	if excess := len(l.events) - maxRetainedEvents; excess > 0 {
 		l.events = l.events[excess:]
 	}
 }
@@ -58,17 +58,17 @@
 // page returns the events from a sequence number on that may be shown by now.
 func (l *eventLog) page(now time.Time, from uint64) wire.CacheEvents {
 	page := wire.CacheEvents{Events: []wire.CacheEvent{}, Next: from}
-	for _, shown := range l.from(from) {
-		if shown.showAt.After(now) || len(page.Events) >= eventPageSize {
+	for _, delayed := range l.from(from) {
+		if delayed.visibleAt.After(now) || len(page.Events) >= eventPageSize {
 			break
 		}
-		page.Next = shown.event.Sequence + 1
-		if shown.lost {
+		page.Next = delayed.event.Sequence + 1
+		if delayed.lost {
 			continue
 		}
-		page.Events = append(page.Events, shown.event)
-		if shown.doubled {
-			page.Events = append(page.Events, shown.event)
+		page.Events = append(page.Events, delayed.event)
+		if delayed.duplicated {
+			page.Events = append(page.Events, delayed.event)
 		}
 	}
 	return page
@@ -76,7 +76,7 @@
 
 // from returns the kept events from a sequence number on. Sequence numbers
 // have no gaps here.
-func (l *eventLog) from(sequence uint64) []shownEvent {
+func (l *eventLog) from(sequence uint64) []delayedEvent {
 	if len(l.events) == 0 {
 		return nil
 	}
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -45,27 +45,27 @@
 	if request.SharedKey == "" {
 		request.SharedTokens = 0
 	}
-	added := &sequence{request: request}
-	m.byID[request.ID] = added
-	m.waiting = append(m.waiting, added)
+	seq := &sequence{request: request}
+	m.byID[request.ID] = seq
+	m.waiting = append(m.waiting, seq)
 	return nil
 }
 
 // Cancel ends a waiting or running request at once and frees its slot. What it
 // has processed stays in the cache. It returns false for an unknown id.
 func (m *Model) Cancel(id string) (Finished, bool) {
-	cancelled, ok := m.byID[id]
+	seq, ok := m.byID[id]
 	if !ok {
 		return Finished{}, false
 	}
-	if slices.Contains(m.running, cancelled) {
-		m.leaveSlot(cancelled)
+	if slices.Contains(m.running, seq) {
+		m.releaseSlot(seq)
 	}
-	isCancelled := func(other *sequence) bool { return other == cancelled }
+	isCancelled := func(other *sequence) bool { return other == seq }
 	m.running = slices.DeleteFunc(m.running, isCancelled)
 	m.waiting = slices.DeleteFunc(m.waiting, isCancelled)
 	delete(m.byID, id)
-	return cancelled.finished(FinishCancelled), true
+	return seq.finished(FinishCancelled), true
 }
 
 // Idle tells whether nothing waits or runs.
@@ -102,11 +102,11 @@
 	m.admit()
 	budget := m.settings.PrefillChunk
 	duration := m.settings.StepBase
-	for _, running := range m.running {
-		taken := running.plan(budget)
+	for _, seq := range m.running {
+		taken := seq.plan(budget)
 		budget -= taken
 		duration += time.Duration(taken) * m.settings.StepPerPrefillToken
-		if running.plannedToken {
+		if seq.plannedToken {
 			duration += m.settings.StepPerSequence
 		}
 	}
@@ -117,11 +117,11 @@
 // admit moves waiting requests into free slots.
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.settings.Slots {
-		admitted := m.waiting[0]
+		seq := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		admitted.begin(m.cache.hit(admitted.request))
-		m.cache.pin(admitted.request)
-		m.running = append(m.running, admitted)
+		seq.start(m.cache.hit(seq.request))
+		m.cache.pin(seq.request)
+		m.running = append(m.running, seq)
 	}
 }
 
@@ -132,16 +132,16 @@
 	}
 	m.isPlanned = false
 	var result StepResult
-	for _, running := range m.running {
-		if running.step() {
-			token := TokenEvent{ID: running.request.ID, Index: running.made - 1}
+	for _, seq := range m.running {
+		if seq.step() {
+			token := TokenEvent{ID: seq.request.ID, Index: seq.generated - 1}
 			result.Tokens = append(result.Tokens, token)
 		}
-		m.storeShared(running)
-		if running.complete() {
-			m.leaveSlot(running)
-			delete(m.byID, running.request.ID)
-			result.Finished = append(result.Finished, running.finished(running.reason()))
+		m.storeShared(seq)
+		if seq.complete() {
+			m.releaseSlot(seq)
+			delete(m.byID, seq.request.ID)
+			result.Finished = append(result.Finished, seq.finished(seq.reason()))
 		}
 	}
 	m.running = slices.DeleteFunc(m.running, (*sequence).complete)
@@ -150,21 +150,21 @@
 
 // storeShared caches a shared prefix as soon as it is processed, so that the
 // next program of the team hits it while this one runs.
-func (m *Model) storeShared(running *sequence) {
-	if running.sharedStored || running.prefilled < running.request.SharedTokens {
+func (m *Model) storeShared(seq *sequence) {
+	if seq.sharedStored || seq.prefilled < seq.request.SharedTokens {
 		return
 	}
-	running.sharedStored = true
-	m.cache.store(running.request.SharedKey, running.sharedDone())
+	seq.sharedStored = true
+	m.cache.store(seq.request.SharedKey, seq.processedShared())
 }
 
-// leaveSlot caches what a sequence has processed and unpins its entries.
-func (m *Model) leaveSlot(left *sequence) {
-	defer m.cache.unpin(left.request)
-	if left.request.Program != "" {
-		m.cache.store(left.request.Program, left.ownDone())
+// releaseSlot caches what a sequence has processed and unpins its entries.
+func (m *Model) releaseSlot(seq *sequence) {
+	defer m.cache.unpin(seq.request)
+	if seq.request.Program != "" {
+		m.cache.store(seq.request.Program, seq.processedOwn())
 	}
-	if left.request.SharedKey != "" {
-		m.cache.store(left.request.SharedKey, left.sharedDone())
+	if seq.request.SharedKey != "" {
+		m.cache.store(seq.request.SharedKey, seq.processedShared())
 	}
 }
--- a/internal/standin/engine/model_settings.go
+++ b/internal/standin/engine/model_settings.go
@@ -49,10 +49,10 @@
 	return s
 }
 
-func orDefault[T comparable](value, standard T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return standard
+		return fallback
 	}
 	return value
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -15,18 +15,18 @@
 const OrderLogRoute = "/standin/orders"
 
 var (
-	errOldFencing   = errors.New("fencing number is lower than one seen")
+	errStaleFencing = errors.New("fencing number is lower than one seen")
 	errUnknownOrder = errors.New("unknown kind of order")
 )
 
-// orderBook is the engine's state under orders.
-type orderBook struct {
+// orderStore is the engine's state under orders.
+type orderStore struct {
 	state   wire.OrderState
 	applied []wire.Order
 }
 
-func newOrderBook(settings Settings) orderBook {
-	return orderBook{state: wire.OrderState{
+func newOrderStore(settings Settings) orderStore {
+	return orderStore{state: wire.OrderState{
 		Model:         settings.ModelName,
 		ChecksFencing: settings.ChecksFencing,
 	}}
@@ -34,9 +34,9 @@
 
 // apply changes the state. An engine that checks fencing numbers refuses one
 // lower than it has seen; another applies whatever comes.
-func (b *orderBook) apply(order wire.Order) error {
+func (b *orderStore) apply(order wire.Order) error {
 	if b.state.ChecksFencing && order.Fencing < b.state.Fencing {
-		return errOldFencing
+		return errStaleFencing
 	}
 	field := b.field(order.Kind)
 	if field == nil {
@@ -49,7 +49,7 @@
 }
 
 // field returns the part of the state that a kind of order sets, or nil.
-func (b *orderBook) field(kind string) *string {
+func (b *orderStore) field(kind string) *string {
 	switch kind {
 	case wire.OrderLoadModel:
 		return &b.state.Model
@@ -74,7 +74,7 @@
 	seen := s.orders.state.Fencing
 	s.mu.Unlock()
 	switch {
-	case errors.Is(err, errOldFencing):
+	case errors.Is(err, errStaleFencing):
 		standin.WriteJSON(w, http.StatusConflict, wire.OrderReply{Fencing: seen})
 	case err != nil:
 		standin.WriteError(w, http.StatusBadRequest, err.Error())
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -53,9 +53,9 @@
 	defer s.mu.Unlock()
 	result := s.model.Step()
 	for _, token := range result.Tokens {
-		made := s.streams[token.ID]
-		made.made = token.Index + 1
-		made.wake()
+		st := s.streams[token.ID]
+		st.generated = token.Index + 1
+		st.wake()
 	}
 	for _, finished := range result.Finished {
 		s.finishStream(finished, now)
@@ -65,17 +65,17 @@
 
 // finishStream ends a stream and its ledger entry.
 func (s *Server) finishStream(finished Finished, now time.Time) {
-	ended := s.streams[finished.ID]
-	ended.finished = &finished
-	ended.endedAt = now
-	s.ended = append(s.ended, ended)
-	ended.wake()
+	st := s.streams[finished.ID]
+	st.finished = &finished
+	st.endedAt = now
+	s.ended = append(s.ended, st)
+	st.wake()
 	tokens := int64(finished.CompletionTokens)
 	if finished.Reason == FinishCancelled {
-		s.ledger.Cancel(ended.sequence, tokens)
+		s.ledger.Cancel(st.sequence, tokens)
 		return
 	}
-	s.ledger.Finish(ended.sequence, tokens)
+	s.ledger.Finish(st.sequence, tokens)
 }
 
 // publish makes the model's new state visible to the lagging reports.
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -7,8 +7,8 @@
 	cached int
 	// prefilled is the number of prompt tokens processed or cached.
 	prefilled int
-	// made is the number of tokens made.
-	made int
+	// generated is the number of tokens made.
+	generated int
 	// planned is the number of prompt tokens to process in the planned step,
 	// and plannedToken whether the step makes a token.
 	planned      int
@@ -18,9 +18,9 @@
 	sharedStored bool
 }
 
-// begin puts the sequence into a slot with the given number of cached tokens.
+// start puts the sequence into a slot with the given number of cached tokens.
 // The last prompt token is always computed, since it gives the first token.
-func (s *sequence) begin(cached int) {
+func (s *sequence) start(cached int) {
 	s.cached = max(0, min(cached, s.request.PromptTokens-1))
 	s.prefilled = s.cached
 	s.sharedStored = s.cached >= s.request.SharedTokens
@@ -39,7 +39,7 @@
 	made := s.plannedToken
 	s.prefilled += s.planned
 	if made {
-		s.made++
+		s.generated++
 	}
 	s.planned = 0
 	s.plannedToken = false
@@ -47,17 +47,17 @@
 }
 
 func (s *sequence) complete() bool {
-	return s.made >= s.request.limit()
+	return s.generated >= s.request.limit()
 }
 
-// sharedDone returns the processed tokens of the shared prefix.
-func (s *sequence) sharedDone() int64 {
+// processedShared returns the processed tokens of the shared prefix.
+func (s *sequence) processedShared() int64 {
 	return int64(min(s.prefilled, s.request.SharedTokens))
 }
 
-// ownDone returns the processed tokens beyond the shared prefix.
-func (s *sequence) ownDone() int64 {
-	return int64(max(0, s.prefilled-s.request.SharedTokens) + s.made)
+// processedOwn returns the processed tokens beyond the shared prefix.
+func (s *sequence) processedOwn() int64 {
+	return int64(max(0, s.prefilled-s.request.SharedTokens) + s.generated)
 }
 
 func (s *sequence) finished(reason FinishReason) Finished {
@@ -66,13 +66,13 @@
 		Reason:           reason,
 		PromptTokens:     s.request.PromptTokens,
 		CachedTokens:     s.cached,
-		CompletionTokens: s.made,
+		CompletionTokens: s.generated,
 	}
 }
 
 // reason returns why a complete sequence ended.
 func (s *sequence) reason() FinishReason {
-	if s.made < s.request.OutputTokens {
+	if s.generated < s.request.OutputTokens {
 		return FinishLength
 	}
 	return FinishStop
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -25,7 +25,7 @@
 	nextID      uint64
 	loads       standin.History[wire.EngineLoad]
 	cacheEvents *eventLog
-	orders      orderBook
+	orders      orderStore
 
 	// wake has an item when the model may have work.
 	wake    chan struct{}
@@ -43,7 +43,7 @@
 		model:       NewModel(settings.Model),
 		streams:     make(map[string]*stream),
 		cacheEvents: newEventLog(settings),
-		orders:      newOrderBook(settings),
+		orders:      newOrderStore(settings),
 		wake:        make(chan struct{}, 1),
 		closing:     make(chan struct{}),
 		stopped:     make(chan struct{}),
@@ -85,7 +85,7 @@
 	engine.HandleFunc("GET "+wire.OrdersRoute, s.serveOrderState)
 
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", s.heldWhileHung(engine))
+	mux.Handle("/v1/", s.holdWhileHung(engine))
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
 	mux.HandleFunc("GET "+OrderLogRoute, s.serveOrderLog)
 	s.gate.Register(mux)
@@ -93,8 +93,8 @@
 	return mux
 }
 
-// heldWhileHung holds requests while the hang fault is set.
-func (s *Server) heldWhileHung(next http.Handler) http.Handler {
+// holdWhileHung holds requests while the hang fault is set.
+func (s *Server) holdWhileHung(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.gate.WaitWhileHung(r.Context()) != nil {
 			standin.DropConnection()
@@ -109,12 +109,12 @@
 
 // startStream submits a request as a new stream, or returns the stream that
 // has its id already.
-func (s *Server) startStream(request Request, added *stream, entry wire.LedgerEntry) (known *stream, err error) {
+func (s *Server) startStream(request Request, added *stream, entry wire.LedgerEntry) (existing *stream, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetStreams(time.Now())
-	if known, ok := s.streams[added.id]; ok {
-		return known, nil
+	s.dropExpiredStreams(time.Now())
+	if existing, ok := s.streams[added.id]; ok {
+		return existing, nil
 	}
 	if err := s.model.Submit(request); err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 func (s *Server) findStream(id string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetStreams(time.Now())
+	s.dropExpiredStreams(time.Now())
 	return s.streams[id]
 }
 
@@ -148,14 +148,14 @@
 
 // progress returns how far a stream is; the channel is closed at its next
 // change.
-func (s *Server) progress(of *stream) (made int, finished *Finished, changed <-chan struct{}) {
+func (s *Server) progress(st *stream) (generated int, finished *Finished, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return of.made, of.finished, of.changed
+	return st.generated, st.finished, st.changed
 }
 
-// forgetStreams drops the streams that ended too long ago.
-func (s *Server) forgetStreams(now time.Time) {
+// dropExpiredStreams drops the streams that ended too long ago.
+func (s *Server) dropExpiredStreams(now time.Time) {
 	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.StreamRetention {
 		delete(s.streams, s.ended[0].id)
 		s.ended = s.ended[1:]
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -58,7 +58,7 @@
 	return wire.ChatRequest{Stream: stream, Messages: []wire.ChatMessage{{Role: "user", Content: content}}}
 }
 
-func answerOf(chat wire.ChatRequest) Completion {
+func completionOf(chat wire.ChatRequest) Completion {
 	return Completion{Program: "p1", PromptHash: PromptHash(chat.Messages)}
 }
 
@@ -85,13 +85,13 @@
 
 // checkTokens checks that the chunks are the tokens from one index up to
 // before another, then the last chunk.
-func checkTokens(t *testing.T, chunks []wire.ChatChunk, answer Completion, from, to int) {
+func checkTokens(t *testing.T, chunks []wire.ChatChunk, completion Completion, from, to int) {
 	t.Helper()
 	if len(chunks) != to-from+1 {
 		t.Fatalf("%d chunks, want %d", len(chunks), to-from+1)
 	}
 	for i, chunk := range chunks[:to-from] {
-		if chunk.Index != from+i || chunk.Choices[0].Delta.Content != answer.Token(from+i) {
+		if chunk.Index != from+i || chunk.Choices[0].Delta.Content != completion.Token(from+i) {
 			t.Errorf("chunk %d is %+v", i, chunk)
 		}
 	}
@@ -115,7 +115,7 @@
 	if !done {
 		t.Error("no [DONE]")
 	}
-	checkTokens(t, chunks, answerOf(chat), 123, 500)
+	checkTokens(t, chunks, completionOf(chat), 123, 500)
 	entries := engine.Ledger().Entries()
 	if len(entries) != 1 || !entries[0].Finished || entries[0].Tokens != 500 || entries[0].Program != "p1" {
 		t.Errorf("ledger %+v", entries)
@@ -132,7 +132,7 @@
 	}
 	resumed := engine.do("GET", wire.StreamsRoute+"/s1?from=5", "", nil)
 	chunks, _ = readEvents(t, resumed.Body)
-	checkTokens(t, chunks, answerOf(chat), 5, 10)
+	checkTokens(t, chunks, completionOf(chat), 5, 10)
 }
 
 func TestWholeReply(t *testing.T) {
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	choice := reply.Choices[0]
-	if choice.Message.Content != answerOf(chat).Text(0, 7) || *choice.FinishReason != string(FinishLength) {
+	if choice.Message.Content != completionOf(chat).Text(0, 7) || *choice.FinishReason != string(FinishLength) {
 		t.Errorf("reply %+v", reply)
 	}
 }
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestCacheEventsAreLateAndLossy(t *testing.T) {
+func TestCacheEventsAreDelayedAndLossy(t *testing.T) {
 	log := newEventLog(Settings{CacheLag: time.Second, CacheGap: 0.3, CacheDuplicate: 0.3, Seed: 7})
 	made := time.Unix(100, 0)
 	const count = 200
@@ -210,8 +210,8 @@
 	for _, event := range page.Events {
 		seen[event.Sequence]++
 	}
-	doubled := len(page.Events) - len(seen)
-	if page.Next != count || len(seen) == count || len(seen) == 0 || doubled == 0 {
-		t.Errorf("next %d, %d events seen, %d doubled", page.Next, len(seen), doubled)
+	duplicated := len(page.Events) - len(seen)
+	if page.Next != count || len(seen) == count || len(seen) == 0 || duplicated == 0 {
+		t.Errorf("next %d, %d events seen, %d doubled", page.Next, len(seen), duplicated)
 	}
 }
--- a/internal/standin/engine/sse.go
+++ b/internal/standin/engine/sse.go
@@ -47,30 +47,30 @@
 // writeStream sends the tokens of a stream from an index on, each when it is
 // made, then the last chunk and [DONE]. With drop, the connection is closed
 // when half of the tokens were sent. It returns early when the caller is gone.
-func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, of *stream, from int, drop bool) {
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, st *stream, from int, drop bool) {
 	events := newEventWriter(w)
 	if events.flush() != nil {
 		return
 	}
 	for {
-		made, finished, changed := s.progress(of)
+		generated, finished, changed := s.progress(st)
 		if drop {
-			made = min(made, of.length/2)
+			generated = min(generated, st.length/2)
 		}
-		for ; from < made; from++ {
-			if events.chunk(of.chunk(from)) != nil {
+		for ; from < generated; from++ {
+			if events.chunk(st.chunk(from)) != nil {
 				return
 			}
 		}
 		if finished != nil && !drop {
-			_ = events.chunk(of.lastChunk(*finished))
+			_ = events.chunk(st.lastChunk(*finished))
 			_ = events.done()
 			return
 		}
 		if events.flush() != nil {
 			return
 		}
-		if drop && (from >= of.length/2 || finished != nil) {
+		if drop && (from >= st.length/2 || finished != nil) {
 			standin.DropConnection()
 		}
 		s.wait(r, changed)
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -10,19 +10,19 @@
 // function of the request, so that only a count of tokens is kept. The
 // server's mutex guards made, finished, endedAt and changed.
 type stream struct {
-	id      string
-	model   string
-	created time.Time
-	answer  Completion
+	id         string
+	model      string
+	created    time.Time
+	completion Completion
 	// length is the number of tokens that the stream makes if not cancelled.
 	length int
 	// sequence is the stream's place in the ledger.
 	sequence uint64
 
-	made     int
-	finished *Finished
-	endedAt  time.Time
-	changed  chan struct{}
+	generated int
+	finished  *Finished
+	endedAt   time.Time
+	changed   chan struct{}
 }
 
 // wake lets every reader of the stream look again.
@@ -48,7 +48,7 @@
 
 // chunk returns the chunk of one token.
 func (s *stream) chunk(index int) wire.ChatChunk {
-	delta := wire.ChatMessage{Role: assistantRole, Content: s.answer.Token(index)}
+	delta := wire.ChatMessage{Role: assistantRole, Content: s.completion.Token(index)}
 	chunk := s.emptyChunk(index)
 	chunk.Choices = []wire.ChatChoice{{Delta: &delta}}
 	return chunk
@@ -77,7 +77,7 @@
 // reply returns the whole answer of an ended stream.
 func (s *stream) reply(finished Finished) wire.ChatReply {
 	reason := string(finished.Reason)
-	text := s.answer.Text(0, finished.CompletionTokens)
+	text := s.completion.Text(0, finished.CompletionTokens)
 	message := wire.ChatMessage{Role: assistantRole, Content: text}
 	return wire.ChatReply{
 		ID:      s.id,
--- a/internal/standin/faults/gate.go
+++ b/internal/standin/faults/injector.go
@@ -60,14 +60,14 @@
 func (g *Injector) TakeFail() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return takeOne(&g.faults.FailNext)
+	return consume(&g.faults.FailNext)
 }
 
 // TakeDropReply uses up one of DropReplies and tells whether there was one.
 func (g *Injector) TakeDropReply() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return takeOne(&g.faults.DropReplies)
+	return consume(&g.faults.DropReplies)
 }
 
 // SlowFactor returns the factor on run times, 1 when unset.
@@ -100,7 +100,7 @@
 	standin.WriteJSON(w, http.StatusOK, faults)
 }
 
-func takeOne(count *int) bool {
+func consume(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -27,15 +27,15 @@
 			return h.entries[i].value, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
 
 // DropBefore drops the values that At needs only for times before the given one.
 func (h *History[T]) DropBefore(before time.Time) {
-	keep := 0
-	for keep+1 < len(h.entries) && !h.entries[keep+1].at.After(before) {
-		keep++
+	first := 0
+	for first+1 < len(h.entries) && !h.entries[first+1].at.After(before) {
+		first++
 	}
-	h.entries = h.entries[keep:]
+	h.entries = h.entries[first:]
 }
--- a/internal/standin/logservice/handler.go
+++ b/internal/standin/logservice/handler.go
@@ -24,9 +24,9 @@
 // Handler returns the HTTP handler of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+recordsRoute, s.faulty(s.serveAppend))
-	mux.HandleFunc("GET "+recordsRoute, s.faulty(s.serveRead))
-	mux.HandleFunc("GET "+streamRoute, s.faulty(s.serveInfo))
+	mux.HandleFunc("POST "+recordsRoute, s.withFaults(s.serveAppend))
+	mux.HandleFunc("GET "+recordsRoute, s.withFaults(s.serveRead))
+	mux.HandleFunc("GET "+streamRoute, s.withFaults(s.serveInfo))
 	mux.HandleFunc("GET "+wire.StandinFaultsRoute, s.serveFaults)
 	mux.HandleFunc("POST "+wire.StandinFaultsRoute, s.serveSetFaults)
 	mux.HandleFunc("GET "+StatsRoute, s.serveStats)
@@ -35,8 +35,8 @@
 
 type streamHandler func(w http.ResponseWriter, r *http.Request, stream string)
 
-// faulty applies the outage and the delay, and checks the stream's name.
-func (s *Service) faulty(next streamHandler) http.HandlerFunc {
+// withFaults applies the outage and the delay, and checks the stream's name.
+func (s *Service) withFaults(next streamHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.Faults().Down {
 			writeFailure(w, ErrDown)
@@ -85,7 +85,7 @@
 	}
 	reply, err := s.Read(r.Context(), stream, query.from, query.limit, query.wait)
 	if errors.Is(err, ErrNotRetained) {
-		s.serveGone(w, stream)
+		s.serveNotRetained(w, stream)
 		return
 	}
 	if err != nil {
@@ -95,8 +95,8 @@
 	standin.WriteJSON(w, http.StatusOK, reply)
 }
 
-// serveGone answers a read below the first retained offset.
-func (s *Service) serveGone(w http.ResponseWriter, stream string) {
+// serveNotRetained answers a read below the first retained offset.
+func (s *Service) serveNotRetained(w http.ResponseWriter, stream string) {
 	info, err := s.Info(stream)
 	if err != nil {
 		writeFailure(w, err)
--- a/internal/standin/logservice/service_test.go
+++ b/internal/standin/logservice/service_test.go
@@ -138,7 +138,7 @@
 	return info.End
 }
 
-func TestLostAppends(t *testing.T) {
+func TestDroppedAppends(t *testing.T) {
 	log := serve(t, Settings{})
 	log.DropAppends("s", 1)
 	if got := log.post("other"); got != http.StatusOK {
--- a/internal/standin/members/handler.go
+++ b/internal/standin/members/handler.go
@@ -17,7 +17,7 @@
 // offers POST /standin/members/{id}/leaving, which marks a member as leaving.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+wire.MembersRoute, l.serveShown)
+	mux.HandleFunc("GET "+wire.MembersRoute, l.serveList)
 	mux.HandleFunc("PUT "+memberRoute, l.servePut)
 	mux.HandleFunc("DELETE "+memberRoute, l.serveRemove)
 	mux.HandleFunc("POST "+leavingRoute, l.serveLeaving)
@@ -26,19 +26,19 @@
 	return mux
 }
 
-func (l *List) serveShown(w http.ResponseWriter, r *http.Request) {
-	shown, err := l.Visible()
+func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
+	visible, err := l.Visible()
 	if err != nil {
 		standin.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	tag := `"` + strconv.FormatUint(shown.Version, 10) + `"`
+	tag := `"` + strconv.FormatUint(visible.Version, 10) + `"`
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, shown)
+	standin.WriteJSON(w, http.StatusOK, visible)
 }
 
 func (l *List) servePut(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/members/list.go
+++ b/internal/standin/members/list.go
@@ -54,7 +54,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members[member.ID] = member
-	l.changed()
+	l.recordVersion()
 }
 
 // Remove drops a member and tells whether it was there.
@@ -65,7 +65,7 @@
 		return false
 	}
 	delete(l.members, id)
-	l.changed()
+	l.recordVersion()
 	return true
 }
 
@@ -79,7 +79,7 @@
 	}
 	member.State = wire.MemberStateLeaving
 	l.members[id] = member
-	l.changed()
+	l.recordVersion()
 	return true
 }
 
@@ -98,11 +98,11 @@
 		return wire.MemberList{}, ErrDown
 	}
 	lag := time.Duration(l.faults.LagMS) * time.Millisecond
-	shown, ok := l.history.At(l.now().Add(-lag))
+	visible, ok := l.history.At(l.now().Add(-lag))
 	if !ok {
 		return wire.MemberList{Members: []wire.Member{}}, nil
 	}
-	return shown, nil
+	return visible, nil
 }
 
 // SetFaults replaces the faults.
@@ -119,9 +119,9 @@
 	return l.faults
 }
 
-// changed takes the next version. The whole history is kept, since the lag may
+// recordVersion takes the next version. The whole history is kept, since the lag may
 // grow at any time and a test changes the list seldom.
-func (l *List) changed() {
+func (l *List) recordVersion() {
 	l.version++
 	l.history.Record(l.now(), l.current())
 }
--- a/internal/standin/members/list_test.go
+++ b/internal/standin/members/list_test.go
@@ -12,7 +12,7 @@
 func TestListLags(t *testing.T) {
 	now := time.Unix(1000, 0)
 	list := New(Settings{Lag: 10 * time.Second, Now: func() time.Time { return now }})
-	shown := func() wire.MemberList {
+	visible := func() wire.MemberList {
 		t.Helper()
 		got, err := list.Visible()
 		if err != nil {
@@ -25,23 +25,23 @@
 	now = now.Add(5 * time.Second)
 	list.Put(wire.Member{ID: "a", State: wire.MemberStateLive})
 	list.SetLeaving("b")
-	if got := shown(); len(got.Members) != 0 || got.Version != 0 {
+	if got := visible(); len(got.Members) != 0 || got.Version != 0 {
 		t.Errorf("before the lag: %+v", got)
 	}
 	now = now.Add(5 * time.Second)
-	if got := shown(); len(got.Members) != 1 || got.Members[0].State != wire.MemberStateLive || got.Version != 1 {
+	if got := visible(); len(got.Members) != 1 || got.Members[0].State != wire.MemberStateLive || got.Version != 1 {
 		t.Errorf("list of 10 s ago: %+v", got)
 	}
 	now = now.Add(5 * time.Second)
-	if got := shown(); len(got.Members) != 2 || got.Members[0].ID != "a" || got.Members[1].State != wire.MemberStateLeaving {
+	if got := visible(); len(got.Members) != 2 || got.Members[0].ID != "a" || got.Members[1].State != wire.MemberStateLeaving {
 		t.Errorf("after the lag: %+v", got)
 	}
 	list.Remove("b")
-	if got := shown(); len(got.Members) != 2 {
+	if got := visible(); len(got.Members) != 2 {
 		t.Errorf("removed too early: %+v", got)
 	}
 	list.SetFaults(wire.MemberFaults{})
-	if got := shown(); len(got.Members) != 1 || got.Version != 4 {
+	if got := visible(); len(got.Members) != 1 || got.Version != 4 {
 		t.Errorf("without lag: %+v", got)
 	}
 	list.SetFaults(wire.MemberFaults{Down: true})
--- a/internal/standin/metastore/groups.go
+++ b/internal/standin/metastore/groups.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// groupParts is the number of partitions of each topic that a group deals.
-const groupParts = 12
+// partitionsPerTopic is the number of partitions of each topic that a group deals.
+const partitionsPerTopic = 12
 
 // groups is the membership of all groups. It is safe for concurrent use.
 type groups struct {
@@ -22,9 +22,9 @@
 	topics     []string
 	// expires is when each member's membership lapses.
 	expires map[string]time.Time
-	// turn rotates the deal.
-	turn    int
-	commits map[partitionID]int64
+	// rotation rotates the deal.
+	rotation int
+	commits  map[partitionID]int64
 }
 
 func newGroups() *groups { return &groups{byName: make(map[string]*group)} }
@@ -50,8 +50,8 @@
 	return found
 }
 
-// lapse drops the members that were silent too long.
-func (g *group) lapse(now time.Time) {
+// expire drops the members that were silent too long.
+func (g *group) expire(now time.Time) {
 	for member, expires := range g.expires {
 		if now.After(expires) {
 			delete(g.expires, member)
@@ -76,15 +76,15 @@
 	if len(names) == 0 {
 		return ""
 	}
-	return names[(part+g.turn)%len(names)]
+	return names[(part+g.rotation)%len(names)]
 }
 
-func (g *groups) dealAnew() {
+func (g *groups) rebalance() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, one := range g.byName {
-		one.turn++
-		one.generation++
+	for _, group := range g.byName {
+		group.rotation++
+		group.generation++
 	}
 }
 
@@ -94,16 +94,16 @@
 	return call, err == nil && call.Group != ""
 }
 
-func (s *Service) join(_ *http.Request, body []byte) answer {
+func (s *Service) join(_ *http.Request, body []byte) response {
 	call, ok := decodeGroupCall(body)
 	if !ok {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	s.groups.mu.Lock()
 	defer s.groups.mu.Unlock()
 	g := s.groups.find(call.Group)
 	now := time.Now()
-	g.lapse(now)
+	g.expire(now)
 	if _, known := g.expires[call.Member]; !known {
 		g.generation++
 	}
@@ -113,19 +113,19 @@
 	}
 	rows := [][]any{}
 	for _, topic := range g.topics {
-		for part := range groupParts {
+		for part := range partitionsPerTopic {
 			if g.owner(part) == call.Member {
 				rows = append(rows, []any{topic, part, g.commits[partitionID{topic, part}]})
 			}
 		}
 	}
-	return jsonAnswer(http.StatusOK, map[string]any{"Generation": g.generation, "TtlMs": call.TtlMs, "parts": rows})
+	return jsonResponse(http.StatusOK, map[string]any{"Generation": g.generation, "TtlMs": call.TtlMs, "parts": rows})
 }
 
-func (s *Service) leave(_ *http.Request, body []byte) answer {
+func (s *Service) leave(_ *http.Request, body []byte) response {
 	call, ok := decodeGroupCall(body)
 	if !ok {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	s.groups.mu.Lock()
 	defer s.groups.mu.Unlock()
@@ -134,37 +134,37 @@
 		delete(g.expires, call.Member)
 		g.generation++
 	}
-	return jsonAnswer(http.StatusOK, struct{}{})
+	return jsonResponse(http.StatusOK, struct{}{})
 }
 
-func (s *Service) commit(_ *http.Request, body []byte) answer {
+func (s *Service) commit(_ *http.Request, body []byte) response {
 	call, ok := decodeGroupCall(body)
 	if !ok {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	s.groups.mu.Lock()
 	defer s.groups.mu.Unlock()
 	g := s.groups.find(call.Group)
-	g.lapse(time.Now())
+	g.expire(time.Now())
 	if g.owner(call.Part) != call.Member || call.Generation < g.generation {
-		return answer{status: http.StatusConflict}
+		return response{status: http.StatusConflict}
 	}
 	g.commits[partitionID{call.Topic, call.Part}] = call.Offset
-	return jsonAnswer(http.StatusOK, struct{}{})
+	return jsonResponse(http.StatusOK, struct{}{})
 }
 
-func (s *Service) owners(r *http.Request, _ []byte) answer {
+func (s *Service) owners(r *http.Request, _ []byte) response {
 	s.groups.mu.Lock()
 	defer s.groups.mu.Unlock()
 	g := s.groups.find(r.URL.Query().Get("group"))
-	g.lapse(time.Now())
+	g.expire(time.Now())
 	rows := [][]any{}
 	for _, topic := range g.topics {
-		for part := range groupParts {
+		for part := range partitionsPerTopic {
 			if owner := g.owner(part); owner != "" {
 				rows = append(rows, []any{topic, part, owner, g.commits[partitionID{topic, part}]})
 			}
 		}
 	}
-	return jsonAnswer(http.StatusOK, map[string]any{"owners": rows})
+	return jsonResponse(http.StatusOK, map[string]any{"owners": rows})
 }
--- a/internal/standin/metastore/log.go
+++ b/internal/standin/metastore/log.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// repeats is how many of a writer's last appends are answered again.
-const repeats = 5
+// maxRecentAppends is how many of a writer's last appends are answered again.
+const maxRecentAppends = 5
 
 // keyedPrefix begins the names of keyed topics.
 const keyedPrefix = "keyed."
@@ -30,13 +30,13 @@
 type writer struct {
 	epoch    int64
 	sequence int64
-	// began tells whether the epoch has a sequence number yet.
-	began bool
-	last  []appended
+	// started tells whether the epoch has a sequence number yet.
+	started bool
+	recent  []recentAppend
 }
 
-// appended is an append that took effect.
-type appended struct {
+// recentAppend is an append that took effect.
+type recentAppend struct {
 	sequence int64
 	offset   int64
 }
@@ -81,11 +81,11 @@
 
 // appendRequest is one append.
 type appendRequest struct {
-	id      partitionID
-	records [][]byte
-	at      *int64
-	writer  string
-	epoch   int64
+	id          partitionID
+	records     [][]byte
+	expectedEnd *int64
+	writer      string
+	epoch       int64
 	// sequence is nil without a writer.
 	sequence *int64
 }
@@ -95,7 +95,7 @@
 	status   int
 	offset   int64
 	end      int64
-	why      string
+	reason   string
 	expected int64
 }
 
@@ -104,11 +104,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := l.partition(r.id)
-	w, result, done := p.admit(r)
-	if done {
+	w, result, decided := p.checkWriter(r)
+	if decided {
 		return result
 	}
-	if r.at != nil && *r.at != p.end() {
+	if r.expectedEnd != nil && *r.expectedEnd != p.end() {
 		return appendResult{status: 412, end: p.end()}
 	}
 	offset := p.end()
@@ -116,17 +116,17 @@
 		p.add(r.id.topic, record)
 	}
 	if w != nil && r.sequence != nil {
-		w.began, w.sequence = true, *r.sequence
-		w.last = append(w.last, appended{*r.sequence, offset})
-		w.last = w.last[max(len(w.last)-repeats, 0):]
+		w.started, w.sequence = true, *r.sequence
+		w.recent = append(w.recent, recentAppend{*r.sequence, offset})
+		w.recent = w.recent[max(len(w.recent)-maxRecentAppends, 0):]
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 	return appendResult{status: 200, offset: offset, end: p.end()}
 }
 
-// admit checks the epoch and the sequence number.
-func (p *partition) admit(r appendRequest) (*writer, appendResult, bool) {
+// checkWriter checks the epoch and the sequence number.
+func (p *partition) checkWriter(r appendRequest) (*writer, appendResult, bool) {
 	if r.writer == "" {
 		return nil, appendResult{}, false
 	}
@@ -137,23 +137,23 @@
 	}
 	switch {
 	case r.epoch < w.epoch:
-		return w, appendResult{status: 409, why: "fenced"}, true
+		return w, appendResult{status: 409, reason: "fenced"}, true
 	case r.epoch > w.epoch:
-		if r.at != nil && *r.at != p.end() {
+		if r.expectedEnd != nil && *r.expectedEnd != p.end() {
 			return w, appendResult{status: 412, end: p.end()}, true
 		}
 		*w = writer{epoch: r.epoch}
 		return w, appendResult{}, false
-	case r.sequence == nil || !w.began:
+	case r.sequence == nil || !w.started:
 		return w, appendResult{}, false
 	}
-	for _, before := range w.last {
-		if before.sequence == *r.sequence {
-			return w, appendResult{status: 200, offset: before.offset, end: p.end()}, true
+	for _, earlier := range w.recent {
+		if earlier.sequence == *r.sequence {
+			return w, appendResult{status: 200, offset: earlier.offset, end: p.end()}, true
 		}
 	}
 	if *r.sequence != w.sequence+1 {
-		return w, appendResult{status: 409, why: "seq", expected: w.sequence + 1}, true
+		return w, appendResult{status: 409, reason: "seq", expected: w.sequence + 1}, true
 	}
 	return w, appendResult{}, false
 }
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -12,8 +12,8 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// errCut is what a call sees whose connection is cut.
-var errCut = errors.New("connection cut")
+// errConnectionCut is what a call sees whose connection is cut.
+var errConnectionCut = errors.New("connection cut")
 
 // Memory is the stand-in without a network, for tests in virtual time. It takes
 // the calls of platform.Store.
@@ -46,12 +46,12 @@
 	return m.calls
 }
 
-// answerTime is how long the store takes for a call.
-const answerTime = 4 * time.Millisecond
+// callLatency is how long the store takes for a call.
+const callLatency = 4 * time.Millisecond
 
-// befall waits as long as a call on a partition takes and returns what befalls
+// applyFault waits as long as a call on a partition takes and returns what befalls
 // it.
-func (m *Memory) befall(ctx context.Context, part int) (Fault, error) {
+func (m *Memory) applyFault(ctx context.Context, part int) (Fault, error) {
 	m.mu.Lock()
 	f := m.fault
 	if len(f.Partitions) > 0 && !slices.Contains(f.Partitions, part) {
@@ -60,7 +60,7 @@
 	m.calls++
 	m.mu.Unlock()
 	select {
-	case <-time.After(answerTime + f.Delay):
+	case <-time.After(callLatency + f.Delay):
 	case <-ctx.Done():
 		return f, ctx.Err()
 	}
@@ -69,7 +69,7 @@
 		<-ctx.Done()
 		return f, ctx.Err()
 	case f.Reset:
-		return f, errCut
+		return f, errConnectionCut
 	case f.Status == http.StatusInsufficientStorage:
 		return f, errors.Mark(errors.Wrapf(platform.ErrBusy, "status %d", f.Status), platform.ErrFull)
 	case f.Status != 0:
@@ -78,14 +78,14 @@
 	return f, nil
 }
 
-// appendQueue is how long an append may wait for those before it.
-const appendQueue = 2 * time.Second
+// maxAppendWait is how long an append may wait for those before it.
+const maxAppendWait = 2 * time.Second
 
-// takeTurn waits until a partition has done the appends before this one and,
+// waitForEarlierAppends waits until a partition has done the appends before this one and,
 // for the time that it takes, this one. An append whose caller has gone takes
 // its time all the same.
-func (m *Memory) takeTurn(ctx context.Context, id partitionID, takes time.Duration) error {
-	if takes == 0 {
+func (m *Memory) waitForEarlierAppends(ctx context.Context, id partitionID, duration time.Duration) error {
+	if duration == 0 {
 		return nil
 	}
 	m.mu.Lock()
@@ -94,11 +94,11 @@
 	if begin.Before(now) {
 		begin = now
 	}
-	if begin.Sub(now) > appendQueue {
+	if begin.Sub(now) > maxAppendWait {
 		m.mu.Unlock()
 		return errors.Wrap(platform.ErrBusy, "too many appends wait")
 	}
-	end := begin.Add(takes)
+	end := begin.Add(duration)
 	m.freeAt[id] = end
 	m.mu.Unlock()
 	select {
@@ -111,14 +111,14 @@
 
 // Append appends records.
 func (m *Memory) Append(ctx context.Context, a platform.Append) (int64, error) {
-	f, err := m.befall(ctx, a.Partition)
+	f, err := m.applyFault(ctx, a.Partition)
 	if err != nil {
 		return 0, err
 	}
-	if err := m.takeTurn(ctx, partitionID{a.Topic, a.Partition}, f.AppendTime); err != nil {
+	if err := m.waitForEarlierAppends(ctx, partitionID{a.Topic, a.Partition}, f.AppendTime); err != nil {
 		return 0, err
 	}
-	request := appendRequest{id: partitionID{a.Topic, a.Partition}, at: a.ExpectedEnd}
+	request := appendRequest{id: partitionID{a.Topic, a.Partition}, expectedEnd: a.ExpectedEnd}
 	for _, r := range a.Records {
 		record := append([]byte{byte(len(r.Key))}, r.Key...)
 		request.records = append(request.records, append(record, r.Value...))
@@ -134,15 +134,15 @@
 		if f.ApplyDelay == 0 {
 			m.DelayedWrites.Wait()
 		}
-		return 0, errCut
+		return 0, errConnectionCut
 	}
 	result := m.log.append(request)
 	switch {
 	case result.status == 412:
 		return 0, platform.ErrCondition
-	case result.why == "seq":
+	case result.reason == "seq":
 		return 0, &platform.SequenceError{Expected: result.expected}
-	case result.why != "":
+	case result.reason != "":
 		return 0, platform.ErrFenced
 	}
 	return result.offset, nil
@@ -150,7 +150,7 @@
 
 // Newest reads the newest record of each key.
 func (m *Memory) Newest(ctx context.Context, topic string, part int) (platform.Newest, error) {
-	if _, err := m.befall(ctx, part); err != nil {
+	if _, err := m.applyFault(ctx, part); err != nil {
 		return platform.Newest{}, err
 	}
 	return m.newest(topic, part), nil
@@ -165,20 +165,20 @@
 	return newest
 }
 
-// pageRecords is the number of records of a page: few, so that tests read
+// memoryPageRecords is the number of records of a page: few, so that tests read
 // several.
-const pageRecords = 5
+const memoryPageRecords = 5
 
 // NewestPage reads the newest records of some keys, behind one.
 func (m *Memory) NewestPage(ctx context.Context, topic string, part int, after string) (platform.Newest, bool, error) {
-	if _, err := m.befall(ctx, part); err != nil {
+	if _, err := m.applyFault(ctx, part); err != nil {
 		return platform.Newest{}, false, err
 	}
 	page := m.newest(topic, part)
 	page.Records = slices.DeleteFunc(page.Records, func(r platform.Record) bool { return r.Key <= after })
-	more := len(page.Records) > pageRecords
+	more := len(page.Records) > memoryPageRecords
 	if more {
-		page.Records = page.Records[:pageRecords]
+		page.Records = page.Records[:memoryPageRecords]
 	}
 	return page, more, nil
 }
@@ -187,7 +187,7 @@
 func (m *Memory) ReadPage(
 	ctx context.Context, topic string, part int, from int64, _ time.Duration,
 ) (platform.Page, error) {
-	if _, err := m.befall(ctx, part); err != nil {
+	if _, err := m.applyFault(ctx, part); err != nil {
 		return platform.Page{Next: from}, err
 	}
 	end, _, records, ok := m.log.read(partitionID{topic, part}, from, 0, ctx.Done())
@@ -195,7 +195,7 @@
 		return platform.Page{Next: from}, platform.ErrTrimmed
 	}
 	page := platform.Page{Next: from, End: end}
-	for _, record := range records[:min(len(records), pageRecords)] {
+	for _, record := range records[:min(len(records), memoryPageRecords)] {
 		key := string(record[1 : 1+record[0]])
 		page.Records = append(page.Records, platform.Record{Key: key, Value: record[1+len(key):], Offset: page.Next})
 		page.Next++
@@ -205,7 +205,7 @@
 
 // Trim drops history before an offset.
 func (m *Memory) Trim(ctx context.Context, topic string, part int, before int64) error {
-	if _, err := m.befall(ctx, part); err != nil {
+	if _, err := m.applyFault(ctx, part); err != nil {
 		return err
 	}
 	m.log.trim(partitionID{topic, part}, before)
--- a/internal/standin/metastore/service.go
+++ b/internal/standin/metastore/service.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// pageSize is the number of records of a page of newest records.
-const pageSize = 500
+// httpPageRecords is the number of records of a page of newest records.
+const httpPageRecords = 500
 
 // Fault is what befalls calls.
 type Fault struct {
@@ -30,7 +30,7 @@
 	// Delay is added to each call.
 	Delay time.Duration
 	// AppendTime is how long a partition takes for each append, one after the
-	// other; appends that would wait longer than appendQueue are refused. Only
+	// other; appends that would wait longer than maxAppendWait are refused. Only
 	// Memory knows it.
 	AppendTime time.Duration
 	// Topics limits the fault to calls on these topics; nil for all calls.
@@ -45,10 +45,10 @@
 	groups *groups
 	server *httptest.Server
 
-	mu    sync.Mutex
-	fault Fault
-	calls map[string]int
-	work  sync.WaitGroup
+	mu            sync.Mutex
+	fault         Fault
+	calls         map[string]int
+	delayedWrites sync.WaitGroup
 }
 
 // Start starts a stand-in on a free loopback port.
@@ -74,7 +74,7 @@
 func (s *Service) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
-	s.work.Wait()
+	s.delayedWrites.Wait()
 }
 
 // Set puts a fault in force, in place of the one before.
@@ -119,24 +119,24 @@
 }
 
 // Rebalance gives all partitions of all groups to other members.
-func (s *Service) Rebalance() { s.groups.dealAnew() }
+func (s *Service) Rebalance() { s.groups.rebalance() }
 
-// answer is a status with a body.
-type answer struct {
-	status int
-	kind   string
-	body   []byte
+// response is a status with a body.
+type response struct {
+	status      int
+	contentType string
+	body        []byte
 }
 
-func jsonAnswer(status int, v any) answer {
+func jsonResponse(status int, v any) response {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return answer{status: http.StatusInternalServerError}
+		return response{status: http.StatusInternalServerError}
 	}
-	return answer{status, "application/json", body}
+	return response{status, "application/json", body}
 }
 
-func (s *Service) handle(kind string, writes bool, do func(*http.Request, []byte) answer) http.HandlerFunc {
+func (s *Service) handle(kind string, writes bool, serve func(*http.Request, []byte) response) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -154,15 +154,15 @@
 			w.WriteHeader(f.Status)
 			return
 		case writes && f.DropResponse:
-			s.loseAnswer(f, r, body, do)
+			s.dropResponse(f, r, body, serve)
 			panic(http.ErrAbortHandler)
 		}
-		a := do(r, body)
-		if a.kind != "" {
-			w.Header().Set("Content-Type", a.kind)
+		response := serve(r, body)
+		if response.contentType != "" {
+			w.Header().Set("Content-Type", response.contentType)
 		}
-		w.WriteHeader(a.status)
-		_, _ = w.Write(a.body) // a caller that is gone needs no answer
+		w.WriteHeader(response.status)
+		_, _ = w.Write(response.body) // a caller that is gone needs no answer
 	}
 }
 
@@ -176,15 +176,15 @@
 	return s.fault
 }
 
-// loseAnswer does a write now, or later.
-func (s *Service) loseAnswer(f Fault, r *http.Request, body []byte, do func(*http.Request, []byte) answer) {
+// dropResponse does a write now, or later.
+func (s *Service) dropResponse(f Fault, r *http.Request, body []byte, serve func(*http.Request, []byte) response) {
 	if f.ApplyDelay == 0 {
-		do(r, body)
+		serve(r, body)
 		return
 	}
-	s.work.Go(func() {
+	s.delayedWrites.Go(func() {
 		time.Sleep(f.ApplyDelay)
-		do(r, body)
+		serve(r, body)
 	})
 }
 
@@ -203,14 +203,14 @@
 	return &n
 }
 
-func (s *Service) append(r *http.Request, body []byte) answer {
+func (s *Service) append(r *http.Request, body []byte) response {
 	id, ok := partitionOf(r)
 	records, whole := splitRecords(body)
 	if !ok || !whole {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	request := appendRequest{
-		id: id, records: records, at: number(r, "At"),
+		id: id, records: records, expectedEnd: number(r, "At"),
 		writer: r.URL.Query().Get("Producer"), sequence: number(r, "Sequence"),
 	}
 	if epoch := number(r, "epoch"); epoch != nil {
@@ -218,27 +218,27 @@
 	}
 	result := s.log.append(request)
 	switch {
-	case result.why == "seq":
-		return jsonAnswer(result.status, map[string]any{"why": "seq", "expected": result.expected})
-	case result.why != "":
-		return jsonAnswer(result.status, map[string]any{"why": result.why})
+	case result.reason == "seq":
+		return jsonResponse(result.status, map[string]any{"why": "seq", "expected": result.expected})
+	case result.reason != "":
+		return jsonResponse(result.status, map[string]any{"why": result.reason})
 	}
-	return jsonAnswer(result.status, map[string]int64{"Offset": result.offset, "End": result.end})
+	return jsonResponse(result.status, map[string]int64{"Offset": result.offset, "End": result.end})
 }
 
-func (s *Service) read(r *http.Request, _ []byte) answer {
+func (s *Service) read(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	from := number(r, "From")
 	if !ok || from == nil {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	var wait time.Duration
 	if ms := number(r, "WaitMs"); ms != nil {
 		wait = time.Duration(*ms) * time.Millisecond
 	}
-	end, first, records, kept := s.log.read(id, *from, wait, r.Context().Done())
-	if !kept {
-		return jsonAnswer(http.StatusGone, map[string]int64{"First": first})
+	end, first, records, retained := s.log.read(id, *from, wait, r.Context().Done())
+	if !retained {
+		return jsonResponse(http.StatusGone, map[string]int64{"First": first})
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(end))
 	body = binary.BigEndian.AppendUint64(body, uint64(first))
@@ -246,13 +246,13 @@
 		body = binary.BigEndian.AppendUint32(body, uint32(len(record)))
 		body = append(body, record...)
 	}
-	return answer{http.StatusOK, "application/octet-stream", body}
+	return response{http.StatusOK, "application/octet-stream", body}
 }
 
-func (s *Service) newest(r *http.Request, _ []byte) answer {
+func (s *Service) newest(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	if !ok {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	type record struct {
 		Key    string
@@ -271,21 +271,21 @@
 		if key <= after {
 			continue
 		}
-		if len(page.Items) == pageSize {
+		if len(page.Items) == httpPageRecords {
 			page.HasMore = true
 			break
 		}
 		page.Items = append(page.Items, record{key, items[key].value, items[key].offset})
 	}
-	return jsonAnswer(http.StatusOK, page)
+	return jsonResponse(http.StatusOK, page)
 }
 
-func (s *Service) trim(r *http.Request, _ []byte) answer {
+func (s *Service) trim(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	before := number(r, "Before")
 	if !ok || before == nil {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	s.log.trim(id, *before)
-	return jsonAnswer(http.StatusOK, struct{}{})
+	return jsonResponse(http.StatusOK, struct{}{})
 }
--- a/internal/standin/service/outcomes.go
+++ b/internal/standin/service/outcomes.go
@@ -15,10 +15,10 @@
 }
 
 type keyState struct {
-	// present counts the requests with the key that are here and not ended.
-	present int
-	answer  *wire.OutcomeReply
-	changed chan struct{}
+	// pending counts the requests with the key that are here and not ended.
+	pending  int
+	response *wire.OutcomeReply
+	changed  chan struct{}
 	// run is held by the request that runs, where the service deduplicates.
 	run sync.Mutex
 }
@@ -27,22 +27,22 @@
 	return &outcomes{keys: make(map[string]*keyState)}
 }
 
-// arrive notes that a request with the key is here.
-func (o *outcomes) arrive(key string) {
+// begin notes that a request with the key is here.
+func (o *outcomes) begin(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.state(key).present++
+	o.keyState(key).pending++
 }
 
-// leave notes that a request with the key ended.
-func (o *outcomes) leave(key string) {
+// end notes that a request with the key ended.
+func (o *outcomes) end(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	state := o.state(key)
-	state.present--
+	state := o.keyState(key)
+	state.pending--
 	close(state.changed)
 	state.changed = make(chan struct{})
-	if state.present == 0 && state.answer == nil {
+	if state.pending == 0 && state.response == nil {
 		delete(o.keys, key)
 	}
 }
@@ -51,31 +51,31 @@
 // arrived.
 func (o *outcomes) lockKey(key string) (unlock func()) {
 	o.mu.Lock()
-	state := o.state(key)
+	state := o.keyState(key)
 	o.mu.Unlock()
 	state.run.Lock()
 	return state.run.Unlock
 }
 
-func (o *outcomes) store(key string, answer wire.OutcomeReply) {
+func (o *outcomes) store(key string, response wire.OutcomeReply) {
 	if key == "" {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	state := o.state(key)
-	if state.answer == nil {
-		state.answer = &answer
+	state := o.keyState(key)
+	if state.response == nil {
+		state.response = &response
 	}
 }
 
-// ask returns the answer of a key, or nil if no request with it ran. It waits
+// wait returns the answer of a key, or nil if no request with it ran. It waits
 // for requests that are here. The error is that of the context.
-func (o *outcomes) ask(ctx context.Context, key string) (*wire.OutcomeReply, error) {
+func (o *outcomes) wait(ctx context.Context, key string) (*wire.OutcomeReply, error) {
 	for {
-		answer, changed := o.look(key)
-		if answer != nil || changed == nil {
-			return answer, nil
+		response, changed := o.get(key)
+		if response != nil || changed == nil {
+			return response, nil
 		}
 		select {
 		case <-changed:
@@ -85,25 +85,25 @@
 	}
 }
 
-// look returns the answer of a key, or else a channel that is closed at the
+// get returns the answer of a key, or else a channel that is closed at the
 // next end of a request with the key, or neither if no such request is here.
-func (o *outcomes) look(key string) (*wire.OutcomeReply, <-chan struct{}) {
+func (o *outcomes) get(key string) (*wire.OutcomeReply, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state, ok := o.keys[key]
 	switch {
 	case !ok:
 		return nil, nil
-	case state.answer != nil:
-		return state.answer, nil
-	case state.present > 0:
+	case state.response != nil:
+		return state.response, nil
+	case state.pending > 0:
 		return nil, state.changed
 	default:
 		return nil, nil
 	}
 }
 
-func (o *outcomes) state(key string) *keyState {
+func (o *outcomes) keyState(key string) *keyState {
 	known, ok := o.keys[key]
 	if !ok {
 		known = &keyState{changed: make(chan struct{})}
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -12,15 +12,15 @@
 
 const contentTypeJSON = "application/json"
 
-// serveAny runs one request under the faults.
-func (s *Service) serveAny(w http.ResponseWriter, r *http.Request) {
+// serveRequest runs one request under the faults.
+func (s *Service) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
 		standin.DropConnection()
 	}
 	key := r.Header.Get(wire.HeaderIdempotencyKey)
-	s.outcomes.arrive(key)
-	defer s.outcomes.leave(key)
+	s.outcomes.begin(key)
+	defer s.outcomes.end(key)
 	if s.gate.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
@@ -43,7 +43,7 @@
 	}
 	unlock := s.outcomes.lockKey(key)
 	defer unlock()
-	if known, _ := s.outcomes.look(key); known != nil {
+	if known, _ := s.outcomes.get(key); known != nil {
 		return *known, true
 	}
 	return s.run(r, key, body)
@@ -53,10 +53,10 @@
 func (s *Service) run(r *http.Request, key string, body []byte) (wire.OutcomeReply, bool) {
 	entry := s.ledgerEntry(r, body)
 	sequence := s.ledger.Begin(entry)
-	if !s.pause(s.runTime(r)) {
+	if !s.waitRunTime(s.runTime(r)) {
 		return wire.OutcomeReply{}, false
 	}
-	encoded, err := json.Marshal(answer(entry, sequence))
+	encoded, err := json.Marshal(newResponse(entry, sequence))
 	if err != nil {
 		slog.Error("encode answer", "error", err)
 		return wire.OutcomeReply{}, false
@@ -73,7 +73,7 @@
 	if s.gate.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
-	outcome, err := s.outcomes.ask(r.Context(), r.PathValue("key"))
+	outcome, err := s.outcomes.wait(r.Context(), r.PathValue("key"))
 	switch {
 	case err != nil:
 		standin.DropConnection()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -78,7 +78,7 @@
 // Handler returns the HTTP handler of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/", s.serveAny)
+	mux.HandleFunc("/", s.serveRequest)
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
 	if s.settings.ServeOutcomes {
 		mux.HandleFunc("GET "+wire.OutcomesRoute+"/{key}", s.serveOutcome)
@@ -96,17 +96,17 @@
 // service's own time, in both cases times the slow factor.
 func (s *Service) runTime(r *http.Request) time.Duration {
 	milliseconds := s.gate.Get().DelayMS
-	asked, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
+	requested, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
 	if err == nil {
-		milliseconds = asked
+		milliseconds = requested
 	}
 	normal := time.Duration(milliseconds) * time.Millisecond
 	return time.Duration(float64(normal) * s.gate.SlowFactor())
 }
 
-// pause waits for the run time, also when the caller is gone, since a request
+// waitRunTime waits for the run time, also when the caller is gone, since a request
 // once begun takes effect. It returns false at Close.
-func (s *Service) pause(duration time.Duration) bool {
+func (s *Service) waitRunTime(duration time.Duration) bool {
 	if duration <= 0 {
 		return true
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func answer(entry wire.LedgerEntry, sequence uint64) Response {
+func newResponse(entry wire.LedgerEntry, sequence uint64) Response {
 	return Response{
 		Target:   entry.Target,
 		Sequence: sequence,
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -103,14 +103,14 @@
 
 // Open opens a program and returns its id.
 func (c *Client) Open(ctx context.Context) (string, error) {
-	answer, err := c.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), Call{})
+	response, err := c.Do(ctx, http.MethodPost, "/v1/programs", []byte("{}"), Call{})
 	if err != nil {
 		return "", err
 	}
-	if answer.Program == "" || answer.Problem != nil {
-		return "", errors.Newf("open: status %d: %s", answer.Status, answer.Body)
+	if response.Program == "" || response.Problem != nil {
+		return "", errors.Newf("open: status %d: %s", response.Status, response.Body)
 	}
-	return answer.Program, nil
+	return response.Program, nil
 }
 
 // Close closes a program.
@@ -140,22 +140,22 @@
 	}
 	setCallHeaders(request.Header, call)
 	started := time.Now()
-	reply, err := c.HTTP.Do(request)
+	httpResponse, err := c.HTTP.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = reply.Body.Close() }()
-	answer := &Response{
-		Status: reply.StatusCode, Outcome: reply.Header.Get("Banyanglade-Outcome"),
-		Program: reply.Header.Get("Banyanglade-Program"),
+	defer func() { _ = httpResponse.Body.Close() }()
+	response := &Response{
+		Status: httpResponse.StatusCode, Outcome: httpResponse.Header.Get("Banyanglade-Outcome"),
+		Program: httpResponse.Header.Get("Banyanglade-Program"),
 	}
-	if strings.HasPrefix(reply.Header.Get("Content-Type"), "text/event-stream") {
-		answer.readStream(reply.Body, started, c.OnChunk)
+	if strings.HasPrefix(httpResponse.Header.Get("Content-Type"), "text/event-stream") {
+		response.readStream(httpResponse.Body, started, c.OnChunk)
 	} else {
-		answer.readBody(reply.Body)
+		response.readBody(httpResponse.Body)
 	}
-	answer.Duration = time.Since(started)
-	return answer, nil
+	response.Duration = time.Since(started)
+	return response, nil
 }
 
 func setCallHeaders(header http.Header, call Call) {
@@ -200,7 +200,7 @@
 }
 
 // readStream reads server-sent events until the end mark.
-func (a *Response) readStream(body io.Reader, started time.Time, onPiece func(int)) {
+func (a *Response) readStream(body io.Reader, started time.Time, onChunk func(int)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), 16<<20)
 	a.Truncated = true
@@ -224,11 +224,11 @@
 			a.Truncated = false
 			return
 		}
-		a.addChunk(data, started, onPiece)
+		a.addChunk(data, started, onChunk)
 	}
 }
 
-func (a *Response) addChunk(data string, started time.Time, onPiece func(int)) {
+func (a *Response) addChunk(data string, started time.Time, onChunk func(int)) {
 	at := time.Since(started)
 	var chunk wire.ChatChunk
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) == 0 {
@@ -247,7 +247,7 @@
 	a.ChunkTimes = append(a.ChunkTimes, at)
 	a.Chunks++
 	a.Text += delta.Content
-	if onPiece != nil {
-		onPiece(a.Chunks)
+	if onChunk != nil {
+		onChunk(a.Chunks)
 	}
 }
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -98,15 +98,15 @@
 }
 
 func (c *Cluster) env(p *Process, place cluster.Place) []string {
-	ready := c.Endpoints()
+	endpoints := c.Endpoints()
 	return []string{
 		"BANYANGLADE_ID=" + p.ID,
 		"BANYANGLADE_REGION=" + place.Region,
 		"BANYANGLADE_DATA_CENTRE=" + place.DataCentre,
 		"BANYANGLADE_LISTEN=127.0.0.1:0",
 		"BANYANGLADE_PEER_LISTEN=127.0.0.1:0",
-		"BANYANGLADE_LOG_URL=" + ready.Log,
-		"BANYANGLADE_MEMBERS_URL=" + ready.Members,
+		"BANYANGLADE_LOG_URL=" + endpoints.Log,
+		"BANYANGLADE_MEMBERS_URL=" + endpoints.Members,
 		"BANYANGLADE_PEER_KEY=" + PeerKey,
 		"BANYANGLADE_ROOT_KEY_SHA256=" + HashKey(RootKey),
 	}
@@ -126,13 +126,13 @@
 			return errors.Newf("instance %s ended: %v\n%s", p.ID, p.err, p.Log())
 		default:
 		}
-		reply, err := http.Get(p.Server + "/readyz")
+		response, err := http.Get(p.Server + "/readyz")
 		if err != nil {
 			return err
 		}
-		_ = reply.Body.Close()
-		if reply.StatusCode != http.StatusOK {
-			return errors.Newf("instance %s: %s", p.ID, reply.Status)
+		_ = response.Body.Close()
+		if response.StatusCode != http.StatusOK {
+			return errors.Newf("instance %s: %s", p.ID, response.Status)
 		}
 		return nil
 	})
--- a/internal/testkit/loopback.go
+++ b/internal/testkit/loopback.go
@@ -11,8 +11,8 @@
 // LoopbackHost is a loopback address for one instance. With one of its own its
 // ports are never taken for outgoing connections, which come from 127.0.0.1.
 func LoopbackHost() string {
-	const most = 250
-	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(most), 1+rand.IntN(most), 1+rand.IntN(most))
+	const maxOctet = 250
+	return fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(maxOctet), 1+rand.IntN(maxOctet), 1+rand.IntN(maxOctet))
 }
 
 // FreeAddresses are different addresses of a host, IP:port, on which nothing
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -46,7 +46,7 @@
 }
 
 // launch starts the process; the function line is told each line of its log.
-func (p *Process) launch(binary, role string, env []string, logDir string, line func(string)) error {
+func (p *Process) launch(binary, role string, env []string, logDir string, onLine func(string)) error {
 	p.cmd = exec.Command(binary, role)
 	p.cmd.Env = append(os.Environ(), env...)
 	p.exited = make(chan struct{})
@@ -62,24 +62,24 @@
 	if err := p.cmd.Start(); err != nil {
 		return errors.Wrap(err, "start")
 	}
-	go p.read(output, line)
+	go p.read(output, onLine)
 	return nil
 }
 
 // startProcess starts an instance and waits until it logged its addresses.
 func startProcess(binary string, env []string, logDir string, p *Process) error {
-	found := make(chan listening, 1)
+	addresses := make(chan listening, 1)
 	err := p.launch(binary, "run", env, logDir, func(text string) {
 		var line listening
 		if json.Unmarshal([]byte(text), &line) == nil && line.Message == listeningMessage {
-			found <- line
+			addresses <- line
 		}
 	})
 	if err != nil {
 		return err
 	}
 	select {
-	case line := <-found:
+	case line := <-addresses:
 		p.Server = "http://" + line.Callers
 		p.Peer = line.Peers
 		return nil
@@ -89,13 +89,13 @@
 }
 
 // read keeps the process's log, then waits for its end.
-func (p *Process) read(output io.Reader, line func(string)) {
+func (p *Process) read(output io.Reader, onLine func(string)) {
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(make([]byte, 0, 64<<10), 4<<20)
 	for scanner.Scan() {
 		p.log.add(scanner.Text())
-		if line != nil {
-			line(scanner.Text())
+		if onLine != nil {
+			onLine(scanner.Text())
 		}
 	}
 	p.err = p.cmd.Wait()
--- a/internal/testkit/relay/relay.go
+++ b/internal/testkit/relay/relay.go
@@ -26,8 +26,8 @@
 
 // Directions of a relay.
 const (
-	towards = 0
-	back    = 1
+	toTarget = 0
+	toClient = 1
 )
 
 // New starts a relay to an address on a free loopback port.
@@ -54,24 +54,24 @@
 	}
 }
 
-func (r *Relay) serve(near net.Conn) {
-	defer func() { _ = near.Close() }()
-	far, err := net.Dial("tcp", r.target)
+func (r *Relay) serve(client net.Conn) {
+	defer func() { _ = client.Close() }()
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	if !r.keep(near, far) {
+	defer func() { _ = target.Close() }()
+	if !r.register(client, target) {
 		return
 	}
-	defer r.forget(near, far)
-	ended := make(chan struct{}, 2)
-	go r.pass(far, near, towards, ended)
-	go r.pass(near, far, back, ended)
-	<-ended
+	defer r.unregister(client, target)
+	done := make(chan struct{}, 2)
+	go r.copy(target, client, toTarget, done)
+	go r.copy(client, target, toClient, done)
+	<-done
 }
 
-func (r *Relay) keep(conns ...net.Conn) bool {
+func (r *Relay) register(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -80,7 +80,7 @@
 	return !r.closed
 }
 
-func (r *Relay) forget(conns ...net.Conn) {
+func (r *Relay) unregister(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -88,27 +88,27 @@
 	}
 }
 
-// pass copies one direction; a blocked one holds what it has read.
-func (r *Relay) pass(to io.Writer, from io.Reader, direction int, ended chan<- struct{}) {
-	defer func() { ended <- struct{}{} }()
+// copy copies one direction; a blocked one holds what it has read.
+func (r *Relay) copy(to io.Writer, from io.Reader, direction int, done chan<- struct{}) {
+	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			r.waitClear(direction)
+			r.waitUnblocked(direction)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
-			r.waitClear(direction)
+			r.waitUnblocked(direction)
 			return
 		}
 	}
 }
 
-// waitClear returns once a direction is not blocked.
-func (r *Relay) waitClear(direction int) {
+// waitUnblocked returns once a direction is not blocked.
+func (r *Relay) waitUnblocked(direction int) {
 	for {
 		r.mu.Lock()
 		blocked, changed, delay := r.blocked[direction] && !r.closed, r.changed, r.delay
@@ -123,10 +123,10 @@
 
 // Block holds or clears the directions. Bytes that were held go on late, as
 // those of a network that comes back.
-func (r *Relay) Block(blockTowards, blockBack bool) {
+func (r *Relay) Block(toTargetBlocked, toClientBlocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.blocked = [2]bool{blockTowards, blockBack}
+	r.blocked = [2]bool{toTargetBlocked, toClientBlocked}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/internal/testkit/relay/relay_test.go
+++ b/internal/testkit/relay/relay_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// echo serves connections that send back what they get.
-func echo(t *testing.T) string {
+// startEchoServer serves connections that send back what they get.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,10 +27,10 @@
 	return listener.Addr().String()
 }
 
-// connected is a relay to an echo with a connection that works.
-func connected(t *testing.T) (*Relay, net.Conn) {
+// newConnectedRelay is a relay to an echo with a connection that works.
+func newConnectedRelay(t *testing.T) (*Relay, net.Conn) {
 	t.Helper()
-	r, err := New(echo(t))
+	r, err := New(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 }
 
 func TestRelayHoldsOneDirection(t *testing.T) {
-	r, conn := connected(t)
+	r, conn := newConnectedRelay(t)
 	r.Block(false, true)
 	if _, err := conn.Write([]byte("b")); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 }
 
 func TestRelayResetsConnections(t *testing.T) {
-	r, conn := connected(t)
+	r, conn := newConnectedRelay(t)
 	r.Reset()
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the connection was not reset")
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -65,12 +65,12 @@
 // caller's key.
 func (c *Cluster) Configure(ctx context.Context, changes []SettingsChange) error {
 	root := NewClient(c.Instances[0].Server, RootKey)
-	answer, err := root.Publish(ctx, changes...)
+	response, err := root.Publish(ctx, changes...)
 	if err != nil {
 		return errors.Wrap(err, "publish the settings")
 	}
-	if answer.Status != http.StatusOK {
-		return errors.Newf("publish the settings: status %d: %s", answer.Status, answer.Body)
+	if response.Status != http.StatusOK {
+		return errors.Newf("publish the settings: status %d: %s", response.Status, response.Body)
 	}
 	for _, p := range c.Instances {
 		if err := c.waitForKey(ctx, p); err != nil {
@@ -83,11 +83,11 @@
 func (c *Cluster) waitForKey(ctx context.Context, p *Process) error {
 	caller := NewClient(p.Server, CallerKey)
 	return Poll(ctx, func() error {
-		answer, err := caller.Do(ctx, http.MethodGet, "/v1/programs/unknown", nil, Call{})
+		response, err := caller.Do(ctx, http.MethodGet, "/v1/programs/unknown", nil, Call{})
 		if err != nil {
 			return err
 		}
-		if answer.Status == http.StatusUnauthorized {
+		if response.Status == http.StatusUnauthorized {
 			return errors.Newf("instance %s does not know the caller's key yet", p.ID)
 		}
 		return nil
--- a/internal/testkit/simnet/lives.go
+++ b/internal/testkit/simnet/node_values.go
@@ -15,17 +15,17 @@
 }
 
 // Put keeps something of a life.
-func (l *NodeValues[T]) Put(n *Node, kept T) {
+func (l *NodeValues[T]) Put(node *Node, value T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byID == nil {
 		l.byID = make(map[structs.InstanceID]T)
 	}
-	l.byID[n.ID] = kept
+	l.byID[node.ID] = value
 }
 
 // Get is what was kept of a life.
-func (l *NodeValues[T]) Get(n *Node) T { return l.ByID(n.ID) }
+func (l *NodeValues[T]) Get(node *Node) T { return l.ByID(node.ID) }
 
 // ByID is what was kept of the life with an id.
 func (l *NodeValues[T]) ByID(id structs.InstanceID) T {
@@ -35,9 +35,9 @@
 }
 
 // All lists what was kept of the instances that live, in the order of their ids.
-func (l *NodeValues[T]) All(w *Net) []T {
+func (l *NodeValues[T]) All(net *Net) []T {
 	var all []T
-	for _, n := range w.Nodes() {
+	for _, n := range net.Nodes() {
 		all = append(all, l.Get(n))
 	}
 	return all
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -49,12 +49,12 @@
 	// nil for no time. It is set before the first start.
 	DiscoveryDelay func() time.Duration
 
-	mu    sync.Mutex
-	nodes map[structs.InstanceID]*Node
-	cut   map[structs.InstanceID]Isolation
-	// dark are the instances that lost power.
-	dark  map[structs.InstanceID]bool
-	lives int
+	mu       sync.Mutex
+	nodes    map[structs.InstanceID]*Node
+	isolated map[structs.InstanceID]Isolation
+	// poweredOff are the instances that lost power.
+	poweredOff map[structs.InstanceID]bool
+	started    int
 	// stopping tells that no more instances are started.
 	stopping bool
 }
@@ -86,32 +86,32 @@
 func New() *Net {
 	return &Net{
 		Store: metastore.NewMemory(),
-		nodes: make(map[structs.InstanceID]*Node), cut: make(map[structs.InstanceID]Isolation),
-		dark: make(map[structs.InstanceID]bool),
+		nodes: make(map[structs.InstanceID]*Node), isolated: make(map[structs.InstanceID]Isolation),
+		poweredOff: make(map[structs.InstanceID]bool),
 	}
 }
 
 // Start starts an instance on a machine and lists it at all others.
-func (w *Net) Start(machine string, run Run) *Node {
-	w.mu.Lock()
-	w.lives++
-	id := directory.InstanceID(machine, fmt.Sprint(w.lives))
-	w.mu.Unlock()
+func (net *Net) Start(machine string, run Run) *Node {
+	net.mu.Lock()
+	net.started++
+	id := directory.InstanceID(machine, fmt.Sprint(net.started))
+	net.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		ID: id, Directory: directory.New(structs.Peer{ID: id, Address: machine}),
-		net: w, run: run, cancel: cancel, inbox: make(chan structs.Event, inboxSize),
+		net: net, run: run, cancel: cancel, inbox: make(chan structs.Event, inboxSize),
 	}
 	receive := run(ctx, n)
-	w.mu.Lock()
-	others := slices.Collect(maps.Values(w.nodes))
-	w.nodes[id] = n
-	w.mu.Unlock()
+	net.mu.Lock()
+	others := slices.Collect(maps.Values(net.nodes))
+	net.nodes[id] = n
+	net.mu.Unlock()
 	for _, other := range others {
-		w.list(n, other)
-		w.list(other, n)
+		net.list(n, other)
+		net.list(other, n)
 	}
-	w.Background.Go(func() {
+	net.Background.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
@@ -125,14 +125,14 @@
 }
 
 // list tells an instance of another one.
-func (w *Net) list(at, listed *Node) {
+func (net *Net) list(at, listed *Node) {
 	peer := structs.Peer{ID: listed.ID, Address: listed.Machine()}
-	if w.DiscoveryDelay == nil {
+	if net.DiscoveryDelay == nil {
 		at.Directory.Put(peer)
 		return
 	}
-	delay := w.DiscoveryDelay()
-	w.Background.Go(func() {
+	delay := net.DiscoveryDelay()
+	net.Background.Go(func() {
 		time.Sleep(delay)
 		at.Directory.Put(peer)
 	})
@@ -140,23 +140,23 @@
 
 // Restart kills an instance and starts another on its machine, unless the Net
 // stops or the instance is dead already.
-func (w *Net) Restart(n *Node) {
-	w.mu.Lock()
-	_, alive := w.nodes[n.ID]
-	alive = alive && !w.stopping
-	w.mu.Unlock()
+func (net *Net) Restart(n *Node) {
+	net.mu.Lock()
+	_, alive := net.nodes[n.ID]
+	alive = alive && !net.stopping
+	net.mu.Unlock()
 	if alive {
-		w.Kill(n)
-		w.Start(n.Machine(), n.run)
+		net.Kill(n)
+		net.Start(n.Machine(), n.run)
 	}
 }
 
 // Kill ends an instance; the others notice.
-func (w *Net) Kill(n *Node) {
-	w.mu.Lock()
-	delete(w.nodes, n.ID)
-	others := slices.Collect(maps.Values(w.nodes))
-	w.mu.Unlock()
+func (net *Net) Kill(n *Node) {
+	net.mu.Lock()
+	delete(net.nodes, n.ID)
+	others := slices.Collect(maps.Values(net.nodes))
+	net.mu.Unlock()
 	n.cancel()
 	for _, other := range others {
 		other.Post(structs.PeerDown{Peer: n.ID})
@@ -165,15 +165,15 @@
 
 // PowerOff ends an instance without a word: those that watch it notice after
 // DetectionDelay, the others when they send to it.
-func (w *Net) PowerOff(n *Node) {
-	w.mu.Lock()
-	delete(w.nodes, n.ID)
-	w.dark[n.ID] = true
-	w.mu.Unlock()
+func (net *Net) PowerOff(n *Node) {
+	net.mu.Lock()
+	delete(net.nodes, n.ID)
+	net.poweredOff[n.ID] = true
+	net.mu.Unlock()
 	n.cancel()
-	w.Background.Go(func() {
+	net.Background.Go(func() {
 		time.Sleep(DetectionDelay)
-		for _, other := range w.Nodes() {
+		for _, other := range net.Nodes() {
 			if slices.Contains(other.Watched(), n.ID) {
 				other.Post(structs.PeerDown{Peer: n.ID})
 			}
@@ -181,63 +181,63 @@
 	})
 }
 
-// silence is how long a message to an instance goes without a word of its loss.
-func (w *Net) silence(to structs.InstanceID) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.dark[to] {
+// detectionDelay is how long a message to an instance goes without a word of its loss.
+func (net *Net) detectionDelay(to structs.InstanceID) time.Duration {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if net.poweredOff[to] {
 		return DetectionDelay
 	}
 	return 0
 }
 
 // Stop ends all instances and waits for what goes on in the background.
-func (w *Net) Stop() {
-	w.mu.Lock()
-	w.stopping = true
-	w.mu.Unlock()
-	w.Store.Set(metastore.Fault{})
-	for _, n := range w.Nodes() {
-		w.Kill(n)
+func (net *Net) Stop() {
+	net.mu.Lock()
+	net.stopping = true
+	net.mu.Unlock()
+	net.Store.Set(metastore.Fault{})
+	for _, n := range net.Nodes() {
+		net.Kill(n)
 	}
-	w.Background.Wait()
-	w.Store.DelayedWrites.Wait()
+	net.Background.Wait()
+	net.Store.DelayedWrites.Wait()
 }
 
 // Nodes lists the instances that live, in the order of their ids.
-func (w *Net) Nodes() []*Node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	nodes := slices.Collect(maps.Values(w.nodes))
+func (net *Net) Nodes() []*Node {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	nodes := slices.Collect(maps.Values(net.nodes))
 	slices.SortFunc(nodes, func(a, b *Node) int { return cmp.Compare(a.ID, b.ID) })
 	return nodes
 }
 
 // SetIsolation cuts an instance off, or ends its cut if how is 0. Nobody is told.
-func (w *Net) SetIsolation(id structs.InstanceID, how Isolation) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if how == 0 {
-		delete(w.cut, id)
+func (net *Net) SetIsolation(id structs.InstanceID, isolation Isolation) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if isolation == 0 {
+		delete(net.isolated, id)
 		return
 	}
-	w.cut[id] = how
+	net.isolated[id] = isolation
 }
 
 // IsolateFor cuts an instance off for a while. The others notice, and so does it.
-func (w *Net) IsolateFor(n *Node, how Isolation, d time.Duration) {
-	w.SetIsolation(n.ID, how)
-	w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
-	w.Background.Go(func() {
+func (net *Net) IsolateFor(n *Node, isolation Isolation, d time.Duration) {
+	net.SetIsolation(n.ID, isolation)
+	net.notify(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
+	net.Background.Go(func() {
 		time.Sleep(d)
-		w.SetIsolation(n.ID, 0)
-		w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerUp{Peer: peer} })
+		net.SetIsolation(n.ID, 0)
+		net.notify(n, func(peer structs.InstanceID) structs.Event { return structs.PeerUp{Peer: peer} })
 	})
 }
 
-// tell posts an event about an instance to all others, and about them to it.
-func (w *Net) tell(n *Node, event func(structs.InstanceID) structs.Event) {
-	for _, other := range w.Nodes() {
+// notify posts an event about an instance to all others, and about them to it.
+func (net *Net) notify(n *Node, event func(structs.InstanceID) structs.Event) {
+	for _, other := range net.Nodes() {
 		if other != n {
 			other.Post(event(n.ID))
 			n.Post(event(other.ID))
@@ -255,9 +255,9 @@
 func (n *Node) Send(to structs.InstanceID, msg structs.Message) {
 	n.net.Background.Go(func() {
 		time.Sleep(LinkLatency)
-		target, ok := n.reach(to)
-		if !ok || n.net.cutOf(n.ID) == IsolateOutbound {
-			time.Sleep(n.net.silence(to))
+		target, ok := n.reachable(to)
+		if !ok || n.net.isolationOf(n.ID) == IsolateOutbound {
+			time.Sleep(n.net.detectionDelay(to))
 			n.Post(structs.PeerDown{Peer: to})
 			return
 		}
@@ -276,7 +276,7 @@
 
 // Probe asks an instance for a heartbeat.
 func (n *Node) Probe(to structs.InstanceID) {
-	if _, ok := n.reach(to); ok {
+	if _, ok := n.reachable(to); ok {
 		n.Post(structs.PeerUp{Peer: to})
 		return
 	}
@@ -299,18 +299,18 @@
 // OK tells whether the store answers this instance.
 func (n *Node) OK() bool { return !n.StoreRefused.Load() && !n.FeedsFail.Load() }
 
-// reach finds an instance to which there is a path.
-func (n *Node) reach(to structs.InstanceID) (*Node, bool) {
+// reachable finds an instance to which there is a path.
+func (n *Node) reachable(to structs.InstanceID) (*Node, bool) {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
 	target, ok := n.net.nodes[to]
-	return target, ok && n.net.cut[to] != IsolateBoth && n.net.cut[n.ID] != IsolateBoth
+	return target, ok && n.net.isolated[to] != IsolateBoth && n.net.isolated[n.ID] != IsolateBoth
 }
 
-func (w *Net) cutOf(id structs.InstanceID) Isolation {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut[id]
+func (net *Net) isolationOf(id structs.InstanceID) Isolation {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	return net.isolated[id]
 }
 
 // Store is the store as the instance reaches it.
@@ -319,8 +319,8 @@
 // Store refuses the calls of an instance that it was told to refuse.
 type Store struct{ node *Node }
 
-// fails is what befalls a call on the way to the store.
-func (s Store) fails(ctx context.Context) error {
+// injectFault is what befalls a call on the way to the store.
+func (s Store) injectFault(ctx context.Context) error {
 	if s.node.StoreUnresponsive.Load() {
 		<-ctx.Done()
 		return ctx.Err()
@@ -333,7 +333,7 @@
 
 // Append appends records.
 func (s Store) Append(ctx context.Context, a platform.Append) (int64, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return 0, err
 	}
 	return s.node.net.Store.Append(ctx, a)
@@ -341,7 +341,7 @@
 
 // Newest reads the newest record of each key.
 func (s Store) Newest(ctx context.Context, topic string, part int) (platform.Newest, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Newest{}, err
 	}
 	return s.node.net.Store.Newest(ctx, topic, part)
@@ -349,7 +349,7 @@
 
 // NewestPage reads one page of the newest records.
 func (s Store) NewestPage(ctx context.Context, topic string, part int, after string) (platform.Newest, bool, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Newest{}, false, err
 	}
 	return s.node.net.Store.NewestPage(ctx, topic, part, after)
@@ -357,7 +357,7 @@
 
 // ReadPage reads records from an offset on.
 func (s Store) ReadPage(ctx context.Context, topic string, part int, from int64, wait time.Duration) (platform.Page, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Page{Next: from}, err
 	}
 	return s.node.net.Store.ReadPage(ctx, topic, part, from, wait)
@@ -365,7 +365,7 @@
 
 // Trim drops history.
 func (s Store) Trim(ctx context.Context, topic string, part int, before int64) error {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return err
 	}
 	return s.node.net.Store.Trim(ctx, topic, part, before)
