--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -23,7 +23,7 @@
 		standin.WriteError(w, http.StatusBadRequest, "the body must be a chat completion with messages")
 		return
 	}
-	if s.gate.TakeFail() {
+	if s.injector.TakeFail() {
 		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
 		return
 	}
@@ -31,7 +31,7 @@
 	if !ok {
 		return
 	}
-	drop := s.gate.TakeDropReply()
+	drop := s.injector.TakeDropReply()
 	if chat.Stream {
 		s.writeStream(w, r, started, 0, drop)
 		return
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -43,7 +43,7 @@
 	if s.model.Idle() {
 		return 0, false
 	}
-	duration := float64(s.model.StepDuration()) * s.gate.SlowFactor()
+	duration := float64(s.model.StepDuration()) * s.injector.SlowFactor()
 	s.recordLoad()
 	return time.Duration(duration), true
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -14,7 +14,7 @@
 // Server runs a Model in real time behind HTTP. It is safe for concurrent use.
 type Server struct {
 	settings Settings
-	gate     *faults.Injector
+	injector *faults.Injector
 	ledger   *ledger.Ledger
 
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	settings = settings.withDefaults()
 	server := &Server{
 		settings:    settings,
-		gate:        faults.NewInjector(settings.Faults),
+		injector:    faults.NewInjector(settings.Faults),
 		ledger:      &ledger.Ledger{},
 		model:       NewModel(settings.Model),
 		streams:     make(map[string]*stream),
@@ -61,7 +61,7 @@
 
 // Faults returns the gate that holds the engine's faults.
 func (s *Server) Faults() *faults.Injector {
-	return s.gate
+	return s.injector
 }
 
 // Ledger returns the record of the requests run.
@@ -88,7 +88,7 @@
 	mux.Handle("/v1/", s.holdWhileHung(engine))
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
 	mux.HandleFunc("GET "+OrderLogRoute, s.serveOrderLog)
-	s.gate.Register(mux)
+	s.injector.Register(mux)
 	s.ledger.Register(mux)
 	return mux
 }
@@ -96,7 +96,7 @@
 // holdWhileHung holds requests while the hang fault is set.
 func (s *Server) holdWhileHung(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.gate.WaitWhileHung(r.Context()) != nil {
+		if s.injector.WaitWhileHung(r.Context()) != nil {
 			standin.DropConnection()
 		}
 		next.ServeHTTP(w, r)
--- a/internal/standin/faults/injector.go
+++ b/internal/standin/faults/injector.go
@@ -24,27 +24,27 @@
 }
 
 // Set replaces the faults and lets held requests check them again.
-func (g *Injector) Set(faults wire.ServiceFaults) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.faults = faults
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (i *Injector) Set(faults wire.ServiceFaults) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.faults = faults
+	close(i.changed)
+	i.changed = make(chan struct{})
 }
 
 // Get returns the faults with what is left of their counts.
-func (g *Injector) Get() wire.ServiceFaults {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.faults
+func (i *Injector) Get() wire.ServiceFaults {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.faults
 }
 
 // WaitWhileHung returns nil once Hang is clear, or the context's error.
-func (g *Injector) WaitWhileHung(ctx context.Context) error {
+func (i *Injector) WaitWhileHung(ctx context.Context) error {
 	for {
-		g.mu.Lock()
-		hung, changed := g.faults.Hang, g.changed
-		g.mu.Unlock()
+		i.mu.Lock()
+		hung, changed := i.faults.Hang, i.changed
+		i.mu.Unlock()
 		if !hung {
 			return nil
 		}
@@ -57,46 +57,46 @@
 }
 
 // TakeFail uses up one of FailNext and tells whether there was one.
-func (g *Injector) TakeFail() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return consume(&g.faults.FailNext)
+func (i *Injector) TakeFail() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return consume(&i.faults.FailNext)
 }
 
 // TakeDropReply uses up one of DropReplies and tells whether there was one.
-func (g *Injector) TakeDropReply() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return consume(&g.faults.DropReplies)
+func (i *Injector) TakeDropReply() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return consume(&i.faults.DropReplies)
 }
 
 // SlowFactor returns the factor on run times, 1 when unset.
-func (g *Injector) SlowFactor() float64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.faults.Slow <= 0 {
+func (i *Injector) SlowFactor() float64 {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.faults.Slow <= 0 {
 		return 1
 	}
-	return g.faults.Slow
+	return i.faults.Slow
 }
 
 // Register adds the control route to a mux: GET shows and POST replaces the
 // faults.
-func (g *Injector) Register(mux *http.ServeMux) {
-	mux.HandleFunc("GET "+wire.StandinFaultsRoute, g.serveGet)
-	mux.HandleFunc("POST "+wire.StandinFaultsRoute, g.servePost)
+func (i *Injector) Register(mux *http.ServeMux) {
+	mux.HandleFunc("GET "+wire.StandinFaultsRoute, i.serveGet)
+	mux.HandleFunc("POST "+wire.StandinFaultsRoute, i.servePost)
 }
 
-func (g *Injector) serveGet(w http.ResponseWriter, _ *http.Request) {
-	standin.WriteJSON(w, http.StatusOK, g.Get())
+func (i *Injector) serveGet(w http.ResponseWriter, _ *http.Request) {
+	standin.WriteJSON(w, http.StatusOK, i.Get())
 }
 
-func (g *Injector) servePost(w http.ResponseWriter, r *http.Request) {
+func (i *Injector) servePost(w http.ResponseWriter, r *http.Request) {
 	var faults wire.ServiceFaults
 	if !standin.ReadJSON(w, r, &faults) {
 		return
 	}
-	g.Set(faults)
+	i.Set(faults)
 	standin.WriteJSON(w, http.StatusOK, faults)
 }
 
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -21,15 +21,15 @@
 	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	s.outcomes.begin(key)
 	defer s.outcomes.end(key)
-	if s.gate.WaitWhileHung(r.Context()) != nil {
+	if s.injector.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
-	if s.gate.TakeFail() {
+	if s.injector.TakeFail() {
 		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
 		return
 	}
 	outcome, ok := s.outcome(r, key, body)
-	if !ok || s.gate.TakeDropReply() {
+	if !ok || s.injector.TakeDropReply() {
 		standin.DropConnection()
 	}
 	writeOutcome(w, outcome)
@@ -70,7 +70,7 @@
 // serveOutcome answers what became of a request, by idempotency key. While
 // such a request is here and not ended, it waits: "not run" would be wrong.
 func (s *Service) serveOutcome(w http.ResponseWriter, r *http.Request) {
-	if s.gate.WaitWhileHung(r.Context()) != nil {
+	if s.injector.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
 	outcome, err := s.outcomes.wait(r.Context(), r.PathValue("key"))
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -33,7 +33,7 @@
 // Service is a tool or plain service. It is safe for concurrent use.
 type Service struct {
 	settings Settings
-	gate     *faults.Injector
+	injector *faults.Injector
 	ledger   *ledger.Ledger
 	outcomes *outcomes
 	closing  chan struct{}
@@ -53,7 +53,7 @@
 func New(settings Settings) *Service {
 	return &Service{
 		settings: settings,
-		gate:     faults.NewInjector(settings.Faults),
+		injector: faults.NewInjector(settings.Faults),
 		ledger:   &ledger.Ledger{},
 		outcomes: newOutcomes(),
 		closing:  make(chan struct{}),
@@ -67,7 +67,7 @@
 
 // Faults returns the gate that holds the service's faults.
 func (s *Service) Faults() *faults.Injector {
-	return s.gate
+	return s.injector
 }
 
 // Ledger returns the record of the requests run.
@@ -83,7 +83,7 @@
 	if s.settings.ServeOutcomes {
 		mux.HandleFunc("GET "+wire.OutcomesRoute+"/{key}", s.serveOutcome)
 	}
-	s.gate.Register(mux)
+	s.injector.Register(mux)
 	s.ledger.Register(mux)
 	return mux
 }
@@ -95,13 +95,13 @@
 // runTime returns how long a request runs: what its query says, else the
 // service's own time, in both cases times the slow factor.
 func (s *Service) runTime(r *http.Request) time.Duration {
-	milliseconds := s.gate.Get().DelayMS
+	milliseconds := s.injector.Get().DelayMS
 	requested, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
 	if err == nil {
 		milliseconds = requested
 	}
 	normal := time.Duration(milliseconds) * time.Millisecond
-	return time.Duration(float64(normal) * s.gate.SlowFactor())
+	return time.Duration(float64(normal) * s.injector.SlowFactor())
 }
 
 // waitRunTime waits for the run time, also when the caller is gone, since a request
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -82,7 +82,7 @@
 }
 
 // OK tells whether the call was answered whole.
-func (a *Response) OK() bool { return a.Status == http.StatusOK && a.Problem == nil && !a.Truncated }
+func (r *Response) OK() bool { return r.Status == http.StatusOK && r.Problem == nil && !r.Truncated }
 
 // SettingsChange is one change in the body of PUT /v1/settings.
 type SettingsChange struct {
@@ -178,32 +178,32 @@
 	}
 }
 
-func (a *Response) readBody(body io.Reader) {
+func (r *Response) readBody(body io.Reader) {
 	var err error
-	a.Body, err = io.ReadAll(body)
-	a.Truncated = err != nil
-	if a.Status >= http.StatusBadRequest {
-		a.parseProblem(a.Body)
+	r.Body, err = io.ReadAll(body)
+	r.Truncated = err != nil
+	if r.Status >= http.StatusBadRequest {
+		r.parseProblem(r.Body)
 		return
 	}
 	var chat wire.ChatReply
-	if json.Unmarshal(a.Body, &chat) == nil && len(chat.Choices) > 0 && chat.Choices[0].Message != nil {
-		a.Text = chat.Choices[0].Message.Content
+	if json.Unmarshal(r.Body, &chat) == nil && len(chat.Choices) > 0 && chat.Choices[0].Message != nil {
+		r.Text = chat.Choices[0].Message.Content
 	}
 }
 
-func (a *Response) parseProblem(body []byte) {
+func (r *Response) parseProblem(body []byte) {
 	var p Problem
 	if json.Unmarshal(body, &p) == nil && p.Type != "" {
-		a.Problem = &p
+		r.Problem = &p
 	}
 }
 
 // readStream reads server-sent events until the end mark.
-func (a *Response) readStream(body io.Reader, started time.Time, onChunk func(int)) {
+func (r *Response) readStream(body io.Reader, started time.Time, onChunk func(int)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), 16<<20)
-	a.Truncated = true
+	r.Truncated = true
 	isError := false
 	for scanner.Scan() {
 		line := scanner.Text()
@@ -216,38 +216,38 @@
 			continue
 		}
 		if isError {
-			a.parseProblem([]byte(data))
-			a.Truncated = false
+			r.parseProblem([]byte(data))
+			r.Truncated = false
 			return
 		}
 		if data == "[DONE]" {
-			a.Truncated = false
+			r.Truncated = false
 			return
 		}
-		a.addChunk(data, started, onChunk)
+		r.addChunk(data, started, onChunk)
 	}
 }
 
-func (a *Response) addChunk(data string, started time.Time, onChunk func(int)) {
+func (r *Response) addChunk(data string, started time.Time, onChunk func(int)) {
 	at := time.Since(started)
 	var chunk wire.ChatChunk
 	if json.Unmarshal([]byte(data), &chunk) != nil || len(chunk.Choices) == 0 {
 		return
 	}
 	if chunk.Usage != nil {
-		a.Usage = *chunk.Usage
+		r.Usage = *chunk.Usage
 	}
 	delta := chunk.Choices[0].Delta
 	if delta == nil || delta.Content == "" {
 		return
 	}
-	if a.Chunks == 0 {
-		a.FirstChunk = at
+	if r.Chunks == 0 {
+		r.FirstChunk = at
 	}
-	a.ChunkTimes = append(a.ChunkTimes, at)
-	a.Chunks++
-	a.Text += delta.Content
+	r.ChunkTimes = append(r.ChunkTimes, at)
+	r.Chunks++
+	r.Text += delta.Content
 	if onChunk != nil {
-		onChunk(a.Chunks)
+		onChunk(r.Chunks)
 	}
 }
--- a/internal/testkit/simnet/node_values.go
+++ b/internal/testkit/simnet/node_values.go
@@ -15,32 +15,32 @@
 }
 
 // Put keeps something of a life.
-func (l *NodeValues[T]) Put(node *Node, value T) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byID == nil {
-		l.byID = make(map[structs.InstanceID]T)
+func (v *NodeValues[T]) Put(node *Node, value T) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.byID == nil {
+		v.byID = make(map[structs.InstanceID]T)
 	}
-	l.byID[node.ID] = value
+	v.byID[node.ID] = value
 }
 
 // Get is what was kept of a life.
-func (l *NodeValues[T]) Get(node *Node) T { return l.ByID(node.ID) }
+func (v *NodeValues[T]) Get(node *Node) T { return v.ByID(node.ID) }
 
 // ByID is what was kept of the life with an id.
-func (l *NodeValues[T]) ByID(id structs.InstanceID) T {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.byID[id]
+func (v *NodeValues[T]) ByID(id structs.InstanceID) T {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.byID[id]
 }
 
 // All lists what was kept of the instances that live, in the order of their ids.
-func (l *NodeValues[T]) All(net *Net) []T {
-	var all []T
+func (v *NodeValues[T]) All(net *Net) []T {
+	var values []T
 	for _, n := range net.Nodes() {
-		all = append(all, l.Get(n))
+		values = append(values, v.Get(n))
 	}
-	return all
+	return values
 }
 
 // Pick chooses one of a list.
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -236,11 +236,11 @@
 }
 
 // notify posts an event about an instance to all others, and about them to it.
-func (net *Net) notify(n *Node, event func(structs.InstanceID) structs.Event) {
+func (net *Net) notify(node *Node, event func(structs.InstanceID) structs.Event) {
 	for _, other := range net.Nodes() {
-		if other != n {
-			other.Post(event(n.ID))
-			n.Post(event(other.ID))
+		if other != node {
+			other.Post(event(node.ID))
+			node.Post(event(other.ID))
 		}
 	}
 }
