--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -16,24 +16,24 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Client is a caller or operator of one instance.
+// Client sends requests of a caller or operator to one instance.
 type Client struct {
 	Server string
 	Key    string
 	HTTP   *http.Client
-	// OnChunk, if set, hears the number of each piece of a streamed answer as
-	// it comes.
+	// OnChunk, if set, is called with the number of each chunk of a streamed
+	// response, counted from 1.
 	OnChunk func(number int)
 }
 
-// NewClient returns a client that opens a connection for each request, as
-// callers behind a balancer do.
+// NewClient returns a client that opens a new connection for each request, as
+// callers behind a load balancer do.
 func NewClient(server, key string) *Client {
 	transport := &http.Transport{DisableKeepAlives: true}
 	return &Client{Server: server, Key: key, HTTP: &http.Client{Transport: transport}}
 }
 
-// Call is one call as a caller makes it.
+// Call holds the request headers of one call.
 type Call struct {
 	Program       string
 	Lane          string
@@ -42,36 +42,37 @@
 	NotRepeatable bool
 	Deadline      time.Duration
 	Fee           int
-	// Attempt counts the deliveries of the key, from 1. The first is declared
-	// fresh; 0 declares nothing.
+	// Attempt counts the sends of the key from 1. The first is marked fresh; 0
+	// sends no mark.
 	Attempt int
 }
 
-// Response is what a caller got.
+// Response is the response that a caller received.
 type Response struct {
 	Status int
-	// Outcome is the header Banyanglade-Outcome.
+	// Outcome is the Banyanglade-Outcome header.
 	Outcome string
 	Program string
 	Body    []byte
-	// Text is the text of a chat answer and Pieces its streamed pieces.
+	// Text is the text of a chat response, Chunks the number of its streamed
+	// chunks with content.
 	Text   string
 	Chunks int
 	// Problem is the problem document of a refusal.
 	Problem *Problem
-	// FirstChunk is the time to the first piece of a streamed answer, Took
-	// the time to the end.
+	// FirstChunk is the time to the first chunk of a streamed response,
+	// Duration the time to its end.
 	FirstChunk time.Duration
 	Duration   time.Duration
-	// ChunkTimes are the times of all pieces of a streamed answer, and Usage
-	// what its last event counts.
+	// ChunkTimes are the times of all chunks of a streamed response, Usage the
+	// usage that its last event reports.
 	ChunkTimes []time.Duration
 	Usage      wire.Usage
-	// Truncated tells that the connection ended before the answer did.
+	// Truncated reports whether the connection ended before the response did.
 	Truncated bool
 }
 
-// Problem is a problem document (RFC 9457) as instances write it.
+// Problem is a problem document (RFC 9457).
 type Problem struct {
 	Type         string `json:"type"`
 	Title        string `json:"title"`
@@ -81,7 +82,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms"`
 }
 
-// OK tells whether the call was answered whole.
+// OK reports whether the call succeeded with a complete response.
 func (r *Response) OK() bool { return r.Status == http.StatusOK && r.Problem == nil && !r.Truncated }
 
 // SettingsChange is one change in the body of PUT /v1/settings.
@@ -92,7 +93,7 @@
 	ChangeID string `json:"change_id"`
 }
 
-// Publish proposes changes and returns the reply's body.
+// Publish proposes changes to the settings.
 func (c *Client) Publish(ctx context.Context, changes ...SettingsChange) (*Response, error) {
 	body, err := json.Marshal(map[string]any{"changes": changes})
 	if err != nil {
@@ -108,7 +109,7 @@
 		return "", err
 	}
 	if response.Program == "" || response.Problem != nil {
-		return "", errors.Newf("open: status %d: %s", response.Status, response.Body)
+		return "", errors.Newf("open program: status %d: %s", response.Status, response.Body)
 	}
 	return response.Program, nil
 }
@@ -118,7 +119,7 @@
 	return c.Do(ctx, http.MethodDelete, "/v1/programs/"+program, nil, Call{})
 }
 
-// Chat makes a chat completion.
+// Chat requests a chat completion.
 func (c *Client) Chat(ctx context.Context, request wire.ChatRequest, call Call) (*Response, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -127,8 +128,8 @@
 	return c.Do(ctx, http.MethodPost, wire.ChatRoute, body, call)
 }
 
-// Do makes one request. A connection that broke before the status line is an
-// error; one that broke later is an Answer with Cut set.
+// Do sends one request. A connection that breaks before the status line yields
+// an error, one that breaks later a Response with Truncated set.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, call Call) (*Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.Server+path, bytes.NewReader(body))
 	if err != nil {
@@ -199,7 +200,7 @@
 	}
 }
 
-// readStream reads server-sent events until the end mark.
+// readStream reads server-sent events up to [DONE] or an error event.
 func (r *Response) readStream(body io.Reader, started time.Time, onChunk func(int)) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), 16<<20)
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -15,31 +15,31 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Keys of the kit's clusters. They protect nothing.
+// Keys of test clusters. They are not secret.
 const (
 	RootKey    = "testkit-root-operator-key"
 	PeerKey    = "testkit-shared-peer-key-0123456789"
 	pollPeriod = 20 * time.Millisecond
 )
 
-// Options describe a cluster.
+// Options configure a cluster.
 type Options struct {
-	// Binary is the path of the product's binary.
+	// Binary is the path of the instance binary.
 	Binary string
-	// Instances is the number of instances, spread over the places.
+	// Instances is the number of instances, spread over the places in turn.
 	Instances int
 	Standins  cluster.Settings
-	// LogDir is a folder for the instances' logs; empty keeps only their
-	// last lines in memory.
+	// LogDir is the directory of the instances' log files; if empty, only the
+	// last lines are kept in memory.
 	LogDir string
-	// Env are further environment variables of each instance, NAME=value.
+	// Env holds additional environment variables of each instance, NAME=value.
 	Env []string
-	// EnvOf gives further environment variables of one instance, which
-	// replace those of the kit and of Env; nil for none.
+	// EnvOf returns additional environment variables of one instance, which
+	// override the defaults and Env; nil for none.
 	EnvOf func(c *Cluster, id string) []string
 }
 
-// Cluster is a set of instances with the stand-ins that they use.
+// Cluster is a set of instances and the stand-ins that they use.
 type Cluster struct {
 	*cluster.Cluster
 	Instances []*Process
@@ -49,7 +49,7 @@
 }
 
 // Start starts the stand-ins and the instances, and waits until each is ready.
-// On an error nothing is left running.
+// On error it stops everything that it started.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	standins, err := cluster.Start(options.Standins)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return c, nil
 }
 
-// StartInstance starts a further instance and lists it as a member. It does
-// not wait until it is ready.
+// StartInstance starts another instance and adds it to the membership list. It
+// does not wait until the instance is ready.
 func (c *Cluster) StartInstance() (*Process, error) {
 	place := c.options.Standins.Places[c.started%len(c.options.Standins.Places)]
 	c.started++
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// Member is an instance's entry in the membership list.
+// Member returns the membership entry of an instance.
 func (c *Cluster) Member(p *Process, state string) wire.Member {
 	return wire.Member{
 		ID: p.ID, Role: wire.MemberRoleInstance, State: state,
@@ -112,13 +112,13 @@
 	}
 }
 
-// HashKey gives the hexadecimal SHA-256 of a key, as settings hold it.
+// HashKey returns the hexadecimal SHA-256 of a key, the form used in settings.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WaitReady waits until an instance takes traffic.
+// WaitReady waits until an instance reports that it is ready.
 func (c *Cluster) WaitReady(ctx context.Context, p *Process) error {
 	return Poll(ctx, func() error {
 		select {
@@ -138,7 +138,7 @@
 	})
 }
 
-// Remove takes an ended instance off the list of instances and members.
+// Remove removes an ended instance from the cluster and the membership list.
 func (c *Cluster) Remove(p *Process) {
 	c.Instances = slices.DeleteFunc(c.Instances, func(q *Process) bool { return q == p })
 	c.Members.Remove(p.ID)
@@ -153,8 +153,8 @@
 	c.Cluster.Close()
 }
 
-// Poll calls f until it returns nil or the context ends; then it returns f's
-// last error.
+// Poll calls f until it returns nil or the context ends, in which case it
+// returns the last error of f.
 func Poll(ctx context.Context, f func() error) error {
 	ticker := time.NewTicker(pollPeriod)
 	defer ticker.Stop()
@@ -165,7 +165,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "still failing at the end of the time allowed")
+			return errors.Wrap(err, "condition not met before the context ended")
 		case <-ticker.C:
 		}
 	}
--- a/internal/testkit/loopback_test.go
+++ b/internal/testkit/loopback_test.go
@@ -11,7 +11,7 @@
 	seen := make(map[string]bool)
 	for _, address := range addresses {
 		if seen[address] {
-			t.Errorf("%s was found twice", address)
+			t.Errorf("FreeAddresses returned %s twice", address)
 		}
 		seen[address] = true
 	}
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -14,14 +14,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// listeningMessage is the log message that tells an instance's addresses.
+// listeningMessage is the log message that carries an instance's addresses.
 const listeningMessage = "listening"
 
-// Process is one instance as a process.
+// Process is a running instance.
 type Process struct {
 	ID         string
 	DataCentre string
-	// Server is the base URL for callers, Peer the address for instances.
+	// Server is the base URL for callers, Peer the IP:port for other instances.
 	Server string
 	Peer   string
 
@@ -38,14 +38,14 @@
 	Peers   string `json:"peers"`
 }
 
-// Launch starts a command whose output is kept as its log, and in a file of the
-// folder if that is not empty. It does not wait for anything.
+// Launch starts a command and captures its output as the log, also in a file of
+// logDir unless that is empty. It does not wait until the process is ready.
 func Launch(binary, role, id string, env []string, logDir string) (*Process, error) {
 	p := &Process{ID: id}
 	return p, p.launch(binary, role, env, logDir, nil)
 }
 
-// launch starts the process; the function line is told each line of its log.
+// launch starts the process; onLine, if not nil, receives each line of its log.
 func (p *Process) launch(binary, role string, env []string, logDir string, onLine func(string)) error {
 	p.cmd = exec.Command(binary, role)
 	p.cmd.Env = append(os.Environ(), env...)
@@ -56,17 +56,17 @@
 	}
 	output, err := p.cmd.StdoutPipe()
 	if err != nil {
-		return errors.Wrap(err, "pipe")
+		return errors.Wrap(err, "open output pipe")
 	}
 	p.cmd.Stderr = p.cmd.Stdout
 	if err := p.cmd.Start(); err != nil {
-		return errors.Wrap(err, "start")
+		return errors.Wrap(err, "start process")
 	}
 	go p.read(output, onLine)
 	return nil
 }
 
-// startProcess starts an instance and waits until it logged its addresses.
+// startProcess starts an instance and waits until it has logged its addresses.
 func startProcess(binary string, env []string, logDir string, p *Process) error {
 	addresses := make(chan listening, 1)
 	err := p.launch(binary, "run", env, logDir, func(text string) {
@@ -84,11 +84,11 @@
 		p.Peer = line.Peers
 		return nil
 	case <-p.exited:
-		return errors.Newf("instance %s ended before it listened: %v\n%s", p.ID, p.err, p.Log())
+		return errors.Newf("instance %s ended before it logged its addresses: %v\n%s", p.ID, p.err, p.Log())
 	}
 }
 
-// read keeps the process's log, then waits for its end.
+// read captures the log of the process, then waits for its exit.
 func (p *Process) read(output io.Reader, onLine func(string)) {
 	scanner := bufio.NewScanner(output)
 	scanner.Buffer(make([]byte, 0, 64<<10), 4<<20)
@@ -103,51 +103,52 @@
 	close(p.exited)
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// Pause freezes the process (SIGSTOP).
+// Pause suspends the process (SIGSTOP).
 func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on (SIGCONT).
+// Resume continues a suspended process (SIGCONT).
 func (p *Process) Resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Terminate asks for a graceful shutdown (SIGTERM).
+// Terminate requests a graceful shutdown (SIGTERM).
 func (p *Process) Terminate() error { return p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed once the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitCode is the exit code of an ended process.
+// ExitCode returns the exit code of an exited process.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Log gives the last lines of the process's log.
+// Log returns the last lines of the log.
 func (p *Process) Log() string { return p.log.String() }
 
-// logBuffer keeps the last lines of a log, and writes all to a file if there is
-// one.
+// logBuffer keeps the last lines of a log and writes all lines to an optional
+// file.
 type logBuffer struct {
 	mu    sync.Mutex
 	lines []string
 	file  *os.File
 }
 
+// logLines is the number of lines that a logBuffer keeps.
 const logLines = 2000
 
-// openFile opens the log file of an instance in a folder, none if it is empty.
+// openFile creates the log file of an instance in dir, or none if dir is empty.
 func (b *logBuffer) openFile(dir, id string) error {
 	if dir == "" {
 		return nil
 	}
 	var err error
 	b.file, err = os.Create(filepath.Join(dir, id+".log"))
-	return errors.Wrap(err, "log file")
+	return errors.Wrap(err, "create log file")
 }
 
 func (b *logBuffer) close() {
--- a/internal/testkit/relay/relay.go
+++ b/internal/testkit/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay passes TCP connections of tests on and makes their network fail:
-// it holds, delays and resets connections.
+// Package relay is a TCP proxy for tests that injects network faults: it blocks,
+// delays and resets connections.
 package relay
 
 import (
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Relay passes TCP connections on to an address and can cut, hold or delay
-// them. It is safe for concurrent use.
+// Relay forwards TCP connections to a target address. It is safe for concurrent
+// use.
 type Relay struct {
 	listener net.Listener
 	target   string
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// blocked holds the bytes of a direction until it is clear again.
+	// blocked marks the directions whose bytes are held back.
 	blocked [2]bool
 	delay   time.Duration
 	conns   map[net.Conn]bool
 	closed  bool
 }
 
-// Directions of a relay.
+// Directions of a relay, the indexes of Relay.blocked.
 const (
 	toTarget = 0
 	toClient = 1
 )
 
-// New starts a relay to an address on a free loopback port.
+// New starts a relay to target on a free loopback port.
 func New(target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	return r, nil
 }
 
-// Address is where the relay listens, IP:port.
+// Address returns the listen address, IP:port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
 func (r *Relay) accept() {
@@ -88,7 +88,8 @@
 	}
 }
 
-// copy copies one direction; a blocked one holds what it has read.
+// copy forwards one direction. While the direction is blocked, it holds what it
+// has read.
 func (r *Relay) copy(to io.Writer, from io.Reader, direction int, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
@@ -107,7 +108,7 @@
 	}
 }
 
-// waitUnblocked returns once a direction is not blocked.
+// waitUnblocked waits until a direction is not blocked, then for the delay.
 func (r *Relay) waitUnblocked(direction int) {
 	for {
 		r.mu.Lock()
@@ -121,8 +122,8 @@
 	}
 }
 
-// Block holds or clears the directions. Bytes that were held go on late, as
-// those of a network that comes back.
+// Block blocks or unblocks each direction. Bytes held back are forwarded once
+// the direction is unblocked, as after a network recovers.
 func (r *Relay) Block(toTargetBlocked, toClientBlocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +132,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Delay makes each piece of data wait before it is passed on.
+// Delay sets the delay before each read is forwarded.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,13 +145,13 @@
 	defer r.mu.Unlock()
 	for c := range r.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the close below then resets
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
-		_ = c.Close() // the connection is given up
+		_ = c.Close()
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close() // ends accept
 	r.mu.Lock()
@@ -159,6 +160,6 @@
 	close(r.changed)
 	r.changed = make(chan struct{})
 	for c := range r.conns {
-		_ = c.Close() // the connection is given up
+		_ = c.Close()
 	}
 }
--- a/internal/testkit/relay/relay_test.go
+++ b/internal/testkit/relay/relay_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// startEchoServer serves connections that send back what they get.
+// startEchoServer starts an echo server and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,8 @@
 	return listener.Addr().String()
 }
 
-// newConnectedRelay is a relay to an echo with a connection that works.
+// newConnectedRelay returns a relay to an echo server and an established
+// connection through it.
 func newConnectedRelay(t *testing.T) (*Relay, net.Conn) {
 	t.Helper()
 	r, err := New(startEchoServer(t))
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -11,7 +11,7 @@
 	"github.com/banyanglade/banyanglade/internal/standin/engine"
 )
 
-// Services, team and keys of the kit's usual settings.
+// Services, team and keys of the default settings.
 const (
 	ModelService  = "model"
 	ToolService   = "tool"
@@ -21,8 +21,8 @@
 	OperatorKey   = "testkit-operator-key"
 )
 
-// DefaultStandins are the stand-ins of the kit's usual cluster: three data
-// centres, each with an engine, a tool target and a filing target.
+// DefaultStandins returns the settings of the default stand-ins: three data
+// centres, each with one engine, one tool target and one filing target.
 func DefaultStandins() cluster.Settings {
 	return cluster.Settings{
 		Places: []cluster.Place{
@@ -39,8 +39,8 @@
 	}
 }
 
-// DefaultSettings are the changes that name the usual services and one team with
-// a caller's and an operator's key.
+// DefaultSettings returns the changes that define the default services and a team
+// with a caller's and an operator's key.
 func DefaultSettings() []SettingsChange {
 	return Changes(map[string]any{
 		"services/" + ModelService + "/kind":            "engine",
@@ -52,7 +52,7 @@
 	})
 }
 
-// Changes makes first changes (of base version 0) from paths and values.
+// Changes returns one change with base version 0 for each path and value.
 func Changes(values map[string]any) []SettingsChange {
 	var changes []SettingsChange
 	for path, value := range values {
@@ -61,7 +61,7 @@
 	return changes
 }
 
-// Configure publishes the changes and waits until each instance knows the
+// Configure publishes the changes and waits until every instance accepts the
 // caller's key.
 func (c *Cluster) Configure(ctx context.Context, changes []SettingsChange) error {
 	root := NewClient(c.Instances[0].Server, RootKey)
@@ -88,7 +88,7 @@
 			return err
 		}
 		if response.Status == http.StatusUnauthorized {
-			return errors.Newf("instance %s does not know the caller's key yet", p.ID)
+			return errors.Newf("instance %s does not accept the caller's key yet", p.ID)
 		}
 		return nil
 	})
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -1,6 +1,6 @@
-// Package simnet is instances that exchange messages in virtual time, for tests
-// within a synctest bubble. Instances are killed, restarted and cut off; all
-// others notice.
+// Package simnet simulates a network of instances in virtual time, for tests in
+// a synctest bubble. Instances can be killed, restarted, powered off and
+// isolated.
 package simnet
 
 import (
@@ -19,59 +19,62 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// LinkLatency is how long a message is on its way.
+// LinkLatency is the time from the send of a message to its delivery.
 const LinkLatency = time.Millisecond
 
-// DetectionDelay is how long an instance without power goes unnoticed: by those that
-// watch it from its loss on, by the others from their next message on.
+// DetectionDelay is the time until the failure of a powered-off instance is
+// detected: from the failure by instances that watch it, from their next message
+// to it by all others.
 const DetectionDelay = 600 * time.Millisecond
 
-// inboxSize bounds the events that wait at an instance; tests stay below it.
+// inboxSize is the capacity of an instance's event queue; a full queue blocks
+// the sender.
 const inboxSize = 10000
 
-// Isolation is how an instance is cut off.
+// Isolation is a kind of network fault of one instance; 0 is none.
 type Isolation uint8
 
-// Kinds of cuts.
+// Kinds of isolation.
 const (
-	// IsolateBoth loses all messages to and from the instance.
+	// IsolateBoth drops all messages to and from the instance.
 	IsolateBoth Isolation = iota + 1
-	// IsolateOutbound loses those that it sends, while it receives what others send.
+	// IsolateOutbound drops the messages that the instance sends.
 	IsolateOutbound
 )
 
-// Net is instances with the links between them and to a store.
+// Net is a set of instances connected to each other and to a store.
 type Net struct {
 	Store *metastore.Memory
-	// Background counts what goes on in the background.
+	// Background counts the goroutines that Stop waits for.
 	Background sync.WaitGroup
-	// DiscoveryDelay is how long it takes until an instance hears of another's start;
-	// nil for no time. It is set before the first start.
+	// DiscoveryDelay returns the time until an instance lists a newly started one;
+	// nil for no delay. It must be set before the first Start.
 	DiscoveryDelay func() time.Duration
 
-	mu       sync.Mutex
-	nodes    map[structs.InstanceID]*Node
-	isolated map[structs.InstanceID]Isolation
-	// poweredOff are the instances that lost power.
+	mu         sync.Mutex
+	nodes      map[structs.InstanceID]*Node
+	isolated   map[structs.InstanceID]Isolation
 	poweredOff map[structs.InstanceID]bool
-	started    int
-	// stopping tells that no more instances are started.
+	// started counts the starts; it makes each incarnation's id unique.
+	started int
+	// stopping makes Restart do nothing.
 	stopping bool
 }
 
-// Run starts the work of an instance, which goes on until the context ends, and
-// returns what receives its events.
+// Run starts the code under test of an instance, which runs until the context
+// ends, and returns the handler of its events.
 type Run func(ctx context.Context, n *Node) (receive func(structs.Event))
 
-// Node is one life of an instance. It is the instance's transport and health.
+// Node is one incarnation of an instance. It implements the instance's transport
+// and store health.
 type Node struct {
 	ID        structs.InstanceID
 	Directory *directory.Directory
-	// StoreRefused tells that the store refuses this instance's calls.
+	// StoreRefused makes the store refuse this instance's calls.
 	StoreRefused atomic.Bool
-	// StoreUnresponsive tells that its calls get no answer and do nothing.
+	// StoreUnresponsive makes its calls to the store hang without effect.
 	StoreUnresponsive atomic.Bool
-	// FeedsFail tells that its reads of other topics fail.
+	// FeedsFail makes OK report that reads of other topics fail.
 	FeedsFail atomic.Bool
 
 	watched atomic.Pointer[[]structs.InstanceID]
@@ -82,7 +85,7 @@
 	inbox  chan structs.Event
 }
 
-// New makes a Net without instances.
+// New returns a Net without instances.
 func New() *Net {
 	return &Net{
 		Store: metastore.NewMemory(),
@@ -91,7 +94,8 @@
 	}
 }
 
-// Start starts an instance on a machine and lists it at all others.
+// Start starts an instance on a machine and adds it to the directories of all
+// others.
 func (net *Net) Start(machine string, run Run) *Node {
 	net.mu.Lock()
 	net.started++
@@ -124,7 +128,7 @@
 	return n
 }
 
-// list tells an instance of another one.
+// list adds an instance to the directory of another one after DiscoveryDelay.
 func (net *Net) list(at, listed *Node) {
 	peer := structs.Peer{ID: listed.ID, Address: listed.Machine()}
 	if net.DiscoveryDelay == nil {
@@ -138,8 +142,8 @@
 	})
 }
 
-// Restart kills an instance and starts another on its machine, unless the Net
-// stops or the instance is dead already.
+// Restart kills an instance and starts a new incarnation on its machine. It does
+// nothing if the Net is stopping or the instance has ended.
 func (net *Net) Restart(n *Node) {
 	net.mu.Lock()
 	_, alive := net.nodes[n.ID]
@@ -151,7 +155,7 @@
 	}
 }
 
-// Kill ends an instance; the others notice.
+// Kill ends an instance. All others receive PeerDown at once.
 func (net *Net) Kill(n *Node) {
 	net.mu.Lock()
 	delete(net.nodes, n.ID)
@@ -163,8 +167,8 @@
 	}
 }
 
-// PowerOff ends an instance without a word: those that watch it notice after
-// DetectionDelay, the others when they send to it.
+// PowerOff ends an instance without notice. Instances that watch it receive
+// PeerDown after DetectionDelay, the others when they next send to it.
 func (net *Net) PowerOff(n *Node) {
 	net.mu.Lock()
 	delete(net.nodes, n.ID)
@@ -181,7 +185,8 @@
 	})
 }
 
-// detectionDelay is how long a message to an instance goes without a word of its loss.
+// detectionDelay returns the time until the sender of a message to an
+// unreachable instance receives PeerDown.
 func (net *Net) detectionDelay(to structs.InstanceID) time.Duration {
 	net.mu.Lock()
 	defer net.mu.Unlock()
@@ -191,7 +196,8 @@
 	return 0
 }
 
-// Stop ends all instances and waits for what goes on in the background.
+// Stop clears the store's fault, ends all instances and waits for all background
+// work.
 func (net *Net) Stop() {
 	net.mu.Lock()
 	net.stopping = true
@@ -204,7 +210,7 @@
 	net.Store.DelayedWrites.Wait()
 }
 
-// Nodes lists the instances that live, in the order of their ids.
+// Nodes returns the running instances in the order of their ids.
 func (net *Net) Nodes() []*Node {
 	net.mu.Lock()
 	defer net.mu.Unlock()
@@ -213,7 +219,8 @@
 	return nodes
 }
 
-// SetIsolation cuts an instance off, or ends its cut if how is 0. Nobody is told.
+// SetIsolation isolates an instance, or ends its isolation if it is 0. No
+// instance receives an event.
 func (net *Net) SetIsolation(id structs.InstanceID, isolation Isolation) {
 	net.mu.Lock()
 	defer net.mu.Unlock()
@@ -224,7 +231,8 @@
 	net.isolated[id] = isolation
 }
 
-// IsolateFor cuts an instance off for a while. The others notice, and so does it.
+// IsolateFor isolates an instance for a time. The instance and all others receive
+// PeerDown at the start and PeerUp at the end.
 func (net *Net) IsolateFor(n *Node, isolation Isolation, d time.Duration) {
 	net.SetIsolation(n.ID, isolation)
 	net.notify(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
@@ -235,7 +243,8 @@
 	})
 }
 
-// notify posts an event about an instance to all others, and about them to it.
+// notify posts an event about node to all others, and about each of them to
+// node.
 func (net *Net) notify(node *Node, event func(structs.InstanceID) structs.Event) {
 	for _, other := range net.Nodes() {
 		if other != node {
@@ -245,13 +254,14 @@
 	}
 }
 
-// Machine is where the instance runs.
+// Machine returns the machine on which the instance runs.
 func (n *Node) Machine() string { return directory.MachineOf(n.ID) }
 
-// Post gives the instance an event.
+// Post queues an event for the instance.
 func (n *Node) Post(event structs.Event) { n.inbox <- event }
 
-// Send sends a message, like the transport between instances.
+// Send delivers a message after LinkLatency. If the target cannot be reached, the
+// sender receives PeerDown instead.
 func (n *Node) Send(to structs.InstanceID, msg structs.Message) {
 	n.net.Background.Go(func() {
 		time.Sleep(LinkLatency)
@@ -265,7 +275,7 @@
 	})
 }
 
-// Broadcast sends a message to all others: each is taken for connected.
+// Broadcast sends a message to all other running instances.
 func (n *Node) Broadcast(msg structs.Message) {
 	for _, other := range n.net.Nodes() {
 		if other != n {
@@ -274,7 +284,8 @@
 	}
 }
 
-// Probe asks an instance for a heartbeat.
+// Probe posts PeerUp or PeerDown to n, depending on whether the instance can be
+// reached.
 func (n *Node) Probe(to structs.InstanceID) {
 	if _, ok := n.reachable(to); ok {
 		n.Post(structs.PeerUp{Peer: to})
@@ -283,12 +294,13 @@
 	n.Post(structs.PeerDown{Peer: to})
 }
 
-// Watch notes whom the instance watches; kills and cuts are told to all.
+// Watch sets the instances that n watches, which matters for PowerOff only:
+// kills and isolation are posted to all.
 func (n *Node) Watch(peers []structs.InstanceID) {
 	n.watched.Store(&peers)
 }
 
-// Watched lists whom the instance watches.
+// Watched returns the instances that n watches.
 func (n *Node) Watched() []structs.InstanceID {
 	if peers := n.watched.Load(); peers != nil {
 		return *peers
@@ -296,10 +308,10 @@
 	return nil
 }
 
-// OK tells whether the store answers this instance.
+// OK reports whether the store is available to this instance.
 func (n *Node) OK() bool { return !n.StoreRefused.Load() && !n.FeedsFail.Load() }
 
-// reachable finds an instance to which there is a path.
+// reachable returns a running instance and whether n can reach it.
 func (n *Node) reachable(to structs.InstanceID) (*Node, bool) {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
@@ -313,13 +325,14 @@
 	return net.isolated[id]
 }
 
-// Store is the store as the instance reaches it.
+// Store returns the instance's client of the store.
 func (n *Node) Store() Store { return Store{n} }
 
-// Store refuses the calls of an instance that it was told to refuse.
+// Store is one instance's client of the store. It applies the node's faults to
+// each call.
 type Store struct{ node *Node }
 
-// injectFault is what befalls a call on the way to the store.
+// injectFault applies the node's faults to a call: it blocks or returns an error.
 func (s Store) injectFault(ctx context.Context) error {
 	if s.node.StoreUnresponsive.Load() {
 		<-ctx.Done()
@@ -347,7 +360,7 @@
 	return s.node.net.Store.Newest(ctx, topic, part)
 }
 
-// NewestPage reads one page of the newest records.
+// NewestPage reads one page of the newest records, with keys greater than after.
 func (s Store) NewestPage(ctx context.Context, topic string, part int, after string) (platform.Newest, bool, error) {
 	if err := s.injectFault(ctx); err != nil {
 		return platform.Newest{}, false, err
@@ -363,7 +376,7 @@
 	return s.node.net.Store.ReadPage(ctx, topic, part, from, wait)
 }
 
-// Trim drops history.
+// Trim drops the records before an offset.
 func (s Store) Trim(ctx context.Context, topic string, part int, before int64) error {
 	if err := s.injectFault(ctx); err != nil {
 		return err
