--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -18,7 +18,7 @@
 )
 
 // Cluster is a running set of stand-ins. It is safe for concurrent use after
-// Start, but for the maps, which are only to be read.
+// Start, except that the maps must not be changed.
 type Cluster struct {
 	Log     *logservice.Service
 	Members *members.List
@@ -30,21 +30,21 @@
 	servers   []*standin.Server
 
 	mu sync.Mutex
-	// targets holds those not stopped.
+	// targets holds the targets that have not been stopped.
 	targets map[string]runningTarget
 }
 
 // StopRoute is a route of every target of a cluster. A POST is answered with
-// status 202 and then does what StopTarget does.
+// status 202 and then stops the target as StopTarget does.
 const StopRoute = "/standin/stop"
 
-// runningTarget is what StopTarget ends.
+// runningTarget is a target that StopTarget can end.
 type runningTarget struct {
 	server *standin.Server
 	close  func()
 }
 
-// Endpoints tells where the stand-ins listen.
+// Endpoints holds the addresses of the stand-ins.
 type Endpoints struct {
 	// Log and Members are base URLs.
 	Log     string        `json:"log"`
@@ -52,7 +52,7 @@
 	Targets []wire.Member `json:"targets"`
 }
 
-// Start starts the stand-ins. On an error nothing is left running.
+// Start starts the stand-ins. On error it stops everything that it started.
 func Start(settings Settings) (*Cluster, error) {
 	cluster := &Cluster{
 		Log:       logservice.New(settings.Log),
@@ -129,7 +129,7 @@
 	return c.register(member, started.Handler(), started.Close)
 }
 
-// register serves a target and puts it into the membership list.
+// register serves a target and adds it to the membership list.
 func (c *Cluster) register(member wire.Member, handler http.Handler, closeTarget func()) error {
 	server, err := standin.Listen(standin.LoopbackAddress, c.withStopRoute(member.ID, handler))
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// withStopRoute adds the route that stops a target.
+// withStopRoute adds StopRoute to the handler of a target.
 func (c *Cluster) withStopRoute(id string, handler http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
@@ -168,14 +168,14 @@
 	}
 }
 
-// Endpoints tells where the stand-ins listen, also those stopped since.
+// Endpoints returns the addresses of all stand-ins, including stopped ones.
 func (c *Cluster) Endpoints() Endpoints {
 	return c.endpoints
 }
 
-// StopTarget ends a target as a crash does: its port closes and its streams
-// are gone, while the membership list still shows it. It returns false for an
-// unknown or stopped target.
+// StopTarget ends a target as a crash would: it closes the port and drops the
+// streams, while the membership list still contains the target. It returns
+// false for an unknown or already stopped target.
 func (c *Cluster) StopTarget(id string) bool {
 	target, ok := c.removeTarget(id)
 	if !ok {
@@ -186,7 +186,7 @@
 	return true
 }
 
-// removeTarget removes a target from those to be stopped.
+// removeTarget removes a target from the running ones and returns it.
 func (c *Cluster) removeTarget(id string) (runningTarget, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,14 +195,14 @@
 	return target, ok
 }
 
-// runningIDs returns the ids of the targets not stopped.
+// runningIDs returns the ids of the targets that have not been stopped.
 func (c *Cluster) runningIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Keys(c.targets))
 }
 
-// Close stops everything.
+// Close stops all stand-ins.
 func (c *Cluster) Close() {
 	for _, id := range c.runningIDs() {
 		c.StopTarget(id)
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -22,15 +22,15 @@
 	t.Cleanup(cluster.Close)
 	endpoints := cluster.Endpoints()
 	if got := len(cluster.Members.Current().Members); got != 6 || len(endpoints.Targets) != 6 {
-		t.Fatalf("%d members, ready %+v", got, endpoints)
+		t.Fatalf("%d members, endpoints %+v", got, endpoints)
 	}
 	for _, target := range endpoints.Targets {
 		if !healthy(target) {
-			t.Errorf("target %s does not answer", target.ID)
+			t.Errorf("target %s is not healthy", target.ID)
 		}
 	}
 	if !cluster.StopTarget("dc2-model-1") || cluster.StopTarget("dc2-model-1") {
-		t.Error("a target must stop once")
+		t.Error("StopTarget must return true once, then false")
 	}
 	for _, target := range endpoints.Targets {
 		if stopped := target.ID == "dc2-model-1"; healthy(target) == stopped {
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The body ends when the connection does.
+	// The body ends when the connection is closed.
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 	for len(cluster.runningIDs()) > 0 || healthy(target) {
@@ -87,12 +87,12 @@
 		}
 		cluster.StopTarget(stop.id)
 		if <-complete {
-			t.Errorf("%s: a stopped target gave a whole reply", stop.id)
+			t.Errorf("%s: a stopped target sent a complete response", stop.id)
 		}
 	}
 }
 
-// postSucceeds tells whether a reply came with its whole body.
+// postSucceeds reports whether a POST received a complete response.
 func postSucceeds(url, body string) bool {
 	response, err := http.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
--- a/internal/standin/cluster/settings.go
+++ b/internal/standin/cluster/settings.go
@@ -1,6 +1,6 @@
-// Package cluster starts a whole set of stand-ins in one process: a log
-// service, a membership list, and the targets of some data centres, each on
-// its own port and registered in the membership list.
+// Package cluster starts a set of stand-ins in one process: a log service, a
+// membership list, and the targets of several data centres, each on its own
+// port and registered in the membership list.
 package cluster
 
 import (
@@ -14,13 +14,14 @@
 	"github.com/banyanglade/banyanglade/internal/standin/service"
 )
 
-// Place names a data centre and its region, as text "region/data-centre".
+// Place identifies a data centre and its region. Its text form is
+// "region/data-centre".
 type Place struct {
 	Region     string
 	DataCentre string
 }
 
-// UnmarshalText reads "region/data-centre".
+// UnmarshalText parses "region/data-centre".
 func (p *Place) UnmarshalText(text []byte) error {
 	region, dataCentre, ok := strings.Cut(string(text), "/")
 	if !ok || region == "" || dataCentre == "" {
@@ -31,12 +32,13 @@
 	return nil
 }
 
-// Settings are the settings of a cluster.
+// Settings configure a cluster.
 type Settings struct {
 	// Places are the data centres. Each gets the same targets.
 	Places []Place
-	// LogAddress and MembersAddress are the listen addresses of these two, a
-	// free loopback port if empty. Targets always get a free loopback port.
+	// LogAddress and MembersAddress are the listen addresses of the log service
+	// and the membership list; if empty, a free loopback port is used. Targets
+	// always listen on a free loopback port.
 	LogAddress     string
 	MembersAddress string
 	Log            logservice.Settings
@@ -49,21 +51,21 @@
 
 // EngineGroup describes the engines of each data centre.
 type EngineGroup struct {
-	// Service is the service they belong to.
+	// Service is the name of the service that they belong to.
 	Service string
-	// Count is the number of engines a data centre.
+	// Count is the number of engines per data centre.
 	Count int
-	// Settings are common to all; the cluster sets ID and adds the target's
-	// number to Seed.
+	// Settings apply to all engines; the cluster sets ID and adds the number of
+	// engines started before to Seed.
 	Settings engine.Settings
 }
 
 // ServiceGroup describes the tool or plain targets of each data centre.
 type ServiceGroup struct {
-	// Service is the service they belong to.
+	// Service is the name of the service that they belong to.
 	Service string
-	// Count is the number of targets a data centre.
+	// Count is the number of targets per data centre.
 	Count int
-	// Settings are common to all; the cluster sets ID.
+	// Settings apply to all targets; the cluster sets ID.
 	Settings service.Settings
 }
--- a/internal/standin/faults/injector.go
+++ b/internal/standin/faults/injector.go
@@ -1,5 +1,4 @@
-// Package faults holds the fault state of a stand-in target and applies it to
-// requests.
+// Package faults injects faults into the requests of a stand-in target.
 package faults
 
 import (
@@ -18,12 +17,12 @@
 	changed chan struct{}
 }
 
-// NewInjector returns a gate with the given faults.
+// NewInjector returns an injector with the given faults.
 func NewInjector(initial wire.ServiceFaults) *Injector {
 	return &Injector{faults: initial, changed: make(chan struct{})}
 }
 
-// Set replaces the faults and lets held requests check them again.
+// Set replaces the faults and wakes held requests, which check them again.
 func (i *Injector) Set(faults wire.ServiceFaults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -32,14 +31,15 @@
 	i.changed = make(chan struct{})
 }
 
-// Get returns the faults with what is left of their counts.
+// Get returns the faults with their remaining counts.
 func (i *Injector) Get() wire.ServiceFaults {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.faults
 }
 
-// WaitWhileHung returns nil once Hang is clear, or the context's error.
+// WaitWhileHung blocks while Hang is set. It returns the error of the context
+// if that ends first.
 func (i *Injector) WaitWhileHung(ctx context.Context) error {
 	for {
 		i.mu.Lock()
@@ -56,21 +56,21 @@
 	}
 }
 
-// TakeFail uses up one of FailNext and tells whether there was one.
+// TakeFail consumes one of FailNext and reports whether there was one.
 func (i *Injector) TakeFail() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return consume(&i.faults.FailNext)
 }
 
-// TakeDropReply uses up one of DropReplies and tells whether there was one.
+// TakeDropReply consumes one of DropReplies and reports whether there was one.
 func (i *Injector) TakeDropReply() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return consume(&i.faults.DropReplies)
 }
 
-// SlowFactor returns the factor on run times, 1 when unset.
+// SlowFactor returns the factor applied to run times, 1 if unset.
 func (i *Injector) SlowFactor() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -80,8 +80,8 @@
 	return i.faults.Slow
 }
 
-// Register adds the control route to a mux: GET shows and POST replaces the
-// faults.
+// Register adds the control routes to a mux: GET returns the faults, POST
+// replaces them.
 func (i *Injector) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+wire.StandinFaultsRoute, i.serveGet)
 	mux.HandleFunc("POST "+wire.StandinFaultsRoute, i.servePost)
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// History keeps the values that something had over time, so that a report can
-// show an old one. It is not safe for concurrent use.
+// History records the past values of a variable, for reports that lag. It is
+// not safe for concurrent use.
 type History[T any] struct {
 	entries []historyEntry[T]
 }
@@ -13,14 +13,14 @@
 	value T
 }
 
-// Record notes that the value changed at the given time. Times must not
+// Record adds a value that holds from the given time on. Times must not
 // decrease.
 func (h *History[T]) Record(at time.Time, value T) {
 	h.entries = append(h.entries, historyEntry[T]{at: at, value: value})
 }
 
-// At returns the value as it was at the given time, and false if nothing was
-// recorded by then.
+// At returns the value at the given time, and false if none was recorded by
+// then.
 func (h *History[T]) At(at time.Time) (T, bool) {
 	for i := len(h.entries) - 1; i >= 0; i-- {
 		if !h.entries[i].at.After(at) {
@@ -31,7 +31,7 @@
 	return zero, false
 }
 
-// DropBefore drops the values that At needs only for times before the given one.
+// DropBefore drops the values that only an At before the given time needs.
 func (h *History[T]) DropBefore(before time.Time) {
 	first := 0
 	for first+1 < len(h.entries) && !h.entries[first+1].at.After(before) {
--- a/internal/standin/json.go
+++ b/internal/standin/json.go
@@ -9,41 +9,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxBodyBytes bounds the body of a request to a stand-in.
+// MaxBodyBytes is the maximum size of a request body that a stand-in accepts.
 const MaxBodyBytes = 64 << 20
 
 const contentTypeJSON = "application/json"
 
-// ErrorReply is the body of a refused request.
+// ErrorReply is the body of an error response.
 type ErrorReply struct {
 	Error string `json:"error"`
 }
 
-// WriteJSON answers with status and value as JSON.
+// WriteJSON writes a response with a status and value as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		slog.Error("encode reply", "error", err)
-		http.Error(w, "encode reply", http.StatusInternalServerError)
+		slog.Error("encode response", "error", err)
+		http.Error(w, "encode response", http.StatusInternalServerError)
 		return
 	}
 	WriteBody(w, status, contentTypeJSON, body)
 }
 
-// WriteBody answers with status and a body of the given content type. A write
-// error means that the caller is gone, which the stand-ins ignore.
+// WriteBody writes a response with a status and a body of the given content
+// type. Write errors are ignored: they mean that the client has disconnected.
 func WriteBody(w http.ResponseWriter, status int, contentType string, body []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// WriteError answers with status and an ErrorReply.
+// WriteError writes a response with a status and an ErrorReply.
 func WriteError(w http.ResponseWriter, status int, message string) {
 	WriteJSON(w, status, ErrorReply{Error: message})
 }
 
-// ReadJSON decodes the request's body into value. On an error it answers with
+// ReadJSON decodes the request body into value. On error it responds with
 // status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	body := http.MaxBytesReader(w, r.Body, MaxBodyBytes)
@@ -51,17 +51,17 @@
 	if err == nil {
 		return true
 	}
-	WriteError(w, http.StatusBadRequest, errors.Wrap(err, "decode body").Error())
+	WriteError(w, http.StatusBadRequest, errors.Wrap(err, "decode request body").Error())
 	return false
 }
 
-// DropConnection ends the request by closing its connection without an answer.
-// It does not return.
+// DropConnection aborts the request by closing its connection without a
+// response. It does not return.
 func DropConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// QueryNumber returns a number of the request's query, 0 when it is absent.
+// QueryNumber returns a numeric query parameter, 0 if it is absent.
 func QueryNumber(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
--- a/internal/standin/ledger/ledger.go
+++ b/internal/standin/ledger/ledger.go
@@ -1,5 +1,5 @@
 // Package ledger records the requests that a stand-in target ran, in order of
-// arrival, for the checkers.
+// arrival. Checkers compare it with what callers received.
 package ledger
 
 import (
@@ -20,8 +20,8 @@
 	entries []wire.LedgerEntry
 }
 
-// Begin records a request as running and returns its sequence number, which
-// overwrites that of the entry.
+// Begin records a request as running and returns its sequence number. The
+// sequence number in entry is ignored.
 func (l *Ledger) Begin(entry wire.LedgerEntry) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,8 +31,8 @@
 	return entry.Sequence
 }
 
-// Finish marks a request as finished with the number of completion tokens
-// made, 0 for a target that is not an engine.
+// Finish marks a request as finished and records its completion tokens, 0 for a
+// target that is not an engine.
 func (l *Ledger) Finish(sequence uint64, tokens int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +40,7 @@
 	l.entries[sequence].Tokens = tokens
 }
 
-// Cancel notes the tokens made by a request that was cancelled. It stays
+// Cancel records the completion tokens of a cancelled request. Its entry stays
 // unfinished.
 func (l *Ledger) Cancel(sequence uint64, tokens int64) {
 	l.mu.Lock()
@@ -64,7 +64,7 @@
 	standin.WriteJSON(w, http.StatusOK, wire.Ledger{Entries: l.Entries()})
 }
 
-// BodyHash returns the xxhash64 of a body in hex, without leading zeros.
+// BodyHash returns the xxhash64 of a body in hexadecimal without leading zeros.
 func BodyHash(body []byte) string {
 	const hex = 16
 	return strconv.FormatUint(xxhash.Sum64(body), hex)
--- a/internal/standin/logservice/doc.go
+++ b/internal/standin/logservice/doc.go
@@ -1,4 +1,4 @@
 // Package logservice is the stand-in of the platform's append-only log. It
-// keeps streams of records in memory, drops old records by count and age,
-// limits the rate of appends, and shows the faults of wire.LogFaults.
+// holds streams of records in memory, drops old records by count and age,
+// limits the rate of appends, and injects the faults of wire.LogFaults.
 package logservice
--- a/internal/standin/logservice/faults.go
+++ b/internal/standin/logservice/faults.go
@@ -12,20 +12,20 @@
 	s.changeFaults(func(current *wire.LogFaults) { *current = faults })
 }
 
-// Faults returns the faults with what is left of their counts.
+// Faults returns the faults with their remaining counts.
 func (s *Service) Faults() wire.LogFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// SetDown starts or ends an outage and leaves the other faults.
+// SetDown starts or ends an outage. The other faults stay as they are.
 func (s *Service) SetDown(down bool) {
 	s.changeFaults(func(faults *wire.LogFaults) { faults.Down = down })
 }
 
-// DropAppends closes the connection of the next count appends to a stream
-// (empty: any) before they take effect.
+// DropAppends makes the next count appends to a stream (empty: any) fail before
+// they take effect, by closing their connections.
 func (s *Service) DropAppends(stream string, count int) {
 	s.changeFaults(func(faults *wire.LogFaults) {
 		faults.Stream = stream
@@ -33,8 +33,8 @@
 	})
 }
 
-// DropAppendReplies closes the connection of the next count appends to a
-// stream (empty: any) after they took effect.
+// DropAppendReplies makes the next count appends to a stream (empty: any) fail
+// after they took effect, by closing their connections.
 func (s *Service) DropAppendReplies(stream string, count int) {
 	s.changeFaults(func(faults *wire.LogFaults) {
 		faults.Stream = stream
@@ -72,7 +72,8 @@
 	return true
 }
 
-// delay waits for the delay fault, or returns the context's error.
+// delay waits for the duration of the delay fault. It returns the error of the
+// context if that ends first.
 func (s *Service) delay(ctx context.Context) error {
 	milliseconds := s.Faults().DelayMS
 	if milliseconds <= 0 {
--- a/internal/standin/logservice/handler.go
+++ b/internal/standin/logservice/handler.go
@@ -15,7 +15,8 @@
 	streamRoute  = wire.LogStreamsRoute + "/{stream}"
 	recordsRoute = streamRoute + "/" + wire.LogRecordsSegment
 
-	// retryAfterSeconds is the Retry-After of an overloaded append.
+	// retryAfterSeconds is the Retry-After header of an append refused for its
+	// rate.
 	retryAfterSeconds = "1"
 )
 
@@ -35,7 +36,8 @@
 
 type streamHandler func(w http.ResponseWriter, r *http.Request, stream string)
 
-// withFaults applies the outage and the delay, and checks the stream's name.
+// withFaults applies the outage and delay faults, and validates the name of the
+// stream.
 func (s *Service) withFaults(next streamHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.Faults().Down {
@@ -60,7 +62,7 @@
 		return
 	}
 	if len(request.Records) == 0 {
-		standin.WriteError(w, http.StatusBadRequest, "an append needs at least one record")
+		standin.WriteError(w, http.StatusBadRequest, "append request contains no records")
 		return
 	}
 	if s.takeDropAppend(stream) {
@@ -95,7 +97,7 @@
 	standin.WriteJSON(w, http.StatusOK, reply)
 }
 
-// serveNotRetained answers a read below the first retained offset.
+// serveNotRetained responds to a read below the first retained offset.
 func (s *Service) serveNotRetained(w http.ResponseWriter, stream string) {
 	info, err := s.Info(stream)
 	if err != nil {
--- a/internal/standin/logservice/service.go
+++ b/internal/standin/logservice/service.go
@@ -11,21 +11,21 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// DefaultReadLimit is the number of records that a read returns at most when
-// it names no limit.
+// DefaultReadLimit is the maximum number of records that a read without a limit
+// returns.
 const DefaultReadLimit = 1000
 
-// Errors of the Go methods. The HTTP handler maps them to statuses.
+// Errors of the Go methods. The HTTP handler maps them to status codes.
 var (
 	// ErrDown is returned during an outage.
 	ErrDown = errors.New("log service is down")
-	// ErrOverloaded is returned above the rate of appends.
+	// ErrOverloaded is returned for an append above the rate limit.
 	ErrOverloaded = errors.New("too many appends a second")
 	// ErrNotRetained is returned for a read below the first retained offset.
 	ErrNotRetained = errors.New("offset is no longer retained")
 )
 
-// Service is a log service. It is safe for concurrent use.
+// Service is an in-memory log service. It is safe for concurrent use.
 type Service struct {
 	settings Settings
 	limiter  *rate.Limiter
@@ -76,9 +76,9 @@
 	return first, nil
 }
 
-// Read returns up to limit records from an offset. When there is none it waits
-// up to wait for an append. It fails with ErrDown, or with ErrNotRetained,
-// when Info gives the retained range.
+// Read returns up to limit records from an offset on. If there are none, it
+// waits up to wait for an append. It fails with ErrDown, or with ErrNotRetained
+// if the offset is below the stream's retained range (see Info).
 func (s *Service) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (wire.ReadReply, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -97,8 +97,8 @@
 	}
 }
 
-// readNow reads without waiting. The channel is closed at the next change of
-// the stream or of the faults.
+// readNow reads without waiting. The returned channel is closed at the next
+// change of the stream or of the faults.
 func (s *Service) readNow(name string, from uint64, limit int) (wire.ReadReply, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,8 @@
 	return stream.read(from, limit), stream.changed, nil
 }
 
-// Info returns the retained range of a stream; one never written is empty.
+// Info returns the retained range of a stream, which is empty for a stream
+// never written.
 func (s *Service) Info(name string) (wire.StreamInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/logservice/service_test.go
+++ b/internal/standin/logservice/service_test.go
@@ -73,7 +73,7 @@
 
 func TestLongPoll(t *testing.T) {
 	events := map[string]struct {
-		happen  func(*Service)
+		trigger func(*Service)
 		records int
 		err     error
 	}{
@@ -87,7 +87,7 @@
 			started := time.Now()
 			go func() {
 				synctest.Wait()
-				event.happen(log)
+				event.trigger(log)
 			}()
 			reply, err := log.Read(t.Context(), "s", 0, 0, time.Minute)
 			if !errors.Is(err, event.err) || len(reply.Records) != event.records {
@@ -117,7 +117,8 @@
 	return testLog{Service: log, t: t, url: server.URL}
 }
 
-// post appends over HTTP and returns the status, 0 for a lost reply.
+// post appends a record over HTTP and returns the status, 0 if the connection
+// was dropped.
 func (l testLog) post(stream string) int {
 	l.t.Helper()
 	body, err := json.Marshal(wire.AppendRequest{Records: [][]byte{{1}}})
@@ -145,14 +146,14 @@
 		t.Errorf("append to another stream: status %d", got)
 	}
 	if got := log.post("s"); got != 0 || log.end("s") != 0 {
-		t.Errorf("dropped append: status %d, end %d", got, log.end("s"))
+		t.Errorf("append dropped before it took effect: status %d, end %d", got, log.end("s"))
 	}
 	log.DropAppendReplies("s", 1)
 	if got := log.post("s"); got != 0 || log.end("s") != 1 {
-		t.Errorf("lost reply: status %d, end %d", got, log.end("s"))
+		t.Errorf("append with a dropped response: status %d, end %d", got, log.end("s"))
 	}
 	if got := log.post("s"); got != http.StatusOK || log.end("s") != 2 {
-		t.Errorf("after the faults: status %d, end %d", got, log.end("s"))
+		t.Errorf("append after the faults: status %d, end %d", got, log.end("s"))
 	}
 }
 
--- a/internal/standin/logservice/settings.go
+++ b/internal/standin/logservice/settings.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Settings are the settings of a log service. The zero value keeps everything
-// and limits nothing.
+// Settings configure a log service. With the zero value all records are
+// retained and the append rate is unlimited.
 type Settings struct {
-	// RetainRecords is the number of newest records kept a stream, 0 for all.
+	// RetainRecords is the maximum number of records retained per stream, 0 for
+	// no limit.
 	RetainRecords int
-	// RetainAge is the age at which a record is dropped, 0 for never.
+	// RetainAge is the age at which records are dropped, 0 for no limit.
 	RetainAge time.Duration
-	// AppendsPerSecond is the rate of appends of all streams together above
-	// which appends are refused with status 429, 0 for no limit.
+	// AppendsPerSecond is the rate limit of appends to all streams together, 0
+	// for no limit. Appends above it are refused with status 429.
 	AppendsPerSecond float64
-	// AppendBurst is the number of appends allowed at once, 0 for one
-	// second's worth.
+	// AppendBurst is the burst size of the rate limit, 0 for the appends of one
+	// second.
 	AppendBurst int
-	// Now is the clock, time.Now when nil.
+	// Now is the clock; time.Now if nil.
 	Now func() time.Time
 }
--- a/internal/standin/logservice/stats.go
+++ b/internal/standin/logservice/stats.go
@@ -3,15 +3,15 @@
 // StatsRoute is the route of the counters.
 const StatsRoute = "/standin/stats"
 
-// StreamStats counts what was appended to a stream since the start, whether it
-// is still retained or not.
+// StreamStats counts all appends to a stream, including records no longer
+// retained.
 type StreamStats struct {
 	Appends uint64 `json:"appends"`
 	Records uint64 `json:"records"`
 	Bytes   uint64 `json:"bytes"`
 }
 
-// Stats are the counters of all streams.
+// Stats holds the counters of each stream and their totals.
 type Stats struct {
 	Total   StreamStats            `json:"total"`
 	Streams map[string]StreamStats `json:"streams"`
--- a/internal/standin/logservice/stream.go
+++ b/internal/standin/logservice/stream.go
@@ -6,7 +6,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// stream is one stream. The service's mutex guards it.
+// stream holds the records of one stream. The service's mutex guards it.
 type stream struct {
 	first   uint64
 	records []wire.LogRecord
@@ -39,13 +39,14 @@
 	return first
 }
 
-// wake lets every waiting read look again.
+// wake wakes every waiting read.
 func (s *stream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// retain drops the records beyond the count and at or below the oldest time.
+// retain drops the records in excess of count and those that are not newer than
+// oldest.
 func (s *stream) retain(count int, oldest time.Time) {
 	drop := 0
 	if count > 0 && len(s.records) > count {
--- a/internal/standin/members/handler.go
+++ b/internal/standin/members/handler.go
@@ -13,8 +13,9 @@
 	leavingRoute = memberRoute + "/leaving"
 )
 
-// Handler returns the HTTP handler of the list. Besides the routes of wire it
-// offers POST /standin/members/{id}/leaving, which marks a member as leaving.
+// Handler returns the HTTP handler of the list. In addition to the routes of
+// package wire it serves POST /standin/members/{id}/leaving, which marks a
+// member as leaving.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.MembersRoute, l.serveList)
@@ -48,7 +49,7 @@
 	}
 	id := r.PathValue("id")
 	if member.ID != "" && member.ID != id {
-		standin.WriteError(w, http.StatusBadRequest, "the id of the body differs from that of the path")
+		standin.WriteError(w, http.StatusBadRequest, "member id in the body differs from the id in the path")
 		return
 	}
 	member.ID = id
@@ -66,7 +67,7 @@
 
 func (l *List) serveLeaving(w http.ResponseWriter, r *http.Request) {
 	if !l.SetLeaving(r.PathValue("id")) {
-		standin.WriteError(w, http.StatusNotFound, "no such member")
+		standin.WriteError(w, http.StatusNotFound, "member not found")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/members/list.go
+++ b/internal/standin/members/list.go
@@ -1,5 +1,5 @@
-// Package members is the stand-in of the platform's membership list. The list
-// it shows is the list as it was some time ago.
+// Package members is the stand-in of the platform's membership list. Readers
+// see the list with a configurable lag.
 package members
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// ErrDown is returned while the list cannot be read.
+// ErrDown is returned while the list is unavailable.
 var ErrDown = errors.New("membership list is down")
 
-// Settings are the settings of a membership list.
+// Settings configure a membership list.
 type Settings struct {
-	// Lag is the age of the list shown. A MemberFaults replaces it.
+	// Lag is the age of the list that readers see. SetFaults overrides it.
 	Lag time.Duration
-	// Now is the clock, time.Now when nil.
+	// Now is the clock; time.Now if nil.
 	Now func() time.Time
 }
 
@@ -37,7 +37,7 @@
 	faults  wire.MemberFaults
 }
 
-// New returns an empty list of version 0.
+// New returns an empty list with version 0.
 func New(settings Settings) *List {
 	if settings.Now == nil {
 		settings.Now = time.Now
@@ -57,7 +57,7 @@
 	l.recordVersion()
 }
 
-// Remove drops a member and tells whether it was there.
+// Remove removes a member and reports whether it was listed.
 func (l *List) Remove(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	return true
 }
 
-// SetLeaving marks a member as leaving and tells whether it was there.
+// SetLeaving marks a member as leaving and reports whether it was listed.
 func (l *List) SetLeaving(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,14 +83,14 @@
 	return true
 }
 
-// Current returns the list without lag, also while the list is down.
+// Current returns the list without lag, even while it is down.
 func (l *List) Current() wire.MemberList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current()
 }
 
-// Visible returns the list with its lag, or ErrDown.
+// Visible returns the list as it was Lag ago, or ErrDown.
 func (l *List) Visible() (wire.MemberList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,8 +119,8 @@
 	return l.faults
 }
 
-// recordVersion takes the next version. The whole history is kept, since the lag may
-// grow at any time and a test changes the list seldom.
+// recordVersion increments the version and records the list. No history is
+// dropped, since the lag may grow at any time.
 func (l *List) recordVersion() {
 	l.version++
 	l.history.Record(l.now(), l.current())
--- a/internal/standin/members/list_test.go
+++ b/internal/standin/members/list_test.go
@@ -26,15 +26,15 @@
 	list.Put(wire.Member{ID: "a", State: wire.MemberStateLive})
 	list.SetLeaving("b")
 	if got := visible(); len(got.Members) != 0 || got.Version != 0 {
-		t.Errorf("before the lag: %+v", got)
+		t.Errorf("before the lag passed: %+v", got)
 	}
 	now = now.Add(5 * time.Second)
 	if got := visible(); len(got.Members) != 1 || got.Members[0].State != wire.MemberStateLive || got.Version != 1 {
-		t.Errorf("list of 10 s ago: %+v", got)
+		t.Errorf("list as of 10 s ago: %+v", got)
 	}
 	now = now.Add(5 * time.Second)
 	if got := visible(); len(got.Members) != 2 || got.Members[0].ID != "a" || got.Members[1].State != wire.MemberStateLeaving {
-		t.Errorf("after the lag: %+v", got)
+		t.Errorf("after the lag passed: %+v", got)
 	}
 	list.Remove("b")
 	if got := visible(); len(got.Members) != 2 {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LoopbackAddress listens on a free loopback port.
+// LoopbackAddress is the listen address for a free loopback port.
 const LoopbackAddress = "127.0.0.1:0"
 
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves one handler on one listener.
+// Server serves a handler on one listener.
 type Server struct {
 	// URL is the base URL, without a trailing slash.
 	URL string
@@ -24,7 +24,7 @@
 }
 
 // Listen binds address and serves handler on it until Close. An empty address
-// means LoopbackAddress. The error is that of the bind.
+// means LoopbackAddress. It fails if the address cannot be bound.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	if address == "" {
 		address = LoopbackAddress
@@ -50,8 +50,8 @@
 	}
 }
 
-// Close closes the listener and every connection. Requests that run have their
-// contexts cancelled.
+// Close closes the listener and every connection, which cancels the contexts of
+// requests in progress.
 func (s *Server) Close() {
 	if err := s.http.Close(); err != nil {
 		slog.Warn("close stand-in server", "url", s.URL, "error", err)
--- a/internal/standin/service/outcomes.go
+++ b/internal/standin/service/outcomes.go
@@ -7,19 +7,20 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// outcomes keeps the first answer of each idempotency key. An empty key is not
-// kept. It is safe for concurrent use.
+// outcomes stores the first response of each idempotency key, except the empty
+// key. It is safe for concurrent use.
 type outcomes struct {
 	mu   sync.Mutex
 	keys map[string]*keyState
 }
 
 type keyState struct {
-	// pending counts the requests with the key that are here and not ended.
+	// pending counts the requests with the key that are in progress.
 	pending  int
 	response *wire.OutcomeReply
 	changed  chan struct{}
-	// run is held by the request that runs, where the service deduplicates.
+	// run is held while a request with the key runs, if the service
+	// deduplicates.
 	run sync.Mutex
 }
 
@@ -27,14 +28,14 @@
 	return &outcomes{keys: make(map[string]*keyState)}
 }
 
-// begin notes that a request with the key is here.
+// begin registers a request with the key as in progress.
 func (o *outcomes) begin(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.keyState(key).pending++
 }
 
-// end notes that a request with the key ended.
+// end unregisters a request with the key.
 func (o *outcomes) end(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -48,7 +49,7 @@
 }
 
 // lockKey waits until no other request with the key runs. The caller must have
-// arrived.
+// called begin.
 func (o *outcomes) lockKey(key string) (unlock func()) {
 	o.mu.Lock()
 	state := o.keyState(key)
@@ -69,8 +70,9 @@
 	}
 }
 
-// wait returns the answer of a key, or nil if no request with it ran. It waits
-// for requests that are here. The error is that of the context.
+// wait returns the response of a key, or nil if no request with it ran. It
+// waits while such requests are in progress. It fails only with the error of
+// the context.
 func (o *outcomes) wait(ctx context.Context, key string) (*wire.OutcomeReply, error) {
 	for {
 		response, changed := o.get(key)
@@ -85,8 +87,9 @@
 	}
 }
 
-// get returns the answer of a key, or else a channel that is closed at the
-// next end of a request with the key, or neither if no such request is here.
+// get returns the response of a key. If there is none but a request with the
+// key is in progress, it returns a channel that is closed when the next such
+// request ends.
 func (o *outcomes) get(key string) (*wire.OutcomeReply, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -12,7 +12,7 @@
 
 const contentTypeJSON = "application/json"
 
-// serveRequest runs one request under the faults.
+// serveRequest runs one request under the configured faults.
 func (s *Service) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
@@ -25,7 +25,7 @@
 		standin.DropConnection()
 	}
 	if s.injector.TakeFail() {
-		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
+		standin.WriteError(w, http.StatusServiceUnavailable, "injected failure before the request ran")
 		return
 	}
 	outcome, ok := s.outcome(r, key, body)
@@ -35,7 +35,7 @@
 	writeOutcome(w, outcome)
 }
 
-// outcome runs a request, or finds the answer of an earlier one where the
+// outcome runs a request, or returns the response of an earlier one if the
 // service deduplicates. It returns false at Close.
 func (s *Service) outcome(r *http.Request, key string, body []byte) (wire.OutcomeReply, bool) {
 	if !s.settings.Dedupe || key == "" {
@@ -49,7 +49,7 @@
 	return s.run(r, key, body)
 }
 
-// run records a request, lets its run time pass and stores its answer.
+// run records a request, waits for its run time and stores its response.
 func (s *Service) run(r *http.Request, key string, body []byte) (wire.OutcomeReply, bool) {
 	entry := s.ledgerEntry(r, body)
 	sequence := s.ledger.Begin(entry)
@@ -58,7 +58,7 @@
 	}
 	encoded, err := json.Marshal(newResponse(entry, sequence))
 	if err != nil {
-		slog.Error("encode answer", "error", err)
+		slog.Error("encode response", "error", err)
 		return wire.OutcomeReply{}, false
 	}
 	outcome := wire.OutcomeReply{Status: http.StatusOK, ContentType: contentTypeJSON, Body: encoded}
@@ -67,8 +67,9 @@
 	return outcome, true
 }
 
-// serveOutcome answers what became of a request, by idempotency key. While
-// such a request is here and not ended, it waits: "not run" would be wrong.
+// serveOutcome responds with the outcome of the request with an idempotency
+// key. It waits while such a request is in progress, since status 404 would
+// wrongly report that it did not run.
 func (s *Service) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	if s.injector.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,6 @@
 // Package service is the stand-in of a tool service or a plain service. It
-// takes any request on any path, runs it for a set time, and records it.
+// accepts any request on any path, runs it for a configured time and records
+// it.
 package service
 
 import (
@@ -17,16 +18,16 @@
 // in milliseconds.
 const DelayParameter = "delay_ms"
 
-// Settings are the settings of a Service.
+// Settings configure a Service.
 type Settings struct {
-	// ID is the target's id, as in the ledger and the answers.
+	// ID is the target's id, as in the ledger and the responses.
 	ID string
-	// ServeOutcomes serves GET /v1/outcomes/{key}.
+	// ServeOutcomes enables GET /v1/outcomes/{key}.
 	ServeOutcomes bool
-	// Dedupe answers a repeated idempotency key with the first answer,
-	// without running it again. Otherwise both are run and recorded.
+	// Dedupe returns the first response for a repeated idempotency key without
+	// running the request again. Otherwise every request is run and recorded.
 	Dedupe bool
-	// Faults are the faults at the start, and the run time.
+	// Faults are the initial faults, including the run time.
 	Faults wire.ServiceFaults
 }
 
@@ -39,7 +40,7 @@
 	closing  chan struct{}
 }
 
-// Response is the body of an answer.
+// Response is the body of a response.
 type Response struct {
 	Target   string `json:"target"`
 	Sequence uint64 `json:"sequence"`
@@ -49,7 +50,7 @@
 	BodyHash string `json:"body_hash"`
 }
 
-// New returns a service. The caller serves Handler and calls Close.
+// New returns a service. The caller must serve Handler and call Close.
 func New(settings Settings) *Service {
 	return &Service{
 		settings: settings,
@@ -60,17 +61,17 @@
 	}
 }
 
-// Close ends the requests that run, without an answer.
+// Close aborts the requests in progress without a response.
 func (s *Service) Close() {
 	close(s.closing)
 }
 
-// Faults returns the gate that holds the service's faults.
+// Faults returns the injector of the service's faults.
 func (s *Service) Faults() *faults.Injector {
 	return s.injector
 }
 
-// Ledger returns the record of the requests run.
+// Ledger returns the record of all requests run.
 func (s *Service) Ledger() *ledger.Ledger {
 	return s.ledger
 }
@@ -92,8 +93,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// runTime returns how long a request runs: what its query says, else the
-// service's own time, in both cases times the slow factor.
+// runTime returns the run time of a request: its DelayParameter, or else the
+// service's own delay, multiplied by the slow factor.
 func (s *Service) runTime(r *http.Request) time.Duration {
 	milliseconds := s.injector.Get().DelayMS
 	requested, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
@@ -104,8 +105,8 @@
 	return time.Duration(float64(normal) * s.injector.SlowFactor())
 }
 
-// waitRunTime waits for the run time, also when the caller is gone, since a request
-// once begun takes effect. It returns false at Close.
+// waitRunTime waits for the run time, even if the caller disconnects: a request
+// that has begun takes effect. It returns false at Close.
 func (s *Service) waitRunTime(duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -143,7 +144,7 @@
 	}
 }
 
-// writeOutcome sends a stored answer.
+// writeOutcome writes a stored response.
 func writeOutcome(w http.ResponseWriter, outcome wire.OutcomeReply) {
 	standin.WriteBody(w, outcome.Status, outcome.ContentType, outcome.Body)
 }
