--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -6,18 +6,18 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// cache is a prefix cache bounded in tokens. The least recently used entries
-// are evicted first, from their ends, as a block cache does. Entries that a
-// running sequence uses are pinned.
+// cache is a prefix cache with a capacity in tokens. It evicts the least
+// recently used entries first, each from its end, as a block cache does.
+// Entries in use by a running sequence are pinned.
 type cache struct {
 	capacity int64
 	used     int64
 	entries  map[string]*list.Element
-	// recent lists the entries, most recently used first.
+	// recent holds the entries, most recently used first.
 	recent *list.List
-	// pins counts the running sequences of each key.
+	// pins counts the running sequences that use each key.
 	pins map[string]int
-	// events are those since the last drain.
+	// events are the events since the last DrainCacheEvents.
 	events []wire.CacheEvent
 	next   uint64
 }
@@ -36,9 +36,9 @@
 	}
 }
 
-// hit returns how many prompt tokens of a request are cached, and marks the
-// entries as used. A program's own entry counts only behind its whole shared
-// prefix.
+// hit returns the number of cached prompt tokens of a request and marks the
+// entries as used. A program's own entry counts only if its whole shared prefix
+// is cached.
 func (c *cache) hit(request Request) int {
 	shared := min(c.touch(request.SharedKey), int64(request.SharedTokens))
 	own := c.touch(request.Program)
@@ -48,7 +48,7 @@
 	return int(min(shared+own, int64(request.PromptTokens)))
 }
 
-// touch marks an entry as the most recently used and returns its tokens.
+// touch marks an entry as most recently used and returns its tokens.
 func (c *cache) touch(key string) int64 {
 	element, ok := c.entries[key]
 	if !ok {
@@ -58,7 +58,7 @@
 	return element.Value.(*cacheEntry).tokens
 }
 
-// tokens returns the tokens of an entry, 0 when there is none.
+// tokens returns the tokens of an entry, 0 if it does not exist.
 func (c *cache) tokens(key string) int64 {
 	element, ok := c.entries[key]
 	if !ok {
@@ -84,8 +84,8 @@
 	}
 }
 
-// store grows an entry to the given tokens, or as far as the room that is
-// there after eviction allows. It never shrinks an entry.
+// store grows an entry to the given tokens, or as far as the capacity allows
+// after eviction. It never shrinks an entry.
 func (c *cache) store(key string, tokens int64) {
 	held := c.touch(key)
 	if tokens <= held {
@@ -100,8 +100,8 @@
 	c.emit(wire.CacheStored, key, tokens)
 }
 
-// evict evicts unpinned entries other than keep until there is room for
-// the given tokens or nothing is left to evict.
+// evict evicts unpinned entries other than except until the given tokens fit or
+// nothing more can be evicted.
 func (c *cache) evict(tokens int64, except string) {
 	element := c.recent.Back()
 	for element != nil && c.capacity-c.used < tokens {
@@ -117,7 +117,7 @@
 	}
 }
 
-// set changes the size of an entry, and drops it at 0.
+// set changes the size of an entry and removes it at 0.
 func (c *cache) set(key string, tokens int64) {
 	element, ok := c.entries[key]
 	if !ok {
@@ -133,7 +133,7 @@
 	}
 }
 
-// release drops an entry.
+// release removes an entry.
 func (c *cache) release(key string) {
 	if c.tokens(key) == 0 {
 		return
--- a/internal/standin/engine/cache_http.go
+++ b/internal/standin/engine/cache_http.go
@@ -12,7 +12,7 @@
 	standin.WriteJSON(w, http.StatusOK, s.CacheState())
 }
 
-// CacheState returns what the engine holds, without lag.
+// CacheState returns the current content of the cache, without lag.
 func (s *Server) CacheState() wire.CacheState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	tokens := s.model.Export(export.Program)
 	s.mu.Unlock()
 	if tokens == 0 {
-		standin.WriteError(w, http.StatusNotFound, "nothing is cached for the program")
+		standin.WriteError(w, http.StatusNotFound, "no cache entry for the program")
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, wire.CacheBlob{Program: export.Program, Tokens: tokens})
@@ -70,11 +70,12 @@
 	standin.WriteJSON(w, http.StatusOK, wire.CacheReleaseReply{HeldTokens: held})
 }
 
-// hasProgram answers with status 400 and returns false for an empty key.
+// hasProgram reports whether program is set; if not, it responds with status
+// 400.
 func hasProgram(w http.ResponseWriter, program string) bool {
 	if program != "" {
 		return true
 	}
-	standin.WriteError(w, http.StatusBadRequest, "program is missing")
+	standin.WriteError(w, http.StatusBadRequest, "program must not be empty")
 	return false
 }
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// serveChat runs a completion. Its caller's disconnect does not cancel it.
+// serveChat runs a completion. It continues if the caller disconnects.
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
@@ -20,11 +20,11 @@
 	}
 	var chat wire.ChatRequest
 	if err := json.Unmarshal(body, &chat); err != nil || len(chat.Messages) == 0 {
-		standin.WriteError(w, http.StatusBadRequest, "the body must be a chat completion with messages")
+		standin.WriteError(w, http.StatusBadRequest, "request body is not a chat completion with messages")
 		return
 	}
 	if s.injector.TakeFail() {
-		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
+		standin.WriteError(w, http.StatusServiceUnavailable, "injected failure before the request ran")
 		return
 	}
 	started, ok := s.startChat(w, r, chat, body)
@@ -39,8 +39,8 @@
 	s.writeReply(w, r, started, drop)
 }
 
-// startChat starts a chat's stream or finds the one to attach to. On a refusal
-// it answers and returns false.
+// startChat starts the stream of a chat, or returns the existing one to attach
+// to. If it refuses the chat, it writes the response and returns false.
 func (s *Server) startChat(w http.ResponseWriter, r *http.Request, chat wire.ChatRequest, body []byte) (*stream, bool) {
 	program := r.Header.Get(wire.HeaderProgram)
 	id := s.streamID(r)
@@ -63,13 +63,13 @@
 		return added, true
 	}
 	if !s.settings.AttachDuplicates {
-		standin.WriteError(w, http.StatusConflict, "a stream with this id is known")
+		standin.WriteError(w, http.StatusConflict, "a stream with this id exists")
 		return nil, false
 	}
 	return existing, true
 }
 
-// streamID returns the stream id of a request, or a new one.
+// streamID returns the stream id that a request names, or a new one.
 func (s *Server) streamID(r *http.Request) string {
 	if id := r.Header.Get(wire.HeaderStream); id != "" {
 		return id
@@ -89,8 +89,8 @@
 	return s.orders.state.Model
 }
 
-// ledgerEntry returns the entry of a chat. Its key is the idempotency key, or
-// else the stream's id.
+// ledgerEntry returns the ledger entry of a chat. Its key is the idempotency
+// key, or else the id of the stream.
 func (s *Server) ledgerEntry(r *http.Request, streamID string, body []byte, now time.Time) wire.LedgerEntry {
 	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if key == "" {
@@ -107,7 +107,7 @@
 	}
 }
 
-// serveResume sends a stream from the token that the query names.
+// serveResume sends a stream from the token index in the query on.
 func (s *Server) serveResume(w http.ResponseWriter, r *http.Request) {
 	from, err := standin.QueryNumber(r, "from")
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	found := s.findStream(r.PathValue("id"))
 	if found == nil {
-		standin.WriteError(w, http.StatusNotFound, "no such stream")
+		standin.WriteError(w, http.StatusNotFound, "stream not found")
 		return
 	}
 	const drop = false
@@ -128,8 +128,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// writeReply waits for the end of a stream and sends the whole answer, or
-// drops the connection instead.
+// writeReply waits until a stream ends, then sends the whole completion or,
+// with drop, closes the connection.
 func (s *Server) writeReply(w http.ResponseWriter, r *http.Request, st *stream, drop bool) {
 	for {
 		_, finished, changed := s.progress(st)
@@ -144,8 +144,8 @@
 	}
 }
 
-// wait returns at the change. When the caller is gone or the engine closes, it
-// drops the connection instead, so that no reply looks complete.
+// wait returns at the next change of a stream. If the caller disconnects or the
+// engine closes, it drops the connection, so that no response looks complete.
 func (s *Server) wait(r *http.Request, changed <-chan struct{}) {
 	select {
 	case <-changed:
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -7,16 +7,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Completion is the text that the stand-in makes for a program and a prompt. It is
-// the same on every engine, so that a checker can compute it.
+// Completion is the text that the stand-in generates for a program and a
+// prompt. It is the same on every engine, so that a checker can compute the
+// expected text.
 type Completion struct {
 	Program    string
 	PromptHash uint64
 }
 
-// Token returns the text of the token with an index: " w3.5fa1" and so on, the
-// index and a tag of the program and prompt, so that a splice shows at every
-// token. The first token also names the program and the prompt's hash.
+// Token returns the text of the token at an index, such as " w3.5fa1": the
+// index and a tag of the program and prompt, so that tokens of different
+// completions can be told apart. The first token also contains the program and
+// the hash of the prompt.
 func (a Completion) Token(index int) string {
 	if index == 0 {
 		return fmt.Sprintf("w0.%04x[program=%s,prompt=%016x]", a.tag(), a.Program, a.PromptHash)
@@ -28,7 +30,7 @@
 	return uint16(xxhash.Sum64String(a.Program) ^ a.PromptHash)
 }
 
-// Text returns the tokens from one index up to before another.
+// Text returns the tokens with indexes in [from, to).
 func (a Completion) Text(from, to int) string {
 	var text strings.Builder
 	for index := from; index < to; index++ {
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// eventPageSize is the number of events of one page.
+	// eventPageSize is the maximum number of events of a page.
 	eventPageSize = 1000
-	// maxRetainedEvents is the number of events kept for readers; older ones are
-	// a gap.
+	// maxRetainedEvents is the number of events retained for readers. Readers
+	// that fall further behind see a gap.
 	maxRetainedEvents = 100_000
 )
 
-// eventLog shows cache events late, with some lost and some doubled.
+// eventLog delays cache events, drops some and duplicates some.
 type eventLog struct {
 	lag       time.Duration
 	gap       float64
@@ -55,7 +55,7 @@
 	}
 }
 
-// page returns the events from a sequence number on that may be shown by now.
+// page returns the events from a sequence number on that are visible by now.
 func (l *eventLog) page(now time.Time, from uint64) wire.CacheEvents {
 	page := wire.CacheEvents{Events: []wire.CacheEvent{}, Next: from}
 	for _, delayed := range l.from(from) {
@@ -74,8 +74,8 @@
 	return page
 }
 
-// from returns the kept events from a sequence number on. Sequence numbers
-// have no gaps here.
+// from returns the retained events from a sequence number on. Sequence numbers
+// are consecutive here.
 func (l *eventLog) from(sequence uint64) []delayedEvent {
 	if len(l.events) == 0 {
 		return nil
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// recordLoad notes the present load for later reports. The caller holds the
-// mutex.
+// recordLoad records the current load for later reports. The caller must hold
+// the mutex.
 func (s *Server) recordLoad() {
 	now := time.Now()
 	s.loads.DropBefore(now.Add(-s.settings.LoadLag))
@@ -22,7 +22,7 @@
 	})
 }
 
-// Load returns the load as it was LoadLag ago.
+// Load returns the load as of LoadLag ago.
 func (s *Server) Load() wire.EngineLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -7,11 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDuplicateID is returned for a request whose id is waiting or running.
+// ErrDuplicateID is returned for a request whose id is already waiting or
+// running.
 var ErrDuplicateID = errors.New("a request with this id is waiting or running")
 
-// Model is a continuous-batching engine: each step, every running sequence
-// past its prefill makes one token, and prompts are processed in chunks.
+// Model is a continuous-batching engine. In each step, every running sequence
+// past its prefill generates one token, and prompts are processed in chunks.
 // Requests are admitted to slots in order of arrival. It is deterministic and
 // not safe for concurrent use.
 type Model struct {
@@ -35,7 +36,7 @@
 	}
 }
 
-// Submit puts a request at the end of the queue. It fails with ErrDuplicateID.
+// Submit appends a request to the queue. It fails with ErrDuplicateID.
 func (m *Model) Submit(request Request) error {
 	if _, ok := m.byID[request.ID]; ok {
 		return errors.Wrapf(ErrDuplicateID, "request %q", request.ID)
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// Cancel ends a waiting or running request at once and frees its slot. What it
-// has processed stays in the cache. It returns false for an unknown id.
+// Cancel ends a waiting or running request and frees its slot. Its processed
+// tokens stay in the cache. It returns false for an unknown id.
 func (m *Model) Cancel(id string) (Finished, bool) {
 	seq, ok := m.byID[id]
 	if !ok {
@@ -68,12 +69,12 @@
 	return seq.finished(FinishCancelled), true
 }
 
-// Idle tells whether nothing waits or runs.
+// Idle reports whether no request waits or runs.
 func (m *Model) Idle() bool {
 	return len(m.byID) == 0
 }
 
-// Running returns the number of requests in slots, as of the last plan.
+// Running returns the number of requests in slots as of the last plan.
 func (m *Model) Running() int {
 	return len(m.running)
 }
@@ -89,7 +90,7 @@
 }
 
 // StepDuration plans the next step, unless it is planned already, and returns
-// how long it takes. Requests submitted after the plan join the step after. A
+// its duration. Requests submitted after the plan join the following step. A
 // step of an idle model takes StepBase.
 func (m *Model) StepDuration() time.Duration {
 	if !m.isPlanned {
@@ -125,7 +126,7 @@
 	}
 }
 
-// Step executes the planned step, planning it first if none is planned.
+// Step executes the planned step, after planning it if necessary.
 func (m *Model) Step() StepResult {
 	if !m.isPlanned {
 		m.plan()
@@ -148,8 +149,8 @@
 	return result
 }
 
-// storeShared caches a shared prefix as soon as it is processed, so that the
-// next program of the team hits it while this one runs.
+// storeShared caches a shared prefix as soon as it is processed, so that other
+// programs can use it while this sequence runs.
 func (m *Model) storeShared(seq *sequence) {
 	if seq.sharedStored || seq.prefilled < seq.request.SharedTokens {
 		return
@@ -158,7 +159,7 @@
 	m.cache.store(seq.request.SharedKey, seq.processedShared())
 }
 
-// releaseSlot caches what a sequence has processed and unpins its entries.
+// releaseSlot caches the processed tokens of a sequence and unpins its entries.
 func (m *Model) releaseSlot(seq *sequence) {
 	defer m.cache.unpin(seq.request)
 	if seq.request.Program != "" {
--- a/internal/standin/engine/model_settings.go
+++ b/internal/standin/engine/model_settings.go
@@ -12,24 +12,23 @@
 	DefaultCacheCapacity       = 200_000
 )
 
-// ModelSettings are the settings of a Model. A zero field takes its default,
-// except that a negative cost means none.
+// ModelSettings configure a Model. A zero field takes its default; a negative
+// cost means no cost.
 type ModelSettings struct {
-	// Slots is the number of sequences that run at once.
+	// Slots is the maximum number of sequences that run at once.
 	Slots int
-	// StepBase is the duration of a step besides the costs below.
+	// StepBase is the fixed cost of a step.
 	StepBase time.Duration
-	// StepPerSequence is the cost of each sequence that makes a token in the
+	// StepPerSequence is the cost per sequence that generates a token in the
 	// step.
 	StepPerSequence time.Duration
-	// StepPerPrefillToken is the cost of each prompt token processed in the
-	// step.
+	// StepPerPrefillToken is the cost per prompt token processed in the step.
 	StepPerPrefillToken time.Duration
-	// PrefillChunk is the number of prompt tokens processed in one step at
-	// most, all sequences together.
+	// PrefillChunk is the maximum number of prompt tokens processed in one
+	// step, over all sequences.
 	PrefillChunk int
-	// CacheCapacity is the size of the prefix cache in tokens; negative means
-	// no cache.
+	// CacheCapacity is the size of the prefix cache in tokens; negative
+	// disables the cache.
 	CacheCapacity int64
 }
 
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// testModel has costs that are easy to add up: 10 ms a step, 1 ms a sequence,
-// 1 µs a prompt token, 100 prompt tokens a step.
+// testModel returns a model with costs that are easy to add up: 10 ms per step,
+// 1 ms per sequence, 1 µs per prompt token and 100 prompt tokens per step.
 func testModel(slots int, cacheCapacity int64) *Model {
 	return NewModel(ModelSettings{
 		Slots:               slots,
@@ -28,8 +28,8 @@
 	}
 }
 
-// drive steps a model until it is idle and returns what finished, the time of
-// all steps, and every token.
+// drive steps a model until it is idle and returns the finished requests, the
+// total duration of the steps, and all tokens.
 func drive(model *Model) (finished []Finished, total time.Duration, tokens []TokenEvent) {
 	for !model.Idle() {
 		total += model.StepDuration()
@@ -79,7 +79,7 @@
 	model := testModel(1, 0)
 	submit(t, model, Request{ID: "a"})
 	if model.Submit(Request{ID: "a"}) == nil {
-		t.Error("a duplicate id was taken")
+		t.Error("a duplicate id was accepted")
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Errorf("cached tokens of another program %d, want 200", finished[0].CachedTokens)
 	}
 	if warm >= partly {
-		t.Errorf("own cache took %v, shared prefix alone %v", warm, partly)
+		t.Errorf("took %v with the own entry cached, %v with only the shared prefix", warm, partly)
 	}
 }
 
@@ -141,10 +141,10 @@
 		t.Errorf("cancel of a running request: %+v %v", finished, ok)
 	}
 	if _, ok := model.Cancel("b"); !ok {
-		t.Error("cancel of a waiting request found none")
+		t.Error("Cancel did not find a waiting request")
 	}
 	if _, ok := model.Cancel("a"); ok {
-		t.Error("a second cancel found the request")
+		t.Error("a second Cancel found the request")
 	}
 	if got := model.CachedTokens("p"); got != 100 {
 		t.Errorf("cached %d tokens of the cancelled request, want 100", got)
@@ -161,14 +161,14 @@
 	submit(t, model, Request{ID: "a", Program: "p", PromptTokens: 50, OutputTokens: 2})
 	model.Step()
 	if model.Release("p") == 0 {
-		t.Error("released while a sequence runs")
+		t.Error("Release removed the entry of a running sequence")
 	}
 	if model.Import("q", 100) != 60 || model.CachedTokens("p") != 40 {
 		t.Errorf("a pinned entry was evicted: %+v", model.CacheState())
 	}
 	drive(model)
 	if model.Release("p") != 0 || model.CachedTokens("p") != 0 {
-		t.Errorf("not released: %+v", model.CacheState())
+		t.Errorf("entry was not released: %+v", model.CacheState())
 	}
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,16 +10,16 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// OrderLogRoute lists the orders that the engine applied, in order, as a JSON
-// array of wire.Order.
+// OrderLogRoute is the route of the applied orders, a JSON array of wire.Order
+// in the order of application.
 const OrderLogRoute = "/standin/orders"
 
 var (
-	errStaleFencing = errors.New("fencing number is lower than one seen")
+	errStaleFencing = errors.New("fencing number is lower than that of an applied order")
 	errUnknownOrder = errors.New("unknown kind of order")
 )
 
-// orderStore is the engine's state under orders.
+// orderStore holds the state that orders set.
 type orderStore struct {
 	state   wire.OrderState
 	applied []wire.Order
@@ -32,8 +32,8 @@
 	}}
 }
 
-// apply changes the state. An engine that checks fencing numbers refuses one
-// lower than it has seen; another applies whatever comes.
+// apply applies an order. An engine that checks fencing numbers refuses an
+// order with a lower number than that of the last one applied.
 func (b *orderStore) apply(order wire.Order) error {
 	if b.state.ChecksFencing && order.Fencing < b.state.Fencing {
 		return errStaleFencing
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// field returns the part of the state that a kind of order sets, or nil.
+// field returns the field of the state that a kind of order sets, or nil for an
+// unknown kind.
 func (b *orderStore) field(kind string) *string {
 	switch kind {
 	case wire.OrderLoadModel:
--- a/internal/standin/engine/prompt.go
+++ b/internal/standin/engine/prompt.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// bytesPerToken is the length of a token of a prompt.
+	// bytesPerToken is the length of a prompt token.
 	bytesPerToken = 4
-	// DefaultMaxTokens bounds the output of a request that names no bound.
+	// DefaultMaxTokens is the output limit of a request that sets none.
 	DefaultMaxTokens = 64
-	// The length of an answer is between these, by the prompt's hash.
+	// The prompt hash selects the output length from this range.
 	minOutputTokens = 8
 	maxOutputTokens = 256
 
@@ -23,16 +23,16 @@
 	systemRole      = "system"
 )
 
-// tokensDirective sets the exact length of an answer, from the content of the
-// last message.
+// tokensDirective matches the directive in the last message that sets the exact
+// output length.
 var tokensDirective = regexp.MustCompile(`\btokens=(\d{1,6})\b`)
 
-// MessageTokens returns the tokens of one message.
+// MessageTokens returns the number of tokens of a message.
 func MessageTokens(message wire.ChatMessage) int {
 	return (len(message.Content) + bytesPerToken - 1) / bytesPerToken
 }
 
-// PromptTokens returns the tokens of a prompt.
+// PromptTokens returns the number of tokens of a prompt.
 func PromptTokens(messages []wire.ChatMessage) int {
 	tokens := 0
 	for _, message := range messages {
@@ -41,9 +41,10 @@
 	return tokens
 }
 
-// SharedPrefix returns the key and the tokens of the prefix that programs with
-// the same system message share: "prefix-" and the xxhash64 of its content as
-// 16 hex digits. A prompt that does not start with a system message has none.
+// SharedPrefix returns the key and the length in tokens of the prefix that
+// programs with the same system message share. The key is "prefix-" and the
+// xxhash64 of the message as 16 hexadecimal digits. A prompt that does not
+// start with a system message has no shared prefix.
 func SharedPrefix(messages []wire.ChatMessage) (key string, tokens int) {
 	if len(messages) == 0 || messages[0].Role != systemRole {
 		return "", 0
@@ -52,19 +53,19 @@
 	return fmt.Sprintf("%s%016x", sharedKeyPrefix, hash), MessageTokens(messages[0])
 }
 
-// PromptHash returns the hash of the roles and contents of a prompt.
+// PromptHash returns a hash of the roles and contents of a prompt.
 func PromptHash(messages []wire.ChatMessage) uint64 {
 	digest := xxhash.New()
 	for _, message := range messages {
-		// Lengths go in too, so that no two prompts give the same bytes.
+		// The lengths make the encoding unambiguous.
 		_, _ = fmt.Fprintf(digest, "%d:%s%d:%s", len(message.Role), message.Role, len(message.Content), message.Content)
 	}
 	return digest.Sum64()
 }
 
-// OutputTokens returns the length at which the model ends the answer by
-// itself: N if the last message holds "tokens=N", else a length by the
-// prompt's hash.
+// OutputTokens returns the number of tokens after which the model stops by
+// itself: N if the last message contains "tokens=N", else a number derived from
+// the prompt hash.
 func OutputTokens(messages []wire.ChatMessage) int {
 	if exact, ok := exactTokens(messages); ok {
 		return exact
@@ -85,7 +86,7 @@
 	return tokens, err == nil && tokens > 0
 }
 
-// NewRequest returns the model request of a chat completion.
+// NewRequest returns the model request for a chat completion.
 func NewRequest(id, program string, chat wire.ChatRequest) Request {
 	sharedKey, sharedTokens := SharedPrefix(chat.Messages)
 	maxTokens := chat.MaxTokens
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxCatchUp bounds how far the engine runs faster than its step durations to
-// make up for a late wake-up.
+// maxCatchUp limits how far the engine runs ahead of its step durations to make
+// up for late wake-ups.
 const maxCatchUp = 20 * time.Millisecond
 
 // run executes the model's steps in real time until Close.
@@ -27,7 +27,7 @@
 	}
 }
 
-// nextDue returns the end of a step that starts when the last one was due.
+// nextDue returns the end of a step that starts when the previous one was due.
 func nextDue(due, now time.Time, duration time.Duration) time.Time {
 	if earliest := now.Add(-maxCatchUp); due.Before(earliest) {
 		due = earliest
@@ -35,8 +35,8 @@
 	return due.Add(duration)
 }
 
-// planStep returns the duration of the next step, and false if there is
-// nothing to do.
+// planStep returns the duration of the next step, and false if the model is
+// idle.
 func (s *Server) planStep() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,13 +78,13 @@
 	s.ledger.Finish(st.sequence, tokens)
 }
 
-// publish makes the model's new state visible to the lagging reports.
+// publish records the model's new state for the lagging reports.
 func (s *Server) publish(now time.Time) {
 	s.cacheEvents.add(now, s.model.DrainCacheEvents())
 	s.recordLoad()
 }
 
-// signal wakes the loop.
+// signal wakes run.
 func (s *Server) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitForWork returns true when there may be work and false at Close.
+// waitForWork waits until there may be work. It returns false at Close.
 func (s *Server) waitForWork() bool {
 	select {
 	case <-s.wake:
@@ -102,7 +102,7 @@
 	}
 }
 
-// sleepUntil returns false at Close.
+// sleepUntil waits until due. It returns false at Close.
 func (s *Server) sleepUntil(due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -1,32 +1,32 @@
 package engine
 
-// sequence is a request that waits or runs.
+// sequence is a waiting or running request.
 type sequence struct {
 	request Request
-	// cached is the number of prompt tokens found in the cache at admission.
+	// cached is the number of prompt tokens that were cached at admission.
 	cached int
-	// prefilled is the number of prompt tokens processed or cached.
+	// prefilled is the number of prompt tokens that are processed or cached.
 	prefilled int
-	// generated is the number of tokens made.
 	generated int
 	// planned is the number of prompt tokens to process in the planned step,
-	// and plannedToken whether the step makes a token.
+	// plannedToken whether the step generates a token.
 	planned      int
 	plannedToken bool
-	// sharedStored tells that the whole shared prefix is cached, where it
-	// stays while the sequence runs.
+	// sharedStored reports whether the whole shared prefix is cached. It then
+	// stays cached while the sequence runs.
 	sharedStored bool
 }
 
-// start puts the sequence into a slot with the given number of cached tokens.
-// The last prompt token is always computed, since it gives the first token.
+// start admits the sequence to a slot with the given number of cached tokens.
+// The last prompt token is always computed, since it yields the first output
+// token.
 func (s *sequence) start(cached int) {
 	s.cached = max(0, min(cached, s.request.PromptTokens-1))
 	s.prefilled = s.cached
 	s.sharedStored = s.cached >= s.request.SharedTokens
 }
 
-// plan takes up to budget prompt tokens and returns how many it took.
+// plan plans to process up to budget prompt tokens and returns how many.
 func (s *sequence) plan(budget int) int {
 	missing := s.request.PromptTokens - s.prefilled
 	s.planned = min(missing, budget)
@@ -34,7 +34,7 @@
 	return s.planned
 }
 
-// step executes the plan and tells whether it made a token.
+// step executes the plan and reports whether it generated a token.
 func (s *sequence) step() bool {
 	made := s.plannedToken
 	s.prefilled += s.planned
@@ -50,12 +50,13 @@
 	return s.generated >= s.request.limit()
 }
 
-// processedShared returns the processed tokens of the shared prefix.
+// processedShared returns the number of processed tokens of the shared prefix.
 func (s *sequence) processedShared() int64 {
 	return int64(min(s.prefilled, s.request.SharedTokens))
 }
 
-// processedOwn returns the processed tokens beyond the shared prefix.
+// processedOwn returns the number of processed and generated tokens after the
+// shared prefix.
 func (s *sequence) processedOwn() int64 {
 	return int64(max(0, s.prefilled-s.request.SharedTokens) + s.generated)
 }
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -20,20 +20,20 @@
 	mu      sync.Mutex
 	model   *Model
 	streams map[string]*stream
-	// ended lists the kept streams that ended, in that order.
+	// ended holds the retained streams that have ended, in order of their end.
 	ended       []*stream
 	nextID      uint64
 	loads       standin.History[wire.EngineLoad]
 	cacheEvents *eventLog
 	orders      orderStore
 
-	// wake has an item when the model may have work.
+	// wake holds an item when the model may have work.
 	wake    chan struct{}
 	closing chan struct{}
 	stopped chan struct{}
 }
 
-// NewServer starts an engine. The caller serves Handler and calls Close.
+// NewServer starts an engine. The caller must serve Handler and call Close.
 func NewServer(settings Settings) *Server {
 	settings = settings.withDefaults()
 	server := &Server{
@@ -53,18 +53,18 @@
 	return server
 }
 
-// Close stops the engine. Streams that run stay unfinished.
+// Close stops the engine. Streams in progress stay unfinished.
 func (s *Server) Close() {
 	close(s.closing)
 	<-s.stopped
 }
 
-// Faults returns the gate that holds the engine's faults.
+// Faults returns the injector of the engine's faults.
 func (s *Server) Faults() *faults.Injector {
 	return s.injector
 }
 
-// Ledger returns the record of the requests run.
+// Ledger returns the record of all requests run.
 func (s *Server) Ledger() *ledger.Ledger {
 	return s.ledger
 }
@@ -107,8 +107,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// startStream submits a request as a new stream, or returns the stream that
-// has its id already.
+// startStream submits a request as a new stream, or returns the existing stream
+// with its id.
 func (s *Server) startStream(request Request, added *stream, entry wire.LedgerEntry) (existing *stream, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	return nil, nil
 }
 
-// findStream returns a stream by id, or nil.
+// findStream returns a stream by id, nil if it does not exist.
 func (s *Server) findStream(id string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +134,8 @@
 	return s.streams[id]
 }
 
-// cancelStream ends a stream at once; an unknown or ended one is left.
+// cancelStream ends a running stream. It does nothing if the stream is unknown
+// or has ended.
 func (s *Server) cancelStream(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,15 +147,16 @@
 	s.publish(time.Now())
 }
 
-// progress returns how far a stream is; the channel is closed at its next
-// change.
+// progress returns the state of a stream and a channel that is closed at its
+// next change.
 func (s *Server) progress(st *stream) (generated int, finished *Finished, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return st.generated, st.finished, st.changed
 }
 
-// dropExpiredStreams drops the streams that ended too long ago.
+// dropExpiredStreams drops the streams that ended longer than StreamRetention
+// ago.
 func (s *Server) dropExpiredStreams(now time.Time) {
 	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.StreamRetention {
 		delete(s.streams, s.ended[0].id)
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -83,8 +83,8 @@
 	return chunks, false
 }
 
-// checkTokens checks that the chunks are the tokens from one index up to
-// before another, then the last chunk.
+// checkTokens checks that the chunks are the tokens with indexes in [from, to),
+// followed by the last chunk.
 func checkTokens(t *testing.T, chunks []wire.ChatChunk, completion Completion, from, to int) {
 	t.Helper()
 	if len(chunks) != to-from+1 {
@@ -113,7 +113,7 @@
 	resumed := engine.do("GET", wire.StreamsRoute+"/s1?from=123", "", nil)
 	chunks, done := readEvents(t, resumed.Body)
 	if !done {
-		t.Error("no [DONE]")
+		t.Error("stream did not end with [DONE]")
 	}
 	checkTokens(t, chunks, completionOf(chat), 123, 500)
 	entries := engine.Ledger().Entries()
--- a/internal/standin/engine/settings.go
+++ b/internal/standin/engine/settings.go
@@ -12,32 +12,33 @@
 	DefaultModelName       = "standin"
 )
 
-// Settings are the settings of a Server.
+// Settings configure a Server.
 type Settings struct {
 	// ID is the target's id, as in the ledger.
 	ID string
-	// ModelName is the model served at the start, DefaultModelName if empty.
+	// ModelName is the initial model, DefaultModelName if empty.
 	ModelName string
-	// Model are the settings of the engine model.
+	// Model configures the engine model.
 	Model ModelSettings
 	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// CacheLag is the delay of cache events, CacheGap the share of them lost
-	// and CacheDuplicate the share of them shown twice, both from 0 to 1.
+	// CacheLag is the delay of cache events. CacheGap is the fraction of events
+	// that are dropped and CacheDuplicate the fraction that are duplicated,
+	// both from 0 to 1.
 	CacheLag       time.Duration
 	CacheGap       float64
 	CacheDuplicate float64
-	// Seed seeds the choice of lost and doubled cache events.
+	// Seed seeds the choice of dropped and duplicated cache events.
 	Seed uint64
 	// StreamRetention is how long an ended stream can be resumed,
 	// DefaultStreamRetention if 0.
 	StreamRetention time.Duration
-	// AttachDuplicates lets a second request with the id of a known stream
-	// attach to that stream. Otherwise it is refused with status 409.
+	// AttachDuplicates attaches a request with the id of an existing stream to
+	// that stream. Otherwise it is refused with status 409.
 	AttachDuplicates bool
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing makes the engine refuse orders with a stale fencing number.
 	ChecksFencing bool
-	// Faults are the faults at the start.
+	// Faults are the initial faults.
 	Faults wire.ServiceFaults
 }
 
--- a/internal/standin/engine/sse.go
+++ b/internal/standin/engine/sse.go
@@ -44,9 +44,10 @@
 	return e.flusher.Flush()
 }
 
-// writeStream sends the tokens of a stream from an index on, each when it is
-// made, then the last chunk and [DONE]. With drop, the connection is closed
-// when half of the tokens were sent. It returns early when the caller is gone.
+// writeStream sends the tokens of a stream from an index on as they are
+// generated, then the last chunk and [DONE]. With drop, it closes the
+// connection after half of the tokens. It returns early if the caller
+// disconnects.
 func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, st *stream, from int, drop bool) {
 	events := newEventWriter(w)
 	if events.flush() != nil {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -6,17 +6,18 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// stream is one completion and what it has made so far. The answer is a
-// function of the request, so that only a count of tokens is kept. The
-// server's mutex guards made, finished, endedAt and changed.
+// stream is one completion and its progress. Its text is a function of the
+// request, so that only a token count is stored. The server's mutex guards
+// generated, finished, endedAt and changed.
 type stream struct {
 	id         string
 	model      string
 	created    time.Time
 	completion Completion
-	// length is the number of tokens that the stream makes if not cancelled.
+	// length is the number of tokens that the stream generates unless
+	// cancelled.
 	length int
-	// sequence is the stream's place in the ledger.
+	// sequence is the stream's sequence number in the ledger.
 	sequence uint64
 
 	generated int
@@ -25,7 +26,7 @@
 	changed   chan struct{}
 }
 
-// wake lets every reader of the stream look again.
+// wake wakes every reader of the stream.
 func (s *stream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -54,7 +55,8 @@
 	return chunk
 }
 
-// lastChunk returns the chunk behind the last token. It carries no token.
+// lastChunk returns the chunk after the last token, with the finish reason and
+// usage.
 func (s *stream) lastChunk(finished Finished) wire.ChatChunk {
 	reason := string(finished.Reason)
 	usage := s.usage(finished)
@@ -74,7 +76,7 @@
 	}
 }
 
-// reply returns the whole answer of an ended stream.
+// reply returns the complete response of an ended stream.
 func (s *stream) reply(finished Finished) wire.ChatReply {
 	reason := string(finished.Reason)
 	text := s.completion.Text(0, finished.CompletionTokens)
--- a/internal/standin/metastore/groups.go
+++ b/internal/standin/metastore/groups.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// partitionsPerTopic is the number of partitions of each topic that a group deals.
+// partitionsPerTopic is the number of partitions of each topic that a group
+// allocates to its members.
 const partitionsPerTopic = 12
 
-// groups is the membership of all groups. It is safe for concurrent use.
+// groups holds the state of all groups. It is safe for concurrent use.
 type groups struct {
 	mu     sync.Mutex
 	byName map[string]*group
@@ -20,9 +21,9 @@
 type group struct {
 	generation int64
 	topics     []string
-	// expires is when each member's membership lapses.
+	// expires is when each member's membership expires.
 	expires map[string]time.Time
-	// rotation rotates the deal.
+	// rotation shifts the allocation of partitions to members.
 	rotation int
 	commits  map[partitionID]int64
 }
@@ -50,7 +51,7 @@
 	return found
 }
 
-// expire drops the members that were silent too long.
+// expire removes the members whose membership has expired.
 func (g *group) expire(now time.Time) {
 	for member, expires := range g.expires {
 		if now.After(expires) {
@@ -60,7 +61,7 @@
 	}
 }
 
-// members lists the members in order.
+// members returns the names of the members in order.
 func (g *group) members() []string {
 	var names []string
 	for name := range g.expires {
@@ -70,7 +71,8 @@
 	return names
 }
 
-// owner is the member that a partition is dealt to, empty if there is none.
+// owner returns the member to which a partition is allocated, empty if the
+// group has no members.
 func (g *group) owner(part int) string {
 	names := g.members()
 	if len(names) == 0 {
--- a/internal/standin/metastore/log.go
+++ b/internal/standin/metastore/log.go
@@ -1,9 +1,9 @@
 // Package metastore is a stand-in of the platform's metadata store for tests.
 // It speaks the published protocol over HTTP: a log with topics, partitions,
 // conditions, epochs and sequence numbers, keyed topics with the newest record
-// of each key, and groups. Faults are set while it runs: refusals, silence,
-// resets, lost answers, writes that take effect late, dropped history and groups
-// dealt anew.
+// of each key, and groups. Faults can be injected while it runs: refusals,
+// hanging calls, connection resets, dropped responses, delayed writes, dropped
+// history and group rebalances.
 package metastore
 
 import (
@@ -14,23 +14,24 @@
 	"time"
 )
 
-// maxRecentAppends is how many of a writer's last appends are answered again.
+// maxRecentAppends is the number of a writer's last appends whose repetition is
+// recognised and gets the same response.
 const maxRecentAppends = 5
 
-// keyedPrefix begins the names of keyed topics.
+// keyedPrefix is the prefix of the names of keyed topics.
 const keyedPrefix = "keyed."
 
-// partitionID names a partition.
+// partitionID identifies a partition.
 type partitionID struct {
 	topic string
 	part  int
 }
 
-// writer is what a partition knows of one writer.
+// writer is the state of one writer in a partition.
 type writer struct {
 	epoch    int64
 	sequence int64
-	// started tells whether the epoch has a sequence number yet.
+	// started reports whether the epoch has a sequence number yet.
 	started bool
 	recent  []recentAppend
 }
@@ -41,12 +42,12 @@
 	offset   int64
 }
 
-// partition is the records of one partition.
+// partition holds the records of one partition.
 type partition struct {
 	first   int64
 	records [][]byte
 	writers map[string]*writer
-	// newest holds the offset and content of each key's newest record.
+	// newest holds each key's newest record.
 	newest map[string]item
 }
 
@@ -56,7 +57,7 @@
 	value  []byte
 }
 
-// log is all partitions. It is safe for concurrent use.
+// log holds all partitions. It is safe for concurrent use.
 type log struct {
 	mu         sync.Mutex
 	partitions map[partitionID]*partition
@@ -90,7 +91,8 @@
 	sequence *int64
 }
 
-// appendResult is how an append ended: an HTTP status and what its body says.
+// appendResult is the outcome of an append: an HTTP status and the fields of
+// its body.
 type appendResult struct {
 	status   int
 	offset   int64
@@ -99,7 +101,7 @@
 	expected int64
 }
 
-// append carries an append out.
+// append executes an append.
 func (l *log) append(r appendRequest) appendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +127,8 @@
 	return appendResult{status: 200, offset: offset, end: p.end()}
 }
 
-// checkWriter checks the epoch and the sequence number.
+// checkWriter checks the epoch and the sequence number of an append. If it
+// returns true, the result is final and nothing is appended.
 func (p *partition) checkWriter(r appendRequest) (*writer, appendResult, bool) {
 	if r.writer == "" {
 		return nil, appendResult{}, false
@@ -176,8 +179,8 @@
 	p.newest[key] = item{offset, value}
 }
 
-// read gives the records from an offset on, waiting for one. It returns false
-// if they are gone.
+// read returns the records from an offset on, and waits for one if there are
+// none. It returns false if the offset is no longer retained.
 func (l *log) read(id partitionID, from int64, wait time.Duration, done <-chan struct{}) (end, first int64, records [][]byte, ok bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -206,7 +209,7 @@
 	}
 }
 
-// trim drops the records before an offset; the newest of each key stay.
+// trim drops the records before an offset. The newest record of each key stays.
 func (l *log) trim(id partitionID, before int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,7 +219,7 @@
 	p.first = before
 }
 
-// newestOf lists the newest record of each key, in order of the keys.
+// newestOf returns the newest record of each key, with the keys in order.
 func (l *log) newestOf(id partitionID) (keys []string, items map[string]item, end int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,7 +233,7 @@
 	return keys, items, p.end()
 }
 
-// splitRecords cuts the body of an append into records.
+// splitRecords splits the body of an append into records.
 func splitRecords(body []byte) ([][]byte, bool) {
 	var records [][]byte
 	for len(body) > 0 {
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -12,45 +12,45 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// errConnectionCut is what a call sees whose connection is cut.
+// errConnectionCut is the error of a call whose connection is cut.
 var errConnectionCut = errors.New("connection cut")
 
-// Memory is the stand-in without a network, for tests in virtual time. It takes
-// the calls of platform.Store.
+// Memory is the stand-in without a network, for tests in virtual time. It
+// implements platform.Store.
 type Memory struct {
 	log *log
 
 	mu    sync.Mutex
 	fault Fault
 	calls int
-	// freeAt is when a partition has done the appends that it was given.
+	// freeAt is when a partition completes its last accepted append.
 	freeAt map[partitionID]time.Time
-	// DelayedWrites counts the writes that are to take effect late.
+	// DelayedWrites counts the writes that wait for Fault.ApplyDelay.
 	DelayedWrites sync.WaitGroup
 }
 
-// NewMemory makes an empty store.
+// NewMemory returns an empty store.
 func NewMemory() *Memory { return &Memory{log: newLog(), freeAt: make(map[partitionID]time.Time)} }
 
-// Set puts a fault in force, in place of the one before.
+// Set replaces the fault.
 func (m *Memory) Set(f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.fault = f
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (m *Memory) Calls() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// callLatency is how long the store takes for a call.
+// callLatency is the duration of a call without faults.
 const callLatency = 4 * time.Millisecond
 
-// applyFault waits as long as a call on a partition takes and returns what befalls
-// it.
+// applyFault waits for the duration of a call on a partition and returns the
+// fault that applies to it, with the error that the fault causes.
 func (m *Memory) applyFault(ctx context.Context, part int) (Fault, error) {
 	m.mu.Lock()
 	f := m.fault
@@ -78,12 +78,12 @@
 	return f, nil
 }
 
-// maxAppendWait is how long an append may wait for those before it.
+// maxAppendWait is the maximum time that an append waits for earlier ones.
 const maxAppendWait = 2 * time.Second
 
-// waitForEarlierAppends waits until a partition has done the appends before this one and,
-// for the time that it takes, this one. An append whose caller has gone takes
-// its time all the same.
+// waitForEarlierAppends waits until a partition has completed the earlier
+// appends, then for the duration of this one. An append whose caller gives up
+// still takes its time.
 func (m *Memory) waitForEarlierAppends(ctx context.Context, id partitionID, duration time.Duration) error {
 	if duration == 0 {
 		return nil
@@ -96,7 +96,7 @@
 	}
 	if begin.Sub(now) > maxAppendWait {
 		m.mu.Unlock()
-		return errors.Wrap(platform.ErrBusy, "too many appends wait")
+		return errors.Wrap(platform.ErrBusy, "too many appends queued")
 	}
 	end := begin.Add(duration)
 	m.freeAt[id] = end
@@ -165,11 +165,12 @@
 	return newest
 }
 
-// memoryPageRecords is the number of records of a page: few, so that tests read
-// several.
+// memoryPageRecords is the number of records of a page. It is small so that
+// tests read several pages.
 const memoryPageRecords = 5
 
-// NewestPage reads the newest records of some keys, behind one.
+// NewestPage reads one page of the newest records, with keys greater than
+// after.
 func (m *Memory) NewestPage(ctx context.Context, topic string, part int, after string) (platform.Newest, bool, error) {
 	if _, err := m.applyFault(ctx, part); err != nil {
 		return platform.Newest{}, false, err
@@ -183,7 +184,8 @@
 	return page, more, nil
 }
 
-// ReadPage reads some records from an offset on. It does not wait for one.
+// ReadPage reads one page of records from an offset on. It does not wait for
+// records.
 func (m *Memory) ReadPage(
 	ctx context.Context, topic string, part int, from int64, _ time.Duration,
 ) (platform.Page, error) {
@@ -203,7 +205,7 @@
 	return page, nil
 }
 
-// Trim drops history before an offset.
+// Trim drops the records before an offset.
 func (m *Memory) Trim(ctx context.Context, topic string, part int, before int64) error {
 	if _, err := m.applyFault(ctx, part); err != nil {
 		return err
@@ -212,5 +214,5 @@
 	return nil
 }
 
-// DropHistory drops all records of a partition but the newest of each key.
+// DropHistory drops all records of a partition except the newest of each key.
 func (m *Memory) DropHistory(topic string, part int) { m.log.trim(partitionID{topic, part}, 1<<62) }
--- a/internal/standin/metastore/service.go
+++ b/internal/standin/metastore/service.go
@@ -15,31 +15,35 @@
 // httpPageRecords is the number of records of a page of newest records.
 const httpPageRecords = 500
 
-// Fault is what befalls calls.
+// Fault is a fault that applies to calls.
 type Fault struct {
-	// Status refuses calls without doing anything: 429 or 503; 0 for none.
+	// Status is the HTTP status with which calls are refused without effect,
+	// 429 or 503; 0 for none.
 	Status int
-	// Unresponsive leaves calls unanswered and undone.
+	// Unresponsive makes calls hang without effect.
 	Unresponsive bool
-	// Reset cuts connections without doing anything.
+	// Reset cuts the connections of calls without effect.
 	Reset bool
-	// DropResponse does writes and cuts the connection in place of an answer.
+	// DropResponse executes writes but cuts the connection instead of
+	// responding.
 	DropResponse bool
-	// ApplyDelay does writes that lose their answer after this time.
+	// ApplyDelay is the delay before a write with DropResponse takes effect.
 	ApplyDelay time.Duration
-	// Delay is added to each call.
+	// Delay is added to the duration of each call.
 	Delay time.Duration
-	// AppendTime is how long a partition takes for each append, one after the
-	// other; appends that would wait longer than maxAppendWait are refused. Only
-	// Memory knows it.
+	// AppendTime is the duration of each append, of which a partition runs one
+	// at a time. Appends that would wait longer than maxAppendWait are refused.
+	// Only Memory applies it.
 	AppendTime time.Duration
-	// Topics limits the fault to calls on these topics; nil for all calls.
+	// Topics restricts the fault to calls on these topics; nil for all calls.
+	// Only Service applies it.
 	Topics []string
-	// Partitions limits it to calls on these partitions; nil for all.
+	// Partitions restricts the fault to calls on these partitions; nil for all.
+	// Only Memory applies it.
 	Partitions []int
 }
 
-// Service is a running stand-in.
+// Service is a running stand-in that serves HTTP.
 type Service struct {
 	log    *log
 	groups *groups
@@ -67,17 +71,18 @@
 	return s
 }
 
-// Address is where the stand-in listens, IP:port.
+// Address returns the listen address, IP:port.
 func (s *Service) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the stand-in, with the writes that are to take effect late.
+// Close stops the stand-in and waits for its delayed writes.
 func (s *Service) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
 	s.delayedWrites.Wait()
 }
 
-// Set puts a fault in force, in place of the one before.
+// Set replaces the fault. Faults that affect connections also close the open
+// ones.
 func (s *Service) Set(f Fault) {
 	s.mu.Lock()
 	s.fault = f
@@ -87,14 +92,15 @@
 	}
 }
 
-// Calls counts the calls of a kind so far, refused ones too.
+// Calls returns the number of calls of a kind so far, including refused ones.
 func (s *Service) Calls(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[kind]
 }
 
-// Records counts the newest records of all partitions of a topic.
+// Records returns the number of keys with a record in all partitions of a
+// topic.
 func (s *Service) Records(topic string) int {
 	s.log.mu.Lock()
 	defer s.log.mu.Unlock()
@@ -107,18 +113,19 @@
 	return n
 }
 
-// Put writes a record as an operator or target would.
+// Put writes a record to the first partition of a topic, as an operator or
+// target would.
 func (s *Service) Put(topic, key string, value []byte) {
 	record := append([]byte{byte(len(key))}, key...)
 	s.log.append(appendRequest{id: partitionID{topic, 0}, records: [][]byte{append(record, value...)}})
 }
 
-// DropHistory drops all records of a partition but the newest of each key.
+// DropHistory drops all records of a partition except the newest of each key.
 func (s *Service) DropHistory(topic string, part int) {
 	s.log.trim(partitionID{topic, part}, 1<<62)
 }
 
-// Rebalance gives all partitions of all groups to other members.
+// Rebalance allocates the partitions of all groups to other members.
 func (s *Service) Rebalance() { s.groups.rebalance() }
 
 // response is a status with a body.
@@ -140,7 +147,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the caller is gone
+			return // the caller has disconnected
 		}
 		f := s.faultFor(kind, r)
 		time.Sleep(f.Delay)
@@ -162,7 +169,7 @@
 			w.Header().Set("Content-Type", response.contentType)
 		}
 		w.WriteHeader(response.status)
-		_, _ = w.Write(response.body) // a caller that is gone needs no answer
+		_, _ = w.Write(response.body) // fails only if the caller has disconnected
 	}
 }
 
@@ -176,7 +183,7 @@
 	return s.fault
 }
 
-// dropResponse does a write now, or later.
+// dropResponse executes a write whose response is dropped, after ApplyDelay.
 func (s *Service) dropResponse(f Fault, r *http.Request, body []byte, serve func(*http.Request, []byte) response) {
 	if f.ApplyDelay == 0 {
 		serve(r, body)
@@ -194,7 +201,7 @@
 	return partitionID{topic, part}, err == nil && part >= 0 && topic != ""
 }
 
-// number reads a number of the query; nil if it is absent.
+// number returns a numeric query parameter, nil if it is absent or malformed.
 func number(r *http.Request, name string) *int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("dedupe %v: %d entries, want %d", dedupe, got, want)
 		}
 		if same := first.Body.String() == second.Body.String(); same != dedupe {
-			t.Errorf("dedupe %v: answers %s and %s", dedupe, first.Body, second.Body)
+			t.Errorf("dedupe %v: responses %s and %s", dedupe, first.Body, second.Body)
 		}
 		var got Response
 		if err := json.Unmarshal(first.Body.Bytes(), &got); err != nil {
@@ -39,21 +39,21 @@
 		entry := service.Ledger().Entries()[0]
 		want := Response{Target: "t1", Program: "p1", Key: "k", Path: "/any/path", BodyHash: entry.BodyHash}
 		if got != want || !entry.Finished {
-			t.Errorf("answer %+v, ledger %+v", got, entry)
+			t.Errorf("response %+v, ledger %+v", got, entry)
 		}
 	}
 }
 
-func TestAskByKeyWaitsForRunningRequest(t *testing.T) {
+func TestOutcomeWaitsForRunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service := New(Settings{ServeOutcomes: true, Faults: wire.ServiceFaults{DelayMS: 50}})
-		asked := make(chan int)
+		status := make(chan int)
 		go send(service, "POST", "/run", "k")
 		synctest.Wait()
-		go func() { asked <- send(service, "GET", wire.OutcomesRoute+"/k", "").Code }()
+		go func() { status <- send(service, "GET", wire.OutcomesRoute+"/k", "").Code }()
 		synctest.Wait()
 		started := time.Now()
-		if code := <-asked; code != http.StatusOK || time.Since(started) != 50*time.Millisecond {
+		if code := <-status; code != http.StatusOK || time.Since(started) != 50*time.Millisecond {
 			t.Errorf("status %d after %v", code, time.Since(started))
 		}
 		if code := send(service, "GET", wire.OutcomesRoute+"/other", "").Code; code != http.StatusNotFound {
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		service := New(Settings{Faults: wire.ServiceFaults{FailNext: 1}})
 		if code := send(service, "GET", "/x", "").Code; code != http.StatusServiceUnavailable {
-			t.Errorf("fail: status %d", code)
+			t.Errorf("FailNext: status %d", code)
 		}
 		service.Faults().Set(wire.ServiceFaults{Hang: true})
 		hung := make(chan int)
