--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -56,11 +56,11 @@
 	}
 	output, err := p.cmd.StdoutPipe()
 	if err != nil {
-		return errors.Wrap(err, "open output pipe")
+		return errors.Wrap(err, "pipe")
 	}
 	p.cmd.Stderr = p.cmd.Stdout
 	if err := p.cmd.Start(); err != nil {
-		return errors.Wrap(err, "start process")
+		return errors.Wrap(err, "start")
 	}
 	go p.read(output, onLine)
 	return nil
