--- a/internal/testkit/relay/relay.go
+++ b/internal/testkit/relay/relay.go
@@ -66,8 +66,8 @@
 	}
 	defer r.unregister(client, target)
 	done := make(chan struct{}, 2)
-	go r.copy(target, client, toTarget, done)
-	go r.copy(client, target, toClient, done)
+	go r.forward(target, client, toTarget, done)
+	go r.forward(client, target, toClient, done)
 	<-done
 }
 
@@ -88,9 +88,9 @@
 	}
 }
 
-// copy forwards one direction. While the direction is blocked, it holds what it
+// forward forwards one direction. While the direction is blocked, it holds what it
 // has read.
-func (r *Relay) copy(to io.Writer, from io.Reader, direction int, done chan<- struct{}) {
+func (r *Relay) forward(to io.Writer, from io.Reader, direction int, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
