--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -68,10 +68,10 @@
 		t.Error("a later request changed the planned step")
 	}
 	if got := len(model.Step().Tokens); got != 1 {
-		t.Errorf("planned step made %d tokens, want 1", got)
+		t.Errorf("planned step generated %d tokens, want 1", got)
 	}
 	if got := len(model.Step().Tokens); got != 2 {
-		t.Errorf("next step made %d tokens, want 2", got)
+		t.Errorf("next step generated %d tokens, want 2", got)
 	}
 }
 
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -15,8 +15,8 @@
 // errConnectionCut is the error of a call whose connection is cut.
 var errConnectionCut = errors.New("connection cut")
 
-// Memory is the stand-in without a network, for tests in virtual time. It
-// implements platform.Store.
+// Memory is the stand-in without a network, for tests in virtual time. It has
+// the methods of platform.Store.
 type Memory struct {
 	log *log
 
