--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -104,17 +104,17 @@
 func (a arguments) setup() load.Setup {
 	return load.Setup{
 		Binary: a.Instance, Instances: a.Instances, Engines: 1,
-		Model: load.DefaultModel(), Classes: load.UsualClasses(a.Load),
+		Model: load.DefaultModel(), Classes: load.DefaultClasses(a.Load),
 	}
 }
 
 func (a arguments) scenario(ctx context.Context) error {
-	o := load.ScenarioOptions{Setup: a.setup(), Duration: a.Duration, Seeds: a.Seeds, Names: a.Scenario.Names}
+	o := load.ScenarioOptions{Setup: a.setup(), Duration: a.Duration, Seeds: a.Seeds, Scenarios: a.Scenario.Names}
 	o.Engines, o.Model.Slots, o.Model.StepBase = a.Scenario.Engines, a.Scenario.Slots, a.Scenario.Step
 	o.IdleTimeout = "10s"
-	if len(o.Names) == 0 {
+	if len(o.Scenarios) == 0 {
 		for _, f := range load.Faults() {
-			o.Names = append(o.Names, f.Name)
+			o.Scenarios = append(o.Scenarios, f.Name)
 		}
 	}
 	return load.RunScenarios(ctx, os.Stdout, o)
@@ -144,7 +144,7 @@
 
 func (a arguments) list(ctx context.Context) error {
 	o := a.costOptions()
-	o.ListEntries = orDefault(a.List.Entries, 1, 400, 800, 1600)
+	o.ListSizes = orDefault(a.List.Entries, 1, 400, 800, 1600)
 	return load.RunList(ctx, os.Stdout, o)
 }
 
--- a/cmd/proofs/main.go
+++ b/cmd/proofs/main.go
@@ -76,6 +76,6 @@
 
 func list() {
 	for _, s := range proofs.All() {
-		fmt.Printf("%-28s %2d instances  %s\n", s.Name, s.Instances, s.Proves)
+		fmt.Printf("%-28s %2d instances  %s\n", s.Name, s.Instances, s.Description)
 	}
 }
--- a/cmd/proofs/report.go
+++ b/cmd/proofs/report.go
@@ -29,7 +29,7 @@
 	group.SetLimit(a.Parallel)
 	for _, s := range scenarios {
 		group.Go(func() error {
-			result := proofs.Run(ctx, a.Instance, s, a.Seed, proofs.Keep{Dir: evidenceDir, Always: a.Keep})
+			result := proofs.Run(ctx, a.Instance, s, a.Seed, proofs.EvidenceConfig{Dir: evidenceDir, Always: a.Keep})
 			mu.Lock()
 			defer mu.Unlock()
 			printResult(result)
@@ -68,7 +68,7 @@
 		r.Took.Round(100*time.Millisecond), verdict)
 	for i, v := range r.Violations {
 		if i == shownViolations {
-			fmt.Printf("    and %d more, see %s\n", len(r.Violations)-i, r.Kept)
+			fmt.Printf("    and %d more, see %s\n", len(r.Violations)-i, r.EvidenceDir)
 			break
 		}
 		fmt.Println("    " + v.String())
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -18,8 +18,8 @@
 	Seeds []uint64
 	// Runners is the number of engines.
 	Runners int
-	// Load multiplies the arrival rate of the workloads.
-	Load float64
+	// LoadFactor multiplies the arrival rate of the workloads.
+	LoadFactor float64
 	// Duration is the time in which programs arrive, and Warmup its part
 	// that is not measured.
 	Duration, Warmup time.Duration
@@ -34,14 +34,14 @@
 	CacheLoss, CacheRepeat float64
 	// Parallel is the number of runs at a time.
 	Parallel int
-	// JSON is the file for the figures, empty for none.
-	JSON string
+	// JSONFile is the file for the figures, empty for none.
+	JSONFile string
 }
 
 // DefaultOptions are the options of the reported figures, but for the seeds.
 func DefaultOptions() Options {
 	return Options{
-		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, Load: 1,
+		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, LoadFactor: 1,
 		Duration: 150 * time.Second, Warmup: 30 * time.Second,
 		Hop: 1500 * time.Microsecond,
 		Engine: engine.ModelSettings{
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -31,14 +31,14 @@
 	if err := writeTable(w, o, results); err != nil {
 		return err
 	}
-	if o.JSON == "" {
+	if o.JSONFile == "" {
 		return nil
 	}
 	encoded, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
 		return errors.Wrap(err, "encode the figures")
 	}
-	return errors.Wrap(os.WriteFile(o.JSON, encoded, 0o644), "write the figures")
+	return errors.Wrap(os.WriteFile(o.JSONFile, encoded, 0o644), "write the figures")
 }
 
 // Measure runs every chosen workload under every chosen variant and seed.
@@ -145,7 +145,7 @@
 func writeTable(w io.Writer, o Options, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "runners %d, load %.2f, arrivals %v after %v, seeds %v; mean [lowest..highest] over seeds\n",
-		o.Runners, o.Load, o.Duration, o.Warmup, o.Seeds)
+		o.Runners, o.LoadFactor, o.Duration, o.Warmup, o.Seeds)
 	for start := 0; start < len(results); {
 		end := start
 		for end < len(results) && results[end].Workload == results[start].Workload {
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -78,9 +78,9 @@
 	var programs []*Program
 	at := time.Duration(0)
 	for {
-		rate := k.Rate * o.Load
+		rate := k.Rate * o.LoadFactor
 		if at > 2*o.Duration/5 && at < 3*o.Duration/5 {
-			rate += k.BurstRate * o.Load
+			rate += k.BurstRate * o.LoadFactor
 		}
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
 		if at > o.Duration {
--- a/internal/dispatch/gauges.go
+++ b/internal/dispatch/gauges.go
@@ -11,15 +11,15 @@
 	Running int
 	// Ejected targets get no work for a while.
 	Ejected int
-	// Releases of cache are owed.
-	Releases int
+	// PendingReleases of cache are owed.
+	PendingReleases int
 }
 
 // Gauges gives the sizes of the dispatcher's tables.
 func (d *Dispatcher) Gauges() Gauges {
 	g := Gauges{Pools: len(d.pools), Waiting: d.Waiting()}
 	for _, p := range d.pools {
-		g.Releases += len(p.releases)
+		g.PendingReleases += len(p.releases)
 		for _, t := range p.targets {
 			g.Running += len(t.running)
 			if t.health.State == policy.Ejected {
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -84,7 +84,7 @@
 	p.call = ev.Call
 	if p.call.Key == "" {
 		// A key of its own lets a second owner recognise the call.
-		p.call.Key = journal.KeylessPrefix + string(ev.Request)
+		p.call.Key = journal.GeneratedKeyPrefix + string(ev.Request)
 	}
 	g.hold(p)
 	g.search(now, p, "")
--- a/internal/httpapi/headers.go
+++ b/internal/httpapi/headers.go
@@ -162,8 +162,8 @@
 	if len(value) > maxKeyLength || !printable(value) {
 		p.fail(HeaderIdempotencyKey, "printable ASCII, at most "+strconv.Itoa(maxKeyLength))
 	}
-	if strings.HasPrefix(value, journal.KeylessPrefix) {
-		p.fail(HeaderIdempotencyKey, "a key that does not begin with "+journal.KeylessPrefix)
+	if strings.HasPrefix(value, journal.GeneratedKeyPrefix) {
+		p.fail(HeaderIdempotencyKey, "a key that does not begin with "+journal.GeneratedKeyPrefix)
 	}
 	return value
 }
--- a/internal/instance/lifecycle.go
+++ b/internal/instance/lifecycle.go
@@ -55,7 +55,7 @@
 		current = readiness{reported: true, reason: ReasonDraining}
 	case !i.proposer.CaughtUp():
 		current = readiness{reported: true, reason: "settings not caught up"}
-	case !i.view.Listed():
+	case !i.view.ListReceived():
 		current = readiness{reported: true, reason: "no membership list yet"}
 	}
 	if current == i.ready {
--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -6,22 +6,22 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Verdict tells what became of a record that was read.
-type Verdict uint8
+// ApplyResult tells what became of a record that was read.
+type ApplyResult uint8
 
 // Verdicts on a record.
 const (
-	// Counted: the record took effect, now or when its writer applied it
+	// Applied: the record took effect, now or when its writer applied it
 	// ahead of its reading.
-	Counted Verdict = iota + 1
+	Applied ApplyResult = iota + 1
 	// Duplicate: the record was read before.
 	Duplicate
-	// Void: the record is fenced and its writer does not own the shard.
-	Void
+	// Rejected: the record is fenced and its writer does not own the shard.
+	Rejected
 )
 
 // Apply takes the record read at an offset. Offsets must ascend.
-func (s *State) Apply(offset uint64, r Record) Verdict {
+func (s *State) Apply(offset uint64, r Record) ApplyResult {
 	s.Next = offset + 1
 	s.TimeMS = max(s.TimeMS, r.TimeMS)
 	w := s.writer(r.Writer)
@@ -32,13 +32,13 @@
 	w.TimeMS = r.TimeMS
 	if i := slices.Index(w.Ahead, r.Sequence); i >= 0 {
 		w.Ahead = slices.Delete(w.Ahead, i, i+1)
-		return Counted
+		return Applied
 	}
 	if !s.allowed(r) {
-		return Void
+		return Rejected
 	}
 	s.effect(r)
-	return Counted
+	return Applied
 }
 
 // ApplyAhead takes an unfenced record of the owner itself before it is read
@@ -145,7 +145,7 @@
 		return
 	}
 	c := p.chunk(h.Epoch)
-	c.Reserved = c.Reserved.Plus(b.Amount)
+	c.Reserved = c.Reserved.Add(b.Amount)
 	c.Writer = h.Writer
 }
 
--- a/internal/journal/done.go
+++ b/internal/journal/done.go
@@ -35,24 +35,24 @@
 	if old.Outcome.Kind != structs.OutcomeUnknown || b.Outcome.Kind != structs.OutcomeAnswered {
 		return
 	}
-	s.charge(p, old.Charged, b, b.Cost.Minus(old.Cost))
+	s.charge(p, old.Charged, b, b.Cost.Sub(old.Cost))
 	s.record(p, h, b, old.Charged)
 }
 
 // charge books the cost of a run and what its target holds since.
 func (s *State) charge(p *Program, epoch structs.Epoch, b *Done, cost Amount) {
-	p.Spent = p.Spent.Plus(cost)
+	p.Spent = p.Spent.Add(cost)
 	p.ServedNS += b.TookNS
 	if b.CacheTokens > 0 {
 		p.place(b.Target, b.Service, b.CacheTokens, p.UpdatedMS)
 	}
 	s.chargeAccounts(p.Team, epoch, cost)
 	if !b.Chunk {
-		p.Direct = p.Direct.Plus(cost)
+		p.Direct = p.Direct.Add(cost)
 		return
 	}
 	c := p.chunk(epoch)
-	c.Used = c.Used.Plus(cost)
+	c.Used = c.Used.Add(cost)
 }
 
 func (s *State) record(p *Program, h Header, b *Done, charged structs.Epoch) {
--- a/internal/journal/ledger.go
+++ b/internal/journal/ledger.go
@@ -53,7 +53,7 @@
 		return
 	}
 	l.Grants[b.Grant] = Grant{Amount: b.Amount, TimeMS: h.TimeMS}
-	l.Granted = l.Granted.Plus(b.Amount)
+	l.Granted = l.Granted.Add(b.Amount)
 }
 
 // applyLedgerReturn gives back at most what the grant still holds, so that a
@@ -64,12 +64,12 @@
 		return
 	}
 	g, ok := l.Grants[b.Grant]
-	if !ok || !b.Amount.AtMost(g.Amount) {
+	if !ok || !b.Amount.LessOrEqual(g.Amount) {
 		return
 	}
 	// The grant can be returned once.
 	l.Grants[b.Grant] = Grant{TimeMS: g.TimeMS}
-	l.Granted = l.Granted.Minus(b.Amount)
+	l.Granted = l.Granted.Sub(b.Amount)
 }
 
 func (s *State) applyCredit(h Header, b *Credit) {
@@ -88,7 +88,7 @@
 	}
 	a.Grants[b.Grant] = b.Amount
 	c := a.chunk(h.Epoch)
-	c.Reserved = c.Reserved.Plus(b.Amount)
+	c.Reserved = c.Reserved.Add(b.Amount)
 }
 
 func (a *Account) chunk(epoch structs.Epoch) *Chunk {
@@ -105,7 +105,7 @@
 func (s *State) chargeAccounts(team structs.Team, epoch structs.Epoch, cost Amount) {
 	for _, path := range Ancestors(team) {
 		if a := s.Accounts[path]; a != nil && a.Chunks[epoch] != nil {
-			a.Chunks[epoch].Used = a.Chunks[epoch].Used.Plus(cost)
+			a.Chunks[epoch].Used = a.Chunks[epoch].Used.Add(cost)
 		}
 	}
 }
--- a/internal/journal/purge.go
+++ b/internal/journal/purge.go
@@ -6,9 +6,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// KeylessPrefix begins the keys that stand in for the missing key of a caller;
+// GeneratedKeyPrefix begins the keys that stand in for the missing key of a caller;
 // gateways make such keys, too.
-const KeylessPrefix = "request/"
+const GeneratedKeyPrefix = "request/"
 
 // PurgeProgram forgets a program's idempotency records and repeatable runs from
 // before a time, in Unix milliseconds; those without a caller's key from before
@@ -17,7 +17,7 @@
 func (s *State) PurgeProgram(p *Program, beforeMS, keylessMS int64) bool {
 	for key, call := range p.Calls {
 		limit := beforeMS
-		if strings.HasPrefix(key, KeylessPrefix) {
+		if strings.HasPrefix(key, GeneratedKeyPrefix) {
 			limit = keylessMS
 		}
 		if call.TimeMS < limit {
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -76,18 +76,18 @@
 	Fees   int64
 }
 
-// Plus adds two amounts.
-func (a Amount) Plus(b Amount) Amount {
+// Add adds two amounts.
+func (a Amount) Add(b Amount) Amount {
 	return Amount{Tokens: a.Tokens + b.Tokens, Fees: a.Fees + b.Fees}
 }
 
-// Minus subtracts an amount.
-func (a Amount) Minus(b Amount) Amount {
+// Sub subtracts an amount.
+func (a Amount) Sub(b Amount) Amount {
 	return Amount{Tokens: a.Tokens - b.Tokens, Fees: a.Fees - b.Fees}
 }
 
-// AtMost tells whether no part of a exceeds b.
-func (a Amount) AtMost(b Amount) bool { return a.Tokens <= b.Tokens && a.Fees <= b.Fees }
+// LessOrEqual tells whether no part of a exceeds b.
+func (a Amount) LessOrEqual(b Amount) bool { return a.Tokens <= b.Tokens && a.Fees <= b.Fees }
 
 // IsZero tells whether both parts are zero.
 func (a Amount) IsZero() bool { return a == Amount{} }
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -171,13 +171,13 @@
 	sum := p.Direct
 	for _, c := range p.Chunks {
 		if c.Settled {
-			sum = sum.Plus(c.Used)
+			sum = sum.Add(c.Used)
 		} else {
-			sum = sum.Plus(c.Reserved.Max(c.Used))
+			sum = sum.Add(c.Reserved.Max(c.Used))
 		}
 	}
 	for _, run := range p.Open {
-		sum = sum.Plus(run.Hold)
+		sum = sum.Add(run.Hold)
 	}
 	return sum
 }
--- a/internal/journal/state_test.go
+++ b/internal/journal/state_test.go
@@ -26,7 +26,7 @@
 }
 
 // add applies a record after a trip through the codec.
-func (s *stream) add(r Record, want Verdict) {
+func (s *stream) add(r Record, want ApplyResult) {
 	s.t.Helper()
 	decoded, err := Decode(Encode(r))
 	if err != nil {
@@ -48,14 +48,14 @@
 
 func TestFirstClaimOfAnEpochWins(t *testing.T) {
 	s := newStream(t)
-	s.add(s.record("a", 1, &Claim{Instance: "a"}), Counted)
-	s.add(s.record("b", 1, &Claim{Instance: "b"}), Void)
-	s.add(s.record("b", 3, &Claim{Instance: "b"}), Void)
-	s.add(s.record("b", 1, &Open{Program: "x"}), Void)
-	s.add(s.record("a", 1, &Open{Program: testProgram}), Counted)
-	s.add(s.record("b", 2, &Claim{Instance: "b"}), Counted)
-	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Run: "r"}}), Void)
-	s.add(s.record("a", 1, &Reserve{Program: testProgram}), Void)
+	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
+	s.add(s.record("b", 1, &Claim{Instance: "b"}), Rejected)
+	s.add(s.record("b", 3, &Claim{Instance: "b"}), Rejected)
+	s.add(s.record("b", 1, &Open{Program: "x"}), Rejected)
+	s.add(s.record("a", 1, &Open{Program: testProgram}), Applied)
+	s.add(s.record("b", 2, &Claim{Instance: "b"}), Applied)
+	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Run: "r"}}), Rejected)
+	s.add(s.record("a", 1, &Reserve{Program: testProgram}), Rejected)
 	if s.state.Owner != "b" || len(s.state.Programs[testProgram].Open) != 0 {
 		t.Errorf("state %+v", s.state)
 	}
@@ -63,12 +63,12 @@
 
 func TestFactsOfAnOldOwnerCount(t *testing.T) {
 	s := newStream(t)
-	s.add(s.record("a", 1, &Claim{Instance: "a"}), Counted)
-	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Key: "k", Run: "r"}}), Counted)
-	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Key: "j", Run: "q"}}), Counted)
-	s.add(s.record("b", 2, &Claim{Instance: "b"}), Counted)
-	s.add(s.record("a", 1, &Abandoned{Program: testProgram, Run: "q"}), Counted)
-	s.add(s.record("a", 1, done("r", structs.Outcome{Kind: structs.OutcomeAnswered})), Counted)
+	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
+	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Key: "k", Run: "r"}}), Applied)
+	s.add(s.record("a", 1, &Intent{CallID: CallID{Program: testProgram, Key: "j", Run: "q"}}), Applied)
+	s.add(s.record("b", 2, &Claim{Instance: "b"}), Applied)
+	s.add(s.record("a", 1, &Abandoned{Program: testProgram, Run: "q"}), Applied)
+	s.add(s.record("a", 1, done("r", structs.Outcome{Kind: structs.OutcomeAnswered})), Applied)
 	p := s.state.Programs[testProgram]
 	if len(p.Open) != 0 || p.Calls["k"] == nil {
 		t.Errorf("program %+v", p)
@@ -77,10 +77,10 @@
 
 func TestDuplicateHasNoEffect(t *testing.T) {
 	s := newStream(t)
-	s.add(s.record("a", 1, &Claim{Instance: "a"}), Counted)
-	s.add(s.record("a", 1, &Open{Program: testProgram}), Counted)
+	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
+	s.add(s.record("a", 1, &Open{Program: testProgram}), Applied)
 	r := s.record("a", 1, &Reserve{Program: testProgram, Amount: Amount{Tokens: 100}})
-	s.add(r, Counted)
+	s.add(r, Applied)
 	s.add(r, Duplicate)
 	ahead := s.record("a", 1, done("r", structs.Outcome{Kind: structs.OutcomeAnswered}))
 	s.state.ApplyAhead(ahead)
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	s.state = state
-	s.add(ahead, Counted)
+	s.add(ahead, Applied)
 	s.add(ahead, Duplicate)
 	p := s.state.Programs[testProgram]
 	if p.Chunks[1].Reserved.Tokens != 100 || p.Spent.Tokens != 10 {
@@ -99,11 +99,11 @@
 
 func TestChunkCountsAsSpentUntilItsWriterSettles(t *testing.T) {
 	s := newStream(t)
-	s.add(s.record("a", 1, &Claim{Instance: "a"}), Counted)
-	s.add(s.record("a", 1, &Open{Program: testProgram}), Counted)
-	s.add(s.record("a", 1, &Reserve{Program: testProgram, Amount: Amount{Tokens: 100}}), Counted)
-	s.add(s.record("a", 1, done("r", structs.Outcome{})), Counted)
-	s.add(s.record("b", 2, &Claim{Instance: "b"}), Counted)
+	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
+	s.add(s.record("a", 1, &Open{Program: testProgram}), Applied)
+	s.add(s.record("a", 1, &Reserve{Program: testProgram, Amount: Amount{Tokens: 100}}), Applied)
+	s.add(s.record("a", 1, done("r", structs.Outcome{})), Applied)
+	s.add(s.record("b", 2, &Claim{Instance: "b"}), Applied)
 	committed := func(want int64) {
 		t.Helper()
 		if got := s.state.Programs[testProgram].Committed().Tokens; got != want {
@@ -111,9 +111,9 @@
 		}
 	}
 	committed(100)
-	s.add(s.record("c", 1, &Settled{Program: testProgram}), Counted)
+	s.add(s.record("c", 1, &Settled{Program: testProgram}), Applied)
 	committed(100)
-	s.add(s.record("a", 1, &Settled{Program: testProgram}), Counted)
+	s.add(s.record("a", 1, &Settled{Program: testProgram}), Applied)
 	committed(10)
 }
 
@@ -147,11 +147,11 @@
 
 func TestLedgerReturnsOnce(t *testing.T) {
 	s := newStream(t)
-	s.add(s.record("a", 1, &Claim{Instance: "a"}), Counted)
-	s.add(s.record("a", 1, &LedgerGrant{Team: "t", Grant: "g", Amount: Amount{Fees: 10}}), Counted)
-	s.add(s.record("a", 1, &LedgerGrant{Team: "t", Grant: "g", Amount: Amount{Fees: 10}}), Counted)
-	s.add(s.record("a", 1, &LedgerReturn{Team: "t", Grant: "g", Amount: Amount{Fees: 4}}), Counted)
-	s.add(s.record("a", 1, &LedgerReturn{Team: "t", Grant: "g", Amount: Amount{Fees: 4}}), Counted)
+	s.add(s.record("a", 1, &Claim{Instance: "a"}), Applied)
+	s.add(s.record("a", 1, &LedgerGrant{Team: "t", Grant: "g", Amount: Amount{Fees: 10}}), Applied)
+	s.add(s.record("a", 1, &LedgerGrant{Team: "t", Grant: "g", Amount: Amount{Fees: 10}}), Applied)
+	s.add(s.record("a", 1, &LedgerReturn{Team: "t", Grant: "g", Amount: Amount{Fees: 4}}), Applied)
+	s.add(s.record("a", 1, &LedgerReturn{Team: "t", Grant: "g", Amount: Amount{Fees: 4}}), Applied)
 	if got := s.state.Ledgers["t"].Granted.Fees; got != 6 {
 		t.Errorf("granted %d, want 6", got)
 	}
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -18,10 +18,10 @@
 	Setup
 	// Sizes are the numbers of instances.
 	Sizes []int
-	// ListEntries is the number of further entries in the membership list.
-	ListEntries []int
-	Window      time.Duration
-	Repeats     int
+	// ListSizes is the number of further entries in the membership list.
+	ListSizes []int
+	Window    time.Duration
+	Repeats   int
 	// Seed is the workload's.
 	Seed uint64
 }
@@ -159,7 +159,7 @@
 func RunList(ctx context.Context, out io.Writer, o CostOptions) error {
 	var samples []costSample
 	printCostHeader(out, "list entries")
-	for _, entries := range o.ListEntries {
+	for _, entries := range o.ListSizes {
 		sample, err := o.measure(ctx, o.Setup, entries)
 		if err != nil {
 			return errors.Wrapf(err, "%d entries", entries)
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -16,8 +16,8 @@
 	Setup
 	Duration time.Duration
 	Seeds    []uint64
-	// Names choose among Faults.
-	Names []string
+	// Scenarios choose among Faults.
+	Scenarios []string
 }
 
 // faultShare is the part of the run before a fault, and that a fault lasts.
@@ -47,7 +47,7 @@
 	fmt.Fprintf(out, "instances %d, engines %d, slots %d, step %s, programs arrive for %s, load average %s\n",
 		o.Instances, o.Engines*dataCentres, o.Model.Slots, o.Model.StepBase, o.Duration, LoadAverage())
 	printScenarioHeader(out)
-	for _, name := range o.Names {
+	for _, name := range o.Scenarios {
 		fault, err := findFault(name)
 		if err != nil {
 			return err
--- a/internal/load/workload.go
+++ b/internal/load/workload.go
@@ -95,9 +95,9 @@
 	agentTurns   = 2
 )
 
-// UsualClasses are clearance searches before status lookups, at an arrival
+// DefaultClasses are clearance searches before status lookups, at an arrival
 // rate multiplied by a factor.
-func UsualClasses(factor float64) []Class {
+func DefaultClasses(factor float64) []Class {
 	return []Class{
 		{
 			Name: ClassClearance, Priority: 0, Rate: 1.2 * factor,
--- a/internal/load/workload_test.go
+++ b/internal/load/workload_test.go
@@ -8,18 +8,18 @@
 
 func TestGenerateIsDeterministic(t *testing.T) {
 	const duration = 20 * time.Second
-	first := Generate(UsualClasses(3), duration, 7)
-	if again := Generate(UsualClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
+	first := Generate(DefaultClasses(3), duration, 7)
+	if again := Generate(DefaultClasses(3), duration, 7); !reflect.DeepEqual(first, again) {
 		t.Error("the same seed gave other programs")
 	}
-	if other := Generate(UsualClasses(3), duration, 8); reflect.DeepEqual(first, other) {
+	if other := Generate(DefaultClasses(3), duration, 8); reflect.DeepEqual(first, other) {
 		t.Error("another seed gave the same programs")
 	}
 }
 
 func TestGenerateKeepsBounds(t *testing.T) {
 	const duration = time.Minute
-	classes := UsualClasses(5)
+	classes := DefaultClasses(5)
 	last := time.Duration(0)
 	kinds := make(map[StepKind]int)
 	programs := Generate(classes, duration, 1)
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -61,8 +61,8 @@
 // Generation counts the changes of Peers.
 func (v *View) Generation() uint64 { return v.generation }
 
-// Listed tells whether a membership list was ever received.
-func (v *View) Listed() bool { return v.listed }
+// ListReceived tells whether a membership list was ever received.
+func (v *View) ListReceived() bool { return v.listed }
 
 // Tick takes in membership lists, liveness and announcements, and asks
 // suspected peers for a heartbeat from time to time.
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -36,7 +36,7 @@
 	set("dispatcher_calls_waiting", sizes.Dispatcher.Waiting)
 	set("dispatcher_calls_running", sizes.Dispatcher.Running)
 	set("dispatcher_targets_ejected", sizes.Dispatcher.Ejected)
-	set("dispatcher_releases_owed", sizes.Dispatcher.Releases)
+	set("dispatcher_releases_owed", sizes.Dispatcher.PendingReleases)
 	set("peers_suspected", sizes.Suspected)
 	set("settings_offset", int(sizes.SettingsNext))
 }
--- a/internal/owner/append.go
+++ b/internal/owner/append.go
@@ -191,14 +191,14 @@
 }
 
 // onReadBack confirms this writer's record with that sequence number.
-func (a *appender) onReadBack(sequence uint64, verdict journal.Verdict) {
+func (a *appender) onReadBack(sequence uint64, verdict journal.ApplyResult) {
 	for len(a.inFlight) > 0 && a.inFlight[0].record.Sequence <= sequence {
 		e := a.inFlight[0]
 		a.inFlight = a.inFlight[1:]
-		if e.record.Sequence == sequence && verdict == journal.Counted {
+		if e.record.Sequence == sequence && verdict == journal.Applied {
 			a.s.setOwnedAt(a.sentAt)
 		}
-		if e.record.Sequence == sequence && verdict == journal.Counted && e.onCommitted != nil {
+		if e.record.Sequence == sequence && verdict == journal.Applied && e.onCommitted != nil {
 			e.onCommitted()
 		}
 	}
--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -33,9 +33,9 @@
 // amounts committed in the log or pending.
 func (p *program) available() journal.Amount {
 	limit := p.limits()
-	left := limit.Minus(p.pending)
+	left := limit.Sub(p.pending)
 	if row := p.row(); row != nil {
-		left = left.Minus(row.Committed())
+		left = left.Sub(row.Committed())
 	}
 	if limit.Tokens == 0 {
 		left.Tokens = unlimited
@@ -53,7 +53,7 @@
 	var free journal.Amount
 	if row := p.row(); row != nil {
 		if chunk := row.Chunks[p.shard.epoch]; chunk != nil && !chunk.Settled {
-			free = chunk.Reserved.Minus(chunk.Used).Minus(p.held)
+			free = chunk.Reserved.Sub(chunk.Used).Sub(p.held)
 		}
 	}
 	limit := p.limits()
@@ -90,15 +90,15 @@
 		return
 	}
 	free := p.chunkFree()
-	if need.AtMost(free) {
-		c.hold, c.heldFromChunk = c.hold.Plus(need), true
-		p.held = p.held.Plus(need)
+	if need.LessOrEqual(free) {
+		c.hold, c.heldFromChunk = c.hold.Add(need), true
+		p.held = p.held.Add(need)
 		c.awaitPermit()
 		return
 	}
 	c.phase = phaseReserve
-	missing := need.Minus(free).Max(journal.Amount{})
-	if !missing.AtMost(p.available()) {
+	missing := need.Sub(free).Max(journal.Amount{})
+	if !missing.LessOrEqual(p.available()) {
 		c.refuseBudget()
 		return
 	}
@@ -123,14 +123,14 @@
 
 func (p *program) appendReserve(missing journal.Amount) {
 	amount := p.chunkSize(missing)
-	p.pending = p.pending.Plus(amount)
+	p.pending = p.pending.Add(amount)
 	p.reserving = true
 	// The program of a single call is opened by its first record.
 	if p.row() == nil {
 		p.shard.app.push(&journal.Open{Program: p.id, Team: p.team, Single: true}, urgent, nil)
 	}
 	p.shard.app.push(&journal.Reserve{Program: p.id, Amount: amount}, urgent, func() {
-		p.pending = p.pending.Minus(amount)
+		p.pending = p.pending.Sub(amount)
 		p.reserving = false
 		p.onReserved()
 	})
@@ -159,7 +159,7 @@
 // chargeFailedRun charges the worst case of a failed run. A further run needs its
 // own hold.
 func (c *call) chargeFailedRun() {
-	c.failedCost = c.failedCost.Plus(c.worstCase())
+	c.failedCost = c.failedCost.Add(c.worstCase())
 	c.failedRuns++
 }
 
@@ -174,10 +174,10 @@
 	if row == nil || row.Single || row.Closed {
 		return
 	}
-	missing := need.Minus(p.chunkFree()).Max(journal.Amount{})
+	missing := need.Sub(p.chunkFree()).Max(journal.Amount{})
 	left := p.available()
 	maxAhead := journal.Amount{Tokens: left.Tokens / aheadDivisor, Fees: left.Fees / aheadDivisor}
-	if !missing.IsZero() && missing.AtMost(maxAhead) {
+	if !missing.IsZero() && missing.LessOrEqual(maxAhead) {
 		p.appendReserve(missing)
 	}
 }
@@ -185,7 +185,7 @@
 // releaseHold releases the amounts that the call holds.
 func (c *call) releaseHold() {
 	if c.heldFromChunk {
-		c.prog.held = c.prog.held.Minus(c.hold)
+		c.prog.held = c.prog.held.Sub(c.hold)
 	}
 	c.hold, c.heldFromChunk = journal.Amount{}, false
 	c.releaseTeamBudgets()
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -41,7 +41,7 @@
 	limit := s.teamLimit(m.Team)
 	granted := s.pendingGrantAmounts[m.Team]
 	if l := s.state.Ledgers[m.Team]; l != nil {
-		granted = granted.Plus(l.Granted)
+		granted = granted.Add(l.Granted)
 	}
 	amount := journal.Amount{Tokens: m.Tokens, Fees: m.Fees}
 	if limit.Tokens > 0 {
@@ -58,11 +58,11 @@
 		return
 	}
 	s.pendingGrants[m.Grant] = true
-	s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Plus(amount)
+	s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Add(amount)
 	record := &journal.LedgerGrant{Team: m.Team, Account: m.Account, Grant: m.Grant, Amount: amount}
 	s.app.push(record, urgent, func() {
 		delete(s.pendingGrants, m.Grant)
-		s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Minus(amount)
+		s.pendingGrantAmounts[m.Team] = s.pendingGrantAmounts[m.Team].Sub(amount)
 		s.sendGrant(from, m, amount)
 	})
 }
@@ -98,10 +98,10 @@
 		if !ok {
 			continue
 		}
-		left := chunk.Reserved.Minus(chunk.Used).Max(journal.Amount{})
+		left := chunk.Reserved.Sub(chunk.Used).Max(journal.Amount{})
 		for _, grant := range journal.SortedKeys(row.Grants) {
 			part := row.Grants[grant].Min(left)
-			left = left.Minus(part)
+			left = left.Sub(part)
 			if !part.IsZero() {
 				s.o.send(owner, &structs.BudgetReturn{
 					Team: team, Account: s.ref, Grant: grant, Tokens: part.Tokens, Fees: part.Fees,
--- a/internal/owner/replay.go
+++ b/internal/owner/replay.go
@@ -187,13 +187,13 @@
 // apply applies a record to the state and notifies the live state.
 func (s *shard) apply(offset uint64, rec journal.Record) {
 	verdict := s.state.Apply(offset, rec)
-	if verdict == journal.Void {
+	if verdict == journal.Rejected {
 		s.void++
 	}
 	if rec.Writer == s.o.writer {
 		s.app.onReadBack(rec.Sequence, verdict)
 	}
-	if verdict != journal.Counted {
+	if verdict != journal.Applied {
 		return
 	}
 	if claim, ok := rec.Body.(*journal.Claim); ok {
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -17,7 +17,7 @@
 	}
 	p := c.prog
 	need := c.worstCase()
-	if !need.AtMost(p.available()) {
+	if !need.LessOrEqual(p.available()) {
 		c.refuseBudget()
 		return
 	}
@@ -27,14 +27,14 @@
 	}
 	c.run = c.shard.o.newRun()
 	c.phase, c.intentAppended, c.hold = phaseIntent, true, need
-	p.pending = p.pending.Plus(need)
+	p.pending = p.pending.Add(need)
 	count, digest := c.history()
 	intent := &journal.Intent{
 		CallID: c.journalID(), Service: c.spec.Service, Hold: need, HistoryCount: count, HistoryDigest: digest,
 	}
 	c.shard.app.push(intent, urgent, func() {
 		// The durable state holds the worst case from here on.
-		p.pending = p.pending.Minus(need)
+		p.pending = p.pending.Sub(need)
 		c.keyLookedUp = true
 		if c.phase == phaseIntent {
 			c.awaitPermit()
@@ -354,7 +354,7 @@
 	count, digest := c.history()
 	done := &journal.Done{
 		CallID: c.journalID(), Service: c.spec.Service, Target: c.target.ID, NotRepeatable: c.notRepeatable,
-		Chunk: c.heldFromChunk, Cost: cost.Plus(c.failedCost), Outcome: out, CacheTokens: c.cacheTokens(out), TookNS: int64(e.Took),
+		Chunk: c.heldFromChunk, Cost: cost.Add(c.failedCost), Outcome: out, CacheTokens: c.cacheTokens(out), TookNS: int64(e.Took),
 		HistoryCount: count, HistoryDigest: digest,
 	}
 	if !c.notRepeatable || c.shard.logDown() || len(c.waiters) == 0 {
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -73,7 +73,7 @@
 	key := m.Call.Key
 	if key == "" {
 		// A resubmission carries the same request id.
-		key = journal.KeylessPrefix + string(m.Request)
+		key = journal.GeneratedKeyPrefix + string(m.Request)
 	}
 	p, reason := s.programOf(m.Call)
 	if dependsOnState(reason) && s.deferRefusal(from, m) {
--- a/internal/owner/team.go
+++ b/internal/owner/team.go
@@ -69,7 +69,7 @@
 	var free journal.Amount
 	if row := a.shard.state.Accounts[a.team]; row != nil {
 		if chunk := row.Chunks[a.shard.epoch]; chunk != nil && !chunk.Settled {
-			free = chunk.Reserved.Minus(chunk.Used).Minus(a.held)
+			free = chunk.Reserved.Sub(chunk.Used).Sub(a.held)
 		}
 	}
 	limit := a.shard.teamLimit(a.team)
@@ -93,17 +93,17 @@
 	paths := c.shard.budgetPaths(c.prog.team)
 	for _, path := range paths {
 		a := c.shard.account(path)
-		if missing := need.Minus(a.free()).Max(journal.Amount{}); !missing.IsZero() {
+		if missing := need.Sub(a.free()).Max(journal.Amount{}); !missing.IsZero() {
 			c.phase = phaseReserve
 			a.requestGrant(missing)
 			return false
 		}
 	}
 	c.heldTeams, c.teamRuns = paths, c.teamRuns+1
-	c.teamHold = c.teamHold.Plus(need)
+	c.teamHold = c.teamHold.Add(need)
 	for _, path := range paths {
 		a := c.shard.account(path)
-		a.held = a.held.Plus(need)
+		a.held = a.held.Add(need)
 	}
 	return true
 }
@@ -112,7 +112,7 @@
 func (c *call) releaseTeamBudgets() {
 	for _, path := range c.heldTeams {
 		a := c.shard.account(path)
-		a.held = a.held.Minus(c.teamHold)
+		a.held = a.held.Sub(c.teamHold)
 	}
 	c.heldTeams, c.teamHold, c.teamRuns = nil, journal.Amount{}, 0
 }
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -20,9 +20,9 @@
 // Scenario is a set of instances under load and faults.
 type Scenario struct {
 	Name string
-	// Proves names what the scenario is about.
-	Proves    string
-	Instances int
+	// Description names what the scenario is about.
+	Description string
+	Instances   int
 	// Quick scenarios are run by the Go test of the package.
 	Quick bool
 	// Relayed puts relays between the instances and in front of the log.
@@ -71,15 +71,15 @@
 	Faults   int
 	Took     time.Duration
 	Verdict
-	// Kept is the directory of the evidence of a failed scenario.
-	Kept string
+	// EvidenceDir is the directory of the evidence of a failed scenario.
+	EvidenceDir string
 }
 
 // OK tells whether nothing was violated.
 func (r Result) OK() bool { return len(r.Violations) == 0 }
 
-// Keep tells where the evidence of a scenario goes.
-type Keep struct {
+// EvidenceConfig tells where the evidence of a scenario goes.
+type EvidenceConfig struct {
 	// Dir is the directory; empty keeps nothing.
 	Dir string
 	// Always keeps also that of a scenario that violated nothing.
@@ -87,7 +87,7 @@
 }
 
 // Run runs one scenario. Its load and the drawn faults depend on the seed.
-func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep Keep) Result {
+func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
 	started := time.Now()
 	limited, cancel := context.WithTimeout(ctx, scenarioLimit)
 	defer cancel()
@@ -113,7 +113,7 @@
 	result.Faults = rig.faults
 	result.Took = time.Since(started)
 	if keep.Dir != "" && (keep.Always || !result.OK()) {
-		result.Kept = keepEvidence(keep.Dir, rig, evidence, result)
+		result.EvidenceDir = keepEvidence(keep.Dir, rig, evidence, result)
 	}
 	return result
 }
--- a/internal/proofs/scenarios_instances.go
+++ b/internal/proofs/scenarios_instances.go
@@ -25,13 +25,13 @@
 
 func instanceScenarios() []Scenario {
 	return []Scenario{
-		{Name: "steady", Proves: "all points, without a fault", Instances: 3, Quick: true, AllAnswered: true, Run: runSteady},
-		{Name: "kill-owner", Proves: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: usualBudget, Run: runKillOwner},
-		{Name: "kill-owner-twice", Proves: "owner and its successor die in one call", Instances: 4, Run: runKillOwnerTwice},
-		{Name: "kill-gateway-and-owner", Proves: "gateway and owner die in one call", Instances: 5, Quick: true, Run: runKillBoth},
-		{Name: "pause-owner", Proves: "owner paused longer than any timeout, twice", Instances: 3, Budget: usualBudget, Run: runPauseOwner},
-		{Name: "pause-before-send", Proves: "owner paused between the log's acknowledgement and its send", Instances: 3, Quick: true, Relayed: true, Run: runPauseBeforeSend},
-		{Name: "rolling-drain", Proves: "graceful shutdown of every instance under load", Instances: 3, Run: runRollingDrain},
+		{Name: "steady", Description: "all points, without a fault", Instances: 3, Quick: true, AllAnswered: true, Run: runSteady},
+		{Name: "kill-owner", Description: "SIGKILL of owners under load, three times", Instances: 3, Quick: true, Budget: usualBudget, Run: runKillOwner},
+		{Name: "kill-owner-twice", Description: "owner and its successor die in one call", Instances: 4, Run: runKillOwnerTwice},
+		{Name: "kill-gateway-and-owner", Description: "gateway and owner die in one call", Instances: 5, Quick: true, Run: runKillBoth},
+		{Name: "pause-owner", Description: "owner paused longer than any timeout, twice", Instances: 3, Budget: usualBudget, Run: runPauseOwner},
+		{Name: "pause-before-send", Description: "owner paused between the log's acknowledgement and its send", Instances: 3, Quick: true, Relayed: true, Run: runPauseBeforeSend},
+		{Name: "rolling-drain", Description: "graceful shutdown of every instance under load", Instances: 3, Run: runRollingDrain},
 	}
 }
 
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -21,12 +21,12 @@
 
 func logScenarios() []Scenario {
 	return []Scenario{
-		{Name: "log-outage", Proves: "log down under load", Instances: 3, Quick: true, Run: runLogOutage},
-		{Name: "log-lossy", Proves: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: usualBudget, Run: runLogLossy},
-		{Name: "lost-reply-owner-dies", Proves: "append reply lost, then the owner dies", Instances: 4, Relayed: true, Quick: true, Run: runLostReply},
-		{Name: "outage-across-owner-death", Proves: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossDeath},
-		{Name: "owner-cut-from-log", Proves: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: usualBudget, Run: runOwnerCutFromLog},
-		{Name: "retention", Proves: "records dropped by the log, then the owner dies", Instances: 3,
+		{Name: "log-outage", Description: "log down under load", Instances: 3, Quick: true, Run: runLogOutage},
+		{Name: "log-lossy", Description: "appends lost before and after taking effect, and a slow log", Instances: 3, Budget: usualBudget, Run: runLogLossy},
+		{Name: "lost-reply-owner-dies", Description: "append reply lost, then the owner dies", Instances: 4, Relayed: true, Quick: true, Run: runLostReply},
+		{Name: "outage-across-owner-death", Description: "log down before, during and after an owner's death", Instances: 3, Run: runOutageAcrossDeath},
+		{Name: "owner-cut-from-log", Description: "owner cut off from the log, not from callers", Instances: 3, Relayed: true, Budget: usualBudget, Run: runOwnerCutFromLog},
+		{Name: "retention", Description: "records dropped by the log, then the owner dies", Instances: 3,
 			Standins: func(s *cluster.Settings) { s.Log.RetainAge = retention },
 			Env:      []string{"BANYANGLADE_RETENTION=" + retention.String()}, Run: runRetention},
 	}
--- a/internal/proofs/scenarios_network.go
+++ b/internal/proofs/scenarios_network.go
@@ -10,8 +10,8 @@
 
 func networkScenarios() []Scenario {
 	return []Scenario{
-		{Name: "peers-cut", Proves: "an owner cut off from the other instances, both ways and one way", Instances: 4, Relayed: true, Budget: usualBudget, Run: runPeersCut},
-		{Name: "members-lag", Proves: "membership that lags and is down while instances die", Instances: 4, Budget: usualBudget, Run: runMembersLag},
+		{Name: "peers-cut", Description: "an owner cut off from the other instances, both ways and one way", Instances: 4, Relayed: true, Budget: usualBudget, Run: runPeersCut},
+		{Name: "members-lag", Description: "membership that lags and is down while instances die", Instances: 4, Budget: usualBudget, Run: runMembersLag},
 	}
 }
 
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -25,10 +25,10 @@
 
 func orderScenarios() []Scenario {
 	return []Scenario{
-		{Name: "orders-fenced", Proves: "a paused controller wakes; engines check fencing numbers", Instances: 3,
+		{Name: "orders-fenced", Description: "a paused controller wakes; engines check fencing numbers", Instances: 3,
 			Settings: map[string]any{modelPath + "/checks_fencing": true},
 			Standins: func(s *cluster.Settings) { s.Engines.Settings.ChecksFencing = true }, Run: runOrders},
-		{Name: "orders-unfenced", Proves: "a paused controller wakes; engines ignore fencing numbers", Instances: 3, Run: runOrders},
+		{Name: "orders-unfenced", Description: "a paused controller wakes; engines ignore fencing numbers", Instances: 3, Run: runOrders},
 	}
 }
 
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -27,17 +27,17 @@
 
 func programScenarios() []Scenario {
 	return []Scenario{
-		{Name: "key-reuse", Proves: "a retried call with the same key and another body", Instances: 3, Quick: true, Run: runKeyReuse},
-		{Name: "tool-pause-forever", Proves: "a program that never returns from its tool pause", Instances: 3,
+		{Name: "key-reuse", Description: "a retried call with the same key and another body", Instances: 3, Quick: true, Run: runKeyReuse},
+		{Name: "tool-pause-forever", Description: "a program that never returns from its tool pause", Instances: 3,
 			Settings: map[string]any{teamPath + "/idle_timeout": "2s"}, Run: runToolPause},
-		{Name: "endless-loop", Proves: "a program that repeats itself without end", Instances: 3,
+		{Name: "endless-loop", Description: "a program that repeats itself without end", Instances: 3,
 			Settings: map[string]any{teamPath + "/loop_repeats": 4}, Run: runEndlessLoop},
-		{Name: "budget", Proves: "spending within the budget while owners die", Instances: 3,
+		{Name: "budget", Description: "spending within the budget while owners die", Instances: 3,
 			Budget: Program{Tokens: 2500, Fees: 6}, Run: runBudget},
-		{Name: "team-budget", Proves: "spending of a team within its budget while owners die", Instances: 3,
+		{Name: "team-budget", Description: "spending of a team within its budget while owners die", Instances: 3,
 			TeamFees: 40, Run: runTeamBudget},
-		{Name: "history", Proves: "a program's history is not mixed with another's, also after its owner died", Instances: 3, Quick: true, Run: runHistory},
-		{Name: "dead-programs", Proves: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runDeadPrograms},
+		{Name: "history", Description: "a program's history is not mixed with another's, also after its owner died", Instances: 3, Quick: true, Run: runHistory},
+		{Name: "dead-programs", Description: "cache of programs released though owners die and engines drop replies", Instances: 3, Run: runDeadPrograms},
 	}
 }
 
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -26,7 +26,7 @@
 	var list []Scenario
 	for _, name := range []string{"random-1", "random-2", "random-3"} {
 		list = append(list, Scenario{
-			Name: name, Proves: "a random schedule of all faults, two at a time", Instances: 5, Relayed: true,
+			Name: name, Description: "a random schedule of all faults, two at a time", Instances: 5, Relayed: true,
 			Budget: usualBudget, Run: runRandom,
 		})
 	}
--- a/internal/proofs/scenarios_settings.go
+++ b/internal/proofs/scenarios_settings.go
@@ -17,10 +17,10 @@
 
 func settingsScenarios() []Scenario {
 	return []Scenario{
-		{Name: "settings-race", Proves: "operators race from two instances, with lost replies of the log", Instances: 3, Quick: true, Run: runSettingsRace},
-		{Name: "settings-replaced", Proves: "a change accepted just before every instance is replaced", Instances: 3, Run: runSettingsReplaced},
-		{Name: "start-while-log-down", Proves: "a new instance starts while the log is down", Instances: 3, Run: runStartWhileLogDown},
-		{Name: "budget-takeover", Proves: "budget raised and lowered during takeovers", Instances: 3,
+		{Name: "settings-race", Description: "operators race from two instances, with lost replies of the log", Instances: 3, Quick: true, Run: runSettingsRace},
+		{Name: "settings-replaced", Description: "a change accepted just before every instance is replaced", Instances: 3, Run: runSettingsReplaced},
+		{Name: "start-while-log-down", Description: "a new instance starts while the log is down", Instances: 3, Run: runStartWhileLogDown},
+		{Name: "budget-takeover", Description: "budget raised and lowered during takeovers", Instances: 3,
 			Budget: Program{Fees: 4}, Run: runBudgetTakeover},
 	}
 }
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -15,9 +15,9 @@
 
 func targetScenarios() []Scenario {
 	return []Scenario{
-		{Name: "target-faults", Proves: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
-		{Name: "target-leaving", Proves: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
-		{Name: "late-answer", Proves: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
+		{Name: "target-faults", Description: "targets that hang, are slow, fail and drop replies", Instances: 3, Budget: usualBudget, Run: runTargetFaults},
+		{Name: "target-leaving", Description: "leaving targets under load, with a lagging membership", Instances: 3, Run: runTargetLeaving},
+		{Name: "late-answer", Description: "an answer that arrives after its call was given up", Instances: 3, Quick: true, Run: runLateAnswer},
 	}
 }
 
--- a/internal/proofs/scenarios_test.go
+++ b/internal/proofs/scenarios_test.go
@@ -52,7 +52,7 @@
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			result := Run(context.Background(), binary, s, testSeed, Keep{Dir: os.Getenv("PROOFS_KEEP")})
+			result := Run(context.Background(), binary, s, testSeed, EvidenceConfig{Dir: os.Getenv("PROOFS_KEEP")})
 			for _, v := range result.Violations {
 				t.Error(v)
 			}
