--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -18,7 +18,7 @@
 )
 
 // Cluster is a running set of stand-ins. It is safe for concurrent use after
-// Start, but for the maps, which are only to be read.
+// Start, except that the maps must not be changed.
 type Cluster struct {
 	Log     *logservice.Service
 	Members *members.List
@@ -26,25 +26,25 @@
 	Engines  map[string]*engine.Server
 	Services map[string]*service.Service
 
-	ready   Endpoints
-	servers []*standin.Server
+	endpoints Endpoints
+	servers   []*standin.Server
 
 	mu sync.Mutex
-	// targets holds those not stopped.
+	// targets holds the targets that have not been stopped.
 	targets map[string]runningTarget
 }
 
 // StopRoute is a route of every target of a cluster. A POST is answered with
-// status 202 and then does what StopTarget does.
+// status 202 and then stops the target as StopTarget does.
 const StopRoute = "/standin/stop"
 
-// runningTarget is what StopTarget ends.
+// runningTarget is a target that StopTarget can end.
 type runningTarget struct {
 	server *standin.Server
 	close  func()
 }
 
-// Endpoints tells where the stand-ins listen.
+// Endpoints holds the addresses of the stand-ins.
 type Endpoints struct {
 	// Log and Members are base URLs.
 	Log     string        `json:"log"`
@@ -52,15 +52,15 @@
 	Targets []wire.Member `json:"targets"`
 }
 
-// Start starts the stand-ins. On an error nothing is left running.
+// Start starts the stand-ins. On error it stops everything that it started.
 func Start(settings Settings) (*Cluster, error) {
 	cluster := &Cluster{
-		Log:      logservice.New(settings.Log),
-		Members:  members.New(settings.Members),
-		Engines:  make(map[string]*engine.Server),
-		Services: make(map[string]*service.Service),
-		targets:  make(map[string]runningTarget),
-		ready:    Endpoints{Targets: []wire.Member{}},
+		Log:       logservice.New(settings.Log),
+		Members:   members.New(settings.Members),
+		Engines:   make(map[string]*engine.Server),
+		Services:  make(map[string]*service.Service),
+		targets:   make(map[string]runningTarget),
+		endpoints: Endpoints{Targets: []wire.Member{}},
 	}
 	if err := cluster.start(settings); err != nil {
 		cluster.Close()
@@ -71,10 +71,10 @@
 
 func (c *Cluster) start(settings Settings) error {
 	var err error
-	if c.ready.Log, err = c.listen(settings.LogAddress, c.Log.Handler()); err != nil {
+	if c.endpoints.Log, err = c.listen(settings.LogAddress, c.Log.Handler()); err != nil {
 		return errors.Wrap(err, "log service")
 	}
-	if c.ready.Members, err = c.listen(settings.MembersAddress, c.Members.Handler()); err != nil {
+	if c.endpoints.Members, err = c.listen(settings.MembersAddress, c.Members.Handler()); err != nil {
 		return errors.Wrap(err, "membership list")
 	}
 	for _, place := range settings.Places {
@@ -129,9 +129,9 @@
 	return c.register(member, started.Handler(), started.Close)
 }
 
-// register serves a target and puts it into the membership list.
+// register serves a target and adds it to the membership list.
 func (c *Cluster) register(member wire.Member, handler http.Handler, closeTarget func()) error {
-	server, err := standin.Listen(standin.LoopbackAddress, c.stoppable(member.ID, handler))
+	server, err := standin.Listen(standin.LoopbackAddress, c.withStopRoute(member.ID, handler))
 	if err != nil {
 		closeTarget()
 		return errors.Wrapf(err, "target %s", member.ID)
@@ -140,13 +140,13 @@
 	c.mu.Lock()
 	c.targets[member.ID] = runningTarget{server: server, close: closeTarget}
 	c.mu.Unlock()
-	c.ready.Targets = append(c.ready.Targets, member)
+	c.endpoints.Targets = append(c.endpoints.Targets, member)
 	c.Members.Put(member)
 	return nil
 }
 
-// stoppable adds the route that stops a target.
-func (c *Cluster) stoppable(id string, handler http.Handler) http.Handler {
+// withStopRoute adds StopRoute to the handler of a target.
+func (c *Cluster) withStopRoute(id string, handler http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
 	mux.HandleFunc("POST "+StopRoute, func(w http.ResponseWriter, _ *http.Request) {
@@ -168,16 +168,16 @@
 	}
 }
 
-// Endpoints tells where the stand-ins listen, also those stopped since.
+// Endpoints returns the addresses of all stand-ins, including stopped ones.
 func (c *Cluster) Endpoints() Endpoints {
-	return c.ready
+	return c.endpoints
 }
 
-// StopTarget ends a target as a crash does: its port closes and its streams
-// are gone, while the membership list still shows it. It returns false for an
-// unknown or stopped target.
+// StopTarget ends a target as a crash would: it closes the port and drops the
+// streams, while the membership list still contains the target. It returns
+// false for an unknown or already stopped target.
 func (c *Cluster) StopTarget(id string) bool {
-	target, ok := c.takeTarget(id)
+	target, ok := c.removeTarget(id)
 	if !ok {
 		return false
 	}
@@ -186,8 +186,8 @@
 	return true
 }
 
-// takeTarget removes a target from those to be stopped.
-func (c *Cluster) takeTarget(id string) (runningTarget, bool) {
+// removeTarget removes a target from the running ones and returns it.
+func (c *Cluster) removeTarget(id string) (runningTarget, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	target, ok := c.targets[id]
@@ -195,16 +195,16 @@
 	return target, ok
 }
 
-// running returns the ids of the targets not stopped.
-func (c *Cluster) running() []string {
+// runningIDs returns the ids of the targets that have not been stopped.
+func (c *Cluster) runningIDs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Keys(c.targets))
 }
 
-// Close stops everything.
+// Close stops all stand-ins.
 func (c *Cluster) Close() {
-	for _, id := range c.running() {
+	for _, id := range c.runningIDs() {
 		c.StopTarget(id)
 	}
 	for _, server := range c.servers {
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// eventPageSize is the number of events of one page.
+	// eventPageSize is the maximum number of events of a page.
 	eventPageSize = 1000
-	// maxEventsKept is the number of events kept for readers; older ones are
-	// a gap.
-	maxEventsKept = 100_000
+	// maxRetainedEvents is the number of events retained for readers. Readers
+	// that fall further behind see a gap.
+	maxRetainedEvents = 100_000
 )
 
-// eventLog shows cache events late, with some lost and some doubled.
+// eventLog delays cache events, drops some and duplicates some.
 type eventLog struct {
 	lag       time.Duration
 	gap       float64
 	duplicate float64
 	random    *rand.Rand
-	events    []shownEvent
+	events    []delayedEvent
 }
 
-type shownEvent struct {
-	event   wire.CacheEvent
-	showAt  time.Time
-	lost    bool
-	doubled bool
+type delayedEvent struct {
+	event      wire.CacheEvent
+	visibleAt  time.Time
+	lost       bool
+	duplicated bool
 }
 
 func newEventLog(settings Settings) *eventLog {
@@ -43,40 +43,40 @@
 
 func (l *eventLog) add(now time.Time, events []wire.CacheEvent) {
 	for _, event := range events {
-		l.events = append(l.events, shownEvent{
-			event:   event,
-			showAt:  now.Add(l.lag),
-			lost:    l.random.Float64() < l.gap,
-			doubled: l.random.Float64() < l.duplicate,
+		l.events = append(l.events, delayedEvent{
+			event:      event,
+			visibleAt:  now.Add(l.lag),
+			lost:       l.random.Float64() < l.gap,
+			duplicated: l.random.Float64() < l.duplicate,
 		})
 	}
-	if excess := len(l.events) - maxEventsKept; excess > 0 {
+	if excess := len(l.events) - maxRetainedEvents; excess > 0 {
 		l.events = l.events[excess:]
 	}
 }
 
-// page returns the events from a sequence number on that may be shown by now.
+// page returns the events from a sequence number on that are visible by now.
 func (l *eventLog) page(now time.Time, from uint64) wire.CacheEvents {
 	page := wire.CacheEvents{Events: []wire.CacheEvent{}, Next: from}
-	for _, shown := range l.from(from) {
-		if shown.showAt.After(now) || len(page.Events) >= eventPageSize {
+	for _, delayed := range l.from(from) {
+		if delayed.visibleAt.After(now) || len(page.Events) >= eventPageSize {
 			break
 		}
-		page.Next = shown.event.Sequence + 1
-		if shown.lost {
+		page.Next = delayed.event.Sequence + 1
+		if delayed.lost {
 			continue
 		}
-		page.Events = append(page.Events, shown.event)
-		if shown.doubled {
-			page.Events = append(page.Events, shown.event)
+		page.Events = append(page.Events, delayed.event)
+		if delayed.duplicated {
+			page.Events = append(page.Events, delayed.event)
 		}
 	}
 	return page
 }
 
-// from returns the kept events from a sequence number on. Sequence numbers
-// have no gaps here.
-func (l *eventLog) from(sequence uint64) []shownEvent {
+// from returns the retained events from a sequence number on. Sequence numbers
+// are consecutive here.
+func (l *eventLog) from(sequence uint64) []delayedEvent {
 	if len(l.events) == 0 {
 		return nil
 	}
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -7,11 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDuplicateID is returned for a request whose id is waiting or running.
+// ErrDuplicateID is returned for a request whose id is already waiting or
+// running.
 var ErrDuplicateID = errors.New("a request with this id is waiting or running")
 
-// Model is a continuous-batching engine: each step, every running sequence
-// past its prefill makes one token, and prompts are processed in chunks.
+// Model is a continuous-batching engine. In each step, every running sequence
+// past its prefill generates one token, and prompts are processed in chunks.
 // Requests are admitted to slots in order of arrival. It is deterministic and
 // not safe for concurrent use.
 type Model struct {
@@ -35,7 +36,7 @@
 	}
 }
 
-// Submit puts a request at the end of the queue. It fails with ErrDuplicateID.
+// Submit appends a request to the queue. It fails with ErrDuplicateID.
 func (m *Model) Submit(request Request) error {
 	if _, ok := m.byID[request.ID]; ok {
 		return errors.Wrapf(ErrDuplicateID, "request %q", request.ID)
@@ -45,35 +46,35 @@
 	if request.SharedKey == "" {
 		request.SharedTokens = 0
 	}
-	added := &sequence{request: request}
-	m.byID[request.ID] = added
-	m.waiting = append(m.waiting, added)
+	seq := &sequence{request: request}
+	m.byID[request.ID] = seq
+	m.waiting = append(m.waiting, seq)
 	return nil
 }
 
-// Cancel ends a waiting or running request at once and frees its slot. What it
-// has processed stays in the cache. It returns false for an unknown id.
+// Cancel ends a waiting or running request and frees its slot. Its processed
+// tokens stay in the cache. It returns false for an unknown id.
 func (m *Model) Cancel(id string) (Finished, bool) {
-	cancelled, ok := m.byID[id]
+	seq, ok := m.byID[id]
 	if !ok {
 		return Finished{}, false
 	}
-	if slices.Contains(m.running, cancelled) {
-		m.leaveSlot(cancelled)
+	if slices.Contains(m.running, seq) {
+		m.releaseSlot(seq)
 	}
-	isCancelled := func(other *sequence) bool { return other == cancelled }
+	isCancelled := func(other *sequence) bool { return other == seq }
 	m.running = slices.DeleteFunc(m.running, isCancelled)
 	m.waiting = slices.DeleteFunc(m.waiting, isCancelled)
 	delete(m.byID, id)
-	return cancelled.finished(FinishCancelled), true
+	return seq.finished(FinishCancelled), true
 }
 
-// Idle tells whether nothing waits or runs.
+// Idle reports whether no request waits or runs.
 func (m *Model) Idle() bool {
 	return len(m.byID) == 0
 }
 
-// Running returns the number of requests in slots, as of the last plan.
+// Running returns the number of requests in slots as of the last plan.
 func (m *Model) Running() int {
 	return len(m.running)
 }
@@ -89,7 +90,7 @@
 }
 
 // StepDuration plans the next step, unless it is planned already, and returns
-// how long it takes. Requests submitted after the plan join the step after. A
+// its duration. Requests submitted after the plan join the following step. A
 // step of an idle model takes StepBase.
 func (m *Model) StepDuration() time.Duration {
 	if !m.isPlanned {
@@ -102,11 +103,11 @@
 	m.admit()
 	budget := m.settings.PrefillChunk
 	duration := m.settings.StepBase
-	for _, running := range m.running {
-		taken := running.plan(budget)
+	for _, seq := range m.running {
+		taken := seq.plan(budget)
 		budget -= taken
 		duration += time.Duration(taken) * m.settings.StepPerPrefillToken
-		if running.plannedToken {
+		if seq.plannedToken {
 			duration += m.settings.StepPerSequence
 		}
 	}
@@ -117,54 +118,54 @@
 // admit moves waiting requests into free slots.
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.settings.Slots {
-		admitted := m.waiting[0]
+		seq := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		admitted.begin(m.cache.hit(admitted.request))
-		m.cache.pin(admitted.request)
-		m.running = append(m.running, admitted)
+		seq.start(m.cache.hit(seq.request))
+		m.cache.pin(seq.request)
+		m.running = append(m.running, seq)
 	}
 }
 
-// Step executes the planned step, planning it first if none is planned.
+// Step executes the planned step, after planning it if necessary.
 func (m *Model) Step() StepResult {
 	if !m.isPlanned {
 		m.plan()
 	}
 	m.isPlanned = false
 	var result StepResult
-	for _, running := range m.running {
-		if running.step() {
-			token := TokenEvent{ID: running.request.ID, Index: running.made - 1}
+	for _, seq := range m.running {
+		if seq.step() {
+			token := TokenEvent{ID: seq.request.ID, Index: seq.generated - 1}
 			result.Tokens = append(result.Tokens, token)
 		}
-		m.storeShared(running)
-		if running.complete() {
-			m.leaveSlot(running)
-			delete(m.byID, running.request.ID)
-			result.Finished = append(result.Finished, running.finished(running.reason()))
+		m.storeShared(seq)
+		if seq.complete() {
+			m.releaseSlot(seq)
+			delete(m.byID, seq.request.ID)
+			result.Finished = append(result.Finished, seq.finished(seq.reason()))
 		}
 	}
 	m.running = slices.DeleteFunc(m.running, (*sequence).complete)
 	return result
 }
 
-// storeShared caches a shared prefix as soon as it is processed, so that the
-// next program of the team hits it while this one runs.
-func (m *Model) storeShared(running *sequence) {
-	if running.sharedStored || running.prefilled < running.request.SharedTokens {
+// storeShared caches a shared prefix as soon as it is processed, so that other
+// programs can use it while this sequence runs.
+func (m *Model) storeShared(seq *sequence) {
+	if seq.sharedStored || seq.prefilled < seq.request.SharedTokens {
 		return
 	}
-	running.sharedStored = true
-	m.cache.store(running.request.SharedKey, running.sharedDone())
+	seq.sharedStored = true
+	m.cache.store(seq.request.SharedKey, seq.processedShared())
 }
 
-// leaveSlot caches what a sequence has processed and unpins its entries.
-func (m *Model) leaveSlot(left *sequence) {
-	defer m.cache.unpin(left.request)
-	if left.request.Program != "" {
-		m.cache.store(left.request.Program, left.ownDone())
+// releaseSlot caches the processed tokens of a sequence and unpins its entries.
+func (m *Model) releaseSlot(seq *sequence) {
+	defer m.cache.unpin(seq.request)
+	if seq.request.Program != "" {
+		m.cache.store(seq.request.Program, seq.processedOwn())
 	}
-	if left.request.SharedKey != "" {
-		m.cache.store(left.request.SharedKey, left.sharedDone())
+	if seq.request.SharedKey != "" {
+		m.cache.store(seq.request.SharedKey, seq.processedShared())
 	}
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,33 +10,33 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// OrderLogRoute lists the orders that the engine applied, in order, as a JSON
-// array of wire.Order.
+// OrderLogRoute is the route of the applied orders, a JSON array of wire.Order
+// in the order of application.
 const OrderLogRoute = "/standin/orders"
 
 var (
-	errOldFencing   = errors.New("fencing number is lower than one seen")
+	errStaleFencing = errors.New("fencing number is lower than that of an applied order")
 	errUnknownOrder = errors.New("unknown kind of order")
 )
 
-// orderBook is the engine's state under orders.
-type orderBook struct {
+// orderStore holds the state that orders set.
+type orderStore struct {
 	state   wire.OrderState
 	applied []wire.Order
 }
 
-func newOrderBook(settings Settings) orderBook {
-	return orderBook{state: wire.OrderState{
+func newOrderStore(settings Settings) orderStore {
+	return orderStore{state: wire.OrderState{
 		Model:         settings.ModelName,
 		ChecksFencing: settings.ChecksFencing,
 	}}
 }
 
-// apply changes the state. An engine that checks fencing numbers refuses one
-// lower than it has seen; another applies whatever comes.
-func (b *orderBook) apply(order wire.Order) error {
+// apply applies an order. An engine that checks fencing numbers refuses an
+// order with a lower number than that of the last one applied.
+func (b *orderStore) apply(order wire.Order) error {
 	if b.state.ChecksFencing && order.Fencing < b.state.Fencing {
-		return errOldFencing
+		return errStaleFencing
 	}
 	field := b.field(order.Kind)
 	if field == nil {
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// field returns the part of the state that a kind of order sets, or nil.
-func (b *orderBook) field(kind string) *string {
+// field returns the field of the state that a kind of order sets, or nil for an
+// unknown kind.
+func (b *orderStore) field(kind string) *string {
 	switch kind {
 	case wire.OrderLoadModel:
 		return &b.state.Model
@@ -74,7 +75,7 @@
 	seen := s.orders.state.Fencing
 	s.mu.Unlock()
 	switch {
-	case errors.Is(err, errOldFencing):
+	case errors.Is(err, errStaleFencing):
 		standin.WriteJSON(w, http.StatusConflict, wire.OrderReply{Fencing: seen})
 	case err != nil:
 		standin.WriteError(w, http.StatusBadRequest, err.Error())
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxCatchUp bounds how far the engine runs faster than its step durations to
-// make up for a late wake-up.
+// maxCatchUp limits how far the engine runs ahead of its step durations to make
+// up for late wake-ups.
 const maxCatchUp = 20 * time.Millisecond
 
 // run executes the model's steps in real time until Close.
@@ -27,7 +27,7 @@
 	}
 }
 
-// nextDue returns the end of a step that starts when the last one was due.
+// nextDue returns the end of a step that starts when the previous one was due.
 func nextDue(due, now time.Time, duration time.Duration) time.Time {
 	if earliest := now.Add(-maxCatchUp); due.Before(earliest) {
 		due = earliest
@@ -35,15 +35,15 @@
 	return due.Add(duration)
 }
 
-// planStep returns the duration of the next step, and false if there is
-// nothing to do.
+// planStep returns the duration of the next step, and false if the model is
+// idle.
 func (s *Server) planStep() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.model.Idle() {
 		return 0, false
 	}
-	duration := float64(s.model.StepDuration()) * s.gate.SlowFactor()
+	duration := float64(s.model.StepDuration()) * s.injector.SlowFactor()
 	s.recordLoad()
 	return time.Duration(duration), true
 }
@@ -53,9 +53,9 @@
 	defer s.mu.Unlock()
 	result := s.model.Step()
 	for _, token := range result.Tokens {
-		made := s.streams[token.ID]
-		made.made = token.Index + 1
-		made.wake()
+		st := s.streams[token.ID]
+		st.generated = token.Index + 1
+		st.wake()
 	}
 	for _, finished := range result.Finished {
 		s.finishStream(finished, now)
@@ -65,26 +65,26 @@
 
 // finishStream ends a stream and its ledger entry.
 func (s *Server) finishStream(finished Finished, now time.Time) {
-	ended := s.streams[finished.ID]
-	ended.finished = &finished
-	ended.endedAt = now
-	s.ended = append(s.ended, ended)
-	ended.wake()
+	st := s.streams[finished.ID]
+	st.finished = &finished
+	st.endedAt = now
+	s.ended = append(s.ended, st)
+	st.wake()
 	tokens := int64(finished.CompletionTokens)
 	if finished.Reason == FinishCancelled {
-		s.ledger.Cancelled(ended.sequence, tokens)
+		s.ledger.Cancel(st.sequence, tokens)
 		return
 	}
-	s.ledger.Finish(ended.sequence, tokens)
+	s.ledger.Finish(st.sequence, tokens)
 }
 
-// publish makes the model's new state visible to the lagging reports.
+// publish records the model's new state for the lagging reports.
 func (s *Server) publish(now time.Time) {
 	s.cacheEvents.add(now, s.model.DrainCacheEvents())
 	s.recordLoad()
 }
 
-// signal wakes the loop.
+// signal wakes run.
 func (s *Server) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -92,7 +92,7 @@
 	}
 }
 
-// waitForWork returns true when there may be work and false at Close.
+// waitForWork waits until there may be work. It returns false at Close.
 func (s *Server) waitForWork() bool {
 	select {
 	case <-s.wake:
@@ -102,7 +102,7 @@
 	}
 }
 
-// sleepUntil returns false at Close.
+// sleepUntil waits until due. It returns false at Close.
 func (s *Server) sleepUntil(due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -14,36 +14,36 @@
 // Server runs a Model in real time behind HTTP. It is safe for concurrent use.
 type Server struct {
 	settings Settings
-	gate     *faults.Gate
+	injector *faults.Injector
 	ledger   *ledger.Ledger
 
 	mu      sync.Mutex
 	model   *Model
 	streams map[string]*stream
-	// ended lists the kept streams that ended, in that order.
+	// ended holds the retained streams that have ended, in order of their end.
 	ended       []*stream
 	nextID      uint64
 	loads       standin.History[wire.EngineLoad]
 	cacheEvents *eventLog
-	orders      orderBook
+	orders      orderStore
 
-	// wake has an item when the model may have work.
+	// wake holds an item when the model may have work.
 	wake    chan struct{}
 	closing chan struct{}
 	stopped chan struct{}
 }
 
-// NewServer starts an engine. The caller serves Handler and calls Close.
+// NewServer starts an engine. The caller must serve Handler and call Close.
 func NewServer(settings Settings) *Server {
 	settings = settings.withDefaults()
 	server := &Server{
 		settings:    settings,
-		gate:        faults.NewGate(settings.Faults),
+		injector:    faults.NewInjector(settings.Faults),
 		ledger:      &ledger.Ledger{},
 		model:       NewModel(settings.Model),
 		streams:     make(map[string]*stream),
 		cacheEvents: newEventLog(settings),
-		orders:      newOrderBook(settings),
+		orders:      newOrderStore(settings),
 		wake:        make(chan struct{}, 1),
 		closing:     make(chan struct{}),
 		stopped:     make(chan struct{}),
@@ -53,18 +53,18 @@
 	return server
 }
 
-// Close stops the engine. Streams that run stay unfinished.
+// Close stops the engine. Streams in progress stay unfinished.
 func (s *Server) Close() {
 	close(s.closing)
 	<-s.stopped
 }
 
-// Faults returns the gate that holds the engine's faults.
-func (s *Server) Faults() *faults.Gate {
-	return s.gate
+// Faults returns the injector of the engine's faults.
+func (s *Server) Faults() *faults.Injector {
+	return s.injector
 }
 
-// Ledger returns the record of the requests run.
+// Ledger returns the record of all requests run.
 func (s *Server) Ledger() *ledger.Ledger {
 	return s.ledger
 }
@@ -85,18 +85,18 @@
 	engine.HandleFunc("GET "+wire.OrdersRoute, s.serveOrderState)
 
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", s.heldWhileHung(engine))
+	mux.Handle("/v1/", s.holdWhileHung(engine))
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
 	mux.HandleFunc("GET "+OrderLogRoute, s.serveOrderLog)
-	s.gate.Register(mux)
+	s.injector.Register(mux)
 	s.ledger.Register(mux)
 	return mux
 }
 
-// heldWhileHung holds requests while the hang fault is set.
-func (s *Server) heldWhileHung(next http.Handler) http.Handler {
+// holdWhileHung holds requests while the hang fault is set.
+func (s *Server) holdWhileHung(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.gate.WaitWhileHung(r.Context()) != nil {
+		if s.injector.WaitWhileHung(r.Context()) != nil {
 			standin.DropConnection()
 		}
 		next.ServeHTTP(w, r)
@@ -107,14 +107,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// startStream submits a request as a new stream, or returns the stream that
-// has its id already.
-func (s *Server) startStream(request Request, added *stream, entry wire.LedgerEntry) (known *stream, err error) {
+// startStream submits a request as a new stream, or returns the existing stream
+// with its id.
+func (s *Server) startStream(request Request, added *stream, entry wire.LedgerEntry) (existing *stream, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetStreams(time.Now())
-	if known, ok := s.streams[added.id]; ok {
-		return known, nil
+	s.dropExpiredStreams(time.Now())
+	if existing, ok := s.streams[added.id]; ok {
+		return existing, nil
 	}
 	if err := s.model.Submit(request); err != nil {
 		return nil, err
@@ -126,15 +126,16 @@
 	return nil, nil
 }
 
-// findStream returns a stream by id, or nil.
+// findStream returns a stream by id, nil if it does not exist.
 func (s *Server) findStream(id string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgetStreams(time.Now())
+	s.dropExpiredStreams(time.Now())
 	return s.streams[id]
 }
 
-// cancelStream ends a stream at once; an unknown or ended one is left.
+// cancelStream ends a running stream. It does nothing if the stream is unknown
+// or has ended.
 func (s *Server) cancelStream(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,16 +147,17 @@
 	s.publish(time.Now())
 }
 
-// progress returns how far a stream is; the channel is closed at its next
-// change.
-func (s *Server) progress(of *stream) (made int, finished *Finished, changed <-chan struct{}) {
+// progress returns the state of a stream and a channel that is closed at its
+// next change.
+func (s *Server) progress(st *stream) (generated int, finished *Finished, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return of.made, of.finished, of.changed
+	return st.generated, st.finished, st.changed
 }
 
-// forgetStreams drops the streams that ended too long ago.
-func (s *Server) forgetStreams(now time.Time) {
+// dropExpiredStreams drops the streams that ended longer than StreamRetention
+// ago.
+func (s *Server) dropExpiredStreams(now time.Time) {
 	for len(s.ended) > 0 && now.Sub(s.ended[0].endedAt) > s.settings.StreamRetention {
 		delete(s.streams, s.ended[0].id)
 		s.ended = s.ended[1:]
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -6,26 +6,27 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// stream is one completion and what it has made so far. The answer is a
-// function of the request, so that only a count of tokens is kept. The
-// server's mutex guards made, finished, endedAt and changed.
+// stream is one completion and its progress. Its text is a function of the
+// request, so that only a token count is stored. The server's mutex guards
+// generated, finished, endedAt and changed.
 type stream struct {
-	id      string
-	model   string
-	created time.Time
-	answer  Completion
-	// length is the number of tokens that the stream makes if not cancelled.
+	id         string
+	model      string
+	created    time.Time
+	completion Completion
+	// length is the number of tokens that the stream generates unless
+	// cancelled.
 	length int
-	// sequence is the stream's place in the ledger.
+	// sequence is the stream's sequence number in the ledger.
 	sequence uint64
 
-	made     int
-	finished *Finished
-	endedAt  time.Time
-	changed  chan struct{}
+	generated int
+	finished  *Finished
+	endedAt   time.Time
+	changed   chan struct{}
 }
 
-// wake lets every reader of the stream look again.
+// wake wakes every reader of the stream.
 func (s *stream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -48,13 +49,14 @@
 
 // chunk returns the chunk of one token.
 func (s *stream) chunk(index int) wire.ChatChunk {
-	delta := wire.ChatMessage{Role: assistantRole, Content: s.answer.Token(index)}
+	delta := wire.ChatMessage{Role: assistantRole, Content: s.completion.Token(index)}
 	chunk := s.emptyChunk(index)
 	chunk.Choices = []wire.ChatChoice{{Delta: &delta}}
 	return chunk
 }
 
-// lastChunk returns the chunk behind the last token. It carries no token.
+// lastChunk returns the chunk after the last token, with the finish reason and
+// usage.
 func (s *stream) lastChunk(finished Finished) wire.ChatChunk {
 	reason := string(finished.Reason)
 	usage := s.usage(finished)
@@ -74,10 +76,10 @@
 	}
 }
 
-// reply returns the whole answer of an ended stream.
+// reply returns the complete response of an ended stream.
 func (s *stream) reply(finished Finished) wire.ChatReply {
 	reason := string(finished.Reason)
-	text := s.answer.Text(0, finished.CompletionTokens)
+	text := s.completion.Text(0, finished.CompletionTokens)
 	message := wire.ChatMessage{Role: assistantRole, Content: text}
 	return wire.ChatReply{
 		ID:      s.id,
--- a/internal/standin/members/handler.go
+++ b/internal/standin/members/handler.go
@@ -13,11 +13,12 @@
 	leavingRoute = memberRoute + "/leaving"
 )
 
-// Handler returns the HTTP handler of the list. Besides the routes of wire it
-// offers POST /standin/members/{id}/leaving, which marks a member as leaving.
+// Handler returns the HTTP handler of the list. In addition to the routes of
+// package wire it serves POST /standin/members/{id}/leaving, which marks a
+// member as leaving.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+wire.MembersRoute, l.serveShown)
+	mux.HandleFunc("GET "+wire.MembersRoute, l.serveList)
 	mux.HandleFunc("PUT "+memberRoute, l.servePut)
 	mux.HandleFunc("DELETE "+memberRoute, l.serveRemove)
 	mux.HandleFunc("POST "+leavingRoute, l.serveLeaving)
@@ -26,19 +27,19 @@
 	return mux
 }
 
-func (l *List) serveShown(w http.ResponseWriter, r *http.Request) {
-	shown, err := l.Shown()
+func (l *List) serveList(w http.ResponseWriter, r *http.Request) {
+	visible, err := l.Visible()
 	if err != nil {
 		standin.WriteError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	tag := `"` + strconv.FormatUint(shown.Version, 10) + `"`
+	tag := `"` + strconv.FormatUint(visible.Version, 10) + `"`
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, shown)
+	standin.WriteJSON(w, http.StatusOK, visible)
 }
 
 func (l *List) servePut(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +49,7 @@
 	}
 	id := r.PathValue("id")
 	if member.ID != "" && member.ID != id {
-		standin.WriteError(w, http.StatusBadRequest, "the id of the body differs from that of the path")
+		standin.WriteError(w, http.StatusBadRequest, "member id in the body differs from the id in the path")
 		return
 	}
 	member.ID = id
@@ -66,7 +67,7 @@
 
 func (l *List) serveLeaving(w http.ResponseWriter, r *http.Request) {
 	if !l.SetLeaving(r.PathValue("id")) {
-		standin.WriteError(w, http.StatusNotFound, "no such member")
+		standin.WriteError(w, http.StatusNotFound, "member not found")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/members/list.go
+++ b/internal/standin/members/list.go
@@ -1,5 +1,5 @@
-// Package members is the stand-in of the platform's membership list. The list
-// it shows is the list as it was some time ago.
+// Package members is the stand-in of the platform's membership list. Readers
+// see the list with a configurable lag.
 package members
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// ErrDown is returned while the list cannot be read.
+// ErrDown is returned while the list is unavailable.
 var ErrDown = errors.New("membership list is down")
 
-// Settings are the settings of a membership list.
+// Settings configure a membership list.
 type Settings struct {
-	// Lag is the age of the list shown. A MemberFaults replaces it.
+	// Lag is the age of the list that readers see. SetFaults overrides it.
 	Lag time.Duration
-	// Now is the clock, time.Now when nil.
+	// Now is the clock; time.Now if nil.
 	Now func() time.Time
 }
 
@@ -37,7 +37,7 @@
 	faults  wire.MemberFaults
 }
 
-// New returns an empty list of version 0.
+// New returns an empty list with version 0.
 func New(settings Settings) *List {
 	if settings.Now == nil {
 		settings.Now = time.Now
@@ -54,10 +54,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members[member.ID] = member
-	l.changed()
+	l.recordVersion()
 }
 
-// Remove drops a member and tells whether it was there.
+// Remove removes a member and reports whether it was listed.
 func (l *List) Remove(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,11 +65,11 @@
 		return false
 	}
 	delete(l.members, id)
-	l.changed()
+	l.recordVersion()
 	return true
 }
 
-// SetLeaving marks a member as leaving and tells whether it was there.
+// SetLeaving marks a member as leaving and reports whether it was listed.
 func (l *List) SetLeaving(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,30 +79,30 @@
 	}
 	member.State = wire.MemberStateLeaving
 	l.members[id] = member
-	l.changed()
+	l.recordVersion()
 	return true
 }
 
-// Current returns the list without lag, also while the list is down.
+// Current returns the list without lag, even while it is down.
 func (l *List) Current() wire.MemberList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current()
 }
 
-// Shown returns the list with its lag, or ErrDown.
-func (l *List) Shown() (wire.MemberList, error) {
+// Visible returns the list as it was Lag ago, or ErrDown.
+func (l *List) Visible() (wire.MemberList, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.Down {
 		return wire.MemberList{}, ErrDown
 	}
 	lag := time.Duration(l.faults.LagMS) * time.Millisecond
-	shown, ok := l.history.At(l.now().Add(-lag))
+	visible, ok := l.history.At(l.now().Add(-lag))
 	if !ok {
 		return wire.MemberList{Members: []wire.Member{}}, nil
 	}
-	return shown, nil
+	return visible, nil
 }
 
 // SetFaults replaces the faults.
@@ -119,9 +119,9 @@
 	return l.faults
 }
 
-// changed takes the next version. The whole history is kept, since the lag may
-// grow at any time and a test changes the list seldom.
-func (l *List) changed() {
+// recordVersion increments the version and records the list. No history is
+// dropped, since the lag may grow at any time.
+func (l *List) recordVersion() {
 	l.version++
 	l.history.Record(l.now(), l.current())
 }
--- a/internal/standin/metastore/service.go
+++ b/internal/standin/metastore/service.go
@@ -12,43 +12,47 @@
 	"time"
 )
 
-// pageSize is the number of records of a page of newest records.
-const pageSize = 500
+// httpPageRecords is the number of records of a page of newest records.
+const httpPageRecords = 500
 
-// Fault is what befalls calls.
+// Fault is a fault that applies to calls.
 type Fault struct {
-	// Status refuses calls without doing anything: 429 or 503; 0 for none.
+	// Status is the HTTP status with which calls are refused without effect,
+	// 429 or 503; 0 for none.
 	Status int
-	// Unresponsive leaves calls unanswered and undone.
+	// Unresponsive makes calls hang without effect.
 	Unresponsive bool
-	// Reset cuts connections without doing anything.
+	// Reset cuts the connections of calls without effect.
 	Reset bool
-	// DropResponse does writes and cuts the connection in place of an answer.
+	// DropResponse executes writes but cuts the connection instead of
+	// responding.
 	DropResponse bool
-	// ApplyDelay does writes that lose their answer after this time.
+	// ApplyDelay is the delay before a write with DropResponse takes effect.
 	ApplyDelay time.Duration
-	// Delay is added to each call.
+	// Delay is added to the duration of each call.
 	Delay time.Duration
-	// AppendTime is how long a partition takes for each append, one after the
-	// other; appends that would wait longer than appendQueue are refused. Only
-	// Memory knows it.
+	// AppendTime is the duration of each append, of which a partition runs one
+	// at a time. Appends that would wait longer than maxAppendWait are refused.
+	// Only Memory applies it.
 	AppendTime time.Duration
-	// Topics limits the fault to calls on these topics; nil for all calls.
+	// Topics restricts the fault to calls on these topics; nil for all calls.
+	// Only Service applies it.
 	Topics []string
-	// Partitions limits it to calls on these partitions; nil for all.
+	// Partitions restricts the fault to calls on these partitions; nil for all.
+	// Only Memory applies it.
 	Partitions []int
 }
 
-// Service is a running stand-in.
+// Service is a running stand-in that serves HTTP.
 type Service struct {
 	log    *log
 	groups *groups
 	server *httptest.Server
 
-	mu    sync.Mutex
-	fault Fault
-	calls map[string]int
-	work  sync.WaitGroup
+	mu            sync.Mutex
+	fault         Fault
+	calls         map[string]int
+	delayedWrites sync.WaitGroup
 }
 
 // Start starts a stand-in on a free loopback port.
@@ -67,17 +71,18 @@
 	return s
 }
 
-// Address is where the stand-in listens, IP:port.
+// Address returns the listen address, IP:port.
 func (s *Service) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the stand-in, with the writes that are to take effect late.
+// Close stops the stand-in and waits for its delayed writes.
 func (s *Service) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
-	s.work.Wait()
+	s.delayedWrites.Wait()
 }
 
-// Set puts a fault in force, in place of the one before.
+// Set replaces the fault. Faults that affect connections also close the open
+// ones.
 func (s *Service) Set(f Fault) {
 	s.mu.Lock()
 	s.fault = f
@@ -87,14 +92,15 @@
 	}
 }
 
-// Calls counts the calls of a kind so far, refused ones too.
+// Calls returns the number of calls of a kind so far, including refused ones.
 func (s *Service) Calls(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[kind]
 }
 
-// Records counts the newest records of all partitions of a topic.
+// Records returns the number of keys with a record in all partitions of a
+// topic.
 func (s *Service) Records(topic string) int {
 	s.log.mu.Lock()
 	defer s.log.mu.Unlock()
@@ -107,40 +113,41 @@
 	return n
 }
 
-// Put writes a record as an operator or target would.
+// Put writes a record to the first partition of a topic, as an operator or
+// target would.
 func (s *Service) Put(topic, key string, value []byte) {
 	record := append([]byte{byte(len(key))}, key...)
 	s.log.append(appendRequest{id: partitionID{topic, 0}, records: [][]byte{append(record, value...)}})
 }
 
-// DropHistory drops all records of a partition but the newest of each key.
+// DropHistory drops all records of a partition except the newest of each key.
 func (s *Service) DropHistory(topic string, part int) {
 	s.log.trim(partitionID{topic, part}, 1<<62)
 }
 
-// DealAnew gives all partitions of all groups to other members.
-func (s *Service) DealAnew() { s.groups.dealAnew() }
+// Rebalance allocates the partitions of all groups to other members.
+func (s *Service) Rebalance() { s.groups.rebalance() }
 
-// answer is a status with a body.
-type answer struct {
-	status int
-	kind   string
-	body   []byte
+// response is a status with a body.
+type response struct {
+	status      int
+	contentType string
+	body        []byte
 }
 
-func jsonAnswer(status int, v any) answer {
+func jsonResponse(status int, v any) response {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return answer{status: http.StatusInternalServerError}
+		return response{status: http.StatusInternalServerError}
 	}
-	return answer{status, "application/json", body}
+	return response{status, "application/json", body}
 }
 
-func (s *Service) handle(kind string, writes bool, do func(*http.Request, []byte) answer) http.HandlerFunc {
+func (s *Service) handle(kind string, writes bool, serve func(*http.Request, []byte) response) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the caller is gone
+			return // the caller has disconnected
 		}
 		f := s.faultFor(kind, r)
 		time.Sleep(f.Delay)
@@ -154,15 +161,15 @@
 			w.WriteHeader(f.Status)
 			return
 		case writes && f.DropResponse:
-			s.loseAnswer(f, r, body, do)
+			s.dropResponse(f, r, body, serve)
 			panic(http.ErrAbortHandler)
 		}
-		a := do(r, body)
-		if a.kind != "" {
-			w.Header().Set("Content-Type", a.kind)
+		response := serve(r, body)
+		if response.contentType != "" {
+			w.Header().Set("Content-Type", response.contentType)
 		}
-		w.WriteHeader(a.status)
-		_, _ = w.Write(a.body) // a caller that is gone needs no answer
+		w.WriteHeader(response.status)
+		_, _ = w.Write(response.body) // fails only if the caller has disconnected
 	}
 }
 
@@ -176,15 +183,15 @@
 	return s.fault
 }
 
-// loseAnswer does a write now, or later.
-func (s *Service) loseAnswer(f Fault, r *http.Request, body []byte, do func(*http.Request, []byte) answer) {
+// dropResponse executes a write whose response is dropped, after ApplyDelay.
+func (s *Service) dropResponse(f Fault, r *http.Request, body []byte, serve func(*http.Request, []byte) response) {
 	if f.ApplyDelay == 0 {
-		do(r, body)
+		serve(r, body)
 		return
 	}
-	s.work.Go(func() {
+	s.delayedWrites.Go(func() {
 		time.Sleep(f.ApplyDelay)
-		do(r, body)
+		serve(r, body)
 	})
 }
 
@@ -194,7 +201,7 @@
 	return partitionID{topic, part}, err == nil && part >= 0 && topic != ""
 }
 
-// number reads a number of the query; nil if it is absent.
+// number returns a numeric query parameter, nil if it is absent or malformed.
 func number(r *http.Request, name string) *int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
@@ -203,14 +210,14 @@
 	return &n
 }
 
-func (s *Service) append(r *http.Request, body []byte) answer {
+func (s *Service) append(r *http.Request, body []byte) response {
 	id, ok := partitionOf(r)
 	records, whole := splitRecords(body)
 	if !ok || !whole {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	request := appendRequest{
-		id: id, records: records, at: number(r, "At"),
+		id: id, records: records, expectedEnd: number(r, "At"),
 		writer: r.URL.Query().Get("Producer"), sequence: number(r, "Sequence"),
 	}
 	if epoch := number(r, "epoch"); epoch != nil {
@@ -218,27 +225,27 @@
 	}
 	result := s.log.append(request)
 	switch {
-	case result.why == "seq":
-		return jsonAnswer(result.status, map[string]any{"why": "seq", "expected": result.expected})
-	case result.why != "":
-		return jsonAnswer(result.status, map[string]any{"why": result.why})
+	case result.reason == "seq":
+		return jsonResponse(result.status, map[string]any{"why": "seq", "expected": result.expected})
+	case result.reason != "":
+		return jsonResponse(result.status, map[string]any{"why": result.reason})
 	}
-	return jsonAnswer(result.status, map[string]int64{"Offset": result.offset, "End": result.end})
+	return jsonResponse(result.status, map[string]int64{"Offset": result.offset, "End": result.end})
 }
 
-func (s *Service) read(r *http.Request, _ []byte) answer {
+func (s *Service) read(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	from := number(r, "From")
 	if !ok || from == nil {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	var wait time.Duration
 	if ms := number(r, "WaitMs"); ms != nil {
 		wait = time.Duration(*ms) * time.Millisecond
 	}
-	end, first, records, kept := s.log.read(id, *from, wait, r.Context().Done())
-	if !kept {
-		return jsonAnswer(http.StatusGone, map[string]int64{"First": first})
+	end, first, records, retained := s.log.read(id, *from, wait, r.Context().Done())
+	if !retained {
+		return jsonResponse(http.StatusGone, map[string]int64{"First": first})
 	}
 	body := binary.BigEndian.AppendUint64(nil, uint64(end))
 	body = binary.BigEndian.AppendUint64(body, uint64(first))
@@ -246,13 +253,13 @@
 		body = binary.BigEndian.AppendUint32(body, uint32(len(record)))
 		body = append(body, record...)
 	}
-	return answer{http.StatusOK, "application/octet-stream", body}
+	return response{http.StatusOK, "application/octet-stream", body}
 }
 
-func (s *Service) newest(r *http.Request, _ []byte) answer {
+func (s *Service) newest(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	if !ok {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	type record struct {
 		Key    string
@@ -271,21 +278,21 @@
 		if key <= after {
 			continue
 		}
-		if len(page.Items) == pageSize {
+		if len(page.Items) == httpPageRecords {
 			page.HasMore = true
 			break
 		}
 		page.Items = append(page.Items, record{key, items[key].value, items[key].offset})
 	}
-	return jsonAnswer(http.StatusOK, page)
+	return jsonResponse(http.StatusOK, page)
 }
 
-func (s *Service) trim(r *http.Request, _ []byte) answer {
+func (s *Service) trim(r *http.Request, _ []byte) response {
 	id, ok := partitionOf(r)
 	before := number(r, "Before")
 	if !ok || before == nil {
-		return answer{status: http.StatusBadRequest}
+		return response{status: http.StatusBadRequest}
 	}
 	s.log.trim(id, *before)
-	return jsonAnswer(http.StatusOK, struct{}{})
+	return jsonResponse(http.StatusOK, struct{}{})
 }
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -12,30 +12,30 @@
 
 const contentTypeJSON = "application/json"
 
-// serveAny runs one request under the faults.
-func (s *Service) serveAny(w http.ResponseWriter, r *http.Request) {
+// serveRequest runs one request under the configured faults.
+func (s *Service) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, standin.MaxBodyBytes))
 	if err != nil {
 		standin.DropConnection()
 	}
 	key := r.Header.Get(wire.HeaderIdempotencyKey)
-	s.outcomes.arrive(key)
-	defer s.outcomes.leave(key)
-	if s.gate.WaitWhileHung(r.Context()) != nil {
+	s.outcomes.begin(key)
+	defer s.outcomes.end(key)
+	if s.injector.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
-	if s.gate.TakeFail() {
-		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
+	if s.injector.TakeFail() {
+		standin.WriteError(w, http.StatusServiceUnavailable, "injected failure before the request ran")
 		return
 	}
 	outcome, ok := s.outcome(r, key, body)
-	if !ok || s.gate.TakeDropReply() {
+	if !ok || s.injector.TakeDropReply() {
 		standin.DropConnection()
 	}
 	writeOutcome(w, outcome)
 }
 
-// outcome runs a request, or finds the answer of an earlier one where the
+// outcome runs a request, or returns the response of an earlier one if the
 // service deduplicates. It returns false at Close.
 func (s *Service) outcome(r *http.Request, key string, body []byte) (wire.OutcomeReply, bool) {
 	if !s.settings.Dedupe || key == "" {
@@ -43,22 +43,22 @@
 	}
 	unlock := s.outcomes.lockKey(key)
 	defer unlock()
-	if known, _ := s.outcomes.look(key); known != nil {
+	if known, _ := s.outcomes.get(key); known != nil {
 		return *known, true
 	}
 	return s.run(r, key, body)
 }
 
-// run records a request, lets its run time pass and stores its answer.
+// run records a request, waits for its run time and stores its response.
 func (s *Service) run(r *http.Request, key string, body []byte) (wire.OutcomeReply, bool) {
 	entry := s.ledgerEntry(r, body)
 	sequence := s.ledger.Begin(entry)
-	if !s.pause(s.runTime(r)) {
+	if !s.waitRunTime(s.runTime(r)) {
 		return wire.OutcomeReply{}, false
 	}
-	encoded, err := json.Marshal(answer(entry, sequence))
+	encoded, err := json.Marshal(newResponse(entry, sequence))
 	if err != nil {
-		slog.Error("encode answer", "error", err)
+		slog.Error("encode response", "error", err)
 		return wire.OutcomeReply{}, false
 	}
 	outcome := wire.OutcomeReply{Status: http.StatusOK, ContentType: contentTypeJSON, Body: encoded}
@@ -67,13 +67,14 @@
 	return outcome, true
 }
 
-// serveOutcome answers what became of a request, by idempotency key. While
-// such a request is here and not ended, it waits: "not run" would be wrong.
+// serveOutcome responds with the outcome of the request with an idempotency
+// key. It waits while such a request is in progress, since status 404 would
+// wrongly report that it did not run.
 func (s *Service) serveOutcome(w http.ResponseWriter, r *http.Request) {
-	if s.gate.WaitWhileHung(r.Context()) != nil {
+	if s.injector.WaitWhileHung(r.Context()) != nil {
 		standin.DropConnection()
 	}
-	outcome, err := s.outcomes.ask(r.Context(), r.PathValue("key"))
+	outcome, err := s.outcomes.wait(r.Context(), r.PathValue("key"))
 	switch {
 	case err != nil:
 		standin.DropConnection()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,6 @@
 // Package service is the stand-in of a tool service or a plain service. It
-// takes any request on any path, runs it for a set time, and records it.
+// accepts any request on any path, runs it for a configured time and records
+// it.
 package service
 
 import (
@@ -17,29 +18,29 @@
 // in milliseconds.
 const DelayParameter = "delay_ms"
 
-// Settings are the settings of a Service.
+// Settings configure a Service.
 type Settings struct {
-	// ID is the target's id, as in the ledger and the answers.
+	// ID is the target's id, as in the ledger and the responses.
 	ID string
-	// ServeOutcomes serves GET /v1/outcomes/{key}.
+	// ServeOutcomes enables GET /v1/outcomes/{key}.
 	ServeOutcomes bool
-	// Dedupe answers a repeated idempotency key with the first answer,
-	// without running it again. Otherwise both are run and recorded.
+	// Dedupe returns the first response for a repeated idempotency key without
+	// running the request again. Otherwise every request is run and recorded.
 	Dedupe bool
-	// Faults are the faults at the start, and the run time.
+	// Faults are the initial faults, including the run time.
 	Faults wire.ServiceFaults
 }
 
 // Service is a tool or plain service. It is safe for concurrent use.
 type Service struct {
 	settings Settings
-	gate     *faults.Gate
+	injector *faults.Injector
 	ledger   *ledger.Ledger
 	outcomes *outcomes
 	closing  chan struct{}
 }
 
-// Response is the body of an answer.
+// Response is the body of a response.
 type Response struct {
 	Target   string `json:"target"`
 	Sequence uint64 `json:"sequence"`
@@ -49,28 +50,28 @@
 	BodyHash string `json:"body_hash"`
 }
 
-// New returns a service. The caller serves Handler and calls Close.
+// New returns a service. The caller must serve Handler and call Close.
 func New(settings Settings) *Service {
 	return &Service{
 		settings: settings,
-		gate:     faults.NewGate(settings.Faults),
+		injector: faults.NewInjector(settings.Faults),
 		ledger:   &ledger.Ledger{},
 		outcomes: newOutcomes(),
 		closing:  make(chan struct{}),
 	}
 }
 
-// Close ends the requests that run, without an answer.
+// Close aborts the requests in progress without a response.
 func (s *Service) Close() {
 	close(s.closing)
 }
 
-// Faults returns the gate that holds the service's faults.
-func (s *Service) Faults() *faults.Gate {
-	return s.gate
+// Faults returns the injector of the service's faults.
+func (s *Service) Faults() *faults.Injector {
+	return s.injector
 }
 
-// Ledger returns the record of the requests run.
+// Ledger returns the record of all requests run.
 func (s *Service) Ledger() *ledger.Ledger {
 	return s.ledger
 }
@@ -78,12 +79,12 @@
 // Handler returns the HTTP handler of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/", s.serveAny)
+	mux.HandleFunc("/", s.serveRequest)
 	mux.HandleFunc("GET "+wire.HealthRoute, serveHealth)
 	if s.settings.ServeOutcomes {
 		mux.HandleFunc("GET "+wire.OutcomesRoute+"/{key}", s.serveOutcome)
 	}
-	s.gate.Register(mux)
+	s.injector.Register(mux)
 	s.ledger.Register(mux)
 	return mux
 }
@@ -92,21 +93,21 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// runTime returns how long a request runs: what its query says, else the
-// service's own time, in both cases times the slow factor.
+// runTime returns the run time of a request: its DelayParameter, or else the
+// service's own delay, multiplied by the slow factor.
 func (s *Service) runTime(r *http.Request) time.Duration {
-	milliseconds := s.gate.Get().DelayMS
-	asked, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
+	milliseconds := s.injector.Get().DelayMS
+	requested, err := strconv.Atoi(r.URL.Query().Get(DelayParameter))
 	if err == nil {
-		milliseconds = asked
+		milliseconds = requested
 	}
 	normal := time.Duration(milliseconds) * time.Millisecond
-	return time.Duration(float64(normal) * s.gate.SlowFactor())
+	return time.Duration(float64(normal) * s.injector.SlowFactor())
 }
 
-// pause waits for the run time, also when the caller is gone, since a request
-// once begun takes effect. It returns false at Close.
-func (s *Service) pause(duration time.Duration) bool {
+// waitRunTime waits for the run time, even if the caller disconnects: a request
+// that has begun takes effect. It returns false at Close.
+func (s *Service) waitRunTime(duration time.Duration) bool {
 	if duration <= 0 {
 		return true
 	}
@@ -132,7 +133,7 @@
 	}
 }
 
-func answer(entry wire.LedgerEntry, sequence uint64) Response {
+func newResponse(entry wire.LedgerEntry, sequence uint64) Response {
 	return Response{
 		Target:   entry.Target,
 		Sequence: sequence,
@@ -143,7 +144,7 @@
 	}
 }
 
-// writeOutcome sends a stored answer.
+// writeOutcome writes a stored response.
 func writeOutcome(w http.ResponseWriter, outcome wire.OutcomeReply) {
 	standin.WriteBody(w, outcome.Status, outcome.ContentType, outcome.Body)
 }
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -1,6 +1,6 @@
-// Package simnet is instances that exchange messages in virtual time, for tests
-// within a synctest bubble. Instances are killed, restarted and cut off; all
-// others notice.
+// Package simnet simulates a network of instances in virtual time, for tests in
+// a synctest bubble. Instances can be killed, restarted, powered off and
+// isolated.
 package simnet
 
 import (
@@ -19,59 +19,62 @@
 	"github.com/banyanglade/banyanglade/platform"
 )
 
-// LinkLatency is how long a message is on its way.
+// LinkLatency is the time from the send of a message to its delivery.
 const LinkLatency = time.Millisecond
 
-// DetectionDelay is how long an instance without power goes unnoticed: by those that
-// watch it from its loss on, by the others from their next message on.
+// DetectionDelay is the time until the failure of a powered-off instance is
+// detected: from the failure by instances that watch it, from their next message
+// to it by all others.
 const DetectionDelay = 600 * time.Millisecond
 
-// inboxSize bounds the events that wait at an instance; tests stay below it.
+// inboxSize is the capacity of an instance's event queue; a full queue blocks
+// the sender.
 const inboxSize = 10000
 
-// Cut is how an instance is cut off.
-type Cut uint8
+// Isolation is a kind of network fault of one instance; 0 is none.
+type Isolation uint8
 
-// Kinds of cuts.
+// Kinds of isolation.
 const (
-	// IsolateBoth loses all messages to and from the instance.
-	IsolateBoth Cut = iota + 1
-	// IsolateOutbound loses those that it sends, while it receives what others send.
+	// IsolateBoth drops all messages to and from the instance.
+	IsolateBoth Isolation = iota + 1
+	// IsolateOutbound drops the messages that the instance sends.
 	IsolateOutbound
 )
 
-// Net is instances with the links between them and to a store.
+// Net is a set of instances connected to each other and to a store.
 type Net struct {
 	Store *metastore.Memory
-	// Background counts what goes on in the background.
+	// Background counts the goroutines that Stop waits for.
 	Background sync.WaitGroup
-	// DiscoveryDelay is how long it takes until an instance hears of another's start;
-	// nil for no time. It is set before the first start.
+	// DiscoveryDelay returns the time until an instance lists a newly started one;
+	// nil for no delay. It must be set before the first Start.
 	DiscoveryDelay func() time.Duration
 
-	mu    sync.Mutex
-	nodes map[structs.InstanceID]*Node
-	cut   map[structs.InstanceID]Cut
-	// dark are the instances that lost power.
-	dark  map[structs.InstanceID]bool
-	lives int
-	// stopping tells that no more instances are started.
+	mu         sync.Mutex
+	nodes      map[structs.InstanceID]*Node
+	isolated   map[structs.InstanceID]Isolation
+	poweredOff map[structs.InstanceID]bool
+	// started counts the starts; it makes each incarnation's id unique.
+	started int
+	// stopping makes Restart do nothing.
 	stopping bool
 }
 
-// Run starts the work of an instance, which goes on until the context ends, and
-// returns what receives its events.
+// Run starts the code under test of an instance, which runs until the context
+// ends, and returns the handler of its events.
 type Run func(ctx context.Context, n *Node) (receive func(structs.Event))
 
-// Node is one life of an instance. It is the instance's transport and health.
+// Node is one incarnation of an instance. It implements the instance's transport
+// and store health.
 type Node struct {
 	ID        structs.InstanceID
 	Directory *directory.Directory
-	// StoreRefused tells that the store refuses this instance's calls.
+	// StoreRefused makes the store refuse this instance's calls.
 	StoreRefused atomic.Bool
-	// StoreUnresponsive tells that its calls get no answer and do nothing.
+	// StoreUnresponsive makes its calls to the store hang without effect.
 	StoreUnresponsive atomic.Bool
-	// FeedsFail tells that its reads of other topics fail.
+	// FeedsFail makes OK report that reads of other topics fail.
 	FeedsFail atomic.Bool
 
 	watched atomic.Pointer[[]structs.InstanceID]
@@ -82,36 +85,37 @@
 	inbox  chan structs.Event
 }
 
-// New makes a Net without instances.
+// New returns a Net without instances.
 func New() *Net {
 	return &Net{
 		Store: metastore.NewMemory(),
-		nodes: make(map[structs.InstanceID]*Node), cut: make(map[structs.InstanceID]Cut),
-		dark: make(map[structs.InstanceID]bool),
+		nodes: make(map[structs.InstanceID]*Node), isolated: make(map[structs.InstanceID]Isolation),
+		poweredOff: make(map[structs.InstanceID]bool),
 	}
 }
 
-// Start starts an instance on a machine and lists it at all others.
-func (w *Net) Start(machine string, run Run) *Node {
-	w.mu.Lock()
-	w.lives++
-	id := directory.InstanceID(machine, fmt.Sprint(w.lives))
-	w.mu.Unlock()
+// Start starts an instance on a machine and adds it to the directories of all
+// others.
+func (net *Net) Start(machine string, run Run) *Node {
+	net.mu.Lock()
+	net.started++
+	id := directory.InstanceID(machine, fmt.Sprint(net.started))
+	net.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		ID: id, Directory: directory.New(structs.Peer{ID: id, Address: machine}),
-		net: w, run: run, cancel: cancel, inbox: make(chan structs.Event, inboxSize),
+		net: net, run: run, cancel: cancel, inbox: make(chan structs.Event, inboxSize),
 	}
 	receive := run(ctx, n)
-	w.mu.Lock()
-	others := slices.Collect(maps.Values(w.nodes))
-	w.nodes[id] = n
-	w.mu.Unlock()
+	net.mu.Lock()
+	others := slices.Collect(maps.Values(net.nodes))
+	net.nodes[id] = n
+	net.mu.Unlock()
 	for _, other := range others {
-		w.list(n, other)
-		w.list(other, n)
+		net.list(n, other)
+		net.list(other, n)
 	}
-	w.Background.Go(func() {
+	net.Background.Go(func() {
 		for {
 			select {
 			case <-ctx.Done():
@@ -124,56 +128,56 @@
 	return n
 }
 
-// list tells an instance of another one.
-func (w *Net) list(at, listed *Node) {
+// list adds an instance to the directory of another one after DiscoveryDelay.
+func (net *Net) list(at, listed *Node) {
 	peer := structs.Peer{ID: listed.ID, Address: listed.Machine()}
-	if w.DiscoveryDelay == nil {
+	if net.DiscoveryDelay == nil {
 		at.Directory.Put(peer)
 		return
 	}
-	delay := w.DiscoveryDelay()
-	w.Background.Go(func() {
+	delay := net.DiscoveryDelay()
+	net.Background.Go(func() {
 		time.Sleep(delay)
 		at.Directory.Put(peer)
 	})
 }
 
-// Restart kills an instance and starts another on its machine, unless the Net
-// stops or the instance is dead already.
-func (w *Net) Restart(n *Node) {
-	w.mu.Lock()
-	_, alive := w.nodes[n.ID]
-	alive = alive && !w.stopping
-	w.mu.Unlock()
+// Restart kills an instance and starts a new incarnation on its machine. It does
+// nothing if the Net is stopping or the instance has ended.
+func (net *Net) Restart(n *Node) {
+	net.mu.Lock()
+	_, alive := net.nodes[n.ID]
+	alive = alive && !net.stopping
+	net.mu.Unlock()
 	if alive {
-		w.Kill(n)
-		w.Start(n.Machine(), n.run)
+		net.Kill(n)
+		net.Start(n.Machine(), n.run)
 	}
 }
 
-// Kill ends an instance; the others notice.
-func (w *Net) Kill(n *Node) {
-	w.mu.Lock()
-	delete(w.nodes, n.ID)
-	others := slices.Collect(maps.Values(w.nodes))
-	w.mu.Unlock()
+// Kill ends an instance. All others receive PeerDown at once.
+func (net *Net) Kill(n *Node) {
+	net.mu.Lock()
+	delete(net.nodes, n.ID)
+	others := slices.Collect(maps.Values(net.nodes))
+	net.mu.Unlock()
 	n.cancel()
 	for _, other := range others {
 		other.Post(structs.PeerDown{Peer: n.ID})
 	}
 }
 
-// PowerOff ends an instance without a word: those that watch it notice after
-// DetectionDelay, the others when they send to it.
-func (w *Net) PowerOff(n *Node) {
-	w.mu.Lock()
-	delete(w.nodes, n.ID)
-	w.dark[n.ID] = true
-	w.mu.Unlock()
+// PowerOff ends an instance without notice. Instances that watch it receive
+// PeerDown after DetectionDelay, the others when they next send to it.
+func (net *Net) PowerOff(n *Node) {
+	net.mu.Lock()
+	delete(net.nodes, n.ID)
+	net.poweredOff[n.ID] = true
+	net.mu.Unlock()
 	n.cancel()
-	w.Background.Go(func() {
+	net.Background.Go(func() {
 		time.Sleep(DetectionDelay)
-		for _, other := range w.Nodes() {
+		for _, other := range net.Nodes() {
 			if slices.Contains(other.Watched(), n.ID) {
 				other.Post(structs.PeerDown{Peer: n.ID})
 			}
@@ -181,83 +185,89 @@
 	})
 }
 
-// silence is how long a message to an instance goes without a word of its loss.
-func (w *Net) silence(to structs.InstanceID) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.dark[to] {
+// detectionDelay returns the time until the sender of a message to an
+// unreachable instance receives PeerDown.
+func (net *Net) detectionDelay(to structs.InstanceID) time.Duration {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if net.poweredOff[to] {
 		return DetectionDelay
 	}
 	return 0
 }
 
-// Stop ends all instances and waits for what goes on in the background.
-func (w *Net) Stop() {
-	w.mu.Lock()
-	w.stopping = true
-	w.mu.Unlock()
-	w.Store.Set(metastore.Fault{})
-	for _, n := range w.Nodes() {
-		w.Kill(n)
+// Stop clears the store's fault, ends all instances and waits for all background
+// work.
+func (net *Net) Stop() {
+	net.mu.Lock()
+	net.stopping = true
+	net.mu.Unlock()
+	net.Store.Set(metastore.Fault{})
+	for _, n := range net.Nodes() {
+		net.Kill(n)
 	}
-	w.Background.Wait()
-	w.Store.Work.Wait()
+	net.Background.Wait()
+	net.Store.DelayedWrites.Wait()
 }
 
-// Nodes lists the instances that live, in the order of their ids.
-func (w *Net) Nodes() []*Node {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	nodes := slices.Collect(maps.Values(w.nodes))
+// Nodes returns the running instances in the order of their ids.
+func (net *Net) Nodes() []*Node {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	nodes := slices.Collect(maps.Values(net.nodes))
 	slices.SortFunc(nodes, func(a, b *Node) int { return cmp.Compare(a.ID, b.ID) })
 	return nodes
 }
 
-// SetIsolation cuts an instance off, or ends its cut if how is 0. Nobody is told.
-func (w *Net) SetIsolation(id structs.InstanceID, how Cut) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if how == 0 {
-		delete(w.cut, id)
+// SetIsolation isolates an instance, or ends its isolation if it is 0. No
+// instance receives an event.
+func (net *Net) SetIsolation(id structs.InstanceID, isolation Isolation) {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	if isolation == 0 {
+		delete(net.isolated, id)
 		return
 	}
-	w.cut[id] = how
+	net.isolated[id] = isolation
 }
 
-// IsolateFor cuts an instance off for a while. The others notice, and so does it.
-func (w *Net) IsolateFor(n *Node, how Cut, d time.Duration) {
-	w.SetIsolation(n.ID, how)
-	w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
-	w.Background.Go(func() {
+// IsolateFor isolates an instance for a time. The instance and all others receive
+// PeerDown at the start and PeerUp at the end.
+func (net *Net) IsolateFor(n *Node, isolation Isolation, d time.Duration) {
+	net.SetIsolation(n.ID, isolation)
+	net.notify(n, func(peer structs.InstanceID) structs.Event { return structs.PeerDown{Peer: peer} })
+	net.Background.Go(func() {
 		time.Sleep(d)
-		w.SetIsolation(n.ID, 0)
-		w.tell(n, func(peer structs.InstanceID) structs.Event { return structs.PeerUp{Peer: peer} })
+		net.SetIsolation(n.ID, 0)
+		net.notify(n, func(peer structs.InstanceID) structs.Event { return structs.PeerUp{Peer: peer} })
 	})
 }
 
-// tell posts an event about an instance to all others, and about them to it.
-func (w *Net) tell(n *Node, event func(structs.InstanceID) structs.Event) {
-	for _, other := range w.Nodes() {
-		if other != n {
-			other.Post(event(n.ID))
-			n.Post(event(other.ID))
+// notify posts an event about node to all others, and about each of them to
+// node.
+func (net *Net) notify(node *Node, event func(structs.InstanceID) structs.Event) {
+	for _, other := range net.Nodes() {
+		if other != node {
+			other.Post(event(node.ID))
+			node.Post(event(other.ID))
 		}
 	}
 }
 
-// Machine is where the instance runs.
+// Machine returns the machine on which the instance runs.
 func (n *Node) Machine() string { return directory.MachineOf(n.ID) }
 
-// Post gives the instance an event.
+// Post queues an event for the instance.
 func (n *Node) Post(event structs.Event) { n.inbox <- event }
 
-// Send sends a message, like the transport between instances.
+// Send delivers a message after LinkLatency. If the target cannot be reached, the
+// sender receives PeerDown instead.
 func (n *Node) Send(to structs.InstanceID, msg structs.Message) {
 	n.net.Background.Go(func() {
 		time.Sleep(LinkLatency)
-		target, ok := n.reach(to)
-		if !ok || n.net.cutOf(n.ID) == IsolateOutbound {
-			time.Sleep(n.net.silence(to))
+		target, ok := n.reachable(to)
+		if !ok || n.net.isolationOf(n.ID) == IsolateOutbound {
+			time.Sleep(n.net.detectionDelay(to))
 			n.Post(structs.PeerDown{Peer: to})
 			return
 		}
@@ -265,7 +275,7 @@
 	})
 }
 
-// Broadcast sends a message to all others: each is taken for connected.
+// Broadcast sends a message to all other running instances.
 func (n *Node) Broadcast(msg structs.Message) {
 	for _, other := range n.net.Nodes() {
 		if other != n {
@@ -274,21 +284,23 @@
 	}
 }
 
-// Probe asks an instance for a heartbeat.
+// Probe posts PeerUp or PeerDown to n, depending on whether the instance can be
+// reached.
 func (n *Node) Probe(to structs.InstanceID) {
-	if _, ok := n.reach(to); ok {
+	if _, ok := n.reachable(to); ok {
 		n.Post(structs.PeerUp{Peer: to})
 		return
 	}
 	n.Post(structs.PeerDown{Peer: to})
 }
 
-// Watch notes whom the instance watches; kills and cuts are told to all.
+// Watch sets the instances that n watches, which matters for PowerOff only:
+// kills and isolation are posted to all.
 func (n *Node) Watch(peers []structs.InstanceID) {
 	n.watched.Store(&peers)
 }
 
-// Watched lists whom the instance watches.
+// Watched returns the instances that n watches.
 func (n *Node) Watched() []structs.InstanceID {
 	if peers := n.watched.Load(); peers != nil {
 		return *peers
@@ -296,31 +308,32 @@
 	return nil
 }
 
-// OK tells whether the store answers this instance.
+// OK reports whether the store is available to this instance.
 func (n *Node) OK() bool { return !n.StoreRefused.Load() && !n.FeedsFail.Load() }
 
-// reach finds an instance to which there is a path.
-func (n *Node) reach(to structs.InstanceID) (*Node, bool) {
+// reachable returns a running instance and whether n can reach it.
+func (n *Node) reachable(to structs.InstanceID) (*Node, bool) {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
 	target, ok := n.net.nodes[to]
-	return target, ok && n.net.cut[to] != IsolateBoth && n.net.cut[n.ID] != IsolateBoth
+	return target, ok && n.net.isolated[to] != IsolateBoth && n.net.isolated[n.ID] != IsolateBoth
 }
 
-func (w *Net) cutOf(id structs.InstanceID) Cut {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cut[id]
+func (net *Net) isolationOf(id structs.InstanceID) Isolation {
+	net.mu.Lock()
+	defer net.mu.Unlock()
+	return net.isolated[id]
 }
 
-// Store is the store as the instance reaches it.
+// Store returns the instance's client of the store.
 func (n *Node) Store() Store { return Store{n} }
 
-// Store refuses the calls of an instance that it was told to refuse.
+// Store is one instance's client of the store. It applies the node's faults to
+// each call.
 type Store struct{ node *Node }
 
-// fails is what befalls a call on the way to the store.
-func (s Store) fails(ctx context.Context) error {
+// injectFault applies the node's faults to a call: it blocks or returns an error.
+func (s Store) injectFault(ctx context.Context) error {
 	if s.node.StoreUnresponsive.Load() {
 		<-ctx.Done()
 		return ctx.Err()
@@ -333,7 +346,7 @@
 
 // Append appends records.
 func (s Store) Append(ctx context.Context, a platform.Append) (int64, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return 0, err
 	}
 	return s.node.net.Store.Append(ctx, a)
@@ -341,15 +354,15 @@
 
 // Newest reads the newest record of each key.
 func (s Store) Newest(ctx context.Context, topic string, part int) (platform.Newest, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Newest{}, err
 	}
 	return s.node.net.Store.Newest(ctx, topic, part)
 }
 
-// NewestPage reads one page of the newest records.
+// NewestPage reads one page of the newest records, with keys greater than after.
 func (s Store) NewestPage(ctx context.Context, topic string, part int, after string) (platform.Newest, bool, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Newest{}, false, err
 	}
 	return s.node.net.Store.NewestPage(ctx, topic, part, after)
@@ -357,15 +370,15 @@
 
 // ReadPage reads records from an offset on.
 func (s Store) ReadPage(ctx context.Context, topic string, part int, from int64, wait time.Duration) (platform.Page, error) {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return platform.Page{Next: from}, err
 	}
 	return s.node.net.Store.ReadPage(ctx, topic, part, from, wait)
 }
 
-// Trim drops history.
+// Trim drops the records before an offset.
 func (s Store) Trim(ctx context.Context, topic string, part int, before int64) error {
-	if err := s.fails(ctx); err != nil {
+	if err := s.injectFault(ctx); err != nil {
 		return err
 	}
 	return s.node.net.Store.Trim(ctx, topic, part, before)
