--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -105,23 +105,23 @@
 
 // top returns up to limit calls, best first: by class, then teams within their
 // share before those over it, then by key.
-func (q *queue) top(limit int, overShare func(*teamQueue) bool) []*call {
+func (q *queue) top(limit int, exceedsShare func(*teamQueue) bool) []*call {
 	calls := make([]*call, 0, min(limit, q.size))
 	for start := 0; start < len(q.teamQueues) && len(calls) < limit; {
 		end := start
 		for end < len(q.teamQueues) && q.teamQueues[end].class == q.teamQueues[start].class {
 			end++
 		}
-		var withinShare, aboveShare []*teamQueue
+		var withinShare, overShare []*teamQueue
 		for _, tq := range q.teamQueues[start:end] {
-			if overShare(tq) {
-				aboveShare = append(aboveShare, tq)
+			if exceedsShare(tq) {
+				overShare = append(overShare, tq)
 			} else {
 				withinShare = append(withinShare, tq)
 			}
 		}
 		calls = mergeTeamQueues(calls, withinShare, limit)
-		calls = mergeTeamQueues(calls, aboveShare, limit)
+		calls = mergeTeamQueues(calls, overShare, limit)
 		start = end
 	}
 	return calls
--- a/internal/dispatch/retention.go
+++ b/internal/dispatch/retention.go
@@ -67,8 +67,8 @@
 
 // pausesOf returns the pauses of a team, creating them if needed.
 func (p *pool) pausesOf(team structs.Team) *teamPauses {
-	i, ok := slices.BinarySearchFunc(p.pauses, team, func(prog *teamPauses, team structs.Team) int {
-		return cmp.Compare(prog.team, team)
+	i, ok := slices.BinarySearchFunc(p.pauses, team, func(pauses *teamPauses, team structs.Team) int {
+		return cmp.Compare(pauses.team, team)
 	})
 	if !ok {
 		p.pauses = slices.Insert(p.pauses, i, &teamPauses{team: team, estimate: policy.NewPauses()})
--- a/internal/gateway/fanout.go
+++ b/internal/gateway/fanout.go
@@ -23,39 +23,39 @@
 }
 
 func (g *Gateway) queryPrograms(now time.Time, ev structs.CallerPrograms) {
-	c := g.newFanout(ev.Request, ev.Deadline)
-	c.limit = ev.Limit
-	for _, id := range c.waitingIDs() {
+	f := g.newFanout(ev.Request, ev.Deadline)
+	f.limit = ev.Limit
+	for _, id := range f.waitingIDs() {
 		g.emit(structs.SendPeer{To: id, Msg: &structs.ProgramsRequest{Request: ev.Request, Team: ev.Team, Limit: ev.Limit}})
 	}
-	g.replyIfComplete(c)
+	g.replyIfComplete(f)
 }
 
 func (g *Gateway) queryApplied(now time.Time, ev structs.SettingsApplied) {
-	c := g.newFanout(ev.Request, ev.Deadline)
-	c.applied = map[structs.InstanceID]uint64{}
-	for _, id := range c.waitingIDs() {
+	f := g.newFanout(ev.Request, ev.Deadline)
+	f.applied = map[structs.InstanceID]uint64{}
+	for _, id := range f.waitingIDs() {
 		g.emit(structs.SendPeer{To: id, Msg: &structs.AppliedRequest{Request: ev.Request}})
 	}
-	g.replyIfComplete(c)
+	g.replyIfComplete(f)
 }
 
 func (g *Gateway) newFanout(id structs.RequestID, deadline time.Time) *fanout {
-	c := &fanout{request: id, deadline: deadline, waiting: map[structs.InstanceID]bool{}}
+	f := &fanout{request: id, deadline: deadline, waiting: map[structs.InstanceID]bool{}}
 	for _, p := range g.members.Peers() {
 		if g.members.Suspected(p.ID) {
-			c.missing = append(c.missing, p.ID)
+			f.missing = append(f.missing, p.ID)
 			continue
 		}
-		c.waiting[p.ID] = true
+		f.waiting[p.ID] = true
 	}
-	g.fanouts[id] = c
-	return c
+	g.fanouts[id] = f
+	return f
 }
 
-func (c *fanout) waitingIDs() []structs.InstanceID {
-	ids := make([]structs.InstanceID, 0, len(c.waiting))
-	for id := range c.waiting {
+func (f *fanout) waitingIDs() []structs.InstanceID {
+	ids := make([]structs.InstanceID, 0, len(f.waiting))
+	for id := range f.waiting {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -63,46 +63,46 @@
 }
 
 func (g *Gateway) handleProgramsReply(from structs.InstanceID, msg *structs.ProgramsReply) {
-	c, ok := g.fanouts[msg.Request]
-	if !ok || !c.waiting[from] {
+	f, ok := g.fanouts[msg.Request]
+	if !ok || !f.waiting[from] {
 		return
 	}
-	delete(c.waiting, from)
-	c.programs = append(c.programs, msg.Programs...)
-	g.replyIfComplete(c)
+	delete(f.waiting, from)
+	f.programs = append(f.programs, msg.Programs...)
+	g.replyIfComplete(f)
 }
 
 func (g *Gateway) handleAppliedReply(from structs.InstanceID, msg *structs.AppliedReply) {
-	c, ok := g.fanouts[msg.Request]
-	if !ok || !c.waiting[from] || c.applied == nil {
+	f, ok := g.fanouts[msg.Request]
+	if !ok || !f.waiting[from] || f.applied == nil {
 		return
 	}
-	delete(c.waiting, from)
-	c.applied[from] = msg.Next
-	g.replyIfComplete(c)
+	delete(f.waiting, from)
+	f.applied[from] = msg.Next
+	g.replyIfComplete(f)
 }
 
 func (g *Gateway) fanoutPeerDown(peer structs.InstanceID) {
 	for _, id := range g.fanoutIDs() {
-		c := g.fanouts[id]
-		if !c.waiting[peer] {
+		f := g.fanouts[id]
+		if !f.waiting[peer] {
 			continue
 		}
-		delete(c.waiting, peer)
-		c.missing = append(c.missing, peer)
-		g.replyIfComplete(c)
+		delete(f.waiting, peer)
+		f.missing = append(f.missing, peer)
+		g.replyIfComplete(f)
 	}
 }
 
 func (g *Gateway) runFanoutTimers(now time.Time) {
 	for _, id := range g.fanoutIDs() {
-		c := g.fanouts[id]
-		if c.deadline.After(now) {
+		f := g.fanouts[id]
+		if f.deadline.After(now) {
 			continue
 		}
-		c.missing = append(c.missing, c.waitingIDs()...)
-		c.waiting = nil
-		g.replyIfComplete(c)
+		f.missing = append(f.missing, f.waitingIDs()...)
+		f.waiting = nil
+		g.replyIfComplete(f)
 	}
 }
 
@@ -116,18 +116,18 @@
 }
 
 // replyIfComplete sends the reply and removes c once it waits for no peer.
-func (g *Gateway) replyIfComplete(c *fanout) {
-	if len(c.waiting) > 0 {
+func (g *Gateway) replyIfComplete(f *fanout) {
+	if len(f.waiting) > 0 {
 		return
 	}
-	delete(g.fanouts, c.request)
-	if c.applied != nil {
-		g.emit(structs.ReplyApplied{Request: c.request, Applied: c.applied, Missing: c.missing})
+	delete(g.fanouts, f.request)
+	if f.applied != nil {
+		g.emit(structs.ReplyApplied{Request: f.request, Applied: f.applied, Missing: f.missing})
 		return
 	}
-	slices.SortFunc(c.programs, func(a, b structs.ProgramInfo) int { return a.Created.Compare(b.Created) })
-	if c.limit > 0 && len(c.programs) > c.limit {
-		c.programs = c.programs[:c.limit]
+	slices.SortFunc(f.programs, func(a, b structs.ProgramInfo) int { return a.Created.Compare(b.Created) })
+	if f.limit > 0 && len(f.programs) > f.limit {
+		f.programs = f.programs[:f.limit]
 	}
-	g.emit(structs.ReplyPrograms{Request: c.request, Programs: c.programs, Missing: c.missing})
+	g.emit(structs.ReplyPrograms{Request: f.request, Programs: f.programs, Missing: f.missing})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,8 +26,8 @@
 	// maxSearchTime is how long the gateway searches for an owner before it
 	// fails the request.
 	maxSearchTime = 8 * time.Second
-	// retryAfterNoOwner is the RetryAfter delay if no owner was found.
-	retryAfterNoOwner = 2 * time.Second
+	// noOwnerRetryAfter is the RetryAfter delay if no owner was found.
+	noOwnerRetryAfter = 2 * time.Second
 )
 
 // Gateway holds the requests in flight at this instance. It is not safe for
@@ -73,8 +73,8 @@
 // NextWake returns the time of the earliest timer, zero if there is none.
 func (g *Gateway) NextWake() time.Time {
 	next := g.nextTimer
-	for _, c := range g.fanouts {
-		next = earliest(next, c.deadline)
+	for _, f := range g.fanouts {
+		next = earliest(next, f.deadline)
 	}
 	return next
 }
@@ -97,7 +97,7 @@
 	case structs.SettingsApplied:
 		g.queryApplied(now, ev)
 	case structs.CallerDisconnected:
-		g.handleCallerGone(ev.Request)
+		g.handleCallerDisconnected(ev.Request)
 	case structs.PeerDown:
 		g.handlePeerDown(now, ev.Peer)
 	case structs.PeerMessage:
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -225,13 +225,13 @@
 // "not run" only if no instance may hold the request, else unknown.
 func (g *Gateway) undeliveredOutcome(p *pending, reason structs.Reason) structs.Outcome {
 	if len(p.holders) == 0 && p.call != nil {
-		return p.call.Refusal(reason, retryAfterNoOwner)
+		return p.call.Refusal(reason, noOwnerRetryAfter)
 	}
 	if len(p.holders) == 0 {
-		return notRun(reason, retryAfterNoOwner)
+		return notRun(reason, noOwnerRetryAfter)
 	}
 	return structs.Outcome{
-		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: retryAfterNoOwner,
+		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: noOwnerRetryAfter,
 		Detail: "The owner of the program did not respond; retry with the same idempotency key.",
 	}
 }
@@ -250,7 +250,7 @@
 	g.emit(structs.ReplyOutcome{Request: p.request, Outcome: out})
 }
 
-func (g *Gateway) handleCallerGone(id structs.RequestID) {
+func (g *Gateway) handleCallerDisconnected(id structs.RequestID) {
 	p, ok := g.pending[id]
 	if !ok {
 		delete(g.fanouts, id)
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -126,7 +126,7 @@
 		return
 	}
 	if ev.Result == structs.OrderFenced {
-		p.stepDown("target " + truncate(string(t.info.ID)) + " rejected the epoch as outdated")
+		p.stepDown("target " + truncate(string(t.info.ID)) + " refused the epoch as old")
 		return
 	}
 	t.handleReply(ev)
--- a/internal/owner/append.go
+++ b/internal/owner/append.go
@@ -56,7 +56,7 @@
 }
 
 // push queues a record and calls onCommitted once it is committed.
-func (a *appender) push(body journal.Body, u urgency, counted func()) {
+func (a *appender) push(body journal.Body, u urgency, onCommitted func()) {
 	o := a.s.o
 	o.sequences[a.s.id]++
 	epoch := a.s.epoch
@@ -70,7 +70,7 @@
 	if appliesAhead(body.Kind()) {
 		a.s.state.ApplyAhead(rec)
 	}
-	a.queue = append(a.queue, &pendingRecord{record: rec, data: journal.Encode(rec), onCommitted: counted})
+	a.queue = append(a.queue, &pendingRecord{record: rec, data: journal.Encode(rec), onCommitted: onCommitted})
 	if u == urgent {
 		a.scheduleFlush(0)
 		return
@@ -191,14 +191,14 @@
 }
 
 // onReadBack confirms this writer's record with that sequence number.
-func (a *appender) onReadBack(sequence uint64, verdict journal.ApplyResult) {
+func (a *appender) onReadBack(sequence uint64, result journal.ApplyResult) {
 	for len(a.inFlight) > 0 && a.inFlight[0].record.Sequence <= sequence {
 		e := a.inFlight[0]
 		a.inFlight = a.inFlight[1:]
-		if e.record.Sequence == sequence && verdict == journal.Applied {
+		if e.record.Sequence == sequence && result == journal.Applied {
 			a.s.setOwnedAt(a.sentAt)
 		}
-		if e.record.Sequence == sequence && verdict == journal.Applied && e.onCommitted != nil {
+		if e.record.Sequence == sequence && result == journal.Applied && e.onCommitted != nil {
 			e.onCommitted()
 		}
 	}
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -183,7 +183,7 @@
 // not sent are dropped. Runs in progress are awaited and recorded as unfenced
 // facts.
 func (s *shard) onShardLost(newOwner structs.InstanceID) {
-	claimed := s.tenure == tenureOwned
+	wasOwned := s.tenure == tenureOwned
 	s.tenure = tenureLost
 	s.newOwner, s.lostAt = newOwner, s.o.now
 	s.o.timers.stop(s.logTimer)
@@ -191,7 +191,7 @@
 	for _, h := range s.takeHeld() {
 		s.o.sendNotOwner(h.from, h.msg, newOwner)
 	}
-	if claimed {
+	if wasOwned {
 		s.logEvent("shard lost to a newer claim", newOwner)
 		s.dropUnsent(newOwner)
 	}
--- a/internal/owner/ledger.go
+++ b/internal/owner/ledger.go
@@ -8,7 +8,7 @@
 // onBudgetRequest serves the ledger of a team path. A grant is committed before
 // it is sent, and a repeated request gets the same grant.
 func (o *Owner) onBudgetRequest(from structs.InstanceID, m *structs.BudgetRequest) {
-	s := o.shardRow(o.ledgerShard(m.Team))
+	s := o.ensureShard(o.ledgerShard(m.Team))
 	if !s.owned() {
 		if !o.draining {
 			s.claimOrRedirect(from, m, nil)
--- a/internal/owner/outcome_query.go
+++ b/internal/owner/outcome_query.go
@@ -32,34 +32,34 @@
 	if len(targets) > maxQueriedTargets {
 		targets = targets[:maxQueriedTargets]
 	}
-	a := &outcomeQuery{run: run, program: program, key: key, targets: targets, done: done}
-	o.outcomeQueries[run] = a
-	o.queryNextTarget(a)
+	q := &outcomeQuery{run: run, program: program, key: key, targets: targets, done: done}
+	o.outcomeQueries[run] = q
+	o.queryNextTarget(q)
 }
 
-func (o *Owner) queryNextTarget(a *outcomeQuery) {
-	o.timers.stop(a.timer)
-	if len(a.targets) == 0 {
-		delete(o.outcomeQueries, a.run)
-		a.done(false, structs.Outcome{})
+func (o *Owner) queryNextTarget(q *outcomeQuery) {
+	o.timers.stop(q.timer)
+	if len(q.targets) == 0 {
+		delete(o.outcomeQueries, q.run)
+		q.done(false, structs.Outcome{})
 		return
 	}
-	target := a.targets[0]
-	a.targets = a.targets[1:]
-	o.emit(structs.QueryOutcome{Run: a.run, Target: target, Program: a.program, Key: a.key})
-	a.timer = o.after(outcomeQueryTimeout, func() { o.queryNextTarget(a) })
+	target := q.targets[0]
+	q.targets = q.targets[1:]
+	o.emit(structs.QueryOutcome{Run: q.run, Target: target, Program: q.program, Key: q.key})
+	q.timer = o.after(outcomeQueryTimeout, func() { o.queryNextTarget(q) })
 }
 
-func (o *Owner) onOutcomeAsked(e structs.OutcomeQueried) {
-	a := o.outcomeQueries[e.Run]
-	if a == nil {
+func (o *Owner) onOutcomeQueried(e structs.OutcomeQueried) {
+	q := o.outcomeQueries[e.Run]
+	if q == nil {
 		return
 	}
 	if !e.Found {
-		o.queryNextTarget(a)
+		o.queryNextTarget(q)
 		return
 	}
-	o.timers.stop(a.timer)
+	o.timers.stop(q.timer)
 	delete(o.outcomeQueries, e.Run)
-	a.done(true, e.Outcome)
+	q.done(true, e.Outcome)
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -117,7 +117,7 @@
 	case structs.RunEnded:
 		o.onRunEnded(e)
 	case structs.OutcomeQueried:
-		o.onOutcomeAsked(e)
+		o.onOutcomeQueried(e)
 	case structs.CacheReleased:
 		o.onCacheReleased(e)
 	case structs.PeerUp:
@@ -125,7 +125,7 @@
 	case structs.PeerDown:
 		o.onPeerDown(e.Peer)
 	case structs.MembersListed:
-		o.onMembers()
+		o.onMembersListed()
 	case structs.DrainStart:
 		o.onDrain()
 	}
--- a/internal/owner/peers.go
+++ b/internal/owner/peers.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// onMembers updates the dispatchers and looks for shards without an owner.
-func (o *Owner) onMembers() {
+// onMembersListed updates the dispatchers and looks for shards without an owner.
+func (o *Owner) onMembersListed() {
 	o.refreshPools("")
 	o.scheduleInspect()
 }
@@ -83,7 +83,7 @@
 			continue
 		}
 		o.inspected[shardID] = true
-		if s := o.shardRow(shardID); s.tenure == tenureNone {
+		if s := o.ensureShard(shardID); s.tenure == tenureNone {
 			s.startReading(false)
 		}
 	}
--- a/internal/owner/program.go
+++ b/internal/owner/program.go
@@ -218,7 +218,7 @@
 		o.refuseMessage(from, m, structs.ReasonUnknownProgram, 0)
 		return
 	}
-	s := o.shardRow(structs.ShardOf(m.Program, o.cfg.Shards))
+	s := o.ensureShard(structs.ShardOf(m.Program, o.cfg.Shards))
 	switch {
 	case s.owned() && !o.draining:
 		s.handleProgramOp(from, m)
--- a/internal/owner/replay.go
+++ b/internal/owner/replay.go
@@ -186,14 +186,14 @@
 
 // apply applies a record to the state and notifies the live state.
 func (s *shard) apply(offset uint64, rec journal.Record) {
-	verdict := s.state.Apply(offset, rec)
-	if verdict == journal.Rejected {
+	result := s.state.Apply(offset, rec)
+	if result == journal.Rejected {
 		s.void++
 	}
 	if rec.Writer == s.o.writer {
-		s.app.onReadBack(rec.Sequence, verdict)
+		s.app.onReadBack(rec.Sequence, result)
 	}
-	if verdict != journal.Applied {
+	if result != journal.Applied {
 		return
 	}
 	if claim, ok := rec.Body.(*journal.Claim); ok {
--- a/internal/owner/shard.go
+++ b/internal/owner/shard.go
@@ -102,8 +102,8 @@
 	return structs.ShardRef{Region: o.cfg.Self.Region, Shard: id}
 }
 
-// shardRow returns the state of a shard and creates it if missing.
-func (o *Owner) shardRow(id structs.ShardID) *shard {
+// ensureShard returns the state of a shard and creates it if missing.
+func (o *Owner) ensureShard(id structs.ShardID) *shard {
 	s := o.shards[id]
 	if s != nil {
 		return s
--- a/internal/owner/snapshot.go
+++ b/internal/owner/snapshot.go
@@ -47,11 +47,11 @@
 	next := s.state.Next
 	for i := range parts {
 		part := data[i*maxSnapshotPartBytes : min(len(data), (i+1)*maxSnapshotPartBytes)]
-		var counted func()
+		var onCommitted func()
 		if i == parts-1 {
-			counted = func() { s.snapshotting = false }
+			onCommitted = func() { s.snapshotting = false }
 		}
-		s.app.push(&journal.Snapshot{Next: next, Part: i, Parts: parts, Data: part}, lazy, counted)
+		s.app.push(&journal.Snapshot{Next: next, Part: i, Parts: parts, Data: part}, lazy, onCommitted)
 	}
 }
 
--- a/internal/owner/submit.go
+++ b/internal/owner/submit.go
@@ -22,7 +22,7 @@
 		o.refuseSubmit(from, m, structs.ReasonUnknownProgram, 0)
 		return
 	}
-	s := o.shardRow(structs.ShardOf(m.Call.Program, o.cfg.Shards))
+	s := o.ensureShard(structs.ShardOf(m.Call.Program, o.cfg.Shards))
 	switch {
 	case s.updateHeld(from, m):
 		o.send(from, &structs.SubmitAccepted{Request: m.Request})
