--- a/internal/dispatch/cache_test.go
+++ b/internal/dispatch/cache_test.go
@@ -29,7 +29,7 @@
 	return target
 }
 
-func (f *fixture) held(target structs.TargetID, program string) int64 {
+func (f *fixture) indexedTokens(target structs.TargetID, program string) int64 {
 	return f.d.findPool(testPool).target(target).cache.tokens(program)
 }
 
@@ -60,7 +60,7 @@
 			f := newFixture(t, 1, 1)
 			target := f.runAt("1", "p", 1000)
 			f.tickAfter(test.wait, structs.TargetCache{Target: target, Events: test.events})
-			if got := f.held(target, "p"); got != test.want {
+			if got := f.indexedTokens(target, "p"); got != test.want {
 				t.Fatalf("%d tokens in the index, want %d", got, test.want)
 			}
 		})
@@ -82,7 +82,7 @@
 	}
 	stored := cacheEvent(1, wire.CacheStored, "p", 1010)
 	f.tickAfter(200*time.Millisecond, structs.TargetCache{Target: first, Events: []wire.CacheEvent{stored}})
-	if got := f.held(first, "p"); got != 0 {
+	if got := f.indexedTokens(first, "p"); got != 0 {
 		t.Fatalf("%d tokens of a released program in the index, want 0", got)
 	}
 }
@@ -132,7 +132,7 @@
 	for range maxLowCacheReports {
 		f.tickAfter(time.Second, structs.TargetLoad{Target: target, Load: wire.EngineLoad{Slots: 1}})
 	}
-	if got := f.held(target, "p"); got != 0 {
+	if got := f.indexedTokens(target, "p"); got != 0 {
 		t.Fatalf("%d tokens in the index of a target that reports an empty cache, want 0", got)
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -41,7 +41,7 @@
 }
 
 // handleDuplicate replies to a repeated request: a waiting call stays queued,
-// and the grant of a granted one is sent again unless the owner knows it.
+// and the grant of a granted one is sent again unless the owner already runs it.
 func (d *Dispatcher) handleDuplicate(now time.Time, from structs.InstanceID, c *call, m *structs.PermitRequest) {
 	c.owner, c.ownerDown = from, false
 	if c.waiting() {
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -34,20 +34,20 @@
 	if out.Kind == structs.OutcomeNotRun {
 		delete(p.holders, from)
 	}
-	g.searchFallback(now, p, from)
+	g.forwardToFallback(now, p, from)
 	return true
 }
 
-// searchFallback sends the request to the next candidate, or returns the first
-// refusal to the caller if none is left.
-func (g *Gateway) searchFallback(now time.Time, p *pending, from structs.InstanceID) {
+// forwardToFallback sends the request to the next candidate, or returns the
+// first refusal to the caller if none is left.
+func (g *Gateway) forwardToFallback(now time.Time, p *pending, from structs.InstanceID) {
 	p.fallbacks = append(p.fallbacks, from)
 	next := g.nextFallback(p)
 	if next == "" {
 		g.finish(p, g.fallbackOutcome(p))
 		return
 	}
-	g.search(now, p, next)
+	g.forward(now, p, next)
 }
 
 func (g *Gateway) nextFallback(p *pending) structs.InstanceID {
--- a/internal/gateway/fanout.go
+++ b/internal/gateway/fanout.go
@@ -115,7 +115,7 @@
 	return ids
 }
 
-// replyIfComplete sends the reply and removes c once it waits for no peer.
+// replyIfComplete sends the reply and removes f once it waits for no peer.
 func (g *Gateway) replyIfComplete(f *fanout) {
 	if len(f.waiting) > 0 {
 		return
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -89,7 +89,7 @@
 		p.call.Key = journal.GeneratedKeyPrefix + string(ev.Request)
 	}
 	g.add(p)
-	g.search(now, p, "")
+	g.forward(now, p, "")
 }
 
 func (g *Gateway) handleProgram(now time.Time, ev structs.CallerProgram) {
@@ -100,7 +100,7 @@
 	}
 	p.op = &ev
 	g.add(p)
-	g.search(now, p, "")
+	g.forward(now, p, "")
 }
 
 // newPending returns a pending request, or nil if the program id is malformed.
@@ -125,16 +125,16 @@
 	g.scheduleTimer(p.nextTimer())
 }
 
-// search sends the request to the preferred instance if one is given, else to
+// forward sends the request to the preferred instance if one is given, else to
 // the one that selectOwner returns. Without either it schedules a retry.
-func (g *Gateway) search(now time.Time, p *pending, prefer structs.InstanceID) {
+func (g *Gateway) forward(now time.Time, p *pending, prefer structs.InstanceID) {
 	p.retryAt = time.Time{}
 	owner := prefer
 	if owner == "" {
 		owner = g.selectOwner(p)
 	}
 	if owner == "" {
-		g.searchLater(now, p)
+		g.retryLater(now, p)
 		return
 	}
 	p.owner = owner
@@ -194,9 +194,9 @@
 	}
 }
 
-// searchLater schedules the next search, or fails the request once
+// retryLater schedules the next search for an owner, or fails the request once
 // maxSearchTime has passed.
-func (g *Gateway) searchLater(now time.Time, p *pending) {
+func (g *Gateway) retryLater(now time.Time, p *pending) {
 	p.owner = ""
 	if now.Sub(p.searchStarted) >= maxSearchTime {
 		g.finish(p, g.undeliveredOutcome(p, structs.ReasonOwnerUnavailable))
@@ -218,7 +218,7 @@
 	// The suspects may be reachable again: a new search relies on the
 	// membership view alone.
 	p.suspects = nil
-	g.search(now, p, "")
+	g.forward(now, p, "")
 }
 
 // undeliveredOutcome returns the outcome of a request that no owner completed:
@@ -279,6 +279,6 @@
 		}
 		p.searchStarted = now
 		p.backoff = minRetryDelay
-		g.search(now, p, "")
+		g.forward(now, p, "")
 	}
 }
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -6,9 +6,9 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pendingOwnedBy returns the pending request id if from is its current owner.
-// It returns nil for a request that has ended or moved to another owner, so
-// that a late reply never reaches the caller.
+// pendingOwnedBy returns the pending request with the given id if from is its
+// current owner. It returns nil for a request that has ended or moved to another
+// owner, so that a late reply never reaches the caller.
 func (g *Gateway) pendingOwnedBy(from structs.InstanceID, id structs.RequestID) *pending {
 	p, ok := g.pending[id]
 	if !ok || p.owner != from {
@@ -123,18 +123,18 @@
 		delete(g.owners, p.shard)
 	}
 	if len(p.fallbacks) > 0 {
-		g.searchFallback(now, p, from)
+		g.forwardToFallback(now, p, from)
 		return
 	}
 	if msg.Owner == "" || msg.Owner == from || g.members.Suspected(msg.Owner) {
-		g.searchLater(now, p)
+		g.retryLater(now, p)
 		return
 	}
 	if p.redirectedRecently(now) {
-		g.searchLater(now, p)
+		g.retryLater(now, p)
 		return
 	}
-	g.search(now, p, msg.Owner)
+	g.forward(now, p, msg.Owner)
 }
 
 // redirectedRecently reports whether a redirect was followed within
--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -95,17 +95,17 @@
 
 // teamFor returns the team that a principal acts for: its own, or wanted if
 // that is the same or below.
-func teamFor(principal Principal, wanted structs.Team) (structs.Team, *Problem) {
-	if wanted == "" {
+func teamFor(principal Principal, requested structs.Team) (structs.Team, *Problem) {
+	if requested == "" {
 		return principal.Team, nil
 	}
-	if !validTreePath(string(wanted)) {
+	if !validTreePath(string(requested)) {
 		return "", refusal(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
 	}
-	if !principal.Team.Contains(wanted) {
+	if !principal.Team.Contains(requested) {
 		return "", refusal(structs.ReasonForbidden, "the key does not grant access to this team")
 	}
-	return wanted, nil
+	return requested, nil
 }
 
 // validTreePath reports whether path is a valid path of the settings tree, in
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -125,8 +125,8 @@
 	stream.events.Reset()
 }
 
-// startEvents writes the headers of a streamed response. A replayed response is
-// known as such before that; any other is reported as answered.
+// startEvents writes the headers of a streamed response. The outcome header of a
+// replayed response is already set; any other is reported as answered.
 func (s *Server) startEvents(c *gin.Context) {
 	info := infoOf(c)
 	if info.outcome != outcomeReplayed {
--- a/internal/httpapi/failure_test.go
+++ b/internal/httpapi/failure_test.go
@@ -35,13 +35,13 @@
 	return id
 }
 
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnected(t *testing.T) {
 	for name, body := range map[string]string{"whole": chatBody, "streamed": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, nil)
 			id := hangUp(f, f.request(http.MethodPost, chatRoute, body))
-			if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
-				t.Errorf("gone %q, want %q", gone.Request, id)
+			if disconnected := nextEvent[structs.CallerDisconnected](f); disconnected.Request != id {
+				t.Errorf("disconnected %q, want %q", disconnected.Request, id)
 			}
 			// Commands for a request that has ended are dropped.
 			f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{Texts: []string{"x"}}})
@@ -95,8 +95,8 @@
 	for i := 1; i <= 3; i++ {
 		f.api.Deliver(structs.ReplyChunk{Request: id, Chunk: structs.Chunk{First: i, Texts: []string{text}}})
 	}
-	if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
-		t.Errorf("gone %q, want %q", gone.Request, id)
+	if disconnected := nextEvent[structs.CallerDisconnected](f); disconnected.Request != id {
+		t.Errorf("disconnected %q, want %q", disconnected.Request, id)
 	}
 	response, err := io.ReadAll(conn)
 	if err != nil || strings.HasSuffix(string(response), "0\r\n\r\n") || strings.Contains(string(response), "[DONE]") {
@@ -126,8 +126,8 @@
 	response, body := f.do(http.MethodPost, chatRoute, chatBody, HeaderDeadline, "1")
 	checkProblem(t, response, body, structs.ReasonDeadline, http.StatusGatewayTimeout, outcomeUnknown)
 	id := f.submitted().Request
-	if gone := nextEvent[structs.CallerDisconnected](f); gone.Request != id {
-		t.Errorf("gone %q", gone.Request)
+	if disconnected := nextEvent[structs.CallerDisconnected](f); disconnected.Request != id {
+		t.Errorf("disconnected %q", disconnected.Request)
 	}
 }
 
--- a/internal/httpapi/metrics.go
+++ b/internal/httpapi/metrics.go
@@ -24,20 +24,20 @@
 	inFlight atomic.Int64
 	gauge    tally.Gauge
 	// panics counts handlers that panicked, cutOff callers that read too
-	// slowly, and goneNotPosted CallerGone events that the core's queue did
-	// not accept.
-	panics        tally.Counter
-	cutOff        tally.Counter
-	goneNotPosted tally.Counter
+	// slowly, and disconnectsNotPosted CallerDisconnected events that the
+	// core's queue did not accept.
+	panics               tally.Counter
+	cutOff               tally.Counter
+	disconnectsNotPosted tally.Counter
 }
 
 func newServerMetrics(scope tally.Scope) *serverMetrics {
 	return &serverMetrics{
-		scope:         scope,
-		gauge:         scope.Gauge("requests_in_flight"),
-		panics:        scope.Counter("panics"),
-		cutOff:        scope.Counter("slow_callers_cut_off"),
-		goneNotPosted: scope.Counter("caller_gone_not_posted"),
+		scope:                scope,
+		gauge:                scope.Gauge("requests_in_flight"),
+		panics:               scope.Counter("panics"),
+		cutOff:               scope.Counter("slow_callers_cut_off"),
+		disconnectsNotPosted: scope.Counter("caller_gone_not_posted"),
 	}
 }
 
--- a/internal/httpapi/middleware.go
+++ b/internal/httpapi/middleware.go
@@ -16,9 +16,9 @@
 
 // Outcomes in the access log besides those of responses.
 const (
-	outcomeDone       = "done"
-	outcomeCallerGone = "caller-gone"
-	outcomeCutOff     = "cut-off"
+	outcomeDone               = "done"
+	outcomeCallerDisconnected = "caller-gone"
+	outcomeCutOff             = "cut-off"
 )
 
 // probeRoutes are polled frequently, so their access log lines have debug level.
@@ -159,7 +159,7 @@
 // panics with http.ErrAbortHandler.
 func (s *Server) abort(c *gin.Context, cause error) {
 	info := infoOf(c)
-	info.outcome = outcomeCallerGone
+	info.outcome = outcomeCallerDisconnected
 	if errors.Is(cause, errSlowCaller) {
 		info.outcome = outcomeCutOff
 		s.metrics.cutOff.Inc(1)
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Deliver passes a reply of the core to its request: a ReplyChunk, ReplyEnd,
-// ReplyProgram, ReplyPrograms, ReplySettings or ReplyApplied. It never blocks,
-// and ignores other commands and those for requests that have ended.
+// Deliver passes a reply of the core to its request: a ReplyChunk,
+// ReplyOutcome, ReplyProgram, ReplyPrograms, ReplySettings or ReplyApplied. It
+// never blocks, and ignores other commands and those for requests that have ended.
 func (s *Server) Deliver(command structs.Command) { s.exchanges.deliver(command) }
 
 // serviceMethods are the methods allowed in requests to services.
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -44,8 +44,8 @@
 	return &pendingRequest{server: s, ctx: ctx, exchange: e, timer: time.NewTimer(timeout)}, nil
 }
 
-// close removes the request, and posts CallerDisconnected to the core if the request has
-// not ended.
+// close removes the request, and posts CallerDisconnected to the core if the
+// request has not ended.
 func (p *pendingRequest) close() {
 	p.timer.Stop()
 	p.server.exchanges.remove(p.exchange.id)
@@ -54,7 +54,7 @@
 		return
 	}
 	if !p.server.core.Post(structs.CallerDisconnected{Request: p.exchange.id}) {
-		p.server.metrics.goneNotPosted.Inc(1)
+		p.server.metrics.disconnectsNotPosted.Inc(1)
 	}
 }
 
--- a/internal/journal/apply.go
+++ b/internal/journal/apply.go
@@ -50,11 +50,11 @@
 	s.applyBody(r)
 }
 
-func (s *State) writer(nonce string) *Writer {
-	w := s.Writers[nonce]
+func (s *State) writer(id string) *Writer {
+	w := s.Writers[id]
 	if w == nil {
 		w = new(Writer)
-		s.Writers[nonce] = w
+		s.Writers[id] = w
 	}
 	return w
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// program returns the row of a program and creates it if missing.
+// program returns the state of a program and creates it if missing.
 func (s *State) program(h Header, id CallID) *Program {
 	p := s.Programs[id.Program]
 	if p != nil {
--- a/internal/journal/normalize.go
+++ b/internal/journal/normalize.go
@@ -1,7 +1,7 @@
 package journal
 
 // normalize initializes the nil maps of a decoded state. It returns false if a
-// map holds a nil row: a malformed snapshot must not make a reader panic.
+// map holds a nil value: a malformed snapshot must not make a reader panic.
 func (s *State) normalize() bool {
 	initMap(&s.Writers)
 	initMap(&s.Programs)
--- a/internal/journal/purge.go
+++ b/internal/journal/purge.go
@@ -40,9 +40,9 @@
 // PurgeWriters removes ledger grants and writers older than beforeMS, except the
 // current owner and the exempt writer.
 func (s *State) PurgeWriters(exempt string, beforeMS int64) {
-	for nonce, w := range s.Writers {
-		if nonce != exempt && nonce != s.Writer && w.TimeMS < beforeMS {
-			delete(s.Writers, nonce)
+	for id, w := range s.Writers {
+		if id != exempt && id != s.Writer && w.TimeMS < beforeMS {
+			delete(s.Writers, id)
 		}
 	}
 	for _, l := range s.Ledgers {
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -110,7 +110,7 @@
 }
 
 // CallID identifies a call within a shard. Team and Single allow a record to
-// create the row of a program without an Open record (a single call).
+// create the state of a program without an Open record (a single call).
 type CallID struct {
 	Program structs.ProgramID
 	Team    structs.Team
@@ -231,7 +231,7 @@
 	Data  []byte
 }
 
-// Kinds of the bodies.
+// The Kind methods implement Body.
 func (*Claim) Kind() Kind        { return KindClaim }
 func (*Open) Kind() Kind         { return KindOpen }
 func (*Reserve) Kind() Kind      { return KindReserve }
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -37,7 +37,7 @@
 	TimeMS int64
 }
 
-// Program is the durable row of a program.
+// Program is the durable state of a program.
 type Program struct {
 	ID        structs.ProgramID
 	Team      structs.Team
@@ -69,7 +69,7 @@
 	Epoch structs.Epoch
 }
 
-// Lane is the durable row of a lane.
+// Lane is the durable state of a lane.
 type Lane struct {
 	// Last is the highest number of a completed call.
 	Last          uint64
@@ -183,7 +183,7 @@
 	return sum
 }
 
-// Lane returns the row of a lane and creates it if missing.
+// Lane returns the state of a lane and creates it if missing.
 func (p *Program) Lane(name structs.Lane) *Lane {
 	l := p.Lanes[name]
 	if l == nil {
--- a/internal/logclient/client.go
+++ b/internal/logclient/client.go
@@ -47,15 +47,15 @@
 
 // getJSON decodes a JSON reply of at most limit bytes into target. It returns a
 // *StatusError for a status other than 200; the body of status 410 is decoded too.
-func getJSON(ctx context.Context, client *http.Client, url string, limit int64, target any) error {
-	_, err := getIfChanged(ctx, client, url, limit, "", target)
+func getJSON(ctx context.Context, client *http.Client, url string, limit int64, value any) error {
+	_, err := getIfChanged(ctx, client, url, limit, "", value)
 	return err
 }
 
 // getIfChanged is getJSON with the entity tag of an earlier read: it returns
 // errNotModified if the resource is unchanged, otherwise the new tag. An empty tag
 // makes the request unconditional.
-func getIfChanged(ctx context.Context, client *http.Client, url string, limit int64, tag string, target any) (string, error) {
+func getIfChanged(ctx context.Context, client *http.Client, url string, limit int64, tag string, value any) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return "", err
@@ -71,14 +71,14 @@
 	if reply.StatusCode == http.StatusNotModified && tag != "" {
 		return tag, errNotModified
 	}
-	return reply.Header.Get("ETag"), decodeReply(reply, limit, target)
+	return reply.Header.Get("ETag"), decodeReply(reply, limit, value)
 }
 
-func decodeReply(reply *http.Response, limit int64, target any) error {
+func decodeReply(reply *http.Response, limit int64, value any) error {
 	if reply.StatusCode != http.StatusOK && reply.StatusCode != http.StatusGone {
 		return &StatusError{Status: reply.StatusCode}
 	}
-	if err := decodeJSON(reply.Body, limit, target); err != nil {
+	if err := decodeJSON(reply.Body, limit, value); err != nil {
 		return err
 	}
 	if reply.StatusCode == http.StatusGone {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func decodeJSON(body io.Reader, limit int64, target any) error {
+func decodeJSON(body io.Reader, limit int64, value any) error {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	if int64(len(data)) > limit {
 		return ErrReplyTooLarge
 	}
-	if err := json.Unmarshal(data, target); err != nil {
+	if err := json.Unmarshal(data, value); err != nil {
 		return errors.Mark(err, ErrProtocol)
 	}
 	return nil
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -14,16 +14,16 @@
 
 // gauges reports the table sizes of the core and counts outcomes.
 type gauges struct {
-	scope    tally.Scope
-	reported time.Time
+	scope      tally.Scope
+	reportedAt time.Time
 }
 
 // report updates the gauges once per gaugeInterval.
 func (g *gauges) report(now time.Time, core *instance.Instance) {
-	if now.Sub(g.reported) < gaugeInterval {
+	if now.Sub(g.reportedAt) < gaugeInterval {
 		return
 	}
-	g.reported = now
+	g.reportedAt = now
 	sizes := core.Gauges()
 	set := func(name string, value int) { g.scope.Gauge(name).Update(float64(value)) }
 	set("callers_waiting", sizes.Callers)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,10 +63,10 @@
 	serverErrors chan error
 }
 
-func newNode(cfg Config, log *slog.Logger, l *loop, m *sharedState, a *adapters, counts *metrics) *node {
+func newNode(cfg Config, log *slog.Logger, l *loop, shared *sharedState, a *adapters, m *metrics) *node {
 	n := &node{
-		cfg: cfg, log: log, loop: l, shared: m, adapters: a,
-		gauges:  &gauges{scope: counts.scope},
+		cfg: cfg, log: log, loop: l, shared: shared, adapters: a,
+		gauges:  &gauges{scope: m.scope},
 		drained: make(chan struct{}), serverErrors: make(chan error, 1),
 	}
 	l.execute = n.execute
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -24,37 +24,37 @@
 }
 
 // update copies the peers if they changed.
-func (m *sharedState) update(core *instance.Instance) {
+func (s *sharedState) update(core *instance.Instance) {
 	peers, generation := core.Peers()
-	if generation == m.generation {
+	if generation == s.generation {
 		return
 	}
 	byID := make(map[structs.InstanceID]structs.Peer, len(peers))
 	for _, p := range peers {
 		byID[p.ID] = p
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.generation = generation
-	m.peers = byID
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.generation = generation
+	s.peers = byID
 }
 
 // peer returns an instance by id.
-func (m *sharedState) peer(id structs.InstanceID) (structs.Peer, bool) {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	p, ok := m.peers[id]
+func (s *sharedState) peer(id structs.InstanceID) (structs.Peer, bool) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	p, ok := s.peers[id]
 	return p, ok
 }
 
-func (m *sharedState) setReady(ready structs.Ready) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.ready = ready
+func (s *sharedState) setReady(ready structs.Ready) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ready = ready
 }
 
-func (m *sharedState) readiness() structs.Ready {
-	m.mu.RLock()
-	defer m.mu.RUnlock()
-	return m.ready
+func (s *sharedState) readiness() structs.Ready {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.ready
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -77,8 +77,8 @@
 		s.run(s.sendWindow() + step)
 		old.paused = false
 		s.run(time.Second)
-		if last := e.applied[len(e.applied)-1]; last.Value != "m3" || e.refused > 0 {
-			t.Errorf("applied orders %+v, %d rejected; want m3 last and none rejected", e.applied, e.refused)
+		if last := e.applied[len(e.applied)-1]; last.Value != "m3" || e.rejected > 0 {
+			t.Errorf("applied orders %+v, %d rejected; want m3 last and none rejected", e.applied, e.rejected)
 		}
 	})
 }
@@ -101,8 +101,8 @@
 		next.paused = true
 		s.setModel("m3")
 		s.run(readInterval)
-		if e.state.Model != "m2" || s.checksFencing != (e.refused > 0) || s.checksFencing == old.isController() {
-			t.Errorf("state %+v, %d orders rejected, partitioned controller %+v", e.state, e.refused, old.controller.Dump())
+		if e.state.Model != "m2" || s.checksFencing != (e.rejected > 0) || s.checksFencing == old.isController() {
+			t.Errorf("state %+v, %d orders rejected, partitioned controller %+v", e.state, e.rejected, old.controller.Dump())
 		}
 	})
 }
@@ -151,8 +151,8 @@
 		s.nodes[0].selected, s.nodes[1].selected = false, true
 		s.setModel("m2")
 		s.waitFor("orders of the next controller", s.converged)
-		if s.engines["t0"].refused > 0 {
-			t.Errorf("%d orders rejected, want 0", s.engines["t0"].refused)
+		if s.engines["t0"].rejected > 0 {
+			t.Errorf("%d orders rejected, want 0", s.engines["t0"].rejected)
 		}
 	})
 }
--- a/internal/orders/simulation_test.go
+++ b/internal/orders/simulation_test.go
@@ -23,13 +23,13 @@
 	loadTime     time.Duration // from acceptance of an order until it takes effect
 	removed      bool
 	applied      []wire.Order
-	refused      int
+	rejected     int
 	loading      int
 }
 
 func (e *engine) order(s *simulation, o wire.Order) structs.OrderResult {
 	if e.state.ChecksFencing && o.Fencing < e.state.Fencing {
-		e.refused++
+		e.rejected++
 		return structs.OrderFenced
 	}
 	e.state.Fencing = o.Fencing
--- a/internal/owner/budget.go
+++ b/internal/owner/budget.go
@@ -23,8 +23,8 @@
 	return a
 }
 
-// limits returns the program's budget. 0 means unlimited.
-func (p *program) limits() journal.Amount {
+// budgetLimit returns the program's budget. 0 means unlimited.
+func (p *program) budgetLimit() journal.Amount {
 	policy := p.policy()
 	return journal.Amount{Tokens: policy.ProgramTokens, Fees: policy.ProgramFees}
 }
@@ -32,7 +32,7 @@
 // available returns what may still be reserved or held: the budget less all
 // amounts committed in the log or pending.
 func (p *program) available() journal.Amount {
-	limit := p.limits()
+	limit := p.budgetLimit()
 	left := limit.Sub(p.pending)
 	if row := p.row(); row != nil {
 		left = left.Sub(row.Committed())
@@ -56,7 +56,7 @@
 			free = chunk.Reserved.Sub(chunk.Used).Sub(p.held)
 		}
 	}
-	limit := p.limits()
+	limit := p.budgetLimit()
 	if limit.Tokens == 0 {
 		free.Tokens = unlimited
 	}
@@ -84,7 +84,7 @@
 	}
 	p := c.prog
 	need := c.worstCase()
-	limit := p.limits()
+	limit := p.budgetLimit()
 	if limit.IsZero() {
 		c.awaitPermit()
 		return
@@ -138,7 +138,7 @@
 
 // chunkSize rounds a reservation up, so that following calls need none.
 func (p *program) chunkSize(missing journal.Amount) journal.Amount {
-	limit, left := p.limits(), p.available()
+	limit, left := p.budgetLimit(), p.available()
 	amount := missing
 	if missing.Tokens > 0 {
 		share := min(p.policy().ChunkTokens, limit.Tokens/chunkDivisor)
@@ -167,7 +167,7 @@
 // wait for the log. It does so only while much of the budget is available.
 func (p *program) reserveAhead(need journal.Amount) {
 	s := p.shard
-	if !s.owned() || s.logDown() || s.o.draining || p.reserving || p.limits().IsZero() || p.closing {
+	if !s.owned() || s.logDown() || s.o.draining || p.reserving || p.budgetLimit().IsZero() || p.closing {
 		return
 	}
 	row := p.row()
--- a/internal/owner/cluster_callers_test.go
+++ b/internal/owner/cluster_callers_test.go
@@ -55,8 +55,8 @@
 	r.outcome, r.endedAt = &out, cl.now
 }
 
-// gateway accepts responses only from the owner that it queried last, except
-// answers of the run whose pieces it has.
+// gateway accepts replies only from the owner that was sent the request last,
+// except answers of the run whose pieces it has.
 func (cl *cluster) gateway(from structs.InstanceID, msg structs.Message) {
 	switch m := msg.(type) {
 	case *structs.ProgramReply:
--- a/internal/owner/cluster_targets_test.go
+++ b/internal/owner/cluster_targets_test.go
@@ -103,6 +103,6 @@
 		cl.finishes[m.Ref.Run]++
 		delete(cl.grants, m.Ref.Run)
 	case *structs.ProgramEnded:
-		cl.goneMessages = append(cl.goneMessages, *m)
+		cl.endedMessages = append(cl.endedMessages, *m)
 	}
 }
--- a/internal/owner/cluster_test.go
+++ b/internal/owner/cluster_test.go
@@ -58,7 +58,7 @@
 	requests       map[structs.RequestID]*request
 	allRequests    []*request
 	programs       map[structs.RequestID]structs.ProgramReply
-	goneMessages   []structs.ProgramEnded
+	endedMessages  []structs.ProgramEnded
 	finishes       map[structs.RunID]int
 	released       map[structs.TargetID]int
 	ignoreReleases bool
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -8,7 +8,7 @@
 // commands. It does no I/O and uses no clock, goroutine or randomness.
 //
 // A record is committed once it was read back from the log and took effect. A
-// fenced record has no effect behind another instance's newer claim. A shard is
+// fenced record has no effect after another instance's newer claim. A shard is
 // lost when such a claim is read. A hold is the part of a budget set aside for
 // the worst-case cost of a call.
 //
@@ -22,6 +22,6 @@
 //   - A lane runs one call at a time, in the order of numbers: order.go.
 //   - Spent plus held amounts never exceed the budget: budget.go.
 //   - Each idempotency key has one outcome: idempotency.go.
-//   - The cache of a closed program is released until every target has
-//     confirmed: release.go.
+//   - The release of a closed program's cache is repeated until every target
+//     has confirmed it: release.go.
 package owner
--- a/internal/owner/dump.go
+++ b/internal/owner/dump.go
@@ -28,6 +28,8 @@
 	LogDown  bool
 	Held     int
 	Pending  int
+	// Garbage counts records that could not be decoded, Void those without
+	// effect.
 	Garbage  int
 	Void     int
 	Programs []structs.ProgramInfo
@@ -123,7 +125,7 @@
 
 // info describes the program for operators and callers.
 func (p *program) info() structs.ProgramInfo {
-	limit := p.limits()
+	limit := p.budgetLimit()
 	info := structs.ProgramInfo{
 		ID: p.id, Team: p.team, Shard: p.shard.id, Owner: p.shard.o.cfg.Self.ID, State: structs.ProgramActive,
 		TokenLimit: limit.Tokens, FeeLimit: limit.Fees, TokensHeld: p.held.Tokens, FeesHeld: p.held.Fees,
--- a/internal/owner/idle_test.go
+++ b/internal/owner/idle_test.go
@@ -7,8 +7,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// A filing is refused in a log outage longer than the idle timeout. The program
-// must stay open.
+// A not-repeatable call is refused in a log outage longer than the idle timeout.
+// The program must stay open.
 func TestLogOutageDoesNotCloseIdleProgram(t *testing.T) {
 	cl := newCluster(t, 1, 1)
 	cl.policy.IdleTimeout = 5 * time.Second
--- a/internal/owner/outcome_query.go
+++ b/internal/owner/outcome_query.go
@@ -13,7 +13,7 @@
 	maxQueriedTargets   = 8
 )
 
-// outcomeQuery asks targets whether they ran a call.
+// outcomeQuery is a query to targets for the outcome of a call.
 type outcomeQuery struct {
 	run     structs.RunID
 	program structs.ProgramID
--- a/internal/owner/ownership_test.go
+++ b/internal/owner/ownership_test.go
@@ -8,7 +8,7 @@
 )
 
 // An owner that is partitioned from the log and has not noticed it must not
-// report a filing as "not run" that the next owner sent.
+// report a not-repeatable call as "not run" that the next owner sent.
 func TestPartitionedOwnerDoesNotReportNotRun(t *testing.T) {
 	cl := newCluster(t, 1, 2)
 	id := cl.program(1)
--- a/internal/owner/permit.go
+++ b/internal/owner/permit.go
@@ -44,7 +44,7 @@
 	c.permit = c.run
 	if c.notRepeatable && c.attempt > 0 {
 		// The Intent names the run id, so it stays. The dispatcher considers the
-		// permit of that name as finished.
+		// permit with that id finished.
 		c.permit = o.newRun()
 	}
 	c.pool.calls[c.permit] = c
--- a/internal/owner/program_test.go
+++ b/internal/owner/program_test.go
@@ -18,8 +18,8 @@
 	}
 	cl.run(10 * time.Second)
 	target := cl.nodes["o1"].o.Programs(testTeam, 10)[0].Targets[0]
-	if cl.released[target] < 3 || len(cl.goneMessages) != 1 {
-		t.Errorf("%d releases, %d ProgramGone messages", cl.released[target], len(cl.goneMessages))
+	if cl.released[target] < 3 || len(cl.endedMessages) != 1 {
+		t.Errorf("%d releases, %d ProgramEnded messages", cl.released[target], len(cl.endedMessages))
 	}
 	cl.kill("o1")
 	cl.released[target] = 0
--- a/internal/owner/recovery.go
+++ b/internal/owner/recovery.go
@@ -71,13 +71,13 @@
 			p.startRelease()
 		}
 	case *journal.Done:
-		s.onOutcomeLearned(b.Program, b.Run)
+		s.onOutcomeRead(b.Program, b.Run)
 	case *journal.Abandoned:
-		s.onOutcomeLearned(b.Program, b.Run)
+		s.onOutcomeRead(b.Program, b.Run)
 	}
 }
 
-func (s *shard) onOutcomeLearned(id structs.ProgramID, run structs.RunID) {
+func (s *shard) onOutcomeRead(id structs.ProgramID, run structs.RunID) {
 	p := s.programs[id]
 	if p == nil {
 		return
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -31,8 +31,8 @@
 	return list
 }
 
-// startRelease asks every target that may hold cache of a closed program to drop
-// it, once no call of the program runs.
+// startRelease requests the release of a closed program's cache from every target
+// that may hold it, once no call of the program runs.
 func (p *program) startRelease() {
 	row := p.row()
 	if row == nil || !row.Closed || len(p.calls) > 0 || len(row.Placements) == 0 || !p.shard.owned() {
@@ -83,7 +83,7 @@
 	})
 }
 
-// notifyDispatchers tells the dispatchers of the program's pools that it ended.
+// notifyDispatchers notifies the dispatchers of the program's pools that it ended.
 func (p *program) notifyDispatchers() {
 	row := p.row()
 	if row == nil {
--- a/internal/owner/replay.go
+++ b/internal/owner/replay.go
@@ -10,8 +10,8 @@
 type replay struct {
 	from    uint64
 	records []readRecord
-	// parts holds the snapshot parts read so far, by writer.
-	parts map[string][]*journal.Snapshot
+	// snapshotParts holds the snapshot parts read so far, by writer.
+	snapshotParts map[string][]*journal.Snapshot
 }
 
 type readRecord struct {
@@ -68,7 +68,7 @@
 	s.tenure = tenureReplaying
 	s.next = from
 	if snapshot {
-		s.replay = &replay{from: from, parts: make(map[string][]*journal.Snapshot)}
+		s.replay = &replay{from: from, snapshotParts: make(map[string][]*journal.Snapshot)}
 	}
 	s.o.emit(structs.LogTail{Stream: s.stream, From: from})
 	s.startLogTimer()
@@ -143,7 +143,7 @@
 }
 
 // bufferRecord buffers a record until a complete snapshot is found that was taken
-// at or after the start of reading. No record is missing behind it then.
+// at or after the start of reading, so that no record is missing after it.
 func (s *shard) bufferRecord(r readRecord) {
 	s.replay.records = append(s.replay.records, r)
 	part, ok := r.record.Body.(*journal.Snapshot)
@@ -152,15 +152,15 @@
 	}
 	writer := r.record.Writer
 	if part.Part == 0 {
-		s.replay.parts[writer] = nil
+		s.replay.snapshotParts[writer] = nil
 	}
-	parts := append(s.replay.parts[writer], part)
-	s.replay.parts[writer] = parts
-	if len(parts) != part.Parts || part.Part != part.Parts-1 {
+	snapshotParts := append(s.replay.snapshotParts[writer], part)
+	s.replay.snapshotParts[writer] = snapshotParts
+	if len(snapshotParts) != part.Parts || part.Part != part.Parts-1 {
 		return
 	}
 	var data []byte
-	for _, p := range parts {
+	for _, p := range snapshotParts {
 		data = append(data, p.Data...)
 	}
 	state, err := journal.DecodeState(data)
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -321,7 +321,7 @@
 	c.recordOutcome(unknown(reason), c.worstCase(), e)
 }
 
-// queryTarget asks the target for the outcome of a failed run.
+// queryTarget queries the target for the outcome of a failed run.
 func (c *call) queryTarget(reason structs.Reason, e structs.RunEnded) {
 	c.phase = phaseQuerying
 	c.shard.o.queryOutcome(c.run, c.spec.Program, c.spec.Key, []structs.Target{c.target}, func(found bool, out structs.Outcome) {
