--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -93,8 +93,8 @@
 	c.Next()
 }
 
-// teamFor returns the team that a principal acts for: its own, or wanted if
-// that is the same or below.
+// teamFor returns the team that a principal acts for: its own, or requested
+// if that is the same or below.
 func teamFor(principal Principal, requested structs.Team) (structs.Team, *Problem) {
 	if requested == "" {
 		return principal.Team, nil
