--- a/internal/settings/proposal.go
+++ b/internal/settings/proposal.go
@@ -215,7 +215,7 @@
 	for _, pending := range p.pendingInOrder() {
 		if !p.now.Before(pending.deadline) {
 			p.complete(pending, structs.SettingsResult{Status: structs.SettingsUnknown,
-				Detail: "the change could not be read back in time; it may still take effect"})
+				Detail: "the change could not be read back in time; it may still come into force"})
 			continue
 		}
 		if !pending.retryAt.IsZero() && !p.now.Before(pending.retryAt) {
