--- a/internal/conversation/append.go
+++ b/internal/conversation/append.go
@@ -156,7 +156,7 @@
 func (m *Manager) appendsThroughOther(p *partition) bool {
 	now := time.Now()
 	m.mu.Lock()
-	batched, failing := m.path.ShouldBatch(p.number, m.pendingAppends(), now), m.path.Failing()
+	batched, failing := m.storeMonitor.ShouldBatch(p.number, m.pendingAppends(), now), m.storeMonitor.Failing()
 	m.mu.Unlock()
 	return batched && (failing || m.indexer(p, nil) != m.self.ID)
 }
@@ -164,7 +164,7 @@
 func (m *Manager) hedgeDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.path.HedgeDelay(time.Now())
+	return m.storeMonitor.HedgeDelay(time.Now())
 }
 
 // allowHedge takes one attempt from the hedging budget.
@@ -180,7 +180,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if !m.path.Failing() || now.Before(m.nextDirectAttempt) {
+	if !m.storeMonitor.Failing() || now.Before(m.nextDirectAttempt) {
 		return false
 	}
 	m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
@@ -204,19 +204,19 @@
 		return // instances of older versions do not report the latency
 	}
 	if winner.by != m.self.ID {
-		m.path.Observe(winner.observation(), now)
+		m.storeMonitor.Observe(winner.observation(), now)
 	}
 	for id, start := range inFlight {
-		if !m.path.PathDegraded(winner.observation(), now.Sub(start)) {
+		if !m.storeMonitor.PathDegraded(winner.observation(), now.Sub(start)) {
 			continue
 		}
 		if id != m.self.ID {
-			m.unableUntil[id] = now.Add(unableTime)
+			m.avoidUntil[id] = now.Add(avoidDuration)
 			continue
 		}
-		m.path.ObserveOutcome(false, now)
+		m.storeMonitor.ObserveOutcome(false, now)
 		m.nextDirectAttempt = now.Add(jittered(directRetryInterval))
-		p.appends.abandon(func(age time.Duration) bool { return m.path.PathDegraded(winner.observation(), age) }, now)
+		p.appends.abandon(func(age time.Duration) bool { return m.storeMonitor.PathDegraded(winner.observation(), age) }, now)
 	}
 	m.updateState(nil)
 }
@@ -231,16 +231,16 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	if result.err == nil {
-		observed := m.path.ObserveOwn(result.took, now)
+		observed := m.storeMonitor.ObserveOwn(result.took, now)
 		result.slow = observed.Slow
-		p.appends.window.Observe(observed, m.path.ShortestSlow())
+		p.appends.window.Observe(observed, m.storeMonitor.ShortestSlow())
 	}
 	switch {
 	case errors.Is(result.err, context.DeadlineExceeded):
-		m.path.ObserveTimeout(now)
+		m.storeMonitor.ObserveTimeout(now)
 	case result.err != nil:
-		m.path.ObserveRefusal(now)
-	case m.path.ObserveOutcome(true, now):
+		m.storeMonitor.ObserveRefusal(now)
+	case m.storeMonitor.ObserveOutcome(true, now):
 		m.notifyRecovery()
 	}
 	m.updateState(result.err)
@@ -250,7 +250,7 @@
 // notifySlow notifies other instances that the store is slow, unless a recent
 // notice has done so. The caller must hold m.mu.
 func (m *Manager) notifySlow(took time.Duration, now time.Time) {
-	if m.path.ShouldNotifySlow(now) {
+	if m.storeMonitor.ShouldNotifySlow(now) {
 		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{Took: took, StoreEvent: structs.StoreSlow}) })
 	}
 }
@@ -266,7 +266,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.path.AppendHangs(since, now) && m.path.ShouldNotifyHang(now) {
+	if m.storeMonitor.AppendHangs(since, now) && m.storeMonitor.ShouldNotifyHang(now) {
 		m.spawn(func() { m.peers.Broadcast(&structs.TurnsNotice{StoreEvent: structs.StoreSlow}) })
 	}
 }
@@ -279,7 +279,7 @@
 	now := time.Now()
 	switch {
 	case msg.StoreEvent == structs.StoreSlow:
-		m.path.ObserveNotice(msg.Took, now)
+		m.storeMonitor.ObserveNotice(msg.Took, now)
 		m.updateState(nil)
 	case msg.StoreEvent == structs.StoreRecovered:
 		m.handleRecovery()
@@ -293,25 +293,25 @@
 // The caller must hold m.mu.
 func (m *Manager) handleRecovery() {
 	now := time.Now()
-	m.path.ObserveOutcome(true, now)
+	m.storeMonitor.ObserveOutcome(true, now)
 	m.updateState(nil)
 	for _, p := range m.partitions {
 		p.appends.abandon(func(age time.Duration) bool {
-			return !m.path.Slow(now) && m.path.PathDegraded(policy.AppendResult{}, age)
+			return !m.storeMonitor.Slow(now) && m.storeMonitor.PathDegraded(policy.AppendResult{}, age)
 		}, now)
 	}
-	clear(m.unableUntil)
+	clear(m.avoidUntil)
 	m.endOutage()
 }
 
 // updateState logs and records a change of this instance's access to the store.
 // The caller must hold m.mu.
 func (m *Manager) updateState(err error) {
-	state := m.path.State(time.Now())
+	state := m.storeMonitor.State(time.Now())
 	if state == m.state {
 		return
 	}
-	attrs := []any{"before", m.state, "now", state, "typical_ms", m.path.TypicalLatency(time.Now()).Milliseconds()}
+	attrs := []any{"before", m.state, "now", state, "typical_ms", m.storeMonitor.TypicalLatency(time.Now()).Milliseconds()}
 	if err != nil {
 		attrs = append(attrs, "error", err.Error())
 	}
@@ -344,7 +344,7 @@
 		return reply.Took, reply.Slow, nil
 	}
 	if ctx.Err() == nil {
-		w.manager.markUnable(helper)
+		w.manager.avoidInstance(helper)
 	}
 	return 0, false, errNotStored
 }
@@ -353,14 +353,14 @@
 func (m *Manager) appendTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.path.AppendTimeout(time.Now())
+	return m.storeMonitor.AppendTimeout(time.Now())
 }
 
 // batchTimeout returns how long another instance may take to append turns.
 func (m *Manager) batchTimeout() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.path.BatchTimeout(time.Now())
+	return m.storeMonitor.BatchTimeout(time.Now())
 }
 
 // receiveAppendRequest appends turns for another instance.
@@ -381,7 +381,7 @@
 // appends fail it refuses, except for an occasional direct attempt.
 func (m *Manager) appendForPeer(p *partition, turns []structs.StoredTurn) appendResult {
 	m.mu.Lock()
-	failing := m.path.Failing()
+	failing := m.storeMonitor.Failing()
 	m.mu.Unlock()
 	if failing && !m.shouldTryDirect() {
 		return appendResult{err: errNotStored}
--- a/internal/conversation/dump.go
+++ b/internal/conversation/dump.go
@@ -38,8 +38,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	d := Dump{Turns: len(m.memory.turns), Bytes: m.memory.bytes, DirectFailing: m.path.Failing(),
-		Store: m.path.State(now), TypicalAppend: m.path.TypicalLatency(now)}
+	d := Dump{Turns: len(m.memory.turns), Bytes: m.memory.bytes, DirectFailing: m.storeMonitor.Failing(),
+		Store: m.storeMonitor.State(now), TypicalAppend: m.storeMonitor.TypicalLatency(now)}
 	if !m.outage.since.IsZero() {
 		d.OutageDuration = now.Sub(m.outage.since)
 	}
--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -99,7 +99,7 @@
 		if found.outcome != structs.ConversationUnreadable || ctx.Err() != nil {
 			return found
 		}
-		m.markUnable(id)
+		m.avoidInstance(id)
 		exclude = append(exclude, id)
 	}
 	return lookupResult{outcome: structs.ConversationUnreadable}
@@ -173,17 +173,17 @@
 	}
 	all := []lookupResult{homeResult}
 	for range len(m.partitions) - 1 {
-		f := <-results
-		if f.outcome == structs.ConversationFound {
-			return f.outcome
+		result := <-results
+		if result.outcome == structs.ConversationFound {
+			return result.outcome
 		}
-		all = append(all, f)
+		all = append(all, result)
 	}
 	return combineOutcomes(all)
 }
 
-// receiveRequest replies to another instance's lookup.
-func (m *Manager) receiveRequest(from structs.InstanceID, msg *structs.ConversationRequest) {
+// receiveLookup replies to another instance's lookup.
+func (m *Manager) receiveLookup(from structs.InstanceID, msg *structs.ConversationRequest) {
 	if msg.Partition < 0 || msg.Partition >= len(m.partitions) {
 		m.log.Warn("lookup in an unknown partition ignored", "peer", from, "partition", msg.Partition)
 		return
@@ -203,8 +203,8 @@
 	})
 }
 
-func (f lookupResult) reply(number uint64) *structs.ConversationReply {
+func (r lookupResult) reply(number uint64) *structs.ConversationReply {
 	return &structs.ConversationReply{
-		Number: number, Outcome: f.outcome, Turns: f.turns, Partition: f.partition,
+		Number: number, Outcome: r.outcome, Turns: r.turns, Partition: r.partition,
 	}
 }
--- a/internal/conversation/manager.go
+++ b/internal/conversation/manager.go
@@ -60,13 +60,13 @@
 	// pending holds this instance's queries to others, by number.
 	pending    map[uint64]*pendingQuery
 	lastNumber uint64
-	// unableUntil is the time until which an instance that could not access the
+	// avoidUntil is the time until which an instance that could not access the
 	// store is avoided.
-	unableUntil map[structs.InstanceID]time.Time
-	// path tracks this instance's access to the store; state is its last logged
+	avoidUntil map[structs.InstanceID]time.Time
+	// storeMonitor tracks this instance's access to the store; state is its last logged
 	// state.
-	path  policy.StoreMonitor
-	state policy.StoreState
+	storeMonitor policy.StoreMonitor
+	state        policy.StoreState
 	// nextDirectAttempt is when this instance tries again while its appends
 	// fail.
 	nextDirectAttempt time.Time
@@ -104,7 +104,7 @@
 		health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), started: time.Now(), ctx: ctx,
 		memory:         newMemory(),
 		pending:        make(map[uint64]*pendingQuery),
-		unableUntil:    make(map[structs.InstanceID]time.Time),
+		avoidUntil:     make(map[structs.InstanceID]time.Time),
 		outage:         outage{changed: make(chan struct{})},
 		state:          policy.StoreHealthy,
 		hedges:         policy.NewRetryBudget(),
@@ -164,7 +164,7 @@
 func (m *Manager) receiveMessage(from structs.InstanceID, msg structs.Message) {
 	switch msg := msg.(type) {
 	case *structs.ConversationRequest:
-		m.receiveRequest(from, msg)
+		m.receiveLookup(from, msg)
 	case *structs.ConversationReply:
 		m.deliverReply(from, msg.Number, msg)
 	case *structs.TurnsNotice:
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -108,7 +108,7 @@
 	switch {
 	case err != nil && !failing:
 		o.since, o.retryDelay = time.Now(), minRetryDelay
-		o.storeWide = m.path.InOutage(o.since)
+		o.storeWide = m.storeMonitor.InOutage(o.since)
 		m.log.Warn("turns cannot be kept", "error", err.Error())
 	case err != nil:
 		o.retryDelay = min(2*o.retryDelay, maxRetryDelay)
@@ -139,9 +139,9 @@
 	o.signal()
 }
 
-// fullProbeInterval is the time between two turns that are accepted during an
+// probeTurnInterval is the time between two turns that are accepted during an
 // outage to detect its end.
-const fullProbeInterval = time.Second
+const probeTurnInterval = time.Second
 
 // Accepts reports whether a turn that begins now is expected to be stored
 // before its caller's time left runs out. While the store is full no turn is
@@ -154,12 +154,12 @@
 	o := &m.outage
 	now := time.Now()
 	if o.full {
-		return now.Sub(o.lastRound) > fullProbeInterval
+		return now.Sub(o.lastRound) > probeTurnInterval
 	}
 	if o.since.IsZero() || policy.AllowTurnDuringOutage(now.Sub(o.since), left) {
 		return true
 	}
-	if now.Sub(o.lastProbeTurn) <= fullProbeInterval {
+	if now.Sub(o.lastProbeTurn) <= probeTurnInterval {
 		return false
 	}
 	o.lastProbeTurn = now
--- a/internal/conversation/query.go
+++ b/internal/conversation/query.go
@@ -13,9 +13,9 @@
 	// replyTimeout is how long an instance may take to reply. It covers a round
 	// trip and the first read of a partition.
 	replyTimeout = 600 * time.Millisecond
-	// unableTime is how long an instance that could not reach the store, or did
+	// avoidDuration is how long an instance that could not reach the store, or did
 	// not reply, is avoided.
-	unableTime = time.Second
+	avoidDuration = time.Second
 )
 
 // key returns the rendezvous hash key of the partition's indexer.
@@ -30,7 +30,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range ranked {
-		if !slices.Contains(exclude, id) && !now.Before(m.unableUntil[id]) {
+		if !slices.Contains(exclude, id) && !now.Before(m.avoidUntil[id]) {
 			return id
 		}
 	}
@@ -43,11 +43,11 @@
 	return ""
 }
 
-// markUnable avoids an instance for unableTime.
-func (m *Manager) markUnable(id structs.InstanceID) {
+// avoidInstance avoids an instance for avoidDuration.
+func (m *Manager) avoidInstance(id structs.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.unableUntil[id] = time.Now().Add(unableTime)
+	m.avoidUntil[id] = time.Now().Add(avoidDuration)
 }
 
 // query sends a message, built with the number of the query, and waits for the
@@ -64,8 +64,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.path.Slow(now) {
-		return max(replyTimeout, m.path.AppendTimeout(now))
+	if m.storeMonitor.Slow(now) {
+		return max(replyTimeout, m.storeMonitor.AppendTimeout(now))
 	}
 	return replyTimeout
 }
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -167,7 +167,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	return now.Sub(start) >= m.path.AppendTimeout(now) && !m.path.RespondedSince(start)
+	return now.Sub(start) >= m.storeMonitor.AppendTimeout(now) && !m.storeMonitor.RespondedSince(start)
 }
 
 // prepare selects the partition to write to and encodes the turns that it
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -119,7 +119,7 @@
 			if got := n.manager.Accepts(3 * time.Second); got != accepted {
 				t.Errorf("status %d: Accepts returned %v", status, got)
 			}
-			time.Sleep(2 * fullProbeInterval)
+			time.Sleep(2 * probeTurnInterval)
 			if !n.manager.Accepts(3 * time.Second) {
 				t.Errorf("status %d: no probe turn is accepted", status)
 			}
@@ -158,7 +158,7 @@
 			t.Error("Accepts does not depend on the time left of the caller")
 		}
 		c.Store.Set(metastore.Fault{})
-		time.Sleep(2 * fullProbeInterval)
+		time.Sleep(2 * probeTurnInterval)
 		c.mustTurn(n, "p", "")
 		if !n.manager.Accepts(time.Second) {
 			t.Error("turns are not accepted after the store recovered")
@@ -178,8 +178,8 @@
 			t.Fatal("the turn was acknowledged")
 		}
 		d := n.manager.Dump()
-		away := d.Partitions[n.manager.partitionOf("p").number].Unavailable
-		if d.OutageDuration == 0 || !d.DirectFailing || !away {
+		unavailable := d.Partitions[n.manager.partitionOf("p").number].Unavailable
+		if d.OutageDuration == 0 || !d.DirectFailing || !unavailable {
 			t.Errorf("during an outage: %+v", d)
 		}
 	})
--- a/internal/peer/delay.go
+++ b/internal/peer/delay.go
@@ -28,10 +28,10 @@
 }
 
 // observe returns the delay of a stamp relative to the fastest stamp so far.
-func (l *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
-	difference := now.Sub(l.started) - stamp
-	l.minDifference = min(l.minDifference, difference)
-	return difference - l.minDifference
+func (e *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
+	difference := now.Sub(e.started) - stamp
+	e.minDifference = min(e.minDifference, difference)
+	return difference - e.minDifference
 }
 
 // stamp returns the stamp frame to write before the next frame, or nil if the
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -45,7 +45,7 @@
 		return nil, []FileError{*err}
 	}
 	parser := fileParser{lines: make(map[string]int)}
-	parser.area(root)
+	parser.readRoot(root)
 	parser.checkTree()
 	return parser.changes, parser.errors
 }
@@ -59,17 +59,17 @@
 		if errors.Is(err, io.EOF) {
 			text = "empty file"
 		}
-		refused := fileError(yamlErrorLine(text), "", text, fileExpected)
-		return nil, &refused
+		fileErr := fileError(yamlErrorLine(text), "", text, fileExpected)
+		return nil, &fileErr
 	}
 	var second yaml.Node
 	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
-		refused := fileError(second.Line, "", "more than one document", "one YAML document")
-		return nil, &refused
+		fileErr := fileError(second.Line, "", "more than one document", "one YAML document")
+		return nil, &fileErr
 	}
 	if len(document.Content) != 1 || document.Content[0].Kind != yaml.MappingNode {
-		refused := fileError(document.Line, "", "no mapping", fileExpected)
-		return nil, &refused
+		fileErr := fileError(document.Line, "", "no mapping", fileExpected)
+		return nil, &fileErr
 	}
 	return document.Content[0], nil
 }
@@ -95,22 +95,22 @@
 	lines map[string]int
 }
 
-func (p *fileParser) refuse(line int, path, detail, expected string) {
+func (p *fileParser) addError(line int, path, detail, expected string) {
 	p.errors = append(p.errors, fileError(line, path, detail, expected))
 }
 
-// area reads the root mapping.
-func (p *fileParser) area(root *yaml.Node) {
+// readRoot reads the root mapping.
+func (p *fileParser) readRoot(root *yaml.Node) {
 	p.eachKey(root, "", func(key string, line int, value *yaml.Node) {
 		if key != servicesArea && key != teamsArea {
-			p.refuse(line, key, fmt.Sprintf("unknown key %q", key), fileExpected)
+			p.addError(line, key, fmt.Sprintf("unknown key %q", key), fileExpected)
 			return
 		}
 		if value.Kind != yaml.MappingNode {
-			p.refuse(value.Line, key, "no mapping", "a mapping")
+			p.addError(value.Line, key, "no mapping", "a mapping")
 			return
 		}
-		p.mapping(value, key)
+		p.readMapping(value, key)
 	})
 }
 
@@ -122,9 +122,9 @@
 		at := joinPath(path, key.Value)
 		switch {
 		case key.Kind != yaml.ScalarNode || !validSegment(key.Value):
-			p.refuse(key.Line, truncate(at), "malformed key", "a-z, 0-9, '.', '_', '-', starting with a letter or digit")
+			p.addError(key.Line, truncate(at), "malformed key", "a-z, 0-9, '.', '_', '-', starting with a letter or digit")
 		case seen[key.Value]:
-			p.refuse(key.Line, at, "the key stands twice", "one value for each key")
+			p.addError(key.Line, at, "the key stands twice", "one value for each key")
 		default:
 			seen[key.Value] = true
 			visit(key.Value, key.Line, value)
@@ -132,12 +132,12 @@
 	}
 }
 
-// mapping reads a mapping below the areas. A nested mapping is a deeper path, except
+// readMapping reads a mapping below the areas. A nested mapping is a deeper path, except
 // for a credential, whose value is the mapping.
-func (p *fileParser) mapping(node *yaml.Node, path string) {
+func (p *fileParser) readMapping(node *yaml.Node, path string) {
 	const maxDepth = MaxTeamDepth + 4
 	if strings.Count(path, "/") > maxDepth {
-		p.refuse(node.Line, truncate(path), "nested too deeply", fmt.Sprintf("at most %d levels", maxDepth))
+		p.addError(node.Line, truncate(path), "nested too deeply", fmt.Sprintf("at most %d levels", maxDepth))
 		return
 	}
 	p.eachKey(node, path, func(key string, line int, value *yaml.Node) {
@@ -145,18 +145,18 @@
 		loc, err := parsePath(at)
 		isCredential := err == nil && loc.Credential != ""
 		if value.Kind == yaml.MappingNode && !isCredential {
-			p.mapping(value, at)
+			p.readMapping(value, at)
 			return
 		}
-		p.value(at, line, value)
+		p.readValue(at, line, value)
 	})
 }
 
-// value reads and checks one value.
-func (p *fileParser) value(path string, line int, node *yaml.Node) {
+// readValue reads and checks one value.
+func (p *fileParser) readValue(path string, line int, node *yaml.Node) {
 	data, ok := yamlToJSON(node)
 	if !ok {
-		p.refuse(line, path, "unusable value", "a number, a string, true or false, without anchors")
+		p.addError(line, path, "unusable value", "a number, a string, true or false, without anchors")
 		return
 	}
 	canonical, err := canonicalValue(path, data)
--- a/internal/settings/snapshot.go
+++ b/internal/settings/snapshot.go
@@ -49,9 +49,9 @@
 	s := &snapshot{Next: t.next, Order: t.outcomeOrder, Outcomes: t.outcomes, Skipped: t.skipped,
 		Entries: make(map[string]*entry, len(t.entries))}
 	for path, e := range t.entries {
-		kept := *e
-		kept.History = e.History[max(0, len(e.History)-history):]
-		s.Entries[path] = &kept
+		shortened := *e
+		shortened.History = e.History[max(0, len(e.History)-history):]
+		s.Entries[path] = &shortened
 	}
 	return s
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -71,9 +71,9 @@
 	if err != nil {
 		return nil, &ValidationError{Path: truncate(path), Detail: err.Error()}
 	}
-	expected, canonical, refused := lookupKey(path, loc)
-	if refused != nil {
-		return nil, refused
+	expected, canonical, keyErr := lookupKey(path, loc)
+	if keyErr != nil {
+		return nil, keyErr
 	}
 	if len(value) == 0 {
 		return nil, nil
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -24,19 +24,19 @@
 var errNoFinishReason = errors.New("chat stream ended without a finish reason")
 
 // readChat reads an engine's response to a chat completion.
-func (r *Runner) readChat(run *activeRun, reply *http.Response) result {
-	switch status := reply.StatusCode; {
+func (r *Runner) readChat(run *activeRun, response *http.Response) result {
+	switch status := response.StatusCode; {
 	case status == http.StatusOK:
 		s := newChatStream(0, 0, r.cfg.MaxResponseBytes)
-		return s.result(run, r.follow(run, reply.Body, s))
+		return s.result(run, r.follow(run, response.Body, s))
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
 	case isRefusalStatus(status):
 		return result{failure: structs.RunNotSent, detail: "the engine refused the request: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
-		return r.readResponse(run, reply)
+		return r.readResponse(run, response)
 	}
-	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(reply.StatusCode)}
+	return result{failure: structs.RunBroken, detail: "the engine failed: " + http.StatusText(response.StatusCode)}
 }
 
 // follow reads a chat stream to its end and delivers the pieces as they arrive.
--- a/internal/target/control.go
+++ b/internal/target/control.go
@@ -24,13 +24,13 @@
 
 func (r *Runner) do(request *http.Request) (status int, body []byte, err error) {
 	request.Header.Set("User-Agent", userAgent)
-	reply, err := r.clients.control.Do(request)
+	response, err := r.clients.control.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer closeBody(reply.Body)
-	body, err = readBounded(reply.Body, r.cfg.MaxResponseBytes)
-	return reply.StatusCode, body, err
+	defer closeBody(response.Body)
+	body, err = readBounded(response.Body, r.cfg.MaxResponseBytes)
+	return response.StatusCode, body, err
 }
 
 // getJSON sends a GET request and decodes the response, which must have status 200.
@@ -107,8 +107,8 @@
 	var reply struct {
 		HeldTokens *int64 `json:"held_tokens"`
 	}
-	order := wire.CacheRelease{Program: string(command.Program)}
-	err := r.postJSON(joinURL(command.Target.Address, wire.CacheReleaseRoute), order, &reply)
+	request := wire.CacheRelease{Program: string(command.Program)}
+	err := r.postJSON(joinURL(command.Target.Address, wire.CacheReleaseRoute), request, &reply)
 	<-r.releases
 	r.mu.Lock()
 	delete(r.releasing, key)
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -89,10 +89,10 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(wire.HeaderFencing, strconv.FormatUint(command.Order.Fencing, 10))
-	reply, err := r.clients.single.Do(request)
+	response, err := r.clients.single.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	closeBody(reply.Body)
-	return reply.StatusCode, nil
+	closeBody(response.Body)
+	return response.StatusCode, nil
 }
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -41,15 +41,15 @@
 	if err != nil {
 		return err
 	}
-	reply, err := r.clients.control.Do(request)
+	response, err := r.clients.control.Do(request)
 	if err != nil {
 		return err
 	}
-	defer closeBody(reply.Body)
-	if reply.StatusCode != http.StatusOK {
-		return errors.Newf("the engine did not resume the stream: %s", http.StatusText(reply.StatusCode))
+	defer closeBody(response.Body)
+	if response.StatusCode != http.StatusOK {
+		return errors.Newf("the engine did not resume the stream: %s", http.StatusText(response.StatusCode))
 	}
-	return r.follow(run, reply.Body, s)
+	return r.follow(run, response.Body, s)
 }
 
 func streamURL(target structs.Target, id structs.RunID) string {
@@ -85,16 +85,16 @@
 
 // QueryOutcome queries a target for the outcome of the request that StartRun sent with
 // a program's idempotency key, and delivers the result as OutcomeQueried.
-func (r *Runner) AskOutcome(command structs.QueryOutcome) {
+func (r *Runner) QueryOutcome(command structs.QueryOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spawn(func() {
-		event := r.askOutcome(command)
+		event := r.queryOutcome(command)
 		r.sink.Deliver(r.ctx, event)
 	})
 }
 
-func (r *Runner) askOutcome(command structs.QueryOutcome) structs.OutcomeQueried {
+func (r *Runner) queryOutcome(command structs.QueryOutcome) structs.OutcomeQueried {
 	event := structs.OutcomeQueried{Run: command.Run}
 	ctx, cancel := context.WithTimeout(r.ctx, r.cfg.ControlTimeout)
 	defer cancel()
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -32,20 +32,20 @@
 	if command.Call.NotRepeatable {
 		client = r.clients.single
 	}
-	reply, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return run.failed(err)
 	}
-	defer closeBody(reply.Body)
+	defer closeBody(response.Body)
 	if command.Call.Kind == structs.CallChat {
-		return r.readChat(run, reply)
+		return r.readChat(run, response)
 	}
-	return r.readResponse(run, reply)
+	return r.readResponse(run, response)
 }
 
 // readResponse reads a response that is not a stream.
-func (r *Runner) readResponse(run *activeRun, reply *http.Response) result {
-	body, err := readBounded(reply.Body, r.cfg.MaxResponseBytes)
+func (r *Runner) readResponse(run *activeRun, response *http.Response) result {
+	body, err := readBounded(response.Body, r.cfg.MaxResponseBytes)
 	if errors.Is(err, ErrResponseTooLarge) {
 		return result{
 			failure: structs.RunBroken, detail: err.Error(),
@@ -55,10 +55,10 @@
 	if err != nil {
 		return run.failed(err)
 	}
-	if reportsNotRun(reply, body) {
+	if reportsNotRun(response, body) {
 		return result{failure: structs.RunNotSent, detail: "the target reports that it did not run the request"}
 	}
-	return result{outcome: responseOutcome(reply.StatusCode, reply.Header.Get("Content-Type"), body)}
+	return result{outcome: responseOutcome(response.StatusCode, response.Header.Get("Content-Type"), body)}
 }
 
 func responseOutcome(status int, contentType string, body []byte) structs.Outcome {
@@ -69,11 +69,11 @@
 
 // reportsNotRun reports whether a service refused a request before running it, which
 // requires a problem document with that outcome.
-func reportsNotRun(reply *http.Response, body []byte) bool {
-	if !isRefusalStatus(reply.StatusCode) {
+func reportsNotRun(response *http.Response, body []byte) bool {
+	if !isRefusalStatus(response.StatusCode) {
 		return false
 	}
-	mediaType, _, err := mime.ParseMediaType(reply.Header.Get("Content-Type"))
+	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if err != nil || mediaType != "application/problem+json" {
 		return false
 	}
