--- a/internal/conversation/lookup.go
+++ b/internal/conversation/lookup.go
@@ -37,8 +37,8 @@
 }
 
 // History returns the text of a conversation up to and including a turn. It
-// returns serve.ErrTurnNotFound if the turn does not exist and serve.ErrTurnUncertain if
-// that could not be determined.
+// returns serve.ErrTurnNotFound if the turn does not exist and
+// serve.ErrTurnUncertain if that could not be determined.
 func (m *Manager) History(ctx context.Context, program, turn string) ([]byte, error) {
 	if text, ok := m.conversationText(turn); ok {
 		m.metrics.local.Inc(1)
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -39,7 +39,7 @@
 		for range 4 {
 			c.runTurns("p", parent, 3)
 		}
-		time.Sleep(2 * simnet.LinkLatency) // the last notice is on its way
+		time.Sleep(2 * simnet.LinkLatency) // until the last notice has arrived
 		if got, want := c.indexer("p").manager.Dump().Turns, 3+4*3; got != want {
 			t.Errorf("the indexer holds %d turns, want %d", got, want)
 		}
@@ -89,7 +89,7 @@
 			c.Store.Set(metastore.Fault{Status: 503, Partitions: []int{part}})
 			_, err := c.lookUp(t.Context(), c.running()[0], "p", "nosuchturn")
 			if !errors.Is(err, serve.ErrTurnUncertain) {
-				t.Errorf("partition %d unavailable: got error %v, want ErrUncertain", part, err)
+				t.Errorf("partition %d unavailable: got error %v, want ErrTurnUncertain", part, err)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 
 // The indexer of a partition is notified of a turn stored in another partition
 // and lacks its predecessors after a restart. It must not report its own
-// partition as damaged.
+// partition as corrupt.
 func TestTurnKeptElsewhereIsFoundThere(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		indexer := c.indexer("p")
@@ -231,14 +231,14 @@
 func TestCombineOutcomes(t *testing.T) {
 	found := lookupResult{outcome: structs.ConversationFound}
 	unknown := lookupResult{outcome: structs.ConversationUnknown}
-	unread := lookupResult{outcome: structs.ConversationUnreadable}
+	unreadable := lookupResult{outcome: structs.ConversationUnreadable}
 	for _, tt := range []struct {
 		results []lookupResult
 		want    structs.ConversationOutcome
 	}{
 		{[]lookupResult{unknown, unknown}, structs.ConversationUnknown},
-		{[]lookupResult{unknown, unread}, structs.ConversationUnreadable},
-		{[]lookupResult{unread, found, unknown}, structs.ConversationFound},
+		{[]lookupResult{unknown, unreadable}, structs.ConversationUnreadable},
+		{[]lookupResult{unreadable, found, unknown}, structs.ConversationFound},
 		{[]lookupResult{{}, unknown}, structs.ConversationUnreadable},
 	} {
 		if got := combineOutcomes(tt.results); got != tt.want {
--- a/internal/conversation/manager.go
+++ b/internal/conversation/manager.go
@@ -63,8 +63,8 @@
 	// avoidUntil is the time until which an instance that could not access the
 	// store is avoided.
 	avoidUntil map[structs.InstanceID]time.Time
-	// storeMonitor tracks this instance's access to the store; state is its last logged
-	// state.
+	// storeMonitor tracks this instance's access to the store; state is its last
+	// logged state.
 	storeMonitor policy.StoreMonitor
 	state        policy.StoreState
 	// nextDirectAttempt is when this instance tries again while its appends
--- a/internal/conversation/outage.go
+++ b/internal/conversation/outage.go
@@ -24,8 +24,8 @@
 	// full is set if the store was out of space in the last round.
 	full      bool
 	lastRound time.Time
-	// lastProbeTurn is when a turn was last accepted although it is not
-	// expected to be stored.
+	// lastProbeTurn is when a turn was last accepted only to detect the end of
+	// the outage.
 	lastProbeTurn time.Time
 	// probing is set while a write retries on behalf of all.
 	probing bool
--- a/internal/conversation/query.go
+++ b/internal/conversation/query.go
@@ -13,8 +13,8 @@
 	// replyTimeout is how long an instance may take to reply. It covers a round
 	// trip and the first read of a partition.
 	replyTimeout = 600 * time.Millisecond
-	// avoidDuration is how long an instance that could not reach the store, or did
-	// not reply, is avoided.
+	// avoidDuration is how long an instance that could not reach the store, or
+	// did not reply, is avoided.
 	avoidDuration = time.Second
 )
 
@@ -22,8 +22,8 @@
 func (p *partition) key() string { return "turns/" + strconv.Itoa(p.number) }
 
 // indexer returns the instance that should index a partition, leaving out the
-// excluded ones and preferring those that were not recently unable to. It
-// returns "" if there is none.
+// excluded ones and preferring those that are not avoided. It returns "" if there
+// is none.
 func (m *Manager) indexer(p *partition, exclude []structs.InstanceID) structs.InstanceID {
 	ranked := m.directory.Ranked(p.key())
 	now := time.Now()
@@ -34,7 +34,7 @@
 			return id
 		}
 	}
-	// Fall back to instances that were recently unable.
+	// Fall back to the avoided instances.
 	for _, id := range ranked {
 		if !slices.Contains(exclude, id) {
 			return id
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// avoidInstance avoids an instance for avoidDuration.
+// avoidInstance makes indexer prefer other instances for avoidDuration.
 func (m *Manager) avoidInstance(id structs.InstanceID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/conversation/random_test.go
+++ b/internal/conversation/random_test.go
@@ -103,7 +103,7 @@
 func (c *cluster) lookUpUnknownTurn(r *rand.Rand, n *node, program string) {
 	_, err := c.lookUp(c.t.Context(), n, program, fmt.Sprintf("none%x", r.Uint64()))
 	if !errors.Is(err, serve.ErrTurnNotFound) && !errors.Is(err, serve.ErrTurnUncertain) {
-		c.t.Errorf("lookup of an unknown turn: got error %v, want ErrNoTurn or ErrUncertain", err)
+		c.t.Errorf("lookup of an unknown turn: got error %v, want ErrTurnNotFound or ErrTurnUncertain", err)
 	}
 }
 
--- a/internal/conversation/store.go
+++ b/internal/conversation/store.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// unavailableTime is how long a partition that failed an append is tried
-	// after the others.
+	// unavailableTime is how long other partitions are preferred to one that
+	// failed an append.
 	unavailableTime = time.Second
 	// helperRetryInterval is the minimum time before the instances that were
-	// asked to append a turn may be asked again.
+	// requested to append a turn may be requested again.
 	helperRetryInterval = time.Second
 	// maxPartitionsPerRound bounds the partitions tried in one round.
 	maxPartitionsPerRound = 2
@@ -92,7 +92,8 @@
 	partition *partition
 	turns     []structs.StoredTurn
 	records   []platform.Record
-	// helpers are the instances asked to append the turns since helpersResetAt.
+	// helpers are the instances requested to append the turns since
+	// helpersResetAt.
 	helpers        []structs.InstanceID
 	helpersResetAt time.Time
 	// storedBy is the instance whose append stored the turn.
@@ -149,7 +150,7 @@
 	return failure
 }
 
-// resetHelpers allows all instances to be asked again after the store refused a
+// resetHelpers allows requests to all instances again after the store refused a
 // round, at most once per helperRetryInterval. It does not while the store is
 // unresponsive: requests to helpers would then delay the turn beyond the
 // store's recovery.
@@ -161,7 +162,7 @@
 }
 
 // unresponsiveSince reports whether the store has not responded to any instance
-// since begun, for at least the append timeout. Trying another partition is
+// since start, for at least the append timeout. Trying another partition is
 // then pointless.
 func (m *Manager) unresponsiveSince(start time.Time) bool {
 	m.mu.Lock()
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -22,7 +22,7 @@
 		c.restartAll()
 		c.mustLookUp(c.running()[0], "q", long)
 		if _, err := c.running()[0].manager.History(t.Context(), "p", old); !errors.Is(err, serve.ErrTurnNotFound) {
-			t.Errorf("lookup of an expired turn: got error %v, want ErrNoTurn", err)
+			t.Errorf("lookup of an expired turn: got error %v, want ErrTurnNotFound", err)
 		}
 		time.Sleep(testRetention + dropMargin + 2*sweepInterval)
 		for _, n := range c.running() {
--- a/internal/instance/faults_test.go
+++ b/internal/instance/faults_test.go
@@ -113,7 +113,7 @@
 	switch out.Kind {
 	case structs.OutcomeAnswered:
 		if got := out.Text + string(out.Body); got != responseTo(call) {
-			c.fatalf("answer %q, want %q", got, responseTo(call))
+			c.fatalf("response %q, want %q", got, responseTo(call))
 		}
 		if call.Kind == structs.CallChat {
 			a.history = append(call.History, structs.ChainDigest{byte(2 * a.number)})
--- a/internal/peer/delay.go
+++ b/internal/peer/delay.go
@@ -21,7 +21,7 @@
 // delayEstimator estimates the transit delay of frames without comparing clocks.
 // The writer sends stamps with the time since its own start of the session, and
 // the reader subtracts them from the time since its own. The smallest difference
-// so far is taken as the offset between the two starts.
+// so far is taken as the offset between the two start times.
 type delayEstimator struct {
 	started       time.Time
 	minDifference time.Duration
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -37,8 +37,8 @@
 	// delivering is true while a received message waits for space in the event
 	// loop's queue.
 	delivering atomic.Bool
-	// delay is used by the reader, but for its start; stamped is when the
-	// writer stamped last.
+	// delay is used by the reader, except for its start time, which the writer
+	// uses too. lastStamp is when the writer last sent a stamp.
 	delay     delayEstimator
 	lastStamp time.Time
 
--- a/internal/settings/catchup_test.go
+++ b/internal/settings/catchup_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestInstanceNotCaughtUpGivesNoState(t *testing.T) {
+func TestInstanceNotCaughtUpSendsNoState(t *testing.T) {
 	cluster := newCluster(t)
 	n := cluster.start("n")
 	one := encode(t, record{Changes: []recordChange{change("teams/a/priority", 0, "1")}})
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// readMapping reads a mapping below the areas. A nested mapping is a deeper path, except
-// for a credential, whose value is the mapping.
+// readMapping reads a mapping below the areas. A nested mapping is a deeper path,
+// except for a credential, whose value is the mapping.
 func (p *fileParser) readMapping(node *yaml.Node, path string) {
 	const maxDepth = MaxTeamDepth + 4
 	if strings.Count(path, "/") > maxDepth {
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -167,9 +167,9 @@
 	if got := len(entries(tree)); got != MaxPaths {
 		t.Fatalf("%d paths", got)
 	}
-	refused := tree.Validate([]structs.SettingChange{{Path: "teams/x/priority", Value: []byte("1"), ChangeID: "x"}})
-	if len(refused) != 1 || !strings.Contains(refused[0].Detail, "too large") {
-		t.Fatalf("got %v", refused)
+	found := tree.Validate([]structs.SettingChange{{Path: "teams/x/priority", Value: []byte("1"), ChangeID: "x"}})
+	if len(found) != 1 || !strings.Contains(found[0].Detail, "too large") {
+		t.Fatalf("got %v", found)
 	}
 	data, err := tree.Snapshot()
 	if err != nil || len(data) > MaxRecordBytes {
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CallKind is the way a call is executed.
+// CallKind determines how a call is executed.
 type CallKind uint8
 
 // Kinds of calls.
--- a/internal/structs/events.go
+++ b/internal/structs/events.go
@@ -143,7 +143,7 @@
 }
 
 // OutcomeQueried replies to QueryOutcome. Reached reports whether the target could be
-// queried, Found whether it ran the request; Outcome is then its response.
+// queried, Found whether it ran the request. Outcome is its response if Found.
 type OutcomeQueried struct {
 	Run     RunID
 	Reached bool
--- a/internal/structs/ids.go
+++ b/internal/structs/ids.go
@@ -43,7 +43,7 @@
 	RunID string
 	// AppendID names one append requested by a component.
 	AppendID uint64
-	// OrderID names one SendOrder or ReadOrders of this instance.
+	// OrderID names one SendOrder or ReadOrders command of this instance.
 	OrderID uint64
 )
 
--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -51,7 +51,7 @@
 	// NextPiece is the index of the first piece that the gateway lacks. It is greater
 	// than 0 when the gateway submits again after the owner crashed.
 	NextPiece int
-	// ReceivedRun is CallChunk.Run of the pieces that the gateway has. Pieces of
+	// ReceivedRun is the run whose pieces the gateway has received. Pieces of
 	// another run must not follow them.
 	ReceivedRun RunID
 	// Suspects are the instances that the gateway cannot reach.
--- a/internal/structs/reservation.go
+++ b/internal/structs/reservation.go
@@ -31,8 +31,8 @@
 	ReservationNotRecorded ReservationOutcome = 5
 )
 
-// LeaseID identifies a reservation: the instance that runs the turn and the number
-// that it chose.
+// LeaseID identifies the lease of a turn: the instance that runs the turn and a number
+// that this instance chose.
 type LeaseID struct {
 	Holder InstanceID
 	Number uint64
@@ -145,7 +145,7 @@
 	Crashes int
 }
 
-// Lease is a reservation and the number of tokens that it holds.
+// Lease is the reservation of tokens for one turn. Tokens is the number that it holds.
 type Lease struct {
 	ID     LeaseID
 	Tokens int
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -98,7 +98,7 @@
 }
 
 // errPartialToolCalls is returned for tool calls in a stream that was not read from
-// its first piece: their beginning may be missing.
+// its first piece, because their beginning may be missing.
 var errPartialToolCalls = errors.New("tool calls in a stream that was resumed after its first piece")
 
 // chatStream assembles the pieces of a chat response from index from on. Those
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -23,7 +23,7 @@
 // clients are the HTTP clients of a Runner.
 type clients struct {
 	// repeatable sends the runs of repeatable calls. single sends those of
-	// not-repeatable ones, each on a new connection. Both are gated.
+	// not-repeatable calls and orders, each on a new connection. Both are gated.
 	repeatable *http.Client
 	single     *http.Client
 	// control sends all other requests.
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-func TestAskOutcome(t *testing.T) {
+func TestQueryOutcome(t *testing.T) {
 	f := newFake(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case wire.OutcomesRoute + "/p:ran":
