--- a/internal/target/stream_test.go
+++ b/internal/target/stream_test.go
@@ -104,11 +104,11 @@
 
 func TestCancel(t *testing.T) {
 	const attempts = 3
-	orders := make(chan string, attempts)
+	cancels := make(chan string, attempts)
 	f := newFake(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/cancel") {
-			orders <- r.URL.Path
-			if len(orders) < attempts {
+			cancels <- r.URL.Path
+			if len(cancels) < attempts {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 			return
@@ -123,8 +123,8 @@
 		t.Fatalf("%+v", ended)
 	}
 	f.work.Wait()
-	if len(orders) != attempts || <-orders != wire.StreamsRoute+"/r/cancel" {
-		t.Fatalf("%d orders left", len(orders))
+	if len(cancels) != attempts || <-cancels != wire.StreamsRoute+"/r/cancel" {
+		t.Fatalf("%d cancel requests left", len(cancels))
 	}
 }
 
