--- a/internal/peer/delay.go
+++ b/internal/peer/delay.go
@@ -21,17 +21,17 @@
 // delayEstimator estimates the transit delay of frames without comparing clocks.
 // The writer sends stamps with the time since its own start of the session, and
 // the reader subtracts them from the time since its own. The smallest difference
-// so far is taken as the offset between the two starts.
+// so far is taken as the offset between the two start times.
 type delayEstimator struct {
 	started       time.Time
 	minDifference time.Duration
 }
 
 // observe returns the delay of a stamp relative to the fastest stamp so far.
-func (l *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
-	difference := now.Sub(l.started) - stamp
-	l.minDifference = min(l.minDifference, difference)
-	return difference - l.minDifference
+func (e *delayEstimator) observe(now time.Time, stamp time.Duration) time.Duration {
+	difference := now.Sub(e.started) - stamp
+	e.minDifference = min(e.minDifference, difference)
+	return difference - e.minDifference
 }
 
 // stamp returns the stamp frame to write before the next frame, or nil if the
