--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -34,17 +34,17 @@
 // node is one incarnation of an instance.
 type node struct {
 	*simnet.Node
-	manager *Manager
-	breaks  breakList
+	manager  *Manager
+	failures failureList
 }
 
-// breakList implements Breaks with target names only.
-type breakList struct {
+// failureList implements Breaks with target names only.
+type failureList struct {
 	mu    sync.Mutex
 	names []string
 }
 
-func (b *breakList) Breaks(time.Time) []structs.TargetFailure {
+func (b *failureList) Breaks(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var breaks []structs.TargetFailure
@@ -55,13 +55,13 @@
 }
 
 // The other methods implement Loads without any reports.
-func (b *breakList) LoadReports(time.Time) []structs.TargetReport       { return nil }
-func (b *breakList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
-func (b *breakList) PoolReports(time.Time) []structs.PoolReport         { return nil }
-func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
-func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
+func (b *failureList) LoadReports(time.Time) []structs.TargetReport       { return nil }
+func (b *failureList) OwnLoadReports(time.Time) []structs.TargetReport    { return nil }
+func (b *failureList) PoolReports(time.Time) []structs.PoolReport         { return nil }
+func (b *failureList) MergePoolReports([]structs.PoolReport, time.Time)   {}
+func (b *failureList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
+func (b *failureList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range breaks {
@@ -85,7 +85,7 @@
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
-		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, Breaks: &n.breaks, Loads: &n.breaks,
+		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, TargetFailures: &n.failures, Loads: &n.failures,
 		Health: sim, Listed: c.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	c.lives.Put(sim, n)
--- a/internal/budget/leave_test.go
+++ b/internal/budget/leave_test.go
@@ -33,7 +33,7 @@
 			dir.Put(structs.Peer{ID: id, Address: "10.0.0.1:1"})
 		}
 		m := New(t.Context(), Config{
-			Directory: dir, Partitions: 24, Store: simnet.New().Store, Peers: peers, Breaks: new(breakList), Loads: new(breakList),
+			Directory: dir, Partitions: 24, Store: simnet.New().Store, Peers: peers, TargetFailures: new(failureList), Loads: new(failureList),
 			Health: new(simnet.Node), Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
 		m.partitions[3].own = newOwnership(1)
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -33,9 +33,9 @@
 	Watch(peers []structs.InstanceID)
 }
 
-// Breaks holds the targets that recently broke connections. Owners pass them on with
+// TargetFailures holds the targets that recently broke connections. Owners pass them on with
 // their replies.
-type Breaks interface {
+type TargetFailures interface {
 	Breaks(now time.Time) []structs.TargetFailure
 	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
 }
@@ -62,15 +62,15 @@
 // that this instance owns, through their owners for the others. It is safe for
 // concurrent use.
 type Manager struct {
-	self      structs.Peer
-	directory *directory.Directory
-	store     Store
-	peers     Peers
-	breaks    Breaks
-	loads     Loads
-	health    Health
-	log       *slog.Logger
-	metrics   metrics
+	self           structs.Peer
+	directory      *directory.Directory
+	store          Store
+	peers          Peers
+	targetFailures TargetFailures
+	loads          Loads
+	health         Health
+	log            *slog.Logger
+	metrics        metrics
 	// ctx ends with the Manager.
 	ctx     context.Context
 	work    sync.WaitGroup
@@ -122,12 +122,12 @@
 type Config struct {
 	Directory *directory.Directory
 	// Partitions is the number of partitions of the topic.
-	Partitions int
-	Store      Store
-	Peers      Peers
-	Breaks     Breaks
-	Loads      Loads
-	Health     Health
+	Partitions     int
+	Store          Store
+	Peers          Peers
+	TargetFailures TargetFailures
+	Loads          Loads
+	Health         Health
 	// Listed reports whether the list of instances is known; nil if it always is.
 	Listed func() bool
 	Scope  tally.Scope
@@ -138,7 +138,7 @@
 func New(ctx context.Context, config Config) *Manager {
 	m := &Manager{
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
-		breaks: config.Breaks, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
+		targetFailures: config.TargetFailures, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
 		listed: config.Listed, started: time.Now(),
 		pending:   make(map[structs.LeaseID]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
@@ -208,7 +208,7 @@
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
 	case *structs.TargetFailureNotice:
-		m.breaks.MergeBreaks(msg.Failures, time.Now())
+		m.targetFailures.MergeBreaks(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -66,7 +66,7 @@
 	scope tally.Scope, log *slog.Logger,
 ) *budget.Manager {
 	r.budgets = budget.New(background, budget.Config{
-		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, Breaks: registry, Loads: registry,
+		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, TargetFailures: registry, Loads: registry,
 		Health: health, Listed: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.budgets
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -14,8 +14,8 @@
 	// seconds.
 	Ages map[string]float64 `json:"ages"`
 	// Slots are the known slot holders, Silent the addresses of unresponsive relays.
-	Slots  map[string]Holder `json:"slots"`
-	Silent []string          `json:"silent,omitempty"`
+	Slots        map[string]Holder `json:"slots"`
+	Unresponsive []string          `json:"silent,omitempty"`
 }
 
 // Dump returns the state of this instance's topics.
@@ -31,7 +31,7 @@
 	defer n.mu.Unlock()
 	for address, f := range n.failures {
 		if !f.unresponsiveSince.IsZero() {
-			d.Silent = append(d.Silent, address)
+			d.Unresponsive = append(d.Unresponsive, address)
 		}
 	}
 	return d
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -76,12 +76,12 @@
 	health        fakeHealth
 	currency      fakeFreshness
 	log           *logBuffer
-	// notices counts the calls of ReportTargetBreaks.
+	// notices counts the calls of ReportTargetFailures.
 	notices atomic.Int64
 }
 
-// ReportTargetBreaks implements Notices.
-func (w *harness) ReportTargetBreaks() { w.notices.Add(1) }
+// ReportTargetFailures implements Notices.
+func (w *harness) ReportTargetFailures() { w.notices.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -128,9 +128,9 @@
 
 // Notices notifies other instances of failing targets.
 type Notices interface {
-	// ReportTargetBreaks reports that a target broke a new connection or failed a turn. It
+	// ReportTargetFailures reports that a target broke a new connection or failed a turn. It
 	// does not block.
-	ReportTargetBreaks()
+	ReportTargetFailures()
 }
 
 // Health reports whether the platform's store is available to this instance.
