--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -10,10 +10,10 @@
 type Tolerance struct {
 	// Window is the time over which requests are counted.
 	Window time.Duration
-	// Over is a fraction of what the limit allows in a window, Slack a number of
+	// Fraction is a fraction of what the limit allows in a window, Slack a number of
 	// requests on top.
-	Over  float64
-	Slack float64
+	Fraction float64
+	Requests float64
 }
 
 const (
@@ -58,7 +58,7 @@
 func boundsOf(limit org.Limit, t Tolerance) bounds {
 	rate := limit.PerSecond
 	perWindow := rate*t.Window.Seconds() + limit.Burst
-	remaining := t.Over*perWindow + t.Slack - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
+	remaining := t.Fraction*perWindow + t.Requests - rate*maxLateArrival.Seconds() - rerunFraction*perWindow
 	remaining = max(remaining, 0)
 	freshWeight := min(freshFraction*remaining/(rate*voteTTL.Seconds()), 1)
 	carryOver := carryOverFraction * remaining
--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -17,7 +17,7 @@
 	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
-var testTolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var testTolerance = Tolerance{Window: 5 * time.Second, Fraction: 0.1, Requests: 20}
 
 // testSlots is small, so that each coordinator has several organisations.
 const testSlots = 4
@@ -25,7 +25,7 @@
 // cluster simulates instances with a network, in virtual time.
 type cluster struct {
 	*simnet.Net
-	lives simnet.NodeValues[*node]
+	nodes simnet.NodeValues[*node]
 	t     *testing.T
 	// grantAll grants every vote to every coordinator at once, so that each allocates
 	// the whole limit.
@@ -71,7 +71,7 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (c *cluster) start(machine string) *node { return c.lives.Get(c.Start(machine, c.run)) }
+func (c *cluster) start(machine string) *node { return c.nodes.Get(c.Start(machine, c.run)) }
 
 // run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
@@ -79,12 +79,12 @@
 	link := &peers{Node: sim, cluster: c}
 	n.manager = New(Config{
 		Directory: sim.Directory, Slots: testSlots, Key: func(slot int) string { return fmt.Sprint("slot/", slot) },
-		Tolerance: testTolerance, Peers: link, Listed: func() bool { return true },
+		Tolerance: testTolerance, Peers: link, InstancesLoaded: func() bool { return true },
 		Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
 	link.manager = n.manager
 	n.manager.SetActive(true)
-	c.lives.Put(sim, n)
+	c.nodes.Put(sim, n)
 	c.Background.Go(func() { n.manager.Run(ctx) })
 	return n.receive
 }
@@ -106,7 +106,7 @@
 }
 
 // all lists the running instances.
-func (c *cluster) all() []*node { return c.lives.All(c.Net) }
+func (c *cluster) all() []*node { return c.nodes.All(c.Net) }
 
 // request submits one request at an instance and reports whether it was admitted.
 func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
@@ -114,9 +114,9 @@
 }
 
 // admit submits an entry at an instance and reports whether it was admitted.
-func (c *cluster) admit(n *node, entry serve.AllowanceRequest) bool {
-	name := entry.Organisation
-	permit, err := n.manager.Admit(context.Background(), entry)
+func (c *cluster) admit(n *node, request serve.AllowanceRequest) bool {
+	name := request.Organisation
+	permit, err := n.manager.Admit(context.Background(), request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch err.(type) {
@@ -166,7 +166,7 @@
 // window.
 func allowed(limit org.Limit, t Tolerance) int {
 	exact := limit.PerSecond*t.Window.Seconds() + limit.Burst
-	return int(exact*(1+t.Over) + t.Slack)
+	return int(exact*(1+t.Fraction) + t.Requests)
 }
 
 func machines(n int) []string {
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -52,52 +52,52 @@
 }
 
 // track starts tracking a program at its first turn.
-func (n *demand) track(program uint64, now time.Time) {
-	if program != 0 && len(n.tracked) < maxTracked {
-		n.tracked[program] = trackedProgram{requests: 1, last: now}
+func (d *demand) track(program uint64, now time.Time) {
+	if program != 0 && len(d.tracked) < maxTracked {
+		d.tracked[program] = trackedProgram{requests: 1, last: now}
 	}
 }
 
 // add counts a request of a program in progress.
-func (n *demand) add(program uint64, now time.Time) {
-	f, ok := n.tracked[program]
+func (d *demand) add(program uint64, now time.Time) {
+	p, ok := d.tracked[program]
 	if !ok {
 		return
 	}
-	f.requests++
-	f.last = now
-	n.tracked[program] = f
-	if f.ended {
-		n.requests++
+	p.requests++
+	p.last = now
+	d.tracked[program] = p
+	if p.ended {
+		d.requests++
 	}
 }
 
 // update recomputes the estimate from the ended programs, and from those in progress
 // that already exceed it.
-func (n *demand) update(now time.Time) {
-	if now.Sub(n.updatedAt) < updateInterval {
+func (d *demand) update(now time.Time) {
+	if now.Sub(d.updatedAt) < updateInterval {
 		return
 	}
-	n.updatedAt = now
+	d.updatedAt = now
 	longer, longerRequests := 0.0, 0.0
-	for program, f := range n.tracked {
+	for program, p := range d.tracked {
 		switch {
-		case f.ended && now.Sub(f.last) > forgetTimeout:
-			delete(n.tracked, program)
-		case f.ended:
-		case now.Sub(f.last) > idleTimeout:
-			n.requests += float64(f.requests)
-			n.programs++
-			f.ended = true
-			n.tracked[program] = f
-		case float64(f.requests) > n.perProgram:
+		case p.ended && now.Sub(p.last) > forgetTimeout:
+			delete(d.tracked, program)
+		case p.ended:
+		case now.Sub(p.last) > idleTimeout:
+			d.requests += float64(p.requests)
+			d.programs++
+			p.ended = true
+			d.tracked[program] = p
+		case float64(p.requests) > d.perProgram:
 			longer++
-			longerRequests += float64(f.requests)
+			longerRequests += float64(p.requests)
 		}
 	}
-	if n.programs > maxSampledPrograms {
-		n.requests, n.programs = n.requests/2, n.programs/2
+	if d.programs > maxSampledPrograms {
+		d.requests, d.programs = d.requests/2, d.programs/2
 	}
-	requests := n.requests + longerRequests + defaultWeight*defaultRequests
-	n.perProgram = max(requests/(n.programs+longer+defaultWeight), 1)
+	requests := d.requests + longerRequests + defaultWeight*defaultRequests
+	d.perProgram = max(requests/(d.programs+longer+defaultWeight), 1)
 }
--- a/internal/allowance/dump.go
+++ b/internal/allowance/dump.go
@@ -32,10 +32,10 @@
 	Capacity     float64 `json:"requests_left_most"`
 	Starts       float64 `json:"programs_left"`
 	PerProgram   float64 `json:"requests_per_program"`
-	// Use is the recent utilization of the limit.
-	Use    float64 `json:"use"`
-	Votes  int     `json:"votes"`
-	Voters int     `json:"voters"`
+	// Utilization is the recent utilization of the limit.
+	Utilization float64 `json:"use"`
+	Votes       int     `json:"votes"`
+	Voters      int     `json:"voters"`
 }
 
 // Dump returns the current state.
@@ -54,7 +54,7 @@
 		for name, b := range s.buckets {
 			out.Coordinated = append(out.Coordinated, Coordinated{
 				Slot: s.number, Organisation: name, PerSecond: b.limit.PerSecond, Level: b.level, Capacity: b.capacity,
-				Starts: b.starts, PerProgram: b.demand.perProgram, Use: b.usage.rate(now) / b.limit.PerSecond, Votes: len(s.votes), Voters: s.voters,
+				Starts: b.starts, PerProgram: b.demand.perProgram, Utilization: b.usage.rate(now) / b.limit.PerSecond, Votes: len(s.votes), Voters: s.voters,
 			})
 		}
 	}
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -55,11 +55,11 @@
 	Key       func(slot int) string
 	Tolerance Tolerance
 	Peers     Peers
-	// Listed reports whether all instances are known. Before that this instance grants
+	// InstancesLoaded reports whether all instances are known. Before that this instance grants
 	// and requests no votes, since their weight depends on the number of instances.
-	Listed func() bool
-	Scope  tally.Scope
-	Log    *slog.Logger
+	InstancesLoaded func() bool
+	Scope           tally.Scope
+	Log             *slog.Logger
 }
 
 // Manager admits requests within the limits of their organisations. It is safe for
@@ -154,17 +154,17 @@
 
 // Admit admits a request or returns a *serve.OverLimitError, serve.ErrLimitUnknown if
 // no coordinator replies in time, or the error of the context.
-func (m *Manager) Admit(ctx context.Context, entry serve.AllowanceRequest) (serve.Permit, error) {
-	if !entry.Limit.Limited() {
+func (m *Manager) Admit(ctx context.Context, request serve.AllowanceRequest) (serve.Permit, error) {
+	if !request.Limit.Limited() {
 		return noPermit{}, nil
 	}
 	now := time.Now()
 	w := &waiter{
-		first: entry.First, rank: min(max(entry.Priority, 0), structs.AllowanceRanks-1),
-		program: programHash(entry.Program), holdUntil: now.Add(maxHold), decision: make(chan decision, 1),
+		first: request.First, rank: min(max(request.Priority, 0), structs.AllowanceRanks-1),
+		program: programHash(request.Program), holdUntil: now.Add(maxHold), decision: make(chan decision, 1),
 	}
 	m.mu.Lock()
-	q := m.queueOf(entry)
+	q := m.queueOf(request)
 	q.waiting = append(q.waiting, w)
 	m.sendRequest(q, now)
 	m.mu.Unlock()
@@ -219,14 +219,14 @@
 
 // queueOf returns the queue of an organisation and updates its limit. The mutex is
 // held.
-func (m *Manager) queueOf(entry serve.AllowanceRequest) *queue {
-	q := m.queues[entry.Organisation]
+func (m *Manager) queueOf(request serve.AllowanceRequest) *queue {
+	q := m.queues[request.Organisation]
 	if q == nil {
-		q = &queue{organisation: entry.Organisation}
-		m.queues[entry.Organisation] = q
+		q = &queue{organisation: request.Organisation}
+		m.queues[request.Organisation] = q
 	}
-	if entry.Version >= q.version {
-		q.limit, q.version = entry.Limit, entry.Version
+	if request.Version >= q.version {
+		q.limit, q.version = request.Limit, request.Version
 	}
 	return q
 }
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -25,19 +25,19 @@
 
 // runPrograms starts programs of an organisation at a rate, each at one instance, and
 // returns how many started and how many got all their requests.
-func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, lasts time.Duration, seed uint64) (started, completed int) {
+func runPrograms(c *cluster, name string, limit org.Limit, p program, perSecond float64, duration time.Duration, seed uint64) (started, completed int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var work sync.WaitGroup
 	var mu sync.Mutex
-	for ends := time.Now().Add(lasts); time.Now().Before(ends); {
+	for deadline := time.Now().Add(duration); time.Now().Before(deadline); {
 		time.Sleep(time.Duration(r.ExpFloat64() / perSecond * float64(time.Second)))
 		n := simnet.Pick(r, c.all())
 		started++
 		id := fmt.Sprint("program", started)
 		work.Go(func() {
 			for i := range p.requests {
-				entry := serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
-				if !c.admit(n, entry) {
+				request := serve.AllowanceRequest{Organisation: name, Limit: limit, Version: 1, First: i == 0, Program: id}
+				if !c.admit(n, request) {
 					return
 				}
 				if i%3 == 0 {
@@ -57,8 +57,8 @@
 var typicalProgram = program{requests: 26, pause: 250 * time.Millisecond}
 
 // programCapacity returns how many programs a limit carries in a time.
-func programCapacity(limit org.Limit, lasts time.Duration) int {
-	return int((limit.PerSecond*lasts.Seconds() + limit.Burst) / float64(typicalProgram.requests))
+func programCapacity(limit org.Limit, duration time.Duration) int {
+	return int((limit.PerSecond*duration.Seconds() + limit.Burst) / float64(typicalProgram.requests))
 }
 
 // At the usual load, 1/1.6 of the limit, an organisation gets all its requests.
@@ -72,11 +72,11 @@
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
-				lasts := 10 * time.Second
-				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, lasts, 1)
+				duration := 10 * time.Second
+				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26, duration, 1)
 				c.Stop()
 				// A few programs that start together exceed a small limit.
-				expected := min(started, programCapacity(limit, lasts))
+				expected := min(started, programCapacity(limit, duration))
 				t.Logf("%d programs started, %d complete; %d requests refused, %d unknown", started, completed, c.refused, c.unknown)
 				if completed < expected*95/100 {
 					t.Errorf("%d of %d programs got all their requests, the limit carries %d", completed, started, expected)
@@ -100,16 +100,16 @@
 				}
 				time.Sleep(3 * time.Second)
 				limit := org.Limit{PerSecond: rate, Burst: rate}
-				lasts := 10 * time.Second
-				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26*7.5, lasts, 1)
+				duration := 10 * time.Second
+				started, completed := runPrograms(c, "o", limit, typicalProgram, rate/1.6/26*7.5, duration, 1)
 				c.Stop()
-				carried := programCapacity(limit, lasts)
+				carried := programCapacity(limit, duration)
 				t.Logf("%d programs started, %d complete, the limit carries %d; %d requests", started, completed, carried, len(c.admitted["o"]))
 				if completed < carried*9/10 {
 					t.Errorf("%d programs got all their requests, the limit carries %d", completed, carried)
 				}
-				if got, most := maxInWindow(c.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > most {
-					t.Errorf("%d requests in a window, want at most %d", got, most)
+				if got, want := maxInWindow(c.admitted["o"], testTolerance.Window), allowed(limit, testTolerance); got > want {
+					t.Errorf("%d requests in a window, want at most %d", got, want)
 				}
 			})
 		})
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -99,7 +99,7 @@
 		return
 	}
 	q.allocatedBy = from
-	q.usage = reportedUsage{use: reply.Utilization, at: now}
+	q.usage = reportedUsage{utilization: reply.Utilization, at: now}
 	granted, starts := reply.Granted, reply.FirstTurns
 	for _, w := range waiters {
 		left := &granted
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -63,24 +63,24 @@
 		for _, m := range names {
 			c.start(m)
 		}
-		ends := time.Now().Add(scheduleTime)
+		deadline := time.Now().Add(scheduleTime)
 		var work sync.WaitGroup
 		for name, limit := range testLimits {
 			for caller := range 8 {
 				callerSeed := seed*1000 + uint64(caller)
-				work.Go(func() { sendLoad(c, name, limit, 4.0/8, callerSeed, ends) })
+				work.Go(func() { sendLoad(c, name, limit, 4.0/8, callerSeed, deadline) })
 			}
 		}
-		for time.Now().Before(ends) {
+		for time.Now().Before(deadline) {
 			time.Sleep(time.Duration(r.IntN(1200)) * time.Millisecond)
 			injectFault(c, r, names)
 		}
 		work.Wait()
 		c.Stop()
 		for name, limit := range testLimits {
-			got, most := maxInWindow(c.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
-			if got > most {
-				exceeded[name] = fmt.Sprintf("%d requests in a window, want at most %d", got, most)
+			got, want := maxInWindow(c.admitted[name], testTolerance.Window), allowed(limit, testTolerance)
+			if got > want {
+				exceeded[name] = fmt.Sprintf("%d requests in a window, want at most %d", got, want)
 			}
 		}
 	})
@@ -88,11 +88,11 @@
 }
 
 // sendLoad sends a multiple of a limit to random instances until a deadline.
-func sendLoad(c *cluster, name string, limit org.Limit, factor float64, seed uint64, ends time.Time) {
+func sendLoad(c *cluster, name string, limit org.Limit, factor float64, seed uint64, deadline time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	pause := float64(time.Second) / (limit.PerSecond * factor)
 	var work sync.WaitGroup
-	for time.Now().Before(ends) {
+	for time.Now().Before(deadline) {
 		time.Sleep(time.Duration(pause * r.ExpFloat64()))
 		nodes := c.all()
 		if len(nodes) == 0 {
--- a/internal/allowance/usage.go
+++ b/internal/allowance/usage.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// usageSpan is the time constant of the usage average.
-	usageSpan = 1500 * time.Millisecond
+	// usageTimeConstant is the time constant of the usage average.
+	usageTimeConstant = 1500 * time.Millisecond
 	// usageTTL is how long a reported utilization is valid.
 	usageTTL = 2 * time.Second
 )
@@ -26,22 +26,22 @@
 }
 
 // rate returns the average in requests per second.
-func (u *usage) rate(now time.Time) float64 { return u.sumAt(now) / usageSpan.Seconds() }
+func (u *usage) rate(now time.Time) float64 { return u.sumAt(now) / usageTimeConstant.Seconds() }
 
 func (u *usage) sumAt(now time.Time) float64 {
-	return u.sum * math.Exp(-now.Sub(u.at).Seconds()/usageSpan.Seconds())
+	return u.sum * math.Exp(-now.Sub(u.at).Seconds()/usageTimeConstant.Seconds())
 }
 
 // reportedUsage is an organisation's utilization as reported by a coordinator.
 type reportedUsage struct {
-	use float64
-	at  time.Time
+	utilization float64
+	at          time.Time
 }
 
 // current returns the utilization, or 0 once it has expired.
-func (t reportedUsage) current(now time.Time) float64 {
-	if now.Sub(t.at) > usageTTL {
+func (u reportedUsage) current(now time.Time) float64 {
+	if now.Sub(u.at) > usageTTL {
 		return 0
 	}
-	return t.use
+	return u.utilization
 }
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -22,7 +22,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 60, Burst: 60}
-		uses := make(map[string]float64)
+		utilizations := make(map[string]float64)
 		for name, factor := range map[string]float64{"usual": 1 / 1.6, "hot": 5 / 1.6} {
 			c.Background.Go(func() {
 				runPrograms(c, name, limit, typicalProgram, limit.PerSecond*factor/26, 14*time.Second, 1)
@@ -35,7 +35,7 @@
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			permits[name], uses[name] = permit, permit.Utilization()
+			permits[name], utilizations[name] = permit, permit.Utilization()
 		}
 		// The load has ended, so no replies follow.
 		time.Sleep(30 * time.Second)
@@ -43,8 +43,8 @@
 			t.Errorf("a utilization of %g is reported for longer than %s", stale, usageTTL)
 		}
 		c.Stop()
-		if uses["hot"] < 0.85 || uses["usual"] > 0.8 || uses["usual"] == 0 {
-			t.Errorf("utilization: %v", uses)
+		if utilizations["hot"] < 0.85 || utilizations["usual"] > 0.8 || utilizations["usual"] == 0 {
+			t.Errorf("utilization: %v", utilizations)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		limit := org.Limit{PerSecond: 10, Burst: 10}
-		before := c.left("o", limit)
+		before := c.remainingLevel("o", limit)
 		for range 50 {
 			permit, err := c.all()[0].manager.Admit(context.Background(), serve.AllowanceRequest{
 				Organisation: "o", Limit: limit, Version: 1, First: true, Program: "p",
@@ -70,7 +70,7 @@
 			permit.Release()
 			time.Sleep(20 * time.Millisecond)
 		}
-		after := c.left("o", limit)
+		after := c.remainingLevel("o", limit)
 		c.Stop()
 		if math.Abs(after-before) > 1 {
 			t.Errorf("%.1f requests are left, want about %.1f", after, before)
@@ -78,18 +78,18 @@
 	})
 }
 
-// left returns what the coordinator of an organisation has left, after one request.
-func (c *cluster) left(name string, limit org.Limit) float64 {
+// remainingLevel returns what the coordinator of an organisation has left, after one request.
+func (c *cluster) remainingLevel(name string, limit org.Limit) float64 {
 	c.request(c.all()[0], name, limit, 1, false)
-	most := 0.0
+	level := 0.0
 	for _, n := range c.all() {
 		for _, c := range n.manager.Dump().Coordinated {
 			if c.Organisation == name {
-				most = max(most, c.Level)
+				level = max(level, c.Level)
 			}
 		}
 	}
-	return most
+	return level
 }
 
 func TestUsageIsAMovingRate(t *testing.T) {
--- a/internal/allowance/votes.go
+++ b/internal/allowance/votes.go
@@ -9,7 +9,7 @@
 // renew requests votes for the slots for which this instance ranks first. The mutex is
 // held.
 func (m *Manager) renew(now time.Time) {
-	if !m.active || m.leaving || !m.Listed() {
+	if !m.active || m.leaving || !m.InstancesLoaded() {
 		return
 	}
 	m.dropExpiredRequests(now)
@@ -60,7 +60,7 @@
 
 // grantVote replies to a request for this instance's vote. The mutex is held.
 func (m *Manager) grantVote(msg *structs.VoteRequest, to structs.InstanceID, now time.Time) (*structs.VoteReply, bool) {
-	if msg.Slot < 0 || msg.Slot >= len(m.slots) || !m.Listed() {
+	if msg.Slot < 0 || msg.Slot >= len(m.slots) || !m.InstancesLoaded() {
 		return nil, false
 	}
 	reply := m.voter.grant(msg.Slot, to, m.Directory.Ended, now)
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -11,8 +11,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// nextOwner returns the account at the next owner after a crash.
-func nextOwner(a *account) *account {
+// accountAfterCrash returns the account at the next owner after a crash.
+func accountAfterCrash(a *account) *account {
 	if a.recorded {
 		return restoreAccount(a.program, accountRecord{Budget: a.budget, MaxTurn: a.maxTurn, Limit: a.limit, Crashes: a.crashes}, a.crashes+1, time.Minute, time.Time{})
 	}
@@ -44,7 +44,7 @@
 	if !runTurn(a, maxTurn, used) {
 		t.Fatal("first turn after a crash was not admitted")
 	}
-	a = nextOwner(a)
+	a = accountAfterCrash(a)
 	if !runTurn(a, maxTurn, used) {
 		t.Errorf("turn after a second crash was not admitted: %+v", a)
 	}
@@ -66,7 +66,7 @@
 	total := 0
 	for _, step := range steps {
 		if step%5 == 0 {
-			a = nextOwner(a)
+			a = accountAfterCrash(a)
 			continue
 		}
 		used := step % (maxTurn + 1)
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -21,10 +21,10 @@
 // cluster simulates instances with a store and a network, in virtual time.
 type cluster struct {
 	*simnet.Net
-	lives simnet.NodeValues[*node]
+	nodes simnet.NodeValues[*node]
 	t     *testing.T
-	// listed reports whether a starting instance knows the list of instances.
-	listed func() bool
+	// instancesLoaded reports whether a starting instance knows the list of instances.
+	instancesLoaded func() bool
 
 	mu sync.Mutex
 	// delivered is the number of tokens that callers received, by program.
@@ -47,11 +47,11 @@
 func (b *failureList) Breaks(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var breaks []structs.TargetFailure
+	var failures []structs.TargetFailure
 	for _, name := range b.names {
-		breaks = append(breaks, structs.TargetFailure{Target: name})
+		failures = append(failures, structs.TargetFailure{Target: name})
 	}
-	return breaks
+	return failures
 }
 
 // The other methods implement Loads without any reports.
@@ -61,10 +61,10 @@
 func (b *failureList) MergePoolReports([]structs.PoolReport, time.Time)   {}
 func (b *failureList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *failureList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
+func (b *failureList) MergeBreaks(failures []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, received := range breaks {
+	for _, received := range failures {
 		if !slices.Contains(b.names, received.Target) {
 			b.names = append(b.names, received.Target)
 		}
@@ -79,16 +79,16 @@
 }
 
 // start starts an instance on a machine and lists it at all others.
-func (c *cluster) start(machine string) *node { return c.lives.Get(c.Start(machine, c.run)) }
+func (c *cluster) start(machine string) *node { return c.nodes.Get(c.Start(machine, c.run)) }
 
 // run starts an incarnation of an instance.
 func (c *cluster) run(ctx context.Context, sim *simnet.Node) func(structs.Event) {
 	n := &node{Node: sim}
 	n.manager = New(ctx, Config{
 		Directory: sim.Directory, Partitions: testPartitions, Store: sim.Store(), Peers: sim, TargetFailures: &n.failures, Loads: &n.failures,
-		Health: sim, Listed: c.listed, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
+		Health: sim, InstancesLoaded: c.instancesLoaded, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 	})
-	c.lives.Put(sim, n)
+	c.nodes.Put(sim, n)
 	c.Background.Go(func() { n.manager.Run(ctx) })
 	return n.manager.Receive
 }
@@ -105,17 +105,17 @@
 }
 
 // all lists the running instances.
-func (c *cluster) all() []*node { return c.lives.All(c.Net) }
+func (c *cluster) all() []*node { return c.nodes.All(c.Net) }
 
 // turn runs a turn of a program at an instance, delivering used tokens.
-func (c *cluster) turn(n *node, program string, budget, maxTurn, used int, runs time.Duration) error {
+func (c *cluster) turn(n *node, program string, budget, maxTurn, used int, duration time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	lease, err := n.manager.Reserve(ctx, serve.Turn{Program: program, Budget: budget, MaxTokens: maxTurn, Retention: time.Minute})
 	if err != nil {
 		return err
 	}
-	time.Sleep(runs)
+	time.Sleep(duration)
 	c.mu.Lock()
 	c.delivered[program] += used
 	c.mu.Unlock()
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -140,8 +140,8 @@
 	message := &structs.PartitionHandover{
 		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Crashes: p.own.crashes,
 	}
-	if l := p.own.crash; l != nil {
-		message.CrashedOwner, message.SinceCrash = l.owner, now.Sub(l.at)
+	if c := p.own.crash; c != nil {
+		message.CrashedOwner, message.SinceCrash = c.owner, now.Sub(c.at)
 	}
 	for _, a := range p.own.accounts {
 		message.Accounts = append(message.Accounts, a.export(now))
--- a/internal/budget/limits.go
+++ b/internal/budget/limits.go
@@ -12,8 +12,8 @@
 // same value.
 func unrecordedLimit(budget, owners int) int {
 	fraction := 0.0
-	for _, s := range unrecordedFractions[:min(owners, len(unrecordedFractions))] {
-		fraction += s
+	for _, f := range unrecordedFractions[:min(owners, len(unrecordedFractions))] {
+		fraction += f
 	}
 	return int(fraction * float64(budget))
 }
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -72,11 +72,11 @@
 	log            *slog.Logger
 	metrics        metrics
 	// ctx ends with the Manager.
-	ctx     context.Context
-	work    sync.WaitGroup
-	leaving atomic.Bool
-	listed  func() bool
-	started time.Time
+	ctx             context.Context
+	work            sync.WaitGroup
+	leaving         atomic.Bool
+	instancesLoaded func() bool
+	started         time.Time
 
 	mu sync.Mutex
 	// stopped indicates that no more background work is started.
@@ -128,10 +128,10 @@
 	TargetFailures TargetFailures
 	Loads          Loads
 	Health         Health
-	// Listed reports whether the list of instances is known; nil if it always is.
-	Listed func() bool
-	Scope  tally.Scope
-	Log    *slog.Logger
+	// InstancesLoaded reports whether the list of instances is known; nil if it always is.
+	InstancesLoaded func() bool
+	Scope           tally.Scope
+	Log             *slog.Logger
 }
 
 // New creates a Manager that runs until the context ends.
@@ -139,7 +139,7 @@
 	m := &Manager{
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
 		targetFailures: config.TargetFailures, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
-		listed: config.Listed, started: time.Now(),
+		instancesLoaded: config.InstancesLoaded, started: time.Now(),
 		pending:   make(map[structs.LeaseID]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
 		probes:    make(map[structs.InstanceID][]chan struct{}),
@@ -232,8 +232,8 @@
 func (m *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
-	relief := time.NewTicker(evacuateInterval)
-	defer relief.Stop()
+	evacuation := time.NewTicker(evacuateInterval)
+	defer evacuation.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
@@ -243,7 +243,7 @@
 			return
 		case <-claim.C:
 			m.claimVacant()
-		case <-relief.C:
+		case <-evacuation.C:
 			if !m.health.OK() && !m.leaving.Load() {
 				m.evacuate(ctx)
 			}
@@ -281,7 +281,7 @@
 const listTimeout = 500 * time.Millisecond
 
 // instancesKnown reports whether the list of instances is known.
-func (m *Manager) instancesKnown() bool { return m.listed == nil || m.listed() }
+func (m *Manager) instancesKnown() bool { return m.instancesLoaded == nil || m.instancesLoaded() }
 
 // mayClaim reports whether this instance may claim a partition on request.
 func (m *Manager) mayClaim() bool { return m.instancesKnown() || time.Since(m.started) > listTimeout }
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -405,7 +405,7 @@
 		c.Store.Set(metastore.Fault{})
 		first := c.all()[0]
 		p := first.manager.partitionOf("p")
-		named := c.lives.ByID(first.manager.directory.Ranked(p.key())[1])
+		named := c.nodes.ByID(first.manager.directory.Ranked(p.key())[1])
 		const epoch = 100
 		_, err := c.Store.Append(t.Context(), platform.Append{
 			Topic: topic, Partition: p.number,
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -185,13 +185,13 @@
 // return and their owner is known to have ended: until then it might still allocate
 // tokens without a record. The mutex is held.
 func (m *Manager) expireCrash(p *partition, now time.Time) {
-	l := p.own.crash
-	if l == nil || !m.directory.Ended(l.owner) {
+	c := p.own.crash
+	if c == nil || !m.directory.Ended(c.owner) {
 		return
 	}
-	if now.Sub(l.at) > longestRetention(p.own.accounts) {
+	if now.Sub(c.at) > longestRetention(p.own.accounts) {
 		p.own.crash = nil
-		m.log.Info("charge for lost accounts ended", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
+		m.log.Info("charge for lost accounts ended", "partition", p.number, "epoch", p.own.epoch, "owner", c.owner)
 	}
 }
 
--- a/internal/budget/random_test.go
+++ b/internal/budget/random_test.go
@@ -43,7 +43,7 @@
 		}
 		time.Sleep(2 * claimInterval)
 		var work sync.WaitGroup
-		ends := time.Now().Add(scheduleTime + 4*time.Second)
+		deadline := time.Now().Add(scheduleTime + 4*time.Second)
 		budgets := map[string]int{}
 		for i := range 12 {
 			program := fmt.Sprint("p", i)
@@ -54,7 +54,7 @@
 				callerSeed := seed*1000 + uint64(i*10+caller)
 				work.Go(func() {
 					time.Sleep(starts)
-					runProgram(c, program, budget, callerSeed, ends)
+					runProgram(c, program, budget, callerSeed, deadline)
 				})
 			}
 		}
@@ -75,17 +75,17 @@
 }
 
 // runProgram runs turns until a deadline, also after the budget is exhausted.
-func runProgram(c *cluster, program string, budget int, seed uint64, ends time.Time) {
+func runProgram(c *cluster, program string, budget int, seed uint64, deadline time.Time) {
 	r := rand.New(rand.NewPCG(seed, 2))
-	for time.Now().Before(ends) {
+	for time.Now().Before(deadline) {
 		nodes := c.all()
 		if len(nodes) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		runs := time.Duration(20+r.IntN(200)) * time.Millisecond
+		duration := time.Duration(20+r.IntN(200)) * time.Millisecond
 		used := testMaxTurn - 10*r.IntN(8)
-		err := c.turn(simnet.Pick(r, nodes), program, budget, testMaxTurn, used, runs)
+		err := c.turn(simnet.Pick(r, nodes), program, budget, testMaxTurn, used, duration)
 		if err != nil || r.IntN(3) == 0 {
 			time.Sleep(time.Duration(50+r.IntN(900)) * time.Millisecond)
 		}
@@ -121,11 +121,11 @@
 	case 3, 4:
 		leaveSlowly(c, n, time.Duration(r.IntN(1500))*time.Millisecond)
 	case 5:
-		cut := simnet.IsolateBoth
+		isolation := simnet.IsolateBoth
 		if r.IntN(2) == 0 {
-			cut = simnet.IsolateOutbound
+			isolation = simnet.IsolateOutbound
 		}
-		c.IsolateFor(n.Node, cut, time.Duration(r.IntN(2500))*time.Millisecond)
+		c.IsolateFor(n.Node, isolation, time.Duration(r.IntN(2500))*time.Millisecond)
 	case 6:
 		c.Store.Set(metastore.Fault{Unresponsive: true})
 	case 7:
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -57,17 +57,17 @@
 }
 
 // LastTarget returns the target of the program's last turn; empty if unknown.
-func (h reservation) LastTarget() string { return h.target }
+func (r reservation) LastTarget() string { return r.target }
 
 // FirstTurn reports whether no turn of the program has run yet, as far as its owner
 // knows.
-func (h reservation) FirstTurn() bool { return h.first }
+func (r reservation) FirstTurn() bool { return r.first }
 
 // Settle returns the unused tokens and reports how the turn ended.
-func (h reservation) Settle(end serve.TurnResult) {
-	h.manager.receiveSettle(&structs.ReservationSettle{
-		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
-		Target: end.Target, Failed: end.Failed,
+func (r reservation) Settle(turnResult serve.TurnResult) {
+	r.manager.receiveSettle(&structs.ReservationSettle{
+		Lease: r.request.Lease, Partition: r.request.Partition, Program: r.request.Program, Used: turnResult.UsedTokens,
+		Target: turnResult.Target, Failed: turnResult.Failed,
 	})
 }
 
@@ -147,7 +147,7 @@
 	to := s.candidate()
 	request.Redirected = to != "" && to == s.redirect
 	if to == m.self.ID {
-		m.request(s.partition, *request, func(got result) { results <- got })
+		m.handleRequest(s.partition, *request, func(got result) { results <- got })
 	} else if to != "" {
 		m.pending[request.Lease] = &pendingRequest{owner: to, request: *request, result: results}
 	}
@@ -281,7 +281,7 @@
 	m.loads.MergeLoadReports(r.Loads, time.Now())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.request(m.partitions[r.Partition], r, func(got result) {
+	m.handleRequest(m.partitions[r.Partition], r, func(got result) {
 		m.peers.Send(from, &structs.ReservationReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
 			Failures: m.targetFailures.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
@@ -290,10 +290,10 @@
 	})
 }
 
-// request admits the turn if this instance owns the partition, names the owner if
+// handleRequest admits the turn if this instance owns the partition, names the owner if
 // another available instance does, and claims the partition otherwise. The mutex is
 // held.
-func (m *Manager) request(p *partition, r structs.ReservationRequest, reply func(result)) {
+func (m *Manager) handleRequest(p *partition, r structs.ReservationRequest, reply func(result)) {
 	if r.Redirected && p.own == nil {
 		// Either a claim of this instance took effect without a response, or the
 		// sender is mistaken. Forget the owner, so that the store is read again.
--- a/internal/budget/restart_test.go
+++ b/internal/budget/restart_test.go
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var known atomic.Bool
 		c := newCluster(t)
-		c.listed = known.Load
+		c.instancesLoaded = known.Load
 		n := c.start("m")
 		time.Sleep(listTimeout / 2)
 		if err := c.turn(n, "p", 1000, testMaxTurn, testMaxTurn, 0); err == nil {
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -73,7 +73,7 @@
 	if next == owner {
 		next = ranked[1]
 	}
-	if claimant := c.lives.ByID(next); !slices.Contains(claimant.Watched(), owner) {
+	if claimant := c.nodes.ByID(next); !slices.Contains(claimant.Watched(), owner) {
 		t.Errorf("the instance that would claim partition %d does not watch its owner", number)
 	}
 	return owner
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -19,7 +19,7 @@
 	Targets         []targets.Snapshot `json:"targets"`
 	Conversations   conversation.Dump  `json:"conversations"`
 	Allowances      allowance.Dump     `json:"allowances"`
-	Room            []overload.Dump    `json:"room"`
+	Admission       []overload.Dump    `json:"room"`
 	Topics          relay.Dump         `json:"topics"`
 }
 
@@ -27,7 +27,7 @@
 	s := state{
 		Instance: e.machine.Name, Ready: e.ready(), InFlight: e.server.InFlight(),
 		Targets: e.targetFeed.registry.Snapshot(), Conversations: e.conversations.Dump(),
-		Allowances: e.allowances.Dump(), Room: e.server.Admission().Dump(time.Now()),
+		Allowances: e.allowances.Dump(), Admission: e.server.Admission().Dump(time.Now()),
 		Topics: e.relay.Dump(time.Now()),
 	}
 	if table := e.server.Table(); table != nil {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -112,7 +112,7 @@
 func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
 
 // SettingsAge implements serve.Currency.
-func (c *settingsFreshness) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
+func (f *settingsFreshness) SettingsAge() time.Duration { return f.topic.Age(time.Now()) }
 
 // instanceList reports whether the list of instances is loaded. Its topic is set after
 // the components that use it are built.
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -67,7 +67,7 @@
 ) *budget.Manager {
 	r.budgets = budget.New(background, budget.Config{
 		Directory: dir, Partitions: machine.Store.Partitions, Store: store, Peers: transport, TargetFailures: registry, Loads: registry,
-		Health: health, Listed: instances.loaded, Scope: scope, Log: log,
+		Health: health, InstancesLoaded: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.budgets
 }
@@ -90,8 +90,8 @@
 	quota := machine.Quota
 	r.allowances = allowance.New(allowance.Config{
 		Directory: dir, Slots: machine.Store.Partitions, Key: budget.PartitionKey,
-		Tolerance: allowance.Tolerance{Window: quota.Window, Over: quota.Fraction, Slack: quota.Requests},
-		Peers:     transport, Listed: instances.loaded, Scope: scope, Log: log,
+		Tolerance: allowance.Tolerance{Window: quota.Window, Fraction: quota.Fraction, Requests: quota.Requests},
+		Peers:     transport, InstancesLoaded: instances.loaded, Scope: scope, Log: log,
 	})
 	return r.allowances
 }
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -64,7 +64,7 @@
 // closedConnections records the addresses whose idle connections are closed.
 type closedConnections []string
 
-func (f *closedConnections) CloseIdle(address string) { *f = append(*f, address) }
+func (c *closedConnections) CloseIdle(address string) { *c = append(*c, address) }
 
 // targetEntry returns the entry of a target with a start in Unix milliseconds; 0 for a
 // target that does not report its start.
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -115,7 +115,7 @@
 
 // Query implements relay.Peers. The timeout is extended with each read, since a relay
 // that serves many starting instances may send its reply slowly.
-func (t *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
+func (c *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timeout := time.AfterFunc(q.Wait+q.ReplyTimeout, cancel)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "create the query")
 	}
-	resp, err := t.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "ask")
 	}
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -301,9 +301,9 @@
 
 // startRefused starts an instance that the store may refuse.
 func (c *cluster) startRefused(i int, refused bool) *testNode {
-	power := 0.2
+	cpuShare := 0.2
 	if i%5 == 0 {
-		power = 0.8
+		cpuShare = 0.8
 	}
 	ctx, cancel := context.WithCancel(c.t.Context())
 	n := &testNode{cluster: c, stop: cancel, done: make(chan struct{})}
@@ -318,7 +318,7 @@
 	followed[1].Pause, followed[2].Pause = time.Second, 300*time.Millisecond
 	n.Node = New(Config{
 		Self:     Holder{Machine: fmt.Sprint("m", i), Address: address(i), DataCentre: fmt.Sprint("dc", i%c.dataCentres)},
-		CPUShare: power, Seeds: c.seeds, Topics: followed, Peers: c,
+		CPUShare: cpuShare, Seeds: c.seeds, Topics: followed, Peers: c,
 		Store:         instanceStore{c.store, refused, &n.storeHangs},
 		MaxStaleness:  testBound,
 		WritesToStore: func() bool { return false }, PeerAddresses: func() []string { return nil },
--- a/internal/relay/table.go
+++ b/internal/relay/table.go
@@ -93,11 +93,11 @@
 			compareBool(b.DataCentre == self.DataCentre, a.DataCentre == self.DataCentre),
 			cmp.Compare(b.score, a.score), cmp.Compare(a.Machine, b.Machine))
 	})
-	entries := make([]Holder, len(all))
+	holders := make([]Holder, len(all))
 	for i, c := range all {
-		entries[i] = c.Holder
+		holders[i] = c.Holder
 	}
-	return entries
+	return holders
 }
 
 // compareBool orders false before true.
@@ -113,11 +113,11 @@
 
 // holdersBefore lists the holders of the slots of a data centre below a number.
 func (t slotTable) holdersBefore(dataCentre string, number int) []Holder {
-	var entries []Holder
+	var holders []Holder
 	for i := range number {
 		if holder, ok := t[slotKey(dataCentre, i)]; ok {
-			entries = append(entries, holder)
+			holders = append(holders, holder)
 		}
 	}
-	return entries
+	return holders
 }
