--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -10,8 +10,8 @@
 type Tolerance struct {
 	// Window is the time over which requests are counted.
 	Window time.Duration
-	// Fraction is a fraction of what the limit allows in a window, Slack a number of
-	// requests on top.
+	// Fraction is a fraction of what the limit allows in a window, Requests a number
+	// of requests on top.
 	Fraction float64
 	Requests float64
 }
--- a/internal/allowance/cluster_test.go
+++ b/internal/allowance/cluster_test.go
@@ -108,12 +108,12 @@
 // all lists the running instances.
 func (c *cluster) all() []*node { return c.nodes.All(c.Net) }
 
-// request submits one request at an instance and reports whether it was admitted.
+// request is admit for a request without a program.
 func (c *cluster) request(n *node, name string, limit org.Limit, version int64, first bool) bool {
 	return c.admit(n, serve.AllowanceRequest{Organisation: name, Limit: limit, Version: version, First: first})
 }
 
-// admit submits an entry at an instance and reports whether it was admitted.
+// admit submits a request at an instance and reports whether it was admitted.
 func (c *cluster) admit(n *node, request serve.AllowanceRequest) bool {
 	name := request.Organisation
 	permit, err := n.manager.Admit(context.Background(), request)
--- a/internal/allowance/demand.go
+++ b/internal/allowance/demand.go
@@ -18,7 +18,7 @@
 	// half.
 	maxSampledPrograms = 200
 	// idleTimeout is the time without a request after which a program counts as ended.
-	// Later requests are added.
+	// Its later requests are still counted.
 	idleTimeout = time.Second
 	// forgetTimeout is the time without a request after which a program is no longer
 	// tracked.
--- a/internal/allowance/doc.go
+++ b/internal/allowance/doc.go
@@ -14,7 +14,7 @@
 //
 // # The invariant
 //
-// With rate r, burst b, window W, tolerance D = over*(r*W + b) + slack:
+// With rate r, burst b, window W, and the Tolerance D = fraction*(r*W + b) + requests:
 //
 //	r*W + level + carryOver + freshWeight*r*voteTTL <= r*W + b + D - late
 //
--- a/internal/allowance/manager.go
+++ b/internal/allowance/manager.go
@@ -55,8 +55,9 @@
 	Key       func(slot int) string
 	Tolerance Tolerance
 	Peers     Peers
-	// InstancesLoaded reports whether all instances are known. Before that this instance grants
-	// and requests no votes, since their weight depends on the number of instances.
+	// InstancesLoaded reports whether the list of instances is loaded. Before that this
+	// instance grants and requests no votes, since their weight depends on the number of
+	// instances.
 	InstancesLoaded func() bool
 	Scope           tally.Scope
 	Log             *slog.Logger
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -14,6 +13,7 @@
 	"github.com/banyanglade/banyanglade/internal/org"
 	"github.com/banyanglade/banyanglade/internal/serve"
 	"github.com/banyanglade/banyanglade/internal/structs"
+	"github.com/banyanglade/banyanglade/internal/testkit/simnet"
 )
 
 // program simulates an agent program: a first turn, then requests in series, some of
@@ -61,7 +61,7 @@
 	return int((limit.PerSecond*duration.Seconds() + limit.Burst) / float64(typicalProgram.requests))
 }
 
-// At the usual load, 1/1.6 of the limit, an organisation gets all its requests.
+// At the typical load, 1/1.6 of the limit, an organisation gets all its requests.
 func TestBelowItsLimitAnOrganisationGetsAll(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// At 7.5 times the usual load, as many whole programs succeed as the limit carries.
+// At 7.5 times the typical load, as many whole programs succeed as the limit carries.
 func TestOverItsLimitAnOrganisationGetsWholePrograms(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
--- a/internal/allowance/permit.go
+++ b/internal/allowance/permit.go
@@ -6,7 +6,7 @@
 type permit struct {
 	manager *Manager
 	queue   *queue
-	// first indicates that it starts a program.
+	// first indicates that the request starts a program.
 	first bool
 }
 
--- a/internal/allowance/queue.go
+++ b/internal/allowance/queue.go
@@ -14,10 +14,10 @@
 	first bool
 	rank  int
 	// program is the hash of its program, 0 for none. reported indicates that the
-	// coordinator was notified of the request.
+	// program was sent to the coordinator with the request.
 	program  uint64
 	reported bool
-	// holdUntil is how long a request of a program in progress is held.
+	// holdUntil is the time until which a request of a program in progress is held.
 	holdUntil time.Time
 	decision  chan decision
 }
@@ -38,7 +38,8 @@
 	limit        org.Limit
 	version      int64
 	waiting      []*waiter
-	// Reruns and released permits to be reported with the next request.
+	// reruns counts the requests that ran again, returned and returnedStarts the released
+	// permits, since the last message to a coordinator.
 	reruns                   int
 	returned, returnedStarts int
 	// allocatedBy is the coordinator of the last allocation, the only one to which
--- a/internal/allowance/usage_test.go
+++ b/internal/allowance/usage_test.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Permits report the utilization of an organisation at its usual load, 1/1.6 of its
+// Permits report the utilization of an organisation at its typical load, 1/1.6 of its
 // limit, and of one at several times that.
 func TestPermitsReportUtilization(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	})
 }
 
-// remainingLevel returns what the coordinator of an organisation has left, after one request.
+// remainingLevel returns the level of an organisation's bucket after one request.
 func (c *cluster) remainingLevel(name string, limit org.Limit) float64 {
 	c.request(c.all()[0], name, limit, 1, false)
 	level := 0.0
@@ -126,6 +126,6 @@
 	q.returned = 3
 	q.applyReply(&structs.AllowanceReply{Outcome: structs.AllowanceNotCoordinator}, "a", time.Unix(100, 0))
 	if q.returned != 0 {
-		t.Error("permits are kept for the next coordinator")
+		t.Error("released permits are returned to the next coordinator")
 	}
 }
--- a/internal/budget/claim.go
+++ b/internal/budget/claim.go
@@ -97,7 +97,7 @@
 	return !errors.Is(err, platform.ErrBusy) && !errors.Is(err, platform.ErrRejected) && !errors.Is(err, errReadFailed)
 }
 
-// errReadFailed indicates that could not read the partition before a claim.
+// errReadFailed indicates that a partition could not be read before a claim.
 var errReadFailed = errors.New("could not read the partition")
 
 // claimOnce reads the partition and claims it unless another instance owns it. It
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -38,7 +38,7 @@
 	failures failureList
 }
 
-// failureList implements Breaks with target names only.
+// failureList implements TargetFailures with target names only.
 type failureList struct {
 	mu    sync.Mutex
 	names []string
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -33,11 +33,11 @@
 	Watch(peers []structs.InstanceID)
 }
 
-// TargetFailures holds the targets that recently broke connections. Owners pass them on with
-// their replies.
+// TargetFailures holds the targets that recently broke new connections. Owners pass
+// them on with their replies.
 type TargetFailures interface {
 	Breaks(now time.Time) []structs.TargetFailure
-	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
+	MergeBreaks(failures []structs.TargetFailure, now time.Time)
 }
 
 // Loads holds the load reports of targets. Instances share them in allotment requests
@@ -128,7 +128,8 @@
 	TargetFailures TargetFailures
 	Loads          Loads
 	Health         Health
-	// InstancesLoaded reports whether the list of instances is known; nil if it always is.
+	// InstancesLoaded reports whether the list of instances is loaded; nil if it
+	// always is.
 	InstancesLoaded func() bool
 	Scope           tally.Scope
 	Log             *slog.Logger
@@ -202,7 +203,7 @@
 	case *structs.ReservationSettle:
 		m.receiveSettle(msg)
 	case *structs.OwnerNotice:
-		m.receiveNotice(from, msg)
+		m.receiveOwnerNotice(from, msg)
 	case *structs.PartitionHandover:
 		m.receiveHandover(from, msg)
 	case *structs.HandoverReply:
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -370,7 +370,7 @@
 	})
 }
 
-// Breaks observed by one instance reach the others through the owners of their
+// Target failures observed by one instance reach the others through the owners of their
 // programs' budgets.
 func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
 	runInCluster(t, 4, func(t *testing.T, c *cluster) {
@@ -417,7 +417,7 @@
 		}
 		// The named instance considers another one the owner.
 		stale := first.manager.directory.Ranked(p.key())[0]
-		named.manager.receiveNotice(stale, &structs.OwnerNotice{
+		named.manager.receiveOwnerNotice(stale, &structs.OwnerNotice{
 			Owned: []structs.OwnedPartition{{Partition: p.number, Epoch: epoch - 1}},
 		})
 		for _, n := range c.all() {
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -36,7 +36,7 @@
 	return o.crashes
 }
 
-// crash describes the loss of a partition's accounts.
+// crash describes the crash of an owner, which lost a partition's accounts.
 type crash struct {
 	// owner held the accounts.
 	owner structs.InstanceID
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// receiveNotice updates the owners of partitions.
-func (m *Manager) receiveNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
+// receiveOwnerNotice updates the owners of partitions.
+func (m *Manager) receiveOwnerNotice(from structs.InstanceID, notice *structs.OwnerNotice) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, owned := range notice.Owned {
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -71,10 +71,10 @@
 	})
 }
 
-// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the budget
-// is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest, serve.ErrStoreUnavailable
-// if the store does not accept a record that is needed, serve.ErrNoOwner if no owner
-// is found, or the error of the context.
+// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the
+// budget is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest,
+// serve.ErrStoreUnavailable if the store does not accept a record that is needed,
+// serve.ErrNoOwner if no owner is found, or the error of the context.
 func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
@@ -241,7 +241,7 @@
 	defer m.mu.Unlock()
 	delete(m.pending, request.Lease)
 	if to != m.self.ID {
-		return // receiveReply gives back what a late answer grants
+		return // receiveReply returns the tokens that a late reply grants
 	}
 	m.spawn(func() {
 		select {
--- a/internal/budget/targetfailures.go
+++ b/internal/budget/targetfailures.go
@@ -6,7 +6,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ReportTargetFailures sends the targets that broke connections to the owners of
+// ReportTargetFailures sends the recent failures of targets to the owners of
 // partitions, which pass them on with their replies. It implements serve.Notices.
 func (m *Manager) ReportTargetFailures() {
 	notice := &structs.TargetFailureNotice{Failures: m.targetFailures.Breaks(time.Now())}
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -96,7 +96,7 @@
 		same := waiting(1002, 0, "claimant")
 		other := waiting(1003, 1, "silent")
 		m.mu.Unlock()
-		m.receiveNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
+		m.receiveOwnerNotice("claimant", &structs.OwnerNotice{Owned: []structs.OwnedPartition{{Partition: 0, Epoch: epoch}}})
 		select {
 		case got := <-unresponsive:
 			if got.outcome != structs.ReservationNotOwner || got.owner != "claimant" {
@@ -141,8 +141,8 @@
 	})
 }
 
-// When an owner loses power, turns wait no longer than the detection and the claim
-// take, and later turns do not wait.
+// When an owner loses power, turns wait no longer than its detection and the claim of
+// its partition take. Later turns do not wait.
 func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		const program, budget, maxTurn = "p", 100_000, 100
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// Version changes whenever the results of other methods may have changed.
+// Version returns a number that changes whenever the results of other methods may have
+// changed.
 func (d *Directory) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +171,7 @@
 	return d.byMachine[MachineOf(id)].ID == id && !d.unresponsive[id]
 }
 
-// Suspected reports whether an instance is listed but was unresponsive last.
+// Suspected reports whether an instance is listed and known to be unresponsive.
 func (d *Directory) Suspected(id structs.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -111,7 +111,7 @@
 
 func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
 
-// SettingsAge implements serve.Currency.
+// SettingsAge implements serve.Freshness.
 func (f *settingsFreshness) SettingsAge() time.Duration { return f.topic.Age(time.Now()) }
 
 // instanceList reports whether the list of instances is loaded. Its topic is set after
@@ -196,7 +196,7 @@
 	return e
 }
 
-// newRelay returns the relay node, which keeps the topics up to date.
+// newRelay returns the node that keeps the topics up to date.
 func (e *edge) newRelay() *relay.Node {
 	m := e.machine
 	return relay.New(relay.Config{
--- a/internal/edge/options.go
+++ b/internal/edge/options.go
@@ -84,7 +84,7 @@
 // Connections between instances.
 const (
 	// peerTimeout is how long a watched instance may be unresponsive. It should be well
-	// above the usual response time: the programs of a falsely suspected instance are
+	// above the typical response time: the programs of a falsely suspected instance are
 	// charged as after a crash.
 	peerTimeout = 600 * time.Millisecond
 	// peerDialTimeout bounds a dial. It has to allow for CPU throttling of a healthy
@@ -115,7 +115,7 @@
 	// headerTimeout bounds the time in which a caller sends the header of a request.
 	headerTimeout = 10 * time.Second
 	// callerIdleTimeout bounds how long a caller's connection stays open without a
-	// request. It is longer than the usual idle timeouts of callers, so that callers
+	// request. It is longer than the typical idle timeouts of callers, so that callers
 	// close first.
 	callerIdleTimeout = 2 * time.Minute
 	// maxHeaderBytes bounds the size of a request's header.
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -32,7 +32,7 @@
 	// between two reads of a reply.
 	topicsDialTimeout = 300 * time.Millisecond
 	topicsReadTimeout = 900 * time.Millisecond
-	// maxQueryWait bounds the wait that other instances may ask for.
+	// maxQueryWait bounds the wait that other instances may request.
 	maxQueryWait = 30 * time.Second
 	// maxReplyBytes bounds the size of a reply.
 	maxReplyBytes = 32 << 20
@@ -61,7 +61,7 @@
 	}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, replyCodec).Encode(reply); err != nil {
-		e.log.Error("answer to a query for topics not encoded", "error", err.Error())
+		e.log.Error("failed to encode the reply to a query for topics", "error", err.Error())
 		c.Status(http.StatusInternalServerError)
 		return
 	}
@@ -134,7 +134,7 @@
 	}
 	body, err := io.ReadAll(&timeoutReader{http.MaxBytesReader(nil, resp.Body, maxReplyBytes), timeout})
 	if err != nil {
-		return relay.Reply{}, errors.Wrap(err, "read the answer")
+		return relay.Reply{}, errors.Wrap(err, "read the reply")
 	}
 	var reply relay.Reply
 	if err := codec.NewDecoderBytes(body, replyCodec).Decode(&reply); err != nil {
--- a/internal/feed/copy.go
+++ b/internal/feed/copy.go
@@ -17,8 +17,8 @@
 type Copy struct {
 	// Whole indicates that the sender has loaded the whole topic.
 	Whole bool
-	// From is the offset that the receiver asked for, FromStart for the whole topic, Next
-	// the offset to ask for next time. The copy contains the effect of all records
+	// From is the offset that the receiver requested, FromStart for the whole topic. Next
+	// is the offset for its next request. The copy contains the effect of all records
 	// between them.
 	From int64
 	Next int64
@@ -41,7 +41,7 @@
 	wholeCopyTTL = 2 * time.Second
 )
 
-// copyCache caches encoded copies, since most receivers ask for the same offset.
+// copyCache caches encoded copies, since most receivers request the same offset.
 type copyCache struct {
 	lastChanged int64
 	byFrom      map[int64][]byte
@@ -139,7 +139,7 @@
 	if merged > 0 {
 		t.notify()
 	}
-	// A copy that ends before nextOffset says nothing about the records behind its end.
+	// A copy that ends before nextOffset does not confirm the records behind its end.
 	if c.Whole && c.AgeMs >= 0 && c.Next >= t.nextOffset {
 		t.confirm(requestedAt.Add(-time.Duration(c.AgeMs) * time.Millisecond))
 	}
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -13,7 +13,8 @@
 	// Ages maps each topic to the time since its copy was last known to be current, in
 	// seconds.
 	Ages map[string]float64 `json:"ages"`
-	// Slots are the known slot holders, Silent the addresses of unresponsive relays.
+	// Slots are the known slot holders, Unresponsive the addresses of
+	// unresponsive relays.
 	Slots        map[string]Holder `json:"slots"`
 	Unresponsive []string          `json:"silent,omitempty"`
 }
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -416,9 +416,9 @@
 }
 
 // updateHealth records a relay's report on the store where this instance does not read
-// the store itself. A relay that has not loaded a topic knows nothing about it. A relay
-// whose reads fail but whose copy is fresh, from other relays, is refused alone: that is
-// no outage, in which registrations lapse.
+// the store itself. Reports on topics that the relay has not loaded are ignored. If the
+// relay's reads fail but its copy is fresh, the store serves other relays: this is not
+// recorded as an outage, during which registrations would be allowed to lapse.
 func (n *Node) updateHealth(t *feed.Topic, update TopicReply) {
 	if !update.Whole || n.reading.Load() || (t == n.slots && n.WritesToStore()) {
 		return
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -211,8 +211,8 @@
 	})
 }
 
-// A relay that the store refuses alone is no outage for its followers: a target whose
-// registration ends meanwhile is removed rather than retained.
+// While the store refuses a single relay, the relay's followers record no outage: a
+// target whose registration ends meanwhile is removed rather than retained.
 func TestRefusedRelayIsNoOutageForItsFollowers(t *testing.T) {
 	topic := feed.NewTopic(targetsTopic, func(platform.Record) {})
 	health := feed.NewHealth()
--- a/internal/relay/reply.go
+++ b/internal/relay/reply.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/feed"
 )
 
-// Query asks an instance for updates of some topics.
+// Query requests updates of some topics from an instance.
 type Query struct {
 	// Offsets maps each topic to the offset from which its copy has to start,
 	// feed.FromStart for the whole topic.
