--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -205,8 +205,8 @@
 
 // reportedCrashes returns the crash count of a handover message. It is at least 1
 // after a crash, since older versions do not send a count.
-func reportedCrashes(crashes int, afterCrash bool) int {
-	if afterCrash {
+func reportedCrashes(crashes int, any bool) int {
+	if any {
 		return max(crashes, 1)
 	}
 	return crashes
