--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -34,7 +34,7 @@
 	// the record to be written, 0 if none is.
 	recorded     bool
 	pendingLimit int
-	// waiters wait for an allotment, in order of arrival.
+	// waiters wait for a reservation, in order of arrival.
 	waiters   []*waiter
 	retention time.Duration
 	lastUsed  time.Time
@@ -42,7 +42,7 @@
 	lastTarget string
 }
 
-// lease is the allotment of one turn.
+// lease is the reservation of one turn.
 type lease struct {
 	tokens int
 	// holderDown indicates that the turn's instance is unavailable: the lease counts
@@ -50,7 +50,7 @@
 	holderDown bool
 }
 
-// waiter is a turn that waits for an allotment. reply is called once.
+// waiter is a turn that waits for a reservation. reply is called once.
 type waiter struct {
 	lease     structs.LeaseID
 	maxTokens int
--- a/internal/budget/doc.go
+++ b/internal/budget/doc.go
@@ -4,8 +4,8 @@
 // # Owners
 //
 // Programs are hashed to the partitions of a topic in the store. Each partition has
-// one owner at a time. A turn requests an allotment of tokens from the owner before it
-// is sent to a target, and settles it afterwards with what the caller received. An owner
+// one owner at a time. A turn reserves tokens at the owner before it is sent to a target,
+// and settles the reservation afterwards with what the caller received. An owner
 // claims its partition by appending a record under a higher epoch, on the condition
 // that nothing was written since it read the partition. The store then rejects the
 // writes of all earlier owners.
--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -12,8 +12,8 @@
 // handoverTimeout bounds the wait for a successor's reply on shutdown.
 const handoverTimeout = 500 * time.Millisecond
 
-// Leave hands all partitions over to other instances. The Manager still requests
-// allotments for the turns of this instance from other owners.
+// Leave hands all partitions over to other instances. The Manager still reserves tokens
+// for the turns of this instance at other owners.
 func (m *Manager) Leave(ctx context.Context) {
 	m.leaving.Store(true)
 	m.directory.SetLeaving(m.self.ID)
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -40,8 +40,8 @@
 	MergeBreaks(failures []structs.TargetFailure, now time.Time)
 }
 
-// Loads holds the load reports of targets. Instances share them in allotment requests
-// and replies.
+// Loads holds the load reports of targets. Instances share them in reservation
+// requests and replies.
 type Loads interface {
 	// OwnLoadReports returns the newest reports that targets sent to this instance.
 	OwnLoadReports(now time.Time) []structs.TargetReport
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// admit handles an allotment request at the owner. The mutex is held.
+// admit handles a reservation request at the owner. The mutex is held.
 func (m *Manager) admit(p *partition, r structs.ReservationRequest, reply func(result)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -27,7 +27,7 @@
 	ownerRetryInterval = 20 * time.Millisecond
 )
 
-// result is the outcome of one allotment request.
+// result is the outcome of one reservation request.
 type result struct {
 	outcome structs.ReservationOutcome
 	// owner is the owner named in the reply; empty if unknown.
@@ -48,7 +48,7 @@
 	result  chan result
 }
 
-// reservation is the allotment of a turn of this instance.
+// reservation is the granted reservation of a turn of this instance.
 type reservation struct {
 	manager *Manager
 	request structs.ReservationRequest
@@ -71,7 +71,7 @@
 	})
 }
 
-// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the
+// Reserve waits for a reservation for a turn. It returns serve.ErrBudgetSpent if the
 // budget is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest,
 // serve.ErrStoreUnavailable if the store does not accept a record that is needed,
 // serve.ErrNoOwner if no owner is found, or the error of the context.
@@ -85,7 +85,7 @@
 	return lease, err
 }
 
-// reserve waits for an allotment until the context ends.
+// reserve waits for a reservation until the context ends.
 func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := m.partitionOf(turn.Program)
 	request := structs.ReservationRequest{
