--- a/internal/budget/handover.go
+++ b/internal/budget/handover.go
@@ -12,8 +12,8 @@
 // handoverTimeout bounds the wait for a successor's reply on shutdown.
 const handoverTimeout = 500 * time.Millisecond
 
-// Leave hands all partitions over to other instances. The Manager still requests
-// allotments for the turns of this instance from other owners.
+// Leave hands all partitions over to other instances. The Manager still reserves tokens
+// for the turns of this instance at other owners.
 func (m *Manager) Leave(ctx context.Context) {
 	m.leaving.Store(true)
 	m.directory.SetLeaving(m.self.ID)
@@ -140,8 +140,8 @@
 	message := &structs.PartitionHandover{
 		Number: m.nextNumber(), Partition: p.number, Epoch: p.own.epoch, Crashes: p.own.crashes,
 	}
-	if l := p.own.crash; l != nil {
-		message.CrashedOwner, message.SinceCrash = l.owner, now.Sub(l.at)
+	if c := p.own.crash; c != nil {
+		message.CrashedOwner, message.SinceCrash = c.owner, now.Sub(c.at)
 	}
 	for _, a := range p.own.accounts {
 		message.Accounts = append(message.Accounts, a.export(now))
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -33,15 +33,15 @@
 	Watch(peers []structs.InstanceID)
 }
 
-// Breaks holds the targets that recently broke connections. Owners pass them on with
-// their replies.
-type Breaks interface {
+// TargetFailures holds the targets that recently broke new connections. Owners pass
+// them on with their replies.
+type TargetFailures interface {
 	Breaks(now time.Time) []structs.TargetFailure
-	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
+	MergeBreaks(failures []structs.TargetFailure, now time.Time)
 }
 
-// Loads holds the load reports of targets. Instances share them in allotment requests
-// and replies.
+// Loads holds the load reports of targets. Instances share them in reservation
+// requests and replies.
 type Loads interface {
 	// OwnLoadReports returns the newest reports that targets sent to this instance.
 	OwnLoadReports(now time.Time) []structs.TargetReport
@@ -62,21 +62,21 @@
 // that this instance owns, through their owners for the others. It is safe for
 // concurrent use.
 type Manager struct {
-	self      structs.Peer
-	directory *directory.Directory
-	store     Store
-	peers     Peers
-	breaks    Breaks
-	loads     Loads
-	health    Health
-	log       *slog.Logger
-	metrics   metrics
+	self           structs.Peer
+	directory      *directory.Directory
+	store          Store
+	peers          Peers
+	targetFailures TargetFailures
+	loads          Loads
+	health         Health
+	log            *slog.Logger
+	metrics        metrics
 	// ctx ends with the Manager.
-	ctx     context.Context
-	work    sync.WaitGroup
-	leaving atomic.Bool
-	listed  func() bool
-	started time.Time
+	ctx             context.Context
+	work            sync.WaitGroup
+	leaving         atomic.Bool
+	instancesLoaded func() bool
+	started         time.Time
 
 	mu sync.Mutex
 	// stopped indicates that no more background work is started.
@@ -122,24 +122,25 @@
 type Config struct {
 	Directory *directory.Directory
 	// Partitions is the number of partitions of the topic.
-	Partitions int
-	Store      Store
-	Peers      Peers
-	Breaks     Breaks
-	Loads      Loads
-	Health     Health
-	// Listed reports whether the list of instances is known; nil if it always is.
-	Listed func() bool
-	Scope  tally.Scope
-	Log    *slog.Logger
+	Partitions     int
+	Store          Store
+	Peers          Peers
+	TargetFailures TargetFailures
+	Loads          Loads
+	Health         Health
+	// InstancesLoaded reports whether the list of instances is loaded; nil if it
+	// always is.
+	InstancesLoaded func() bool
+	Scope           tally.Scope
+	Log             *slog.Logger
 }
 
 // New creates a Manager that runs until the context ends.
 func New(ctx context.Context, config Config) *Manager {
 	m := &Manager{
 		self: config.Directory.Self(), directory: config.Directory, store: config.Store, peers: config.Peers,
-		breaks: config.Breaks, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
-		listed: config.Listed, started: time.Now(),
+		targetFailures: config.TargetFailures, loads: config.Loads, health: config.Health, log: config.Log, metrics: newMetrics(config.Scope), ctx: ctx,
+		instancesLoaded: config.InstancesLoaded, started: time.Now(),
 		pending:   make(map[structs.LeaseID]*pendingRequest),
 		handovers: make(map[uint64]chan bool),
 		probes:    make(map[structs.InstanceID][]chan struct{}),
@@ -202,13 +203,13 @@
 	case *structs.ReservationSettle:
 		m.receiveSettle(msg)
 	case *structs.OwnerNotice:
-		m.receiveNotice(from, msg)
+		m.receiveOwnerNotice(from, msg)
 	case *structs.PartitionHandover:
 		m.receiveHandover(from, msg)
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
 	case *structs.TargetFailureNotice:
-		m.breaks.MergeBreaks(msg.Failures, time.Now())
+		m.targetFailures.MergeBreaks(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
@@ -232,8 +233,8 @@
 func (m *Manager) Run(ctx context.Context) {
 	claim := time.NewTicker(claimInterval)
 	defer claim.Stop()
-	relief := time.NewTicker(evacuateInterval)
-	defer relief.Stop()
+	evacuation := time.NewTicker(evacuateInterval)
+	defer evacuation.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
@@ -243,7 +244,7 @@
 			return
 		case <-claim.C:
 			m.claimVacant()
-		case <-relief.C:
+		case <-evacuation.C:
 			if !m.health.OK() && !m.leaving.Load() {
 				m.evacuate(ctx)
 			}
@@ -281,7 +282,7 @@
 const listTimeout = 500 * time.Millisecond
 
 // instancesKnown reports whether the list of instances is known.
-func (m *Manager) instancesKnown() bool { return m.listed == nil || m.listed() }
+func (m *Manager) instancesKnown() bool { return m.instancesLoaded == nil || m.instancesLoaded() }
 
 // mayClaim reports whether this instance may claim a partition on request.
 func (m *Manager) mayClaim() bool { return m.instancesKnown() || time.Since(m.started) > listTimeout }
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -370,7 +370,7 @@
 	})
 }
 
-// Breaks observed by one instance reach the others through the owners of their
+// Target failures observed by one instance reach the others through the owners of their
 // programs' budgets.
 func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
 	runInCluster(t, 4, func(t *testing.T, c *cluster) {
@@ -383,12 +383,12 @@
 		}
 		first := c.all()[0]
 		runAll(first)
-		first.breaks.MergeBreaks([]structs.TargetFailure{{Target: "down"}}, time.Now())
+		first.failures.MergeBreaks([]structs.TargetFailure{{Target: "down"}}, time.Now())
 		first.manager.ReportTargetFailures()
 		time.Sleep(2 * simnet.LinkLatency)
 		for _, n := range c.all() {
 			runAll(n)
-			if got := n.breaks.Breaks(time.Now()); len(got) != 1 || got[0].Target != "down" {
+			if got := n.failures.Breaks(time.Now()); len(got) != 1 || got[0].Target != "down" {
 				t.Errorf("%s knows %v", n.ID, got)
 			}
 		}
@@ -405,7 +405,7 @@
 		c.Store.Set(metastore.Fault{})
 		first := c.all()[0]
 		p := first.manager.partitionOf("p")
-		named := c.lives.ByID(first.manager.directory.Ranked(p.key())[1])
+		named := c.nodes.ByID(first.manager.directory.Ranked(p.key())[1])
 		const epoch = 100
 		_, err := c.Store.Append(t.Context(), platform.Append{
 			Topic: topic, Partition: p.number,
@@ -417,7 +417,7 @@
 		}
 		// The named instance considers another one the owner.
 		stale := first.manager.directory.Ranked(p.key())[0]
-		named.manager.receiveNotice(stale, &structs.OwnerNotice{
+		named.manager.receiveOwnerNotice(stale, &structs.OwnerNotice{
 			Owned: []structs.OwnedPartition{{Partition: p.number, Epoch: epoch - 1}},
 		})
 		for _, n := range c.all() {
--- a/internal/budget/ownership.go
+++ b/internal/budget/ownership.go
@@ -36,7 +36,7 @@
 	return o.crashes
 }
 
-// crash describes the loss of a partition's accounts.
+// crash describes the crash of an owner, which lost a partition's accounts.
 type crash struct {
 	// owner held the accounts.
 	owner structs.InstanceID
@@ -51,7 +51,7 @@
 	}
 }
 
-// admit handles an allotment request at the owner. The mutex is held.
+// admit handles a reservation request at the owner. The mutex is held.
 func (m *Manager) admit(p *partition, r structs.ReservationRequest, reply func(result)) {
 	a, ok := p.own.accounts[r.Program]
 	if !ok {
@@ -185,13 +185,13 @@
 // return and their owner is known to have ended: until then it might still allocate
 // tokens without a record. The mutex is held.
 func (m *Manager) expireCrash(p *partition, now time.Time) {
-	l := p.own.crash
-	if l == nil || !m.directory.Ended(l.owner) {
+	c := p.own.crash
+	if c == nil || !m.directory.Ended(c.owner) {
 		return
 	}
-	if now.Sub(l.at) > longestRetention(p.own.accounts) {
+	if now.Sub(c.at) > longestRetention(p.own.accounts) {
 		p.own.crash = nil
-		m.log.Info("charge for lost accounts ended", "partition", p.number, "epoch", p.own.epoch, "owner", l.owner)
+		m.log.Info("charge for lost accounts ended", "partition", p.number, "epoch", p.own.epoch, "owner", c.owner)
 	}
 }
 
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -27,7 +27,7 @@
 	ownerRetryInterval = 20 * time.Millisecond
 )
 
-// result is the outcome of one allotment request.
+// result is the outcome of one reservation request.
 type result struct {
 	outcome structs.ReservationOutcome
 	// owner is the owner named in the reply; empty if unknown.
@@ -48,7 +48,7 @@
 	result  chan result
 }
 
-// reservation is the allotment of a turn of this instance.
+// reservation is the granted reservation of a turn of this instance.
 type reservation struct {
 	manager *Manager
 	request structs.ReservationRequest
@@ -57,24 +57,24 @@
 }
 
 // LastTarget returns the target of the program's last turn; empty if unknown.
-func (h reservation) LastTarget() string { return h.target }
+func (r reservation) LastTarget() string { return r.target }
 
 // FirstTurn reports whether no turn of the program has run yet, as far as its owner
 // knows.
-func (h reservation) FirstTurn() bool { return h.first }
+func (r reservation) FirstTurn() bool { return r.first }
 
 // Settle returns the unused tokens and reports how the turn ended.
-func (h reservation) Settle(end serve.TurnResult) {
-	h.manager.receiveSettle(&structs.ReservationSettle{
-		Lease: h.request.Lease, Partition: h.request.Partition, Program: h.request.Program, Used: end.UsedTokens,
-		Target: end.Target, Failed: end.Failed,
+func (r reservation) Settle(turnResult serve.TurnResult) {
+	r.manager.receiveSettle(&structs.ReservationSettle{
+		Lease: r.request.Lease, Partition: r.request.Partition, Program: r.request.Program, Used: turnResult.UsedTokens,
+		Target: turnResult.Target, Failed: turnResult.Failed,
 	})
 }
 
-// Reserve waits for an allotment for a turn. It returns serve.ErrBudgetSpent if the budget
-// is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest, serve.ErrStoreUnavailable
-// if the store does not accept a record that is needed, serve.ErrNoOwner if no owner
-// is found, or the error of the context.
+// Reserve waits for a reservation for a turn. It returns serve.ErrBudgetSpent if the
+// budget is exhausted, serve.ErrBudgetHeld if turns in progress hold the rest,
+// serve.ErrStoreUnavailable if the store does not accept a record that is needed,
+// serve.ErrNoOwner if no owner is found, or the error of the context.
 func (m *Manager) Reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	wait, cancel := context.WithTimeout(ctx, admissionTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 	return lease, err
 }
 
-// reserve waits for an allotment until the context ends.
+// reserve waits for a reservation until the context ends.
 func (m *Manager) reserve(ctx context.Context, turn serve.Turn) (serve.Lease, error) {
 	p := m.partitionOf(turn.Program)
 	request := structs.ReservationRequest{
@@ -147,7 +147,7 @@
 	to := s.candidate()
 	request.Redirected = to != "" && to == s.redirect
 	if to == m.self.ID {
-		m.request(s.partition, *request, func(got result) { results <- got })
+		m.handleRequest(s.partition, *request, func(got result) { results <- got })
 	} else if to != "" {
 		m.pending[request.Lease] = &pendingRequest{owner: to, request: *request, result: results}
 	}
@@ -241,7 +241,7 @@
 	defer m.mu.Unlock()
 	delete(m.pending, request.Lease)
 	if to != m.self.ID {
-		return // receiveReply gives back what a late answer grants
+		return // receiveReply returns the tokens that a late reply grants
 	}
 	m.spawn(func() {
 		select {
@@ -256,7 +256,7 @@
 
 // receiveReply handles the reply of another owner.
 func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.ReservationReply) {
-	m.breaks.MergeBreaks(msg.Failures, time.Now())
+	m.targetFailures.MergeBreaks(msg.Failures, time.Now())
 	m.loads.MergeLoadReports(msg.Loads, time.Now())
 	m.loads.MergePoolReports(msg.Pools, time.Now())
 	m.mu.Lock()
@@ -281,19 +281,19 @@
 	m.loads.MergeLoadReports(r.Loads, time.Now())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.request(m.partitions[r.Partition], r, func(got result) {
+	m.handleRequest(m.partitions[r.Partition], r, func(got result) {
 		m.peers.Send(from, &structs.ReservationReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
-			Failures: m.breaks.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
+			Failures: m.targetFailures.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
 			Loads: m.loads.LoadReports(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
 }
 
-// request admits the turn if this instance owns the partition, names the owner if
+// handleRequest admits the turn if this instance owns the partition, names the owner if
 // another available instance does, and claims the partition otherwise. The mutex is
 // held.
-func (m *Manager) request(p *partition, r structs.ReservationRequest, reply func(result)) {
+func (m *Manager) handleRequest(p *partition, r structs.ReservationRequest, reply func(result)) {
 	if r.Redirected && p.own == nil {
 		// Either a claim of this instance took effect without a response, or the
 		// sender is mistaken. Forget the owner, so that the store is read again.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -111,8 +111,8 @@
 
 func newSettingsFreshness() *settingsFreshness { return new(settingsFreshness) }
 
-// SettingsAge implements serve.Currency.
-func (c *settingsFreshness) SettingsAge() time.Duration { return c.topic.Age(time.Now()) }
+// SettingsAge implements serve.Freshness.
+func (f *settingsFreshness) SettingsAge() time.Duration { return f.topic.Age(time.Now()) }
 
 // instanceList reports whether the list of instances is loaded. Its topic is set after
 // the components that use it are built.
@@ -196,7 +196,7 @@
 	return e
 }
 
-// newRelay returns the relay node, which keeps the topics up to date.
+// newRelay returns the node that keeps the topics up to date.
 func (e *edge) newRelay() *relay.Node {
 	m := e.machine
 	return relay.New(relay.Config{
--- a/internal/edge/topics.go
+++ b/internal/edge/topics.go
@@ -32,7 +32,7 @@
 	// between two reads of a reply.
 	topicsDialTimeout = 300 * time.Millisecond
 	topicsReadTimeout = 900 * time.Millisecond
-	// maxQueryWait bounds the wait that other instances may ask for.
+	// maxQueryWait bounds the wait that other instances may request.
 	maxQueryWait = 30 * time.Second
 	// maxReplyBytes bounds the size of a reply.
 	maxReplyBytes = 32 << 20
@@ -61,7 +61,7 @@
 	}
 	var body []byte
 	if err := codec.NewEncoderBytes(&body, replyCodec).Encode(reply); err != nil {
-		e.log.Error("answer to a query for topics not encoded", "error", err.Error())
+		e.log.Error("failed to encode the reply to a query for topics", "error", err.Error())
 		c.Status(http.StatusInternalServerError)
 		return
 	}
@@ -115,7 +115,7 @@
 
 // Query implements relay.Peers. The timeout is extended with each read, since a relay
 // that serves many starting instances may send its reply slowly.
-func (t *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
+func (c *topicsClient) Query(ctx context.Context, address string, q relay.Query) (relay.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timeout := time.AfterFunc(q.Wait+q.ReplyTimeout, cancel)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "create the query")
 	}
-	resp, err := t.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return relay.Reply{}, errors.Wrap(err, "ask")
 	}
@@ -134,7 +134,7 @@
 	}
 	body, err := io.ReadAll(&timeoutReader{http.MaxBytesReader(nil, resp.Body, maxReplyBytes), timeout})
 	if err != nil {
-		return relay.Reply{}, errors.Wrap(err, "read the answer")
+		return relay.Reply{}, errors.Wrap(err, "read the reply")
 	}
 	var reply relay.Reply
 	if err := codec.NewDecoderBytes(body, replyCodec).Decode(&reply); err != nil {
--- a/internal/relay/dump.go
+++ b/internal/relay/dump.go
@@ -13,9 +13,10 @@
 	// Ages maps each topic to the time since its copy was last known to be current, in
 	// seconds.
 	Ages map[string]float64 `json:"ages"`
-	// Slots are the known slot holders, Silent the addresses of unresponsive relays.
-	Slots  map[string]Holder `json:"slots"`
-	Silent []string          `json:"silent,omitempty"`
+	// Slots are the known slot holders, Unresponsive the addresses of
+	// unresponsive relays.
+	Slots        map[string]Holder `json:"slots"`
+	Unresponsive []string          `json:"silent,omitempty"`
 }
 
 // Dump returns the state of this instance's topics.
@@ -31,7 +32,7 @@
 	defer n.mu.Unlock()
 	for address, f := range n.failures {
 		if !f.unresponsiveSince.IsZero() {
-			d.Silent = append(d.Silent, address)
+			d.Unresponsive = append(d.Unresponsive, address)
 		}
 	}
 	return d
