--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -44,7 +44,7 @@
 	names []string
 }
 
-func (b *failureList) Breaks(time.Time) []structs.TargetFailure {
+func (b *failureList) TargetFailures(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var failures []structs.TargetFailure
@@ -61,7 +61,7 @@
 func (b *failureList) MergePoolReports([]structs.PoolReport, time.Time)   {}
 func (b *failureList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *failureList) MergeBreaks(failures []structs.TargetFailure, _ time.Time) {
+func (b *failureList) MergeTargetFailures(failures []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range failures {
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -36,8 +36,8 @@
 // TargetFailures holds the targets that recently broke new connections. Owners pass
 // them on with their replies.
 type TargetFailures interface {
-	Breaks(now time.Time) []structs.TargetFailure
-	MergeBreaks(failures []structs.TargetFailure, now time.Time)
+	TargetFailures(now time.Time) []structs.TargetFailure
+	MergeTargetFailures(failures []structs.TargetFailure, now time.Time)
 }
 
 // Loads holds the load reports of targets. Instances share them in reservation
@@ -209,7 +209,7 @@
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
 	case *structs.TargetFailureNotice:
-		m.targetFailures.MergeBreaks(msg.Failures, time.Now())
+		m.targetFailures.MergeTargetFailures(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
--- a/internal/budget/targetfailures.go
+++ b/internal/budget/targetfailures.go
@@ -9,7 +9,7 @@
 // ReportTargetFailures sends the recent failures of targets to the owners of
 // partitions, which pass them on with their replies. It implements serve.Notices.
 func (m *Manager) ReportTargetFailures() {
-	notice := &structs.TargetFailureNotice{Failures: m.targetFailures.Breaks(time.Now())}
+	notice := &structs.TargetFailureNotice{Failures: m.targetFailures.TargetFailures(time.Now())}
 	for _, owner := range m.otherOwners() {
 		m.peers.Send(owner, notice)
 	}
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -146,7 +146,7 @@
 	work.Go(func() { pool.Run(ctx) })
 	w.server = New(Config{
 		Codec: platform.Codec{}, Targets: w.targets, Pool: pool, Budgets: w.budgets, Conversations: w.conversations,
-		Notices: w, Health: &w.health, Freshness: &w.currency,
+		FailureReporter: w, Health: &w.health, Freshness: &w.currency,
 		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(w.log, nil)),
 	})
 	w.server.SetTable(route.NewTable(testRoutes()))
