--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -272,7 +272,7 @@
 	}
 	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
 		p := c.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.Reporting, Targets: p.Usable, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
+		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.ReportingTargets, UsableTargets: p.UsableTargets, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
 		s.viewAt = now
 		s.metrics.observe(s.view)
 	}
@@ -293,20 +293,20 @@
 func DescribeRefusal(r Request, v policy.AdmissionVerdict) string {
 	return fmt.Sprintf("%s: service %s at utilization %.2f, %d of %d targets reporting, reports %d ms old; class %s, rank %d, "+
 		"organisation at %.2f of its limit; fraction %.2f of such requests refused; capacity expected in %s",
-		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.Targets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
+		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.UsableTargets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
 		r.Usage, v.RefusalProbability, v.RetryAfter)
 }
 
 // Dump is the state of a service in a dump.
 type Dump struct {
-	Service        string  `json:"service"`
-	Utilization    float64 `json:"fill"`
-	Reporting      int     `json:"known"`
-	Usable         int     `json:"all"`
-	AgeMs          int64   `json:"age_ms"`
-	MeanDurationMs int64   `json:"usual_ms"`
-	Admitted       int64   `json:"admitted"`
-	Refused        int64   `json:"refused"`
+	Service          string  `json:"service"`
+	Utilization      float64 `json:"fill"`
+	ReportingTargets int     `json:"known"`
+	UsableTargets    int     `json:"all"`
+	ReportAgeMs      int64   `json:"age_ms"`
+	MeanDurationMs   int64   `json:"usual_ms"`
+	Admitted         int64   `json:"admitted"`
+	Refused          int64   `json:"refused"`
 }
 
 // Dump returns the state of all services, sorted by name.
@@ -317,7 +317,7 @@
 	for name := range c.services {
 		s := c.service(name, now)
 		all = append(all, Dump{
-			Service: name, Utilization: s.view.Utilization, Reporting: s.view.ReportingTargets, Usable: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
+			Service: name, Utilization: s.view.Utilization, ReportingTargets: s.view.ReportingTargets, UsableTargets: s.view.UsableTargets, ReportAgeMs: s.view.ReportAge.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Utilization: utilization, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
+	return targets.Pool{Utilization: utilization, ReportingTargets: 40, UsableTargets: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
@@ -120,7 +120,7 @@
 		}
 	}
 	dump := c.Dump(start)
-	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Reporting != 40 {
+	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].ReportingTargets != 40 {
 		t.Errorf("dump %+v", dump)
 	}
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Load is the state of a pool that the admission rule looks at.
-type Load struct {
+// QueueState is the state of a pool that the admission rule looks at.
+type QueueState struct {
 	// Waiting is the number of calls queued for the pool, Limit its maximum.
 	Waiting, Limit int
 	// TeamWaiting is the number of the team's queued calls, TeamLimit its
@@ -43,18 +43,18 @@
 // Admit decides whether a call may be queued. The queue limits always apply; the
 // check of the expected wait against the deadline applies if the admission rule
 // is enabled.
-func Admit(rules structs.Rules, load Load) Verdict {
-	if load.Waiting >= load.Limit || load.TeamWaiting >= load.TeamLimit {
-		return refuse(load.Wait)
+func Admit(rules structs.Rules, queue QueueState) Verdict {
+	if queue.Waiting >= queue.Limit || queue.TeamWaiting >= queue.TeamLimit {
+		return refuse(queue.Wait)
 	}
-	if !rules.Admission || load.Remaining <= 0 {
+	if !rules.Admission || queue.Remaining <= 0 {
 		return Verdict{Admit: true}
 	}
-	allowed := load.Remaining - min(load.CallTime, load.Remaining/2)
-	if load.FirstCall {
-		allowed = min(allowed, time.Duration(firstCallFraction*float64(load.Remaining)))
+	allowed := queue.Remaining - min(queue.CallTime, queue.Remaining/2)
+	if queue.FirstCall {
+		allowed = min(allowed, time.Duration(firstCallFraction*float64(queue.Remaining)))
 	}
-	if excess := load.Wait - allowed; excess > 0 {
+	if excess := queue.Wait - allowed; excess > 0 {
 		return refuse(excess)
 	}
 	return Verdict{Admit: true}
--- /dev/null
+++ b/internal/policy/earlyretry.go
@@ -0,0 +1,68 @@
+package policy
+
+// A few requests that may run twice are lost or reach a slow target. A hedged
+// send rescues them, but under overload hedging makes things worse, so it is
+// limited by a budget.
+
+import "time"
+
+const (
+	// tailFraction is the fraction of requests that take longer than
+	// TailLatency.
+	tailFraction = 0.01
+	// tailStep is the step size of TailLatency, as a fraction of it.
+	tailStep = 0.2
+	// minTailSamples is the number of samples required before TailLatency is
+	// used.
+	minTailSamples = 50
+	// earlyRetryTimeoutFactor is the ratio of the hedge delay to TailLatency.
+	earlyRetryTimeoutFactor = 1.25
+	// earlyRetryRatio is the number of hedges allowed per request, maxEarlyRetryCredit the
+	// maximum that can accumulate.
+	earlyRetryRatio     = 0.015
+	maxEarlyRetryCredit = 2
+	// maxEarlyRetryUtilization is the utilization of a service from which on nothing
+	// is hedged.
+	maxEarlyRetryUtilization = 0.8
+)
+
+// EarlyRetry decides when to hedge one kind of request.
+type EarlyRetry struct {
+	// TailLatency estimates the latency that only tailFraction of the requests
+	// exceed.
+	TailLatency time.Duration
+	samples     int
+	// credit is the number of hedges available.
+	credit float64
+}
+
+// Add records the latency of a request.
+func (e *EarlyRetry) Add(took time.Duration) {
+	e.samples++
+	e.credit = min(e.credit+earlyRetryRatio, maxEarlyRetryCredit)
+	if e.TailLatency == 0 {
+		e.TailLatency = took
+		return
+	}
+	step := float64(e.TailLatency) * tailStep
+	if took > e.TailLatency {
+		e.TailLatency += time.Duration(step * (1 - tailFraction))
+		return
+	}
+	e.TailLatency -= time.Duration(step * tailFraction)
+}
+
+// Timeout returns the time after which a request is hedged at the given
+// utilization of the service, and false if it must not be hedged.
+func (e *EarlyRetry) Timeout(utilization float64) (time.Duration, bool) {
+	if e.samples < minTailSamples || e.credit < 1 || utilization >= maxEarlyRetryUtilization {
+		return 0, false
+	}
+	return time.Duration(earlyRetryTimeoutFactor * float64(e.TailLatency)), true
+}
+
+// RecordRetry records a hedge, whose first send exceeded TailLatency.
+func (e *EarlyRetry) RecordRetry() {
+	e.credit--
+	e.Add(e.TailLatency + 1)
+}
--- a/internal/policy/capacity.go
+++ b/internal/policy/loadshedding.go
@@ -45,7 +45,7 @@
 	// average age of the reports.
 	Utilization      float64
 	ReportingTargets int
-	Targets          int
+	UsableTargets    int
 	ReportAge        time.Duration
 	// SpeedsLearned reports whether the targets' speeds are known. Without them
 	// busy targets cannot be distinguished from slow ones.
@@ -64,7 +64,7 @@
 // HasEnoughData reports whether enough is known about the pool to refuse
 // requests.
 func (p PoolLoad) HasEnoughData() bool {
-	return p.SpeedsLearned && p.Targets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.Targets)
+	return p.SpeedsLearned && p.UsableTargets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.UsableTargets)
 }
 
 // Full reports whether all slots are known to be in use.
--- a/internal/policy/capacity_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -7,7 +7,7 @@
 
 // pool returns the load of many targets, most of which have reported.
 func pool(utilization float64) PoolLoad {
-	return PoolLoad{Service: "s", Utilization: utilization, ReportingTargets: 40, Targets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
+	return PoolLoad{Service: "s", Utilization: utilization, ReportingTargets: 40, UsableTargets: 44, ReportAge: 300 * time.Millisecond, SpeedsLearned: true}
 }
 
 // admittedFraction returns the fraction of programs that are admitted, with
@@ -42,8 +42,8 @@
 		{"overdue at high overload", late, pool(2), 0.2, 0.5},
 		{"in progress", AdmissionRequest{Class: ClassInProgress}, pool(4), 1, 1},
 		{"outside programs", AdmissionRequest{}, pool(4), 1, 1},
-		{"few targets", first, PoolLoad{Utilization: 9, ReportingTargets: 1, Targets: 1}, 1, 1},
-		{"few reports", first, PoolLoad{Utilization: 9, ReportingTargets: 5, Targets: 44}, 1, 1},
+		{"few targets", first, PoolLoad{Utilization: 9, ReportingTargets: 1, UsableTargets: 1}, 1, 1},
+		{"few reports", first, PoolLoad{Utilization: 9, ReportingTargets: 5, UsableTargets: 44}, 1, 1},
 		{"no reports", first, PoolLoad{}, 1, 1},
 	} {
 		if got := admittedFraction(test.request, test.pool); got < test.lowest || got > test.highest {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,23 +11,23 @@
 	rules := structs.DefaultRules()
 	off := rules
 	off.Admission = false
-	base := Load{Limit: 10, TeamLimit: 10, CallTime: time.Second, Remaining: 10 * time.Second}
+	base := QueueState{Limit: 10, TeamLimit: 10, CallTime: time.Second, Remaining: 10 * time.Second}
 	tests := []struct {
 		name   string
 		rules  structs.Rules
-		change func(*Load)
+		change func(*QueueState)
 		admit  bool
 	}{
-		{"empty queue", rules, func(*Load) {}, true},
-		{"full queue", rules, func(l *Load) { l.Waiting = 10 }, false},
-		{"full queue, rule off", off, func(l *Load) { l.Waiting = 10 }, false},
-		{"full team", rules, func(l *Load) { l.TeamWaiting = 10 }, false},
-		{"starts in time", rules, func(l *Load) { l.Wait = 8 * time.Second }, true},
-		{"starts too late", rules, func(l *Load) { l.Wait = 9500 * time.Millisecond }, false},
-		{"starts too late, rule off", off, func(l *Load) { l.Wait = time.Hour }, true},
-		{"new program behind a long wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 3*time.Second }, false},
-		{"new program behind a short wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 2*time.Second }, true},
-		{"no deadline", rules, func(l *Load) { l.Remaining, l.Wait = 0, time.Hour }, true},
+		{"empty queue", rules, func(*QueueState) {}, true},
+		{"full queue", rules, func(l *QueueState) { l.Waiting = 10 }, false},
+		{"full queue, rule off", off, func(l *QueueState) { l.Waiting = 10 }, false},
+		{"full team", rules, func(l *QueueState) { l.TeamWaiting = 10 }, false},
+		{"starts in time", rules, func(l *QueueState) { l.Wait = 8 * time.Second }, true},
+		{"starts too late", rules, func(l *QueueState) { l.Wait = 9500 * time.Millisecond }, false},
+		{"starts too late, rule off", off, func(l *QueueState) { l.Wait = time.Hour }, true},
+		{"new program behind a long wait", rules, func(l *QueueState) { l.FirstCall, l.Wait = true, 3*time.Second }, false},
+		{"new program behind a short wait", rules, func(l *QueueState) { l.FirstCall, l.Wait = true, 2*time.Second }, true},
+		{"no deadline", rules, func(l *QueueState) { l.Remaining, l.Wait = 0, time.Hour }, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -67,7 +67,7 @@
 	now := time.Now()
 	x.failedTarget = target.Incarnation()
 	x.server.targets.RecordFailure(target, now)
-	if x.server.targets.RecordBreak(target, now) {
+	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
 		x.server.notices.ReportTargetBreaks()
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		x.detail = err.Error()
 		x.excludeIfTimedOut(target, err)
-		x.recordHedge(target, err, x.sentAt)
+		x.recordEarlyRetry(target, err, x.sentAt)
 		return x.handleBrokenResponse(target)
 	}
 	x.reason = reasonServed
--- a/internal/serve/hedge_test.go
+++ b/internal/serve/earlyretry_test.go
@@ -10,9 +10,9 @@
 	"github.com/banyanglade/banyanglade/internal/targets"
 )
 
-// newHedgeHarness returns a harness with two targets and a learned latency. The first
+// newEarlyRetryHarness returns a harness with two targets and a learned latency. The first
 // request sent to a target gets no response.
-func newHedgeHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
+func newEarlyRetryHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
 	w := newHarness(t)
 	var sends atomic.Int64
 	handle := func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 // A repeatable request is sent to another target after a time that responses rarely
 // exceed, long before its timeout.
 func TestStragglerIsSentAgain(t *testing.T) {
-	w, sends := newHedgeHarness(t, "safe")
+	w, sends := newEarlyRetryHarness(t, "safe")
 	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
@@ -47,8 +47,8 @@
 }
 
 // A request that may run once only is not hedged.
-func TestOnceRequestIsNotHedged(t *testing.T) {
-	w, sends := newHedgeHarness(t, "short")
+func TestOnceRequestIsNotRetriedEarly(t *testing.T) {
+	w, sends := newEarlyRetryHarness(t, "short")
 	if got := w.do(w.request("POST", "/short/", "b")); got.status == 200 {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -50,9 +50,9 @@
 	scope   tally.Scope
 	sends   tally.Counter
 	resumed tally.Counter
-	// hedges counts sends cancelled in favour of a hedge.
-	hedges   tally.Counter
-	byReason map[reason]reasonMetrics
+	// earlyRetries counts sends cancelled in favour of a hedge.
+	earlyRetries tally.Counter
+	byReason     map[reason]reasonMetrics
 }
 
 type reasonMetrics struct {
@@ -62,11 +62,11 @@
 
 func newMetrics(scope tally.Scope) metrics {
 	m := metrics{
-		scope:    scope,
-		sends:    scope.Counter("sends"),
-		resumed:  scope.Counter("streams_resumed"),
-		hedges:   scope.Counter("stragglers_sent_again"),
-		byReason: make(map[reason]reasonMetrics),
+		scope:        scope,
+		sends:        scope.Counter("sends"),
+		resumed:      scope.Counter("streams_resumed"),
+		earlyRetries: scope.Counter("stragglers_sent_again"),
+		byReason:     make(map[reason]reasonMetrics),
 	}
 	for _, r := range []reason{
 		reasonServed, reasonTargetFailed, reasonMalformed, reasonTooLarge, reasonNoSettings, reasonNoRoute, reasonStaleSettings,
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -73,9 +73,9 @@
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.ExpectedEnd, "fill", why.Utilization, "slowness", why.Slowness,
+		"end", why.ExpectedCompletion, "fill", why.Utilization, "slowness", why.Slowness,
 		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpEnd)
+		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpCompletion)
 }
 
 // bytesPerToken estimates the tokens of a stored conversation from its length.
@@ -160,12 +160,12 @@
 func (x *transfer) sendContext() (context.Context, context.CancelFunc) {
 	timeout := sendTimeoutFactor * x.route.LatencyGoal
 	mayResend := x.route.Kind == route.Repeatable && len(x.ran)+1 < x.route.MaxTargets
-	if hedgeTimeout, ok := x.hedgeTimeout(); mayResend && ok {
-		timeout, x.hedged = hedgeTimeout, true
+	if earlyTimeout, ok := x.earlyRetryTimeout(); mayResend && ok {
+		timeout, x.earlyRetry = earlyTimeout, true
 	}
 	x.stopSendTimer = func() bool { return true }
 	if !mayResend || timeout <= 0 || timeout > time.Duration(maxFirstSendFraction*float64(time.Until(x.deadline))) {
-		x.hedged = false
+		x.earlyRetry = false
 		return x.ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(x.ctx)
@@ -177,25 +177,25 @@
 	}
 }
 
-// hedgeTimeout returns a time that the route's responses rarely exceed, false if the
+// earlyRetryTimeout returns a time that the route's responses rarely exceed, false if the
 // request must not be hedged.
-func (x *transfer) hedgeTimeout() (time.Duration, bool) {
-	x.hedged = false
+func (x *transfer) earlyRetryTimeout() (time.Duration, bool) {
+	x.earlyRetry = false
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
-	return x.server.targets.HedgeTimeout(x.service, x.route.Name, time.Now())
+	return x.server.targets.EarlyRetryTimeout(x.service, x.route.Name, time.Now())
 }
 
-// recordHedge reports whether a send was cancelled in favour of a hedge, and counts it.
+// recordEarlyRetry reports whether a send was cancelled in favour of a hedge, and counts it.
 // Its target counts as slow, not as failing.
-func (x *transfer) recordHedge(target *targets.Target, err error, sentAt time.Time) bool {
-	if !x.hedged || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
+func (x *transfer) recordEarlyRetry(target *targets.Target, err error, sentAt time.Time) bool {
+	if !x.earlyRetry || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
 	now := time.Now()
-	x.server.targets.RecordHedge(target, x.route.Name, now.Sub(sentAt), now)
-	x.server.metrics.hedges.Inc(1)
+	x.server.targets.RecordEarlyRetry(target, x.route.Name, now.Sub(sentAt), now)
+	x.server.metrics.earlyRetries.Inc(1)
 	return true
 }
 
@@ -210,7 +210,7 @@
 		x.giveUpOnContext()
 		return false
 	}
-	if !x.recordHedge(target, err, sentAt) {
+	if !x.recordEarlyRetry(target, err, sentAt) {
 		x.recordFailure(target, err, sentAt)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
@@ -222,9 +222,9 @@
 	return x.retryOrGiveUp()
 }
 
-// defaultConnBreakThreshold distinguishes a target that is down, which breaks a
+// defaultConnFailureThreshold distinguishes a target that is down, which breaks a
 // connection within a round trip, from one that ran the request first.
-const defaultConnBreakThreshold = 20 * time.Millisecond
+const defaultConnFailureThreshold = 20 * time.Millisecond
 
 // recordFailure updates the target's health after a send without a response. A reused
 // connection that ended is ignored: the target may have closed it while idle.
@@ -234,11 +234,11 @@
 	}
 	now := time.Now()
 	x.server.targets.RecordFailure(target, now)
-	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connBreakThreshold
+	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connFailureThreshold
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
-	if x.server.targets.RecordBreak(target, now) {
+	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
 		x.server.notices.ReportTargetBreaks()
 	}
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -116,7 +116,7 @@
 // that closed a reused connection, after which the target is tried on a new one.
 func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
 	w := newHarness(t)
-	w.server.connBreakThreshold = time.Minute // independent of the machine's speed
+	w.server.connFailureThreshold = time.Minute // independent of the machine's speed
 	w.target("down", "app", cutConnection)
 	w.do(w.request("POST", "/once/", "b"))
 	if n := w.notices.Load(); n != 1 {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -183,9 +183,9 @@
 	admission     Admission
 	log           *slog.Logger
 	metrics       metrics
-	// connBreakThreshold is the time within which a broken connection indicates that
+	// connFailureThreshold is the time within which a broken connection indicates that
 	// its target is down. It is a field for tests.
-	connBreakThreshold time.Duration
+	connFailureThreshold time.Duration
 
 	table    atomic.Pointer[route.Table]
 	draining atomic.Bool
@@ -202,7 +202,7 @@
 		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
 		notices: p.Notices, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
 		log: p.Log, metrics: newMetrics(p.Scope),
-		connBreakThreshold: defaultConnBreakThreshold,
+		connFailureThreshold: defaultConnFailureThreshold,
 	}
 }
 
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -111,8 +111,8 @@
 	sends    int
 	refusals int
 
-	// hedged indicates that the last send is cancelled early in favour of a hedge.
-	hedged bool
+	// earlyRetry indicates that the last send is cancelled early in favour of a hedge.
+	earlyRetry bool
 	// sendCtx is the context of the last send.
 	sendCtx context.Context
 	// stopSendTimer stops the timer that bounds the last send besides deadline.
--- a/internal/targets/expected_end.go
+++ b/internal/targets/completion.go
@@ -8,14 +8,14 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// chooseByEnd selects the target with the earliest expected end of the request. It
+// chooseByCompletion selects the target with the earliest expected end of the request. It
 // is used for services whose targets' speeds are learned. The mutex must be held.
-func (r *Registry) chooseByEnd(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
+func (r *Registry) chooseByCompletion(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
 	pool := r.recentPool(criteria.Service, now).Utilization
 	means := meanUtilizations(all)
 	serviceMeans := meansOf(all)
 	preferred := criteria.preferred(all)
-	r.endOptions = r.endOptions[:0]
+	r.targetOptions = r.targetOptions[:0]
 	for _, t := range all {
 		hasIdle := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
@@ -24,7 +24,7 @@
 			// Short slowdowns must not move a program from its target.
 			slowness = t.slowness(serviceMeans, now)
 		}
-		r.endOptions = append(r.endOptions, policy.TargetOption{
+		r.targetOptions = append(r.targetOptions, policy.TargetOption{
 			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(means),
 			NeedsConnection: !hasIdle, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
 			HasPrompt: last, Warm: t == preferred,
@@ -32,11 +32,11 @@
 			Rank:     r.tieBreak(t, hasIdle || !criteria.Stream),
 		})
 	}
-	choice := policy.ChooseTarget(r.endOptions, model.endRequest(criteria))
+	choice := policy.ChooseTarget(r.targetOptions, model.requestProfile(criteria))
 	if choice.Index < 0 {
 		return nil
 	}
-	criteria.Explanation.set(r.endOptions, all, choice, now)
+	criteria.Explanation.set(r.targetOptions, all, choice, now)
 	return all[choice.Index]
 }
 
@@ -53,9 +53,9 @@
 type Explanation struct {
 	// Estimated indicates that the target was selected by its expected end.
 	Estimated bool
-	// ExpectedEnd and RunnerUpEnd are the expected ends at the selected and at the
+	// ExpectedCompletion and RunnerUpCompletion are the expected ends at the selected and at the
 	// second best target, as a fraction of the mean request duration.
-	ExpectedEnd, RunnerUpEnd float64
+	ExpectedCompletion, RunnerUpCompletion float64
 	// RunnerUp is the ID of the second best target, empty if there was none.
 	RunnerUp string
 	// Utilization and Slowness are the estimates for the selected target, ReportAge and
@@ -74,7 +74,7 @@
 	}
 	t, o := all[choice.Index], options[choice.Index]
 	*e = Explanation{
-		Estimated: true, ExpectedEnd: choice.Completion, RunnerUpEnd: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
+		Estimated: true, ExpectedCompletion: choice.Completion, RunnerUpCompletion: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
 		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
 	if choice.RunnerUp >= 0 {
@@ -109,8 +109,8 @@
 	return first.target
 }
 
-// endRequest returns what a request needs, as a fraction of the mean response time.
-func (model *serviceModel) endRequest(criteria Criteria) policy.RequestProfile {
+// requestProfile returns what a request needs, as a fraction of the mean response time.
+func (model *serviceModel) requestProfile(criteria Criteria) policy.RequestProfile {
 	if !criteria.Stream {
 		return policy.RequestProfile{}
 	}
--- a/internal/targets/expected_end_test.go
+++ b/internal/targets/completion_test.go
@@ -137,7 +137,7 @@
 	if got := r.Pick(want, now); got.ID != "t0" {
 		t.Errorf("picked %s, want t0", got.ID)
 	}
-	if pool := r.Pool("s", now); pool.Reporting != 1 || pool.Utilization < 1 || pool.Utilization > 1.1 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 1 || pool.Utilization < 1 || pool.Utilization > 1.1 {
 		t.Errorf("unexpected load of the pool: %+v", pool)
 	}
 }
@@ -148,7 +148,7 @@
 	r.RecordLoad(r.byID["t0"], call.Load{Running: testSlots, Slots: testSlots, Pace: 100}, now)
 	var explanation Explanation
 	got := r.Pick(Criteria{Service: "s", Explanation: &explanation}, now.Add(time.Millisecond))
-	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpEnd <= explanation.ExpectedEnd ||
+	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpCompletion <= explanation.ExpectedCompletion ||
 		explanation.ReportAge != time.Millisecond || explanation.SpeedAge != unknownAge {
 		t.Errorf("picked %s with explanation %+v", got.ID, explanation)
 	}
--- a/internal/targets/breaks.go
+++ b/internal/targets/failures.go
@@ -23,16 +23,16 @@
 	minNoticeInterval = 200 * time.Millisecond
 )
 
-// RecordBreak records that a target broke a new connection. It reports whether
+// RecordSharedFailure records that a target broke a new connection. It reports whether
 // other instances should be notified now.
-func (r *Registry) RecordBreak(t *Target, now time.Time) bool {
+func (r *Registry) RecordSharedFailure(t *Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byIncarnation[t.incarnation] != t {
 		return false // replaced by a later incarnation
 	}
-	t.lastBreakAt = now
-	r.broken[t.incarnation] = t
+	t.lastSharedFailureAt = now
+	r.recentlyFailed[t.incarnation] = t
 	if now.Sub(t.lastNoticeAt) < minNoticeInterval {
 		return false
 	}
@@ -40,46 +40,46 @@
 	return true
 }
 
-// Breaks returns the targets that recently broke connections of this or other
+// TargetFailures returns the targets that recently broke connections of this or other
 // instances.
-func (r *Registry) Breaks(now time.Time) []structs.TargetFailure {
+func (r *Registry) TargetFailures(now time.Time) []structs.TargetFailure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.broken) == 0 {
+	if len(r.recentlyFailed) == 0 {
 		return nil
 	}
-	var breaks []structs.TargetFailure
-	for incarnation, t := range r.broken {
-		age := now.Sub(t.lastBreakAt)
+	var failures []structs.TargetFailure
+	for incarnation, t := range r.recentlyFailed {
+		age := now.Sub(t.lastSharedFailureAt)
 		if age >= peerAvoidance || r.byIncarnation[incarnation] != t {
-			delete(r.broken, incarnation)
+			delete(r.recentlyFailed, incarnation)
 			continue
 		}
-		breaks = append(breaks, structs.TargetFailure{Target: incarnation, Age: age})
+		failures = append(failures, structs.TargetFailure{Target: incarnation, Age: age})
 	}
-	return breaks
+	return failures
 }
 
-// MergeBreaks applies another instance's report of broken connections. Later
+// MergeTargetFailures applies another instance's report of broken connections. Later
 // observations of this instance take precedence, and reports of other incarnations
 // are ignored.
-func (r *Registry) MergeBreaks(breaks []structs.TargetFailure, now time.Time) {
-	if len(breaks) == 0 {
+func (r *Registry) MergeTargetFailures(failures []structs.TargetFailure, now time.Time) {
+	if len(failures) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range breaks {
-		t, ok := r.byIncarnation[b.Target]
-		at := now.Add(-b.Age)
-		if !ok || b.Age >= peerAvoidance || !at.After(t.lastBreakAt) || t.lastSuccessAt.After(at) {
+	for _, f := range failures {
+		t, ok := r.byIncarnation[f.Target]
+		at := now.Add(-f.Age)
+		if !ok || f.Age >= peerAvoidance || !at.After(t.lastSharedFailureAt) || t.lastSuccessAt.After(at) {
 			continue
 		}
 		if !now.Before(t.peerAvoidUntil) && r.peerAvoidedCount(t.Service, now)+1 > int(maxPeerAvoidedFraction*float64(len(r.serviceByName(t.Service).all))) {
 			continue
 		}
-		t.lastBreakAt, t.peerAvoidUntil = at, at.Add(peerAvoidance)
-		r.broken[t.incarnation] = t
+		t.lastSharedFailureAt, t.peerAvoidUntil = at, at.Add(peerAvoidance)
+		r.recentlyFailed[t.incarnation] = t
 	}
 }
 
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/failures_test.go
@@ -8,13 +8,13 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// peerBreaks returns another instance's report of broken connections.
-func peerBreaks(age time.Duration, ids ...string) []structs.TargetFailure {
-	var breaks []structs.TargetFailure
+// peerFailures returns another instance's report of broken connections.
+func peerFailures(age time.Duration, ids ...string) []structs.TargetFailure {
+	var failures []structs.TargetFailure
 	for _, id := range ids {
-		breaks = append(breaks, structs.TargetFailure{Target: id, Age: age})
+		failures = append(failures, structs.TargetFailure{Target: id, Age: age})
 	}
-	return breaks
+	return failures
 }
 
 // countPicks counts the picks per target for concurrent requests, so that each
@@ -33,10 +33,10 @@
 	return counts
 }
 
-func TestPeerBreakAvoidsTargetTemporarily(t *testing.T) {
+func TestPeerFailureAvoidsTargetTemporarily(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0", "t1"), now)
+	r.MergeTargetFailures(peerFailures(100*time.Millisecond, "t0", "t1"), now)
 	if counts := countPicks(r, now); counts["t0"]+counts["t1"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
@@ -45,15 +45,15 @@
 	}
 }
 
-func TestOwnSuccessOverridesPeerBreaks(t *testing.T) {
+func TestOwnSuccessOverridesPeerFailures(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.RecordSuccess(r.byID["t0"], now.Add(-50*time.Millisecond))
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0"), now)
+	r.MergeTargetFailures(peerFailures(100*time.Millisecond, "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] == 0 {
 		t.Errorf("picked %v", counts)
 	}
-	r.MergeBreaks(peerBreaks(10*time.Millisecond, "t0"), now)
+	r.MergeTargetFailures(peerFailures(10*time.Millisecond, "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
@@ -66,24 +66,24 @@
 func TestWordOfOthersCannotEmptyAService(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(peerBreaks(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
+	r.MergeTargetFailures(peerFailures(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
 	if counts := countPicks(r, now); len(counts) != 4 {
 		t.Errorf("picked %v", counts)
 	}
 }
 
-func TestBreaksAreRelayedUntilExpired(t *testing.T) {
+func TestTargetFailuresAreRelayedUntilExpired(t *testing.T) {
 	a, b := newTestRegistry(6), newTestRegistry(6)
 	now := time.Unix(100, 0)
-	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(minNoticeInterval/2)) {
+	if !a.RecordSharedFailure(a.byID["t0"], now) || a.RecordSharedFailure(a.byID["t0"], now.Add(minNoticeInterval/2)) {
 		t.Error("want a notice for the first break only")
 	}
-	b.MergeBreaks(a.Breaks(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
-	if breaks := b.Breaks(now.Add(peerAvoidance / 2)); len(breaks) != 1 || breaks[0].Age <= 0 {
-		t.Errorf("relayed breaks %v", breaks)
+	b.MergeTargetFailures(a.TargetFailures(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
+	if failures := b.TargetFailures(now.Add(peerAvoidance / 2)); len(failures) != 1 || failures[0].Age <= 0 {
+		t.Errorf("relayed breaks %v", failures)
 	}
-	if breaks := b.Breaks(now.Add(2 * peerAvoidance)); len(breaks) != 0 {
-		t.Errorf("relayed breaks %v", breaks)
+	if failures := b.TargetFailures(now.Add(2 * peerAvoidance)); len(failures) != 0 {
+		t.Errorf("relayed breaks %v", failures)
 	}
 }
 
@@ -99,14 +99,14 @@
 	later := former.Entry
 	later.Start = 2000
 	r.Put(later)
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0@1000", "t0"), now)
+	r.MergeTargetFailures(peerFailures(100*time.Millisecond, "t0@1000", "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] == 0 {
 		t.Errorf("picked %v", counts)
 	}
-	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
+	if r.RecordSharedFailure(former, now) || len(r.TargetFailures(now)) != 0 {
 		t.Error("a break of an earlier incarnation is relayed")
 	}
-	r.MergeBreaks(peerBreaks(0, "t0@2000"), now)
+	r.MergeTargetFailures(peerFailures(0, "t0@2000"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
--- a/internal/targets/pick.go
+++ b/internal/targets/pick.go
@@ -95,13 +95,13 @@
 //     coordination;
 //   - the least utilized target, preferring those with an idle connection.
 //
-// Where speeds are learned, chooseByEnd selects the target instead. keyed reports
+// Where speeds are learned, chooseByCompletion selects the target instead. keyed reports
 // whether the key may rank the target at an index. The mutex must be held.
 func (r *Registry) choose(
 	all []*Target, keyed func(i int) bool, criteria Criteria, now time.Time, includeAvoided bool,
 ) *Target {
 	if model := r.models[criteria.Service]; model != nil {
-		return r.chooseByEnd(model, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
+		return r.chooseByCompletion(model, r.serviceByName(criteria.Service).all, criteria, now, includeAvoided)
 	}
 	var last, local, ranked, least best
 	preferLocal := criteria.Sticky && r.localUtilization[criteria.Service] < maxLocalUtilization
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -21,7 +21,7 @@
 	}
 	now := start.Add(n * 50 * time.Millisecond)
 	pool := r.recentPool("s", now)
-	if pool.Reporting != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolReportHalfLife {
+	if pool.ReportingTargets != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolReportHalfLife {
 		t.Errorf("half of the targets, those that reported last, are full: got %+v", pool)
 	}
 	newest := 0
@@ -99,7 +99,7 @@
 	now := time.Unix(100, 0)
 	r := newTestRegistry(20)
 	reportLoads(r, 0, 5, testSlots, 100, now)
-	if pool := r.Pool("s", now); pool.Reporting != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
 		t.Errorf("five of twenty targets are full: %+v", pool)
 	}
 }
@@ -111,16 +111,16 @@
 	reportLoads(owner, 0, 20, 2*testSlots, 100, now)
 	reportLoads(r, 0, 5, 0, 100, now)
 	r.MergePoolReports(owner.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Reporting != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
 		t.Errorf("the view of the owner is not used: %+v", pool)
 	}
 	less := newTestRegistry(20)
 	reportLoads(less, 0, 2, 0, 100, now)
 	r.MergePoolReports(less.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Reporting != 20 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 20 {
 		t.Errorf("a view based on fewer targets replaced it: %+v", pool)
 	}
-	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.Reporting != 5 {
+	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.ReportingTargets != 5 {
 		t.Errorf("an expired view is used: %+v", pool)
 	}
 }
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -26,9 +26,9 @@
 type Pool struct {
 	// Utilization is the number of running and waiting requests as a fraction of the
 	// capacity, based on reports of Reporting of the Usable targets.
-	Utilization float64
-	Reporting   int
-	Usable      int
+	Utilization      float64
+	ReportingTargets int
+	UsableTargets    int
 	// ReportAge is the mean age of the reports.
 	ReportAge time.Duration
 	// SpeedsLearned indicates that the speeds of the targets are learned.
@@ -37,8 +37,8 @@
 
 // poolView is another instance's view of a service.
 type poolView struct {
-	utilization float64
-	reporting   int
+	utilization      float64
+	reportingTargets int
 	// reportedAt is when the targets reported, on average; receivedAt is when this
 	// instance received the view.
 	reportedAt, receivedAt time.Time
@@ -47,7 +47,7 @@
 // betterThan reports whether the view is based on more targets than own, or on
 // newer reports of as many.
 func (v poolView) betterThan(own Pool, now time.Time) bool {
-	return v.reporting > own.Reporting || (v.reporting == own.Reporting && now.Sub(v.reportedAt) < own.ReportAge)
+	return v.reportingTargets > own.ReportingTargets || (v.reportingTargets == own.ReportingTargets && now.Sub(v.reportedAt) < own.ReportAge)
 }
 
 // Pool returns the load of a service, from this instance's data or from another
@@ -58,7 +58,7 @@
 	pool := r.ownPool(service, now)
 	view, ok := r.views[xxhash.Sum64String(service)]
 	if ok && now.Sub(view.receivedAt) <= maxViewAge && view.betterThan(pool, now) {
-		pool.Utilization, pool.Reporting, pool.ReportAge = view.utilization, min(view.reporting, pool.Usable), now.Sub(view.reportedAt)
+		pool.Utilization, pool.ReportingTargets, pool.ReportAge = view.utilization, min(view.reportingTargets, pool.UsableTargets), now.Sub(view.reportedAt)
 	}
 	return pool
 }
@@ -69,7 +69,7 @@
 // have used them. The mutex must be held.
 func (r *Registry) ownPool(service string, now time.Time) Pool {
 	s, means := r.serviceByName(service), r.means(service)
-	pool := Pool{Usable: s.usable, SpeedsLearned: r.models[service] != nil}
+	pool := Pool{UsableTargets: s.usable, SpeedsLearned: r.models[service] != nil}
 	weight := func(t *Target) float64 { return float64(max(t.Slots, 1)) }
 	capacity, busy, ages := float64(s.slots), 0.0, 0.0
 	if pool.SpeedsLearned {
@@ -85,13 +85,13 @@
 		if t.Draining {
 			return
 		}
-		pool.Reporting++
+		pool.ReportingTargets++
 		busy += weight(t) * t.utilization(0, reportDecayTime, now)
 		ages += float64(now.Sub(t.loadAt))
 	})
-	if pool.Reporting > 0 {
+	if pool.ReportingTargets > 0 {
 		pool.Utilization = busy / capacity
-		pool.ReportAge = time.Duration(ages / float64(pool.Reporting))
+		pool.ReportAge = time.Duration(ages / float64(pool.ReportingTargets))
 	}
 	return pool
 }
@@ -106,11 +106,11 @@
 			continue
 		}
 		pool := r.ownPool(service, now)
-		if pool.Reporting == 0 {
+		if pool.ReportingTargets == 0 {
 			continue
 		}
 		reports = append(reports, structs.PoolReport{
-			Service: xxhash.Sum64String(service), Utilization: int(pool.Utilization / utilizationUnit), Reporting: pool.Reporting, Age: pool.ReportAge,
+			Service: xxhash.Sum64String(service), Utilization: int(pool.Utilization / utilizationUnit), Reporting: pool.ReportingTargets, Age: pool.ReportAge,
 		})
 	}
 	return reports
@@ -127,11 +127,11 @@
 			continue
 		}
 		before, ok := r.views[p.Service]
-		if ok && before.reporting > p.Reporting && now.Sub(before.receivedAt) < maxViewAge/2 {
+		if ok && before.reportingTargets > p.Reporting && now.Sub(before.receivedAt) < maxViewAge/2 {
 			continue
 		}
 		r.views[p.Service] = poolView{
-			utilization: float64(p.Utilization) * utilizationUnit, reporting: p.Reporting, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
+			utilization: float64(p.Utilization) * utilizationUnit, reportingTargets: p.Reporting, reportedAt: now.Add(-max(p.Age, 0)), receivedAt: now,
 		}
 	}
 }
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -36,7 +36,7 @@
 // reports. It is the estimate for targets without a report. The mutex must be held.
 func (r *Registry) recentPool(service string, now time.Time) Pool {
 	s := r.serviceByName(service)
-	pool := Pool{Usable: s.usable}
+	pool := Pool{UsableTargets: s.usable}
 	slots, busy, ages := 0.0, 0.0, 0.0
 	s.forEachReporting(now, func(t *Target) {
 		if t.Draining {
@@ -44,7 +44,7 @@
 		}
 		age := now.Sub(t.loadAt)
 		weight := float64(max(t.Slots, 1)) * math.Exp2(-float64(age)/float64(poolReportHalfLife))
-		pool.Reporting++
+		pool.ReportingTargets++
 		slots += weight
 		busy += weight * float64(t.load.Running+t.load.Waiting) / float64(max(t.Slots, 1))
 		ages += weight * float64(age)
--- a/internal/targets/reports_test.go
+++ b/internal/targets/reports_test.go
@@ -20,13 +20,13 @@
 	owner.MergeLoadReports(a.OwnLoadReports(later), later)
 	b.MergeLoadReports(owner.LoadReports(later), later)
 	pool := b.Pool("s", later)
-	if pool.Reporting != 3 || pool.Usable != 3 || pool.Utilization < 1.45 || pool.Utilization > 1.5 || pool.ReportAge != 100*time.Millisecond {
+	if pool.ReportingTargets != 3 || pool.UsableTargets != 3 || pool.Utilization < 1.45 || pool.Utilization > 1.5 || pool.ReportAge != 100*time.Millisecond {
 		t.Errorf("got %+v", pool)
 	}
 	if len(owner.OwnLoadReports(later)) != 0 {
 		t.Error("a relayed report is listed as the instance's own")
 	}
-	if pool := b.Pool("s", now.Add(2*maxPoolReportAge)); pool.Reporting != 0 {
+	if pool := b.Pool("s", now.Add(2*maxPoolReportAge)); pool.ReportingTargets != 0 {
 		t.Errorf("old reports still count: %+v", pool)
 	}
 }
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -103,7 +103,7 @@
 	if got := len(r.LoadReports(now)); got != maxReports {
 		t.Errorf("got %d reports", got)
 	}
-	if pool := r.Pool("s", now); pool.Usable != 5000 || pool.Reporting != 10 {
+	if pool := r.Pool("s", now); pool.UsableTargets != 5000 || pool.ReportingTargets != 10 {
 		t.Errorf("pool %+v", pool)
 	}
 	if got := len(r.LoadReports(now.Add(2 * maxPoolReportAge))); got != 0 || len(r.serviceByName("s").reporting) != 0 {
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -32,18 +32,18 @@
 // routeDurations tracks the durations of complete plain responses of a route.
 type routeDurations struct {
 	// mean is the moving average, in seconds.
-	mean    float64
-	hedging policy.Hedger
+	mean       float64
+	earlyRetry policy.EarlyRetry
 }
 
 // add records a duration and returns it relative to the mean.
-func (t *routeDurations) add(duration time.Duration) float64 {
-	t.hedging.Add(duration)
-	if t.mean == 0 {
-		t.mean = duration.Seconds()
+func (d *routeDurations) add(duration time.Duration) float64 {
+	d.earlyRetry.Add(duration)
+	if d.mean == 0 {
+		d.mean = duration.Seconds()
 	}
-	t.mean += durationWeight * (duration.Seconds() - t.mean)
-	return duration.Seconds() / t.mean
+	d.mean += durationWeight * (duration.Seconds() - d.mean)
+	return duration.Seconds() / d.mean
 }
 
 // route returns the durations of a route, creating them if needed.
@@ -96,22 +96,22 @@
 	t.speed.Add(model.route(route).add(duration), now)
 }
 
-// HedgeTimeout returns how long the first send of a repeatable request may take
+// EarlyRetryTimeout returns how long the first send of a repeatable request may take
 // before it is given up for a hedged send. It returns false if no hedged send is
 // allowed now.
-func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
+func (r *Registry) EarlyRetryTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.models[service]
 	if model == nil {
 		return 0, false
 	}
-	return model.route(route).hedging.HedgeDelay(r.recentPool(service, now).Utilization)
+	return model.route(route).earlyRetry.Timeout(r.recentPool(service, now).Utilization)
 }
 
-// RecordHedge records a hedged send. duration is how long the first send, to t,
+// RecordEarlyRetry records a hedged send. duration is how long the first send, to t,
 // took before it was given up.
-func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
+func (r *Registry) RecordEarlyRetry(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.models[t.Service]
@@ -119,7 +119,7 @@
 		return
 	}
 	durations := model.route(route)
-	durations.hedging.RecordHedge()
+	durations.earlyRetry.RecordRetry()
 	if durations.mean > 0 {
 		t.speed.Add(duration.Seconds()/durations.mean, now)
 	}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -80,10 +80,10 @@
 	avoidUntil time.Time
 	// lastSuccessAt is when a request of this instance last succeeded.
 	lastSuccessAt time.Time
-	// lastBreakAt is when the target last broke a new connection, of this or another
+	// lastSharedFailureAt is when the target last broke a new connection, of this or another
 	// instance. peerAvoidUntil is set by reports of other instances.
-	lastBreakAt    time.Time
-	peerAvoidUntil time.Time
+	lastSharedFailureAt time.Time
+	peerAvoidUntil      time.Time
 	// lastNoticeAt is when other instances were last notified of a break.
 	lastNoticeAt time.Time
 }
@@ -119,8 +119,8 @@
 	views map[uint64]poolView
 	// byHash indexes targets by incarnationHash.
 	byHash map[uint64]*Target
-	// broken holds the targets that recently broke connections, by incarnation.
-	broken map[string]*Target
+	// recentlyFailed holds the targets that recently broke connections, by incarnation.
+	recentlyFailed map[string]*Target
 	// localUtilization is the moving average of the utilization of targets in this data
 	// centre, by service.
 	localUtilization map[string]float64
@@ -130,8 +130,8 @@
 	learnsSpeeds bool
 	// seed makes each instance prefer different targets among equivalent ones.
 	seed string
-	// endOptions is reused between selections to avoid allocations.
-	endOptions []policy.TargetOption
+	// targetOptions is reused between selections to avoid allocations.
+	targetOptions []policy.TargetOption
 }
 
 // NewRegistry returns an empty Registry for an instance in dataCentre.
@@ -144,7 +144,7 @@
 		byHash:           make(map[uint64]*Target),
 		views:            make(map[uint64]poolView),
 		byService:        make(map[string]*service),
-		broken:           make(map[string]*Target),
+		recentlyFailed:   make(map[string]*Target),
 		localUtilization: make(map[string]float64),
 		models:           make(map[string]*serviceModel),
 		seed:             strconv.FormatUint(rand.Uint64(), 36),
