--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -71,7 +71,9 @@
 }
 
 // recordClose records the reason for closing an idle connection.
-func (s *addressState) recordClose(why cause, now time.Time) { s.closeCause, s.closedAt = why, now }
+func (s *addressState) recordClose(reason cause, now time.Time) {
+	s.closeCause, s.closedAt = reason, now
+}
 
 // openCause returns the reason for opening a connection now.
 func (s *addressState) openCause(now time.Time) cause {
@@ -94,8 +96,8 @@
 
 func newCauseCounters(scope tally.Scope) causeCounters {
 	counters := make(causeCounters)
-	for _, why := range []cause{causeFirst, causeBusy, causeExpired, causeClosed} {
-		counters[why] = scope.Tagged(map[string]string{"cause": string(why)}).Counter("connections_opened")
+	for _, c := range []cause{causeFirst, causeBusy, causeExpired, causeClosed} {
+		counters[c] = scope.Tagged(map[string]string{"cause": string(c)}).Counter("connections_opened")
 	}
 	return counters
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -235,10 +235,10 @@
 // completionReader records that the body was read to its end.
 type completionReader struct{ resp *Response }
 
-func (w *completionReader) Read(p []byte) (int, error) {
-	n, err := w.resp.raw.Body.Read(p)
+func (c *completionReader) Read(p []byte) (int, error) {
+	n, err := c.resp.raw.Body.Read(p)
 	if err == io.EOF {
-		w.resp.complete = true
+		c.resp.complete = true
 	}
 	return n, err
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -154,11 +154,11 @@
 	defer p.mu.Unlock()
 	state := p.stateOf(c.address)
 	state.inUse--
-	why := causeClosed
+	reason := causeClosed
 	if !now.Before(c.expires) {
-		why = causeExpired
+		reason = causeExpired
 	}
-	state.recordClose(why, now)
+	state.recordClose(reason, now)
 }
 
 // release records that a connection no longer carries a request.
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -39,7 +39,7 @@
 // strategy is an admission strategy.
 type strategy interface {
 	admit(instance int, r Request, now time.Time) policy.AdmissionVerdict
-	again(instance, refusals int, now time.Time) bool
+	allowRetry(instance, refusals int, now time.Time) bool
 	// reported delivers the load of an engine in a response to an instance.
 	reported(instance, engine, busy int, now time.Time)
 	// tick is called at each step.
@@ -52,9 +52,9 @@
 func (admitAll) admit(int, Request, time.Time) policy.AdmissionVerdict {
 	return policy.AdmissionVerdict{Admit: true}
 }
-func (admitAll) again(int, int, time.Time) bool    { return true }
-func (admitAll) reported(int, int, int, time.Time) {}
-func (admitAll) tick(time.Time)                    {}
+func (admitAll) allowRetry(int, int, time.Time) bool { return true }
+func (admitAll) reported(int, int, int, time.Time)   {}
+func (admitAll) tick(time.Time)                      {}
 
 // engineView is the data that one instance has about the engines.
 type engineView struct {
@@ -113,7 +113,7 @@
 	}
 	return s.controllers[i].Admit(r, now)
 }
-func (s *decentralized) again(i, refusals int, now time.Time) bool {
+func (s *decentralized) allowRetry(i, refusals int, now time.Time) bool {
 	return s.controllers[i].AllowRetry("engine", refusals, now)
 }
 func (s *decentralized) tick(time.Time) {}
@@ -159,7 +159,7 @@
 	return policy.AdmissionVerdict{Admit: true}
 }
 
-func (c *coordinated) again(int, int, time.Time) bool { return true }
+func (c *coordinated) allowRetry(int, int, time.Time) bool { return true }
 
 func (c *coordinated) reported(_, engine, busy int, now time.Time) { c.view.report(engine, busy, now) }
 
@@ -287,7 +287,7 @@
 			r.engines[e].waiting = append(r.engines[e].waiting, p)
 			return
 		}
-		if !r.strategy.again(p.instance, refusals, now) {
+		if !r.strategy.allowRetry(p.instance, refusals, now) {
 			break
 		}
 	}
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,7 +6,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// QueueState is the state of a pool that the admission rule looks at.
+// QueueState is the state of a pool's queue for the admission of a call.
 type QueueState struct {
 	// Waiting is the number of calls queued for the pool, Limit its maximum.
 	Waiting, Limit int
@@ -23,7 +23,7 @@
 	FirstCall bool
 }
 
-// Verdict is the decision of the admission rule.
+// Verdict is the decision on a call.
 type Verdict struct {
 	Admit bool
 	// Reason and RetryAfter are set if the call is refused.
--- a/internal/policy/earlyretry.go
+++ b/internal/policy/earlyretry.go
@@ -1,8 +1,8 @@
 package policy
 
-// A few requests that may run twice are lost or reach a slow target. A hedged
-// send rescues them, but under overload hedging makes things worse, so it is
-// limited by a budget.
+// A few requests that may run twice are lost or reach a slow target. They are
+// cancelled early and sent to another target. Since that makes an overload worse,
+// early retries are limited by a budget.
 
 import "time"
 
@@ -15,24 +15,25 @@
 	// minTailSamples is the number of samples required before TailLatency is
 	// used.
 	minTailSamples = 50
-	// earlyRetryTimeoutFactor is the ratio of the hedge delay to TailLatency.
+	// earlyRetryTimeoutFactor is the ratio of the timeout to TailLatency.
 	earlyRetryTimeoutFactor = 1.25
-	// earlyRetryRatio is the number of hedges allowed per request, maxEarlyRetryCredit the
-	// maximum that can accumulate.
+	// earlyRetryRatio is the number of early retries allowed per request,
+	// maxEarlyRetryCredit the maximum that can accumulate.
 	earlyRetryRatio     = 0.015
 	maxEarlyRetryCredit = 2
-	// maxEarlyRetryUtilization is the utilization of a service from which on nothing
-	// is hedged.
+	// maxEarlyRetryUtilization is the utilization of a service from which on no
+	// request is retried early.
 	maxEarlyRetryUtilization = 0.8
 )
 
-// EarlyRetry decides when to hedge one kind of request.
+// EarlyRetry decides when the first attempt of one kind of request is cancelled
+// and retried.
 type EarlyRetry struct {
 	// TailLatency estimates the latency that only tailFraction of the requests
 	// exceed.
 	TailLatency time.Duration
 	samples     int
-	// credit is the number of hedges available.
+	// credit is the number of early retries available.
 	credit float64
 }
 
@@ -52,8 +53,8 @@
 	e.TailLatency -= time.Duration(step * tailFraction)
 }
 
-// Timeout returns the time after which a request is hedged at the given
-// utilization of the service, and false if it must not be hedged.
+// Timeout returns the time after which a first attempt is retried at the given
+// utilization of the service, and false if it must not be retried early.
 func (e *EarlyRetry) Timeout(utilization float64) (time.Duration, bool) {
 	if e.samples < minTailSamples || e.credit < 1 || utilization >= maxEarlyRetryUtilization {
 		return 0, false
@@ -61,7 +62,7 @@
 	return time.Duration(earlyRetryTimeoutFactor * float64(e.TailLatency)), true
 }
 
-// RecordRetry records a hedge, whose first send exceeded TailLatency.
+// RecordRetry records an early retry, whose first attempt exceeded TailLatency.
 func (e *EarlyRetry) RecordRetry() {
 	e.credit--
 	e.Add(e.TailLatency + 1)
--- a/internal/policy/earlyretry_test.go
+++ b/internal/policy/earlyretry_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Few normal responses reach the hedge delay, hedges stay within their budget
+// Few normal responses reach the timeout, early retries stay within their budget
 // while half of the responses are late, and they stop under overload.
 func TestEarlyRetriesStayWithinBudget(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	var e EarlyRetry
 	normalLatency := func() time.Duration { return time.Duration(20+random.Intn(60)) * time.Millisecond }
 	if _, ok := e.Timeout(0); ok {
-		t.Error("hedged without samples")
+		t.Error("retried early without samples")
 	}
 	late, enabled := 0, 0
 	for range 4000 {
@@ -27,7 +27,7 @@
 		e.Add(took)
 	}
 	if enabled == 0 || late*50 > enabled {
-		t.Errorf("%d of %d normal responses exceeded the hedge delay", late, enabled)
+		t.Errorf("%d of %d normal responses exceeded the timeout", late, enabled)
 	}
 	if e.TailLatency > 160*time.Millisecond {
 		t.Errorf("tail latency %s of responses that take at most 80 ms", e.TailLatency)
@@ -42,12 +42,12 @@
 		e.Add(normalLatency())
 	}
 	if retries == 0 || retries > 25 {
-		t.Errorf("%d hedges for 1,000 requests", retries)
+		t.Errorf("%d early retries for 1,000 requests", retries)
 	}
 	for range 1000 {
 		e.Add(normalLatency())
 	}
 	if _, ok := e.Timeout(maxEarlyRetryUtilization); ok {
-		t.Error("hedged under overload")
+		t.Error("retried early under overload")
 	}
 }
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -41,8 +41,8 @@
 type PoolLoad struct {
 	Service string
 	// Utilization is the number of running and queued requests as a fraction of
-	// the slots, over the ReportingTargets of all Targets. ReportAge is the
-	// average age of the reports.
+	// the slots, according to the reports of ReportingTargets of the
+	// UsableTargets. ReportAge is the average age of the reports.
 	Utilization      float64
 	ReportingTargets int
 	UsableTargets    int
--- a/internal/policy/requestmemory.go
+++ b/internal/policy/requestmemory.go
@@ -31,23 +31,23 @@
 // the whole limit. Other requests may take half of what is left of their
 // fraction, so that the largest are refused first. While nothing is held they
 // may take all of it, so that no size below it is refused forever.
-func (b RequestMemory) Fits(size int64, inProgress bool) bool {
-	if b.Max <= 0 {
+func (m RequestMemory) Fits(size int64, inProgress bool) bool {
+	if m.Max <= 0 {
 		return true
 	}
 	if inProgress {
-		return size <= b.Max-b.Held
+		return size <= m.Max-m.Held
 	}
-	budget := int64(newProgramFraction * float64(b.Max))
-	if b.Held == 0 {
+	budget := int64(newProgramFraction * float64(m.Max))
+	if m.Held == 0 {
 		return size <= budget
 	}
-	return size <= (budget-b.Held)/2
+	return size <= (budget-m.Held)/2
 }
 
 // StallTimeout returns how long a caller may read nothing of its response.
-func (b RequestMemory) StallTimeout() time.Duration {
-	if b.Max > 0 && float64(b.Held) > pressureThreshold*float64(b.Max) {
+func (m RequestMemory) StallTimeout() time.Duration {
+	if m.Max > 0 && float64(m.Held) > pressureThreshold*float64(m.Max) {
 		return stallTimeoutUnderPressure
 	}
 	return stallTimeout
--- a/internal/policy/storemonitor.go
+++ b/internal/policy/storemonitor.go
@@ -324,7 +324,7 @@
 	return min(max(appendTimeoutFactor*s.longestLatency(now), minAppendTimeout), maxAppendTimeout)
 }
 
-// Timeout returns the time after which an append is hedged through another
+// HedgeDelay returns the time after which an append is hedged through another
 // instance. If the store is slow, that is the timeout of an append; if it may
 // be, half of that, by when a reply should show whether it is.
 func (s *StoreMonitor) HedgeDelay(now time.Time) time.Duration {
--- a/internal/policy/targetestimate.go
+++ b/internal/policy/targetestimate.go
@@ -123,14 +123,14 @@
 }
 
 // Add updates the median with a reported pace, in percent of the typical one.
-func (s *PaceMedian) Add(percent int) {
+func (m *PaceMedian) Add(percent int) {
 	pace := float64(percent) / 100
-	if s.reports == 0 {
-		s.Value = pace
+	if m.reports == 0 {
+		m.Value = pace
 	}
-	s.reports++
-	step := s.Value * max(1/float64(s.reports+1), minPaceStep)
-	s.Value += min(max(pace-s.Value, -step), step)
+	m.reports++
+	step := m.Value * max(1/float64(m.reports+1), minPaceStep)
+	m.Value += min(max(pace-m.Value, -step), step)
 }
 
 // CurrentSlowness returns the slowness of a target, raised to the pace that it
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -45,64 +45,64 @@
 }
 
 // turn returns the request of a program's turn.
-func (w *harness) turn(path, id string, header ...string) *http.Request {
-	return w.request("POST", path, "b", append([]string{
+func (h *harness) turn(path, id string, header ...string) *http.Request {
+	return h.request("POST", path, "b", append([]string{
 		"Banyanglade-Request-Id", id, "Banyanglade-Program-Id", "p", "Banyanglade-Token-Budget", "1000",
 		"Banyanglade-Token-Usage", "10,20",
 	}, header...)...)
 }
 
 func TestFirstTurnWithoutCapacityIsRefused(t *testing.T) {
-	w := newHarness(t)
-	engine := w.target("e", "engine", serveEvents(1, neverCut))
+	h := newHarness(t)
+	engine := h.target("e", "engine", serveEvents(1, neverCut))
 	admission := &fakeAdmission{refused: policy.ClassFirstTurn}
-	w.server.admission = admission
-	got := w.do(w.turn("/kept/x", "t1"))
+	h.server.admission = admission
+	got := h.do(h.turn("/kept/x", "t1"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.3" || !strings.Contains(got.body, "no_room") {
 		t.Errorf("got %+v", got)
 	}
-	if len(engine.runs) != 0 || len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
-		t.Errorf("%d runs, settled tokens %v", len(engine.runs), w.budgets.settled)
+	if len(engine.runs) != 0 || len(h.budgets.settled) != 1 || h.budgets.settled[0] != 0 {
+		t.Errorf("%d runs, settled tokens %v", len(engine.runs), h.budgets.settled)
 	}
-	if log := w.log.String(); !strings.Contains(log, "pool_full") || !strings.Contains(log, "utilization 1.70") {
+	if log := h.log.String(); !strings.Contains(log, "pool_full") || !strings.Contains(log, "utilization 1.70") {
 		t.Errorf("log %q", log)
 	}
-	w.budgets.target = "e"
-	if got := w.do(w.turn("/turns/x", "t2")); got.status != 200 {
+	h.budgets.target = "e"
+	if got := h.do(h.turn("/turns/x", "t2")); got.status != 200 {
 		t.Errorf("later turn: got %+v", got)
 	}
-	w.budgets.target = ""
-	if got := w.do(w.turn("/turns/x", "t3")); got.status != 503 {
+	h.budgets.target = ""
+	if got := h.do(h.turn("/turns/x", "t3")); got.status != 503 {
 		t.Errorf("first turn on a route that does not store turns: got %+v", got)
 	}
-	if reserved, settled := len(w.budgets.requests), len(w.budgets.settled); reserved != settled {
+	if reserved, settled := len(h.budgets.requests), len(h.budgets.settled); reserved != settled {
 		t.Errorf("%d leases, %d settled", reserved, settled)
 	}
 }
 
 func TestAdmissionClasses(t *testing.T) {
-	w := newHarness(t)
-	w.target("e", "engine", serveEvents(1, neverCut))
-	w.target("a", "app", serveText("ok"))
-	w.budgets.target = "e"
+	h := newHarness(t)
+	h.target("e", "engine", serveEvents(1, neverCut))
+	h.target("a", "app", serveText("ok"))
+	h.budgets.target = "e"
 	for _, test := range []struct {
 		name    string
 		request *http.Request
 		class   policy.AdmissionClass
 		call    bool
 	}{
-		{"first turn", w.turn("/kept/x", "k1"), policy.ClassFirstTurn, false},
-		{"first turn that is resumed", w.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.ClassInProgress, false},
-		{"time left", w.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.ClassInProgress, false},
-		{"time over", w.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, false},
-		{"call", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.ClassInProgress, true},
-		{"call, time over", w.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p",
+		{"first turn", h.turn("/kept/x", "k1"), policy.ClassFirstTurn, false},
+		{"first turn that is resumed", h.turn("/kept/x", "k2", "Last-Event-Id", "1"), policy.ClassInProgress, false},
+		{"time left", h.turn("/turns/x", "k3", "Banyanglade-Program-Deadline-Ms", "5"), policy.ClassInProgress, false},
+		{"time over", h.turn("/turns/x", "k4", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, false},
+		{"call", h.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p"), policy.ClassInProgress, true},
+		{"call, time over", h.request("GET", "/safe/x", "", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOverdue, true},
-		{"outside programs", w.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOutside, false},
+		{"outside programs", h.request("GET", "/safe/x", "", "Banyanglade-Program-Deadline-Ms", "0"), policy.ClassOutside, false},
 	} {
 		admission := &fakeAdmission{refused: test.class}
-		w.server.admission = admission
-		got := w.do(test.request)
+		h.server.admission = admission
+		got := h.do(test.request)
 		if got.status != 503 || len(admission.requests) != 1 || admission.requests[0].Class != test.class || admission.requests[0].IsCall != test.call {
 			t.Errorf("%s: got %d, admission requests %+v", test.name, got.status, admission.requests)
 		}
@@ -110,11 +110,11 @@
 }
 
 func TestRetryBudgetBoundsSendsToFullTargets(t *testing.T) {
-	w := newHarness(t)
-	full := w.target("full", "app", refuseFull)
-	also := w.target("also", "app", refuseFull)
-	w.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
-	got := w.do(w.request("POST", "/once/", "b"))
+	h := newHarness(t)
+	full := h.target("full", "app", refuseFull)
+	also := h.target("also", "app", refuseFull)
+	h.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
+	got := h.do(h.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") != "0.07" {
 		t.Errorf("got %+v", got)
 	}
@@ -135,13 +135,13 @@
 func (n *utilizationPermit) Release()                                                { n.returned++ }
 
 func TestOrganisationOverFairUseIsRefusedAndReturnsItsPermit(t *testing.T) {
-	w, _ := withLimit(t)
-	w.target("e", "engine", serveEvents(1, neverCut))
+	h, _ := withLimit(t)
+	h.target("e", "engine", serveEvents(1, neverCut))
 	for use, want := range map[float64]int{0: 0, 0.6: 0, 0.9: 1} {
 		limit := &utilizationPermit{utilization: use}
-		w.server.allowances = limit
-		w.server.admission = &fairUseAdmission{}
-		got := w.do(w.turn("/kept/x", fmt.Sprint("t", want, use), "Banyanglade-Credential", keyA))
+		h.server.allowances = limit
+		h.server.admission = &fairUseAdmission{}
+		got := h.do(h.turn("/kept/x", fmt.Sprint("t", want, use), "Banyanglade-Credential", keyA))
 		if limit.returned != want || (got.status == 503) != (want == 1) {
 			t.Errorf("utilization %g: got %d, %d permits returned", use, got.status, limit.returned)
 		}
@@ -167,7 +167,7 @@
 
 // A send that this instance cancelled for its timeout is exempt from the retry budget.
 func TestTimedOutSendIsRetriedWithoutRetryBudget(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var first atomic.Bool
 	slowThenQuick := func(_ int, rw http.ResponseWriter, r *http.Request) {
 		if first.CompareAndSwap(false, true) {
@@ -177,10 +177,10 @@
 		sign(rw)
 		_, _ = io.WriteString(rw, "ok")
 	}
-	w.target("a", "app", slowThenQuick)
-	w.target("b", "app", slowThenQuick)
-	w.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
-	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
+	h.target("a", "app", slowThenQuick)
+	h.target("b", "app", slowThenQuick)
+	h.server.admission = &fakeAdmission{refused: policy.ClassOverdue}
+	if got := h.do(h.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -71,10 +71,10 @@
 }
 
 func TestTargetGetsTheWholeConversation(t *testing.T) {
-	w := newHarness(t)
-	w.conversations.before = map[string]string{"id0": "in0\nout0\n"}
-	tg := w.target("t1", "engine", serveSomeEvents)
-	got := w.do(w.request("POST", "/kept/", "new input", "Banyanglade-Previous-Turn", "id0"))
+	h := newHarness(t)
+	h.conversations.before = map[string]string{"id0": "in0\nout0\n"}
+	tg := h.target("t1", "engine", serveSomeEvents)
+	got := h.do(h.request("POST", "/kept/", "new input", "Banyanglade-Previous-Turn", "id0"))
 	if got.err != nil || got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
@@ -84,7 +84,7 @@
 	if r := tg.run(0); r.Header.Get("Banyanglade-Previous-Turn") != "id0" || r.ContentLength != int64(len(tg.body[0])) {
 		t.Errorf("target got %v, length %d", r.Header, r.ContentLength)
 	}
-	stored := w.conversations.stored
+	stored := h.conversations.stored
 	if len(stored) != 1 || stored[0].ID != "id1" || stored[0].Previous != "id0" || string(stored[0].Input) != "new input" {
 		t.Fatalf("stored %+v", stored)
 	}
@@ -94,21 +94,21 @@
 }
 
 func TestOtherRoutesStoreNothing(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("t1", "engine", serveSomeEvents)
-	w.do(w.request("POST", "/turns/", "input", "Banyanglade-Previous-Turn", "nosuch"))
-	if len(w.conversations.stored) != 0 || tg.body[0] != "input" {
-		t.Errorf("stored %v, target got %q", w.conversations.stored, tg.body)
+	h := newHarness(t)
+	tg := h.target("t1", "engine", serveSomeEvents)
+	h.do(h.request("POST", "/turns/", "input", "Banyanglade-Previous-Turn", "nosuch"))
+	if len(h.conversations.stored) != 0 || tg.body[0] != "input" {
+		t.Errorf("stored %v, target got %q", h.conversations.stored, tg.body)
 	}
 }
 
 // Events are passed on as they arrive; only the end of the response waits for the
 // store.
 func TestEndOfATurnWaitsUntilItIsDurable(t *testing.T) {
-	w := newHarness(t)
-	w.conversations.hold = make(chan struct{})
-	w.target("t1", "engine", serveSomeEvents)
-	resp, err := http.DefaultTransport.RoundTrip(w.request("POST", "/kept/", "input"))
+	h := newHarness(t)
+	h.conversations.hold = make(chan struct{})
+	h.target("t1", "engine", serveSomeEvents)
+	resp, err := http.DefaultTransport.RoundTrip(h.request("POST", "/kept/", "input"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,46 +117,46 @@
 	if _, err := io.ReadFull(resp.Body, events); err != nil {
 		t.Fatalf("reading events before the turn is durable: %v", err)
 	}
-	close(w.conversations.hold)
+	close(h.conversations.hold)
 	if rest, err := io.ReadAll(resp.Body); err != nil || len(rest) > 0 {
 		t.Errorf("after the events: %q, %v", rest, err)
 	}
 }
 
 func TestTurnThatIsNotDurableDoesNotLookWhole(t *testing.T) {
-	w := newHarness(t)
-	w.conversations.storeErr = errors.New("the store is unavailable")
-	w.target("t1", "engine", serveSomeEvents)
-	if got := w.do(w.request("POST", "/kept/", "input")); got.err == nil {
+	h := newHarness(t)
+	h.conversations.storeErr = errors.New("the store is unavailable")
+	h.target("t1", "engine", serveSomeEvents)
+	if got := h.do(h.request("POST", "/kept/", "input")); got.err == nil {
 		t.Errorf("the response looks complete: %+v", got)
 	}
 }
 
 // A stream that is resumed after a broken connection is stored as one turn.
 func TestResumedTurnIsStoredWhole(t *testing.T) {
-	w := newHarness(t)
-	w.target("t1", "engine", serveEvents(4, func(n int) int {
+	h := newHarness(t)
+	h.target("t1", "engine", serveEvents(4, func(n int) int {
 		if n == 1 {
 			return 2
 		}
 		return 0
 	}))
-	if got := w.do(w.request("POST", "/kept/", "input")); got.err != nil {
+	if got := h.do(h.request("POST", "/kept/", "input")); got.err != nil {
 		t.Fatalf("got %+v", got)
 	}
-	if stored := w.conversations.stored; len(stored) != 1 || string(stored[0].Output) != "x\nx\nx\nx\n" {
+	if stored := h.conversations.stored; len(stored) != 1 || string(stored[0].Output) != "x\nx\nx\nx\n" {
 		t.Errorf("stored %+v", stored)
 	}
 }
 
 func TestFailedTurnIsNotStored(t *testing.T) {
-	w := newHarness(t)
-	w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	if got := w.do(w.request("POST", "/kept/", "input")); got.status != 500 || len(w.conversations.stored) > 0 {
-		t.Errorf("got %+v, stored %v", got, w.conversations.stored)
+	if got := h.do(h.request("POST", "/kept/", "input")); got.status != 500 || len(h.conversations.stored) > 0 {
+		t.Errorf("got %+v, stored %v", got, h.conversations.stored)
 	}
 }
 
@@ -179,17 +179,17 @@
 		"its own turn":   {header: []string{"Banyanglade-Previous-Turn", "id1"}, status: 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newHarness(t)
-			w.conversations.err, w.conversations.full = c.err, c.full
-			tg := w.target("t1", "engine", serveSomeEvents)
-			got := w.do(w.request("POST", "/kept/", "input", c.header...))
+			h := newHarness(t)
+			h.conversations.err, h.conversations.full = c.err, c.full
+			tg := h.target("t1", "engine", serveSomeEvents)
+			got := h.do(h.request("POST", "/kept/", "input", c.header...))
 			if got.status != c.status || (got.header.Get("Retry-After") != "") != c.retry {
 				t.Errorf("got %+v", got)
 			}
 			if tg.count() != 0 {
 				t.Error("the turn ran")
 			}
-			if !strings.Contains(w.log.String(), "request ended") {
+			if !strings.Contains(h.log.String(), "request ended") {
 				t.Error("no log line about the refusal")
 			}
 		})
@@ -198,11 +198,11 @@
 
 // The body limit applies to what callers send, not to the stored conversation.
 func TestBodyLimitExcludesStoredConversation(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	before := strings.Repeat("x", 300<<10)
-	w.conversations.before = map[string]string{"id0": before}
-	tg := w.target("t1", "engine", serveSomeEvents)
-	got := w.do(w.request("POST", "/kept/", "new", "Banyanglade-Previous-Turn", "id0"))
+	h.conversations.before = map[string]string{"id0": before}
+	tg := h.target("t1", "engine", serveSomeEvents)
+	got := h.do(h.request("POST", "/kept/", "new", "Banyanglade-Previous-Turn", "id0"))
 	if got.status != 200 || tg.body[0] != before+"new" {
 		t.Errorf("got %s, target %d bytes", fmt.Sprint(got.status, got.err), len(tg.body[0]))
 	}
--- a/internal/serve/earlyretry_test.go
+++ b/internal/serve/earlyretry_test.go
@@ -13,7 +13,7 @@
 // newEarlyRetryHarness returns a harness with two targets and a learned latency. The first
 // request sent to a target gets no response.
 func newEarlyRetryHarness(t *testing.T, path string) (*harness, *atomic.Int64) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var sends atomic.Int64
 	handle := func(n int, rw http.ResponseWriter, r *http.Request) {
 		if sends.Add(1) == 1 {
@@ -23,22 +23,22 @@
 		serveText("ok")(n, rw, r)
 	}
 	for _, id := range []string{"a", "b"} {
-		w.target(id, "app", handle)
+		h.target(id, "app", handle)
 	}
-	target := w.targets.Pick(targets.Criteria{Service: "app"}, time.Now())
-	w.targets.RecordLoad(target, call.Load{Slots: 4, Pace: 100}, time.Now())
+	target := h.targets.Pick(targets.Criteria{Service: "app"}, time.Now())
+	h.targets.RecordLoad(target, call.Load{Slots: 4, Pace: 100}, time.Now())
 	for range 200 {
-		w.targets.RecordResponse(target, path, time.Millisecond, time.Now())
+		h.targets.RecordResponse(target, path, time.Millisecond, time.Now())
 	}
-	w.targets.End(target)
-	return w, &sends
+	h.targets.End(target)
+	return h, &sends
 }
 
 // A repeatable request is sent to another target after a time that responses rarely
 // exceed, long before its timeout.
 func TestStragglerIsSentAgain(t *testing.T) {
-	w, sends := newEarlyRetryHarness(t, "safe")
-	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
+	h, sends := newEarlyRetryHarness(t, "safe")
+	if got := h.do(h.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
 	if n := sends.Load(); n != 2 {
@@ -46,10 +46,10 @@
 	}
 }
 
-// A request that may run once only is not hedged.
+// A request that may run once only is not retried early.
 func TestOnceRequestIsNotRetriedEarly(t *testing.T) {
-	w, sends := newEarlyRetryHarness(t, "short")
-	if got := w.do(w.request("POST", "/short/", "b")); got.status == 200 {
+	h, sends := newEarlyRetryHarness(t, "short")
+	if got := h.do(h.request("POST", "/short/", "b")); got.status == 200 {
 		t.Errorf("got %+v", got)
 	}
 	if n := sends.Load(); n != 1 {
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -74,14 +74,14 @@
 	// conversations is only used by the route "kept".
 	conversations *fakeConversations
 	health        fakeHealth
-	currency      fakeFreshness
+	freshness     fakeFreshness
 	log           *logBuffer
 	// notices counts the calls of ReportTargetBreaks.
 	notices atomic.Int64
 }
 
 // ReportTargetBreaks implements Notices.
-func (w *harness) ReportTargetBreaks() { w.notices.Add(1) }
+func (h *harness) ReportTargetBreaks() { h.notices.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
@@ -139,28 +139,28 @@
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	pool := exchange.NewPool(tally.NoopScope)
-	w := &harness{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(fakeBudgets), log: new(logBuffer),
+	h := &harness{t: t, targets: targets.NewRegistry("dc", pool), budgets: new(fakeBudgets), log: new(logBuffer),
 		conversations: new(fakeConversations)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { pool.Run(ctx) })
-	w.server = New(Config{
-		Codec: platform.Codec{}, Targets: w.targets, Pool: pool, Budgets: w.budgets, Conversations: w.conversations,
-		Notices: w, Health: &w.health, Freshness: &w.currency,
-		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(w.log, nil)),
+	h.server = New(Config{
+		Codec: platform.Codec{}, Targets: h.targets, Pool: pool, Budgets: h.budgets, Conversations: h.conversations,
+		Notices: h, Health: &h.health, Freshness: &h.freshness,
+		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(h.log, nil)),
 	})
-	w.server.SetTable(route.NewTable(testRoutes()))
-	w.front = httptest.NewUnstartedServer(w.server)
-	w.front.Listener = w.server.WrapListener(w.front.Listener)
-	w.front.Config.ConnContext = ConnContext
-	w.front.Config.ErrorLog = nil
-	w.front.Start()
+	h.server.SetTable(route.NewTable(testRoutes()))
+	h.front = httptest.NewUnstartedServer(h.server)
+	h.front.Listener = h.server.WrapListener(h.front.Listener)
+	h.front.Config.ConnContext = ConnContext
+	h.front.Config.ErrorLog = nil
+	h.front.Start()
 	t.Cleanup(func() {
-		w.front.Close()
+		h.front.Close()
 		cancel()
 		work.Wait()
 	})
-	return w
+	return h
 }
 
 // target is a target with a configurable handler, which gets the number of the request,
@@ -174,8 +174,8 @@
 	body []string
 }
 
-func (w *harness) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
-	w.t.Helper()
+func (h *harness) target(id, service string, handle func(n int, rw http.ResponseWriter, r *http.Request)) *target {
+	h.t.Helper()
 	tg := &target{id: id}
 	tg.server = httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -192,8 +192,8 @@
 		}
 		handle(n, rw, r)
 	}))
-	w.t.Cleanup(tg.server.Close)
-	w.targets.Put(targets.Entry{
+	h.t.Cleanup(tg.server.Close)
+	h.targets.Put(targets.Entry{
 		ID: id, Service: service, Address: tg.server.Listener.Addr().String(), DataCentre: "dc", Slots: 4,
 	})
 	return tg
@@ -252,11 +252,11 @@
 func neverCut(int) int { return 0 }
 
 // request returns a caller's request.
-func (w *harness) request(method, path, body string, header ...string) *http.Request {
-	w.t.Helper()
-	r, err := http.NewRequestWithContext(w.t.Context(), method, w.front.URL+path, strings.NewReader(body))
+func (h *harness) request(method, path, body string, header ...string) *http.Request {
+	h.t.Helper()
+	r, err := http.NewRequestWithContext(h.t.Context(), method, h.front.URL+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	r.Host = testHost
 	r.Header.Set("Banyanglade-Request-Id", "id1")
@@ -275,8 +275,8 @@
 	err error
 }
 
-func (w *harness) do(r *http.Request) result {
-	w.t.Helper()
+func (h *harness) do(r *http.Request) result {
+	h.t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return result{err: err}
@@ -287,18 +287,18 @@
 }
 
 // raw sends bytes on a separate connection and returns all responses.
-func (w *harness) raw(text string) []*http.Response {
-	w.t.Helper()
-	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
+func (h *harness) raw(text string) []*http.Response {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.front.Listener.Addr().String())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer c.Close()
 	if _, err := io.WriteString(c, text); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	var responses []*http.Response
 	reader := bufio.NewReader(c)
--- a/internal/serve/memory_test.go
+++ b/internal/serve/memory_test.go
@@ -19,11 +19,11 @@
 // TestRequestIsRefusedUnreadWithoutMemory fills an instance's memory with requests in
 // progress.
 func TestRequestIsRefusedUnreadWithoutMemory(t *testing.T) {
-	w := newHarness(t)
-	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
+	h := newHarness(t)
+	h.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 20)
-	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	tg := h.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
 		<-release
 		sign(rw)
@@ -33,18 +33,18 @@
 	served := make(chan result, 20)
 	admitted := 0
 	for admitted < 2 {
-		go func() { served <- w.do(w.request("POST", "/safe/x", body)) }()
+		go func() { served <- h.do(h.request("POST", "/safe/x", body)) }()
 		<-arrived
 		admitted++
 	}
-	over := w.do(w.request("POST", "/safe/x", strings.Repeat("x", 2*requestOverheadBytes)))
+	over := h.do(h.request("POST", "/safe/x", strings.Repeat("x", 2*requestOverheadBytes)))
 	if over.status != http.StatusServiceUnavailable || over.header.Get("Retry-After") == "" {
 		t.Errorf("status %d for a request that does not fit", over.status)
 	}
-	if !strings.Contains(w.log.String(), string(reasonNoMemory)) {
+	if !strings.Contains(h.log.String(), string(reasonNoMemory)) {
 		t.Error("the log has no reason for the refusal")
 	}
-	go func() { served <- w.do(w.request("POST", "/safe/x", body, "Banyanglade-Program-Id", "p")) }()
+	go func() { served <- h.do(h.request("POST", "/safe/x", body, "Banyanglade-Program-Id", "p")) }()
 	<-arrived
 	close(release)
 	for range admitted + 1 {
@@ -55,8 +55,8 @@
 	if len(tg.body) != admitted+1 {
 		t.Errorf("%d requests ran", len(tg.body))
 	}
-	w.front.Close()
-	if left := w.server.memory.Usage().Held; left != 0 {
+	h.front.Close()
+	if left := h.server.memory.Usage().Held; left != 0 {
 		t.Errorf("%d bytes held after all requests", left)
 	}
 }
@@ -65,13 +65,13 @@
 // that are longer than the instance's free memory.
 func TestSlowReadersGetResponsesLongerThanMemory(t *testing.T) {
 	const callers, length = 6, 128 << 10
-	w := newHarness(t)
-	w.server.memory = memlimit.New(callers*2*requestOverheadBytes, tally.NoopScope)
+	h := newHarness(t)
+	h.server.memory = memlimit.New(callers*2*requestOverheadBytes, tally.NoopScope)
 	response := strings.Repeat("0123456789abcdef", length/16)
-	w.target("t1", "app", serveText(response))
+	h.target("t1", "app", serveText(response))
 	got := make(chan error, callers)
 	for i := range callers {
-		go func() { got <- readSlowly(w, fmt.Sprint("p", i), response) }()
+		go func() { got <- readSlowly(h, fmt.Sprint("p", i), response) }()
 	}
 	for range callers {
 		if err := <-got; err != nil {
@@ -81,8 +81,8 @@
 }
 
 // readSlowly reads a response in small steps from a small receive window.
-func readSlowly(w *harness, program, want string) error {
-	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
+func readSlowly(h *harness, program, want string) error {
+	c, err := net.Dial("tcp", h.front.Listener.Addr().String())
 	if err != nil {
 		return err
 	}
@@ -169,9 +169,9 @@
 
 // TestStalledBodyFreesMemory sends the beginning of a body only.
 func TestStalledBodyFreesMemory(t *testing.T) {
-	w := newHarness(t)
-	w.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
-	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
+	h := newHarness(t)
+	h.server.memory = memlimit.New(10*requestOverheadBytes, tally.NoopScope)
+	c, err := net.Dial("tcp", h.front.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,8 +187,8 @@
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	w.front.Close()
-	if left := w.server.memory.Usage().Held; left != 0 {
+	h.front.Close()
+	if left := h.server.memory.Usage().Held; left != 0 {
 		t.Errorf("%d bytes held after all requests", left)
 	}
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -50,7 +50,7 @@
 	scope   tally.Scope
 	sends   tally.Counter
 	resumed tally.Counter
-	// earlyRetries counts sends cancelled in favour of a hedge.
+	// earlyRetries counts first sends that were cancelled for a retry at another target.
 	earlyRetries tally.Counter
 	byReason     map[reason]reasonMetrics
 }
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -29,7 +29,7 @@
 // withOrganisations returns a harness with two organisations and an anonymous route.
 func withOrganisations(t *testing.T) *harness {
 	t.Helper()
-	w := newHarness(t)
+	h := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{
 		{Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}},
 		{Name: "b", Keys: []org.Digest{org.DigestOf(keyB)}},
@@ -43,33 +43,33 @@
 		Name: "open", Host: testHost, Prefix: "/open/", Kind: route.Repeatable, Anonymous: true,
 		Splits: []route.Split{{Service: "app", Weight: 1}}, MaxTargets: 2, Timeout: 5 * time.Second,
 	})
-	w.server.SetTable(route.NewTable(settings))
-	return w
+	h.server.SetTable(route.NewTable(settings))
+	return h
 }
 
 // rawStatus sends the bytes of one request on a connection that stays open and returns
 // the status of the response.
-func (w *harness) rawStatus(text string) int {
-	w.t.Helper()
-	c, err := net.Dial("tcp", w.front.Listener.Addr().String())
+func (h *harness) rawStatus(text string) int {
+	h.t.Helper()
+	c, err := net.Dial("tcp", h.front.Listener.Addr().String())
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer c.Close()
 	if _, err := io.WriteString(c, text); err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	_ = resp.Body.Close()
 	return resp.StatusCode
 }
 
 func TestOnlyKnownKeysAreLetIn(t *testing.T) {
-	w := withOrganisations(t)
-	app := w.target("t1", "app", serveText("ok"))
+	h := withOrganisations(t)
+	app := h.target("t1", "app", serveText("ok"))
 	refused := map[string]func(h http.Header){
 		"none":           func(http.Header) {},
 		"unknown":        func(h http.Header) { h.Set("Banyanglade-Credential", "other") },
@@ -82,29 +82,29 @@
 		"elsewhere":      func(h http.Header) { h.Set("Authorization", keyA) },
 	}
 	for name, set := range refused {
-		r := w.request("GET", "/safe/x", "")
+		r := h.request("GET", "/safe/x", "")
 		set(r.Header)
-		if got := w.do(r); got.status != http.StatusUnauthorized {
+		if got := h.do(r); got.status != http.StatusUnauthorized {
 			t.Errorf("%s: got %d", name, got.status)
 		}
 	}
 	if app.count() != 0 {
 		t.Fatalf("%d requests ran without a key", app.count())
 	}
-	if got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA)); got.status != http.StatusOK {
+	if got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA)); got.status != http.StatusOK {
 		t.Errorf("known key: got %d", got.status)
 	}
-	if got := w.do(w.request("GET", "/none/x", "")); got.status != http.StatusNotFound {
+	if got := h.do(h.request("GET", "/none/x", "")); got.status != http.StatusNotFound {
 		t.Errorf("neither route nor key: got %d, want no route", got.status)
 	}
-	if strings.Contains(w.log.String(), keyA) {
+	if strings.Contains(h.log.String(), keyA) {
 		t.Error("the log contains a key")
 	}
 }
 
 func TestTargetGetsTheOrganisationAndNeverTheKey(t *testing.T) {
-	w := withOrganisations(t)
-	app := w.target("t1", "app", serveText("ok"))
+	h := withOrganisations(t)
+	app := h.target("t1", "app", serveText("ok"))
 	cases := []struct{ path, header, want string }{
 		{"/safe/x", "Banyanglade-Credential: " + keyA + "\r\n", "a"},
 		{"/safe/x", "banyanglade-credential: " + keyB + "\r\nBANYANGLADE-TENANT: a\r\n", "b"},
@@ -115,7 +115,7 @@
 		{"/open/x", "Banyanglade-Credential: " + keyA + "\r\n", "a"},
 	}
 	for i, c := range cases {
-		status := w.rawStatus(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nBanyanglade-Request-Id: r%d\r\n%s\r\n",
+		status := h.rawStatus(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nBanyanglade-Request-Id: r%d\r\n%s\r\n",
 			c.path, testHost, i, c.header))
 		if status != http.StatusOK {
 			t.Fatalf("case %d: got %d", i, status)
@@ -131,9 +131,9 @@
 }
 
 func TestTrailersDoNotNameAnOrganisation(t *testing.T) {
-	w := withOrganisations(t)
-	app := w.target("t1", "app", serveText("ok"))
-	status := w.rawStatus("POST /once/x HTTP/1.1\r\nHost: " + testHost + "\r\nBanyanglade-Request-Id: r1\r\n" +
+	h := withOrganisations(t)
+	app := h.target("t1", "app", serveText("ok"))
+	status := h.rawStatus("POST /once/x HTTP/1.1\r\nHost: " + testHost + "\r\nBanyanglade-Request-Id: r1\r\n" +
 		"Banyanglade-Credential: " + keyA + "\r\nTrailer: Banyanglade-Tenant\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"2\r\nhi\r\n0\r\nBanyanglade-Tenant: b\r\n\r\n")
 	if status != http.StatusOK {
@@ -146,9 +146,9 @@
 }
 
 func TestWithoutOrganisationsNoKeyIsNeededOrPassedOn(t *testing.T) {
-	w := newHarness(t)
-	app := w.target("t1", "app", serveText("ok"))
-	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Tenant", "a"))
+	h := newHarness(t)
+	app := h.target("t1", "app", serveText("ok"))
+	got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Tenant", "a"))
 	if got.status != http.StatusOK {
 		t.Fatalf("got %d", got.status)
 	}
@@ -176,15 +176,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w := withOrganisations(t)
-			w.target("t1", "app", serveText("ok"))
-			w.currency.age = c.age
-			w.server.keyPolicy = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
-			r := w.request("GET", "/safe/x", "")
+			h := withOrganisations(t)
+			h.target("t1", "app", serveText("ok"))
+			h.freshness.age = c.age
+			h.server.keyPolicy = KeyPolicy{ConfigDelay: 3 * time.Second, Strict: c.strict, RevokeDelay: 5 * time.Second}
+			r := h.request("GET", "/safe/x", "")
 			if c.key != "" {
 				r.Header.Set("Banyanglade-Credential", c.key)
 			}
-			got := w.do(r)
+			got := h.do(r)
 			if got.status != c.want {
 				t.Errorf("got %d, want %d", got.status, c.want)
 			}
@@ -196,30 +196,30 @@
 }
 
 func TestProgramsOfTwoOrganisationsDoNotMeet(t *testing.T) {
-	w := withOrganisations(t)
-	w.target("e1", "engine", serveEvents(1, neverCut))
+	h := withOrganisations(t)
+	h.target("e1", "engine", serveEvents(1, neverCut))
 	turn := func(id, key, previous string) result {
-		r := w.request("POST", "/kept/x", "in "+id, "Banyanglade-Credential", key, "Banyanglade-Program-Id", "p1",
+		r := h.request("POST", "/kept/x", "in "+id, "Banyanglade-Credential", key, "Banyanglade-Program-Id", "p1",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10")
 		r.Header.Set("Banyanglade-Request-Id", id)
 		if previous != "" {
 			r.Header.Set("Banyanglade-Previous-Turn", previous)
 		}
-		return w.do(r)
+		return h.do(r)
 	}
-	w.conversations.before = map[string]string{org.Scope("a", "r1"): "x", org.Scope("a", "only-a"): "y"}
+	h.conversations.before = map[string]string{org.Scope("a", "r1"): "x", org.Scope("a", "only-a"): "y"}
 	for _, key := range []string{keyA, keyB} {
 		if got := turn("r1", key, ""); got.status != http.StatusOK {
 			t.Fatalf("got %+v", got)
 		}
 	}
-	w.budgets.mu.Lock()
-	reserved := w.budgets.requests
-	w.budgets.mu.Unlock()
+	h.budgets.mu.Lock()
+	reserved := h.budgets.requests
+	h.budgets.mu.Unlock()
 	if len(reserved) != 2 || reserved[0].Program == reserved[1].Program {
 		t.Errorf("two organisations share a budget: %+v", reserved)
 	}
-	stored := w.conversations.stored
+	stored := h.conversations.stored
 	if len(stored) != 2 || stored[0].ID == stored[1].ID {
 		t.Errorf("two organisations share a turn: %+v", stored)
 	}
@@ -237,12 +237,12 @@
 // TestKeysStayOutOfAnswers checks that the instance's own responses and its log contain
 // no key.
 func TestKeysStayOutOfAnswers(t *testing.T) {
-	w := withOrganisations(t)
-	got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
+	h := withOrganisations(t)
+	got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 	var shown strings.Builder
 	_, _ = io.WriteString(&shown, got.body)
 	_ = got.header.Write(&shown)
-	if strings.Contains(shown.String()+w.log.String(), keyA) {
+	if strings.Contains(shown.String()+h.log.String(), keyA) {
 		t.Error("a response or the log contains a key")
 	}
 }
@@ -272,7 +272,7 @@
 // withLimit returns a harness with one organisation that has a limit.
 func withLimit(t *testing.T) (*harness, *fakeAllowances) {
 	t.Helper()
-	w := newHarness(t)
+	h := newHarness(t)
 	set, err := org.NewSet([]*org.Organisation{{
 		Name: "a", Keys: []org.Digest{org.DigestOf(keyA)}, Limit: org.Limit{PerSecond: 10, Burst: 5},
 	}})
@@ -281,10 +281,10 @@
 	}
 	settings := testRoutes()
 	settings.Organisations = set
-	w.server.SetTable(route.NewTable(settings))
+	h.server.SetTable(route.NewTable(settings))
 	a := new(fakeAllowances)
-	w.server.allowances = a
-	return w, a
+	h.server.allowances = a
+	return h, a
 }
 
 func TestRequestsOverTheLimitDoNotRun(t *testing.T) {
@@ -293,12 +293,12 @@
 		ErrLimitUnknown: http.StatusServiceUnavailable,
 	}
 	for admitErr, want := range cases {
-		w, a := withLimit(t)
-		app := w.target("t1", "app", serveText("ok"))
-		engine := w.target("e1", "engine", serveEvents(1, neverCut))
+		h, a := withLimit(t)
+		app := h.target("t1", "app", serveText("ok"))
+		engine := h.target("e1", "engine", serveEvents(1, neverCut))
 		a.err = admitErr
-		plain := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
-		turn := w.do(w.request("POST", "/turns/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Program-Id", "p",
+		plain := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
+		turn := h.do(h.request("POST", "/turns/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "100", "Banyanglade-Token-Usage", "1,10"))
 		for _, got := range []result{plain, turn} {
 			if got.status != want || got.header.Get("Retry-After") == "" {
@@ -308,8 +308,8 @@
 		if app.count()+engine.count() != 0 {
 			t.Errorf("%v: a request ran", admitErr)
 		}
-		if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 0 {
-			t.Errorf("%v: unused tokens were not returned: settled %v", admitErr, w.budgets.settled)
+		if len(h.budgets.settled) != 1 || h.budgets.settled[0] != 0 {
+			t.Errorf("%v: unused tokens were not returned: settled %v", admitErr, h.budgets.settled)
 		}
 		if len(a.requests) != 2 || a.requests[0].First || !a.requests[1].First || a.requests[0].Limit.PerSecond != 10 {
 			t.Errorf("%v: allowance requests %+v", admitErr, a.requests)
@@ -318,17 +318,17 @@
 }
 
 func TestRequestThatRunsTwiceCountsTwice(t *testing.T) {
-	w, a := withLimit(t)
+	h, a := withLimit(t)
 	var sends atomic.Int64
 	for _, id := range []string{"t1", "t2"} {
-		w.target(id, "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+		h.target(id, "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 			if sends.Add(1) == 1 {
 				cutConnection(n, rw, r)
 			}
 			serveText("ok")(n, rw, r)
 		})
 	}
-	if got := w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA)); got.status != http.StatusOK {
+	if got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA)); got.status != http.StatusOK {
 		t.Fatalf("got %d", got.status)
 	}
 	if a.again != 1 {
@@ -337,28 +337,28 @@
 }
 
 func TestAnonymousRequestsHaveNoLimit(t *testing.T) {
-	w, a := withLimit(t)
-	settings := w.server.Table().Settings
+	h, a := withLimit(t)
+	settings := h.server.Table().Settings
 	settings.Routes = append(settings.Routes, &route.Route{
 		Name: "open", Host: testHost, Prefix: "/open/", Kind: route.Repeatable, Anonymous: true,
 		Splits: []route.Split{{Service: "app", Weight: 1}}, MaxTargets: 2, Timeout: 5 * time.Second,
 	})
-	w.server.SetTable(route.NewTable(settings))
-	w.target("t1", "app", serveText("ok"))
+	h.server.SetTable(route.NewTable(settings))
+	h.target("t1", "app", serveText("ok"))
 	a.err = ErrLimitUnknown
-	if got := w.do(w.request("GET", "/open/x", "")); got.status != http.StatusOK {
+	if got := h.do(h.request("GET", "/open/x", "")); got.status != http.StatusOK {
 		t.Errorf("got %d", got.status)
 	}
 }
 
 // TestAllowanceRequestHasOrganisationPriority uses a route of another priority.
 func TestAllowanceRequestHasOrganisationPriority(t *testing.T) {
-	w, a := withLimit(t)
-	w.target("t1", "app", serveText("ok"))
-	found, _ := w.server.Table().Organisations.ByKey(org.DigestOf(keyA))
+	h, a := withLimit(t)
+	h.target("t1", "app", serveText("ok"))
+	found, _ := h.server.Table().Organisations.ByKey(org.DigestOf(keyA))
 	for _, priority := range []int{0, 1} {
 		found.Priority = &priority
-		w.do(w.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
+		h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 		if got := a.requests[len(a.requests)-1].Priority; got != priority {
 			t.Errorf("priority %d, want the organisation's %d", got, priority)
 		}
--- a/internal/serve/refuse.go
+++ b/internal/serve/refuse.go
@@ -19,14 +19,14 @@
 )
 
 // giveUp ends a request that no target answered.
-func (x *transfer) giveUp(why reason) {
+func (x *transfer) giveUp(outcome reason) {
 	switch {
 	case x.headSent:
 		x.reason, x.abort = reasonCut, true
 	case x.possiblyRan():
 		x.refuse(http.StatusBadGateway, reasonTargetBroke, 0)
 	default:
-		x.refuse(http.StatusServiceUnavailable, why, x.targetRetryAfter())
+		x.refuse(http.StatusServiceUnavailable, outcome, x.targetRetryAfter())
 	}
 }
 
@@ -57,19 +57,19 @@
 }
 
 // refuse sends a response of this instance's own.
-func (x *transfer) refuse(status int, why reason, retryAfter time.Duration) {
-	x.status, x.reason = status, why
+func (x *transfer) refuse(status int, outcome reason, retryAfter time.Duration) {
+	x.status, x.reason = status, outcome
 	header := x.writer.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
-	if why == reasonMalformed {
+	if outcome == reasonMalformed {
 		// The rest of the connection cannot be parsed as requests reliably.
 		header.Set("Connection", "close")
 	}
 	x.writer.WriteHeader(status)
-	if _, err := io.WriteString(x.writer, string(why)+"\n"); err != nil {
+	if _, err := io.WriteString(x.writer, string(outcome)+"\n"); err != nil {
 		x.detail = err.Error()
 	}
 }
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -54,28 +54,28 @@
 			return nil
 		}
 	}
-	want := targets.Criteria{
+	criteria := targets.Criteria{
 		Service: x.service, Key: x.placementKey(), LastIncarnation: x.programTarget, Sticky: x.settle != nil,
 		Exclude: x.excluded, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
-		return x.server.targets.Pick(want, time.Now())
+		return x.server.targets.Pick(criteria, time.Now())
 	}
-	var why targets.Explanation
-	want.Explanation = &why
-	target := x.server.targets.Pick(want, time.Now())
-	x.logChoice(target, why)
+	var explanation targets.Explanation
+	criteria.Explanation = &explanation
+	target := x.server.targets.Pick(criteria, time.Now())
+	x.logChoice(target, explanation)
 	return target
 }
 
-func (x *transfer) logChoice(target *targets.Target, why targets.Explanation) {
-	if target == nil || !why.Estimated {
+func (x *transfer) logChoice(target *targets.Target, explanation targets.Explanation) {
+	if target == nil || !explanation.Estimated {
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.ExpectedCompletion, "fill", why.Utilization, "slowness", why.Slowness,
-		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpCompletion)
+		"end", explanation.ExpectedCompletion, "fill", explanation.Utilization, "slowness", explanation.Slowness,
+		"report_age_ms", explanation.ReportAge.Milliseconds(), "speed_age_ms", explanation.SpeedAge.Milliseconds(),
+		"stayed", explanation.Stayed, "moved", explanation.Moved, "next", explanation.RunnerUp, "next_end", explanation.RunnerUpCompletion)
 }
 
 // bytesPerToken estimates the tokens of a stored conversation from its length.
@@ -124,27 +124,27 @@
 	ctx, cancel := x.sendContext()
 	defer cancel()
 	x.sendCtx = ctx
-	var answer call.Response
+	var meta call.Response
 	sentAt := time.Now()
 	x.sentAt = sentAt
 	resp, err := x.server.pool.Do(ctx, exchange.Request{
 		Address: target.Address, Method: x.request.Method, URI: x.uri(),
 		Host: x.request.Host, Header: header, Body: x.body,
 	}, func(status int, h http.Header) bool {
-		answer = x.server.codec.DecodeResponse(status, h)
-		return answer.RequestID == x.call.ID || (answer.RequestID == "" && answer.NotRun)
+		meta = x.server.codec.DecodeResponse(status, h)
+		return meta.RequestID == x.call.ID || (meta.RequestID == "" && meta.NotRun)
 	})
 	if err != nil {
 		return x.sendFailed(target, err, sentAt)
 	}
-	defer func() { resp.Close(answer.KeepAlive) }()
-	if answer.Load != nil {
-		x.server.targets.RecordLoad(target, *answer.Load, time.Now())
+	defer func() { resp.Close(meta.KeepAlive) }()
+	if meta.Load != nil {
+		x.server.targets.RecordLoad(target, *meta.Load, time.Now())
 	}
-	if answer.NotRun {
+	if meta.NotRun {
 		return x.handleRefusal(target, resp)
 	}
-	return x.deliver(target, resp, answer)
+	return x.deliver(target, resp, meta)
 }
 
 // sendTimeoutFactor is the multiple of the route's latency goal after which a request
@@ -178,7 +178,7 @@
 }
 
 // earlyRetryTimeout returns a time that the route's responses rarely exceed, false if the
-// request must not be hedged.
+// request must not be retried early.
 func (x *transfer) earlyRetryTimeout() (time.Duration, bool) {
 	x.earlyRetry = false
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
@@ -187,8 +187,8 @@
 	return x.server.targets.EarlyRetryTimeout(x.service, x.route.Name, time.Now())
 }
 
-// recordEarlyRetry reports whether a send was cancelled in favour of a hedge, and counts it.
-// Its target counts as slow, not as failing.
+// recordEarlyRetry reports whether a send was cancelled by the early retry timeout, and
+// counts it. Its target counts as slow, not as failing.
 func (x *transfer) recordEarlyRetry(target *targets.Target, err error, sentAt time.Time) bool {
 	if !x.earlyRetry || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
 		return false
@@ -222,7 +222,7 @@
 	return x.retryOrGiveUp()
 }
 
-// defaultConnFailureThreshold distinguishes a target that is down, which breaks a
+// defaultConnFailureThreshold distinguishes a target that is down, which closes a
 // connection within a round trip, from one that ran the request first.
 const defaultConnFailureThreshold = 20 * time.Millisecond
 
@@ -251,18 +251,18 @@
 	}
 }
 
-// excludeUnresponsive excludes a target that broke a connection without a response, if
-// the request may run at another one or if the target did so before. After the end of a
+// excludeUnresponsive excludes a target whose connection failed without a response, if
+// the request may run at another one or if that happened before. After the end of a
 // reused connection the same target is tried on a new one.
 func (x *transfer) excludeUnresponsive(target *targets.Target, err error) {
 	x.excludeIfTimedOut(target, err)
 	if errors.Is(err, exchange.ErrReusedConn) {
 		return
 	}
-	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.brokenTargets, target.Incarnation()) {
+	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.connFailures, target.Incarnation()) {
 		x.excluded = append(x.excluded, target.Incarnation())
 	}
-	x.brokenTargets = append(x.brokenTargets, target.Incarnation())
+	x.connFailures = append(x.connFailures, target.Incarnation())
 }
 
 // excludeUnreachable excludes a target that cannot be connected to. It has ended or is
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -13,30 +13,30 @@
 // These tests check which targets get a request, and how often.
 
 func TestRefusedRequestIsSentToAnotherTarget(t *testing.T) {
-	w := newHarness(t)
-	w.target("full", "app", refuseFull)
-	w.target("free", "app", serveText("ok"))
+	h := newHarness(t)
+	h.target("full", "app", refuseFull)
+	h.target("free", "app", serveText("ok"))
 	for range 10 {
-		if got := w.do(w.request("POST", "/once/", "b")); got.status != 200 {
+		if got := h.do(h.request("POST", "/once/", "b")); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
 }
 
 func TestAllTargetsFull(t *testing.T) {
-	w := newHarness(t)
-	w.target("full", "app", refuseFull)
-	got := w.do(w.request("POST", "/once/", "b"))
+	h := newHarness(t)
+	h.target("full", "app", refuseFull)
+	got := h.do(h.request("POST", "/once/", "b"))
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestRequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	w := newHarness(t)
-	a := w.target("a", "app", cutConnection)
-	b := w.target("b", "app", cutConnection)
-	got := w.do(w.request("POST", "/once/", "b"))
+	h := newHarness(t)
+	a := h.target("a", "app", cutConnection)
+	b := h.target("b", "app", cutConnection)
+	got := h.do(h.request("POST", "/once/", "b"))
 	if got.status != 502 {
 		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
@@ -46,39 +46,39 @@
 }
 
 func TestRequestOnAStaleConnectionIsNotSentAgain(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+	h := newHarness(t)
+	tg := h.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
 			serveText("ok")(n, rw, r)
 			return
 		}
 		cutConnection(n, rw, r)
 	})
-	w.do(w.request("POST", "/once/", "b"))
-	if got := w.do(w.request("POST", "/once/", "b")); got.status != 502 || tg.count() != 2 {
+	h.do(h.request("POST", "/once/", "b"))
+	if got := h.do(h.request("POST", "/once/", "b")); got.status != 502 || tg.count() != 2 {
 		t.Errorf("got %+v after %d sends", got, tg.count())
 	}
 }
 
 func TestUnreachableTargetIsSkipped(t *testing.T) {
-	w := newHarness(t)
-	unreachable := w.target("unreachable", "app", serveText("never"))
+	h := newHarness(t)
+	unreachable := h.target("unreachable", "app", serveText("never"))
 	unreachable.server.Close()
-	w.target("reachable", "app", serveText("ok"))
+	h.target("reachable", "app", serveText("ok"))
 	for range 5 {
-		if got := w.do(w.request("POST", "/once/", "b")); got.status != 200 {
+		if got := h.do(h.request("POST", "/once/", "b")); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
 }
 
 func TestRepeatableRequestIsSentToAsManyTargetsAsAllowed(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var all []*target
 	for i := range 4 {
-		all = append(all, w.target(fmt.Sprint("t", i), "app", cutConnection))
+		all = append(all, h.target(fmt.Sprint("t", i), "app", cutConnection))
 	}
-	if got := w.do(w.request("GET", "/safe/", "")); got.status != 502 {
+	if got := h.do(h.request("GET", "/safe/", "")); got.status != 502 {
 		t.Errorf("got %+v", got)
 	}
 	ran := 0
@@ -92,19 +92,19 @@
 	}
 }
 
-// A target that is down breaks each connection at once and therefore looks idle.
+// A target that is down closes each connection at once and therefore appears idle.
 func TestRepeatableRequestIsRetriedAfterBrokenConnection(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var other atomic.Bool
 	// The working target is registered by the broken one's handler, so that the broken
 	// one always gets the request first.
-	down := w.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+	down := h.target("down", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if other.CompareAndSwap(false, true) {
-			w.target("working", "app", serveText("ok"))
+			h.target("working", "app", serveText("ok"))
 		}
 		cutConnection(n, rw, r)
 	})
-	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
+	if got := h.do(h.request("GET", "/safe/", "")); got.status != 200 || got.body != "ok" {
 		t.Errorf("got %+v", got)
 	}
 	if n := down.count(); n != 1 {
@@ -112,37 +112,37 @@
 	}
 }
 
-// Other instances are notified of a target that breaks new connections, but not of one
+// Other instances are notified of a target that closes new connections, but not of one
 // that closed a reused connection, after which the target is tried on a new one.
 func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
-	w := newHarness(t)
-	w.server.connFailureThreshold = time.Minute // independent of the machine's speed
-	w.target("down", "app", cutConnection)
-	w.do(w.request("POST", "/once/", "b"))
-	if n := w.notices.Load(); n != 1 {
+	h := newHarness(t)
+	h.server.connFailureThreshold = time.Minute // independent of the machine's speed
+	h.target("down", "app", cutConnection)
+	h.do(h.request("POST", "/once/", "b"))
+	if n := h.notices.Load(); n != 1 {
 		t.Errorf("%d notices of a target that is down", n)
 	}
-	w.target("drops", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
+	h.target("drops", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 2 {
 			cutConnection(n, rw, r)
 		}
 		serveEvents(2, neverCut)(n, rw, r)
 	})
 	for range 2 {
-		if got := w.do(w.request("POST", "/turns/", "b")); got.status != 200 {
+		if got := h.do(h.request("POST", "/turns/", "b")); got.status != 200 {
 			t.Errorf("got %+v", got)
 		}
 	}
-	if n := w.notices.Load(); n != 1 {
+	if n := h.notices.Load(); n != 1 {
 		t.Errorf("%d notices after a reused connection ended", n)
 	}
 }
 
 // A request that may run at one target only is not sent to it repeatedly.
 func TestBrokenTargetGetsAtMostTwoSends(t *testing.T) {
-	w := newHarness(t)
-	down := w.target("down", "engine", cutConnection)
-	got := w.do(w.request("POST", "/turns/", "b"))
+	h := newHarness(t)
+	down := h.target("down", "engine", cutConnection)
+	got := h.do(h.request("POST", "/turns/", "b"))
 	if got.status != 502 {
 		t.Errorf("got %+v", got)
 	}
@@ -152,8 +152,8 @@
 }
 
 func TestTruncatedResponseOfRepeatableRequestIsRetried(t *testing.T) {
-	w := newHarness(t)
-	w.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+	h := newHarness(t)
+	h.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
 		if n == 1 {
 			rw.Header().Set("Content-Length", "100")
@@ -162,36 +162,36 @@
 		}
 		_, _ = rw.Write([]byte("whole"))
 	})
-	if got := w.do(w.request("GET", "/safe/", "")); got.status != 200 || got.body != "whole" {
+	if got := h.do(h.request("GET", "/safe/", "")); got.status != 200 || got.body != "whole" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestRepeatableRequestIsRetriedAfterTimeout(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	ended := make(chan struct{})
 	// The working target is registered by the unresponsive one's handler, so that the
 	// unresponsive one always gets the request first.
-	w.target("unresponsive", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
-		w.target("working", "app", serveText("ok"))
+	h.target("unresponsive", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
+		h.target("working", "app", serveText("ok"))
 		<-r.Context().Done()
 		close(ended)
 	})
-	if got := w.do(w.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
+	if got := h.do(h.request("GET", "/quick/", "")); got.status != 200 || got.body != "ok" {
 		t.Fatalf("got %+v", got)
 	}
 	<-ended // the work at the unresponsive target was cancelled
 }
 
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
-	w := newHarness(t)
-	leaving := w.target("leaving", "app", serveText("ok"))
-	w.target("stays", "app", serveText("ok"))
-	w.targets.Put(targets.Entry{
+	h := newHarness(t)
+	leaving := h.target("leaving", "app", serveText("ok"))
+	h.target("stays", "app", serveText("ok"))
+	h.targets.Put(targets.Entry{
 		ID: "leaving", Service: "app", Address: leaving.server.Listener.Addr().String(), Slots: 4, Draining: true,
 	})
 	for range 10 {
-		w.do(w.request("GET", "/safe/", ""))
+		h.do(h.request("GET", "/safe/", ""))
 	}
 	if leaving.count() != 0 {
 		t.Errorf("%d requests went to a draining target", leaving.count())
@@ -199,13 +199,13 @@
 }
 
 func TestAnotherTargetAtTheAddress(t *testing.T) {
-	w := newHarness(t)
-	w.target("old", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.target("old", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 	})
-	w.target("new", "app", serveText("ok"))
+	h.target("new", "app", serveText("ok"))
 	for range 5 {
-		if got := w.do(w.request("POST", "/once/", "b")); got.status != 200 {
+		if got := h.do(h.request("POST", "/once/", "b")); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
@@ -214,15 +214,15 @@
 // An engine may fail some turns while its health checks pass: the program's next turn
 // goes to another engine, and other instances are notified.
 func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
-	w := newHarness(t)
-	w.budgets.target = "t1"
-	failing := w.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.budgets.target = "t1"
+	failing := h.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
-	healthy := w.target("t2", "engine", serveEvents(2, neverCut))
+	healthy := h.target("t2", "engine", serveEvents(2, neverCut))
 	turn := func() result {
-		return w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", "p",
+		return h.do(h.request("POST", "/turns/", "", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
 	}
 	if got := turn(); got.status != 500 {
@@ -231,36 +231,36 @@
 	if got := turn(); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	if failing.count() != 1 || healthy.count() != 1 || w.notices.Load() != 1 {
-		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), w.notices.Load())
+	if failing.count() != 1 || healthy.count() != 1 || h.notices.Load() != 1 {
+		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), h.notices.Load())
 	}
-	if ends := w.budgets.ends; !ends[0].Failed || ends[0].Target != "t1" || ends[1].Failed || ends[1].Target != "t2" {
+	if ends := h.budgets.ends; !ends[0].Failed || ends[0].Target != "t1" || ends[1].Failed || ends[1].Target != "t2" {
 		t.Errorf("the owner received %+v", ends)
 	}
 }
 
 // A plain target's failure is passed on without avoiding the target.
 func TestPlainTargetThatFailsIsNotAvoided(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	tg := h.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		sign(rw)
 		rw.WriteHeader(http.StatusInternalServerError)
 	})
 	for range 3 {
-		w.do(w.request("GET", "/safe/", ""))
+		h.do(h.request("GET", "/safe/", ""))
 	}
-	if tg.count() != 3 || w.notices.Load() != 0 {
-		t.Errorf("%d requests, %d notices", tg.count(), w.notices.Load())
+	if tg.count() != 3 || h.notices.Load() != 0 {
+		t.Errorf("%d requests, %d notices", tg.count(), h.notices.Load())
 	}
 }
 
 func TestTurnGoesToTheTargetOfTheLastOne(t *testing.T) {
-	w := newHarness(t)
-	w.budgets.target = "t2"
-	other := w.target("t1", "engine", serveEvents(2, neverCut))
-	last := w.target("t2", "engine", serveEvents(2, neverCut))
+	h := newHarness(t)
+	h.budgets.target = "t2"
+	other := h.target("t1", "engine", serveEvents(2, neverCut))
+	last := h.target("t2", "engine", serveEvents(2, neverCut))
 	for i := range 8 {
-		got := w.do(w.request("POST", "/turns/", "", "Banyanglade-Program-Id", fmt.Sprint("p", i),
+		got := h.do(h.request("POST", "/turns/", "", "Banyanglade-Program-Id", fmt.Sprint("p", i),
 			"Banyanglade-Token-Budget", "1000", "Banyanglade-Token-Usage", "100,50"))
 		if got.err != nil || got.status != 200 {
 			t.Fatalf("got %+v", got)
@@ -269,7 +269,7 @@
 	if other.count() != 0 || last.count() != 8 {
 		t.Errorf("%d turns ran elsewhere", other.count())
 	}
-	if ends := w.budgets.ends; len(ends) != 8 || ends[0].Target != "t2" || ends[0].Failed {
+	if ends := h.budgets.ends; len(ends) != 8 || ends[0].Target != "t2" || ends[0].Failed {
 		t.Errorf("the owner received %v", ends)
 	}
 }
@@ -277,12 +277,12 @@
 // A request that ran at a target which has ended since must not be refused as if it had
 // not run, when no other target is left.
 func TestRequestThatRanAtATargetThatEndedIsNotSaidNotToHaveRun(t *testing.T) {
-	w := newHarness(t)
-	w.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
-		w.targets.Remove("ends")
+	h := newHarness(t)
+	h.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+		h.targets.Remove("ends")
 		cutConnection(n, rw, r)
 	})
-	if got := w.do(w.request("GET", "/safe/", "")); got.status != 502 {
+	if got := h.do(h.request("GET", "/safe/", "")); got.status != 502 {
 		t.Errorf("got %+v, want a status that leaves open whether it ran", got)
 	}
 }
@@ -291,18 +291,18 @@
 // request that may run once only is not sent to the new incarnation, whose health is
 // not affected.
 func TestLaterStartOfATargetDoesNotGetTheRequestAgain(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
-		entry, _ := w.targets.Entry("again")
+	h := newHarness(t)
+	tg := h.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
+		entry, _ := h.targets.Entry("again")
 		entry.Start++
-		w.targets.Put(entry)
+		h.targets.Put(entry)
 		cutConnection(n, rw, r)
 	})
-	got := w.do(w.request("POST", "/once/", "b"))
+	got := h.do(h.request("POST", "/once/", "b"))
 	if got.status != 502 || tg.count() != 1 {
 		t.Errorf("got %+v after %d sends", got, tg.count())
 	}
-	for _, s := range w.targets.Snapshot() {
+	for _, s := range h.targets.Snapshot() {
 		if s.Avoided {
 			t.Error("the new incarnation is avoided because of the former one")
 		}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("t1", "app", serveText("hello"))
-	got := w.do(w.request("POST", "/once/x%2Fy?a=b&a", "body", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone",
+	h := newHarness(t)
+	tg := h.target("t1", "app", serveText("hello"))
+	got := h.do(h.request("POST", "/once/x%2Fy?a=b&a", "body", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone",
 		"Banyanglade-Hold", "forged", "Banyanglade-Deadline-Ms", "1500"))
 	if got.err != nil || got.status != 200 || got.body != "hello" || got.header.Get("Banyanglade-Server-Signature") != "s" {
 		t.Fatalf("got %+v", got)
@@ -36,20 +36,20 @@
 }
 
 func TestRequestsWithoutSettingsAreRefused(t *testing.T) {
-	w := newHarness(t)
-	w.server.table.Store(nil)
-	got := w.do(w.request("GET", "/safe/", ""))
+	h := newHarness(t)
+	h.server.table.Store(nil)
+	got := h.do(h.request("GET", "/safe/", ""))
 	if got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestRetryAfterIsLongerWhileStoreIsUnavailable(t *testing.T) {
-	w := newHarness(t)
-	w.server.table.Store(nil)
-	available := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
-	w.health.unavailable.Store(true)
-	unavailable := w.do(w.request("GET", "/safe/", "")).header.Get("Retry-After")
+	h := newHarness(t)
+	h.server.table.Store(nil)
+	available := h.do(h.request("GET", "/safe/", "")).header.Get("Retry-After")
+	h.health.unavailable.Store(true)
+	unavailable := h.do(h.request("GET", "/safe/", "")).header.Get("Retry-After")
 	if available != "0.2" || unavailable != "1.3" {
 		t.Errorf("Retry-After %s, %s while the store is unavailable", available, unavailable)
 	}
@@ -58,14 +58,14 @@
 // A refused request can be explained from its id alone; a served one is not logged
 // above debug level.
 func TestLogNamesRefusedRequests(t *testing.T) {
-	w := newHarness(t)
-	w.target("a", "app", serveText("ok"))
-	w.do(w.request("GET", "/safe/", "", "Banyanglade-Request-Id", "served1"))
-	w.do(w.request("GET", "/other/", "", "Banyanglade-Request-Id", "noroute1"))
-	w.server.table.Store(nil)
-	w.do(w.request("GET", "/safe/", "", "Banyanglade-Request-Id", "nosettings1"))
-	w.front.Close() // waits for the handlers
-	log := w.log.String()
+	h := newHarness(t)
+	h.target("a", "app", serveText("ok"))
+	h.do(h.request("GET", "/safe/", "", "Banyanglade-Request-Id", "served1"))
+	h.do(h.request("GET", "/other/", "", "Banyanglade-Request-Id", "noroute1"))
+	h.server.table.Store(nil)
+	h.do(h.request("GET", "/safe/", "", "Banyanglade-Request-Id", "nosettings1"))
+	h.front.Close() // waits for the handlers
+	log := h.log.String()
 	for id, reason := range map[string]reason{"noroute1": reasonNoRoute, "nosettings1": reasonNoSettings} {
 		explanation, err := explain.Read(id, strings.NewReader(log))
 		if err != nil || !strings.Contains(log, id) || strings.Contains(explanation.Cause(), "No line") {
@@ -78,62 +78,62 @@
 }
 
 func TestUnknownRoute(t *testing.T) {
-	w := newHarness(t)
-	if got := w.do(w.request("GET", "/other/", "")); got.status != 404 {
+	h := newHarness(t)
+	if got := h.do(h.request("GET", "/other/", "")); got.status != 404 {
 		t.Errorf("got %d", got.status)
 	}
 }
 
 func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	w := newHarness(t)
-	w.target("a", "app", func(n int, rw http.ResponseWriter, _ *http.Request) {
+	h := newHarness(t)
+	h.target("a", "app", func(n int, rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Banyanglade-Request-Id", "another")
 		sign(rw)
 		_, _ = rw.Write([]byte("not yours"))
 		rw.Header().Set("Connection", "close")
 	})
-	if got := w.do(w.request("POST", "/once/", "b", "Banyanglade-Deadline-Ms", "200")); got.status < 500 {
+	if got := h.do(h.request("POST", "/once/", "b", "Banyanglade-Deadline-Ms", "200")); got.status < 500 {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestSuccessWithoutSignatureIsNotPassedOn(t *testing.T) {
-	w := newHarness(t)
-	w.target("a", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("?")) })
-	if got := w.do(w.request("POST", "/once/", "b")); got.status != 502 {
+	h := newHarness(t)
+	h.target("a", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("?")) })
+	if got := h.do(h.request("POST", "/once/", "b")); got.status != 502 {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestRouteTimeout(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	w.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
+	h.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	})
-	if got := w.do(w.request("POST", "/short/", "b")); got.status != 504 {
+	if got := h.do(h.request("POST", "/short/", "b")); got.status != 504 {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	started, ended := make(chan struct{}), make(chan struct{})
-	w.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
+	h.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	r := w.request("GET", "/safe/", "").WithContext(ctx)
+	r := h.request("GET", "/safe/", "").WithContext(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.do(r)
+		h.do(r)
 	}()
 	<-started
 	cancel()
@@ -142,9 +142,9 @@
 }
 
 func TestStreamGoesOnAtTheSameTargetFromTheLastWholeEvent(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2, 2: 4}[n] }))
-	got := w.do(w.request("POST", "/turns/", "b"))
+	h := newHarness(t)
+	tg := h.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2, 2: 4}[n] }))
+	got := h.do(h.request("POST", "/turns/", "b"))
 	if got.err != nil || got.body != events(1, 6) {
 		t.Fatalf("got %+v", got)
 	}
@@ -154,7 +154,7 @@
 }
 
 func TestStreamGoesOnAtAnotherTargetIfItsOwnHasEnded(t *testing.T) {
-	w := newHarness(t)
+	h := newHarness(t)
 	var first *target
 	handle := func(id string) func(int, http.ResponseWriter, *http.Request) {
 		return func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -162,62 +162,62 @@
 				serveEvents(5, neverCut)(n, rw, r)
 				return
 			}
-			w.targets.Remove(id)
+			h.targets.Remove(id)
 			serveEvents(5, func(int) int { return 3 })(n, rw, r)
 		}
 	}
-	first = w.target("e1", "engine", handle("e1"))
-	second := w.target("e2", "engine", handle("e2"))
-	got := w.do(w.request("POST", "/turns/", "b"))
+	first = h.target("e1", "engine", handle("e1"))
+	second := h.target("e2", "engine", handle("e2"))
+	got := h.do(h.request("POST", "/turns/", "b"))
 	if got.err != nil || got.body != events(1, 5) {
 		t.Errorf("got %+v after %d and %d runs", got, first.count(), second.count())
 	}
 }
 
 func TestNonResumableStreamEndsIncomplete(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("e1", "engine", serveEvents(5, func(int) int { return 2 }))
-	got := w.do(w.request("POST", "/fixed/", "b"))
+	h := newHarness(t)
+	tg := h.target("e1", "engine", serveEvents(5, func(int) int { return 2 }))
+	got := h.do(h.request("POST", "/fixed/", "b"))
 	if got.err == nil || got.body != events(1, 2) || tg.count() != 1 {
 		t.Errorf("got %+v after %d runs", got, tg.count())
 	}
 }
 
 func TestEventOutOfOrderIsNotPassedOn(t *testing.T) {
-	w := newHarness(t)
-	w.target("e1", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
+	h := newHarness(t)
+	h.target("e1", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
 		rw.Header().Set("Content-Type", "text/event-stream")
 		_, _ = fmt.Fprint(rw, events(1, 2), events(4, 5))
 	})
-	if got := w.do(w.request("POST", "/fixed/", "b")); got.err == nil || got.body != events(1, 2) {
+	if got := h.do(h.request("POST", "/fixed/", "b")); got.err == nil || got.body != events(1, 2) {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestTurnSettlesDeliveredTokens(t *testing.T) {
-	w := newHarness(t)
-	w.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2}[n] }))
-	got := w.do(w.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
+	h := newHarness(t)
+	h.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2}[n] }))
+	got := h.do(h.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
 		"Banyanglade-Token-Budget", "900", "Banyanglade-Token-Usage", "100,285"))
 	if got.err != nil {
 		t.Fatal(got.err)
 	}
-	w.front.Close() // waits for the handler
-	if len(w.budgets.requests) != 1 || w.budgets.requests[0].MaxTokens != 290 || w.budgets.requests[0].Budget != 900 {
-		t.Errorf("reserved %+v", w.budgets.requests)
+	h.front.Close() // waits for the handler
+	if len(h.budgets.requests) != 1 || h.budgets.requests[0].MaxTokens != 290 || h.budgets.requests[0].Budget != 900 {
+		t.Errorf("reserved %+v", h.budgets.requests)
 	}
-	if len(w.budgets.settled) != 1 || w.budgets.settled[0] != 60 {
-		t.Errorf("settled %v, want 60 tokens", w.budgets.settled)
+	if len(h.budgets.settled) != 1 || h.budgets.settled[0] != 60 {
+		t.Errorf("settled %v, want 60 tokens", h.budgets.settled)
 	}
 }
 
 func TestTurnWithoutRoomDoesNotRun(t *testing.T) {
 	for err, status := range map[error]int{ErrBudgetSpent: 402, ErrNoOwner: 503} {
-		w := newHarness(t)
-		tg := w.target("e1", "engine", serveEvents(6, neverCut))
-		w.budgets.err = err
-		got := w.do(w.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
+		h := newHarness(t)
+		tg := h.target("e1", "engine", serveEvents(6, neverCut))
+		h.budgets.err = err
+		got := h.do(h.request("POST", "/turns/", "b", "Banyanglade-Program-Id", "p",
 			"Banyanglade-Token-Budget", "900", "Banyanglade-Token-Usage", "100,290"))
 		if got.status != status || tg.count() != 0 {
 			t.Errorf("%v: got %+v after %d runs", err, got, tg.count())
@@ -229,8 +229,8 @@
 }
 
 func TestBadInputRunsNothing(t *testing.T) {
-	w := newHarness(t)
-	tg := w.target("a", "app", serveText("ok"))
+	h := newHarness(t)
+	tg := h.target("a", "app", serveText("ok"))
 	smuggled := "POST /once/smuggled HTTP/1.1\r\nHost: a.example\r\nBanyanglade-Request-Id: s\r\nContent-Length: 0\r\n\r\n"
 	head := "POST /once/x HTTP/1.1\r\nHost: a.example\r\nBanyanglade-Request-Id: 1\r\n"
 	// RFC 9112, 6.1: 501 for a transfer coding that is not understood.
@@ -249,7 +249,7 @@
 		"no host":               "GET /safe/ HTTP/1.1\r\nBanyanglade-Request-Id: 1\r\n\r\n",
 	}
 	for name, text := range cases {
-		responses := w.raw(text)
+		responses := h.raw(text)
 		if len(responses) != 1 || responses[0].StatusCode < 400 || responses[0].StatusCode >= 500 && name != unknownEncoding {
 			t.Errorf("%s: %d responses, %+v", name, len(responses), responses)
 		}
@@ -260,10 +260,10 @@
 }
 
 func TestDrainingAnswersCloseTheConnection(t *testing.T) {
-	w := newHarness(t)
-	w.target("a", "app", serveText("ok"))
-	w.server.Drain()
-	resp, err := http.DefaultTransport.RoundTrip(w.request("GET", "/safe/", ""))
+	h := newHarness(t)
+	h.target("a", "app", serveText("ok"))
+	h.server.Drain()
+	resp, err := http.DefaultTransport.RoundTrip(h.request("GET", "/safe/", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,11 +285,11 @@
 // While the settings may be outdated, an unknown route may be a new one: the refusal is
 // retryable.
 func TestUnknownRouteIsNoVerdictWhileTheSettingsMayBeOld(t *testing.T) {
-	w := newHarness(t)
-	w.server.keyPolicy.ConfigDelay = 5 * time.Second
+	h := newHarness(t)
+	h.server.keyPolicy.ConfigDelay = 5 * time.Second
 	for age, want := range map[time.Duration]int{time.Second: http.StatusNotFound, 6 * time.Second: http.StatusServiceUnavailable} {
-		w.currency.age = age
-		resp, err := http.Get(w.front.URL + "/nowhere/x")
+		h.freshness.age = age
+		resp, err := http.Get(h.front.URL + "/nowhere/x")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -128,8 +128,8 @@
 
 // Notices notifies other instances of failing targets.
 type Notices interface {
-	// ReportTargetBreaks reports that a target broke a new connection or failed a turn. It
-	// does not block.
+	// ReportTargetBreaks notifies other instances of the failures recorded in the
+	// registry. It does not block.
 	ReportTargetBreaks()
 }
 
@@ -183,8 +183,8 @@
 	admission     Admission
 	log           *slog.Logger
 	metrics       metrics
-	// connFailureThreshold is the time within which a broken connection indicates that
-	// its target is down. It is a field for tests.
+	// connFailureThreshold is the time within which the end of a connection indicates
+	// that its target is down. It is a field for tests.
 	connFailureThreshold time.Duration
 
 	table    atomic.Pointer[route.Table]
--- a/internal/serve/transfer.go
+++ b/internal/serve/transfer.go
@@ -102,16 +102,16 @@
 	// failedTarget is the last target that failed the turn. It is empty if none did or
 	// another target completed the turn.
 	failedTarget string
-	// brokenTargets lists the incarnations of targets that broke a connection without a
+	// connFailures lists the incarnations of targets whose connection failed without a
 	// response.
-	brokenTargets []string
-	lastTarget    string
+	connFailures []string
+	lastTarget   string
 	// sentAt is the time of the last send.
 	sentAt   time.Time
 	sends    int
 	refusals int
 
-	// earlyRetry indicates that the last send is cancelled early in favour of a hedge.
+	// earlyRetry indicates that the last send is bounded by the early retry timeout.
 	earlyRetry bool
 	// sendCtx is the context of the last send.
 	sendCtx context.Context
--- a/internal/targets/completion.go
+++ b/internal/targets/completion.go
@@ -8,24 +8,25 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// chooseByCompletion selects the target with the earliest expected end of the request. It
-// is used for services whose targets' speeds are learned. The mutex must be held.
+// chooseByCompletion selects the target with the earliest expected completion of the
+// request. It is used for services whose targets' speeds are learned. The mutex must be
+// held.
 func (r *Registry) chooseByCompletion(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
 	pool := r.recentPool(criteria.Service, now).Utilization
-	means := meanUtilizations(all)
-	serviceMeans := meansOf(all)
+	meanUtilizationByDataCentre := meanUtilizations(all)
+	means := meansOf(all)
 	preferred := criteria.preferred(all)
 	r.targetOptions = r.targetOptions[:0]
 	for _, t := range all {
 		hasIdle := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
-		slowness := t.currentSlowness(serviceMeans, now)
+		slowness := t.currentSlowness(means, now)
 		if last {
 			// Short slowdowns must not move a program from its target.
-			slowness = t.slowness(serviceMeans, now)
+			slowness = t.slowness(means, now)
 		}
 		r.targetOptions = append(r.targetOptions, policy.TargetOption{
-			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(means),
+			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(meanUtilizationByDataCentre),
 			NeedsConnection: !hasIdle, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
 			HasPrompt: last, Warm: t == preferred,
 			Excluded: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
@@ -49,12 +50,13 @@
 	return rank(r.seed, t.ID)
 }
 
-// Explanation describes why a target was selected by its expected end.
+// Explanation describes why a target was selected by its expected completion.
 type Explanation struct {
-	// Estimated indicates that the target was selected by its expected end.
+	// Estimated indicates that the target was selected by its expected completion.
 	Estimated bool
-	// ExpectedCompletion and RunnerUpCompletion are the expected ends at the selected and at the
-	// second best target, as a fraction of the mean request duration.
+	// ExpectedCompletion and RunnerUpCompletion are the expected completions at the
+	// selected and at the second best target, as a fraction of the mean request
+	// duration.
 	ExpectedCompletion, RunnerUpCompletion float64
 	// RunnerUp is the ID of the second best target, empty if there was none.
 	RunnerUp string
@@ -109,14 +111,14 @@
 	return first.target
 }
 
-// requestProfile returns what a request needs, as a fraction of the mean response time.
+// requestProfile returns the work of a request, relative to the mean response time.
 func (model *serviceModel) requestProfile(criteria Criteria) policy.RequestProfile {
 	if !criteria.Stream {
 		return policy.RequestProfile{}
 	}
-	read := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
+	prefill := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
 	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.Tokens))
-	return policy.RequestProfile{Batched: true, PromptCost: read.Seconds() / max(response, time.Millisecond).Seconds()}
+	return policy.RequestProfile{Batched: true, PromptCost: prefill.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
 // avoided reports whether the target recently failed and should not receive
--- a/internal/targets/completion_test.go
+++ b/internal/targets/completion_test.go
@@ -110,7 +110,7 @@
 }
 
 // For targets that do not report their pace, no speeds are learned, and selection
-// is not by expected end.
+// is not by expected completion.
 func TestNoSpeedsAreLearnedWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(3)
--- a/internal/targets/failures.go
+++ b/internal/targets/failures.go
@@ -6,14 +6,14 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// A target that is down breaks each new connection and appears idle, so it attracts
+// A target that is down closes each new connection and appears idle, so it attracts
 // requests from every instance that has not yet seen it fail. Instances notify each
-// other of such targets.
+// other of such failures, and of those of turns.
 
 const (
-	// peerAvoidance is how long a target is avoided after it broke a connection of
-	// another instance. It is shorter than the time until the registration of a dead
-	// target expires.
+	// peerAvoidance is how long a target is avoided after it failed for another
+	// instance. It is shorter than the time until the registration of a dead target
+	// expires.
 	peerAvoidance = time.Second
 	// maxPeerAvoidedFraction limits the targets of a service that are avoided on other
 	// instances' reports, so that false reports cannot disable a service.
@@ -23,8 +23,9 @@
 	minNoticeInterval = 200 * time.Millisecond
 )
 
-// RecordSharedFailure records that a target broke a new connection. It reports whether
-// other instances should be notified now.
+// RecordSharedFailure records a failure that other instances are to be notified of: the
+// target closed a new connection or failed a turn. It reports whether to notify them
+// now.
 func (r *Registry) RecordSharedFailure(t *Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,8 +41,7 @@
 	return true
 }
 
-// TargetFailures returns the targets that recently broke connections of this or other
-// instances.
+// TargetFailures returns the targets that recently failed for this or other instances.
 func (r *Registry) TargetFailures(now time.Time) []structs.TargetFailure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 	return failures
 }
 
-// MergeTargetFailures applies another instance's report of broken connections. Later
+// MergeTargetFailures applies another instance's report of target failures. Later
 // observations of this instance take precedence, and reports of other incarnations
 // are ignored.
 func (r *Registry) MergeTargetFailures(failures []structs.TargetFailure, now time.Time) {
--- a/internal/targets/failures_test.go
+++ b/internal/targets/failures_test.go
@@ -8,7 +8,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// peerFailures returns another instance's report of broken connections.
+// peerFailures returns another instance's report of target failures.
 func peerFailures(age time.Duration, ids ...string) []structs.TargetFailure {
 	var failures []structs.TargetFailure
 	for _, id := range ids {
@@ -76,18 +76,18 @@
 	a, b := newTestRegistry(6), newTestRegistry(6)
 	now := time.Unix(100, 0)
 	if !a.RecordSharedFailure(a.byID["t0"], now) || a.RecordSharedFailure(a.byID["t0"], now.Add(minNoticeInterval/2)) {
-		t.Error("want a notice for the first break only")
+		t.Error("want a notice of the first failure only")
 	}
 	b.MergeTargetFailures(a.TargetFailures(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
 	if failures := b.TargetFailures(now.Add(peerAvoidance / 2)); len(failures) != 1 || failures[0].Age <= 0 {
-		t.Errorf("relayed breaks %v", failures)
+		t.Errorf("relayed failures %v", failures)
 	}
 	if failures := b.TargetFailures(now.Add(2 * peerAvoidance)); len(failures) != 0 {
-		t.Errorf("relayed breaks %v", failures)
+		t.Errorf("relayed failures %v", failures)
 	}
 }
 
-// Breaks reported for an earlier incarnation have no effect, and breaks by an
+// Failures reported for an earlier incarnation have no effect, and failures of an
 // earlier incarnation are not relayed.
 func TestBreaksOfAnEarlierStartSayNothing(t *testing.T) {
 	r := NewRegistry("dc", idleConnections{})
@@ -104,7 +104,7 @@
 		t.Errorf("picked %v", counts)
 	}
 	if r.RecordSharedFailure(former, now) || len(r.TargetFailures(now)) != 0 {
-		t.Error("a break of an earlier incarnation is relayed")
+		t.Error("a failure of an earlier incarnation is relayed")
 	}
 	r.MergeTargetFailures(peerFailures(0, "t0@2000"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
--- a/internal/targets/pools.go
+++ b/internal/targets/pools.go
@@ -13,7 +13,7 @@
 // receive the most reports and attach their view of each service to their replies.
 
 const (
-	// reportDecayTime is the time over which a report fades to the target's average, in
+	// reportDecayTime is the time over which a report decays to the target's average, in
 	// the load of a service.
 	reportDecayTime = 400 * time.Millisecond
 	// maxViewAge is the age up to which another instance's view is used.
@@ -25,11 +25,11 @@
 // Pool is the load of a service as a whole.
 type Pool struct {
 	// Utilization is the number of running and waiting requests as a fraction of the
-	// capacity, based on reports of Reporting of the Usable targets.
+	// capacity, according to the reports of ReportingTargets of the UsableTargets.
 	Utilization      float64
 	ReportingTargets int
 	UsableTargets    int
-	// ReportAge is the mean age of the reports.
+	// ReportAge is the average age of the reports.
 	ReportAge time.Duration
 	// SpeedsLearned indicates that the speeds of the targets are learned.
 	SpeedsLearned bool
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -97,8 +97,8 @@
 }
 
 // EarlyRetryTimeout returns how long the first send of a repeatable request may take
-// before it is given up for a hedged send. It returns false if no hedged send is
-// allowed now.
+// before it is cancelled and the request is sent to another target. It returns false
+// if no early retry is allowed now.
 func (r *Registry) EarlyRetryTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +109,8 @@
 	return model.route(route).earlyRetry.Timeout(r.recentPool(service, now).Utilization)
 }
 
-// RecordEarlyRetry records a hedged send. duration is how long the first send, to t,
-// took before it was given up.
+// RecordEarlyRetry records an early retry. duration is how long the first send, to t,
+// took before it was cancelled.
 func (r *Registry) RecordEarlyRetry(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// serviceMeans holds the mean speed and pace of a service's targets, 0 if unknown.
+// means holds the mean speed and pace of a service's targets, 0 if unknown.
 type serviceMeans struct{ speed, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -80,11 +80,12 @@
 	avoidUntil time.Time
 	// lastSuccessAt is when a request of this instance last succeeded.
 	lastSuccessAt time.Time
-	// lastSharedFailureAt is when the target last broke a new connection, of this or another
-	// instance. peerAvoidUntil is set by reports of other instances.
+	// lastSharedFailureAt is when the target last closed a new connection or failed a
+	// turn, of this or another instance. peerAvoidUntil is set by reports of other
+	// instances.
 	lastSharedFailureAt time.Time
 	peerAvoidUntil      time.Time
-	// lastNoticeAt is when other instances were last notified of a break.
+	// lastNoticeAt is when other instances were last notified of a failure.
 	lastNoticeAt time.Time
 }
 
@@ -119,7 +120,7 @@
 	views map[uint64]poolView
 	// byHash indexes targets by incarnationHash.
 	byHash map[uint64]*Target
-	// recentlyFailed holds the targets that recently broke connections, by incarnation.
+	// recentlyFailed holds the targets of TargetFailures, by incarnation.
 	recentlyFailed map[string]*Target
 	// localUtilization is the moving average of the utilization of targets in this data
 	// centre, by service.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -14,7 +14,7 @@
 // idleConnections maps addresses with an idle connection to its expiry.
 type idleConnections map[string]time.Time
 
-func (k idleConnections) HasIdle(address string, now time.Time) bool { return now.Before(k[address]) }
+func (c idleConnections) HasIdle(address string, now time.Time) bool { return now.Before(c[address]) }
 
 func newTestRegistry(n int) *Registry { return newRegistryWith(n, idleConnections{}) }
 
