--- a/internal/exchange/causes_test.go
+++ b/internal/exchange/causes_test.go
@@ -13,8 +13,8 @@
 	scope := tally.NewTestScope("", nil)
 	p := NewPool(scope)
 	t.Cleanup(p.close)
-	opened := func(why cause) int64 {
-		return scope.Snapshot().Counters()["connections_opened+cause="+string(why)].Value()
+	opened := func(c cause) int64 {
+		return scope.Snapshot().Counters()["connections_opened+cause="+string(c)].Value()
 	}
 	get := func(now time.Time) *conn {
 		c, err := p.get(t.Context(), s.address, now)
@@ -32,9 +32,9 @@
 	p.put(second, 4*time.Second, now.Add(time.Minute))
 	p.CloseIdle(s.address)
 	p.drop(get(time.Now()))
-	for why, want := range map[cause]int64{causeFirst: 1, causeBusy: 1, causeExpired: 1, causeClosed: 1} {
-		if got := opened(why); got != want {
-			t.Errorf("%d opened with cause %s, want %d", got, why, want)
+	for c, want := range map[cause]int64{causeFirst: 1, causeBusy: 1, causeExpired: 1, causeClosed: 1} {
+		if got := opened(c); got != want {
+			t.Errorf("%d opened with cause %s, want %d", got, c, want)
 		}
 	}
 	if at := p.addresses[s.address]; at.inUse != 0 {
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -58,9 +58,9 @@
 	Route string
 	// Rank orders requests by urgency; 0 is the most urgent.
 	Rank int
-	// Usage is the organisation's usage as a fraction of its limit; 0 if unknown.
-	Usage    float64
-	TimeLeft time.Duration
+	// LimitUtilization is the organisation's usage as a fraction of its limit; 0 if unknown.
+	LimitUtilization float64
+	TimeLeft         time.Duration
 }
 
 // Controller decides which requests this instance admits. It is safe for concurrent
@@ -110,7 +110,7 @@
 		s.lastCalledAt = now
 	}
 	admission := policy.AdmissionRequest{
-		Class: r.Class, Rank: s.relativeRank(r), RelativeSize: s.relativeSize(r), LimitUsage: r.Usage, Random: programHash(r), Jitter: c.jitter(),
+		Class: r.Class, Rank: s.relativeRank(r), RelativeSize: s.relativeSize(r), LimitUtilization: r.LimitUtilization, Random: programHash(r), Jitter: c.jitter(),
 		TimeLeft: r.TimeLeft, TypicalTime: s.meanDuration,
 	}
 	verdict := policy.AdmitRequest(admission, c.requiredPools(r, s, now)...)
@@ -294,11 +294,11 @@
 	return fmt.Sprintf("%s: service %s at utilization %.2f, %d of %d targets reporting, reports %d ms old; class %s, rank %d, "+
 		"organisation at %.2f of its limit; fraction %.2f of such requests refused; capacity expected in %s",
 		v.Cause, v.Pool.Service, v.Pool.Utilization, v.Pool.ReportingTargets, v.Pool.UsableTargets, v.Pool.ReportAge.Milliseconds(), r.Class, r.Rank,
-		r.Usage, v.RefusalProbability, v.RetryAfter)
+		r.LimitUtilization, v.RefusalProbability, v.RetryAfter)
 }
 
-// Dump is the state of a service in a dump.
-type Dump struct {
+// ServiceDump is the state of a service in a dump.
+type ServiceDump struct {
 	Service          string  `json:"service"`
 	Utilization      float64 `json:"fill"`
 	ReportingTargets int     `json:"known"`
@@ -310,13 +310,13 @@
 }
 
 // Dump returns the state of all services, sorted by name.
-func (c *Controller) Dump(now time.Time) []Dump {
+func (c *Controller) Dump(now time.Time) []ServiceDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]Dump, 0, len(c.services))
+	all := make([]ServiceDump, 0, len(c.services))
 	for name := range c.services {
 		s := c.service(name, now)
-		all = append(all, Dump{
+		all = append(all, ServiceDump{
 			Service: name, Utilization: s.view.Utilization, ReportingTargets: s.view.ReportingTargets, UsableTargets: s.view.UsableTargets, ReportAgeMs: s.view.ReportAge.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -112,7 +112,7 @@
 func TestRefusalDescription(t *testing.T) {
 	c := newTestController(testPools{"engine": 5})
 	r := firstTurn("p")
-	r.Rank, r.Usage = 2, 0.95
+	r.Rank, r.LimitUtilization = 2, 0.95
 	line := DescribeRefusal(r, c.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
--- a/internal/policy/estimates.go
+++ b/internal/policy/estimates.go
@@ -10,16 +10,16 @@
 	TokenTime time.Duration
 	// CallTime is the time of one run.
 	CallTime time.Duration
-	// Tokens is the length of a response.
-	Tokens float64
+	// CompletionTokens is the length of a response.
+	CompletionTokens float64
 }
 
 // Initial estimates, used until runs have finished.
 const (
-	initialPrefillPerToken = 15 * time.Microsecond
-	initialTokenTime       = 3 * time.Millisecond
-	initialCallTime        = 500 * time.Millisecond
-	initialTokens          = 150
+	initialPrefillPerToken  = 15 * time.Microsecond
+	initialTokenTime        = 3 * time.Millisecond
+	initialCallTime         = 500 * time.Millisecond
+	initialCompletionTokens = 150
 	// estimateGain is the weight of a new sample.
 	estimateGain = 0.02
 	// minPrefillSample is the minimum number of uncached prompt tokens for a
@@ -31,16 +31,16 @@
 func NewEstimates() Estimates {
 	return Estimates{
 		PrefillPerToken: initialPrefillPerToken, TokenTime: initialTokenTime,
-		CallTime: initialCallTime, Tokens: initialTokens,
+		CallTime: initialCallTime, CompletionTokens: initialCompletionTokens,
 	}
 }
 
 // RunSample holds the measurements of one finished run.
 type RunSample struct {
-	Uncached   int64
-	Completion int64
-	FirstToken time.Duration
-	Took       time.Duration
+	UncachedTokens   int64
+	CompletionTokens int64
+	FirstToken       time.Duration
+	Took             time.Duration
 	// Queued is the prefill time queued ahead of the run at its target.
 	Queued time.Duration
 }
@@ -48,18 +48,18 @@
 // Add updates the averages with a finished run.
 func (e *Estimates) Add(s RunSample) {
 	e.CallTime = blend(e.CallTime, s.Took)
-	e.Tokens += estimateGain * (float64(s.Completion) - e.Tokens)
-	if s.Completion > 1 && s.Took > s.FirstToken {
-		e.TokenTime = blend(e.TokenTime, (s.Took-s.FirstToken)/time.Duration(s.Completion-1))
+	e.CompletionTokens += estimateGain * (float64(s.CompletionTokens) - e.CompletionTokens)
+	if s.CompletionTokens > 1 && s.Took > s.FirstToken {
+		e.TokenTime = blend(e.TokenTime, (s.Took-s.FirstToken)/time.Duration(s.CompletionTokens-1))
 	}
-	if own := s.FirstToken - s.Queued; s.Uncached >= minPrefillSample && own > 0 {
-		e.PrefillPerToken = blend(e.PrefillPerToken, own/time.Duration(s.Uncached))
+	if own := s.FirstToken - s.Queued; s.UncachedTokens >= minPrefillSample && own > 0 {
+		e.PrefillPerToken = blend(e.PrefillPerToken, own/time.Duration(s.UncachedTokens))
 	}
 }
 
 // ExpectedTime returns the expected time of a run of the given size.
-func (e *Estimates) ExpectedTime(uncached, completion int64) time.Duration {
-	return time.Duration(uncached)*e.PrefillPerToken + time.Duration(completion+1)*e.TokenTime
+func (e *Estimates) ExpectedTime(uncachedTokens, completionTokens int64) time.Duration {
+	return time.Duration(uncachedTokens)*e.PrefillPerToken + time.Duration(completionTokens+1)*e.TokenTime
 }
 
 func blend(old, sample time.Duration) time.Duration {
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -79,9 +79,9 @@
 	// RelativeSize is what a program of this route needs as a fraction of the
 	// average program; 0 if unknown.
 	RelativeSize float64
-	// LimitUsage is the organisation's usage as a fraction of its limit; 0 if
+	// LimitUtilization is the organisation's usage as a fraction of its limit; 0 if
 	// unknown.
-	LimitUsage float64
+	LimitUtilization float64
 	// Random is a number from 0 to 1 that stays the same over all attempts of a
 	// program, so that retrying does not increase its chance of admission.
 	Random float64
@@ -192,7 +192,7 @@
 		return 0
 	}
 	minimum := r.probability(pool.Utilization, -maxShift)
-	probability := r.probability(pool.Utilization, rampShift(request)) * usageFactor(request.LimitUsage)
+	probability := r.probability(pool.Utilization, rampShift(request)) * limitFactor(request.LimitUtilization)
 	return min(probability, 1-minRelativeAdmission*(1-minimum))
 }
 
@@ -215,10 +215,10 @@
 	return shift
 }
 
-// usageFactor returns by how much an organisation's usage multiplies the refusal
+// limitFactor returns by how much an organisation's usage multiplies the refusal
 // probability.
-func usageFactor(usage float64) float64 {
-	return 1 + (limitRefusalFactor-1)*min(max((usage-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
+func limitFactor(utilization float64) float64 {
+	return 1 + (limitRefusalFactor-1)*min(max((utilization-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
 
 const (
--- a/internal/policy/loadshedding_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -32,7 +32,7 @@
 		pool            PoolLoad
 		lowest, highest float64
 	}{
-		{"half of the slots free", AdmissionRequest{Class: ClassFirstTurn, Rank: 9, LimitUsage: 1}, pool(0.5), 1, 1},
+		{"half of the slots free", AdmissionRequest{Class: ClassFirstTurn, Rank: 9, LimitUtilization: 1}, pool(0.5), 1, 1},
 		{"few queued", first, pool(1.2), 1, 1},
 		{"some queued", first, pool(1.4), 0.6, 0.9},
 		{"half as many queued as running", first, pool(1.6), 0.2, 0.5},
@@ -67,15 +67,15 @@
 			previous = got
 		}
 		mean := admittedFraction(AdmissionRequest{Class: ClassFirstTurn}, pool(utilization))
-		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(utilization)); got != mean {
+		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 0.6}, pool(utilization)); got != mean {
 			t.Fatalf("utilization %.2f: admitted %.2f at typical usage, %.2f at unknown usage", utilization, got, mean)
 		}
-		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(utilization))
+		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 1}, pool(utilization))
 		if over > mean || over < mean/4 {
 			t.Fatalf("utilization %.2f: admitted %.2f at the limit, %.2f otherwise", utilization, over, mean)
 		}
 	}
-	if over, typical := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUsage: 0.6}, pool(1.4)); over > typical-0.3 {
+	if over, typical := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 0.6}, pool(1.4)); over > typical-0.3 {
 		t.Errorf("admitted %.2f at the limit, %.2f at typical usage", over, typical)
 	}
 }
--- a/internal/policy/targetestimate.go
+++ b/internal/policy/targetestimate.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// speedGain is the weight of a new sample in a SpeedEstimate.
-	speedGain = 0.15
-	// speedDecayTime is the time constant with which a SpeedEstimate decays, so
+	// unitTimeGain is the weight of a new sample in a UnitTimeEstimate.
+	unitTimeGain = 0.15
+	// unitTimeDecayTime is the time constant with which a UnitTimeEstimate decays, so
 	// that a target that was avoided is tried again.
-	speedDecayTime = 10 * time.Second
+	unitTimeDecayTime = 10 * time.Second
 	// noiseFactor is the ratio of the squared deviation to the variance of the
 	// mean at which half of the deviation counts.
 	noiseFactor = 1.5
 	// minSlowness and maxSlowness bound an estimate.
 	minSlowness = 0.25
 	maxSlowness = 8
-	// remoteSpeedGain is the weight of a newer mean from another instance.
-	remoteSpeedGain = 0.5
+	// remoteUnitTimeGain is the weight of a newer mean from another instance.
+	remoteUnitTimeGain = 0.5
 	// paceDecayTime is the time constant with which a target's report of its
 	// current pace decays.
 	paceDecayTime = 250 * time.Millisecond
@@ -46,10 +46,10 @@
 	minReportDecayTime = 50 * time.Millisecond
 )
 
-// SpeedEstimate is the time that a target takes for a unit of work, learned from
+// UnitTimeEstimate is the time that a target takes for a unit of work, learned from
 // samples. The unit is specific to the service and only comparable between its
 // targets.
-type SpeedEstimate struct {
+type UnitTimeEstimate struct {
 	Mean float64
 	// Variance is the variance of single samples around the mean.
 	Variance float64
@@ -58,21 +58,21 @@
 }
 
 // Add updates the estimate with a sample.
-func (s *SpeedEstimate) Add(sample float64, now time.Time) {
+func (s *UnitTimeEstimate) Add(sample float64, now time.Time) {
 	if s.UpdatedAt.IsZero() {
 		// A single sample may be far off: assume an error as large as its value.
 		s.Mean, s.Variance, s.UpdatedAt = sample, sample*sample, now
 		return
 	}
 	diff := sample - s.Mean
-	s.Mean += speedGain * diff
-	s.Variance += speedGain * (diff*diff - s.Variance)
+	s.Mean += unitTimeGain * diff
+	s.Variance += unitTimeGain * (diff*diff - s.Variance)
 	s.UpdatedAt = now
 }
 
 // MergeRemote merges another instance's mean if it is newer. The variance is
 // that of this instance's samples and does not change.
-func (s *SpeedEstimate) MergeRemote(mean float64, at time.Time) {
+func (s *UnitTimeEstimate) MergeRemote(mean float64, at time.Time) {
 	if mean <= 0 || !at.After(s.UpdatedAt) {
 		return
 	}
@@ -80,24 +80,24 @@
 		s.Mean, s.UpdatedAt = mean, at
 		return
 	}
-	s.Mean += remoteSpeedGain * (mean - s.Mean)
+	s.Mean += remoteUnitTimeGain * (mean - s.Mean)
 	s.UpdatedAt = at
 }
 
 // Slowness returns the target's time relative to the typical one. reported is
 // the slowness according to the target's own reports, which is used without
 // samples. Deviations from it within the error of the mean count little.
-func (s *SpeedEstimate) Slowness(typical, reported float64, now time.Time) float64 {
+func (s *UnitTimeEstimate) Slowness(typical, reported float64, now time.Time) float64 {
 	if s.UpdatedAt.IsZero() || typical <= 0 {
 		return reported
 	}
-	slowness := reported + s.deviation(typical, reported)*decayWeight(now.Sub(s.UpdatedAt), speedDecayTime)
+	slowness := reported + s.deviation(typical, reported)*decayWeight(now.Sub(s.UpdatedAt), unitTimeDecayTime)
 	return min(max(slowness, minSlowness), maxSlowness)
 }
 
 // deviation returns the difference between the estimated and the reported
 // slowness, reduced by what may be noise.
-func (s *SpeedEstimate) deviation(typical, reported float64) float64 {
+func (s *UnitTimeEstimate) deviation(typical, reported float64) float64 {
 	diff := s.Mean/typical - reported
 	noise := noiseFactor * s.meanVariance() / (typical * typical)
 	return diff * diff * diff / (diff*diff + noise + math.SmallestNonzeroFloat64)
@@ -105,7 +105,7 @@
 
 // AdvertisedMean returns the mean to advertise to other instances, with the
 // noise removed since they do not know the variance. It is 0 without samples.
-func (s *SpeedEstimate) AdvertisedMean(typical, reported float64) float64 {
+func (s *UnitTimeEstimate) AdvertisedMean(typical, reported float64) float64 {
 	if s.UpdatedAt.IsZero() || typical <= 0 {
 		return 0
 	}
@@ -113,7 +113,9 @@
 }
 
 // meanVariance returns the variance of the moving average.
-func (s *SpeedEstimate) meanVariance() float64 { return s.Variance * speedGain / (2 - speedGain) }
+func (s *UnitTimeEstimate) meanVariance() float64 {
+	return s.Variance * unitTimeGain / (2 - unitTimeGain)
+}
 
 // PaceMedian estimates the median of the paces that a target reports, where 1 is
 // typical. Short slowdowns do not move it.
--- a/internal/policy/targetestimate_test.go
+++ b/internal/policy/targetestimate_test.go
@@ -8,10 +8,10 @@
 
 var estimateStart = time.Unix(100, 0)
 
-// speedAfter returns a SpeedEstimate after n samples at intervals of 100 ms, and
+// unitTimeAfter returns a UnitTimeEstimate after n samples at intervals of 100 ms, and
 // the time of the last one.
-func speedAfter(n int, sample func() float64) (SpeedEstimate, time.Time) {
-	var s SpeedEstimate
+func unitTimeAfter(n int, sample func() float64) (UnitTimeEstimate, time.Time) {
+	var s UnitTimeEstimate
 	now := estimateStart
 	for range n {
 		now = now.Add(100 * time.Millisecond)
@@ -22,11 +22,11 @@
 
 // Estimates of equal targets stay near 1 in spite of noise, while a target that
 // is several times slower is detected.
-func TestSpeedEstimateSeparatesNoiseFromDeviation(t *testing.T) {
+func TestUnitTimeEstimateSeparatesNoiseFromDeviation(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	outliers := 0
 	for range 200 {
-		s, now := speedAfter(20, random.ExpFloat64)
+		s, now := unitTimeAfter(20, random.ExpFloat64)
 		if slowness := s.Slowness(1, 1, now); slowness > 1.4 || slowness < 0.6 {
 			outliers++
 		}
@@ -34,11 +34,11 @@
 	if outliers > 20 {
 		t.Errorf("%d of 200 equal targets are estimated as unequal", outliers)
 	}
-	s, now := speedAfter(20, func() float64 { return 4 * random.ExpFloat64() })
+	s, now := unitTimeAfter(20, func() float64 { return 4 * random.ExpFloat64() })
 	if slowness := s.Slowness(1, 1, now); slowness < 2 {
 		t.Errorf("target that takes four times as long has slowness %.2f", slowness)
 	}
-	s, now = speedAfter(6, func() float64 { return 0.6 })
+	s, now = unitTimeAfter(6, func() float64 { return 0.6 })
 	if slowness := s.Slowness(1, 1, now); slowness > 0.75 {
 		t.Errorf("fast target has slowness %.2f", slowness)
 	}
@@ -46,14 +46,14 @@
 
 // A slow target that is no longer used is tried again, since its estimate decays
 // to the typical one.
-func TestSpeedEstimateDecaysToTypical(t *testing.T) {
-	s, now := speedAfter(10, func() float64 { return 5 })
+func TestUnitTimeEstimateDecaysToTypical(t *testing.T) {
+	s, now := unitTimeAfter(10, func() float64 { return 5 })
 	before := s.Slowness(1, 1, now)
-	after := s.Slowness(1, 1, now.Add(3*speedDecayTime))
+	after := s.Slowness(1, 1, now.Add(3*unitTimeDecayTime))
 	if before < 4 || after > 1.3 {
 		t.Errorf("slowness %.2f when new, %.2f when old", before, after)
 	}
-	var none SpeedEstimate
+	var none UnitTimeEstimate
 	if none.Slowness(1, 1, now) != 1 || s.Slowness(0, 1, now) != 1 {
 		t.Error("unknown target does not have slowness 1")
 	}
@@ -63,21 +63,21 @@
 // the actual mean for a target that is slow.
 func TestAdvertisedMeanExcludesNoise(t *testing.T) {
 	samples := []float64{0.4, 2.6}
-	few, _ := speedAfter(2, func() float64 { next := samples[0]; samples = samples[1:]; return next })
+	few, _ := unitTimeAfter(2, func() float64 { next := samples[0]; samples = samples[1:]; return next })
 	if mean := few.AdvertisedMean(1, 1); mean < 0.8 || mean > 1.2 {
 		t.Errorf("advertised %.2f for a mean of %.2f", mean, few.Mean)
 	}
-	slow, _ := speedAfter(10, func() float64 { return 4 })
+	slow, _ := unitTimeAfter(10, func() float64 { return 4 })
 	if mean := slow.AdvertisedMean(1, 1); mean < 3 {
 		t.Errorf("advertised %.2f for a mean of %.2f", mean, slow.Mean)
 	}
-	if none := new(SpeedEstimate).AdvertisedMean(1, 1); none != 0 {
+	if none := new(UnitTimeEstimate).AdvertisedMean(1, 1); none != 0 {
 		t.Errorf("advertised %.2f without samples", none)
 	}
 }
 
 func TestMergeRemoteTakesNewerMeans(t *testing.T) {
-	var s SpeedEstimate
+	var s UnitTimeEstimate
 	s.MergeRemote(4, estimateStart)
 	if s.Mean != 4 {
 		t.Errorf("mean %.1f after the first remote mean", s.Mean)
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -23,7 +23,7 @@
 	// RecordDuration records how long a request took.
 	RecordDuration(service string, took time.Duration)
 	// Dump lists the state of the services.
-	Dump(now time.Time) []overload.Dump
+	Dump(now time.Time) []overload.ServiceDump
 }
 
 // isTurn reports whether the request is a turn of a program.
@@ -79,7 +79,7 @@
 func (x *transfer) admitClass(class policy.AdmissionClass) bool {
 	request := overload.Request{
 		Service: x.service, Program: x.scoped(x.call.Program), ID: x.call.ID, Class: class, Route: x.route.Name, Rank: x.combinedPriority(),
-		IsCall: x.call.Program != "" && !x.isTurn(), Usage: x.utilization(), TimeLeft: time.Until(x.deadline),
+		IsCall: x.call.Program != "" && !x.isTurn(), LimitUtilization: x.limitUtilization(), TimeLeft: time.Until(x.deadline),
 	}
 	verdict := x.server.admission.Admit(request, time.Now())
 	if verdict.Admit {
@@ -103,8 +103,8 @@
 	return *x.org.Priority*routePriorities + within
 }
 
-// utilization returns the utilization of the organisation's limit, 0 if unknown.
-func (x *transfer) utilization() float64 {
+// limitUtilization returns the utilization of the organisation's limit, 0 if unknown.
+func (x *transfer) limitUtilization() float64 {
 	if x.permit == nil {
 		return 0
 	}
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -37,7 +37,7 @@
 
 func (f *fakeAdmission) AllowRetry(string, int, time.Time) bool        { return false }
 func (f *fakeAdmission) AllowRetryAfterFailure(string, time.Time) bool { return false }
-func (f *fakeAdmission) Dump(time.Time) []overload.Dump                { return nil }
+func (f *fakeAdmission) Dump(time.Time) []overload.ServiceDump         { return nil }
 func (f *fakeAdmission) RecordDuration(string, time.Duration)          {}
 
 func (f *fakeAdmission) RetryAfter(string, time.Duration, time.Time) time.Duration {
@@ -129,10 +129,10 @@
 	returned    int
 }
 
-func (n *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return n, nil }
+func (p *utilizationPermit) Admit(context.Context, AllowanceRequest) (Permit, error) { return p, nil }
 func (n *utilizationPermit) CountRerun()                                             {}
-func (n *utilizationPermit) Utilization() float64                                    { return n.utilization }
-func (n *utilizationPermit) Release()                                                { n.returned++ }
+func (p *utilizationPermit) Utilization() float64                                    { return p.utilization }
+func (p *utilizationPermit) Release()                                                { p.returned++ }
 
 func TestOrganisationOverFairUseIsRefusedAndReturnsItsPermit(t *testing.T) {
 	h, _ := withLimit(t)
@@ -152,7 +152,7 @@
 type fairUseAdmission struct{ fakeAdmission }
 
 func (*fairUseAdmission) Admit(r overload.Request, _ time.Time) policy.AdmissionVerdict {
-	return policy.AdmissionVerdict{Admit: r.Usage <= policy.FairUsageThreshold, RetryAfter: time.Second}
+	return policy.AdmissionVerdict{Admit: r.LimitUtilization <= policy.FairUsageThreshold, RetryAfter: time.Second}
 }
 
 func TestOrganisationPriorityPrecedesRoutePriority(t *testing.T) {
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -251,7 +251,7 @@
 type fakeAllowances struct {
 	err      error
 	requests []AllowanceRequest
-	again    int
+	reruns   int
 	returned int
 }
 
@@ -265,7 +265,7 @@
 
 type countedPermit struct{ a *fakeAllowances }
 
-func (p countedPermit) CountRerun()          { p.a.again++ }
+func (p countedPermit) CountRerun()          { p.a.reruns++ }
 func (p countedPermit) Utilization() float64 { return 0 }
 func (p countedPermit) Release()             { p.a.returned++ }
 
@@ -331,8 +331,8 @@
 	if got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA)); got.status != http.StatusOK {
 		t.Fatalf("got %d", got.status)
 	}
-	if a.again != 1 {
-		t.Errorf("%d repeated sends counted, want 1", a.again)
+	if a.reruns != 1 {
+		t.Errorf("%d repeated sends counted, want 1", a.reruns)
 	}
 }
 
--- a/internal/targets/completion.go
+++ b/internal/targets/completion.go
@@ -77,7 +77,7 @@
 	t, o := all[choice.Index], options[choice.Index]
 	*e = Explanation{
 		Estimated: true, ExpectedCompletion: choice.Completion, RunnerUpCompletion: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
-		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
+		ReportAge: age(t.loadAt, now), SpeedAge: age(t.unitTime.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
 	if choice.RunnerUp >= 0 {
 		e.RunnerUp = all[choice.RunnerUp].ID
@@ -117,7 +117,7 @@
 		return policy.RequestProfile{}
 	}
 	prefill := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
-	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.Tokens))
+	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.CompletionTokens))
 	return policy.RequestProfile{Batched: true, PromptCost: prefill.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
--- a/internal/targets/completion_test.go
+++ b/internal/targets/completion_test.go
@@ -116,7 +116,7 @@
 	r := newTestRegistry(3)
 	r.RecordLoad(r.byID["t0"], call.Load{Slots: testSlots}, now)
 	r.RecordEventInterval(r.byID["t0"], time.Second, now)
-	if len(r.models) != 0 || !r.byID["t0"].speed.UpdatedAt.IsZero() {
+	if len(r.models) != 0 || !r.byID["t0"].unitTime.UpdatedAt.IsZero() {
 		t.Error("a speed was learned")
 	}
 	var explanation Explanation
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pool_test.go
@@ -44,7 +44,7 @@
 func TestSlowTargetsHaveLessWeight(t *testing.T) {
 	const n = 20
 	r, now := newTestRegistry(n), time.Unix(100, 0)
-	fill := func(slowBusy int) float64 {
+	utilizationWith := func(slowBusy int) float64 {
 		for i := range n {
 			load := call.Load{Slots: testSlots, Running: testSlots, Pace: 100}
 			if i < n/2 {
@@ -54,7 +54,7 @@
 		}
 		return r.Pool("s", now).Utilization
 	}
-	equal := fill(2 * testSlots)
+	equal := utilizationWith(2 * testSlots)
 	for range 100 {
 		for i := range n {
 			pause := 10 * time.Millisecond
@@ -64,10 +64,10 @@
 			r.RecordEventInterval(r.byID[fmt.Sprint("t", i)], pause, now)
 		}
 	}
-	if slow := fill(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
+	if slow := utilizationWith(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
 		t.Errorf("half of the targets have queues: utilization %.2f, %.2f where these are slow", equal, slow)
 	}
-	if even := fill(0); even != 1 {
+	if even := utilizationWith(0); even != 1 {
 		t.Errorf("all slots are taken: utilization %.2f", even)
 	}
 }
--- a/internal/targets/reports.go
+++ b/internal/targets/reports.go
@@ -102,7 +102,7 @@
 		if !ok {
 			continue
 		}
-		r.mergeSpeed(t, l, now)
+		r.mergeUnitTime(t, l, now)
 		at := now.Add(-max(l.Age, 0))
 		if l.Running < 0 || l.Waiting < 0 || l.Slowdown < 0 || !at.After(t.loadAt) {
 			continue
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// speedUnit is the unit of speeds in target reports.
-	speedUnit = 1e-6
+	// unitTimeScale is the unit of speeds in target reports.
+	unitTimeScale = 1e-6
 	// durationWeight is the weight of one sample in moving averages of durations.
 	durationWeight = 0.02
 	// maxRoutes limits the routes with stored durations per service.
@@ -93,7 +93,7 @@
 		return
 	}
 	model.addDuration(duration)
-	t.speed.Add(model.route(route).add(duration), now)
+	t.unitTime.Add(model.route(route).add(duration), now)
 }
 
 // EarlyRetryTimeout returns how long the first send of a repeatable request may take
@@ -121,7 +121,7 @@
 	durations := model.route(route)
 	durations.earlyRetry.RecordRetry()
 	if durations.mean > 0 {
-		t.speed.Add(duration.Seconds()/durations.mean, now)
+		t.unitTime.Add(duration.Seconds()/durations.mean, now)
 	}
 }
 
@@ -130,7 +130,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.models[t.Service] != nil {
-		t.speed.Add(perEvent.Seconds(), now)
+		t.unitTime.Add(perEvent.Seconds(), now)
 	}
 }
 
@@ -145,19 +145,19 @@
 }
 
 // means holds the mean speed and pace of a service's targets, 0 if unknown.
-type serviceMeans struct{ speed, pace float64 }
+type serviceMeans struct{ unitTime, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
-	var speed, pace mean
+	var unitTime, pace mean
 	for _, t := range all {
-		if !t.speed.UpdatedAt.IsZero() {
-			speed.add(t.speed.Mean)
+		if !t.unitTime.UpdatedAt.IsZero() {
+			unitTime.add(t.unitTime.Mean)
 		}
 		if t.pace.Value > 0 {
 			pace.add(t.pace.Value)
 		}
 	}
-	return serviceMeans{speed: speed.value(), pace: pace.value()}
+	return serviceMeans{unitTime: unitTime.value(), pace: pace.value()}
 }
 
 // minMeanUtilization is the mean utilization below which the balance of targets is
@@ -208,7 +208,7 @@
 // slowness returns the target's time for a unit of work relative to the mean,
 // without its current pace.
 func (t *Target) slowness(means serviceMeans, now time.Time) float64 {
-	return t.speed.Slowness(means.speed, t.relativePace(means), now)
+	return t.unitTime.Slowness(means.unitTime, t.relativePace(means), now)
 }
 
 // relativePace returns the typical pace that the target reports, relative to the
@@ -243,15 +243,15 @@
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Slowdown: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if speed := t.speed.AdvertisedMean(means.speed, t.relativePace(means)); speed > 0 {
-		report.UnitTime, report.UnitTimeAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
+	if unitTime := t.unitTime.AdvertisedMean(means.unitTime, t.relativePace(means)); unitTime > 0 {
+		report.UnitTime, report.UnitTimeAge = int(unitTime/unitTimeScale), now.Sub(t.unitTime.UpdatedAt)
 	}
 	return report
 }
 
-// mergeSpeed applies a speed measured by another instance. The mutex must be held.
-func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
+// mergeUnitTime applies a speed measured by another instance. The mutex must be held.
+func (r *Registry) mergeUnitTime(t *Target, report structs.TargetReport, now time.Time) {
 	if report.UnitTime > 0 {
-		t.speed.MergeRemote(float64(report.UnitTime)*speedUnit, now.Add(-max(report.UnitTimeAge, 0)))
+		t.unitTime.MergeRemote(float64(report.UnitTime)*unitTimeScale, now.Add(-max(report.UnitTimeAge, 0)))
 	}
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -71,10 +71,10 @@
 	// meanUtilization is the moving average of the reported load, as a fraction of the
 	// slots.
 	meanUtilization float64
-	// speed is the measured time for a unit of work; pace summarizes the paces that the
+	// unitTime is the measured time for a unit of work; pace summarizes the paces that the
 	// target reports.
-	speed policy.SpeedEstimate
-	pace  policy.PaceMedian
+	unitTime policy.UnitTimeEstimate
+	pace     policy.PaceMedian
 	// failures counts consecutive failures; the target is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
