--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -58,7 +58,7 @@
 	Route string
 	// Rank orders requests by urgency; 0 is the most urgent.
 	Rank int
-	// LimitUtilization is the organisation's usage as a fraction of its limit; 0 if unknown.
+	// LimitUtilization is the utilization of the organisation's limit; 0 if unknown.
 	LimitUtilization float64
 	TimeLeft         time.Duration
 }
--- a/internal/policy/loadshedding.go
+++ b/internal/policy/loadshedding.go
@@ -79,7 +79,7 @@
 	// RelativeSize is what a program of this route needs as a fraction of the
 	// average program; 0 if unknown.
 	RelativeSize float64
-	// LimitUtilization is the organisation's usage as a fraction of its limit; 0 if
+	// LimitUtilization is the utilization of the organisation's limit; 0 if
 	// unknown.
 	LimitUtilization float64
 	// Random is a number from 0 to 1 that stays the same over all attempts of a
@@ -145,7 +145,7 @@
 	sizeShift = 0.05
 	// maxShift bounds the sum of both shifts in either direction.
 	maxShift = 0.3
-	// FairUsageThreshold is the fraction of its limit up to which an
+	// FairUsageThreshold is the utilization of its limit up to which an
 	// organisation is treated like all others. At the limit its requests are
 	// refused limitRefusalFactor times as often.
 	FairUsageThreshold = 0.75
@@ -215,8 +215,8 @@
 	return shift
 }
 
-// limitFactor returns by how much an organisation's usage multiplies the refusal
-// probability.
+// limitFactor returns by how much the utilization of an organisation's limit
+// multiplies the refusal probability.
 func limitFactor(utilization float64) float64 {
 	return 1 + (limitRefusalFactor-1)*min(max((utilization-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
--- a/internal/policy/loadshedding_test.go
+++ b/internal/policy/loadshedding_test.go
@@ -68,7 +68,7 @@
 		}
 		mean := admittedFraction(AdmissionRequest{Class: ClassFirstTurn}, pool(utilization))
 		if got := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 0.6}, pool(utilization)); got != mean {
-			t.Fatalf("utilization %.2f: admitted %.2f at typical usage, %.2f at unknown usage", utilization, got, mean)
+			t.Fatalf("utilization %.2f: admitted %.2f at typical limit utilization, %.2f at unknown", utilization, got, mean)
 		}
 		over := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 1}, pool(utilization))
 		if over > mean || over < mean/4 {
@@ -76,7 +76,7 @@
 		}
 	}
 	if over, typical := admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 1}, pool(1.4)), admittedFraction(AdmissionRequest{Class: ClassFirstTurn, LimitUtilization: 0.6}, pool(1.4)); over > typical-0.3 {
-		t.Errorf("admitted %.2f at the limit, %.2f at typical usage", over, typical)
+		t.Errorf("admitted %.2f at the limit, %.2f at typical utilization", over, typical)
 	}
 }
 
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -17,11 +17,11 @@
 // fakeConversations is a Conversations with configurable results.
 type fakeConversations struct {
 	mu sync.Mutex
-	// before maps a turn to the conversation up to it.
+	// before maps a turn to the conversation up to and including it.
 	before map[string]string
 	err    error
 	full   bool
-	// hold, if set, delays Keep until it is closed.
+	// hold, if set, delays StoreTurn until it is closed.
 	hold     chan struct{}
 	storeErr error
 	stored   []CompletedTurn
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -36,7 +36,7 @@
 	err      error
 	requests []Turn
 	settled  []int
-	// target is what Lease.Target returns; ends records the results passed to Settle.
+	// target is what Lease.LastTarget returns; ends records the results passed to Settle.
 	target string
 	ends   []TurnResult
 }
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -70,16 +70,16 @@
 func TestOnlyKnownKeysAreLetIn(t *testing.T) {
 	h := withOrganisations(t)
 	app := h.target("t1", "app", serveText("ok"))
-	refused := map[string]func(h http.Header){
+	refused := map[string]func(http.Header){
 		"none":           func(http.Header) {},
-		"unknown":        func(h http.Header) { h.Set("Banyanglade-Credential", "other") },
-		"empty":          func(h http.Header) { h.Set("Banyanglade-Credential", "") },
-		"two":            func(h http.Header) { h["Banyanglade-Credential"] = []string{keyA, keyA} },
-		"another scheme": func(h http.Header) { h.Set("Banyanglade-Credential", "Bearer "+keyA) },
-		"two in one":     func(h http.Header) { h.Set("Banyanglade-Credential", keyA+","+keyB) },
-		"not ASCII":      func(h http.Header) { h.Set("Banyanglade-Credential", keyA+"é") },
-		"over-long":      func(h http.Header) { h.Set("Banyanglade-Credential", strings.Repeat(keyA, 50)) },
-		"elsewhere":      func(h http.Header) { h.Set("Authorization", keyA) },
+		"unknown":        func(header http.Header) { header.Set("Banyanglade-Credential", "other") },
+		"empty":          func(header http.Header) { header.Set("Banyanglade-Credential", "") },
+		"two":            func(header http.Header) { header["Banyanglade-Credential"] = []string{keyA, keyA} },
+		"another scheme": func(header http.Header) { header.Set("Banyanglade-Credential", "Bearer "+keyA) },
+		"two in one":     func(header http.Header) { header.Set("Banyanglade-Credential", keyA+","+keyB) },
+		"not ASCII":      func(header http.Header) { header.Set("Banyanglade-Credential", keyA+"é") },
+		"over-long":      func(header http.Header) { header.Set("Banyanglade-Credential", strings.Repeat(keyA, 50)) },
+		"elsewhere":      func(header http.Header) { header.Set("Authorization", keyA) },
 	}
 	for name, set := range refused {
 		r := h.request("GET", "/safe/x", "")
--- a/internal/targets/completion_test.go
+++ b/internal/targets/completion_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pacedRegistry returns a registry whose targets each reported a usual pace several
-// times.
+// pacedRegistry returns a registry whose targets each reported the typical pace
+// several times.
 func pacedRegistry(n int, idle idleConnections, now time.Time) *Registry {
 	r := newRegistryWith(n, idle)
 	for i := range 10 * n {
@@ -80,7 +80,7 @@
 		reports = append(reports, target.report(meansOf(r.serviceByName("s").all), later))
 	}
 	other.MergeLoadReports(reports, later)
-	for name, at := range map[string]*Registry{"seen": r, "heard": other} {
+	for name, at := range map[string]*Registry{"measured": r, "relayed": other} {
 		begins := countConcurrentPicks(at, Criteria{Service: "s", Key: "p", Sticky: true, Stream: true}, 16, later)
 		if begins["t0"]+begins["t1"] != 0 || len(begins) != 4 {
 			t.Errorf("%s: programs began at %v", name, begins)
@@ -91,7 +91,7 @@
 		}
 		stays := Criteria{Service: "s", Key: "p", LastIncarnation: "t5", Sticky: true, Stream: true, PromptTokens: 2000}
 		if n := countSequentialPicks(at, stays, 20, later)["t5"]; n != 20 {
-			t.Errorf("%s: %d of 20 turns stayed at an engine of usual speed", name, n)
+			t.Errorf("%s: %d of 20 turns stayed at an engine of typical speed", name, n)
 		}
 	}
 }
--- a/internal/targets/service.go
+++ b/internal/targets/service.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// means returns the mean speed and pace of a service's targets; zero if speeds are
+// means returns the mean unit time and pace of a service's targets; zero if speeds are
 // not learned. The mutex must be held.
 func (r *Registry) means(name string) serviceMeans {
 	if r.models[name] == nil {
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// unitTimeScale is the unit of speeds in target reports.
+	// unitTimeScale is the resolution of unit times in target reports.
 	unitTimeScale = 1e-6
 	// durationWeight is the weight of one sample in moving averages of durations.
 	durationWeight = 0.02
@@ -144,7 +144,7 @@
 	}
 }
 
-// means holds the mean speed and pace of a service's targets, 0 if unknown.
+// means holds the mean unit time and pace of a service's targets, 0 if unknown.
 type serviceMeans struct{ unitTime, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
@@ -249,7 +249,8 @@
 	return report
 }
 
-// mergeUnitTime applies a speed measured by another instance. The mutex must be held.
+// mergeUnitTime applies a unit time measured by another instance. The mutex must be
+// held.
 func (r *Registry) mergeUnitTime(t *Target, report structs.TargetReport, now time.Time) {
 	if report.UnitTime > 0 {
 		t.unitTime.MergeRemote(float64(report.UnitTime)*unitTimeScale, now.Add(-max(report.UnitTimeAge, 0)))
