--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -70,7 +70,7 @@
 func TestOnlyKnownKeysAreLetIn(t *testing.T) {
 	h := withOrganisations(t)
 	app := h.target("t1", "app", serveText("ok"))
-	refused := map[string]func(http.Header){
+	refused := map[string]func(header http.Header){
 		"none":           func(http.Header) {},
 		"unknown":        func(header http.Header) { header.Set("Banyanglade-Credential", "other") },
 		"empty":          func(header http.Header) { header.Set("Banyanglade-Credential", "") },
