--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -48,6 +48,6 @@
 	t.health.RecordSuccess(p.service.Rules, now, ratio, p.canEject())
 	p.estimates.Add(policy.RunSample{
 		UncachedTokens: uncached, CompletionTokens: m.Usage.CompletionTokens,
-		FirstToken: m.FirstToken, Took: m.Took, Queued: c.prefillAhead,
+		FirstToken: m.FirstToken, Duration: m.Took, Queued: c.prefillAhead,
 	})
 }
--- a/internal/exchange/causes.go
+++ b/internal/exchange/causes.go
@@ -86,8 +86,8 @@
 	return causeFirst
 }
 
-// forgettable reports whether the state of the address can be removed.
-func (s *addressState) forgettable(now time.Time) bool {
+// removable reports whether the state of the address can be removed.
+func (s *addressState) removable(now time.Time) bool {
 	return len(s.idle) == 0 && s.inUse == 0 && now.Sub(s.closedAt) >= closeCauseRetention
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -110,7 +110,7 @@
 		if ctx.Err() != nil {
 			return nil, errors.Mark(errors.Mark(err, context.Cause(ctx)), ErrConnBroken)
 		}
-		return nil, p.broken(c, err)
+		return nil, p.markBroken(c, err)
 	}
 	resp.stop = stop
 	return resp, nil
@@ -122,9 +122,9 @@
 	p.release(c.address)
 }
 
-// broken marks the error of a broken connection. If the connection was reused, the
+// markBroken marks the error of a broken connection. If the connection was reused, the
 // address's idle connections may be broken as well and are closed.
-func (p *Pool) broken(c *conn, err error) error {
+func (p *Pool) markBroken(c *conn, err error) error {
 	err = errors.Mark(err, ErrConnBroken)
 	if isConnEnd(err) {
 		err = errors.Mark(err, ErrNoResponse)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -96,7 +96,7 @@
 	defer p.mu.Unlock()
 	for address, state := range p.addresses {
 		state.expire(now)
-		if state.forgettable(now) {
+		if state.removable(now) {
 			delete(p.addresses, address)
 		}
 	}
@@ -109,7 +109,7 @@
 		if c == nil {
 			break
 		}
-		if now.Before(c.expires) && c.idle() {
+		if now.Before(c.expires) && c.usable() {
 			c.reused = true
 			return c, nil
 		}
@@ -208,9 +208,9 @@
 	state.idle = append(state.idle, c)
 }
 
-// idle reports whether nothing was received on an idle connection. Unsolicited data or
+// usable reports whether nothing was received on an idle connection. Unsolicited data or
 // the peer's close make it unusable.
-func (c *conn) idle() bool {
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -222,11 +222,11 @@
 	if err != nil {
 		return false
 	}
-	idle := false
+	usable := false
 	err = raw.Control(func(fd uintptr) {
 		var probe [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		idle = peekErr == syscall.EAGAIN
+		usable = peekErr == syscall.EAGAIN
 	})
-	return err == nil && idle
+	return err == nil && usable
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// maxViewAge is how long the load of a pool is cached. It is short relative to the
+	// poolLoadTTL is how long the load of a pool is cached. It is short relative to the
 	// age of the underlying reports.
-	maxViewAge = 50 * time.Millisecond
+	poolLoadTTL = 50 * time.Millisecond
 	// maxRoutes limits the routes with stored turn counts per service.
 	maxRoutes = 4096
 	// calledServiceTTL is how long after a call by a program a service is required for
@@ -76,8 +76,8 @@
 
 // service is the state of one service.
 type service struct {
-	view   policy.PoolLoad
-	viewAt time.Time
+	poolLoad   policy.PoolLoad
+	poolLoadAt time.Time
 	// lastCalledAt is when a program last called the service.
 	lastCalledAt time.Time
 	// meanDuration is the moving average of the duration of served requests.
@@ -193,13 +193,13 @@
 // requiredPools returns the loads that decide on a request. A new program also
 // requires the services that programs call.
 func (c *Controller) requiredPools(r Request, requested *service, now time.Time) []policy.PoolLoad {
-	pools := []policy.PoolLoad{requested.view}
+	pools := []policy.PoolLoad{requested.poolLoad}
 	if r.Class != policy.ClassFirstTurn {
 		return pools
 	}
 	for name, s := range c.services {
 		if s != requested && !s.lastCalledAt.IsZero() && now.Sub(s.lastCalledAt) < calledServiceTTL {
-			pools = append(pools, c.service(name, now).view)
+			pools = append(pools, c.service(name, now).poolLoad)
 		}
 	}
 	return pools
@@ -213,7 +213,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(name, now)
-	if !s.view.SpeedsLearned || !s.view.Full() && (s.view.HasEnoughData() || refusals <= 1) {
+	if !s.poolLoad.SpeedsLearned || !s.poolLoad.Full() && (s.poolLoad.HasEnoughData() || refusals <= 1) {
 		return true
 	}
 	return s.takeRetry()
@@ -235,7 +235,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(name, now)
-	return !s.view.Full() || s.takeRetry()
+	return !s.poolLoad.Full() || s.takeRetry()
 }
 
 // RetryAfter returns the RetryAfter delay for a request that no target accepted.
@@ -243,7 +243,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	admission := policy.AdmissionRequest{Class: policy.ClassInProgress, Jitter: c.jitter(), TimeLeft: timeLeft}
-	return policy.RetryAfter(admission, c.service(name, now).view, 0)
+	return policy.RetryAfter(admission, c.service(name, now).poolLoad, 0)
 }
 
 // RecordDuration records the duration of a served request.
@@ -270,11 +270,11 @@
 			metrics: newMetrics(c.scope, name)}
 		c.services[name] = s
 	}
-	if s.viewAt.IsZero() || now.Sub(s.viewAt) >= maxViewAge {
+	if s.poolLoadAt.IsZero() || now.Sub(s.poolLoadAt) >= poolLoadTTL {
 		p := c.pools.Pool(name, now)
-		s.view = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.ReportingTargets, UsableTargets: p.UsableTargets, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
-		s.viewAt = now
-		s.metrics.observe(s.view)
+		s.poolLoad = policy.PoolLoad{Service: name, Utilization: p.Utilization, ReportingTargets: p.ReportingTargets, UsableTargets: p.UsableTargets, ReportAge: p.ReportAge, SpeedsLearned: p.SpeedsLearned}
+		s.poolLoadAt = now
+		s.metrics.observe(s.poolLoad)
 	}
 	return s
 }
@@ -317,7 +317,7 @@
 	for name := range c.services {
 		s := c.service(name, now)
 		all = append(all, ServiceDump{
-			Service: name, Utilization: s.view.Utilization, ReportingTargets: s.view.ReportingTargets, UsableTargets: s.view.UsableTargets, ReportAgeMs: s.view.ReportAge.Milliseconds(),
+			Service: name, Utilization: s.poolLoad.Utilization, ReportingTargets: s.poolLoad.ReportingTargets, UsableTargets: s.poolLoad.UsableTargets, ReportAgeMs: s.poolLoad.ReportAge.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -150,7 +150,7 @@
 	uniform := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
 	r.Rank = 7
-	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].view).RefusalProbability {
+	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].poolLoad).RefusalProbability {
 		t.Errorf("the refusal probability is %.2f, but a rank common to all must not change it", got)
 	}
 }
@@ -180,7 +180,7 @@
 		for _, route := range []string{"big", "small"} {
 			r := firstTurn(strings.Repeat("p", i+1))
 			r.Route = route
-			if !c.Admit(r, start.Add(maxViewAge)).Admit {
+			if !c.Admit(r, start.Add(poolLoadTTL)).Admit {
 				refused[route]++
 			}
 		}
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -23,8 +23,8 @@
 	FirstCall bool
 }
 
-// Verdict is the decision on a call.
-type Verdict struct {
+// CallVerdict is the decision of AdmitCall.
+type CallVerdict struct {
 	Admit bool
 	// Reason and RetryAfter are set if the call is refused.
 	Reason     structs.Reason
@@ -40,28 +40,28 @@
 	firstCallFraction = 0.25
 )
 
-// Admit decides whether a call may be queued. The queue limits always apply; the
+// AdmitCall decides whether a call may be queued. The queue limits always apply; the
 // check of the expected wait against the deadline applies if the admission rule
 // is enabled.
-func Admit(rules structs.Rules, queue QueueState) Verdict {
+func AdmitCall(rules structs.Rules, queue QueueState) CallVerdict {
 	if queue.Waiting >= queue.Limit || queue.TeamWaiting >= queue.TeamLimit {
-		return refuse(queue.Wait)
+		return refuseCall(queue.Wait)
 	}
 	if !rules.Admission || queue.Remaining <= 0 {
-		return Verdict{Admit: true}
+		return CallVerdict{Admit: true}
 	}
 	allowed := queue.Remaining - min(queue.CallTime, queue.Remaining/2)
 	if queue.FirstCall {
 		allowed = min(allowed, time.Duration(firstCallFraction*float64(queue.Remaining)))
 	}
 	if excess := queue.Wait - allowed; excess > 0 {
-		return refuse(excess)
+		return refuseCall(excess)
 	}
-	return Verdict{Admit: true}
+	return CallVerdict{Admit: true}
 }
 
-func refuse(delay time.Duration) Verdict {
-	return Verdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
+func refuseCall(delay time.Duration) CallVerdict {
+	return CallVerdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
 }
 
 // Lateness tracks how long after their keys the calls of a class are granted.
--- a/internal/policy/earlyretry.go
+++ b/internal/policy/earlyretry.go
@@ -38,15 +38,15 @@
 }
 
 // Add records the latency of a request.
-func (e *EarlyRetry) Add(took time.Duration) {
+func (e *EarlyRetry) Add(latency time.Duration) {
 	e.samples++
 	e.credit = min(e.credit+earlyRetryRatio, maxEarlyRetryCredit)
 	if e.TailLatency == 0 {
-		e.TailLatency = took
+		e.TailLatency = latency
 		return
 	}
 	step := float64(e.TailLatency) * tailStep
-	if took > e.TailLatency {
+	if latency > e.TailLatency {
 		e.TailLatency += time.Duration(step * (1 - tailFraction))
 		return
 	}
--- a/internal/policy/fairshare.go
+++ b/internal/policy/fairshare.go
@@ -23,11 +23,11 @@
 }
 
 // Add charges a team for engine time.
-func (s *Shares) Add(team structs.Team, took time.Duration, weight float64) {
+func (s *Shares) Add(team structs.Team, duration time.Duration, weight float64) {
 	if weight <= 0 {
 		weight = 1
 	}
-	s.usage[team] += time.Duration(float64(took) / weight)
+	s.usage[team] += time.Duration(float64(duration) / weight)
 }
 
 // Join raises the usage of a team that becomes backlogged to at least floor.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -33,7 +33,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			load := base
 			test.change(&load)
-			verdict := Admit(test.rules, load)
+			verdict := AdmitCall(test.rules, load)
 			if verdict.Admit != test.admit {
 				t.Fatalf("admitted %v, want %v", verdict.Admit, test.admit)
 			}
@@ -65,7 +65,7 @@
 	}
 	for _, test := range tests {
 		rules := structs.Rules{Order: test.order, Aging: test.aging}
-		if a, b := Key(rules, test.first), Key(rules, test.second); a >= b {
+		if a, b := OrderKey(rules, test.first), OrderKey(rules, test.second); a >= b {
 			t.Errorf("%s, aging %v: key %v of %+v is not before %v of %+v", test.order, test.aging, a, test.first, b, test.second)
 		}
 	}
@@ -77,7 +77,7 @@
 		rules := structs.Rules{Order: order, Aging: 1}
 		long := Call{Served: 10 * time.Minute, Elapsed: time.Hour}
 		late := Call{Arrived: noDeadlineSlack + stretchFactor*time.Hour + time.Second, Slack: 0, HasDeadline: true}
-		if Key(rules, long) > Key(rules, late) {
+		if OrderKey(rules, long) > OrderKey(rules, late) {
 			t.Errorf("%s: a call can be overtaken without bound", order)
 		}
 	}
@@ -103,32 +103,32 @@
 
 func TestPlace(t *testing.T) {
 	ms := time.Millisecond
-	idle := Option{Open: true, Prefill: 80 * ms, Slowness: 1}
-	holder := Option{Open: true, Running: 4, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
-	busyHolder := Option{Running: 16, Delay: 30 * ms, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
-	fullHolder := Option{Running: 16, Delay: time.Second, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	idle := PlacementOption{Open: true, Prefill: 80 * ms, Slowness: 1}
+	holder := PlacementOption{Open: true, Running: 4, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	busyHolder := PlacementOption{Running: 16, Delay: 30 * ms, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	fullHolder := PlacementOption{Running: 16, Delay: time.Second, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
 	evicting := idle
 	evicting.Eviction = 50 * ms
 	slow := idle
 	slow.Slowness = 10
-	excluded := Option{Excluded: true}
+	excluded := PlacementOption{Excluded: true}
 	tests := []struct {
 		name, rule string
-		options    []Option
-		want       Choice
+		options    []PlacementOption
+		want       PlacementChoice
 	}{
-		{"round robin", PlaceRoundRobin, []Option{idle, idle, idle}, Choice{Index: 1}},
-		{"least loaded", PlaceLeastLoaded, []Option{holder, idle}, Choice{Index: 1}},
-		{"affinity", PlaceAffinity, []Option{idle, holder}, Choice{Index: 1}},
-		{"affinity, holder closed", PlaceAffinity, []Option{idle, busyHolder}, Choice{Index: 0}},
-		{"cost takes the holder", PlaceCost, []Option{idle, holder}, Choice{Index: 1}},
-		{"cost waits a little", PlaceCost, []Option{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, Choice{Index: 1, Wait: true}},
-		{"cost does not wait long", PlaceCost, []Option{idle, fullHolder}, Choice{Index: 0}},
-		{"cost counts evictions", PlaceCost, []Option{evicting, idle}, Choice{Index: 1}},
-		{"cost avoids a slow target", PlaceCost, []Option{slow, idle}, Choice{Index: 1}},
-		{"none", PlaceCost, []Option{excluded}, Choice{Index: -1}},
-		{"affinity none", PlaceAffinity, []Option{excluded}, Choice{Index: -1}},
-		{"excluded", PlaceLeastLoaded, []Option{excluded, idle}, Choice{Index: 1}},
+		{"round robin", PlaceRoundRobin, []PlacementOption{idle, idle, idle}, PlacementChoice{Index: 1}},
+		{"least loaded", PlaceLeastLoaded, []PlacementOption{holder, idle}, PlacementChoice{Index: 1}},
+		{"affinity", PlaceAffinity, []PlacementOption{idle, holder}, PlacementChoice{Index: 1}},
+		{"affinity, holder closed", PlaceAffinity, []PlacementOption{idle, busyHolder}, PlacementChoice{Index: 0}},
+		{"cost takes the holder", PlaceCost, []PlacementOption{idle, holder}, PlacementChoice{Index: 1}},
+		{"cost waits a little", PlaceCost, []PlacementOption{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, PlacementChoice{Index: 1, Wait: true}},
+		{"cost does not wait long", PlaceCost, []PlacementOption{idle, fullHolder}, PlacementChoice{Index: 0}},
+		{"cost counts evictions", PlaceCost, []PlacementOption{evicting, idle}, PlacementChoice{Index: 1}},
+		{"cost avoids a slow target", PlaceCost, []PlacementOption{slow, idle}, PlacementChoice{Index: 1}},
+		{"none", PlaceCost, []PlacementOption{excluded}, PlacementChoice{Index: -1}},
+		{"affinity none", PlaceAffinity, []PlacementOption{excluded}, PlacementChoice{Index: -1}},
+		{"excluded", PlaceLeastLoaded, []PlacementOption{excluded, idle}, PlacementChoice{Index: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/policy/storemonitor.go
+++ b/internal/policy/storemonitor.go
@@ -108,25 +108,25 @@
 // the instance that made it, since the threshold depends on its distance from
 // the store.
 type AppendResult struct {
-	Took time.Duration
-	Slow bool
+	Latency time.Duration
+	Slow    bool
 }
 
 // ObserveOwn records an acknowledged append of this instance.
-func (s *StoreMonitor) ObserveOwn(took time.Duration, now time.Time) AppendResult {
-	s.updateTypical(min(took, maxTypicalAppend))
-	result := AppendResult{Took: took, Slow: took > s.slowThreshold()}
+func (s *StoreMonitor) ObserveOwn(latency time.Duration, now time.Time) AppendResult {
+	s.updateTypical(min(latency, maxTypicalAppend))
+	result := AppendResult{Latency: latency, Slow: latency > s.slowThreshold()}
 	s.Observe(result, now)
 	return result
 }
 
 // updateTypical follows shorter latencies at once and longer ones slowly.
-func (s *StoreMonitor) updateTypical(took time.Duration) {
-	if s.typical == 0 || took < s.typical {
-		s.typical = took
+func (s *StoreMonitor) updateTypical(latency time.Duration) {
+	if s.typical == 0 || latency < s.typical {
+		s.typical = latency
 		return
 	}
-	s.typical += (took - s.typical) / typicalAppendInertia
+	s.typical += (latency - s.typical) / typicalAppendInertia
 }
 
 // slowThreshold returns the latency above which an append of this instance is
@@ -140,15 +140,15 @@
 	if len(s.samples) == maxAppendSamples {
 		s.samples = s.samples[1:]
 	}
-	s.samples = append(s.samples, appendSample{result.Took, now})
+	s.samples = append(s.samples, appendSample{result.Latency, now})
 	if !result.Slow {
 		s.fastSinceSlow++
 		return
 	}
 	if s.shortestSlow == 0 || s.fastSinceSlow >= fastAppendsToRecover || now.Sub(s.lastSlow) > appendSampleTTL {
-		s.shortestSlow = result.Took
+		s.shortestSlow = result.Latency
 	}
-	s.shortestSlow = min(s.shortestSlow, result.Took)
+	s.shortestSlow = min(s.shortestSlow, result.Latency)
 	s.lastSlow, s.fastSinceSlow = now, 0
 }
 
@@ -156,15 +156,15 @@
 // became slow.
 func (s *StoreMonitor) ShortestSlow() time.Duration { return s.shortestSlow }
 
-// ObserveNotice records another instance's notice that the store is slow: took
-// is the latency of its slow append, or 0 if the append hangs.
-func (s *StoreMonitor) ObserveNotice(took time.Duration, now time.Time) {
+// ObserveNotice records another instance's notice that the store is slow.
+// latency is that of its slow append, or 0 if the append hangs.
+func (s *StoreMonitor) ObserveNotice(latency time.Duration, now time.Time) {
 	if now.Sub(s.noticeWindowStart) >= slowNoticeInterval {
 		s.noticeWindowStart, s.noticesReceived = now, 0
 	}
 	s.noticesReceived++
-	if took > 0 {
-		s.Observe(AppendResult{Took: took, Slow: true}, now)
+	if latency > 0 {
+		s.Observe(AppendResult{Latency: latency, Slow: true}, now)
 		return
 	}
 	s.lastSuspected, s.fastSinceSlow = now, 0
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -69,7 +69,7 @@
 	x.server.targets.RecordFailure(target, now)
 	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
-		x.server.notices.ReportTargetBreaks()
+		x.server.failureReporter.ReportTargetBreaks()
 	}
 }
 
@@ -129,7 +129,7 @@
 // copyRest passes on the rest of a long plain response.
 func (x *transfer) copyRest(resp *exchange.Response) {
 	if _, err := io.Copy(x.writer, resp.Body); err != nil {
-		x.detail, x.reason, x.abort = err.Error(), reasonCut, true
+		x.detail, x.reason, x.abort = err.Error(), reasonTruncated, true
 	}
 }
 
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -76,12 +76,12 @@
 	health        fakeHealth
 	freshness     fakeFreshness
 	log           *logBuffer
-	// notices counts the calls of ReportTargetBreaks.
-	notices atomic.Int64
+	// failureReports counts the calls of ReportTargetBreaks.
+	failureReports atomic.Int64
 }
 
-// ReportTargetBreaks implements Notices.
-func (h *harness) ReportTargetBreaks() { h.notices.Add(1) }
+// ReportTargetBreaks implements FailureReporter.
+func (h *harness) ReportTargetBreaks() { h.failureReports.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
@@ -146,7 +146,7 @@
 	work.Go(func() { pool.Run(ctx) })
 	h.server = New(Config{
 		Codec: platform.Codec{}, Targets: h.targets, Pool: pool, Budgets: h.budgets, Conversations: h.conversations,
-		Notices: h, Health: &h.health, Freshness: &h.freshness,
+		FailureReporter: h, Health: &h.health, Freshness: &h.freshness,
 		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(h.log, nil)),
 	})
 	h.server.SetTable(route.NewTable(testRoutes()))
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -34,8 +34,8 @@
 	reasonTurnNotStored       reason = "turn_not_kept"
 	reasonTimedOut            reason = "timed_out"
 	reasonNotSent             reason = "timed_out_before_send"
-	reasonTargetBroke         reason = "target_broke_off"
-	reasonCut                 reason = "stream_cut"
+	reasonTargetAborted       reason = "target_broke_off"
+	reasonTruncated           reason = "stream_cut"
 	reasonCallerLeft          reason = "caller_left"
 	reasonStalled             reason = "caller_reads_nothing"
 )
@@ -73,7 +73,7 @@
 		reasonUnknownKey, reasonStaleKeys, reasonOverLimit, reasonNoAllowance,
 		reasonNoMemory, reasonNoTarget, reasonTargetsFull, reasonNoCapacity, reasonBudgetSpent, reasonBudgetOwner, reasonBudgetRecord,
 		reasonBudgetHeld, reasonTurnNotFound, reasonConversationNotRead, reasonTurnNotStored, reasonTimedOut,
-		reasonNotSent, reasonTargetBroke, reasonCut, reasonCallerLeft, reasonStalled,
+		reasonNotSent, reasonTargetAborted, reasonTruncated, reasonCallerLeft, reasonStalled,
 	} {
 		tagged := scope.Tagged(map[string]string{"reason": string(r)})
 		m.byReason[r] = reasonMetrics{
--- a/internal/serve/refuse.go
+++ b/internal/serve/refuse.go
@@ -22,9 +22,9 @@
 func (x *transfer) giveUp(outcome reason) {
 	switch {
 	case x.headSent:
-		x.reason, x.abort = reasonCut, true
+		x.reason, x.abort = reasonTruncated, true
 	case x.possiblyRan():
-		x.refuse(http.StatusBadGateway, reasonTargetBroke, 0)
+		x.refuse(http.StatusBadGateway, reasonTargetAborted, 0)
 	default:
 		x.refuse(http.StatusServiceUnavailable, outcome, x.targetRetryAfter())
 	}
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -240,7 +240,7 @@
 	}
 	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.ReportTargetBreaks()
+		x.server.failureReporter.ReportTargetBreaks()
 	}
 }
 
@@ -290,7 +290,7 @@
 	if x.route.Retryable() && x.sends < maxSends && x.retryBudgetAllows() {
 		return true
 	}
-	x.giveUp(reasonTargetBroke)
+	x.giveUp(reasonTargetAborted)
 	return false
 }
 
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -119,7 +119,7 @@
 	h.server.connFailureThreshold = time.Minute // independent of the machine's speed
 	h.target("down", "app", cutConnection)
 	h.do(h.request("POST", "/once/", "b"))
-	if n := h.notices.Load(); n != 1 {
+	if n := h.failureReports.Load(); n != 1 {
 		t.Errorf("%d notices of a target that is down", n)
 	}
 	h.target("drops", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
@@ -133,7 +133,7 @@
 			t.Errorf("got %+v", got)
 		}
 	}
-	if n := h.notices.Load(); n != 1 {
+	if n := h.failureReports.Load(); n != 1 {
 		t.Errorf("%d notices after a reused connection ended", n)
 	}
 }
@@ -231,8 +231,8 @@
 	if got := turn(); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	if failing.count() != 1 || healthy.count() != 1 || h.notices.Load() != 1 {
-		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), h.notices.Load())
+	if failing.count() != 1 || healthy.count() != 1 || h.failureReports.Load() != 1 {
+		t.Errorf("the engine got %d turns, the other %d; %d notices", failing.count(), healthy.count(), h.failureReports.Load())
 	}
 	if ends := h.budgets.ends; !ends[0].Failed || ends[0].Target != "t1" || ends[1].Failed || ends[1].Target != "t2" {
 		t.Errorf("the owner received %+v", ends)
@@ -249,8 +249,8 @@
 	for range 3 {
 		h.do(h.request("GET", "/safe/", ""))
 	}
-	if tg.count() != 3 || h.notices.Load() != 0 {
-		t.Errorf("%d requests, %d notices", tg.count(), h.notices.Load())
+	if tg.count() != 3 || h.failureReports.Load() != 0 {
+		t.Errorf("%d requests, %d notices", tg.count(), h.failureReports.Load())
 	}
 }
 
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -126,8 +126,8 @@
 	Accepts(left time.Duration) bool
 }
 
-// Notices notifies other instances of failing targets.
-type Notices interface {
+// FailureReporter notifies other instances of failing targets.
+type FailureReporter interface {
 	// ReportTargetBreaks notifies other instances of the failures recorded in the
 	// registry. It does not block.
 	ReportTargetBreaks()
@@ -152,10 +152,10 @@
 	// Allowances is required if organisations have limits.
 	Allowances Allowances
 	// Conversations is required if routes store turns.
-	Conversations Conversations
-	Notices       Notices
-	Health        Health
-	Freshness     Freshness
+	Conversations   Conversations
+	FailureReporter FailureReporter
+	Health          Health
+	Freshness       Freshness
 	// Memory bounds the memory held for requests; nil means no bound.
 	Memory *memlimit.Limiter
 	// KeyPolicy defines how keys are treated while the settings are old.
@@ -169,20 +169,20 @@
 
 // Server handles callers' requests. It implements http.Handler.
 type Server struct {
-	codec         call.Codec
-	targets       *targets.Registry
-	pool          *exchange.Pool
-	budgets       Budgets
-	allowances    Allowances
-	conversations Conversations
-	notices       Notices
-	health        Health
-	freshness     Freshness
-	memory        *memlimit.Limiter
-	keyPolicy     KeyPolicy
-	admission     Admission
-	log           *slog.Logger
-	metrics       metrics
+	codec           call.Codec
+	targets         *targets.Registry
+	pool            *exchange.Pool
+	budgets         Budgets
+	allowances      Allowances
+	conversations   Conversations
+	failureReporter FailureReporter
+	health          Health
+	freshness       Freshness
+	memory          *memlimit.Limiter
+	keyPolicy       KeyPolicy
+	admission       Admission
+	log             *slog.Logger
+	metrics         metrics
 	// connFailureThreshold is the time within which the end of a connection indicates
 	// that its target is down. It is a field for tests.
 	connFailureThreshold time.Duration
@@ -200,7 +200,7 @@
 	}
 	return &Server{
 		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
-		notices: p.Notices, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
+		failureReporter: p.FailureReporter, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
 		log: p.Log, metrics: newMetrics(p.Scope),
 		connFailureThreshold: defaultConnFailureThreshold,
 	}
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -58,7 +58,7 @@
 		return
 	}
 	sample := policy.RunSample{
-		CompletionTokens: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Took: time.Since(s.sentAt),
+		CompletionTokens: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Duration: time.Since(s.sentAt),
 	}
 	if s.target.Incarnation() != x.programTarget {
 		sample.UncachedTokens = int64(x.promptTokens())
