--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -194,14 +194,14 @@
 
 // New returns a Server without settings: it refuses all requests until SetTable is
 // called.
-func New(p Config) *Server {
-	if p.Admission == nil {
-		p.Admission = overload.New(p.Targets, p.Scope)
+func New(config Config) *Server {
+	if config.Admission == nil {
+		config.Admission = overload.New(config.Targets, config.Scope)
 	}
 	return &Server{
-		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
-		failureReporter: p.FailureReporter, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
-		log: p.Log, metrics: newMetrics(p.Scope),
+		codec: config.Codec, targets: config.Targets, pool: config.Pool, budgets: config.Budgets, allowances: config.Allowances, conversations: config.Conversations,
+		failureReporter: config.FailureReporter, health: config.Health, freshness: config.Freshness, memory: config.Memory, keyPolicy: config.KeyPolicy, admission: config.Admission,
+		log: config.Log, metrics: newMetrics(config.Scope),
 		connFailureThreshold: defaultConnFailureThreshold,
 	}
 }
