--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -384,7 +384,7 @@
 		first := c.all()[0]
 		runAll(first)
 		first.breaks.MergeTargetFailures([]structs.TargetFailure{{Target: "down"}}, time.Now())
-		first.manager.ReportTargetBreaks()
+		first.manager.ReportTargetFailures()
 		time.Sleep(2 * simnet.LinkLatency)
 		for _, n := range c.all() {
 			runAll(n)
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -76,12 +76,12 @@
 	health        fakeHealth
 	freshness     fakeFreshness
 	log           *logBuffer
-	// failureReports counts the calls of ReportTargetBreaks.
+	// failureReports counts the calls of ReportTargetFailures.
 	failureReports atomic.Int64
 }
 
-// ReportTargetBreaks implements FailureReporter.
-func (h *harness) ReportTargetBreaks() { h.failureReports.Add(1) }
+// ReportTargetFailures implements FailureReporter.
+func (h *harness) ReportTargetFailures() { h.failureReports.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -128,9 +128,9 @@
 
 // FailureReporter notifies other instances of failing targets.
 type FailureReporter interface {
-	// ReportTargetBreaks notifies other instances of the failures recorded in the
+	// ReportTargetFailures notifies other instances of the failures recorded in the
 	// registry. It does not block.
-	ReportTargetBreaks()
+	ReportTargetFailures()
 }
 
 // Health reports whether the platform's store is available to this instance.
