--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return targets.Pool{}
 	}
-	return targets.Pool{Utilization: utilization, Reporting: 40, Usable: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
+	return targets.Pool{Utilization: utilization, ReportingTargets: 40, UsableTargets: 44, ReportAge: 200 * time.Millisecond, SpeedsLearned: true}
 }
 
 var start = time.Unix(1000, 0)
@@ -112,7 +112,7 @@
 func TestRefusalDescription(t *testing.T) {
 	c := newTestController(testPools{"engine": 5})
 	r := firstTurn("p")
-	r.Rank, r.Usage = 2, 0.95
+	r.Rank, r.LimitUtilization = 2, 0.95
 	line := DescribeRefusal(r, c.Admit(r, start))
 	for _, part := range []string{"service engine", "5.00", "40 of 44", "200 ms", "first_turn", "rank 2", "0.95", "expected in"} {
 		if !strings.Contains(line, part) {
@@ -120,7 +120,7 @@
 		}
 	}
 	dump := c.Dump(start)
-	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].Reporting != 40 {
+	if len(dump) != 1 || dump[0].Refused != 1 || dump[0].ReportingTargets != 40 {
 		t.Errorf("dump %+v", dump)
 	}
 }
@@ -150,7 +150,7 @@
 	uniform := newTestController(testPools{"engine": 1.45})
 	r := firstTurn("p")
 	r.Rank = 7
-	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].view).RefusalProbability {
+	if got := uniform.Admit(r, start).RefusalProbability; got != policy.AdmitRequest(policy.AdmissionRequest{Class: policy.ClassFirstTurn}, uniform.services["engine"].poolLoad).RefusalProbability {
 		t.Errorf("the refusal probability is %.2f, but a rank common to all must not change it", got)
 	}
 }
@@ -180,7 +180,7 @@
 		for _, route := range []string{"big", "small"} {
 			r := firstTurn(strings.Repeat("p", i+1))
 			r.Route = route
-			if !c.Admit(r, start.Add(maxViewAge)).Admit {
+			if !c.Admit(r, start.Add(poolLoadTTL)).Admit {
 				refused[route]++
 			}
 		}
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,7 +6,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// QueueState is the state of a pool that the admission rule looks at.
+// QueueState is the state of a pool's queue for the admission of a call.
 type QueueState struct {
 	// Waiting is the number of calls queued for the pool, Limit its maximum.
 	Waiting, Limit int
@@ -23,7 +23,7 @@
 	FirstCall bool
 }
 
-// CallVerdict is the decision of the admission rule.
+// CallVerdict is the decision of AdmitCall.
 type CallVerdict struct {
 	Admit bool
 	// Reason and RetryAfter are set if the call is refused.
@@ -43,24 +43,24 @@
 // AdmitCall decides whether a call may be queued. The queue limits always apply; the
 // check of the expected wait against the deadline applies if the admission rule
 // is enabled.
-func AdmitCall(rules structs.Rules, load QueueState) CallVerdict {
-	if load.Waiting >= load.Limit || load.TeamWaiting >= load.TeamLimit {
-		return refuse(load.Wait)
+func AdmitCall(rules structs.Rules, queue QueueState) CallVerdict {
+	if queue.Waiting >= queue.Limit || queue.TeamWaiting >= queue.TeamLimit {
+		return refuseCall(queue.Wait)
 	}
-	if !rules.Admission || load.Remaining <= 0 {
+	if !rules.Admission || queue.Remaining <= 0 {
 		return CallVerdict{Admit: true}
 	}
-	allowed := load.Remaining - min(load.CallTime, load.Remaining/2)
-	if load.FirstCall {
-		allowed = min(allowed, time.Duration(firstCallFraction*float64(load.Remaining)))
+	allowed := queue.Remaining - min(queue.CallTime, queue.Remaining/2)
+	if queue.FirstCall {
+		allowed = min(allowed, time.Duration(firstCallFraction*float64(queue.Remaining)))
 	}
-	if excess := load.Wait - allowed; excess > 0 {
-		return refuse(excess)
+	if excess := queue.Wait - allowed; excess > 0 {
+		return refuseCall(excess)
 	}
 	return CallVerdict{Admit: true}
 }
 
-func refuse(delay time.Duration) CallVerdict {
+func refuseCall(delay time.Duration) CallVerdict {
 	return CallVerdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
 }
 
--- a/internal/policy/capacity.go
+++ b/internal/policy/loadshedding.go
@@ -41,11 +41,11 @@
 type PoolLoad struct {
 	Service string
 	// Utilization is the number of running and queued requests as a fraction of
-	// the slots, over the ReportingTargets of all Targets. ReportAge is the
-	// average age of the reports.
+	// the slots, according to the reports of ReportingTargets of the
+	// UsableTargets. ReportAge is the average age of the reports.
 	Utilization      float64
 	ReportingTargets int
-	Targets          int
+	UsableTargets    int
 	ReportAge        time.Duration
 	// SpeedsLearned reports whether the targets' speeds are known. Without them
 	// busy targets cannot be distinguished from slow ones.
@@ -64,7 +64,7 @@
 // HasEnoughData reports whether enough is known about the pool to refuse
 // requests.
 func (p PoolLoad) HasEnoughData() bool {
-	return p.SpeedsLearned && p.Targets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.Targets)
+	return p.SpeedsLearned && p.UsableTargets > uninformativeTargets && p.ReportingTargets > uninformativeTargets && float64(p.ReportingTargets) >= minReportingFraction*float64(p.UsableTargets)
 }
 
 // Full reports whether all slots are known to be in use.
@@ -79,9 +79,9 @@
 	// RelativeSize is what a program of this route needs as a fraction of the
 	// average program; 0 if unknown.
 	RelativeSize float64
-	// LimitUsage is the organisation's usage as a fraction of its limit; 0 if
+	// LimitUtilization is the utilization of the organisation's limit; 0 if
 	// unknown.
-	LimitUsage float64
+	LimitUtilization float64
 	// Random is a number from 0 to 1 that stays the same over all attempts of a
 	// program, so that retrying does not increase its chance of admission.
 	Random float64
@@ -145,7 +145,7 @@
 	sizeShift = 0.05
 	// maxShift bounds the sum of both shifts in either direction.
 	maxShift = 0.3
-	// FairUsageThreshold is the fraction of its limit up to which an
+	// FairUsageThreshold is the utilization of its limit up to which an
 	// organisation is treated like all others. At the limit its requests are
 	// refused limitRefusalFactor times as often.
 	FairUsageThreshold = 0.75
@@ -192,7 +192,7 @@
 		return 0
 	}
 	minimum := r.probability(pool.Utilization, -maxShift)
-	probability := r.probability(pool.Utilization, rampShift(request)) * usageFactor(request.LimitUsage)
+	probability := r.probability(pool.Utilization, rampShift(request)) * limitFactor(request.LimitUtilization)
 	return min(probability, 1-minRelativeAdmission*(1-minimum))
 }
 
@@ -215,10 +215,10 @@
 	return shift
 }
 
-// usageFactor returns by how much an organisation's usage multiplies the refusal
-// probability.
-func usageFactor(usage float64) float64 {
-	return 1 + (limitRefusalFactor-1)*min(max((usage-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
+// limitFactor returns by how much the utilization of an organisation's limit
+// multiplies the refusal probability.
+func limitFactor(utilization float64) float64 {
+	return 1 + (limitRefusalFactor-1)*min(max((utilization-FairUsageThreshold)/(1-FairUsageThreshold), 0), 1)
 }
 
 const (
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -115,20 +115,20 @@
 	tests := []struct {
 		name, rule string
 		options    []PlacementOption
-		want       Choice
+		want       PlacementChoice
 	}{
-		{"round robin", PlaceRoundRobin, []PlacementOption{idle, idle, idle}, Choice{Index: 1}},
-		{"least loaded", PlaceLeastLoaded, []PlacementOption{holder, idle}, Choice{Index: 1}},
-		{"affinity", PlaceAffinity, []PlacementOption{idle, holder}, Choice{Index: 1}},
-		{"affinity, holder closed", PlaceAffinity, []PlacementOption{idle, busyHolder}, Choice{Index: 0}},
-		{"cost takes the holder", PlaceCost, []PlacementOption{idle, holder}, Choice{Index: 1}},
-		{"cost waits a little", PlaceCost, []PlacementOption{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, Choice{Index: 1, Wait: true}},
-		{"cost does not wait long", PlaceCost, []PlacementOption{idle, fullHolder}, Choice{Index: 0}},
-		{"cost counts evictions", PlaceCost, []PlacementOption{evicting, idle}, Choice{Index: 1}},
-		{"cost avoids a slow target", PlaceCost, []PlacementOption{slow, idle}, Choice{Index: 1}},
-		{"none", PlaceCost, []PlacementOption{excluded}, Choice{Index: -1}},
-		{"affinity none", PlaceAffinity, []PlacementOption{excluded}, Choice{Index: -1}},
-		{"excluded", PlaceLeastLoaded, []PlacementOption{excluded, idle}, Choice{Index: 1}},
+		{"round robin", PlaceRoundRobin, []PlacementOption{idle, idle, idle}, PlacementChoice{Index: 1}},
+		{"least loaded", PlaceLeastLoaded, []PlacementOption{holder, idle}, PlacementChoice{Index: 1}},
+		{"affinity", PlaceAffinity, []PlacementOption{idle, holder}, PlacementChoice{Index: 1}},
+		{"affinity, holder closed", PlaceAffinity, []PlacementOption{idle, busyHolder}, PlacementChoice{Index: 0}},
+		{"cost takes the holder", PlaceCost, []PlacementOption{idle, holder}, PlacementChoice{Index: 1}},
+		{"cost waits a little", PlaceCost, []PlacementOption{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, PlacementChoice{Index: 1, Wait: true}},
+		{"cost does not wait long", PlaceCost, []PlacementOption{idle, fullHolder}, PlacementChoice{Index: 0}},
+		{"cost counts evictions", PlaceCost, []PlacementOption{evicting, idle}, PlacementChoice{Index: 1}},
+		{"cost avoids a slow target", PlaceCost, []PlacementOption{slow, idle}, PlacementChoice{Index: 1}},
+		{"none", PlaceCost, []PlacementOption{excluded}, PlacementChoice{Index: -1}},
+		{"affinity none", PlaceAffinity, []PlacementOption{excluded}, PlacementChoice{Index: -1}},
+		{"excluded", PlaceLeastLoaded, []PlacementOption{excluded, idle}, PlacementChoice{Index: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -67,9 +67,9 @@
 	now := time.Now()
 	x.failedTarget = target.Incarnation()
 	x.server.targets.RecordFailure(target, now)
-	if x.server.targets.RecordBreak(target, now) {
+	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
-		x.server.notices.ReportTargetFailures()
+		x.server.failureReporter.ReportTargetFailures()
 	}
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		x.detail = err.Error()
 		x.excludeIfTimedOut(target, err)
-		x.recordHedge(target, err, x.sentAt)
+		x.recordEarlyRetry(target, err, x.sentAt)
 		return x.handleBrokenResponse(target)
 	}
 	x.reason = reasonServed
@@ -129,7 +129,7 @@
 // copyRest passes on the rest of a long plain response.
 func (x *transfer) copyRest(resp *exchange.Response) {
 	if _, err := io.Copy(x.writer, resp.Body); err != nil {
-		x.detail, x.reason, x.abort = err.Error(), reasonCut, true
+		x.detail, x.reason, x.abort = err.Error(), reasonTruncated, true
 	}
 }
 
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -34,8 +34,8 @@
 	reasonTurnNotStored       reason = "turn_not_kept"
 	reasonTimedOut            reason = "timed_out"
 	reasonNotSent             reason = "timed_out_before_send"
-	reasonTargetBroke         reason = "target_broke_off"
-	reasonCut                 reason = "stream_cut"
+	reasonTargetAborted       reason = "target_broke_off"
+	reasonTruncated           reason = "stream_cut"
 	reasonCallerLeft          reason = "caller_left"
 	reasonStalled             reason = "caller_reads_nothing"
 )
@@ -50,9 +50,9 @@
 	scope   tally.Scope
 	sends   tally.Counter
 	resumed tally.Counter
-	// hedges counts sends cancelled in favour of a hedge.
-	hedges   tally.Counter
-	byReason map[reason]reasonMetrics
+	// earlyRetries counts first sends that were cancelled for a retry at another target.
+	earlyRetries tally.Counter
+	byReason     map[reason]reasonMetrics
 }
 
 type reasonMetrics struct {
@@ -62,18 +62,18 @@
 
 func newMetrics(scope tally.Scope) metrics {
 	m := metrics{
-		scope:    scope,
-		sends:    scope.Counter("sends"),
-		resumed:  scope.Counter("streams_resumed"),
-		hedges:   scope.Counter("stragglers_sent_again"),
-		byReason: make(map[reason]reasonMetrics),
+		scope:        scope,
+		sends:        scope.Counter("sends"),
+		resumed:      scope.Counter("streams_resumed"),
+		earlyRetries: scope.Counter("stragglers_sent_again"),
+		byReason:     make(map[reason]reasonMetrics),
 	}
 	for _, r := range []reason{
 		reasonServed, reasonTargetFailed, reasonMalformed, reasonTooLarge, reasonNoSettings, reasonNoRoute, reasonStaleSettings,
 		reasonUnknownKey, reasonStaleKeys, reasonOverLimit, reasonNoAllowance,
 		reasonNoMemory, reasonNoTarget, reasonTargetsFull, reasonNoCapacity, reasonBudgetSpent, reasonBudgetOwner, reasonBudgetRecord,
 		reasonBudgetHeld, reasonTurnNotFound, reasonConversationNotRead, reasonTurnNotStored, reasonTimedOut,
-		reasonNotSent, reasonTargetBroke, reasonCut, reasonCallerLeft, reasonStalled,
+		reasonNotSent, reasonTargetAborted, reasonTruncated, reasonCallerLeft, reasonStalled,
 	} {
 		tagged := scope.Tagged(map[string]string{"reason": string(r)})
 		m.byReason[r] = reasonMetrics{
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -54,28 +54,28 @@
 			return nil
 		}
 	}
-	want := targets.Criteria{
+	criteria := targets.Criteria{
 		Service: x.service, Key: x.placementKey(), LastIncarnation: x.programTarget, Sticky: x.settle != nil,
 		Exclude: x.excluded, Stream: x.route.Kind == route.Stream, PromptTokens: x.promptTokens(),
 	}
 	if !x.server.log.Enabled(x.ctx, slog.LevelDebug) {
-		return x.server.targets.Pick(want, time.Now())
+		return x.server.targets.Pick(criteria, time.Now())
 	}
-	var why targets.Explanation
-	want.Explanation = &why
-	target := x.server.targets.Pick(want, time.Now())
-	x.logChoice(target, why)
+	var explanation targets.Explanation
+	criteria.Explanation = &explanation
+	target := x.server.targets.Pick(criteria, time.Now())
+	x.logChoice(target, explanation)
 	return target
 }
 
-func (x *transfer) logChoice(target *targets.Target, why targets.Explanation) {
-	if target == nil || !why.Estimated {
+func (x *transfer) logChoice(target *targets.Target, explanation targets.Explanation) {
+	if target == nil || !explanation.Estimated {
 		return
 	}
 	x.server.log.Debug("target chosen", "request", x.call.ID, "target", target.ID,
-		"end", why.ExpectedEnd, "fill", why.Utilization, "slowness", why.Slowness,
-		"report_age_ms", why.ReportAge.Milliseconds(), "speed_age_ms", why.SpeedAge.Milliseconds(),
-		"stayed", why.Stayed, "moved", why.Moved, "next", why.RunnerUp, "next_end", why.RunnerUpEnd)
+		"end", explanation.ExpectedCompletion, "fill", explanation.Utilization, "slowness", explanation.Slowness,
+		"report_age_ms", explanation.ReportAge.Milliseconds(), "speed_age_ms", explanation.SpeedAge.Milliseconds(),
+		"stayed", explanation.Stayed, "moved", explanation.Moved, "next", explanation.RunnerUp, "next_end", explanation.RunnerUpCompletion)
 }
 
 // bytesPerToken estimates the tokens of a stored conversation from its length.
@@ -124,27 +124,27 @@
 	ctx, cancel := x.sendContext()
 	defer cancel()
 	x.sendCtx = ctx
-	var answer call.Response
+	var meta call.Response
 	sentAt := time.Now()
 	x.sentAt = sentAt
 	resp, err := x.server.pool.Do(ctx, exchange.Request{
 		Address: target.Address, Method: x.request.Method, URI: x.uri(),
 		Host: x.request.Host, Header: header, Body: x.body,
 	}, func(status int, h http.Header) bool {
-		answer = x.server.codec.DecodeResponse(status, h)
-		return answer.RequestID == x.call.ID || (answer.RequestID == "" && answer.NotRun)
+		meta = x.server.codec.DecodeResponse(status, h)
+		return meta.RequestID == x.call.ID || (meta.RequestID == "" && meta.NotRun)
 	})
 	if err != nil {
 		return x.sendFailed(target, err, sentAt)
 	}
-	defer func() { resp.Close(answer.KeepAlive) }()
-	if answer.Load != nil {
-		x.server.targets.RecordLoad(target, *answer.Load, time.Now())
+	defer func() { resp.Close(meta.KeepAlive) }()
+	if meta.Load != nil {
+		x.server.targets.RecordLoad(target, *meta.Load, time.Now())
 	}
-	if answer.NotRun {
+	if meta.NotRun {
 		return x.handleRefusal(target, resp)
 	}
-	return x.deliver(target, resp, answer)
+	return x.deliver(target, resp, meta)
 }
 
 // sendTimeoutFactor is the multiple of the route's latency goal after which a request
@@ -160,12 +160,12 @@
 func (x *transfer) sendContext() (context.Context, context.CancelFunc) {
 	timeout := sendTimeoutFactor * x.route.LatencyGoal
 	mayResend := x.route.Kind == route.Repeatable && len(x.ran)+1 < x.route.MaxTargets
-	if hedgeTimeout, ok := x.hedgeTimeout(); mayResend && ok {
-		timeout, x.hedged = hedgeTimeout, true
+	if earlyTimeout, ok := x.earlyRetryTimeout(); mayResend && ok {
+		timeout, x.earlyRetry = earlyTimeout, true
 	}
 	x.stopSendTimer = func() bool { return true }
 	if !mayResend || timeout <= 0 || timeout > time.Duration(maxFirstSendFraction*float64(time.Until(x.deadline))) {
-		x.hedged = false
+		x.earlyRetry = false
 		return x.ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(x.ctx)
@@ -177,25 +177,25 @@
 	}
 }
 
-// hedgeTimeout returns a time that the route's responses rarely exceed, false if the
-// request must not be hedged.
-func (x *transfer) hedgeTimeout() (time.Duration, bool) {
-	x.hedged = false
+// earlyRetryTimeout returns a time that the route's responses rarely exceed, false if the
+// request must not be retried early.
+func (x *transfer) earlyRetryTimeout() (time.Duration, bool) {
+	x.earlyRetry = false
 	if x.route.Kind != route.Repeatable || x.sends > 1 {
 		return 0, false
 	}
-	return x.server.targets.HedgeTimeout(x.service, x.route.Name, time.Now())
+	return x.server.targets.EarlyRetryTimeout(x.service, x.route.Name, time.Now())
 }
 
-// recordHedge reports whether a send was cancelled in favour of a hedge, and counts it.
-// Its target counts as slow, not as failing.
-func (x *transfer) recordHedge(target *targets.Target, err error, sentAt time.Time) bool {
-	if !x.hedged || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
+// recordEarlyRetry reports whether a send was cancelled by the early retry timeout, and
+// counts it. Its target counts as slow, not as failing.
+func (x *transfer) recordEarlyRetry(target *targets.Target, err error, sentAt time.Time) bool {
+	if !x.earlyRetry || errors.Is(err, exchange.ErrNotSent) || !errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
 	now := time.Now()
-	x.server.targets.RecordHedge(target, x.route.Name, now.Sub(sentAt), now)
-	x.server.metrics.hedges.Inc(1)
+	x.server.targets.RecordEarlyRetry(target, x.route.Name, now.Sub(sentAt), now)
+	x.server.metrics.earlyRetries.Inc(1)
 	return true
 }
 
@@ -210,7 +210,7 @@
 		x.giveUpOnContext()
 		return false
 	}
-	if !x.recordHedge(target, err, sentAt) {
+	if !x.recordEarlyRetry(target, err, sentAt) {
 		x.recordFailure(target, err, sentAt)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
@@ -222,9 +222,9 @@
 	return x.retryOrGiveUp()
 }
 
-// defaultConnBreakThreshold distinguishes a target that is down, which breaks a
+// defaultConnFailureThreshold distinguishes a target that is down, which closes a
 // connection within a round trip, from one that ran the request first.
-const defaultConnBreakThreshold = 20 * time.Millisecond
+const defaultConnFailureThreshold = 20 * time.Millisecond
 
 // recordFailure updates the target's health after a send without a response. A reused
 // connection that ended is ignored: the target may have closed it while idle.
@@ -234,13 +234,13 @@
 	}
 	now := time.Now()
 	x.server.targets.RecordFailure(target, now)
-	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connBreakThreshold
+	ended := errors.Is(err, exchange.ErrNoResponse) && now.Sub(sentAt) < x.server.connFailureThreshold
 	if !ended && !errors.Is(err, exchange.ErrNotSent) {
 		return
 	}
-	if x.server.targets.RecordBreak(target, now) {
+	if x.server.targets.RecordSharedFailure(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.ReportTargetFailures()
+		x.server.failureReporter.ReportTargetFailures()
 	}
 }
 
@@ -251,18 +251,18 @@
 	}
 }
 
-// excludeUnresponsive excludes a target that broke a connection without a response, if
-// the request may run at another one or if the target did so before. After the end of a
+// excludeUnresponsive excludes a target whose connection failed without a response, if
+// the request may run at another one or if that happened before. After the end of a
 // reused connection the same target is tried on a new one.
 func (x *transfer) excludeUnresponsive(target *targets.Target, err error) {
 	x.excludeIfTimedOut(target, err)
 	if errors.Is(err, exchange.ErrReusedConn) {
 		return
 	}
-	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.brokenTargets, target.Incarnation()) {
+	if len(x.ran) < x.route.MaxTargets || slices.Contains(x.connFailures, target.Incarnation()) {
 		x.excluded = append(x.excluded, target.Incarnation())
 	}
-	x.brokenTargets = append(x.brokenTargets, target.Incarnation())
+	x.connFailures = append(x.connFailures, target.Incarnation())
 }
 
 // excludeUnreachable excludes a target that cannot be connected to. It has ended or is
@@ -290,7 +290,7 @@
 	if x.route.Retryable() && x.sends < maxSends && x.retryBudgetAllows() {
 		return true
 	}
-	x.giveUp(reasonTargetBroke)
+	x.giveUp(reasonTargetAborted)
 	return false
 }
 
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -126,10 +126,10 @@
 	Accepts(left time.Duration) bool
 }
 
-// Notices notifies other instances of failing targets.
-type Notices interface {
-	// ReportTargetFailures reports that a target broke a new connection or failed a turn. It
-	// does not block.
+// FailureReporter notifies other instances of failing targets.
+type FailureReporter interface {
+	// ReportTargetFailures notifies other instances of the failures recorded in the
+	// registry. It does not block.
 	ReportTargetFailures()
 }
 
@@ -153,7 +153,7 @@
 	Allowances Allowances
 	// Conversations is required if routes store turns.
 	Conversations   Conversations
-	FailureReporter Notices
+	FailureReporter FailureReporter
 	Health          Health
 	Freshness       Freshness
 	// Memory bounds the memory held for requests; nil means no bound.
@@ -169,23 +169,23 @@
 
 // Server handles callers' requests. It implements http.Handler.
 type Server struct {
-	codec         call.Codec
-	targets       *targets.Registry
-	pool          *exchange.Pool
-	budgets       Budgets
-	allowances    Allowances
-	conversations Conversations
-	notices       Notices
-	health        Health
-	freshness     Freshness
-	memory        *memlimit.Limiter
-	keyPolicy     KeyPolicy
-	admission     Admission
-	log           *slog.Logger
-	metrics       metrics
-	// connBreakThreshold is the time within which a broken connection indicates that
-	// its target is down. It is a field for tests.
-	connBreakThreshold time.Duration
+	codec           call.Codec
+	targets         *targets.Registry
+	pool            *exchange.Pool
+	budgets         Budgets
+	allowances      Allowances
+	conversations   Conversations
+	failureReporter FailureReporter
+	health          Health
+	freshness       Freshness
+	memory          *memlimit.Limiter
+	keyPolicy       KeyPolicy
+	admission       Admission
+	log             *slog.Logger
+	metrics         metrics
+	// connFailureThreshold is the time within which the end of a connection indicates
+	// that its target is down. It is a field for tests.
+	connFailureThreshold time.Duration
 
 	table    atomic.Pointer[route.Table]
 	draining atomic.Bool
@@ -194,15 +194,15 @@
 
 // New returns a Server without settings: it refuses all requests until SetTable is
 // called.
-func New(p Config) *Server {
-	if p.Admission == nil {
-		p.Admission = overload.New(p.Targets, p.Scope)
+func New(config Config) *Server {
+	if config.Admission == nil {
+		config.Admission = overload.New(config.Targets, config.Scope)
 	}
 	return &Server{
-		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
-		notices: p.FailureReporter, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
-		log: p.Log, metrics: newMetrics(p.Scope),
-		connBreakThreshold: defaultConnBreakThreshold,
+		codec: config.Codec, targets: config.Targets, pool: config.Pool, budgets: config.Budgets, allowances: config.Allowances, conversations: config.Conversations,
+		failureReporter: config.FailureReporter, health: config.Health, freshness: config.Freshness, memory: config.Memory, keyPolicy: config.KeyPolicy, admission: config.Admission,
+		log: config.Log, metrics: newMetrics(config.Scope),
+		connFailureThreshold: defaultConnFailureThreshold,
 	}
 }
 
--- a/internal/targets/expected_end.go
+++ b/internal/targets/completion.go
@@ -8,35 +8,36 @@
 	"github.com/banyanglade/banyanglade/internal/policy"
 )
 
-// chooseByEnd selects the target with the earliest expected end of the request. It
-// is used for services whose targets' speeds are learned. The mutex must be held.
-func (r *Registry) chooseByEnd(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
+// chooseByCompletion selects the target with the earliest expected completion of the
+// request. It is used for services whose targets' speeds are learned. The mutex must be
+// held.
+func (r *Registry) chooseByCompletion(model *serviceModel, all []*Target, criteria Criteria, now time.Time, includeAvoided bool) *Target {
 	pool := r.recentPool(criteria.Service, now).Utilization
-	means := meanUtilizations(all)
-	serviceMeans := meansOf(all)
+	meanUtilizationByDataCentre := meanUtilizations(all)
+	means := meansOf(all)
 	preferred := criteria.preferred(all)
-	r.endOptions = r.endOptions[:0]
+	r.targetOptions = r.targetOptions[:0]
 	for _, t := range all {
 		hasIdle := r.connections.HasIdle(t.Address, now)
 		last := t.incarnation == criteria.LastIncarnation
-		slowness := t.currentSlowness(serviceMeans, now)
+		slowness := t.currentSlowness(means, now)
 		if last {
 			// Short slowdowns must not move a program from its target.
-			slowness = t.slowness(serviceMeans, now)
+			slowness = t.slowness(means, now)
 		}
-		r.endOptions = append(r.endOptions, policy.TargetOption{
-			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(means),
+		r.targetOptions = append(r.targetOptions, policy.TargetOption{
+			Utilization: t.utilization(pool, model.requestDuration, now), Slowness: slowness, RelativeLoad: t.relativeUtilization(meanUtilizationByDataCentre),
 			NeedsConnection: !hasIdle, Remote: t.DataCentre != r.dataCentre, Cold: t.ColdRemaining > 0,
 			HasPrompt: last, Warm: t == preferred,
 			Excluded: t.Draining || slices.Contains(criteria.Exclude, t.incarnation) || (!includeAvoided && t.avoided(now)),
 			Rank:     r.tieBreak(t, hasIdle || !criteria.Stream),
 		})
 	}
-	choice := policy.ChooseTarget(r.endOptions, model.endRequest(criteria))
+	choice := policy.ChooseTarget(r.targetOptions, model.requestProfile(criteria))
 	if choice.Index < 0 {
 		return nil
 	}
-	criteria.Explanation.set(r.endOptions, all, choice, now)
+	criteria.Explanation.set(r.targetOptions, all, choice, now)
 	return all[choice.Index]
 }
 
@@ -49,13 +50,14 @@
 	return rank(r.seed, t.ID)
 }
 
-// Explanation describes why a target was selected by its expected end.
+// Explanation describes why a target was selected by its expected completion.
 type Explanation struct {
-	// Estimated indicates that the target was selected by its expected end.
+	// Estimated indicates that the target was selected by its expected completion.
 	Estimated bool
-	// ExpectedEnd and RunnerUpEnd are the expected ends at the selected and at the
-	// second best target, as a fraction of the mean request duration.
-	ExpectedEnd, RunnerUpEnd float64
+	// ExpectedCompletion and RunnerUpCompletion are the expected completions at the
+	// selected and at the second best target, as a fraction of the mean request
+	// duration.
+	ExpectedCompletion, RunnerUpCompletion float64
 	// RunnerUp is the ID of the second best target, empty if there was none.
 	RunnerUp string
 	// Utilization and Slowness are the estimates for the selected target, ReportAge and
@@ -74,8 +76,8 @@
 	}
 	t, o := all[choice.Index], options[choice.Index]
 	*e = Explanation{
-		Estimated: true, ExpectedEnd: choice.Completion, RunnerUpEnd: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
-		ReportAge: age(t.loadAt, now), SpeedAge: age(t.speed.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
+		Estimated: true, ExpectedCompletion: choice.Completion, RunnerUpCompletion: choice.RunnerUpCompletion, Utilization: o.Utilization, Slowness: o.Slowness,
+		ReportAge: age(t.loadAt, now), SpeedAge: age(t.unitTime.UpdatedAt, now), Stayed: choice.Stayed, Moved: choice.Moved,
 	}
 	if choice.RunnerUp >= 0 {
 		e.RunnerUp = all[choice.RunnerUp].ID
@@ -109,14 +111,14 @@
 	return first.target
 }
 
-// endRequest returns what a request needs, as a fraction of the mean response time.
-func (model *serviceModel) endRequest(criteria Criteria) policy.RequestProfile {
+// requestProfile returns the work of a request, relative to the mean response time.
+func (model *serviceModel) requestProfile(criteria Criteria) policy.RequestProfile {
 	if !criteria.Stream {
 		return policy.RequestProfile{}
 	}
-	read := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
-	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.Tokens))
-	return policy.RequestProfile{Batched: true, PromptCost: read.Seconds() / max(response, time.Millisecond).Seconds()}
+	prefill := model.turnEstimates.PrefillPerToken * time.Duration(criteria.PromptTokens)
+	response := model.turnEstimates.ExpectedTime(0, int64(model.turnEstimates.CompletionTokens))
+	return policy.RequestProfile{Batched: true, PromptCost: prefill.Seconds() / max(response, time.Millisecond).Seconds()}
 }
 
 // avoided reports whether the target recently failed and should not receive
--- a/internal/targets/expected_end_test.go
+++ b/internal/targets/completion_test.go
@@ -9,8 +9,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// pacedRegistry returns a registry whose targets each reported a usual pace several
-// times.
+// pacedRegistry returns a registry whose targets each reported the typical pace
+// several times.
 func pacedRegistry(n int, idle idleConnections, now time.Time) *Registry {
 	r := newRegistryWith(n, idle)
 	for i := range 10 * n {
@@ -80,7 +80,7 @@
 		reports = append(reports, target.report(meansOf(r.serviceByName("s").all), later))
 	}
 	other.MergeLoadReports(reports, later)
-	for name, at := range map[string]*Registry{"seen": r, "heard": other} {
+	for name, at := range map[string]*Registry{"measured": r, "relayed": other} {
 		begins := countConcurrentPicks(at, Criteria{Service: "s", Key: "p", Sticky: true, Stream: true}, 16, later)
 		if begins["t0"]+begins["t1"] != 0 || len(begins) != 4 {
 			t.Errorf("%s: programs began at %v", name, begins)
@@ -91,7 +91,7 @@
 		}
 		stays := Criteria{Service: "s", Key: "p", LastIncarnation: "t5", Sticky: true, Stream: true, PromptTokens: 2000}
 		if n := countSequentialPicks(at, stays, 20, later)["t5"]; n != 20 {
-			t.Errorf("%s: %d of 20 turns stayed at an engine of usual speed", name, n)
+			t.Errorf("%s: %d of 20 turns stayed at an engine of typical speed", name, n)
 		}
 	}
 }
@@ -110,13 +110,13 @@
 }
 
 // For targets that do not report their pace, no speeds are learned, and selection
-// is not by expected end.
+// is not by expected completion.
 func TestNoSpeedsAreLearnedWithoutPace(t *testing.T) {
 	now := time.Unix(100, 0)
 	r := newTestRegistry(3)
 	r.RecordLoad(r.byID["t0"], call.Load{Slots: testSlots}, now)
 	r.RecordEventInterval(r.byID["t0"], time.Second, now)
-	if len(r.models) != 0 || !r.byID["t0"].speed.UpdatedAt.IsZero() {
+	if len(r.models) != 0 || !r.byID["t0"].unitTime.UpdatedAt.IsZero() {
 		t.Error("a speed was learned")
 	}
 	var explanation Explanation
@@ -137,7 +137,7 @@
 	if got := r.Pick(want, now); got.ID != "t0" {
 		t.Errorf("picked %s, want t0", got.ID)
 	}
-	if pool := r.Pool("s", now); pool.Reporting != 1 || pool.Utilization < 1 || pool.Utilization > 1.1 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 1 || pool.Utilization < 1 || pool.Utilization > 1.1 {
 		t.Errorf("unexpected load of the pool: %+v", pool)
 	}
 }
@@ -148,7 +148,7 @@
 	r.RecordLoad(r.byID["t0"], call.Load{Running: testSlots, Slots: testSlots, Pace: 100}, now)
 	var explanation Explanation
 	got := r.Pick(Criteria{Service: "s", Explanation: &explanation}, now.Add(time.Millisecond))
-	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpEnd <= explanation.ExpectedEnd ||
+	if got.ID != "t1" || !explanation.Estimated || explanation.RunnerUp != "t0" || explanation.RunnerUpCompletion <= explanation.ExpectedCompletion ||
 		explanation.ReportAge != time.Millisecond || explanation.SpeedAge != unknownAge {
 		t.Errorf("picked %s with explanation %+v", got.ID, explanation)
 	}
--- a/internal/targets/snapshot.go
+++ b/internal/targets/dump.go
@@ -35,7 +35,7 @@
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
 			Utilization: t.utilization(r.recentPool(t.Service, now).Utilization, r.meanRequestDuration(t.Service), now), Slowness: t.currentSlowness(r.means(t.Service), now),
-			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.UpdatedAt, now).Seconds(),
+			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.unitTime.UpdatedAt, now).Seconds(),
 		})
 	}
 	slices.SortFunc(all, func(a, b Dump) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/targets/pool_test.go
+++ b/internal/targets/pools_test.go
@@ -21,7 +21,7 @@
 	}
 	now := start.Add(n * 50 * time.Millisecond)
 	pool := r.recentPool("s", now)
-	if pool.Reporting != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolReportHalfLife {
+	if pool.ReportingTargets != n || pool.Utilization < 0.9 || pool.ReportAge > 4*poolReportHalfLife {
 		t.Errorf("half of the targets, those that reported last, are full: got %+v", pool)
 	}
 	newest := 0
@@ -44,7 +44,7 @@
 func TestSlowTargetsHaveLessWeight(t *testing.T) {
 	const n = 20
 	r, now := newTestRegistry(n), time.Unix(100, 0)
-	fill := func(slowBusy int) float64 {
+	utilizationWith := func(slowBusy int) float64 {
 		for i := range n {
 			load := call.Load{Slots: testSlots, Running: testSlots, Pace: 100}
 			if i < n/2 {
@@ -54,7 +54,7 @@
 		}
 		return r.Pool("s", now).Utilization
 	}
-	equal := fill(2 * testSlots)
+	equal := utilizationWith(2 * testSlots)
 	for range 100 {
 		for i := range n {
 			pause := 10 * time.Millisecond
@@ -64,10 +64,10 @@
 			r.RecordEventInterval(r.byID[fmt.Sprint("t", i)], pause, now)
 		}
 	}
-	if slow := fill(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
+	if slow := utilizationWith(2 * testSlots); slow >= 0.9*equal || slow <= 1 {
 		t.Errorf("half of the targets have queues: utilization %.2f, %.2f where these are slow", equal, slow)
 	}
-	if even := fill(0); even != 1 {
+	if even := utilizationWith(0); even != 1 {
 		t.Errorf("all slots are taken: utilization %.2f", even)
 	}
 }
@@ -99,7 +99,7 @@
 	now := time.Unix(100, 0)
 	r := newTestRegistry(20)
 	reportLoads(r, 0, 5, testSlots, 100, now)
-	if pool := r.Pool("s", now); pool.Reporting != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 5 || pool.Utilization < 0.2 || pool.Utilization > 0.3 {
 		t.Errorf("five of twenty targets are full: %+v", pool)
 	}
 }
@@ -111,16 +111,16 @@
 	reportLoads(owner, 0, 20, 2*testSlots, 100, now)
 	reportLoads(r, 0, 5, 0, 100, now)
 	r.MergePoolReports(owner.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Reporting != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 20 || pool.Utilization < 1.9 || !pool.SpeedsLearned {
 		t.Errorf("the view of the owner is not used: %+v", pool)
 	}
 	less := newTestRegistry(20)
 	reportLoads(less, 0, 2, 0, 100, now)
 	r.MergePoolReports(less.PoolReports(now), now)
-	if pool := r.Pool("s", now); pool.Reporting != 20 {
+	if pool := r.Pool("s", now); pool.ReportingTargets != 20 {
 		t.Errorf("a view based on fewer targets replaced it: %+v", pool)
 	}
-	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.Reporting != 5 {
+	if pool := r.Pool("s", now.Add(maxViewAge+time.Millisecond)); pool.ReportingTargets != 5 {
 		t.Errorf("an expired view is used: %+v", pool)
 	}
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// speedUnit is the unit of speeds in target reports.
-	speedUnit = 1e-6
+	// unitTimeScale is the resolution of unit times in target reports.
+	unitTimeScale = 1e-6
 	// durationWeight is the weight of one sample in moving averages of durations.
 	durationWeight = 0.02
 	// maxRoutes limits the routes with stored durations per service.
@@ -32,18 +32,18 @@
 // routeDurations tracks the durations of complete plain responses of a route.
 type routeDurations struct {
 	// mean is the moving average, in seconds.
-	mean    float64
-	hedging policy.Hedger
+	mean       float64
+	earlyRetry policy.EarlyRetry
 }
 
 // add records a duration and returns it relative to the mean.
-func (t *routeDurations) add(duration time.Duration) float64 {
-	t.hedging.Add(duration)
-	if t.mean == 0 {
-		t.mean = duration.Seconds()
+func (d *routeDurations) add(duration time.Duration) float64 {
+	d.earlyRetry.Add(duration)
+	if d.mean == 0 {
+		d.mean = duration.Seconds()
 	}
-	t.mean += durationWeight * (duration.Seconds() - t.mean)
-	return duration.Seconds() / t.mean
+	d.mean += durationWeight * (duration.Seconds() - d.mean)
+	return duration.Seconds() / d.mean
 }
 
 // route returns the durations of a route, creating them if needed.
@@ -93,25 +93,25 @@
 		return
 	}
 	model.addDuration(duration)
-	t.speed.Add(model.route(route).add(duration), now)
+	t.unitTime.Add(model.route(route).add(duration), now)
 }
 
-// HedgeTimeout returns how long the first send of a repeatable request may take
-// before it is given up for a hedged send. It returns false if no hedged send is
-// allowed now.
-func (r *Registry) HedgeTimeout(service, route string, now time.Time) (time.Duration, bool) {
+// EarlyRetryTimeout returns how long the first send of a repeatable request may take
+// before it is cancelled and the request is sent to another target. It returns false
+// if no early retry is allowed now.
+func (r *Registry) EarlyRetryTimeout(service, route string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.models[service]
 	if model == nil {
 		return 0, false
 	}
-	return model.route(route).hedging.HedgeDelay(r.recentPool(service, now).Utilization)
+	return model.route(route).earlyRetry.Timeout(r.recentPool(service, now).Utilization)
 }
 
-// RecordHedge records a hedged send. duration is how long the first send, to t,
-// took before it was given up.
-func (r *Registry) RecordHedge(t *Target, route string, duration time.Duration, now time.Time) {
+// RecordEarlyRetry records an early retry. duration is how long the first send, to t,
+// took before it was cancelled.
+func (r *Registry) RecordEarlyRetry(t *Target, route string, duration time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	model := r.models[t.Service]
@@ -119,9 +119,9 @@
 		return
 	}
 	durations := model.route(route)
-	durations.hedging.RecordHedge()
+	durations.earlyRetry.RecordRetry()
 	if durations.mean > 0 {
-		t.speed.Add(duration.Seconds()/durations.mean, now)
+		t.unitTime.Add(duration.Seconds()/durations.mean, now)
 	}
 }
 
@@ -130,7 +130,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.models[t.Service] != nil {
-		t.speed.Add(perEvent.Seconds(), now)
+		t.unitTime.Add(perEvent.Seconds(), now)
 	}
 }
 
@@ -144,20 +144,20 @@
 	}
 }
 
-// serviceMeans holds the mean speed and pace of a service's targets, 0 if unknown.
-type serviceMeans struct{ speed, pace float64 }
+// means holds the mean unit time and pace of a service's targets, 0 if unknown.
+type serviceMeans struct{ unitTime, pace float64 }
 
 func meansOf(all []*Target) serviceMeans {
-	var speed, pace mean
+	var unitTime, pace mean
 	for _, t := range all {
-		if !t.speed.UpdatedAt.IsZero() {
-			speed.add(t.speed.Mean)
+		if !t.unitTime.UpdatedAt.IsZero() {
+			unitTime.add(t.unitTime.Mean)
 		}
 		if t.pace.Value > 0 {
 			pace.add(t.pace.Value)
 		}
 	}
-	return serviceMeans{speed: speed.value(), pace: pace.value()}
+	return serviceMeans{unitTime: unitTime.value(), pace: pace.value()}
 }
 
 // minMeanUtilization is the mean utilization below which the balance of targets is
@@ -208,7 +208,7 @@
 // slowness returns the target's time for a unit of work relative to the mean,
 // without its current pace.
 func (t *Target) slowness(means serviceMeans, now time.Time) float64 {
-	return t.speed.Slowness(means.speed, t.relativePace(means), now)
+	return t.unitTime.Slowness(means.unitTime, t.relativePace(means), now)
 }
 
 // relativePace returns the typical pace that the target reports, relative to the
@@ -243,15 +243,16 @@
 	report := structs.TargetReport{
 		Target: t.incarnationHash, Running: t.load.Running, Waiting: t.load.Waiting, Slowdown: t.load.Pace, Age: now.Sub(t.loadAt),
 	}
-	if speed := t.speed.AdvertisedMean(means.speed, t.relativePace(means)); speed > 0 {
-		report.UnitTime, report.UnitTimeAge = int(speed/speedUnit), now.Sub(t.speed.UpdatedAt)
+	if unitTime := t.unitTime.AdvertisedMean(means.unitTime, t.relativePace(means)); unitTime > 0 {
+		report.UnitTime, report.UnitTimeAge = int(unitTime/unitTimeScale), now.Sub(t.unitTime.UpdatedAt)
 	}
 	return report
 }
 
-// mergeSpeed applies a speed measured by another instance. The mutex must be held.
-func (r *Registry) mergeSpeed(t *Target, report structs.TargetReport, now time.Time) {
+// mergeUnitTime applies a unit time measured by another instance. The mutex must be
+// held.
+func (r *Registry) mergeUnitTime(t *Target, report structs.TargetReport, now time.Time) {
 	if report.UnitTime > 0 {
-		t.speed.MergeRemote(float64(report.UnitTime)*speedUnit, now.Add(-max(report.UnitTimeAge, 0)))
+		t.unitTime.MergeRemote(float64(report.UnitTime)*unitTimeScale, now.Add(-max(report.UnitTimeAge, 0)))
 	}
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -71,20 +71,21 @@
 	// meanUtilization is the moving average of the reported load, as a fraction of the
 	// slots.
 	meanUtilization float64
-	// speed is the measured time for a unit of work; pace summarizes the paces that the
+	// unitTime is the measured time for a unit of work; pace summarizes the paces that the
 	// target reports.
-	speed policy.SpeedEstimate
-	pace  policy.PaceMedian
+	unitTime policy.UnitTimeEstimate
+	pace     policy.PaceMedian
 	// failures counts consecutive failures; the target is avoided until avoidUntil.
 	failures   int
 	avoidUntil time.Time
 	// lastSuccessAt is when a request of this instance last succeeded.
 	lastSuccessAt time.Time
-	// lastBreakAt is when the target last broke a new connection, of this or another
-	// instance. peerAvoidUntil is set by reports of other instances.
-	lastBreakAt    time.Time
-	peerAvoidUntil time.Time
-	// lastNoticeAt is when other instances were last notified of a break.
+	// lastSharedFailureAt is when the target last closed a new connection or failed a
+	// turn, of this or another instance. peerAvoidUntil is set by reports of other
+	// instances.
+	lastSharedFailureAt time.Time
+	peerAvoidUntil      time.Time
+	// lastNoticeAt is when other instances were last notified of a failure.
 	lastNoticeAt time.Time
 }
 
@@ -119,8 +120,8 @@
 	views map[uint64]poolView
 	// byHash indexes targets by incarnationHash.
 	byHash map[uint64]*Target
-	// broken holds the targets that recently broke connections, by incarnation.
-	broken map[string]*Target
+	// recentlyFailed holds the targets of TargetFailures, by incarnation.
+	recentlyFailed map[string]*Target
 	// localUtilization is the moving average of the utilization of targets in this data
 	// centre, by service.
 	localUtilization map[string]float64
@@ -130,8 +131,8 @@
 	learnsSpeeds bool
 	// seed makes each instance prefer different targets among equivalent ones.
 	seed string
-	// endOptions is reused between selections to avoid allocations.
-	endOptions []policy.TargetOption
+	// targetOptions is reused between selections to avoid allocations.
+	targetOptions []policy.TargetOption
 }
 
 // NewRegistry returns an empty Registry for an instance in dataCentre.
@@ -144,7 +145,7 @@
 		byHash:           make(map[uint64]*Target),
 		views:            make(map[uint64]poolView),
 		byService:        make(map[string]*service),
-		broken:           make(map[string]*Target),
+		recentlyFailed:   make(map[string]*Target),
 		localUtilization: make(map[string]float64),
 		models:           make(map[string]*serviceModel),
 		seed:             strconv.FormatUint(rand.Uint64(), 36),
