--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -27,10 +27,10 @@
 func main() {
 	o := bench.DefaultOptions()
 	args := arguments{
-		Seeds: o.Seeds, Runners: o.Runners, Load: o.LoadFactor, Duration: o.Duration, Parallel: o.Parallel,
+		Seeds: o.Seeds, Runners: o.Engines, Load: o.LoadFactor, Duration: o.Duration, Parallel: o.Parallel,
 	}
 	arg.MustParse(&args)
-	o.Workloads, o.Variants, o.Seeds, o.Runners = args.Workload, args.Variant, args.Seeds, args.Runners
+	o.Workloads, o.Variants, o.Seeds, o.Engines = args.Workload, args.Variant, args.Seeds, args.Runners
 	o.Ablations = args.Ablations
 	o.LoadFactor, o.Duration, o.Parallel, o.JSONFile = args.Load, args.Duration, args.Parallel, args.JSON
 	if err := bench.Run(os.Stdout, o); err != nil {
--- a/cmd/proofs/main.go
+++ b/cmd/proofs/main.go
@@ -51,7 +51,7 @@
 
 func run(ctx context.Context, a args) error {
 	if a.List {
-		list()
+		printScenarios()
 		return nil
 	}
 	if a.Seed == 0 {
@@ -64,17 +64,17 @@
 	if len(a.Only) == 0 && len(a.Instances) == 0 {
 		a.Instances = []int{1, 3, 12}
 	}
-	if len(a.Only) == 0 && len(a.Instances) > 0 && a.onlyFigures() {
-		return figures(ctx, a)
+	if len(a.Only) == 0 && len(a.Instances) > 0 && a.recoveryOnly() {
+		return printRecovery(ctx, a)
 	}
 	err = runScenarios(ctx, a, scenarios)
-	return errors.CombineErrors(err, figures(ctx, a))
+	return errors.CombineErrors(err, printRecovery(ctx, a))
 }
 
-// onlyFigures reports whether only the recovery times are to be measured.
-func (a args) onlyFigures() bool { return a.Parallel == 0 }
+// recoveryOnly reports whether only the recovery times are to be measured.
+func (a args) recoveryOnly() bool { return a.Parallel == 0 }
 
-func list() {
+func printScenarios() {
 	for _, s := range proofs.All() {
 		fmt.Printf("%-28s %2d instances  %s\n", s.Name, s.Instances, s.Description)
 	}
--- a/cmd/proofs/report.go
+++ b/cmd/proofs/report.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// figures measures and prints the recovery times.
-func figures(ctx context.Context, a args) error {
+// printRecovery measures and prints the recovery times.
+func printRecovery(ctx context.Context, a args) error {
 	for i, instances := range a.Instances {
 		if i == 0 {
 			fmt.Println("recovery: time from the kill of a program's owner to its next answer")
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -94,29 +94,29 @@
 
 // owner returns the instance that owns the program.
 func (t *tour) owner(ctx context.Context) (*testkit.Process, error) {
-	answer, err := t.client(0).Do(ctx, http.MethodGet, "/v1/programs/"+t.program, nil, testkit.Call{})
+	response, err := t.client(0).Do(ctx, http.MethodGet, "/v1/programs/"+t.program, nil, testkit.Call{})
 	if err != nil {
 		return nil, err
 	}
 	var view struct{ Owner string }
-	if err := json.Unmarshal(answer.Body, &view); err != nil {
-		return nil, errors.Wrapf(err, "program: %s", answer.Body)
+	if err := json.Unmarshal(response.Body, &view); err != nil {
+		return nil, errors.Wrapf(err, "program: %s", response.Body)
 	}
 	for _, p := range t.cluster.Instances {
 		if p.ID == view.Owner {
 			return p, nil
 		}
 	}
-	return nil, errors.Newf("no instance owns the program: %s", answer.Body)
+	return nil, errors.Newf("no instance owns the program: %s", response.Body)
 }
 
 func (t *tour) close(ctx context.Context) error {
-	answer, err := t.client(1).Close(ctx, t.program)
+	response, err := t.client(1).Close(ctx, t.program)
 	if err != nil {
 		return err
 	}
-	if answer.Problem != nil {
-		return errors.Newf("close the program: %s", answer.Body)
+	if response.Problem != nil {
+		return errors.Newf("close the program: %s", response.Body)
 	}
 	return nil
 }
@@ -127,19 +127,19 @@
 	request := wire.ChatRequest{Model: testkit.ModelService, Messages: t.messages, MaxTokens: 100, Stream: stream}
 	client := t.client(instance)
 	client.OnChunk = t.onChunk
-	answer, err := client.Chat(ctx, request, testkit.Call{Program: t.program, Number: t.number})
+	response, err := client.Chat(ctx, request, testkit.Call{Program: t.program, Number: t.number})
 	if err != nil {
 		return err
 	}
-	if !answer.OK() {
-		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, answer.Status, answer.Truncated, answer.Body, answer.Problem)
+	if !response.OK() {
+		return errors.Newf("call %d: status %d, cut %v: %s %+v", t.number, response.Status, response.Truncated, response.Body, response.Problem)
 	}
-	t.messages = append(t.messages, wire.ChatMessage{Role: "assistant", Content: answer.Text})
+	t.messages = append(t.messages, wire.ChatMessage{Role: "assistant", Content: response.Text})
 	what := "chat, not streamed"
 	if stream {
-		what = fmt.Sprintf("chat, streamed in %d chunks", answer.Chunks)
+		what = fmt.Sprintf("chat, streamed in %d chunks", response.Chunks)
 	}
-	t.print(what, instance, answer)
+	t.print(what, instance, response)
 	return nil
 }
 
@@ -147,20 +147,20 @@
 	t.number++
 	call := testkit.Call{Program: t.program, Number: t.number, Key: "filing-1", NotRepeatable: true, Fee: 250}
 	path := "/v1/services/" + testkit.FilingService + "/applications"
-	answer, err := t.client(instance).Do(ctx, http.MethodPost, path, []byte(`{"mark":"Heron Lake Honey"}`), call)
+	response, err := t.client(instance).Do(ctx, http.MethodPost, path, []byte(`{"mark":"Heron Lake Honey"}`), call)
 	if err != nil {
 		return err
 	}
-	if answer.Outcome != want {
-		return errors.Newf("filing: outcome %q, want %q: %s", answer.Outcome, want, answer.Body)
+	if response.Outcome != want {
+		return errors.Newf("filing: outcome %q, want %q: %s", response.Outcome, want, response.Body)
 	}
-	t.print("filing, not repeatable", instance, answer)
+	t.print("filing, not repeatable", instance, response)
 	return nil
 }
 
-func (t *tour) print(what string, instance int, answer *testkit.Response) {
+func (t *tour) print(what string, instance int, response *testkit.Response) {
 	p := t.cluster.Instances[instance%len(t.cluster.Instances)]
-	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, answer.Outcome, answer.Duration.Round(time.Millisecond))
+	fmt.Printf("%-4d %-40s %-11s %-10s %s\n", t.number, what, p.ID, response.Outcome, response.Duration.Round(time.Millisecond))
 }
 
 // checkLedger checks the ledgers of the targets: the filing must have run once.
--- a/internal/bench/driver.go
+++ b/internal/bench/driver.go
@@ -35,8 +35,8 @@
 	clock           clock
 	random          *rand.Rand
 	dispatcher      *dispatch.Dispatcher
-	runners         []*runner
-	runnersByTarget map[structs.TargetID]*runner
+	engines         []*simEngine
+	enginesByTarget map[structs.TargetID]*simEngine
 	programs        map[structs.ProgramID]*liveProgram
 	calls           map[structs.RunID]*liveCall
 	openPrograms    int
@@ -51,22 +51,22 @@
 func newDriver(o Options, w Workload, rules structs.Rules, seed uint64) *driver {
 	d := &driver{
 		options: o, workload: w, random: rand.New(rand.NewPCG(seed, 0)),
-		runnersByTarget: make(map[structs.TargetID]*runner),
+		enginesByTarget: make(map[structs.TargetID]*simEngine),
 		programs:        make(map[structs.ProgramID]*liveProgram),
 		calls:           make(map[structs.RunID]*liveCall),
 		sample:          newSample(),
 	}
 	view := &benchMembers{}
-	for i := range o.Runners {
+	for i := range o.Engines {
 		target := structs.Target{
 			ID: structs.TargetID(fmt.Sprintf("runner-%02d", i)), Service: benchService, Region: benchRegion,
 		}
-		r := &runner{
-			driver: d, target: target, model: engine.NewModel(o.Engine),
+		r := &simEngine{
+			driver: d, target: target, model: engine.NewModel(o.EngineModel),
 			calls: make(map[string]*liveCall), wasteMeter: newWasteMeter(),
 		}
-		d.runners = append(d.runners, r)
-		d.runnersByTarget[target.ID] = r
+		d.engines = append(d.engines, r)
+		d.enginesByTarget[target.ID] = r
 		view.targets = append(view.targets, target)
 	}
 	config := structs.DefaultInstanceConfig(structs.Peer{ID: selfID}, "bench")
@@ -82,7 +82,7 @@
 		d.openPrograms++
 		d.clock.at(spec.Arrival, func() { d.startProgram(spec) })
 	}
-	for _, r := range d.runners {
+	for _, r := range d.engines {
 		d.everyLoadInterval(r.reportLoad)
 	}
 	for d.openPrograms > 0 && d.clock.step() {
@@ -111,7 +111,7 @@
 		case structs.SendPeer:
 			d.clock.after(d.options.HopDelay, func() { d.deliverToOwner(c.Msg) })
 		case structs.ReleaseCache:
-			d.runnersByTarget[c.Target.ID].release(c.Program)
+			d.enginesByTarget[c.Target.ID].release(c.Program)
 		}
 	}
 	d.scheduleWake()
@@ -147,8 +147,8 @@
 		c := d.calls[m.Ref.Run]
 		c.target = m.Target.ID
 		c.grantedAt = d.clock.now
-		c.program.callStarted(d.runnersByTarget[c.target])
-		d.clock.after(d.options.HopDelay, func() { d.runnersByTarget[c.target].submit(c) })
+		c.program.callStarted(d.enginesByTarget[c.target])
+		d.clock.after(d.options.HopDelay, func() { d.enginesByTarget[c.target].submit(c) })
 	case *structs.PermitRefuse:
 		d.callRefused(d.calls[m.Ref.Run], m)
 	}
@@ -175,8 +175,8 @@
 
 func newBenchSettings(o Options, rules structs.Rules) *benchSettings {
 	service := structs.DefaultService(benchService, structs.ServiceEngine)
-	service.Slots = o.Engine.Slots
-	service.CacheTokens = o.Engine.CacheCapacity
+	service.Slots = o.EngineModel.Slots
+	service.CacheTokens = o.EngineModel.CacheCapacity
 	service.Rules = rules
 	return &benchSettings{service: service}
 }
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -17,8 +17,8 @@
 	Ablations bool
 	// Seeds are the seeds of the workloads. Results are aggregated over them.
 	Seeds []uint64
-	// Runners is the number of engines.
-	Runners int
+	// Engines is the number of engines.
+	Engines int
 	// LoadFactor multiplies the arrival rates of the workloads.
 	LoadFactor float64
 	// Duration is the time in which programs arrive. Programs that arrive
@@ -26,8 +26,8 @@
 	Duration, Warmup time.Duration
 	// HopDelay is the one-way delay of a message.
 	HopDelay time.Duration
-	// Engine is the model of the engines.
-	Engine engine.ModelSettings
+	// EngineModel is the model of the engines.
+	EngineModel engine.ModelSettings
 	// LoadInterval and LoadLag are the interval and delay of load reports,
 	// CacheLag is the delay of cache events.
 	LoadInterval, LoadLag, CacheLag time.Duration
@@ -44,10 +44,10 @@
 // their seeds.
 func DefaultOptions() Options {
 	return Options{
-		Seeds: []uint64{1, 2, 3, 4, 5}, Runners: 10, LoadFactor: 1,
+		Seeds: []uint64{1, 2, 3, 4, 5}, Engines: 10, LoadFactor: 1,
 		Duration: 150 * time.Second, Warmup: 30 * time.Second,
 		HopDelay: 1500 * time.Microsecond,
-		Engine: engine.ModelSettings{
+		EngineModel: engine.ModelSettings{
 			Slots: engine.DefaultSlots, StepBase: engine.DefaultStepBase,
 			StepPerSequence:     engine.DefaultStepPerSequence,
 			StepPerPrefillToken: engine.DefaultStepPerPrefillToken,
@@ -90,24 +90,24 @@
 // disabled.
 func Ablations() []Variant {
 	full := structs.DefaultRules()
-	off := func(name string, change func(*structs.Rules)) Variant {
+	ablation := func(name string, change func(*structs.Rules)) Variant {
 		return Variant{Name: "full, " + name, Rules: modify(full, change)}
 	}
 	return []Variant{
-		off("order fcfs", func(r *structs.Rules) { r.Order = "fcfs" }),
-		off("order las", func(r *structs.Rules) { r.Order = "las" }),
-		off("order slack", func(r *structs.Rules) { r.Order = "slack" }),
-		off("no classes", func(r *structs.Rules) { r.Classes = false }),
-		off("no fair share", func(r *structs.Rules) { r.FairShare = false }),
-		off("place least-loaded", func(r *structs.Rules) { r.Placement = "least-loaded" }),
-		off("place affinity", func(r *structs.Rules) { r.Placement = "affinity" }),
-		off("no eviction term", func(r *structs.Rules) { r.EvictionTerm = false }),
-		off("no late binding", func(r *structs.Rules) { r.LateBinding = false }),
-		off("retain none", func(r *structs.Rules) { r.Retention = "none" }),
-		off("retain all", func(r *structs.Rules) { r.Retention = "all" }),
-		off("no release", func(r *structs.Rules) { r.ReleaseGone = false }),
-		off("no admission", func(r *structs.Rules) { r.Admission = false }),
-		off("no ejection", func(r *structs.Rules) { r.Ejection = false }),
+		ablation("order fcfs", func(r *structs.Rules) { r.Order = "fcfs" }),
+		ablation("order las", func(r *structs.Rules) { r.Order = "las" }),
+		ablation("order slack", func(r *structs.Rules) { r.Order = "slack" }),
+		ablation("no classes", func(r *structs.Rules) { r.Classes = false }),
+		ablation("no fair share", func(r *structs.Rules) { r.FairShare = false }),
+		ablation("place least-loaded", func(r *structs.Rules) { r.Placement = "least-loaded" }),
+		ablation("place affinity", func(r *structs.Rules) { r.Placement = "affinity" }),
+		ablation("no eviction term", func(r *structs.Rules) { r.EvictionTerm = false }),
+		ablation("no late binding", func(r *structs.Rules) { r.LateBinding = false }),
+		ablation("retain none", func(r *structs.Rules) { r.Retention = "none" }),
+		ablation("retain all", func(r *structs.Rules) { r.Retention = "all" }),
+		ablation("no release", func(r *structs.Rules) { r.ReleaseGone = false }),
+		ablation("no admission", func(r *structs.Rules) { r.Admission = false }),
+		ablation("no ejection", func(r *structs.Rules) { r.Ejection = false }),
 	}
 }
 
--- a/internal/bench/owner.go
+++ b/internal/bench/owner.go
@@ -16,7 +16,7 @@
 	// activeCalls is the number of calls that wait or run.
 	activeCalls int
 	// runningAt is the number of running calls by engine.
-	runningAt map[*runner]int
+	runningAt map[*simEngine]int
 	// finished is set when the program makes no further calls, even if it is
 	// not closed yet.
 	finished            bool
@@ -24,11 +24,11 @@
 	failed              bool
 }
 
-func (p *liveProgram) callStarted(r *runner) { p.runningAt[r]++ }
+func (p *liveProgram) callStarted(r *simEngine) { p.runningAt[r]++ }
 
-func (p *liveProgram) callEnded(r *runner) { p.runningAt[r]-- }
+func (p *liveProgram) callEnded(r *simEngine) { p.runningAt[r]-- }
 
-func (p *liveProgram) isRunningAt(r *runner) bool { return p.runningAt[r] > 0 }
+func (p *liveProgram) isRunningAt(r *simEngine) bool { return p.runningAt[r] > 0 }
 
 // liveCall is the state of a call that waits or runs.
 type liveCall struct {
@@ -61,7 +61,7 @@
 
 // startProgram starts a program.
 func (d *driver) startProgram(spec *Program) {
-	p := &liveProgram{spec: spec, runningAt: make(map[*runner]int)}
+	p := &liveProgram{spec: spec, runningAt: make(map[*simEngine]int)}
 	d.programs[spec.ID] = p
 	d.runChain(p, spec.Chain, 0, func(int) { d.programFinished(p) })
 }
@@ -133,7 +133,7 @@
 func (d *driver) callFinished(c *liveCall) {
 	p := c.program
 	delete(d.calls, c.run)
-	p.callEnded(d.runnersByTarget[c.target])
+	p.callEnded(d.enginesByTarget[c.target])
 	p.activeCalls--
 	p.served += c.duration
 	p.turns++
@@ -151,7 +151,7 @@
 func (d *driver) callNotSent(c *liveCall) {
 	p := c.program
 	delete(d.calls, c.run)
-	p.callEnded(d.runnersByTarget[c.target])
+	p.callEnded(d.enginesByTarget[c.target])
 	p.activeCalls--
 	d.sample.NotSent++
 	d.sendToDispatcher(&structs.PermitFinish{
--- a/internal/bench/program.go
+++ b/internal/bench/program.go
@@ -76,7 +76,7 @@
 // idleCallLatency returns the latency of one call: its messages, the prefill of
 // its new tokens, and the decoding.
 func idleCallLatency(o Options, step Step) time.Duration {
-	e := o.Engine
+	e := o.EngineModel
 	steps := (max(1, step.InputTokens)+e.PrefillChunk-1)/e.PrefillChunk - 1 + step.OutputTokens
 	engine := time.Duration(steps)*e.StepBase +
 		time.Duration(step.InputTokens)*e.StepPerPrefillToken +
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -144,7 +144,7 @@
 func writeTable(w io.Writer, o Options, results []Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "runners %d, load %.2f, arrivals %v after %v, seeds %v; mean [lowest..highest] over seeds\n",
-		o.Runners, o.LoadFactor, o.Duration, o.Warmup, o.Seeds)
+		o.Engines, o.LoadFactor, o.Duration, o.Warmup, o.Seeds)
 	for start := 0; start < len(results); {
 		end := start
 		for end < len(results) && results[end].Workload == results[start].Workload {
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -8,8 +8,8 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// runner simulates one engine on the virtual clock.
-type runner struct {
+// simEngine simulates one engine on the virtual clock.
+type simEngine struct {
 	driver   *driver
 	target   structs.Target
 	model    *engine.Model
@@ -19,71 +19,71 @@
 	wasteMeter wasteMeter
 }
 
-func (r *runner) submit(c *liveCall) {
-	if r.driver.workload.FailingRunner && r.isFaulty() {
-		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callNotSent(c) })
+func (e *simEngine) submit(c *liveCall) {
+	if e.driver.workload.FailingEngine && e.isFaulty() {
+		e.driver.clock.after(e.driver.options.HopDelay, func() { e.driver.callNotSent(c) })
 		return
 	}
-	r.calls[string(c.run)] = c
-	c.submittedAt = r.driver.clock.now
-	if err := r.model.Submit(c.engineRequest()); err != nil {
+	e.calls[string(c.run)] = c
+	c.submittedAt = e.driver.clock.now
+	if err := e.model.Submit(c.engineRequest()); err != nil {
 		panic(err) // each run is submitted only once
 	}
-	r.startStep()
+	e.startStep()
 }
 
-func (r *runner) startStep() {
-	if r.stepping || r.model.Idle() {
+func (e *simEngine) startStep() {
+	if e.stepping || e.model.Idle() {
 		return
 	}
-	r.stepping = true
-	r.driver.clock.after(r.model.StepDuration()*time.Duration(r.slowdownFactor()), r.endStep)
+	e.stepping = true
+	e.driver.clock.after(e.model.StepDuration()*time.Duration(e.slowdownFactor()), e.endStep)
 }
 
 // isFaulty reports whether the engine currently has the fault of the workload. Only
 // the first engine has it, in the middle third of the run.
-func (r *runner) isFaulty() bool {
-	now, third := r.driver.clock.now, r.driver.options.Duration/3
-	return r == r.driver.runners[0] && now > third && now < 2*third
+func (e *simEngine) isFaulty() bool {
+	now, third := e.driver.clock.now, e.driver.options.Duration/3
+	return e == e.driver.engines[0] && now > third && now < 2*third
 }
 
 // slowdownFactor returns the factor by which steps take longer.
-func (r *runner) slowdownFactor() int {
-	if factor := r.driver.workload.SlowRunner; factor > 0 && r.isFaulty() {
+func (e *simEngine) slowdownFactor() int {
+	if factor := e.driver.workload.SlowEngineFactor; factor > 0 && e.isFaulty() {
 		return factor
 	}
 	return 1
 }
 
-func (r *runner) endStep() {
-	r.stepping = false
-	result := r.model.Step()
-	now := r.driver.clock.now
+func (e *simEngine) endStep() {
+	e.stepping = false
+	result := e.model.Step()
+	now := e.driver.clock.now
 	for _, token := range result.Tokens {
 		if token.Index == 0 {
-			r.calls[token.ID].timeToFirstToken = now - r.calls[token.ID].submittedAt
+			e.calls[token.ID].timeToFirstToken = now - e.calls[token.ID].submittedAt
 		}
 	}
 	for _, finished := range result.Finished {
-		c := r.calls[finished.ID]
-		delete(r.calls, finished.ID)
+		c := e.calls[finished.ID]
+		delete(e.calls, finished.ID)
 		c.usage = structs.Usage{
 			PromptTokens: int64(finished.PromptTokens), CachedTokens: int64(finished.CachedTokens),
 			CompletionTokens: int64(finished.CompletionTokens),
 		}
 		c.duration = now - c.submittedAt
-		r.wasteMeter.recordUse(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
-		r.driver.clock.after(r.driver.options.HopDelay, func() { r.driver.callFinished(c) })
+		e.wasteMeter.recordUse(c.program.spec.ID, c.usage.CachedTokens > int64(c.program.spec.SharedTokens))
+		e.driver.clock.after(e.driver.options.HopDelay, func() { e.driver.callFinished(c) })
 	}
-	r.reportCache()
-	r.startStep()
+	e.reportCache()
+	e.startStep()
 }
 
 // reportCache delivers cache events with a delay. Some reports are lost or
 // delivered twice.
-func (r *runner) reportCache() {
-	events := r.model.DrainCacheEvents()
-	d := r.driver
+func (e *simEngine) reportCache() {
+	events := e.model.DrainCacheEvents()
+	d := e.driver
 	if len(events) == 0 {
 		return
 	}
@@ -92,7 +92,7 @@
 	if lost {
 		return
 	}
-	report := structs.TargetCache{Target: r.target.ID, Events: events}
+	report := structs.TargetCache{Target: e.target.ID, Events: events}
 	d.clock.after(d.options.CacheLag, func() { d.tick(report) })
 	if repeated {
 		d.clock.after(2*d.options.CacheLag, func() { d.tick(report) })
@@ -100,25 +100,25 @@
 }
 
 // reportLoad samples the load and delivers it with a delay.
-func (r *runner) reportLoad() {
-	state := r.model.CacheState()
+func (e *simEngine) reportLoad() {
+	state := e.model.CacheState()
 	load := wire.EngineLoad{
-		Running: r.model.Running(), Waiting: r.model.Waiting(), Slots: r.model.Slots(),
+		Running: e.model.Running(), Waiting: e.model.Waiting(), Slots: e.model.Slots(),
 		CacheTokens: state.Used, CacheCapacity: state.Capacity,
 	}
-	r.wasteMeter.sample(r, state, r.driver.options.LoadInterval)
-	r.driver.clock.after(r.driver.options.LoadLag, func() {
-		r.driver.tick(structs.TargetLoad{Target: r.target.ID, Load: load})
+	e.wasteMeter.sample(e, state, e.driver.options.LoadInterval)
+	e.driver.clock.after(e.driver.options.LoadLag, func() {
+		e.driver.tick(structs.TargetLoad{Target: e.target.ID, Load: load})
 	})
 }
 
 // release executes a ReleaseCache command.
-func (r *runner) release(program structs.ProgramID) {
-	d := r.driver
+func (e *simEngine) release(program structs.ProgramID) {
+	d := e.driver
 	d.clock.after(d.options.HopDelay, func() {
-		held := r.model.Release(string(program))
+		held := e.model.Release(string(program))
 		d.clock.after(d.options.HopDelay, func() {
-			d.tick(structs.CacheReleased{Target: r.target.ID, Program: program, Done: held == 0})
+			d.tick(structs.CacheReleased{Target: e.target.ID, Program: program, Done: held == 0})
 		})
 	})
 }
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -81,7 +81,7 @@
 }
 
 func (s *Sample) collectWaste(d *driver) {
-	for _, r := range d.runners {
+	for _, r := range d.engines {
 		r.wasteMeter.finish()
 		s.Waste.Ended += r.wasteMeter.waste.Ended
 		s.Waste.Paused += r.wasteMeter.waste.Paused
@@ -125,7 +125,7 @@
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
 func (s *Sample) stats() Stats {
-	f := Stats{
+	st := Stats{
 		Classes: make(map[int]ClassStats), Programs: s.Programs,
 		Met:        ratio(s.DeadlinesMet, s.Deadlines),
 		Prefilled:  ratio(s.PrefilledTokens, s.PromptTokens),
@@ -138,13 +138,13 @@
 	var all []float64
 	for _, class := range slices.Sorted(maps.Keys(s.Slowdowns)) {
 		slowdowns := s.Slowdowns[class]
-		f.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
+		st.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
 		all = append(all, slowdowns...)
 	}
-	f.Mean = quantiles(all).Mean
-	f.TeamLow, f.TeamHigh = s.teamRange()
-	f.NotSent = ratio(s.NotSent, s.Programs)
-	return f
+	st.Mean = quantiles(all).Mean
+	st.TeamLow, st.TeamHigh = s.teamRange()
+	st.NotSent = ratio(s.NotSent, s.Programs)
+	return st
 }
 
 func (s *Sample) teamRange() (low, high float64) {
--- a/internal/bench/waste.go
+++ b/internal/bench/waste.go
@@ -34,7 +34,7 @@
 }
 
 // sample charges one interval of the cache state.
-func (h *wasteMeter) sample(r *runner, state wire.CacheState, interval time.Duration) {
+func (m *wasteMeter) sample(r *simEngine, state wire.CacheState, interval time.Duration) {
 	for _, key := range slices.Sorted(maps.Keys(state.Programs)) {
 		tokens := state.Programs[key]
 		program := r.driver.programs[structs.ProgramID(key)]
@@ -42,36 +42,36 @@
 			continue
 		}
 		charge := float64(tokens) * interval.Seconds()
-		h.waste.Held += charge
+		m.waste.Held += charge
 		switch {
 		case program.finished:
-			h.waste.Ended += charge
+			m.waste.Ended += charge
 		case !program.isRunningAt(r):
-			h.unused[program.spec.ID] += charge
+			m.unused[program.spec.ID] += charge
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
-		charge := h.unused[id]
+	for _, id := range slices.Sorted(maps.Keys(m.unused)) {
+		charge := m.unused[id]
 		if _, ok := state.Programs[string(id)]; !ok || r.driver.programs[id].finished {
-			h.waste.Paused += charge
-			delete(h.unused, id)
+			m.waste.Paused += charge
+			delete(m.unused, id)
 		}
 	}
 }
 
 // recordUse settles the unused usage before a run: it is waste unless the run hit
 // the cache.
-func (h *wasteMeter) recordUse(id structs.ProgramID, hit bool) {
+func (m *wasteMeter) recordUse(id structs.ProgramID, hit bool) {
 	if !hit {
-		h.waste.Paused += h.unused[id]
+		m.waste.Paused += m.unused[id]
 	}
-	delete(h.unused, id)
+	delete(m.unused, id)
 }
 
 // finish charges usage that is still unused at the end of the run as waste.
-func (h *wasteMeter) finish() {
-	for _, id := range slices.Sorted(maps.Keys(h.unused)) {
-		h.waste.Paused += h.unused[id]
+func (m *wasteMeter) finish() {
+	for _, id := range slices.Sorted(maps.Keys(m.unused)) {
+		m.waste.Paused += m.unused[id]
 	}
-	clear(h.unused)
+	clear(m.unused)
 }
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -15,12 +15,12 @@
 	Name string
 	// Kinds are the kinds of programs. They arrive independently.
 	Kinds []Kind
-	// SlowRunner is the slowdown factor of the first engine in the middle
+	// SlowEngineFactor is the slowdown factor of the first engine in the middle
 	// third of the run, 0 for none.
-	SlowRunner int
-	// FailingRunner makes the first engine refuse every call in the middle third
+	SlowEngineFactor int
+	// FailingEngine makes the first engine refuse every call in the middle third
 	// of the run.
-	FailingRunner bool
+	FailingEngine bool
 }
 
 // Kind describes programs with the same distributions.
@@ -171,8 +171,8 @@
 		{Name: "dying", Kinds: abandonedKinds(clearance, status)},
 		{Name: "survey", Kinds: surveyKinds()},
 		{Name: "greedy-team", Kinds: greedyTeamKinds(status)},
-		{Name: "slow-runner", Kinds: []Kind{clearance, status}, SlowRunner: 10},
-		{Name: "failing-runner", Kinds: []Kind{clearance, status}, FailingRunner: true},
+		{Name: "slow-runner", Kinds: []Kind{clearance, status}, SlowEngineFactor: 10},
+		{Name: "failing-runner", Kinds: []Kind{clearance, status}, FailingEngine: true},
 		{Name: "overload", Kinds: overloadKinds(clearance, status)},
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -29,9 +29,9 @@
 		defer file.Close()
 		logs = append(logs, file)
 	}
-	report, err := explain.Read(c.ID, logs...)
+	timeline, err := explain.Read(c.ID, logs...)
 	if err != nil {
 		return err
 	}
-	return report.Write(p.Out)
+	return timeline.Write(p.Out)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,12 +15,12 @@
 `
 
 func TestTimelineOfAProgramAcrossInstances(t *testing.T) {
-	s, err := Read("p1", strings.NewReader(logA), strings.NewReader(logB))
+	timeline, err := Read("p1", strings.NewReader(logA), strings.NewReader(logB))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	if err := s.Write(&b); err != nil {
+	if err := timeline.Write(&b); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
@@ -31,11 +31,11 @@
 }
 
 func TestEmptyTimelineNamesTheID(t *testing.T) {
-	s, err := Read("unknown", strings.NewReader(logA))
+	timeline, err := Read("unknown", strings.NewReader(logA))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := s.Cause(); !strings.Contains(got, "No line names unknown") || !strings.Contains(got, "4 lines were dropped") {
+	if got := timeline.Cause(); !strings.Contains(got, "No line names unknown") || !strings.Contains(got, "4 lines were dropped") {
 		t.Errorf("got %q", got)
 	}
 }
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -107,13 +107,13 @@
 func costBetween(before, after *reading) CostStats {
 	n := float64(len(after.usage))
 	seconds := after.at.Sub(before.at).Seconds()
-	var f CostStats
+	var stats CostStats
 	for i, u := range after.usage {
 		from := before.usage[i]
 		took := u.at.Sub(from.at).Seconds()
-		f.CPU += percentOf((u.cpu-from.cpu).Seconds(), took) / n
-		f.IO += float64(u.io-from.io) / took / n
-		f.RSS += float64(u.rss) / (1 << 20) / n
+		stats.CPU += percentOf((u.cpu-from.cpu).Seconds(), took) / n
+		stats.IO += float64(u.io-from.io) / took / n
+		stats.RSS += float64(u.rss) / (1 << 20) / n
 	}
 	rate := func(names ...string) float64 {
 		total := 0.0
@@ -122,12 +122,12 @@
 		}
 		return total / seconds / n
 	}
-	f.Control = rate(metricControlSent, metricControlReceived)
-	f.Data = rate(metricDataSent, metricDataReceived)
-	f.Reads, f.Polls, f.Ticks = rate(metricLogReads), rate(metricPolls), rate(metricTicks)
-	f.Appends = float64(after.appends-before.appends) / seconds
-	f.Calls = float64(after.calls-before.calls) / seconds
-	return f
+	stats.Control = rate(metricControlSent, metricControlReceived)
+	stats.Data = rate(metricDataSent, metricDataReceived)
+	stats.Reads, stats.Polls, stats.Ticks = rate(metricLogReads), rate(metricPolls), rate(metricTicks)
+	stats.Appends = float64(after.appends-before.appends) / seconds
+	stats.Calls = float64(after.calls-before.calls) / seconds
+	return stats
 }
 
 // costSample holds the windows of one cluster; x is the varied quantity.
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -39,7 +39,7 @@
 func printCost(out io.Writer, state string, x float64, windows []CostStats) {
 	cells := []string{state, fmt.Sprint(x)}
 	for _, column := range costColumns {
-		cells = append(cells, Spread(values(windows, column), column.decimals))
+		cells = append(cells, FormatSpread(values(windows, column), column.decimals))
 	}
 	fmt.Fprintln(out, markdownRow(append(cells, LoadAverage())...))
 }
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -27,25 +27,25 @@
 func Faults() []Fault {
 	return []Fault{
 		{Name: "quiet", apply: func(context.Context, *testkit.Cluster, time.Duration) {}},
-		{Name: "kill", apply: killOne},
-		{Name: "pause", apply: pauseOne},
-		{Name: "slow-runner", apply: slowRunner},
+		{Name: "kill", apply: killInstance},
+		{Name: "pause", apply: pauseInstance},
+		{Name: "slow-runner", apply: slowEngine},
 		{Name: "log-down", apply: stopLog},
 		{Name: "data-centre", apply: killDataCentre},
 	}
 }
 
-// killOne kills the second instance and removes it from the membership list
+// killInstance kills the second instance and removes it from the membership list
 // after membershipLag.
-func killOne(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
+func killInstance(ctx context.Context, c *testkit.Cluster, _ time.Duration) {
 	p := c.Instances[1]
 	p.Kill()
 	delay.Sleep(ctx, membershipLag)
 	c.Remove(p)
 }
 
-// pauseOne suspends the second instance temporarily.
-func pauseOne(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
+// pauseInstance suspends the second instance temporarily.
+func pauseInstance(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	p := c.Instances[1]
 	if p.Pause() != nil {
 		return
@@ -54,8 +54,8 @@
 	_ = p.Resume()
 }
 
-// slowRunner slows one engine down temporarily.
-func slowRunner(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
+// slowEngine slows one engine down temporarily.
+func slowEngine(ctx context.Context, c *testkit.Cluster, duration time.Duration) {
 	id := c.Endpoints().Targets[0].ID
 	c.Engines[id].Faults().Set(wire.ServiceFaults{Slow: slowFactor})
 	delay.Sleep(ctx, duration)
--- a/internal/load/held.go
+++ b/internal/load/held.go
@@ -83,13 +83,13 @@
 	if err != nil {
 		return err
 	}
-	f := costBetween(reading, reading)
+	stats := costBetween(reading, reading)
 	count, err := o.meanGoroutines(cluster)
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("%d programs, %d calls", programs, calls)
-	fmt.Fprintln(out, markdownRow(name, fmt.Sprintf("%.1f", f.RSS), fmt.Sprintf("%.0f", count)))
+	fmt.Fprintln(out, markdownRow(name, fmt.Sprintf("%.1f", stats.RSS), fmt.Sprintf("%.0f", count)))
 	return nil
 }
 
@@ -99,7 +99,7 @@
 	failures := make([]error, openWorkers)
 	for worker := range openWorkers {
 		group.Go(func() {
-			c := r.anyCaller(uint64(worker))
+			c := r.newClearanceCaller(uint64(worker))
 			for n := worker; n < programs && failures[worker] == nil; n += openWorkers {
 				failures[worker] = r.shortProgram(ctx, c)
 			}
@@ -109,7 +109,7 @@
 	return errors.Join(failures...)
 }
 
-func (r *run) anyCaller(seed uint64) *caller {
+func (r *run) newClearanceCaller(seed uint64) *caller {
 	return &caller{
 		key: callerKey(ClassClearance), http: r.http, balancer: r.balancer,
 		recorder: r.recorders[ClassClearance], random: rand.New(rand.NewPCG(seed, 1)),
@@ -131,7 +131,7 @@
 // longCall makes a chat that lasts until it is cancelled.
 func (r *run) longCall(ctx context.Context, seed uint64) {
 	const tokens = 30_000
-	c := r.anyCaller(seed)
+	c := r.newClearanceCaller(seed)
 	client := &testkit.Client{Server: r.balancer.pick(c.random), Key: c.key, HTTP: r.http}
 	_, _ = client.Chat(ctx, wire.ChatRequest{
 		Model: testkit.ModelService, MaxTokens: tokens, Stream: true,
--- a/internal/load/overhead.go
+++ b/internal/load/overhead.go
@@ -110,7 +110,7 @@
 
 // measurePair runs one program directly and one through an instance.
 func (o OverheadOptions) measurePair(ctx context.Context, r *run, random *rand.Rand, direct, through *pathLatencies) error {
-	engine := r.anyEngine(random)
+	engine := r.randomEngine(random)
 	if err := o.runChats(ctx, &testkit.Client{Server: engine, HTTP: r.http}, "", direct); err != nil {
 		return errors.Wrap(err, "direct")
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// anyEngine returns the base URL of a random engine.
-func (r *run) anyEngine(random *rand.Rand) string {
+// randomEngine returns the base URL of a random engine.
+func (r *run) randomEngine(random *rand.Rand) string {
 	var addresses []string
 	for _, target := range r.cluster.Endpoints().Targets {
 		if target.Service == testkit.ModelService {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -37,13 +37,13 @@
 		fmt.Fprintln(out, markdownRow(
 			results[0].Scenario, class.Name, fmt.Sprint(f.Started), fmt.Sprint(f.Failed),
 			fmt.Sprintf("%.2f", f.Slowdown.Mean), fmt.Sprintf("%.2f", f.Slowdown.P50),
-			fmt.Sprintf("%.2f", f.Slowdown.P95), fmt.Sprintf("%.2f", f.Slowdown.P99), Spread(p99s, 2),
+			fmt.Sprintf("%.2f", f.Slowdown.P95), fmt.Sprintf("%.2f", f.Slowdown.P99), FormatSpread(p99s, 2),
 			fmt.Sprintf("%.0f", f.Latency.P99),
 			fmt.Sprintf("%.1f/%.1f", f.FirstToken.P50, f.FirstToken.P95),
 			fmt.Sprintf("%.1f/%.1f", f.BetweenTokens.P50, f.BetweenTokens.P95),
 			formatRefusals(f), fmt.Sprint(f.Retries),
 			fmt.Sprintf("%.1f", percentOf(float64(f.RecomputedTokens), float64(f.PromptTokens))),
-			Spread(ended, 1), Spread(remaining, 0), Spread(appends, 0),
+			FormatSpread(ended, 1), FormatSpread(remaining, 0), FormatSpread(appends, 0),
 		))
 	}
 	printErrors(out, results)
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Spread formats the median and range of values as "median (low-high)".
-func Spread(values []float64, decimals int) string {
+// FormatSpread formats the median and range of values as "median (low-high)".
+func FormatSpread(values []float64, decimals int) string {
 	if len(values) == 0 {
 		return "-"
 	}
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -69,7 +69,7 @@
 	if Median([]float64{3, 1, 2}) != 2 || Median([]float64{4, 1, 2, 3}) != 2.5 || Median(nil) != 0 {
 		t.Error("wrong median")
 	}
-	if got := Spread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
+	if got := FormatSpread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
 		t.Error(got)
 	}
 }
--- a/internal/load/waste.go
+++ b/internal/load/waste.go
@@ -55,10 +55,10 @@
 		now := time.Now()
 		seconds := now.Sub(last).Seconds()
 		last = now
-		held, gone := w.readCaches()
+		held, ended := w.readCaches()
 		w.waste.Held += float64(held) * seconds
-		w.waste.Ended += float64(gone) * seconds
-		w.waste.Remaining = gone
+		w.waste.Ended += float64(ended) * seconds
+		w.waste.Remaining = ended
 	}
 }
 
--- a/internal/proofs/agent.go
+++ b/internal/proofs/agent.go
@@ -58,7 +58,7 @@
 		short, stop := context.WithTimeout(limited, attemptDeadline+attemptGrace)
 		defer stop()
 		at = r.pickEndpoint(rng, at.id)
-		answer, err := testkit.NewClient(at.server, r.callerKey).
+		response, err := testkit.NewClient(at.server, r.callerKey).
 			Do(short, http.MethodPost, programsRoute, []byte("{}"), testkit.Call{Key: key})
 		if err != nil {
 			return err
@@ -66,8 +66,8 @@
 		var view struct {
 			ID string `json:"id"`
 		}
-		if answer.Status >= http.StatusBadRequest || json.Unmarshal(answer.Body, &view) != nil || view.ID == "" {
-			return errors.Newf("open: status %d: %s", answer.Status, answer.Body)
+		if response.Status >= http.StatusBadRequest || json.Unmarshal(response.Body, &view) != nil || view.ID == "" {
+			return errors.Newf("open: status %d: %s", response.Status, response.Body)
 		}
 		id = view.ID
 		return nil
@@ -85,12 +85,12 @@
 		short, stop := context.WithTimeout(limited, attemptDeadline+attemptGrace)
 		defer stop()
 		at = a.rig.pickEndpoint(a.rng, at.id)
-		answer, err := testkit.NewClient(at.server, a.rig.callerKey).Close(short, a.program.ID)
+		response, err := testkit.NewClient(at.server, a.rig.callerKey).Close(short, a.program.ID)
 		if err != nil {
 			return err
 		}
-		if answer.Status >= http.StatusBadRequest && answer.Status != http.StatusGone {
-			return errors.Newf("close: status %d: %s", answer.Status, answer.Body)
+		if response.Status >= http.StatusBadRequest && response.Status != http.StatusGone {
+			return errors.Newf("close: status %d: %s", response.Status, response.Body)
 		}
 		return nil
 	})
--- a/internal/proofs/caller.go
+++ b/internal/proofs/caller.go
@@ -94,22 +94,22 @@
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	a := Attempt{Instance: to.id, Start: time.Now()}
-	answer, err := testkit.NewClient(to.server, r.callerKey).Do(limited, q.method, q.path, q.body, testkit.Call{
+	response, err := testkit.NewClient(to.server, r.callerKey).Do(limited, q.method, q.path, q.body, testkit.Call{
 		Program: q.call.Program, Lane: q.call.Lane, Number: q.call.Number, Key: q.call.Key,
 		NotRepeatable: q.call.NotRepeatable, Deadline: deadline, Fee: q.call.Fee,
 		Attempt: r.History.nextAttempt(q.call),
 	})
 	a.End = time.Now()
-	a.Outcome = outcomeOf(limited, answer, err)
+	a.Outcome = outcomeOf(limited, response, err)
 	if a.Outcome == NoResponse && q.cancelAfter > 0 {
 		a.Outcome = Canceled
 	}
-	if answer != nil {
-		if answer.Problem == nil && answer.Status >= http.StatusBadRequest {
-			a.Reason = "the target's " + http.StatusText(answer.Status)
+	if response != nil {
+		if response.Problem == nil && response.Status >= http.StatusBadRequest {
+			a.Reason = "the target's " + http.StatusText(response.Status)
 		}
-		a.Status, a.Text, a.Body = answer.Status, answer.Text, answer.Body
-		if p := answer.Problem; p != nil {
+		a.Status, a.Text, a.Body = response.Status, response.Text, response.Body
+		if p := response.Problem; p != nil {
 			a.Reason = strings.TrimPrefix(p.Type, problemPrefix)
 			a.RetryAfter = time.Duration(p.RetryAfterMS) * time.Millisecond
 		}
@@ -118,21 +118,21 @@
 	return a
 }
 
-func outcomeOf(ctx context.Context, answer *testkit.Response, err error) Outcome {
+func outcomeOf(ctx context.Context, response *testkit.Response, err error) Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Unreachable
-	case err != nil && ctx.Err() != nil, err == nil && answer.Truncated && ctx.Err() != nil:
+	case err != nil && ctx.Err() != nil, err == nil && response.Truncated && ctx.Err() != nil:
 		return NoResponse
-	case err != nil || answer.Truncated:
+	case err != nil || response.Truncated:
 		return Broken
-	case answer.Problem != nil && answer.Problem.Outcome == string(NotRun):
+	case response.Problem != nil && response.Problem.Outcome == string(NotRun):
 		return NotRun
-	case answer.Problem != nil:
+	case response.Problem != nil:
 		return Unknown
-	case answer.Status >= http.StatusBadRequest:
+	case response.Status >= http.StatusBadRequest:
 		return Unknown
-	case answer.Outcome == string(Replayed):
+	case response.Outcome == string(Replayed):
 		return Replayed
 	default:
 		return Answered
--- a/internal/proofs/check_runs.go
+++ b/internal/proofs/check_runs.go
@@ -176,7 +176,7 @@
 
 // duringFault reports whether the attempt overlaps a fault window of its instance.
 func (e Evidence) duringFault(a Attempt) bool {
-	return slices.ContainsFunc(e.FaultWindows, func(d FaultWindow) bool { return d.covers(a) })
+	return slices.ContainsFunc(e.FaultWindows, func(w FaultWindow) bool { return w.covers(a) })
 }
 
 // Reasons that a program which was opened must not get.
@@ -207,12 +207,12 @@
 // checkLeaving finds runs at leaving targets after their grace period.
 func checkLeaving(e Evidence, _ *runIndex) []Violation {
 	var found []Violation
-	for _, d := range e.Leaving {
-		limit := d.At.Add(d.Grace).UnixMilli()
-		for _, run := range slices.Concat(e.Engines[d.Target], e.Services[d.Target]) {
+	for _, leaving := range e.Leaving {
+		limit := leaving.At.Add(leaving.Grace).UnixMilli()
+		for _, run := range slices.Concat(e.Engines[leaving.Target], e.Services[leaving.Target]) {
 			if run.TimeMS > limit {
 				found = append(found, violation(PropertyLeaving, "target %s got a call of program %s %d ms after it was marked as leaving",
-					d.Target, run.Program, run.TimeMS-d.At.UnixMilli()))
+					leaving.Target, run.Program, run.TimeMS-leaving.At.UnixMilli()))
 			}
 		}
 	}
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -86,7 +86,7 @@
 	return wire.LogRecord{TimeMS: ms(t), Data: journal.Encode(record)}
 }
 
-func TestCheckerAcceptsAGoodHistory(t *testing.T) {
+func TestCheckerAcceptsValidEvidence(t *testing.T) {
 	verdict := Check(validEvidence())
 	if len(verdict.Violations) > 0 {
 		t.Fatalf("violations in a valid history: %v", verdict.Violations)
@@ -101,8 +101,8 @@
 	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Outcome: NotRun}}
 }
 
-// invalidHistories each add one violation to validEvidence.
-var invalidHistories = []struct {
+// invalidEvidence each add one violation to validEvidence.
+var invalidEvidence = []struct {
 	name     string
 	alter    func(e *Evidence)
 	property Property
@@ -211,8 +211,8 @@
 	{"the version of a setting decreases", func(e *Evidence) { e.Readings[1].Version = 3 }, PropertySettings},
 }
 
-func TestCheckerFindsEachBreach(t *testing.T) {
-	for _, bad := range invalidHistories {
+func TestCheckerFindsEachViolation(t *testing.T) {
+	for _, bad := range invalidEvidence {
 		t.Run(bad.name, func(t *testing.T) {
 			e := validEvidence()
 			bad.alter(&e)
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -58,8 +58,8 @@
 	for i, c := range e.Calls {
 		fmt.Fprintf(&out, "%s\n  attempts %s\n  runs %s\n", c.name(), describeAttempts(c), describeRuns(runs.byCall[i]))
 	}
-	for _, d := range e.FaultWindows {
-		fmt.Fprintf(&out, "disturbed %s from %d to %d\n", d.Instance, d.From.UnixMilli(), d.To.UnixMilli())
+	for _, w := range e.FaultWindows {
+		fmt.Fprintf(&out, "disturbed %s from %d to %d\n", w.Instance, w.From.UnixMilli(), w.To.UnixMilli())
 	}
 	for _, c := range e.Changes {
 		fmt.Fprintf(&out, "change %+v\n", c)
--- a/internal/proofs/evidence.go
+++ b/internal/proofs/evidence.go
@@ -44,8 +44,8 @@
 }
 
 // covers reports whether the window overlaps an attempt at its instance.
-func (d FaultWindow) covers(a Attempt) bool {
-	return d.Instance == a.Instance && !a.End.Before(d.From) && (d.To.IsZero() || !a.Start.After(d.To))
+func (w FaultWindow) covers(a Attempt) bool {
+	return w.Instance == a.Instance && !a.End.Before(w.From) && (w.To.IsZero() || !a.Start.After(w.To))
 }
 
 // LeavingTarget is a target that was marked as leaving.
--- a/internal/proofs/faults.go
+++ b/internal/proofs/faults.go
@@ -19,9 +19,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultCount++
-	d := &FaultWindow{Instance: p.ID, From: time.Now()}
-	r.faultWindows = append(r.faultWindows, d)
-	return d
+	w := &FaultWindow{Instance: p.ID, From: time.Now()}
+	r.faultWindows = append(r.faultWindows, w)
+	return w
 }
 
 // Kill kills an instance (SIGKILL) and removes it from the balancer and, unless
@@ -50,7 +50,7 @@
 
 // Pause stops an instance (SIGSTOP); resume continues it (SIGCONT).
 func (r *Rig) Pause(p *testkit.Process) (resume func() error, err error) {
-	d := r.openFaultWindow(p)
+	w := r.openFaultWindow(p)
 	if err := p.Pause(); err != nil {
 		return nil, errors.Wrap(err, "pause")
 	}
@@ -58,7 +58,7 @@
 		err := p.Resume()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		d.To = time.Now().Add(resumeSlack)
+		w.To = time.Now().Add(resumeSlack)
 		return errors.Wrap(err, "resume")
 	}, nil
 }
@@ -148,10 +148,10 @@
 
 // MarkLeaving marks a target as leaving. After the grace period it may receive no
 // requests.
-func (r *Rig) MarkLeaving(id string, within time.Duration) {
+func (r *Rig) MarkLeaving(id string, grace time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faultCount++
-	r.leaving = append(r.leaving, LeavingTarget{Target: id, At: time.Now(), Grace: within})
+	r.leaving = append(r.leaving, LeavingTarget{Target: id, At: time.Now(), Grace: grace})
 	r.Members.SetLeaving(id)
 }
--- a/internal/proofs/history.go
+++ b/internal/proofs/history.go
@@ -27,10 +27,10 @@
 )
 
 // answered reports whether the attempt got a complete answer.
-func (w Outcome) answered() bool { return w == Answered || w == Replayed }
+func (o Outcome) answered() bool { return o == Answered || o == Replayed }
 
 // final reports whether the attempt got an answer or a final refusal.
-func (w Outcome) final() bool { return w.answered() || w == NotRun || w == Unknown }
+func (o Outcome) final() bool { return o.answered() || o == NotRun || o == Unknown }
 
 // Kind is the kind of a call.
 type Kind string
--- a/internal/proofs/load.go
+++ b/internal/proofs/load.go
@@ -42,13 +42,13 @@
 
 // runPrograms runs one program, or one after another until Stop if calls is 0.
 func (l *Load) runPrograms(ctx context.Context, r *Rig, rng *rand.Rand, calls int) {
-	const callsOfEndless = 8
+	const callsPerProgram = 8
 	if calls > 0 {
 		l.runProgram(ctx, r, rng, calls)
 		return
 	}
 	for !l.stopped() && ctx.Err() == nil {
-		l.runProgram(ctx, r, rng, callsOfEndless)
+		l.runProgram(ctx, r, rng, callsPerProgram)
 	}
 }
 
--- a/internal/proofs/network.go
+++ b/internal/proofs/network.go
@@ -38,12 +38,12 @@
 
 // env returns the environment that points an instance to its relays.
 func (n *Network) env(c *testkit.Cluster, id string) []string {
-	ready := c.Endpoints()
-	log, err := relay.New(strings.TrimPrefix(ready.Log, "http://"))
+	endpoints := c.Endpoints()
+	log, err := relay.New(strings.TrimPrefix(endpoints.Log, "http://"))
 	if err != nil {
 		return nil
 	}
-	list, err := standin.Listen("", n.memberList(id, ready.Members))
+	list, err := standin.Listen("", n.memberList(id, endpoints.Members))
 	if err != nil {
 		log.Close()
 		return nil
@@ -81,34 +81,34 @@
 
 // relayTo returns the address of the relay of a link, and creates the relay if
 // needed.
-func (n *Network) relayTo(p link, address string) string {
+func (n *Network) relayTo(l link, address string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if known, ok := n.links[p]; ok {
+	if known, ok := n.links[l]; ok {
 		return known.Address()
 	}
 	created, err := relay.New(address)
 	if err != nil {
 		return address
 	}
-	n.links[p] = created
-	n.apply(p, created)
+	n.links[l] = created
+	n.apply(l, created)
 	return created.Address()
 }
 
 // apply blocks the directions of a relay that are blocked at either end. The caller
 // holds n.mu.
-func (n *Network) apply(p link, r *relay.Relay) {
-	from, to := n.blocked[p.from], n.blocked[p.to]
+func (n *Network) apply(l link, r *relay.Relay) {
+	from, to := n.blocked[l.from], n.blocked[l.to]
 	r.Block(from.out || to.in, to.out || from.in)
 }
 
 // CutLog blocks the traffic from an instance to the log, from the log to the
 // instance, or both; with neither it unblocks them.
-func (n *Network) CutLog(id string, blockTowards, blockBack bool) {
+func (n *Network) CutLog(id string, out, in bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logs[id].Block(blockTowards, blockBack)
+	n.logs[id].Block(out, in)
 }
 
 // CutPeer blocks the traffic from an instance to the others, from the others to it,
@@ -117,8 +117,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[id] = blocked{out, in}
-	for p, r := range n.links {
-		n.apply(p, r)
+	for l, r := range n.links {
+		n.apply(l, r)
 	}
 }
 
--- a/internal/proofs/operator.go
+++ b/internal/proofs/operator.go
@@ -29,27 +29,27 @@
 	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	change := Change{Instance: at.ID, Path: path, Base: base, Value: value, ChangeID: ulid.Make().String()}
-	answer, err := operatorAt(at).Publish(limited, testkit.SettingsChange{
+	response, err := operatorAt(at).Publish(limited, testkit.SettingsChange{
 		Path: path, Base: base, Value: json.RawMessage(value), ChangeID: change.ChangeID,
 	})
 	if err == nil {
-		change.setOutcome(answer)
+		change.setOutcome(response)
 	}
 	r.History.addChange(change)
 	return change
 }
 
 // setOutcome sets the outcome from the response to the proposal.
-func (c *Change) setOutcome(answer *testkit.Response) {
-	if answer.Status == http.StatusOK {
+func (c *Change) setOutcome(response *testkit.Response) {
+	if response.Status == http.StatusOK {
 		var accepted struct {
 			Version uint64 `json:"version"`
 		}
-		c.Accepted = json.Unmarshal(answer.Body, &accepted) == nil
+		c.Accepted = json.Unmarshal(response.Body, &accepted) == nil
 		c.Version = accepted.Version
 		return
 	}
-	c.Lost = answer.Problem != nil && strings.HasSuffix(answer.Problem.Type, "settings-lost")
+	c.Lost = response.Problem != nil && strings.HasSuffix(response.Problem.Type, "settings-lost")
 }
 
 // setting reads a setting at an instance. It returns false if the setting is unset
@@ -57,11 +57,11 @@
 func (r *Rig) setting(ctx context.Context, at *testkit.Process, path string) (Setting, bool) {
 	limited, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	answer, err := operatorAt(at).Do(limited, http.MethodGet, "/v1/settings?path="+url.QueryEscape(path), nil, testkit.Call{})
-	if err != nil || answer.Status != http.StatusOK {
+	response, err := operatorAt(at).Do(limited, http.MethodGet, "/v1/settings?path="+url.QueryEscape(path), nil, testkit.Call{})
+	if err != nil || response.Status != http.StatusOK {
 		return Setting{}, false
 	}
-	found, ok := findSetting(answer.Body, path)
+	found, ok := findSetting(response.Body, path)
 	if ok {
 		r.History.addReading(Reading{Instance: at.ID, Path: path, Version: found.Version, At: time.Now()})
 	}
--- a/internal/proofs/rig.go
+++ b/internal/proofs/rig.go
@@ -91,9 +91,9 @@
 
 // peerCount returns the number of instances that p knows, itself included.
 func (r *Rig) peerCount(ctx context.Context, p *testkit.Process) int {
-	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
+	response, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct{ Peers []struct{ ID string } }
-	if err != nil || json.Unmarshal(answer.Body, &state) != nil {
+	if err != nil || json.Unmarshal(response.Body, &state) != nil {
 		return 0
 	}
 	return len(state.Peers)
@@ -125,7 +125,7 @@
 func (r *Rig) pickEndpoint(rng *rand.Rand, excluded string) endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	candidates := slices.DeleteFunc(slices.Clone(r.endpoints), func(d endpoint) bool { return d.id == excluded })
+	candidates := slices.DeleteFunc(slices.Clone(r.endpoints), func(e endpoint) bool { return e.id == excluded })
 	if len(candidates) == 0 {
 		candidates = r.endpoints
 	}
@@ -135,10 +135,10 @@
 func endpointOf(p *testkit.Process) endpoint { return endpoint{p.ID, p.Server} }
 
 // setEndpoints replaces the instances in the balancer.
-func (r *Rig) setEndpoints(doors ...endpoint) {
+func (r *Rig) setEndpoints(endpoints ...endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.endpoints = doors
+	r.endpoints = endpoints
 }
 
 func (r *Rig) addEndpoint(p *testkit.Process) {
@@ -152,9 +152,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var remaining []endpoint
-	for _, d := range r.endpoints {
-		if d.id != p.ID {
-			remaining = append(remaining, d)
+	for _, e := range r.endpoints {
+		if e.id != p.ID {
+			remaining = append(remaining, e)
 		}
 	}
 	if len(remaining) > 0 {
@@ -216,12 +216,12 @@
 // ownerReportedBy returns the owner of a program as p reports it, nil if it reports
 // none.
 func (r *Rig) ownerReportedBy(ctx context.Context, p *testkit.Process, program string) *testkit.Process {
-	answer, err := testkit.NewClient(p.Server, r.callerKey).
+	response, err := testkit.NewClient(p.Server, r.callerKey).
 		Do(ctx, http.MethodGet, programsRoute+"/"+program, nil, testkit.Call{})
 	var view struct {
 		Owner string `json:"owner"`
 	}
-	if err != nil || json.Unmarshal(answer.Body, &view) != nil {
+	if err != nil || json.Unmarshal(response.Body, &view) != nil {
 		return nil
 	}
 	return r.process(view.Owner)
@@ -286,8 +286,8 @@
 		e.Dropped[name] = err != nil || info.First > 0
 	}
 	r.mu.Lock()
-	for _, d := range r.faultWindows {
-		e.FaultWindows = append(e.FaultWindows, *d)
+	for _, w := range r.faultWindows {
+		e.FaultWindows = append(e.FaultWindows, *w)
 	}
 	e.Leaving = append(e.Leaving, r.leaving...)
 	r.mu.Unlock()
@@ -323,6 +323,6 @@
 
 // isReady reports whether the readiness probe of an instance succeeds.
 func isReady(ctx context.Context, p *testkit.Process) bool {
-	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/readyz", nil, testkit.Call{})
-	return err == nil && answer.Status == http.StatusOK
+	response, err := operatorAt(p).Do(ctx, http.MethodGet, "/readyz", nil, testkit.Call{})
+	return err == nil && response.Status == http.StatusOK
 }
--- a/internal/proofs/scenario.go
+++ b/internal/proofs/scenario.go
@@ -88,7 +88,7 @@
 
 // Run runs a scenario and checks its evidence. The seed determines the load and the
 // random faults.
-func Run(ctx context.Context, binary string, s Scenario, seed uint64, keep EvidenceConfig) Result {
+func Run(ctx context.Context, binary string, s Scenario, seed uint64, output EvidenceConfig) Result {
 	started := time.Now()
 	limited, cancel := context.WithTimeout(ctx, scenarioTimeout)
 	defer cancel()
@@ -113,8 +113,8 @@
 	}
 	result.Faults = rig.faultCount
 	result.Took = time.Since(started)
-	if keep.Dir != "" && (keep.Always || !result.OK()) {
-		result.EvidenceDir = writeEvidence(keep.Dir, rig, evidence, result)
+	if output.Dir != "" && (output.Always || !result.OK()) {
+		result.EvidenceDir = writeEvidence(output.Dir, rig, evidence, result)
 	}
 	return result
 }
--- a/internal/proofs/scenarios_log.go
+++ b/internal/proofs/scenarios_log.go
@@ -85,7 +85,7 @@
 		for _, f := range []wire.LogFaults{
 			{DropAppendReplies: count}, {DropAppends: count}, {DropAppendReplies: count, DropAppends: count, DelayMS: 200},
 		} {
-			if err := r.loseAppends(ctx, f); err != nil {
+			if err := r.dropAppends(ctx, f); err != nil {
 				return errors.CombineErrors(err, l.Stop())
 			}
 		}
@@ -95,8 +95,8 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// loseAppends sets faults of appends and waits until all of them have occurred.
-func (r *Rig) loseAppends(ctx context.Context, f wire.LogFaults) error {
+// dropAppends sets faults of appends and waits until all of them have occurred.
+func (r *Rig) dropAppends(ctx context.Context, f wire.LogFaults) error {
 	if err := r.WaitAnswered(ctx, answersPerFault/3); err != nil {
 		return err
 	}
@@ -174,8 +174,8 @@
 // then for replies only. To the owner this looks like an outage.
 func runOwnerCutFromLog(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
-	for _, towards := range []bool{true, false} {
-		if err := r.cutLogOnce(ctx, l, towards); err != nil {
+	for _, outbound := range []bool{true, false} {
+		if err := r.cutLogOnce(ctx, l, outbound); err != nil {
 			return errors.CombineErrors(err, l.Stop())
 		}
 	}
@@ -183,7 +183,7 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) cutLogOnce(ctx context.Context, l *Load, towards bool) error {
+func (r *Rig) cutLogOnce(ctx context.Context, l *Load, outbound bool) error {
 	if err := r.WaitAnswered(ctx, answersPerFault); err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 		return err
 	}
 	r.countFault()
-	r.Net.CutLog(owner.ID, towards, true)
+	r.Net.CutLog(owner.ID, outbound, true)
 	r.sleep(ctx, outageDuration)
 	r.Net.CutLog(owner.ID, false, false)
 	return r.WaitAnswered(ctx, answersPerFault)
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -86,8 +86,8 @@
 	defer r.mu.Unlock()
 	for _, p := range r.Instances {
 		affected := false
-		for _, d := range r.faultWindows {
-			affected = affected || d.Instance == p.ID
+		for _, w := range r.faultWindows {
+			affected = affected || w.Instance == p.ID
 		}
 		if !affected {
 			return p
@@ -112,13 +112,13 @@
 }
 
 func (r *Rig) isController(ctx context.Context, p *testkit.Process) bool {
-	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
+	response, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct {
 		Orders struct {
 			Pools []struct{ Service, Phase string }
 		}
 	}
-	if err != nil || json.Unmarshal(answer.Body, &state) != nil {
+	if err != nil || json.Unmarshal(response.Body, &state) != nil {
 		return false
 	}
 	for _, pool := range state.Orders.Pools {
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -256,9 +256,9 @@
 	return got, r.runsOf(own.program.ID) > runs
 }
 
-// handoverPause leaves a call time to be forwarded to the paused instance. The check
+// forwardWait leaves a call time to be forwarded to the paused instance. The check
 // also holds if it only reaches the next owner.
-const handoverPause = 200 * time.Millisecond
+const forwardWait = 200 * time.Millisecond
 
 // checkForeignHistoryDuringKill makes such a call while the owner is paused, and
 // then kills the owner. The call was forwarded to the owner, so that its outcome may
@@ -277,7 +277,7 @@
 		got, ran := r.chatAs(ctx, other, own)
 		done <- result{got, ran}
 	}()
-	r.sleep(ctx, handoverPause)
+	r.sleep(ctx, forwardWait)
 	replaceErr := r.Replace(ctx, owner)
 	d := <-done
 	refused := d.got.Outcome == NotRun || d.got.Outcome == Unknown
@@ -320,7 +320,7 @@
 		}
 		agents = append(agents, a)
 	}
-	r.setEngines(wire.ServiceFaults{Hang: true})
+	r.setEngineFaults(wire.ServiceFaults{Hang: true})
 	var err error
 	for _, a := range agents {
 		err = errors.CombineErrors(err, a.close(ctx))
@@ -328,11 +328,11 @@
 	for _, p := range r.instancesExcept(nil) {
 		err = errors.CombineErrors(err, r.Replace(ctx, p))
 	}
-	r.setEngines(wire.ServiceFaults{})
+	r.setEngineFaults(wire.ServiceFaults{})
 	return err
 }
 
-func (r *Rig) setEngines(faults wire.ServiceFaults) {
+func (r *Rig) setEngineFaults(faults wire.ServiceFaults) {
 	for _, id := range r.targetsOf(testkit.ModelService) {
 		r.SetTargetFaults(id, faults)
 	}
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -41,12 +41,12 @@
 
 // acquire returns a random instance that is free of faults, nil if no more than
 // minUnaffected are.
-func (v *instancePool) acquire(rng *rand.Rand) *testkit.Process {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (pool *instancePool) acquire(rng *rand.Rand) *testkit.Process {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	var free []*testkit.Process
-	for _, p := range v.rig.instancesExcept(nil) {
-		if !v.busy[p.ID] {
+	for _, p := range pool.rig.instancesExcept(nil) {
+		if !pool.busy[p.ID] {
 			free = append(free, p)
 		}
 	}
@@ -54,18 +54,18 @@
 		return nil
 	}
 	p := free[rng.IntN(len(free))]
-	v.busy[p.ID] = true
+	pool.busy[p.ID] = true
 	return p
 }
 
-func (v *instancePool) release(p *testkit.Process) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	delete(v.busy, p.ID)
+func (pool *instancePool) release(p *testkit.Process) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	delete(pool.busy, p.ID)
 }
 
 // randomFault injects a fault and ends it after a random duration.
-type randomFault func(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error
+type randomFault func(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error
 
 var instanceFaults = []randomFault{randomKill, randomPause, randomDrain, randomCutLog, randomCutPeer}
 
@@ -81,12 +81,12 @@
 // sequence of faults of the platform and the targets.
 func runRandom(ctx context.Context, r *Rig) error {
 	l := r.StartLoad(ctx, typicalPrograms, 0)
-	v := &instancePool{rig: r, busy: map[string]bool{}}
+	pool := &instancePool{rig: r, busy: map[string]bool{}}
 	var group sync.WaitGroup
 	var errs [2]error
 	for i, choices := range [][]randomFault{instanceFaults, platformFaults} {
 		rng := r.newRand()
-		group.Go(func() { errs[i] = r.sequence(ctx, v, rng, choices) })
+		group.Go(func() { errs[i] = r.sequence(ctx, pool, rng, choices) })
 	}
 	group.Wait()
 	err := errors.CombineErrors(errs[0], errs[1])
@@ -96,9 +96,9 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) sequence(ctx context.Context, v *instancePool, rng *rand.Rand, choices []randomFault) error {
+func (r *Rig) sequence(ctx context.Context, pool *instancePool, rng *rand.Rand, choices []randomFault) error {
 	for range faultsPerSequence {
-		if err := choices[rng.IntN(len(choices))](ctx, r, v, rng); err != nil {
+		if err := choices[rng.IntN(len(choices))](ctx, r, pool, rng); err != nil {
 			return err
 		}
 		if err := r.WaitAnswered(ctx, answersPerFault/5); err != nil {
@@ -113,21 +113,21 @@
 	return time.Duration(500+rng.IntN(4500)) * time.Millisecond
 }
 
-func randomKill(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
-	p := v.acquire(rng)
+func randomKill(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error {
+	p := pool.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.release(p)
+	defer pool.release(p)
 	return r.Replace(ctx, p)
 }
 
-func randomPause(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
-	p := v.acquire(rng)
+func randomPause(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error {
+	p := pool.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.release(p)
+	defer pool.release(p)
 	resume, err := r.Pause(p)
 	if err != nil {
 		return err
@@ -136,12 +136,12 @@
 	return resume()
 }
 
-func randomDrain(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
-	p := v.acquire(rng)
+func randomDrain(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error {
+	p := pool.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.release(p)
+	defer pool.release(p)
 	if err := r.Drain(ctx, p); err != nil {
 		return err
 	}
@@ -149,12 +149,12 @@
 	return err
 }
 
-func randomCutLog(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
-	p := v.acquire(rng)
+func randomCutLog(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error {
+	p := pool.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.release(p)
+	defer pool.release(p)
 	r.countFault()
 	r.Net.CutLog(p.ID, rng.IntN(2) == 0, true)
 	r.sleep(ctx, faultDuration(rng))
@@ -162,12 +162,12 @@
 	return nil
 }
 
-func randomCutPeer(ctx context.Context, r *Rig, v *instancePool, rng *rand.Rand) error {
-	p := v.acquire(rng)
+func randomCutPeer(ctx context.Context, r *Rig, pool *instancePool, rng *rand.Rand) error {
+	p := pool.acquire(rng)
 	if p == nil {
 		return nil
 	}
-	defer v.release(p)
+	defer pool.release(p)
 	r.countFault()
 	direction := rng.IntN(3)
 	r.Net.CutPeer(p.ID, direction != 0, direction != 1)
--- a/internal/proofs/scenarios_targets.go
+++ b/internal/proofs/scenarios_targets.go
@@ -63,9 +63,9 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-// leavingWithin is the grace period of a leaving target. It covers the lag of the
+// leavingGrace is the grace period of a leaving target. It covers the lag of the
 // membership list, the interval between two reads of it, and some slack.
-const leavingWithin = 4 * time.Second
+const leavingGrace = 4 * time.Second
 
 func runTargetLeaving(ctx context.Context, r *Rig) error {
 	const lagMS = 500
@@ -76,9 +76,9 @@
 			return errors.CombineErrors(err, l.Stop())
 		}
 		for _, service := range everyService {
-			r.MarkLeaving(r.targetsOf(service)[i], leavingWithin)
+			r.MarkLeaving(r.targetsOf(service)[i], leavingGrace)
 		}
-		r.sleep(ctx, leavingWithin)
+		r.sleep(ctx, leavingGrace)
 	}
 	err := r.WaitAnswered(ctx, 2*answersPerFault)
 	return errors.CombineErrors(err, l.Stop())
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -177,8 +177,8 @@
 // mustFindPrevious reports whether the previous turn named by an attempt was served
 // before the attempt started and is within its retention.
 func (h *history) mustFindPrevious(a *attempt) bool {
-	named, ok := h.attemptsByID[a.previous]
-	return ok && named.organisation == a.organisation && named.served() && named.end.Before(a.start) && a.end.Sub(named.end) < retention
+	previous, ok := h.attemptsByID[a.previous]
+	return ok && previous.organisation == a.organisation && previous.served() && previous.end.Before(a.start) && a.end.Sub(previous.end) < retention
 }
 
 func (h *history) checkBudgets() []violation {
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -70,7 +70,7 @@
 			return nil, err
 		}
 	}
-	d.publish()
+	d.publishSettings()
 	var seeds []string
 	for i := range options.Instances {
 		inst, err := newInstance(fmt.Sprintf("m%d", i), options.Dir, d.store.Address(), seeds)
@@ -137,9 +137,9 @@
 	return d.targets[rng.IntN(len(d.targets))]
 }
 
-// remove removes a target from the list. It returns false if the target is not
+// removeTarget removes a target from the list. It returns false if the target is not
 // listed.
-func (d *deployment) remove(t *target) bool {
+func (d *deployment) removeTarget(t *target) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, other := range d.targets {
@@ -154,7 +154,7 @@
 // crashTarget stops a target without notice and starts a replacement. The
 // registration of the stopped one expires later.
 func (d *deployment) crashTarget(t *target) error {
-	if !d.remove(t) {
+	if !d.removeTarget(t) {
 		return nil
 	}
 	t.stop()
@@ -168,7 +168,7 @@
 
 // drainTarget replaces a target gracefully.
 func (d *deployment) drainTarget(t *target) error {
-	if !d.remove(t) {
+	if !d.removeTarget(t) {
 		return nil
 	}
 	if err := d.addTarget(t.service); err != nil {
@@ -199,8 +199,8 @@
 // only.
 func versionPath(version int) string { return fmt.Sprintf("/version/%d/", version) }
 
-// publish publishes the next version of the operator's settings.
-func (d *deployment) publish() {
+// publishSettings publishes the next version of the operator's settings.
+func (d *deployment) publishSettings() {
 	d.mu.Lock()
 	d.version++
 	version := d.version
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -85,7 +85,7 @@
 
 // restartTarget stops a target and starts a new one with the same id.
 func (d *deployment) restartTarget(t *target) error {
-	if !d.remove(t) {
+	if !d.removeTarget(t) {
 		return nil
 	}
 	t.stop()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -69,16 +69,16 @@
 	inst := inj.deployment.instances[inj.rng.IntN(len(inj.deployment.instances))]
 	duration := time.Duration(50+inj.rng.IntN(1800)) * time.Millisecond
 	total := 0
-	for _, c := range faultKinds {
-		total += c.weight
+	for _, f := range faultKinds {
+		total += f.weight
 	}
 	pick := inj.rng.IntN(total)
-	for _, c := range faultKinds {
-		if pick < c.weight {
-			c.inject(inj, inst, duration)
+	for _, f := range faultKinds {
+		if pick < f.weight {
+			f.inject(inj, inst, duration)
 			return
 		}
-		pick -= c.weight
+		pick -= f.weight
 	}
 }
 
@@ -118,16 +118,16 @@
 }
 
 func (inj *injector) changeSettings(*instance, time.Duration) {
-	inj.inject("settings", 0, func() error { inj.deployment.publish(); return nil })
+	inj.inject("settings", 0, func() error { inj.deployment.publishSettings(); return nil })
 }
 
 // inject logs a fault and runs it in the background.
-func (inj *injector) inject(what string, duration time.Duration, do func() error) {
+func (inj *injector) inject(description string, duration time.Duration, apply func() error) {
 	inj.mu.Lock()
-	inj.log = append(inj.log, fmt.Sprintf("%7.3f s, for %s: %s", time.Since(inj.started).Seconds(), duration, what))
+	inj.log = append(inj.log, fmt.Sprintf("%7.3f s, for %s: %s", time.Since(inj.started).Seconds(), duration, description))
 	inj.mu.Unlock()
 	inj.work.Go(func() {
-		if err := do(); err != nil {
+		if err := apply(); err != nil {
 			inj.mu.Lock()
 			inj.err = err
 			inj.mu.Unlock()
@@ -137,7 +137,7 @@
 
 // restart ends the current incarnation of an instance and starts the next one after
 // the downtime, unless a restart is already in progress.
-func (inj *injector) restart(inst *instance, how string, down time.Duration, end func()) {
+func (inj *injector) restart(inst *instance, action string, downtime time.Duration, stop func()) {
 	inj.mu.Lock()
 	busy := inj.restarting[inst]
 	inj.restarting[inst] = true
@@ -145,9 +145,9 @@
 	if busy {
 		return
 	}
-	inj.inject(how+" "+inst.name, down, func() error {
-		end()
-		time.Sleep(down)
+	inj.inject(action+" "+inst.name, downtime, func() error {
+		stop()
+		time.Sleep(downtime)
 		err := inst.start(inj.deployment.options.Binary, inj.deployment.options.Dir, inj.deployment.history)
 		inj.mu.Lock()
 		inj.restarting[inst] = false
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -144,17 +144,17 @@
 }
 
 // recordCrash records an incarnation that exited without being stopped.
-func (h *history) recordCrash(l *incarnation) {
+func (h *history) recordCrash(inc *incarnation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.crashed = append(h.crashed, l)
+	h.crashed = append(h.crashed, inc)
 }
 
 // recordRunEnd records how a run ended.
-func (h *history) recordRunEnd(r *run, faulty, completed bool) {
+func (h *history) recordRunEnd(r *run, faulted, completed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.faulted, r.completed = r.faulted || faulty, completed
+	r.faulted, r.completed = r.faulted || faulted, completed
 }
 
 func (h *history) recordProbe(p probe) {
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -19,22 +19,22 @@
 // index and a tag of the program and prompt, so that tokens of different
 // completions can be told apart. The first token also contains the program and
 // the hash of the prompt.
-func (a Completion) Token(index int) string {
+func (c Completion) Token(index int) string {
 	if index == 0 {
-		return fmt.Sprintf("w0.%04x[program=%s,prompt=%016x]", a.tag(), a.Program, a.PromptHash)
+		return fmt.Sprintf("w0.%04x[program=%s,prompt=%016x]", c.tag(), c.Program, c.PromptHash)
 	}
-	return fmt.Sprintf(" w%d.%04x", index, a.tag())
+	return fmt.Sprintf(" w%d.%04x", index, c.tag())
 }
 
-func (a Completion) tag() uint16 {
-	return uint16(xxhash.Sum64String(a.Program) ^ a.PromptHash)
+func (c Completion) tag() uint16 {
+	return uint16(xxhash.Sum64String(c.Program) ^ c.PromptHash)
 }
 
 // Text returns the tokens with indexes in [from, to).
-func (a Completion) Text(from, to int) string {
+func (c Completion) Text(from, to int) string {
 	var text strings.Builder
 	for index := from; index < to; index++ {
-		text.WriteString(a.Token(index))
+		text.WriteString(c.Token(index))
 	}
 	return text.String()
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -34,32 +34,32 @@
 
 // apply applies an order. An engine that checks fencing numbers refuses an
 // order with a lower number than that of the last one applied.
-func (b *orderStore) apply(order wire.Order) error {
-	if b.state.ChecksFencing && order.Fencing < b.state.Fencing {
+func (s *orderStore) apply(order wire.Order) error {
+	if s.state.ChecksFencing && order.Fencing < s.state.Fencing {
 		return errStaleFencing
 	}
-	field := b.field(order.Kind)
+	field := s.field(order.Kind)
 	if field == nil {
 		return errUnknownOrder
 	}
 	*field = order.Value
-	b.state.Fencing = order.Fencing
-	b.applied = append(b.applied, order)
+	s.state.Fencing = order.Fencing
+	s.applied = append(s.applied, order)
 	return nil
 }
 
 // field returns the field of the state that a kind of order sets, or nil for an
 // unknown kind.
-func (b *orderStore) field(kind string) *string {
+func (s *orderStore) field(kind string) *string {
 	switch kind {
 	case wire.OrderLoadModel:
-		return &b.state.Model
+		return &s.state.Model
 	case wire.OrderLoadAdapter:
-		return &b.state.Adapter
+		return &s.state.Adapter
 	case wire.OrderSetVersion:
-		return &b.state.Version
+		return &s.state.Version
 	case wire.OrderSetRole:
-		return &b.state.Role
+		return &s.state.Role
 	default:
 		return nil
 	}
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -36,14 +36,14 @@
 
 // step executes the plan and reports whether it generated a token.
 func (s *sequence) step() bool {
-	made := s.plannedToken
+	generated := s.plannedToken
 	s.prefilled += s.planned
-	if made {
+	if generated {
 		s.generated++
 	}
 	s.planned = 0
 	s.plannedToken = false
-	return made
+	return generated
 }
 
 func (s *sequence) complete() bool {
--- a/internal/testkit/cluster.go
+++ b/internal/testkit/cluster.go
@@ -17,9 +17,9 @@
 
 // Keys of test clusters. They are not secret.
 const (
-	RootKey    = "testkit-root-operator-key"
-	PeerKey    = "testkit-shared-peer-key-0123456789"
-	pollPeriod = 20 * time.Millisecond
+	RootKey      = "testkit-root-operator-key"
+	PeerKey      = "testkit-shared-peer-key-0123456789"
+	pollInterval = 20 * time.Millisecond
 )
 
 // Options configure a cluster.
@@ -81,7 +81,7 @@
 	if c.options.EnvOf != nil {
 		env = append(env, c.options.EnvOf(c, p.ID)...)
 	}
-	if err := startProcess(c.options.Binary, env, c.options.LogDir, p); err != nil {
+	if err := startInstance(c.options.Binary, env, c.options.LogDir, p); err != nil {
 		return nil, err
 	}
 	c.Instances = append(c.Instances, p)
@@ -156,7 +156,7 @@
 // Poll calls f until it returns nil or the context ends, in which case it
 // returns the last error of f.
 func Poll(ctx context.Context, f func() error) error {
-	ticker := time.NewTicker(pollPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		err := f()
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// startProcess starts an instance and waits until it has logged its addresses.
-func startProcess(binary string, env []string, logDir string, p *Process) error {
+// startInstance starts an instance and waits until it has logged its addresses.
+func startInstance(binary string, env []string, logDir string, p *Process) error {
 	addresses := make(chan listening, 1)
 	err := p.launch(binary, "run", env, logDir, func(text string) {
 		var line listening
@@ -138,8 +138,8 @@
 	file  *os.File
 }
 
-// logLines is the number of lines that a logBuffer keeps.
-const logLines = 2000
+// maxLogLines is the number of lines that a logBuffer keeps.
+const maxLogLines = 2000
 
 // openFile creates the log file of an instance in dir, or none if dir is empty.
 func (b *logBuffer) openFile(dir, id string) error {
@@ -166,8 +166,8 @@
 		_, _ = b.file.WriteString(line + "\n")
 	}
 	b.lines = append(b.lines, line)
-	if len(b.lines) > logLines {
-		b.lines = b.lines[len(b.lines)-logLines:]
+	if len(b.lines) > maxLogLines {
+		b.lines = b.lines[len(b.lines)-maxLogLines:]
 	}
 }
 
