--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -17,7 +17,7 @@
 	Variant   []string      `arg:"--variant,separate" help:"variant to run; repeatable; the baselines and the full rule set by default"`
 	Ablations bool          `arg:"--ablations" help:"run also the full rule set with each rule switched off"`
 	Seeds     []uint64      `arg:"--seeds" help:"seeds of the workloads"`
-	Runners   int           `arg:"--runners" help:"number of engines"`
+	Engines   int           `arg:"--runners" help:"number of engines"`
 	Load      float64       `arg:"--load" help:"factor of the arrival rates"`
 	Duration  time.Duration `arg:"--duration" help:"time in which programs arrive"`
 	Parallel  int           `arg:"--parallel" help:"runs at a time"`
@@ -27,10 +27,10 @@
 func main() {
 	o := bench.DefaultOptions()
 	args := arguments{
-		Seeds: o.Seeds, Runners: o.Engines, Load: o.LoadFactor, Duration: o.Duration, Parallel: o.Parallel,
+		Seeds: o.Seeds, Engines: o.Engines, Load: o.LoadFactor, Duration: o.Duration, Parallel: o.Parallel,
 	}
 	arg.MustParse(&args)
-	o.Workloads, o.Variants, o.Seeds, o.Engines = args.Workload, args.Variant, args.Seeds, args.Runners
+	o.Workloads, o.Variants, o.Seeds, o.Engines = args.Workload, args.Variant, args.Seeds, args.Engines
 	o.Ablations = args.Ablations
 	o.LoadFactor, o.Duration, o.Parallel, o.JSONFile = args.Load, args.Duration, args.Parallel, args.JSON
 	if err := bench.Run(os.Stdout, o); err != nil {
--- a/cmd/quickstart/tour.go
+++ b/cmd/quickstart/tour.go
@@ -14,7 +14,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// killAtChunk is the chunk of a streamed answer at which the owner is killed.
+// killAtChunk is the chunk of a streamed response at which the owner is killed.
 const killAtChunk = 10
 
 // tour runs the calls of one program through the instances.
@@ -23,7 +23,7 @@
 	program  string
 	messages []wire.ChatMessage
 	number   int
-	// onChunk is called for each chunk of the next streamed answer.
+	// onChunk is called for each chunk of the next streamed response.
 	onChunk func(number int)
 }
 
@@ -71,7 +71,7 @@
 	return t.submit(ctx, 1, "replayed")
 }
 
-// killOwner kills the program's owner in the middle of a streamed answer. The
+// killOwner kills the program's owner in the middle of a streamed response. The
 // caller's instance forwards the call to the next owner, which resumes the stream
 // at the engine.
 func (t *tour) killOwner(ctx context.Context) error {
--- a/internal/bench/options.go
+++ b/internal/bench/options.go
@@ -16,8 +16,7 @@
 	// or disabled.
 	Ablations bool
 	// Seeds are the seeds of the workloads. Results are aggregated over them.
-	Seeds []uint64
-	// Engines is the number of engines.
+	Seeds   []uint64
 	Engines int
 	// LoadFactor multiplies the arrival rates of the workloads.
 	LoadFactor float64
@@ -26,7 +25,7 @@
 	Duration, Warmup time.Duration
 	// HopDelay is the one-way delay of a message.
 	HopDelay time.Duration
-	// EngineModel is the model of the engines.
+	// EngineModel configures the model of each engine.
 	EngineModel engine.ModelSettings
 	// LoadInterval and LoadLag are the interval and delay of load reports,
 	// CacheLag is the delay of cache events.
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -105,11 +105,11 @@
 }
 
 func columns(classes []int) []column {
-	list := []column{{"mean", "%.2f", func(f Stats) float64 { return f.Mean }}}
+	list := []column{{"mean", "%.2f", func(s Stats) float64 { return s.Mean }}}
 	for _, class := range classes {
 		prefix := fmt.Sprintf("c%d ", class)
 		of := func(get func(ClassStats) float64) func(Stats) float64 {
-			return func(f Stats) float64 { return get(f.Classes[class]) }
+			return func(s Stats) float64 { return get(s.Classes[class]) }
 		}
 		list = append(list,
 			column{prefix + "mean", "%.2f", of(func(c ClassStats) float64 { return c.Slowdown.Mean })},
@@ -124,18 +124,18 @@
 		)
 	}
 	return append(list,
-		column{"met %", "%.1f", func(f Stats) float64 { return 100 * f.Met }},
-		column{"prefilled %", "%.1f", func(f Stats) float64 { return 100 * f.Prefilled }},
-		column{"recomputed %", "%.1f", func(f Stats) float64 { return 100 * f.Recomputed }},
-		column{"waste gone", "%.0f", func(f Stats) float64 { return f.WasteGone }},
-		column{"waste paused", "%.0f", func(f Stats) float64 { return f.WastePaused }},
-		column{"team low", "%.2f", func(f Stats) float64 { return f.TeamLow }},
-		column{"team high", "%.2f", func(f Stats) float64 { return f.TeamHigh }},
-		column{"not sent /prog", "%.2f", func(f Stats) float64 { return f.NotSent }},
-		column{"refused %", "%.1f", func(f Stats) float64 { return 100 * f.Refused }},
-		column{"refused p50 s", "%.3f", func(f Stats) float64 { return f.RefusedMedian }},
-		column{"refused p99 s", "%.3f", func(f Stats) float64 { return f.RefusedAfter }},
-		column{"failed %", "%.1f", func(f Stats) float64 { return 100 * f.Failed }},
+		column{"met %", "%.1f", func(s Stats) float64 { return 100 * s.Met }},
+		column{"prefilled %", "%.1f", func(s Stats) float64 { return 100 * s.Prefilled }},
+		column{"recomputed %", "%.1f", func(s Stats) float64 { return 100 * s.Recomputed }},
+		column{"waste gone", "%.0f", func(s Stats) float64 { return s.WasteGone }},
+		column{"waste paused", "%.0f", func(s Stats) float64 { return s.WastePaused }},
+		column{"team low", "%.2f", func(s Stats) float64 { return s.TeamLow }},
+		column{"team high", "%.2f", func(s Stats) float64 { return s.TeamHigh }},
+		column{"not sent /prog", "%.2f", func(s Stats) float64 { return s.NotSent }},
+		column{"refused %", "%.1f", func(s Stats) float64 { return 100 * s.Refused }},
+		column{"refused p50 s", "%.3f", func(s Stats) float64 { return s.RefusedMedian }},
+		column{"refused p99 s", "%.3f", func(s Stats) float64 { return s.RefusedAfter }},
+		column{"failed %", "%.1f", func(s Stats) float64 { return 100 * s.Failed }},
 	)
 }
 
@@ -189,8 +189,8 @@
 }
 
 func meanAndRange(seeds []Stats, value func(Stats) float64) (mean, low, high float64) {
-	for i, f := range seeds {
-		v := value(f)
+	for i, s := range seeds {
+		v := value(s)
 		if i == 0 {
 			low, high = v, v
 		}
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -125,7 +125,7 @@
 type Quantiles struct{ Mean, P50, P95, P99, Max float64 }
 
 func (s *Sample) stats() Stats {
-	st := Stats{
+	stats := Stats{
 		Classes: make(map[int]ClassStats), Programs: s.Programs,
 		Met:        ratio(s.DeadlinesMet, s.Deadlines),
 		Prefilled:  ratio(s.PrefilledTokens, s.PromptTokens),
@@ -138,13 +138,13 @@
 	var all []float64
 	for _, class := range slices.Sorted(maps.Keys(s.Slowdowns)) {
 		slowdowns := s.Slowdowns[class]
-		st.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
+		stats.Classes[class] = ClassStats{Slowdown: quantiles(slowdowns), Latency: quantiles(s.Latencies[class])}
 		all = append(all, slowdowns...)
 	}
-	st.Mean = quantiles(all).Mean
-	st.TeamLow, st.TeamHigh = s.teamRange()
-	st.NotSent = ratio(s.NotSent, s.Programs)
-	return st
+	stats.Mean = quantiles(all).Mean
+	stats.TeamLow, stats.TeamHigh = s.teamRange()
+	stats.NotSent = ratio(s.NotSent, s.Programs)
+	return stats
 }
 
 func (s *Sample) teamRange() (low, high float64) {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -56,11 +56,11 @@
 		return exitOK
 	}
 	if err != nil {
-		return p.usage(parser, err)
+		return p.printUsage(parser, err)
 	}
 	chosen, ok := parser.Subcommand().(command)
 	if !ok {
-		return p.usage(parser, errors.New("missing command"))
+		return p.printUsage(parser, errors.New("missing command"))
 	}
 	return p.finish(parser, chosen.execute(ctx, p))
 }
@@ -71,7 +71,7 @@
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errUsage):
-		return p.usage(parser, err)
+		return p.printUsage(parser, err)
 	case errors.Is(err, errReported):
 		return exitFailed
 	}
@@ -79,7 +79,7 @@
 	return exitFailed
 }
 
-func (p *Program) usage(parser *arg.Parser, err error) int {
+func (p *Program) printUsage(parser *arg.Parser, err error) int {
 	_ = parser.WriteUsageForSubcommand(p.Err, parser.SubcommandNames()...)
 	fmt.Fprintln(p.Err, "error:", err)
 	return exitUsage
--- a/internal/cli/programs.go
+++ b/internal/cli/programs.go
@@ -81,7 +81,7 @@
 }
 
 func (c *ProgramsShow) execute(ctx context.Context, p *Program) error {
-	return p.oneProgram(ctx, c.ClientOptions, http.MethodGet, c.ID)
+	return p.requestProgram(ctx, c.ClientOptions, http.MethodGet, c.ID)
 }
 
 // ProgramsCancel cancels one program.
@@ -91,11 +91,11 @@
 }
 
 func (c *ProgramsCancel) execute(ctx context.Context, p *Program) error {
-	return p.oneProgram(ctx, c.ClientOptions, http.MethodDelete, c.ID)
+	return p.requestProgram(ctx, c.ClientOptions, http.MethodDelete, c.ID)
 }
 
-// oneProgram sends a request for one program and prints the program returned.
-func (p *Program) oneProgram(ctx context.Context, options ClientOptions, method, id string) error {
+// requestProgram sends a request for one program and prints the program returned.
+func (p *Program) requestProgram(ctx context.Context, options ClientOptions, method, id string) error {
 	client, err := options.client()
 	if err != nil {
 		return err
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -106,10 +106,10 @@
 	}
 	if c.Base != nil {
 		change.Base = *c.Base
-	} else if change.Base, err = client.version(ctx, c.Path); err != nil {
+	} else if change.Base, err = client.currentVersion(ctx, c.Path); err != nil {
 		return err
 	}
-	return p.change(ctx, client, c.JSON, []settingsChange{change})
+	return p.publishChanges(ctx, client, c.JSON, []settingsChange{change})
 }
 
 // settingValue returns valid JSON unchanged and any other text as a JSON string.
@@ -136,8 +136,8 @@
 	Offset  uint64 `json:"offset"`
 }
 
-// change publishes the changes atomically and prints the outcome.
-func (p *Program) change(ctx context.Context, client *client, asJSON bool, changes []settingsChange) error {
+// publishChanges publishes the changes atomically and prints the outcome.
+func (p *Program) publishChanges(ctx context.Context, client *client, asJSON bool, changes []settingsChange) error {
 	body := struct {
 		Changes []settingsChange `json:"changes"`
 	}{changes}
@@ -159,9 +159,9 @@
 	return err
 }
 
-// version returns the current version of a path, 0 if the path never had a value.
-func (c *client) version(ctx context.Context, path string) (uint64, error) {
-	list, err := c.listing(ctx, path)
+// currentVersion returns the current version of a path, 0 if the path never had a value.
+func (c *client) currentVersion(ctx context.Context, path string) (uint64, error) {
+	list, err := c.listSettings(ctx, path)
 	if err != nil {
 		return 0, err
 	}
@@ -173,8 +173,8 @@
 	return 0, nil
 }
 
-// listing returns the settings at and below a path, empty if there are none.
-func (c *client) listing(ctx context.Context, path string) (settings.Listing, error) {
+// listSettings returns the settings at and below a path, empty if there are none.
+func (c *client) listSettings(ctx context.Context, path string) (settings.Listing, error) {
 	var list settings.Listing
 	resp, err := c.get(ctx, settingsRoute, pathQuery(path))
 	var problem *ProblemError
--- a/internal/cli/settingsfile.go
+++ b/internal/cli/settingsfile.go
@@ -71,7 +71,7 @@
 		_, err = fmt.Fprintln(p.Out, "nothing to change: the file is empty")
 		return err
 	}
-	current, err := client.listing(ctx, commonPath(desired))
+	current, err := client.listSettings(ctx, commonPath(desired))
 	if err != nil {
 		return err
 	}
@@ -84,15 +84,15 @@
 	if c.DryRun || len(changes) == 0 {
 		return nil
 	}
-	return p.change(ctx, client, c.JSON, changes)
+	return p.publishChanges(ctx, client, c.JSON, changes)
 }
 
 // commonPath returns the deepest path above all changes. Listing only this path
 // lets an operator of a team publish without read access to the whole tree.
 func commonPath(changes []structs.SettingChange) string {
-	common := parent(strings.Split(changes[0].Path, "/"))
+	common := parentPath(strings.Split(changes[0].Path, "/"))
 	for _, change := range changes[1:] {
-		segments := parent(strings.Split(change.Path, "/"))
+		segments := parentPath(strings.Split(change.Path, "/"))
 		n := 0
 		for n < min(len(common), len(segments)) && common[n] == segments[n] {
 			n++
@@ -102,7 +102,7 @@
 	return strings.Join(common, "/")
 }
 
-func parent(segments []string) []string { return segments[:len(segments)-1] }
+func parentPath(segments []string) []string { return segments[:len(segments)-1] }
 
 // diffSettings returns the changes that bring the tree to the desired values. They
 // share one change id since they are applied together.
--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -19,10 +19,10 @@
 // balancer simulates the platform's load balancer: it picks among the instances
 // whose readiness check succeeds.
 type balancer struct {
-	all    []*testkit.Process
-	client *http.Client
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	instances []*testkit.Process
+	client    *http.Client
+	cancel    context.CancelFunc
+	work      sync.WaitGroup
 
 	mu   sync.Mutex
 	down map[string]bool
@@ -31,10 +31,10 @@
 func newBalancer(ctx context.Context, instances []*testkit.Process) *balancer {
 	ctx, cancel := context.WithCancel(ctx)
 	b := &balancer{
-		all: append([]*testkit.Process(nil), instances...), client: &http.Client{Timeout: healthTimeout},
+		instances: append([]*testkit.Process(nil), instances...), client: &http.Client{Timeout: healthTimeout},
 		cancel: cancel, down: make(map[string]bool),
 	}
-	for _, p := range b.all {
+	for _, p := range b.instances {
 		b.work.Go(func() { b.check(ctx, p) })
 	}
 	return b
@@ -77,13 +77,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var up []string
-	for _, p := range b.all {
+	for _, p := range b.instances {
 		if !b.down[p.Server] {
 			up = append(up, p.Server)
 		}
 	}
 	if len(up) == 0 {
-		return b.all[random.IntN(len(b.all))].Server
+		return b.instances[random.IntN(len(b.instances))].Server
 	}
 	return up[random.IntN(len(up))]
 }
--- a/internal/load/balancer_test.go
+++ b/internal/load/balancer_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestBalancerSkipsInstancesThatAreDown(t *testing.T) {
-	b := &balancer{all: []*testkit.Process{{Server: "a"}, {Server: "b"}}, down: make(map[string]bool)}
+	b := &balancer{instances: []*testkit.Process{{Server: "a"}, {Server: "b"}}, down: make(map[string]bool)}
 	random := rand.New(rand.NewPCG(1, 1))
 	b.set("a", true)
 	for range 20 {
--- a/internal/load/cost.go
+++ b/internal/load/cost.go
@@ -84,8 +84,8 @@
 			reading.metrics[name] += value
 		}
 	}
-	for _, f := range r.recorders {
-		reading.calls += f.calls.Load()
+	for _, recorder := range r.recorders {
+		reading.calls += recorder.calls.Load()
 	}
 	return reading, nil
 }
@@ -212,11 +212,11 @@
 func (o CostOptions) measureWindows(ctx context.Context, r *run) ([]CostStats, error) {
 	var stats []CostStats
 	for range o.Repeats {
-		f, err := r.measureWindow(ctx, o.Window)
+		window, err := r.measureWindow(ctx, o.Window)
 		if err != nil {
 			return nil, err
 		}
-		stats = append(stats, f)
+		stats = append(stats, window)
 	}
 	return stats, ctx.Err()
 }
--- a/internal/load/cost_test.go
+++ b/internal/load/cost_test.go
@@ -18,12 +18,12 @@
 			{at: end, cpu: 20 * time.Millisecond, rss: 3 << 20, io: 300},
 		},
 	}
-	f := costBetween(before, after)
-	if !near(f.CPU, 1.5, 1e-9) || !near(f.RSS, 2, 1e-9) || !near(f.IO, 100, 1e-9) {
-		t.Errorf("%+v", f)
+	stats := costBetween(before, after)
+	if !near(stats.CPU, 1.5, 1e-9) || !near(stats.RSS, 2, 1e-9) || !near(stats.IO, 100, 1e-9) {
+		t.Errorf("%+v", stats)
 	}
-	if f.Polls != 1 || f.Appends != 2 || f.Calls != 3 {
-		t.Errorf("%+v", f)
+	if stats.Polls != 1 || stats.Appends != 2 || stats.Calls != 3 {
+		t.Errorf("%+v", stats)
 	}
 }
 
--- a/internal/load/costreport.go
+++ b/internal/load/costreport.go
@@ -14,16 +14,16 @@
 }
 
 var costColumns = []costColumn{
-	{"CPU % of a core", 2, func(f CostStats) float64 { return f.CPU }},
-	{"RSS MiB", 1, func(f CostStats) float64 { return f.RSS }},
-	{"all I/O B/s", 0, func(f CostStats) float64 { return f.IO }},
-	{"peer control B/s", 0, func(f CostStats) float64 { return f.Control }},
-	{"peer data B/s", 0, func(f CostStats) float64 { return f.Data }},
-	{"log reads/s", 2, func(f CostStats) float64 { return f.Reads }},
-	{"list polls/s", 2, func(f CostStats) float64 { return f.Polls }},
-	{"ticks/s", 0, func(f CostStats) float64 { return f.Ticks }},
-	{"log appends/s, all", 1, func(f CostStats) float64 { return f.Appends }},
-	{"calls/s, all", 1, func(f CostStats) float64 { return f.Calls }},
+	{"CPU % of a core", 2, func(s CostStats) float64 { return s.CPU }},
+	{"RSS MiB", 1, func(s CostStats) float64 { return s.RSS }},
+	{"all I/O B/s", 0, func(s CostStats) float64 { return s.IO }},
+	{"peer control B/s", 0, func(s CostStats) float64 { return s.Control }},
+	{"peer data B/s", 0, func(s CostStats) float64 { return s.Data }},
+	{"log reads/s", 2, func(s CostStats) float64 { return s.Reads }},
+	{"list polls/s", 2, func(s CostStats) float64 { return s.Polls }},
+	{"ticks/s", 0, func(s CostStats) float64 { return s.Ticks }},
+	{"log appends/s, all", 1, func(s CostStats) float64 { return s.Appends }},
+	{"calls/s, all", 1, func(s CostStats) float64 { return s.Calls }},
 }
 
 func printCostHeader(out io.Writer, x string) {
@@ -46,8 +46,8 @@
 
 func values(windows []CostStats, column costColumn) []float64 {
 	list := make([]float64, 0, len(windows))
-	for _, f := range windows {
-		list = append(list, column.value(f))
+	for _, s := range windows {
+		list = append(list, column.value(s))
 	}
 	return list
 }
@@ -57,14 +57,14 @@
 	for _, column := range costColumns {
 		for _, state := range []struct {
 			name    string
-			figures func(costSample) []CostStats
+			windows func(costSample) []CostStats
 		}{
 			{"idle", func(s costSample) []CostStats { return s.idle }},
 			{"load", func(s costSample) []CostStats { return s.load }},
 		} {
 			var at, value []float64
 			for _, s := range samples {
-				for _, v := range values(state.figures(s), column) {
+				for _, v := range values(state.windows(s), column) {
 					at, value = append(at, s.x), append(value, v)
 				}
 			}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -33,16 +33,16 @@
 			remaining = append(remaining, float64(r.Waste.Remaining))
 			appends = append(appends, r.AppendRate)
 		}
-		f := pooled.stats()
+		stats := pooled.stats()
 		fmt.Fprintln(out, markdownRow(
-			results[0].Scenario, class.Name, fmt.Sprint(f.Started), fmt.Sprint(f.Failed),
-			fmt.Sprintf("%.2f", f.Slowdown.Mean), fmt.Sprintf("%.2f", f.Slowdown.P50),
-			fmt.Sprintf("%.2f", f.Slowdown.P95), fmt.Sprintf("%.2f", f.Slowdown.P99), FormatSpread(p99s, 2),
-			fmt.Sprintf("%.0f", f.Latency.P99),
-			fmt.Sprintf("%.1f/%.1f", f.FirstToken.P50, f.FirstToken.P95),
-			fmt.Sprintf("%.1f/%.1f", f.BetweenTokens.P50, f.BetweenTokens.P95),
-			formatRefusals(f), fmt.Sprint(f.Retries),
-			fmt.Sprintf("%.1f", percentOf(float64(f.RecomputedTokens), float64(f.PromptTokens))),
+			results[0].Scenario, class.Name, fmt.Sprint(stats.Started), fmt.Sprint(stats.Failed),
+			fmt.Sprintf("%.2f", stats.Slowdown.Mean), fmt.Sprintf("%.2f", stats.Slowdown.P50),
+			fmt.Sprintf("%.2f", stats.Slowdown.P95), fmt.Sprintf("%.2f", stats.Slowdown.P99), FormatSpread(p99s, 2),
+			fmt.Sprintf("%.0f", stats.Latency.P99),
+			fmt.Sprintf("%.1f/%.1f", stats.FirstToken.P50, stats.FirstToken.P95),
+			fmt.Sprintf("%.1f/%.1f", stats.BetweenTokens.P50, stats.BetweenTokens.P95),
+			formatRefusals(stats), fmt.Sprint(stats.Retries),
+			fmt.Sprintf("%.1f", percentOf(float64(stats.RecomputedTokens), float64(stats.PromptTokens))),
 			FormatSpread(ended, 1), FormatSpread(remaining, 0), FormatSpread(appends, 0),
 		))
 	}
@@ -60,11 +60,11 @@
 
 // formatRefusals lists the refusals by the last segment of their problem
 // type.
-func formatRefusals(f ClassStats) string {
+func formatRefusals(stats ClassStats) string {
 	var parts []string
-	for _, problem := range slices.Sorted(maps.Keys(f.Refused)) {
+	for _, problem := range slices.Sorted(maps.Keys(stats.Refused)) {
 		name := problem[strings.LastIndexAny(problem, ":/")+1:]
-		parts = append(parts, fmt.Sprintf("%s %d", name, f.Refused[problem]))
+		parts = append(parts, fmt.Sprintf("%s %d", name, stats.Refused[problem]))
 	}
 	if len(parts) == 0 {
 		return "0"
--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -39,9 +39,9 @@
 	other.recordFinished(8*time.Second, 2*time.Second)
 	other.recordRefusal("urn:x:overloaded")
 	one.merge(other)
-	f := one.stats()
-	if f.Finished != 2 || !near(f.Slowdown.Mean, 3, 0.01) || f.Refused["urn:x:overloaded"] != 1 || f.Refusals != 1 {
-		t.Errorf("%+v", f)
+	stats := one.stats()
+	if stats.Finished != 2 || !near(stats.Slowdown.Mean, 3, 0.01) || stats.Refused["urn:x:overloaded"] != 1 || stats.Refusals != 1 {
+		t.Errorf("%+v", stats)
 	}
 }
 
--- a/internal/proofs/check_lanes.go
+++ b/internal/proofs/check_lanes.go
@@ -12,7 +12,7 @@
 // laneID identifies a lane of a program.
 type laneID struct{ program, lane string }
 
-// numberedCall is a numbered call with its runs, of which there is at least one.
+// numberedCall is a numbered call with its runs, at least one.
 type numberedCall struct {
 	call Call
 	runs []wire.LedgerEntry
--- a/internal/proofs/check_test.go
+++ b/internal/proofs/check_test.go
@@ -101,7 +101,7 @@
 	c.Attempts = []Attempt{{Instance: "one", Start: at(start), End: at(end), Outcome: NotRun}}
 }
 
-// invalidEvidence each add one violation to validEvidence.
+// invalidEvidence lists changes that each add one violation to validEvidence.
 var invalidEvidence = []struct {
 	name     string
 	alter    func(e *Evidence)
--- a/internal/proofs/describe.go
+++ b/internal/proofs/describe.go
@@ -59,7 +59,7 @@
 		fmt.Fprintf(&out, "%s\n  attempts %s\n  runs %s\n", c.name(), describeAttempts(c), describeRuns(runs.byCall[i]))
 	}
 	for _, w := range e.FaultWindows {
-		fmt.Fprintf(&out, "disturbed %s from %d to %d\n", w.Instance, w.From.UnixMilli(), w.To.UnixMilli())
+		fmt.Fprintf(&out, "fault at %s from %d to %d\n", w.Instance, w.From.UnixMilli(), w.To.UnixMilli())
 	}
 	for _, c := range e.Changes {
 		fmt.Fprintf(&out, "change %+v\n", c)
--- a/internal/proofs/scenarios_programs.go
+++ b/internal/proofs/scenarios_programs.go
@@ -256,13 +256,13 @@
 	return got, r.runsOf(own.program.ID) > runs
 }
 
-// forwardWait leaves a call time to be forwarded to the paused instance. The check
-// also holds if it only reaches the next owner.
+// forwardWait is how long an owner stays paused before it is killed, so that a call
+// is forwarded to it. The check also holds if the call only reaches the next owner.
 const forwardWait = 200 * time.Millisecond
 
-// checkForeignHistoryDuringKill makes such a call while the owner is paused, and
-// then kills the owner. The call was forwarded to the owner, so that its outcome may
-// be reported as unknown, but it must not run.
+// checkForeignHistoryDuringKill makes a call with the messages of another program
+// while the owner is paused, and then kills the owner. The call was forwarded to the
+// owner, so that its outcome may be reported as unknown, but it must not run.
 func (r *Rig) checkForeignHistoryDuringKill(ctx context.Context, other, own *agent, owner *testkit.Process) error {
 	r.removeEndpoint(owner)
 	if _, err := r.Pause(owner); err != nil {
--- a/internal/proofs/scenarios_random.go
+++ b/internal/proofs/scenarios_random.go
@@ -86,7 +86,7 @@
 	var errs [2]error
 	for i, choices := range [][]randomFault{instanceFaults, platformFaults} {
 		rng := r.newRand()
-		group.Go(func() { errs[i] = r.sequence(ctx, pool, rng, choices) })
+		group.Go(func() { errs[i] = r.runFaultSequence(ctx, pool, rng, choices) })
 	}
 	group.Wait()
 	err := errors.CombineErrors(errs[0], errs[1])
@@ -96,7 +96,7 @@
 	return errors.CombineErrors(err, l.Stop())
 }
 
-func (r *Rig) sequence(ctx context.Context, pool *instancePool, rng *rand.Rand, choices []randomFault) error {
+func (r *Rig) runFaultSequence(ctx context.Context, pool *instancePool, rng *rand.Rand, choices []randomFault) error {
 	for range faultsPerSequence {
 		if err := choices[rng.IntN(len(choices))](ctx, r, pool, rng); err != nil {
 			return err
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -29,7 +29,7 @@
 type caller struct {
 	deployment   *deployment
 	rng          *rand.Rand
-	client       *http.Transport
+	transport    *http.Transport
 	instance     *instance
 	organisation organisation
 }
@@ -38,7 +38,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return &caller{
 		deployment: d, rng: rng, instance: d.instances[rng.IntN(len(d.instances))], organisation: organisations[0],
-		client: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
+		transport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
 	}
 }
 
@@ -86,7 +86,7 @@
 	traced := httptrace.WithClientTrace(sendCtx, &httptrace.ClientTrace{
 		WroteRequest: func(info httptrace.WroteRequestInfo) { wrote = info.Err == nil },
 	})
-	r, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+c.instance.callers+req.path, strings.NewReader(req.body))
+	r, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+c.instance.callerAddress+req.path, strings.NewReader(req.body))
 	if err != nil {
 		panic(errors.AssertionFailedf("make a request: %v", err))
 	}
@@ -103,7 +103,7 @@
 	if req.previous != "" {
 		r.Header.Set("Banyanglade-Previous-Turn", req.previous)
 	}
-	resp, err := c.client.RoundTrip(r)
+	resp, err := c.transport.RoundTrip(r)
 	if err != nil {
 		a.aborted = wrote && sendCtx.Err() == nil
 		return a
@@ -198,7 +198,7 @@
 		c.organisation = organisationOf(seed)
 		go func() {
 			c.runLane(ctx, program, budget, turns)
-			c.client.CloseIdleConnections()
+			c.transport.CloseIdleConnections()
 			done <- struct{}{}
 		}()
 	}
@@ -292,7 +292,7 @@
 func (d *deployment) probeSettings(ctx context.Context, inst *instance, seed uint64) {
 	c := d.newCaller(seed)
 	c.instance = inst
-	defer c.client.CloseIdleConnections()
+	defer c.transport.CloseIdleConnections()
 	for ctx.Err() == nil {
 		newest := d.newestVersion()
 		for version := newest; version >= max(1, newest-1); version-- {
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 		if len(seeds) < 3 {
-			seeds = append(seeds, inst.peers.Address())
+			seeds = append(seeds, inst.peerRelay.Address())
 		}
 		d.instances = append(d.instances, inst)
 	}
@@ -249,7 +249,7 @@
 func isReady(ctx context.Context, inst *instance) bool {
 	reqCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(reqCtx, http.MethodGet, "http://"+inst.ready+platform.ReadyPath, nil)
+	r, err := http.NewRequestWithContext(reqCtx, http.MethodGet, "http://"+inst.readyAddress+platform.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -196,9 +196,9 @@
 
 // failLink breaks the link of an instance to the store, or from other instances.
 func (inj *injector) failLink(inst *instance, duration time.Duration) {
-	link, name := inst.store, "link to the store of "
+	link, name := inst.storeRelay, "link to the store of "
 	if inj.rng.IntN(2) == 0 {
-		link, name = inst.peers, "link from other instances to "
+		link, name = inst.peerRelay, "link from other instances to "
 	}
 	mode := inj.rng.IntN(5)
 	inj.inject(fmt.Sprintf("%s%s fails, mode %d", name, inst.name, mode), duration, func() error {
--- a/internal/soak/instance.go
+++ b/internal/soak/instance.go
@@ -21,12 +21,12 @@
 // instance is one instance over all its incarnations. Its links to the store and from
 // other instances go through relays, where faults are injected.
 type instance struct {
-	name    string
-	callers string
-	ready   string
-	env     []string
-	store   *relay.Relay
-	peers   *relay.Relay
+	name          string
+	callerAddress string
+	readyAddress  string
+	env           []string
+	storeRelay    *relay.Relay
+	peerRelay     *relay.Relay
 
 	mu          sync.Mutex
 	incarnation *incarnation
@@ -69,23 +69,23 @@
 	if err != nil {
 		return nil, err
 	}
-	inst := &instance{name: name, callers: addresses[0], ready: addresses[1]}
-	if inst.store, err = relay.New(store); err != nil {
+	inst := &instance{name: name, callerAddress: addresses[0], readyAddress: addresses[1]}
+	if inst.storeRelay, err = relay.New(store); err != nil {
 		return nil, errors.Wrap(err, "relay to the store")
 	}
-	if inst.peers, err = relay.New(addresses[2]); err != nil {
+	if inst.peerRelay, err = relay.New(addresses[2]); err != nil {
 		return nil, errors.Wrap(err, "relay from other instances")
 	}
 	settings, err := json.Marshal(map[string]any{
 		"Node": name, "Ip": host, "Zone": "dc", "Region": "region",
-		"Listen": map[string]string{"Frontend": inst.callers, "Ready": inst.ready, "Control": inst.peers.Address()},
+		"Listen": map[string]string{"Frontend": inst.callerAddress, "Ready": inst.readyAddress, "Control": inst.peerRelay.Address()},
 		"Seeds":  seeds,
 		"Bounds": map[string]any{
 			"GraceS": gracePeriod.Seconds(), "QuotaWindowS": quotaWindow.Seconds(), "QuotaOver": quotaOver,
 			"QuotaSlack": quotaSlack,
 		},
 		"Platform": map[string]any{
-			"Address": inst.store.Address(), "parts": storePartitions, "RecordBytes": 1 << 18, "CallBytes": 1 << 21,
+			"Address": inst.storeRelay.Address(), "parts": storePartitions, "RecordBytes": 1 << 18, "CallBytes": 1 << 21,
 		},
 	})
 	if err != nil {
@@ -172,6 +172,6 @@
 
 func (inst *instance) close() {
 	inst.kill()
-	inst.store.Close()
-	inst.peers.Close()
+	inst.storeRelay.Close()
+	inst.peerRelay.Close()
 }
--- a/internal/soak/loadfaults.go
+++ b/internal/soak/loadfaults.go
@@ -101,7 +101,7 @@
 
 // readSlowly sends a turn with a large response and delays reading it.
 func (c *caller) readSlowly(ctx context.Context, duration time.Duration) {
-	defer c.client.CloseIdleConnections()
+	defer c.transport.CloseIdleConnections()
 	program := fmt.Sprintf("unread%x", c.rng.Uint64())
 	c.deployment.history.recordProgram(program, maxTurnTokens)
 	req := newTurn(program, maxTurnTokens, eventsPerTurn, c.rng.Uint64())
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -158,7 +158,7 @@
 func (d *deployment) checkInstanceServes(ctx context.Context, inst *instance, seed uint64) error {
 	c := d.newCaller(seed)
 	c.instance = inst
-	defer c.client.CloseIdleConnections()
+	defer c.transport.CloseIdleConnections()
 	program := fmt.Sprintf("last%x", c.rng.Uint64())
 	const budget = 100 * maxTurnTokens
 	d.history.recordProgram(program, budget)
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -212,6 +212,6 @@
 	}
 	duplicated := len(page.Events) - len(seen)
 	if page.Next != count || len(seen) == count || len(seen) == 0 || duplicated == 0 {
-		t.Errorf("next %d, %d events seen, %d doubled", page.Next, len(seen), duplicated)
+		t.Errorf("next %d, %d events seen, %d duplicated", page.Next, len(seen), duplicated)
 	}
 }
--- a/internal/testkit/relay/relay.go
+++ b/internal/testkit/relay/relay.go
@@ -1,5 +1,6 @@
 // Package relay is a TCP proxy for tests that injects network faults: it blocks,
-// delays and resets connections.
+// delays and resets connections. It is unrelated to internal/relay, which
+// distributes the topics of the store.
 package relay
 
 import (
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -74,7 +74,8 @@
 	StoreRefused atomic.Bool
 	// StoreUnresponsive makes its calls to the store hang without effect.
 	StoreUnresponsive atomic.Bool
-	// FeedsFail makes OK report that reads of other topics fail.
+	// FeedsFail makes OK return false, as after a failed read of a topic, while
+	// calls to the store succeed.
 	FeedsFail atomic.Bool
 
 	watched atomic.Pointer[[]structs.InstanceID]
