--- a/internal/proofs/check_settings.go
+++ b/internal/proofs/check_settings.go
@@ -56,7 +56,7 @@
 	return false
 }
 
-// checkInForce compares a setting that an instance has in the end with the changes
+// checkInForce compares a setting that an instance has at the end with the changes
 // of its path.
 func checkInForce(e Evidence, instance, path string, setting Setting) []Violation {
 	var found []Violation
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -17,7 +17,7 @@
 
 const (
 	modelPath = "services/" + testkit.ModelService
-	// versionPath is the setting of the version that the engines are to have.
+	// versionPath is the path of the setting of the engines' desired version.
 	versionPath = modelPath + "/orders/version"
 	// phaseHolding is the phase of the controller in its state dump.
 	phaseHolding = "holding"
@@ -68,7 +68,7 @@
 	return errors.CombineErrors(err, r.waitEngineVersion(ctx, 3))
 }
 
-// publishVersion publishes the version that the engines are to have.
+// publishVersion publishes a desired version of the engines.
 func (r *Rig) publishVersion(ctx context.Context, number int) error {
 	at := r.unaffectedInstance()
 	now, _ := r.setting(ctx, at, versionPath)
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -16,8 +16,8 @@
 }
 
 // Token returns the text of the token at an index, such as " w3.5fa1": the
-// index and a tag of the program and prompt, so that tokens of different
-// completions can be told apart. The first token also contains the program and
+// index and a tag of the program and prompt, which distinguishes the tokens of
+// different completions. The first token also contains the program and
 // the hash of the prompt.
 func (c Completion) Token(index int) string {
 	if index == 0 {
