--- a/internal/budget/breaks.go
+++ b/internal/budget/breaks.go
@@ -6,10 +6,10 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// ReportTargetBreaks sends the targets that broke connections to the owners of
+// ReportTargetFailures sends the targets that broke connections to the owners of
 // partitions, which pass them on with their replies. It implements serve.Notices.
-func (m *Manager) ReportTargetBreaks() {
-	notice := &structs.TargetFailureNotice{Failures: m.breaks.Breaks(time.Now())}
+func (m *Manager) ReportTargetFailures() {
+	notice := &structs.TargetFailureNotice{Failures: m.breaks.TargetFailures(time.Now())}
 	for _, owner := range m.otherOwners() {
 		m.peers.Send(owner, notice)
 	}
--- a/internal/budget/cluster_test.go
+++ b/internal/budget/cluster_test.go
@@ -44,7 +44,7 @@
 	names []string
 }
 
-func (b *breakList) Breaks(time.Time) []structs.TargetFailure {
+func (b *breakList) TargetFailures(time.Time) []structs.TargetFailure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var breaks []structs.TargetFailure
@@ -61,7 +61,7 @@
 func (b *breakList) MergePoolReports([]structs.PoolReport, time.Time)   {}
 func (b *breakList) MergeLoadReports([]structs.TargetReport, time.Time) {}
 
-func (b *breakList) MergeBreaks(breaks []structs.TargetFailure, _ time.Time) {
+func (b *breakList) MergeTargetFailures(breaks []structs.TargetFailure, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, received := range breaks {
--- a/internal/budget/manager.go
+++ b/internal/budget/manager.go
@@ -36,8 +36,8 @@
 // Breaks holds the targets that recently broke connections. Owners pass them on with
 // their replies.
 type Breaks interface {
-	Breaks(now time.Time) []structs.TargetFailure
-	MergeBreaks(breaks []structs.TargetFailure, now time.Time)
+	TargetFailures(now time.Time) []structs.TargetFailure
+	MergeTargetFailures(breaks []structs.TargetFailure, now time.Time)
 }
 
 // Loads holds the load reports of targets. Instances share them in allotment requests
@@ -208,7 +208,7 @@
 	case *structs.HandoverReply:
 		m.receiveHandoverReply(msg)
 	case *structs.TargetFailureNotice:
-		m.breaks.MergeBreaks(msg.Failures, time.Now())
+		m.breaks.MergeTargetFailures(msg.Failures, time.Now())
 	case *structs.Leaving:
 		m.directory.SetLeaving(from)
 	default:
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -383,12 +383,12 @@
 		}
 		first := c.all()[0]
 		runAll(first)
-		first.breaks.MergeBreaks([]structs.TargetFailure{{Target: "down"}}, time.Now())
-		first.manager.ReportTargetBreaks()
+		first.breaks.MergeTargetFailures([]structs.TargetFailure{{Target: "down"}}, time.Now())
+		first.manager.ReportTargetFailures()
 		time.Sleep(2 * simnet.LinkLatency)
 		for _, n := range c.all() {
 			runAll(n)
-			if got := n.breaks.Breaks(time.Now()); len(got) != 1 || got[0].Target != "down" {
+			if got := n.breaks.TargetFailures(time.Now()); len(got) != 1 || got[0].Target != "down" {
 				t.Errorf("%s knows %v", n.ID, got)
 			}
 		}
--- a/internal/budget/reserve.go
+++ b/internal/budget/reserve.go
@@ -256,7 +256,7 @@
 
 // receiveReply handles the reply of another owner.
 func (m *Manager) receiveReply(from structs.InstanceID, msg *structs.ReservationReply) {
-	m.breaks.MergeBreaks(msg.Failures, time.Now())
+	m.breaks.MergeTargetFailures(msg.Failures, time.Now())
 	m.loads.MergeLoadReports(msg.Loads, time.Now())
 	m.loads.MergePoolReports(msg.Pools, time.Now())
 	m.mu.Lock()
@@ -284,7 +284,7 @@
 	m.request(m.partitions[r.Partition], r, func(got result) {
 		m.peers.Send(from, &structs.ReservationReply{
 			Lease: r.Lease, Outcome: got.outcome, Owner: got.owner, Partition: r.Partition, Program: r.Program,
-			Failures: m.breaks.Breaks(time.Now()), LastTarget: got.target, FirstTurn: got.first,
+			Failures: m.breaks.TargetFailures(time.Now()), LastTarget: got.target, FirstTurn: got.first,
 			Loads: m.loads.LoadReports(time.Now()), Pools: m.loads.PoolReports(time.Now()),
 		})
 	})
--- a/internal/conversation/batch.go
+++ b/internal/conversation/batch.go
@@ -69,7 +69,7 @@
 
 // observation returns what a successful append shows about the store.
 func (r appendResult) observation() policy.AppendResult {
-	return policy.AppendResult{Took: r.took, Slow: r.slow}
+	return policy.AppendResult{Latency: r.took, Slow: r.slow}
 }
 
 // appendBatched appends turns, batched with other requests for the partition.
--- a/internal/dispatch/finish.go
+++ b/internal/dispatch/finish.go
@@ -47,7 +47,7 @@
 	ratio := float64(m.Took) / float64(max(time.Millisecond, expected))
 	t.health.RecordSuccess(p.service.Rules, now, ratio, p.canEject())
 	p.estimates.Add(policy.RunSample{
-		Uncached: uncached, Completion: m.Usage.CompletionTokens,
-		FirstToken: m.FirstToken, Took: m.Took, Queued: c.prefillAhead,
+		UncachedTokens: uncached, CompletionTokens: m.Usage.CompletionTokens,
+		FirstToken: m.FirstToken, Duration: m.Took, Queued: c.prefillAhead,
 	})
 }
--- a/internal/dispatch/grant.go
+++ b/internal/dispatch/grant.go
@@ -113,13 +113,13 @@
 
 // placementOptions returns the placement option of each target for a call. The
 // slice is reused by the next call of the method.
-func (p *pool) placementOptions(now time.Time, c *call) []policy.Option {
+func (p *pool) placementOptions(now time.Time, c *call) []policy.PlacementOption {
 	options := p.optionBuffer[:0]
 	for _, t := range p.targets {
 		options = append(options, p.placementOption(now, c, t))
 	}
 	p.optionBuffer = options
-	if slices.ContainsFunc(options, func(o policy.Option) bool { return !o.Excluded && !o.Avoided }) {
+	if slices.ContainsFunc(options, func(o policy.PlacementOption) bool { return !o.Excluded && !o.Avoided }) {
 		for i := range options {
 			options[i].Excluded = options[i].Excluded || options[i].Avoided
 		}
@@ -127,14 +127,14 @@
 	return options
 }
 
-func (p *pool) placementOption(now time.Time, c *call, t *target) policy.Option {
+func (p *pool) placementOption(now time.Time, c *call, t *target) policy.PlacementOption {
 	if !t.eligible() {
-		return policy.Option{Excluded: true}
+		return policy.PlacementOption{Excluded: true}
 	}
 	m := c.request
 	cached := t.cache.cachedTokens(m)
 	uncached := max(0, m.PromptTokens-cached)
-	option := policy.Option{
+	option := policy.PlacementOption{
 		Open: p.accepts(now, t), Avoided: slices.Contains(m.Avoid, t.info.ID),
 		Running: t.load(), Backlog: t.backlog(now) + t.awaitedPrefill,
 		Prefill: time.Duration(uncached) * p.estimates.PrefillPerToken,
@@ -150,7 +150,7 @@
 }
 
 // grant gives a waiting call a permit at a target.
-func (d *Dispatcher) grant(now time.Time, c *call, t *target, option policy.Option) {
+func (d *Dispatcher) grant(now time.Time, c *call, t *target, option policy.PlacementOption) {
 	p := c.pool
 	p.queue.remove(c)
 	prog := p.programs[c.program()]
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -43,7 +43,7 @@
 	lateness map[int]*policy.Lateness
 
 	// optionBuffer is reused by placementOptions.
-	optionBuffer []policy.Option
+	optionBuffer []policy.PlacementOption
 
 	refreshedAt time.Time
 	usedAt      time.Time
@@ -117,7 +117,7 @@
 // rank sets a call's class and key by the current rules.
 func (p *pool) rank(c *call) {
 	c.class = policy.Class(p.service.Rules, c.order.Priority)
-	c.key = policy.Key(p.service.Rules, c.order)
+	c.key = policy.OrderKey(p.service.Rules, c.order)
 }
 
 // latenessOf returns the lateness of a class, creating it if needed.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -105,9 +105,9 @@
 	d.send(from, &structs.PermitQueued{Ref: m.Ref})
 }
 
-func (d *Dispatcher) admit(now time.Time, p *pool, c *call) policy.Verdict {
+func (d *Dispatcher) admit(now time.Time, p *pool, c *call) policy.CallVerdict {
 	m := c.request
-	return policy.Admit(p.service.Rules, policy.Load{
+	return policy.AdmitCall(p.service.Rules, policy.QueueState{
 		Waiting: p.queue.size, Limit: p.service.QueueLimit,
 		TeamWaiting: p.queue.teamSize(m.Team), TeamLimit: d.settings.Policy(m.Team).MaxQueued,
 		Wait: d.expectedWait(now, c), CallTime: p.estimates.CallTime,
--- a/internal/edge/dump.go
+++ b/internal/edge/dump.go
@@ -12,21 +12,21 @@
 
 // state is the instance's state as served for debugging.
 type state struct {
-	Instance        string             `json:"instance"`
-	Ready           bool               `json:"ready"`
-	InFlight        int64              `json:"in_flight"`
-	SettingsVersion int64              `json:"settings_version"`
-	Targets         []targets.Snapshot `json:"targets"`
-	Conversations   conversation.Dump  `json:"conversations"`
-	Allowances      allowance.Dump     `json:"allowances"`
-	Room            []overload.Dump    `json:"room"`
-	Topics          relay.Dump         `json:"topics"`
+	Instance        string                 `json:"instance"`
+	Ready           bool                   `json:"ready"`
+	InFlight        int64                  `json:"in_flight"`
+	SettingsVersion int64                  `json:"settings_version"`
+	Targets         []targets.Dump         `json:"targets"`
+	Conversations   conversation.Dump      `json:"conversations"`
+	Allowances      allowance.Dump         `json:"allowances"`
+	Room            []overload.ServiceDump `json:"room"`
+	Topics          relay.Dump             `json:"topics"`
 }
 
 func (e *edge) dump() state {
 	s := state{
 		Instance: e.machine.Name, Ready: e.ready(), InFlight: e.server.InFlight(),
-		Targets: e.targetFeed.registry.Snapshot(), Conversations: e.conversations.Dump(),
+		Targets: e.targetFeed.registry.Dump(), Conversations: e.conversations.Dump(),
 		Allowances: e.allowances.Dump(), Room: e.server.Admission().Dump(time.Now()),
 		Topics: e.relay.Dump(time.Now()),
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -132,7 +132,7 @@
 ) *serve.Server {
 	return serve.New(serve.Config{
 		Codec: platform.Codec{}, Targets: registry, Pool: pool, Budgets: budgets, Allowances: allowances,
-		Conversations: conversations, Notices: budgets, Health: health, Freshness: freshness,
+		Conversations: conversations, FailureReporter: budgets, Health: health, Freshness: freshness,
 		Memory:    memlimit.New(int64(float64(machine.MemoryBytes)*requestMemoryFraction), scope),
 		KeyPolicy: keyPolicy(machine),
 		Scope:     scope, Log: log,
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -47,7 +47,7 @@
 	case structs.CancelRun:
 		targets.CancelRun(cmd)
 	case structs.QueryOutcome:
-		targets.AskOutcome(cmd)
+		targets.QueryOutcome(cmd)
 	case structs.WatchTargets:
 		targets.WatchTargets(cmd)
 	case structs.ReleaseCache:
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -297,8 +297,8 @@
 		r.Usage, v.RefusalProbability, v.RetryAfter)
 }
 
-// Dump is the state of a service in a dump.
-type Dump struct {
+// ServiceDump is the state of a service in a dump.
+type ServiceDump struct {
 	Service        string  `json:"service"`
 	Utilization    float64 `json:"fill"`
 	Reporting      int     `json:"known"`
@@ -310,13 +310,13 @@
 }
 
 // Dump returns the state of all services, sorted by name.
-func (c *Controller) Dump(now time.Time) []Dump {
+func (c *Controller) Dump(now time.Time) []ServiceDump {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]Dump, 0, len(c.services))
+	all := make([]ServiceDump, 0, len(c.services))
 	for name := range c.services {
 		s := c.service(name, now)
-		all = append(all, Dump{
+		all = append(all, ServiceDump{
 			Service: name, Utilization: s.view.Utilization, Reporting: s.view.ReportingTargets, Usable: s.view.Targets, AgeMs: s.view.ReportAge.Milliseconds(),
 			MeanDurationMs: s.meanDuration.Milliseconds(), Admitted: s.admitted, Refused: s.refused,
 		})
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,8 +6,8 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Load is the state of a pool that the admission rule looks at.
-type Load struct {
+// QueueState is the state of a pool that the admission rule looks at.
+type QueueState struct {
 	// Waiting is the number of calls queued for the pool, Limit its maximum.
 	Waiting, Limit int
 	// TeamWaiting is the number of the team's queued calls, TeamLimit its
@@ -23,8 +23,8 @@
 	FirstCall bool
 }
 
-// Verdict is the decision of the admission rule.
-type Verdict struct {
+// CallVerdict is the decision of the admission rule.
+type CallVerdict struct {
 	Admit bool
 	// Reason and RetryAfter are set if the call is refused.
 	Reason     structs.Reason
@@ -40,15 +40,15 @@
 	firstCallFraction = 0.25
 )
 
-// Admit decides whether a call may be queued. The queue limits always apply; the
+// AdmitCall decides whether a call may be queued. The queue limits always apply; the
 // check of the expected wait against the deadline applies if the admission rule
 // is enabled.
-func Admit(rules structs.Rules, load Load) Verdict {
+func AdmitCall(rules structs.Rules, load QueueState) CallVerdict {
 	if load.Waiting >= load.Limit || load.TeamWaiting >= load.TeamLimit {
 		return refuse(load.Wait)
 	}
 	if !rules.Admission || load.Remaining <= 0 {
-		return Verdict{Admit: true}
+		return CallVerdict{Admit: true}
 	}
 	allowed := load.Remaining - min(load.CallTime, load.Remaining/2)
 	if load.FirstCall {
@@ -57,11 +57,11 @@
 	if excess := load.Wait - allowed; excess > 0 {
 		return refuse(excess)
 	}
-	return Verdict{Admit: true}
+	return CallVerdict{Admit: true}
 }
 
-func refuse(delay time.Duration) Verdict {
-	return Verdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
+func refuse(delay time.Duration) CallVerdict {
+	return CallVerdict{Reason: structs.ReasonOverloaded, RetryAfter: max(minRetryAfter, delay)}
 }
 
 // Lateness tracks how long after their keys the calls of a class are granted.
--- a/internal/policy/appendwindow.go
+++ b/internal/policy/appendwindow.go
@@ -28,7 +28,7 @@
 	switch {
 	case !result.Slow:
 		w.extra = 0
-	case float64(result.Took) <= latencyTolerance*float64(shortest):
+	case float64(result.Latency) <= latencyTolerance*float64(shortest):
 		w.extra = min(w.extra+1, maxAppendWindow-1)
 	default:
 		w.extra = max(w.extra-1, 0)
--- a/internal/policy/appendwindow_test.go
+++ b/internal/policy/appendwindow_test.go
@@ -15,7 +15,7 @@
 			largest = max(largest, w.Size())
 		}
 		took := base + queue*time.Duration(w.Size())
-		w.Observe(AppendResult{Took: took, Slow: took > minSlowAppend}, base+queue)
+		w.Observe(AppendResult{Latency: took, Slow: took > minSlowAppend}, base+queue)
 	}
 	return largest
 }
--- a/internal/policy/estimates.go
+++ b/internal/policy/estimates.go
@@ -37,23 +37,23 @@
 
 // RunSample holds the measurements of one finished run.
 type RunSample struct {
-	Uncached   int64
-	Completion int64
-	FirstToken time.Duration
-	Took       time.Duration
+	UncachedTokens   int64
+	CompletionTokens int64
+	FirstToken       time.Duration
+	Duration         time.Duration
 	// Queued is the prefill time queued ahead of the run at its target.
 	Queued time.Duration
 }
 
 // Add updates the averages with a finished run.
 func (e *Estimates) Add(s RunSample) {
-	e.CallTime = blend(e.CallTime, s.Took)
-	e.Tokens += estimateGain * (float64(s.Completion) - e.Tokens)
-	if s.Completion > 1 && s.Took > s.FirstToken {
-		e.TokenTime = blend(e.TokenTime, (s.Took-s.FirstToken)/time.Duration(s.Completion-1))
+	e.CallTime = blend(e.CallTime, s.Duration)
+	e.Tokens += estimateGain * (float64(s.CompletionTokens) - e.Tokens)
+	if s.CompletionTokens > 1 && s.Duration > s.FirstToken {
+		e.TokenTime = blend(e.TokenTime, (s.Duration-s.FirstToken)/time.Duration(s.CompletionTokens-1))
 	}
-	if own := s.FirstToken - s.Queued; s.Uncached >= minPrefillSample && own > 0 {
-		e.PrefillPerToken = blend(e.PrefillPerToken, own/time.Duration(s.Uncached))
+	if own := s.FirstToken - s.Queued; s.UncachedTokens >= minPrefillSample && own > 0 {
+		e.PrefillPerToken = blend(e.PrefillPerToken, own/time.Duration(s.UncachedTokens))
 	}
 }
 
--- a/internal/policy/order.go
+++ b/internal/policy/order.go
@@ -25,10 +25,10 @@
 	slackFactor = 2
 )
 
-// Key ranks a call within its class; the lowest key goes first. Keys do not
+// OrderKey ranks a call within its class; the lowest key goes first. Keys do not
 // change over time, so a queue never needs to be re-sorted: subtracting the
 // waiting time from a rank gives the same order as adding the arrival time.
-func Key(rules structs.Rules, call Call) time.Duration {
+func OrderKey(rules structs.Rules, call Call) time.Duration {
 	switch rules.Order {
 	case OrderLAS:
 		return lasKey(rules, call)
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -14,8 +14,8 @@
 	PlaceCost        = "cost"
 )
 
-// Option is a target at which a call could be placed.
-type Option struct {
+// PlacementOption is a target at which a call could be placed.
+type PlacementOption struct {
 	// Excluded means that the target must not get the call, Avoided that it
 	// should get it only if there is no other.
 	Excluded, Avoided bool
@@ -39,7 +39,7 @@
 	Slowness float64
 }
 
-func (o Option) accepts() bool { return o.Open && !o.Excluded }
+func (o PlacementOption) accepts() bool { return o.Open && !o.Excluded }
 
 // Choice is the decision of a placement rule.
 type Choice struct {
@@ -54,7 +54,7 @@
 
 // Place chooses the target of a call. last is the index of the option that the
 // pool's previous placement took, for round robin.
-func Place(rules structs.Rules, options []Option, last int) Choice {
+func Place(rules structs.Rules, options []PlacementOption, last int) Choice {
 	switch rules.Placement {
 	case PlaceRoundRobin:
 		return placeRoundRobin(options, last)
@@ -67,7 +67,7 @@
 	}
 }
 
-func placeRoundRobin(options []Option, last int) Choice {
+func placeRoundRobin(options []PlacementOption, last int) Choice {
 	for i := range options {
 		index := (last + 1 + i) % len(options)
 		if options[index].accepts() {
@@ -77,7 +77,7 @@
 	return noChoice
 }
 
-func placeLeastLoaded(options []Option) Choice {
+func placeLeastLoaded(options []PlacementOption) Choice {
 	best := noChoice
 	for i, option := range options {
 		if option.accepts() && (best.Index < 0 || option.Running < options[best.Index].Running) {
@@ -87,7 +87,7 @@
 	return best
 }
 
-func placeAffinity(options []Option) Choice {
+func placeAffinity(options []PlacementOption) Choice {
 	best := placeLeastLoaded(options)
 	for i, option := range options {
 		if option.accepts() && option.Cached > options[best.Index].Cached {
@@ -99,7 +99,7 @@
 
 // placeCost takes the option with the lowest cost. If it is not open, the call
 // waits for it, as in delay scheduling, since the delay is part of the cost.
-func placeCost(rules structs.Rules, options []Option) Choice {
+func placeCost(rules structs.Rules, options []PlacementOption) Choice {
 	best := noChoice
 	var least time.Duration
 	for i, option := range options {
@@ -117,7 +117,7 @@
 // Cost returns the expected time that a placement costs: the call's own delay
 // and prefill, the delay that its prefill causes to the calls running there, and
 // the recomputation of what it evicts.
-func Cost(rules structs.Rules, option Option) time.Duration {
+func Cost(rules structs.Rules, option PlacementOption) time.Duration {
 	prefill := time.Duration(float64(option.Prefill) * max(1, option.Slowness))
 	cost := option.Delay + option.Backlog + prefill
 	cost += time.Duration(option.Running) * (prefill + stepCostPerSequence)
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,29 +11,29 @@
 	rules := structs.DefaultRules()
 	off := rules
 	off.Admission = false
-	base := Load{Limit: 10, TeamLimit: 10, CallTime: time.Second, Remaining: 10 * time.Second}
+	base := QueueState{Limit: 10, TeamLimit: 10, CallTime: time.Second, Remaining: 10 * time.Second}
 	tests := []struct {
 		name   string
 		rules  structs.Rules
-		change func(*Load)
+		change func(*QueueState)
 		admit  bool
 	}{
-		{"empty queue", rules, func(*Load) {}, true},
-		{"full queue", rules, func(l *Load) { l.Waiting = 10 }, false},
-		{"full queue, rule off", off, func(l *Load) { l.Waiting = 10 }, false},
-		{"full team", rules, func(l *Load) { l.TeamWaiting = 10 }, false},
-		{"starts in time", rules, func(l *Load) { l.Wait = 8 * time.Second }, true},
-		{"starts too late", rules, func(l *Load) { l.Wait = 9500 * time.Millisecond }, false},
-		{"starts too late, rule off", off, func(l *Load) { l.Wait = time.Hour }, true},
-		{"new program behind a long wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 3*time.Second }, false},
-		{"new program behind a short wait", rules, func(l *Load) { l.FirstCall, l.Wait = true, 2*time.Second }, true},
-		{"no deadline", rules, func(l *Load) { l.Remaining, l.Wait = 0, time.Hour }, true},
+		{"empty queue", rules, func(*QueueState) {}, true},
+		{"full queue", rules, func(l *QueueState) { l.Waiting = 10 }, false},
+		{"full queue, rule off", off, func(l *QueueState) { l.Waiting = 10 }, false},
+		{"full team", rules, func(l *QueueState) { l.TeamWaiting = 10 }, false},
+		{"starts in time", rules, func(l *QueueState) { l.Wait = 8 * time.Second }, true},
+		{"starts too late", rules, func(l *QueueState) { l.Wait = 9500 * time.Millisecond }, false},
+		{"starts too late, rule off", off, func(l *QueueState) { l.Wait = time.Hour }, true},
+		{"new program behind a long wait", rules, func(l *QueueState) { l.FirstCall, l.Wait = true, 3*time.Second }, false},
+		{"new program behind a short wait", rules, func(l *QueueState) { l.FirstCall, l.Wait = true, 2*time.Second }, true},
+		{"no deadline", rules, func(l *QueueState) { l.Remaining, l.Wait = 0, time.Hour }, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			load := base
 			test.change(&load)
-			verdict := Admit(test.rules, load)
+			verdict := AdmitCall(test.rules, load)
 			if verdict.Admit != test.admit {
 				t.Fatalf("admitted %v, want %v", verdict.Admit, test.admit)
 			}
@@ -65,7 +65,7 @@
 	}
 	for _, test := range tests {
 		rules := structs.Rules{Order: test.order, Aging: test.aging}
-		if a, b := Key(rules, test.first), Key(rules, test.second); a >= b {
+		if a, b := OrderKey(rules, test.first), OrderKey(rules, test.second); a >= b {
 			t.Errorf("%s, aging %v: key %v of %+v is not before %v of %+v", test.order, test.aging, a, test.first, b, test.second)
 		}
 	}
@@ -77,7 +77,7 @@
 		rules := structs.Rules{Order: order, Aging: 1}
 		long := Call{Served: 10 * time.Minute, Elapsed: time.Hour}
 		late := Call{Arrived: noDeadlineSlack + stretchFactor*time.Hour + time.Second, Slack: 0, HasDeadline: true}
-		if Key(rules, long) > Key(rules, late) {
+		if OrderKey(rules, long) > OrderKey(rules, late) {
 			t.Errorf("%s: a call can be overtaken without bound", order)
 		}
 	}
@@ -103,32 +103,32 @@
 
 func TestPlace(t *testing.T) {
 	ms := time.Millisecond
-	idle := Option{Open: true, Prefill: 80 * ms, Slowness: 1}
-	holder := Option{Open: true, Running: 4, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
-	busyHolder := Option{Running: 16, Delay: 30 * ms, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
-	fullHolder := Option{Running: 16, Delay: time.Second, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	idle := PlacementOption{Open: true, Prefill: 80 * ms, Slowness: 1}
+	holder := PlacementOption{Open: true, Running: 4, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	busyHolder := PlacementOption{Running: 16, Delay: 30 * ms, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
+	fullHolder := PlacementOption{Running: 16, Delay: time.Second, Prefill: 5 * ms, Cached: 8000, Slowness: 1}
 	evicting := idle
 	evicting.Eviction = 50 * ms
 	slow := idle
 	slow.Slowness = 10
-	excluded := Option{Excluded: true}
+	excluded := PlacementOption{Excluded: true}
 	tests := []struct {
 		name, rule string
-		options    []Option
+		options    []PlacementOption
 		want       Choice
 	}{
-		{"round robin", PlaceRoundRobin, []Option{idle, idle, idle}, Choice{Index: 1}},
-		{"least loaded", PlaceLeastLoaded, []Option{holder, idle}, Choice{Index: 1}},
-		{"affinity", PlaceAffinity, []Option{idle, holder}, Choice{Index: 1}},
-		{"affinity, holder closed", PlaceAffinity, []Option{idle, busyHolder}, Choice{Index: 0}},
-		{"cost takes the holder", PlaceCost, []Option{idle, holder}, Choice{Index: 1}},
-		{"cost waits a little", PlaceCost, []Option{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, Choice{Index: 1, Wait: true}},
-		{"cost does not wait long", PlaceCost, []Option{idle, fullHolder}, Choice{Index: 0}},
-		{"cost counts evictions", PlaceCost, []Option{evicting, idle}, Choice{Index: 1}},
-		{"cost avoids a slow target", PlaceCost, []Option{slow, idle}, Choice{Index: 1}},
-		{"none", PlaceCost, []Option{excluded}, Choice{Index: -1}},
-		{"affinity none", PlaceAffinity, []Option{excluded}, Choice{Index: -1}},
-		{"excluded", PlaceLeastLoaded, []Option{excluded, idle}, Choice{Index: 1}},
+		{"round robin", PlaceRoundRobin, []PlacementOption{idle, idle, idle}, Choice{Index: 1}},
+		{"least loaded", PlaceLeastLoaded, []PlacementOption{holder, idle}, Choice{Index: 1}},
+		{"affinity", PlaceAffinity, []PlacementOption{idle, holder}, Choice{Index: 1}},
+		{"affinity, holder closed", PlaceAffinity, []PlacementOption{idle, busyHolder}, Choice{Index: 0}},
+		{"cost takes the holder", PlaceCost, []PlacementOption{idle, holder}, Choice{Index: 1}},
+		{"cost waits a little", PlaceCost, []PlacementOption{{Open: true, Prefill: 200 * ms, Slowness: 1}, busyHolder}, Choice{Index: 1, Wait: true}},
+		{"cost does not wait long", PlaceCost, []PlacementOption{idle, fullHolder}, Choice{Index: 0}},
+		{"cost counts evictions", PlaceCost, []PlacementOption{evicting, idle}, Choice{Index: 1}},
+		{"cost avoids a slow target", PlaceCost, []PlacementOption{slow, idle}, Choice{Index: 1}},
+		{"none", PlaceCost, []PlacementOption{excluded}, Choice{Index: -1}},
+		{"affinity none", PlaceAffinity, []PlacementOption{excluded}, Choice{Index: -1}},
+		{"excluded", PlaceLeastLoaded, []PlacementOption{excluded, idle}, Choice{Index: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/policy/storemonitor.go
+++ b/internal/policy/storemonitor.go
@@ -108,14 +108,14 @@
 // the instance that made it, since the threshold depends on its distance from
 // the store.
 type AppendResult struct {
-	Took time.Duration
-	Slow bool
+	Latency time.Duration
+	Slow    bool
 }
 
 // ObserveOwn records an acknowledged append of this instance.
 func (s *StoreMonitor) ObserveOwn(took time.Duration, now time.Time) AppendResult {
 	s.updateTypical(min(took, maxTypicalAppend))
-	result := AppendResult{Took: took, Slow: took > s.slowThreshold()}
+	result := AppendResult{Latency: took, Slow: took > s.slowThreshold()}
 	s.Observe(result, now)
 	return result
 }
@@ -140,15 +140,15 @@
 	if len(s.samples) == maxAppendSamples {
 		s.samples = s.samples[1:]
 	}
-	s.samples = append(s.samples, appendSample{result.Took, now})
+	s.samples = append(s.samples, appendSample{result.Latency, now})
 	if !result.Slow {
 		s.fastSinceSlow++
 		return
 	}
 	if s.shortestSlow == 0 || s.fastSinceSlow >= fastAppendsToRecover || now.Sub(s.lastSlow) > appendSampleTTL {
-		s.shortestSlow = result.Took
+		s.shortestSlow = result.Latency
 	}
-	s.shortestSlow = min(s.shortestSlow, result.Took)
+	s.shortestSlow = min(s.shortestSlow, result.Latency)
 	s.lastSlow, s.fastSinceSlow = now, 0
 }
 
@@ -164,7 +164,7 @@
 	}
 	s.noticesReceived++
 	if took > 0 {
-		s.Observe(AppendResult{Took: took, Slow: true}, now)
+		s.Observe(AppendResult{Latency: took, Slow: true}, now)
 		return
 	}
 	s.lastSuspected, s.fastSinceSlow = now, 0
--- a/internal/policy/storemonitor_test.go
+++ b/internal/policy/storemonitor_test.go
@@ -32,7 +32,7 @@
 	if got := s.HedgeDelay(now); got < time.Second {
 		t.Errorf("hedged after %s", got)
 	}
-	if s.PathDegraded(AppendResult{Took: 300 * time.Millisecond, Slow: true}, time.Second) {
+	if s.PathDegraded(AppendResult{Latency: 300 * time.Millisecond, Slow: true}, time.Second) {
 		t.Error("path reported as degraded while the store is slow")
 	}
 	for range 20 {
@@ -54,7 +54,7 @@
 	if s.AppendTimeout(now) != minAppendTimeout || s.HedgeDelay(now) != minAppendHedgeDelay {
 		t.Errorf("append timeout %s, hedge delay %s", s.AppendTimeout(now), s.HedgeDelay(now))
 	}
-	if !s.PathDegraded(AppendResult{Took: 5 * time.Millisecond}, 100*time.Millisecond) {
+	if !s.PathDegraded(AppendResult{Latency: 5 * time.Millisecond}, 100*time.Millisecond) {
 		t.Error("path not reported as degraded although other instances receive replies")
 	}
 }
--- a/internal/serve/admission.go
+++ b/internal/serve/admission.go
@@ -23,7 +23,7 @@
 	// RecordDuration records how long a request took.
 	RecordDuration(service string, took time.Duration)
 	// Dump lists the state of the services.
-	Dump(now time.Time) []overload.Dump
+	Dump(now time.Time) []overload.ServiceDump
 }
 
 // isTurn reports whether the request is a turn of a program.
--- a/internal/serve/admission_test.go
+++ b/internal/serve/admission_test.go
@@ -37,7 +37,7 @@
 
 func (f *fakeAdmission) AllowRetry(string, int, time.Time) bool        { return false }
 func (f *fakeAdmission) AllowRetryAfterFailure(string, time.Time) bool { return false }
-func (f *fakeAdmission) Dump(time.Time) []overload.Dump                { return nil }
+func (f *fakeAdmission) Dump(time.Time) []overload.ServiceDump         { return nil }
 func (f *fakeAdmission) RecordDuration(string, time.Duration)          {}
 
 func (f *fakeAdmission) RetryAfter(string, time.Duration, time.Time) time.Duration {
--- a/internal/serve/deliver.go
+++ b/internal/serve/deliver.go
@@ -69,7 +69,7 @@
 	x.server.targets.RecordFailure(target, now)
 	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target failed a turn", "target", target.ID, "request", x.call.ID)
-		x.server.notices.ReportTargetBreaks()
+		x.server.notices.ReportTargetFailures()
 	}
 }
 
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -76,12 +76,12 @@
 	health        fakeHealth
 	currency      fakeFreshness
 	log           *logBuffer
-	// notices counts the calls of ReportTargetBreaks.
+	// notices counts the calls of ReportTargetFailures.
 	notices atomic.Int64
 }
 
-// ReportTargetBreaks implements Notices.
-func (w *harness) ReportTargetBreaks() { w.notices.Add(1) }
+// ReportTargetFailures implements Notices.
+func (w *harness) ReportTargetFailures() { w.notices.Add(1) }
 
 // logBuffer collects the log.
 type logBuffer struct {
@@ -146,7 +146,7 @@
 	work.Go(func() { pool.Run(ctx) })
 	w.server = New(Config{
 		Codec: platform.Codec{}, Targets: w.targets, Pool: pool, Budgets: w.budgets, Conversations: w.conversations,
-		Notices: w, Health: &w.health, Freshness: &w.currency,
+		FailureReporter: w, Health: &w.health, Freshness: &w.currency,
 		Scope: tally.NoopScope, Log: slog.New(slog.NewJSONHandler(w.log, nil)),
 	})
 	w.server.SetTable(route.NewTable(testRoutes()))
--- a/internal/serve/send.go
+++ b/internal/serve/send.go
@@ -240,7 +240,7 @@
 	}
 	if x.server.targets.RecordBreak(target, now) {
 		x.server.log.Info("target broke a connection", "target", target.ID, "request", x.call.ID, "error", err.Error())
-		x.server.notices.ReportTargetBreaks()
+		x.server.notices.ReportTargetFailures()
 	}
 }
 
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -302,7 +302,7 @@
 	if got.status != 502 || tg.count() != 1 {
 		t.Errorf("got %+v after %d sends", got, tg.count())
 	}
-	for _, s := range w.targets.Snapshot() {
+	for _, s := range w.targets.Dump() {
 		if s.Avoided {
 			t.Error("the new incarnation is avoided because of the former one")
 		}
--- a/internal/serve/server.go
+++ b/internal/serve/server.go
@@ -128,9 +128,9 @@
 
 // Notices notifies other instances of failing targets.
 type Notices interface {
-	// ReportTargetBreaks reports that a target broke a new connection or failed a turn. It
+	// ReportTargetFailures reports that a target broke a new connection or failed a turn. It
 	// does not block.
-	ReportTargetBreaks()
+	ReportTargetFailures()
 }
 
 // Health reports whether the platform's store is available to this instance.
@@ -152,10 +152,10 @@
 	// Allowances is required if organisations have limits.
 	Allowances Allowances
 	// Conversations is required if routes store turns.
-	Conversations Conversations
-	Notices       Notices
-	Health        Health
-	Freshness     Freshness
+	Conversations   Conversations
+	FailureReporter Notices
+	Health          Health
+	Freshness       Freshness
 	// Memory bounds the memory held for requests; nil means no bound.
 	Memory *memlimit.Limiter
 	// KeyPolicy defines how keys are treated while the settings are old.
@@ -200,7 +200,7 @@
 	}
 	return &Server{
 		codec: p.Codec, targets: p.Targets, pool: p.Pool, budgets: p.Budgets, allowances: p.Allowances, conversations: p.Conversations,
-		notices: p.Notices, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
+		notices: p.FailureReporter, health: p.Health, freshness: p.Freshness, memory: p.Memory, keyPolicy: p.KeyPolicy, admission: p.Admission,
 		log: p.Log, metrics: newMetrics(p.Scope),
 		connBreakThreshold: defaultConnBreakThreshold,
 	}
--- a/internal/serve/timing.go
+++ b/internal/serve/timing.go
@@ -58,10 +58,10 @@
 		return
 	}
 	sample := policy.RunSample{
-		Completion: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Took: time.Since(s.sentAt),
+		CompletionTokens: int64(s.events * x.tokensPerEvent()), FirstToken: s.first.Sub(s.sentAt), Duration: time.Since(s.sentAt),
 	}
 	if s.target.Incarnation() != x.programTarget {
-		sample.Uncached = int64(x.promptTokens())
+		sample.UncachedTokens = int64(x.promptTokens())
 	}
 	x.server.targets.RecordTurn(s.target, sample)
 }
--- a/internal/target/control_test.go
+++ b/internal/target/control_test.go
@@ -27,13 +27,13 @@
 	for key, want := range map[string]structs.OutcomeQueried{
 		"ran": {Run: "r", Reached: true, Found: true, Outcome: paid}, "not/ran": {Run: "r", Reached: true}, "fails": {Run: "r"},
 	} {
-		f.AskOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: key})
+		f.QueryOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: key})
 		if got := next[structs.OutcomeQueried](f); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %+v", key, got)
 		}
 	}
 	f.server.Close()
-	f.AskOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: "ran"})
+	f.QueryOutcome(structs.QueryOutcome{Run: "r", Target: f.target(plainService), Program: "p", Key: "ran"})
 	if got := next[structs.OutcomeQueried](f); got.Reached {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -85,7 +85,7 @@
 
 // QueryOutcome queries a target for the outcome of the request that StartRun sent with
 // a program's idempotency key, and delivers the result as OutcomeQueried.
-func (r *Runner) AskOutcome(command structs.QueryOutcome) {
+func (r *Runner) QueryOutcome(command structs.QueryOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.spawn(func() {
--- a/internal/targets/breaks.go
+++ b/internal/targets/breaks.go
@@ -40,9 +40,9 @@
 	return true
 }
 
-// Breaks returns the targets that recently broke connections of this or other
+// TargetFailures returns the targets that recently broke connections of this or other
 // instances.
-func (r *Registry) Breaks(now time.Time) []structs.TargetFailure {
+func (r *Registry) TargetFailures(now time.Time) []structs.TargetFailure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.broken) == 0 {
@@ -60,10 +60,10 @@
 	return breaks
 }
 
-// MergeBreaks applies another instance's report of broken connections. Later
+// MergeTargetFailures applies another instance's report of broken connections. Later
 // observations of this instance take precedence, and reports of other incarnations
 // are ignored.
-func (r *Registry) MergeBreaks(breaks []structs.TargetFailure, now time.Time) {
+func (r *Registry) MergeTargetFailures(breaks []structs.TargetFailure, now time.Time) {
 	if len(breaks) == 0 {
 		return
 	}
--- a/internal/targets/breaks_test.go
+++ b/internal/targets/breaks_test.go
@@ -36,7 +36,7 @@
 func TestPeerBreakAvoidsTargetTemporarily(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0", "t1"), now)
+	r.MergeTargetFailures(peerBreaks(100*time.Millisecond, "t0", "t1"), now)
 	if counts := countPicks(r, now); counts["t0"]+counts["t1"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
@@ -49,11 +49,11 @@
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.RecordSuccess(r.byID["t0"], now.Add(-50*time.Millisecond))
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0"), now)
+	r.MergeTargetFailures(peerBreaks(100*time.Millisecond, "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] == 0 {
 		t.Errorf("picked %v", counts)
 	}
-	r.MergeBreaks(peerBreaks(10*time.Millisecond, "t0"), now)
+	r.MergeTargetFailures(peerBreaks(10*time.Millisecond, "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
@@ -66,7 +66,7 @@
 func TestWordOfOthersCannotEmptyAService(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
-	r.MergeBreaks(peerBreaks(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
+	r.MergeTargetFailures(peerBreaks(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
 	if counts := countPicks(r, now); len(counts) != 4 {
 		t.Errorf("picked %v", counts)
 	}
@@ -78,11 +78,11 @@
 	if !a.RecordBreak(a.byID["t0"], now) || a.RecordBreak(a.byID["t0"], now.Add(minNoticeInterval/2)) {
 		t.Error("want a notice for the first break only")
 	}
-	b.MergeBreaks(a.Breaks(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
-	if breaks := b.Breaks(now.Add(peerAvoidance / 2)); len(breaks) != 1 || breaks[0].Age <= 0 {
+	b.MergeTargetFailures(a.TargetFailures(now.Add(peerAvoidance/2)), now.Add(peerAvoidance/2))
+	if breaks := b.TargetFailures(now.Add(peerAvoidance / 2)); len(breaks) != 1 || breaks[0].Age <= 0 {
 		t.Errorf("relayed breaks %v", breaks)
 	}
-	if breaks := b.Breaks(now.Add(2 * peerAvoidance)); len(breaks) != 0 {
+	if breaks := b.TargetFailures(now.Add(2 * peerAvoidance)); len(breaks) != 0 {
 		t.Errorf("relayed breaks %v", breaks)
 	}
 }
@@ -99,14 +99,14 @@
 	later := former.Entry
 	later.Start = 2000
 	r.Put(later)
-	r.MergeBreaks(peerBreaks(100*time.Millisecond, "t0@1000", "t0"), now)
+	r.MergeTargetFailures(peerBreaks(100*time.Millisecond, "t0@1000", "t0"), now)
 	if counts := countPicks(r, now); counts["t0"] == 0 {
 		t.Errorf("picked %v", counts)
 	}
-	if r.RecordBreak(former, now) || len(r.Breaks(now)) != 0 {
+	if r.RecordBreak(former, now) || len(r.TargetFailures(now)) != 0 {
 		t.Error("a break of an earlier incarnation is relayed")
 	}
-	r.MergeBreaks(peerBreaks(0, "t0@2000"), now)
+	r.MergeTargetFailures(peerBreaks(0, "t0@2000"), now)
 	if counts := countPicks(r, now); counts["t0"] != 0 {
 		t.Errorf("picked %v", counts)
 	}
--- a/internal/targets/snapshot.go
+++ b/internal/targets/snapshot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Snapshot is the state of a target in a dump.
-type Snapshot struct {
+// Dump is the state of a target in a dump.
+type Dump struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
 	Address  string  `json:"address"`
@@ -24,20 +24,20 @@
 	SpeedAge    float64 `json:"speed_age"`
 }
 
-// Snapshot returns the state of all targets, sorted by ID.
-func (r *Registry) Snapshot() []Snapshot {
+// Dump returns the state of all targets, sorted by ID.
+func (r *Registry) Dump() []Dump {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	all := make([]Snapshot, 0, len(r.byID))
+	all := make([]Dump, 0, len(r.byID))
 	for _, t := range r.byID {
-		all = append(all, Snapshot{
+		all = append(all, Dump{
 			ID: t.ID, Service: t.Service, Address: t.Address, Draining: t.Draining,
 			InFlight: t.inFlight, Busy: t.busy(now), Avoided: t.avoided(now),
 			Utilization: t.utilization(r.recentPool(t.Service, now).Utilization, r.meanRequestDuration(t.Service), now), Slowness: t.currentSlowness(r.means(t.Service), now),
 			ReportAge: age(t.loadAt, now).Seconds(), SpeedAge: age(t.speed.UpdatedAt, now).Seconds(),
 		})
 	}
-	slices.SortFunc(all, func(a, b Snapshot) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b Dump) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
--- a/internal/targets/speeds.go
+++ b/internal/targets/speeds.go
@@ -139,7 +139,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if model := r.models[t.Service]; model != nil {
-		model.addDuration(sample.Took)
+		model.addDuration(sample.Duration)
 		model.turnEstimates.Add(sample)
 	}
 }
