--- a/internal/load/stats_test.go
+++ b/internal/load/stats_test.go
@@ -39,9 +39,9 @@
 	other.recordFinished(8*time.Second, 2*time.Second)
 	other.recordRefusal("urn:x:overloaded")
 	one.merge(other)
-	f := one.stats()
-	if f.Finished != 2 || !near(f.Slowdown.Mean, 3, 0.01) || f.Refused["urn:x:overloaded"] != 1 || f.Refusals != 1 {
-		t.Errorf("%+v", f)
+	stats := one.stats()
+	if stats.Finished != 2 || !near(stats.Slowdown.Mean, 3, 0.01) || stats.Refused["urn:x:overloaded"] != 1 || stats.Refusals != 1 {
+		t.Errorf("%+v", stats)
 	}
 }
 
@@ -69,7 +69,7 @@
 	if Median([]float64{3, 1, 2}) != 2 || Median([]float64{4, 1, 2, 3}) != 2.5 || Median(nil) != 0 {
 		t.Error("wrong median")
 	}
-	if got := Spread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
+	if got := FormatSpread([]float64{3, 1, 2}, 1); got != "2.0 (1.0-3.0)" {
 		t.Error(got)
 	}
 }
--- a/internal/proofs/scenarios_orders.go
+++ b/internal/proofs/scenarios_orders.go
@@ -17,7 +17,7 @@
 
 const (
 	modelPath = "services/" + testkit.ModelService
-	// versionPath is the setting of the version that the engines are to have.
+	// versionPath is the path of the setting of the engines' desired version.
 	versionPath = modelPath + "/orders/version"
 	// phaseHolding is the phase of the controller in its state dump.
 	phaseHolding = "holding"
@@ -68,7 +68,7 @@
 	return errors.CombineErrors(err, r.waitEngineVersion(ctx, 3))
 }
 
-// publishVersion publishes the version that the engines are to have.
+// publishVersion publishes a desired version of the engines.
 func (r *Rig) publishVersion(ctx context.Context, number int) error {
 	at := r.unaffectedInstance()
 	now, _ := r.setting(ctx, at, versionPath)
@@ -86,8 +86,8 @@
 	defer r.mu.Unlock()
 	for _, p := range r.Instances {
 		affected := false
-		for _, d := range r.faultWindows {
-			affected = affected || d.Instance == p.ID
+		for _, w := range r.faultWindows {
+			affected = affected || w.Instance == p.ID
 		}
 		if !affected {
 			return p
@@ -112,13 +112,13 @@
 }
 
 func (r *Rig) isController(ctx context.Context, p *testkit.Process) bool {
-	answer, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
+	response, err := operatorAt(p).Do(ctx, http.MethodGet, "/debug/state", nil, testkit.Call{})
 	var state struct {
 		Orders struct {
 			Pools []struct{ Service, Phase string }
 		}
 	}
-	if err != nil || json.Unmarshal(answer.Body, &state) != nil {
+	if err != nil || json.Unmarshal(response.Body, &state) != nil {
 		return false
 	}
 	for _, pool := range state.Orders.Pools {
