--- a/internal/allowance/demand_test.go
+++ b/internal/allowance/demand_test.go
@@ -49,7 +49,7 @@
 }
 
 // A program with a long pause counts once.
-func TestAProgramThatPausesCountsOnce(t *testing.T) {
+func TestPausedProgramCountsOnce(t *testing.T) {
 	d, now := newDemand(), time.Unix(0, 0)
 	for program := range uint64(100) {
 		d.track(program+1, now)
--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -62,7 +62,7 @@
 }
 
 // At the typical load, 1/1.6 of the limit, an organisation gets all its requests.
-func TestBelowItsLimitAnOrganisationGetsAll(t *testing.T) {
+func TestOrganisationBelowItsLimitIsAdmitted(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -90,7 +90,7 @@
 }
 
 // At 7.5 times the typical load, as many whole programs succeed as the limit carries.
-func TestOverItsLimitAnOrganisationGetsWholePrograms(t *testing.T) {
+func TestOrganisationOverItsLimitGetsWholePrograms(t *testing.T) {
 	for _, rate := range []float64{13, 60, 429} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -117,7 +117,7 @@
 }
 
 // All instances but the coordinator restart, and all others still list it.
-func TestCoordinatorThatIsGoneForGoodIsReplaced(t *testing.T) {
+func TestCrashedCoordinatorIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		for _, m := range machines(30) {
--- a/internal/allowance/random_test.go
+++ b/internal/allowance/random_test.go
@@ -36,7 +36,7 @@
 
 // Without votes each coordinator allocates the whole limit, which the check must
 // detect.
-func TestOneOwnerWithoutVotesPassesTheLimit(t *testing.T) {
+func TestCoordinatorsWithoutVotesExceedTheLimit(t *testing.T) {
 	exceeded := 0
 	for seed := range uint64(*schedules) {
 		exceeded += len(runSchedule(t, seed, 12, true))
--- a/internal/allowance/steady_test.go
+++ b/internal/allowance/steady_test.go
@@ -10,7 +10,7 @@
 
 // An organisation that sends twice its limit gets its rate once the saved requests are
 // used.
-func TestSteadyOverloadGetsTheRate(t *testing.T) {
+func TestSteadyOverloadIsAdmittedAtTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		for _, m := range machines(87) {
--- a/internal/budget/account_test.go
+++ b/internal/budget/account_test.go
@@ -38,7 +38,7 @@
 }
 
 // A typical program continues after two crashes.
-func TestSmallProgramSurvivesTwoLosses(t *testing.T) {
+func TestSmallProgramSurvivesTwoCrashes(t *testing.T) {
 	const budget, maxTurn, used = 900, 290, 70
 	a := newAccount("p", budget, maxTurn, 1)
 	if !runTurn(a, maxTurn, used) {
@@ -51,7 +51,7 @@
 }
 
 // Across any turns and crashes, a program generates at most its budget plus one turn.
-func TestAccountBoundHoldsOverLosses(t *testing.T) {
+func TestAccountBoundHoldsOverCrashes(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 2000
 	properties := gopter.NewProperties(parameters)
@@ -78,7 +78,7 @@
 }
 
 // The same bound for turns of different sizes.
-func TestAccountBoundHoldsForTurnsOfAllSizes(t *testing.T) {
+func TestAccountBoundHoldsForAllTurnSizes(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 5000
 	properties := gopter.NewProperties(parameters)
--- a/internal/budget/handover_test.go
+++ b/internal/budget/handover_test.go
@@ -29,7 +29,7 @@
 }
 
 // A successor whose reply is lost may own the partition, so the old owner must stop.
-func TestHandoverWithoutAnAnswerIsNotTakenBack(t *testing.T) {
+func TestUnansweredHandoverIsNotReverted(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -69,7 +69,7 @@
 
 // A record rewritten while turns wait for it must not lower the limit that a later
 // owner counts.
-func TestBudgetHoldsAfterAllInstancesAreLost(t *testing.T) {
+func TestBudgetHoldsAfterAllInstancesCrash(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		spendAll(t, c, "p", 70)
 		for _, n := range c.all() {
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestTurnOverTheUnrecordedLimitIsRefusedWhileTheStoreIsUnavailable(t *testing.T) {
+func TestTurnOverUnrecordedLimitIsRefusedDuringOutage(t *testing.T) {
 	runInCluster(t, 2, func(t *testing.T, c *cluster) {
 		c.Store.Set(metastore.Fault{Status: 503})
 		var err error
@@ -121,7 +121,7 @@
 
 // After all instances crashed and the store became unavailable, new programs start and
 // continue.
-func TestProgramsBeginBehindALossWhileTheStoreIsAway(t *testing.T) {
+func TestProgramsBeginAfterCrashDuringOutage(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "earlier", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestLossesAreForgottenOnceNoProgramOfBeforeIsLeft(t *testing.T) {
+func TestCrashesAreForgottenOnceEarlierProgramsExpire(t *testing.T) {
 	runInCluster(t, 2, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, 0); err != nil {
 			t.Fatal(err)
@@ -281,7 +281,7 @@
 }
 
 // While the store is unavailable for all, the owner keeps its partitions.
-func TestOwnerKeepsPartitionsWhileTheStoreIsUnavailableForAll(t *testing.T) {
+func TestOwnerKeepsPartitionsDuringOutage(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		owner := c.ownerOf("p")
 		for _, n := range c.all() {
@@ -296,7 +296,7 @@
 
 // While the store does not serve a partition without an owner, turns are refused at
 // once and the store is not called for each of them.
-func TestPartitionThatTheStoreDoesNotServe(t *testing.T) {
+func TestPartitionNotServedByTheStore(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Kill(c.ownerOf("p").Node)
 		c.Store.Set(metastore.Fault{Reset: true})
@@ -372,7 +372,7 @@
 
 // Target failures observed by one instance reach the others through the owners of their
 // programs' budgets.
-func TestTargetBreaksAreReportedThroughOwners(t *testing.T) {
+func TestTargetFailuresAreReportedThroughOwners(t *testing.T) {
 	runInCluster(t, 4, func(t *testing.T, c *cluster) {
 		runAll := func(n *node) {
 			for i := range 12 {
@@ -397,7 +397,7 @@
 
 // A claim may take effect although its response is lost; other instances that read the
 // partition then name the claimant as the owner.
-func TestInstanceThatOthersNameAsTheOwnerClaims(t *testing.T) {
+func TestInstanceNamedAsOwnerClaims(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		c.Store.Set(metastore.Fault{Status: 503})
 		c.Kill(c.ownerOf("p").Node)
@@ -430,7 +430,7 @@
 
 // An instance that resumes after a pause finds its connections broken and considers
 // all others unavailable.
-func TestInstanceThatWakesDoesNotTakePartitions(t *testing.T) {
+func TestResumedInstanceTakesNoPartitions(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		for _, program := range []string{"p", "q", "r", "s"} {
 			if err := c.turn(c.all()[0], program, testBudget, testMaxTurn, 70, 0); err != nil {
--- a/internal/budget/restart_test.go
+++ b/internal/budget/restart_test.go
@@ -29,7 +29,7 @@
 
 // Each partition is claimed once after all instances are killed and start again within
 // a second, learning of each other's starts at different times.
-func TestPartitionsAreClaimedOnceBehindALossOfAll(t *testing.T) {
+func TestPartitionsAreClaimedOnceAfterAllInstancesCrash(t *testing.T) {
 	for _, instances := range []int{12, 87} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -70,7 +70,7 @@
 
 // Instances without the list of instances claim nothing on their own, since each would
 // rank first for all partitions. On request they claim after listTimeout.
-func TestNothingIsClaimedBeforeTheInstancesAreKnown(t *testing.T) {
+func TestNoClaimBeforeInstancesAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var known atomic.Bool
 		c := newCluster(t)
--- a/internal/budget/watch_test.go
+++ b/internal/budget/watch_test.go
@@ -81,7 +81,7 @@
 
 // A request that waits for an unresponsive owner ends when another instance reports
 // that it has claimed the partition.
-func TestRequestLeavesASilentOwnerWhenAnotherHasClaimed(t *testing.T) {
+func TestRequestLeavesUnresponsiveOwnerAfterAnotherClaim(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		m := c.all()[0].manager
 		waiting := func(lease uint64, partition int, owner structs.InstanceID) chan result {
@@ -113,7 +113,7 @@
 
 // An owner that did not reply is watched until it does, so that its recovery is
 // detected.
-func TestOwnerThatDidNotAnswerIsWatched(t *testing.T) {
+func TestUnresponsiveOwnerIsWatched(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		var distant *node
 		var owner structs.InstanceID
@@ -143,7 +143,7 @@
 
 // When an owner loses power, turns wait no longer than its detection and the claim of
 // its partition take. Later turns do not wait.
-func TestTurnsGoOnAfterAnOwnerLosesPower(t *testing.T) {
+func TestTurnsContinueAfterOwnerLosesPower(t *testing.T) {
 	runInLargeCluster(t, func(t *testing.T, c *cluster) {
 		const program, budget, maxTurn = "p", 100_000, 100
 		longest := func(nodes []*node) time.Duration {
--- a/internal/conversation/lookup_test.go
+++ b/internal/conversation/lookup_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestConversationsOutlastAllInstances(t *testing.T) {
+func TestConversationsSurviveCrashOfAllInstances(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 12)
 		c.restartAll()
@@ -151,7 +151,7 @@
 // The indexer of a partition is notified of a turn stored in another partition
 // and lacks its predecessors after a restart. It must not report its own
 // partition as corrupt.
-func TestTurnKeptElsewhereIsFoundThere(t *testing.T) {
+func TestTurnStoredInAnotherPartitionIsFound(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		indexer := c.indexer("p")
 		home := indexer.manager.partitionOf("p")
@@ -191,7 +191,7 @@
 }
 
 // A turn whose record cannot be decoded is uncertain, not unknown.
-func TestRecordThatCannotBeDecodedIsUncertain(t *testing.T) {
+func TestUndecodableRecordIsUncertain(t *testing.T) {
 	runCluster(t, 2, func(t *testing.T, c *cluster) {
 		n := c.running()[0]
 		p := n.manager.partitionOf("p")
--- a/internal/conversation/store_test.go
+++ b/internal/conversation/store_test.go
@@ -9,7 +9,7 @@
 
 // The store may refuse some instances while it serves others; their turns are
 // then stored and looked up through other instances.
-func TestInstanceThatTheStoreRefusesKeepsTurnsThroughOthers(t *testing.T) {
+func TestRefusedInstanceStoresTurnsThroughOthers(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		refused := c.indexer("p")
 		last := c.runTurns("p", "", 3)
@@ -131,7 +131,7 @@
 
 // The store may serve only some partitions. Turns are then stored in others,
 // together with their predecessors.
-func TestTurnGoesToAnotherPartitionWhileItsOwnIsAway(t *testing.T) {
+func TestTurnIsStoredInAnotherPartitionDuringOutage(t *testing.T) {
 	runCluster(t, 3, func(t *testing.T, c *cluster) {
 		last := c.runTurns("p", "", 3)
 		home := c.running()[0].manager.partitionOf("p").number
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -10,7 +10,7 @@
 	return structs.Peer{ID: InstanceID(machine, start), Address: machine + ":1"}
 }
 
-func TestANewStartReplacesTheEarlierOne(t *testing.T) {
+func TestNewIncarnationReplacesTheEarlierOne(t *testing.T) {
 	d := New(peerAt("self", "1"))
 	old, next := peerAt("m", "1"), peerAt("m", "2")
 	d.Put(old)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -161,7 +161,7 @@
 	return resp.StatusCode, strings.Count(string(body), "id: ") * eventTokens
 }
 
-func TestInstancesServeTurnsWithinTheBudgetOverShutdowns(t *testing.T) {
+func TestBudgetHoldsOverShutdowns(t *testing.T) {
 	d := newDeployment(t)
 	instances := []*instance{d.start("a"), d.start("b"), d.start("c")}
 	for _, i := range instances {
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestNewSettingsAreInForce(t *testing.T) {
+func TestNewSettingsAreApplied(t *testing.T) {
 	d := newDeployment(t)
 	i := d.start("a")
 	eventually(t, "ready", i.ready)
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestInstanceThatStartsWhileTheStoreIsAwayAsksPeers(t *testing.T) {
+func TestInstanceStartedDuringOutageQueriesPeers(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
 	eventually(t, "ready", first.ready)
@@ -237,7 +237,7 @@
 	eventually(t, "ready", i.ready)
 }
 
-func TestInstanceReadsCopiesWhileThePartitionOfTheSettingsIsAway(t *testing.T) {
+func TestInstanceReadsCopiesWhileSettingsPartitionIsUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
 	eventually(t, "ready", first.ready)
@@ -252,7 +252,7 @@
 
 // Copies are read also while the relay slots are unavailable, or instances that start
 // together during a partial outage of the store would wait for its end.
-func TestInstanceReadsCopiesWhileTheRelaySlotsAreUnavailable(t *testing.T) {
+func TestInstanceReadsCopiesWhileRelaySlotsAreUnavailable(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start("a")
 	eventually(t, "ready", first.ready)
--- a/internal/edge/instances_test.go
+++ b/internal/edge/instances_test.go
@@ -12,7 +12,7 @@
 
 // A record that no instance of the machine can have written is ignored, and the listed
 // instance stays.
-func TestRecordOfAnotherWriterListsNoInstance(t *testing.T) {
+func TestRecordOfAnotherWriterIsIgnored(t *testing.T) {
 	dir := directory.New(structs.Peer{ID: directory.InstanceID("self", "1")})
 	apply := applyInstance(dir, make(chan struct{}, 1), slog.New(slog.DiscardHandler))
 	put := func(value string) {
--- a/internal/edge/targetfeed_test.go
+++ b/internal/edge/targetfeed_test.go
@@ -170,7 +170,7 @@
 
 // A malformed entry makes its target unusable and affects no other target. The next
 // well-formed entry makes the target usable again.
-func TestEntryOfAnotherWriterNamesNoTarget(t *testing.T) {
+func TestEntryOfAnotherWriterIsIgnored(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.feed.apply(platform.Record{Key: "other", Value: targetEntry(0, "ready")})
 		h.put(1, []byte(`{"Service":"s"}`))
@@ -196,7 +196,7 @@
 
 // A target that restarts under the same id is a new target: the state of the earlier
 // incarnation is dropped, and its idle connections are closed.
-func TestLaterStartReplacesTheTarget(t *testing.T) {
+func TestRestartedTargetReplacesTheEarlierOne(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.put(1, targetEntry(1000, "ready"))
 		first := h.pick()
@@ -217,7 +217,7 @@
 
 // An entry of an earlier incarnation changes nothing when it takes effect late, even
 // after the entry of the later incarnation was dropped.
-func TestEntryOfAnEarlierStartChangesNothing(t *testing.T) {
+func TestEntryOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		time.Sleep(10 * time.Second) // long after any outage
 		h.put(1, targetEntry(2000, "ready"))
@@ -242,7 +242,7 @@
 }
 
 // A target that has reported its start reports it in each entry.
-func TestEntryWithoutTheKnownStartIsRefused(t *testing.T) {
+func TestEntryWithoutTheKnownStartTimeIsRefused(t *testing.T) {
 	withFeedHarness(t, func(h *feedHarness) {
 		h.put(1, targetEntry(2000, "ready"))
 		h.put(2, targetEntry(0, "ready"))
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestBytesAfterAResponseCloseTheConnection(t *testing.T) {
 	s := newScriptedTarget(t, func(int) string { return okResponse + "HTTP/1.1 200 OK\r\nId: mine\r\nContent-Length: 5\r\n\r\nextra" })
 	p := newPool(t)
 	for range 3 {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestAnswerToAnEarlierRequestIsSkipped(t *testing.T) {
+func TestResponseToAnEarlierRequestIsSkipped(t *testing.T) {
 	late := "HTTP/1.1 200 OK\r\nId: earlier\r\nContent-Length: 4\r\n\r\nlate"
 	s := newScriptedTarget(t, func(int) string { return late + okResponse })
 	p := newPool(t)
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestCutBodiesAreNotWhole(t *testing.T) {
+func TestTruncatedBodiesAreIncomplete(t *testing.T) {
 	for name, response := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 10\r\n\r\nok",
 		"chunked": "HTTP/1.1 200 OK\r\nId: mine\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
+func TestResponseBeforeALongBodyIsRead(t *testing.T) {
 	s := newScriptedTarget(t, func(int) string { return okResponse })
 	p := newPool(t)
 	long := bytes.Repeat([]byte("x"), 8<<20)
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAgeIsThatOfTheLastConfirmation(t *testing.T) {
+func TestAgeCountsFromLastConfirmation(t *testing.T) {
 	topic := NewTopic("t", func(platform.Record) {})
 	now := time.Now()
 	if topic.Age(now) < time.Hour {
@@ -92,7 +92,7 @@
 
 // Receivers that have read a copy up to its end are notified of keys that the sender
 // finds dropped later.
-func TestDropsFoundInTheWholeListArePassedOn(t *testing.T) {
+func TestDropsFoundInTheWholeListArePropagated(t *testing.T) {
 	source, receiver := NewTopic("t", func(platform.Record) {}), NewTopic("t", func(platform.Record) {})
 	source.Replace(platform.Newest{Records: []platform.Record{record("a", "1", 1), record("b", "1", 2)}, End: 3})
 	propagate(t, source, receiver)
@@ -121,7 +121,7 @@
 
 // In whatever order topics are read and passed on, all copies end with the content of the
 // store, although each sender has read up to a different offset.
-func TestReceiversEndWithWhatTheStoreHolds(t *testing.T) {
+func TestReceiversConvergeToTheStore(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same content", prop.ForAll(func(steps []uint8) bool {
 		var history []platform.Record
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestLiveOwnerIsFoundWhileLogIsUnavailable(t *testing.T) {
+func TestLiveOwnerIsFoundDuringLogOutage(t *testing.T) {
 	h := newHarness(t)
 	first := h.owner
 	refusal := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: time.Second}
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestNoOwnerWhileLogIsUnavailable(t *testing.T) {
+func TestNoOwnerDuringLogOutage(t *testing.T) {
 	h := newHarness(t)
 	refusal := structs.Outcome{Kind: structs.OutcomeNotRun, Reason: structs.ReasonLogUnavailable, RetryAfter: time.Second}
 	cmds := h.tick(start, h.from(&structs.CallEnd{Request: request, Outcome: refusal}))
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -10,7 +10,7 @@
 
 // A write to a peer that does not read fails even though the connection stays
 // open.
-func TestWriteToASilentPeerEnds(t *testing.T) {
+func TestWriteToAnUnresponsivePeerEnds(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/org/org_test.go
+++ b/internal/org/org_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestScopedNamesDoNotMeet(t *testing.T) {
+func TestScopedNamesDoNotCollide(t *testing.T) {
 	long := strings.Repeat("p", 300)
 	names := []string{
 		Scope("", "p"), Scope("a", "p"), Scope("b", "p"), Scope("a", "b"), Scope("ab", "p"), Scope("a", "bp"),
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -26,7 +26,7 @@
 
 // A simultaneous start has to complete within a bounded time and a bounded number of
 // calls per instance, or instances that exceed the store's limits retry forever.
-func TestStartOfAllStaysWithinWhatTheStoreGives(t *testing.T) {
+func TestSimultaneousStartStaysWithinStoreLimits(t *testing.T) {
 	faults := map[string]storeFault{
 		"sound":               {},
 		"unavailable for 5 s": {outage: 5 * time.Second},
@@ -60,7 +60,7 @@
 }
 
 // Instances that the store refuses find the relays even if the store refuses all seeds.
-func TestRefusedInstancesFindTheRelaysThroughRefusedSeeds(t *testing.T) {
+func TestRefusedInstancesFindRelaysThroughRefusedSeeds(t *testing.T) {
 	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
 			c.startRefused(i, i < len(c.seeds) || i%3 == 0)
@@ -70,7 +70,7 @@
 }
 
 // The read load of idle instances on the store does not grow with their number.
-func TestReadsOfTheStoreDoNotFollowTheInstances(t *testing.T) {
+func TestStoreReadsDoNotGrowWithInstances(t *testing.T) {
 	rates := make(map[int]int)
 	for _, instances := range []int{300, 1000} {
 		withCluster(t, clusterDataCentres, storeFault{}, func(c *cluster) {
@@ -105,7 +105,7 @@
 
 // Changes still spread quickly when relays are killed, and other instances take their
 // slots.
-func TestChangesReachAllWhileRelaysAreLost(t *testing.T) {
+func TestChangesReachAllWhileRelaysCrash(t *testing.T) {
 	withCluster(t, 2, storeFault{}, func(c *cluster) {
 		for i := range 60 {
 			c.start(i)
@@ -132,7 +132,7 @@
 
 // A change reaches the followers of a relay within the bound although the relay hangs, or
 // the relay's calls to the store hang, from right before the change.
-func TestChangesAreKnownWithinTheBoundWhileARelayIsSilent(t *testing.T) {
+func TestChangesArriveInTimeWithAnUnresponsiveRelay(t *testing.T) {
 	for name, induceFault := range map[string]func(n *testNode){
 		"relay hangs":           func(n *testNode) { n.frozen.Store(true) },
 		"store hangs for relay": func(n *testNode) { n.storeHangs.Store(true) },
@@ -240,7 +240,7 @@
 
 // A slot record that no instance can have written names no holder and leaves the slot
 // free.
-func TestSlotOfAnotherWriterNamesNobody(t *testing.T) {
+func TestSlotOfAnotherWriterIsIgnored(t *testing.T) {
 	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
 	valid := `{"machine":"o","address":"10.0.0.2:80","data_centre":"dc"}`
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -70,7 +70,7 @@
 	_, _ = io.WriteString(rw, "id: 4\ndata:\n\n")
 }
 
-func TestTargetGetsTheWholeConversation(t *testing.T) {
+func TestTargetReceivesTheWholeConversation(t *testing.T) {
 	h := newHarness(t)
 	h.conversations.before = map[string]string{"id0": "in0\nout0\n"}
 	tg := h.target("t1", "engine", serveSomeEvents)
@@ -104,7 +104,7 @@
 
 // Events are passed on as they arrive; only the end of the response waits for the
 // store.
-func TestEndOfATurnWaitsUntilItIsDurable(t *testing.T) {
+func TestTurnEndWaitsUntilDurable(t *testing.T) {
 	h := newHarness(t)
 	h.conversations.hold = make(chan struct{})
 	h.target("t1", "engine", serveSomeEvents)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestTurnThatIsNotDurableDoesNotLookWhole(t *testing.T) {
+func TestTurnThatIsNotDurableIsIncomplete(t *testing.T) {
 	h := newHarness(t)
 	h.conversations.storeErr = errors.New("the store is unavailable")
 	h.target("t1", "engine", serveSomeEvents)
@@ -161,7 +161,7 @@
 }
 
 // Turns that cannot be served are refused at once and reach no target.
-func TestTurnsThatCannotBeServedDoNotRun(t *testing.T) {
+func TestInvalidTurnsDoNotRun(t *testing.T) {
 	long := strings.Repeat("x", maxTurnIDBytes+1)
 	for name, c := range map[string]struct {
 		err    error
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -67,7 +67,7 @@
 	return resp.StatusCode
 }
 
-func TestOnlyKnownKeysAreLetIn(t *testing.T) {
+func TestOnlyKnownKeysAreAdmitted(t *testing.T) {
 	h := withOrganisations(t)
 	app := h.target("t1", "app", serveText("ok"))
 	refused := map[string]func(header http.Header){
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestTargetGetsTheOrganisationAndNeverTheKey(t *testing.T) {
+func TestTargetReceivesOrganisationButNotKey(t *testing.T) {
 	h := withOrganisations(t)
 	app := h.target("t1", "app", serveText("ok"))
 	cases := []struct{ path, header, want string }{
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestWithoutOrganisationsNoKeyIsNeededOrPassedOn(t *testing.T) {
+func TestWithoutOrganisationsKeysAreNeitherRequiredNorForwarded(t *testing.T) {
 	h := newHarness(t)
 	app := h.target("t1", "app", serveText("ok"))
 	got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA, "Banyanglade-Tenant", "a"))
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestProgramsOfTwoOrganisationsDoNotMeet(t *testing.T) {
+func TestProgramsOfTwoOrganisationsDoNotCollide(t *testing.T) {
 	h := withOrganisations(t)
 	h.target("e1", "engine", serveEvents(1, neverCut))
 	turn := func(id, key, previous string) result {
@@ -234,9 +234,9 @@
 	}
 }
 
-// TestKeysStayOutOfAnswers checks that the instance's own responses and its log contain
+// TestKeysAreNotInResponses checks that the instance's own responses and its log contain
 // no key.
-func TestKeysStayOutOfAnswers(t *testing.T) {
+func TestKeysAreNotInResponses(t *testing.T) {
 	h := withOrganisations(t)
 	got := h.do(h.request("GET", "/safe/x", "", "Banyanglade-Credential", keyA))
 	var shown strings.Builder
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestRequestThatMayHaveRunIsNotSentAgain(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotResent(t *testing.T) {
 	h := newHarness(t)
 	a := h.target("a", "app", cutConnection)
 	b := h.target("b", "app", cutConnection)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRequestOnAStaleConnectionIsNotSentAgain(t *testing.T) {
+func TestRequestOnAStaleConnectionIsNotResent(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("a", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		if n == 1 {
@@ -114,7 +114,7 @@
 
 // Other instances are notified of a target that closes new connections, but not of one
 // that closed a reused connection, after which the target is tried on a new one.
-func TestOthersHearOfTargetsThatBreakNewConnections(t *testing.T) {
+func TestConnectionFailuresAreReportedToOthers(t *testing.T) {
 	h := newHarness(t)
 	h.server.connFailureThreshold = time.Minute // independent of the machine's speed
 	h.target("down", "app", cutConnection)
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestAnotherTargetAtTheAddress(t *testing.T) {
+func TestAddressReusedByAnotherTarget(t *testing.T) {
 	h := newHarness(t)
 	h.target("old", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
@@ -213,7 +213,7 @@
 
 // An engine may fail some turns while its health checks pass: the program's next turn
 // goes to another engine, and other instances are notified.
-func TestEngineThatFailsATurnIsAvoided(t *testing.T) {
+func TestEngineIsAvoidedAfterAFailedTurn(t *testing.T) {
 	h := newHarness(t)
 	h.budgets.target = "t1"
 	failing := h.target("t1", "engine", func(_ int, rw http.ResponseWriter, _ *http.Request) {
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestTurnGoesToTheTargetOfTheLastOne(t *testing.T) {
+func TestTurnGoesToTheTargetOfThePreviousTurn(t *testing.T) {
 	h := newHarness(t)
 	h.budgets.target = "t2"
 	other := h.target("t1", "engine", serveEvents(2, neverCut))
@@ -276,7 +276,7 @@
 
 // A request that ran at a target which has ended since must not be refused as if it had
 // not run, when no other target is left.
-func TestRequestThatRanAtATargetThatEndedIsNotSaidNotToHaveRun(t *testing.T) {
+func TestRunAtAnEndedTargetIsNotReportedAsNotRun(t *testing.T) {
 	h := newHarness(t)
 	h.target("ends", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		h.targets.Remove("ends")
@@ -290,7 +290,7 @@
 // If a target restarts under its id while it runs a request, the outcome is unknown: a
 // request that may run once only is not sent to the new incarnation, whose health is
 // not affected.
-func TestLaterStartOfATargetDoesNotGetTheRequestAgain(t *testing.T) {
+func TestRequestIsNotResentToARestartedTarget(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("again", "app", func(n int, rw http.ResponseWriter, r *http.Request) {
 		entry, _ := h.targets.Entry("again")
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/explain"
 )
 
-func TestAnswerIsPassedOnUnchanged(t *testing.T) {
+func TestResponseIsForwardedUnchanged(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("t1", "app", serveText("hello"))
 	got := h.do(h.request("POST", "/once/x%2Fy?a=b&a", "body", "X-Own", "kept", "Connection", "X-Hop", "X-Hop", "gone",
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
+func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
 	h := newHarness(t)
 	h.target("a", "app", func(n int, rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Banyanglade-Request-Id", "another")
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestSuccessWithoutSignatureIsNotPassedOn(t *testing.T) {
+func TestSuccessWithoutSignatureIsNotForwarded(t *testing.T) {
 	h := newHarness(t)
 	h.target("a", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("?")) })
 	if got := h.do(h.request("POST", "/once/", "b")); got.status != 502 {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsTheRequest(t *testing.T) {
 	h := newHarness(t)
 	started, ended := make(chan struct{}), make(chan struct{})
 	h.target("a", "app", func(_ int, _ http.ResponseWriter, r *http.Request) {
@@ -141,7 +141,7 @@
 	<-done
 }
 
-func TestStreamGoesOnAtTheSameTargetFromTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterTheLastWholeEvent(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("e1", "engine", serveEvents(6, func(n int) int { return map[int]int{1: 2, 2: 4}[n] }))
 	got := h.do(h.request("POST", "/turns/", "b"))
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestStreamGoesOnAtAnotherTargetIfItsOwnHasEnded(t *testing.T) {
+func TestStreamResumesAtAnotherTarget(t *testing.T) {
 	h := newHarness(t)
 	var first *target
 	handle := func(id string) func(int, http.ResponseWriter, *http.Request) {
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestEventOutOfOrderIsNotPassedOn(t *testing.T) {
+func TestEventOutOfOrderIsNotForwarded(t *testing.T) {
 	h := newHarness(t)
 	h.target("e1", "engine", func(n int, rw http.ResponseWriter, r *http.Request) {
 		sign(rw)
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestTurnWithoutRoomDoesNotRun(t *testing.T) {
+func TestTurnWithoutReservationDoesNotRun(t *testing.T) {
 	for err, status := range map[error]int{ErrBudgetSpent: 402, ErrNoOwner: 503} {
 		h := newHarness(t)
 		tg := h.target("e1", "engine", serveEvents(6, neverCut))
@@ -228,7 +228,7 @@
 	}
 }
 
-func TestBadInputRunsNothing(t *testing.T) {
+func TestMalformedRequestsAreNotSent(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("a", "app", serveText("ok"))
 	smuggled := "POST /once/smuggled HTTP/1.1\r\nHost: a.example\r\nBanyanglade-Request-Id: s\r\nContent-Length: 0\r\n\r\n"
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestDrainingAnswersCloseTheConnection(t *testing.T) {
+func TestResponsesCloseTheConnectionWhileDraining(t *testing.T) {
 	h := newHarness(t)
 	h.target("a", "app", serveText("ok"))
 	h.server.Drain()
@@ -284,7 +284,7 @@
 
 // While the settings may be outdated, an unknown route may be a new one: the refusal is
 // retryable.
-func TestUnknownRouteIsNoVerdictWhileTheSettingsMayBeOld(t *testing.T) {
+func TestUnknownRouteIsRetryableWhileSettingsMayBeOutdated(t *testing.T) {
 	h := newHarness(t)
 	h.server.keyPolicy.ConfigDelay = 5 * time.Second
 	for age, want := range map[time.Duration]int{time.Second: http.StatusNotFound, 6 * time.Second: http.StatusServiceUnavailable} {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestCheckFindsEachBrokenPromise(t *testing.T) {
+func TestCheckFindsEachViolation(t *testing.T) {
 	cases := []struct {
 		name      string
 		invariant string
--- a/internal/targets/failures_test.go
+++ b/internal/targets/failures_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestWordOfOthersCannotEmptyAService(t *testing.T) {
+func TestPeerReportsCannotExcludeAllTargets(t *testing.T) {
 	r := newTestRegistry(6)
 	now := time.Unix(100, 0)
 	r.MergeTargetFailures(peerFailures(0, "t0", "t1", "t2", "t3", "t4", "t5"), now)
@@ -89,7 +89,7 @@
 
 // Failures reported for an earlier incarnation have no effect, and failures of an
 // earlier incarnation are not relayed.
-func TestBreaksOfAnEarlierStartSayNothing(t *testing.T) {
+func TestFailuresOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	r := NewRegistry("dc", idleConnections{})
 	now := time.Unix(100, 0)
 	for i := range 6 {
--- a/internal/targets/service_test.go
+++ b/internal/targets/service_test.go
@@ -29,7 +29,7 @@
 
 // The number of targets that a selection considers does not grow with the size of
 // the service.
-func TestChoiceLooksAtABoundedNumberOfTargets(t *testing.T) {
+func TestChoiceScansABoundedNumberOfTargets(t *testing.T) {
 	const limit = 64
 	for _, n := range []int{2500, 5000, 10000} {
 		connections := new(countingConnections)
@@ -47,7 +47,7 @@
 
 // Instances agree on the target of a key, and adding or removing a target moves few
 // keys.
-func TestInstancesAgreeOnTheTargetOfAKeyAmongThousands(t *testing.T) {
+func TestInstancesAgreeOnKeyTargetAmongThousands(t *testing.T) {
 	const n, keys = 3000, 500
 	a, b := registryOf(n, new(countingConnections)), registryOf(n, new(countingConnections))
 	b.Remove("t17")
