--- a/internal/allowance/manager_test.go
+++ b/internal/allowance/manager_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// All instances but the coordinator restart, and all others still list it.
+// The coordinator loses power; all other instances restart and still list it.
 func TestCrashedCoordinatorIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
--- a/internal/budget/manager_test.go
+++ b/internal/budget/manager_test.go
@@ -225,7 +225,7 @@
 
 // An owner that was presumed dead continues within its limits, all of which the next
 // owner counts.
-func TestCutOffOwnerCannotOverrunTheBudget(t *testing.T) {
+func TestPartitionedOwnerStaysWithinTheBudget(t *testing.T) {
 	runInCluster(t, 3, func(t *testing.T, c *cluster) {
 		if err := c.turn(c.all()[0], "p", testBudget, testMaxTurn, 70, time.Millisecond); err != nil {
 			t.Fatal(err)
--- a/internal/conversation/sweep_test.go
+++ b/internal/conversation/sweep_test.go
@@ -70,8 +70,7 @@
 }
 
 // A conversation that continues in another partition has its beginning dropped
-// from the first one. A later turn in the first partition must store it there
-// again.
+// from the first one, where a later turn must store it again.
 func TestDroppedHistoryIsStoredAgain(t *testing.T) {
 	runCluster(t, 4, func(t *testing.T, c *cluster) {
 		first := c.programIn(0)
--- a/internal/feed/topic_test.go
+++ b/internal/feed/topic_test.go
@@ -15,8 +15,7 @@
 	return platform.Record{Key: key, Value: []byte(value), Offset: offset}
 }
 
-// In whatever order records arrive, the newest one stands and no older one is applied
-// after it.
+// Records may arrive in any order: no record is applied after a newer one.
 func TestOlderRecordsAreNotApplied(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("offsets grow", prop.ForAll(func(offsets []int64) bool {
@@ -72,8 +71,8 @@
 // sameFirstByte treats values with the same first byte as equivalent.
 func sameFirstByte(a, b []byte) bool { return a[0] == b[0] }
 
-// A record that is equivalent to the previous one is neither applied nor passed on, but
-// its offset still decides which records count as newer.
+// A record that is equivalent to the previous one is neither applied nor propagated,
+// but its offset still decides which records count as newer.
 func TestHeartbeatsAreNotPropagated(t *testing.T) {
 	applied := 0
 	topic := NewHeartbeatTopic("t", sameFirstByte, func(platform.Record) { applied++ })
@@ -119,8 +118,8 @@
 	}
 }
 
-// In whatever order topics are read and passed on, all copies end with the content of the
-// store, although each sender has read up to a different offset.
+// All copies converge to the content of the store in whatever order topics are read and
+// propagated, although each sender has read up to a different offset.
 func TestReceiversConvergeToTheStore(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same content", prop.ForAll(func(steps []uint8) bool {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -206,9 +206,8 @@
 	s.waitFor("desired state", s.converged)
 }
 
-// A partitioned controller sends its last orders at the end of its lease, and
-// they are in flight for long; the first orders of the next controller must
-// come after them. The phases vary when the last order is decided.
+// Orders sent at the end of a lease, even if long in flight, must take effect
+// before the next controller's. The phases vary when the last order is decided.
 func TestOrdersAtLeaseExpiry(t *testing.T) {
 	for phase := range 2 * int(time.Second/step) {
 		s := newSimulation(t, false, 1, 2)
--- a/internal/orders/random_test.go
+++ b/internal/orders/random_test.go
@@ -13,11 +13,9 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-// Under random combinations of pauses, crashes, outages, lost replies, late
-// appends, delayed orders and wrong membership views, no target may see an
-// order of an old epoch after one of a newer epoch. Once faults cease, all
-// targets must reach the desired state. gopter prints the seed of a failing
-// schedule.
+// Under random faults no target may see an order of an old epoch after one of a
+// newer epoch, and once faults cease, all targets reach the desired state.
+// gopter prints the seed of a failing schedule.
 func TestRandomFaults(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	for _, checks := range []bool{true, false} {
--- a/internal/overload/simulation_test.go
+++ b/internal/overload/simulation_test.go
@@ -356,7 +356,7 @@
 	return total
 }
 
-func TestOverloadPolicies(t *testing.T) {
+func TestAdmissionStrategies(t *testing.T) {
 	for _, instances := range []int{90, 300} {
 		newCoordinated := func(from, to time.Duration) *coordinated {
 			return &coordinated{view: newEngineView(), granted: make([]float64, instances), requested: make([]float64, instances),
--- a/internal/owner/gap_test.go
+++ b/internal/owner/gap_test.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-// A lane continues behind a number whose record was lost with its owner. A later
+// A lane continues after a number whose record was lost with its owner. A later
 // delivery of that number is not reported as "not run".
 func TestGapAfterTakeoverIsSkipped(t *testing.T) {
 	cl := newCluster(t, 1, 2)
@@ -78,7 +78,7 @@
 	cl.expect(third, structs.OutcomeAnswered, "")
 }
 
-// A lane continues behind a number whose outcome was reported as unknown without
+// A lane continues after a number whose outcome was reported as unknown without
 // a record.
 func TestLaneContinuesAfterUnknownRefusal(t *testing.T) {
 	cl := newCluster(t, 1, 1)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -238,8 +238,7 @@
 	}
 }
 
-// A slot record that no instance can have written names no holder and leaves the slot
-// free.
+// A slot record that no instance can have written is ignored and leaves the slot free.
 func TestSlotOfAnotherWriterIsIgnored(t *testing.T) {
 	self := Holder{Machine: "m", Address: "10.0.0.1:80", DataCentre: "dc"}
 	n := New(Config{Self: self, Log: slog.New(slog.DiscardHandler)})
--- a/internal/serve/conversation_test.go
+++ b/internal/serve/conversation_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Events are passed on as they arrive; only the end of the response waits for the
+// Events are forwarded as they arrive; only the end of the response waits for the
 // store.
 func TestTurnEndWaitsUntilDurable(t *testing.T) {
 	h := newHarness(t)
--- a/internal/serve/organisation_test.go
+++ b/internal/serve/organisation_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestKeysOfOldSettings(t *testing.T) {
+func TestKeysWithOutdatedSettings(t *testing.T) {
 	cases := []struct {
 		name   string
 		strict bool
--- a/internal/serve/send_test.go
+++ b/internal/serve/send_test.go
@@ -239,7 +239,7 @@
 	}
 }
 
-// A plain target's failure is passed on without avoiding the target.
+// A plain target's failure is forwarded without avoiding the target.
 func TestPlainTargetThatFailsIsNotAvoided(t *testing.T) {
 	h := newHarness(t)
 	tg := h.target("t1", "app", func(_ int, rw http.ResponseWriter, _ *http.Request) {
--- a/internal/settings/catchup_test.go
+++ b/internal/settings/catchup_test.go
@@ -70,7 +70,7 @@
 }
 
 // A peer's state that ends before the gap is restored but does not close the gap.
-func TestPeerStateFromBeforeTheGapLeavesTheGap(t *testing.T) {
+func TestPeerStateFromBeforeTheGapDoesNotCloseIt(t *testing.T) {
 	cluster := newCluster(t)
 	whole := treeOf(t, map[string]string{"teams/a/priority": "1"})
 	state, err := whole.Snapshot()
--- a/internal/settings/property_test.go
+++ b/internal/settings/property_test.go
@@ -13,7 +13,7 @@
 )
 
 // For any schedule of proposals, faults, reads and restarts: offsets and versions only
-// grow, no version of a path has two values, an accepted change is in force, a lost or
+// grow, no version of a path has two values, an accepted change is applied, a lost or
 // unpublished one is not, and eventually all trees agree.
 func TestProposersAgreeProperty(t *testing.T) {
 	properties := gopter.NewProperties(nil)
--- a/internal/structs/reservation.go
+++ b/internal/structs/reservation.go
@@ -38,8 +38,8 @@
 	Number uint64
 }
 
-// ReservationRequest asks the owner of a partition of programs to reserve tokens for a
-// turn.
+// ReservationRequest requests a reservation of tokens for a turn from the owner of a
+// partition of programs.
 type ReservationRequest struct {
 	Lease     LeaseID
 	Partition int
@@ -52,7 +52,7 @@
 	Retention time.Duration
 	// Suspect is an owner that did not reply to the sender, empty if none.
 	Suspect InstanceID
-	// Redirected reports that another instance named the receiver as the owner.
+	// Redirected indicates that another instance named the receiver as the owner.
 	Redirected bool
 	// Loads are the latest load reports that targets sent to the sender.
 	Loads []TargetReport
@@ -62,7 +62,7 @@
 type ReservationReply struct {
 	Lease   LeaseID
 	Outcome ReservationOutcome
-	// Owner is the owner to ask instead after ReservationNotOwner, empty if unknown.
+	// Owner is the actual owner with ReservationNotOwner, empty if unknown.
 	Owner InstanceID
 	// Partition and Program are copied from the request, so that a reservation that is
 	// no longer needed can be released.
@@ -72,7 +72,7 @@
 	Failures []TargetFailure
 	// LastTarget is the target that ran the program's last turn, empty if unknown.
 	LastTarget string
-	// FirstTurn reports that the owner knows of no earlier turn of the program.
+	// FirstTurn indicates that the owner knows of no earlier turn of the program.
 	FirstTurn bool
 	// Loads are new load reports of targets, Pools aggregated reports of services.
 	Loads []TargetReport
