--- a/internal/settings/catchup.go
+++ b/internal/settings/catchup.go
@@ -25,15 +25,15 @@
 	hasTarget bool
 	// next is the offset of the reader.
 	next uint64
-	// logDown reports that the last read failed.
+	// logDown indicates that the last read failed.
 	logDown bool
-	// gap reports that records between the tree's offset and gapStart are no longer
+	// gap indicates that records between the tree's offset and gapStart are no longer
 	// retained. buffered are the records from gapStart on, to be applied after a
 	// snapshot.
 	gap      bool
 	gapStart uint64
 	buffered []wire.LogRecord
-	// logBehind reports that the log ends before the tree's offset, which means that
+	// logBehind indicates that the log ends before the tree's offset, which means that
 	// the log lost records.
 	logBehind bool
 }
--- a/internal/settings/credential.go
+++ b/internal/settings/credential.go
@@ -9,7 +9,7 @@
 	"github.com/banyanglade/banyanglade/internal/structs"
 )
 
-// Role is what the holder of a credential may do within its team's subtree.
+// Role determines the permissions of a credential's holder within its team's subtree.
 type Role string
 
 // Roles.
--- a/internal/settings/dump.go
+++ b/internal/settings/dump.go
@@ -16,8 +16,8 @@
 	Next     uint64 `json:"next"`
 	Skipped  uint64 `json:"skipped_records"`
 	LogDown  bool   `json:"log_down"`
-	// Gap reports that the log dropped records that the tree lacks, Lost that no
-	// settings are left, and LogBehind that the log lost records.
+	// Gap indicates that the log dropped records that the tree has not applied, Lost
+	// that no settings are left, and LogBehind that the log lost records.
 	Gap       bool `json:"gap"`
 	Lost      bool `json:"lost"`
 	LogBehind bool `json:"log_behind"`
--- a/internal/settings/exchange.go
+++ b/internal/settings/exchange.go
@@ -23,7 +23,7 @@
 	// wakeAt is the time of the next round, zero if none is needed.
 	wakeAt time.Time
 	// awaiting are the peers of the current round that have not replied. stateReceived
-	// reports that a peer with a state has.
+	// indicates that a peer replied and that the tree is as new as the peer's state.
 	awaiting      map[structs.InstanceID]bool
 	stateReceived bool
 	// nextPeer rotates the peers queried.
@@ -110,7 +110,7 @@
 	x.wakeAt = p.now.Add(startupRequestInterval)
 }
 
-// requestStates asks the next peers for a newer state, round-robin.
+// requestStates requests a newer state from the next peers, round-robin.
 func (p *Proposer) requestStates(maxPeers int) {
 	var others []structs.InstanceID
 	for _, peer := range p.members.Peers() {
--- a/internal/settings/fakes_test.go
+++ b/internal/settings/fakes_test.go
@@ -34,7 +34,7 @@
 )
 
 // fakeCluster runs the proposers of several instances over one fake log on a virtual
-// clock. Reads are explicit: read delivers what a tail would.
+// clock. Reads are explicit: read delivers the events of a tail.
 type fakeCluster struct {
 	t       *testing.T
 	now     time.Time
@@ -152,7 +152,7 @@
 	cluster.first = first
 }
 
-// read delivers to a node what its tail would read now.
+// read delivers the next event of a node's tail.
 func (cluster *fakeCluster) read(n *fakeNode) {
 	stream := structs.SettingsStream
 	switch {
--- a/internal/settings/proposal.go
+++ b/internal/settings/proposal.go
@@ -28,7 +28,7 @@
 	deadline time.Time
 	// inFlight is the append in progress, 0 if none.
 	inFlight structs.AppendID
-	// onLog reports that an append took effect, uncertain that one may have.
+	// onLog indicates that an append took effect, uncertain that one may have.
 	onLog     bool
 	uncertain bool
 	// retryAt is the time of the next attempt, zero if none is scheduled.
@@ -210,7 +210,8 @@
 	}
 }
 
-// advancePending retries appends and gives up at the deadline.
+// advancePending retries appends and completes proposals past their deadline with
+// SettingsUnknown.
 func (p *Proposer) advancePending() {
 	for _, pending := range p.pendingInOrder() {
 		if !p.now.Before(pending.deadline) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -13,7 +13,7 @@
 	Path string
 	// Value is the rejected value; empty for a credential.
 	Value string
-	// Detail describes the error and Expected what would be valid.
+	// Detail describes the error and Expected the valid values.
 	Detail   string
 	Expected string
 }
--- a/internal/structs/allowance.go
+++ b/internal/structs/allowance.go
@@ -10,8 +10,8 @@
 	KindVoteReply        MessageKind = 42
 )
 
-// AllowanceRequest asks the coordinator of an organisation for permits to run
-// requests.
+// AllowanceRequest requests permits to run requests from the coordinator of an
+// organisation.
 type AllowanceRequest struct {
 	Number       uint64
 	Slot         int
@@ -49,8 +49,8 @@
 
 // Outcomes of an AllowanceRequest.
 const (
-	// AllowanceAllocated: the permits in the reply may be used; what is missing
-	// exceeds the limit.
+	// AllowanceAllocated: the permits in the reply may be used; more would exceed the
+	// limit.
 	AllowanceAllocated AllowanceOutcome = 1
 	// AllowanceNotCoordinator: the receiver does not coordinate the organisation.
 	AllowanceNotCoordinator AllowanceOutcome = 2
@@ -64,7 +64,7 @@
 	// that may run.
 	Granted    int
 	FirstTurns [AllowanceRanks]int
-	// RetryAfter is the delay after which what was not granted may be available.
+	// RetryAfter is the delay after which the permits not granted may be available.
 	RetryAfter time.Duration
 	// Remaining is the number of requests that the coordinator can still allocate,
 	// Votes the number of votes that it holds for the slot.
@@ -75,7 +75,7 @@
 	Utilization float64
 }
 
-// VoteRequest asks for a lease of the receiver's part of the allowances of a slot.
+// VoteRequest requests a lease of the receiver's part of the allowances of a slot.
 type VoteRequest struct {
 	Number uint64
 	Slot   int
@@ -84,14 +84,14 @@
 // VoteReply replies to a VoteRequest.
 type VoteReply struct {
 	Number uint64
-	// Granted reports that the sender leases its part to no other instance until the
+	// Granted indicates that the sender leases its part to no other instance until the
 	// lease expires.
 	Granted bool
-	// Restarted reports that a lease granted by an earlier incarnation of the sender
+	// Restarted indicates that a lease granted by an earlier incarnation of the sender
 	// may still be in force.
 	Restarted bool
-	// Reassigned reports that the part was leased to another instance or to none
-	// before. It is set at most once within a window.
+	// Reassigned indicates that the part was previously leased to another instance or
+	// to none. It is set at most once within a window.
 	Reassigned bool
 }
 
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -40,7 +40,7 @@
 	// Single marks a call made without a program: the program is closed
 	// when the call ends.
 	Single bool
-	// Fresh reports that no earlier delivery of the key can have run: either the
+	// Fresh indicates that no earlier delivery of the key can have run: either the
 	// caller gave no key, or it declared that there was no earlier delivery or that
 	// each was refused as not run.
 	Fresh bool
@@ -95,7 +95,7 @@
 	OutcomeUnknown
 )
 
-// Reason is why a call has its outcome: the last segment of the problem type that
+// Reason is the cause of a call's outcome and the last segment of the problem type that
 // callers receive.
 type Reason string
 
@@ -136,7 +136,7 @@
 	Reason Reason
 	// Detail is a sentence for the caller. It contains no secrets.
 	Detail string
-	// RetryAfter is the delay before a retry; 0 if a retry is of no use.
+	// RetryAfter is the delay before a retry; 0 if a retry would not help.
 	RetryAfter time.Duration
 	// Status, ContentType and Body are the response to a CallPlain.
 	Status      int
@@ -197,7 +197,7 @@
 }
 
 // Refusal returns the outcome of a call that is refused without a lookup of earlier
-// deliveries of its key. It is OutcomeNotRun only if there can be none.
+// deliveries of its key. It is OutcomeNotRun only if no earlier delivery can have run.
 func (c *Call) Refusal(reason Reason, after time.Duration) Outcome {
 	if c.Fresh {
 		return Outcome{Kind: OutcomeNotRun, Reason: reason, RetryAfter: after}
--- a/internal/structs/commands.go
+++ b/internal/structs/commands.go
@@ -114,7 +114,8 @@
 	Target Target
 }
 
-// QueryOutcome asks a target whether it ran the request with a key.
+// QueryOutcome queries a target for the outcome of the request with a key. It results
+// in OutcomeQueried.
 type QueryOutcome struct {
 	Run    RunID
 	Target Target
@@ -126,13 +127,14 @@
 // WatchTargets lists the targets whose load and cache events are needed.
 type WatchTargets struct{ Targets []Target }
 
-// ReleaseCache asks a target to drop a program's cache. It results in CacheReleased.
+// ReleaseCache requests that a target drop a program's cache. It results in
+// CacheReleased.
 type ReleaseCache struct {
 	Target  Target
 	Program ProgramID
 }
 
-// ReadOrders asks a target for its order state. It results in OrdersRead.
+// ReadOrders requests a target's order state. It results in OrdersRead.
 type ReadOrders struct {
 	ID     OrderID
 	Target Target
@@ -170,7 +172,7 @@
 	Other InstanceID
 }
 
-// DrainDone reports that nothing is in flight any more.
+// DrainDone reports that the drain is complete: nothing is in flight.
 type DrainDone struct{}
 
 func (ReplyChunk) command()    {}
--- a/internal/structs/conversation.go
+++ b/internal/structs/conversation.go
@@ -42,7 +42,7 @@
 	ConversationUnreadable ConversationOutcome = 3
 )
 
-// ConversationRequest asks for a turn of a partition and all turns before it.
+// ConversationRequest requests a turn of a partition and all turns before it.
 type ConversationRequest struct {
 	Number    uint64
 	Partition int
@@ -66,8 +66,8 @@
 	// Took is the duration of the append reported by StoreSlow, 0 if the append has
 	// not returned.
 	Took time.Duration
-	// StoreEvent is a change of the store's state that the sender observed; a notice
-	// may carry nothing else.
+	// StoreEvent is a change of the store's state that the sender observed, 0 if none.
+	// A notice may contain only this.
 	StoreEvent StoreEvent
 }
 
@@ -82,7 +82,7 @@
 	StoreRecovered
 )
 
-// StoreTurnsRequest asks an instance to append turns on behalf of one that cannot
+// StoreTurnsRequest requests that an instance append turns on behalf of one that cannot
 // reach the store.
 type StoreTurnsRequest struct {
 	Number    uint64
@@ -93,11 +93,11 @@
 // StoreTurnsReply replies to a StoreTurnsRequest.
 type StoreTurnsReply struct {
 	Number uint64
-	// Stored reports that the store holds the turns. If false, it may hold them
-	// nevertheless.
+	// Stored indicates that the store holds the turns. If false, it may or may not hold
+	// them.
 	Stored bool
-	// Took is the duration of the append, 0 if unknown. Slow reports that this exceeds
-	// what is typical for the instance that appended.
+	// Took is the duration of the append, 0 if unknown. Slow indicates that it exceeds
+	// the typical duration at the instance that appended.
 	Took time.Duration
 	Slow bool
 }
--- a/internal/structs/events.go
+++ b/internal/structs/events.go
@@ -29,8 +29,8 @@
 	Deadline time.Time
 }
 
-// CallerPrograms asks every instance of the region for its programs under a
-// team path.
+// CallerPrograms requests the programs under a team path from every instance of the
+// region.
 type CallerPrograms struct {
 	Request  RequestID
 	Team     Team
@@ -45,7 +45,7 @@
 	Deadline time.Time
 }
 
-// SettingsApplied asks every instance which settings offset it has applied.
+// SettingsApplied requests the applied settings offset from every instance.
 type SettingsApplied struct {
 	Request  RequestID
 	Deadline time.Time
@@ -142,7 +142,7 @@
 	FirstToken time.Duration
 }
 
-// OutcomeQueried replies to QueryOutcome. Reached reports whether the target could be
+// OutcomeQueried replies to QueryOutcome. Reached indicates whether the target could be
 // queried, Found whether it ran the request. Outcome is its response if Found.
 type OutcomeQueried struct {
 	Run     RunID
@@ -160,7 +160,7 @@
 // TargetUnreachable reports that a watched target did not respond.
 type TargetUnreachable struct{ Target TargetID }
 
-// TargetCache carries cache events of a watched target. Gap reports that events before
+// TargetCache carries cache events of a watched target. Gap indicates that events before
 // these were lost.
 type TargetCache struct {
 	Target TargetID
@@ -168,8 +168,8 @@
 	Events []wire.CacheEvent
 }
 
-// CacheReleased replies to ReleaseCache. Done reports that the target holds nothing of
-// the program any more.
+// CacheReleased replies to ReleaseCache. Done indicates that the target no longer caches
+// anything of the program.
 type CacheReleased struct {
 	Target  TargetID
 	Program ProgramID
--- a/internal/structs/ids.go
+++ b/internal/structs/ids.go
@@ -19,17 +19,17 @@
 	// DataCentre names a data centre of a region.
 	DataCentre string
 	// Team is the path of a team in the settings tree, such as
-	// "lakeshore/clearance". A team reaches its own path and those below it.
+	// "lakeshore/clearance". A team has access to its own path and those below it.
 	Team string
 	// ServiceName names a service: a set of targets that do the same work.
 	ServiceName string
 	// TargetID names one target of a service.
 	TargetID string
-	// ProgramID names a program. It carries the program's region and its
-	// creation time; see NewProgramID.
+	// ProgramID names a program. It contains the program's region and creation time;
+	// see NewProgramID.
 	ProgramID string
-	// Lane names an ordered sequence of calls within a program. The empty
-	// lane is the program's own; each sub-agent has one.
+	// Lane names an ordered sequence of calls within a program. The empty lane is the
+	// program's main sequence; each sub-agent has a lane of its own.
 	Lane string
 	// ShardID numbers a shard of programs within a region, from 0.
 	ShardID uint16
--- a/internal/structs/messages.go
+++ b/internal/structs/messages.go
@@ -42,21 +42,21 @@
 	KindLeaving          MessageKind = 26
 )
 
-// Submit hands a call from a gateway to the program's owner.
+// Submit forwards a call from a gateway to the program's owner.
 type Submit struct {
 	Request RequestID
 	Call    *Call
 	// Remaining is the time to the caller's deadline at the time of sending.
 	Remaining time.Duration
-	// NextPiece is the index of the first piece that the gateway lacks. It is greater
-	// than 0 when the gateway submits again after the owner crashed.
+	// NextPiece is the index of the first piece that the gateway has not received. It
+	// is greater than 0 when the gateway resubmits the call after the owner crashed.
 	NextPiece int
 	// ReceivedRun is the run whose pieces the gateway has received. Pieces of
 	// another run must not follow them.
 	ReceivedRun RunID
 	// Suspects are the instances that the gateway cannot reach.
 	Suspects []InstanceID
-	// Resubmitted reports that the gateway submitted this request to another owner
+	// Resubmitted indicates that the gateway submitted this request to another owner
 	// before and received no outcome. That owner may have run it, so an owner that
 	// does not run it must not reply OutcomeNotRun.
 	Resubmitted bool
@@ -65,7 +65,7 @@
 // Withdraw informs the owner that the caller disconnected.
 type Withdraw struct{ Request RequestID }
 
-// SubmitAccepted informs the gateway that the owner has the call.
+// SubmitAccepted informs the gateway that the owner has received the call.
 type SubmitAccepted struct{ Request RequestID }
 
 // CallChunk carries a part of a streamed response to the gateway.
@@ -77,7 +77,7 @@
 }
 
 // CallEnd carries the outcome to the gateway. It includes the whole text of a streamed
-// response, from which the gateway takes what it lacks.
+// response, from which the gateway takes the pieces that it has not received.
 type CallEnd struct {
 	Request RequestID
 	// Run is the run that generated the response, empty if none did.
@@ -103,7 +103,7 @@
 	ProgramCancel ProgramOp = "cancel"
 )
 
-// ProgramRequest asks a program's owner to perform an operation.
+// ProgramRequest requests an operation on a program from its owner.
 type ProgramRequest struct {
 	Request   RequestID
 	Op        ProgramOp
@@ -121,7 +121,7 @@
 	Info    ProgramInfo
 }
 
-// ProgramsRequest asks an instance for the programs that it owns under a team path.
+// ProgramsRequest requests the programs that an instance owns under a team path.
 type ProgramsRequest struct {
 	Request RequestID
 	Team    Team
@@ -134,15 +134,15 @@
 	Programs []ProgramInfo
 }
 
-// CacheHint is the length of a program's prefix that a target held last.
+// CacheHint is the last known length of a program's prefix in a target's cache.
 type CacheHint struct {
 	Target TargetID
 	Tokens int64
 }
 
-// PermitRequest asks a pool's dispatcher for a permit to run a call. It is idempotent
-// by Run. With Running set it registers a call that already runs at that target, after
-// a change of dispatcher.
+// PermitRequest requests a permit to run a call from a pool's dispatcher. It is
+// idempotent by Run. With Running set it registers a call that already runs at that
+// target, after a change of dispatcher.
 type PermitRequest struct {
 	Pool     PoolID
 	Ref      CallRef
@@ -170,7 +170,7 @@
 	Running       TargetID
 }
 
-// PermitQueued informs the owner that the dispatcher has the request.
+// PermitQueued informs the owner that the dispatcher has received the request.
 type PermitQueued struct{ Ref CallRef }
 
 // PermitGrant allows the owner to run the call at the target now.
@@ -207,7 +207,7 @@
 	// CacheTokens is the length of the prefix that the target now holds for the
 	// program.
 	CacheTokens int64
-	// Pausing reports that the program started a tool pause.
+	// Pausing indicates that the program started a tool pause.
 	Pausing bool
 }
 
@@ -217,8 +217,8 @@
 	Program ProgramID
 }
 
-// BudgetRequest asks the owner of a team path's ledger for a chunk. Grant is unique
-// and makes the request idempotent.
+// BudgetRequest requests a chunk of a team path's budget from the owner of its ledger.
+// Grant is unique and makes the request idempotent.
 type BudgetRequest struct {
 	Team    Team
 	Account ShardRef
@@ -228,7 +228,7 @@
 }
 
 // BudgetGrant replies to a BudgetRequest. It may grant less than was requested.
-// Refused reports that nothing is left.
+// Refused indicates that the budget is exhausted.
 type BudgetGrant struct {
 	Team    Team
 	Account ShardRef
@@ -238,7 +238,7 @@
 	Refused bool
 }
 
-// BudgetReturn returns the unused rest of a grant.
+// BudgetReturn returns the unused part of a grant.
 type BudgetReturn struct {
 	Team    Team
 	Account ShardRef
@@ -247,7 +247,7 @@
 	Fees    int64
 }
 
-// SuccessorHandoff gives the designated successor of a shard the record that allows it
+// SuccessorHandoff sends the designated successor of a shard the record that allows it
 // to serve repeatable calls within a chunk while the log is unavailable.
 type SuccessorHandoff struct {
 	Shard  ShardRef
@@ -258,7 +258,7 @@
 	State []byte
 }
 
-// SettingsRequest asks a peer for its settings state. Next is the offset up to which
+// SettingsRequest requests a peer's settings state. Next is the offset up to which
 // the sender has applied records; a peer without a newer state sends none.
 type SettingsRequest struct{ Next uint64 }
 
@@ -269,7 +269,7 @@
 	State []byte
 }
 
-// AppliedRequest asks for the applied settings offset.
+// AppliedRequest requests the receiver's applied settings offset.
 type AppliedRequest struct{ Request RequestID }
 
 // AppliedReply replies to an AppliedRequest.
--- a/internal/structs/policy.go
+++ b/internal/structs/policy.go
@@ -22,7 +22,7 @@
 	TeamFees   int64
 	// ChunkTokens is the size of a budget reservation.
 	ChunkTokens int64
-	// IdleTimeout closes a program without calls for that long.
+	// IdleTimeout is the time without calls after which a program is closed.
 	IdleTimeout time.Duration
 	// LoopRepeats closes a program that sends the same request that many times in a
 	// row; 0 disables the check.
@@ -55,9 +55,9 @@
 	Slots int
 	// CacheTokens is the size of one target's prefix cache, in tokens.
 	CacheTokens int64
-	// ChecksFencing reports whether targets refuse old fencing numbers.
+	// ChecksFencing indicates whether targets refuse old fencing numbers.
 	ChecksFencing bool
-	// AskByKey reports whether targets can be queried for an outcome by idempotency
+	// AskByKey indicates whether targets can be queried for an outcome by idempotency
 	// key.
 	AskByKey bool
 	// NotRepeatable marks every call of the service not repeatable.
@@ -68,7 +68,7 @@
 	QueueLimit int
 	// Rules select the scheduling rules of the pool.
 	Rules Rules
-	// Orders is what the service's engines should have loaded.
+	// Orders is the desired state of the service's engines.
 	Orders Orders
 }
 
@@ -100,8 +100,8 @@
 	Order string
 	// Classes serves lower Priority first; if false, all calls are treated alike.
 	Classes bool
-	// Aging raises a waiting call's rank by its wait; it is the wait that equals one
-	// unit of attained service. 0 disables it.
+	// Aging is the wait that offsets one unit of attained service in a call's rank; 0
+	// disables aging.
 	Aging float64
 	// FairShare weights teams within a class.
 	FairShare bool
--- a/internal/structs/reservation.go
+++ b/internal/structs/reservation.go
@@ -72,7 +72,8 @@
 	Failures []TargetFailure
 	// LastTarget is the target that ran the program's last turn, empty if unknown.
 	LastTarget string
-	// FirstTurn indicates that the owner knows of no earlier turn of the program.
+	// FirstTurn indicates that the owner has no record of an earlier turn of the
+	// program.
 	FirstTurn bool
 	// Loads are new load reports of targets, Pools aggregated reports of services.
 	Loads []TargetReport
@@ -87,7 +88,7 @@
 	Used      int
 	// Target is the target that ran the turn, empty if none did.
 	Target string
-	// Failed reports that the target did not complete the turn.
+	// Failed indicates that the target did not complete the turn.
 	Failed bool
 }
 
@@ -114,8 +115,8 @@
 	CrashedOwner InstanceID
 	SinceCrash   time.Duration
 	Accounts     []BudgetAccount
-	// Offer asks whether the receiver would accept the partition without transferring
-	// it.
+	// Offer indicates a query: the receiver replies whether it would accept the
+	// partition, and nothing is transferred.
 	Offer bool
 	// Crashes is the number of owners whose accounts were lost in a crash. Each may
 	// have reserved a slice of any program's budget.
@@ -128,12 +129,12 @@
 	Budget  int
 	// MaxTurn is the maximum number of tokens that any turn so far may generate.
 	MaxTurn int
-	// AfterCrash reports that Crashes is greater than 0; older versions send no
+	// AfterCrash indicates that Crashes is greater than 0; older versions send no
 	// Crashes.
 	AfterCrash bool
 	Used       int
 	Limit      int
-	// Recorded reports that the store holds a record of the program.
+	// Recorded indicates that the store holds a record of the program.
 	Recorded  bool
 	Retention time.Duration
 	// Idle is the time since the program's last turn.
--- a/internal/structs/targetfailure.go
+++ b/internal/structs/targetfailure.go
@@ -5,8 +5,8 @@
 // KindTargetFailureNotice is the kind of a TargetFailureNotice.
 const KindTargetFailureNotice MessageKind = 33
 
-// TargetFailure reports that a target closed a new connection immediately, as a target
-// that is down does.
+// TargetFailure records that a target closed a new connection immediately, which
+// suggests that it is down.
 type TargetFailure struct {
 	// Target identifies one incarnation of the target.
 	Target string
@@ -15,7 +15,7 @@
 }
 
 // TargetFailureNotice informs another instance of connection failures. Owners of
-// budgets pass them on with their replies.
+// budgets forward them in their replies.
 type TargetFailureNotice struct {
 	Failures []TargetFailure
 }
--- a/internal/structs/targetreport.go
+++ b/internal/structs/targetreport.go
@@ -3,8 +3,8 @@
 import "time"
 
 // TargetReport is a target's load as reported to one instance. Instances attach the
-// reports to other messages, because each target reports to a single instance too
-// rarely for it to know the load of a whole service.
+// reports to other messages, because a target reports to each instance too rarely for
+// one instance to track the load of a whole service.
 type TargetReport struct {
 	// Target is the hash of one incarnation of the target.
 	Target uint64
--- a/internal/wire/engine.go
+++ b/internal/wire/engine.go
@@ -167,9 +167,9 @@
 	OrderSetRole     = "set_role"
 )
 
-// Order requests a change of what an engine serves. Fencing is the sender's
-// fencing number. An engine that checks it refuses numbers lower than the
-// highest one received.
+// Order requests a change of an engine's model, adapter, version or role.
+// Fencing is the sender's fencing number. An engine that checks it refuses
+// numbers lower than the highest one received.
 type Order struct {
 	Kind    string `json:"kind"`
 	Value   string `json:"value"`
@@ -188,6 +188,6 @@
 	Version string `json:"version"`
 	Role    string `json:"role"`
 	Fencing uint64 `json:"fencing"`
-	// ChecksFencing reports whether the engine refuses stale fencing numbers.
+	// ChecksFencing indicates whether the engine refuses stale fencing numbers.
 	ChecksFencing bool `json:"checks_fencing"`
 }
