--- a/spec/room.pml
+++ b/spec/room.pml
@@ -5,10 +5,10 @@
  * PROP=3  what the program generated never exceeds its budget and the most of
  *         one turn
  *
- * A turn generates one unit, its most. An owner hands out room up to a limit: at
+ * A turn generates one unit, its most. An owner allocates tokens up to a limit: at
  * first its slice of the budget that needs no record, later what a record in the
- * store says. The claim in the store says how many owners before may have handed
- * out their slices; an owner counts all of these as used. Owners never learn by themselves that they were superseded, may
+ * store says. The claim in the store says how many owners before may have
+ * allocated their slices; an owner counts all of these as used. Owners never learn by themselves that they were superseded, may
  * stop for any time, and die. Appends land at any later time, also after their
  * writer's death, unless the store's epoch has passed theirs. Handovers are
  * messages that arrive at any later time or never.
@@ -21,7 +21,7 @@
 #endif
 #define BUDGET	4
 #define MOST	1
-/* what owners behind fewer than n losses may hand out without a record */
+/* what owners after fewer than n crashes may allocate without a record */
 #define SLICES(n)	((n) == 0 -> 0 : ((n) == 1 -> 2 : 3))
 #ifndef MAXCLAIM
 #define MAXCLAIM 3
--- a/spec/votes.pml
+++ b/spec/votes.pml
@@ -1,16 +1,16 @@
-/* Votes of organisations' limits (internal/allowance): one voter, which lends
+/* Votes of organisations' limits (internal/allowance): one voter, which leases
  * its part of a slot to one coordinator at a time, and two coordinators that
  * each take themselves for the one. Requests and replies are lost, late and in
- * any order; the voter restarts and forgets its loan; a coordinator ends, which
+ * any order; the voter restarts and forgets its lease; a coordinator ends, which
  * the voter may learn, or leaves.
  *
  * Property 11: at no time is the voter's part counted in full by both. A vote of
  * a voter that has just started counts for less and is left out here: the
- * tolerance pays for it (termsOf).
+ * tolerance pays for it (boundsOf).
  *
  * Seeded faults:
  *   COUNT_FROM_REPLY  a vote counts from its arrival, not from the request
- *   LEND_TWICE        the voter does not look at its loan
+ *   LEND_TWICE        the voter does not look at its lease
  *   FRESH_IS_FULL     a vote of a voter that has just started counts in full
  *   ENDED_IF_SILENT   the voter takes a coordinator that it does not hear for ended
  *   RELEASE_FIRST     a coordinator that leaves tells so before it drops its vote
