--- a/internal/dispatch/dump.go
+++ b/internal/dispatch/dump.go
@@ -95,15 +95,15 @@
 func (p *pool) waitReason(now time.Time, c *call) string {
 	switch {
 	case c.ownerDown:
-		return "the owner is unresponsive"
+		return "its owner does not answer"
 	case !p.hasServingTarget():
 		return "no target"
 	case !p.hasOpenTarget(now):
-		return "every target is at its slot or prefill limit"
+		return "no target has a free slot and little prefill queued"
 	case p.shares.ExceedsBurst(p.service.Rules, c.request.Team, p.shares.Floor(p.queue.backloggedTeams(c.class))):
-		return "the team is over its fair share"
+		return "its team is ahead of its share"
 	case p.queue.countAhead(c) >= maxCandidates:
-		return "other calls have precedence"
+		return "others go first"
 	}
-	return "waiting for the target with the cached prefix"
+	return "waits for the target that holds its prefix"
 }
--- a/internal/gateway/pending.go
+++ b/internal/gateway/pending.go
@@ -232,7 +232,7 @@
 	}
 	return structs.Outcome{
 		Kind: structs.OutcomeUnknown, Reason: reason, RetryAfter: noOwnerRetryAfter,
-		Detail: "The owner of the program did not respond; retry with the same idempotency key.",
+		Detail: "The owner of the program did not answer; ask again with the same idempotency key.",
 	}
 }
 
--- a/internal/gateway/replies.go
+++ b/internal/gateway/replies.go
@@ -91,7 +91,7 @@
 	if !p.stream.continues(out.Text) {
 		return structs.Outcome{
 			Kind: structs.OutcomeUnknown, Reason: structs.ReasonOwnerLost,
-			Detail: "The response was cut off; retry with the same idempotency key to get all of it.",
+			Detail: "The answer was cut; ask again with the same idempotency key for the whole one.",
 		}
 	}
 	if rest := out.Text[p.stream.bytes:]; rest != "" {
--- a/internal/httpapi/auth.go
+++ b/internal/httpapi/auth.go
@@ -28,7 +28,7 @@
 	case !principal.Root() && s.core.Health().State == HealthStarting:
 		s.fail(c, s.startingProblem())
 	case !ok:
-		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer with a known key"))
+		s.fail(c, refusal(structs.ReasonUnauthorized, "expected the header Authorization: Bearer and a known key"))
 	default:
 		c.Next()
 	}
@@ -79,7 +79,7 @@
 
 func (s *Server) requireOperator(c *gin.Context) {
 	if !infoOf(c).principal.Operator {
-		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators"))
 		return
 	}
 	c.Next()
@@ -87,7 +87,7 @@
 
 func (s *Server) requireRoot(c *gin.Context) {
 	if !infoOf(c).principal.Root() {
-		s.fail(c, refusal(structs.ReasonForbidden, "the route requires a key of an operator of the whole tree"))
+		s.fail(c, refusal(structs.ReasonForbidden, "the route is for operators of the whole tree"))
 		return
 	}
 	c.Next()
@@ -103,7 +103,7 @@
 		return "", refusal(structs.ReasonInvalid, "expected a team path such as lakeshore/clearance")
 	}
 	if !principal.Team.Contains(requested) {
-		return "", refusal(structs.ReasonForbidden, "the key does not grant access to this team")
+		return "", refusal(structs.ReasonForbidden, "the key does not reach this team")
 	}
 	return requested, nil
 }
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -23,7 +23,7 @@
 		size = length
 	}
 	if !s.limits.bodies.TryAcquire(size) {
-		return nil, func() {}, overloaded(c.Request.Header, "too many request body bytes are in flight at this instance")
+		return nil, func() {}, overloaded(c.Request.Header, "too many bytes of requests are in flight at this instance")
 	}
 	body, problem = s.readWithin(c, size)
 	unused := size - int64(len(body))
@@ -49,7 +49,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, refusal(structs.ReasonTooLarge, "the body is larger than %d bytes", size)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, refusal(ReasonTimeout, "the body was not received within %s", s.config.BodyTimeout)
+		return nil, refusal(ReasonTimeout, "the body did not come within %s", s.config.BodyTimeout)
 	}
-	return nil, refusal(structs.ReasonInvalid, "the body could not be read completely")
+	return nil, refusal(structs.ReasonInvalid, "the body could not be read to its end")
 }
--- a/internal/httpapi/call.go
+++ b/internal/httpapi/call.go
@@ -15,7 +15,7 @@
 	info := infoOf(c)
 	team, problem := teamFor(info.principal, h.team)
 	if problem == nil && team == "" {
-		problem = refusal(structs.ReasonInvalid, "a key of the whole tree requires the header %s", HeaderTeam)
+		problem = refusal(structs.ReasonInvalid, "a key of the whole tree needs %s", HeaderTeam)
 	}
 	if problem != nil {
 		return nil, time.Time{}, problem
--- a/internal/httpapi/chat.go
+++ b/internal/httpapi/chat.go
@@ -99,7 +99,7 @@
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refusal(structs.ReasonUnknownService, "service %q does not exist", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
 	}
 	if service.Kind != structs.ServiceEngine {
 		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q does not serve models", name)
@@ -114,7 +114,7 @@
 	}
 	encoded, err := request.encode(model)
 	if err != nil {
-		return refusal(structs.ReasonInvalid, "the body cannot be re-encoded")
+		return refusal(structs.ReasonInvalid, "the body cannot be encoded again")
 	}
 	call.Kind = structs.CallChat
 	call.Method, call.Path, call.ContentType = http.MethodPost, wire.ChatRoute, contentTypeJSON
@@ -181,7 +181,7 @@
 	body, err := json.Marshal(value)
 	if err != nil {
 		s.log.Error("failed to encode the response", "request", infoOf(c).id, "error", err)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the response could not be encoded"))
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the answer could not be encoded"))
 		return
 	}
 	s.writeBody(c, status, contentTypeJSON, body)
--- a/internal/httpapi/chatstream.go
+++ b/internal/httpapi/chatstream.go
@@ -21,7 +21,7 @@
 
 // errTextMismatch means that the text of an outcome does not start with the
 // pieces already sent to the caller.
-var errTextMismatch = errors.New("the response does not start with the part already sent")
+var errTextMismatch = errors.New("the answer differs from the part already sent")
 
 // streamChat serves a streamed chat completion. A failure before the first piece
 // is sent as a problem document with its status, a later one as an event.
@@ -59,7 +59,7 @@
 func (s *Server) endStream(c *gin.Context, p *pendingRequest, stream *chatStream, final structs.Command) {
 	reply, ok := final.(structs.ReplyOutcome)
 	if !ok {
-		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
+		s.failStream(c, p, stream, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
 		return
 	}
 	if reply.Outcome.Kind != structs.OutcomeAnswered {
@@ -83,7 +83,7 @@
 // if part of the response was sent.
 func (s *Server) endWithEngineError(c *gin.Context, p *pendingRequest, stream *chatStream, outcome structs.Outcome) {
 	if stream.headersSent {
-		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed after part of its response was sent"))
+		s.failStream(c, p, stream, newProblem(structs.ReasonTargetFailed, outcomeUnknown, "the engine failed behind a part of its answer"))
 		return
 	}
 	s.writeOutcome(c, outcome)
@@ -232,15 +232,15 @@
 	}
 	var calls []map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &calls); err != nil {
-		return nil, errors.Wrap(err, "decode the tool calls of the response")
+		return nil, errors.Wrap(err, "tool calls of the answer")
 	}
 	for i, call := range calls {
 		if call == nil {
-			return nil, errors.New("decode the tool calls of the response: expected objects, got null")
+			return nil, errors.New("tool calls of the answer: expected objects")
 		}
 		index, err := json.Marshal(i)
 		if err != nil {
-			return nil, errors.Wrap(err, "encode a tool call index")
+			return nil, errors.Wrap(err, "tool call index")
 		}
 		call["index"] = index
 	}
--- a/internal/httpapi/headers.go
+++ b/internal/httpapi/headers.go
@@ -124,7 +124,7 @@
 	}
 	if h.program == "" && (h.lane != "" || h.number != 0 || h.fork) {
 		return callHeaders{}, refusal(structs.ReasonInvalid,
-			"%s, %s and %s require %s", HeaderLane, HeaderCall, HeaderFork, HeaderProgram)
+			"%s, %s and %s need %s", HeaderLane, HeaderCall, HeaderFork, HeaderProgram)
 	}
 	return h, nil
 }
@@ -144,7 +144,7 @@
 func (p *headerParser) program() structs.ProgramID {
 	id := structs.ProgramID(p.header.Get(HeaderProgram))
 	if id != "" && !validProgramID(id) {
-		p.fail(HeaderProgram, "a program id issued by this service")
+		p.fail(HeaderProgram, "a program id as this service gave it")
 	}
 	return id
 }
--- a/internal/httpapi/identity.go
+++ b/internal/httpapi/identity.go
@@ -61,7 +61,7 @@
 	created, dated := keyTime(key)
 	switch {
 	case dated && created.After(now.Add(maxKeyClockSkew)):
-		return "", refusal(structs.ReasonInvalid, "the time in the idempotency key is in the future")
+		return "", refusal(structs.ReasonInvalid, "the time in the idempotency key lies in the future")
 	case !dated && requireDated:
 		return "", refusal(structs.ReasonInvalid,
 			"without a program this request needs an idempotency key that is a ULID or a UUID of version 7")
--- a/internal/httpapi/json.go
+++ b/internal/httpapi/json.go
@@ -98,7 +98,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(value); err != nil {
-		return refusal(structs.ReasonInvalid, "the body does not match the schema of the route: %v", err)
+		return refusal(structs.ReasonInvalid, "the body is not the JSON that the route expects: %v", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return refusal(structs.ReasonInvalid, "the body holds more than one JSON value")
--- a/internal/httpapi/plain.go
+++ b/internal/httpapi/plain.go
@@ -16,7 +16,7 @@
 	maxContentTypeLength = 255
 	minFinalStatus       = 200
 	maxFinalStatus       = 599
-	statusNotFinalDetail = "the target returned a status that is not final"
+	statusNotFinalDetail = "the target answered with a status that is not final"
 )
 
 // plain serves a request to a tool or plain service.
@@ -90,7 +90,7 @@
 	}
 	service, ok := s.core.Settings().Service(name)
 	if !ok {
-		return structs.Service{}, refusal(structs.ReasonUnknownService, "service %q does not exist", name)
+		return structs.Service{}, refusal(structs.ReasonUnknownService, "there is no service %q", name)
 	}
 	if service.Kind == structs.ServiceEngine {
 		return structs.Service{}, refusal(structs.ReasonInvalid, "service %q serves models only", name)
--- a/internal/httpapi/programs.go
+++ b/internal/httpapi/programs.go
@@ -139,7 +139,7 @@
 func (s *Server) handleProgramOp(c *gin.Context, op structs.ProgramOp) {
 	id := structs.ProgramID(c.Param("id"))
 	if !validProgramID(id) {
-		s.fail(c, refusal(structs.ReasonUnknownProgram, "expected a program id in the path"))
+		s.fail(c, refusal(structs.ReasonUnknownProgram, "the path does not name a program"))
 		return
 	}
 	info, ok := s.runProgramOp(c, op, id, infoOf(c).principal.Team)
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -80,7 +80,7 @@
 		s.fail(c, refusal(ReasonNotFound, "no route for this path"))
 	})
 	engine.NoMethod(func(c *gin.Context) {
-		s.fail(c, refusal(ReasonMethodNotAllowed, "the path does not support this method"))
+		s.fail(c, refusal(ReasonMethodNotAllowed, "the path does not take this method"))
 	})
 	s.publicRoutes(engine)
 	s.callerRoutes(engine.Group("/v1", s.limitConcurrency, s.authenticate, s.requireStarted))
--- a/internal/httpapi/settings.go
+++ b/internal/httpapi/settings.go
@@ -66,7 +66,7 @@
 	}
 	value, ok := read(path)
 	if !ok {
-		s.fail(c, refusal(ReasonNotFound, "no setting exists at this path"))
+		s.fail(c, refusal(ReasonNotFound, "there is nothing at this path"))
 		return
 	}
 	s.writeJSON(c, http.StatusOK, value)
@@ -83,7 +83,7 @@
 	}
 	team, found := strings.CutPrefix(path, teamsSubtree)
 	if !found || !principal.Team.Contains(structs.Team(team)) {
-		return refusal(structs.ReasonForbidden, "the key grants access to %s%s only", teamsSubtree, principal.Team)
+		return refusal(structs.ReasonForbidden, "the key reaches %s%s only", teamsSubtree, principal.Team)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		return nil, problem
 	}
 	if len(request.Changes) == 0 || len(request.Changes) > maxChanges {
-		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d entries", maxChanges)
+		return nil, refusal(structs.ReasonInvalid, "changes: expected 1 to %d", maxChanges)
 	}
 	principal := infoOf(c).principal
 	changes := make([]structs.SettingChange, 0, len(request.Changes))
--- a/internal/httpapi/wait.go
+++ b/internal/httpapi/wait.go
@@ -11,7 +11,7 @@
 )
 
 // errNoReply means that the core did not reply by the deadline of a request.
-var errNoReply = errors.New("no reply from the core")
+var errNoReply = errors.New("no reply of the core")
 
 // pendingRequest is a request posted to the core.
 type pendingRequest struct {
@@ -88,7 +88,7 @@
 
 // noReplyProblem returns the problem that corresponds to errNoReply.
 func noReplyProblem() *Problem {
-	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not reply by the deadline")
+	return newProblem(structs.ReasonDeadline, outcomeUnknown, "the instance did not answer by the deadline")
 }
 
 // postAndWait posts an event and waits for the reply. On failure it responds
@@ -112,7 +112,7 @@
 	reply, ok := command.(T)
 	if !ok {
 		s.log.Error("unexpected type of reply from the core", "request", infoOf(c).id)
-		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance returned a reply of an unexpected type"))
+		s.fail(c, newProblem(ReasonInternal, outcomeUnknown, "the instance gave an answer of another kind"))
 	}
 	return reply, ok
 }
--- a/internal/orders/claim.go
+++ b/internal/orders/claim.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if p.streamState.started && ev.From > p.streamState.next {
-		p.resync("gap in the records read from the log")
+		p.resync("records of the log were missed")
 		return
 	}
 	if !p.streamState.started {
@@ -107,7 +107,7 @@
 	case p.phase == phaseClaiming && r.Epoch < p.claim.record.Epoch:
 		// This instance's claim is still valid once it is read.
 	default:
-		p.stepDown("superseded by instance " + truncate(string(r.Instance)))
+		p.stepDown("superseded by " + truncate(string(r.Instance)))
 	}
 }
 
--- a/internal/orders/controller.go
+++ b/internal/orders/controller.go
@@ -88,7 +88,7 @@
 		}
 	case structs.LogReadFailed:
 		if p := c.poolByStream(ev.Stream); p != nil && ev.Truncated && p.phase != phaseSuperseded {
-			p.resync("the log dropped records before they were read")
+			p.resync("the log dropped records that were not read")
 		}
 	case structs.OrdersRead:
 		c.withTarget(ev.Target, func(_ *pool, t *target) { t.handleState(ev) })
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -34,8 +34,8 @@
 	select {
 	case t.handshakes <- struct{}{}:
 	default:
-		t.recordRefusal(r, errors.New("too many pending handshakes"))
-		http.Error(w, "too many pending handshakes", http.StatusServiceUnavailable)
+		t.recordRefusal(r, errors.New("too many connections that are not authenticated"))
+		http.Error(w, "too many handshakes", http.StatusServiceUnavailable)
 		return
 	}
 	s, err := t.accept(w, r)
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
-		return errors.New("no verified client certificate; one is required without a shared key")
+		return errors.New("a verified client certificate is needed")
 	}
 	return nil
 }
--- a/internal/settings/proposal.go
+++ b/internal/settings/proposal.go
@@ -112,7 +112,7 @@
 		return invalidResult(found), true
 	}
 	if len(p.pending) >= maxPending {
-		return notPublishedResult("too many changes are waiting for the log"), true
+		return notPublishedResult("too many changes wait for the log"), true
 	}
 	return structs.SettingsResult{}, false
 }
@@ -246,7 +246,7 @@
 	}
 	result := lostResult(outcome.Path, outcome.Version, outcome.Winner)
 	if outcome.TooLarge {
-		result.Detail = "another change came first, and with it the tree would be too large"
+		result.Detail = "another change came first, with which the tree would be too large"
 	}
 	result.Offset = outcome.Offset
 	return result
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -54,7 +54,7 @@
 
 func validateChange(change structs.SettingChange) *ValidationError {
 	if change.ChangeID == "" || len(change.ChangeID) > MaxChangeIDBytes {
-		return &ValidationError{Path: truncate(change.Path), Detail: "invalid change id",
+		return &ValidationError{Path: truncate(change.Path), Detail: "bad change id",
 			Expected: fmt.Sprintf("a unique id of 1 to %d bytes", MaxChangeIDBytes)}
 	}
 	if len(change.Author) > MaxChangeIDBytes {
--- a/internal/standin/engine/cache_http.go
+++ b/internal/standin/engine/cache_http.go
@@ -52,7 +52,7 @@
 	tokens := s.model.Export(export.Program)
 	s.mu.Unlock()
 	if tokens == 0 {
-		standin.WriteError(w, http.StatusNotFound, "no cache entry for the program")
+		standin.WriteError(w, http.StatusNotFound, "nothing is cached for the program")
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, wire.CacheBlob{Program: export.Program, Tokens: tokens})
@@ -76,6 +76,6 @@
 	if program != "" {
 		return true
 	}
-	standin.WriteError(w, http.StatusBadRequest, "program must not be empty")
+	standin.WriteError(w, http.StatusBadRequest, "program is missing")
 	return false
 }
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -20,11 +20,11 @@
 	}
 	var chat wire.ChatRequest
 	if err := json.Unmarshal(body, &chat); err != nil || len(chat.Messages) == 0 {
-		standin.WriteError(w, http.StatusBadRequest, "request body is not a chat completion with messages")
+		standin.WriteError(w, http.StatusBadRequest, "the body must be a chat completion with messages")
 		return
 	}
 	if s.injector.TakeFail() {
-		standin.WriteError(w, http.StatusServiceUnavailable, "injected failure before the request ran")
+		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
 		return
 	}
 	started, ok := s.startChat(w, r, chat, body)
@@ -63,7 +63,7 @@
 		return added, true
 	}
 	if !s.settings.AttachDuplicates {
-		standin.WriteError(w, http.StatusConflict, "a stream with this id exists")
+		standin.WriteError(w, http.StatusConflict, "a stream with this id is known")
 		return nil, false
 	}
 	return existing, true
@@ -116,7 +116,7 @@
 	}
 	found := s.findStream(r.PathValue("id"))
 	if found == nil {
-		standin.WriteError(w, http.StatusNotFound, "stream not found")
+		standin.WriteError(w, http.StatusNotFound, "no such stream")
 		return
 	}
 	const drop = false
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -15,7 +15,7 @@
 const OrderLogRoute = "/standin/orders"
 
 var (
-	errStaleFencing = errors.New("fencing number is lower than that of an applied order")
+	errStaleFencing = errors.New("fencing number is lower than one seen")
 	errUnknownOrder = errors.New("unknown kind of order")
 )
 
--- a/internal/standin/json.go
+++ b/internal/standin/json.go
@@ -23,8 +23,8 @@
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		slog.Error("encode response", "error", err)
-		http.Error(w, "encode response", http.StatusInternalServerError)
+		slog.Error("encode reply", "error", err)
+		http.Error(w, "encode reply", http.StatusInternalServerError)
 		return
 	}
 	WriteBody(w, status, contentTypeJSON, body)
@@ -51,7 +51,7 @@
 	if err == nil {
 		return true
 	}
-	WriteError(w, http.StatusBadRequest, errors.Wrap(err, "decode request body").Error())
+	WriteError(w, http.StatusBadRequest, errors.Wrap(err, "decode body").Error())
 	return false
 }
 
--- a/internal/standin/logservice/handler.go
+++ b/internal/standin/logservice/handler.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if len(request.Records) == 0 {
-		standin.WriteError(w, http.StatusBadRequest, "append request contains no records")
+		standin.WriteError(w, http.StatusBadRequest, "an append needs at least one record")
 		return
 	}
 	if s.takeDropAppend(stream) {
--- a/internal/standin/members/handler.go
+++ b/internal/standin/members/handler.go
@@ -49,7 +49,7 @@
 	}
 	id := r.PathValue("id")
 	if member.ID != "" && member.ID != id {
-		standin.WriteError(w, http.StatusBadRequest, "member id in the body differs from the id in the path")
+		standin.WriteError(w, http.StatusBadRequest, "the id of the body differs from that of the path")
 		return
 	}
 	member.ID = id
@@ -67,7 +67,7 @@
 
 func (l *List) serveLeaving(w http.ResponseWriter, r *http.Request) {
 	if !l.SetLeaving(r.PathValue("id")) {
-		standin.WriteError(w, http.StatusNotFound, "member not found")
+		standin.WriteError(w, http.StatusNotFound, "no such member")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/metastore/memory.go
+++ b/internal/standin/metastore/memory.go
@@ -96,7 +96,7 @@
 	}
 	if begin.Sub(now) > maxAppendWait {
 		m.mu.Unlock()
-		return errors.Wrap(platform.ErrBusy, "too many appends queued")
+		return errors.Wrap(platform.ErrBusy, "too many appends wait")
 	}
 	end := begin.Add(duration)
 	m.freeAt[id] = end
--- a/internal/standin/service/run.go
+++ b/internal/standin/service/run.go
@@ -25,7 +25,7 @@
 		standin.DropConnection()
 	}
 	if s.injector.TakeFail() {
-		standin.WriteError(w, http.StatusServiceUnavailable, "injected failure before the request ran")
+		standin.WriteError(w, http.StatusServiceUnavailable, "failed before running")
 		return
 	}
 	outcome, ok := s.outcome(r, key, body)
--- a/internal/structs/call.go
+++ b/internal/structs/call.go
@@ -204,7 +204,7 @@
 	}
 	return Outcome{
 		Kind: OutcomeUnknown, Reason: reason, RetryAfter: after,
-		Detail: "This delivery did not run, but earlier ones with the key could not be looked up; retry with the same key.",
+		Detail: "This delivery did not run, but earlier ones of the key could not be looked up; ask again with the same key.",
 	}
 }
 
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -32,7 +32,7 @@
 	case status == http.StatusConflict:
 		return result{failure: structs.RunFenced, detail: "the engine refused the fencing number"}
 	case isRefusalStatus(status):
-		return result{failure: structs.RunNotSent, detail: "the engine refused the request: " + http.StatusText(status)}
+		return result{failure: structs.RunNotSent, detail: "the engine refused the call: " + http.StatusText(status)}
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
 		return r.readResponse(run, response)
 	}
@@ -80,7 +80,7 @@
 // result returns the result of a stream that ended with err, io.EOF for its end.
 func (s *chatStream) result(run *activeRun, err error) result {
 	if s.finish == finishCancelled {
-		return result{failure: structs.RunCancelled, detail: "the engine reports that the run was cancelled"}
+		return result{failure: structs.RunCancelled, detail: "the engine says that the run was cancelled"}
 	}
 	if errors.Is(err, io.EOF) && s.finish != "" {
 		return result{outcome: s.outcome()}
@@ -99,7 +99,7 @@
 
 // errPartialToolCalls is returned for tool calls in a stream that was not read from
 // its first piece, because their beginning may be missing.
-var errPartialToolCalls = errors.New("tool calls in a stream that was resumed after its first piece")
+var errPartialToolCalls = errors.New("tool calls in a stream that was resumed behind its first piece")
 
 // chatStream assembles the pieces of a chat response from index from on. Those
 // from index deliverFrom on are delivered.
@@ -129,7 +129,7 @@
 func (s *chatStream) add(data []byte) error {
 	var chunk wire.ChatChunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
-		return errors.Wrap(err, "decode a chat chunk")
+		return errors.Wrap(err, "chat chunk")
 	}
 	if chunk.Usage != nil {
 		s.usage = *chunk.Usage
@@ -161,7 +161,7 @@
 		return nil
 	}
 	if index > s.next+s.emptyChunks {
-		return errors.Newf("gap in the chat stream: got piece %d, expected %d", index, s.next)
+		return errors.Newf("chat stream has a gap: piece %d where %d was due", index, s.next)
 	}
 	if s.from > 0 && len(delta.ToolCalls) > 0 {
 		return errPartialToolCalls
--- a/internal/target/gate.go
+++ b/internal/target/gate.go
@@ -15,7 +15,7 @@
 	ErrNotAfterPassed = errors.New("the time to send the request has passed")
 	// errNotAdmitted is returned for a write after the run ended, or after the
 	// request was written to another connection.
-	errNotAdmitted = errors.New("the request can no longer be sent")
+	errNotAdmitted = errors.New("the request must not be sent any more")
 )
 
 // gate lets the bytes of a request pass to a single connection.
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -12,7 +12,7 @@
 	"github.com/banyanglade/banyanglade/internal/wire"
 )
 
-var errMalformedState = errors.New("the response is not an order state: it has no fencing number")
+var errMalformedState = errors.New("the answer is not a state under orders")
 
 // ReadOrders requests the order state of an engine and delivers it as OrdersRead.
 func (r *Runner) ReadOrders(command structs.ReadOrders) {
--- a/internal/target/request.go
+++ b/internal/target/request.go
@@ -18,7 +18,7 @@
 )
 
 // ErrInvalidRequest is returned for a call that cannot be encoded as a request.
-var ErrInvalidRequest = errors.New("invalid call")
+var ErrInvalidRequest = errors.New("call cannot be sent")
 
 // methods lists the methods allowed for plain calls.
 var methods = []string{
@@ -77,7 +77,7 @@
 	}
 	path, err := url.ParseRequestURI(call.Path)
 	if err != nil || !strings.HasPrefix(call.Path, "/") || strings.HasPrefix(call.Path, "//") {
-		return nil, errors.Wrap(ErrInvalidRequest, "the path must begin with a single / and be a valid request path")
+		return nil, errors.Wrap(ErrInvalidRequest, "the path must begin with one / and be a valid request path")
 	}
 	request, err := newSendOnce(ctx, call.Method, joinURL(command.Target.Address, path.RequestURI()), call.Body)
 	if err != nil {
--- a/internal/target/resume.go
+++ b/internal/target/resume.go
@@ -47,7 +47,7 @@
 	}
 	defer closeBody(response.Body)
 	if response.StatusCode != http.StatusOK {
-		return errors.Newf("the engine did not resume the stream: %s", http.StatusText(response.StatusCode))
+		return errors.Newf("the engine cannot resume the stream: %s", http.StatusText(response.StatusCode))
 	}
 	return r.follow(run, response.Body, s)
 }
@@ -112,7 +112,7 @@
 	}
 	var reply wire.OutcomeReply
 	if status != http.StatusOK || json.Unmarshal(body, &reply) != nil || reply.Status == 0 {
-		r.logger.Warn("invalid response to an outcome query", "run", command.Run, "target", command.Target.ID, "status", status)
+		r.logger.Warn("unusable answer about an outcome", "run", command.Run, "target", command.Target.ID, "status", status)
 		return event
 	}
 	event.Reached, event.Found = true, true
--- a/internal/target/run.go
+++ b/internal/target/run.go
@@ -78,7 +78,7 @@
 	}
 	if _, running := r.runs[id]; running {
 		r.metrics.runsDuplicate.Inc(1)
-		r.logger.Error("run already in flight", "run", id, "target", target)
+		r.logger.Error("run is in flight already", "run", id, "target", target)
 		return
 	}
 	timeout = cmp.Or(timeout, r.cfg.RunTimeout)
--- a/internal/target/runner.go
+++ b/internal/target/runner.go
@@ -14,7 +14,7 @@
 
 // Causes of the end of a run.
 var (
-	errTimeout     = errors.New("run timed out")
+	errTimeout     = errors.New("timeout of the run")
 	errCancelled   = errors.New("run cancelled")
 	errTooManyRuns = errors.New("too many runs in flight")
 )
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -12,7 +12,7 @@
 )
 
 // ErrResponseTooLarge is returned for a response above Config.MaxResponseBytes.
-var ErrResponseTooLarge = errors.New("response of the target is too large")
+var ErrResponseTooLarge = errors.New("answer of the target is too large")
 
 // StartRun sends a call to a target, at most once, and delivers the result as
 // RunEnded.
@@ -56,7 +56,7 @@
 		return run.failed(err)
 	}
 	if reportsNotRun(response, body) {
-		return result{failure: structs.RunNotSent, detail: "the target reports that it did not run the request"}
+		return result{failure: structs.RunNotSent, detail: "the target says that it did not run the request"}
 	}
 	return result{outcome: responseOutcome(response.StatusCode, response.Header.Get("Content-Type"), body)}
 }
--- a/internal/target/toolcalls.go
+++ b/internal/target/toolcalls.go
@@ -30,7 +30,7 @@
 func (t *toolCalls) merge(encoded []byte) error {
 	var deltas []toolCall
 	if err := json.Unmarshal(encoded, &deltas); err != nil {
-		return errors.Wrap(err, "decode tool call deltas")
+		return errors.Wrap(err, "tool call delta")
 	}
 	for _, delta := range deltas {
 		if err := t.mergeOne(delta); err != nil {
@@ -46,7 +46,7 @@
 		index = *delta.Index
 	}
 	if index < 0 || index > len(t.calls) || index >= maxToolCalls {
-		return errors.Newf("tool call delta has index %d after %d calls", index, len(t.calls))
+		return errors.Newf("tool call delta with index %d after %d calls", index, len(t.calls))
 	}
 	if index == len(t.calls) {
 		t.calls = append(t.calls, toolCall{})
